--- a/core/src/main/java/postgrade/Dispatcher.java
+++ b/core/src/main/java/postgrade/Dispatcher.java
@@ -30,13 +30,13 @@
         }
     }
 
-    /** How an attempt ended. */
+    /** How an attempt ended. {@code NO_SOCKET}: this process could begin no connection, which says nothing of the worker. */
     enum Outcome {
-        SERVED, ERROR, FULL, TIMEOUT, UNREACHABLE, RESET, CANCELLED, NOT_SENT;
+        SERVED, ERROR, FULL, TIMEOUT, UNREACHABLE, RESET, CANCELLED, NOT_SENT, NO_SOCKET;
 
         /** True where the outcome proves that the job was never run. */
         public boolean provesNotRun() {
-            return this == FULL || this == UNREACHABLE || this == NOT_SENT;
+            return this == FULL || this == UNREACHABLE || this == NOT_SENT || this == NO_SOCKET;
         }
     }
 
--- a/core/src/main/java/postgrade/gateway/InvokerCall.java
+++ b/core/src/main/java/postgrade/gateway/InvokerCall.java
@@ -66,7 +66,7 @@
 
     /** No provider has had it: trying again is harmless. */
     boolean sentNowhere() {
-        return end == Outcome.NOT_SENT || end == Outcome.UNREACHABLE;
+        return end == Outcome.NOT_SENT || end == Outcome.UNREACHABLE || end == Outcome.NO_SOCKET;
     }
 
     boolean out() {
--- a/core/src/main/java/postgrade/policy/Health.java
+++ b/core/src/main/java/postgrade/policy/Health.java
@@ -28,7 +28,7 @@
                 n.roomAtNs = nowNs;
                 n.fullNs = nowNs;
             }
-            case CANCELLED, NOT_SENT -> { }
+            case CANCELLED, NOT_SENT, NO_SOCKET -> { }
             case UNREACHABLE -> eject(nowNs, n);
             default -> {
                 blame(a.held, 1);
--- a/core/src/test/java/postgrade/policy/DecideTest.java
+++ b/core/src/test/java/postgrade/policy/DecideTest.java
@@ -259,6 +259,23 @@
 
     // ---- Rule 2: no effect twice. Every outcome against every kind of class.
 
+    /** For want of a port, a descriptor or a route: an ejection would take a healthy worker from the fleet. */
+    @Test
+    void aConnectionThatCouldNotBeBegunSendsTheJobElsewhereAndEjectsNobody() {
+        String[] workers = {"s1", "s2", "s3", "s4", "s5"};
+        Decide d = start(settings().build(), workers);
+        String unsent = job(d, 0, "unsafe");
+        String first = out.sentTo(unsent);
+        d.finished(1, unsent, 0, Outcome.NO_SOCKET, false, Load.NONE);
+        assertNotEquals(first, out.sentTo(unsent), "it has run nowhere");
+        d.finished(2, unsent, 1, Outcome.SERVED, true, FREE);
+        Set<String> used = new TreeSet<>();
+        for (int i = 0; i < workers.length; i++) {
+            used.add(out.sentTo(job(d, 3, "safe")));
+        }
+        assertEquals(Set.of(workers), used, "none is left out");
+    }
+
     @ParameterizedTest
     @EnumSource(value = Outcome.class, names = {"FULL", "UNREACHABLE"})
     void provenNotRunIsTriedElsewhere(Outcome outcome) {
--- a/daemon/src/main/java/postgrade/consumer/ConsumerConnection.java
+++ b/daemon/src/main/java/postgrade/consumer/ConsumerConnection.java
@@ -5,6 +5,7 @@
 import java.nio.channels.SocketChannel;
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
+import postgrade.http.ArrivalTimes;
 import postgrade.http.BadMessage;
 import postgrade.http.Connection;
 import postgrade.http.Message;
@@ -37,9 +38,14 @@
     /** A request has been turned away since the last sweep. */
     private boolean turnedAway;
     private long accounted;
+    private final ArrivalTimes arrivals;
+    /** When what is being taken came, at the earliest. */
+    private long arrivedMicros;
 
-    ConsumerConnection(Listener listener, SocketChannel channel) throws IOException {
+    /** @param sinceMicros it has waited in the backlog since then at the earliest */
+    ConsumerConnection(Listener listener, SocketChannel channel, long sinceMicros) throws IOException {
         this.listener = listener;
+        arrivals = new ArrivalTimes(sinceMicros, listener.timers.nowMicros());
         expiry = new Expiry(listener.timers.nowMicros());
         connection = Connection.accepted(listener.reactor, channel, this);
     }
@@ -51,6 +57,7 @@
     @Override
     public void received(Connection c, ByteBuffer bytes) throws BadMessage {
         connection.idle(false, false);
+        noteArrival(bytes);
         expiry.came(listener.timers.nowMicros(), !state.owes() && parser.atStart());
         if (ahead.hasRemaining()) {
             if (ahead.remaining() + bytes.remaining() > MOST_AHEAD) {
@@ -68,7 +75,26 @@
         }
         // Guards the loop's time: who sends the same rubbish as soon as it is turned away is read from again at the
         // next sweep only. But whoever waits for a job's answer may leave, and that must be seen at once.
-        connection.pause(turnedAway && state == ConnectionState.READING);
+        pause(turnedAway && state == ConnectionState.READING);
+    }
+
+    /** What was sent ahead has waited since its own arrival, also if more has come behind it. */
+    private void noteArrival(ByteBuffer bytes) {
+        long sinceMicros = arrivals.beforeRead(listener.reactor.lastWaitMicros());
+        arrivals.afterRead(listener.timers.nowMicros(), bytes.limit() < bytes.capacity());
+        if (!ahead.hasRemaining()) {
+            arrivedMicros = sinceMicros;
+        }
+    }
+
+    /** The request that is being taken came then at the earliest, in microseconds of the loop's clock. */
+    long arrivedMicros() {
+        return arrivedMicros;
+    }
+
+    private void pause(boolean now) {
+        connection.pause(now);
+        arrivals.watch(listener.timers.nowMicros(), !now);
     }
 
     /** Takes requests one after another, as long as each is answered at once. */
@@ -188,7 +214,7 @@
 
     void sweep(long nowMicros) {
         turnedAway = false;
-        connection.pause(false);
+        pause(false);
         if (state.owes() || state == ConnectionState.CLOSED) {
             return;
         }
--- a/daemon/src/main/java/postgrade/consumer/Listener.java
+++ b/daemon/src/main/java/postgrade/consumer/Listener.java
@@ -17,7 +17,7 @@
 import postgrade.gateway.Claims;
 import postgrade.gateway.Gateway;
 import postgrade.gateway.Timers;
-import postgrade.http.Connection;
+import postgrade.http.ArrivalTimes;
 import postgrade.http.Reactor;
 import postgrade.lifecycle.Lifecycle;
 import postgrade.log.Events;
@@ -55,6 +55,8 @@
     private SelectionKey key;
     private long bytesHeld;
     private boolean paused;
+    /** Of the backlog. */
+    private ArrivalTimes arrivals;
     /** Since when every place has been taken, 0 if there are places; and whether the log says so. */
     private long shortMicros;
     private boolean told;
@@ -110,6 +112,7 @@
             shared(channel);
             channel.bind(at, BACKLOG);
             channel.configureBlocking(false);
+            arrivals = new ArrivalTimes(timers.nowMicros(), timers.nowMicros());
             key = reactor.register(channel, SelectionKey.OP_ACCEPT, this);
         } catch (IOException e) {
             channel.close();
@@ -188,6 +191,7 @@
             pause(true);
             return false;
         }
+        long sinceMicros = arrivals.beforeRead(reactor.lastWaitMicros());
         for (int i = 0; i < most; i++) {
             // Guards the connections that usual peers keep: those that have just come and may be of no use are
             // waited for, a moment, before one of the others has to go.
@@ -198,15 +202,16 @@
                 shortMicros = shortMicros == 0 ? timers.nowMicros() : shortMicros;
                 return false;
             }
-            SocketChannel accepted = channel.accept();
+            SocketChannel accepted = reactor.systemCalls().accept(channel);
             if (accepted == null) {
+                arrivals.afterRead(timers.nowMicros(), true);
                 return true;
             }
             boolean kept = false;
             // Only now: guards the connections that would be closed for one that has not come.
             reactor.sockets().takeToAccept(anyIdle);
             try {
-                connections.add(new ConsumerConnection(this, accepted));
+                connections.add(new ConsumerConnection(this, accepted, sinceMicros));
                 kept = true;
             } catch (IOException e) {
                 LOG.debug("a connection broke while it was accepted", e);
@@ -217,12 +222,14 @@
                 }
             }
         }
+        arrivals.afterRead(timers.nowMicros(), false);
         return false;
     }
 
     private void pause(boolean now) {
         if (now != paused && channel != null) {
             paused = now;
+            arrivals.watch(timers.nowMicros(), !paused);
             key.interestOps(paused ? 0 : SelectionKey.OP_ACCEPT);
         }
     }
--- a/daemon/src/main/java/postgrade/consumer/Requests.java
+++ b/daemon/src/main/java/postgrade/consumer/Requests.java
@@ -64,7 +64,7 @@
         }
         opened.size = request.body().length;
         opened.invocation = new Invocation(job.id(), job.jobClass(), job.tenant(), job.key(), job.slots(), job.memory(),
-                listener.timers.nowMicros() + job.deadlineMicros(),
+                on.arrivedMicros() + job.deadlineMicros(),
                 new Payload(request.method(), request.target(), request.header("content-type"),
                         request.header("idempotency-key"), request.body()),
                 opened);
--- a/daemon/src/main/java/postgrade/daemon/Daemon.java
+++ b/daemon/src/main/java/postgrade/daemon/Daemon.java
@@ -17,6 +17,7 @@
 import postgrade.discovery.Watch;
 import postgrade.gateway.Gateway;
 import postgrade.http.SocketBudget;
+import postgrade.http.SystemCalls;
 import postgrade.lifecycle.Lifecycle;
 import postgrade.log.Events;
 import postgrade.operator.Further;
@@ -63,12 +64,17 @@
         this(config, plan, actions -> new Decide(config.settings, config.seed, actions), Patience.USUAL);
     }
 
-    /** With another module in the place of ours, and another patience with discovery. */
     Daemon(Config config, Companion.Plan plan, Function<Actions, Dispatcher> module, Patience patience)
             throws IOException, Config.Faulty {
+        this(config, plan, module, patience, SystemCalls.REAL);
+    }
+
+    /** With another module in the place of ours, another patience with discovery, and other system calls. */
+    Daemon(Config config, Companion.Plan plan, Function<Actions, Dispatcher> module, Patience patience,
+            SystemCalls systemCalls) throws IOException, Config.Faulty {
         this.config = config;
         started = config;
-        loop = new Loop(new SocketBudget(config.sockets), config.clock);
+        loop = new Loop(new SocketBudget(config.sockets), config.clock, systemCalls);
         gateway = new Gateway(module, config.settings.mayDuplicate, config.mostHeld, loop,
                 (event, message, thrown) -> Events.error(LOG, event).setCause(thrown).log(message));
         providers = new ProviderPools(gateway, loop, loop, config.connectTimeoutMicros, config.idleMicros);
@@ -76,13 +82,13 @@
         workers = new Workers(providers, gateway, config.clock);
         upgrade = new Upgrade(config.shared, config.name + " " + config.listen, loop, loop, new Link());
         Takeover told = Takeover.of(upgrade.join());
-        Takeover before = told != null ? told : Takeover.left(upgrade.left(), config.clock.unixMillis());
+        Takeover before = told != null ? told : Takeover.left(upgrade.left(), config.clock.unixMillis(), System.nanoTime());
         TargetList known = before == null || before.list() == null ? config.known : before.list();
         if (before != null) {
             before.tell(workers.roster(), loop.nowMicros() * NANOS);
         }
         if (known != null) {
-            workers.list(ListForm.STORED, known);
+            workers.list(ListForm.STORED, known, loop.nowMicros(), WorkerStartTimes.NEVER_HEARD);
         }
         beside = new Beside(() -> this.config, loop, gateway, workers, upgrade, told, this::serves);
         if (before != null) {
@@ -180,7 +186,11 @@
     }
 
     private void told(TargetList list) {
-        workers.list(list.whole() ? ListForm.FULL : ListForm.CHANGES, list);
+        if (list.whole()) {
+            workers.list(ListForm.FULL, list, loop.nowMicros(), WorkerStartTimes.NEVER_HEARD);
+        } else {
+            workers.list(ListForm.CHANGES, list, loop.nowMicros(), watch.heardBeforeMicros());
+        }
         if (companion != null) {
             companion.listed();
         }
@@ -228,7 +238,8 @@
     }
 
     private void said(String worker, boolean out) {
-        upgrade.leave(Takeover.leave(workers.roster(), loop.nowMicros() * NANOS, config.clock.unixMillis()));
+        upgrade.leave(Takeover.leave(workers.roster(), loop.nowMicros() * NANOS, config.clock.unixMillis(),
+                System.nanoTime()));
         if (companion != null) {
             companion.said(worker, out);
         }
--- a/daemon/src/main/java/postgrade/daemon/Loop.java
+++ b/daemon/src/main/java/postgrade/daemon/Loop.java
@@ -17,6 +17,7 @@
 import postgrade.http.LookBuffers;
 import postgrade.http.Reactor;
 import postgrade.http.SocketBudget;
+import postgrade.http.SystemCalls;
 import postgrade.log.Events;
 
 /** The one thread of the daemon: waits for channels and timers, then lets the gateway take its turn. */
@@ -24,6 +25,8 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(Loop.class);
     private static final int READ_BYTES = 64 << 10;
+    /** Waits that fail one after another: the process ends, as its selector is of no use any more. */
+    private static final int MOST_FAILED_WAITS = 100;
 
     /** What takes its turn when all that was ready has been gathered. */
     interface Turn {
@@ -42,15 +45,20 @@
     private final LookBuffers looks = new LookBuffers();
     private final PriorityQueue<Due> timers = new PriorityQueue<>();
     private final Clock clock;
+    private final SystemCalls systemCalls;
     private long nowMicros;
+    private long lastWaitMicros;
+    private int failedWaits;
     private long timerCount;
     private volatile boolean stopped;
     private final Queue<Runnable> asked = new ConcurrentLinkedQueue<>();
 
-    Loop(SocketBudget sockets, Clock clock) throws IOException {
+    Loop(SocketBudget sockets, Clock clock, SystemCalls systemCalls) throws IOException {
         this.sockets = sockets;
         this.clock = clock;
+        this.systemCalls = systemCalls;
         nowMicros = clock.micros();
+        lastWaitMicros = nowMicros;
         selector = Selector.open();
     }
 
@@ -62,7 +70,8 @@
     void run(Turn turn) throws IOException {
         Runnable begin = turn::begin;
         while (!stopped) {
-            select(turn.pending());
+            await(turn.pending());
+            lastWaitMicros = nowMicros;
             nowMicros = clock.micros();
             guarded(begin);
             for (Runnable task = asked.poll(); task != null; task = asked.poll()) {
@@ -81,22 +90,32 @@
         selector.close();
     }
 
-    private void select(boolean atOnce) throws IOException {
+    /** Waits for channels and timers. A wait that fails ends early, and what is due is done all the same. */
+    private void await(boolean atOnce) throws IOException {
+        try {
+            systemCalls.select(selector, waitMillis(atOnce));
+            failedWaits = 0;
+        } catch (IOException e) {
+            if (++failedWaits == MOST_FAILED_WAITS) {
+                throw e;
+            }
+            Events.warn(LOG, "loop.wait-failed").setCause(e).log("a wait for channels failed; going on");
+        }
+    }
+
+    /** How long nothing is due; negative if nothing ever is. */
+    private long waitMillis(boolean atOnce) {
         while (!timers.isEmpty() && timers.peek().task == null) {
             timers.poll();
         }
         if (atOnce) {
-            selector.selectNow();
-        } else if (timers.isEmpty()) {
-            selector.select();
-        } else {
-            long waitMicros = timers.peek().whenMicros - clock.micros();
-            if (waitMicros <= 0) {
-                selector.selectNow();
-            } else {
-                selector.select((waitMicros + 999) / 1000);
-            }
+            return 0;
+        }
+        if (timers.isEmpty()) {
+            return -1;
         }
+        long waitMicros = timers.peek().whenMicros - clock.micros();
+        return waitMicros <= 0 ? 0 : (waitMicros + 999) / 1000;
     }
 
     /**
@@ -177,6 +196,16 @@
         looks.giveBack(lent);
     }
 
+    @Override
+    public SystemCalls systemCalls() {
+        return systemCalls;
+    }
+
+    @Override
+    public long lastWaitMicros() {
+        return lastWaitMicros;
+    }
+
     @Override
     public SocketBudget sockets() {
         return sockets;
--- a/daemon/src/main/java/postgrade/daemon/Takeover.java
+++ b/daemon/src/main/java/postgrade/daemon/Takeover.java
@@ -32,6 +32,7 @@
         long standbyAgeMicros, String beside) {
 
     private static final Logger LOG = LoggerFactory.getLogger(Takeover.class);
+    private static final String AT_MACHINE_NS = "atMachineNs";
 
     /** Reads a snapshot; one that cannot be made sense of, or none, is null: the start goes on without. */
     static Takeover of(JsonObject json) {
@@ -65,12 +66,12 @@
     }
 
     /** What operators have said, alone: of a process that died before it could tell the rest. */
-    static Takeover left(JsonObject json, long nowMillis) {
+    static Takeover left(JsonObject json, long nowMillis, long machineNanos) {
         if (json == null) {
             return null;
         }
         try {
-            long passedNs = Math.max(0, nowMillis - json.get("atMs").asLong()) * 1_000_000;
+            long passedNs = passedNs(json, nowMillis, machineNanos);
             List<Roster.Record> said = new ArrayList<>();
             for (Roster.Record r : said(json.get("roster").asArray())) {
                 said.add(new Roster.Record(r.id(), r.outNs() + passedNs, r.backNs() < 0 ? -1 : r.backNs() + passedNs));
@@ -83,8 +84,15 @@
         }
     }
 
-    static JsonObject leave(Roster roster, long nowNs, long nowMillis) {
-        return Json.object().add("atMs", nowMillis).add("roster", ages(roster, nowNs));
+    /** By the time since the machine started, which no step of the wall clock changes; an earlier version tells that alone. */
+    private static long passedNs(JsonObject json, long nowMillis, long machineNanos) {
+        JsonValue at = json.get(AT_MACHINE_NS);
+        long passedNs = at != null ? machineNanos - at.asLong() : (nowMillis - json.get("atMs").asLong()) * 1_000_000;
+        return Math.max(0, passedNs);
+    }
+
+    static JsonObject leave(Roster roster, long nowNs, long nowMillis, long machineNanos) {
+        return Json.object().add("atMs", nowMillis).add(AT_MACHINE_NS, machineNanos).add("roster", ages(roster, nowNs));
     }
 
     private static JsonArray ages(Roster roster, long nowNs) {
--- a/daemon/src/main/java/postgrade/daemon/Workers.java
+++ b/daemon/src/main/java/postgrade/daemon/Workers.java
@@ -31,12 +31,12 @@
     private final Map<String, Entry> told = new LinkedHashMap<>();
     private final ProviderPools providers;
     private final Gateway gateway;
-    private final Clock clock;
+    private final WorkerStartTimes startTimes;
 
     Workers(ProviderPools providers, Gateway gateway, Clock clock) {
         this.providers = providers;
         this.gateway = gateway;
-        this.clock = clock;
+        startTimes = new WorkerStartTimes(clock);
     }
 
     ProviderPools providers() {
@@ -51,7 +51,11 @@
         return told.values();
     }
 
-    void list(ListForm form, TargetList list) {
+    /**
+     * @param nowMicros of the loop's clock
+     * @param heardBeforeMicros when discovery was last heard before it told this, or {@link WorkerStartTimes#NEVER_HEARD}
+     */
+    void list(ListForm form, TargetList list, long nowMicros, long heardBeforeMicros) {
         list.warnOfFaulty();
         List<Worker> workers = new ArrayList<>();
         if (form != ListForm.CHANGES) {
@@ -64,7 +68,7 @@
                 case DRAINING -> Phase.DRAINING;
                 case GONE -> Phase.GONE;
             };
-            long born = e.startedMillis() == 0 ? 0 : clock.fromUnixMillis(e.startedMillis());
+            long born = startTimes.micros(e.id(), e.startedMillis(), nowMicros, heardBeforeMicros);
             workers.add(new Worker(e.id(), e.zone(), e.kind(), e.cell(), phase, e.weight(), born * NANOS));
         }
         List<Worker> counted = roster.list(form != ListForm.CHANGES, workers);
--- a/daemon/src/main/java/postgrade/discovery/Watch.java
+++ b/daemon/src/main/java/postgrade/discovery/Watch.java
@@ -2,6 +2,7 @@
 
 import com.eclipsesource.json.Json;
 import java.io.ByteArrayOutputStream;
+import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -50,6 +51,8 @@
     /** The whole list of this address is still to be had. */
     private boolean moved;
     private boolean lost;
+    private long heardMicros = -1;
+    private long heardBeforeMicros = -1;
     private Timers.Timer again;
 
     /**
@@ -70,9 +73,10 @@
 
     public void open() {
         session = new Session(moved);
-        session.connection = Connection.open(reactor, address, session, true);
-        if (session.connection == null) {
-            session.end("no connection");
+        try {
+            session.connection = Connection.open(reactor, address, session, true);
+        } catch (IOException e) {
+            session.end("no connection: " + e.getMessage());
         }
     }
 
@@ -81,6 +85,11 @@
         return version;
     }
 
+    /** When discovery was last heard before the list that is being taken in, or -1 if it never was. */
+    public long heardBeforeMicros() {
+        return heardBeforeMicros;
+    }
+
     /** Where that list came from; after a move, where it is to come from. */
     public InetSocketAddress address() {
         return address;
@@ -125,6 +134,8 @@
     /** @param times that this session has brought news */
     private void heard(int times) {
         pace.heard(times);
+        heardBeforeMicros = heardMicros;
+        heardMicros = timers.nowMicros();
         if (lost) {
             lost = false;
             Events.info(LOG, "watch.back").addKeyValue("version", version)
--- a/daemon/src/main/java/postgrade/http/Connection.java
+++ b/daemon/src/main/java/postgrade/http/Connection.java
@@ -1,7 +1,9 @@
 package postgrade.http;
 
 import java.io.IOException;
+import java.net.ConnectException;
 import java.net.InetSocketAddress;
+import java.net.NoRouteToHostException;
 import java.net.StandardSocketOptions;
 import java.nio.ByteBuffer;
 import java.nio.channels.SelectionKey;
@@ -63,17 +65,23 @@
         return c;
     }
 
-    /** Begins to connect. Null if the budget has no socket or the system refuses at once. */
-    public static Connection open(Reactor reactor, InetSocketAddress to, Owner owner, boolean urgent) {
+    /**
+     * Begins to connect.
+     *
+     * @throws NoSocketException if it is for want of something of ours
+     * @throws IOException if the peer's system refuses at once
+     */
+    public static Connection open(Reactor reactor, InetSocketAddress to, Owner owner, boolean urgent)
+            throws IOException {
         if (!reactor.sockets().takeToConnect(urgent)) {
-            return null;
+            throw new NoSocketException("every socket is in use", null);
         }
         Connection c = null;
         try {
-            c = new Connection(reactor, SocketChannel.open(), owner, urgent);
+            c = new Connection(reactor, reactor.systemCalls().open(), owner, urgent);
             c.connecting = true;
             c.begin(SelectionKey.OP_CONNECT);
-            c.channel.connect(to); // Also one that comes up at once is told of in the next turn.
+            reactor.systemCalls().connect(c.channel, to); // Also one that comes up at once is told of in the next turn.
             return c;
         } catch (IOException | RuntimeException e) {
             if (c == null) {
@@ -81,7 +89,10 @@
             } else {
                 c.close();
             }
-            return null;
+            if (e instanceof ConnectException || e instanceof NoRouteToHostException) {
+                throw (IOException) e;
+            }
+            throw new NoSocketException("no connection to " + to + " could be begun", e);
         }
     }
 
@@ -99,7 +110,7 @@
     @Override
     public void ready(SelectionKey ready) throws IOException {
         if (connecting) {
-            channel.finishConnect();
+            reactor.systemCalls().finishConnect(channel);
             connecting = false;
             key.interestOps(SelectionKey.OP_READ);
             owner.connected(this);
@@ -119,7 +130,7 @@
     /** False if nothing is left to read. */
     private boolean read(ByteBuffer in) throws IOException {
         in.clear();
-        int count = channel.read(in);
+        int count = reactor.systemCalls().read(channel, in);
         if (count < 0) {
             owner.ended(this);
             gone();
@@ -162,7 +173,7 @@
         }
         ByteBuffer own = reactor.lend(); // The loop's buffer may be in use.
         try {
-            return channel.read(own) == 0;
+            return reactor.systemCalls().read(channel, own) == 0;
         } catch (IOException e) {
             return false;
         } finally {
@@ -191,7 +202,7 @@
 
     private void flush() throws IOException {
         if (!unsent.isEmpty()) {
-            channel.write(unsent.toArray(new ByteBuffer[0])); // All parts in one packet, if they fit.
+            reactor.systemCalls().write(channel, unsent.toArray(new ByteBuffer[0])); // All parts in one packet, if they fit.
         }
         while (!unsent.isEmpty() && !unsent.peek().hasRemaining()) {
             unsent.poll();
--- a/daemon/src/main/java/postgrade/http/Reactor.java
+++ b/daemon/src/main/java/postgrade/http/Reactor.java
@@ -25,6 +25,16 @@
 
     SocketBudget sockets();
 
+    /** The calls by which channels are read, written, accepted and connected. */
+    default SystemCalls systemCalls() {
+        return SystemCalls.REAL;
+    }
+
+    /** When the wait before the one that has just ended had ended; see {@link ArrivalTimes}. */
+    default long lastWaitMicros() {
+        return 0;
+    }
+
     /** Whose channel is ready. */
     interface Handler {
         /** The order in which the ready channels of a turn are served. */
--- a/daemon/src/main/java/postgrade/provider/Call.java
+++ b/daemon/src/main/java/postgrade/provider/Call.java
@@ -139,6 +139,7 @@
     @Override
     void broken(Break how) {
         switch (how) {
+            case NO_SOCKET -> end(Outcome.NO_SOCKET);
             case NEVER_WRITTEN -> end(Outcome.UNREACHABLE);
             case DRAINED, TOO_LATE -> end(Outcome.NOT_SENT);
             case AFTER_LAST_BYTE -> {
--- a/daemon/src/main/java/postgrade/provider/Pool.java
+++ b/daemon/src/main/java/postgrade/provider/Pool.java
@@ -1,5 +1,6 @@
 package postgrade.provider;
 
+import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -7,6 +8,7 @@
 import java.util.function.Supplier;
 import postgrade.gateway.Timers;
 import postgrade.http.Connection;
+import postgrade.http.NoSocketException;
 import postgrade.http.Reactor;
 
 /**
@@ -64,8 +66,10 @@
         Pacing pace = pacing.get();
         boolean must = !connected();
         if (pace == null || pace.mayOpen(id, must) || must) {
-            if (!open()) {
-                waitInVain(r);
+            try {
+                open();
+            } catch (IOException e) {
+                waitInVain(r, breakBy(e));
             }
         } else {
             postponed++;
@@ -86,16 +90,15 @@
         return waiting.size() > connecting + fresh + postponed + free.resting();
     }
 
-    /** False if no socket is to be had. */
-    private boolean open() {
+    private static Request.Break breakBy(IOException e) {
+        return e instanceof NoSocketException ? Request.Break.NO_SOCKET : Request.Break.NEVER_WRITTEN;
+    }
+
+    private void open() throws IOException {
         Link link = new Link(this, address);
         link.connection = Connection.open(reactor, address, link, false);
-        if (link.connection == null) {
-            return false;
-        }
         connecting++;
         link.timer = timers.at(timers.nowMicros() + connectTimeoutMicros.getAsLong(), link::fail);
-        return true;
     }
 
     /** One more for what has waited, if what it has waited for is gone. */
@@ -105,23 +108,25 @@
             if (pace != null) {
                 pace.mayOpen(id, true);
             }
-            if (!open()) {
-                connectFailed();
+            try {
+                open();
+            } catch (IOException e) {
+                connectFailed(breakBy(e));
             }
         }
     }
 
     /** A connect failed: the request that has waited longest has lost its connection, unless another is due. */
-    private void connectFailed() {
+    private void connectFailed(Request.Break how) {
         if (lacksOne()) {
-            waitInVain(waiting.peek());
+            waitInVain(waiting.peek(), how);
         }
     }
 
-    private void waitInVain(Request r) {
+    private void waitInVain(Request r, Request.Break how) {
         waiting.remove(r);
         r.over = true;
-        r.broken(Request.Break.NEVER_WRITTEN);
+        r.broken(how);
     }
 
     /** A link that has come up takes what waits. */
@@ -209,12 +214,12 @@
         switch (was) {
             case CONNECTING -> {
                 connecting--;
-                connectFailed();
+                connectFailed(Request.Break.NEVER_WRITTEN);
             }
             case FRESH -> {
                 fresh--;
                 if (isCurrent(link)) {
-                    connectFailed();
+                    connectFailed(Request.Break.NEVER_WRITTEN);
                 } else {
                     replace();
                 }
--- a/daemon/src/main/java/postgrade/provider/Request.java
+++ b/daemon/src/main/java/postgrade/provider/Request.java
@@ -8,8 +8,11 @@
 
     static final byte[] NONE = {};
 
-    /** How a request has lost its connection; {@code IN_ANSWER}: what came of an answer says nothing certain. */
-    enum Break { NEVER_WRITTEN, DRAINED, TOO_LATE, AFTER_LAST_BYTE, IN_ANSWER }
+    /**
+     * How a request has lost its connection; {@code NO_SOCKET}: none could be begun for want of something of ours; {@code
+     * IN_ANSWER}: what came of an answer says nothing certain.
+     */
+    enum Break { NO_SOCKET, NEVER_WRITTEN, DRAINED, TOO_LATE, AFTER_LAST_BYTE, IN_ANSWER }
 
     private byte[] body;
     /** The link that carries it, null while it waits for one and after its end. */
--- a/daemon/src/main/java/postgrade/upgrade/Upgrade.java
+++ b/daemon/src/main/java/postgrade/upgrade/Upgrade.java
@@ -14,6 +14,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -33,6 +34,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(Upgrade.class);
     static final int FORM = 1;
     private static final String SUFFIX = ".link";
+    private static final long AFTER_UNIX_MILLIS = 500_000_000_000_000L;
     /** Guards the descriptors: an upgrade has one peer, one that follows at once two. */
     private static final int MOST_PEERS = 4;
 
@@ -77,14 +79,21 @@
         this.reactor = reactor;
         this.timers = timers;
         this.owner = owner;
-        // Comparable by time; of one millisecond the process number decides.
-        id = String.format("%015d-%010d", System.currentTimeMillis(), ProcessHandle.current().pid());
+        id = processId(System.nanoTime(), ProcessHandle.current().pid());
         left = new Left(folder == null ? null : folder.resolve(prefix() + "left"));
         if (folder != null) {
             listen();
         }
     }
 
+    /**
+     * Comparable by the time since the machine started, which no step of its wall clock turns round; of one millisecond the
+     * process number decides. Earlier versions took Unix time: theirs come before all of ours.
+     */
+    static String processId(long machineNanos, long processNumber) {
+        return String.format(Locale.ROOT, "%015d-%010d", AFTER_UNIX_MILLIS + machineNanos / 1_000_000, processNumber);
+    }
+
     private String prefix() {
         return "pg-" + Integer.toHexString(dispatcher.hashCode()) + "-";
     }
--- /dev/null
+++ b/daemon/src/test/java/postgrade/daemon/SystemCallsTest.java
@@ -0,0 +1,151 @@
+package postgrade.daemon;
+
+import static org.junit.Assert.assertEquals;
+import static org.junit.Assert.assertTrue;
+
+import java.io.IOException;
+import java.net.BindException;
+import java.net.ConnectException;
+import java.net.Socket;
+import java.net.SocketException;
+import java.util.List;
+import org.junit.After;
+import org.junit.Before;
+import org.junit.Test;
+import postgrade.Dispatcher.Outcome;
+import postgrade.daemon.Peer.Arrived;
+import postgrade.http.FailingCalls;
+import postgrade.http.FailingCalls.Call;
+import postgrade.http.FailingCalls.Failure;
+
+/** System calls that fail for a moment, are short or return early, at each point of a job's way. */
+public class SystemCallsTest extends Stage {
+
+    private static final List<Failure> OUR_OWN_WANTS = List.of(
+            () -> new BindException("Cannot assign requested address"),
+            () -> new SocketException("No buffer space available"),
+            () -> new SocketException("Network is unreachable"));
+
+    private final FailingCalls calls = new FailingCalls();
+    private Turns turns;
+
+    @Before
+    public void startTurns() throws Exception {
+        turns = new Turns(Config.read(configuration()), 512, calls);
+        turns.provider("w1", one);
+        turns.provider("w2", two);
+        turns.script.onJob = job -> turns.script.out.send(job.id(), "w1", 0);
+    }
+
+    @After
+    public void close() throws IOException {
+        turns.close();
+    }
+
+    /** Answers the attempt, reports the job done on a connection of its own, and reads the client's answer. */
+    private void isServed(String id, Socket client, Peer worker, String from) throws Exception {
+        Arrived attempt = worker.next("POST");
+        assertEquals(id, attempt.header("X-Request-Id"));
+        Peer.write(attempt.socket(), "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
+        String body = "{\"id\":\"" + id + "\",\"from\":\"" + from + "\",\"state\":\"done\",\"result\":\"made\"}";
+        Socket report = turns.connect();
+        Peer.write(report, "POST /v1/job-events HTTP/1.1\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+        assertEquals(204, Peer.read(report).status());
+        Arrived answer = Peer.read(client);
+        assertEquals(200, answer.status());
+        assertEquals("made", answer.body());
+    }
+
+    /** The module may try another worker, and holds nothing against this one. */
+    @Test
+    public void aConnectThatFailsForWantOfOursIsToldAsSuchAndTheJobGoesElsewhere() throws Exception {
+        turns.script.onFinished = (id, outcome) -> {
+            if (outcome == Outcome.NO_SOCKET) {
+                turns.script.out.send(id, "w2", 0);
+            }
+        };
+        int number = 0;
+        for (Call call : List.of(Call.OPEN, Call.CONNECT)) {
+            for (Failure failure : OUR_OWN_WANTS) {
+                String id = "c" + number++;
+                calls.fail(call, 1, failure);
+                Socket client = turns.post(id);
+                turns.script.hears("job " + id);
+                turns.script.hears("finished " + id + " 0 NO_SOCKET false");
+                isServed(id, client, two, "w2");
+                turns.script.hears("finished " + id + " 1 SERVED true");
+            }
+        }
+    }
+
+    @Test
+    public void aConnectThatThePeerRefusesIsStillTheWorkersFailure() throws Exception {
+        calls.fail(Call.CONNECT, 1, () -> new ConnectException("Connection refused"));
+        turns.post("p1");
+        turns.script.hears("job p1");
+        turns.script.hears("finished p1 0 UNREACHABLE false");
+        calls.fail(Call.FINISH_CONNECT, 1, () -> new ConnectException("Connection timed out"));
+        turns.post("p2");
+        turns.script.hears("job p2");
+        turns.script.hears("finished p2 0 UNREACHABLE false");
+    }
+
+    @Test
+    public void aWaitThatFailsEndsNeitherTheLoopNorWhatIsUnderWay() throws Exception {
+        Socket client = turns.post("s1");
+        turns.script.hears("job s1");
+        calls.fail(Call.SELECT, 3, () -> new IOException("Interrupted system call"));
+        isServed("s1", client, one, "w1");
+        assertEquals(0, calls.left(Call.SELECT));
+    }
+
+    @Test
+    public void aFailedAcceptLosesNobodyWhoWaitsAndCallBacksAreStillHeard() throws Exception {
+        Socket before = turns.post("a1");
+        turns.script.hears("job a1");
+        calls.fail(Call.ACCEPT, 3, () -> new IOException("Too many open files in system"));
+        Socket waits = turns.post("a2");
+        isServed("a1", before, one, "w1"); // Its call-back comes on a connection that waits behind the other.
+        isServed("a2", waits, one, "w1");
+        assertEquals(0, calls.left(Call.ACCEPT));
+    }
+
+    @Test
+    public void aShutdownWhoseAcceptFailsStillServesWhoWaits() throws Exception {
+        Socket first = turns.post("d1");
+        turns.script.hears("job d1");
+        calls.fail(Call.ACCEPT, 3, () -> new IOException("Too many open files"));
+        Socket second = turns.post("d2");
+        turns.on(turns.ending::begin);
+        isServed("d1", first, one, "w1");
+        isServed("d2", second, one, "w1");
+    }
+
+    @Test
+    public void readsAndWritesOfOneByteEachCarryAJobWhole() throws Exception {
+        calls.moveOneByteAtATime();
+        Socket client = turns.post("b1");
+        isServed("b1", client, one, "w1");
+    }
+
+    /** Its time runs from when it was sent. */
+    @Test
+    public void aRequestThatLayUnreadInASocketTellsItsWorkerOfTheTimeThatIsLeft() throws Exception {
+        Socket client = turns.connect();
+        turns.turn(); // It is accepted and watched.
+        turns.crossing(300, () -> Turns.post(client, "u1"), () -> { });
+        assertTellsAtMost(14_700_000, one.next("POST"));
+    }
+
+    @Test
+    public void neitherDoesOneThatWaitedInTheBacklogTellMore() throws Exception {
+        turns.crossing(300, () -> turns.post("u2"), () -> { });
+        assertTellsAtMost(14_700_000, one.next("POST"));
+    }
+
+    private static void assertTellsAtMost(long micros, Arrived attempt) {
+        String told = attempt.header("X-Deadline");
+        assertTrue(told, told.endsWith("u"));
+        assertTrue(told, Long.parseLong(told.substring(0, told.length() - 1)) <= micros);
+    }
+}
--- /dev/null
+++ b/daemon/src/test/java/postgrade/daemon/WorkerStartTimesTest.java
@@ -0,0 +1,61 @@
+package postgrade.daemon;
+
+import static org.junit.Assert.assertEquals;
+import static org.junit.Assert.assertTrue;
+
+import org.junit.Test;
+
+/** Starts of workers told in true Unix time to a process whose wall clock was stepped before it began. */
+public class WorkerStartTimesTest {
+
+    private static final long SECOND = 1_000_000;
+    private static final long HOUR = 3_600 * SECOND;
+    private static final long TOLERANCE = SECOND;
+
+    private final long trueUnixMillis = System.currentTimeMillis();
+    private long nowMicros;
+
+    private WorkerStartTimes withWallClockOffBy(long micros) throws Config.Faulty {
+        Clock clock = Clock.of(micros + ",0");
+        nowMicros = clock.micros();
+        return new WorkerStartTimes(clock);
+    }
+
+    private long startedAgo(long micros) {
+        return trueUnixMillis - micros / 1000;
+    }
+
+    @Test
+    public void underATrueClockAStartIsWhereItWas() throws Exception {
+        WorkerStartTimes times = withWallClockOffBy(0);
+        assertEquals(nowMicros - 5 * SECOND, times.micros("w", startedAgo(5 * SECOND), nowMicros, nowMicros - SECOND), TOLERANCE);
+        assertEquals(nowMicros - HOUR, times.micros("v", startedAgo(HOUR), nowMicros, WorkerStartTimes.NEVER_HEARD), TOLERANCE);
+        assertEquals(0, times.micros("u", 0, nowMicros, nowMicros));
+    }
+
+    /** Else a worker in slow start would pass as warm. */
+    @Test
+    public void underAClockAnHourAheadAChangeTellsAStartSinceDiscoveryWasLastHeard() throws Exception {
+        WorkerStartTimes times = withWallClockOffBy(HOUR);
+        long heardBefore = nowMicros - 2 * SECOND;
+        long started = times.micros("w", startedAgo(SECOND), nowMicros, heardBefore);
+        assertTrue(nowMicros - started <= 2 * SECOND + WorkerStartTimes.LATEST_NOTICE_MICROS);
+    }
+
+    /** Else a warm worker would pass as cold for an hour. */
+    @Test
+    public void underAClockAnHourBehindAStartIsNoLaterThanTheMomentItIsFirstTold() throws Exception {
+        WorkerStartTimes times = withWallClockOffBy(-HOUR);
+        assertEquals(nowMicros, times.micros("w", startedAgo(SECOND), nowMicros, WorkerStartTimes.NEVER_HEARD));
+        assertEquals("told again", nowMicros,
+                times.micros("w", startedAgo(SECOND), nowMicros + 30 * SECOND, nowMicros + 29 * SECOND));
+    }
+
+    @Test
+    public void aRestartUnderTheSameNameIsAStartOfItsOwn() throws Exception {
+        WorkerStartTimes times = withWallClockOffBy(0);
+        times.micros("w", startedAgo(HOUR), nowMicros, WorkerStartTimes.NEVER_HEARD);
+        long again = times.micros("w", startedAgo(SECOND), nowMicros, nowMicros - SECOND);
+        assertEquals(nowMicros - SECOND, again, TOLERANCE);
+    }
+}
--- a/daemon/src/test/java/postgrade/discovery/Hand.java
+++ b/daemon/src/test/java/postgrade/discovery/Hand.java
@@ -15,6 +15,7 @@
 import postgrade.gateway.Timers;
 import postgrade.http.Reactor;
 import postgrade.http.SocketBudget;
+import postgrade.http.SystemCalls;
 
 /** A loop turned by hand: sockets are real, time passes only when the test says so. */
 public final class Hand implements Reactor, Timers {
@@ -24,6 +25,7 @@
     private final ByteBuffer buffer = ByteBuffer.allocate(64 << 10);
     private final PriorityQueue<Due> due = new PriorityQueue<>();
     private long nowMicros;
+    private SystemCalls systemCalls = SystemCalls.REAL;
     private long count;
     private final List<SelectableChannel> channels = new ArrayList<>();
     private int served;
@@ -44,6 +46,16 @@
         selector = Selector.open();
     }
 
+    /** Connections are made, read and written by these from now on. */
+    public void systemCalls(SystemCalls calls) {
+        systemCalls = calls;
+    }
+
+    @Override
+    public SystemCalls systemCalls() {
+        return systemCalls;
+    }
+
     /** Serves sockets until it is so; time stands still. */
     public void until(BooleanSupplier isSo) throws IOException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
--- /dev/null
+++ b/daemon/src/test/java/postgrade/http/ArrivalTimesTest.java
@@ -0,0 +1,45 @@
+package postgrade.http;
+
+import static org.junit.Assert.assertEquals;
+
+import org.junit.Test;
+
+/** Since when unread bytes may have lain in a socket. Waits of the loop end at 100, 200, 300 and so on. */
+public class ArrivalTimesTest {
+
+    private final ArrivalTimes times = new ArrivalTimes(50, 100);
+
+    /** The wait that ended at 200 was the first that watched it. */
+    @Test
+    public void whatIsReadAtOnceMayHaveComeBeforeTheLoopWatchedIt() {
+        assertEquals(50, times.beforeRead(100));
+    }
+
+    @Test
+    public void whatAWaitDidNotShowHasComeSince() {
+        assertEquals(200, times.beforeRead(200));
+        assertEquals(300, times.beforeRead(300));
+    }
+
+    @Test
+    public void afterAReadThatTookAllItWasEmptyThen() {
+        times.afterRead(300, true);
+        assertEquals(300, times.beforeRead(200));
+    }
+
+    @Test
+    public void whatARemainderHidWasThereAtTheNextWait() {
+        assertEquals(200, times.beforeRead(200));
+        times.afterRead(300, false);
+        assertEquals(200, times.beforeRead(300));
+    }
+
+    @Test
+    public void whileItIsNotWatchedNoWaitShowsThatItIsEmpty() {
+        times.afterRead(300, true);
+        times.watch(300, false);
+        times.watch(900, true);
+        assertEquals(300, times.beforeRead(900));
+        assertEquals(1000, times.beforeRead(1000));
+    }
+}
--- /dev/null
+++ b/daemon/src/test/java/postgrade/http/FailingCalls.java
@@ -0,0 +1,111 @@
+package postgrade.http;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
+import java.nio.channels.Selector;
+import java.nio.channels.ServerSocketChannel;
+import java.nio.channels.SocketChannel;
+import java.util.EnumMap;
+import java.util.Map;
+
+/** System calls that fail, are short or return early as often as a test says. */
+public final class FailingCalls implements SystemCalls {
+
+    public enum Call { SELECT, ACCEPT, OPEN, CONNECT, FINISH_CONNECT, READ, WRITE }
+
+    /** Makes the error of a call that is to fail. */
+    public interface Failure {
+        IOException make();
+    }
+
+    private final Map<Call, Integer> failuresLeft = new EnumMap<>(Call.class);
+    private final Map<Call, Failure> failures = new EnumMap<>(Call.class);
+    private boolean oneByteAtATime;
+
+    /** The next calls of this kind fail, so many of them. */
+    public synchronized void fail(Call call, int times, Failure as) {
+        failuresLeft.put(call, times);
+        failures.put(call, as);
+    }
+
+    /** Reads and writes move one byte each from now on. */
+    public synchronized void moveOneByteAtATime() {
+        oneByteAtATime = true;
+    }
+
+    /** How many of the failures that were asked for are still to come. */
+    public synchronized int left(Call call) {
+        return failuresLeft.getOrDefault(call, 0);
+    }
+
+    private synchronized void perhapsFail(Call call) throws IOException {
+        int left = left(call);
+        if (left > 0) {
+            failuresLeft.put(call, left - 1);
+            throw failures.get(call).make();
+        }
+    }
+
+    private synchronized boolean isShort() {
+        return oneByteAtATime;
+    }
+
+    @Override
+    public void select(Selector selector, long millis) throws IOException {
+        perhapsFail(Call.SELECT);
+        SystemCalls.super.select(selector, millis);
+    }
+
+    @Override
+    public SocketChannel accept(ServerSocketChannel server) throws IOException {
+        perhapsFail(Call.ACCEPT);
+        return SystemCalls.super.accept(server);
+    }
+
+    @Override
+    public SocketChannel open() throws IOException {
+        perhapsFail(Call.OPEN);
+        return SystemCalls.super.open();
+    }
+
+    @Override
+    public void connect(SocketChannel channel, InetSocketAddress to) throws IOException {
+        perhapsFail(Call.CONNECT);
+        SystemCalls.super.connect(channel, to);
+    }
+
+    @Override
+    public void finishConnect(SocketChannel channel) throws IOException {
+        perhapsFail(Call.FINISH_CONNECT);
+        SystemCalls.super.finishConnect(channel);
+    }
+
+    @Override
+    public int read(SocketChannel channel, ByteBuffer into) throws IOException {
+        perhapsFail(Call.READ);
+        if (!isShort()) {
+            return SystemCalls.super.read(channel, into);
+        }
+        ByteBuffer one = ByteBuffer.allocate(1);
+        int count = channel.read(one);
+        into.put(one.flip());
+        return count;
+    }
+
+    @Override
+    public void write(SocketChannel channel, ByteBuffer[] parts) throws IOException {
+        perhapsFail(Call.WRITE);
+        if (!isShort()) {
+            SystemCalls.super.write(channel, parts);
+            return;
+        }
+        for (ByteBuffer part : parts) {
+            if (part.hasRemaining()) {
+                channel.write(part.duplicate().limit(part.position() + 1));
+                part.position(part.position() + 1);
+                return;
+            }
+        }
+    }
+}
