--- a/quorum/src/main/java/postgrade/quorum/engine/Faults.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/Faults.java
@@ -28,6 +28,13 @@
         }
     }
 
+    /** This one is over; any other stays. */
+    public void clear(String what) {
+        if (what.equals(fault)) {
+            clear();
+        }
+    }
+
     public void clear() {
         if (fault != null) {
             fault = null;
--- a/quorum/src/main/java/postgrade/quorum/follow/Follower.java
+++ b/quorum/src/main/java/postgrade/quorum/follow/Follower.java
@@ -20,6 +20,7 @@
     /** A process that had to turn to another voter looks for its first one again after so many pulls. */
     private static final int RETURN_AFTER = 40;
     private static final int MOST_FAILURES = 5;
+    static final String NO_VIEW = "no voter confirms a view: there is no quorum, or none can be reached";
     /** Between two pages, so that others are served meanwhile. */
     private static final long PAGE_PAUSE_MICROS = 1_000;
 
@@ -97,11 +98,12 @@
             failures++;
             at++;
             if (failures == MOST_FAILURES) {
-                faults.set("no voter confirms a view: there is no quorum, or none can be reached");
+                faults.set(NO_VIEW);
             }
             next(pauseMillis(settings.pullMillis(), failures, view.known() ? 0 : 2 * ways.size()));
             return;
         }
+        faults.clear(NO_VIEW);
         good = failures > 0 ? 0 : good + 1;
         failures = 0;
         if (good == RETURN_AFTER) {
