--- a/calendar/src/main/java/postgrade/calendar/CalendarCheck.java
+++ b/calendar/src/main/java/postgrade/calendar/CalendarCheck.java
@@ -11,10 +11,11 @@
 
     /** How far ahead calendars are worked out. */
     public static final long HORIZON = 100L * 86_400_000;
+
     /** How far back: what began earlier has its end within. */
     public static final long BACK = 86_400_000;
 
-    private CalendarCheck() { }
+    private CalendarCheck() {}
 
     /**
      * @param line of the text, from 1; 0 where it is the zone that is faulty
@@ -22,7 +23,7 @@
      * @param sentence what is wrong; null where nothing is
      * @param events how many were read
      */
-    public record Result(boolean ok, int line, String property, String sentence, int events) { }
+    public record Result(boolean ok, int line, String property, String sentence, int events) {}
 
     /** By the machine's clock. */
     public static Result check(String site, String zone, String text) {
@@ -47,8 +48,11 @@
         }
     }
 
-    /** @throws FaultyCalendar where it is turned down */
-    public static SiteCalendar load(String site, String version, String zone, String text, long now) {
+    /**
+     * @throws FaultyCalendar where it is turned down
+     */
+    public static SiteCalendar load(
+            String site, String version, String zone, String text, long now) {
         return compile(site, version, CalendarReader.read(zone, text), now);
     }
 
--- a/calendar/src/main/java/postgrade/calendar/CalendarReader.java
+++ b/calendar/src/main/java/postgrade/calendar/CalendarReader.java
@@ -8,21 +8,25 @@
 import postgrade.window.FaultyCalendar;
 
 /**
- * Reads an iCalendar text into plain events. Whole or not at all: what is wrong is thrown with its line and property.
+ * Reads an iCalendar text into plain events. Whole or not at all: what is wrong is thrown with its
+ * line and property.
  */
 public final class CalendarReader {
 
     /** What is shared is kept whole by every process, so it is small. */
     public static final int MOST_BYTES = 256 * 1024;
+
     public static final int MOST_EVENTS = 2_000;
 
     static {
         // The library must not look for zones on a network; none of its zones are used here at all.
         System.setProperty("net.fortuna.ical4j.timezone.update.enabled", "false");
-        System.setProperty("net.fortuna.ical4j.timezone.cache.impl", "net.fortuna.ical4j.util.MapTimeZoneCache");
+        System.setProperty(
+                "net.fortuna.ical4j.timezone.cache.impl",
+                "net.fortuna.ical4j.util.MapTimeZoneCache");
     }
 
-    private CalendarReader() { }
+    private CalendarReader() {}
 
     /**
      * @param zone the site's, for dates and floating times
@@ -32,7 +36,8 @@
         if (!Values.known(zone)) {
             throw new FaultyCalendar(0, "zone", "is not known: " + zone);
         }
-        if (text.length() > MOST_BYTES || text.getBytes(StandardCharsets.UTF_8).length > MOST_BYTES) {
+        if (text.length() > MOST_BYTES
+                || text.getBytes(StandardCharsets.UTF_8).length > MOST_BYTES) {
             throw new FaultyCalendar(1, "VCALENDAR", "is longer than " + MOST_BYTES + " bytes");
         }
         Component calendar = TreeReader.read(text);
@@ -41,12 +46,13 @@
         for (Component c : calendar.within) {
             switch (c.name) {
                 case "VEVENT" -> events.add(new EventReader(c, values));
-                case "VTIMEZONE", "VTODO", "VJOURNAL" -> { }
+                case "VTIMEZONE", "VTODO", "VJOURNAL" -> {}
                 // Passing over what may close a site would let jobs start there.
                 default -> throw new FaultyCalendar(c.line, c.name, "is not supported");
             }
             if (events.size() > MOST_EVENTS) {
-                throw new FaultyCalendar(c.line, "VEVENT", "is there more than " + MOST_EVENTS + " times");
+                throw new FaultyCalendar(
+                        c.line, "VEVENT", "is there more than " + MOST_EVENTS + " times");
             }
         }
         return EventReader.events(events);
--- a/calendar/src/main/java/postgrade/calendar/Component.java
+++ b/calendar/src/main/java/postgrade/calendar/Component.java
@@ -9,7 +9,9 @@
 /** A component of a calendar as read: its properties and the components within. */
 final class Component {
 
-    /** @param parameters by their names in capitals */
+    /**
+     * @param parameters by their names in capitals
+     */
     record Property(String name, int line, Map<String, String> parameters, String value) {
         FaultyCalendar faulty(String what) {
             return new FaultyCalendar(line, name, what);
--- a/calendar/src/main/java/postgrade/calendar/EventReader.java
+++ b/calendar/src/main/java/postgrade/calendar/EventReader.java
@@ -14,7 +14,10 @@
 import postgrade.window.Event.Length;
 import postgrade.window.Recurrence;
 
-/** One VEVENT. Those with a RECURRENCE-ID stand for one instance of their master, which leaves that one out. */
+/**
+ * One VEVENT. Those with a RECURRENCE-ID stand for one instance of their master, which leaves that
+ * one out.
+ */
 final class EventReader {
 
     private static final int LONGEST_TITLE = 80;
@@ -54,7 +57,8 @@
         EventReader master = masters.get(uid());
         Time at = values.time(p);
         if (master != null && at.allDay() != master.start.allDay()) {
-            throw p.faulty("must be a date where the master's DTSTART is one, and a time where it is not");
+            throw p.faulty(
+                    "must be a date where the master's DTSTART is one, and a time where it is not");
         }
         return at.when().millis();
     }
@@ -140,13 +144,15 @@
             throw end.faulty("lies before DTSTART");
         }
         if (start.allDay()) {
-            return Values.bounded(end, ChronoUnit.DAYS.between(start.when().local(), until.when().local()), 0);
+            return Values.bounded(
+                    end, ChronoUnit.DAYS.between(start.when().local(), until.when().local()), 0);
         }
         return Values.bounded(end, 0, millis);
     }
 
     private String title() {
-        String text = c.text("SUMMARY", uid()).replaceAll("\\\\[nN]", " ").replaceAll("\\\\(.)", "$1");
+        String text =
+                c.text("SUMMARY", uid()).replaceAll("\\\\[nN]", " ").replaceAll("\\\\(.)", "$1");
         return text.length() <= LONGEST_TITLE ? text : text.substring(0, LONGEST_TITLE);
     }
 
@@ -161,7 +167,8 @@
         Map<String, Set<Long>> replaced = new HashMap<>();
         for (EventReader e : all) {
             Long instance = e.replaces(masters);
-            if (instance != null && !replaced.computeIfAbsent(e.uid(), u -> new HashSet<>()).add(instance)) {
+            if (instance != null
+                    && !replaced.computeIfAbsent(e.uid(), u -> new HashSet<>()).add(instance)) {
                 throw e.c.needed("RECURRENCE-ID").faulty("is that of an earlier event");
             }
         }
--- a/calendar/src/main/java/postgrade/calendar/Lines.java
+++ b/calendar/src/main/java/postgrade/calendar/Lines.java
@@ -6,14 +6,17 @@
 import postgrade.window.FaultyCalendar;
 
 /**
- * The content lines of a calendar, unfolded, each with the number of its first line in the text: faults are told by
- * it. The library's parser reads what is left here; it would take a line without a colon together with the next.
+ * The content lines of a calendar, unfolded, each with the number of its first line in the text:
+ * faults are told by it. The library's parser reads what is left here; it would take a line without
+ * a colon together with the next.
  */
 final class Lines {
 
-    private static final Pattern HEAD = Pattern.compile(
-            "[A-Za-z0-9-]+(;[A-Za-z0-9-]+=(\"[^\"]*\"|[^\",;:]*)(,(\"[^\"]*\"|[^\",;:]*))*+)*+");
+    private static final Pattern HEAD =
+            Pattern.compile(
+                    "[A-Za-z0-9-]+(;[A-Za-z0-9-]+=(\"[^\"]*\"|[^\",;:]*)(,(\"[^\"]*\"|[^\",;:]*))*+)*+");
     private static final int LONGEST = 65_536;
+
     /** A pattern's groups are read by recursion, so what it is given must be short. */
     private static final int LONGEST_HEAD = 1_000;
 
@@ -27,13 +30,19 @@
         for (int at = 0; at < text.length(); ) {
             int end = text.indexOf('\n', at);
             end = end < 0 ? text.length() : end;
-            String physical = text.substring(at, end > at && text.charAt(end - 1) == '\r' ? end - 1 : end);
+            String physical =
+                    text.substring(at, end > at && text.charAt(end - 1) == '\r' ? end - 1 : end);
             at = end + 1;
             number++;
-            if (begun > 0 && !physical.isEmpty() && (physical.charAt(0) == ' ' || physical.charAt(0) == '\t')) {
+            if (begun > 0
+                    && !physical.isEmpty()
+                    && (physical.charAt(0) == ' ' || physical.charAt(0) == '\t')) {
                 line.append(physical, 1, physical.length());
                 if (line.length() > LONGEST) {
-                    throw new FaultyCalendar(begun, name(line.toString()), "is longer than " + LONGEST + " characters");
+                    throw new FaultyCalendar(
+                            begun,
+                            name(line.toString()),
+                            "is longer than " + LONGEST + " characters");
                 }
                 continue;
             }
@@ -57,7 +66,8 @@
         }
         int colon = colon(content);
         if (colon < 0 || !HEAD.matcher(content.substring(0, colon)).matches()) {
-            throw new FaultyCalendar(number, name(content), "is no content line: name, parameters, colon, value");
+            throw new FaultyCalendar(
+                    number, name(content), "is no content line: name, parameters, colon, value");
         }
         lines.add(content);
         numbers.add(number);
@@ -78,8 +88,9 @@
 
     private static String name(String content) {
         int end = 0;
-        while (end < content.length() && end < 40 && (Character.isLetterOrDigit(content.charAt(end))
-                || content.charAt(end) == '-')) {
+        while (end < content.length()
+                && end < 40
+                && (Character.isLetterOrDigit(content.charAt(end)) || content.charAt(end) == '-')) {
             end++;
         }
         return end == 0 ? "line" : content.substring(0, end);
--- a/calendar/src/main/java/postgrade/calendar/RuleReader.java
+++ b/calendar/src/main/java/postgrade/calendar/RuleReader.java
@@ -1,7 +1,7 @@
 package postgrade.calendar;
 
-import java.time.DayOfWeek;
 import java.time.DateTimeException;
+import java.time.DayOfWeek;
 import java.util.HashSet;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -16,8 +16,8 @@
 import postgrade.window.Recurrence.Every;
 
 /**
- * A rule of recurrence: the library reads its parts, here they are held against each other. What RFC 5545 forbids
- * together is turned down, since what such a rule means is anyone's guess.
+ * A rule of recurrence: the library reads its parts, here they are held against each other. What
+ * RFC 5545 forbids together is turned down, since what such a rule means is anyone's guess.
  */
 final class RuleReader {
 
@@ -60,17 +60,31 @@
         try {
             recur = new Recur<>(p.value());
         } catch (IllegalArgumentException | DateTimeException e) {
-            throw p.faulty("is no rule: " + String.valueOf(e.getMessage()).replaceAll("Optional\\[(.*)]", "$1")
-                    .replaceAll("No enum constant [\\w.]*\\.", "not known: "));
+            throw p.faulty(
+                    "is no rule: "
+                            + String.valueOf(e.getMessage())
+                                    .replaceAll("Optional\\[(.*)]", "$1")
+                                    .replaceAll("No enum constant [\\w.]*\\.", "not known: "));
         }
-        Recurrence rule = new Recurrence(every(recur), Math.max(1, recur.getInterval()), Math.max(0, recur.getCount()),
-                until == null ? Long.MAX_VALUE : until(until, first, values),
-                recur.getWeekStartDay() == null ? DayOfWeek.MONDAY : WeekDay.getDayOfWeek(recur.getWeekStartDay()),
-                recur.getMonthList().stream().mapToInt(this::month).distinct().toArray(),
-                figures(recur.getWeekNoList()), figures(recur.getYearDayList()), figures(recur.getMonthDayList()),
-                days(recur),
-                figures(recur.getHourList()), figures(recur.getMinuteList()), figures(recur.getSecondList()),
-                figures(recur.getSetPosList()), p.line());
+        Recurrence rule =
+                new Recurrence(
+                        every(recur),
+                        Math.max(1, recur.getInterval()),
+                        Math.max(0, recur.getCount()),
+                        until == null ? Long.MAX_VALUE : until(until, first, values),
+                        recur.getWeekStartDay() == null
+                                ? DayOfWeek.MONDAY
+                                : WeekDay.getDayOfWeek(recur.getWeekStartDay()),
+                        recur.getMonthList().stream().mapToInt(this::month).distinct().toArray(),
+                        figures(recur.getWeekNoList()),
+                        figures(recur.getYearDayList()),
+                        figures(recur.getMonthDayList()),
+                        days(recur),
+                        figures(recur.getHourList()),
+                        figures(recur.getMinuteList()),
+                        figures(recur.getSecondList()),
+                        figures(recur.getSetPosList()),
+                        p.line());
         together(rule, first);
         return rule;
     }
@@ -120,12 +134,18 @@
     }
 
     private long until(String text, Time first, Values values) {
-        refuse(first.allDay() && text.contains("T"), "has UNTIL that is a time though DTSTART is a date");
-        refuse(!first.allDay() && !text.contains("T"), "has UNTIL that is a date though DTSTART is a time");
+        refuse(
+                first.allDay() && text.contains("T"),
+                "has UNTIL that is a time though DTSTART is a date");
+        refuse(
+                !first.allDay() && !text.contains("T"),
+                "has UNTIL that is a date though DTSTART is a time");
         Time until = values.time(p.with(text), first.allDay());
         if (!first.allDay() && until.utc() == first.floating()) {
-            throw p.faulty(first.floating() ? "has UNTIL in UTC though DTSTART is floating"
-                    : "has UNTIL that is not in UTC though DTSTART is fixed in time");
+            throw p.faulty(
+                    first.floating()
+                            ? "has UNTIL in UTC though DTSTART is floating"
+                            : "has UNTIL that is not in UTC though DTSTART is fixed in time");
         }
         return until.when().millis();
     }
@@ -133,17 +153,33 @@
     private void together(Recurrence r, Time first) {
         Every every = r.every();
         boolean byDay = r.days().stream().anyMatch(d -> d.nth() != 0);
-        refuse(byDay && every != Every.MONTH && every != Every.YEAR, "numbers its BYDAY outside months and years");
+        refuse(
+                byDay && every != Every.MONTH && every != Every.YEAR,
+                "numbers its BYDAY outside months and years");
         refuse(byDay && r.weeks().length > 0, "numbers its BYDAY together with BYWEEKNO");
         refuse(r.weeks().length > 0 && every != Every.YEAR, "has BYWEEKNO outside FREQ=YEARLY");
-        refuse(r.yearDays().length > 0 && (every == Every.DAY || every == Every.WEEK || every == Every.MONTH),
+        refuse(
+                r.yearDays().length > 0
+                        && (every == Every.DAY || every == Every.WEEK || every == Every.MONTH),
                 "has BYYEARDAY with FREQ=DAILY, WEEKLY or MONTHLY");
         refuse(r.monthDays().length > 0 && every == Every.WEEK, "has BYMONTHDAY with FREQ=WEEKLY");
-        refuse(first.allDay() && (every.compareTo(Every.DAY) < 0 || r.hours().length + r.minutes().length
-                + r.seconds().length > 0), "names times of day though DTSTART is a date");
-        refuse(r.positions().length > 0 && r.months().length + r.weeks().length + r.yearDays().length
-                + r.monthDays().length + r.days().size() + r.hours().length + r.minutes().length + r.seconds().length
-                == 0, "has BYSETPOS alone");
+        refuse(
+                first.allDay()
+                        && (every.compareTo(Every.DAY) < 0
+                                || r.hours().length + r.minutes().length + r.seconds().length > 0),
+                "names times of day though DTSTART is a date");
+        refuse(
+                r.positions().length > 0
+                        && r.months().length
+                                        + r.weeks().length
+                                        + r.yearDays().length
+                                        + r.monthDays().length
+                                        + r.days().size()
+                                        + r.hours().length
+                                        + r.minutes().length
+                                        + r.seconds().length
+                                == 0,
+                "has BYSETPOS alone");
     }
 
     private void refuse(boolean faulty, String what) {
--- a/calendar/src/main/java/postgrade/calendar/TreeReader.java
+++ b/calendar/src/main/java/postgrade/calendar/TreeReader.java
@@ -12,7 +12,10 @@
 import net.fortuna.ical4j.data.ParserException;
 import postgrade.window.FaultyCalendar;
 
-/** The library's parser reads the text; here its events become a tree whose properties know their lines. */
+/**
+ * The library's parser reads the text; here its events become a tree whose properties know their
+ * lines.
+ */
 final class TreeReader implements ContentHandler {
 
     private static final int DEEPEST = 4;
@@ -23,6 +26,7 @@
     private String property;
     private Map<String, String> parameters;
     private String value;
+
     /** Content lines seen: each event that begins one counts it. */
     private int seen;
 
@@ -37,7 +41,8 @@
             new CalendarParserImpl().parse(new StringReader(lines.unfolded()), reader);
         } catch (ParserException e) {
             String what = String.valueOf(e.getMessage()).replaceFirst("^Error at line \\d+:", "");
-            throw new FaultyCalendar(lines.number(reader.seen), "VCALENDAR", "cannot be read: " + what);
+            throw new FaultyCalendar(
+                    lines.number(reader.seen), "VCALENDAR", "cannot be read: " + what);
         } catch (IOException e) {
             throw new FaultyCalendar(lines.number(reader.seen), "VCALENDAR", "cannot be read");
         }
@@ -93,7 +98,9 @@
     @Override
     public void parameter(String name, String given) {
         boolean quoted = given.length() > 1 && given.startsWith("\"") && given.endsWith("\"");
-        parameters.put(name.toUpperCase(Locale.ROOT), quoted ? given.substring(1, given.length() - 1) : given);
+        parameters.put(
+                name.toUpperCase(Locale.ROOT),
+                quoted ? given.substring(1, given.length() - 1) : given);
     }
 
     @Override
--- a/calendar/src/main/java/postgrade/calendar/Values.java
+++ b/calendar/src/main/java/postgrade/calendar/Values.java
@@ -18,25 +18,33 @@
 /** Times, zones and durations as they stand in values. */
 final class Values {
 
-    private static final Set<String> KNOWN = ZoneId.getAvailableZoneIds().stream().filter(z -> z.indexOf('~') < 0)
-            .collect(Collectors.toUnmodifiableSet());
+    private static final Set<String> KNOWN =
+            ZoneId.getAvailableZoneIds().stream()
+                    .filter(z -> z.indexOf('~') < 0)
+                    .collect(Collectors.toUnmodifiableSet());
     private static final Pattern DATE = Pattern.compile("(\\d{4})(\\d{2})(\\d{2})");
     private static final Pattern TIME = Pattern.compile("(\\d{8})T(\\d{2})(\\d{2})(\\d{2})(Z?)");
-    private static final Pattern DURATION = Pattern.compile(
-            "\\+?P(?:(\\d{1,6})W|(?:(\\d{1,6})D)?(T(?=\\d)(?:(\\d{1,6})H)?(?:(\\d{1,8})M)?(?:(\\d{1,9})S)?)?)");
+    private static final Pattern DURATION =
+            Pattern.compile(
+                    "\\+?P(?:(\\d{1,6})W|(?:(\\d{1,6})D)?(T(?=\\d)(?:(\\d{1,6})H)?(?:(\\d{1,8})M)?(?:(\\d{1,9})S)?)?)");
     private static final Pattern OFFSET = Pattern.compile("([+-])(\\d{2})(\\d{2})(\\d{2})?");
 
     private final ZoneRules site;
     private final Map<String, ZoneRules> own;
 
-    /** @param own the zones that the calendar itself defines; they go before those that the machine knows */
+    /**
+     * @param own the zones that the calendar itself defines; they go before those that the machine
+     *     knows
+     */
     Values(ZoneRules site, Map<String, ZoneRules> own) {
         this.site = site;
         this.own = own;
     }
 
-    /** @param allDay a date, which begins at midnight of the site */
-    record Time(When when, boolean allDay, boolean utc, boolean floating) { }
+    /**
+     * @param allDay a date, which begins at midnight of the site
+     */
+    record Time(When when, boolean allDay, boolean utc, boolean floating) {}
 
     Time time(Property p) {
         return time(p, p.kind("DATE-TIME").equals("DATE"));
@@ -56,13 +64,19 @@
         }
         Matcher m = TIME.matcher(p.value());
         if (!m.matches()) {
-            throw p.faulty(DATE.matcher(p.value()).matches() ? "is a date, so it needs VALUE=DATE"
-                    : "must be a time such as 20260101T180000 or 20260101T180000Z");
+            throw p.faulty(
+                    DATE.matcher(p.value()).matches()
+                            ? "is a date, so it needs VALUE=DATE"
+                            : "must be a time such as 20260101T180000 or 20260101T180000Z");
         }
         LocalDateTime local;
         try {
-            local = date(p, m.group(1)).atTime(Integer.parseInt(m.group(2)), Integer.parseInt(m.group(3)),
-                    Integer.parseInt(m.group(4)));
+            local =
+                    date(p, m.group(1))
+                            .atTime(
+                                    Integer.parseInt(m.group(2)),
+                                    Integer.parseInt(m.group(3)),
+                                    Integer.parseInt(m.group(4)));
         } catch (DateTimeException e) {
             throw p.faulty("is no time of day: " + p.value());
         }
@@ -72,7 +86,8 @@
             }
             return new Time(new When(local, ZoneOffset.UTC.getRules()), false, true, false);
         }
-        return new Time(new When(local, zone == null ? site : zone(p, zone)), false, false, zone == null);
+        return new Time(
+                new When(local, zone == null ? site : zone(p, zone)), false, false, zone == null);
     }
 
     private static LocalDate date(Property p, String text) {
@@ -83,7 +98,8 @@
         int year = Integer.parseInt(m.group(1));
         try {
             if (year > 0) {
-                return LocalDate.of(year, Integer.parseInt(m.group(2)), Integer.parseInt(m.group(3)));
+                return LocalDate.of(
+                        year, Integer.parseInt(m.group(2)), Integer.parseInt(m.group(3)));
             }
         } catch (DateTimeException e) {
             // Falls through to the one sentence.
@@ -102,7 +118,10 @@
         return ZoneId.of(id).getRules();
     }
 
-    /** The machine's zones, never a network's; those the library registers with it (each start others) are no zones. */
+    /**
+     * The machine's zones, never a network's; those the library registers with it (each start
+     * others) are no zones.
+     */
     static boolean known(String id) {
         return KNOWN.contains(id);
     }
@@ -111,8 +130,10 @@
     static Length length(Property p, String text) {
         Matcher m = DURATION.matcher(text);
         if (!m.matches() || text.endsWith("P")) {
-            throw p.faulty(text.startsWith("-") ? "must not be negative"
-                    : "must be a duration such as P1D, PT90M or P1DT2H");
+            throw p.faulty(
+                    text.startsWith("-")
+                            ? "must not be negative"
+                            : "must be a duration such as P1D, PT90M or P1DT2H");
         }
         long days = number(m, 1) * 7 + number(m, 2);
         long millis = 1000 * (number(m, 4) * 3600 + number(m, 5) * 60 + number(m, 6));
--- a/calendar/src/main/java/postgrade/calendar/ZoneReader.java
+++ b/calendar/src/main/java/postgrade/calendar/ZoneReader.java
@@ -23,18 +23,20 @@
 import postgrade.window.Steps;
 
 /**
- * The zones that a calendar defines: each observance's onsets are worked out like events, in the offset before them.
+ * The zones that a calendar defines: each observance's onsets are worked out like events, in the
+ * offset before them.
  */
 final class ZoneReader {
 
     /** Onsets before are not asked for; after the last year the offset stays as it is. */
     private static final long FROM = Instant.parse("1900-01-01T00:00:00Z").toEpochMilli();
+
     private static final long TO = Instant.parse("2200-01-01T00:00:00Z").toEpochMilli();
     private static final int MOST = 20;
 
-    private ZoneReader() { }
+    private ZoneReader() {}
 
-    private record Onset(ZoneOffset before, ZoneOffset after) { }
+    private record Onset(ZoneOffset before, ZoneOffset after) {}
 
     static Map<String, ZoneRules> zones(Component calendar) {
         Map<String, ZoneRules> zones = new HashMap<>();
@@ -46,7 +48,8 @@
                     throw id.faulty("defines the same zone twice");
                 }
                 if (zones.size() > MOST) {
-                    throw new FaultyCalendar(c.line, "VTIMEZONE", "is there more than " + MOST + " times");
+                    throw new FaultyCalendar(
+                            c.line, "VTIMEZONE", "is there more than " + MOST + " times");
                 }
             }
         }
@@ -61,7 +64,10 @@
             if (!c.name.equals("STANDARD") && !c.name.equals("DAYLIGHT")) {
                 throw new FaultyCalendar(c.line, c.name, "has no place in VTIMEZONE");
             }
-            Onset onset = new Onset(Values.offset(c.needed("TZOFFSETFROM")), Values.offset(c.needed("TZOFFSETTO")));
+            Onset onset =
+                    new Onset(
+                            Values.offset(c.needed("TZOFFSETFROM")),
+                            Values.offset(c.needed("TZOFFSETTO")));
             Event event = event(c, onset.before);
             if (event.start().millis() < firstAt) {
                 first = onset;
@@ -79,15 +85,20 @@
     }
 
     private static ZoneRules rules(Onset first, long firstAt, TreeMap<Long, Onset> onsets) {
-        // What began before 1900 holds then; a zone that begins later was in the offset before its first onset.
+        // What began before 1900 holds then; a zone that begins later was in the offset before its
+        // first onset.
         ZoneOffset base = firstAt < FROM ? first.after : first.before;
         ZoneOffset now = base;
         List<ZoneOffsetTransition> transitions = new ArrayList<>();
         for (Map.Entry<Long, Onset> e : onsets.entrySet()) {
             ZoneOffset after = e.getValue().after;
             if (!after.equals(now)) {
-                transitions.add(ZoneOffsetTransition.of(
-                        LocalDateTime.ofEpochSecond(Math.floorDiv(e.getKey(), 1000L), 0, now), now, after));
+                transitions.add(
+                        ZoneOffsetTransition.of(
+                                LocalDateTime.ofEpochSecond(
+                                        Math.floorDiv(e.getKey(), 1000L), 0, now),
+                                now,
+                                after));
                 now = after;
             }
         }
@@ -104,7 +115,9 @@
         List<Recurrence> rules = new ArrayList<>();
         for (Property rule : c.all("RRULE")) {
             // An observance's UNTIL is in UTC though its start is local.
-            rules.add(RuleReader.read(rule, new Values.Time(start.when(), false, true, false), values));
+            rules.add(
+                    RuleReader.read(
+                            rule, new Values.Time(start.when(), false, true, false), values));
         }
         List<Extra> extras = new ArrayList<>();
         for (Property dates : c.all("RDATE")) {
--- a/calendar/src/test/java/postgrade/calendar/FaultyCalendarsTest.java
+++ b/calendar/src/test/java/postgrade/calendar/FaultyCalendarsTest.java
@@ -12,12 +12,16 @@
 public class FaultyCalendarsTest {
 
     private static final long NOW = Instant.parse("2026-06-01T00:00:00Z").toEpochMilli();
+
     /** Lines 1 to 4 stand before what is tried, which begins at line 5. */
-    private static final String BEFORE = "BEGIN:VCALENDAR\r\nVERSION:2.0\r\nBEGIN:VEVENT\r\nUID:a\r\n";
+    private static final String BEFORE =
+            "BEGIN:VCALENDAR\r\nVERSION:2.0\r\nBEGIN:VEVENT\r\nUID:a\r\n";
+
     private static final String START = "DTSTART:20260101T000000Z\r\n";
 
     private static Result check(String lines) {
-        return CalendarCheck.check("a", "Europe/Zagreb", BEFORE + lines + "\r\nEND:VEVENT\r\nEND:VCALENDAR\r\n", NOW);
+        return CalendarCheck.check(
+                "a", "Europe/Zagreb", BEFORE + lines + "\r\nEND:VEVENT\r\nEND:VCALENDAR\r\n", NOW);
     }
 
     private static void down(String lines, int line, String property, String sentence) {
@@ -31,15 +35,27 @@
 
     @Test
     public void badRules() {
-        for (String[] rule : new String[][] {{"FREQ=FORTNIGHTLY", "FORTNIGHTLY"}, {"BYDAY=MO", "FREQ"},
-                {"FREQ=DAILY;BYHOUR=25", "25"}, {"FREQ=DAILY;FREQ=WEEKLY", "twice"},
-                {"FREQ=DAILY;INTERVAL=0", "INTERVAL"},
-                {"FREQ=DAILY;COUNT=-1", "COUNT"}, {"FREQ=DAILY;COUNT=2;UNTIL=20270101T000000Z", "both"},
-                {"FREQ=DAILY;UNTIL=20270101", "is a date"}, {"FREQ=DAILY;UNTIL=20270101T000000", "not in UTC"},
-                {"FREQ=DAILY;FOO=1", "FOO"}, {"FREQ=DAILY;", "without a name"}, {"FREQ=WEEKLY;BYDAY=1MO", "numbers"},
-                {"FREQ=MONTHLY;BYWEEKNO=3", "BYWEEKNO"}, {"FREQ=WEEKLY;BYMONTHDAY=3", "BYMONTHDAY"},
-                {"FREQ=MONTHLY;BYSETPOS=1", "alone"}, {"FREQ=YEARLY;RSCALE=CHINESE", "RSCALE"},
-                {"FREQ=DAILY;BYSECOND=60", "60"}, {"FREQ=DAILY;INTERVAL=9999999999", "INTERVAL"}}) {
+        for (String[] rule :
+                new String[][] {
+                    {"FREQ=FORTNIGHTLY", "FORTNIGHTLY"},
+                    {"BYDAY=MO", "FREQ"},
+                    {"FREQ=DAILY;BYHOUR=25", "25"},
+                    {"FREQ=DAILY;FREQ=WEEKLY", "twice"},
+                    {"FREQ=DAILY;INTERVAL=0", "INTERVAL"},
+                    {"FREQ=DAILY;COUNT=-1", "COUNT"},
+                    {"FREQ=DAILY;COUNT=2;UNTIL=20270101T000000Z", "both"},
+                    {"FREQ=DAILY;UNTIL=20270101", "is a date"},
+                    {"FREQ=DAILY;UNTIL=20270101T000000", "not in UTC"},
+                    {"FREQ=DAILY;FOO=1", "FOO"},
+                    {"FREQ=DAILY;", "without a name"},
+                    {"FREQ=WEEKLY;BYDAY=1MO", "numbers"},
+                    {"FREQ=MONTHLY;BYWEEKNO=3", "BYWEEKNO"},
+                    {"FREQ=WEEKLY;BYMONTHDAY=3", "BYMONTHDAY"},
+                    {"FREQ=MONTHLY;BYSETPOS=1", "alone"},
+                    {"FREQ=YEARLY;RSCALE=CHINESE", "RSCALE"},
+                    {"FREQ=DAILY;BYSECOND=60", "60"},
+                    {"FREQ=DAILY;INTERVAL=9999999999", "INTERVAL"}
+                }) {
             down(START + "RRULE:" + rule[0], 6, "RRULE", rule[1]);
         }
     }
@@ -63,10 +79,22 @@
     @Test
     public void tooMuch() {
         down(START + "DURATION:PT1S\r\nRRULE:FREQ=SECONDLY;INTERVAL=2", 7, "RRULE", "occurrences");
-        down(START + "DURATION:PT1S\r\nRRULE:FREQ=SECONDLY;COUNT=2000000;BYMONTH=2", 7, "RRULE", "steps");
-        down("DTSTART:20300101T000000Z\r\nDURATION:PT1S\r\nRRULE:FREQ=SECONDLY", 7, "RRULE", "occurrences");
+        down(
+                START + "DURATION:PT1S\r\nRRULE:FREQ=SECONDLY;COUNT=2000000;BYMONTH=2",
+                7,
+                "RRULE",
+                "steps");
+        down(
+                "DTSTART:20300101T000000Z\r\nDURATION:PT1S\r\nRRULE:FREQ=SECONDLY",
+                7,
+                "RRULE",
+                "occurrences");
         down(START + "X-LONG:" + "x".repeat(10_000_000), 1, "VCALENDAR", "longer than");
-        down(START + "X-LONG:" + ("x".repeat(10_000) + "\r\n ").repeat(7), 6, "X-LONG", "longer than");
+        down(
+                START + "X-LONG:" + ("x".repeat(10_000) + "\r\n ").repeat(7),
+                6,
+                "X-LONG",
+                "longer than");
         down(START + "X" + ";A=b".repeat(10_000) + ":1", 6, "X", "no content line");
     }
 
@@ -80,9 +108,12 @@
         }
         String whole = BEFORE + START + "END:VEVENT\r\nEND:VCALENDAR\r\n";
         assertTrue(CalendarCheck.check("a", "Europe/Zagreb", whole, NOW).ok());
-        assertFalse("two of them", CalendarCheck.check("a", "Europe/Zagreb", whole + whole, NOW).ok());
+        assertFalse(
+                "two of them", CalendarCheck.check("a", "Europe/Zagreb", whole + whole, NOW).ok());
         for (int cut = 0; cut < whole.length() - 2; cut++) {
-            assertFalse("cut at " + cut, CalendarCheck.check("a", "Europe/Zagreb", whole.substring(0, cut), NOW).ok());
+            assertFalse(
+                    "cut at " + cut,
+                    CalendarCheck.check("a", "Europe/Zagreb", whole.substring(0, cut), NOW).ok());
         }
     }
 }
--- a/calendar/src/test/java/postgrade/calendar/oracle/Comparison.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/Comparison.java
@@ -13,7 +13,7 @@
 /** One case through the product and the oracle. */
 final class Comparison {
 
-    private Comparison() { }
+    private Comparison() {}
 
     /** Null where they agree; else what differs. */
     static String differs(Made m, Mutation mutation) {
@@ -29,8 +29,14 @@
         Intervals starts = answer.together();
         Oracle oracle = new Oracle(m, mutation);
         // Wherever either of them may change its mind, and a millisecond to each side.
-        TreeSet<Long> points = new TreeSet<>(List.of(m.now, m.earliest, m.deadline - m.lasts, m.from + m.error,
-                m.to - m.error - m.lasts));
+        TreeSet<Long> points =
+                new TreeSet<>(
+                        List.of(
+                                m.now,
+                                m.earliest,
+                                m.deadline - m.lasts,
+                                m.from + m.error,
+                                m.to - m.error - m.lasts));
         for (long[] c : oracle.closed) {
             points.add(c[0] - m.error - m.lasts);
             points.add(c[0] - m.error);
@@ -53,7 +59,8 @@
             }
         }
         long opens = Windows.opens(plan, s -> calendar, m.now, m.error);
-        if (opens != first || answer.opens() != first
+        if (opens != first
+                || answer.opens() != first
                 || Windows.able(plan, calendar, m.now, m.error) != oracle.may(m.now)) {
             return "opens at " + opens + " and " + answer.opens() + ", by the oracle " + first;
         }
--- a/calendar/src/test/java/postgrade/calendar/oracle/Made.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/Made.java
@@ -8,10 +8,20 @@
 /** A generated case: plain fields that the oracle reads, rendered as text for the product. */
 final class Made {
 
-    enum Freq { SECONDLY, MINUTELY, HOURLY, DAILY, WEEKLY, MONTHLY, YEARLY }
+    enum Freq {
+        SECONDLY,
+        MINUTELY,
+        HOURLY,
+        DAILY,
+        WEEKLY,
+        MONTHLY,
+        YEARLY
+    }
 
-    /** @param zone null for floating and dates */
-    record Stamp(LocalDateTime local, String zoneId, Zone zone, boolean date) { }
+    /**
+     * @param zone null for floating and dates
+     */
+    record Stamp(LocalDateTime local, String zoneId, Zone zone, boolean date) {}
 
     /** Fields of a rule as they stand in it; empty where they do not. */
     static final class Rule {
@@ -39,14 +49,21 @@
         Rule rule;
         List<Stamp> extra = new ArrayList<>();
         List<Stamp> without = new ArrayList<>();
+
         /** Instances moved: from the first of a pair to the second, with a length in seconds. */
         List<Stamp[]> moved = new ArrayList<>();
+
         long movedSeconds;
     }
 
     String siteZone;
-    /** Of the zone the calendar defines, or null: its standard and summer offsets in seconds and when they begin. */
+
+    /**
+     * Of the zone the calendar defines, or null: its standard and summer offsets in seconds and
+     * when they begin.
+     */
     int[] ownZone;
+
     List<Works> works = new ArrayList<>();
     long from;
     long to;
--- a/calendar/src/test/java/postgrade/calendar/oracle/Oracle.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/Oracle.java
@@ -15,14 +15,15 @@
 import postgrade.calendar.oracle.Made.Works;
 
 /**
- * By brute force: walks every day, hour, minute or second from the first instance on and asks whether the rule names
- * it. Shares no code with what it judges.
+ * By brute force: walks every day, hour, minute or second from the first instance on and asks
+ * whether the rule names it. Shares no code with what it judges.
  */
 final class Oracle {
 
     private final Made m;
     private final Zone site;
     private final Mutation mutation;
+
     /** Pairs of begin and end. */
     final List<long[]> closed = new ArrayList<>();
 
@@ -47,11 +48,22 @@
                 without.add(at(pair[0]));
             }
             long from = at(pair[1]);
-            closed.add(new long[] {from, pair[1].date() ? at(plusDays(pair[1], 1)) : from + w.movedSeconds * 1000});
+            closed.add(
+                    new long[] {
+                        from,
+                        pair[1].date() ? at(plusDays(pair[1], 1)) : from + w.movedSeconds * 1000
+                    });
         }
         List<Stamp> starts = new ArrayList<>(List.of(w.start));
         if (w.rule != null) {
-            named(w).forEach(l -> starts.add(new Stamp(l, w.start.zoneId(), w.start.zone(), w.start.date())));
+            named(w).forEach(
+                            l ->
+                                    starts.add(
+                                            new Stamp(
+                                                    l,
+                                                    w.start.zoneId(),
+                                                    w.start.zone(),
+                                                    w.start.date())));
         }
         starts.addAll(w.extra);
         for (Stamp s : starts) {
@@ -68,12 +80,20 @@
 
     private long end(Works w, Stamp s) {
         if (w.asEnd && !w.start.date()) {
-            Stamp end = new Stamp(w.start.local().plusDays(w.days).plusSeconds(w.seconds), w.start.zoneId(),
-                    w.start.zone(), false);
+            Stamp end =
+                    new Stamp(
+                            w.start.local().plusDays(w.days).plusSeconds(w.seconds),
+                            w.start.zoneId(),
+                            w.start.zone(),
+                            false);
             return at(s) + at(end) - at(w.start);
         }
-        long from = w.days == 0 ? at(s) : mutation == Mutation.NOMINAL_AS_EXACT ? at(s) + w.days * 86_400_000L
-                : at(plusDays(s, w.days));
+        long from =
+                w.days == 0
+                        ? at(s)
+                        : mutation == Mutation.NOMINAL_AS_EXACT
+                                ? at(s) + w.days * 86_400_000L
+                                : at(plusDays(s, w.days));
         return from + w.seconds * 1000;
     }
 
@@ -81,13 +101,18 @@
     private List<LocalDateTime> named(Works w) {
         Rule r = w.rule;
         LocalDateTime first = w.start.local();
-        LocalDateTime last = (w.start.zone() == null ? site : w.start.zone()).local(m.to).plusDays(4);
+        LocalDateTime last =
+                (w.start.zone() == null ? site : w.start.zone()).local(m.to).plusDays(4);
         List<LocalDateTime> all = new ArrayList<>();
         List<LocalDateTime> group = new ArrayList<>();
         long period = Long.MIN_VALUE;
         // From before the period that holds the first, since positions count from its begin.
-        LocalDate from = r.freq == Freq.YEARLY ? LocalDate.of(first.getYear(), 1, 1) : r.freq == Freq.MONTHLY
-                ? first.toLocalDate().withDayOfMonth(1) : first.toLocalDate().minusDays(r.freq == Freq.WEEKLY ? 7 : 0);
+        LocalDate from =
+                r.freq == Freq.YEARLY
+                        ? LocalDate.of(first.getYear(), 1, 1)
+                        : r.freq == Freq.MONTHLY
+                                ? first.toLocalDate().withDayOfMonth(1)
+                                : first.toLocalDate().minusDays(r.freq == Freq.WEEKLY ? 7 : 0);
         // And to the end of the last period.
         LocalDate to = last.toLocalDate().plusDays(r.setPos.isEmpty() ? 0 : 370);
         for (LocalDate day = from; !day.isAfter(to); day = day.plusDays(1)) {
@@ -108,7 +133,11 @@
             }
         }
         all.addAll(chosen(r, group));
-        return ended(w, all.stream().filter(t -> t.isAfter(first) && !t.isAfter(last)).collect(Collectors.toList()));
+        return ended(
+                w,
+                all.stream()
+                        .filter(t -> t.isAfter(first) && !t.isAfter(last))
+                        .collect(Collectors.toList()));
     }
 
     private List<LocalDateTime> chosen(Rule r, List<LocalDateTime> group) {
@@ -129,28 +158,45 @@
         Rule r = w.rule;
         if (r.until != null) {
             long until = at(r.until);
-            all.removeIf(t -> {
-                long at = at(new Stamp(t, w.start.zoneId(), w.start.zone(), w.start.date()));
-                return mutation == Mutation.UNTIL_EXCLUDED ? at >= until : at > until;
-            });
+            all.removeIf(
+                    t -> {
+                        long at =
+                                at(new Stamp(t, w.start.zoneId(), w.start.zone(), w.start.date()));
+                        return mutation == Mutation.UNTIL_EXCLUDED ? at >= until : at > until;
+                    });
         }
-        int most = r.count == 0 ? all.size() : r.count - (mutation == Mutation.COUNT_WITHOUT_FIRST ? 0 : 1);
+        int most =
+                r.count == 0
+                        ? all.size()
+                        : r.count - (mutation == Mutation.COUNT_WITHOUT_FIRST ? 0 : 1);
         return all.subList(0, Math.min(most, all.size()));
     }
 
     /** Every time of the day that the rule may name, in order. */
     private static List<LocalDateTime> times(Rule r, LocalDateTime first, LocalDate day) {
         List<LocalDateTime> all = new ArrayList<>();
-        List<Integer> hours = r.freq.compareTo(Freq.HOURLY) <= 0 ? each(r.hour, 24) : or(r.hour, first.getHour());
-        List<Integer> minutes = r.freq.compareTo(Freq.MINUTELY) <= 0 ? each(r.minute, 60)
-                : or(r.minute, first.getMinute());
-        List<Integer> seconds = r.freq == Freq.SECONDLY ? each(r.second, 60) : or(r.second, first.getSecond());
+        List<Integer> hours =
+                r.freq.compareTo(Freq.HOURLY) <= 0 ? each(r.hour, 24) : or(r.hour, first.getHour());
+        List<Integer> minutes =
+                r.freq.compareTo(Freq.MINUTELY) <= 0
+                        ? each(r.minute, 60)
+                        : or(r.minute, first.getMinute());
+        List<Integer> seconds =
+                r.freq == Freq.SECONDLY ? each(r.second, 60) : or(r.second, first.getSecond());
         for (int h : hours) {
             for (int min : minutes) {
                 for (int s : seconds) {
-                    // Most seconds are none of the rule's; asked by plain figures, as there are many.
-                    if (r.freq != Freq.SECONDLY || Math.floorMod(day.toEpochDay() * 86_400 + h * 3600 + min * 60 + s
-                            - first.toEpochSecond(ZoneOffset.UTC), (long) r.interval) == 0) {
+                    // Most seconds are none of the rule's; asked by plain figures, as there are
+                    // many.
+                    if (r.freq != Freq.SECONDLY
+                            || Math.floorMod(
+                                            day.toEpochDay() * 86_400
+                                                    + h * 3600
+                                                    + min * 60
+                                                    + s
+                                                    - first.toEpochSecond(ZoneOffset.UTC),
+                                            (long) r.interval)
+                                    == 0) {
                         all.add(day.atTime(h, min, s));
                     }
                 }
@@ -160,7 +206,8 @@
     }
 
     private static List<Integer> or(List<Integer> given, int otherwise) {
-        List<Integer> sorted = new ArrayList<>(given.isEmpty() ? List.of(otherwise) : new TreeSet<>(given));
+        List<Integer> sorted =
+                new ArrayList<>(given.isEmpty() ? List.of(otherwise) : new TreeSet<>(given));
         Collections.sort(sorted);
         return sorted;
     }
@@ -178,14 +225,19 @@
     /** Whether the job may start then: asked of each stretch of maintenance in turn. */
     boolean may(long start) {
         long error = mutation == Mutation.NO_ERROR ? 0 : m.error;
-        if (start < m.now || start < m.earliest || start + m.lasts > m.deadline || start - m.error < m.from
+        if (start < m.now
+                || start < m.earliest
+                || start + m.lasts > m.deadline
+                || start - m.error < m.from
                 || start + m.lasts + m.error > m.to) {
             return false;
         }
         for (long[] c : closed) {
-            boolean begun = mutation == Mutation.STARTS_IN_ITS_BEGIN ? start <= c[0] - error : false;
+            boolean begun =
+                    mutation == Mutation.STARTS_IN_ITS_BEGIN ? start <= c[0] - error : false;
             boolean before = start + m.lasts <= c[0] - error && start < c[0] - error || begun;
-            boolean after = start >= c[1] + error + (mutation == Mutation.LAST_MILLISECOND_OPEN ? 1 : 0);
+            boolean after =
+                    start >= c[1] + error + (mutation == Mutation.LAST_MILLISECOND_OPEN ? 1 : 0);
             if (!before && !after) {
                 return false;
             }
--- a/calendar/src/test/java/postgrade/calendar/oracle/OracleMain.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/OracleMain.java
@@ -4,10 +4,13 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Compares so many cases: {@code OracleMain CASES THREADS SEED [MUTATION]}. Exit code 1 where any differs. */
+/**
+ * Compares so many cases: {@code OracleMain CASES THREADS SEED [MUTATION]}. Exit code 1 where any
+ * differs.
+ */
 public final class OracleMain {
 
-    private OracleMain() { }
+    private OracleMain() {}
 
     public static void main(String[] args) throws InterruptedException {
         long cases = Long.parseLong(args[0]);
@@ -18,24 +21,36 @@
         long began = System.nanoTime();
         List<Thread> threads = new ArrayList<>();
         for (int t = Integer.parseInt(args[1]); t > 0; t--) {
-            Thread thread = new Thread(() -> {
-                for (long i = next.getAndIncrement(); i < cases; i = next.getAndIncrement()) {
-                    Made made = Cases.make(seed, i);
-                    String differs = Comparison.differs(made, mutation);
-                    if (differs != null && differing.getAndIncrement() < 3) {
-                        System.out.println("case " + i + ": " + differs + ", site in " + made.siteZone + "\n"
-                                + made.text());
-                    }
-                }
-            });
+            Thread thread =
+                    new Thread(
+                            () -> {
+                                for (long i = next.getAndIncrement();
+                                        i < cases;
+                                        i = next.getAndIncrement()) {
+                                    Made made = Cases.make(seed, i);
+                                    String differs = Comparison.differs(made, mutation);
+                                    if (differs != null && differing.getAndIncrement() < 3) {
+                                        System.out.println(
+                                                "case "
+                                                        + i
+                                                        + ": "
+                                                        + differs
+                                                        + ", site in "
+                                                        + made.siteZone
+                                                        + "\n"
+                                                        + made.text());
+                                    }
+                                }
+                            });
             thread.start();
             threads.add(thread);
         }
         for (Thread thread : threads) {
             thread.join();
         }
-        System.out.printf("%,d cases, seed %d, mutation %s: %,d differ (%.0f s)%n", cases, seed, mutation,
-                differing.get(), (System.nanoTime() - began) / 1e9);
+        System.out.printf(
+                "%,d cases, seed %d, mutation %s: %,d differ (%.0f s)%n",
+                cases, seed, mutation, differing.get(), (System.nanoTime() - began) / 1e9);
         System.exit(differing.get() == 0 ? 0 : 1);
     }
 }
--- a/calendar/src/test/java/postgrade/calendar/oracle/OracleTest.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/OracleTest.java
@@ -16,6 +16,7 @@
 public class OracleTest {
 
     private static final int CASES = 2_000;
+
     /** The first case that tells an UNTIL at the very instant of an instance. */
     private static final int UNTIL_MATTERS = 3_211;
 
@@ -25,7 +26,16 @@
             Made made = Cases.make(1, i);
             String differs = Comparison.differs(made, Mutation.NONE);
             if (differs != null) {
-                assertNull("case " + i + ", " + differs + ", site in " + made.siteZone + "\n" + made.text(), differs);
+                assertNull(
+                        "case "
+                                + i
+                                + ", "
+                                + differs
+                                + ", site in "
+                                + made.siteZone
+                                + "\n"
+                                + made.text(),
+                        differs);
             }
         }
     }
--- a/calendar/src/test/java/postgrade/calendar/oracle/QueryBench.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/QueryBench.java
@@ -3,10 +3,10 @@
 import java.lang.management.ManagementFactory;
 import java.time.Instant;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Arrays;
 import java.util.SplittableRandom;
 import postgrade.calendar.CalendarCheck;
 import postgrade.window.Plan;
@@ -16,11 +16,13 @@
 /** Time per query with so many sites and rules each: {@code QueryBench SITES RULES QUERIES}. */
 public final class QueryBench {
 
-    private static final String[] ZONES = {"Europe/Zagreb", "America/New_York", "Australia/Lord_Howe", "Asia/Tokyo"};
+    private static final String[] ZONES = {
+        "Europe/Zagreb", "America/New_York", "Australia/Lord_Howe", "Asia/Tokyo"
+    };
     private static final long NOW = Instant.parse("2026-10-20T08:00:00Z").toEpochMilli();
     private static final long DAY = 86_400_000;
 
-    private QueryBench() { }
+    private QueryBench() {}
 
     public static void main(String[] args) {
         int sites = Integer.parseInt(args[0]);
@@ -38,21 +40,41 @@
             calendars.put(c.site(), c);
             stretches += c.closed().size();
         }
-        System.out.printf("%d sites, %d rules each: read and worked out in %.1f ms of CPU a site, %,d bytes and "
-                + "%,d closed stretches a site over 101 days%n", sites, rules,
-                (cpu() - began) / 1e6 / sites, bytes / sites,
-                stretches / sites);
+        System.out.printf(
+                "%d sites, %d rules each: read and worked out in %.1f ms of CPU a site, %,d bytes and "
+                        + "%,d closed stretches a site over 101 days%n",
+                sites, rules, (cpu() - began) / 1e6 / sites, bytes / sites, stretches / sites);
         List<String> all = new ArrayList<>(calendars.keySet());
         for (int round = 0; round < 2; round++) {
             String when = round == 0 ? "first round" : "second round";
-            time(when + ", next opening over all sites", queries, random, (at, p) ->
-                    Windows.opens(p, calendars::get, at, 50), all, DAY / 4);
-            time(when + ", every start within 12 h, per site and together", queries, random, (at, p) ->
-                    Windows.query(p, calendars::get, at, 50).together().size(), all, DAY / 2);
-            time(when + ", the same with every exclusion and its reason", queries / 10, random, (at, p) ->
-                    Windows.query(p, calendars::get, at, 50).exclusions().size(), all, DAY / 2);
-            time(when + ", one worker's site", queries, random, (at, p) ->
-                    Windows.able(p, calendars.get("s7"), at, 50) ? 1 : 0, all, DAY / 4);
+            time(
+                    when + ", next opening over all sites",
+                    queries,
+                    random,
+                    (at, p) -> Windows.opens(p, calendars::get, at, 50),
+                    all,
+                    DAY / 4);
+            time(
+                    when + ", every start within 12 h, per site and together",
+                    queries,
+                    random,
+                    (at, p) -> Windows.query(p, calendars::get, at, 50).together().size(),
+                    all,
+                    DAY / 2);
+            time(
+                    when + ", the same with every exclusion and its reason",
+                    queries / 10,
+                    random,
+                    (at, p) -> Windows.query(p, calendars::get, at, 50).exclusions().size(),
+                    all,
+                    DAY / 2);
+            time(
+                    when + ", one worker's site",
+                    queries,
+                    random,
+                    (at, p) -> Windows.able(p, calendars.get("s7"), at, 50) ? 1 : 0,
+                    all,
+                    DAY / 4);
         }
     }
 
@@ -64,7 +86,12 @@
         long ask(long at, Plan plan);
     }
 
-    private static void time(String name, int queries, SplittableRandom random, Query query, List<String> sites,
+    private static void time(
+            String name,
+            int queries,
+            SplittableRandom random,
+            Query query,
+            List<String> sites,
             long span) {
         long[] took = new long[queries];
         long sum = 0;
@@ -76,20 +103,41 @@
             took[i] = System.nanoTime() - from;
         }
         Arrays.sort(took);
-        System.out.printf("%-70s p50 %8.2f us  p99 %8.2f us  (%x)%n", name, took[queries / 2] / 1e3,
-                took[queries * 99 / 100] / 1e3, sum & 0xffff);
+        System.out.printf(
+                "%-70s p50 %8.2f us  p99 %8.2f us  (%x)%n",
+                name, took[queries / 2] / 1e3, took[queries * 99 / 100] / 1e3, sum & 0xffff);
     }
 
-    /** Daily, weekly and monthly works of 10 to 120 minutes at any time of the day, all without end. */
+    /**
+     * Daily, weekly and monthly works of 10 to 120 minutes at any time of the day, all without end.
+     */
     private static String text(SplittableRandom random, int rules) {
         StringBuilder text = new StringBuilder("BEGIN:VCALENDAR\r\nVERSION:2.0\r\n");
-        String[] every = {"FREQ=WEEKLY;BYDAY=MO,TH", "FREQ=WEEKLY;INTERVAL=2", "FREQ=MONTHLY;BYDAY=2TU",
-            "FREQ=MONTHLY;BYMONTHDAY=-1", "FREQ=DAILY;INTERVAL=3", "FREQ=YEARLY;BYMONTH=10;BYDAY=-1SU"};
+        String[] every = {
+            "FREQ=WEEKLY;BYDAY=MO,TH",
+            "FREQ=WEEKLY;INTERVAL=2",
+            "FREQ=MONTHLY;BYDAY=2TU",
+            "FREQ=MONTHLY;BYMONTHDAY=-1",
+            "FREQ=DAILY;INTERVAL=3",
+            "FREQ=YEARLY;BYMONTH=10;BYDAY=-1SU"
+        };
         for (int i = 0; i < rules; i++) {
-            text.append("BEGIN:VEVENT\r\nUID:u").append(i).append("\r\nSUMMARY:works ").append(i)
-                    .append("\r\nDTSTART:2024").append(String.format("%02d%02dT%02d%02d00", 1 + random.nextInt(12),
-                            1 + random.nextInt(28), random.nextInt(24), random.nextInt(60))).append("\r\nDURATION:PT")
-                    .append(10 + random.nextInt(110)).append("M\r\nRRULE:").append(every[i % every.length])
+            text.append("BEGIN:VEVENT\r\nUID:u")
+                    .append(i)
+                    .append("\r\nSUMMARY:works ")
+                    .append(i)
+                    .append("\r\nDTSTART:2024")
+                    .append(
+                            String.format(
+                                    "%02d%02dT%02d%02d00",
+                                    1 + random.nextInt(12),
+                                    1 + random.nextInt(28),
+                                    random.nextInt(24),
+                                    random.nextInt(60)))
+                    .append("\r\nDURATION:PT")
+                    .append(10 + random.nextInt(110))
+                    .append("M\r\nRRULE:")
+                    .append(every[i % every.length])
                     .append("\r\nEND:VEVENT\r\n");
         }
         return text.append("END:VCALENDAR\r\n").toString();
--- a/calendar/src/test/java/postgrade/calendar/oracle/Rules.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/Rules.java
@@ -39,12 +39,13 @@
 
     Rule make() {
         r.weekStart = one(2) ? DayOfWeek.MONDAY : DayOfWeek.of(up(1, 7));
-        r.interval = switch (r.freq) {
-            case SECONDLY -> up(900, 9000);
-            case MINUTELY -> up(15, 400);
-            case HOURLY -> up(1, 30);
-            default -> one(3) ? up(2, 4) : 1;
-        };
+        r.interval =
+                switch (r.freq) {
+                    case SECONDLY -> up(900, 9000);
+                    case MINUTELY -> up(15, 400);
+                    case HOURLY -> up(1, 30);
+                    default -> one(3) ? up(2, 4) : 1;
+                };
         LocalDateTime local = start.local();
         boolean often = r.freq.compareTo(Freq.DAILY) < 0;
         if (one(2)) {
@@ -79,8 +80,16 @@
                 near(r.second, local.getSecond(), 0, 59, false);
             }
         }
-        if (one(4) && r.month.size() + r.weekNo.size() + r.yearDay.size() + r.monthDay.size() + r.day.size()
-                + r.hour.size() + r.minute.size() + r.second.size() > 0) {
+        if (one(4)
+                && r.month.size()
+                                + r.weekNo.size()
+                                + r.yearDay.size()
+                                + r.monthDay.size()
+                                + r.day.size()
+                                + r.hour.size()
+                                + r.minute.size()
+                                + r.second.size()
+                        > 0) {
             some(r.setPos, 1, 3, true);
         }
         end(local);
@@ -131,15 +140,23 @@
         if (one(4)) {
             r.count = up(1, 40);
         } else if (one(3)) {
-            LocalDateTime until = r.freq.compareTo(Freq.DAILY) < 0 ? local.plusHours(up(0, 60))
-                    : local.plusDays(up(0, 120));
+            LocalDateTime until =
+                    r.freq.compareTo(Freq.DAILY) < 0
+                            ? local.plusHours(up(0, 60))
+                            : local.plusDays(up(0, 120));
             if (start.date() || start.zoneId() == null) {
                 r.until = new Stamp(until, start.zoneId(), start.zone(), start.date());
             } else {
                 // At the very instant of an instance, as often as not.
-                long at = start.zone().instant(until, Mutation.NONE) + (one(2) ? 0 : 1000L * up(-4000, 4000));
-                r.until = new Stamp(LocalDateTime.ofEpochSecond(at / 1000, 0, ZoneOffset.UTC), "Z", Zone.of("UTC"),
-                        false);
+                long at =
+                        start.zone().instant(until, Mutation.NONE)
+                                + (one(2) ? 0 : 1000L * up(-4000, 4000));
+                r.until =
+                        new Stamp(
+                                LocalDateTime.ofEpochSecond(at / 1000, 0, ZoneOffset.UTC),
+                                "Z",
+                                Zone.of("UTC"),
+                                false);
             }
         }
     }
--- a/calendar/src/test/java/postgrade/calendar/oracle/Text.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/Text.java
@@ -32,7 +32,9 @@
     private Text line(String text) {
         // Folded, as lines may be.
         for (int at = 0; at < text.length(); at += 60) {
-            out.append(at == 0 ? "" : " ").append(text, at, Math.min(text.length(), at + 60)).append("\r\n");
+            out.append(at == 0 ? "" : " ")
+                    .append(text, at, Math.min(text.length(), at + 60))
+                    .append("\r\n");
         }
         return this;
     }
@@ -42,9 +44,16 @@
         for (int i = 0; i < 2; i++) {
             String name = i == 0 ? "DAYLIGHT" : "STANDARD";
             LocalDateTime onset = Zones.onset(1990, z[2 + 2 * i], z[3 + 2 * i]);
-            line("BEGIN:" + name).line("DTSTART:" + TIME.format(onset)).line("TZOFFSETFROM:" + offset(z[i]))
+            line("BEGIN:" + name)
+                    .line("DTSTART:" + TIME.format(onset))
+                    .line("TZOFFSETFROM:" + offset(z[i]))
                     .line("TZOFFSETTO:" + offset(z[1 - i]))
-                    .line("RRULE:FREQ=YEARLY;BYMONTH=" + z[2 + 2 * i] + ";BYDAY=" + z[3 + 2 * i] + "SU")
+                    .line(
+                            "RRULE:FREQ=YEARLY;BYMONTH="
+                                    + z[2 + 2 * i]
+                                    + ";BYDAY="
+                                    + z[3 + 2 * i]
+                                    + "SU")
                     .line("END:" + name);
         }
         line("END:VTIMEZONE");
@@ -61,8 +70,10 @@
             LocalDateTime end = w.start.local().plusDays(w.days).plusSeconds(w.seconds);
             line(stamp("DTEND", new Stamp(end, w.start.zoneId(), w.start.zone(), w.start.date())));
         } else {
-            line("DURATION:P" + (w.days > 0 ? w.days + "D" : "")
-                    + (w.seconds > 0 || w.days == 0 ? "T" + w.seconds + "S" : ""));
+            line(
+                    "DURATION:P"
+                            + (w.days > 0 ? w.days + "D" : "")
+                            + (w.seconds > 0 || w.days == 0 ? "T" + w.seconds + "S" : ""));
         }
         if (w.rule != null) {
             line("RRULE:" + rule(w.rule));
@@ -71,9 +82,12 @@
         w.without.forEach(s -> line(stamp("EXDATE", s)));
         line("END:VEVENT");
         for (Stamp[] pair : w.moved) {
-            line("BEGIN:VEVENT").line("UID:" + uid).line(stamp("RECURRENCE-ID", pair[0]))
+            line("BEGIN:VEVENT")
+                    .line("UID:" + uid)
+                    .line(stamp("RECURRENCE-ID", pair[0]))
                     .line(stamp("DTSTART", pair[1]))
-                    .line(pair[1].date() ? "DURATION:P1D" : "DURATION:PT" + w.movedSeconds + "S").line("END:VEVENT");
+                    .line(pair[1].date() ? "DURATION:P1D" : "DURATION:PT" + w.movedSeconds + "S")
+                    .line("END:VEVENT");
         }
     }
 
@@ -81,18 +95,26 @@
         if (s.date()) {
             return name + ";VALUE=DATE:" + DATE.format(s.local());
         }
-        return name + (s.zoneId() == null ? ":" : s.zoneId().equals("Z") ? ":" : ";TZID=" + s.zoneId() + ":") + time(s);
+        return name
+                + (s.zoneId() == null
+                        ? ":"
+                        : s.zoneId().equals("Z") ? ":" : ";TZID=" + s.zoneId() + ":")
+                + time(s);
     }
 
     private static String time(Stamp s) {
-        return s.date() ? DATE.format(s.local()) : TIME.format(s.local()) + ("Z".equals(s.zoneId()) ? "Z" : "");
+        return s.date()
+                ? DATE.format(s.local())
+                : TIME.format(s.local()) + ("Z".equals(s.zoneId()) ? "Z" : "");
     }
 
     private static String rule(Rule r) {
         StringBuilder t = new StringBuilder("FREQ=" + r.freq);
-        t.append(r.interval > 1 ? ";INTERVAL=" + r.interval : "").append(r.count > 0 ? ";COUNT=" + r.count : "")
+        t.append(r.interval > 1 ? ";INTERVAL=" + r.interval : "")
+                .append(r.count > 0 ? ";COUNT=" + r.count : "")
                 .append(r.until != null ? ";UNTIL=" + time(r.until) : "")
-                .append(";WKST=").append(DAYS[r.weekStart.getValue()]);
+                .append(";WKST=")
+                .append(DAYS[r.weekStart.getValue()]);
         list(t, "BYMONTH", r.month);
         list(t, "BYWEEKNO", r.weekNo);
         list(t, "BYYEARDAY", r.yearDay);
@@ -107,7 +129,9 @@
 
     private static void list(StringBuilder t, String name, List<?> all) {
         if (!all.isEmpty()) {
-            t.append(';').append(name).append('=')
+            t.append(';')
+                    .append(name)
+                    .append('=')
                     .append(all.stream().map(String::valueOf).collect(Collectors.joining(",")));
         }
     }
--- a/calendar/src/test/java/postgrade/calendar/oracle/Zone.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/Zone.java
@@ -12,7 +12,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A zone as the list of its changes, all of them up to 2110; local times are looked for among the stretches between.
+ * A zone as the list of its changes, all of them up to 2110; local times are looked for among the
+ * stretches between.
  */
 final class Zone {
 
@@ -21,6 +22,7 @@
 
     /** Seconds since 1970 at which each offset begins; the first holds from ever. */
     final List<Long> at = new ArrayList<>();
+
     private final List<Integer> offsets = new ArrayList<>();
 
     Zone(int first) {
@@ -34,15 +36,18 @@
     }
 
     static Zone of(String id) {
-        return KNOWN.computeIfAbsent(id, i -> {
-            ZoneRules rules = ZoneId.of(i).getRules();
-            Zone zone = new Zone(rules.getOffset(Instant.MIN).getTotalSeconds());
-            for (ZoneOffsetTransition t = rules.nextTransition(Instant.MIN); t != null && t.getInstant().isBefore(END);
-                    t = rules.nextTransition(t.getInstant())) {
-                zone.change(t.toEpochSecond(), t.getOffsetAfter().getTotalSeconds());
-            }
-            return zone;
-        });
+        return KNOWN.computeIfAbsent(
+                id,
+                i -> {
+                    ZoneRules rules = ZoneId.of(i).getRules();
+                    Zone zone = new Zone(rules.getOffset(Instant.MIN).getTotalSeconds());
+                    for (ZoneOffsetTransition t = rules.nextTransition(Instant.MIN);
+                            t != null && t.getInstant().isBefore(END);
+                            t = rules.nextTransition(t.getInstant())) {
+                        zone.change(t.toEpochSecond(), t.getOffsetAfter().getTotalSeconds());
+                    }
+                    return zone;
+                });
     }
 
     /** In milliseconds. */
@@ -55,13 +60,15 @@
         for (int i = from; i <= to; i++) {
             long instant = wall - offsets.get(i);
             long end = i + 1 < at.size() ? at.get(i + 1) : Long.MAX_VALUE;
-            if (instant >= at.get(i) && instant < end
+            if (instant >= at.get(i)
+                    && instant < end
                     && (found == Long.MIN_VALUE || mutation == Mutation.SECOND_OF_FOLD)) {
                 found = instant;
             }
         }
         for (int i = from + 1; found == Long.MIN_VALUE && i <= to; i++) {
-            // In the gap at this change: its instant by the offset before is not before it, by the one after it is.
+            // In the gap at this change: its instant by the offset before is not before it, by the
+            // one after it is.
             if (wall - offsets.get(i - 1) >= at.get(i) && wall - offsets.get(i) < at.get(i)) {
                 found = wall - offsets.get(mutation == Mutation.OFFSET_AFTER_GAP ? i : i - 1);
             }
@@ -71,7 +78,8 @@
 
     LocalDateTime local(long millis) {
         long seconds = Math.floorDiv(millis, 1000L);
-        return LocalDateTime.ofEpochSecond(seconds + offsets.get(index(seconds)), 0, ZoneOffset.UTC);
+        return LocalDateTime.ofEpochSecond(
+                seconds + offsets.get(index(seconds)), 0, ZoneOffset.UTC);
     }
 
     private int index(long seconds) {
--- a/calendar/src/test/java/postgrade/calendar/oracle/Zones.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/Zones.java
@@ -6,11 +6,12 @@
 import java.time.ZoneOffset;
 
 /**
- * The zone that a generated calendar defines: summer and standard time, each from a Sunday of a month at two o'clock.
+ * The zone that a generated calendar defines: summer and standard time, each from a Sunday of a
+ * month at two o'clock.
  */
 final class Zones {
 
-    private Zones() { }
+    private Zones() {}
 
     /** By counting days; the nth Sunday, from the end where negative. */
     static LocalDateTime onset(int year, int month, int nth) {
@@ -25,7 +26,10 @@
         }
     }
 
-    /** @param z standard and summer offset, then month and Sunday of each onset: of summer time, of standard time */
+    /**
+     * @param z standard and summer offset, then month and Sunday of each onset: of summer time, of
+     *     standard time
+     */
     static Zone own(int[] z) {
         Zone zone = new Zone(z[2] < z[4] ? z[0] : z[1]);
         for (int year = 1990; year < 2110; year++) {
--- a/cli/src/main/java/postgrade/cli/BenchlinkCommand.java
+++ b/cli/src/main/java/postgrade/cli/BenchlinkCommand.java
@@ -4,7 +4,9 @@
 import picocli.CommandLine.Command;
 import postgrade.benchlink.Main;
 
-@Command(name = "benchlink", description = "Speak the simulator's wire on standard input and output.")
+@Command(
+        name = "benchlink",
+        description = "Speak the simulator's wire on standard input and output.")
 final class BenchlinkCommand implements Callable<Integer> {
     @Override
     public Integer call() throws Exception {
--- a/cli/src/main/java/postgrade/cli/CheckCommand.java
+++ b/cli/src/main/java/postgrade/cli/CheckCommand.java
@@ -11,13 +11,16 @@
 import picocli.CommandLine.Spec;
 import postgrade.daemon.Check;
 
-@Command(name = "check", description = "Check a settings file and print what is in force, and where each came from.")
+@Command(
+        name = "check",
+        description = "Check a settings file and print what is in force, and where each came from.")
 final class CheckCommand implements Callable<Integer> {
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
-    @Parameters(paramLabel = "FILE", description = "A dispatcher's configuration (JSON), a plan or a fleet (.star).")
+    @Parameters(
+            paramLabel = "FILE",
+            description = "A dispatcher's configuration (JSON), a plan or a fleet (.star).")
     private Path file;
 
     @Override
--- a/cli/src/main/java/postgrade/cli/ServeCommand.java
+++ b/cli/src/main/java/postgrade/cli/ServeCommand.java
@@ -4,7 +4,9 @@
 import picocli.CommandLine.Command;
 import postgrade.daemon.Main;
 
-@Command(name = "serve", description = "Run one dispatcher, configured by the file that ROUTER_CONFIG names.",
+@Command(
+        name = "serve",
+        description = "Run one dispatcher, configured by the file that ROUTER_CONFIG names.",
         footer = {"", "SIGHUP reads the file again, SIGTERM stops in order."})
 final class ServeCommand implements Callable<Integer> {
 
--- a/cli/src/test/java/postgrade/cli/KnownRedTest.java
+++ b/cli/src/test/java/postgrade/cli/KnownRedTest.java
@@ -24,38 +24,48 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What `.ci/run` passes over, and what it does not, on a tree with made-up reports and a Maven that only writes them. */
+/**
+ * What `.ci/run` passes over, and what it does not, on a tree with made-up reports and a Maven that
+ * only writes them.
+ */
 class KnownRedTest {
 
     private static final Path CI = Path.of("..", ".ci");
     private static final String PASSES = "<testcase name='passes' classname='p.ATest' time='0.1'/>";
     private static final String FAILS =
             "<testcase name='fails' classname='p.ATest'><failure message='m' type='t'>at</failure></testcase>";
-    private static final String ERRS = "<testcase name='errs' classname='p.BTest'><error type='t'>at</error></testcase>";
-    private static final String SKIPPED = "<testcase name='skipped' classname='p.BTest'><skipped/></testcase>";
-    private static final String OF_TWO = "<testcase name='ofTwo(int)[1]' classname='p.BTest'/>"
-            + "<testcase name='ofTwo(int)[2]' classname='p.BTest'><failure type='t'>at</failure></testcase>";
-
-    @TempDir
-    private static Path classes;
+    private static final String ERRS =
+            "<testcase name='errs' classname='p.BTest'><error type='t'>at</error></testcase>";
+    private static final String SKIPPED =
+            "<testcase name='skipped' classname='p.BTest'><skipped/></testcase>";
+    private static final String OF_TWO =
+            "<testcase name='ofTwo(int)[1]' classname='p.BTest'/>"
+                    + "<testcase name='ofTwo(int)[2]' classname='p.BTest'><failure type='t'>at</failure></testcase>";
+
+    @TempDir private static Path classes;
     private static Method reader;
-    @TempDir
-    private Path root;
+    @TempDir private Path root;
     private String said;
 
     @BeforeEach
     void tree() throws IOException {
         Files.createDirectories(root.resolve(".ci"));
         for (String file : List.of("run", "KnownRed.java")) {
-            Files.copy(CI.resolve(file), root.resolve(".ci").resolve(file), StandardCopyOption.COPY_ATTRIBUTES);
+            Files.copy(
+                    CI.resolve(file),
+                    root.resolve(".ci").resolve(file),
+                    StandardCopyOption.COPY_ATTRIBUTES);
         }
         Files.createDirectories(root.resolve("deploy"));
         Files.writeString(root.resolve("deploy/balancer.toml"), "policy = [\"P.java\"]\n");
         Files.writeString(root.resolve("P.java"), "class P { }\n");
         Path reports = root.resolve("a/target/surefire-reports");
         Files.createDirectories(reports);
-        Files.writeString(reports.resolve("TEST-p.Stale.xml"), suite("<testcase name='old' classname='p.Stale'>"
-                + "<failure type='t'>of an earlier run</failure></testcase>"));
+        Files.writeString(
+                reports.resolve("TEST-p.Stale.xml"),
+                suite(
+                        "<testcase name='old' classname='p.Stale'>"
+                                + "<failure type='t'>of an earlier run</failure></testcase>"));
     }
 
     private static String suite(String cases) {
@@ -64,8 +74,16 @@
 
     @BeforeAll
     static void compiled() throws Exception {
-        assertEquals(0, ToolProvider.getSystemJavaCompiler().run(null, null, null, "-d", classes.toString(),
-                CI.resolve("KnownRed.java").toString()));
+        assertEquals(
+                0,
+                ToolProvider.getSystemJavaCompiler()
+                        .run(
+                                null,
+                                null,
+                                null,
+                                "-d",
+                                classes.toString(),
+                                CI.resolve("KnownRed.java").toString()));
         try (URLClassLoader loader = new URLClassLoader(new URL[] {classes.toUri().toURL()})) {
             reader = loader.loadClass("KnownRed").getDeclaredMethod("judge", String[].class);
             loader.loadClass("KnownRed$Result");
@@ -83,7 +101,8 @@
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         System.setOut(new PrintStream(bytes, true));
         try {
-            return (int) reader.invoke(null, (Object) new String[] {file.toString(), root.toString()});
+            return (int)
+                    reader.invoke(null, (Object) new String[] {file.toString(), root.toString()});
         } finally {
             System.setOut(before);
             said = bytes.toString();
@@ -97,14 +116,26 @@
         }
         Path bin = Files.createDirectories(root.resolve("bin"));
         Path mvn = bin.resolve("mvn");
-        Files.writeString(mvn, "#!/bin/sh\necho \"called: mvn $*\"\ncat >b/target/surefire-reports/TEST-p.xml <<'X'\n"
-                + cases + "\nX\ncase \"$*\" in *ignore=true*) exit 0;; esac\n"
-                + "! grep -qE '<failure|<error' b/target/surefire-reports/TEST-p.xml\n");
+        Files.writeString(
+                mvn,
+                "#!/bin/sh\necho \"called: mvn $*\"\ncat >b/target/surefire-reports/TEST-p.xml <<'X'\n"
+                        + cases
+                        + "\nX\ncase \"$*\" in *ignore=true*) exit 0;; esac\n"
+                        + "! grep -qE '<failure|<error' b/target/surefire-reports/TEST-p.xml\n");
         assertTrue(mvn.toFile().setExecutable(true));
         Files.createDirectories(root.resolve("b/target/surefire-reports"));
-        ProcessBuilder b = new ProcessBuilder(root.resolve(".ci/run").toString()).redirectErrorStream(true);
-        b.environment().merge("PATH", bin.toString(), (path, own) -> own + ":"
-                + Path.of(System.getProperty("java.home"), "bin") + ":" + path);
+        ProcessBuilder b =
+                new ProcessBuilder(root.resolve(".ci/run").toString()).redirectErrorStream(true);
+        b.environment()
+                .merge(
+                        "PATH",
+                        bin.toString(),
+                        (path, own) ->
+                                own
+                                        + ":"
+                                        + Path.of(System.getProperty("java.home"), "bin")
+                                        + ":"
+                                        + path);
         Process p = b.start();
         said = new String(p.getInputStream().readAllBytes());
         assertTrue(p.waitFor(1, TimeUnit.MINUTES));
@@ -126,10 +157,17 @@
 
     @Test
     void whatIsNamedMayFailAndIsPrinted() throws Exception {
-        assertEquals(0, ci("p.ATest#fails | a race in the close | #24\np.BTest#ofTwo | late | #7\np.BTest#errs|x y|#8\n",
-                suite(PASSES + FAILS + ERRS + OF_TWO + SKIPPED)), () -> said);
-        saysAll("called: mvn -B verify ", "passed over: p.ATest#fails: a race in the close (issue 24)",
-                "passed over: p.BTest#ofTwo: late (issue 7)", "passed over: p.BTest#errs: x y (issue 8)");
+        assertEquals(
+                0,
+                ci(
+                        "p.ATest#fails | a race in the close | #24\np.BTest#ofTwo | late | #7\np.BTest#errs|x y|#8\n",
+                        suite(PASSES + FAILS + ERRS + OF_TWO + SKIPPED)),
+                () -> said);
+        saysAll(
+                "called: mvn -B verify ",
+                        "passed over: p.ATest#fails: a race in the close (issue 24)",
+                "passed over: p.BTest#ofTwo: late (issue 7)",
+                        "passed over: p.BTest#errs: x y (issue 8)");
         try (Stream<Path> left = Files.list(root.resolve("a/target/surefire-reports"))) {
             assertEquals(0, left.count(), "an earlier run's report does not speak");
         }
@@ -155,10 +193,19 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"p.ATest#fails", "p.ATest#fails | | #24", "p.ATest#fails | a race", "p.ATest#fails | a race |",
-        "p.ATest#fails | a race | soon", "p.ATest | a race | #24", "| a race | #24", "# a word",
-        "p.ATest#fails | a | #24\np.ATest#fails | a | #24",
-        "p.A#a | a | #1\np.A#b | a | #1\np.A#c | a | #1\np.A#d | a | #1"})
+    @ValueSource(
+            strings = {
+                "p.ATest#fails",
+                "p.ATest#fails | | #24",
+                "p.ATest#fails | a race",
+                "p.ATest#fails | a race |",
+                "p.ATest#fails | a race | soon",
+                "p.ATest | a race | #24",
+                "| a race | #24",
+                "# a word",
+                "p.ATest#fails | a | #24\np.ATest#fails | a | #24",
+                "p.A#a | a | #1\np.A#b | a | #1\np.A#c | a | #1\np.A#d | a | #1"
+            })
     void aLineThatIsNotWholeAndAFourthOneFail(String text) throws Exception {
         assertEquals(1, judged(text + "\n", suite(FAILS)));
         saysAll("KNOWN-RED: ");
@@ -177,7 +224,6 @@
         saysAll("called: mvn -B verify ", "failed and not named: p.BTest#errs");
     }
 
-
     @Test
     void aRunThatCannotBeReadOrTestedNothingFails() throws Exception {
         assertEquals(1, judged("p.ATest#fails | a race | #24\n", "<testsuite>"));
--- a/core/src/main/java/postgrade/Dispatcher.java
+++ b/core/src/main/java/postgrade/Dispatcher.java
@@ -6,33 +6,62 @@
 /**
  * What a dispatcher ("gateway") tells its decision maker, and what it is told to do.
  *
- * <p>One implementation object is one gateway. Every event carries the time in nanoseconds of a clock that
- * only advances; decisions come back as calls of {@link Actions}, before the event method returns. Not
- * thread-safe: events of one gateway are handed over one after another.
+ * <p>One implementation object is one gateway. Every event carries the time in nanoseconds of a
+ * clock that only advances; decisions come back as calls of {@link Actions}, before the event
+ * method returns. Not thread-safe: events of one gateway are handed over one after another.
  */
 public interface Dispatcher {
 
-    /** The complete list, the one remembered from before a restart, changes only, or a failed call. */
-    enum ListForm { FULL, STORED, CHANGES, ERROR }
+    /**
+     * The complete list, the one remembered from before a restart, changes only, or a failed call.
+     */
+    enum ListForm {
+        FULL,
+        STORED,
+        CHANGES,
+        ERROR
+    }
 
-    enum Phase { READY, DRAINING, GONE }
+    enum Phase {
+        READY,
+        DRAINING,
+        GONE
+    }
 
     /** Whether a job may take effect again: freely, within a group that drops repeats, or never. */
-    enum Effect { SAFE, KEYED, UNSAFE }
+    enum Effect {
+        SAFE,
+        KEYED,
+        UNSAFE
+    }
 
     /** The workers that drop repeats of a keyed job. */
     enum Group {
-        ALL, ZONE, CELL;
+        ALL,
+        ZONE,
+        CELL;
 
         /** Whether both workers know of each other's repeats. */
         public boolean shared(Worker a, Worker b) {
-            return this == ALL || a.zone().equals(b.zone()) && (this == ZONE || a.cell() == b.cell());
+            return this == ALL
+                    || a.zone().equals(b.zone()) && (this == ZONE || a.cell() == b.cell());
         }
     }
 
-    /** How an attempt ended. {@code NO_SOCKET}: this process could begin no connection, which says nothing of the worker. */
+    /**
+     * How an attempt ended. {@code NO_SOCKET}: this process could begin no connection, which says
+     * nothing of the worker.
+     */
     enum Outcome {
-        SERVED, ERROR, FULL, TIMEOUT, UNREACHABLE, RESET, CANCELLED, NOT_SENT, NO_SOCKET;
+        SERVED,
+        ERROR,
+        FULL,
+        TIMEOUT,
+        UNREACHABLE,
+        RESET,
+        CANCELLED,
+        NOT_SENT,
+        NO_SOCKET;
 
         /** True where the outcome proves that the job was never run. */
         public boolean provesNotRun() {
@@ -42,20 +71,26 @@
 
     void list(long nowNs, ListForm form, List<Worker> workers);
 
-    /** An operator had taken this worker out and has put it back, restarted; the list before this says so. */
-    default void recalled(long nowNs, String workerId) { }
+    /**
+     * An operator had taken this worker out and has put it back, restarted; the list before this
+     * says so.
+     */
+    default void recalled(long nowNs, String workerId) {}
 
     /**
-     * Other settings are in force from now on. Jobs under way keep the class that they came with; where the settings are
-     * another deployment's, nothing else is kept of what was learnt.
+     * Other settings are in force from now on. Jobs under way keep the class that they came with;
+     * where the settings are another deployment's, nothing else is kept of what was learnt.
      */
-    default void settings(long nowNs, Settings settings) { }
+    default void settings(long nowNs, Settings settings) {}
 
-    /** So large a part of what this gateway may do is this process's: another one of it lives, or none any more. */
-    default void share(long nowNs, double part) { }
+    /**
+     * So large a part of what this gateway may do is this process's: another one of it lives, or
+     * none any more.
+     */
+    default void share(long nowNs, double part) {}
 
     /** Asked from now on whether a job may start and which workers are able for it. */
-    default void ability(Ability ability) { }
+    default void ability(Ability ability) {}
 
     /** What a new process of this gateway is to know. */
     default List<Learnt> learnt(long nowNs) {
@@ -63,7 +98,7 @@
     }
 
     /** Takes over what another process of this gateway has learnt; the list is known. */
-    default void learn(long nowNs, List<Learnt> all) { }
+    default void learn(long nowNs, List<Learnt> all) {}
 
     void job(long nowNs, Job job);
 
@@ -77,7 +112,9 @@
     /** The answer has begun to stream: the attempt now belongs to the client. */
     void streaming(long nowNs, String jobId, int attempt);
 
-    /** @param last the client has its final answer, by this outcome or an earlier one */
+    /**
+     * @param last the client has its final answer, by this outcome or an earlier one
+     */
     void finished(long nowNs, String jobId, int attempt, Outcome outcome, boolean last, Load load);
 
     void probed(long nowNs, String workerId, boolean answered, Load load);
@@ -88,10 +125,16 @@
 
     /** Where decisions go. */
     interface Actions {
-        /** Starts an attempt; a job's attempts count from 0. A limit of 0: until the client gives up. */
+        /**
+         * Starts an attempt; a job's attempts count from 0. A limit of 0: until the client gives
+         * up.
+         */
         void send(String jobId, String workerId, long limitNs);
 
-        /** As above; its request goes out within {@code windowNs}, or not at all: its connection may come up late. */
+        /**
+         * As above; its request goes out within {@code windowNs}, or not at all: its connection may
+         * come up late.
+         */
         default void send(String jobId, String workerId, long limitNs, long windowNs) {
             send(jobId, workerId, limitNs);
         }
@@ -116,13 +159,28 @@
      * @param weight relative size, 0 where not announced; it counts until reports tell free slots
      * @param bornNs time of the latest start, 0 for long ago
      */
-    record Worker(String id, String zone, String kind, int cell, Phase phase, double weight, long bornNs) { }
+    record Worker(
+            String id,
+            String zone,
+            String kind,
+            int cell,
+            Phase phase,
+            double weight,
+            long bornNs) {}
 
     /** Figures of one thing, say of a worker. */
-    record Learnt(String of, String name, double[] figures) { }
+    record Learnt(String of, String name, double[] figures) {}
 
-    /** @param tenant or key null where there is none; @param memory 0 where it is not counted */
-    record Job(String id, String jobClass, String tenant, String key, long timeLeftNs, double slots,
+    /**
+     * @param tenant or key null where there is none; @param memory 0 where it is not counted
+     */
+    record Job(
+            String id,
+            String jobClass,
+            String tenant,
+            String key,
+            long timeLeftNs,
+            double slots,
             double memory) {
         public Job {
             Objects.requireNonNull(id, "id");
@@ -140,8 +198,17 @@
      * @param aimNs wanted within this, plus {@code aimStretch} times the job's own running time
      * @param kind the only kind of machine that runs it, or null
      */
-    record JobClass(String name, Effect effect, Group group, long windowNs, long aimNs, double aimStretch,
-            double worth, double lateShare, String kind, boolean stream) {
+    record JobClass(
+            String name,
+            Effect effect,
+            Group group,
+            long windowNs,
+            long aimNs,
+            double aimStretch,
+            double worth,
+            double lateShare,
+            String kind,
+            boolean stream) {
         public JobClass {
             Objects.requireNonNull(name, "class name");
             require(windowNs >= 0, "windowNs of class " + name + " must not be negative");
@@ -154,7 +221,9 @@
         }
     }
 
-    /** @param ratePerS jobs a second within the tenant's share, over all gateways */
+    /**
+     * @param ratePerS jobs a second within the tenant's share, over all gateways
+     */
     record Tenant(String name, double ratePerS) {
         public Tenant {
             require(ratePerS > 0, "ratePerS of tenant " + name + " must be positive");
@@ -212,14 +281,18 @@
             fallMultiple = b.fallMultiple;
             fallNs = b.fallNs;
             tickNs = b.tickNs;
-            deployment = b.fleet.with(Deployment.Sort.TENANT, tenants.stream().map(Tenant::name).toList());
+            deployment =
+                    b.fleet.with(
+                            Deployment.Sort.TENANT, tenants.stream().map(Tenant::name).toList());
         }
 
         public static Builder builder() {
             return new Builder();
         }
 
-        /** Starts from settings of a lone gateway that may do everything and is told nothing extra. */
+        /**
+         * Starts from settings of a lone gateway that may do everything and is told nothing extra.
+         */
         public static final class Builder {
             private int gateways = 1;
             private int gateway;
@@ -277,7 +350,9 @@
                 return this;
             }
 
-            /** Buckets kept for each kind of bucket; 0 keeps none, so every bucket is always full. */
+            /**
+             * Buckets kept for each kind of bucket; 0 keeps none, so every bucket is always full.
+             */
             public Builder tableSize(int v) {
                 require(v >= 0, "tableSize must not be negative");
                 tableSize = v;
@@ -290,7 +365,9 @@
                 return this;
             }
 
-            /** Only draining binds: a worker that the list drops or calls gone may still be sent to. */
+            /**
+             * Only draining binds: a worker that the list drops or calls gone may still be sent to.
+             */
             public Builder droppedStayOpen(boolean v) {
                 droppedStayOpen = v;
                 return this;
@@ -313,7 +390,10 @@
                 return this;
             }
 
-            /** Workers may be probed; the fee is what one probe for each job would take off the result. */
+            /**
+             * Workers may be probed; the fee is what one probe for each job would take off the
+             * result.
+             */
             public Builder probes(boolean may, double fee) {
                 require(fee >= 0, "probeFee must not be negative");
                 mayProbe = may;
@@ -334,7 +414,9 @@
                 return this;
             }
 
-            /** A starting worker can do this part of its work, all of it after {@code warmWithin}. */
+            /**
+             * A starting worker can do this part of its work, all of it after {@code warmWithin}.
+             */
             public Builder cold(double share, long warmWithin) {
                 require(share > 0 && share <= 1, "coldShare must lie above 0 and not above 1");
                 require(warmWithin >= 0, "warmWithinNs must not be negative");
@@ -343,7 +425,10 @@
                 return this;
             }
 
-            /** A cold worker sent more than this multiple of what it can do for this time falls over. */
+            /**
+             * A cold worker sent more than this multiple of what it can do for this time falls
+             * over.
+             */
             public Builder fall(double multiple, long forNs) {
                 require(multiple > 0, "fallMultiple must be positive");
                 require(forNs > 0, "fallNs must be positive");
@@ -361,7 +446,9 @@
 
             public Settings build() {
                 require(!classes.isEmpty(), "classes must not be empty");
-                require(gateway >= 0 && gateway < gateways, "gateway must lie between 0 and gateways - 1");
+                require(
+                        gateway >= 0 && gateway < gateways,
+                        "gateway must lie between 0 and gateways - 1");
                 return new Settings(this);
             }
         }
--- a/core/src/main/java/postgrade/comeback/Crowd.java
+++ b/core/src/main/java/postgrade/comeback/Crowd.java
@@ -4,7 +4,10 @@
 public final class Crowd {
 
     private static final double LATELY_MICROS = 1e6;
-    /** So much of the rate counts as spare at least: a width without end would bring nobody back. */
+
+    /**
+     * So much of the rate counts as spare at least: a width without end would bring nobody back.
+     */
     private static final double LEAST_SPARE = 0.1;
 
     private double asked;
--- a/core/src/main/java/postgrade/comeback/Gate.java
+++ b/core/src/main/java/postgrade/comeback/Gate.java
@@ -1,8 +1,9 @@
 package postgrade.comeback;
 
 /**
- * Lets something happen at most so often, evenly spaced. Two gates of the same pace whose phases differ are never open
- * at the same moment, so what many processes do at once is spread without a word between them.
+ * Lets something happen at most so often, evenly spaced. Two gates of the same pace whose phases
+ * differ are never open at the same moment, so what many processes do at once is spread without a
+ * word between them.
  */
 public final class Gate {
 
@@ -16,7 +17,8 @@
      */
     public Gate(long nowMicros, double perSecond, double phase) {
         if (!(perSecond >= 0) || !(phase >= 0) || phase >= 1) {
-            throw new IllegalArgumentException("perSecond must not be negative, phase lie from 0 to below 1");
+            throw new IllegalArgumentException(
+                    "perSecond must not be negative, phase lie from 0 to below 1");
         }
         perMicro = perSecond / 1e6;
         tokens = 1 - phase;
@@ -53,6 +55,8 @@
     /** How long until it may happen; {@link Long#MAX_VALUE} for never. */
     public long waitMicros(long nowMicros) {
         refill(nowMicros);
-        return tokens >= 1 - 1e-9 ? 0 : perMicro == 0 ? Long.MAX_VALUE : (long) Math.ceil((1 - tokens) / perMicro);
+        return tokens >= 1 - 1e-9
+                ? 0
+                : perMicro == 0 ? Long.MAX_VALUE : (long) Math.ceil((1 - tokens) / perMicro);
     }
 }
--- a/core/src/main/java/postgrade/comeback/Memory.java
+++ b/core/src/main/java/postgrade/comeback/Memory.java
@@ -15,7 +15,10 @@
  */
 public record Memory(String dispatcher, long savedMicros, double served, List<Figure> figures) {
 
-    /** @param startedMillis of the worker of which it was learnt, by discovery; 0 for anything but a worker */
+    /**
+     * @param startedMillis of the worker of which it was learnt, by discovery; 0 for anything but a
+     *     worker
+     */
     public record Figure(Learnt learnt, long startedMillis) {
         public Figure {
             Objects.requireNonNull(learnt, "learnt");
@@ -26,8 +29,14 @@
         figures = List.copyOf(figures);
     }
 
-    /** @param startedMillis of each worker now, by its id */
-    public static Memory of(String dispatcher, long nowMicros, double served, List<Learnt> learnt,
+    /**
+     * @param startedMillis of each worker now, by its id
+     */
+    public static Memory of(
+            String dispatcher,
+            long nowMicros,
+            double served,
+            List<Learnt> learnt,
             Map<String, Long> startedMillis) {
         List<Figure> figures = new ArrayList<>();
         for (Learnt l : learnt) {
@@ -54,7 +63,8 @@
         List<Learnt> trusted = new ArrayList<>();
         for (Figure f : figures) {
             Long started = startedMillis.get(f.learnt().name());
-            // A worker that is not listed, or has started since, is not the one of which this was learnt.
+            // A worker that is not listed, or has started since, is not the one of which this was
+            // learnt.
             if (!Trust.ofWorker(f.learnt()) || started != null && started <= f.startedMillis()) {
                 Learnt faded = Trust.aged(f.learnt(), ageMicros(nowMicros));
                 if (faded != null) {
--- a/core/src/main/java/postgrade/comeback/MemoryFormat.java
+++ b/core/src/main/java/postgrade/comeback/MemoryFormat.java
@@ -8,22 +8,26 @@
 import postgrade.comeback.Unusable.Fault;
 
 /**
- * A snapshot as bytes: a head line with version, checksum and length, then lines of words. All of it is ASCII, so that
- * an operator can read it. The head stays as it is in later versions; the checksum covers version, length and body.
+ * A snapshot as bytes: a head line with version, checksum and length, then lines of words. All of
+ * it is ASCII, so that an operator can read it. The head stays as it is in later versions; the
+ * checksum covers version, length and body.
  */
 public final class MemoryFormat {
 
     static final int VERSION = 1;
+
     /** Larger ones are neither written nor read. */
     static final int MOST_BYTES = 8 << 20;
+
     private static final int MOST_FIGURES = 20_000;
     private static final int MOST_NUMBERS = 1000;
     private static final String MAGIC = "postgrade-memory";
     private static final int LONGEST_HEAD = 80;
+
     /** Clocks that were set back by less are nothing to worry about. */
     private static final long AHEAD_MICROS = 5_000_000;
 
-    private MemoryFormat() { }
+    private MemoryFormat() {}
 
     /** Figures beyond the bounds are left out, those told first stay. */
     public static byte[] write(Memory m) {
@@ -33,18 +37,32 @@
         int written = 0;
         for (Figure f : m.figures()) {
             String line = line(f);
-            if (written++ == MOST_FIGURES || body.length() + line.length() > MOST_BYTES - LONGEST_HEAD) {
+            if (written++ == MOST_FIGURES
+                    || body.length() + line.length() > MOST_BYTES - LONGEST_HEAD) {
                 break;
             }
             body.append(line);
         }
         String text = body.toString();
-        return Words.bytes(MAGIC + " " + VERSION + " " + checksum(VERSION, text) + " " + text.length() + "\n" + text);
+        return Words.bytes(
+                MAGIC
+                        + " "
+                        + VERSION
+                        + " "
+                        + checksum(VERSION, text)
+                        + " "
+                        + text.length()
+                        + "\n"
+                        + text);
     }
 
     private static String line(Figure f) {
-        StringBuilder line = new StringBuilder(Words.escape(f.learnt().of())).append(' ')
-                .append(Words.escape(f.learnt().name())).append(' ').append(f.startedMillis());
+        StringBuilder line =
+                new StringBuilder(Words.escape(f.learnt().of()))
+                        .append(' ')
+                        .append(Words.escape(f.learnt().name()))
+                        .append(' ')
+                        .append(f.startedMillis());
         double[] figures = f.learnt().figures();
         for (int i = 0; i < figures.length && i < MOST_NUMBERS; i++) {
             line.append(' ').append(Double.isFinite(figures[i]) ? figures[i] : 0.0);
@@ -66,11 +84,14 @@
     public static Memory read(byte[] bytes, String dispatcher, long nowMicros) throws Unusable {
         Memory m = parse(body(bytes));
         if (!m.dispatcher().equals(dispatcher)) {
-            throw new Unusable(Fault.OTHER_DISPATCHER, "dispatcher is " + m.dispatcher() + ", not " + dispatcher);
+            throw new Unusable(
+                    Fault.OTHER_DISPATCHER,
+                    "dispatcher is " + m.dispatcher() + ", not " + dispatcher);
         }
         if (m.savedMicros() > nowMicros + AHEAD_MICROS) {
-            throw new Unusable(Fault.FROM_THE_FUTURE, "saved lies " + (m.savedMicros() - nowMicros) / 1_000_000
-                    + " s in the future");
+            throw new Unusable(
+                    Fault.FROM_THE_FUTURE,
+                    "saved lies " + (m.savedMicros() - nowMicros) / 1_000_000 + " s in the future");
         }
         return m;
     }
@@ -101,11 +122,13 @@
         if (body.length() != length) {
             throw new Unusable(Fault.TORN, "it has " + body.length() + " of " + length + " bytes");
         }
-        if (!all.substring(0, end).equals(MAGIC + " " + version + " " + checksum(version, body) + " " + length)) {
+        if (!all.substring(0, end)
+                .equals(MAGIC + " " + version + " " + checksum(version, body) + " " + length)) {
             throw new Unusable(Fault.FLIPPED, "its checksum does not match");
         }
         if (version > VERSION) {
-            throw new Unusable(Fault.LATER_FORMAT, "its format " + version + " is later than " + VERSION);
+            throw new Unusable(
+                    Fault.LATER_FORMAT, "its format " + version + " is later than " + VERSION);
         }
         return body;
     }
@@ -119,12 +142,18 @@
                 figures.add(figure(lines[i].split(" ", -1)));
             }
             if (figures.size() > MOST_FIGURES) {
-                throw new Unusable(Fault.TOO_LARGE, "it has more than " + MOST_FIGURES + " figures");
+                throw new Unusable(
+                        Fault.TOO_LARGE, "it has more than " + MOST_FIGURES + " figures");
             }
-            return new Memory(Words.plain(lines[0].split(" ", -1)[1]), Long.parseLong(saved[1]),
-                    Double.parseDouble(saved[2]), figures);
+            return new Memory(
+                    Words.plain(lines[0].split(" ", -1)[1]),
+                    Long.parseLong(saved[1]),
+                    Double.parseDouble(saved[2]),
+                    figures);
         } catch (NumberFormatException | IndexOutOfBoundsException e) {
-            throw new Unusable(Fault.MALFORMED, "its checksum matches, but its lines are not those of a snapshot");
+            throw new Unusable(
+                    Fault.MALFORMED,
+                    "its checksum matches, but its lines are not those of a snapshot");
         }
     }
 
@@ -136,6 +165,8 @@
                 throw new NumberFormatException();
             }
         }
-        return new Figure(new Learnt(Words.plain(words[0]), Words.plain(words[1]), figures), Long.parseLong(words[2]));
+        return new Figure(
+                new Learnt(Words.plain(words[0]), Words.plain(words[1]), figures),
+                Long.parseLong(words[2]));
     }
 }
--- a/core/src/main/java/postgrade/comeback/Openings.java
+++ b/core/src/main/java/postgrade/comeback/Openings.java
@@ -6,28 +6,38 @@
 import postgrade.comeback.Stampede.Steady;
 
 /**
- * When a process may open connections to workers, so that all together open them no faster at a worker than a multiple
- * of the steady rate. Steady is what comes of the settings: an idle connection is kept for so long, so each of the
- * processes makes anew at most one connection to each worker within that time. A gate for each worker, each process at
- * its own phase.
+ * When a process may open connections to workers, so that all together open them no faster at a
+ * worker than a multiple of the steady rate. Steady is what comes of the settings: an idle
+ * connection is kept for so long, so each of the processes makes anew at most one connection to
+ * each worker within that time. A gate for each worker, each process at its own phase.
  */
 public final class Openings {
 
-    /** Guards the memory against worker ids without end; those that went are forgotten first come, first gone. */
+    /**
+     * Guards the memory against worker ids without end; those that went are forgotten first come,
+     * first gone.
+     */
     private static final int MOST_WORKERS = 10_000;
 
     private final int places;
     private final int place;
     private final double multiple;
     private final Map<String, Gate> gates = new HashMap<>();
-    /** When it was first asked: what passed before, while nobody was served, is no time in which others were spared. */
+
+    /**
+     * When it was first asked: what passed before, while nobody was served, is no time in which
+     * others were spared.
+     */
     private long begunMicros = -1;
+
     private Stampede stampede;
     private long keptMicros;
     private int alive;
     private long forced;
 
-    /** @param place of this process among all, from 0 */
+    /**
+     * @param place of this process among all, from 0
+     */
     public Openings(int places, int place, double multiple, long keptMicros) {
         this.places = places;
         this.place = place;
@@ -41,7 +51,10 @@
         stampede = new Stampede(new Steady(0, 0, perWorker, 0, 0), multiple, places, place);
     }
 
-    /** @param members that live, 0 where nobody knows @param idleMicros for how long an idle connection is kept now */
+    /**
+     * @param members that live, 0 where nobody knows @param idleMicros for how long an idle
+     *     connection is kept now
+     */
     public void look(long nowMicros, int members, long idleMicros) {
         if (members != alive || idleMicros != keptMicros) {
             alive = members;
@@ -55,8 +68,10 @@
         if (gates.size() > MOST_WORKERS) {
             gates.clear();
         }
-        // All gates count from the start: a worker that is called on later has been left alone as long.
-        return gates.computeIfAbsent(worker, w -> stampede.gate(begunMicros, Kind.CONNECT, alive, w));
+        // All gates count from the start: a worker that is called on later has been left alone as
+        // long.
+        return gates.computeIfAbsent(
+                worker, w -> stampede.gate(begunMicros, Kind.CONNECT, alive, w));
     }
 
     /** Whether one may be opened now. */
--- a/core/src/main/java/postgrade/comeback/Ramp.java
+++ b/core/src/main/java/postgrade/comeback/Ramp.java
@@ -1,16 +1,19 @@
 package postgrade.comeback;
 
 /**
- * How much of what is within the shares a process takes in while it comes back. It begins with what its warm workers
- * can do, grows as long as workers take what they are sent, and goes back when they are full.
+ * How much of what is within the shares a process takes in while it comes back. It begins with what
+ * its warm workers can do, grows as long as workers take what they are sent, and goes back when
+ * they are full.
  */
 public final class Ramp {
 
     private static final long WINDOW_MICROS = 100_000;
     private static final double GROW = 1.35;
     private static final double SHRINK = 0.7;
+
     /** This part of answers may say full; a few do on any day. */
     private static final double FULL_PART = 0.05;
+
     private static final double LEAST = 0.02;
 
     private final double start;
@@ -19,7 +22,10 @@
     private int taken;
     private int full;
 
-    /** @param able what the known workers can do now, as a part of what they can do once all are warm */
+    /**
+     * @param able what the known workers can do now, as a part of what they can do once all are
+     *     warm
+     */
     public Ramp(long nowMicros, double able) {
         start = Math.max(LEAST, Math.min(1, Double.isNaN(able) ? LEAST : able));
         part = start;
--- a/core/src/main/java/postgrade/comeback/Recovery.java
+++ b/core/src/main/java/postgrade/comeback/Recovery.java
@@ -5,13 +5,14 @@
 import java.util.function.BiPredicate;
 
 /**
- * The phases of coming back, with the times at which each was reached. All ways from one phase to another stand in
- * {@link #WAYS} and nowhere else.
+ * The phases of coming back, with the times at which each was reached. All ways from one phase to
+ * another stand in {@link #WAYS} and nowhere else.
  */
 public final class Recovery {
 
     /** Full service: within this part of what was served in time before the fault. */
     public static final double WITHIN = 0.05;
+
     private static final int MOST_STEPS = 100;
 
     /**
@@ -21,12 +22,20 @@
      * @param listKnown it has a list of workers, told or remembered
      * @param viewAgeMicros of the shared state; any age where nothing is shared
      * @param joined its share was granted, or nothing is shared
-     * @param admitted part of the jobs within their share that are taken in, 1 once the ramp is over
-     * @param served worth in time as a part of the worth asked for, of late; NaN where nothing was asked
+     * @param admitted part of the jobs within their share that are taken in, 1 once the ramp is
+     *     over
+     * @param served worth in time as a part of the worth asked for, of late; NaN where nothing was
+     *     asked
      * @param before the same before the fault; NaN where nobody knows
      */
-    public record Seen(boolean remembers, boolean listKnown, long viewAgeMicros, boolean joined, double admitted,
-            double served, double before) {
+    public record Seen(
+            boolean remembers,
+            boolean listKnown,
+            long viewAgeMicros,
+            boolean joined,
+            double admitted,
+            double served,
+            double before) {
 
         boolean asBefore() {
             return Double.isNaN(served) || Double.isNaN(before) || served >= before * (1 - WITHIN);
@@ -35,28 +44,54 @@
 
     /**
      * @param viewBoundMicros a view that is older does not count
-     * @param patienceMicros a process without word from the quorum serves all the same after this, by its floor
+     * @param patienceMicros a process without word from the quorum serves all the same after this,
+     *     by its floor
      * @param holdMicros service must have been full for so long
      */
-    public record Bounds(long viewBoundMicros, long patienceMicros, long holdMicros) { }
+    public record Bounds(long viewBoundMicros, long patienceMicros, long holdMicros) {}
 
     /** A phase, since when, and why. */
-    public record Step(Phase phase, long atMicros, String cause) { }
-
-    private record Way(Phase from, Phase to, String cause, BiPredicate<Recovery, Seen> open) { }
-
-    private static final List<Way> WAYS = List.of(
-            new Way(Phase.EMPTY, Phase.REMEMBERING, "own snapshot is trusted", (r, s) -> s.remembers),
-            new Way(Phase.EMPTY, Phase.CATCHING_UP, "workers are known", (r, s) -> s.listKnown),
-            new Way(Phase.REMEMBERING, Phase.CATCHING_UP, "workers are known", (r, s) -> s.listKnown),
-            new Way(Phase.CATCHING_UP, Phase.RAMPING, "view is new and the share granted",
-                    (r, s) -> s.joined && s.viewAgeMicros <= r.bounds.viewBoundMicros),
-            new Way(Phase.CATCHING_UP, Phase.RAMPING, "no word from the quorum in time",
-                    (r, s) -> r.inPhaseMicros() >= r.bounds.patienceMicros),
-            new Way(Phase.RAMPING, Phase.FULL, "as much is served as before",
-                    (r, s) -> r.asBeforeMicros() >= r.bounds.holdMicros),
-            new Way(Phase.FULL, Phase.RAMPING, "a fault was seen and less is served",
-                    (r, s) -> r.faulted && !s.asBefore()));
+    public record Step(Phase phase, long atMicros, String cause) {}
+
+    private record Way(Phase from, Phase to, String cause, BiPredicate<Recovery, Seen> open) {}
+
+    private static final List<Way> WAYS =
+            List.of(
+                    new Way(
+                            Phase.EMPTY,
+                            Phase.REMEMBERING,
+                            "own snapshot is trusted",
+                            (r, s) -> s.remembers),
+                    new Way(
+                            Phase.EMPTY,
+                            Phase.CATCHING_UP,
+                            "workers are known",
+                            (r, s) -> s.listKnown),
+                    new Way(
+                            Phase.REMEMBERING,
+                            Phase.CATCHING_UP,
+                            "workers are known",
+                            (r, s) -> s.listKnown),
+                    new Way(
+                            Phase.CATCHING_UP,
+                            Phase.RAMPING,
+                            "view is new and the share granted",
+                            (r, s) -> s.joined && s.viewAgeMicros <= r.bounds.viewBoundMicros),
+                    new Way(
+                            Phase.CATCHING_UP,
+                            Phase.RAMPING,
+                            "no word from the quorum in time",
+                            (r, s) -> r.inPhaseMicros() >= r.bounds.patienceMicros),
+                    new Way(
+                            Phase.RAMPING,
+                            Phase.FULL,
+                            "as much is served as before",
+                            (r, s) -> r.asBeforeMicros() >= r.bounds.holdMicros),
+                    new Way(
+                            Phase.FULL,
+                            Phase.RAMPING,
+                            "a fault was seen and less is served",
+                            (r, s) -> r.faulted && !s.asBefore()));
 
     private final Bounds bounds;
     private final List<Step> steps = new ArrayList<>();
@@ -71,7 +106,10 @@
         steps.add(new Step(Phase.EMPTY, nowMicros, "started"));
     }
 
-    /** Others died or were cut off: what is served from now on is measured against what was served until now. */
+    /**
+     * Others died or were cut off: what is served from now on is measured against what was served
+     * until now.
+     */
     public void fault() {
         faulted = true;
     }
@@ -93,7 +131,10 @@
     }
 
     private Way next(Seen seen) {
-        return WAYS.stream().filter(w -> w.from == phase() && w.open.test(this, seen)).findFirst().orElse(null);
+        return WAYS.stream()
+                .filter(w -> w.from == phase() && w.open.test(this, seen))
+                .findFirst()
+                .orElse(null);
     }
 
     private long inPhaseMicros() {
--- a/core/src/main/java/postgrade/comeback/Returning.java
+++ b/core/src/main/java/postgrade/comeback/Returning.java
@@ -1,9 +1,12 @@
 package postgrade.comeback;
 
-/** When refused callers are told to come back: not together, and not faster than they can be taken in. */
+/**
+ * When refused callers are told to come back: not together, and not faster than they can be taken
+ * in.
+ */
 public final class Returning {
 
-    private Returning() { }
+    private Returning() {}
 
     /** From 0 to below 1, evenly over ids, always the same for an id and seed. */
     static double spread(String requestId, long seed) {
@@ -16,9 +19,13 @@
         return ((z ^ (z >>> 31)) >>> 11) * 0x1p-53;
     }
 
-    /** Over so long those refused of late can be taken in, at this rate beside what comes anyway. */
+    /**
+     * Over so long those refused of late can be taken in, at this rate beside what comes anyway.
+     */
     public static long widthMicros(double refused, double sparePerS) {
-        return sparePerS <= 0 ? Long.MAX_VALUE : (long) Math.min(Long.MAX_VALUE / 2, refused / sparePerS * 1e6);
+        return sparePerS <= 0
+                ? Long.MAX_VALUE
+                : (long) Math.min(Long.MAX_VALUE / 2, refused / sparePerS * 1e6);
     }
 
     /**
@@ -26,8 +33,12 @@
      * @param widthMicros spread over so long after that
      * @param mostMicros callers do not wait longer
      */
-    public static long afterMicros(String requestId, long seed, long leastMicros, long widthMicros, long mostMicros) {
-        long least = Math.min(leastMicros, mostMicros / 2); // Some width stays, however late the first may come.
+    public static long afterMicros(
+            String requestId, long seed, long leastMicros, long widthMicros, long mostMicros) {
+        long least =
+                Math.min(
+                        leastMicros,
+                        mostMicros / 2); // Some width stays, however late the first may come.
         long width = Math.max(0, Math.min(widthMicros, mostMicros - least));
         return least + (long) (spread(requestId, seed) * width);
     }
--- a/core/src/main/java/postgrade/comeback/Stampede.java
+++ b/core/src/main/java/postgrade/comeback/Stampede.java
@@ -1,9 +1,9 @@
 package postgrade.comeback;
 
 /**
- * Bounds for a time in which most come back at once: whatever loads others is done at most so many times as often as
- * when nothing happens, over all processes together. Each keeps to its own part, from the number that live and its own
- * place among all, so that nothing needs to be agreed.
+ * Bounds for a time in which most come back at once: whatever loads others is done at most so many
+ * times as often as when nothing happens, over all processes together. Each keeps to its own part,
+ * from the number that live and its own place among all, so that nothing needs to be agreed.
  *
  * @param multiple of the steady rates
  * @param places how many processes there are when all live
@@ -12,12 +12,20 @@
 public record Stampede(Steady steady, double multiple, int places, int place) {
 
     /** What loads others: discovery, the quorum, and each worker. */
-    public enum Kind { LIST, PULL, CONNECT, COLD_SEND, PROBE }
+    public enum Kind {
+        LIST,
+        PULL,
+        CONNECT,
+        COLD_SEND,
+        PROBE
+    }
 
     /**
-     * Rates of a second when nothing happens, of all processes together; the last three for each worker.
+     * Rates of a second when nothing happens, of all processes together; the last three for each
+     * worker.
      */
-    public record Steady(double lists, double pulls, double connects, double coldSends, double probes) {
+    public record Steady(
+            double lists, double pulls, double connects, double coldSends, double probes) {
         public Steady {
             for (double d : new double[] {lists, pulls, connects, coldSends, probes}) {
                 if (!(d >= 0) || Double.isInfinite(d)) {
@@ -39,7 +47,8 @@
 
     public Stampede {
         if (!(multiple >= 1) || places < 1 || place < 0 || place >= places) {
-            throw new IllegalArgumentException("multiple must be at least 1, place lie from 0 to below places");
+            throw new IllegalArgumentException(
+                    "multiple must be at least 1, place lie from 0 to below places");
         }
     }
 
@@ -63,9 +72,15 @@
         return gate(nowMicros, kind, alive, "");
     }
 
-    /** @param worker another order for each worker, so that they are not all called on in the same one, nor two at once */
+    /**
+     * @param worker another order for each worker, so that they are not all called on in the same
+     *     one, nor two at once
+     */
     public Gate gate(long nowMicros, Kind kind, int alive, String worker) {
         int turn = Math.floorMod(place + worker.hashCode(), places);
-        return new Gate(nowMicros, perSecond(kind, alive), (turn + (worker.isEmpty() ? 0.5 : Returning.spread(worker, 1))) / places);
+        return new Gate(
+                nowMicros,
+                perSecond(kind, alive),
+                (turn + (worker.isEmpty() ? 0.5 : Returning.spread(worker, 1))) / places);
     }
 }
--- a/core/src/main/java/postgrade/comeback/Trust.java
+++ b/core/src/main/java/postgrade/comeback/Trust.java
@@ -3,20 +3,22 @@
 import postgrade.Dispatcher.Learnt;
 
 /**
- * How figures age. Counts of what was seen fade, so that what is seen from now on soon weighs more; what is held
- * against someone fades to nothing, a pace to the usual one; ages grow. Tokens stay as they were: the bucket's own age
- * brings the refill, and nothing ever brings a full burst.
+ * How figures age. Counts of what was seen fade, so that what is seen from now on soon weighs more;
+ * what is held against someone fades to nothing, a pace to the usual one; ages grow. Tokens stay as
+ * they were: the bucket's own age brings the refill, and nothing ever brings a full burst.
  */
 final class Trust {
 
     /** What was learnt counts half after this. */
     static final long HALF_MICROS = 60_000_000;
+
     /** Figures of workers and buckets are of no use later. */
     static final long MOST_MICROS = 3_600_000_000L;
+
     private static final double NS = 1000;
     private static final int COLD_PAIR = 2;
 
-    private Trust() { }
+    private Trust() {}
 
     static boolean ofWorker(Learnt l) {
         return l.of().equals("worker") || l.of().equals("cold");
@@ -30,15 +32,16 @@
         double[] f = l.figures().clone();
         double keep = Math.pow(0.5, ageMicros / (double) HALF_MICROS);
         double ageNs = ageMicros * NS;
-        boolean left = switch (l.of()) {
-            case "class" -> f.length >= 3 && jobClass(f, keep);
-            case "kind" -> f.length >= 3 && kind(f, keep);
-            case "worker" -> f.length >= 9 && worker(f, keep, ageNs);
-            case "tenant", "key" -> f.length >= 4 && bucket(f, keep, ageNs);
-            case "cold" -> f.length % COLD_PAIR == 0 && cold(f, ageNs);
-            case "up" -> f.length == 1 && up(f, ageNs);
-            default -> false;
-        };
+        boolean left =
+                switch (l.of()) {
+                    case "class" -> f.length >= 3 && jobClass(f, keep);
+                    case "kind" -> f.length >= 3 && kind(f, keep);
+                    case "worker" -> f.length >= 9 && worker(f, keep, ageNs);
+                    case "tenant", "key" -> f.length >= 4 && bucket(f, keep, ageNs);
+                    case "cold" -> f.length % COLD_PAIR == 0 && cold(f, ageNs);
+                    case "up" -> f.length == 1 && up(f, ageNs);
+                    default -> false;
+                };
         return left ? new Learnt(l.of(), l.name(), f) : null;
     }
 
@@ -73,7 +76,10 @@
         return true;
     }
 
-    /** Kept by one that ended in order alone, as others do not know their last sends; nothing was sent since. */
+    /**
+     * Kept by one that ended in order alone, as others do not know their last sends; nothing was
+     * sent since.
+     */
     private static boolean up(double[] f, double ageNs) {
         f[0] += ageNs;
         return true;
--- a/core/src/main/java/postgrade/comeback/Unusable.java
+++ b/core/src/main/java/postgrade/comeback/Unusable.java
@@ -7,7 +7,14 @@
 
     /** What is the matter; each is told from the others in the log. */
     public enum Fault {
-        NOT_A_SNAPSHOT, TORN, FLIPPED, LATER_FORMAT, OTHER_DISPATCHER, FROM_THE_FUTURE, TOO_LARGE, MALFORMED
+        NOT_A_SNAPSHOT,
+        TORN,
+        FLIPPED,
+        LATER_FORMAT,
+        OTHER_DISPATCHER,
+        FROM_THE_FUTURE,
+        TOO_LARGE,
+        MALFORMED
     }
 
     private final Fault fault;
--- a/core/src/main/java/postgrade/comeback/Words.java
+++ b/core/src/main/java/postgrade/comeback/Words.java
@@ -1,9 +1,11 @@
 package postgrade.comeback;
 
-/** Words of ASCII without blanks, for names of any characters. An empty name is a lone backslash. */
+/**
+ * Words of ASCII without blanks, for names of any characters. An empty name is a lone backslash.
+ */
 final class Words {
 
-    private Words() { }
+    private Words() {}
 
     static String escape(String name) {
         if (name.isEmpty()) {
--- a/core/src/main/java/postgrade/comeback/Worth.java
+++ b/core/src/main/java/postgrade/comeback/Worth.java
@@ -1,6 +1,9 @@
 package postgrade.comeback;
 
-/** How much of what callers asked for was served in time, weighed by worth: of late, and over longer before a fault. */
+/**
+ * How much of what callers asked for was served in time, weighed by worth: of late, and over longer
+ * before a fault.
+ */
 public final class Worth {
 
     private static final double LATELY_MICROS = 2e6;
@@ -44,7 +47,10 @@
         atMicros = Math.max(atMicros, nowMicros);
     }
 
-    /** From now on it is measured against what was served so far. Several faults in a row count from the first. */
+    /**
+     * From now on it is measured against what was served so far. Several faults in a row count from
+     * the first.
+     */
     public void fault(long nowMicros) {
         fade(nowMicros);
         if (Double.isNaN(before) && askedLong > 0) {
--- a/core/src/main/java/postgrade/gateway/Claims.java
+++ b/core/src/main/java/postgrade/gateway/Claims.java
@@ -4,7 +4,10 @@
 import java.util.function.Consumer;
 import java.util.function.UnaryOperator;
 
-/** What a job may ask for beyond what every front reads: named values, understood by who stands beside the dispatcher. */
+/**
+ * What a job may ask for beyond what every front reads: named values, understood by who stands
+ * beside the dispatcher.
+ */
 public interface Claims {
 
     /** The names that count, in lower case; each may be given once. */
--- a/core/src/main/java/postgrade/gateway/Consumer.java
+++ b/core/src/main/java/postgrade/gateway/Consumer.java
@@ -8,10 +8,15 @@
     /** A rejection: trying again after this time is harmless. 0: no advice. */
     void reject(long retryAfterMicros);
 
-    /** @param timedOut the deadline has passed */
+    /**
+     * @param timedOut the deadline has passed
+     */
     void fail(boolean timedOut);
 
-    /** Has left by now, seen or not. Asked before anything is sent for it, when the loop may be late. */
+    /**
+     * Has left by now, seen or not. Asked before anything is sent for it, when the loop may be
+     * late.
+     */
     default boolean hasLeft() {
         return false;
     }
--- a/core/src/main/java/postgrade/gateway/Endings.java
+++ b/core/src/main/java/postgrade/gateway/Endings.java
@@ -8,7 +8,10 @@
 import postgrade.Dispatcher.Load;
 import postgrade.Dispatcher.Outcome;
 
-/** How calls and invocations end: each call once, each invocation with one final answer, and the module hears of it. */
+/**
+ * How calls and invocations end: each call once, each invocation with one final answer, and the
+ * module hears of it.
+ */
 final class Endings {
 
     private final Timers timers;
@@ -17,6 +20,7 @@
     private final Supplier<Dispatcher> module;
     private final ArrayDeque<Invocation> touched = new ArrayDeque<>();
     Witness witness = Witness.NONE;
+
     /** Invocations that have no answer yet. */
     int waiting;
 
@@ -39,11 +43,12 @@
     /** Queues an event of this invocation, which is remembered until the module has heard it. */
     void tell(Invocation in, LongConsumer event) {
         in.untold++;
-        turn.event(now -> {
-            in.untold--;
-            touched.add(in);
-            event.accept(now);
-        });
+        turn.event(
+                now -> {
+                    in.untold--;
+                    touched.add(in);
+                    event.accept(now);
+                });
     }
 
     void end(InvokerCall call, Outcome outcome, byte[] result) {
@@ -80,8 +85,9 @@
     }
 
     /**
-     * The final answer to what is not served. Guards the consumers: one whose job no provider has had is told that
-     * trying again is harmless. A call that still waits for its connection is withdrawn first.
+     * The final answer to what is not served. Guards the consumers: one whose job no provider has
+     * had is told that trying again is harmless. A call that still waits for its connection is
+     * withdrawn first.
      */
     void failed(Invocation in, boolean timedOut) {
         answer(in, false);
@@ -94,14 +100,15 @@
     }
 
     /**
-     * Takes back the calls of an answered or abandoned invocation that have not been written whole. Guards the providers, in
-     * the moment in which nobody waits any more: the module's own cancel comes later in the turn, or never where calls may
-     * not be cancelled, and a connection may come up before it.
+     * Takes back the calls of an answered or abandoned invocation that have not been written whole.
+     * Guards the providers, in the moment in which nobody waits any more: the module's own cancel
+     * comes later in the turn, or never where calls may not be cancelled, and a connection may come
+     * up before it.
      */
     void withdraw(Invocation in) {
         for (InvokerCall call : in.calls) {
             if (call.out() && call.handle != null && !call.handle.written()) {
-                call.handle.giveUp(() -> { });
+                call.handle.giveUp(() -> {});
                 end(call, Outcome.NOT_SENT, null);
             }
         }
@@ -109,8 +116,12 @@
 
     void overdue(Invocation in) {
         if (!in.answered) {
-            faults.fault(Faults.LEFT_UNANSWERED,
-                    "the module left a job of class " + in.jobClass + " unanswered at its deadline; failed here", null);
+            faults.fault(
+                    Faults.LEFT_UNANSWERED,
+                    "the module left a job of class "
+                            + in.jobClass
+                            + " unanswered at its deadline; failed here",
+                    null);
             failed(in, true);
             tell(in, now -> module.get().abandoned(now, in.id));
         }
@@ -118,9 +129,10 @@
 
     void expire(InvokerCall call) {
         if (call.out() && timers.nowMicros() >= call.invocation.deadlineMicros) {
-            // The module owes the answer now and can send no more, so it need not wait for the provider.
+            // The module owes the answer now and can send no more, so it need not wait for the
+            // provider.
             Outcome as = call.handle.written() ? Outcome.TIMEOUT : Outcome.NOT_SENT;
-            call.handle.giveUp(() -> { });
+            call.handle.giveUp(() -> {});
             end(call, as, null);
         } else {
             call.timer = timers.at(call.invocation.deadlineMicros, () -> expire(call));
@@ -128,7 +140,10 @@
         }
     }
 
-    /** Guards against two calls out: the module hears, and may send again, only after the call is given up. */
+    /**
+     * Guards against two calls out: the module hears, and may send again, only after the call is
+     * given up.
+     */
     void giveUp(InvokerCall call, Outcome as) {
         if (call.out() && !call.givingUp) {
             call.givingUp = true;
--- a/core/src/main/java/postgrade/gateway/Faults.java
+++ b/core/src/main/java/postgrade/gateway/Faults.java
@@ -1,6 +1,9 @@
 package postgrade.gateway;
 
-/** Hears of faults of our own that the gateway has caught and outlived. Whoever runs the gateway writes them down. */
+/**
+ * Hears of faults of our own that the gateway has caught and outlived. Whoever runs the gateway
+ * writes them down.
+ */
 public interface Faults {
 
     String JOB_NOT_TAKEN = "module.job-not-taken";
--- a/core/src/main/java/postgrade/gateway/Gateway.java
+++ b/core/src/main/java/postgrade/gateway/Gateway.java
@@ -17,18 +17,23 @@
 import postgrade.Dispatcher.Worker;
 
 /**
- * The daemon's core. It holds the open invocations and their calls, hands events to the decision module and
- * carries out its actions. It knows no protocol: a consumer's side opens and abandons invocations, the provider's
- * side sends calls and tells how they end.
+ * The daemon's core. It holds the open invocations and their calls, hands events to the decision
+ * module and carries out its actions. It knows no protocol: a consumer's side opens and abandons
+ * invocations, the provider's side sends calls and tells how they end.
  *
- * <p>What comes in during a turn of the loop is queued. {@link #turn} hands it to the module in one go and only
- * then carries out the actions, in order; what those bring about waits for the next turn.
+ * <p>What comes in during a turn of the loop is queued. {@link #turn} hands it to the module in one
+ * go and only then carries out the actions, in order; what those bring about waits for the next
+ * turn.
  */
 public final class Gateway {
 
     private static final long NANOS = 1_000;
-    /** The module answers by the deadline; what it has not answered so long after is failed here. */
+
+    /**
+     * The module answers by the deadline; what it has not answered so long after is failed here.
+     */
     private static final long OVERDUE_MICROS = 20_000;
+
     /** When a consumer that finds all places taken may come back. */
     static final long FULL_RETRY_MICROS = 500_000;
 
@@ -48,7 +53,11 @@
      * @param mostHeld the most invocations held at once; further ones are rejected at once
      * @param faults hears of what went wrong in the module
      */
-    public Gateway(Function<Actions, Dispatcher> module, boolean mayDuplicate, int mostHeld, Timers timers,
+    public Gateway(
+            Function<Actions, Dispatcher> module,
+            boolean mayDuplicate,
+            int mostHeld,
+            Timers timers,
             Faults faults) {
         this.timers = timers;
         this.faults = faults;
@@ -56,7 +65,16 @@
         this.mayDuplicate = mayDuplicate;
         turn = new Turn(timers, faults);
         endings = new Endings(timers, faults, turn, this::module);
-        this.module = module.apply(new Orders(timers, faults, turn, endings, open, this::providers, this::module));
+        this.module =
+                module.apply(
+                        new Orders(
+                                timers,
+                                faults,
+                                turn,
+                                endings,
+                                open,
+                                this::providers,
+                                this::module));
     }
 
     private Dispatcher module() {
@@ -82,10 +100,12 @@
     /** Takes an invocation over. False if its id is held already: then nobody will answer it. */
     public boolean open(Invocation in) {
         if (open.containsKey(in.id)) {
-            return false; // One id, one life: the module would ignore the second and never answer it.
+            return false; // One id, one life: the module would ignore the second and never answer
+            // it.
         }
         if (endings.waiting >= mostHeld) {
-            // Guards the memory: beyond this an invocation is turned away before the module hears of it.
+            // Guards the memory: beyond this an invocation is turned away before the module hears
+            // of it.
             in.consumer.reject(FULL_RETRY_MICROS);
             endings.witness.answered(in.id, in.jobClass, 0, false);
             return true;
@@ -95,16 +115,29 @@
         in.arrivedMicros = timers.nowMicros();
         in.mayDuplicate = mayDuplicate;
         in.overdue = timers.at(in.deadlineMicros + OVERDUE_MICROS, () -> endings.overdue(in));
-        turn.event(now -> {
-            try {
-                module.job(now, new Job(in.id, in.jobClass, in.tenant, in.key,
-                        in.deadlineMicros * NANOS - now, in.slots, in.memory));
-            } catch (RuntimeException e) {
-                // Guards the one answer: an invocation that the module stumbles over is still owed it.
-                faults.fault(Faults.JOB_NOT_TAKEN, "the module could not take a job of class " + in.jobClass, e);
-                endings.failed(in, false);
-            }
-        });
+        turn.event(
+                now -> {
+                    try {
+                        module.job(
+                                now,
+                                new Job(
+                                        in.id,
+                                        in.jobClass,
+                                        in.tenant,
+                                        in.key,
+                                        in.deadlineMicros * NANOS - now,
+                                        in.slots,
+                                        in.memory));
+                    } catch (RuntimeException e) {
+                        // Guards the one answer: an invocation that the module stumbles over is
+                        // still owed it.
+                        faults.fault(
+                                Faults.JOB_NOT_TAKEN,
+                                "the module could not take a job of class " + in.jobClass,
+                                e);
+                        endings.failed(in, false);
+                    }
+                });
         return true;
     }
 
@@ -117,7 +150,9 @@
         }
     }
 
-    /** Answers whatever has come since then and is unanswered, as there is no time left to serve it. */
+    /**
+     * Answers whatever has come since then and is unanswered, as there is no time left to serve it.
+     */
     public void concludeSince(long micros) {
         for (Invocation in : new ArrayList<>(open.values())) {
             if (!in.answered && in.arrivedMicros >= micros) {
@@ -128,8 +163,8 @@
     }
 
     /**
-     * A provider's call-back. Those of unknown jobs, other providers and ended calls are passed over.
-     * False if the job is not known here.
+     * A provider's call-back. Those of unknown jobs, other providers and ended calls are passed
+     * over. False if the job is not known here.
      */
     public boolean report(String id, String from, JobState state, double share, byte[] result) {
         Invocation in = open.get(id);
@@ -145,8 +180,10 @@
             case RUNNING -> endings.tell(in, now -> module.progress(now, id, call.number, share));
             default -> {
                 if (state != JobState.DONE && call.echoes()) {
-                    // Guards against a late call-back of an earlier call to the same provider, which would free
-                    // this one while it runs: it is given up before the module hears, and may have run.
+                    // Guards against a late call-back of an earlier call to the same provider,
+                    // which would free
+                    // this one while it runs: it is given up before the module hears, and may have
+                    // run.
                     endings.giveUp(call, Outcome.RESET);
                 } else {
                     call.handle.ended();
@@ -163,8 +200,8 @@
     }
 
     /**
-     * The provider cannot use what the consumer sent. Guards the providers: no other will, and it is no failure of
-     * this one's, so the module hears of a call that is no longer waited for.
+     * The provider cannot use what the consumer sent. Guards the providers: no other will, and it
+     * is no failure of this one's, so the module hears of a call that is no longer waited for.
      */
     public void unusable(InvokerCall call) {
         if (call.out() && !call.invocation.answered) {
@@ -178,7 +215,10 @@
         turn.event(now -> module.probed(now, providerId, answered, Load.NONE));
     }
 
-    /** Other settings hold from now on, for the module too. Open invocations keep their deadline and their duplicates. */
+    /**
+     * Other settings hold from now on, for the module too. Open invocations keep their deadline and
+     * their duplicates.
+     */
     public void settings(Settings settings, int most) {
         mostHeld = most;
         mayDuplicate = settings.mayDuplicate;
--- a/core/src/main/java/postgrade/gateway/InvokerCall.java
+++ b/core/src/main/java/postgrade/gateway/InvokerCall.java
@@ -15,7 +15,12 @@
     boolean givingUp;
     Outcome end;
 
-    InvokerCall(Invocation invocation, int number, String providerId, long untilMicros, long writtenByMicros) {
+    InvokerCall(
+            Invocation invocation,
+            int number,
+            String providerId,
+            long untilMicros,
+            long writtenByMicros) {
         this.invocation = invocation;
         this.number = number;
         this.providerId = providerId;
@@ -54,12 +59,18 @@
         return invocation.deadlineMicros;
     }
 
-    /** After this it may not be written any more: a repeat that comes to its provider later would run again. */
+    /**
+     * After this it may not be written any more: a repeat that comes to its provider later would
+     * run again.
+     */
     public long writtenByMicros() {
         return writtenByMicros;
     }
 
-    /** Its consumer has its answer or has left by now, seen or not: nothing more may be written for it. */
+    /**
+     * Its consumer has its answer or has left by now, seen or not: nothing more may be written for
+     * it.
+     */
     public boolean unwanted() {
         return invocation.answered || invocation.consumer.hasLeft();
     }
@@ -75,7 +86,12 @@
 
     /** An earlier call to the same provider may still report: what comes may be of either. */
     boolean echoes() {
-        return invocation.calls.stream().anyMatch(other -> other.number < number
-                && other.providerId.equals(providerId) && other.handle != null && other.handle.mayReport());
+        return invocation.calls.stream()
+                .anyMatch(
+                        other ->
+                                other.number < number
+                                        && other.providerId.equals(providerId)
+                                        && other.handle != null
+                                        && other.handle.mayReport());
     }
 }
--- a/core/src/main/java/postgrade/gateway/JobState.java
+++ b/core/src/main/java/postgrade/gateway/JobState.java
@@ -4,7 +4,11 @@
 
 /** What a provider reports of a job it has taken. */
 public enum JobState {
-    STARTED(null), RUNNING(null), DONE(Outcome.SERVED), FAILED(Outcome.ERROR), RETURNED(Outcome.FULL),
+    STARTED(null),
+    RUNNING(null),
+    DONE(Outcome.SERVED),
+    FAILED(Outcome.ERROR),
+    RETURNED(Outcome.FULL),
     LOST(Outcome.RESET);
 
     /** How the call has ended, or null if it goes on. */
--- a/core/src/main/java/postgrade/gateway/Orders.java
+++ b/core/src/main/java/postgrade/gateway/Orders.java
@@ -19,8 +19,14 @@
     private final Supplier<Providers> providers;
     private final Supplier<Dispatcher> module;
 
-    Orders(Timers timers, Faults faults, Turn turn, Endings endings, Map<String, Invocation> open,
-            Supplier<Providers> providers, Supplier<Dispatcher> module) {
+    Orders(
+            Timers timers,
+            Faults faults,
+            Turn turn,
+            Endings endings,
+            Map<String, Invocation> open,
+            Supplier<Providers> providers,
+            Supplier<Dispatcher> module) {
         this.timers = timers;
         this.faults = faults;
         this.turn = turn;
@@ -42,34 +48,37 @@
 
     @Override
     public void cancel(String jobId, int attempt) {
-        turn.action(() -> {
-            Invocation in = open.get(jobId);
-            if (in != null && attempt < in.calls.size()) {
-                endings.giveUp(in.calls.get(attempt), Outcome.CANCELLED);
-            }
-        });
+        turn.action(
+                () -> {
+                    Invocation in = open.get(jobId);
+                    if (in != null && attempt < in.calls.size()) {
+                        endings.giveUp(in.calls.get(attempt), Outcome.CANCELLED);
+                    }
+                });
     }
 
     @Override
     public void refuse(String jobId, long retryAfterNs) {
-        turn.action(() -> {
-            Invocation in = open.get(jobId);
-            if (in != null && !in.answered) {
-                endings.answer(in, false);
-                endings.withdraw(in);
-                in.consumer.reject(retryAfterNs / NANOS);
-            }
-        });
+        turn.action(
+                () -> {
+                    Invocation in = open.get(jobId);
+                    if (in != null && !in.answered) {
+                        endings.answer(in, false);
+                        endings.withdraw(in);
+                        in.consumer.reject(retryAfterNs / NANOS);
+                    }
+                });
     }
 
     @Override
     public void fail(String jobId) {
-        turn.action(() -> {
-            Invocation in = open.get(jobId);
-            if (in != null && !in.answered) {
-                endings.failed(in, timers.nowMicros() >= in.deadlineMicros);
-            }
-        });
+        turn.action(
+                () -> {
+                    Invocation in = open.get(jobId);
+                    if (in != null && !in.answered) {
+                        endings.failed(in, timers.nowMicros() >= in.deadlineMicros);
+                    }
+                });
     }
 
     @Override
@@ -79,8 +88,11 @@
 
     @Override
     public void timer(String token, long inNs) {
-        turn.action(() -> timers.at(timers.nowMicros() + (inNs + NANOS - 1) / NANOS,
-                () -> turn.event(now -> module.get().timer(now, token))));
+        turn.action(
+                () ->
+                        timers.at(
+                                timers.nowMicros() + (inNs + NANOS - 1) / NANOS,
+                                () -> turn.event(now -> module.get().timer(now, token))));
     }
 
     @Override
@@ -94,18 +106,25 @@
             return;
         }
         long now = timers.nowMicros();
-        long until = limitNs == 0 ? in.deadlineMicros : Math.min(in.deadlineMicros, now + limitNs / NANOS);
-        InvokerCall call = new InvokerCall(in, in.calls.size(), providerId, until, now + windowNs / NANOS);
+        long until =
+                limitNs == 0
+                        ? in.deadlineMicros
+                        : Math.min(in.deadlineMicros, now + limitNs / NANOS);
+        InvokerCall call =
+                new InvokerCall(in, in.calls.size(), providerId, until, now + windowNs / NANOS);
         call.beganMicros = now;
         // Also where duplicates are allowed a provider has one call of an invocation at a time.
         boolean second = in.callsOut > 0 && (!in.mayDuplicate || in.callOutAt(providerId) != null);
         in.calls.add(call);
         in.callsOut++;
-        // Guards the providers: the consumer's end may have come since the loop last looked, or lie behind other bytes.
+        // Guards the providers: the consumer's end may have come since the loop last looked, or lie
+        // behind other bytes.
         if (second || until <= now || call.unwanted()) {
             if (second) {
-                faults.fault(Faults.SECOND_CALL,
-                        "the module asked for a second call of a job that has one out; not sent", null);
+                faults.fault(
+                        Faults.SECOND_CALL,
+                        "the module asked for a second call of a job that has one out; not sent",
+                        null);
             }
             endings.end(call, Outcome.NOT_SENT, null);
             return;
--- a/core/src/main/java/postgrade/gateway/Providers.java
+++ b/core/src/main/java/postgrade/gateway/Providers.java
@@ -12,8 +12,9 @@
     /** A call on the wire. */
     interface Handle {
         /**
-         * Gives the call up on the wire. Runs {@code done} as soon as the provider is sure not to begin it or to
-         * go on with it as ours; that may be within this method, late, or never if the provider is silent.
+         * Gives the call up on the wire. Runs {@code done} as soon as the provider is sure not to
+         * begin it or to go on with it as ours; that may be within this method, late, or never if
+         * the provider is silent.
          */
         void giveUp(Runnable done);
 
@@ -23,7 +24,10 @@
         /** Its last byte has been given to the system: the provider may run it. */
         boolean written();
 
-        /** The provider has taken the job, or has been silent on it, so that a call-back may yet come. */
+        /**
+         * The provider has taken the job, or has been silent on it, so that a call-back may yet
+         * come.
+         */
         boolean mayReport();
     }
 }
--- a/core/src/main/java/postgrade/gateway/Timers.java
+++ b/core/src/main/java/postgrade/gateway/Timers.java
@@ -1,6 +1,9 @@
 package postgrade.gateway;
 
-/** The loop's clock and timers. All times are microseconds of a monotonic clock that is read once a turn. */
+/**
+ * The loop's clock and timers. All times are microseconds of a monotonic clock that is read once a
+ * turn.
+ */
 public interface Timers {
 
     long nowMicros();
--- a/core/src/main/java/postgrade/gateway/Turn.java
+++ b/core/src/main/java/postgrade/gateway/Turn.java
@@ -4,8 +4,9 @@
 import java.util.function.LongConsumer;
 
 /**
- * What one turn of the loop hands to the module, in order, and what the module decides over it. Events are handed over
- * in one go, those that concern the list first, and only then are the actions carried out.
+ * What one turn of the loop hands to the module, in order, and what the module decides over it.
+ * Events are handed over in one go, those that concern the list first, and only then are the
+ * actions carried out.
  */
 final class Turn {
 
@@ -41,7 +42,8 @@
     }
 
     void take() {
-        // Guards the drain rule: what the list says of a worker is known before anything is sent in this turn.
+        // Guards the drain rule: what the list says of a worker is known before anything is sent in
+        // this turn.
         handOver(lists);
         handOver(events);
         for (Runnable action = actions.poll(); action != null; action = actions.poll()) {
--- a/core/src/main/java/postgrade/lease/Allotment.java
+++ b/core/src/main/java/postgrade/lease/Allotment.java
@@ -5,11 +5,15 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** Which accelerators of which workers: for each worker a mask with a bit for each of its accelerators. Immutable. */
+/**
+ * Which accelerators of which workers: for each worker a mask with a bit for each of its
+ * accelerators. Immutable.
+ */
 public final class Allotment {
 
     /** A mask has so many bits; a worker has at most as many accelerators. */
     public static final int MOST_PER_WORKER = 62;
+
     public static final Allotment NONE = new Allotment(Map.of());
 
     private final SortedMap<String, Long> masks;
@@ -67,8 +71,12 @@
     @Override
     public String toString() {
         StringBuilder text = new StringBuilder();
-        masks.forEach((worker, mask) -> text.append(text.length() == 0 ? "" : ",").append(worker).append('=')
-                .append(Long.toHexString(mask)));
+        masks.forEach(
+                (worker, mask) ->
+                        text.append(text.length() == 0 ? "" : ",")
+                                .append(worker)
+                                .append('=')
+                                .append(Long.toHexString(mask)));
         return text.toString();
     }
 }
--- a/core/src/main/java/postgrade/lease/Ask.java
+++ b/core/src/main/java/postgrade/lease/Ask.java
@@ -10,7 +10,13 @@
  * @param ttlMicros how long a reservation, or a place in the line, lives without being renewed
  * @param neededInMicros how long after the grant the first of the holder's jobs is to be expected
  */
-public record Ask(String holder, String site, String kind, long accelerators, long incarnation, long ttlMicros,
+public record Ask(
+        String holder,
+        String site,
+        String kind,
+        long accelerators,
+        long incarnation,
+        long ttlMicros,
         long neededInMicros) {
 
     static final long LEAST_TTL_MS = 2000;
@@ -20,8 +26,13 @@
     /** From the arguments of a command. */
     static Ask of(Row args) {
         Ask who = named(args);
-        return new Ask(who.holder, who.site, who.kind, args.whole("accelerators", 1, MOST_ACCELERATORS),
-                who.incarnation, args.whole("ttlMs", LEAST_TTL_MS, MOST_TTL_MS) * 1000,
+        return new Ask(
+                who.holder,
+                who.site,
+                who.kind,
+                args.whole("accelerators", 1, MOST_ACCELERATORS),
+                who.incarnation,
+                args.whole("ttlMs", LEAST_TTL_MS, MOST_TTL_MS) * 1000,
                 args.has("neededInMs") ? args.whole("neededInMs", 0, MOST_TTL_MS) * 1000 : 0);
     }
 
@@ -32,18 +43,43 @@
         if (site.isEmpty() && kind.isEmpty()) {
             throw new Row.Refused("site", "or kind must be named");
         }
-        return new Ask(name(args, "holder"), site, kind, 0,
-                args.has("incarnation") ? args.whole("incarnation", 0, Long.MAX_VALUE) : 0, 0, 0);
+        return new Ask(
+                name(args, "holder"),
+                site,
+                kind,
+                0,
+                args.has("incarnation") ? args.whole("incarnation", 0, Long.MAX_VALUE) : 0,
+                0,
+                0);
     }
 
     static Ask ofRow(Row row) {
-        return new Ask(row.text("holder"), row.text("site"), row.text("kind"), row.whole("accelerators"),
-                row.whole("incarnation"), row.whole("ttl"), row.whole("neededIn"));
+        return new Ask(
+                row.text("holder"),
+                row.text("site"),
+                row.text("kind"),
+                row.whole("accelerators"),
+                row.whole("incarnation"),
+                row.whole("ttl"),
+                row.whole("neededIn"));
     }
 
     Row row() {
-        return Row.of("holder", holder, "site", site, "kind", kind, "accelerators", accelerators, "incarnation",
-                incarnation, "ttl", ttlMicros, "neededIn", neededInMicros);
+        return Row.of(
+                "holder",
+                holder,
+                "site",
+                site,
+                "kind",
+                kind,
+                "accelerators",
+                accelerators,
+                "incarnation",
+                incarnation,
+                "ttl",
+                ttlMicros,
+                "neededIn",
+                neededInMicros);
     }
 
     /** One holder has one reservation, or one place in the line, for each of these. */
@@ -57,7 +93,11 @@
         boolean plain = !name.isEmpty() && name.length() <= 64;
         for (int i = 0; plain && i < name.length(); i++) {
             char c = name.charAt(i);
-            plain = c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || "._:-".indexOf(c) >= 0;
+            plain =
+                    c >= 'a' && c <= 'z'
+                            || c >= 'A' && c <= 'Z'
+                            || c >= '0' && c <= '9'
+                            || "._:-".indexOf(c) >= 0;
         }
         if (!plain) {
             throw new Row.Refused(field, "must be 1 to 64 letters, digits or any of . _ : -");
--- a/core/src/main/java/postgrade/lease/Book.java
+++ b/core/src/main/java/postgrade/lease/Book.java
@@ -7,7 +7,10 @@
 import postgrade.shared.Row;
 import postgrade.shared.Rows;
 
-/** The rows of reservations, read and written by name. Row parts of their own keep what is looked at often small. */
+/**
+ * The rows of reservations, read and written by name. Row parts of their own keep what is looked at
+ * often small.
+ */
 final class Book {
 
     static final String HELD = "lease";
@@ -17,16 +20,20 @@
     static final String PARTS = "lease.part";
 
     /**
-     * Until an entry that moves the time on sets the end: what a command begins is counted from the next such entry.
-     * Were it counted from the one before, time from before the command would be taken off it.
+     * Until an entry that moves the time on sets the end: what a command begins is counted from the
+     * next such entry. Were it counted from the one before, time from before the command would be
+     * taken off it.
      */
     static final long NEXT = 0;
 
     /** A place in the line; keys grow in the order of the asking. */
-    record Place(String key, Ask ask, long untilMicros) { }
+    record Place(String key, Ask ask, long untilMicros) {}
 
-    /** Accelerators that nobody has yet: a process with an older view may still use them for their last holder. */
-    record Rest(String key, long untilMicros, Allotment allotment) { }
+    /**
+     * Accelerators that nobody has yet: a process with an older view may still use them for their
+     * last holder.
+     */
+    record Rest(String key, long untilMicros, Allotment allotment) {}
 
     private final Rows rows;
 
@@ -49,7 +56,9 @@
 
     List<Place> line() {
         List<Place> line = new ArrayList<>();
-        rows.of(WAITING).forEach((key, row) -> line.add(new Place(key, Ask.ofRow(row), row.whole("until"))));
+        rows.of(WAITING)
+                .forEach(
+                        (key, row) -> line.add(new Place(key, Ask.ofRow(row), row.whole("until"))));
         return line;
     }
 
@@ -67,15 +76,23 @@
 
     List<Rest> resting() {
         List<Rest> all = new ArrayList<>();
-        rows.of(RESTING).forEach((key, row) ->
-                all.add(new Rest(key, row.whole("until"), Allotment.of(row.text("allotment")))));
+        rows.of(RESTING)
+                .forEach(
+                        (key, row) ->
+                                all.add(
+                                        new Rest(
+                                                key,
+                                                row.whole("until"),
+                                                Allotment.of(row.text("allotment")))));
         return all;
     }
 
     /** The last holder's grant of that fence ended, in whole or part. */
     void rest(Held of, Allotment what, long entry, long untilMicros) {
         if (what.size() > 0) {
-            rows.put(RESTING, of.ask().key() + "|" + of.fence() + "|" + entry,
+            rows.put(
+                    RESTING,
+                    of.ask().key() + "|" + of.fence() + "|" + entry,
                     Row.of("until", untilMicros, "allotment", what));
         }
     }
@@ -134,8 +151,17 @@
     /** Every accelerator that somebody has or that rests, by worker. */
     Map<String, Long> taken() {
         Map<String, Long> taken = new TreeMap<>();
-        held().forEach(h -> h.allotment().masks().forEach((w, m) -> taken.merge(w, m, (a, b) -> a | b)));
-        resting().forEach(r -> r.allotment.masks().forEach((w, m) -> taken.merge(w, m, (a, b) -> a | b)));
+        held().forEach(
+                        h ->
+                                h.allotment()
+                                        .masks()
+                                        .forEach((w, m) -> taken.merge(w, m, (a, b) -> a | b)));
+        resting()
+                .forEach(
+                        r ->
+                                r.allotment
+                                        .masks()
+                                        .forEach((w, m) -> taken.merge(w, m, (a, b) -> a | b)));
         return taken;
     }
 }
--- a/core/src/main/java/postgrade/lease/Capacity.java
+++ b/core/src/main/java/postgrade/lease/Capacity.java
@@ -7,9 +7,10 @@
 import postgrade.shared.Row;
 
 /**
- * What there is to reserve. Workers with their accelerators are set by configuration or by command, each with a version
- * that only grows, so that a late or repeated word never undoes a later one; which of them are there is told from
- * discovery, ordered by the worker's start and how far it has come since.
+ * What there is to reserve. Workers with their accelerators are set by configuration or by command,
+ * each with a version that only grows, so that a late or repeated word never undoes a later one;
+ * which of them are there is told from discovery, ordered by the worker's start and how far it has
+ * come since.
  */
 final class Capacity {
 
@@ -32,10 +33,22 @@
         long version = args.whole("version", 0, Long.MAX_VALUE);
         Unit was = book.unit(worker);
         if (was == null && book.unitCount() >= MOST_UNITS) {
-            return Answer.conflict("worker " + worker + " is one more than the " + MOST_UNITS + " that there may be");
+            return Answer.conflict(
+                    "worker "
+                            + worker
+                            + " is one more than the "
+                            + MOST_UNITS
+                            + " that there may be");
         }
-        Unit now = new Unit(worker, site, kind, accelerators, version, was == null ? 0 : was.start(),
-                was == null ? State.READY : was.state());
+        Unit now =
+                new Unit(
+                        worker,
+                        site,
+                        kind,
+                        accelerators,
+                        version,
+                        was == null ? 0 : was.start(),
+                        was == null ? State.READY : was.state());
         if (now.equals(was)) {
             return Answer.done("as it was", Row.EMPTY);
         }
@@ -48,7 +61,9 @@
         return Answer.done("set", Row.of("worker", worker, "version", version));
     }
 
-    /** Whoever holds accelerators that are gone loses them; they rest, should they come back soon. */
+    /**
+     * Whoever holds accelerators that are gone loses them; they rest, should they come back soon.
+     */
     private void cut(String worker, long mask) {
         for (Held h : book.held()) {
             long lost = h.allotment().on(worker) & ~mask;
@@ -64,7 +79,10 @@
         }
     }
 
-    /** Discovery or an operator tells of a worker. While it is away its holders keep it and nobody is granted it. */
+    /**
+     * Discovery or an operator tells of a worker. While it is away its holders keep it and nobody
+     * is granted it.
+     */
     Answer presence(Row args) {
         String worker = Ask.name(args, "worker");
         long start = args.whole("start", 0, Long.MAX_VALUE);
@@ -78,16 +96,30 @@
         if (was == null) {
             return Answer.unknown("worker " + worker + " has no accelerators set");
         }
-        boolean later = start > was.start() || start == was.start() && state.compareTo(was.state()) > 0;
+        boolean later =
+                start > was.start() || start == was.start() && state.compareTo(was.state()) > 0;
         if (!later) {
-            return start == was.start() && state == was.state() ? Answer.done("as it was", Row.EMPTY)
-                    : Answer.conflict("start and state are earlier than what was told of " + worker);
+            return start == was.start() && state == was.state()
+                    ? Answer.done("as it was", Row.EMPTY)
+                    : Answer.conflict(
+                            "start and state are earlier than what was told of " + worker);
         }
-        book.put(new Unit(worker, was.site(), was.kind(), was.accelerators(), was.version(), start, state));
+        book.put(
+                new Unit(
+                        worker,
+                        was.site(),
+                        was.kind(),
+                        was.accelerators(),
+                        was.version(),
+                        start,
+                        state));
         return Answer.done("told", Row.EMPTY);
     }
 
-    /** Of a kind only so many thousandths of what is ready may be reserved at once; what is held already stays. */
+    /**
+     * Of a kind only so many thousandths of what is ready may be reserved at once; what is held
+     * already stays.
+     */
     Answer part(Row args) {
         String kind = Ask.name(args, "kind");
         long perMille = args.whole("perMille", 0, 1000);
--- a/core/src/main/java/postgrade/lease/Fleet.java
+++ b/core/src/main/java/postgrade/lease/Fleet.java
@@ -14,15 +14,19 @@
 import postgrade.shared.Rows;
 
 /**
- * Keeps the shared state's workers true to discovery: names the commands that bring the one in line with the other.
- * Whoever leads asks this; that two processes with different lists ask for it does no harm, as starts and states only go on.
+ * Keeps the shared state's workers true to discovery: names the commands that bring the one in line
+ * with the other. Whoever leads asks this; that two processes with different lists ask for it does
+ * no harm, as starts and states only go on.
  */
 public final class Fleet {
 
-    /** @param perKind accelerators of a worker of each kind that has some @param version of these figures */
-    public record Accelerators(Map<String, Integer> perKind, long version) { }
+    /**
+     * @param perKind accelerators of a worker of each kind that has some @param version of these
+     *     figures
+     */
+    public record Accelerators(Map<String, Integer> perKind, long version) {}
 
-    private Fleet() { }
+    private Fleet() {}
 
     /**
      * What is to be told.
@@ -30,8 +34,13 @@
      * @param workers the whole list as discovery has it
      * @param out workers that operators have taken out
      */
-    public static List<Command> due(Rows rows, Collection<Worker> workers, Set<String> out, Accelerators accelerators,
-            String from, long incarnation) {
+    public static List<Command> due(
+            Rows rows,
+            Collection<Worker> workers,
+            Set<String> out,
+            Accelerators accelerators,
+            String from,
+            long incarnation) {
         Map<String, Unit> known = new HashMap<>();
         new Book(rows).units().forEach(u -> known.put(u.worker(), u));
         List<Command> due = new ArrayList<>();
@@ -42,27 +51,72 @@
                 continue;
             }
             long now = count == null ? 0 : count;
-            boolean differs = unit == null || unit.accelerators() != now || !unit.site().equals(w.zone())
-                    || !unit.kind().equals(w.kind());
+            boolean differs =
+                    unit == null
+                            || unit.accelerators() != now
+                            || !unit.site().equals(w.zone())
+                            || !unit.kind().equals(w.kind());
             if (differs && (unit == null || accelerators.version > unit.version())) {
-                due.add(new Command("", from, incarnation, LeasePart.NAME, "unit", Row.of("worker", w.id(), "site",
-                        w.zone(), "kind", w.kind(), "accelerators", now, "version", accelerators.version)));
+                due.add(
+                        new Command(
+                                "",
+                                from,
+                                incarnation,
+                                LeasePart.NAME,
+                                "unit",
+                                Row.of(
+                                        "worker",
+                                        w.id(),
+                                        "site",
+                                        w.zone(),
+                                        "kind",
+                                        w.kind(),
+                                        "accelerators",
+                                        now,
+                                        "version",
+                                        accelerators.version)));
             }
-            State state = w.phase() == Phase.GONE ? State.GONE : out.contains(w.id()) ? State.OUT
-                    : w.phase() == Phase.DRAINING ? State.DRAINING : State.READY;
+            State state =
+                    w.phase() == Phase.GONE
+                            ? State.GONE
+                            : out.contains(w.id())
+                                    ? State.OUT
+                                    : w.phase() == Phase.DRAINING ? State.DRAINING : State.READY;
             presence(due, unit, w.id(), w.bornNs() / 1_000_000, state, from, incarnation);
         }
-        known.values().forEach(u -> presence(due, u, u.worker(), u.start(), State.GONE, from, incarnation));
+        known.values()
+                .forEach(
+                        u ->
+                                presence(
+                                        due,
+                                        u,
+                                        u.worker(),
+                                        u.start(),
+                                        State.GONE,
+                                        from,
+                                        incarnation));
         return due;
     }
 
-    private static void presence(List<Command> due, Unit unit, String worker, long start, State state, String from,
+    private static void presence(
+            List<Command> due,
+            Unit unit,
+            String worker,
+            long start,
+            State state,
+            String from,
             long incarnation) {
         long knownStart = unit == null ? 0 : unit.start();
         State knownState = unit == null ? State.READY : unit.state();
         if (start > knownStart || start == knownStart && state.compareTo(knownState) > 0) {
-            due.add(new Command("", from, incarnation, LeasePart.NAME, "presence", Row.of("worker", worker, "start",
-                    start, "state", state)));
+            due.add(
+                    new Command(
+                            "",
+                            from,
+                            incarnation,
+                            LeasePart.NAME,
+                            "presence",
+                            Row.of("worker", worker, "start", start, "state", state)));
         }
     }
 }
--- a/core/src/main/java/postgrade/lease/Granting.java
+++ b/core/src/main/java/postgrade/lease/Granting.java
@@ -10,9 +10,10 @@
 import postgrade.shared.Row;
 
 /**
- * Goes down the line and grants what is free. Nobody is overtaken by who came later and wants any of the same workers:
- * what an earlier one waits for is kept from the later ones. One that could not be served even if nobody held anything,
- * since workers are away, keeps its place and holds up nobody.
+ * Goes down the line and grants what is free. Nobody is overtaken by who came later and wants any
+ * of the same workers: what an earlier one waits for is kept from the later ones. One that could
+ * not be served even if nobody held anything, since workers are away, keeps its place and holds up
+ * nobody.
  */
 final class Granting {
 
@@ -23,12 +24,16 @@
     private final boolean clock;
     private final List<Unit> units;
     private final Map<String, Long> taken;
+
     /** Of each kind of which a part alone may be reserved: how much of that is left. */
     private final Map<String, Long> room = new TreeMap<>();
+
     private final Set<String> keptUnits = new HashSet<>();
     private final Set<String> keptKinds = new HashSet<>();
 
-    /** @param clock the entry is one that moves the time on */
+    /**
+     * @param clock the entry is one that moves the time on
+     */
     Granting(Book book, Moment at, boolean clock) {
         this.book = book;
         this.at = at;
@@ -54,20 +59,27 @@
 
     /** How much of a kind may be reserved, of what is ready or of all that is configured. */
     private static long most(Book book, List<Unit> units, String kind, boolean all) {
-        long has = units.stream().filter(u -> u.kind().equals(kind) && (all || u.ready()))
-                .mapToLong(Unit::accelerators).sum();
+        long has =
+                units.stream()
+                        .filter(u -> u.kind().equals(kind) && (all || u.ready()))
+                        .mapToLong(Unit::accelerators)
+                        .sum();
         Row part = book.part(kind);
         return part == null ? has : has * part.whole("perMille") / WHOLE;
     }
 
-    /** The most that one could ever be granted of this while the configured workers are all there. */
+    /**
+     * The most that one could ever be granted of this while the configured workers are all there.
+     */
     static long ever(Book book, Ask ask, boolean all) {
         List<Unit> units = book.units();
         Map<String, Long> matching = new TreeMap<>();
-        units.stream().filter(u -> u.matches(ask) && (all || u.ready()))
+        units.stream()
+                .filter(u -> u.matches(ask) && (all || u.ready()))
                 .forEach(u -> matching.merge(u.kind(), u.accelerators(), Long::sum));
-        return matching.entrySet().stream().mapToLong(e -> Math.min(e.getValue(),
-                most(book, units, e.getKey(), all))).sum();
+        return matching.entrySet().stream()
+                .mapToLong(e -> Math.min(e.getValue(), most(book, units, e.getKey(), all)))
+                .sum();
     }
 
     void run() {
@@ -76,22 +88,33 @@
             Allotment allotment = find(ask);
             if (allotment != null) {
                 book.leave(place);
-                book.put(new Held(ask, at.fence(), at.micros(), clock ? at.micros() + ask.ttlMicros() : Book.NEXT,
-                        allotment));
+                book.put(
+                        new Held(
+                                ask,
+                                at.fence(),
+                                at.micros(),
+                                clock ? at.micros() + ask.ttlMicros() : Book.NEXT,
+                                allotment));
                 for (Map.Entry<String, Long> e : allotment.masks().entrySet()) {
                     taken.merge(e.getKey(), e.getValue(), (a, b) -> a | b);
                     use(room, book.unit(e.getKey()).kind(), Long.bitCount(e.getValue()));
                 }
             } else if (ever(book, ask, false) >= ask.accelerators()) {
-                units.stream().filter(u -> u.matches(ask)).forEach(u -> {
-                    keptUnits.add(u.worker());
-                    keptKinds.add(u.kind());
-                });
+                units.stream()
+                        .filter(u -> u.matches(ask))
+                        .forEach(
+                                u -> {
+                                    keptUnits.add(u.worker());
+                                    keptKinds.add(u.kind());
+                                });
             }
         }
     }
 
-    /** Workers in the order of their ids, the lowest accelerators of each first; null where there are too few. */
+    /**
+     * Workers in the order of their ids, the lowest accelerators of each first; null where there
+     * are too few.
+     */
     private Allotment find(Ask ask) {
         Map<String, Long> found = new TreeMap<>();
         Map<String, Long> left = new TreeMap<>(room);
@@ -100,13 +123,19 @@
             if (wanted == 0) {
                 break;
             }
-            if (!u.matches(ask) || !u.ready() || keptUnits.contains(u.worker())
+            if (!u.matches(ask)
+                    || !u.ready()
+                    || keptUnits.contains(u.worker())
                     || keptKinds.contains(u.kind()) && room.containsKey(u.kind())) {
                 continue;
             }
             long free = Allotment.bits(u.accelerators()) & ~takenOn(u);
-            long take = Math.min(wanted, Math.min(Long.bitCount(free),
-                    Math.max(0, left.getOrDefault(u.kind(), Long.MAX_VALUE))));
+            long take =
+                    Math.min(
+                            wanted,
+                            Math.min(
+                                    Long.bitCount(free),
+                                    Math.max(0, left.getOrDefault(u.kind(), Long.MAX_VALUE))));
             long mask = 0;
             for (long i = 0; i < take; i++) {
                 mask |= Long.lowestOneBit(free & ~mask);
--- a/core/src/main/java/postgrade/lease/LeaseAbility.java
+++ b/core/src/main/java/postgrade/lease/LeaseAbility.java
@@ -12,15 +12,23 @@
 import postgrade.shared.View;
 
 /**
- * Reservations as the module meets them. A holder's jobs of a reserving class go to its accelerators first; for all
- * others a worker is smaller by what is reserved of it. An old view takes the privilege away and never makes a
- * worker unable: it costs features and no answer. Jobs that must not run twice are never limited by any of this.
+ * Reservations as the module meets them. A holder's jobs of a reserving class go to its
+ * accelerators first; for all others a worker is smaller by what is reserved of it. An old view
+ * takes the privilege away and never makes a worker unable: it costs features and no answer. Jobs
+ * that must not run twice are never limited by any of this.
  */
 public final class LeaseAbility implements Ability {
 
-    /** However much of a worker is reserved, so much of it is there for jobs that need no accelerator. */
+    /**
+     * However much of a worker is reserved, so much of it is there for jobs that need no
+     * accelerator.
+     */
     static final double LEAST = 0.05;
-    /** A holder's jobs see other workers smaller by this: its own fill up first, and what is beyond goes there. */
+
+    /**
+     * A holder's jobs see other workers smaller by this: its own fill up first, and what is beyond
+     * goes there.
+     */
     static final double ELSEWHERE = 0.25;
 
     /**
@@ -28,7 +36,8 @@
      *
      * @param reserving classes whose jobs use reserved accelerators
      * @param effects of all classes; one that must not run twice cannot be a reserving one
-     * @param lends reserved accelerators to jobs that may be repeated and end before the holder needs them
+     * @param lends reserved accelerators to jobs that may be repeated and end before the holder
+     *     needs them
      */
     public record Rules(Set<String> reserving, Map<String, Effect> effects, boolean lends) {
         public Rules {
@@ -39,8 +48,11 @@
                     throw new IllegalArgumentException("reserving: there is no class " + name);
                 }
                 if (effects.get(name) == Effect.UNSAFE) {
-                    throw new IllegalArgumentException("reserving: " + name + " must not run twice and so cannot"
-                            + " depend on reservations");
+                    throw new IllegalArgumentException(
+                            "reserving: "
+                                    + name
+                                    + " must not run twice and so cannot"
+                                    + " depend on reservations");
                 }
             }
         }
@@ -58,7 +70,10 @@
         reservations = new Reservations(View.NONE, times);
     }
 
-    /** Of the latest view. One that merely confirms the former rows is indexed again all the same: views are few. */
+    /**
+     * Of the latest view. One that merely confirms the former rows is indexed again all the same:
+     * views are few.
+     */
     Reservations reservations() {
         View view = views.get();
         if (view != reservations.view()) {
@@ -97,15 +112,22 @@
         return privileged ? ELSEWHERE * left : left;
     }
 
-    /** Whether this job is over before the holder's first, so that what is reserved may be used meanwhile. */
+    /**
+     * Whether this job is over before the holder's first, so that what is reserved may be used
+     * meanwhile.
+     */
     private boolean lent(Reservations all, long nowMicros, Job job, Use use) {
-        return rules.lends && all.fresh(nowMicros) && rules.effects.get(job.jobClass()) == Effect.SAFE
-                && all.logMicros(nowMicros) + job.timeLeftNs() / 1000 * times.clockRatio() < use.neededMicros();
+        return rules.lends
+                && all.fresh(nowMicros)
+                && rules.effects.get(job.jobClass()) == Effect.SAFE
+                && all.logMicros(nowMicros) + job.timeLeftNs() / 1000 * times.clockRatio()
+                        < use.neededMicros();
     }
 
     /**
-     * What goes to the worker with a job, so that it turns away an older grant's: {@code MASK=FENCE} for each grant, the
-     * mask of its accelerators in hexadecimal; null for a job that uses none.
+     * What goes to the worker with a job, so that it turns away an older grant's: {@code
+     * MASK=FENCE} for each grant, the mask of its accelerators in hexadecimal; null for a job that
+     * uses none.
      */
     public String fenceFor(long nowNs, String jobClass, String tenant, String worker) {
         if (!rules.reserving.contains(jobClass)) {
@@ -116,8 +138,12 @@
             return null;
         }
         StringBuilder text = new StringBuilder();
-        uses.forEach(u -> text.append(text.length() == 0 ? "" : ",").append(Long.toHexString(u.mask())).append('=')
-                .append(u.fence()));
+        uses.forEach(
+                u ->
+                        text.append(text.length() == 0 ? "" : ",")
+                                .append(Long.toHexString(u.mask()))
+                                .append('=')
+                                .append(u.fence()));
         return text.toString();
     }
 }
--- a/core/src/main/java/postgrade/lease/LeasePart.java
+++ b/core/src/main/java/postgrade/lease/LeasePart.java
@@ -10,9 +10,10 @@
 import postgrade.shared.Rows;
 
 /**
- * Reservations of accelerators in the shared state: who asks gets a place in the line, and the line is served in order
- * whenever something has become free. All that ends, by expiry, release or a worker's loss, rests for the grace
- * before it is granted anew, since dispatchers with an older view go on using it for that long.
+ * Reservations of accelerators in the shared state: who asks gets a place in the line, and the line
+ * is served in order whenever something has become free. All that ends, by expiry, release or a
+ * worker's loss, rests for the grace before it is granted anew, since dispatchers with an older
+ * view go on using it for that long.
  */
 public final class LeasePart implements Part {
 
@@ -35,20 +36,23 @@
         Book book = new Book(rows);
         Row args = c.args();
         Capacity capacity = new Capacity(book, at);
-        Answer answer = switch (c.verb()) {
-            case "acquire" -> acquire(book, at, args);
-            case "renew" -> renew(book, at, args);
-            case "release" -> release(book, at, args);
-            case "unit" -> capacity.unit(args);
-            case "presence" -> capacity.presence(args);
-            case "part" -> capacity.part(args);
-            default -> Answer.unknown("there is no " + c.verb() + " of reservations");
-        };
+        Answer answer =
+                switch (c.verb()) {
+                    case "acquire" -> acquire(book, at, args);
+                    case "renew" -> renew(book, at, args);
+                    case "release" -> release(book, at, args);
+                    case "unit" -> capacity.unit(args);
+                    case "presence" -> capacity.presence(args);
+                    case "part" -> capacity.part(args);
+                    default -> Answer.unknown("there is no " + c.verb() + " of reservations");
+                };
         if (answer.status() == Answer.Status.DONE && book.anyWaiting()) {
             new Granting(book, at, false).run();
         }
         // A place in the line may have been served by this very command.
-        return c.verb().equals("acquire") && answer.status() == Answer.Status.DONE ? standing(book, at, args) : answer;
+        return c.verb().equals("acquire") && answer.status() == Answer.Status.DONE
+                ? standing(book, at, args)
+                : answer;
     }
 
     @Override
@@ -106,7 +110,8 @@
             return Answer.conflict("accelerators must be at most " + ever + " here");
         }
         if (book.heldAndWaiting() >= MOST_ROWS) {
-            return Answer.conflict("holder would be one more than the " + MOST_ROWS + " that may hold or wait");
+            return Answer.conflict(
+                    "holder would be one more than the " + MOST_ROWS + " that may hold or wait");
         }
         Place last = new Place(String.format("%019d", at.fence()), ask, Book.NEXT);
         book.put(last);
@@ -125,10 +130,13 @@
             return older(was);
         }
         if (ask.accelerators() != was.accelerators()) {
-            return Answer.conflict("accelerators differs from the " + was.accelerators()
-                    + " that are held; release them first");
+            return Answer.conflict(
+                    "accelerators differs from the "
+                            + was.accelerators()
+                            + " that are held; release them first");
         }
-        // A new fence for a new incarnation: what the former one still has on its way is turned away at the workers.
+        // A new fence for a new incarnation: what the former one still has on its way is turned
+        // away at the workers.
         long fence = ask.incarnation() > was.incarnation() ? at.fence() : held.fence();
         book.put(new Held(ask, fence, held.sinceMicros(), Book.NEXT, held.allotment()));
         return Answer.done("", Row.EMPTY);
@@ -139,15 +147,18 @@
             return older(place.ask());
         }
         if (ask.accelerators() != place.ask().accelerators()) {
-            return Answer.conflict("accelerators differs from the " + place.ask().accelerators()
-                    + " that are waited for; release the place first");
+            return Answer.conflict(
+                    "accelerators differs from the "
+                            + place.ask().accelerators()
+                            + " that are waited for; release the place first");
         }
         book.put(new Place(place.key(), ask, Book.NEXT));
         return Answer.done("", Row.EMPTY);
     }
 
     private static Answer older(Ask known) {
-        return Answer.conflict("incarnation is below " + known.incarnation() + ", which has come since");
+        return Answer.conflict(
+                "incarnation is below " + known.incarnation() + ", which has come since");
     }
 
     private static Answer standing(Book book, Moment at, Row args) {
@@ -158,13 +169,29 @@
         }
         Place place = book.place(ask.key());
         long before = book.line().stream().filter(p -> p.key().compareTo(place.key()) < 0).count();
-        return Answer.done("waiting", Row.of("state", "waiting", "place", before + 1, "renewWithinMs",
-                place.ask().ttlMicros() / 1000));
+        return Answer.done(
+                "waiting",
+                Row.of(
+                        "state",
+                        "waiting",
+                        "place",
+                        before + 1,
+                        "renewWithinMs",
+                        place.ask().ttlMicros() / 1000));
     }
 
     private static Row granted(Held held, Moment at) {
-        return Row.of("state", "granted", "fence", held.fence(), "accelerators", held.allotment().size(),
-                "allotment", held.allotment(), "renewWithinMs", held.leftMicros(at.micros()) / 1000);
+        return Row.of(
+                "state",
+                "granted",
+                "fence",
+                held.fence(),
+                "accelerators",
+                held.allotment().size(),
+                "allotment",
+                held.allotment(),
+                "renewWithinMs",
+                held.leftMicros(at.micros()) / 1000);
     }
 
     // ---- Renew and release.
@@ -175,10 +202,12 @@
         Place place = held == null ? book.place(who.key()) : null;
         Ask known = held != null ? held.ask() : place != null ? place.ask() : null;
         if (known == null) {
-            return Answer.unknown("holder " + who.holder() + " holds nothing here and does not wait");
+            return Answer.unknown(
+                    "holder " + who.holder() + " holds nothing here and does not wait");
         }
         if (who.incarnation() != known.incarnation()) {
-            return who.incarnation() < known.incarnation() ? older(known)
+            return who.incarnation() < known.incarnation()
+                    ? older(known)
                     : Answer.conflict("incarnation is not that of the grant; acquire again");
         }
         if (place != null) {
@@ -193,7 +222,10 @@
         return Answer.done("renewed", granted(renewed, at));
     }
 
-    /** A late release never ends a later grant; one that crosses the expiry finds that it came to the same. */
+    /**
+     * A late release never ends a later grant; one that crosses the expiry finds that it came to
+     * the same.
+     */
     private Answer release(Book book, Moment at, Row args) {
         Ask who = Ask.named(args);
         boolean force = args.whole("force", 0) != 0;
@@ -209,7 +241,8 @@
             }
             return args.has("fence") && book.justEnded(who.key(), args.whole("fence"))
                     ? Answer.done("had ended", Row.EMPTY)
-                    : Answer.unknown("holder " + who.holder() + " holds nothing here and does not wait");
+                    : Answer.unknown(
+                            "holder " + who.holder() + " holds nothing here and does not wait");
         }
         if (!force && who.incarnation() < held.ask().incarnation()) {
             return older(held.ask());
@@ -218,6 +251,7 @@
             return Answer.conflict("fence is not that of the present grant");
         }
         end(book, at, held, Book.NEXT);
-        return Answer.done("released", Row.of("fence", held.fence(), "freeInMs", times.graceMicros() / 1000));
+        return Answer.done(
+                "released", Row.of("fence", held.fence(), "freeInMs", times.graceMicros() / 1000));
     }
 }
--- a/core/src/main/java/postgrade/lease/Leases.java
+++ b/core/src/main/java/postgrade/lease/Leases.java
@@ -4,16 +4,29 @@
 import java.util.Map;
 import java.util.TreeMap;
 import postgrade.shared.Command;
-import postgrade.shared.Rows;
 import postgrade.shared.Row;
+import postgrade.shared.Rows;
 
-/** What operators' calls are made of: commands from the fields of a call, and the reservations as fields. Pure. */
+/**
+ * What operators' calls are made of: commands from the fields of a call, and the reservations as
+ * fields. Pure.
+ */
 public final class Leases {
 
-    private static final List<String> FIELDS = List.of("holder", "site", "kind", "accelerators", "ttlMs",
-            "incarnation", "fence", "wait", "neededInMs", "force");
+    private static final List<String> FIELDS =
+            List.of(
+                    "holder",
+                    "site",
+                    "kind",
+                    "accelerators",
+                    "ttlMs",
+                    "incarnation",
+                    "fence",
+                    "wait",
+                    "neededInMs",
+                    "force");
 
-    private Leases() { }
+    private Leases() {}
 
     /**
      * A command of an operator's call.
@@ -22,7 +35,11 @@
      * @param fields of the call, by name; whole numbers as text
      * @throws Row.Refused naming a field that there is not
      */
-    public static Command command(String verb, String requestId, String from, long incarnation,
+    public static Command command(
+            String verb,
+            String requestId,
+            String from,
+            long incarnation,
             Map<String, String> fields) {
         for (String name : fields.keySet()) {
             if (!FIELDS.contains(name)) {
@@ -48,8 +65,13 @@
         for (Book.Place p : book.line()) {
             Map<String, String> fields = named(p.ask(), "waiting");
             fields.put("place", Integer.toString(++place));
-            fields.put("renewWithinMs", Long.toString((p.untilMicros() == Book.NEXT ? p.ask().ttlMicros()
-                    : p.untilMicros() - logMicros) / 1000));
+            fields.put(
+                    "renewWithinMs",
+                    Long.toString(
+                            (p.untilMicros() == Book.NEXT
+                                            ? p.ask().ttlMicros()
+                                            : p.untilMicros() - logMicros)
+                                    / 1000));
             all.add(fields);
         }
         return all;
--- a/core/src/main/java/postgrade/lease/Reservations.java
+++ b/core/src/main/java/postgrade/lease/Reservations.java
@@ -9,13 +9,14 @@
 import postgrade.shared.View;
 
 /**
- * The reservations of one view, by holder and worker. Immutable; made anew for each view. A holder's privilege is used
- * while the view is fresh by this process's own clock, which ends before anybody else may be granted the same.
+ * The reservations of one view, by holder and worker. Immutable; made anew for each view. A
+ * holder's privilege is used while the view is fresh by this process's own clock, which ends before
+ * anybody else may be granted the same.
  */
 public final class Reservations {
 
     /** A holder's accelerators of one worker under one grant. */
-    public record Use(String holder, long mask, long fence, long neededMicros) { }
+    public record Use(String holder, long mask, long fence, long neededMicros) {}
 
     private final View view;
     private final Times times;
@@ -30,8 +31,17 @@
         book.units().forEach(u -> units.put(u.worker(), u));
         for (Held h : book.held()) {
             holders.add(h.ask().holder());
-            h.allotment().masks().forEach((worker, mask) -> byWorker.computeIfAbsent(worker, w -> new ArrayList<>())
-                    .add(new Use(h.ask().holder(), mask, h.fence(), h.neededMicros())));
+            h.allotment()
+                    .masks()
+                    .forEach(
+                            (worker, mask) ->
+                                    byWorker.computeIfAbsent(worker, w -> new ArrayList<>())
+                                            .add(
+                                                    new Use(
+                                                            h.ask().holder(),
+                                                            mask,
+                                                            h.fence(),
+                                                            h.neededMicros())));
         }
     }
 
@@ -45,7 +55,8 @@
 
     /** The log's time that it may be by now; it runs on no faster than this. */
     long logMicros(long nowMicros) {
-        return view.moment().micros() + (long) (view.ageMicros(nowMicros) * times.clockRatio())
+        return view.moment().micros()
+                + (long) (view.ageMicros(nowMicros) * times.clockRatio())
                 + times.uncommittedMicros();
     }
 
--- a/core/src/main/java/postgrade/lease/Unit.java
+++ b/core/src/main/java/postgrade/lease/Unit.java
@@ -9,24 +9,53 @@
  * @param start the worker's latest start that was told of, in milliseconds as discovery counts
  * @param state the latest told of that start
  */
-public record Unit(String worker, String site, String kind, long accelerators, long version, long start,
+public record Unit(
+        String worker,
+        String site,
+        String kind,
+        long accelerators,
+        long version,
+        long start,
         State state) {
 
     /** A worker goes through these in this order; a new start begins at the first. */
-    public enum State { READY, DRAINING, OUT, GONE }
+    public enum State {
+        READY,
+        DRAINING,
+        OUT,
+        GONE
+    }
 
     static Unit of(String worker, Row row) {
-        return new Unit(worker, row.text("site"), row.text("kind"), row.whole("accelerators"), row.whole("version"),
-                row.whole("start"), State.valueOf(row.text("state")));
+        return new Unit(
+                worker,
+                row.text("site"),
+                row.text("kind"),
+                row.whole("accelerators"),
+                row.whole("version"),
+                row.whole("start"),
+                State.valueOf(row.text("state")));
     }
 
     Row row() {
-        return Row.of("site", site, "kind", kind, "accelerators", accelerators, "version", version, "start", start,
-                "state", state);
+        return Row.of(
+                "site",
+                site,
+                "kind",
+                kind,
+                "accelerators",
+                accelerators,
+                "version",
+                version,
+                "start",
+                start,
+                "state",
+                state);
     }
 
     boolean matches(Ask ask) {
-        return (ask.site().isEmpty() || ask.site().equals(site)) && (ask.kind().isEmpty() || ask.kind().equals(kind));
+        return (ask.site().isEmpty() || ask.site().equals(site))
+                && (ask.kind().isEmpty() || ask.kind().equals(kind));
     }
 
     boolean ready() {
