--- a/core/src/main/java/postgrade/member/Member.java
+++ b/core/src/main/java/postgrade/member/Member.java
@@ -15,18 +15,32 @@
  * @param held more than the share where a greater one was taken back and may still be in use
  * @param heldUntil by then at the latest it is not used any more
  */
-public record Member(String name, long incarnation, long until, long share, long grant, long held, long heldUntil) {
+public record Member(
+        String name,
+        long incarnation,
+        long until,
+        long share,
+        long grant,
+        long held,
+        long heldUntil) {
 
     static final String PART = "member";
     private static final String TERMS = "member.terms";
 
     static Member of(String name, Row row) {
-        return new Member(name, row.whole("incarnation"), row.whole("until"), row.whole("share"), row.whole("grant"),
-                row.whole("held", 0), row.whole("heldUntil", 0));
+        return new Member(
+                name,
+                row.whole("incarnation"),
+                row.whole("until"),
+                row.whole("share"),
+                row.whole("grant"),
+                row.whole("held", 0),
+                row.whole("heldUntil", 0));
     }
 
     Row row() {
-        Row row = Row.of("incarnation", incarnation, "until", until, "share", share, "grant", grant);
+        Row row =
+                Row.of("incarnation", incarnation, "until", until, "share", share, "grant", grant);
         return held == 0 ? row : row.with("held", held, "heldUntil", heldUntil);
     }
 
@@ -77,7 +91,13 @@
 
     Member with(long newShare, long at) {
         boolean less = newShare < share;
-        return new Member(name, incarnation, until, newShare, at, less ? Math.max(held, share) : held,
+        return new Member(
+                name,
+                incarnation,
+                until,
+                newShare,
+                at,
+                less ? Math.max(held, share) : held,
                 less ? Math.max(heldUntil, until) : heldUntil);
     }
 
--- a/core/src/main/java/postgrade/member/MemberPart.java
+++ b/core/src/main/java/postgrade/member/MemberPart.java
@@ -11,8 +11,9 @@
 import postgrade.shared.Rows;
 
 /**
- * Who lives, and with which share. A process joins once it knows the state, renews its lease in good time, and leaves
- * when it ends; its row tells it its share. Whoever goes by an older incarnation than the name has is turned down.
+ * Who lives, and with which share. A process joins once it knows the state, renews its lease in
+ * good time, and leaves when it ends; its row tells it its share. Whoever goes by an older
+ * incarnation than the name has is turned down.
  */
 public class MemberPart implements Part {
 
@@ -28,12 +29,17 @@
         return new Command("", name, incarnation, Member.PART, "join", terms.row());
     }
 
-    /** @param grant the one gone by, from {@link Shares#goneBy()} */
+    /**
+     * @param grant the one gone by, from {@link Shares#goneBy()}
+     */
     public static Command renew(String name, long incarnation, long grant) {
         return new Command("", name, incarnation, Member.PART, "renew", Row.of("grant", grant));
     }
 
-    /** The process ends and starts no job any more. Its place is kept for it for a while, as after a death. */
+    /**
+     * The process ends and starts no job any more. Its place is kept for it for a while, as after a
+     * death.
+     */
     public static Command leave(String name, long incarnation) {
         return new Command("", name, incarnation, Member.PART, "leave", Row.EMPTY);
     }
@@ -41,18 +47,26 @@
     @Override
     public Answer apply(Rows rows, Moment at, Command c) {
         if (!NAME.matcher(c.from()).matches()) {
-            return Answer.faulty("name must be 1 to 100 letters, digits, dots, dashes, colons or underscores");
+            return Answer.faulty(
+                    "name must be 1 to 100 letters, digits, dots, dashes, colons or underscores");
         }
         Member m = Member.of(rows, c.from());
         if (m != null && c.incarnation() < m.incarnation()) {
-            return Answer.conflict("incarnation " + c.incarnation() + " of " + c.from() + " is below "
-                    + m.incarnation());
+            return Answer.conflict(
+                    "incarnation "
+                            + c.incarnation()
+                            + " of "
+                            + c.from()
+                            + " is below "
+                            + m.incarnation());
         }
         return switch (c.verb()) {
             case "join" -> join(rows, at, c, m);
-            case "renew", "leave" -> m == null || c.incarnation() > m.incarnation()
-                    ? Answer.unknown("name " + c.from() + " has not joined with this incarnation")
-                    : c.verb().equals("renew") ? renew(rows, at, c, m) : leave(rows, at, m);
+            case "renew", "leave" ->
+                    m == null || c.incarnation() > m.incarnation()
+                            ? Answer.unknown(
+                                    "name " + c.from() + " has not joined with this incarnation")
+                            : c.verb().equals("renew") ? renew(rows, at, c, m) : leave(rows, at, m);
             default -> Answer.unknown("verb " + c.verb() + " is not known to members");
         };
     }
@@ -61,35 +75,54 @@
         Terms asked = Terms.of(c.args());
         Terms terms = Member.terms(rows);
         if (terms != null && !terms.equals(asked)) {
-            if (Member.all(rows).stream().anyMatch(o -> o.alive(at.micros()) || o.lingers(at.micros(), terms))) {
-                return Answer.conflict(asked.difference(terms) + " differs from what the members agreed on");
+            if (Member.all(rows).stream()
+                    .anyMatch(o -> o.alive(at.micros()) || o.lingers(at.micros(), terms))) {
+                return Answer.conflict(
+                        asked.difference(terms) + " differs from what the members agreed on");
             }
             // Nobody uses more than its floor any more; the former places go with the former terms.
             rows.of(Member.PART).keySet().forEach(name -> rows.remove(Member.PART, name));
             m = null;
         }
         if (m == null && rows.count(Member.PART) >= asked.places() && !makeRoom(rows, at, asked)) {
-            return Answer.conflict("name " + c.from() + " is one more than the " + asked.places() + " places");
+            return Answer.conflict(
+                    "name " + c.from() + " is one more than the " + asked.places() + " places");
         }
         Member.terms(rows, asked);
         long until = at.micros() + asked.leaseMicros();
         if (m != null && m.incarnation() == c.incarnation()) {
-            return stored(rows, at, back(m, at, asked).until(until), asked); // A join that came twice, or late.
+            return stored(
+                    rows,
+                    at,
+                    back(m, at, asked).until(until),
+                    asked); // A join that came twice, or late.
         }
-        // A former incarnation of the name has ended before this one joins, so what it held is this one's; also what was
-        // taken back and is in use to the end of its lease: in an upgrade this one went by the former's row.
-        Member joined = m == null ? new Member(c.from(), c.incarnation(), until, asked.floor(), at.index(), 0, 0)
-                : new Member(c.from(), c.incarnation(), Math.max(m.until(), until),
-                        Math.min(m.share(), m.reserved(at.micros(), asked)), at.index(),
-                        m.alive(at.micros()) ? m.held() : 0, m.alive(at.micros()) ? m.heldUntil() : 0);
+        // A former incarnation of the name has ended before this one joins, so what it held is this
+        // one's; also what was
+        // taken back and is in use to the end of its lease: in an upgrade this one went by the
+        // former's row.
+        Member joined =
+                m == null
+                        ? new Member(
+                                c.from(), c.incarnation(), until, asked.floor(), at.index(), 0, 0)
+                        : new Member(
+                                c.from(),
+                                c.incarnation(),
+                                Math.max(m.until(), until),
+                                Math.min(m.share(), m.reserved(at.micros(), asked)),
+                                at.index(),
+                                m.alive(at.micros()) ? m.held() : 0,
+                                m.alive(at.micros()) ? m.heldUntil() : 0);
         return stored(rows, at, joined, asked);
     }
 
     /** Forgets the one that is gone for longest. */
     private static boolean makeRoom(Rows rows, Moment at, Terms terms) {
-        Member longest = Member.all(rows).stream()
-                .filter(m -> !m.alive(at.micros()) && !m.lingers(at.micros(), terms))
-                .min(Comparator.comparingLong(Member::until)).orElse(null);
+        Member longest =
+                Member.all(rows).stream()
+                        .filter(m -> !m.alive(at.micros()) && !m.lingers(at.micros(), terms))
+                        .min(Comparator.comparingLong(Member::until))
+                        .orElse(null);
         if (longest != null) {
             rows.remove(Member.PART, longest.name());
         }
@@ -105,13 +138,28 @@
 
     /** One whose lease was over begins with what was kept for it. */
     private static Member back(Member m, Moment at, Terms terms) {
-        return m.alive(at.micros()) ? m : new Member(m.name(), m.incarnation(), m.until(),
-                Math.min(m.share(), m.reserved(at.micros(), terms)), at.index(), 0, 0);
+        return m.alive(at.micros())
+                ? m
+                : new Member(
+                        m.name(),
+                        m.incarnation(),
+                        m.until(),
+                        Math.min(m.share(), m.reserved(at.micros(), terms)),
+                        at.index(),
+                        0,
+                        0);
     }
 
     private Answer leave(Rows rows, Moment at, Member m) {
-        Member left = new Member(m.name(), m.incarnation(), Math.min(m.until(), at.micros()),
-                Math.min(m.share(), Terms.EVEN), at.index(), 0, 0);
+        Member left =
+                new Member(
+                        m.name(),
+                        m.incarnation(),
+                        Math.min(m.until(), at.micros()),
+                        Math.min(m.share(), Terms.EVEN),
+                        at.index(),
+                        0,
+                        0);
         return stored(rows, at, left, Member.terms(rows));
     }
 
@@ -119,7 +167,8 @@
         rows.put(Member.PART, m.name(), m.row());
         settle(rows, at, terms);
         Member now = Member.of(rows, m.name());
-        return Answer.done("", Row.of("until", now.until(), "share", now.share(), "grant", now.grant()));
+        return Answer.done(
+                "", Row.of("until", now.until(), "share", now.share(), "grant", now.grant()));
     }
 
     @Override
@@ -133,7 +182,9 @@
     private void settle(Rows rows, Moment at, Terms terms) {
         List<Member> before = Member.all(rows);
         List<Member> after = split(terms, at, before).done();
-        for (int i = 0; i < after.size(); i++) { // Both by name. Most of the time nothing has changed.
+        for (int i = 0;
+                i < after.size();
+                i++) { // Both by name. Most of the time nothing has changed.
             if (!after.get(i).equals(before.get(i))) {
                 rows.put(Member.PART, after.get(i).name(), after.get(i).row());
             }
--- a/core/src/main/java/postgrade/member/OutPart.java
+++ b/core/src/main/java/postgrade/member/OutPart.java
@@ -8,12 +8,17 @@
 import postgrade.shared.Row;
 import postgrade.shared.Rows;
 
-/** Workers that operators have taken out, until they put them back: known to whoever comes later, whatever its disk. */
+/**
+ * Workers that operators have taken out, until they put them back: known to whoever comes later,
+ * whatever its disk.
+ */
 public final class OutPart implements Part {
 
     static final String PART = "out";
+
     /** Guards the state against a caller that names ever new workers. */
     private static final int MOST = 10_000;
+
     private static final int LONGEST_ID = 200;
 
     @Override
@@ -44,7 +49,8 @@
         switch (c.verb()) {
             case "exit":
                 if (out == null && rows.count(PART) >= MOST) {
-                    return Answer.conflict("worker is one more than the " + MOST + " that may be out");
+                    return Answer.conflict(
+                            "worker is one more than the " + MOST + " that may be out");
                 }
                 if (out == null) {
                     out = Row.of("since", at.micros(), "by", c.from());
--- a/core/src/main/java/postgrade/member/Shares.java
+++ b/core/src/main/java/postgrade/member/Shares.java
@@ -3,20 +3,22 @@
 import postgrade.shared.View;
 
 /**
- * With which part of every rate this process serves, by the view it has and its own monotonic clock. Kept per process,
- * used on its loop.
+ * With which part of every rate this process serves, by the view it has and its own monotonic
+ * clock. Kept per process, used on its loop.
  *
- * <p>Up to the end of its lease it goes by the share granted. Then by the even share at most, as long as its place is
- * kept; then by the floor, or by its fallback once its view is older than a lease. It is all told from the view's age,
- * so it holds for one that is cut off or was paused.
+ * <p>Up to the end of its lease it goes by the share granted. Then by the even share at most, as
+ * long as its place is kept; then by the floor, or by its fallback once its view is older than a
+ * lease. It is all told from the view's age, so it holds for one that is cut off or was paused.
  */
 public class Shares {
 
     /** Clocks of two machines run apart by this part at most. */
     public static final double MOST_DRIFT = 0.02;
+
     /**
-     * What a leader measured and may not have been decided when a view was taken: one step on its way, and one of which
-     * the leader has not said anything yet. {@link postgrade.shared.Machine#MOST_ADVANCE_MICROS} each.
+     * What a leader measured and may not have been decided when a view was taken: one step on its
+     * way, and one of which the leader has not said anything yet. {@link
+     * postgrade.shared.Machine#MOST_ADVANCE_MICROS} each.
      */
     public static final long BACKLOG_MICROS = 2 * postgrade.shared.Machine.MOST_ADVANCE_MICROS;
 
@@ -26,10 +28,14 @@
     private final long fallback;
     private long goneBy;
     private View last = View.NONE;
+
     /** Its row there; null where it has not joined. */
     private Member own;
 
-    /** @param fallback when long cut off, in millionths of the even share; what lies above the floor is the bound */
+    /**
+     * @param fallback when long cut off, in millionths of the even share; what lies above the floor
+     *     is the bound
+     */
     public Shares(String name, long incarnation, Terms terms, long fallback) {
         if (fallback < 1 || fallback > Terms.EVEN) {
             throw new IllegalArgumentException("fallback must lie between 1 and " + Terms.EVEN);
@@ -44,7 +50,10 @@
         this(name, incarnation, terms, terms.floor());
     }
 
-    /** The part of its even share by which to serve: 1 is the even share. Go by it before anything else is done. */
+    /**
+     * The part of its even share by which to serve: 1 is the even share. Go by it before anything
+     * else is done.
+     */
     public double factor(View view, long nowMicros) {
         if (view.moment().after(last.moment())
                 || view.moment().equals(last.moment()) && view.asOfMicros() > last.asOfMicros()) {
@@ -68,7 +77,8 @@
         if (latest < own.until() + terms.lingerMicros()) {
             return Math.min(own.share(), Terms.EVEN);
         }
-        // One that sees the others is not cut off, only late: its place has been given away, and it knows.
+        // One that sees the others is not cut off, only late: its place has been given away, and it
+        // knows.
         return last.ageMicros(nowMicros) < terms.leaseMicros() ? terms.floor() : fallback;
     }
 
@@ -83,7 +93,10 @@
         return view.moment().micros() + (long) Math.ceil(age * (1 + MOST_DRIFT)) + BACKLOG_MICROS;
     }
 
-    /** The grant that {@link #factor} went by last, to be told with the next renewal; 0 before there was one. */
+    /**
+     * The grant that {@link #factor} went by last, to be told with the next renewal; 0 before there
+     * was one.
+     */
     public long goneBy() {
         return goneBy;
     }
--- a/core/src/main/java/postgrade/member/Split.java
+++ b/core/src/main/java/postgrade/member/Split.java
@@ -8,8 +8,9 @@
 import postgrade.shared.Moment;
 
 /**
- * Splits the whole over who lives. What a member may still be using is reserved for it; only what is reserved for
- * nobody is granted. So a share that grows waits until others were seen to shrink or their leases are over.
+ * Splits the whole over who lives. What a member may still be using is reserved for it; only what
+ * is reserved for nobody is granted. So a share that grows waits until others were seen to shrink
+ * or their leases are over.
  */
 class Split {
 
@@ -29,7 +30,14 @@
         if (!m.alive(now)) {
             long most = m.lingers(now, terms) ? Terms.EVEN : terms.floor();
             if (m.share() > most || m.held() > 0) {
-                return new Member(m.name(), m.incarnation(), m.until(), Math.min(m.share(), most), at.index(), 0, 0);
+                return new Member(
+                        m.name(),
+                        m.incarnation(),
+                        m.until(),
+                        Math.min(m.share(), most),
+                        at.index(),
+                        0,
+                        0);
             }
         }
         return now >= m.heldUntil() && m.held() > 0 ? m.settled() : m;
@@ -87,13 +95,19 @@
         return free;
     }
 
-    /** Whoever holds a place and has not joined: it may be cut off, with a share from before the era. */
+    /**
+     * Whoever holds a place and has not joined: it may be cut off, with a share from before the
+     * era.
+     */
     private long unseen() {
         long lastUsed = (at.era() > 1 ? terms.leaseMicros() : 0) + terms.lingerMicros();
         return at.micros() < lastUsed ? Terms.EVEN : terms.floor();
     }
 
-    /** Shares of an earlier era may still be in use, of any size: nothing is granted until their leases are over. */
+    /**
+     * Shares of an earlier era may still be in use, of any size: nothing is granted until their
+     * leases are over.
+     */
     private boolean quiet() {
         return at.era() > 1 && at.micros() < terms.leaseMicros() && members.size() < terms.places();
     }
--- a/core/src/main/java/postgrade/member/Terms.java
+++ b/core/src/main/java/postgrade/member/Terms.java
@@ -3,16 +3,19 @@
 import postgrade.shared.Row;
 
 /**
- * What all members have to agree on. The first that joins writes it into the log; one that comes with other terms is
- * told which differ.
+ * What all members have to agree on. The first that joins writes it into the log; one that comes
+ * with other terms is told which differ.
  *
- * <p>Shares count in millionths of the even share, that is of one place's part of every rate: {@link #EVEN} times the
- * places is the whole.
+ * <p>Shares count in millionths of the even share, that is of one place's part of every rate:
+ * {@link #EVEN} times the places is the whole.
  *
  * @param places over how many processes the rates are split at most
- * @param leaseMicros how long a share above the even one may be used after it was last renewed, by the log's time
- * @param lingerMicros how long after its lease the place of a silent member is kept at the even share
- * @param floor what each place keeps for ever, so that one that comes back or is long cut off has something to serve by
+ * @param leaseMicros how long a share above the even one may be used after it was last renewed, by
+ *     the log's time
+ * @param lingerMicros how long after its lease the place of a silent member is kept at the even
+ *     share
+ * @param floor what each place keeps for ever, so that one that comes back or is long cut off has
+ *     something to serve by
  */
 public record Terms(int places, long leaseMicros, long lingerMicros, long floor) {
 
@@ -40,12 +43,23 @@
     }
 
     static Terms of(Row row) {
-        return new Terms((int) row.whole("places", 1, MOST_PLACES), row.whole("leaseMicros"), row.whole("lingerMicros"),
+        return new Terms(
+                (int) row.whole("places", 1, MOST_PLACES),
+                row.whole("leaseMicros"),
+                row.whole("lingerMicros"),
                 row.whole("floor"));
     }
 
     Row row() {
-        return Row.of("places", places, "leaseMicros", leaseMicros, "lingerMicros", lingerMicros, "floor", floor);
+        return Row.of(
+                "places",
+                places,
+                "leaseMicros",
+                leaseMicros,
+                "lingerMicros",
+                lingerMicros,
+                "floor",
+                floor);
     }
 
     long whole() {
@@ -54,7 +68,12 @@
 
     /** The name of the first that differs, or null. */
     String difference(Terms other) {
-        return places != other.places ? "places" : leaseMicros != other.leaseMicros ? "leaseMicros"
-                : lingerMicros != other.lingerMicros ? "lingerMicros" : floor != other.floor ? "floor" : null;
+        return places != other.places
+                ? "places"
+                : leaseMicros != other.leaseMicros
+                        ? "leaseMicros"
+                        : lingerMicros != other.lingerMicros
+                                ? "lingerMicros"
+                                : floor != other.floor ? "floor" : null;
     }
 }
--- a/core/src/main/java/postgrade/policy/Cold.java
+++ b/core/src/main/java/postgrade/policy/Cold.java
@@ -7,24 +7,27 @@
 
     /** Part of a cold worker's budget that is used, as jobs differ in length. */
     private static final double COLD_SAFETY = 0.9;
+
     /**
-     * A worker on which hardly a job waits has room for its mean load and for so many square roots of it (square-root
-     * staffing): at two roots about one job in forty waits.
+     * A worker on which hardly a job waits has room for its mean load and for so many square roots
+     * of it (square-root staffing): at two roots about one job in forty waits.
      */
     private static final double STAFFING_ROOTS = 2;
 
     /**
-     * Whether the job costs no more than is left of this gateway's part of what all may send to a cold worker
-     * in one window. An even part of many gateways is under one job, so only as many send as can send the
-     * dearest job each, more as the worker warms. What was sent before a restart is forgotten, so one window
-     * passes first.
+     * Whether the job costs no more than is left of this gateway's part of what all may send to a
+     * cold worker in one window. An even part of many gateways is under one job, so only as many
+     * send as can send the dearest job each, more as the worker warms. What was sent before a
+     * restart is forgotten, so one window passes first.
      */
     boolean permits(long nowNs, Held h, Node n) {
         int senders = senders(nowNs, n);
         return sight.warmth(nowNs, n) >= 1
                 || Math.floorMod(my.set.gateway + n.hash, my.set.gateways) < senders
-                && nowNs - my.bootNs >= my.set.fallNs
-                && cost(h, n) <= my.share * forAll(nowNs, n) / senders - n.coldSpent(nowNs - my.set.fallNs);
+                        && nowNs - my.bootNs >= my.set.fallNs
+                        && cost(h, n)
+                                <= my.share * forAll(nowNs, n) / senders
+                                        - n.coldSpent(nowNs - my.set.fallNs);
     }
 
     void spend(long nowNs, Held h, Node n) {
@@ -44,13 +47,18 @@
     }
 
     private double forAll(long nowNs, Node n) {
-        return COLD_SAFETY * my.set.fallMultiple * sight.warmth(nowNs, n) * provenSlots(nowNs, n) * my.set.fallNs;
+        return COLD_SAFETY
+                * my.set.fallMultiple
+                * sight.warmth(nowNs, n)
+                * provenSlots(nowNs, n)
+                * my.set.fallNs;
     }
 
     /**
-     * The slots that the worker is known to have, at least one. Without load reports its size is a guess, and a small worker
-     * would be overrun by it, so the guess is bounded by what the fleet is seen to carry: the mean load of a ready worker
-     * with its staffing margin, less where jobs wait before they start.
+     * The slots that the worker is known to have, at least one. Without load reports its size is a
+     * guess, and a small worker would be overrun by it, so the guess is bounded by what the fleet
+     * is seen to carry: the mean load of a ready worker with its staffing margin, less where jobs
+     * wait before they start.
      */
     private double provenSlots(long nowNs, Node n) {
         double assumed = sight.slots(n);
@@ -58,7 +66,9 @@
             return assumed;
         }
         double load = admission.fleetLoad(nowNs) / Math.max(1, my.ready.size());
-        double staffed = Math.max(1, load + STAFFING_ROOTS * Math.sqrt(load)) / (1 + n.kind.waitedNs / my.meanNs());
+        double staffed =
+                Math.max(1, load + STAFFING_ROOTS * Math.sqrt(load))
+                        / (1 + n.kind.waitedNs / my.meanNs());
         return sight.weight(n) * Math.min(Sight.UNKNOWN_SLOTS, staffed);
     }
 
--- a/core/src/main/java/postgrade/policy/Decide.java
+++ b/core/src/main/java/postgrade/policy/Decide.java
@@ -7,9 +7,9 @@
 import postgrade.policy.State.*;
 
 /**
- * All decisions of one gateway: the front, which hands each event to the parts that decide. The types, events
- * and actions stand in Dispatcher.java. docs/design.md says what is kept of the design, and when each
- * departure from it acts.
+ * All decisions of one gateway: the front, which hands each event to the parts that decide. The
+ * types, events and actions stand in Dispatcher.java. docs/design.md says what is kept of the
+ * design, and when each departure from it acts.
  */
 public final class Decide implements Dispatcher {
 
@@ -32,7 +32,8 @@
         Cold cold = new Cold(my, sight, admission);
         gate = new Gate(my, cold);
         health = new Health(my);
-        retries = new Retries(my, sight, admission, new Choice(my, sight, cold, gate), gate, health);
+        retries =
+                new Retries(my, sight, admission, new Choice(my, sight, cold, gate), gate, health);
         workers = new Workers(my);
     }
 
@@ -57,7 +58,9 @@
         }
         long closedForNs = my.ability.opensInNs(nowNs, job);
         if (closedForNs > 0) {
-            my.out.refuse(job.id(), closedForNs); // Perhaps hours: the longest usual wait does not bound it.
+            my.out.refuse(
+                    job.id(),
+                    closedForNs); // Perhaps hours: the longest usual wait does not bound it.
             return;
         }
         Held h = new Held(job, cls, nowNs, my.set.maxAttempts);
@@ -95,7 +98,8 @@
     }
 
     @Override
-    public void finished(long nowNs, String jobId, int attempt, Outcome outcome, boolean last, Load load) {
+    public void finished(
+            long nowNs, String jobId, int attempt, Outcome outcome, boolean last, Load load) {
         Attempt a = Held.running(my.jobs.get(jobId), attempt);
         if (a == null) {
             return;
@@ -164,7 +168,9 @@
         workers.list(nowNs, form, listed);
     }
 
-    /** Put back by an operator, restarted. It owes one trial: others look better while it is cold. */
+    /**
+     * Put back by an operator, restarted. It owes one trial: others look better while it is cold.
+     */
     @Override
     public void recalled(long nowNs, String workerId) {
         Node n = my.nodes.get(workerId);
--- a/core/src/main/java/postgrade/policy/Experience.java
+++ b/core/src/main/java/postgrade/policy/Experience.java
@@ -11,8 +11,9 @@
 import postgrade.policy.State.Node;
 
 /**
- * Turns what one gateway remembers into figures that another process of it takes over, and back. Times go as ages, and
- * what the other does not know, a worker that its list lacks, say, is passed over.
+ * Turns what one gateway remembers into figures that another process of it takes over, and back.
+ * Times go as ages, and what the other does not know, a worker that its list lacks, say, is passed
+ * over.
  */
 final class Experience {
 
@@ -23,39 +24,64 @@
     private static final String KEY = "key";
     private static final String FLEET = "fleet";
     private static final String COLD = "cold";
-    /** For how long all that was sent to cold workers is known: what came before a start is not, nor after a crash. */
+
+    /**
+     * For how long all that was sent to cold workers is known: what came before a start is not, nor
+     * after a crash.
+     */
     private static final String UP = "up";
+
     /** Whose figures they are: its sort and a name. */
     private static final String NAMED = "named ";
+
     /** Guards the message against tables of thousands of keys; the busiest are the latest. */
     private static final int MOST_BUCKETS = 500;
 
-    private Experience() { }
+    private Experience() {}
 
     static List<Learnt> tell(long nowNs, Memory my) {
         List<Learnt> all = new ArrayList<>();
-        my.classes.forEach((name, c) -> add(all, CLASS, name, c.meanNs, c.served, c.failures, c.seenNs));
+        my.classes.forEach(
+                (name, c) -> add(all, CLASS, name, c.meanNs, c.served, c.failures, c.seenNs));
         my.kinds.forEach((name, k) -> add(all, KIND, name, k.slots, k.pace, k.served, k.waitedNs));
-        my.nodes.forEach((name, n) -> add(all, WORKER, name, n.failures, Math.max(0, n.ejectedUntilNs - nowNs),
-                n.ejections, n.pace, n.paced, n.waitedNs, nowNs - n.waitedAtNs, nowNs - n.fullNs, n.untried ? 1 : 0));
-        my.nodes.forEach((name, n) -> {
-            double[] sends = n.coldSends(nowNs);
-            if (sends.length > 0) {
-                add(all, COLD, name, sends);
-            }
-        });
+        my.nodes.forEach(
+                (name, n) ->
+                        add(
+                                all,
+                                WORKER,
+                                name,
+                                n.failures,
+                                Math.max(0, n.ejectedUntilNs - nowNs),
+                                n.ejections,
+                                n.pace,
+                                n.paced,
+                                n.waitedNs,
+                                nowNs - n.waitedAtNs,
+                                nowNs - n.fullNs,
+                                n.untried ? 1 : 0));
+        my.nodes.forEach(
+                (name, n) -> {
+                    double[] sends = n.coldSends(nowNs);
+                    if (sends.length > 0) {
+                        add(all, COLD, name, sends);
+                    }
+                });
         if (my.bootNs >= 0) {
             add(all, UP, "", nowNs - my.bootNs);
         }
         add(all, FLEET, "", my.usualRoom, my.others);
         tell(all, nowNs, TENANT, my.tenantBuckets);
         tell(all, nowNs, KEY, my.keyBuckets);
-        my.set.deployment.names().forEach((sort, names) -> names.forEach(name -> add(all, NAMED + sort, name)));
+        my.set
+                .deployment
+                .names()
+                .forEach((sort, names) -> names.forEach(name -> add(all, NAMED + sort, name)));
         return all;
     }
 
     private static void tell(List<Learnt> all, long nowNs, String of, Map<String, Bucket> buckets) {
-        List<String> names = new ArrayList<>(buckets.keySet()); // In the order of their use, the latest last.
+        List<String> names =
+                new ArrayList<>(buckets.keySet()); // In the order of their use, the latest last.
         for (String name : names.subList(Math.max(0, names.size() - MOST_BUCKETS), names.size())) {
             Bucket b = buckets.get(name);
             add(all, of, name, b.tokens, b.demandPerS, b.failures, nowNs - b.atNs);
@@ -67,8 +93,9 @@
     }
 
     /**
-     * Of the buckets' tokens only this process's share is taken; the rest stays with who told. What was learnt under
-     * another deployment's settings is passed over, but for what cold workers were sent: that they have had.
+     * Of the buckets' tokens only this process's share is taken; the rest stays with who told. What
+     * was learnt under another deployment's settings is passed over, but for what cold workers were
+     * sent: that they have had.
      */
     static void take(long nowNs, List<Learnt> all, Memory my) {
         // An earlier version tells no names, and is taken for the same.
@@ -89,12 +116,14 @@
                 }
                 case KEY -> my.keyBuckets.put(l.name(), bucket(nowNs, f, my.share));
                 case COLD -> cold(nowNs, my.nodes.get(l.name()), f);
-                case UP -> my.bootNs = Math.min(my.bootNs < 0 ? nowNs : my.bootNs, nowNs - (long) f[0]);
+                case UP ->
+                        my.bootNs =
+                                Math.min(my.bootNs < 0 ? nowNs : my.bootNs, nowNs - (long) f[0]);
                 case FLEET -> {
                     my.usualRoom = f[0];
                     my.others = f[1];
                 }
-                default -> { } // A later version may tell more.
+                default -> {} // A later version may tell more.
             }
         }
     }
@@ -102,7 +131,13 @@
     private static Deployment deployment(List<Learnt> all) {
         Deployment told = Deployment.UNNAMED;
         for (Deployment.Sort sort : Deployment.Sort.values()) {
-            told = told.with(sort, all.stream().filter(l -> l.of().equals(NAMED + sort)).map(Learnt::name).toList());
+            told =
+                    told.with(
+                            sort,
+                            all.stream()
+                                    .filter(l -> l.of().equals(NAMED + sort))
+                                    .map(Learnt::name)
+                                    .toList());
         }
         return told;
     }
@@ -139,7 +174,10 @@
         }
     }
 
-    /** They go on counting in their window. The whole of them: a part is used of a cold worker, and none twice. */
+    /**
+     * They go on counting in their window. The whole of them: a part is used of a cold worker, and
+     * none twice.
+     */
     private static void cold(long nowNs, Node n, double[] f) {
         for (int i = 0; n != null && i + 1 < f.length; i += 2) {
             n.spendCold(nowNs - (long) f[i], f[i + 1]);
--- a/core/src/main/java/postgrade/policy/Gate.java
+++ b/core/src/main/java/postgrade/policy/Gate.java
@@ -7,16 +7,23 @@
 /** Every attempt and every final answer passes here, and only here are the rules kept. */
 record Gate(Memory my, Cold cold) {
 
-    /** Whether it may go there once nothing is out: a job that would move asks before it is called off. */
+    /**
+     * Whether it may go there once nothing is out: a job that would move asks before it is called
+     * off.
+     */
     boolean maySend(long nowNs, Held h, Node n) {
-        if (h.answered || h.sent >= my.set.maxAttempts || nowNs >= h.deadlineNs || !n.ready
+        if (h.answered
+                || h.sent >= my.set.maxAttempts
+                || nowNs >= h.deadlineNs
+                || !n.ready
                 || h.cls.is.kind() != null && !h.cls.is.kind().equals(n.info.kind())) {
             return false;
         }
         Attempt first = firstThatBinds(h);
-        if (first != null && (h.cls.is.effect() == Effect.UNSAFE
-                || !h.cls.is.group().shared(first.node.info, n.info)
-                || nowNs + Retries.SWEEP_NS >= first.sentNs + h.cls.is.windowNs())) {
+        if (first != null
+                && (h.cls.is.effect() == Effect.UNSAFE
+                        || !h.cls.is.group().shared(first.node.info, n.info)
+                        || nowNs + Retries.SWEEP_NS >= first.sentNs + h.cls.is.windowNs())) {
             return false;
         }
         return cold.permits(nowNs, h, n) && my.ability.part(nowNs, h.job, n.info) > 0;
@@ -27,7 +34,10 @@
         return !h.answered && (dropsRepeats || firstThatBinds(h) == null);
     }
 
-    /** The earliest attempt that may have run: later ones stay in its group and window. None if safe. */
+    /**
+     * The earliest attempt that may have run: later ones stay in its group and window. None if
+     * safe.
+     */
     private static Attempt firstThatBinds(Held h) {
         int i = h.cls.is.effect() == Effect.SAFE ? h.sent : 0;
         while (i < h.sent && h.attempts[i].neverRan) {
@@ -41,8 +51,10 @@
             return;
         }
         Attempt first = firstThatBinds(h);
-        long windowNs = first == null ? Long.MAX_VALUE
-                : first.sentNs + h.cls.is.windowNs() - Retries.SWEEP_NS - nowNs;
+        long windowNs =
+                first == null
+                        ? Long.MAX_VALUE
+                        : first.sentNs + h.cls.is.windowNs() - Retries.SWEEP_NS - nowNs;
         cold.spend(nowNs, h, n);
         n.untried = false;
         n.averageUsed(nowNs, Sight.REPORT_LAG_NS);
--- a/core/src/main/java/postgrade/policy/Health.java
+++ b/core/src/main/java/postgrade/policy/Health.java
@@ -6,12 +6,18 @@
 /** Which workers are left out for their failures, and which failures are the job's own. */
 record Health(Memory my) {
 
-    /** How fast a worker's failure average moves, and where it is ejected; a healthy one stays far below. */
+    /**
+     * How fast a worker's failure average moves, and where it is ejected; a healthy one stays far
+     * below.
+     */
     private static final double LEARN_FAILURE = 0.2;
+
     private static final double EJECT_AT = 0.45;
     private static final long EJECT_NS = 1_500_000_000L;
+
     /** At most this part of the ready workers is ejected, or the rest would drown. */
     private static final double MOST_EJECTED = 0.4;
+
     /** Ejections, and the wait before the list is asked for again, double at most so often. */
     static final int DOUBLINGS = 3;
 
@@ -28,7 +34,7 @@
                 n.roomAtNs = nowNs;
                 n.fullNs = nowNs;
             }
-            case CANCELLED, NOT_SENT, NO_SOCKET -> { }
+            case CANCELLED, NOT_SENT, NO_SOCKET -> {}
             case UNREACHABLE -> eject(nowNs, n);
             default -> {
                 blame(a.held, 1);
@@ -54,9 +60,9 @@
     }
 
     /**
-     * How far a failure is the job's own: 1 where its tenant's or its class's jobs alone fail. One tenant's
-     * bad release or data fails at every worker it meets, and none is to be ejected for it. Where all fail
-     * alike it is 0. It might shield a worker that is sick for one class only.
+     * How far a failure is the job's own: 1 where its tenant's or its class's jobs alone fail. One
+     * tenant's bad release or data fails at every worker it meets, and none is to be ejected for
+     * it. Where all fail alike it is 0. It might shield a worker that is sick for one class only.
      */
     double ownFault(Held h) {
         Bucket b = my.tenantBuckets.get(h.job.tenant());
--- a/core/src/main/java/postgrade/policy/Memory.java
+++ b/core/src/main/java/postgrade/policy/Memory.java
@@ -37,10 +37,13 @@
     double meanWeight = 1;
     boolean reported;
     Fading slotTimeServed = new Fading();
+
     /** The part of the fleet that is usually free of the other gateways' jobs. */
     double usualRoom = 1;
+
     /** How much of an even share the other gateways are taken to hold. */
     double others = 1;
+
     double share = 1;
     double retryBudget;
     double allFailures;
@@ -56,8 +59,9 @@
     }
 
     /**
-     * Under the same deployment's settings counts and what was learnt stay, but of what the settings no longer name. Under
-     * another's all begins anew as at a start. Either way jobs under way hold the class that they came with.
+     * Under the same deployment's settings counts and what was learnt stay, but of what the
+     * settings no longer name. Under another's all begins anew as at a start. Either way jobs under
+     * way hold the class that they came with.
      */
     void settings(long nowNs, Settings next) {
         Settings former = set;
@@ -74,23 +78,31 @@
         }
         tenantBuckets.keySet().retainAll(tenantRates.keySet());
         weighClasses();
-        if (former != null && (next.fallNs > former.fallNs || next.warmWithinNs > former.warmWithinNs
-                || next.coldShare < former.coldShare)) {
-            // Guards workers that count as cold only now: what was sent to them has not been counted, or not for so long.
+        if (former != null
+                && (next.fallNs > former.fallNs
+                        || next.warmWithinNs > former.warmWithinNs
+                        || next.coldShare < former.coldShare)) {
+            // Guards workers that count as cold only now: what was sent to them has not been
+            // counted, or not for so long.
             bootNs = nowNs;
         }
     }
 
-    /** What it knows of jobs and of how workers do. Which workers there are and what they hold of ours is no figure. */
+    /**
+     * What it knows of jobs and of how workers do. Which workers there are and what they hold of
+     * ours is no figure.
+     */
     private void forget() {
         tenantBuckets.clear();
         keyBuckets.clear();
         kinds.values().forEach(Kind::forget);
-        nodes.values().forEach(n -> {
-            n.forget();
-            n.waitedAtNs = 0;
-            n.roomAtNs = 0;
-        });
+        nodes.values()
+                .forEach(
+                        n -> {
+                            n.forget();
+                            n.waitedAtNs = 0;
+                            n.roomAtNs = 0;
+                        });
         reported = false;
         slotTimeServed = new Fading();
         usualRoom = 1;
@@ -110,7 +122,8 @@
     /** How long a job runs on the mean of those served. */
     double meanNs() {
         double served = classes.values().stream().mapToLong(c -> c.served).sum();
-        return served == 0 ? State.UNKNOWN_NS
+        return served == 0
+                ? State.UNKNOWN_NS
                 : classes.values().stream().mapToDouble(c -> c.served * c.meanNs).sum() / served;
     }
 
--- a/core/src/main/java/postgrade/policy/State.java
+++ b/core/src/main/java/postgrade/policy/State.java
@@ -9,13 +9,15 @@
 import postgrade.Dispatcher.JobClass;
 import postgrade.Dispatcher.Worker;
 
-/** What {@link Decide} remembers: plain records and counts of one gateway. Nothing is decided here. */
+/**
+ * What {@link Decide} remembers: plain records and counts of one gateway. Nothing is decided here.
+ */
 final class State {
 
     /** Running time of a class of which no job has been served yet. */
     static final double UNKNOWN_NS = 1e9;
 
-    private State() { }
+    private State() {}
 
     /** Spreads the bits of a value evenly. */
     static long mix(long v) {
@@ -29,6 +31,7 @@
         double slots;
         double pace = 1;
         long served;
+
         /** How long our latest jobs waited at workers of this kind before they started. */
         double waitedNs;
 
@@ -46,8 +49,10 @@
         final long hash;
         final Kind kind;
         Worker info;
+
         /** May be sent to, as far as the list binds; and whether the newest list names it ready. */
         boolean ready;
+
         boolean listed;
         long drainedNs;
         long bornNs;
@@ -65,8 +70,10 @@
         double pace = 1;
         double paced;
         int ejections;
+
         /** Put back by an operator and not yet sent to. */
         boolean untried;
+
         long ejectedUntilNs;
         private final ArrayDeque<double[]> coldSends = new ArrayDeque<>();
         private double coldSpent;
@@ -106,9 +113,14 @@
             coldSpent += cost;
         }
 
-        /** What was sent to it while it was cold and has not been passed over yet: ages and costs in turn, oldest first. */
+        /**
+         * What was sent to it while it was cold and has not been passed over yet: ages and costs in
+         * turn, oldest first.
+         */
         double[] coldSends(long nowNs) {
-            return coldSends.stream().flatMapToDouble(s -> DoubleStream.of(nowNs - s[0], s[1])).toArray();
+            return coldSends.stream()
+                    .flatMapToDouble(s -> DoubleStream.of(nowNs - s[0], s[1]))
+                    .toArray();
         }
 
         double coldSpent(long sinceNs) {
@@ -127,7 +139,10 @@
         boolean ended;
         boolean neverRan;
         boolean called;
-        /** Was taken for lost: it counts among what its worker holds only if it starts after all. */
+
+        /**
+         * Was taken for lost: it counts among what its worker holds only if it starts after all.
+         */
         boolean lost;
 
         Attempt(Held held, Node node, long sentNs) {
@@ -146,14 +161,19 @@
 
     static final class ClassState {
         final JobClass is;
+
         /** Of those served, and of one more of the running time that is assumed before any was. */
         double meanNs = UNKNOWN_NS;
+
         /** Of those served alone: what is assumed says nothing of how fast a worker is. */
         double seenNs;
+
         double failures;
         long served;
 
-        /** @param former what was learnt of the class under earlier settings, or null */
+        /**
+         * @param former what was learnt of the class under earlier settings, or null
+         */
         ClassState(JobClass is, ClassState former) {
             this.is = is;
             if (former != null) {
@@ -164,7 +184,9 @@
             }
         }
 
-        /** @param least the latest job counts for this part at least */
+        /**
+         * @param least the latest job counts for this part at least
+         */
         void learn(double ranNs, double least) {
             served++;
             seenNs += Math.max(least, 1.0 / served) * (ranNs - seenNs);
@@ -231,7 +253,8 @@
 
         /** The attempt of this number, if the job is known and the attempt is still out. */
         static Attempt running(Held h, int attempt) {
-            return h == null || attempt < 0 || attempt >= h.sent || h.attempts[attempt].ended ? null
+            return h == null || attempt < 0 || attempt >= h.sent || h.attempts[attempt].ended
+                    ? null
                     : h.attempts[attempt];
         }
     }
--- a/core/src/main/java/postgrade/policy/Workers.java
+++ b/core/src/main/java/postgrade/policy/Workers.java
@@ -11,8 +11,10 @@
 
     /** Wait before the list is asked for again, and for a client where no worker has room. */
     static final long AGAIN_NS = 500_000_000L;
+
     /** Where only draining binds, an older list may name a drained worker again for so long. */
     private static final long DRAIN_MEMORY_NS = 60_000_000_000L;
+
     static final String ASK = "ask";
 
     void list(long nowNs, ListForm form, List<Worker> workers) {
@@ -52,18 +54,31 @@
                 n.room = Double.NaN;
             }
         }
-        my.nodes.values().removeIf(n -> n.own == 0 && (n.ready ? !n.listed && n.ejections > Health.DOUBLINGS
-                : !my.set.droppedStayOpen || n.drainedNs == 0 || nowNs - n.drainedNs > DRAIN_MEMORY_NS));
+        my.nodes
+                .values()
+                .removeIf(
+                        n ->
+                                n.own == 0
+                                        && (n.ready
+                                                ? !n.listed && n.ejections > Health.DOUBLINGS
+                                                : !my.set.droppedStayOpen
+                                                        || n.drainedNs == 0
+                                                        || nowNs - n.drainedNs > DRAIN_MEMORY_NS));
         my.ready.clear();
         my.nodes.values().stream().filter(n -> n.ready).forEach(my.ready::add);
         my.meanWeight =
-                my.ready.stream().mapToDouble(n -> n.info.weight()).filter(w -> w > 0).average().orElse(1);
+                my.ready.stream()
+                        .mapToDouble(n -> n.info.weight())
+                        .filter(w -> w > 0)
+                        .average()
+                        .orElse(1);
     }
 
     /**
-     * A list may be wrong: empty, old, or calling gone what serves. Where only draining binds, a dropped
-     * worker stays open until failed connections eject it; several in a row make it forgotten. Its drain is
-     * kept too, or an old list would undo it. It would hurt where workers vanish and attempts just hang.
+     * A list may be wrong: empty, old, or calling gone what serves. Where only draining binds, a
+     * dropped worker stays open until failed connections eject it; several in a row make it
+     * forgotten. Its drain is kept too, or an old list would undo it. It would hurt where workers
+     * vanish and attempts just hang.
      */
     private void unlist(Node n) {
         if (n != null) {
--- a/core/src/main/java/postgrade/roster/Roster.java
+++ b/core/src/main/java/postgrade/roster/Roster.java
@@ -12,11 +12,11 @@
 import postgrade.Dispatcher.Worker;
 
 /**
- * The workers as they count here: what discovery says, and over it what operators have said. A worker that was taken out
- * drains until it is put back, whatever lists come meanwhile.
+ * The workers as they count here: what discovery says, and over it what operators have said. A
+ * worker that was taken out drains until it is put back, whatever lists come meanwhile.
  *
- * <p>While out a worker is restarted, and the list may be late with its start. So one that is put back is taken for
- * started at that moment, unless a start since it was taken out is told.
+ * <p>While out a worker is restarted, and the list may be late with its start. So one that is put
+ * back is taken for started at that moment, unless a start since it was taken out is told.
  */
 public final class Roster {
 
@@ -25,18 +25,20 @@
 
     private final Map<String, Worker> told = new TreeMap<>();
     private final Set<String> seen = new HashSet<>();
+
     /** Since when each is out; and for those put back, when they were out and back. */
     private final Map<String, Long> outNs = new TreeMap<>();
+
     private final Map<String, Record> back = new HashMap<>();
 
     /** {@link Record#backNs} of one that is out. */
     public static final long STILL_OUT = Long.MAX_VALUE;
 
     /**
-     * What operators have said of a worker: since when it was out, and when it came back. Any start that the list tells
-     * after {@code outNs} is true, else {@code backNs} stands for it.
+     * What operators have said of a worker: since when it was out, and when it came back. Any start
+     * that the list tells after {@code outNs} is true, else {@code backNs} stands for it.
      */
-    public record Record(String id, long outNs, long backNs) { }
+    public record Record(String id, long outNs, long backNs) {}
 
     /** Takes in what discovery says and returns how it counts. */
     public List<Worker> list(boolean whole, Collection<Worker> workers) {
@@ -59,7 +61,8 @@
     }
 
     private Worker counted(Worker w) {
-        Phase phase = w.phase() == Phase.READY && outNs.containsKey(w.id()) ? Phase.DRAINING : w.phase();
+        Phase phase =
+                w.phase() == Phase.READY && outNs.containsKey(w.id()) ? Phase.DRAINING : w.phase();
         Record was = back.get(w.id());
         long born = was == null || w.bornNs() > was.outNs ? w.bornNs() : was.backNs;
         return new Worker(w.id(), w.zone(), w.kind(), w.cell(), phase, w.weight(), born);
--- a/core/src/main/java/postgrade/settings/SettingsReader.java
+++ b/core/src/main/java/postgrade/settings/SettingsReader.java
@@ -11,8 +11,9 @@
 import postgrade.Dispatcher.Tenant;
 
 /**
- * Reads the settings of a deployment, so that the adapter and the daemon give the module the same. They come as the
- * pairs of ATTACH; who has nested JSON turns it into such pairs first. Unknown ones are left alone.
+ * Reads the settings of a deployment, so that the adapter and the daemon give the module the same.
+ * They come as the pairs of ATTACH; who has nested JSON turns it into such pairs first. Unknown
+ * ones are left alone.
  */
 public final class SettingsReader {
 
@@ -22,7 +23,9 @@
         this.pairs = pairs;
     }
 
-    /** @param pairs paths and plain values, in the form of ATTACH */
+    /**
+     * @param pairs paths and plain values, in the form of ATTACH
+     */
     public static SettingsReader ofPairs(Map<String, String> pairs) {
         return new SettingsReader(pairs);
     }
@@ -41,14 +44,26 @@
         int count = (int) number("classes.count");
         for (int i = 0; i < count; i++) {
             String at = "classes." + i + ".";
-            int kind = i < classKinds.size() ? (int) parse("specifics.classKind", classKinds.get(i)) : -1;
-            double stretch = i < stretches.size() ? parse("specifics.classStretch", stretches.get(i))
-                    : number(at + "aimStretch", 0);
-            classes.add(new JobClass(must(at + "name"), effect(at), group(at),
-                    (long) number(at + "windowNs", 0), (long) number(at + "onTimeNs"), stretch,
-                    number(at + "importance", 1), number(at + "lateShare", 0),
-                    kind >= 0 && kind < kinds.size() ? kinds.get(kind) : null,
-                    yes(at + "stream", false)));
+            int kind =
+                    i < classKinds.size()
+                            ? (int) parse("specifics.classKind", classKinds.get(i))
+                            : -1;
+            double stretch =
+                    i < stretches.size()
+                            ? parse("specifics.classStretch", stretches.get(i))
+                            : number(at + "aimStretch", 0);
+            classes.add(
+                    new JobClass(
+                            must(at + "name"),
+                            effect(at),
+                            group(at),
+                            (long) number(at + "windowNs", 0),
+                            (long) number(at + "onTimeNs"),
+                            stretch,
+                            number(at + "importance", 1),
+                            number(at + "lateShare", 0),
+                            kind >= 0 && kind < kinds.size() ? kinds.get(kind) : null,
+                            yes(at + "stream", false)));
         }
         List<Tenant> tenants = new ArrayList<>();
         int tenantCount = (int) number("tenants.count", 0);
@@ -70,15 +85,23 @@
                 .maxAttempts((int) number("limits.maxAttempts", 3))
                 .mayDuplicate(yes("limits.mayDuplicate", false))
                 .mayCancel(yes("limits.cancel", false))
-                // Where no report comes with its answer, a probe tells less than it costs the worker and the job.
-                .probes(yes("limits.mayProbe", false) && !text("telemetry.source", "").equals("silent"),
+                // Where no report comes with its answer, a probe tells less than it costs the
+                // worker and the job.
+                .probes(
+                        yes("limits.mayProbe", false)
+                                && !text("telemetry.source", "").equals("silent"),
                         number("fees.probe", 0))
-                // limits.retryAfter tells whether the site's clients count on a retry-after. A refused one is always
+                // limits.retryAfter tells whether the site's clients count on a retry-after. A
+                // refused one is always
                 // told when to come back: some observe it, and the others lose nothing.
                 .maxRetryAfterNs((long) number("limits.maxRetryAfterNs", 0))
                 .tellsStart(yes("specifics.tellsStart", false))
-                .cold(number("obligations.coldShare", 1), (long) number("obligations.warmWithinNs", 0))
-                .fall(number("obligations.fallMultiple", 1), (long) number("obligations.fallNs", 1e9))
+                .cold(
+                        number("obligations.coldShare", 1),
+                        (long) number("obligations.warmWithinNs", 0))
+                .fall(
+                        number("obligations.fallMultiple", 1),
+                        (long) number("obligations.fallNs", 1e9))
                 .tickNs((long) number("tickNs", 1e6))
                 .build();
     }
--- a/core/src/main/java/postgrade/shared/Answer.java
+++ b/core/src/main/java/postgrade/shared/Answer.java
@@ -9,7 +9,12 @@
 public record Answer(Status status, String text, Row fields) {
 
     /** Carried out; faulty; names something that is not there; stands against what holds now. */
-    public enum Status { DONE, FAULTY, UNKNOWN, CONFLICT }
+    public enum Status {
+        DONE,
+        FAULTY,
+        UNKNOWN,
+        CONFLICT
+    }
 
     public static Answer done(String text, Row fields) {
         return new Answer(Status.DONE, text, fields);
--- a/core/src/main/java/postgrade/shared/Machine.java
+++ b/core/src/main/java/postgrade/shared/Machine.java
@@ -9,35 +9,53 @@
 import postgrade.shared.Rows.Change;
 
 /**
- * The replicated state machine. Each replica carries out the same commands in the same order and comes to the same rows,
- * time and answers.
+ * The replicated state machine. Each replica carries out the same commands in the same order and
+ * comes to the same rows, time and answers.
  *
- * <p>A command with a request id has its effect once: the first answer is kept among the rows and told again, also by
- * another leader after this one and to whoever asks it through another process.
+ * <p>A command with a request id has its effect once: the first answer is kept among the rows and
+ * told again, also by another leader after this one and to whoever asks it through another process.
  */
 public final class Machine {
 
-    /** The part whose one command moves the log's time on. Proposed by whoever leads, by what its own clock measured. */
+    /**
+     * The part whose one command moves the log's time on. Proposed by whoever leads, by what its
+     * own clock measured.
+     */
     public static final String CLOCK = "clock";
-    /** The most that one entry moves the time on: a leader that slept says so in small steps, or not at all. */
+
+    /**
+     * The most that one entry moves the time on: a leader that slept says so in small steps, or not
+     * at all.
+     */
     public static final long MOST_ADVANCE_MICROS = 1_000_000;
+
     private static final String REQUESTS = "request";
+
     /** A call is not repeated later than this. Guards the state against growing for ever. */
     private static final long KEEP_ANSWERS_MICROS = 600_000_000;
+
     private static final int MOST_ANSWERS = 10_000;
     private static final long FORGET_EVERY_MICROS = 10_000_000;
     private static final String FIELD = "field.";
 
-    /** An answer that is kept, by when it was given; of one moment by its id, as every replica must forget the same. */
+    /**
+     * An answer that is kept, by when it was given; of one moment by its id, as every replica must
+     * forget the same.
+     */
     private record Kept(long micros, String requestId) {
-        static final Comparator<Kept> OLDEST_FIRST = Comparator.comparingLong(Kept::micros)
-                .thenComparing(Kept::requestId);
+        static final Comparator<Kept> OLDEST_FIRST =
+                Comparator.comparingLong(Kept::micros).thenComparing(Kept::requestId);
     }
 
     private final Map<String, Part> parts = new TreeMap<>();
     private Rows rows = new Rows();
-    /** Of the answers among the rows, so that what is to be forgotten is found without looking at them all. */
+
+    /**
+     * Of the answers among the rows, so that what is to be forgotten is found without looking at
+     * them all.
+     */
     private final NavigableSet<Kept> kept = new TreeSet<>(Kept.OLDEST_FIRST);
+
     private Moment at;
 
     public Machine(long era, List<Part> parts) {
@@ -71,13 +89,17 @@
         }
         Row before = c.requestId().isEmpty() ? null : rows.get(REQUESTS, c.requestId());
         if (before != null) {
-            return before.text("asked").equals(asked(c)) ? answer(before)
+            return before.text("asked").equals(asked(c))
+                    ? answer(before)
                     : Answer.conflict("requestId was used for another call");
         }
         Part part = parts.get(c.part());
         Answer answer;
         try {
-            answer = part == null ? Answer.unknown("part " + c.part() + " is not known") : part.apply(rows, at, c);
+            answer =
+                    part == null
+                            ? Answer.unknown("part " + c.part() + " is not known")
+                            : part.apply(rows, at, c);
         } catch (Row.Refused e) {
             answer = Answer.faulty(e.getMessage());
         }
@@ -96,7 +118,8 @@
         long by = Math.max(0, Math.min(MOST_ADVANCE_MICROS, c.args().whole("by", 0)));
         long before = at.micros();
         at = new Moment(at.era(), at.index(), before + by);
-        if (at.micros() / FORGET_EVERY_MICROS > before / FORGET_EVERY_MICROS || rows.count(REQUESTS) > MOST_ANSWERS) {
+        if (at.micros() / FORGET_EVERY_MICROS > before / FORGET_EVERY_MICROS
+                || rows.count(REQUESTS) > MOST_ANSWERS) {
             forgetAnswers();
         }
         parts.values().forEach(p -> p.advance(rows, at));
@@ -104,8 +127,9 @@
     }
 
     private void forgetAnswers() {
-        while (!kept.isEmpty() && (kept.size() > MOST_ANSWERS
-                || at.micros() - kept.first().micros >= KEEP_ANSWERS_MICROS)) {
+        while (!kept.isEmpty()
+                && (kept.size() > MOST_ANSWERS
+                        || at.micros() - kept.first().micros >= KEEP_ANSWERS_MICROS)) {
             rows.remove(REQUESTS, kept.pollFirst().requestId);
         }
     }
@@ -121,16 +145,19 @@
 
     private static Answer answer(Row row) {
         Map<String, String> fields = new TreeMap<>();
-        row.values().forEach((name, value) -> {
-            if (name.startsWith(FIELD)) {
-                fields.put(name.substring(FIELD.length()), value);
-            }
-        });
-        return new Answer(Answer.Status.valueOf(row.text("status")), row.text("text"), new Row(fields));
+        row.values()
+                .forEach(
+                        (name, value) -> {
+                            if (name.startsWith(FIELD)) {
+                                fields.put(name.substring(FIELD.length()), value);
+                            }
+                        });
+        return new Answer(
+                Answer.Status.valueOf(row.text("status")), row.text("text"), new Row(fields));
     }
 
     /** All there is to know, for a replica that comes later. */
-    public record Snapshot(Moment moment, List<Change> rows) { }
+    public record Snapshot(Moment moment, List<Change> rows) {}
 
     public Snapshot save() {
         return new Snapshot(at, rows.all());
--- a/core/src/main/java/postgrade/shared/Moment.java
+++ b/core/src/main/java/postgrade/shared/Moment.java
@@ -1,8 +1,8 @@
 package postgrade.shared;
 
 /**
- * A point of the log. Time here advances by the log alone: {@code micros} is the sum of what leaders have measured and
- * logged, so every replica agrees on it and a replay comes to the same.
+ * A point of the log. Time here advances by the log alone: {@code micros} is the sum of what
+ * leaders have measured and logged, so every replica agrees on it and a replay comes to the same.
  *
  * @param era counts total losses; a later era was begun by an operator's explicit step
  * @param index of the entry within the log, growing, also from one era to the next
--- a/core/src/main/java/postgrade/shared/Part.java
+++ b/core/src/main/java/postgrade/shared/Part.java
@@ -1,18 +1,24 @@
 package postgrade.shared;
 
 /**
- * One part of the replicated state, say the reservations. It keeps nothing of its own: all it knows stands in its rows,
- * so that a snapshot, a replay and a view are the same for every part. The same rows, moment and command always give the
- * same rows and answer.
+ * One part of the replicated state, say the reservations. It keeps nothing of its own: all it knows
+ * stands in its rows, so that a snapshot, a replay and a view are the same for every part. The same
+ * rows, moment and command always give the same rows and answer.
  */
 public interface Part {
 
     /** Names its rows and commands. */
     String name();
 
-    /** Carries a command out. {@link Row.Refused} becomes an answer FAULTY; it must be thrown before rows change. */
+    /**
+     * Carries a command out. {@link Row.Refused} becomes an answer FAULTY; it must be thrown before
+     * rows change.
+     */
     Answer apply(Rows rows, Moment at, Command command);
 
-    /** The log's time has gone on: what is over ends now. Called before any command is applied at that time. */
-    default void advance(Rows rows, Moment at) { }
+    /**
+     * The log's time has gone on: what is over ends now. Called before any command is applied at
+     * that time.
+     */
+    default void advance(Rows rows, Moment at) {}
 }
--- a/core/src/main/java/postgrade/shared/Rows.java
+++ b/core/src/main/java/postgrade/shared/Rows.java
@@ -9,8 +9,9 @@
 import java.util.TreeMap;
 
 /**
- * The replicated state: rows by part and key. It remembers at which index each row was last changed, and the latest
- * removals, so that a follower can be told what has changed since it last heard.
+ * The replicated state: rows by part and key. It remembers at which index each row was last
+ * changed, and the latest removals, so that a follower can be told what has changed since it last
+ * heard.
  */
 public final class Rows {
 
@@ -18,14 +19,16 @@
     private static final int MOST_REMOVALS = 4096;
 
     /** A row as it stands, or null for one that was removed. */
-    public record Change(long index, String part, String key, Row row) { }
+    public record Change(long index, String part, String key, Row row) {}
 
-    private record Held(long index, Row row) { }
+    private record Held(long index, Row row) {}
 
     private final SortedMap<String, SortedMap<String, Held>> parts = new TreeMap<>();
     private final Deque<Change> removals = new ArrayDeque<>();
+
     /** Changes before this are not told singly any more. */
     private long floor;
+
     private long index;
 
     /** All changes from now on are made by the entry of this index. */
@@ -41,7 +44,8 @@
     /** A part's rows in the order of their keys, as they are now. */
     public SortedMap<String, Row> of(String part) {
         SortedMap<String, Row> copy = new TreeMap<>();
-        parts.getOrDefault(part, Collections.emptySortedMap()).forEach((key, held) -> copy.put(key, held.row));
+        parts.getOrDefault(part, Collections.emptySortedMap())
+                .forEach((key, held) -> copy.put(key, held.row));
         return copy;
     }
 
@@ -65,31 +69,44 @@
         }
     }
 
-    /** What has changed after that index, in no order; null where that is no longer known and the whole is needed. */
+    /**
+     * What has changed after that index, in no order; null where that is no longer known and the
+     * whole is needed.
+     */
     public List<Change> since(long from) {
         if (from < floor) {
             return null;
         }
         List<Change> changes = new ArrayList<>();
-        // A key that was removed and put again stands in both: the row that is there comes later and wins.
+        // A key that was removed and put again stands in both: the row that is there comes later
+        // and wins.
         removals.stream().filter(c -> c.index > from).forEach(changes::add);
-        parts.forEach((part, rows) -> rows.forEach((key, held) -> {
-            if (held.index > from) {
-                changes.add(new Change(held.index, part, key, held.row));
-            }
-        }));
+        parts.forEach(
+                (part, rows) ->
+                        rows.forEach(
+                                (key, held) -> {
+                                    if (held.index > from) {
+                                        changes.add(new Change(held.index, part, key, held.row));
+                                    }
+                                }));
         return changes;
     }
 
     /** Everything, for a snapshot. */
     public List<Change> all() {
         List<Change> changes = new ArrayList<>();
-        parts.forEach((part, rows) -> rows.forEach((key, held) ->
-                changes.add(new Change(held.index, part, key, held.row))));
+        parts.forEach(
+                (part, rows) ->
+                        rows.forEach(
+                                (key, held) ->
+                                        changes.add(new Change(held.index, part, key, held.row))));
         return changes;
     }
 
-    /** These rows and no others, as a snapshot told them; earlier changes are no longer known singly. */
+    /**
+     * These rows and no others, as a snapshot told them; earlier changes are no longer known
+     * singly.
+     */
     public static Rows of(long index, List<Change> snapshot) {
         Rows rows = new Rows();
         rows.floor = index;
@@ -111,13 +128,15 @@
     private void take(List<Change> changes) {
         for (Change c : changes) {
             if (c.row == null) {
-                // A follower may be told of the end of what it never saw: it came and went between two pulls.
+                // A follower may be told of the end of what it never saw: it came and went between
+                // two pulls.
                 SortedMap<String, Held> held = parts.get(c.part);
                 if (held != null) {
                     held.remove(c.key);
                 }
             } else {
-                parts.computeIfAbsent(c.part, p -> new TreeMap<>()).put(c.key, new Held(c.index, c.row));
+                parts.computeIfAbsent(c.part, p -> new TreeMap<>())
+                        .put(c.key, new Held(c.index, c.row));
             }
         }
     }
--- a/core/src/main/java/postgrade/shared/View.java
+++ b/core/src/main/java/postgrade/shared/View.java
@@ -5,8 +5,9 @@
  *
  * @param moment up to which entry it tells
  * @param rows not changed any more
- * @param asOfMicros by this process's own monotonic clock: whatever the quorum had decided by then is in it. It is the time
- *     at which the pull was sent that brought it or confirmed it, never the time at which the answer came
+ * @param asOfMicros by this process's own monotonic clock: whatever the quorum had decided by then
+ *     is in it. It is the time at which the pull was sent that brought it or confirmed it, never
+ *     the time at which the answer came
  */
 public record View(Moment moment, Rows rows, long asOfMicros) {
 
--- a/core/src/main/java/postgrade/window/CalendarPart.java
+++ b/core/src/main/java/postgrade/window/CalendarPart.java
@@ -12,24 +12,29 @@
 import postgrade.shared.Rows;
 
 /**
- * The sites' calendars among the shared state. A version counts from a time of the log that lies further ahead than
- * any view that may still be used is old: whoever may start jobs knows of it by then.
+ * The sites' calendars among the shared state. A version counts from a time of the log that lies
+ * further ahead than any view that may still be used is old: whoever may start jobs knows of it by
+ * then.
  *
- * <p>The text has been checked by the process that asks; here it is kept whole. One row per site tells the versions,
- * and one per version holds the text, so that a change of version tells followers little.
+ * <p>The text has been checked by the process that asks; here it is kept whole. One row per site
+ * tells the versions, and one per version holds the text, so that a change of version tells
+ * followers little.
  */
 public final class CalendarPart implements Part {
 
     public static final String NAME = "calendar";
+
     /** No process uses a view that is older. Not a setting: replicas must not differ in it. */
     public static final long LONGEST_VIEW_MICROS = 10_000_000;
+
     /**
-     * Ahead of the log's time. Clocks run up to 2% apart each way, so a process may take its view for 4.1% younger
-     * than the log has gone on. And what the leader had measured when a view was taken may follow in two steps: one on its
-     * way, and one not told yet.
+     * Ahead of the log's time. Clocks run up to 2% apart each way, so a process may take its view
+     * for 4.1% younger than the log has gone on. And what the leader had measured when a view was
+     * taken may follow in two steps: one on its way, and one not told yet.
      */
     public static final long LEAST_AHEAD_MICROS =
             LONGEST_VIEW_MICROS + LONGEST_VIEW_MICROS / 20 + 2 * Machine.MOST_ADVANCE_MICROS;
+
     public static final long MOST_AHEAD_MICROS = 366L * 86_400_000_000L;
     public static final int MOST_TEXT_BYTES = 256 * 1024;
     public static final int MOST_SITES = 200;
@@ -63,14 +68,19 @@
         if (bytes > MOST_TEXT_BYTES) {
             throw new Refused("text", "must be at most " + MOST_TEXT_BYTES + " bytes long");
         }
-        long ahead = args.has("inMicros") ? args.whole("inMicros", LEAST_AHEAD_MICROS, MOST_AHEAD_MICROS)
-                : LEAST_AHEAD_MICROS;
+        long ahead =
+                args.has("inMicros")
+                        ? args.whole("inMicros", LEAST_AHEAD_MICROS, MOST_AHEAD_MICROS)
+                        : LEAST_AHEAD_MICROS;
         Row known = rows.get(NAME, SITE + site);
         Row before = known == null ? Row.EMPTY : known;
         String latest = before.text("next", before.text("current", ""));
         if (args.has("expects") && !args.text("expects").equals(latest)) {
-            return Answer.conflict("expects names another version than the latest of " + site + ", which is "
-                    + (latest.isEmpty() ? "none" : latest));
+            return Answer.conflict(
+                    "expects names another version than the latest of "
+                            + site
+                            + ", which is "
+                            + (latest.isEmpty() ? "none" : latest));
         }
         if (known == null && sites(rows) >= MOST_SITES) {
             return Answer.conflict("site " + site + " would be more than " + MOST_SITES);
@@ -82,14 +92,27 @@
         before = withoutNext(rows, site, before);
         String version = Long.toString(at.fence());
         long counts = at.micros() + ahead;
-        rows.put(NAME, TEXT + site + ":" + version, Row.of("zone", zone, "text", text, "bytes", bytes));
+        rows.put(
+                NAME,
+                TEXT + site + ":" + version,
+                Row.of("zone", zone, "text", text, "bytes", bytes));
         rows.put(NAME, SITE + site, before.with("next", version, "countsFrom", counts));
-        return Answer.done("version " + version + " of " + site + " counts in " + ahead / 1000 + " ms",
-                Row.of("version", version, "countsFrom", counts, "inMicros", ahead, "replaces", latest));
+        return Answer.done(
+                "version " + version + " of " + site + " counts in " + ahead / 1000 + " ms",
+                Row.of(
+                        "version",
+                        version,
+                        "countsFrom",
+                        counts,
+                        "inMicros",
+                        ahead,
+                        "replaces",
+                        latest));
     }
 
     /**
-     * At once: where a site has no calendar nothing that needs a window starts, which no process has to know in time.
+     * At once: where a site has no calendar nothing that needs a window starts, which no process
+     * has to know in time.
      */
     private static Answer drop(Rows rows, String site) {
         Row known = rows.get(NAME, SITE + site);
@@ -116,7 +139,9 @@
     public void advance(Rows rows, Moment at) {
         for (Map.Entry<String, Row> e : rows.of(NAME).entrySet()) {
             Row row = e.getValue();
-            if (e.getKey().startsWith(SITE) && row.has("next") && row.whole("countsFrom") <= at.micros()) {
+            if (e.getKey().startsWith(SITE)
+                    && row.has("next")
+                    && row.whole("countsFrom") <= at.micros()) {
                 promote(rows, e.getKey().substring(SITE.length()), row);
             }
         }
@@ -132,7 +157,8 @@
     private static String site(Row args) {
         String site = args.text("site");
         if (!site.matches("[A-Za-z0-9._-]{1,64}")) {
-            throw new Refused("site", "must be 1 to 64 letters, digits, dots, dashes or underscores");
+            throw new Refused(
+                    "site", "must be 1 to 64 letters, digits, dots, dashes or underscores");
         }
         return site;
     }
--- a/core/src/main/java/postgrade/window/Calendars.java
+++ b/core/src/main/java/postgrade/window/Calendars.java
@@ -8,10 +8,10 @@
     SiteCalendar of(String site);
 
     /**
-     * It is this time, by the process's monotonic clock: what is known may have become too old since it was last
-     * told.
+     * It is this time, by the process's monotonic clock: what is known may have become too old
+     * since it was last told.
      */
-    default void at(long nowMicros) { }
+    default void at(long nowMicros) {}
 
     /** Why it is not known. */
     default String why(String site) {
--- a/core/src/main/java/postgrade/window/Deadline.java
+++ b/core/src/main/java/postgrade/window/Deadline.java
@@ -3,10 +3,16 @@
 import java.time.LocalTime;
 import java.time.zone.ZoneRules;
 
-/** By when a job must have ended: an instant, or the next time clocks somewhere come to a time of day. */
+/**
+ * By when a job must have ended: an instant, or the next time clocks somewhere come to a time of
+ * day.
+ */
 public sealed interface Deadline {
 
-    /** Fixed when the job comes, with its earliest start, else a daily deadline would move on as it passes. */
+    /**
+     * Fixed when the job comes, with its earliest start, else a daily deadline would move on as it
+     * passes.
+     */
     long millis(long earliest);
 
     Deadline NONE = new At(Long.MAX_VALUE);
--- a/core/src/main/java/postgrade/window/Event.java
+++ b/core/src/main/java/postgrade/window/Event.java
@@ -6,13 +6,19 @@
 import java.util.Set;
 
 /**
- * One maintenance of a calendar, as plain figures: where it begins, how long it lasts, how it recurs. An instance
- * that was moved is left out here and stands as an event of its own.
+ * One maintenance of a calendar, as plain figures: where it begins, how long it lasts, how it
+ * recurs. An instance that was moved is left out here and stands as an event of its own.
  *
  * @param without instants at which no instance begins
  * @param line of the calendar at which it begins, for faults and reasons
  */
-public record Event(String title, int line, When start, Length length, List<Recurrence> rules, List<Extra> extras,
+public record Event(
+        String title,
+        int line,
+        When start,
+        Length length,
+        List<Recurrence> rules,
+        List<Extra> extras,
         Set<Long> without) {
 
     /** A local time in its zone; floating times have been given their site's. */
@@ -23,9 +29,11 @@
     }
 
     /** A further instance. */
-    public record Extra(When start, Length length, int line) { }
+    public record Extra(When start, Length length, int line) {}
 
-    /** Whole days by the calendar, then an exact time: one day may last 23 hours, 24 hours never do. */
+    /**
+     * Whole days by the calendar, then an exact time: one day may last 23 hours, 24 hours never do.
+     */
     public record Length(int days, long millis) {
 
         public static final int MOST_DAYS = 3_660;
@@ -39,8 +47,10 @@
         }
 
         long end(When start) {
-            long from = days == 0 ? start.millis()
-                    : LocalTimes.millis(start.local().plusDays(days), start.zone());
+            long from =
+                    days == 0
+                            ? start.millis()
+                            : LocalTimes.millis(start.local().plusDays(days), start.zone());
             return Math.max(start.millis(), from + millis);
         }
     }
--- a/core/src/main/java/postgrade/window/Expansion.java
+++ b/core/src/main/java/postgrade/window/Expansion.java
@@ -22,10 +22,11 @@
     private final long to;
     private final Steps steps;
     private final Sink sink;
+
     /** Two rules may name the same instance. */
     private final Set<Span> seen = new HashSet<>();
 
-    private record Span(long from, long to) { }
+    private record Span(long from, long to) {}
 
     private Expansion(Event event, long from, long to, Steps steps, Sink sink) {
         this.event = event;
@@ -50,18 +51,27 @@
         When first = event.start();
         LocalDateTime begin = rule.firstPeriod(first.local());
         Period period = new Period(rule, first.local());
-        // Local times grow, their instants need not: one that a gap puts on may lie after the next. So a little
+        // Local times grow, their instants need not: one that a gap puts on may lie after the next.
+        // So a little
         // further.
-        LocalDateTime last = LocalTimes.local(Math.min(to, rule.untilMillis()), first.zone()).plusDays(ZONE_DAYS);
+        LocalDateTime last =
+                LocalTimes.local(Math.min(to, rule.untilMillis()), first.zone())
+                        .plusDays(ZONE_DAYS);
         long index = 0;
         if (rule.count() == 0) {
-            long lasts = event.length().days() + event.length().millis() / 86_400_000 + ZONE_DAYS + 1;
+            long lasts =
+                    event.length().days() + event.length().millis() / 86_400_000 + ZONE_DAYS + 1;
             // One period earlier: the one before may end within.
-            index = Math.max(0, rule.periodsUpTo(begin,
-                    LocalTimes.local(from, first.zone()).minusDays(lasts)) - 1);
+            index =
+                    Math.max(
+                            0,
+                            rule.periodsUpTo(
+                                            begin,
+                                            LocalTimes.local(from, first.zone()).minusDays(lasts))
+                                    - 1);
         }
         int left = rule.count() == 0 ? Integer.MAX_VALUE : rule.count() - 1;
-        for (;; index++) {
+        for (; ; index++) {
             LocalDateTime at = rule.period(begin, index);
             if (at.isAfter(last)) {
                 return;
--- a/core/src/main/java/postgrade/window/Intervals.java
+++ b/core/src/main/java/postgrade/window/Intervals.java
@@ -2,7 +2,10 @@
 
 import java.util.Arrays;
 
-/** Stretches of time, half-open, in milliseconds since 1970; sorted, none empty, none touching the next. Immutable. */
+/**
+ * Stretches of time, half-open, in milliseconds since 1970; sorted, none empty, none touching the
+ * next. Immutable.
+ */
 public final class Intervals {
 
     public static final Intervals NONE = new Intervals(new long[0], new long[0], 0);
@@ -57,7 +60,9 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Intervals o && Arrays.equals(from, o.from) && Arrays.equals(to, o.to);
+        return other instanceof Intervals o
+                && Arrays.equals(from, o.from)
+                && Arrays.equals(to, o.to);
     }
 
     @Override
@@ -103,7 +108,10 @@
             return size == 0 ? NONE : new Intervals(from, to, size);
         }
 
-        /** What any of them covers. Begins and ends may be sorted apart: only how many are open matters. */
+        /**
+         * What any of them covers. Begins and ends may be sorted apart: only how many are open
+         * matters.
+         */
         public Intervals union() {
             long[] begins = Arrays.copyOf(from, size);
             long[] ends = Arrays.copyOf(to, size);
--- a/core/src/main/java/postgrade/window/KnownCalendars.java
+++ b/core/src/main/java/postgrade/window/KnownCalendars.java
@@ -11,18 +11,20 @@
 import postgrade.shared.View;
 
 /**
- * The calendars as one process knows them by its view. Once it hears of a version that will count, it keeps the
- * former and that one both, until its view says that the former no longer counts; so it need not know when just that
- * is, and a site is closed by the version in force whichever that is.
+ * The calendars as one process knows them by its view. Once it hears of a version that will count,
+ * it keeps the former and that one both, until its view says that the former no longer counts; so
+ * it need not know when just that is, and a site is closed by the version in force whichever that
+ * is.
  *
- * <p>Texts are worked out by whoever asks {@link #wanted}, off the loop. All methods are called on the loop.
+ * <p>Texts are worked out by whoever asks {@link #wanted}, off the loop. All methods are called on
+ * the loop.
  */
 public final class KnownCalendars implements Calendars {
 
     /** A text to be worked out. */
-    public record Wanted(String site, String version, String zone, String text) { }
+    public record Wanted(String site, String version, String zone, String text) {}
 
-    private record Versions(String current, String next) { }
+    private record Versions(String current, String next) {}
 
     private final long mostViewAgeMicros;
     private View view = View.NONE;
@@ -30,14 +32,19 @@
     private Map<String, Versions> sites = Map.of();
     private final Map<String, SiteCalendar> workedOut = new HashMap<>();
     private final Map<String, String> unreadable = new HashMap<>();
+
     /** What is in force by site; without those that are not worked out yet. */
     private final Map<String, SiteCalendar> inForce = new HashMap<>();
 
-    /** @param mostViewAgeMicros with an older view nothing that needs a window starts */
+    /**
+     * @param mostViewAgeMicros with an older view nothing that needs a window starts
+     */
     public KnownCalendars(long mostViewAgeMicros) {
         if (mostViewAgeMicros <= 0 || mostViewAgeMicros > CalendarPart.LONGEST_VIEW_MICROS) {
-            throw new IllegalArgumentException("the view's age must lie between 1 and "
-                    + CalendarPart.LONGEST_VIEW_MICROS + " us");
+            throw new IllegalArgumentException(
+                    "the view's age must lie between 1 and "
+                            + CalendarPart.LONGEST_VIEW_MICROS
+                            + " us");
         }
         this.mostViewAgeMicros = mostViewAgeMicros;
     }
@@ -55,7 +62,8 @@
     }
 
     /**
-     * A process that was stopped goes on with a decision before it hears of its view: that too must find it too old.
+     * A process that was stopped goes on with a decision before it hears of its view: that too must
+     * find it too old.
      */
     @Override
     public void at(long now) {
@@ -65,15 +73,20 @@
     private void read() {
         Map<String, Versions> latest = new HashMap<>();
         Set<String> held = new HashSet<>();
-        view.rows().of(CalendarPart.NAME).forEach((key, row) -> {
-            if (key.startsWith(CalendarPart.SITE)) {
-                String site = key.substring(CalendarPart.SITE.length());
-                Versions v = new Versions(row.text("current", null), row.text("next", null));
-                latest.put(site, v);
-                held.add(site + ":" + v.current);
-                held.add(site + ":" + v.next);
-            }
-        });
+        view.rows()
+                .of(CalendarPart.NAME)
+                .forEach(
+                        (key, row) -> {
+                            if (key.startsWith(CalendarPart.SITE)) {
+                                String site = key.substring(CalendarPart.SITE.length());
+                                Versions v =
+                                        new Versions(
+                                                row.text("current", null), row.text("next", null));
+                                latest.put(site, v);
+                                held.add(site + ":" + v.current);
+                                held.add(site + ":" + v.next);
+                            }
+                        });
         if (!latest.equals(sites)) {
             sites = latest;
             workedOut.keySet().retainAll(held);
@@ -111,20 +124,25 @@
         return view.ageMicros(nowMicros);
     }
 
-    /** Texts to be worked out: those that are new, and those worked out for less than half the horizon from now on. */
+    /**
+     * Texts to be worked out: those that are new, and those worked out for less than half the
+     * horizon from now on.
+     */
     public List<Wanted> wanted(long nowMillis, long horizon) {
         List<Wanted> all = new ArrayList<>();
-        sites.forEach((site, v) -> {
-            for (String version : new String[] {v.current, v.next}) {
-                String key = site + ":" + version;
-                SiteCalendar known = workedOut.get(key);
-                if (version != null && !unreadable.containsKey(key)
-                        && (known == null || known.knownTo() - nowMillis < horizon / 2)) {
-                    Row row = view.rows().get(CalendarPart.NAME, CalendarPart.TEXT + key);
-                    all.add(new Wanted(site, version, row.text("zone"), row.text("text")));
-                }
-            }
-        });
+        sites.forEach(
+                (site, v) -> {
+                    for (String version : new String[] {v.current, v.next}) {
+                        String key = site + ":" + version;
+                        SiteCalendar known = workedOut.get(key);
+                        if (version != null
+                                && !unreadable.containsKey(key)
+                                && (known == null || known.knownTo() - nowMillis < horizon / 2)) {
+                            Row row = view.rows().get(CalendarPart.NAME, CalendarPart.TEXT + key);
+                            all.add(new Wanted(site, version, row.text("zone"), row.text("text")));
+                        }
+                    }
+                });
         return all;
     }
 
@@ -133,7 +151,10 @@
         keep(calendar.site(), calendar.version(), calendar, null);
     }
 
-    /** One wanted cannot be read here, say since this machine does not know its zone. Its site stays unknown. */
+    /**
+     * One wanted cannot be read here, say since this machine does not know its zone. Its site stays
+     * unknown.
+     */
     public void unreadable(Wanted wanted, String why) {
         keep(wanted.site, wanted.version, null, why);
     }
@@ -154,21 +175,31 @@
 
     @Override
     public SiteCalendar of(String site) {
-        // A site without a calendar is unknown, not open: after all state is lost nothing may start inside maintenance.
+        // A site without a calendar is unknown, not open: after all state is lost nothing may start
+        // inside maintenance.
         return fresh() ? inForce.get(site) : null;
     }
 
     @Override
     public String why(String site) {
         if (!fresh()) {
-            return view.known() ? "the view of the calendars is " + viewAgeMicros() / 1000 + " ms old, at most "
-                    + mostViewAgeMicros / 1000 + " may be" : "no view of the calendars has come yet";
+            return view.known()
+                    ? "the view of the calendars is "
+                            + viewAgeMicros() / 1000
+                            + " ms old, at most "
+                            + mostViewAgeMicros / 1000
+                            + " may be"
+                    : "no view of the calendars has come yet";
         }
         Versions v = sites.get(site);
         if (v == null) {
             return "it has no calendar; one that is never closed needs an empty one";
         }
-        String fault = unreadable.getOrDefault(site + ":" + v.current, unreadable.get(site + ":" + v.next));
-        return fault == null ? "its calendar is being read" : "its calendar cannot be read here: " + fault;
+        String fault =
+                unreadable.getOrDefault(
+                        site + ":" + v.current, unreadable.get(site + ":" + v.next));
+        return fault == null
+                ? "its calendar is being read"
+                : "its calendar cannot be read here: " + fault;
     }
 }
--- a/core/src/main/java/postgrade/window/LearntLengths.java
+++ b/core/src/main/java/postgrade/window/LearntLengths.java
@@ -4,8 +4,9 @@
 import java.util.Map;
 
 /**
- * How long jobs of a class have taken: counts by length in steps of an eighth, halved as they grow, so that what was
- * long ago fades. A quantile is the upper end of its step, hence never too short by rounding.
+ * How long jobs of a class have taken: counts by length in steps of an eighth, halved as they grow,
+ * so that what was long ago fades. A quantile is the upper end of its step, hence never too short
+ * by rounding.
  */
 public final class LearntLengths {
 
@@ -51,7 +52,8 @@
             return (int) millis;
         }
         int doublings = 63 - Long.numberOfLeadingZeros(millis) - 3;
-        return Math.min(BUCKETS - 1, (doublings + 1) * STEPS + (int) (millis >>> doublings) - STEPS);
+        return Math.min(
+                BUCKETS - 1, (doublings + 1) * STEPS + (int) (millis >>> doublings) - STEPS);
     }
 
     private static long upper(int bucket) {
--- a/core/src/main/java/postgrade/window/LocalTimes.java
+++ b/core/src/main/java/postgrade/window/LocalTimes.java
@@ -8,12 +8,13 @@
 import java.time.zone.ZoneRules;
 
 /**
- * From clocks on walls to instants, by one rule throughout: a local time that happens twice means the first, one that
- * a gap leaves out is read by the offset before the gap (so it comes as much later as the clocks were put on).
+ * From clocks on walls to instants, by one rule throughout: a local time that happens twice means
+ * the first, one that a gap leaves out is read by the offset before the gap (so it comes as much
+ * later as the clocks were put on).
  */
 public final class LocalTimes {
 
-    private LocalTimes() { }
+    private LocalTimes() {}
 
     public static long millis(LocalDateTime local, ZoneRules zone) {
         ZoneOffsetTransition change = zone.isFixedOffset() ? null : zone.getTransition(local);
@@ -24,14 +25,16 @@
 
     public static LocalDateTime local(long millis, ZoneRules zone) {
         java.time.Instant instant = java.time.Instant.ofEpochMilli(millis);
-        return LocalDateTime.ofEpochSecond(instant.getEpochSecond(), instant.getNano(), zone.getOffset(instant));
+        return LocalDateTime.ofEpochSecond(
+                instant.getEpochSecond(), instant.getNano(), zone.getOffset(instant));
     }
 
     /** The first time, not before the given one, at which clocks there come to this time of day. */
     public static long next(LocalTime time, ZoneRules zone, long notBefore) {
         LocalDate day = local(notBefore, zone).toLocalDate();
         long best = Long.MAX_VALUE;
-        // The day before matters where a gap pushes its time past midnight; days after where a whole day is left out.
+        // The day before matters where a gap pushes its time past midnight; days after where a
+        // whole day is left out.
         for (int i = -2; i <= 3; i++) {
             long at = millis(day.plusDays(i).atTime(time), zone);
             if (at >= notBefore && at < best) {
--- a/core/src/main/java/postgrade/window/Period.java
+++ b/core/src/main/java/postgrade/window/Period.java
@@ -12,7 +12,8 @@
 import postgrade.window.Recurrence.Every;
 
 /**
- * One period of a rule: the local times it names there, in order. What the rule leaves open is taken from the first.
+ * One period of a rule: the local times it names there, in order. What the rule leaves open is
+ * taken from the first.
  */
 final class Period {
 
@@ -26,15 +27,26 @@
     Period(Recurrence rule, LocalDateTime first) {
         this.rule = rule;
         weekFields = WeekFields.of(rule.weekStart(), 4);
-        boolean dayLeftOpen = rule.weeks().length == 0 && rule.yearDays().length == 0 && rule.monthDays().length == 0
-                && rule.days().isEmpty();
+        boolean dayLeftOpen =
+                rule.weeks().length == 0
+                        && rule.yearDays().length == 0
+                        && rule.monthDays().length == 0
+                        && rule.days().isEmpty();
         boolean yearly = rule.every() == Every.YEAR;
-        months = dayLeftOpen && yearly && rule.months().length == 0 ? new int[] {first.getMonthValue()} : rule.months();
-        monthDays = dayLeftOpen && (yearly || rule.every() == Every.MONTH) ? new int[] {first.getDayOfMonth()}
-                : rule.monthDays();
-        boolean weekdayLeftOpen = dayLeftOpen && rule.every() == Every.WEEK
-                || rule.weeks().length > 0 && rule.days().isEmpty() && rule.yearDays().length == 0
-                && rule.monthDays().length == 0;
+        months =
+                dayLeftOpen && yearly && rule.months().length == 0
+                        ? new int[] {first.getMonthValue()}
+                        : rule.months();
+        monthDays =
+                dayLeftOpen && (yearly || rule.every() == Every.MONTH)
+                        ? new int[] {first.getDayOfMonth()}
+                        : rule.monthDays();
+        boolean weekdayLeftOpen =
+                dayLeftOpen && rule.every() == Every.WEEK
+                        || rule.weeks().length > 0
+                                && rule.days().isEmpty()
+                                && rule.yearDays().length == 0
+                                && rule.monthDays().length == 0;
         days = weekdayLeftOpen ? List.of(new Day(0, first.getDayOfWeek())) : rule.days();
         times = rule.every().compareTo(Every.DAY) >= 0 ? timesOfDay(first) : List.of();
     }
@@ -55,7 +67,9 @@
         return given.length > 0 ? given : new int[] {otherwise};
     }
 
-    /** @param first where minutes and seconds come from in rules by the hour or minute */
+    /**
+     * @param first where minutes and seconds come from in rules by the hour or minute
+     */
     List<LocalDateTime> times(LocalDateTime begin, LocalDateTime first, Steps steps) {
         List<LocalDateTime> all = new ArrayList<>();
         switch (rule.every()) {
@@ -68,7 +82,8 @@
         return rule.positions().length == 0 ? all : positions(all);
     }
 
-    private void days(LocalDateTime begin, LocalDateTime end, Steps steps, List<LocalDateTime> all) {
+    private void days(
+            LocalDateTime begin, LocalDateTime end, Steps steps, List<LocalDateTime> all) {
         LocalDate last = end.toLocalDate();
         for (LocalDate day = begin.toLocalDate(); day.isBefore(last); day = day.plusDays(1)) {
             steps.take(1);
@@ -84,7 +99,8 @@
         }
     }
 
-    private void within(LocalDateTime begin, LocalDateTime first, Steps steps, List<LocalDateTime> all) {
+    private void within(
+            LocalDateTime begin, LocalDateTime first, Steps steps, List<LocalDateTime> all) {
         steps.take(1);
         if (!named(begin.toLocalDate()) || !any(rule.hours(), begin.getHour())) {
             return;
@@ -117,8 +133,11 @@
         return any(months, day.getMonthValue())
                 && anyFromEnd(monthDays, day.getDayOfMonth(), day.lengthOfMonth())
                 && anyFromEnd(rule.yearDays(), day.getDayOfYear(), day.lengthOfYear())
-                && (rule.weeks().length == 0 || anyFromEnd(rule.weeks(), day.get(weekFields.weekOfWeekBasedYear()),
-                        (int) day.range(weekFields.weekOfWeekBasedYear()).getMaximum()))
+                && (rule.weeks().length == 0
+                        || anyFromEnd(
+                                rule.weeks(),
+                                day.get(weekFields.weekOfWeekBasedYear()),
+                                (int) day.range(weekFields.weekOfWeekBasedYear()).getMaximum()))
                 && (days.isEmpty() || namedDay(day));
     }
 
@@ -128,8 +147,10 @@
         int position = ofYear ? date.getDayOfYear() : date.getDayOfMonth();
         int length = ofYear ? date.lengthOfYear() : date.lengthOfMonth();
         for (Day d : days) {
-            if (d.day() == weekday && (d.nth() == 0 || d.nth() == (position - 1) / 7 + 1
-                    || d.nth() == -((length - position) / 7 + 1))) {
+            if (d.day() == weekday
+                    && (d.nth() == 0
+                            || d.nth() == (position - 1) / 7 + 1
+                            || d.nth() == -((length - position) / 7 + 1))) {
                 return true;
             }
         }
--- a/core/src/main/java/postgrade/window/Plan.java
+++ b/core/src/main/java/postgrade/window/Plan.java
@@ -14,6 +14,7 @@
 
     /** Guards sums of times against running over. */
     public static final long LONGEST = 3_660L * 86_400_000;
+
     private static final long FARTHEST = 400_000_000_000_000L;
 
     public Plan {
@@ -33,7 +34,10 @@
         }
     }
 
-    /** The first time at which it would end too late; half-open, so it may start at the millisecond before. */
+    /**
+     * The first time at which it would end too late; half-open, so it may start at the millisecond
+     * before.
+     */
     long startsEnd() {
         return deadline == Long.MAX_VALUE ? Long.MAX_VALUE / 4 : deadline - lasts + 1;
     }
--- a/core/src/main/java/postgrade/window/SiteCalendar.java
+++ b/core/src/main/java/postgrade/window/SiteCalendar.java
@@ -5,8 +5,9 @@
 import java.util.List;
 
 /**
- * A version of a site's maintenance calendar, worked out over a horizon: sorted arrays, asked by binary search.
- * Making it takes milliseconds, so it is made where calendars are loaded and not where jobs are decided. Immutable.
+ * A version of a site's maintenance calendar, worked out over a horizon: sorted arrays, asked by
+ * binary search. Making it takes milliseconds, so it is made where calendars are loaded and not
+ * where jobs are decided. Immutable.
  */
 public final class SiteCalendar {
 
@@ -15,14 +16,20 @@
     private final long from;
     private final long to;
     private final Intervals closed;
-    /** All spans by their begin; those of the i-th closed stretch begin at its place in {@code groups}. */
+
+    /**
+     * All spans by their begin; those of the i-th closed stretch begin at its place in {@code
+     * groups}.
+     */
     private final long[] spanFrom;
+
     private final long[] spanTo;
     private final int[] spanEvent;
     private final int[] groups;
     private final List<Event> events;
 
-    private SiteCalendar(String site, String version, long from, long to, List<Event> events, Spans spans) {
+    private SiteCalendar(
+            String site, String version, long from, long to, List<Event> events, Spans spans) {
         this.site = site;
         this.version = version;
         this.from = from;
@@ -53,24 +60,27 @@
      *
      * @throws FaultyCalendar where that takes too much
      */
-    public static SiteCalendar compile(String site, String version, List<Event> events, long from, long to) {
+    public static SiteCalendar compile(
+            String site, String version, List<Event> events, long from, long to) {
         return compile(site, version, events, from, to, new Steps());
     }
 
     /** The same, with bounds on the work that others share. */
-    public static SiteCalendar compile(String site, String version, List<Event> events, long from, long to,
-            Steps steps) {
+    public static SiteCalendar compile(
+            String site, String version, List<Event> events, long from, long to, Steps steps) {
         Spans spans = new Spans();
         for (int i = 0; i < events.size(); i++) {
             int event = i;
-            Expansion.of(events.get(i), from, to, steps, (begin, end) -> spans.add(begin, end, event));
+            Expansion.of(
+                    events.get(i), from, to, steps, (begin, end) -> spans.add(begin, end, event));
         }
         return new SiteCalendar(site, version, from, to, events, spans);
     }
 
     /** A site that is never closed. */
     public static SiteCalendar open(String site) {
-        return new SiteCalendar(site, "", Long.MIN_VALUE / 4, Long.MAX_VALUE / 4, List.of(), new Spans());
+        return new SiteCalendar(
+                site, "", Long.MIN_VALUE / 4, Long.MAX_VALUE / 4, List.of(), new Spans());
     }
 
     /** Closed where either is; known where both are. */
@@ -84,8 +94,13 @@
         }
         List<Event> all = new ArrayList<>(events);
         all.addAll(other.events);
-        return new SiteCalendar(site, version + "+" + other.version, Math.max(from, other.from), Math.min(to, other.to),
-                all, both);
+        return new SiteCalendar(
+                site,
+                version + "+" + other.version,
+                Math.max(from, other.from),
+                Math.min(to, other.to),
+                all,
+                both);
     }
 
     public String site() {
@@ -119,7 +134,10 @@
             if (!named.get(spanEvent[s])) {
                 named.set(spanEvent[s]);
                 Event event = events.get(spanEvent[s]);
-                text.append(text.length() == 0 ? "" : ", ").append(event.title()).append(" (line ").append(event.line())
+                text.append(text.length() == 0 ? "" : ", ")
+                        .append(event.title())
+                        .append(" (line ")
+                        .append(event.line())
                         .append(')');
             }
         }
--- a/core/src/main/java/postgrade/window/SiteStarts.java
+++ b/core/src/main/java/postgrade/window/SiteStarts.java
@@ -5,9 +5,9 @@
 import postgrade.window.Exclusion.Reason;
 
 /**
- * When a job may start at a site. It may while it neither overlaps maintenance nor starts in it, with maintenance
- * made longer by the clock's error at both ends: {@code start + lasts <= begin - error} or {@code start >= end +
- * error}.
+ * When a job may start at a site. It may while it neither overlaps maintenance nor starts in it,
+ * with maintenance made longer by the clock's error at both ends: {@code start + lasts <= begin -
+ * error} or {@code start >= end + error}.
  */
 public final class SiteStarts {
 
@@ -39,7 +39,8 @@
     }
 
     /**
-     * From here on a start is excluded by maintenance that begins then. A job that takes no time may end in a begin.
+     * From here on a start is excluded by maintenance that begins then. A job that takes no time
+     * may end in a begin.
      */
     private long lastStart(long closes) {
         return closes - error - Math.max(0, plan.lasts() - 1);
@@ -85,18 +86,35 @@
         return starts;
     }
 
-    /** Why not at other times, from the earliest start or now to the deadline, in order of their begins. */
+    /**
+     * Why not at other times, from the earliest start or now to the deadline, in order of their
+     * begins.
+     */
     public List<Exclusion> exclusions() {
         List<Exclusion> all = new ArrayList<>();
         String site = site();
         long from = Math.max(plan.earliest(), now);
-        long to = plan.deadline() == Long.MAX_VALUE ? Long.MAX_VALUE / 4 : Math.max(from, plan.deadline() + 1);
+        long to =
+                plan.deadline() == Long.MAX_VALUE
+                        ? Long.MAX_VALUE / 4
+                        : Math.max(from, plan.deadline() + 1);
         if (now < plan.earliest()) {
-            all.add(new Exclusion(now, plan.earliest(), null, Reason.TOO_EARLY, "before its earliest start"));
+            all.add(
+                    new Exclusion(
+                            now,
+                            plan.earliest(),
+                            null,
+                            Reason.TOO_EARLY,
+                            "before its earliest start"));
         }
         if (from < begin()) {
-            all.add(new Exclusion(from, Math.min(to, begin()), site, Reason.BEYOND_HORIZON,
-                    "before what is worked out"));
+            all.add(
+                    new Exclusion(
+                            from,
+                            Math.min(to, begin()),
+                            site,
+                            Reason.BEYOND_HORIZON,
+                            "before what is worked out"));
         }
         Intervals closed = calendar.closed();
         for (int i = closed.endingAfter(begin() - error); i < closed.size(); i++) {
@@ -109,12 +127,22 @@
         }
         long known = Math.max(from, calendar.knownTo() - error - plan.lasts() + 1);
         if (known < Math.min(to, plan.startsEnd())) {
-            all.add(new Exclusion(known, Math.min(to, plan.startsEnd()), site, Reason.BEYOND_HORIZON,
-                    "after what is worked out"));
+            all.add(
+                    new Exclusion(
+                            known,
+                            Math.min(to, plan.startsEnd()),
+                            site,
+                            Reason.BEYOND_HORIZON,
+                            "after what is worked out"));
         }
         if (Math.max(from, plan.startsEnd()) < to) {
-            all.add(new Exclusion(Math.max(from, plan.startsEnd()), to, null, Reason.TOO_LATE,
-                    "would end after its deadline"));
+            all.add(
+                    new Exclusion(
+                            Math.max(from, plan.startsEnd()),
+                            to,
+                            null,
+                            Reason.TOO_LATE,
+                            "would end after its deadline"));
         }
         return all;
     }
--- a/core/src/main/java/postgrade/window/Spread.java
+++ b/core/src/main/java/postgrade/window/Spread.java
@@ -5,13 +5,14 @@
 
     /** The later half is left for those who come late or are refused again. */
     private static final double PART = 0.5;
+
     private static final long MOST_MILLIS = 600_000;
 
-    private Spread() { }
+    private Spread() {}
 
     /**
-     * In how many milliseconds to come again. The same id is told the same place within an opening, so asking often
-     * gains nothing.
+     * In how many milliseconds to come again. The same id is told the same place within an opening,
+     * so asking often gains nothing.
      *
      * @param opensIn until it opens
      * @param length how long it stays open
--- a/core/src/main/java/postgrade/window/Steps.java
+++ b/core/src/main/java/postgrade/window/Steps.java
@@ -1,6 +1,8 @@
 package postgrade.window;
 
-/** How much work a calendar may make, so that a faulty one costs milliseconds and not the process. */
+/**
+ * How much work a calendar may make, so that a faulty one costs milliseconds and not the process.
+ */
 public final class Steps {
 
     public static final int MOST_STEPS = 5_000_000;
@@ -22,16 +24,23 @@
         left -= steps;
         leftOfRule -= steps;
         if (leftOfRule < 0) {
-            throw new FaultyCalendar(line, "RRULE", "takes more than " + MOST_STEPS_OF_A_RULE + " steps to work out");
+            throw new FaultyCalendar(
+                    line,
+                    "RRULE",
+                    "takes more than " + MOST_STEPS_OF_A_RULE + " steps to work out");
         }
         if (left < 0) {
-            throw new FaultyCalendar(line, "RRULE", "brings the calendar over " + MOST_STEPS + " steps to work out");
+            throw new FaultyCalendar(
+                    line, "RRULE", "brings the calendar over " + MOST_STEPS + " steps to work out");
         }
     }
 
     void occurrence(int ofLine, String property) {
         if (--occurrences < 0) {
-            throw new FaultyCalendar(ofLine, property, "brings the calendar over " + MOST_OCCURRENCES + " occurrences");
+            throw new FaultyCalendar(
+                    ofLine,
+                    property,
+                    "brings the calendar over " + MOST_OCCURRENCES + " occurrences");
         }
     }
 }
--- a/core/src/main/java/postgrade/window/WindowAbility.java
+++ b/core/src/main/java/postgrade/window/WindowAbility.java
@@ -1,17 +1,17 @@
 package postgrade.window;
 
+import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.HashMap;
 import postgrade.Ability;
 import postgrade.Dispatcher.Job;
 import postgrade.Dispatcher.Worker;
 
 /**
- * Start windows before the module's decisions: a job outside its windows is refused at once and told when to come
- * again; a worker whose site closes before the job would end is not able for it. Classes without windows pass
- * untouched.
+ * Start windows before the module's decisions: a job outside its windows is refused at once and
+ * told when to come again; a worker whose site closes before the job would end is not able for it.
+ * Classes without windows pass untouched.
  */
 public final class WindowAbility implements Ability {
 
@@ -30,8 +30,10 @@
 
     private static final int MOST_PLANS = 20_000;
     private static final long MILLI = 1_000_000;
+
     /** With no opening in sight, and while the calendars are not known here. */
     private static final long NO_OPENING_MILLIS = 3_600_000;
+
     private static final long UNKNOWN_MILLIS = 1_000;
     private static final long UNKNOWN_SPREAD_MILLIS = 8_000;
 
@@ -41,20 +43,31 @@
     private final LearntLengths lengths;
     private final long clockErrorMillis;
     private final long seed;
-    /** A job's plan is fixed when it comes: a daily deadline must not move on while it is held or sent again. */
-    private final Map<String, Plan> plans = new LinkedHashMap<>() {
-        private static final long serialVersionUID = 1L;
 
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Plan> eldest) {
-            return size() > MOST_PLANS;
-        }
-    };
+    /**
+     * A job's plan is fixed when it comes: a daily deadline must not move on while it is held or
+     * sent again.
+     */
+    private final Map<String, Plan> plans =
+            new LinkedHashMap<>() {
+                private static final long serialVersionUID = 1L;
+
+                @Override
+                protected boolean removeEldestEntry(Map.Entry<String, Plan> eldest) {
+                    return size() > MOST_PLANS;
+                }
+            };
+
     private long toldNs;
     private long toldMillis;
 
-    public WindowAbility(List<WindowClass> classes, Sites sites, Calendars calendars, LearntLengths lengths,
-            long clockErrorMillis, long seed) {
+    public WindowAbility(
+            List<WindowClass> classes,
+            Sites sites,
+            Calendars calendars,
+            LearntLengths lengths,
+            long clockErrorMillis,
+            long seed) {
         classes.forEach(c -> this.classes.put(c.name(), c));
         this.sites = sites;
         this.calendars = calendars;
@@ -63,13 +76,19 @@
         this.seed = seed;
     }
 
-    /** What the clock on the wall says at a time of the monotonic one. Told often, as the former may be set. */
+    /**
+     * What the clock on the wall says at a time of the monotonic one. Told often, as the former may
+     * be set.
+     */
     public void wall(long nowNs, long millis) {
         toldNs = nowNs;
         toldMillis = millis;
     }
 
-    /** This job has a plan of its own, before it comes; null: it has none, whatever one of its id had that was given up on. */
+    /**
+     * This job has a plan of its own, before it comes; null: it has none, whatever one of its id
+     * had that was given up on.
+     */
     public void planned(String jobId, Plan plan) {
         if (plan == null) {
             plans.remove(jobId);
@@ -107,8 +126,11 @@
     }
 
     private long lasts(WindowClass c) {
-        return c.quantile() == 0 ? c.declared()
-                : Math.min(Plan.LONGEST, Math.max(c.declared(), lengths.quantile(c.name(), c.quantile())));
+        return c.quantile() == 0
+                ? c.declared()
+                : Math.min(
+                        Plan.LONGEST,
+                        Math.max(c.declared(), lengths.quantile(c.name(), c.quantile())));
     }
 
     @Override
@@ -127,7 +149,9 @@
         return Math.max(1, opensInMillis(now, plan, job, own) * MILLI);
     }
 
-    /** @param own the plan is the job's, whose deadline does not move on to the class's next round */
+    /**
+     * @param own the plan is the job's, whose deadline does not move on to the class's next round
+     */
     private long opensInMillis(long now, Plan plan, Job job, boolean own) {
         Windows.Answer answer = Windows.query(plan, calendars, now, clockErrorMillis);
         if (answer.starts().isEmpty()) {
@@ -139,7 +163,8 @@
         }
         return answer.opens() == Windows.NEVER
                 ? Spread.millis(NO_OPENING_MILLIS, NO_OPENING_MILLIS, seed, job.id())
-                : Spread.millis(answer.opens() - now, answer.closes() - answer.opens(), seed, job.id());
+                : Spread.millis(
+                        answer.opens() - now, answer.closes() - answer.opens(), seed, job.id());
     }
 
     @Override
@@ -150,7 +175,10 @@
             return 1;
         }
         String site = sites.of(worker);
-        return site != null && plan.sites().contains(site)
-                && Windows.able(plan, calendars.of(site), now, clockErrorMillis) ? 1 : 0;
+        return site != null
+                        && plan.sites().contains(site)
+                        && Windows.able(plan, calendars.of(site), now, clockErrorMillis)
+                ? 1
+                : 0;
     }
 }
--- a/core/src/main/java/postgrade/window/WindowClass.java
+++ b/core/src/main/java/postgrade/window/WindowClass.java
@@ -10,29 +10,42 @@
  * @param from the time of day before which none starts, or null: at any time
  * @param zone of {@code from}
  * @param quantile of what was learnt how long they take; 0 to go by {@code declared} alone
- * @param declared how long one takes, in milliseconds; where enough was learnt the greater of both counts
+ * @param declared how long one takes, in milliseconds; where enough was learnt the greater of both
+ *     counts
  */
-public record WindowClass(String name, List<String> sites, LocalTime from, ZoneRules zone, Deadline deadline,
-        double quantile, long declared) {
+public record WindowClass(
+        String name,
+        List<String> sites,
+        LocalTime from,
+        ZoneRules zone,
+        Deadline deadline,
+        double quantile,
+        long declared) {
 
     public WindowClass {
         if (sites.isEmpty()) {
             throw new IllegalArgumentException("sites of class " + name + " must not be empty");
         }
         if (declared < 0 || declared > Plan.LONGEST) {
-            throw new IllegalArgumentException("declared of class " + name + " must lie between 0 and " + Plan.LONGEST);
+            throw new IllegalArgumentException(
+                    "declared of class " + name + " must lie between 0 and " + Plan.LONGEST);
         }
         if (!(quantile >= 0 && quantile <= 1)) {
-            throw new IllegalArgumentException("quantile of class " + name + " must lie between 0 and 1");
+            throw new IllegalArgumentException(
+                    "quantile of class " + name + " must lie between 0 and 1");
         }
         sites = List.copyOf(sites);
     }
 
-    /** The plan of a job that comes now: in the present round where it still fits, else in the next. */
+    /**
+     * The plan of a job that comes now: in the present round where it still fits, else in the next.
+     */
     public Plan plan(long now, long lasts) {
         if (from == null) {
             Plan today = new Plan(now, deadline.millis(now), lasts, sites);
-            return today.startsEnd() > now || !(deadline instanceof Deadline.Daily) ? today : after(today, now);
+            return today.startsEnd() > now || !(deadline instanceof Deadline.Daily)
+                    ? today
+                    : after(today, now);
         }
         long began = LocalTimes.previous(from, zone, now);
         Plan present = new Plan(began, deadline.millis(began), lasts, sites);
@@ -49,6 +62,8 @@
             return plan;
         }
         long later = Math.max(now, plan.deadline() + 1);
-        return from == null ? new Plan(later, deadline.millis(later), plan.lasts(), sites) : plan(later, plan.lasts());
+        return from == null
+                ? new Plan(later, deadline.millis(later), plan.lasts(), sites)
+                : plan(later, plan.lasts());
     }
 }
--- a/core/src/main/java/postgrade/window/Windows.java
+++ b/core/src/main/java/postgrade/window/Windows.java
@@ -4,22 +4,30 @@
 import java.util.List;
 import postgrade.window.Exclusion.Reason;
 
-/** When a job may start, from its plan and the calendars of its sites. Knows no clock: all times are handed in. */
+/**
+ * When a job may start, from its plan and the calendars of its sites. Knows no clock: all times are
+ * handed in.
+ */
 public final class Windows {
 
     /** No time at all. */
     public static final long NEVER = Long.MAX_VALUE;
 
-    private Windows() { }
+    private Windows() {}
 
     /**
      * @param starts per site, in the plan's order; sites whose calendar is not known are missing
      * @param unknown why the missing ones are
      * @param together when it may start at one of them at least
-     * @param opens the first time from now on at which it may start, {@link #NEVER} where there is none
+     * @param opens the first time from now on at which it may start, {@link #NEVER} where there is
+     *     none
      * @param closes the end of that opening
      */
-    public record Answer(List<SiteStarts> starts, List<Exclusion> unknown, Intervals together, long opens,
+    public record Answer(
+            List<SiteStarts> starts,
+            List<Exclusion> unknown,
+            Intervals together,
+            long opens,
             long closes) {
 
         public boolean mayStart(long now) {
@@ -29,9 +37,12 @@
         /** Each stretch in which it may not start somewhere, and why. Worked out when asked for. */
         public List<Exclusion> exclusions() {
             List<Exclusion> all = new ArrayList<>(unknown);
-            starts.forEach(s -> s.exclusions().stream()
-                    // What the plan excludes is the same at every site.
-                    .filter(e -> e.site() != null || s == starts.get(0)).forEach(all::add));
+            starts.forEach(
+                    s ->
+                            s.exclusions().stream()
+                                    // What the plan excludes is the same at every site.
+                                    .filter(e -> e.site() != null || s == starts.get(0))
+                                    .forEach(all::add));
             return all;
         }
     }
@@ -57,11 +68,15 @@
             all.add(s.starts());
         }
         Intervals together = starts.size() == 1 ? starts.get(0).starts() : all.union();
-        return together.isEmpty() ? new Answer(starts, unknown, together, NEVER, NEVER)
+        return together.isEmpty()
+                ? new Answer(starts, unknown, together, NEVER, NEVER)
                 : new Answer(starts, unknown, together, together.from(0), together.to(0));
     }
 
-    /** The first time, from now on, at which it may start somewhere; {@link #NEVER} where there is none. */
+    /**
+     * The first time, from now on, at which it may start somewhere; {@link #NEVER} where there is
+     * none.
+     */
     public static long opens(Plan plan, Calendars calendars, long now, long error) {
         long first = NEVER;
         for (String site : plan.sites()) {
--- a/core/src/test/java/postgrade/comeback/MemoryTest.java
+++ b/core/src/test/java/postgrade/comeback/MemoryTest.java
@@ -18,16 +18,25 @@
     private static final long SAVED = 1_000_000_000L;
     private static final long HALF = Trust.HALF_MICROS;
     private static final double[] WORKER = {3, 5e9, 2, 1.5, 8, 2e6, 1e9, 1e8, 1};
-    private final Memory memory = Memory.of("n1", SAVED, 0.9, List.of(
-            new Learnt("class", "pri ce\u00e9\\", new double[] {2e8, 100, 0.5}),
-            new Learnt("kind", "", new double[] {4, 2, 1}),
-            new Learnt("worker", "w1", WORKER), new Learnt("worker", "unlisted", WORKER),
-            new Learnt("cold", "w1", new double[] {1e8, 2}),
-            new Learnt("tenant", "shop", new double[] {1.5, 40, 4, 1e7})), Map.of("w1", 5000L, "w2", 0L));
+    private final Memory memory =
+            Memory.of(
+                    "n1",
+                    SAVED,
+                    0.9,
+                    List.of(
+                            new Learnt("class", "pri ce\u00e9\\", new double[] {2e8, 100, 0.5}),
+                            new Learnt("kind", "", new double[] {4, 2, 1}),
+                            new Learnt("worker", "w1", WORKER),
+                            new Learnt("worker", "unlisted", WORKER),
+                            new Learnt("cold", "w1", new double[] {1e8, 2}),
+                            new Learnt("tenant", "shop", new double[] {1.5, 40, 4, 1e7})),
+                    Map.of("w1", 5000L, "w2", 0L));
 
     private Learnt trusted(String of, long age, long started) {
-        return memory.trusted(SAVED + age, Map.of("w1", started)).stream().filter(l -> l.of().equals(of))
-                .findFirst().orElse(null);
+        return memory.trusted(SAVED + age, Map.of("w1", started)).stream()
+                .filter(l -> l.of().equals(of))
+                .findFirst()
+                .orElse(null);
     }
 
     @Test
@@ -42,11 +51,15 @@
 
     @Test
     public void figuresFadeByAgeAndTokensStay() {
-        assertArrayEquals(new double[] {2e8, 50, 0.25}, trusted("class", HALF, 5000).figures(), 1e-9);
+        assertArrayEquals(
+                new double[] {2e8, 50, 0.25}, trusted("class", HALF, 5000).figures(), 1e-9);
         assertEquals("once seen is nothing by then", null, trusted("kind", HALF, 5000));
-        assertArrayEquals(new double[] {1.5, 0, 1, 1.25, 4, 1e6, 61e9, 60.1e9, 1},
-                trusted("worker", HALF, 5000).figures(), 1e-3);
-        assertArrayEquals(new double[] {1.5, 20, 2, 60.01e9}, trusted("tenant", HALF, 5000).figures(), 1e-3);
+        assertArrayEquals(
+                new double[] {1.5, 0, 1, 1.25, 4, 1e6, 61e9, 60.1e9, 1},
+                trusted("worker", HALF, 5000).figures(),
+                1e-3);
+        assertArrayEquals(
+                new double[] {1.5, 20, 2, 60.01e9}, trusted("tenant", HALF, 5000).figures(), 1e-3);
         assertArrayEquals(new double[] {60.1e9, 2}, trusted("cold", HALF, 5000).figures(), 1e-3);
         assertEquals(List.of(), memory.trusted(SAVED + Trust.MOST_MICROS + 1, Map.of("w1", 5000L)));
         assertEquals("a clock set back", 3.0, trusted("worker", -100, 5000).figures()[0], 0);
@@ -61,7 +74,8 @@
     }
 
     private static Fault fault(byte[] bytes, String dispatcher, long now) {
-        return assertThrows(Unusable.class, () -> MemoryFormat.read(bytes, dispatcher, now)).fault();
+        return assertThrows(Unusable.class, () -> MemoryFormat.read(bytes, dispatcher, now))
+                .fault();
     }
 
     @Test
@@ -78,8 +92,15 @@
     private static byte[] written(int version, String body) {
         java.util.zip.CRC32C sum = new java.util.zip.CRC32C();
         sum.update(Words.bytes(version + " " + body.length() + "\n" + body));
-        return Words.bytes("postgrade-memory " + version + " " + String.format("%08x", sum.getValue()) + " "
-                + body.length() + "\n" + body);
+        return Words.bytes(
+                "postgrade-memory "
+                        + version
+                        + " "
+                        + String.format("%08x", sum.getValue())
+                        + " "
+                        + body.length()
+                        + "\n"
+                        + body);
     }
 
     @Test
--- a/core/src/test/java/postgrade/comeback/RecoveryTest.java
+++ b/core/src/test/java/postgrade/comeback/RecoveryTest.java
@@ -24,15 +24,21 @@
 
     @Test
     public void phasesArePassedOneByOneAndKeptWithTheirTimes() {
-        assertEquals(Phase.EMPTY, look(1, new Seen(false, false, Long.MAX_VALUE, false, 0, Double.NaN, Double.NaN)));
+        assertEquals(
+                Phase.EMPTY,
+                look(1, new Seen(false, false, Long.MAX_VALUE, false, 0, Double.NaN, Double.NaN)));
         assertEquals(Phase.REMEMBERING, look(2, seen(false, Long.MAX_VALUE, 0, 0)));
         assertEquals(Phase.CATCHING_UP, look(3, seen(true, Long.MAX_VALUE, 0, 0)));
         assertEquals(Phase.RAMPING, look(4, seen(true, 900_000, 0.1, 0)));
-        assertEquals("the ramp is over, but less is served", Phase.RAMPING, look(600_000, seen(true, 0, 1, 0.75)));
+        assertEquals(
+                "the ramp is over, but less is served",
+                Phase.RAMPING,
+                look(600_000, seen(true, 0, 1, 0.75)));
         assertEquals(Phase.RAMPING, look(600_001, seen(true, 0, 1, 0.77)));
         assertEquals("not for long enough", Phase.RAMPING, look(1_000_000, seen(true, 0, 1, 0.77)));
         assertEquals(Phase.FULL, look(1_100_001, seen(true, 0, 1, 0.77)));
-        assertEquals(List.of("empty", "remembering", "catching up", "ramping", "full"),
+        assertEquals(
+                List.of("empty", "remembering", "catching up", "ramping", "full"),
                 recovery.steps().stream().map(s -> s.phase().text()).toList());
         assertEquals(1_100_001, recovery.steps().get(4).atMicros());
     }
--- a/core/src/test/java/postgrade/comeback/StampedeTest.java
+++ b/core/src/test/java/postgrade/comeback/StampedeTest.java
@@ -28,7 +28,13 @@
         }
         int most = 0;
         for (long from : times) {
-            most = Math.max(most, (int) times.stream().filter(t -> t >= from && t < from + 1_000_000).count());
+            most =
+                    Math.max(
+                            most,
+                            (int)
+                                    times.stream()
+                                            .filter(t -> t >= from && t < from + 1_000_000)
+                                            .count());
         }
         return new int[] {most, times.size()};
     }
@@ -47,7 +53,9 @@
 
     @Test
     public void fewerThatLiveMayEachDoMore() {
-        assertTrue(peak(Kind.PULL, 5, 5, "", 5_000_000)[1] > 3 * peak(Kind.PULL, 5, 20, "", 5_000_000)[1]);
+        assertTrue(
+                peak(Kind.PULL, 5, 5, "", 5_000_000)[1]
+                        > 3 * peak(Kind.PULL, 5, 20, "", 5_000_000)[1]);
         assertEquals(4, new Stampede(STEADY, 2, PLACES, 0).perSecond(Kind.PULL, 0), 0);
         assertEquals(16, new Stampede(STEADY, 2, PLACES, 0).perSecond(Kind.PULL, 5), 0);
     }
@@ -109,10 +117,14 @@
             assertEquals(1000, perSecond[second], 120);
         }
         assertEquals(0, perSecond[5]);
-        assertTrue(Returning.afterMicros("x", 7, 20_000_000, Long.MAX_VALUE, 1_000_000) <= 1_000_000);
+        assertTrue(
+                Returning.afterMicros("x", 7, 20_000_000, Long.MAX_VALUE, 1_000_000) <= 1_000_000);
     }
 
-    /** A hundred a second come, a process may take 150: those turned away have the 50 left over to come back within. */
+    /**
+     * A hundred a second come, a process may take 150: those turned away have the 50 left over to
+     * come back within.
+     */
     @Test
     public void thoseTurnedAwayComeBackOverWhatIsLeftBesideWhatComesAnyway() {
         Crowd crowd = new Crowd();
--- a/core/src/test/java/postgrade/lease/LeaseAbilityTest.java
+++ b/core/src/test/java/postgrade/lease/LeaseAbilityTest.java
@@ -19,7 +19,10 @@
 import postgrade.shared.Rows;
 import postgrade.shared.View;
 
-/** What the module is told of reservations: a view that is too old takes away a privilege, and never an answer. */
+/**
+ * What the module is told of reservations: a view that is too old takes away a privilege, and never
+ * an answer.
+ */
 public class LeaseAbilityTest {
 
     private static final Worker HALF = new Worker("w-1", "zagreb", "box", 0, Phase.READY, 1, 0);
@@ -34,8 +37,19 @@
     private long fence;
 
     private LeaseAbility ability(boolean lends) {
-        return new LeaseAbility(() -> view, Times.USUAL, new LeaseAbility.Rules(Set.of("replan"), Map.of("replan",
-                Effect.KEYED, "slot-check", Effect.SAFE, "order-confirm", Effect.UNSAFE), lends));
+        return new LeaseAbility(
+                () -> view,
+                Times.USUAL,
+                new LeaseAbility.Rules(
+                        Set.of("replan"),
+                        Map.of(
+                                "replan",
+                                Effect.KEYED,
+                                "slot-check",
+                                Effect.SAFE,
+                                "order-confirm",
+                                Effect.UNSAFE),
+                        lends));
     }
 
     private static Job job(String jobClass, String tenant, double seconds) {
@@ -43,15 +57,50 @@
     }
 
     private void ask(String verb, Object... args) {
-        fence = machine.apply(++index, new Command("", "n", 1, "lease", verb, Row.of(args))).fields()
-                .whole("fence", 0);
+        fence =
+                machine.apply(++index, new Command("", "n", 1, "lease", verb, Row.of(args)))
+                        .fields()
+                        .whole("fence", 0);
     }
 
     @Before
     public void anaHoldsHalfOfOneWorkerAndNeedsItInAMinute() {
-        ask("unit", "worker", "w-1", "site", "zagreb", "kind", "box", "accelerators", 4, "version", 1);
-        ask("unit", "worker", "w-2", "site", "zagreb", "kind", "box", "accelerators", 4, "version", 1);
-        ask("acquire", "holder", "ana", "site", "zagreb", "accelerators", 2, "ttlMs", 3000, "neededInMs", 60_000);
+        ask(
+                "unit",
+                "worker",
+                "w-1",
+                "site",
+                "zagreb",
+                "kind",
+                "box",
+                "accelerators",
+                4,
+                "version",
+                1);
+        ask(
+                "unit",
+                "worker",
+                "w-2",
+                "site",
+                "zagreb",
+                "kind",
+                "box",
+                "accelerators",
+                4,
+                "version",
+                1);
+        ask(
+                "acquire",
+                "holder",
+                "ana",
+                "site",
+                "zagreb",
+                "accelerators",
+                2,
+                "ttlMs",
+                3000,
+                "neededInMs",
+                60_000);
         view = new View(machine.moment(), Rows.of(index, machine.save().rows()), FRESH / 1000);
     }
 
@@ -90,8 +139,13 @@
         for (long at : new long[] {FRESH, OLD}) {
             assertEquals(1, ability(true).part(at, job("order-confirm", "ivo", 1), HALF), 0);
         }
-        assertThrows(IllegalArgumentException.class, () -> new LeaseAbility.Rules(Set.of("order-confirm"),
-                Map.of("order-confirm", Effect.UNSAFE), false));
+        assertThrows(
+                IllegalArgumentException.class,
+                () ->
+                        new LeaseAbility.Rules(
+                                Set.of("order-confirm"),
+                                Map.of("order-confirm", Effect.UNSAFE),
+                                false));
     }
 
     @Test
@@ -109,15 +163,24 @@
         var perKind = new Fleet.Accelerators(Map.of("box", 4), 1);
         Worker back = new Worker("w-1", "zagreb", "box", 0, Phase.READY, 1, 9_000_000);
         Worker leaving = new Worker("w-2", "zagreb", "box", 0, Phase.DRAINING, 1, 0);
-        for (List<Worker> list : List.of(List.of(HALF, FREE, PLAIN), List.of(back, leaving, PLAIN),
-                List.of(HALF, FREE, PLAIN))) {
-            Fleet.due(fresh.rows(), list, Set.of(), perKind, "n", 1).forEach(c -> fresh.apply(++index, c));
+        for (List<Worker> list :
+                List.of(
+                        List.of(HALF, FREE, PLAIN),
+                        List.of(back, leaving, PLAIN),
+                        List.of(HALF, FREE, PLAIN))) {
+            Fleet.due(fresh.rows(), list, Set.of(), perKind, "n", 1)
+                    .forEach(c -> fresh.apply(++index, c));
         }
         List<Unit> units = new Book(fresh.rows()).units();
-        assertEquals(List.of("w-1 9 READY", "w-2 0 DRAINING"), units.stream().map(u -> u.worker() + " " + u.start()
-                + " " + u.state()).toList());
-        assertEquals(0, Fleet.due(fresh.rows(), List.of(back, leaving), Set.of(), perKind, "n", 1).size());
-        assertEquals("all are missing from the list", 2, Fleet.due(fresh.rows(), List.of(), Set.of(), perKind, "n", 1)
-                .size());
+        assertEquals(
+                List.of("w-1 9 READY", "w-2 0 DRAINING"),
+                units.stream().map(u -> u.worker() + " " + u.start() + " " + u.state()).toList());
+        assertEquals(
+                0,
+                Fleet.due(fresh.rows(), List.of(back, leaving), Set.of(), perKind, "n", 1).size());
+        assertEquals(
+                "all are missing from the list",
+                2,
+                Fleet.due(fresh.rows(), List.of(), Set.of(), perKind, "n", 1).size());
     }
 }
--- a/core/src/test/java/postgrade/lease/LeasePartTest.java
+++ b/core/src/test/java/postgrade/lease/LeasePartTest.java
@@ -26,14 +26,37 @@
     }
 
     private Answer acquire(String holder, int accelerators, Object... more) {
-        return ask("acquire", (Object[]) Row.of("holder", holder, "site", "zagreb", "accelerators", accelerators,
-                "ttlMs", 3000).with(more).values().entrySet().stream()
-                .flatMap(e -> java.util.stream.Stream.of(e.getKey(), e.getValue())).toArray());
+        return ask(
+                "acquire",
+                (Object[])
+                        Row.of(
+                                        "holder",
+                                        holder,
+                                        "site",
+                                        "zagreb",
+                                        "accelerators",
+                                        accelerators,
+                                        "ttlMs",
+                                        3000)
+                                .with(more)
+                                .values()
+                                .entrySet()
+                                .stream()
+                                .flatMap(e -> java.util.stream.Stream.of(e.getKey(), e.getValue()))
+                                .toArray());
     }
 
     private Answer call(String verb, String holder, long fence, Object... more) {
-        return ask(verb, (Object[]) Row.of("holder", holder, "site", "zagreb", "fence", fence).with(more).values()
-                .entrySet().stream().flatMap(e -> java.util.stream.Stream.of(e.getKey(), e.getValue())).toArray());
+        return ask(
+                verb,
+                (Object[])
+                        Row.of("holder", holder, "site", "zagreb", "fence", fence)
+                                .with(more)
+                                .values()
+                                .entrySet()
+                                .stream()
+                                .flatMap(e -> java.util.stream.Stream.of(e.getKey(), e.getValue()))
+                                .toArray());
     }
 
     private void pass(long ms) {
@@ -48,13 +71,38 @@
 
     private String state(String holder) {
         return Leases.list(machine.rows(), machine.moment().micros()).stream()
-                .filter(f -> f.get("holder").equals(holder)).map(f -> f.get("state")).findFirst().orElse("none");
+                .filter(f -> f.get("holder").equals(holder))
+                .map(f -> f.get("state"))
+                .findFirst()
+                .orElse("none");
     }
 
     @Before
     public void twoWorkersWithFourAcceleratorsEach() {
-        ask("unit", "worker", "w-1", "site", "zagreb", "kind", "box", "accelerators", 4, "version", 1);
-        ask("unit", "worker", "w-2", "site", "zagreb", "kind", "box", "accelerators", 4, "version", 1);
+        ask(
+                "unit",
+                "worker",
+                "w-1",
+                "site",
+                "zagreb",
+                "kind",
+                "box",
+                "accelerators",
+                4,
+                "version",
+                1);
+        ask(
+                "unit",
+                "worker",
+                "w-2",
+                "site",
+                "zagreb",
+                "kind",
+                "box",
+                "accelerators",
+                4,
+                "version",
+                1);
     }
 
     @Test
@@ -64,9 +112,12 @@
         assertEquals("waiting", acquire("eva", 1).fields().text("state"));
         assertEquals(Status.CONFLICT, acquire("eve", 1, "wait", 0).status());
         assertEquals(Answer.conflict("accelerators must be at most 8 here"), acquire("max", 9));
-        assertEquals(Answer.faulty("site or kind must be named"),
+        assertEquals(
+                Answer.faulty("site or kind must be named"),
                 ask("acquire", "holder", "x", "accelerators", 1, "ttlMs", 3000));
-        assertEquals(Answer.faulty("ttlMs must lie between 2000 and 3600000"), acquire("x", 1, "ttlMs", 1));
+        assertEquals(
+                Answer.faulty("ttlMs must lie between 2000 and 3600000"),
+                acquire("x", 1, "ttlMs", 1));
     }
 
     @Test
@@ -142,14 +193,17 @@
     @Test
     public void anOldFenceAnEarlierIncarnationAndASecondPlaceAreToldApart() {
         long first = fence(acquire("ana", 4, "incarnation", 1));
-        assertEquals("asked twice, granted once", first, fence(acquire("ana", 4, "incarnation", 1)));
+        assertEquals(
+                "asked twice, granted once", first, fence(acquire("ana", 4, "incarnation", 1)));
         assertEquals(Status.DONE, call("renew", "ana", first, "incarnation", 1).status());
         assertEquals(Status.DONE, call("renew", "ana", first, "incarnation", 1).status());
         long second = fence(acquire("ana", 4, "incarnation", 2));
         assertTrue(second > first);
-        assertEquals(Answer.conflict("incarnation is below 2, which has come since"),
+        assertEquals(
+                Answer.conflict("incarnation is below 2, which has come since"),
                 call("renew", "ana", first, "incarnation", 1));
-        assertEquals(Answer.conflict("fence is not that of the present grant"),
+        assertEquals(
+                Answer.conflict("fence is not that of the present grant"),
                 call("renew", "ana", first, "incarnation", 2));
         assertEquals(Status.CONFLICT, call("release", "ana", first, "incarnation", 2).status());
         assertEquals(Status.CONFLICT, acquire("ana", 4, "incarnation", 1).status());
@@ -167,7 +221,9 @@
         acquire("ivo", 2);
         assertEquals("granted", state("ana"));
         assertEquals("waiting", state("ivo"));
-        assertEquals(Status.CONFLICT, ask("part", "kind", "box", "perMille", 900, "version", 1).status());
+        assertEquals(
+                Status.CONFLICT,
+                ask("part", "kind", "box", "perMille", 900, "version", 1).status());
         ask("part", "kind", "box", "perMille", 900, "version", 2);
         assertEquals("granted", state("ivo"));
     }
@@ -179,18 +235,66 @@
         ask("presence", "worker", "w-2", "start", 0, "state", "GONE");
         ask("presence", "worker", "w-2", "start", 7, "state", "READY");
         assertEquals("back, cold", ivo, fence(acquire("ivo", 4, "ttlMs", 60_000)));
-        assertEquals(Status.CONFLICT, ask("presence", "worker", "w-2", "start", 0, "state", "DRAINING").status());
-        ask("unit", "worker", "w-2", "site", "zagreb", "kind", "box", "accelerators", 1, "version", 2);
+        assertEquals(
+                Status.CONFLICT,
+                ask("presence", "worker", "w-2", "start", 0, "state", "DRAINING").status());
+        ask(
+                "unit",
+                "worker",
+                "w-2",
+                "site",
+                "zagreb",
+                "kind",
+                "box",
+                "accelerators",
+                1,
+                "version",
+                2);
         assertEquals("w-2=1", acquire("ivo", 4, "ttlMs", 60_000).fields().text("allotment"));
-        ask("unit", "worker", "w-2", "site", "zagreb", "kind", "box", "accelerators", 4, "version", 3);
+        ask(
+                "unit",
+                "worker",
+                "w-2",
+                "site",
+                "zagreb",
+                "kind",
+                "box",
+                "accelerators",
+                4,
+                "version",
+                3);
         acquire("eva", 3, "ttlMs", 60_000);
         assertEquals("they rest first", "waiting", state("eva"));
         pass(GRACE_MS + 100);
         assertEquals("granted", state("eva"));
-        ask("unit", "worker", "w-1", "site", "zagreb", "kind", "box", "accelerators", 0, "version", 2);
+        ask(
+                "unit",
+                "worker",
+                "w-1",
+                "site",
+                "zagreb",
+                "kind",
+                "box",
+                "accelerators",
+                0,
+                "version",
+                2);
         assertEquals("none", state("ana"));
-        assertEquals(Status.CONFLICT,
-                ask("unit", "worker", "w-1", "site", "zagreb", "kind", "box", "accelerators", 4, "version", 2).status());
+        assertEquals(
+                Status.CONFLICT,
+                ask(
+                                "unit",
+                                "worker",
+                                "w-1",
+                                "site",
+                                "zagreb",
+                                "kind",
+                                "box",
+                                "accelerators",
+                                4,
+                                "version",
+                                2)
+                        .status());
     }
 
     @Test
@@ -201,8 +305,15 @@
         Machine other = new Machine(1, List.of(new LeasePart(Times.USUAL)));
         other.load(machine.save());
         for (int i = 0; i < 60; i++) {
-            Command step = i == 7 ? Leases.command("release", "r", "n2", 1, Map.of("holder", "ana", "site", "zagreb",
-                    "fence", "" + fence)) : Machine.advance("n1", 1, 100_000);
+            Command step =
+                    i == 7
+                            ? Leases.command(
+                                    "release",
+                                    "r",
+                                    "n2",
+                                    1,
+                                    Map.of("holder", "ana", "site", "zagreb", "fence", "" + fence))
+                            : Machine.advance("n1", 1, 100_000);
             machine.apply(++index, step);
             other.apply(index, step);
         }
--- a/core/src/test/java/postgrade/lease/LeaseWorld.java
+++ b/core/src/test/java/postgrade/lease/LeaseWorld.java
@@ -17,8 +17,9 @@
 import postgrade.shared.View;
 
 /**
- * One seed's world on virtual time: a leader whose commits take their way, processes that pull views, holders that ask,
- * renew, die and come back; clocks up to 2% apart; leaders killed and stopped, commits held up, processes cut off.
+ * One seed's world on virtual time: a leader whose commits take their way, processes that pull
+ * views, holders that ask, renew, die and come back; clocks up to 2% apart; leaders killed and
+ * stopped, commits held up, processes cut off.
  */
 final class LeaseWorld {
 
@@ -29,15 +30,16 @@
     private static final int ACCELERATORS = 4;
 
     /** One process could use an accelerator for a holder from then to then. */
-    private record Spell(long from, long to, long bit, String holder, long fence) { }
+    private record Spell(long from, long to, long bit, String holder, long fence) {}
 
-    private record Task(long at, long order, Runnable run) { }
+    private record Task(long at, long order, Runnable run) {}
 
-    private record Entry(Command command, java.util.function.Consumer<Answer> answer, boolean clock) { }
+    private record Entry(
+            Command command, java.util.function.Consumer<Answer> answer, boolean clock) {}
 
     private final SplittableRandom random;
-    private final PriorityQueue<Task> tasks = new PriorityQueue<>(
-            Comparator.comparingLong(Task::at).thenComparingLong(Task::order));
+    private final PriorityQueue<Task> tasks =
+            new PriorityQueue<>(Comparator.comparingLong(Task::at).thenComparingLong(Task::order));
     private final Machine machine;
     private final Times used;
     private final List<Spell> spells = new ArrayList<>();
@@ -59,14 +61,17 @@
     int grants;
     int expiries;
 
-    // Holders: whether alive, the fence held, when the renewal that was acknowledged last had been called.
+    // Holders: whether alive, the fence held, when the renewal that was acknowledged last had been
+    // called.
     private final boolean[] alive = new boolean[HOLDERS];
     private final long[] fence = new long[HOLDERS];
     private final long[] calledAt = new long[HOLDERS];
     private final long[] incarnation = new long[HOLDERS];
     private final long[] ttl = new long[HOLDERS];
 
-    /** @param decided times that the log goes by @param used times that processes go by */
+    /**
+     * @param decided times that the log goes by @param used times that processes go by
+     */
     LeaseWorld(long seed, Times decided, Times used) {
         random = new SplittableRandom(seed);
         machine = new Machine(1, List.of(new LeasePart(decided)));
@@ -86,8 +91,21 @@
     }
 
     void run(long seconds) {
-        machine.apply(++index, command("unit", Row.of("worker", "w", "site", "z", "kind", "k", "accelerators",
-                ACCELERATORS, "version", 1)));
+        machine.apply(
+                ++index,
+                command(
+                        "unit",
+                        Row.of(
+                                "worker",
+                                "w",
+                                "site",
+                                "z",
+                                "kind",
+                                "k",
+                                "accelerators",
+                                ACCELERATORS,
+                                "version",
+                                1)));
         elect();
         for (int p = 0; p < PROCESSES; p++) {
             double rate = rate();
@@ -118,10 +136,12 @@
         leads = true;
         stopped = false;
         leaderRate = rate();
-        // What the former leader had on its way is lost, or from its begin on kept and committed with what follows.
-        List<Entry> former = new ArrayList<>(onTheWay).subList(0, random.nextInt(onTheWay.size() + 1));
+        // What the former leader had on its way is lost, or from its begin on kept and committed
+        // with what follows.
+        List<Entry> former =
+                new ArrayList<>(onTheWay).subList(0, random.nextInt(onTheWay.size() + 1));
         onTheWay.clear();
-        former.forEach(e -> onTheWay.add(new Entry(e.command, a -> { }, e.clock)));
+        former.forEach(e -> onTheWay.add(new Entry(e.command, a -> {}, e.clock)));
         from = leaderNow();
         begun = false; // Its first entry tells no time: what was before commits with that.
         asked = false;
@@ -137,14 +157,19 @@
             return;
         }
         if (leads && !stopped && !asked) {
-            // One at a time, and each from where the last one was asked for: its way to the commit is counted too.
+            // One at a time, and each from where the last one was asked for: its way to the commit
+            // is counted too.
             long at = leaderNow();
             asked = true;
-            propose(new Entry(Machine.advance("n", 1, begun ? at - from : 0), a -> {
-                from = at;
-                begun = true;
-                asked = false;
-            }, true));
+            propose(
+                    new Entry(
+                            Machine.advance("n", 1, begun ? at - from : 0),
+                            a -> {
+                                from = at;
+                                begun = true;
+                                asked = false;
+                            },
+                            true));
         }
         in((long) (100 * MS / leaderRate), () -> tick(mine));
     }
@@ -184,18 +209,24 @@
         Map<String, Held> after = held();
         after.forEach((holder, h) -> grants += before.containsKey(holder) ? 0 : 1);
         if (e.clock) {
-            before.forEach((holder, h) -> {
-                if (!after.containsKey(holder)) {
-                    expired(Integer.parseInt(holder), h);
-                }
-            });
+            before.forEach(
+                    (holder, h) -> {
+                        if (!after.containsKey(holder)) {
+                            expired(Integer.parseInt(holder), h);
+                        }
+                    });
         }
-        long bits = after.values().stream().mapToLong(h -> h.allotment().on("w")).reduce(0, (a, b) -> {
-            if ((a & b) != 0) {
-                faults.add("granted twice in the log at " + now);
-            }
-            return a | b;
-        });
+        long bits =
+                after.values().stream()
+                        .mapToLong(h -> h.allotment().on("w"))
+                        .reduce(
+                                0,
+                                (a, b) -> {
+                                    if ((a & b) != 0) {
+                                        faults.add("granted twice in the log at " + now);
+                                    }
+                                    return a | b;
+                                });
         if (Long.bitCount(bits) > ACCELERATORS) {
             faults.add("more granted than there are at " + now);
         }
@@ -210,8 +241,14 @@
 
     private void expired(int holder, Held h) {
         expiries++;
-        if (fence[holder] == h.fence() && now < calledAt[holder] + (ttl[holder] - used.uncommittedMicros()) / 1.03) {
-            faults.add("holder " + holder + " expired early, " + (now - calledAt[holder]) + " after its renewal");
+        if (fence[holder] == h.fence()
+                && now < calledAt[holder] + (ttl[holder] - used.uncommittedMicros()) / 1.03) {
+            faults.add(
+                    "holder "
+                            + holder
+                            + " expired early, "
+                            + (now - calledAt[holder])
+                            + " after its renewal");
         }
     }
 
@@ -222,11 +259,13 @@
             case 1 -> { // Stopped; it wakes as leader or finds another.
                 stopped = true;
                 long lasts = between(50 * MS, 3 * SECOND);
-                in(lasts, () -> {
-                    if (mine == term) {
-                        stopped = false;
-                    }
-                });
+                in(
+                        lasts,
+                        () -> {
+                            if (mine == term) {
+                                stopped = false;
+                            }
+                        });
                 if (lasts > 800 * MS) {
                     in(between(700 * MS, 800 * MS), () -> dies(mine));
                 }
@@ -240,11 +279,13 @@
     private void dies(int mine) {
         if (mine == term) {
             leads = false;
-            in(between(100 * MS, 2 * SECOND), () -> {
-                if (mine == term) {
-                    elect();
-                }
-            });
+            in(
+                    between(100 * MS, 2 * SECOND),
+                    () -> {
+                        if (mine == term) {
+                            elect();
+                        }
+                    });
         }
     }
 
@@ -259,23 +300,39 @@
             in((long) (200 * MS / rate), () -> process(rate, offset, view));
             return;
         }
-        in(between(MS / 2, 30 * MS), () -> {
-            View pulled = new View(machine.moment(), Rows.of(index, machine.save().rows()), sent);
-            in(between(MS / 2, random.nextInt(20) == 0 ? 1400 * MS : 30 * MS), () -> {
-                note(rate, offset, pulled);
-                in((long) (between(100 * MS, 250 * MS) / rate), () -> process(rate, offset, pulled));
-            });
-        });
+        in(
+                between(MS / 2, 30 * MS),
+                () -> {
+                    View pulled =
+                            new View(machine.moment(), Rows.of(index, machine.save().rows()), sent);
+                    in(
+                            between(MS / 2, random.nextInt(20) == 0 ? 1400 * MS : 30 * MS),
+                            () -> {
+                                note(rate, offset, pulled);
+                                in(
+                                        (long) (between(100 * MS, 250 * MS) / rate),
+                                        () -> process(rate, offset, pulled));
+                            });
+                });
     }
 
-    /** From now on, and at the longest while its view is fresh by its own clock, the process uses what this view tells. */
+    /**
+     * From now on, and at the longest while its view is fresh by its own clock, the process uses
+     * what this view tells.
+     */
     private void note(double rate, long offset, View view) {
         long until = (long) ((view.asOfMicros() + used.viewBoundMicros() - offset) / rate);
         for (Held h : new Book(view.rows()).held()) {
             long mask = h.allotment().on("w");
             for (long left = mask; left != 0; left &= left - 1) {
                 if (until > now) {
-                    spells.add(new Spell(now, until, Long.lowestOneBit(left), h.ask().holder(), h.fence()));
+                    spells.add(
+                            new Spell(
+                                    now,
+                                    until,
+                                    Long.lowestOneBit(left),
+                                    h.ask().holder(),
+                                    h.fence()));
                 }
             }
         }
@@ -286,12 +343,22 @@
         Map<Long, Map<String, Long>> usedUntil = new HashMap<>();
         for (Spell s : spells) {
             Map<String, Long> byHolder = usedUntil.computeIfAbsent(s.bit, b -> new HashMap<>());
-            byHolder.forEach((holder, until) -> {
-                if (!holder.equals(s.holder) && until > s.from) {
-                    faults.add("accelerator " + s.bit + " used for " + s.holder + " from " + s.from + " and for "
-                            + holder + " until " + until);
-                }
-            });
+            byHolder.forEach(
+                    (holder, until) -> {
+                        if (!holder.equals(s.holder) && until > s.from) {
+                            faults.add(
+                                    "accelerator "
+                                            + s.bit
+                                            + " used for "
+                                            + s.holder
+                                            + " from "
+                                            + s.from
+                                            + " and for "
+                                            + holder
+                                            + " until "
+                                            + until);
+                        }
+                    });
             byHolder.merge(s.holder, s.to, Math::max);
         }
     }
@@ -305,13 +372,21 @@
         fence[holder] = 0;
         int accelerators = 1 + random.nextInt(ACCELERATORS);
         live(holder, incarnation[holder], rate(), accelerators);
-        in(between(2 * SECOND, 20 * SECOND), () -> {
-            alive[holder] = false; // Dies without a word, or leaves in order.
-            if (random.nextInt(3) == 0) {
-                propose(new Entry(command("release", args(holder).with("fence", fence[holder])), a -> { }, false));
-            }
-            in(between(100 * MS, 12 * SECOND), () -> begin(holder));
-        });
+        in(
+                between(2 * SECOND, 20 * SECOND),
+                () -> {
+                    alive[holder] = false; // Dies without a word, or leaves in order.
+                    if (random.nextInt(3) == 0) {
+                        propose(
+                                new Entry(
+                                        command(
+                                                "release",
+                                                args(holder).with("fence", fence[holder])),
+                                        a -> {},
+                                        false));
+                    }
+                    in(between(100 * MS, 12 * SECOND), () -> begin(holder));
+                });
     }
 
     private Row args(int holder) {
@@ -325,15 +400,27 @@
         long called = now;
         Row ask = args(holder).with("accelerators", accelerators, "ttlMs", ttl[holder] / MS);
         boolean renews = fence[holder] != 0 && random.nextBoolean();
-        Command c = renews ? command("renew", args(holder).with("fence", fence[holder])) : command("acquire", ask);
-        in(between(MS, 20 * MS), () -> propose(new Entry(c, a -> {
-            if (which == incarnation[holder] && a.status() == Answer.Status.DONE && a.fields().has("fence")) {
-                fence[holder] = a.fields().whole("fence");
-                calledAt[holder] = called;
-            } else if (a.status() == Answer.Status.UNKNOWN) {
-                fence[holder] = 0;
-            }
-        }, false)));
+        Command c =
+                renews
+                        ? command("renew", args(holder).with("fence", fence[holder]))
+                        : command("acquire", ask);
+        in(
+                between(MS, 20 * MS),
+                () ->
+                        propose(
+                                new Entry(
+                                        c,
+                                        a -> {
+                                            if (which == incarnation[holder]
+                                                    && a.status() == Answer.Status.DONE
+                                                    && a.fields().has("fence")) {
+                                                fence[holder] = a.fields().whole("fence");
+                                                calledAt[holder] = called;
+                                            } else if (a.status() == Answer.Status.UNKNOWN) {
+                                                fence[holder] = 0;
+                                            }
+                                        },
+                                        false)));
         in((long) (ttl[holder] / 4 / rate), () -> live(holder, which, rate, accelerators));
     }
 }
--- a/core/src/test/java/postgrade/lease/LendingTest.java
+++ b/core/src/test/java/postgrade/lease/LendingTest.java
@@ -20,7 +20,9 @@
 import postgrade.shared.Rows;
 import postgrade.shared.View;
 
-/** Whether lending wins: half of all accelerators is reserved early and needed only after a while. */
+/**
+ * Whether lending wins: half of all accelerators is reserved early and needed only after a while.
+ */
 public class LendingTest {
 
     private static final int WORKERS = 8;
@@ -30,8 +32,10 @@
     private static final double TIME_LEFT = 5;
     private static final double AIM = 1;
 
-    /** @param checks part of the ordinary jobs in time @param plans and of the holder's */
-    private record Result(double checks, double plans) { }
+    /**
+     * @param checks part of the ordinary jobs in time @param plans and of the holder's
+     */
+    private record Result(double checks, double plans) {}
 
     private static Result run(long seed, boolean lends) {
         Machine machine = new Machine(1, List.of(new LeasePart(Times.USUAL)));
@@ -39,34 +43,90 @@
         long index = 0;
         for (int w = 0; w < WORKERS; w++) {
             workers.add(new Worker("w" + w, "z", "k", 0, Phase.READY, 1, 0));
-            machine.apply(++index, new Command("", "n", 1, "lease", "unit", Row.of("worker", "w" + w, "site", "z", "kind",
-                    "k", "accelerators", SLOTS, "version", 1)));
+            machine.apply(
+                    ++index,
+                    new Command(
+                            "",
+                            "n",
+                            1,
+                            "lease",
+                            "unit",
+                            Row.of(
+                                    "worker",
+                                    "w" + w,
+                                    "site",
+                                    "z",
+                                    "kind",
+                                    "k",
+                                    "accelerators",
+                                    SLOTS,
+                                    "version",
+                                    1)));
         }
-        machine.apply(++index, new Command("", "n", 1, "lease", "acquire", Row.of("holder", "ana", "site", "z",
-                "accelerators", WORKERS * SLOTS / 2, "ttlMs", 600_000, "neededInMs", (long) (NEEDED * 1000))));
+        machine.apply(
+                ++index,
+                new Command(
+                        "",
+                        "n",
+                        1,
+                        "lease",
+                        "acquire",
+                        Row.of(
+                                "holder",
+                                "ana",
+                                "site",
+                                "z",
+                                "accelerators",
+                                WORKERS * SLOTS / 2,
+                                "ttlMs",
+                                600_000,
+                                "neededInMs",
+                                (long) (NEEDED * 1000))));
         Rows rows = Rows.of(index, machine.save().rows());
         View[] view = {View.NONE};
-        LeaseAbility ability = new LeaseAbility(() -> view[0], Times.USUAL, new LeaseAbility.Rules(Set.of("plan"),
-                Map.of("plan", Effect.KEYED, "check", Effect.SAFE), lends));
+        LeaseAbility ability =
+                new LeaseAbility(
+                        () -> view[0],
+                        Times.USUAL,
+                        new LeaseAbility.Rules(
+                                Set.of("plan"),
+                                Map.of("plan", Effect.KEYED, "check", Effect.SAFE),
+                                lends));
 
         SplittableRandom random = new SplittableRandom(seed);
         List<PriorityQueue<Double>> busyUntil = new ArrayList<>();
         workers.forEach(w -> busyUntil.add(new PriorityQueue<>()));
         int[] all = new int[2];
         int[] inTime = new int[2];
-        // Half the fleet alone is loaded to 1.3; the whole of it to 0.65. The holder's own load is light.
+        // Half the fleet alone is loaded to 1.3; the whole of it to 0.65. The holder's own load is
+        // light.
         for (double t = 0; t < END; t += -Math.log(1 - random.nextDouble()) / 44) {
             boolean plan = t > NEEDED && random.nextInt(4) == 0;
             double seconds = -Math.log(1 - random.nextDouble()) * 0.47;
-            view[0] = new View(new postgrade.shared.Moment(1, index, (long) (t * 1e6)), rows, (long) (t * 1e6));
-            Job job = new Job("j", plan ? "plan" : "check", plan ? "ana" : "ivo", null, (long) (TIME_LEFT * 1e9), 1, 0);
+            view[0] =
+                    new View(
+                            new postgrade.shared.Moment(1, index, (long) (t * 1e6)),
+                            rows,
+                            (long) (t * 1e6));
+            Job job =
+                    new Job(
+                            "j",
+                            plan ? "plan" : "check",
+                            plan ? "ana" : "ivo",
+                            null,
+                            (long) (TIME_LEFT * 1e9),
+                            1,
+                            0);
             int best = -1;
             double least = Double.MAX_VALUE;
             for (int w = 0; w < WORKERS; w++) {
                 double now = t;
                 busyUntil.get(w).removeIf(u -> u <= now);
                 double part = ability.part((long) (t * 1e9), job, workers.get(w));
-                double load = part == 0 ? Double.MAX_VALUE : (busyUntil.get(w).size() + 1) / (SLOTS * part);
+                double load =
+                        part == 0
+                                ? Double.MAX_VALUE
+                                : (busyUntil.get(w).size() + 1) / (SLOTS * part);
                 if (load < least) {
                     least = load;
                     best = w;
@@ -76,7 +136,8 @@
             List<Double> ends = new ArrayList<>(line);
             ends.sort(null);
             double begins = ends.size() < SLOTS ? t : ends.get(ends.size() - SLOTS);
-            // Where every worker that is there for it has a line as long as its slots, it is refused.
+            // Where every worker that is there for it has a line as long as its slots, it is
+            // refused.
             boolean taken = least <= 2;
             if (taken) {
                 line.add(begins + seconds);
@@ -103,8 +164,10 @@
             plans += without.plans / seeds;
             plansWithLending += with.plans / seeds;
         }
-        String figures = String.format("others' %.3f %.3f, the holder's %.3f %.3f", checks, withLending, plans,
-                plansWithLending);
+        String figures =
+                String.format(
+                        "others' %.3f %.3f, the holder's %.3f %.3f",
+                        checks, withLending, plans, plansWithLending);
         assertTrue(figures, withLending > checks + 0.1);
         assertEquals(plans, plansWithLending, 0.01);
     }
--- a/core/src/test/java/postgrade/member/MembersTest.java
+++ b/core/src/test/java/postgrade/member/MembersTest.java
@@ -18,7 +18,10 @@
 import postgrade.shared.Rows;
 import postgrade.shared.View;
 
-/** Who lives and with which share: it grows by the dead, shrinks before one returns, and falls by the own clock. */
+/**
+ * Who lives and with which share: it grows by the dead, shrinks before one returns, and falls by
+ * the own clock.
+ */
 public class MembersTest {
 
     private static final long E = Terms.EVEN;
@@ -47,9 +50,12 @@
         return Member.of(machine.rows(), name).share();
     }
 
-    /** Time passes for the log and every clock; those that are up see each entry and renew once a second. */
+    /**
+     * Time passes for the log and every clock; those that are up see each entry and renew once a
+     * second.
+     */
     private void pass(long micros, String... renewing) {
-        for (long end = now + micros; now < end;) {
+        for (long end = now + micros; now < end; ) {
             now += STEP;
             apply(Machine.advance("leader", 1, STEP));
             if (now % 1_000_000 == 0) {
@@ -128,11 +134,17 @@
         long own = (long) ((lease - Shares.BACKLOG_MICROS) / (1 + Shares.MOST_DRIFT));
         assertTrue(a.factor(last, now + own - 10) > 1);
         assertEquals(1.0, a.factor(last, now + own + 10), 0);
-        long kept = (long) ((lease - Shares.BACKLOG_MICROS + TERMS.lingerMicros()) / (1 + Shares.MOST_DRIFT));
+        long kept =
+                (long)
+                        ((lease - Shares.BACKLOG_MICROS + TERMS.lingerMicros())
+                                / (1 + Shares.MOST_DRIFT));
         assertEquals(1.0, a.factor(last, now + kept - 10), 0);
         assertEquals(0.25, a.factor(last, now + kept + 10), 0);
-        assertEquals("as stated by the operator", 1.0,
-                new Shares("a", 1, TERMS, E).factor(last, now + kept + 10), 0);
+        assertEquals(
+                "as stated by the operator",
+                1.0,
+                new Shares("a", 1, TERMS, E).factor(last, now + kept + 10),
+                0);
     }
 
     @Test
@@ -153,7 +165,9 @@
     public void anOlderIncarnationIsTurnedDownAndAnUnknownOneToldToJoin() {
         four();
         join("a", 7);
-        assertEquals(Answer.conflict("incarnation 1 of a is below 7"), apply(MemberPart.renew("a", 1, 0)));
+        assertEquals(
+                Answer.conflict("incarnation 1 of a is below 7"),
+                apply(MemberPart.renew("a", 1, 0)));
         assertEquals(Status.CONFLICT, join("a", 6).status());
         assertEquals(Status.UNKNOWN, apply(MemberPart.renew("a", 8, 0)).status());
         assertEquals(Status.UNKNOWN, apply(MemberPart.renew("x", 1, 0)).status());
@@ -165,7 +179,8 @@
     public void otherTermsAreNamedWhileAnyoneGoesByTheFormer() {
         four();
         Terms longer = new Terms(4, 9_000_000, 20_000_000, E / 4);
-        assertEquals(Answer.conflict("leaseMicros differs from what the members agreed on"),
+        assertEquals(
+                Answer.conflict("leaseMicros differs from what the members agreed on"),
                 apply(MemberPart.join("a", 2, longer)));
         pass(30_000_000);
         assertEquals(Status.DONE, apply(MemberPart.join("a", 2, longer)).status());
@@ -210,7 +225,8 @@
         assertEquals(Status.DONE, apply(OutPart.putBack("r3", "b", 1, "w1")).status());
         assertEquals(Status.DONE, apply(OutPart.putBack("r3", "b", 1, "w1")).status());
         assertEquals(Status.UNKNOWN, apply(OutPart.putBack("r4", "b", 1, "w1")).status());
-        assertEquals(Answer.faulty("worker is missing"),
+        assertEquals(
+                Answer.faulty("worker is missing"),
                 apply(new Command("", "a", 1, "out", "exit", postgrade.shared.Row.EMPTY)));
     }
 }
--- a/core/src/test/java/postgrade/policy/ColdRampTest.java
+++ b/core/src/test/java/postgrade/policy/ColdRampTest.java
@@ -18,30 +18,65 @@
 import postgrade.policy.FleetSimulation.Machine;
 
 /**
- * What all gateways together send to a cold worker, in a seeded simulation. Within each window it may get N requests of
- * mean work, and 2 roots of N and 2 more are put down to chance; docs/measurements/cold-ramp.md has the calculation.
+ * What all gateways together send to a cold worker, in a seeded simulation. Within each window it
+ * may get N requests of mean work, and 2 roots of N and 2 more are put down to chance;
+ * docs/measurements/cold-ramp.md has the calculation.
  */
 class ColdRampTest {
 
     private static final double MULTIPLE = 3;
     private static final long WINDOW = 2 * SECOND;
+
     /** What the fleet has together, in workers of five slots or of two. */
     private static final int SLOTS = 120;
+
     private static final Map<String, Double> MEANS = Map.of("short", 150e6, "long", 600e6);
     private static final double MEAN = 375e6;
+
     /** What the fleet can do, jobs a second. */
     private static final double CAPACITY = SLOTS * 1e9 / MEAN;
 
     private static Settings settings(int gateways, int index) {
-        return Settings.builder().gateways(gateways).gateway(index)
-                .classes(List.of(new JobClass("short", Effect.SAFE, Group.ALL, 0, 200 * MS, 2, 1, 0, null, false),
-                        new JobClass("long", Effect.UNSAFE, Group.ALL, 0, 500 * MS, 2, 3, 0, null, false)))
+        return Settings.builder()
+                .gateways(gateways)
+                .gateway(index)
+                .classes(
+                        List.of(
+                                new JobClass(
+                                        "short",
+                                        Effect.SAFE,
+                                        Group.ALL,
+                                        0,
+                                        200 * MS,
+                                        2,
+                                        1,
+                                        0,
+                                        null,
+                                        false),
+                                new JobClass(
+                                        "long",
+                                        Effect.UNSAFE,
+                                        Group.ALL,
+                                        0,
+                                        500 * MS,
+                                        2,
+                                        3,
+                                        0,
+                                        null,
+                                        false)))
                 .tenants(List.of(new Tenant("t", 0.8 * CAPACITY)))
-                .tellsStart(true).maxAttempts(4).mayDuplicate(false)
-                .cold(0.15, 20 * SECOND).fall(MULTIPLE, WINDOW).build();
+                .tellsStart(true)
+                .maxAttempts(4)
+                .mayDuplicate(false)
+                .cold(0.15, 20 * SECOND)
+                .fall(MULTIPLE, WINDOW)
+                .build();
     }
 
-    /** The most by which the work in any window since the worker's start went over N, in roots of N; and that work over N. */
+    /**
+     * The most by which the work in any window since the worker's start went over N, in roots of N;
+     * and that work over N.
+     */
     private static double[] worst(Machine m) {
         double worst = 0;
         double over = -9;
@@ -54,7 +89,12 @@
                 sum -= m.calls.get(from++).workNs() / MEAN;
             }
             // The least that it can do in this window: what it could at its begin, or at its start.
-            double n = MULTIPLE * m.warmth(Math.max(m.bornNs, c.atNs() - WINDOW)) * m.slots * WINDOW / MEAN;
+            double n =
+                    MULTIPLE
+                            * m.warmth(Math.max(m.bornNs, c.atNs() - WINDOW))
+                            * m.slots
+                            * WINDOW
+                            / MEAN;
             worst = Math.max(worst, sum / n);
             over = Math.max(over, (sum - n - 2) / Math.sqrt(n));
         }
@@ -62,14 +102,19 @@
     }
 
     private static FleetSimulation underABurst(int gateways, int slots, long seed) {
-        FleetSimulation f = new FleetSimulation(seed, i -> settings(gateways, i), SLOTS / slots, slots, MEANS, 1);
+        FleetSimulation f =
+                new FleetSimulation(
+                        seed, i -> settings(gateways, i), SLOTS / slots, slots, MEANS, 1);
         f.load(0.7 * CAPACITY, 30 * SECOND);
         f.run(8 * SECOND);
         f.load(0.7 * CAPACITY, 14 * SECOND);
         return f;
     }
 
-    /** Three workers restart under the same id, one after another. Returns how many got more than is put down to chance. */
+    /**
+     * Three workers restart under the same id, one after another. Returns how many got more than is
+     * put down to chance.
+     */
     private static int over(FleetSimulation f, String what) {
         List<String> restarted = List.of("w3", "w7", "w11");
         for (String w : restarted) {
@@ -83,7 +128,16 @@
             double[] worst = worst(m);
             assertTrue(m.calls.size() > 10, what + ": it was used, " + m.calls.size() + " calls");
             over += worst[0] > 2 ? 1 : 0;
-            assertTrue(worst[0] <= 4, what + ", " + w + ": " + worst[0] + " roots of N over N + 2, " + worst[1] + " of N");
+            assertTrue(
+                    worst[0] <= 4,
+                    what
+                            + ", "
+                            + w
+                            + ": "
+                            + worst[0]
+                            + " roots of N over N + 2, "
+                            + worst[1]
+                            + " of N");
         }
         return over;
     }
@@ -97,7 +151,10 @@
         }
     }
 
-    /** Seven in ten gateways begin again just before: they know the workers by a list that they were given, and nothing else. */
+    /**
+     * Seven in ten gateways begin again just before: they know the workers by a list that they were
+     * given, and nothing else.
+     */
     @ParameterizedTest
     @ValueSource(ints = {5, 30, 100})
     void alsoWhereMostOfTheGatewaysHaveJustStarted(int gateways) {
@@ -110,8 +167,9 @@
     }
 
     /**
-     * Workers smaller than one is taken to be of which nothing is known: what the tenants' rates come to bounds the guess. N
-     * is under five jobs here, whose lengths alone take one start in twenty over two roots.
+     * Workers smaller than one is taken to be of which nothing is known: what the tenants' rates
+     * come to bounds the guess. N is under five jobs here, whose lengths alone take one start in
+     * twenty over two roots.
      */
     @ParameterizedTest
     @ValueSource(ints = {5, 30, 100})
--- a/core/src/test/java/postgrade/policy/FleetSimulation.java
+++ b/core/src/test/java/postgrade/policy/FleetSimulation.java
@@ -17,14 +17,17 @@
 import postgrade.Dispatcher.Settings;
 import postgrade.Dispatcher.Worker;
 
-/** Many gateways that know nothing of each other over workers with queues, on virtual time, by a seed. */
+/**
+ * Many gateways that know nothing of each other over workers with queues, on virtual time, by a
+ * seed.
+ */
 final class FleetSimulation {
 
     static final long MS = 1_000_000L;
     static final long SECOND = 1_000 * MS;
 
     /** One call that came to a worker: when, and how long it runs at full pace. */
-    record Call(long atNs, double workNs) { }
+    record Call(long atNs, double workNs) {}
 
     private record Event(long atNs, long order, Runnable does) implements Comparable<Event> {
         @Override
@@ -48,13 +51,20 @@
         }
 
         double warmth(long nowNs) {
-            return bornNs == 0 ? 1 : Math.min(1, set.coldShare
-                    + (1 - set.coldShare) * Math.max(0, nowNs - bornNs) / set.warmWithinNs);
+            return bornNs == 0
+                    ? 1
+                    : Math.min(
+                            1,
+                            set.coldShare
+                                    + (1 - set.coldShare)
+                                            * Math.max(0, nowNs - bornNs)
+                                            / set.warmWithinNs);
         }
 
         void restart() {
             bornNs = now;
-            queue.clear(); // What it held ends with it, and its gateways hear of no end: their limit tells them.
+            queue.clear(); // What it held ends with it, and its gateways hear of no end: their
+            // limit tells them.
             calls.clear();
         }
 
@@ -89,34 +99,47 @@
             double work = work(jobId);
             m.calls.add(new Call(now, work));
             long born = m.bornNs;
-            Runnable runs = () -> {
-                m.running++;
-                by.started(now, jobId, attempt);
-                at(now + (long) (work / m.warmth(now)), () -> {
-                    if (m.bornNs == born) {
-                        m.running--;
-                        by.finished(now, jobId, attempt, Outcome.SERVED, true, Load.NONE);
-                        if (!m.queue.isEmpty()) {
-                            m.queue.poll().run();
-                        }
-                    }
-                });
-            };
+            Runnable runs =
+                    () -> {
+                        m.running++;
+                        by.started(now, jobId, attempt);
+                        at(
+                                now + (long) (work / m.warmth(now)),
+                                () -> {
+                                    if (m.bornNs == born) {
+                                        m.running--;
+                                        by.finished(
+                                                now,
+                                                jobId,
+                                                attempt,
+                                                Outcome.SERVED,
+                                                true,
+                                                Load.NONE);
+                                        if (!m.queue.isEmpty()) {
+                                            m.queue.poll().run();
+                                        }
+                                    }
+                                });
+                    };
             // After the module's own turn, as over a network.
-            at(now + MS, () -> {
-                if (m.running < m.slots) {
-                    runs.run();
-                } else {
-                    m.queue.add(runs);
-                }
-            });
+            at(
+                    now + MS,
+                    () -> {
+                        if (m.running < m.slots) {
+                            runs.run();
+                        } else {
+                            m.queue.add(runs);
+                        }
+                    });
         }
 
         @Override
         public void cancel(String jobId, int attempt) {
             // Workers run what was called off all the same, in the worst case.
             Decide by = module;
-            at(now + MS, () -> by.finished(now, jobId, attempt, Outcome.CANCELLED, false, Load.NONE));
+            at(
+                    now + MS,
+                    () -> by.finished(now, jobId, attempt, Outcome.CANCELLED, false, Load.NONE));
         }
 
         @Override
@@ -130,7 +153,7 @@
         }
 
         @Override
-        public void probe(String workerId) { }
+        public void probe(String workerId) {}
 
         @Override
         public void timer(String token, long inNs) {
@@ -139,7 +162,7 @@
         }
 
         @Override
-        public void watch() { }
+        public void watch() {}
     }
 
     private final PriorityQueue<Event> events = new PriorityQueue<>();
@@ -162,8 +185,13 @@
      * @param meansNs how long jobs of each class run on the mean
      * @param cv their deviation over their mean, lognormal
      */
-    FleetSimulation(long seed, java.util.function.IntFunction<Settings> settings, int workers, int slots,
-            Map<String, Double> meansNs, double cv) {
+    FleetSimulation(
+            long seed,
+            java.util.function.IntFunction<Settings> settings,
+            int workers,
+            int slots,
+            Map<String, Double> meansNs,
+            double cv) {
         random = new SplittableRandom(seed);
         this.settings = settings;
         set = settings.apply(0);
@@ -193,10 +221,12 @@
     void load(double perSecond, long untilNs) {
         long next = now + (long) (-Math.log(1 - random.nextDouble()) / perSecond * SECOND);
         if (next < untilNs) {
-            at(next, () -> {
-                job();
-                load(perSecond, untilNs);
-            });
+            at(
+                    next,
+                    () -> {
+                        job();
+                        load(perSecond, untilNs);
+                    });
         }
     }
 
@@ -211,7 +241,8 @@
     }
 
     private double gauss() {
-        return Math.sqrt(-2 * Math.log(1 - random.nextDouble())) * Math.cos(2 * Math.PI * random.nextDouble());
+        return Math.sqrt(-2 * Math.log(1 - random.nextDouble()))
+                * Math.cos(2 * Math.PI * random.nextDouble());
     }
 
     /** The worker's process starts anew; each gateway hears of it within this time. */
@@ -224,7 +255,9 @@
 
     /** So large a part of the gateways begins again with nothing but the list. */
     void restartGateways(double part) {
-        gateways.stream().filter(g -> random.nextDouble() < part).forEach(g -> g.begin(ListForm.STORED));
+        gateways.stream()
+                .filter(g -> random.nextDouble() < part)
+                .forEach(g -> g.begin(ListForm.STORED));
     }
 
     void run(long untilNs) {
--- a/core/src/test/java/postgrade/policy/OtherDeploymentTest.java
+++ b/core/src/test/java/postgrade/policy/OtherDeploymentTest.java
@@ -31,18 +31,41 @@
 import postgrade.Dispatcher.Tenant;
 import postgrade.Dispatcher.Worker;
 
-/** Settings of another customer, read under way or by the process that takes over: nothing of the first is left. */
+/**
+ * Settings of another customer, read under way or by the process that takes over: nothing of the
+ * first is left.
+ */
 class OtherDeploymentTest {
 
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1_000 * MS;
+
     /** The first customer's jobs and troubles fall into this time. */
     private static final long LATER = 30 * SECOND;
-    private static final List<Worker> WORKERS = Stream.of("w1", "w2", "w3")
-            .map(id -> new Worker(id, "z", "k", 0, Phase.READY, 1, 0)).toList();
-    /** What a worker or a job has of ours is a fact, whoever's settings are in force, and chance is chance. */
-    private static final Set<String> FACTS = Set.of("random", "out", "ability", "jobs", "askAgainNs", "usedAverage", "usedAtNs",
-            "coldSends", "coldSpent", "id", "hash", "info");
+
+    private static final List<Worker> WORKERS =
+            Stream.of("w1", "w2", "w3")
+                    .map(id -> new Worker(id, "z", "k", 0, Phase.READY, 1, 0))
+                    .toList();
+
+    /**
+     * What a worker or a job has of ours is a fact, whoever's settings are in force, and chance is
+     * chance.
+     */
+    private static final Set<String> FACTS =
+            Set.of(
+                    "random",
+                    "out",
+                    "ability",
+                    "jobs",
+                    "askAgainNs",
+                    "usedAverage",
+                    "usedAtNs",
+                    "coldSends",
+                    "coldSpent",
+                    "id",
+                    "hash",
+                    "info");
 
     private final Recorder out = new Recorder();
     private int jobs;
@@ -50,21 +73,46 @@
     /** Both call a class, a tenant, a machine kind and a zone the same. */
     private static Settings.Builder first() {
         return Settings.builder()
-                .named(Deployment.Sort.TIER, List.of("shops")).named(Deployment.Sort.KIND, List.of("k", "k1"))
+                .named(Deployment.Sort.TIER, List.of("shops"))
+                .named(Deployment.Sort.KIND, List.of("k", "k1"))
                 .named(Deployment.Sort.ZONE, List.of("z"))
-                .classes(List.of(JobClass.of("both", Effect.SAFE), JobClass.of("first", Effect.SAFE)))
+                .classes(
+                        List.of(
+                                JobClass.of("both", Effect.SAFE),
+                                JobClass.of("first", Effect.SAFE)))
                 .tenants(List.of(new Tenant("t", 4), new Tenant("t1", 4)))
-                .tellsStart(true).maxAttempts(4).maxRetryAfterNs(2 * SECOND).cold(0.2, 10 * SECOND).fall(3, SECOND);
+                .tellsStart(true)
+                .maxAttempts(4)
+                .maxRetryAfterNs(2 * SECOND)
+                .cold(0.2, 10 * SECOND)
+                .fall(3, SECOND);
     }
 
     private static Settings.Builder second() {
         return Settings.builder()
-                .named(Deployment.Sort.TIER, List.of("yards")).named(Deployment.Sort.KIND, List.of("k", "k2"))
+                .named(Deployment.Sort.TIER, List.of("yards"))
+                .named(Deployment.Sort.KIND, List.of("k", "k2"))
                 .named(Deployment.Sort.ZONE, List.of("z"))
-                .classes(List.of(JobClass.of("second", Effect.SAFE), new JobClass("both", Effect.UNSAFE, Group.ALL, 0,
-                        SECOND / 2, 0, 9, 0, null, false)))
+                .classes(
+                        List.of(
+                                JobClass.of("second", Effect.SAFE),
+                                new JobClass(
+                                        "both",
+                                        Effect.UNSAFE,
+                                        Group.ALL,
+                                        0,
+                                        SECOND / 2,
+                                        0,
+                                        9,
+                                        0,
+                                        null,
+                                        false)))
                 .tenants(List.of(new Tenant("t2", 8), new Tenant("t", 40)))
-                .tellsStart(true).maxAttempts(2).maxRetryAfterNs(SECOND).cold(0.1, 20 * SECOND).fall(2, 2 * SECOND);
+                .tellsStart(true)
+                .maxAttempts(2)
+                .maxRetryAfterNs(SECOND)
+                .cold(0.1, 20 * SECOND)
+                .fall(2, 2 * SECOND);
     }
 
     private String job(Decide d, long nowNs, String jobClass, String tenant) {
@@ -79,7 +127,10 @@
         return d;
     }
 
-    /** Under the first customer: long waits and runs, failures, an ejection, reports, buckets that are empty. */
+    /**
+     * Under the first customer: long waits and runs, failures, an ejection, reports, buckets that
+     * are empty.
+     */
     private Decide troubled(Settings settings) {
         Decide d = started(settings, 0);
         for (int i = 0; i < 60; i++) {
@@ -90,7 +141,13 @@
             }
             d.started(now + 700 * MS, id, 0);
             boolean fails = out.sentTo(id).equals("w1");
-            d.finished(now + 800 * MS, id, 0, fails ? Outcome.ERROR : Outcome.SERVED, true, new Load(i % 7, 0, 0, 0));
+            d.finished(
+                    now + 800 * MS,
+                    id,
+                    0,
+                    fails ? Outcome.ERROR : Outcome.SERVED,
+                    true,
+                    new Load(i % 7, 0, 0, 0));
         }
         return d;
     }
@@ -110,8 +167,11 @@
         Object before = memory(d);
         d.settings(LATER, first().build());
         assertEquals(before, memory(d));
-        d.settings(LATER, first().classes(List.of(JobClass.of("first", Effect.SAFE)))
-                .tenants(List.of(new Tenant("t1", 4))).build());
+        d.settings(
+                LATER,
+                first().classes(List.of(JobClass.of("first", Effect.SAFE)))
+                        .tenants(List.of(new Tenant("t1", 4)))
+                        .build());
         Memory my = (Memory) field(d, "my");
         assertEquals(Set.of("first"), my.classes.keySet());
         assertTrue(my.classes.get("first").served > 0, "what it knew of that one it knows");
@@ -136,7 +196,8 @@
         assertEquals(memory(started(second().build(), LATER)), memory(fresh));
         Decide same = started(first().build(), LATER);
         same.learn(LATER, told);
-        assertNotEquals(memory(started(first().build(), LATER)), memory(same), "one of the first does");
+        assertNotEquals(
+                memory(started(first().build(), LATER)), memory(same), "one of the first does");
         Decide fewer = started(first().tenants(List.of(new Tenant("t1", 4))).build(), LATER);
         fewer.learn(LATER, told);
         assertEquals(Set.of("t1"), ((Memory) field(fewer, "my")).tenantBuckets.keySet());
@@ -153,7 +214,8 @@
         assertEquals("fail " + once, out.last("fail"), "it may have run, and must not run twice");
         long sent = out.count("send " + underWay);
         d.finished(MS, underWay, 0, Outcome.ERROR, false, Load.NONE);
-        assertTrue(out.count("send " + underWay) > sent || out.last("refuse").contains(underWay),
+        assertTrue(
+                out.count("send " + underWay) > sent || out.last("refuse").contains(underWay),
                 "taken as one that may be repeated");
         assertThrows(IllegalArgumentException.class, () -> job(d, MS, "first", null));
         int admitted = 0;
@@ -166,12 +228,18 @@
         assertTrue(admitted >= 16, admitted + " of a burst of two seconds of 8");
     }
 
-    /** What was sent before is not counted under other rules on cold workers: one window passes first. */
+    /**
+     * What was sent before is not counted under other rules on cold workers: one window passes
+     * first.
+     */
     @Test
     void underStricterRulesOnColdWorkersOneWindowPassesFirst() {
         for (boolean stricter : new boolean[] {false, true}) {
             Decide d = new Decide(first().build(), 7, out);
-            d.list(0, ListForm.FULL, List.of(new Worker("w1", "z", "k", 0, Phase.READY, 1, LATER - 5 * SECOND)));
+            d.list(
+                    0,
+                    ListForm.FULL,
+                    List.of(new Worker("w1", "z", "k", 0, Phase.READY, 1, LATER - 5 * SECOND)));
             d.settings(LATER, stricter ? first().fall(3, 2 * SECOND).build() : first().build());
             long before = out.count("send");
             job(d, LATER + MS, "both", null);
@@ -217,7 +285,9 @@
         if (o instanceof Collection<?> list) {
             return list.size();
         }
-        if (o == null || o instanceof Settings || !o.getClass().getName().startsWith("postgrade.policy.")) {
+        if (o == null
+                || o instanceof Settings
+                || !o.getClass().getName().startsWith("postgrade.policy.")) {
             return o instanceof Settings ? "" : String.valueOf(o);
         }
         Map<String, Object> all = new TreeMap<>();
