--- a/core/src/test/java/postgrade/policy/Recorder.java
+++ b/core/src/test/java/postgrade/policy/Recorder.java
@@ -8,6 +8,7 @@
 /** Writes actions down as words, oldest first. */
 final class Recorder implements Actions {
     final List<String> said = new ArrayList<>();
+
     /** Within which the last attempt's request has to go out. */
     long windowNs;
 
@@ -63,7 +64,11 @@
 
     /** How many attempts went to workers whose id passes the test. */
     long sendsTo(Predicate<String> workerId) {
-        return said.stream().filter(s -> s.startsWith("send ") && workerId.test(s.substring(s.lastIndexOf(' ') + 1)))
+        return said.stream()
+                .filter(
+                        s ->
+                                s.startsWith("send ")
+                                        && workerId.test(s.substring(s.lastIndexOf(' ') + 1)))
                 .count();
     }
 
--- a/core/src/test/java/postgrade/policy/SlowStartStudy.java
+++ b/core/src/test/java/postgrade/policy/SlowStartStudy.java
@@ -16,8 +16,9 @@
 import postgrade.policy.FleetSimulation.Machine;
 
 /**
- * Prints how often a worker in slow start gets more than its budget, by its slots and the number of dispatchers. Run by
- * {@code bench/slow-start}; the figures stand in docs/measurements/cold-ramp.md.
+ * Prints how often a worker in slow start gets more than its budget, by its slots and the number of
+ * dispatchers. Run by {@code bench/slow-start}; the figures stand in
+ * docs/measurements/cold-ramp.md.
  */
 final class SlowStartStudy {
 
@@ -28,15 +29,43 @@
     private static final double MEAN = 375e6;
     private static final List<String> STARTED = List.of("w3", "w7", "w11");
 
-    private SlowStartStudy() { }
+    private SlowStartStudy() {}
 
     private static Settings settings(int dispatchers, int index, double capacity) {
-        return Settings.builder().gateways(dispatchers).gateway(index)
-                .classes(List.of(new JobClass("short", Effect.SAFE, Group.ALL, 0, 200 * MS, 2, 1, 0, null, false),
-                        new JobClass("long", Effect.UNSAFE, Group.ALL, 0, 500 * MS, 2, 3, 0, null, false)))
+        return Settings.builder()
+                .gateways(dispatchers)
+                .gateway(index)
+                .classes(
+                        List.of(
+                                new JobClass(
+                                        "short",
+                                        Effect.SAFE,
+                                        Group.ALL,
+                                        0,
+                                        200 * MS,
+                                        2,
+                                        1,
+                                        0,
+                                        null,
+                                        false),
+                                new JobClass(
+                                        "long",
+                                        Effect.UNSAFE,
+                                        Group.ALL,
+                                        0,
+                                        500 * MS,
+                                        2,
+                                        3,
+                                        0,
+                                        null,
+                                        false)))
                 .tenants(List.of(new Tenant("t", 0.8 * capacity)))
-                .tellsStart(true).maxAttempts(4).mayDuplicate(false)
-                .cold(0.15, 20 * SECOND).fall(MULTIPLE, WINDOW).build();
+                .tellsStart(true)
+                .maxAttempts(4)
+                .mayDuplicate(false)
+                .cold(0.15, 20 * SECOND)
+                .fall(MULTIPLE, WINDOW)
+                .build();
     }
 
     /** The budget of the terms for so many requests of mean work that the settings allow. */
@@ -46,7 +75,7 @@
     }
 
     /** What the worst window since a worker's start came to. */
-    private record Worst(double partOfBudget, double rootsOverAllowed) { }
+    private record Worst(double partOfBudget, double rootsOverAllowed) {}
 
     private static Worst worst(Machine worker) {
         double part = 0;
@@ -68,7 +97,9 @@
 
     private static FleetSimulation withThreeStarts(int slots, int dispatchers, long seed) {
         double capacity = WORKERS * slots * 1e9 / MEAN;
-        FleetSimulation fleet = new FleetSimulation(seed, i -> settings(dispatchers, i, capacity), WORKERS, slots, MEANS, 1);
+        FleetSimulation fleet =
+                new FleetSimulation(
+                        seed, i -> settings(dispatchers, i, capacity), WORKERS, slots, MEANS, 1);
         fleet.load(0.7 * capacity, 30 * SECOND);
         fleet.run(8 * SECOND);
         fleet.load(0.7 * capacity, 14 * SECOND);
@@ -88,16 +119,25 @@
             refused += fleet.refused;
             STARTED.forEach(worker -> starts.add(worst(fleet.machines.get(worker))));
         }
-        System.out.printf(Locale.ROOT, "| %d | %d | %d | %d | %.2f | %d | %d |%n", slots, dispatchers, starts.size(),
+        System.out.printf(
+                Locale.ROOT,
+                "| %d | %d | %d | %d | %.2f | %d | %d |%n",
+                slots,
+                dispatchers,
+                starts.size(),
                 starts.stream().filter(worst -> worst.partOfBudget() > 1).count(),
                 starts.stream().mapToDouble(Worst::partOfBudget).max().orElse(0),
-                starts.stream().filter(worst -> worst.rootsOverAllowed() > 2).count(), refused);
+                starts.stream().filter(worst -> worst.rootsOverAllowed() > 2).count(),
+                refused);
     }
 
-    /** @param args how many seeds; each has three starts */
+    /**
+     * @param args how many seeds; each has three starts
+     */
     public static void main(String[] args) {
         int seeds = Integer.parseInt(args[0]);
-        System.out.println("| slots | dispatchers | starts | over budget | worst part of it | over N + 2 roots + 2 | refused |");
+        System.out.println(
+                "| slots | dispatchers | starts | over budget | worst part of it | over N + 2 roots + 2 | refused |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- |");
         for (int slots : new int[] {1, 2, 3, 5, 8, 16}) {
             for (int dispatchers : new int[] {5, 30, 100}) {
--- a/core/src/test/java/postgrade/shared/MachineTest.java
+++ b/core/src/test/java/postgrade/shared/MachineTest.java
@@ -12,36 +12,41 @@
 import org.junit.Test;
 import postgrade.shared.Answer.Status;
 
-/** The ground all parts stand on: once per request id, time by the log, the same from a snapshot or from changes. */
+/**
+ * The ground all parts stand on: once per request id, time by the log, the same from a snapshot or
+ * from changes.
+ */
 public class MachineTest {
 
     /** Counts by name; a name is removed when its count passes what it may. */
-    private static final Part COUNTER = new Part() {
-        @Override
-        public String name() {
-            return "count";
-        }
+    private static final Part COUNTER =
+            new Part() {
+                @Override
+                public String name() {
+                    return "count";
+                }
 
-        @Override
-        public Answer apply(Rows rows, Moment at, Command c) {
-            String key = c.args().text("name");
-            long by = c.args().whole("by", 1, 10);
-            Row was = rows.get("count", key);
-            long now = by + (was == null ? 0 : was.whole("n"));
-            if (now > 10) {
-                rows.remove("count", key);
-            } else {
-                rows.put("count", key, Row.of("n", now));
-            }
-            return Answer.done("counted", Row.of("n", now, "fence", at.fence()));
-        }
-    };
+                @Override
+                public Answer apply(Rows rows, Moment at, Command c) {
+                    String key = c.args().text("name");
+                    long by = c.args().whole("by", 1, 10);
+                    Row was = rows.get("count", key);
+                    long now = by + (was == null ? 0 : was.whole("n"));
+                    if (now > 10) {
+                        rows.remove("count", key);
+                    } else {
+                        rows.put("count", key, Row.of("n", now));
+                    }
+                    return Answer.done("counted", Row.of("n", now, "fence", at.fence()));
+                }
+            };
 
     private final Machine machine = new Machine(1, List.of(COUNTER));
     private long index;
 
     private Answer count(String id, String name, Object by) {
-        return machine.apply(++index, new Command(id, "a", 1, "count", "add", Row.of("name", name, "by", by)));
+        return machine.apply(
+                ++index, new Command(id, "a", 1, "count", "add", Row.of("name", name, "by", by)));
     }
 
     @Test
@@ -51,7 +56,11 @@
         assertEquals("3", machine.rows().get("count", "x").text("n"));
         Machine next = new Machine(1, List.of(COUNTER));
         next.load(machine.save());
-        assertEquals(first, next.apply(++index, new Command("r1", "a", 1, "count", "add", Row.of("name", "x", "by", 3))));
+        assertEquals(
+                first,
+                next.apply(
+                        ++index,
+                        new Command("r1", "a", 1, "count", "add", Row.of("name", "x", "by", 3))));
         assertEquals("3", next.rows().get("count", "x").text("n"));
     }
 
@@ -67,8 +76,10 @@
         assertEquals(Answer.faulty("by must lie between 1 and 10"), count("", "x", 11));
         assertEquals(Answer.faulty("by must be a whole number"), count("", "x", "many"));
         assertNull(machine.rows().get("count", "x"));
-        assertEquals(Status.UNKNOWN,
-                machine.apply(++index, new Command("", "a", 1, "nothing", "add", Row.EMPTY)).status());
+        assertEquals(
+                Status.UNKNOWN,
+                machine.apply(++index, new Command("", "a", 1, "nothing", "add", Row.EMPTY))
+                        .status());
     }
 
     @Test
@@ -90,14 +101,19 @@
         assertEquals(0, machine.rows().count("request"));
     }
 
-    /** What a machine that looks at all its answers forgets at this step; replicas of both kinds must hold the same. */
+    /**
+     * What a machine that looks at all its answers forgets at this step; replicas of both kinds
+     * must hold the same.
+     */
     private static void forgetByLooking(Map<String, Long> answers, long before, long now) {
         if (now / 10_000_000 > before / 10_000_000 || answers.size() > 10_000) {
             List<Map.Entry<String, Long>> oldestFirst = new ArrayList<>(answers.entrySet());
             oldestFirst.sort(Map.Entry.comparingByValue());
             int over = oldestFirst.size() - 10_000;
-            for (int i = 0; i < oldestFirst.size()
-                    && (i < over || now - oldestFirst.get(i).getValue() >= 600_000_000); i++) {
+            for (int i = 0;
+                    i < oldestFirst.size()
+                            && (i < over || now - oldestFirst.get(i).getValue() >= 600_000_000);
+                    i++) {
                 answers.remove(oldestFirst.get(i).getKey());
             }
         }
@@ -113,7 +129,8 @@
         // Many at one moment first, up to the bound; then so few that the oldest grow too old.
         for (int i = 0; i < 13_000; i++) {
             String id = Integer.toHexString(random.nextInt());
-            replica.apply(++index, new Command(id, "a", 1, "count", "add", Row.of("name", "x", "by", 1)));
+            replica.apply(
+                    ++index, new Command(id, "a", 1, "count", "add", Row.of("name", "x", "by", 1)));
             answers.putIfAbsent(id, replica.moment().micros());
             if (random.nextInt(i < 10_500 ? 40 : 3) == 0) {
                 long before = replica.moment().micros();
@@ -156,7 +173,9 @@
         long seen = index;
         count("", "x", 10);
         count("", "x", 2);
-        assertEquals(machine.rows().of("count"), follower.with(index, machine.rows().since(seen)).of("count"));
+        assertEquals(
+                machine.rows().of("count"),
+                follower.with(index, machine.rows().since(seen)).of("count"));
     }
 
     @Test
@@ -168,7 +187,9 @@
         follower = follower.with(seen, machine.rows().since(0));
         assertTrue(follower.of("count").isEmpty());
         count("", "x", 10);
-        assertEquals(machine.rows().of("count"), follower.with(index, machine.rows().since(seen)).of("count"));
+        assertEquals(
+                machine.rows().of("count"),
+                follower.with(index, machine.rows().since(seen)).of("count"));
     }
 
     @Test
--- a/core/src/test/java/postgrade/window/CalendarPartTest.java
+++ b/core/src/test/java/postgrade/window/CalendarPartTest.java
@@ -6,7 +6,6 @@
 import static org.junit.Assert.assertNull;
 import static org.junit.Assert.assertTrue;
 
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
@@ -33,7 +32,8 @@
     private long index;
 
     private Answer ask(String verb, Object... args) {
-        return machine.apply(++index, new Command("", "p", 1, CalendarPart.NAME, verb, Row.of(args)));
+        return machine.apply(
+                ++index, new Command("", "p", 1, CalendarPart.NAME, verb, Row.of(args)));
     }
 
     private Answer put(String text) {
@@ -42,7 +42,8 @@
 
     private void advance(long micros) {
         for (long left = micros; left > 0; left -= Machine.MOST_ADVANCE_MICROS) {
-            machine.apply(++index, Machine.advance("p", 1, Math.min(left, Machine.MOST_ADVANCE_MICROS)));
+            machine.apply(
+                    ++index, Machine.advance("p", 1, Math.min(left, Machine.MOST_ADVANCE_MICROS)));
         }
     }
 
@@ -52,9 +53,22 @@
 
     /** Texts here are plain spans: {@code from-to from-to}. */
     private static SiteCalendar read(Wanted w) {
-        List<Event> events = Stream.of(w.text().split(" ")).map(s -> s.split("-")).map(s -> Event.once(w.text(),
-                new Event.When(LocalTimes.local(Long.parseLong(s[0]), Times.zone("UTC")), Times.zone("UTC")),
-                Length.exactly(Long.parseLong(s[1]) - Long.parseLong(s[0])))).toList();
+        List<Event> events =
+                Stream.of(w.text().split(" "))
+                        .map(s -> s.split("-"))
+                        .map(
+                                s ->
+                                        Event.once(
+                                                w.text(),
+                                                new Event.When(
+                                                        LocalTimes.local(
+                                                                Long.parseLong(s[0]),
+                                                                Times.zone("UTC")),
+                                                        Times.zone("UTC")),
+                                                Length.exactly(
+                                                        Long.parseLong(s[1])
+                                                                - Long.parseLong(s[0]))))
+                        .toList();
         return SiteCalendar.compile(w.site(), w.version(), events, -1_000_000_000, 1_000_000_000);
     }
 
@@ -72,7 +86,9 @@
         assertEquals(Row.of("current", first), machine.rows().get("calendar", "site:a"));
         String second = put("3000-4000").fields().text("version");
         String third = put("5000-6000").fields().text("version");
-        assertNull("the one that waited is replaced", machine.rows().get("calendar", "text:a:" + second));
+        assertNull(
+                "the one that waited is replaced",
+                machine.rows().get("calendar", "text:a:" + second));
         assertEquals(first, machine.rows().get("calendar", "site:a").text("current"));
         advance(AHEAD);
         assertEquals(Row.of("current", third), machine.rows().get("calendar", "site:a"));
@@ -85,7 +101,8 @@
         advance(AHEAD);
         String former = machine.rows().get("calendar", "site:a").text("current");
         put("3000-4000");
-        // A view from just before, used by a slow clock beside a fast leader that had two steps to tell.
+        // A view from just before, used by a slow clock beside a fast leader that had two steps to
+        // tell.
         advance(2 * Machine.MOST_ADVANCE_MICROS);
         advance((long) (CalendarPart.LONGEST_VIEW_MICROS * 1.02 / 0.98));
         assertEquals(former, machine.rows().get("calendar", "site:a").text("current"));
@@ -93,14 +110,19 @@
 
     @Test
     public void badCallsAreTurnedDownByField() {
-        assertTrue(ask("put", "site", "a b", "zone", "UTC", "text", "x").text().startsWith("site "));
+        assertTrue(
+                ask("put", "site", "a b", "zone", "UTC", "text", "x").text().startsWith("site "));
         assertTrue(ask("put", "site", "a", "text", "x").text().startsWith("zone "));
         assertTrue(put("x".repeat(300_000)).text().startsWith("text "));
-        assertTrue(ask("put", "site", "a", "zone", "UTC", "text", "x", "inMicros", AHEAD - 1).text()
-                .startsWith("inMicros "));
+        assertTrue(
+                ask("put", "site", "a", "zone", "UTC", "text", "x", "inMicros", AHEAD - 1)
+                        .text()
+                        .startsWith("inMicros "));
         assertEquals(Status.UNKNOWN, ask("drop", "site", "a").status());
         put("1-2");
-        assertEquals(Status.CONFLICT, ask("put", "site", "a", "zone", "UTC", "text", "x", "expects", "7").status());
+        assertEquals(
+                Status.CONFLICT,
+                ask("put", "site", "a", "zone", "UTC", "text", "x", "expects", "7").status());
         assertEquals(Status.DONE, ask("drop", "site", "a").status());
         assertEquals(0, machine.rows().count("calendar"));
     }
@@ -141,8 +163,14 @@
         known.view(view(0), 0);
         readAll(known);
         WindowClass c = new WindowClass("c", List.of("a"), null, null, Deadline.NONE, 0, 10);
-        WindowAbility ability = new WindowAbility(List.of(c), new WindowAbility.Sites(Map.of(), Map.of()), known,
-                new LearntLengths(), 0, 1);
+        WindowAbility ability =
+                new WindowAbility(
+                        List.of(c),
+                        new WindowAbility.Sites(Map.of(), Map.of()),
+                        known,
+                        new LearntLengths(),
+                        0,
+                        1);
         Job job = new Job("j", "c", null, null, 1, 1, 0);
         assertEquals(0, ability.opensInNs(1_000_000_000L, job));
         assertTrue(ability.opensInNs(1_000_001_000L, job) > 0);
@@ -163,7 +191,10 @@
         assertNotNull("another version mends it", known.of("a"));
     }
 
-    /** Clocks that differ by 4%, views up to their bound, changes at any time: none starts in what is in force. */
+    /**
+     * Clocks that differ by 4%, views up to their bound, changes at any time: none starts in what
+     * is in force.
+     */
     @Test
     public void noProcessStartsInsideMaintenanceOfTheVersionInForceWhileCalendarsChange() {
         int started = 0;
@@ -199,12 +230,22 @@
             Row site = of.machine.rows().get("calendar", "site:a");
             String inForce = site == null ? null : site.text("current", null);
             long wall = random.nextInt(60);
-            if (Windows.able(new Plan(0, Long.MAX_VALUE, 1, List.of("a")), known.of("a"), wall, 0)) {
+            if (Windows.able(
+                    new Plan(0, Long.MAX_VALUE, 1, List.of("a")), known.of("a"), wall, 0)) {
                 started++;
-                String text = inForce == null ? null : of.machine.rows()
-                        .get("calendar", "text:a:" + inForce).text("text");
-                assertFalse("at " + real, text != null
-                        && read(new Wanted("a", inForce, "UTC", text)).closed().holds(wall));
+                String text =
+                        inForce == null
+                                ? null
+                                : of.machine
+                                        .rows()
+                                        .get("calendar", "text:a:" + inForce)
+                                        .text("text");
+                assertFalse(
+                        "at " + real,
+                        text != null
+                                && read(new Wanted("a", inForce, "UTC", text))
+                                        .closed()
+                                        .holds(wall));
             }
         }
         return started;
--- a/core/src/test/java/postgrade/window/ExpansionTest.java
+++ b/core/src/test/java/postgrade/window/ExpansionTest.java
@@ -24,74 +24,150 @@
 
     @Test
     public void aNominalDayLasts25HoursWhereClocksGoBackAnd24HoursLast24() {
-        assertEquals("2026-10-24T22:00:00Z/2026-10-25T23:00:00Z", told(compiled("2026-10-01T00:00:00Z",
-                "2026-11-01T00:00:00Z", event("2026-10-25T00:00", ZAGREB, Length.ofDays(1))).closed()));
-        assertEquals("2026-10-24T22:00:00Z/2026-10-25T22:00:00Z", told(compiled("2026-10-01T00:00:00Z",
-                "2026-11-01T00:00:00Z", event("2026-10-25T00:00", ZAGREB, Length.exactly(24 * HOUR))).closed()));
+        assertEquals(
+                "2026-10-24T22:00:00Z/2026-10-25T23:00:00Z",
+                told(
+                        compiled(
+                                        "2026-10-01T00:00:00Z",
+                                        "2026-11-01T00:00:00Z",
+                                        event("2026-10-25T00:00", ZAGREB, Length.ofDays(1)))
+                                .closed()));
+        assertEquals(
+                "2026-10-24T22:00:00Z/2026-10-25T22:00:00Z",
+                told(
+                        compiled(
+                                        "2026-10-01T00:00:00Z",
+                                        "2026-11-01T00:00:00Z",
+                                        event(
+                                                "2026-10-25T00:00",
+                                                ZAGREB,
+                                                Length.exactly(24 * HOUR)))
+                                .closed()));
     }
 
     @Test
     public void aTimeThatHappensTwiceMeansTheFirst() {
-        assertEquals("2026-10-25T00:30:00Z/2026-10-25T01:30:00Z", told(compiled("2026-10-25T00:00:00Z",
-                "2026-10-26T00:00:00Z", event("2026-10-25T02:30", ZAGREB, Length.exactly(HOUR))).closed()));
+        assertEquals(
+                "2026-10-25T00:30:00Z/2026-10-25T01:30:00Z",
+                told(
+                        compiled(
+                                        "2026-10-25T00:00:00Z",
+                                        "2026-10-26T00:00:00Z",
+                                        event("2026-10-25T02:30", ZAGREB, Length.exactly(HOUR)))
+                                .closed()));
     }
 
     @Test
     public void aTimeInAGapIsReadByTheOffsetBeforeItAndTheRuleGoesOnAsItWas() {
-        assertEquals("2027-03-27T01:30:00Z/2027-03-27T01:45:00Z 2027-03-28T01:30:00Z/2027-03-28T01:45:00Z "
-                + "2027-03-29T00:30:00Z/2027-03-29T00:45:00Z", told(compiled("2027-03-27T00:00:00Z",
-                "2027-03-30T00:00:00Z", event("2020-01-01T02:30", ZAGREB, Length.exactly(HOUR / 4)).recurring(DAILY))
-                .closed()));
+        assertEquals(
+                "2027-03-27T01:30:00Z/2027-03-27T01:45:00Z 2027-03-28T01:30:00Z/2027-03-28T01:45:00Z "
+                        + "2027-03-29T00:30:00Z/2027-03-29T00:45:00Z",
+                told(
+                        compiled(
+                                        "2027-03-27T00:00:00Z",
+                                        "2027-03-30T00:00:00Z",
+                                        event("2020-01-01T02:30", ZAGREB, Length.exactly(HOUR / 4))
+                                                .recurring(DAILY))
+                                .closed()));
     }
 
     @Test
     public void lordHoweMovesItsClocksByHalfAnHour() {
         // 2026-10-04 02:00 becomes 02:30: offset +10:30 before, +11 after.
-        assertEquals("2026-10-03T13:30:00Z/2026-10-04T13:00:00Z", told(compiled("2026-10-01T00:00:00Z",
-                "2026-10-08T00:00:00Z", event("2026-10-04T00:00", zone("Australia/Lord_Howe"), Length.ofDays(1)))
-                .closed()));
+        assertEquals(
+                "2026-10-03T13:30:00Z/2026-10-04T13:00:00Z",
+                told(
+                        compiled(
+                                        "2026-10-01T00:00:00Z",
+                                        "2026-10-08T00:00:00Z",
+                                        event(
+                                                "2026-10-04T00:00",
+                                                zone("Australia/Lord_Howe"),
+                                                Length.ofDays(1)))
+                                .closed()));
     }
 
     @Test
     public void theDayThatApiaLeftOutIsTheNextOne() {
-        assertEquals("2011-12-29T20:00:00Z/2011-12-29T21:00:00Z 2011-12-30T20:00:00Z/2011-12-30T21:00:00Z "
-                + "2011-12-31T20:00:00Z/2011-12-31T21:00:00Z", told(compiled("2011-12-29T12:00:00Z",
-                "2012-01-01T12:00:00Z", event("2011-12-01T10:00", zone("Pacific/Apia"), Length.exactly(HOUR))
-                .recurring(DAILY)).closed()));
+        assertEquals(
+                "2011-12-29T20:00:00Z/2011-12-29T21:00:00Z 2011-12-30T20:00:00Z/2011-12-30T21:00:00Z "
+                        + "2011-12-31T20:00:00Z/2011-12-31T21:00:00Z",
+                told(
+                        compiled(
+                                        "2011-12-29T12:00:00Z",
+                                        "2012-01-01T12:00:00Z",
+                                        event(
+                                                        "2011-12-01T10:00",
+                                                        zone("Pacific/Apia"),
+                                                        Length.exactly(HOUR))
+                                                .recurring(DAILY))
+                                .closed()));
     }
 
     @Test
     public void leapDaysRecurInLeapYearsAlone() {
-        assertEquals("2028-02-29T00:00:00Z/2028-03-01T00:00:00Z 2032-02-29T00:00:00Z/2032-03-01T00:00:00Z",
-                told(compiled("2025-01-01T00:00:00Z", "2036-01-01T00:00:00Z", event("2024-02-29T00:00", zone("UTC"),
-                Length.ofDays(1)).recurring(Recurrence.every(Every.YEAR, 1))).closed()));
+        assertEquals(
+                "2028-02-29T00:00:00Z/2028-03-01T00:00:00Z 2032-02-29T00:00:00Z/2032-03-01T00:00:00Z",
+                told(
+                        compiled(
+                                        "2025-01-01T00:00:00Z",
+                                        "2036-01-01T00:00:00Z",
+                                        event("2024-02-29T00:00", zone("UTC"), Length.ofDays(1))
+                                                .recurring(Recurrence.every(Every.YEAR, 1)))
+                                .closed()));
     }
 
     @Test
     public void aRuleWithoutEndIsWorkedOutWithinItsHorizonAndFurtherOnLater() {
-        Event forEver = event("1970-01-01T06:00", zone("UTC"), Length.exactly(HOUR)).recurring(DAILY);
-        assertEquals(2, compiled("2026-01-01T00:00:00Z", "2026-01-03T00:00:00Z", forEver).closed().size());
-        assertEquals(10, compiled("2026-01-01T00:00:00Z", "2026-01-11T00:00:00Z", forEver).closed().size());
+        Event forEver =
+                event("1970-01-01T06:00", zone("UTC"), Length.exactly(HOUR)).recurring(DAILY);
+        assertEquals(
+                2,
+                compiled("2026-01-01T00:00:00Z", "2026-01-03T00:00:00Z", forEver).closed().size());
+        assertEquals(
+                10,
+                compiled("2026-01-01T00:00:00Z", "2026-01-11T00:00:00Z", forEver).closed().size());
     }
 
     @Test
     public void theLastWeekdayOfEachMonthAndACount() {
-        Recurrence lastFriday = Recurrence.every(Every.MONTH, 1).on(List.of(new Day(-1, DayOfWeek.FRIDAY))).times(3);
-        assertEquals("2026-01-30T12:00:00Z/2026-01-30T13:00:00Z 2026-02-27T12:00:00Z/2026-02-27T13:00:00Z "
-                + "2026-03-27T12:00:00Z/2026-03-27T13:00:00Z", told(compiled("2026-01-01T00:00:00Z",
-                "2027-01-01T00:00:00Z", event("2026-01-30T12:00", zone("UTC"), Length.exactly(HOUR))
-                .recurring(lastFriday)).closed()));
+        Recurrence lastFriday =
+                Recurrence.every(Every.MONTH, 1)
+                        .on(List.of(new Day(-1, DayOfWeek.FRIDAY)))
+                        .times(3);
+        assertEquals(
+                "2026-01-30T12:00:00Z/2026-01-30T13:00:00Z 2026-02-27T12:00:00Z/2026-02-27T13:00:00Z "
+                        + "2026-03-27T12:00:00Z/2026-03-27T13:00:00Z",
+                told(
+                        compiled(
+                                        "2026-01-01T00:00:00Z",
+                                        "2027-01-01T00:00:00Z",
+                                        event("2026-01-30T12:00", zone("UTC"), Length.exactly(HOUR))
+                                                .recurring(lastFriday))
+                                .closed()));
     }
 
     @Test
     public void aMillionOccurrencesAreTooMany() {
-        FaultyCalendar fault = assertThrows(FaultyCalendar.class, () -> compiled("2026-01-01T00:00:00Z",
-                "2026-04-01T00:00:00Z", event("2026-01-01T00:00", zone("UTC"), Length.exactly(1))
-                .recurring(Recurrence.every(Every.SECOND, 1))));
+        FaultyCalendar fault =
+                assertThrows(
+                        FaultyCalendar.class,
+                        () ->
+                                compiled(
+                                        "2026-01-01T00:00:00Z",
+                                        "2026-04-01T00:00:00Z",
+                                        event("2026-01-01T00:00", zone("UTC"), Length.exactly(1))
+                                                .recurring(Recurrence.every(Every.SECOND, 1))));
         assertEquals("RRULE", fault.property());
         assertTrue(fault.sentence(), fault.sentence().contains("over 100000 occurrences"));
-        assertThrows("as many steps without one", FaultyCalendar.class, () -> compiled("2026-01-01T00:00:00Z",
-                "2026-04-01T00:00:00Z", event("2026-01-01T00:00", zone("UTC"), Length.exactly(0))
-                .recurring(Recurrence.every(Every.SECOND, 1))));
+        assertThrows(
+                "as many steps without one",
+                FaultyCalendar.class,
+                () ->
+                        compiled(
+                                "2026-01-01T00:00:00Z",
+                                "2026-04-01T00:00:00Z",
+                                event("2026-01-01T00:00", zone("UTC"), Length.exactly(0))
+                                        .recurring(Recurrence.every(Every.SECOND, 1))));
     }
 }
--- a/core/src/test/java/postgrade/window/Times.java
+++ b/core/src/test/java/postgrade/window/Times.java
@@ -14,7 +14,7 @@
     static final long HOUR = 3_600_000;
     static final ZoneRules ZAGREB = zone("Europe/Zagreb");
 
-    private Times() { }
+    private Times() {}
 
     static ZoneRules zone(String id) {
         return ZoneId.of(id).getRules();
@@ -40,7 +40,9 @@
     static String told(Intervals all) {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < all.size(); i++) {
-            text.append(i == 0 ? "" : " ").append(Instant.ofEpochMilli(all.from(i))).append('/')
+            text.append(i == 0 ? "" : " ")
+                    .append(Instant.ofEpochMilli(all.from(i)))
+                    .append('/')
                     .append(Instant.ofEpochMilli(all.to(i)));
         }
         return text.toString();
--- a/core/src/test/java/postgrade/window/WindowAbilityTest.java
+++ b/core/src/test/java/postgrade/window/WindowAbilityTest.java
@@ -22,14 +22,28 @@
 public class WindowAbilityTest {
 
     private static final long MIDNIGHT = utc("2026-06-01T00:00:00Z");
-    private static final WindowClass NIGHTLY = new WindowClass("route-plan", List.of("a", "b"), null, null,
-            Deadline.NONE, 0.9, 60_000);
+    private static final WindowClass NIGHTLY =
+            new WindowClass(
+                    "route-plan", List.of("a", "b"), null, null, Deadline.NONE, 0.9, 60_000);
+
     /** Until 06:00 and from 05:00 on: the second site opens an hour before the first. */
-    private static final SiteCalendar A = SiteCalendar.compile("a", "1", List.of(event("2026-05-31T22:00", zone("UTC"),
-            Length.exactly(8 * HOUR))), MIDNIGHT - 100 * HOUR, MIDNIGHT + 1000 * HOUR);
-    private static final SiteCalendar B = SiteCalendar.compile("b", "1", List.of(event("2026-05-31T22:00", zone("UTC"),
-            Length.exactly(7 * HOUR)), event("2026-06-01T05:30", zone("UTC"), Length.exactly(HOUR))),
-            MIDNIGHT - 100 * HOUR, MIDNIGHT + 1000 * HOUR);
+    private static final SiteCalendar A =
+            SiteCalendar.compile(
+                    "a",
+                    "1",
+                    List.of(event("2026-05-31T22:00", zone("UTC"), Length.exactly(8 * HOUR))),
+                    MIDNIGHT - 100 * HOUR,
+                    MIDNIGHT + 1000 * HOUR);
+
+    private static final SiteCalendar B =
+            SiteCalendar.compile(
+                    "b",
+                    "1",
+                    List.of(
+                            event("2026-05-31T22:00", zone("UTC"), Length.exactly(7 * HOUR)),
+                            event("2026-06-01T05:30", zone("UTC"), Length.exactly(HOUR))),
+                    MIDNIGHT - 100 * HOUR,
+                    MIDNIGHT + 1000 * HOUR);
 
     private final LearntLengths lengths = new LearntLengths();
     private Map<String, SiteCalendar> known = Map.of("a", A, "b", B);
@@ -37,7 +51,8 @@
 
     private WindowAbility ability(WindowClass c) {
         Sites sites = new Sites(Map.of("gpu", "b"), Map.of("hall-a", "a", "hall-b", "b"));
-        WindowAbility a = new WindowAbility(List.of(c), sites, site -> known.get(site), lengths, 0, 7);
+        WindowAbility a =
+                new WindowAbility(List.of(c), sites, site -> known.get(site), lengths, 0, 7);
         a.wall(0, MIDNIGHT);
         return a;
     }
@@ -65,7 +80,8 @@
     public void outsideItsWindowsAJobIsToldATimeWithinTheNextOpening() {
         for (int i = 0; i < 100; i++) {
             long in = ability.opensInNs(0, job("route-plan", "j" + i));
-            // Site b opens at 05:00 and must be left by 05:30; half of the opening is spread over, ten minutes at most.
+            // Site b opens at 05:00 and must be left by 05:30; half of the opening is spread over,
+            // ten minutes at most.
             assertTrue("in " + in, in >= ns(5) && in < ns(5) + 600_000_000_000L);
         }
         assertEquals(0, ability.opensInNs(ns(5), job("route-plan", "j")));
@@ -77,10 +93,16 @@
         assertEquals(0, ability.part(ns(5) - 1, job, worker("hall-b", "x")), 0);
         assertEquals(1, ability.part(ns(5), job, worker("hall-b", "x")), 0);
         assertEquals("by its kind", 1, ability.part(ns(5), job, worker("hall-a", "gpu")), 0);
-        assertEquals("this one is closed still", 0, ability.part(ns(5), job, worker("hall-a", "x")), 0);
-        assertEquals("it just ends in time", 1, ability.part(ns(5.5) - 60_000_000_000L, job, worker("hall-b", "x")), 0);
+        assertEquals(
+                "this one is closed still", 0, ability.part(ns(5), job, worker("hall-a", "x")), 0);
+        assertEquals(
+                "it just ends in time",
+                1,
+                ability.part(ns(5.5) - 60_000_000_000L, job, worker("hall-b", "x")),
+                0);
         assertEquals(0, ability.part(ns(5.5) - 59_000_000_000L, job, worker("hall-b", "x")), 0);
-        assertEquals("no site of the class", 0, ability.part(ns(7), job, worker("elsewhere", "x")), 0);
+        assertEquals(
+                "no site of the class", 0, ability.part(ns(7), job, worker("elsewhere", "x")), 0);
     }
 
     @Test
@@ -90,7 +112,11 @@
         }
         long tenMinutes = lengths.quantile("route-plan", 0.9);
         assertTrue("" + tenMinutes, tenMinutes >= 600_000 && tenMinutes < 675_000);
-        assertEquals(0, ability.part(ns(5.5) - 599_000_000_000L, job("route-plan", "j"), worker("hall-b", "x")), 0);
+        assertEquals(
+                0,
+                ability.part(
+                        ns(5.5) - 599_000_000_000L, job("route-plan", "j"), worker("hall-b", "x")),
+                0);
     }
 
     @Test
@@ -103,16 +129,30 @@
 
     @Test
     public void aJobsDailyDeadlineDoesNotMoveOnWhileItWaits() {
-        WindowAbility daily = ability(new WindowClass("route-plan", List.of("a"), LocalTime.of(10, 0), ZAGREB,
-                new Deadline.Daily(LocalTime.of(18, 0), ZAGREB), 0, 60_000));
+        WindowAbility daily =
+                ability(
+                        new WindowClass(
+                                "route-plan",
+                                List.of("a"),
+                                LocalTime.of(10, 0),
+                                ZAGREB,
+                                new Deadline.Daily(LocalTime.of(18, 0), ZAGREB),
+                                0,
+                                60_000));
         Job early = job("route-plan", "early");
         // 18:00 in Zagreb is 16:00 UTC.
         assertEquals(0, daily.opensInNs(ns(15.9), early));
         assertEquals(1, daily.part(ns(15.9), early, worker("hall-a", "x")), 0);
-        assertEquals("too late to end in time", 0, daily.part(ns(15.99), early, worker("hall-a", "x")), 0);
-        assertEquals("nor once the day is over", 0, daily.part(ns(32), early, worker("hall-a", "x")), 0);
+        assertEquals(
+                "too late to end in time",
+                0,
+                daily.part(ns(15.99), early, worker("hall-a", "x")),
+                0);
+        assertEquals(
+                "nor once the day is over", 0, daily.part(ns(32), early, worker("hall-a", "x")), 0);
         long in = daily.opensInNs(ns(15.99), job("route-plan", "late"));
         assertTrue("from 10:00 the next day", in >= ns(32 - 15.99) && in < ns(32.2 - 15.99));
-        assertEquals("its next day has come", 0, daily.opensInNs(ns(32), job("route-plan", "late")));
+        assertEquals(
+                "its next day has come", 0, daily.opensInNs(ns(32), job("route-plan", "late")));
     }
 }
--- a/core/src/test/java/postgrade/window/WindowsTest.java
+++ b/core/src/test/java/postgrade/window/WindowsTest.java
@@ -5,7 +5,6 @@
 import static org.junit.Assert.assertTrue;
 import static postgrade.window.Times.HOUR;
 import static postgrade.window.Times.ZAGREB;
-import static postgrade.window.Times.event;
 import static postgrade.window.Times.utc;
 import static postgrade.window.Times.zone;
 
@@ -27,15 +26,20 @@
     private static SiteCalendar closed(String site, long... fromTo) {
         List<Event> events = new ArrayList<>();
         for (int i = 0; i < fromTo.length; i += 2) {
-            Event.When start = new Event.When(LocalTimes.local(fromTo[i], zone("UTC")), zone("UTC"));
-            events.add(Event.once("works " + i / 2, start, Length.exactly(fromTo[i + 1] - fromTo[i])));
+            Event.When start =
+                    new Event.When(LocalTimes.local(fromTo[i], zone("UTC")), zone("UTC"));
+            events.add(
+                    Event.once("works " + i / 2, start, Length.exactly(fromTo[i + 1] - fromTo[i])));
         }
         return SiteCalendar.compile(site, "1", events, -1000, 10_000);
     }
 
     private static Answer ask(long earliest, long deadline, long lasts, long now, long error) {
-        return Windows.query(new Plan(earliest, deadline, lasts, List.of("a", "b", "c")),
-                Map.of("a", NIGHT, "b", OTHER)::get, now, error);
+        return Windows.query(
+                new Plan(earliest, deadline, lasts, List.of("a", "b", "c")),
+                Map.of("a", NIGHT, "b", OTHER)::get,
+                now,
+                error);
     }
 
     @Test
@@ -52,41 +56,68 @@
     public void eachExclusionHasItsReason() {
         Answer answer = ask(100, 5000, 300, 0, 0);
         List<Exclusion> of = answer.starts().get(0).exclusions();
-        assertEquals(List.of(Reason.TOO_EARLY, Reason.MAINTENANCE, Reason.MAINTENANCE, Reason.TOO_LATE),
+        assertEquals(
+                List.of(Reason.TOO_EARLY, Reason.MAINTENANCE, Reason.MAINTENANCE, Reason.TOO_LATE),
                 of.stream().map(Exclusion::reason).toList());
-        assertEquals(new Exclusion(2701, 4000, "a", Reason.MAINTENANCE, "works 1 (line 0)"), of.get(2));
+        assertEquals(
+                new Exclusion(2701, 4000, "a", Reason.MAINTENANCE, "works 1 (line 0)"), of.get(2));
         assertEquals("c", answer.unknown().get(0).site());
         assertEquals(1 + 4 + 1, answer.exclusions().size());
     }
 
     @Test
     public void theClocksErrorMakesMaintenanceLongerAtBothEnds() {
-        assertEquals("[0,651) [2050,2651) [4050,4701)", ask(0, 5000, 300, 0, 50).starts().get(0).starts().toString());
+        assertEquals(
+                "[0,651) [2050,2651) [4050,4701)",
+                ask(0, 5000, 300, 0, 50).starts().get(0).starts().toString());
     }
 
     @Test
     public void windowsOfOneInstantAreOpenForAMillisecondAndEmptyOnesAreNot() {
-        assertEquals("what just fits between two", "[2000,2001)",
+        assertEquals(
+                "what just fits between two",
+                "[2000,2001)",
                 ask(1500, 3500, 1000, 0, 0).starts().get(0).starts().toString());
-        assertTrue("a millisecond too long", ask(1500, 3500, 1001, 0, 0).starts().get(0).starts().isEmpty());
-        assertEquals("due just when it would end", "[100,101)", ask(100, 400, 300, 0, 0).together().toString());
+        assertTrue(
+                "a millisecond too long",
+                ask(1500, 3500, 1001, 0, 0).starts().get(0).starts().isEmpty());
+        assertEquals(
+                "due just when it would end",
+                "[100,101)",
+                ask(100, 400, 300, 0, 0).together().toString());
         assertEquals(Windows.NEVER, ask(101, 400, 300, 0, 0).opens());
     }
 
     @Test
     public void aJobThatTakesNoTimeDoesNotStartInMaintenanceEither() {
-        assertEquals("[900,1000) [2000,2101)", ask(900, 2100, 0, 0, 0).starts().get(0).starts().toString());
-        assertEquals("maintenance of no length closes nothing", "[0,6001)",
-                Windows.query(new Plan(0, 6000, 0, List.of("a")), s -> closed("a", 1000, 1000), 0, 5)
-                .together().toString());
+        assertEquals(
+                "[900,1000) [2000,2101)",
+                ask(900, 2100, 0, 0, 0).starts().get(0).starts().toString());
+        assertEquals(
+                "maintenance of no length closes nothing",
+                "[0,6001)",
+                Windows.query(
+                                new Plan(0, 6000, 0, List.of("a")),
+                                s -> closed("a", 1000, 1000),
+                                0,
+                                5)
+                        .together()
+                        .toString());
     }
 
     @Test
     public void beyondTheHorizonNothingIsKnownSoNothingStarts() {
         Answer answer = ask(8000, 12_000, 500, 0, 10);
         assertEquals("[8000,9491)", answer.together().toString());
-        assertTrue(answer.exclusions().contains(
-                new Exclusion(9491, 11_501, "a", Reason.BEYOND_HORIZON, "after what is worked out")));
+        assertTrue(
+                answer.exclusions()
+                        .contains(
+                                new Exclusion(
+                                        9491,
+                                        11_501,
+                                        "a",
+                                        Reason.BEYOND_HORIZON,
+                                        "after what is worked out")));
         assertFalse(Windows.able(new Plan(0, 50_000, 500, List.of("a")), NIGHT, 9_600, 0));
     }
 
@@ -96,8 +127,12 @@
             for (long lasts : new long[] {0, 1, 300, 999, 1000, 1200}) {
                 Plan plan = new Plan(0, 5500, lasts, List.of("a", "b"));
                 Answer full = Windows.query(plan, Map.of("a", NIGHT, "b", OTHER)::get, now, 3);
-                assertEquals(full.opens(), Windows.opens(plan, Map.of("a", NIGHT, "b", OTHER)::get, now, 3));
-                assertEquals(full.starts().get(0).starts().holds(now), Windows.able(plan, NIGHT, now, 3));
+                assertEquals(
+                        full.opens(),
+                        Windows.opens(plan, Map.of("a", NIGHT, "b", OTHER)::get, now, 3));
+                assertEquals(
+                        full.starts().get(0).starts().holds(now),
+                        Windows.able(plan, NIGHT, now, 3));
             }
         }
     }
@@ -106,11 +141,20 @@
     public void aDailyDeadlineIsTheNextOneAfterTheEarliestStart() {
         Deadline six = new Deadline.Daily(LocalTime.of(18, 0), ZAGREB);
         assertEquals(utc("2026-10-24T16:00:00Z"), six.millis(utc("2026-10-24T16:00:00Z")));
-        assertEquals("clocks have gone back", utc("2026-10-25T17:00:00Z"), six.millis(utc("2026-10-24T16:00:00.001Z")));
-        assertEquals("the first of two", utc("2026-10-25T00:30:00Z"),
-                new Deadline.Daily(LocalTime.of(2, 30), ZAGREB).millis(utc("2026-10-24T22:00:00Z")));
-        assertEquals("a day left out", utc("2011-12-30T20:00:00Z"),
-                new Deadline.Daily(LocalTime.of(10, 0), zone("Pacific/Apia")).millis(utc("2011-12-30T12:00:00Z")));
+        assertEquals(
+                "clocks have gone back",
+                utc("2026-10-25T17:00:00Z"),
+                six.millis(utc("2026-10-24T16:00:00.001Z")));
+        assertEquals(
+                "the first of two",
+                utc("2026-10-25T00:30:00Z"),
+                new Deadline.Daily(LocalTime.of(2, 30), ZAGREB)
+                        .millis(utc("2026-10-24T22:00:00Z")));
+        assertEquals(
+                "a day left out",
+                utc("2011-12-30T20:00:00Z"),
+                new Deadline.Daily(LocalTime.of(10, 0), zone("Pacific/Apia"))
+                        .millis(utc("2011-12-30T12:00:00Z")));
     }
 
     @Test
--- a/daemon/src/main/java/postgrade/benchlink/JsonPairs.java
+++ b/daemon/src/main/java/postgrade/benchlink/JsonPairs.java
@@ -10,7 +10,7 @@
 /** Turns nested JSON settings into the flat pairs that the simulator's wire carries. */
 public final class JsonPairs {
 
-    private JsonPairs() { }
+    private JsonPairs() {}
 
     /** Pairs of paths and plain values, in the form that the settings' reader takes. */
     public static Map<String, String> of(JsonObject json) {
@@ -19,11 +19,17 @@
         return pairs;
     }
 
-    /** Objects become paths, lists of objects a count and numbered paths, plain lists comma-joined text. */
+    /**
+     * Objects become paths, lists of objects a count and numbered paths, plain lists comma-joined
+     * text.
+     */
     private static void flatten(String path, JsonValue value, Map<String, String> pairs) {
         if (value.isObject()) {
             for (JsonObject.Member m : value.asObject()) {
-                flatten(path.isEmpty() ? m.getName() : path + "." + m.getName(), m.getValue(), pairs);
+                flatten(
+                        path.isEmpty() ? m.getName() : path + "." + m.getName(),
+                        m.getValue(),
+                        pairs);
             }
         } else if (value.isArray() && holdsObjects(value.asArray())) {
             pairs.put(path + ".count", Integer.toString(value.asArray().size()));
--- a/daemon/src/main/java/postgrade/benchlink/Main.java
+++ b/daemon/src/main/java/postgrade/benchlink/Main.java
@@ -12,14 +12,16 @@
 
     private static final int READ_BYTES = 1 << 16;
 
-    private Main() { }
+    private Main() {}
 
-    /** Returns the exit code: 0 at the end of the input, 1 after a line that cannot be understood. */
+    /**
+     * Returns the exit code: 0 at the end of the input, 1 after a line that cannot be understood.
+     */
     public static int serve(InputStream in, OutputStream out, Appendable err) throws IOException {
         StringBuilder reply = new StringBuilder(READ_BYTES);
         Wire wire = new Wire(reply);
-        BufferedReader lines = new BufferedReader(
-                new InputStreamReader(in, StandardCharsets.UTF_8), READ_BYTES);
+        BufferedReader lines =
+                new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), READ_BYTES);
         try {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 if (wire.line(line)) {
--- a/daemon/src/main/java/postgrade/benchlink/Wire.java
+++ b/daemon/src/main/java/postgrade/benchlink/Wire.java
@@ -65,14 +65,26 @@
             }
             case "DEMAND" -> {
                 Instance in = instance();
-                in.dispatcher.job(nowNs, new Job(text(2, "tid"), in.className(text(3, "class")), optional(4),
-                        optional(5), integer(6, "expiresInNs"), decimal(8, 1, "coresNeeded"),
-                        decimal(9, 0, "memory")));
+                in.dispatcher.job(
+                        nowNs,
+                        new Job(
+                                text(2, "tid"),
+                                in.className(text(3, "class")),
+                                optional(4),
+                                optional(5),
+                                integer(6, "expiresInNs"),
+                                decimal(8, 1, "coresNeeded"),
+                                decimal(9, 0, "memory")));
             }
             case "FINISHED" -> {
                 Instance in = instance();
-                in.dispatcher.finished(nowNs, text(2, "tid"), (int) integer(3, "trial"), outcome(5),
-                        flag(7, "last"), in.load(optional(9)));
+                in.dispatcher.finished(
+                        nowNs,
+                        text(2, "tid"),
+                        (int) integer(3, "trial"),
+                        outcome(5),
+                        flag(7, "last"),
+                        in.load(optional(9)));
             }
             case "HEARTBEAT" -> {
                 Dispatcher to = instance().dispatcher;
@@ -80,7 +92,11 @@
                 if (sort == 1) {
                     to.started(nowNs, text(2, "tid"), (int) integer(4, "trial"));
                 } else if (sort == 2) {
-                    to.progress(nowNs, text(2, "tid"), (int) integer(4, "trial"), decimal(6, 0, "level"));
+                    to.progress(
+                            nowNs,
+                            text(2, "tid"),
+                            (int) integer(4, "trial"),
+                            decimal(6, 0, "level"));
                 }
             }
             case "TIMER" -> instance().dispatcher.timer(nowNs, text(2, "nonce"));
@@ -90,10 +106,13 @@
             case "ABANDONED" -> instance().dispatcher.abandoned(nowNs, text(2, "tid"));
             case "CHECKED" -> {
                 Instance in = instance();
-                in.dispatcher.probed(nowNs, text(2, "runner"), integer(3, "code") == 0, in.load(optional(5)));
+                in.dispatcher.probed(
+                        nowNs, text(2, "runner"), integer(3, "code") == 0, in.load(optional(5)));
             }
-            case "ESTABLISHED" -> instance().dispatcher.streaming(nowNs, text(2, "tid"),
-                    (int) integer(4, "trial"));
+            case "ESTABLISHED" ->
+                    instance()
+                            .dispatcher
+                            .streaming(nowNs, text(2, "tid"), (int) integer(4, "trial"));
             case "MEMO" -> instance();
             default -> throw new Malformed(word + ": unknown message");
         }
@@ -116,13 +135,14 @@
     private void topology() {
         listFor = instance();
         String form = text(2, "form");
-        listForm = switch (form) {
-            case "diff" -> ListForm.CHANGES;
-            case "snapshot" -> ListForm.FULL;
-            case "disk" -> ListForm.STORED;
-            case "error" -> ListForm.ERROR;
-            default -> throw bad("form", form);
-        };
+        listForm =
+                switch (form) {
+                    case "diff" -> ListForm.CHANGES;
+                    case "snapshot" -> ListForm.FULL;
+                    case "disk" -> ListForm.STORED;
+                    case "error" -> ListForm.ERROR;
+                    default -> throw bad("form", form);
+                };
         listLeft = partCount > 4 && !parts[4].equals("-") ? (int) integer(4, "rows") : 0;
         listRows = new ArrayList<>(listLeft);
         if (listLeft == 0) {
@@ -132,17 +152,26 @@
 
     private void entry(String word) {
         if (!word.equals("ENTRY")) {
-            throw new Malformed("TOPOLOGY: rows: " + listLeft + " more ENTRY lines announced, got " + word);
+            throw new Malformed(
+                    "TOPOLOGY: rows: " + listLeft + " more ENTRY lines announced, got " + word);
         }
         String phase = text(5, "phase");
-        Phase as = switch (phase) {
-            case "Ready" -> Phase.READY;
-            case "Terminating" -> Phase.DRAINING;
-            case "Gone" -> Phase.GONE;
-            default -> throw bad("phase", phase);
-        };
-        listRows.add(new Worker(text(1, "runner"), orEmpty(2), orEmpty(3), (int) decimal(4, 0, "cell"), as,
-                decimal(6, 1, "heft"), (long) decimal(7, 0, "bornNs")));
+        Phase as =
+                switch (phase) {
+                    case "Ready" -> Phase.READY;
+                    case "Terminating" -> Phase.DRAINING;
+                    case "Gone" -> Phase.GONE;
+                    default -> throw bad("phase", phase);
+                };
+        listRows.add(
+                new Worker(
+                        text(1, "runner"),
+                        orEmpty(2),
+                        orEmpty(3),
+                        (int) decimal(4, 0, "cell"),
+                        as,
+                        decimal(6, 1, "heft"),
+                        (long) decimal(7, 0, "bornNs")));
         if (--listLeft == 0) {
             listFor.dispatcher.list(nowNs, listForm, listRows);
         }
@@ -255,7 +284,10 @@
                 classNames.put(c.name(), c.name());
             }
             List<String> fields = read.list("telemetry.fields");
-            freeAt = "free_slots".equals(read.text("specifics.reportX0", "")) ? fields.indexOf("x0") : -1;
+            freeAt =
+                    "free_slots".equals(read.text("specifics.reportX0", ""))
+                            ? fields.indexOf("x0")
+                            : -1;
             queuedAt = fields.indexOf("backlog");
             inFlightAt = fields.indexOf("outstanding");
             busyAt = fields.indexOf("utilization");
@@ -311,7 +343,12 @@
 
         @Override
         public void send(String jobId, String workerId, long limitNs) {
-            begin("SEND").append(jobId).append('\t').append(workerId).append('\t').append(limitNs)
+            begin("SEND")
+                    .append(jobId)
+                    .append('\t')
+                    .append(workerId)
+                    .append('\t')
+                    .append(limitNs)
                     .append('\n');
         }
 
--- a/daemon/src/main/java/postgrade/companion/Companion.java
+++ b/daemon/src/main/java/postgrade/companion/Companion.java
@@ -8,21 +8,26 @@
 import postgrade.operator.Further;
 
 /**
- * What may stand beside a dispatcher: it is told what goes on and has a say in what the module decides, and the
- * dispatcher does all without it as well. All is called on the loop's thread, and nothing here may wait.
+ * What may stand beside a dispatcher: it is told what goes on and has a say in what the module
+ * decides, and the dispatcher does all without it as well. All is called on the loop's thread, and
+ * nothing here may wait.
  */
 public interface Companion {
 
     /** Consulted by the module for each job and worker. */
     Ability ability();
 
-    /** What goes to a worker beside a job, in a header of ours that proves the job's claim; null for most. */
+    /**
+     * What goes to a worker beside a job, in a header of ours that proves the job's claim; null for
+     * most.
+     */
     default String fence(String jobClass, String tenant, String workerId) {
         return null;
     }
 
     /**
-     * Whether a connection to a worker may be opened now; asked right before, and then it is opened.
+     * Whether a connection to a worker may be opened now; asked right before, and then it is
+     * opened.
      *
      * @param must it is opened whatever the answer, as nothing else can carry what is to be sent
      */
@@ -30,18 +35,25 @@
         return true;
     }
 
-    /** A turn of the loop begins, and nothing of it has been taken in: what hangs on the time is looked at here. */
-    default void turn() { }
+    /**
+     * A turn of the loop begins, and nothing of it has been taken in: what hangs on the time is
+     * looked at here.
+     */
+    default void turn() {}
 
     /**
-     * It has heard what a new process has to know, such as which workers are out. Until then, and for so long at most,
-     * the process does not listen: consumers turn to others, as before it had started.
+     * It has heard what a new process has to know, such as which workers are out. Until then, and
+     * for so long at most, the process does not listen: consumers turn to others, as before it had
+     * started.
      */
     default boolean knows() {
         return true;
     }
 
-    /** How long it may be waited for: what stands beside a dispatcher may cost features, and no consumer its answer. */
+    /**
+     * How long it may be waited for: what stands beside a dispatcher may cost features, and no
+     * consumer its answer.
+     */
     default long patienceMicros() {
         return 1_000_000;
     }
@@ -65,18 +77,20 @@
     Further calls();
 
     /** The list of workers has changed, in whole or in part; the module has not heard of it yet. */
-    default void listed() { }
+    default void listed() {}
 
     /** An operator has taken this worker out here, or put it back. */
-    default void said(String workerId, boolean out) { }
+    default void said(String workerId, boolean out) {}
 
     /** A process of the same dispatcher has come or gone. */
-    default void peersChanged() { }
+    default void peersChanged() {}
 
     /** The process is to end, once all is answered. */
-    default void stopping() { }
+    default void stopping() {}
 
-    /** Everything is answered and the process ends: the last call. It may take some milliseconds. */
+    /**
+     * Everything is answered and the process ends: the last call. It may take some milliseconds.
+     */
     void close();
 
     /** Finds companions, by {@link java.util.ServiceLoader}. */
--- a/daemon/src/main/java/postgrade/companion/Host.java
+++ b/daemon/src/main/java/postgrade/companion/Host.java
@@ -7,7 +7,10 @@
 import postgrade.Dispatcher.Settings;
 import postgrade.gateway.Timers;
 
-/** The dispatcher as its companion sees it. For the loop's thread, but for the three clocks and {@link #loop}. */
+/**
+ * The dispatcher as its companion sees it. For the loop's thread, but for the three clocks and
+ * {@link #loop}.
+ */
 public interface Host {
 
     String name();
@@ -32,7 +35,9 @@
     /** What the module knows now, as a copy. */
     List<Learnt> learnt();
 
-    /** Tells the module what was learnt elsewhere; it passes over workers that it does not know yet. */
+    /**
+     * Tells the module what was learnt elsewhere; it passes over workers that it does not know yet.
+     */
     void learn(List<Learnt> all);
 
     /** This process has begun with what a running one told it, which is newer than any file. */
@@ -51,8 +56,18 @@
 
     List<Known> workers();
 
-    /** @param startedMillis of the wall clock as discovery told it, 0 for long ago @param out by an operator */
-    record Known(String id, String zone, String kind, double weight, long startedMillis, boolean ready, boolean out) { }
+    /**
+     * @param startedMillis of the wall clock as discovery told it, 0 for long ago @param out by an
+     *     operator
+     */
+    record Known(
+            String id,
+            String zone,
+            String kind,
+            double weight,
+            long startedMillis,
+            boolean ready,
+            boolean out) {}
 
     /** A connection to the worker is up, or on its way. */
     boolean connected(String workerId);
--- a/daemon/src/main/java/postgrade/consumer/ConnectionState.java
+++ b/daemon/src/main/java/postgrade/consumer/ConnectionState.java
@@ -15,22 +15,30 @@
     OPENING,
     /** A request waits for its answer; what comes behind it is kept ahead. */
     WAITING,
-    /** The last answer is given, or none is owed: our side ends with its last byte, and what comes is passed over. */
+    /**
+     * The last answer is given, or none is owed: our side ends with its last byte, and what comes
+     * is passed over.
+     */
     ANSWERING,
     /** Our side has ended; the peer has a moment to end its own. */
     LINGERING,
     CLOSED;
 
-    private static final Map<ConnectionState, Set<ConnectionState>> NEXT = new EnumMap<>(Map.of(
-            READING, EnumSet.of(TAKING, ANSWERING, CLOSED),
-            TAKING, EnumSet.of(READING, OPENING, ANSWERING, CLOSED),
-            OPENING, EnumSet.of(TAKING, WAITING, ANSWERING, CLOSED),
-            WAITING, EnumSet.of(TAKING, ANSWERING, CLOSED),
-            ANSWERING, EnumSet.of(LINGERING, CLOSED),
-            LINGERING, EnumSet.of(CLOSED),
-            CLOSED, EnumSet.noneOf(ConnectionState.class)));
+    private static final Map<ConnectionState, Set<ConnectionState>> NEXT =
+            new EnumMap<>(
+                    Map.of(
+                            READING, EnumSet.of(TAKING, ANSWERING, CLOSED),
+                            TAKING, EnumSet.of(READING, OPENING, ANSWERING, CLOSED),
+                            OPENING, EnumSet.of(TAKING, WAITING, ANSWERING, CLOSED),
+                            WAITING, EnumSet.of(TAKING, ANSWERING, CLOSED),
+                            ANSWERING, EnumSet.of(LINGERING, CLOSED),
+                            LINGERING, EnumSet.of(CLOSED),
+                            CLOSED, EnumSet.noneOf(ConnectionState.class)));
 
-    /** The next state. Guards against an answer or an end in a state that allows none: what is wrong ends this connection alone. */
+    /**
+     * The next state. Guards against an answer or an end in a state that allows none: what is wrong
+     * ends this connection alone.
+     */
     ConnectionState to(ConnectionState next) {
         if (!NEXT.get(this).contains(next)) {
             throw new IllegalStateException(this + " to " + next);
--- a/daemon/src/main/java/postgrade/consumer/ConsumerConnection.java
+++ b/daemon/src/main/java/postgrade/consumer/ConsumerConnection.java
@@ -17,11 +17,15 @@
 
     private static final byte[] NO_BODY = {};
     private static final ByteBuffer NOTHING = ByteBuffer.allocate(0);
+
     /** Bodies up to this length are taken whatever is held; call-backs are such. */
     static final int SMALL = 4 << 10;
+
     static final long FULL_RETRY_MICROS = 500_000;
+
     /** Guards the memory against a peer that asks and asks and does not read. */
     private static final long MOST_UNSENT = 256 << 10;
+
     /** Bytes kept of requests that come before the one ahead of them is answered. */
     private static final int MOST_AHEAD = MessageParser.MOST_BODY * 2;
 
@@ -30,20 +34,29 @@
     private final Expiry expiry;
     private ConnectionState state = ConnectionState.READING;
     private MessageParser parser = MessageParser.ofRequests();
+
     /** What has come behind the request that waits. */
     private ByteBuffer ahead = NOTHING;
+
     /** The request that waits; none where no answer is owed. */
     private Exchange exchange;
+
     private boolean ofConsumer;
+
     /** A request has been turned away since the last sweep. */
     private boolean turnedAway;
+
     private long accounted;
     private final ArrivalTimes arrivals;
+
     /** When what is being taken came, at the earliest. */
     private long arrivedMicros;
 
-    /** @param sinceMicros it has waited in the backlog since then at the earliest */
-    ConsumerConnection(Listener listener, SocketChannel channel, long sinceMicros) throws IOException {
+    /**
+     * @param sinceMicros it has waited in the backlog since then at the earliest
+     */
+    ConsumerConnection(Listener listener, SocketChannel channel, long sinceMicros)
+            throws IOException {
         this.listener = listener;
         arrivals = new ArrivalTimes(sinceMicros, listener.timers.nowMicros());
         expiry = new Expiry(listener.timers.nowMicros());
@@ -61,10 +74,15 @@
         expiry.came(listener.timers.nowMicros(), !state.owes() && parser.atStart());
         if (ahead.hasRemaining()) {
             if (ahead.remaining() + bytes.remaining() > MOST_AHEAD) {
-                // Guards the one answer: a close over unread bytes would reset the connection, and the client hear nothing.
+                // Guards the one answer: a close over unread bytes would reset the connection, and
+                // the client hear nothing.
                 throw new BadMessage(400, "more sent ahead of its answer than is kept");
             }
-            bytes = ByteBuffer.allocate(ahead.remaining() + bytes.remaining()).put(ahead).put(bytes).flip();
+            bytes =
+                    ByteBuffer.allocate(ahead.remaining() + bytes.remaining())
+                            .put(ahead)
+                            .put(bytes)
+                            .flip();
         }
         if (state.owes() && !MessageParser.mayBeRequest(bytes)) {
             throw new BadMessage(400, "more bytes than the request has");
@@ -73,8 +91,10 @@
         if (parser.bodySoFar() > SMALL && listener.holdsTooMuch()) {
             refuseUnfinished();
         }
-        // Guards the loop's time: who sends the same rubbish as soon as it is turned away is read from again at the
-        // next sweep only. But whoever waits for a job's answer may leave, and that must be seen at once.
+        // Guards the loop's time: who sends the same rubbish as soon as it is turned away is read
+        // from again at the
+        // next sweep only. But whoever waits for a job's answer may leave, and that must be seen at
+        // once.
         pause(turnedAway && state == ConnectionState.READING);
     }
 
@@ -87,7 +107,10 @@
         }
     }
 
-    /** The request that is being taken came then at the earliest, in microseconds of the loop's clock. */
+    /**
+     * The request that is being taken came then at the earliest, in microseconds of the loop's
+     * clock.
+     */
     long arrivedMicros() {
         return arrivedMicros;
     }
@@ -124,15 +147,22 @@
             to(ConnectionState.WAITING);
         }
         // What comes behind the last answer is never sent on.
-        ahead = state.owes() && bytes.hasRemaining()
-                ? ByteBuffer.allocate(bytes.remaining()).put(bytes).flip() : NOTHING;
+        ahead =
+                state.owes() && bytes.hasRemaining()
+                        ? ByteBuffer.allocate(bytes.remaining()).put(bytes).flip()
+                        : NOTHING;
         account();
     }
 
     /** Keeps the listener's count of the bytes held for this connection. */
     private void account() {
-        long held = connection.isOpen() ? parser.bodySoFar() + ahead.remaining() + connection.bytesUnsent()
-                + (exchange == null ? 0 : exchange.size) : 0;
+        long held =
+                connection.isOpen()
+                        ? parser.bodySoFar()
+                                + ahead.remaining()
+                                + connection.bytesUnsent()
+                                + (exchange == null ? 0 : exchange.size)
+                        : 0;
         listener.holds(held - accounted);
         accounted = held;
     }
@@ -196,8 +226,11 @@
     private void write(int status, byte[] body, long retryAfterMicros, boolean keepsAlive) {
         expiry.answered(listener.timers.nowMicros());
         boolean keep = keepsAlive && !(listener.endsConnections() && ofConsumer);
-        connection.write(MessageWriter.response(status).header("Retry-After", seconds(retryAfterMicros))
-                .header("Connection", keep ? null : "close").body(body));
+        connection.write(
+                MessageWriter.response(status)
+                        .header("Retry-After", seconds(retryAfterMicros))
+                        .header("Connection", keep ? null : "close")
+                        .body(body));
         if (!keep) {
             end();
         }
@@ -232,7 +265,10 @@
         account();
     }
 
-    /** A request begun is answered; a connection that says nothing is ended; one that has been told so is closed. */
+    /**
+     * A request begun is answered; a connection that says nothing is ended; one that has been told
+     * so is closed.
+     */
     private void expire() {
         if (state != ConnectionState.READING || !connection.allSent()) {
             drop();
@@ -264,10 +300,12 @@
     }
 
     /**
-     * Ends our side if nothing is under way; the peer ends its own, or is given the time to. Guards the request that comes
-     * in this moment, which is served, and the last answer: a close over unread bytes resets the connection.
+     * Ends our side if nothing is under way; the peer ends its own, or is given the time to. Guards
+     * the request that comes in this moment, which is served, and the last answer: a close over
+     * unread bytes resets the connection.
      *
-     * @param all also one that has carried no job yet; a provider's call-back, which we still wait for, may be on its way
+     * @param all also one that has carried no job yet; a provider's call-back, which we still wait
+     *     for, may be on its way
      */
     void leaveIfResting(boolean all) {
         if ((all || ofConsumer) && state == ConnectionState.READING && !busy()) {
@@ -305,7 +343,9 @@
 
     private static String seconds(long micros) {
         long millis = (micros + 999) / 1000;
-        return millis == 0 ? null : String.format(Locale.ROOT, "%d.%03d", millis / 1000, millis % 1000);
+        return millis == 0
+                ? null
+                : String.format(Locale.ROOT, "%d.%03d", millis / 1000, millis % 1000);
     }
 
     private void leave() {
--- a/daemon/src/main/java/postgrade/consumer/Exchange.java
+++ b/daemon/src/main/java/postgrade/consumer/Exchange.java
@@ -10,8 +10,10 @@
 
     private final ConsumerConnection connection;
     final boolean keepsAlive;
+
     /** Null for a call-back. */
     Invocation invocation;
+
     int size;
 
     Exchange(ConsumerConnection connection, boolean keepsAlive) {
@@ -37,7 +39,8 @@
     @Override
     public boolean hasLeft() {
         if (connection.awaits(this)) {
-            connection.look(); // The end may lie in the socket, behind other bytes or while nothing is read from it.
+            connection.look(); // The end may lie in the socket, behind other bytes or while nothing
+            // is read from it.
         }
         return !connection.awaits(this);
     }
--- a/daemon/src/main/java/postgrade/consumer/Fields.java
+++ b/daemon/src/main/java/postgrade/consumer/Fields.java
@@ -8,21 +8,40 @@
 
     /** Guards the module's tables against names as long as a head. */
     static final int MOST_NAME = 128;
+
     /** No deadline or figure is larger; guards what is counted with them. */
     private static final double MOST_MICROS = 3_600_000_000.0;
+
     private static final double MOST_FIGURE = 1e6;
-    /** Guards against what Java takes for a number besides: signs, NaN, exponents, hex, a closing d or f. */
+
+    /**
+     * Guards against what Java takes for a number besides: signs, NaN, exponents, hex, a closing d
+     * or f.
+     */
     private static final Pattern NUMBER = Pattern.compile("[0-9]{1,18}(\\.[0-9]{1,18})?");
 
     /** Headers that describe the job. Guards against two readings of it, ours and a provider's. */
-    static final List<String> ONCE = List.of("x-request-id", "x-class", "x-tenant", "x-key", "x-deadline", "x-extras",
-            "content-type", "idempotency-key");
+    static final List<String> ONCE =
+            List.of(
+                    "x-request-id",
+                    "x-class",
+                    "x-tenant",
+                    "x-key",
+                    "x-deadline",
+                    "x-extras",
+                    "content-type",
+                    "idempotency-key");
 
-    private Fields() { }
+    private Fields() {}
 
-    /** Whether the id can stand in a path. Guards the DELETE that gives its job up, whose head it becomes part of. */
+    /**
+     * Whether the id can stand in a path. Guards the DELETE that gives its job up, whose head it
+     * becomes part of.
+     */
     static boolean isId(String value) {
-        return value != null && !value.isEmpty() && value.length() <= MOST_NAME
+        return value != null
+                && !value.isEmpty()
+                && value.length() <= MOST_NAME
                 && value.chars().allMatch(c -> c > ' ' && c <= '~' && "/?#%".indexOf(c) < 0);
     }
 
@@ -59,7 +78,8 @@
 
     /** Whether it may be a tenant's or a key's name; there may be none. */
     static boolean isName(String value) {
-        return value == null || value.length() <= MOST_NAME && value.chars().allMatch(c -> c >= ' ' && c <= '~');
+        return value == null
+                || value.length() <= MOST_NAME && value.chars().allMatch(c -> c >= ' ' && c <= '~');
     }
 
     private static double number(String header, String text) {
--- a/daemon/src/main/java/postgrade/consumer/JobEvent.java
+++ b/daemon/src/main/java/postgrade/consumer/JobEvent.java
@@ -13,19 +13,30 @@
 
     static final String PATH = "/v1/job-events";
 
-    /** Reads one; an exception says what is wrong with it. A state we do not know is null, and right. */
+    /**
+     * Reads one; an exception says what is wrong with it. A state we do not know is null, and
+     * right.
+     */
     static JobEvent of(byte[] body) {
         try {
             JsonObject event = Json.parse(new String(body, StandardCharsets.UTF_8)).asObject();
-            return new JobEvent(event.get("id").asString(), event.get("from").asString(),
-                    state(event.get("state").asString()), event.getDouble("share", 0), bytes(event.get("result")));
+            return new JobEvent(
+                    event.get("id").asString(),
+                    event.get("from").asString(),
+                    state(event.get("state").asString()),
+                    event.getDouble("share", 0),
+                    bytes(event.get("result")));
         } catch (RuntimeException e) {
-            // Guards against call-backs that are not JSON or lack a field: told to the sender, never a crash.
+            // Guards against call-backs that are not JSON or lack a field: told to the sender,
+            // never a crash.
             throw new IllegalArgumentException("not a job event: id, from and state are needed", e);
         }
     }
 
-    /** Passes it on. False if its job is not known here; it would be repeated for nothing if that were an error. */
+    /**
+     * Passes it on. False if its job is not known here; it would be repeated for nothing if that
+     * were an error.
+     */
     boolean tell(Gateway gateway) {
         return state == null || gateway.report(id, from, state, share, result);
     }
@@ -40,8 +51,10 @@
     }
 
     private static byte[] bytes(JsonValue result) {
-        String text = result == null || result.isNull() ? "" : result.isString() ? result.asString()
-                : result.toString();
+        String text =
+                result == null || result.isNull()
+                        ? ""
+                        : result.isString() ? result.asString() : result.toString();
         return text.getBytes(StandardCharsets.UTF_8);
     }
 }
--- a/daemon/src/main/java/postgrade/consumer/Listener.java
+++ b/daemon/src/main/java/postgrade/consumer/Listener.java
@@ -27,38 +27,56 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(Listener.class);
     private static final int BACKLOG = 1024;
+
     /** The most bytes of bodies held, in part or whole; well within the heap. */
     private static final long MOST_BYTES = 24 << 20;
+
     private static final long SWEEP_MICROS = 50_000;
+
     /** Guards the turn: a flood of connections is accepted in parts. */
     private static final int MOST_ACCEPTS = 64;
+
     /** Consumers that wait in the backlog for longer than a moment are worth a line in the log. */
     private static final long SHORT_MICROS = 1_000_000;
 
     final Reactor reactor;
     final Timers timers;
     final Gateway gateway;
+
     /** The deadline of each class, for requests that state none. */
     Map<String, Long> deadlineMicros;
+
     private Set<String> tenants;
     private final BooleanSupplier able;
     private final Lifecycle lifecycle;
     private final Set<ConsumerConnection> connections = new LinkedHashSet<>();
     private final InetSocketAddress address;
     final Relay relay;
+
     /** Null where nobody reads them. */
     Claims claims;
+
     /** Null while nothing is accepted here. */
     private ServerSocketChannel channel;
-    /** Bound and not listening, so that the address is ours and consumers are turned away at once; null once it listens. */
+
+    /**
+     * Bound and not listening, so that the address is ours and consumers are turned away at once;
+     * null once it listens.
+     */
     private SocketChannel held;
+
     private SelectionKey key;
     private long bytesHeld;
     private boolean paused;
+
     /** Of the backlog. */
     private ArrivalTimes arrivals;
-    /** Since when every place has been taken, 0 if there are places; and whether the log says so. */
+
+    /**
+     * Since when every place has been taken, 0 if there are places; and whether the log says so.
+     */
     private long shortMicros;
+
     private boolean told;
 
     /**
@@ -66,10 +84,20 @@
      * @param able whether an invocation could be served now
      * @param relay to the other processes of this dispatcher
      * @param lifecycle decides readiness and when connections end
-     * @param holds it does not listen before consumers are taken: they turn elsewhere, as if nothing had started here
+     * @param holds it does not listen before consumers are taken: they turn elsewhere, as if
+     *     nothing had started here
      */
-    public Listener(InetSocketAddress address, boolean holds, Map<String, Long> deadlineMicros, Set<String> tenants,
-            BooleanSupplier able, Lifecycle lifecycle, Relay relay, Gateway gateway, Reactor reactor, Timers timers)
+    public Listener(
+            InetSocketAddress address,
+            boolean holds,
+            Map<String, Long> deadlineMicros,
+            Set<String> tenants,
+            BooleanSupplier able,
+            Lifecycle lifecycle,
+            Relay relay,
+            Gateway gateway,
+            Reactor reactor,
+            Timers timers)
             throws IOException {
         this.reactor = reactor;
         this.timers = timers;
@@ -93,8 +121,9 @@
     }
 
     /**
-     * Throws where any other program listens at the address already. Guards against a second dispatcher that is started
-     * by mistake: with SO_REUSEPORT the two would share the consumers and lose each other's call-backs.
+     * Throws where any other program listens at the address already. Guards against a second
+     * dispatcher that is started by mistake: with SO_REUSEPORT the two would share the consumers
+     * and lose each other's call-backs.
      */
     public static void requireFree(InetSocketAddress address) throws IOException {
         if (address.getPort() != 0) {
@@ -129,14 +158,18 @@
     }
 
     /**
-     * Ends or begins to listen, as the lifecycle says. Guards the connections that wait: closing the socket resets them,
-     * so all are accepted first, and the socket goes in the same moment. What does not find a place keeps it open.
+     * Ends or begins to listen, as the lifecycle says. Guards the connections that wait: closing
+     * the socket resets them, so all are accepted first, and the socket goes in the same moment.
+     * What does not find a place keeps it open.
      */
     public void followLifecycle() {
         try {
-            if (lifecycle.accepts() && channel == null && (held == null || lifecycle.hasStarted())) {
+            if (lifecycle.accepts()
+                    && channel == null
+                    && (held == null || lifecycle.hasStarted())) {
                 if (held != null && !relay.any()) {
-                    requireFree(address); // Another may have come to listen since this one was started.
+                    requireFree(
+                            address); // Another may have come to listen since this one was started.
                 }
                 listen(address);
                 if (held != null) {
@@ -193,11 +226,13 @@
         }
         long sinceMicros = arrivals.beforeRead(reactor.lastWaitMicros());
         for (int i = 0; i < most; i++) {
-            // Guards the connections that usual peers keep: those that have just come and may be of no use are
+            // Guards the connections that usual peers keep: those that have just come and may be of
+            // no use are
             // waited for, a moment, before one of the others has to go.
             boolean anyIdle = connections.stream().noneMatch(c -> c.fresh(timers.nowMicros()));
             if (!reactor.sockets().hasToAccept(anyIdle)) {
-                // Guards what waits in the backlog: it is left there, not accepted and closed, until there is a place.
+                // Guards what waits in the backlog: it is left there, not accepted and closed,
+                // until there is a place.
                 pause(true);
                 shortMicros = shortMicros == 0 ? timers.nowMicros() : shortMicros;
                 return false;
@@ -242,8 +277,10 @@
         if (isShort != told) {
             told = isShort;
             Events.warn(LOG, isShort ? "sockets.used-up" : "sockets.free")
-                    .log(isShort ? "sockets used up by busy connections; accepting no more for now"
-                            : "sockets free again; accepting");
+                    .log(
+                            isShort
+                                    ? "sockets used up by busy connections; accepting no more for now"
+                                    : "sockets free again; accepting");
         }
     }
 
@@ -251,7 +288,9 @@
         bytesHeld += moreBytes;
     }
 
-    /** Guards the memory: a body on each of the sockets, all of the greatest length, would not fit. */
+    /**
+     * Guards the memory: a body on each of the sockets, all of the greatest length, would not fit.
+     */
     boolean holdsTooMuch() {
         return bytesHeld > MOST_BYTES;
     }
@@ -303,9 +342,10 @@
     }
 
     /**
-     * Ends the connections that are left, once all is answered and none is busy. What waits in the backlog, or has come and
-     * has not been read, is served first: this is to be asked again. True when no connection is left: each peer has ended
-     * its own side, which it does once it has read all, or has been given the time to.
+     * Ends the connections that are left, once all is answered and none is busy. What waits in the
+     * backlog, or has come and has not been read, is served first: this is to be asked again. True
+     * when no connection is left: each peer has ended its own side, which it does once it has read
+     * all, or has been given the time to.
      */
     public boolean emptied() {
         try {
@@ -331,7 +371,8 @@
 
     @Override
     public void failed(Exception e) {
-        // Guards the loop: an accept may fail for want of descriptors, and the listener must outlive it.
+        // Guards the loop: an accept may fail for want of descriptors, and the listener must
+        // outlive it.
         Events.warn(LOG, "accept.failed").setCause(e).log("accept failed");
         pause(true);
     }
--- a/daemon/src/main/java/postgrade/consumer/Requests.java
+++ b/daemon/src/main/java/postgrade/consumer/Requests.java
@@ -8,7 +8,7 @@
 /** What a whole request asks for: a job, readiness, or the hearing of a call-back. */
 final class Requests {
 
-    private Requests() { }
+    private Requests() {}
 
     static void handle(ConsumerConnection on, Message request) {
         String path = request.target().split("\\?", 2)[0];
@@ -30,7 +30,10 @@
         }
     }
 
-    /** A provider takes an answer for the end of its duty: it leaves only once whoever holds the job has the news. */
+    /**
+     * A provider takes an answer for the end of its duty: it leaves only once whoever holds the job
+     * has the news.
+     */
     private static void callBack(ConsumerConnection on, Message request) {
         JobEvent event;
         try {
@@ -63,15 +66,27 @@
             return;
         }
         opened.size = request.body().length;
-        opened.invocation = new Invocation(job.id(), job.jobClass(), job.tenant(), job.key(), job.slots(), job.memory(),
-                on.arrivedMicros() + job.deadlineMicros(),
-                new Payload(request.method(), request.target(), request.header("content-type"),
-                        request.header("idempotency-key"), request.body()),
-                opened);
+        opened.invocation =
+                new Invocation(
+                        job.id(),
+                        job.jobClass(),
+                        job.tenant(),
+                        job.key(),
+                        job.slots(),
+                        job.memory(),
+                        on.arrivedMicros() + job.deadlineMicros(),
+                        new Payload(
+                                request.method(),
+                                request.target(),
+                                request.header("content-type"),
+                                request.header("idempotency-key"),
+                                request.body()),
+                        opened);
         if (listener.gateway.open(opened.invocation)) {
             on.wasOfUse();
             if (job.claim() != null && on.awaits(opened)) {
-                job.claim().accept(job.id()); // Not of one turned away at once: a later job may have its id.
+                job.claim().accept(job.id()); // Not of one turned away at once: a later job may
+                // have its id.
             }
         } else {
             on.takeBack();
--- a/daemon/src/main/java/postgrade/consumer/Submission.java
+++ b/daemon/src/main/java/postgrade/consumer/Submission.java
@@ -11,10 +11,19 @@
  * @param deadlineMicros how long its consumer waits
  * @param claim to be told its id once it is taken over; null where nobody reads claims
  */
-record Submission(String id, String jobClass, String tenant, String key, long deadlineMicros, double slots,
-        double memory, Consumer<String> claim) {
+record Submission(
+        String id,
+        String jobClass,
+        String tenant,
+        String key,
+        long deadlineMicros,
+        double slots,
+        double memory,
+        Consumer<String> claim) {
 
-    /** @throws BadMessage with the status and the sentence for its consumer */
+    /**
+     * @throws BadMessage with the status and the sentence for its consumer
+     */
     static Submission of(Message request, Listener listener) throws BadMessage {
         if (!request.statesLength()) {
             throw new BadMessage(411, "a job needs a body with a stated length");
@@ -24,12 +33,26 @@
         String tenant = request.header("x-tenant");
         String key = request.header("x-key");
         Long classDeadline = jobClass == null ? null : listener.deadlineMicros.get(jobClass);
-        String wrong = !Fields.isId(id) ? "X-Request-Id is missing or no id"
-                : classDeadline == null ? "X-Class is not known"
-                : !listener.knowsTenant(tenant) ? "X-Tenant is not known"
-                : !Fields.isName(key) ? "X-Key is no name"
-                : !Fields.isName(request.header("content-type")) ? "Content-Type is no name"
-                : Fields.ONCE.stream().anyMatch(name -> request.count(name) > 1) ? "a header is repeated" : null;
+        String wrong =
+                !Fields.isId(id)
+                        ? "X-Request-Id is missing or no id"
+                        : classDeadline == null
+                                ? "X-Class is not known"
+                                : !listener.knowsTenant(tenant)
+                                        ? "X-Tenant is not known"
+                                        : !Fields.isName(key)
+                                                ? "X-Key is no name"
+                                                : !Fields.isName(request.header("content-type"))
+                                                        ? "Content-Type is no name"
+                                                        : Fields.ONCE.stream()
+                                                                        .anyMatch(
+                                                                                name ->
+                                                                                        request
+                                                                                                        .count(
+                                                                                                                name)
+                                                                                                > 1)
+                                                                ? "a header is repeated"
+                                                                : null;
         if (wrong != null) {
             throw new BadMessage(400, wrong);
         }
@@ -40,7 +63,14 @@
             if (slots == 0) {
                 throw new IllegalArgumentException("X-Extras has no slots");
             }
-            return new Submission(id, jobClass, tenant, key, deadline, slots, memory,
+            return new Submission(
+                    id,
+                    jobClass,
+                    tenant,
+                    key,
+                    deadline,
+                    slots,
+                    memory,
                     claim(request, jobClass, listener.claims));
         } catch (IllegalArgumentException e) {
             throw new BadMessage(400, e.getMessage());
--- a/daemon/src/main/java/postgrade/daemon/Beginning.java
+++ b/daemon/src/main/java/postgrade/daemon/Beginning.java
@@ -4,22 +4,37 @@
 import postgrade.consumer.Listener;
 import postgrade.lifecycle.Lifecycle;
 
-/** When consumers are taken from the listener's backlog, or from the address, for the first time. On the loop. */
+/**
+ * When consumers are taken from the listener's backlog, or from the address, for the first time. On
+ * the loop.
+ */
 final class Beginning {
 
     private final Loop loop;
     private final Lifecycle lifecycle;
     private final Listener listener;
+
     /** Null where nothing stands beside this dispatcher. */
     private final Companion companion;
+
     private final Runnable sayListening;
+
     /** Consumers wait for the first word of discovery for so long. */
     private final long startMicros;
+
     /** And for the companion to know enough until then. */
     private long companionMicros;
 
-    /** @param tookOver a running process has told what there is to know; then nobody waits */
-    Beginning(Loop loop, Lifecycle lifecycle, Listener listener, Companion companion, boolean tookOver, long startMicros,
+    /**
+     * @param tookOver a running process has told what there is to know; then nobody waits
+     */
+    Beginning(
+            Loop loop,
+            Lifecycle lifecycle,
+            Listener listener,
+            Companion companion,
+            boolean tookOver,
+            long startMicros,
             Runnable sayListening) {
         this.loop = loop;
         this.lifecycle = lifecycle;
@@ -35,23 +50,29 @@
 
     /** In the loop's first turn. */
     void await() {
-        companionMicros = Math.min(companionMicros, loop.nowMicros() + startMicros
-                + (companion == null ? 0 : companion.patienceMicros()));
+        companionMicros =
+                Math.min(
+                        companionMicros,
+                        loop.nowMicros()
+                                + startMicros
+                                + (companion == null ? 0 : companion.patienceMicros()));
         loop.at(loop.nowMicros() + startMicros, this::awaitCompanion);
     }
 
     /**
-     * Takes consumers. Guards the drain rule: what the agent has counts as told from the first moment of this process,
-     * and the list known from before may be old.
+     * Takes consumers. Guards the drain rule: what the agent has counts as told from the first
+     * moment of this process, and the list known from before may be old.
      */
     void begin() {
-        boolean waits = companion != null && !companion.knows() && loop.nowMicros() < companionMicros;
+        boolean waits =
+                companion != null && !companion.knows() && loop.nowMicros() < companionMicros;
         if (!lifecycle.hasStarted() && !waits) {
             boolean held = listener.holds();
             lifecycle.started();
             listener.followLifecycle();
             if (lifecycle.accepts() && listener.holds()) {
-                // Guards against a process that nobody can reach: what restarts us must see it die. The log has the cause.
+                // Guards against a process that nobody can reach: what restarts us must see it die.
+                // The log has the cause.
                 Runtime.getRuntime().halt(1);
             }
             if (held) {
--- a/daemon/src/main/java/postgrade/daemon/Beside.java
+++ b/daemon/src/main/java/postgrade/daemon/Beside.java
@@ -12,7 +12,10 @@
 import postgrade.gateway.Timers;
 import postgrade.upgrade.Upgrade;
 
-/** What the companion gets to see, and the one place where its part of the rates meets that of an upgrade. */
+/**
+ * What the companion gets to see, and the one place where its part of the rates meets that of an
+ * upgrade.
+ */
 final class Beside implements Host {
 
     private final Supplier<Config> config;
@@ -24,8 +27,16 @@
     private final BooleanSupplier ready;
     private double factor = 1;
 
-    /** @param told what a running process has told, or null */
-    Beside(Supplier<Config> config, Loop loop, Gateway gateway, Workers workers, Upgrade upgrade, Takeover told,
+    /**
+     * @param told what a running process has told, or null
+     */
+    Beside(
+            Supplier<Config> config,
+            Loop loop,
+            Gateway gateway,
+            Workers workers,
+            Upgrade upgrade,
+            Takeover told,
             BooleanSupplier ready) {
         this.config = config;
         this.loop = loop;
--- a/daemon/src/main/java/postgrade/daemon/Clock.java
+++ b/daemon/src/main/java/postgrade/daemon/Clock.java
@@ -3,15 +3,21 @@
 /**
  * The process's clocks. For any thread.
  *
- * <p>Tests of several processes let them run apart: {@code POSTGRADE_TEST_CLOCK} holds by how many microseconds the
- * wall clock is off and by how many millionths both clocks run fast. Nothing else sets it, the platform neither.
+ * <p>Tests of several processes let them run apart: {@code POSTGRADE_TEST_CLOCK} holds by how many
+ * microseconds the wall clock is off and by how many millionths both clocks run fast. Nothing else
+ * sets it, the platform neither.
  */
 final class Clock {
 
     /** For tests alone. */
     static final String VARIABLE = "POSTGRADE_TEST_CLOCK";
-    /** The clock starts at a day, so that the starts of providers up to a day before ours lie after 0. */
+
+    /**
+     * The clock starts at a day, so that the starts of providers up to a day before ours lie after
+     * 0.
+     */
     private static final long ORIGIN_MICROS = 86_400_000_000L;
+
     private static final double MILLION = 1e6;
     private static final long MOST_PPM = 100_000;
 
@@ -39,7 +45,9 @@
         } catch (NumberFormatException e) {
             // Falls through to the one sentence.
         }
-        throw new Config.Faulty(VARIABLE, "has to be OFFSET_MICROS,RATE_PPM with a rate within 100000, not " + setting);
+        throw new Config.Faulty(
+                VARIABLE,
+                "has to be OFFSET_MICROS,RATE_PPM with a rate within 100000, not " + setting);
     }
 
     /** Monotonic. */
@@ -49,8 +57,11 @@
 
     /** The wall clock, which may jump. */
     long unixMillis() {
-        long skew = ratePpm == 0 ? 0 : passed((System.nanoTime() - startNanos) / 1000)
-                - (System.nanoTime() - startNanos) / 1000;
+        long skew =
+                ratePpm == 0
+                        ? 0
+                        : passed((System.nanoTime() - startNanos) / 1000)
+                                - (System.nanoTime() - startNanos) / 1000;
         return System.currentTimeMillis() + (offsetMicros + skew) / 1000;
     }
 
--- a/daemon/src/main/java/postgrade/daemon/Companions.java
+++ b/daemon/src/main/java/postgrade/daemon/Companions.java
@@ -8,15 +8,21 @@
 /** Finds what is to stand beside the dispatcher, if its configuration names any. */
 final class Companions {
 
-    private Companions() { }
+    private Companions() {}
 
     /** Null where nothing is named: then nothing is looked for either. */
     static Companion.Plan of(Config config) throws Config.Faulty {
         if (config.sharing == null) {
             return null;
         }
-        Companion.Finder finder = ServiceLoader.load(Companion.Finder.class).findFirst().orElseThrow(() ->
-                new Config.Faulty("sharing", "this program has no sharing in it; start it by ./postgrade serve"));
+        Companion.Finder finder =
+                ServiceLoader.load(Companion.Finder.class)
+                        .findFirst()
+                        .orElseThrow(
+                                () ->
+                                        new Config.Faulty(
+                                                "sharing",
+                                                "this program has no sharing in it; start it by ./postgrade serve"));
         try {
             return finder.read(config.sharing, config.name);
         } catch (IllegalArgumentException e) {
--- a/daemon/src/main/java/postgrade/daemon/Config.java
+++ b/daemon/src/main/java/postgrade/daemon/Config.java
@@ -22,7 +22,9 @@
 import postgrade.operator.OperatorListener;
 import postgrade.settings.SettingsReader;
 
-/** The daemon's configuration. This is the one place where it is read, checked and given defaults. */
+/**
+ * The daemon's configuration. This is the one place where it is read, checked and given defaults.
+ */
 final class Config {
 
     /** What cannot be started with; the message begins with the faulty key. */
@@ -35,8 +37,13 @@
     }
 
     private static final int DEFAULT_SOCKETS = 1024;
-    /** For what the virtual machine itself holds, 11 by count: its files, the selector, the standard streams. */
+
+    /**
+     * For what the virtual machine itself holds, 11 by count: its files, the selector, the standard
+     * streams.
+     */
     private static final int OWN_DESCRIPTORS = 32;
+
     private static final int LEAST_SOCKETS = 16;
     private static final double DEFAULT_MOST_HELD = 20_000;
     private static final double DEFAULT_DEADLINE_NS = 30e9;
@@ -47,22 +54,31 @@
     final String name;
     final InetSocketAddress listen;
     final InetSocketAddress discovery;
+
     /** Where operators call, or null where nobody does. */
     final InetSocketAddress operator;
+
     final long seed;
+
     /** The script that says with whom state is shared, or null where it is not. */
     final Path sharing;
+
     final Clock clock;
+
     /** A folder that all processes of this dispatcher share, or null. */
     final Path shared;
+
     private int descriptors;
+
     /** Sockets of all peers together, the operators' apart. */
     final int sockets;
+
     final Settings settings;
     final int mostHeld;
     final long connectTimeoutMicros;
     final long idleMicros;
     final Map<String, Long> deadlineMicros = new HashMap<>();
+
     /** The list as it was last known, or null. */
     final TargetList known;
 
@@ -79,8 +95,12 @@
         shared = folder.isEmpty() ? null : Path.of(folder);
         listen = address("listen", "ROUTER_LISTEN");
         discovery = address("discovery", "ROUTER_DISCOVERY");
-        operator = has("operator", "ROUTER_OPERATOR") ? address("operator", "ROUTER_OPERATOR") : null;
-        sharing = has("sharing", "ROUTER_SHARING") ? Path.of(text("sharing", "ROUTER_SHARING")) : null;
+        operator =
+                has("operator", "ROUTER_OPERATOR") ? address("operator", "ROUTER_OPERATOR") : null;
+        sharing =
+                has("sharing", "ROUTER_SHARING")
+                        ? Path.of(text("sharing", "ROUTER_SHARING"))
+                        : null;
         clock = Clock.of(environment.get(Clock.VARIABLE));
         seed = seed();
         sockets = sockets();
@@ -94,12 +114,16 @@
         try {
             settings = read.settings();
             mostHeld = (int) positive(read, "limits.mostHeld", DEFAULT_MOST_HELD);
-            connectTimeoutMicros = (long) (positive(read, "limits.connectTimeoutNs", DEFAULT_CONNECT_NS) / 1000);
+            connectTimeoutMicros =
+                    (long) (positive(read, "limits.connectTimeoutNs", DEFAULT_CONNECT_NS) / 1000);
             idleMicros = (long) (positive(read, "limits.connIdleNs", DEFAULT_IDLE_NS) / 1000);
             List<JobClass> classes = settings.classes;
             for (int i = 0; i < classes.size(); i++) {
-                deadlineMicros.put(classes.get(i).name(),
-                        (long) (positive(read, "classes." + i + ".deadlineNs", DEFAULT_DEADLINE_NS) / 1000));
+                deadlineMicros.put(
+                        classes.get(i).name(),
+                        (long)
+                                (positive(read, "classes." + i + ".deadlineNs", DEFAULT_DEADLINE_NS)
+                                        / 1000));
             }
         } catch (IllegalArgumentException e) {
             throw new Faulty("settings", e.getMessage());
@@ -137,8 +161,9 @@
     }
 
     /**
-     * Reads the file again that this was read from. Beyond what a start asks it must have each key that it had: one that is
-     * missing would fall back to a default that nobody chose, as in a file that somebody is still writing.
+     * Reads the file again that this was read from. Beyond what a start asks it must have each key
+     * that it had: one that is missing would fall back to a default that nobody chose, as in a file
+     * that somebody is still writing.
      */
     Config readAgain() throws Faulty {
         Config next = read(environment);
@@ -168,7 +193,10 @@
 
     private String text(String key, String variable) throws Faulty {
         JsonValue value = json.get(key);
-        String text = value != null && value.isString() ? value.asString() : environment.getOrDefault(variable, "");
+        String text =
+                value != null && value.isString()
+                        ? value.asString()
+                        : environment.getOrDefault(variable, "");
         if (text.isEmpty()) {
             throw new Faulty(key, "missing, and " + variable + " is not set");
         }
@@ -193,7 +221,9 @@
             return System.nanoTime();
         }
         try {
-            return value.isNumber() ? (long) value.asDouble() : Long.parseUnsignedLong(value.asString(), 16);
+            return value.isNumber()
+                    ? (long) value.asDouble()
+                    : Long.parseUnsignedLong(value.asString(), 16);
         } catch (RuntimeException e) {
             throw new Faulty("seed", "not a number of up to 16 hex digits");
         }
@@ -201,7 +231,8 @@
 
     private int sockets() throws Faulty {
         JsonValue limits = json.get("limits");
-        JsonValue value = limits != null && limits.isObject() ? limits.asObject().get("sockets") : null;
+        JsonValue value =
+                limits != null && limits.isObject() ? limits.asObject().get("sockets") : null;
         if (value != null && !value.isNumber()) {
             throw new Faulty("limits.sockets", "not a number");
         }
--- a/daemon/src/main/java/postgrade/daemon/Daemon.java
+++ b/daemon/src/main/java/postgrade/daemon/Daemon.java
@@ -21,8 +21,8 @@
 import postgrade.lifecycle.Lifecycle;
 import postgrade.log.Events;
 import postgrade.operator.Further;
-import postgrade.operator.OperatorListener;
 import postgrade.operator.Operations;
+import postgrade.operator.OperatorListener;
 import postgrade.policy.Decide;
 import postgrade.provider.ProviderPools;
 import postgrade.upgrade.Upgrade;
@@ -34,8 +34,11 @@
     private static final long NANOS = 1_000;
     static final long STOP_CHECK_MICROS = 20_000;
 
-    /** In force; and what this process was started with, by which its addresses and descriptors go. */
+    /**
+     * In force; and what this process was started with, by which its addresses and descriptors go.
+     */
     private Config config;
+
     private final Config started;
     private final Loop loop;
     private final Gateway gateway;
@@ -51,38 +54,72 @@
     private final Beside beside;
     private final Ending ending;
     private final Reload reload;
+
     /** Null where nothing stands beside this dispatcher. */
     private final Companion companion;
+
     private final Beginning beginning;
 
     Daemon(Config config) throws IOException, Config.Faulty {
         this(config, null);
     }
 
-    /** @param plan what is to stand beside it, or null */
+    /**
+     * @param plan what is to stand beside it, or null
+     */
     Daemon(Config config, Companion.Plan plan) throws IOException, Config.Faulty {
-        this(config, plan, actions -> new Decide(config.settings, config.seed, actions), Patience.USUAL);
+        this(
+                config,
+                plan,
+                actions -> new Decide(config.settings, config.seed, actions),
+                Patience.USUAL);
     }
 
-    Daemon(Config config, Companion.Plan plan, Function<Actions, Dispatcher> module, Patience patience)
+    Daemon(
+            Config config,
+            Companion.Plan plan,
+            Function<Actions, Dispatcher> module,
+            Patience patience)
             throws IOException, Config.Faulty {
         this(config, plan, module, patience, SystemCalls.REAL);
     }
 
-    /** With another module in the place of ours, another patience with discovery, and other system calls. */
-    Daemon(Config config, Companion.Plan plan, Function<Actions, Dispatcher> module, Patience patience,
-            SystemCalls systemCalls) throws IOException, Config.Faulty {
+    /**
+     * With another module in the place of ours, another patience with discovery, and other system
+     * calls.
+     */
+    Daemon(
+            Config config,
+            Companion.Plan plan,
+            Function<Actions, Dispatcher> module,
+            Patience patience,
+            SystemCalls systemCalls)
+            throws IOException, Config.Faulty {
         this.config = config;
         started = config;
         loop = new Loop(new SocketBudget(config.sockets), config.clock, systemCalls);
-        gateway = new Gateway(module, config.settings.mayDuplicate, config.mostHeld, loop,
-                (event, message, thrown) -> Events.error(LOG, event).setCause(thrown).log(message));
-        providers = new ProviderPools(gateway, loop, loop, config.connectTimeoutMicros, config.idleMicros);
+        gateway =
+                new Gateway(
+                        module,
+                        config.settings.mayDuplicate,
+                        config.mostHeld,
+                        loop,
+                        (event, message, thrown) ->
+                                Events.error(LOG, event).setCause(thrown).log(message));
+        providers =
+                new ProviderPools(
+                        gateway, loop, loop, config.connectTimeoutMicros, config.idleMicros);
         gateway.connect(providers);
         workers = new Workers(providers, gateway, config.clock);
-        upgrade = new Upgrade(config.shared, config.name + " " + config.listen, loop, loop, new Link());
+        upgrade =
+                new Upgrade(
+                        config.shared, config.name + " " + config.listen, loop, loop, new Link());
         Takeover told = Takeover.of(upgrade.join());
-        Takeover before = told != null ? told : Takeover.left(upgrade.left(), config.clock.unixMillis(), System.nanoTime());
+        Takeover before =
+                told != null
+                        ? told
+                        : Takeover.left(
+                                upgrade.left(), config.clock.unixMillis(), System.nanoTime());
         TargetList known = before == null || before.list() == null ? config.known : before.list();
         if (before != null) {
             before.tell(workers.roster(), loop.nowMicros() * NANOS);
@@ -104,9 +141,22 @@
             throw e;
         }
         boolean tookOver = before != null && before.list() != null;
-        listener = new Listener(config.listen, plan != null && !tookOver, config.deadlineMicros, config.tenantNames(),
-                () -> providers.readyCount() > 0, lifecycle, relay(), gateway, loop, loop);
-        long version = known == null || before != null && !before.follows(config.discovery) ? 0 : known.version();
+        listener =
+                new Listener(
+                        config.listen,
+                        plan != null && !tookOver,
+                        config.deadlineMicros,
+                        config.tenantNames(),
+                        () -> providers.readyCount() > 0,
+                        lifecycle,
+                        relay(),
+                        gateway,
+                        loop,
+                        loop);
+        long version =
+                known == null || before != null && !before.follows(config.discovery)
+                        ? 0
+                        : known.version();
         watch = new Watch(config.discovery, config.name, version, patience, loop, loop, this::told);
         companion = plan == null ? null : Companions.open(plan, beside);
         if (companion != null) {
@@ -116,12 +166,30 @@
             gateway.witness(companion.witness());
             listener.claims(companion.claims());
         }
-        ending = new Ending(loop, lifecycle, gateway, providers, listener, upgrade, companion, () -> this.config);
+        ending =
+                new Ending(
+                        loop,
+                        lifecycle,
+                        gateway,
+                        providers,
+                        listener,
+                        upgrade,
+                        companion,
+                        () -> this.config);
         reload = new Reload(gateway, listener, providers, watch);
-        operating = new Operating(loop, lifecycle, providers, workers, upgrade, ending::check, this::said);
+        operating =
+                new Operating(
+                        loop, lifecycle, providers, workers, upgrade, ending::check, this::said);
         operators = operators();
-        beginning = new Beginning(loop, lifecycle, listener, companion, tookOver, patience.startMicros(),
-                this::sayListening);
+        beginning =
+                new Beginning(
+                        loop,
+                        lifecycle,
+                        listener,
+                        companion,
+                        tookOver,
+                        patience.startMicros(),
+                        this::sayListening);
         if (before != null && before.standbyAgeMicros() >= 0) {
             lifecycle.standby(loop.nowMicros() - before.standbyAgeMicros());
             ending.check();
@@ -135,10 +203,17 @@
     }
 
     private void sayListening() {
-        Events.info(LOG, "daemon.listening").addKeyValue("name", started.name).addKeyValue("address", started.listen)
+        Events.info(LOG, "daemon.listening")
+                .addKeyValue("name", started.name)
+                .addKeyValue("address", started.listen)
                 .addKeyValue("providers", providers.readyCount())
-                .log(started.name + " listens on " + started.listen + ", " + providers.readyCount()
-                        + " providers known from before");
+                .log(
+                        started.name
+                                + " listens on "
+                                + started.listen
+                                + ", "
+                                + providers.readyCount()
+                                + " providers known from before");
     }
 
     int port() throws IOException {
@@ -156,30 +231,34 @@
 
     private void run() {
         try {
-            loop.ask(() -> { // In the first turn: before it the clock stands where the loop was made.
-                watch.open();
-                beginning.await();
-            });
-            loop.run(new Loop.Turn() {
-                @Override
-                public void begin() {
-                    if (companion != null) {
-                        companion.turn();
-                    }
-                }
-
-                @Override
-                public void take() {
-                    gateway.turn();
-                }
-
-                @Override
-                public boolean pending() {
-                    return gateway.pending();
-                }
-            });
+            loop.ask(
+                    () -> { // In the first turn: before it the clock stands where the loop was
+                        // made.
+                        watch.open();
+                        beginning.await();
+                    });
+            loop.run(
+                    new Loop.Turn() {
+                        @Override
+                        public void begin() {
+                            if (companion != null) {
+                                companion.turn();
+                            }
+                        }
+
+                        @Override
+                        public void take() {
+                            gateway.turn();
+                        }
+
+                        @Override
+                        public boolean pending() {
+                            return gateway.pending();
+                        }
+                    });
         } catch (IOException | RuntimeException | Error e) {
-            // Guards against a process that lives on without its loop: what restarts us must see it die.
+            // Guards against a process that lives on without its loop: what restarts us must see it
+            // die.
             Events.error(LOG, "loop.ended").setCause(e).log("the loop ended");
             Runtime.getRuntime().halt(1);
         }
@@ -229,8 +308,14 @@
 
     private OperatorListener operators() throws IOException {
         try {
-            return config.operator == null ? null : new OperatorListener(config.operator, operating,
-                    companion == null ? Further.NONE : companion.calls(), loop, loop);
+            return config.operator == null
+                    ? null
+                    : new OperatorListener(
+                            config.operator,
+                            operating,
+                            companion == null ? Further.NONE : companion.calls(),
+                            loop,
+                            loop);
         } catch (IOException e) {
             upgrade.close(); // Guards the process beside us: this one never comes to serve.
             throw e;
@@ -238,8 +323,12 @@
     }
 
     private void said(String worker, boolean out) {
-        upgrade.leave(Takeover.leave(workers.roster(), loop.nowMicros() * NANOS, config.clock.unixMillis(),
-                System.nanoTime()));
+        upgrade.leave(
+                Takeover.leave(
+                        workers.roster(),
+                        loop.nowMicros() * NANOS,
+                        config.clock.unixMillis(),
+                        System.nanoTime()));
         if (companion != null) {
             companion.said(worker, out);
         }
@@ -248,8 +337,14 @@
     private final class Link implements Upgrade.Owner {
         @Override
         public JsonObject snapshot() {
-            return Takeover.snapshot(workers.roster(), loop.nowMicros() * NANOS, watch.version(), workers.told(),
-                    watch.address(), lifecycle.standbyAgeMicros(loop.nowMicros()), gateway.learnt(),
+            return Takeover.snapshot(
+                    workers.roster(),
+                    loop.nowMicros() * NANOS,
+                    watch.version(),
+                    workers.told(),
+                    watch.address(),
+                    lifecycle.standbyAgeMicros(loop.nowMicros()),
+                    gateway.learnt(),
                     companion == null ? "" : companion.tells());
         }
 
@@ -271,16 +366,23 @@
 
     // ---- From outside.
 
-    /** Reads the configuration again and takes over what can change under way. May be called from any thread. */
+    /**
+     * Reads the configuration again and takes over what can change under way. May be called from
+     * any thread.
+     */
     void reload() {
         loop.ask(() -> config = reload.after(config));
     }
 
-    /** Stops in order and returns when all that was taken is answered. May be called from any thread. */
+    /**
+     * Stops in order and returns when all that was taken is answered. May be called from any
+     * thread.
+     */
     void stop() {
         loop.ask(ending::begin);
         try {
-            // Guards against an exit in mid-answer: the virtual machine ends once its shutdown hooks have returned.
+            // Guards against an exit in mid-answer: the virtual machine ends once its shutdown
+            // hooks have returned.
             thread.join();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/daemon/src/main/java/postgrade/daemon/Effective.java
+++ b/daemon/src/main/java/postgrade/daemon/Effective.java
@@ -18,17 +18,46 @@
     static List<Effective> of(Config c, JsonObject json, Map<String, String> pairs) {
         List<Effective> all = new ArrayList<>();
         all.add(new Effective("name", c.name, origin(json, "name", "ROUTER_NAME")));
-        all.add(new Effective("listen", TargetList.text(c.listen), origin(json, "listen", "ROUTER_LISTEN")));
-        all.add(new Effective("discovery", TargetList.text(c.discovery), origin(json, "discovery", "ROUTER_DISCOVERY")));
-        all.add(new Effective("operator", c.operator == null ? "none" : TargetList.text(c.operator),
-                c.operator == null ? "default" : origin(json, "operator", "ROUTER_OPERATOR")));
-        all.add(new Effective("sharing", c.sharing == null ? "none" : c.sharing,
-                c.sharing == null ? "default" : origin(json, "sharing", "ROUTER_SHARING")));
-        all.add(new Effective("seed", Long.toHexString(c.seed), json.get("seed") == null ? "the clock" : "file"));
-        all.add(new Effective("limits.sockets", c.descriptors(), json.get("limits") != null
-                && json.get("limits").asObject().get("sockets") != null ? "file" : "default"));
-        all.add(new Effective("known", c.known == null ? "none" : c.known.entries().size() + " workers",
-                c.known == null ? "default" : "file"));
+        all.add(
+                new Effective(
+                        "listen",
+                        TargetList.text(c.listen),
+                        origin(json, "listen", "ROUTER_LISTEN")));
+        all.add(
+                new Effective(
+                        "discovery",
+                        TargetList.text(c.discovery),
+                        origin(json, "discovery", "ROUTER_DISCOVERY")));
+        all.add(
+                new Effective(
+                        "operator",
+                        c.operator == null ? "none" : TargetList.text(c.operator),
+                        c.operator == null
+                                ? "default"
+                                : origin(json, "operator", "ROUTER_OPERATOR")));
+        all.add(
+                new Effective(
+                        "sharing",
+                        c.sharing == null ? "none" : c.sharing,
+                        c.sharing == null ? "default" : origin(json, "sharing", "ROUTER_SHARING")));
+        all.add(
+                new Effective(
+                        "seed",
+                        Long.toHexString(c.seed),
+                        json.get("seed") == null ? "the clock" : "file"));
+        all.add(
+                new Effective(
+                        "limits.sockets",
+                        c.descriptors(),
+                        json.get("limits") != null
+                                        && json.get("limits").asObject().get("sockets") != null
+                                ? "file"
+                                : "default"));
+        all.add(
+                new Effective(
+                        "known",
+                        c.known == null ? "none" : c.known.entries().size() + " workers",
+                        c.known == null ? "default" : "file"));
         all.add(effective(pairs, "limits.mostHeld", c.mostHeld));
         all.add(effective(pairs, "limits.connectTimeoutNs", c.connectTimeoutMicros * 1000));
         all.add(effective(pairs, "limits.connIdleNs", c.idleMicros * 1000));
@@ -43,7 +72,11 @@
         }
         for (int i = 0; i < c.settings.tenants.size(); i++) {
             all.add(effective(pairs, "tenants." + i + ".name", c.settings.tenants.get(i).name()));
-            all.add(effective(pairs, "tenants." + i + ".quotaPerS", c.settings.tenants.get(i).ratePerS()));
+            all.add(
+                    effective(
+                            pairs,
+                            "tenants." + i + ".quotaPerS",
+                            c.settings.tenants.get(i).ratePerS()));
         }
         all.add(effective(pairs, "limits.maxAttempts", c.settings.maxAttempts));
         all.add(effective(pairs, "limits.mayDuplicate", c.settings.mayDuplicate));
--- a/daemon/src/main/java/postgrade/daemon/Ending.java
+++ b/daemon/src/main/java/postgrade/daemon/Ending.java
@@ -12,7 +12,10 @@
 import postgrade.provider.ProviderPools;
 import postgrade.upgrade.Upgrade;
 
-/** Carries out what the lifecycle asks for in standby and on the way to the end, which it finds. On the loop. */
+/**
+ * Carries out what the lifecycle asks for in standby and on the way to the end, which it finds. On
+ * the loop.
+ */
 final class Ending {
 
     private static final Logger LOG = LoggerFactory.getLogger(Ending.class);
@@ -24,14 +27,24 @@
     private final ProviderPools providers;
     private final Listener listener;
     private final Upgrade upgrade;
+
     /** Null where nothing stands beside this dispatcher. */
     private final Companion companion;
+
     private final Supplier<Config> config;
+
     /** A check of what the lifecycle asks for is due. */
     private boolean checking;
 
-    Ending(Loop loop, Lifecycle lifecycle, Gateway gateway, ProviderPools providers, Listener listener,
-            Upgrade upgrade, Companion companion, Supplier<Config> config) {
+    Ending(
+            Loop loop,
+            Lifecycle lifecycle,
+            Gateway gateway,
+            ProviderPools providers,
+            Listener listener,
+            Upgrade upgrade,
+            Companion companion,
+            Supplier<Config> config) {
         this.loop = loop;
         this.lifecycle = lifecycle;
         this.gateway = gateway;
@@ -45,10 +58,16 @@
     /** The process is told to end. */
     void begin() {
         Events.info(LOG, "daemon.stopping").log("stopping: no longer ready, serving on");
-        // Guards the consumers who hold a connection: while it is open they go on using it, and until SIGKILL
+        // Guards the consumers who hold a connection: while it is open they go on using it, and
+        // until SIGKILL
         // is near they are served as well here as anywhere. All of us may be restarting in turn.
-        lifecycle.stop(loop.nowMicros(), config.get().deadlineMicros.values().stream().mapToLong(d -> d).max()
-                .orElse(Long.MAX_VALUE), upgrade.hasSuccessor());
+        lifecycle.stop(
+                loop.nowMicros(),
+                config.get().deadlineMicros.values().stream()
+                        .mapToLong(d -> d)
+                        .max()
+                        .orElse(Long.MAX_VALUE),
+                upgrade.hasSuccessor());
         upgrade.stopping();
         if (companion != null) {
             companion.stopping();
@@ -77,12 +96,15 @@
                 listener.refuseUnfinished();
             }
         }
-        boolean answered = lifecycle.mayEnd(now) && gateway.idle() && providers.quiet() && listener.quiet();
-        // Guards the last requests and answers: with the process go what lies unread in its sockets and backlog, and by a
+        boolean answered =
+                lifecycle.mayEnd(now) && gateway.idle() && providers.quiet() && listener.quiet();
+        // Guards the last requests and answers: with the process go what lies unread in its sockets
+        // and backlog, and by a
         // reset what peers have not read yet.
         if (answered && (listener.emptied() || lifecycle.mustEnd(now))) {
             long millis = lifecycle.stoppingForMicros(now) / MICROS_PER_MILLI;
-            Events.info(LOG, "daemon.stopped").addKeyValue("ms", millis)
+            Events.info(LOG, "daemon.stopped")
+                    .addKeyValue("ms", millis)
                     .log("stopped after " + millis + " ms, all answered");
             if (companion != null) {
                 companion.close();
--- a/daemon/src/main/java/postgrade/daemon/Loop.java
+++ b/daemon/src/main/java/postgrade/daemon/Loop.java
@@ -20,18 +20,23 @@
 import postgrade.http.SystemCalls;
 import postgrade.log.Events;
 
-/** The one thread of the daemon: waits for channels and timers, then lets the gateway take its turn. */
+/**
+ * The one thread of the daemon: waits for channels and timers, then lets the gateway take its turn.
+ */
 final class Loop implements Reactor, Timers {
 
     private static final Logger LOG = LoggerFactory.getLogger(Loop.class);
     private static final int READ_BYTES = 64 << 10;
-    /** Waits that fail one after another: the process ends, as its selector is of no use any more. */
+
+    /**
+     * Waits that fail one after another: the process ends, as its selector is of no use any more.
+     */
     private static final int MOST_FAILED_WAITS = 100;
 
     /** What takes its turn when all that was ready has been gathered. */
     interface Turn {
         /** The clock has been read, and nothing has been looked at by it. */
-        default void begin() { }
+        default void begin() {}
 
         void take();
 
@@ -90,7 +95,10 @@
         selector.close();
     }
 
-    /** Waits for channels and timers. A wait that fails ends early, and what is due is done all the same. */
+    /**
+     * Waits for channels and timers. A wait that fails ends early, and what is due is done all the
+     * same.
+     */
     private void await(boolean atOnce) throws IOException {
         try {
             systemCalls.select(selector, waitMillis(atOnce));
@@ -99,7 +107,9 @@
             if (++failedWaits == MOST_FAILED_WAITS) {
                 throw e;
             }
-            Events.warn(LOG, "loop.wait-failed").setCause(e).log("a wait for channels failed; going on");
+            Events.warn(LOG, "loop.wait-failed")
+                    .setCause(e)
+                    .log("a wait for channels failed; going on");
         }
     }
 
@@ -119,8 +129,9 @@
     }
 
     /**
-     * Discovery goes first: what it has told must be known before anything else is looked at. The listener goes last:
-     * a connection whose request has come is not taken for a silent one when room is made for the next.
+     * Discovery goes first: what it has told must be known before anything else is looked at. The
+     * listener goes last: a connection whose request has come is not taken for a silent one when
+     * room is made for the next.
      */
     private void serve(List<SelectionKey> keys) {
         for (Handler.Order order : Handler.Order.values()) {
@@ -140,7 +151,8 @@
             handler.failed(e); // An ordinary break of one connection.
         } catch (RuntimeException e) {
             // Guards the loop: what goes wrong with one connection ends that connection alone.
-            Events.error(LOG, "connection.handler-failed").setCause(e)
+            Events.error(LOG, "connection.handler-failed")
+                    .setCause(e)
                     .log("a connection's handler failed; the connection is closed");
             guarded(() -> handler.failed(e));
         }
@@ -177,7 +189,8 @@
     }
 
     @Override
-    public SelectionKey register(SelectableChannel channel, int interest, Handler handler) throws IOException {
+    public SelectionKey register(SelectableChannel channel, int interest, Handler handler)
+            throws IOException {
         return channel.register(selector, interest, handler);
     }
 
--- a/daemon/src/main/java/postgrade/daemon/Main.java
+++ b/daemon/src/main/java/postgrade/daemon/Main.java
@@ -8,13 +8,16 @@
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
-/** The program: {@code serve} is one dispatcher on sockets, {@code benchlink} the simulator's adapter. */
+/**
+ * The program: {@code serve} is one dispatcher on sockets, {@code benchlink} the simulator's
+ * adapter.
+ */
 public final class Main {
 
     private static final int USAGE = 2;
     private static final String LOG_FORMAT = "--log-format=";
 
-    private Main() { }
+    private Main() {}
 
     public static void main(String[] args) throws IOException {
         String command = args.length == 0 ? "" : args[0];
@@ -26,10 +29,12 @@
         }
         switch (command) {
             case "serve" -> serve();
-            case "benchlink" -> System.exit(postgrade.benchlink.Main.serve(System.in, System.out, System.err));
+            case "benchlink" ->
+                    System.exit(postgrade.benchlink.Main.serve(System.in, System.out, System.err));
             case "rehearse" -> rehearse();
             default -> {
-                System.err.println("usage: java -jar postgrade.jar serve|benchlink [--log-format=text|json]");
+                System.err.println(
+                        "usage: java -jar postgrade.jar serve|benchlink [--log-format=text|json]");
                 System.exit(USAGE);
             }
         }
@@ -56,7 +61,8 @@
 
     /** Starts one dispatcher and returns while it serves; ends the process if it cannot start. */
     public static void serve() {
-        // Guards the start: a signal that comes before there is a dispatcher waits for it. SIGHUP would end the process, and
+        // Guards the start: a signal that comes before there is a dispatcher waits for it. SIGHUP
+        // would end the process, and
         // SIGTERM reset what waits in the backlog.
         CompletableFuture<Daemon> made = new CompletableFuture<>();
         heedSignals(made);
@@ -73,7 +79,9 @@
             System.err.println("postgrade: listen: " + e.getMessage());
             fault = 1;
         } finally {
-            made.cancel(false); // There is none, and nobody waits for it; without effect where there is.
+            made.cancel(
+                    false); // There is none, and nobody waits for it; without effect where there
+            // is.
         }
         if (fault != 0) {
             System.exit(fault);
@@ -81,21 +89,33 @@
     }
 
     private static void heedSignals(CompletableFuture<Daemon> made) {
-        // Guards against the virtual machine's own way with SIGHUP, which is to end. No library of the JDK's own names
+        // Guards against the virtual machine's own way with SIGHUP, which is to end. No library of
+        // the JDK's own names
         // signals but this one; it is part of the exported module jdk.unsupported.
-        SignalHandler before = Signal.handle(new Signal("HUP"), signal -> made.thenAccept(Daemon::reload));
+        SignalHandler before =
+                Signal.handle(new Signal("HUP"), signal -> made.thenAccept(Daemon::reload));
         if (before == SignalHandler.SIG_IGN) {
-            // Guards the operators: the virtual machine leaves a signal ignored that was so when it started, and says
-            // nothing. A new configuration, discovery's new address with it, would never be heard of.
+            // Guards the operators: the virtual machine leaves a signal ignored that was so when it
+            // started, and says
+            // nothing. A new configuration, discovery's new address with it, would never be heard
+            // of.
             Events.warn(LoggerFactory.getLogger(Main.class), "configuration.signal-ignored")
-                    .log("SIGHUP is ignored, as whoever started this process wanted it (nohup does); "
-                            + "the configuration cannot be read again until a start without that");
+                    .log(
+                            "SIGHUP is ignored, as whoever started this process wanted it (nohup does); "
+                                    + "the configuration cannot be read again until a start without that");
         }
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> made.handle((daemon, none) -> {
-            if (daemon != null) {
-                daemon.stop();
-            }
-            return null;
-        }).join(), "stop"));
+        Runtime.getRuntime()
+                .addShutdownHook(
+                        new Thread(
+                                () ->
+                                        made.handle(
+                                                        (daemon, none) -> {
+                                                            if (daemon != null) {
+                                                                daemon.stop();
+                                                            }
+                                                            return null;
+                                                        })
+                                                .join(),
+                                "stop"));
     }
 }
--- a/daemon/src/main/java/postgrade/daemon/Operating.java
+++ b/daemon/src/main/java/postgrade/daemon/Operating.java
@@ -29,8 +29,14 @@
      * @param check looks at what the lifecycle asks for from now on
      * @param said hears of each worker that an operator has taken out here, or put back
      */
-    Operating(Timers timers, Lifecycle lifecycle, ProviderPools providers, Workers workers, Upgrade upgrade,
-            Runnable check, BiConsumer<String, Boolean> said) {
+    Operating(
+            Timers timers,
+            Lifecycle lifecycle,
+            ProviderPools providers,
+            Workers workers,
+            Upgrade upgrade,
+            Runnable check,
+            BiConsumer<String, Boolean> said) {
         this.timers = timers;
         this.lifecycle = lifecycle;
         this.providers = providers;
@@ -55,7 +61,8 @@
             if (id != null) {
                 said.accept(id, call == Call.ENTER);
             }
-            // The others of this dispatcher have it too before the yes leaves, or will never have a say again.
+            // The others of this dispatcher have it too before the yes leaves, or will never have a
+            // say again.
             upgrade.call(call.name(), id, heard -> answer(call, id, done, reply));
         }
     }
@@ -63,7 +70,11 @@
     private static void answer(Call call, String id, boolean done, Reply reply) {
         switch (call) {
             case ENTER -> reply.yes("worker " + id + " is out and gets no new work");
-            case EXIT -> reply.yes(done ? "worker " + id + " may serve again" : "worker " + id + " was not out");
+            case EXIT ->
+                    reply.yes(
+                            done
+                                    ? "worker " + id + " may serve again"
+                                    : "worker " + id + " was not out");
             case STANDBY -> reply.yes("draining: no longer ready");
             default -> {
                 if (done) {
@@ -86,7 +97,7 @@
             case ACTIVE -> {
                 return active();
             }
-            default -> { }
+            default -> {}
         }
         return true;
     }
@@ -94,14 +105,18 @@
     private String status() {
         JsonArray out = Json.array();
         workers.roster().out().forEach(out::add);
-        return Json.object().add("state", lifecycle.state().word()).add("workers", providers.readyCount())
-                .add("out", out).toString();
+        return Json.object()
+                .add("state", lifecycle.state().word())
+                .add("workers", providers.readyCount())
+                .add("out", out)
+                .toString();
     }
 
     private void standby() {
         if (lifecycle.state() != Lifecycle.State.STANDBY) {
             lifecycle.standby(timers.nowMicros());
-            Events.info(LOG, "daemon.standby").log("standby: no longer ready, turning consumers away");
+            Events.info(LOG, "daemon.standby")
+                    .log("standby: no longer ready, turning consumers away");
             check.run();
         }
     }
--- a/daemon/src/main/java/postgrade/daemon/Rehearsal.java
+++ b/daemon/src/main/java/postgrade/daemon/Rehearsal.java
@@ -14,28 +14,33 @@
 import java.util.Map;
 
 /**
- * Runs a dispatcher through one job, a rejection and an orderly stop against peers in this process, all on loopback,
- * and ends. The virtual machine writes down which classes that took: the build makes the class-data archive from it,
- * by which later starts are quicker.
+ * Runs a dispatcher through one job, a rejection and an orderly stop against peers in this process,
+ * all on loopback, and ends. The virtual machine writes down which classes that took: the build
+ * makes the class-data archive from it, by which later starts are quicker.
  */
 final class Rehearsal {
 
     private static final int PATIENCE_MS = 10_000;
-    private static final String SETTINGS = "{'balancers':1,'zone':'a','classes':[{'name':'price','idempotency':"
-            + "'read_like','onTimeNs':200000000,'deadlineNs':1000000000}],'tenants':[{'name':'t','quotaPerS':100}],"
-            + "'limits':{'cancel':true,'maxAttempts':4},'specifics':{'tellsStart':true}}";
+    private static final String SETTINGS =
+            "{'balancers':1,'zone':'a','classes':[{'name':'price','idempotency':"
+                    + "'read_like','onTimeNs':200000000,'deadlineNs':1000000000}],'tenants':[{'name':'t','quotaPerS':100}],"
+                    + "'limits':{'cancel':true,'maxAttempts':4},'specifics':{'tellsStart':true}}";
 
-    private Rehearsal() { }
+    private Rehearsal() {}
 
     static void run() throws IOException, InterruptedException {
         try (ServerSocket worker = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
                 ServerSocket discovery = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             Path file = Files.createTempFile("postgrade", ".json");
             try {
-                JsonObject config = Json.object().add("name", "n1").add("listen", "127.0.0.1:0")
-                        .add("discovery", "127.0.0.1:" + discovery.getLocalPort()).add("seed", "8c1f30d27a5be964")
-                        .add("settings", Json.parse(SETTINGS.replace('\'', '"')))
-                        .add("known", Json.parse(list(worker.getLocalPort())));
+                JsonObject config =
+                        Json.object()
+                                .add("name", "n1")
+                                .add("listen", "127.0.0.1:0")
+                                .add("discovery", "127.0.0.1:" + discovery.getLocalPort())
+                                .add("seed", "8c1f30d27a5be964")
+                                .add("settings", Json.parse(SETTINGS.replace('\'', '"')))
+                                .add("known", Json.parse(list(worker.getLocalPort())));
                 Files.writeString(file, config.toString());
                 Daemon daemon = new Daemon(Config.read(Map.of("ROUTER_CONFIG", file.toString())));
                 daemon.start();
@@ -51,26 +56,44 @@
     }
 
     private static String list(int port) {
-        return ("{'version':1,'full':true,'servers':[{'id':'s-1','addr':'127.0.0.1:" + port + "','zone':'a',"
-                + "'kind':'m','cell':0,'state':'ready','weight':1.0,'started_ms':0}]}").replace('\'', '"');
+        return ("{'version':1,'full':true,'servers':[{'id':'s-1','addr':'127.0.0.1:"
+                        + port
+                        + "','zone':'a',"
+                        + "'kind':'m','cell':0,'state':'ready','weight':1.0,'started_ms':0}]}")
+                .replace('\'', '"');
     }
 
-    private static void play(Daemon daemon, ServerSocket worker, ServerSocket discovery) throws IOException {
-        try (Socket watch = discovery.accept(); Socket client = connect(daemon)) {
+    private static void play(Daemon daemon, ServerSocket worker, ServerSocket discovery)
+            throws IOException {
+        try (Socket watch = discovery.accept();
+                Socket client = connect(daemon)) {
             read(watch);
             String change = list(worker.getLocalPort()) + "\n";
-            write(watch, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                    + Integer.toHexString(change.length()) + "\r\n" + change + "\r\n");
+            write(
+                    watch,
+                    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                            + Integer.toHexString(change.length())
+                            + "\r\n"
+                            + change
+                            + "\r\n");
             write(client, "GET /-/ready HTTP/1.1\r\n\r\n");
             read(client);
             write(client, job("1", "price"));
-            try (Socket call = worker.accept(); Socket back = connect(daemon)) {
+            try (Socket call = worker.accept();
+                    Socket back = connect(daemon)) {
                 read(call);
                 write(call, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
                 for (String state : new String[] {"started", "done"}) {
-                    String event = "{\"id\":\"1\",\"from\":\"s-1\",\"state\":\"" + state + "\",\"result\":\"r\"}";
-                    write(back, "POST /v1/job-events HTTP/1.1\r\nContent-Length: " + event.length() + "\r\n\r\n"
-                            + event);
+                    String event =
+                            "{\"id\":\"1\",\"from\":\"s-1\",\"state\":\""
+                                    + state
+                                    + "\",\"result\":\"r\"}";
+                    write(
+                            back,
+                            "POST /v1/job-events HTTP/1.1\r\nContent-Length: "
+                                    + event.length()
+                                    + "\r\n\r\n"
+                                    + event);
                     read(back);
                 }
                 read(client);
@@ -81,7 +104,10 @@
     }
 
     private static String job(String id, String jobClass) {
-        return "POST /api HTTP/1.1\r\nHost: b\r\nX-Request-Id: " + id + "\r\nX-Class: " + jobClass
+        return "POST /api HTTP/1.1\r\nHost: b\r\nX-Request-Id: "
+                + id
+                + "\r\nX-Class: "
+                + jobClass
                 + "\r\nX-Tenant: t\r\nX-Key: k\r\nX-Deadline: 1000m\r\nContent-Length: 1\r\n\r\nx";
     }
 
--- a/daemon/src/main/java/postgrade/daemon/Reload.java
+++ b/daemon/src/main/java/postgrade/daemon/Reload.java
@@ -8,7 +8,10 @@
 import postgrade.log.Events;
 import postgrade.provider.ProviderPools;
 
-/** Reads the configuration again and takes over what can change under way. A faulty one changes nothing. On the loop. */
+/**
+ * Reads the configuration again and takes over what can change under way. A faulty one changes
+ * nothing. On the loop.
+ */
 record Reload(Gateway gateway, Listener listener, ProviderPools providers, Watch watch) {
 
     private static final Logger LOG = LoggerFactory.getLogger(Reload.class);
@@ -18,20 +21,31 @@
         try {
             Config next = config.readAgain();
             String later = String.join(", ", config.keysForNextStart(next));
-            Events.info(LOG, "configuration.read-again").addKeyValue("later", later).log("configuration read again"
-                    + (later.isEmpty() ? "" : "; only at the next start: " + later));
+            Events.info(LOG, "configuration.read-again")
+                    .addKeyValue("later", later)
+                    .log(
+                            "configuration read again"
+                                    + (later.isEmpty()
+                                            ? ""
+                                            : "; only at the next start: " + later));
             if (!config.sameSettings(next)) {
                 gateway.settings(next.settings, next.mostHeld);
                 listener.settings(next.deadlineMicros, next.tenantNames());
-                providers.settings(next.connectTimeoutMicros, next.idleMicros,
+                providers.settings(
+                        next.connectTimeoutMicros,
+                        next.idleMicros,
                         config.settings.deployment.same(next.settings.deployment));
             }
             watch.move(next.discovery);
             return next;
         } catch (Config.Faulty e) {
-            Events.warn(LOG, "configuration.not-taken").addKeyValue("why", e.getMessage())
-                    .log("configuration not taken over, the former one stays: " + config.file + ": "
-                            + e.getMessage());
+            Events.warn(LOG, "configuration.not-taken")
+                    .addKeyValue("why", e.getMessage())
+                    .log(
+                            "configuration not taken over, the former one stays: "
+                                    + config.file
+                                    + ": "
+                                    + e.getMessage());
             return config;
         }
     }
--- a/daemon/src/main/java/postgrade/daemon/Required.java
+++ b/daemon/src/main/java/postgrade/daemon/Required.java
@@ -13,7 +13,7 @@
     /** Far beyond any deadline; a double still counts each. */
     private static final double MOST_WHOLE = 1e15;
 
-    private Required() { }
+    private Required() {}
 
     /** Each key that a list or object in force has, the new one has too. */
     static void requireKeys(JsonValue had, JsonValue has, String at) throws Config.Faulty {
@@ -24,7 +24,8 @@
                 if (value == null || value.isNull() && !m.getValue().isNull()) {
                     throw new Config.Faulty(key, "missing, though the file in force has it");
                 }
-                if (!key.equals("known")) { // A list of workers may be any, and concerns a start alone.
+                if (!key.equals(
+                        "known")) { // A list of workers may be any, and concerns a start alone.
                     requireKeys(m.getValue(), value, key);
                 }
             }
@@ -38,7 +39,10 @@
         }
     }
 
-    /** What all the objects of a list have: classes and tenants may come and go, and some may have more than others. */
+    /**
+     * What all the objects of a list have: classes and tenants may come and go, and some may have
+     * more than others.
+     */
     private static JsonObject common(JsonArray list) {
         JsonObject common = null;
         for (JsonValue v : list) {
@@ -55,11 +59,17 @@
         return common == null ? Json.object() : common;
     }
 
-    /** Guards what is counted with them: a deadline or a number of attempts is a number of JSON, whole and above 0. */
+    /**
+     * Guards what is counted with them: a deadline or a number of attempts is a number of JSON,
+     * whole and above 0.
+     */
     private static void requireWhole(JsonObject in, String key, String at) throws Config.Faulty {
         JsonValue value = in.get(key);
-        if (value != null && !(value.isNumber() && value.asDouble() >= 1 && value.asDouble() <= MOST_WHOLE
-                && value.asDouble() == Math.rint(value.asDouble()))) {
+        if (value != null
+                && !(value.isNumber()
+                        && value.asDouble() >= 1
+                        && value.asDouble() <= MOST_WHOLE
+                        && value.asDouble() == Math.rint(value.asDouble()))) {
             throw new Config.Faulty(at + key, "has to be a whole number above 0, not " + value);
         }
     }
--- a/daemon/src/main/java/postgrade/daemon/Takeover.java
+++ b/daemon/src/main/java/postgrade/daemon/Takeover.java
@@ -18,8 +18,8 @@
 import postgrade.roster.Roster;
 
 /**
- * What a new process of this dispatcher is told by the one that serves. Times go as ages, since the two processes' clocks
- * begin at different moments.
+ * What a new process of this dispatcher is told by the one that serves. Times go as ages, since the
+ * two processes' clocks begin at different moments.
  *
  * @param list the workers as discovery last told them, or null
  * @param discovery who told them; versions of two addresses need not agree
@@ -28,25 +28,37 @@
  * @param standbyAgeMicros since when it drains, negative if it does not
  * @param beside what its companion told, empty where there was none
  */
-record Takeover(TargetList list, String discovery, List<Roster.Record> said, List<Learnt> learnt,
-        long standbyAgeMicros, String beside) {
+record Takeover(
+        TargetList list,
+        String discovery,
+        List<Roster.Record> said,
+        List<Learnt> learnt,
+        long standbyAgeMicros,
+        String beside) {
 
     private static final Logger LOG = LoggerFactory.getLogger(Takeover.class);
     private static final String AT_MACHINE_NS = "atMachineNs";
 
-    /** Reads a snapshot; one that cannot be made sense of, or none, is null: the start goes on without. */
+    /**
+     * Reads a snapshot; one that cannot be made sense of, or none, is null: the start goes on
+     * without.
+     */
     static Takeover of(JsonObject json) {
         if (json == null) {
             return null;
         }
         try {
             TargetList list = TargetList.of(json.get("list").asObject());
-            return new Takeover(list.entries().isEmpty() ? null : list, json.get("discovery").asString(),
+            return new Takeover(
+                    list.entries().isEmpty() ? null : list,
+                    json.get("discovery").asString(),
                     said(json.get("roster").asArray()),
-                    learnt(json.get("learnt").asArray()), json.get("standby").asLong(),
+                    learnt(json.get("learnt").asArray()),
+                    json.get("standby").asLong(),
                     json.getString("beside", ""));
         } catch (RuntimeException e) {
-            Events.warn(LOG, "upgrade.state-not-understood").setCause(e)
+            Events.warn(LOG, "upgrade.state-not-understood")
+                    .setCause(e)
                     .log("what the running process told was not understood; started without it");
             return null;
         }
@@ -74,32 +86,49 @@
             long passedNs = passedNs(json, nowMillis, machineNanos);
             List<Roster.Record> said = new ArrayList<>();
             for (Roster.Record r : said(json.get("roster").asArray())) {
-                said.add(new Roster.Record(r.id(), r.outNs() + passedNs, r.backNs() < 0 ? -1 : r.backNs() + passedNs));
+                said.add(
+                        new Roster.Record(
+                                r.id(),
+                                r.outNs() + passedNs,
+                                r.backNs() < 0 ? -1 : r.backNs() + passedNs));
             }
             return new Takeover(null, "", said, List.of(), -1, "");
         } catch (RuntimeException e) {
-            Events.warn(LOG, "upgrade.left-not-understood").setCause(e)
+            Events.warn(LOG, "upgrade.left-not-understood")
+                    .setCause(e)
                     .log("what a process left was not understood; started without it");
             return null;
         }
     }
 
-    /** By the time since the machine started, which no step of the wall clock changes; an earlier version tells that alone. */
+    /**
+     * By the time since the machine started, which no step of the wall clock changes; an earlier
+     * version tells that alone.
+     */
     private static long passedNs(JsonObject json, long nowMillis, long machineNanos) {
         JsonValue at = json.get(AT_MACHINE_NS);
-        long passedNs = at != null ? machineNanos - at.asLong() : (nowMillis - json.get("atMs").asLong()) * 1_000_000;
+        long passedNs =
+                at != null
+                        ? machineNanos - at.asLong()
+                        : (nowMillis - json.get("atMs").asLong()) * 1_000_000;
         return Math.max(0, passedNs);
     }
 
     static JsonObject leave(Roster roster, long nowNs, long nowMillis, long machineNanos) {
-        return Json.object().add("atMs", nowMillis).add(AT_MACHINE_NS, machineNanos).add("roster", ages(roster, nowNs));
+        return Json.object()
+                .add("atMs", nowMillis)
+                .add(AT_MACHINE_NS, machineNanos)
+                .add("roster", ages(roster, nowNs));
     }
 
     private static JsonArray ages(Roster roster, long nowNs) {
         JsonArray ages = Json.array();
         for (Roster.Record r : roster.records()) {
-            ages.add(Json.object().add("id", r.id()).add("out", nowNs - r.outNs())
-                    .add("back", r.backNs() == Roster.STILL_OUT ? -1 : nowNs - r.backNs()));
+            ages.add(
+                    Json.object()
+                            .add("id", r.id())
+                            .add("out", nowNs - r.outNs())
+                            .add("back", r.backNs() == Roster.STILL_OUT ? -1 : nowNs - r.backNs()));
         }
         return ages;
     }
@@ -108,18 +137,34 @@
         List<Roster.Record> said = new ArrayList<>();
         for (JsonValue v : ages) {
             JsonObject r = v.asObject();
-            said.add(new Roster.Record(r.get("id").asString(), r.get("out").asLong(), r.get("back").asLong()));
+            said.add(
+                    new Roster.Record(
+                            r.get("id").asString(), r.get("out").asLong(), r.get("back").asLong()));
         }
         return said;
     }
 
-    static JsonObject snapshot(Roster roster, long nowNs, long version, Collection<Entry> told,
-            InetSocketAddress discovery, long standbyAgeMicros, List<Learnt> learnt, String beside) {
+    static JsonObject snapshot(
+            Roster roster,
+            long nowNs,
+            long version,
+            Collection<Entry> told,
+            InetSocketAddress discovery,
+            long standbyAgeMicros,
+            List<Learnt> learnt,
+            String beside) {
         JsonArray servers = Json.array();
         for (Entry e : told) {
-            servers.add(Json.object().add("id", e.id()).add("addr", TargetList.text(e.address())).add("zone", e.zone())
-                    .add("kind", e.kind()).add("cell", e.cell()).add("state", e.state().name().toLowerCase(Locale.ROOT))
-                    .add("weight", e.weight()).add("started_ms", e.startedMillis()));
+            servers.add(
+                    Json.object()
+                            .add("id", e.id())
+                            .add("addr", TargetList.text(e.address()))
+                            .add("zone", e.zone())
+                            .add("kind", e.kind())
+                            .add("cell", e.cell())
+                            .add("state", e.state().name().toLowerCase(Locale.ROOT))
+                            .add("weight", e.weight())
+                            .add("started_ms", e.startedMillis()));
         }
         JsonArray figures = Json.array();
         for (Learnt l : learnt) {
@@ -129,10 +174,18 @@
             }
             figures.add(one);
         }
-        return Json.object().add("list", Json.object().add("version", version).add("full", true)
-                .add("servers", servers)).add("discovery", TargetList.text(discovery))
+        return Json.object()
+                .add(
+                        "list",
+                        Json.object()
+                                .add("version", version)
+                                .add("full", true)
+                                .add("servers", servers))
+                .add("discovery", TargetList.text(discovery))
                 .add("roster", ages(roster, nowNs))
-                .add("standby", standbyAgeMicros).add("learnt", figures).add("beside", beside);
+                .add("standby", standbyAgeMicros)
+                .add("learnt", figures)
+                .add("beside", beside);
     }
 
     boolean follows(InetSocketAddress address) {
--- a/daemon/src/main/java/postgrade/daemon/Workers.java
+++ b/daemon/src/main/java/postgrade/daemon/Workers.java
@@ -20,15 +20,20 @@
 import postgrade.provider.Target;
 import postgrade.roster.Roster;
 
-/** Takes in what discovery and operators say of the workers, and tells the pools and the module how each counts. */
+/**
+ * Takes in what discovery and operators say of the workers, and tells the pools and the module how
+ * each counts.
+ */
 final class Workers {
 
     private static final Logger LOG = LoggerFactory.getLogger(Workers.class);
     private static final long NANOS = 1_000;
 
     private final Roster roster = new Roster();
+
     /** What discovery has last said of each provider. */
     private final Map<String, Entry> told = new LinkedHashMap<>();
+
     private final ProviderPools providers;
     private final Gateway gateway;
     private final WorkerStartTimes startTimes;
@@ -53,7 +58,8 @@
 
     /**
      * @param nowMicros of the loop's clock
-     * @param heardBeforeMicros when discovery was last heard before it told this, or {@link WorkerStartTimes#NEVER_HEARD}
+     * @param heardBeforeMicros when discovery was last heard before it told this, or {@link
+     *     WorkerStartTimes#NEVER_HEARD}
      */
     void list(ListForm form, TargetList list, long nowMicros, long heardBeforeMicros) {
         list.warnOfFaulty();
@@ -63,13 +69,16 @@
         }
         for (Entry e : list.entries()) {
             told.put(e.id(), e);
-            Phase phase = switch (e.state()) {
-                case READY -> Phase.READY;
-                case DRAINING -> Phase.DRAINING;
-                case GONE -> Phase.GONE;
-            };
+            Phase phase =
+                    switch (e.state()) {
+                        case READY -> Phase.READY;
+                        case DRAINING -> Phase.DRAINING;
+                        case GONE -> Phase.GONE;
+                    };
             long born = startTimes.micros(e.id(), e.startedMillis(), nowMicros, heardBeforeMicros);
-            workers.add(new Worker(e.id(), e.zone(), e.kind(), e.cell(), phase, e.weight(), born * NANOS));
+            workers.add(
+                    new Worker(
+                            e.id(), e.zone(), e.kind(), e.cell(), phase, e.weight(), born * NANOS));
         }
         List<Worker> counted = roster.list(form != ListForm.CHANGES, workers);
         providers.list(form != ListForm.CHANGES, counted.stream().map(this::target).toList());
@@ -85,7 +94,9 @@
         if (!roster.takeOut(nowMicros * NANOS, id)) {
             return false;
         }
-        Events.info(LOG, "worker.out").addKeyValue("provider", id).log("provider " + id + " taken out by an operator");
+        Events.info(LOG, "worker.out")
+                .addKeyValue("provider", id)
+                .log("provider " + id + " taken out by an operator");
         recount(id);
         return true;
     }
@@ -94,13 +105,18 @@
         if (!roster.putBack(nowMicros * NANOS, id)) {
             return false;
         }
-        Events.info(LOG, "worker.back").addKeyValue("provider", id).log("provider " + id + " put back by an operator");
+        Events.info(LOG, "worker.back")
+                .addKeyValue("provider", id)
+                .log("provider " + id + " put back by an operator");
         recount(id);
         gateway.recalled(id);
         return true;
     }
 
-    /** Both sides hear of one worker as it counts now. The pools refuse it from now on, before anyone is answered. */
+    /**
+     * Both sides hear of one worker as it counts now. The pools refuse it from now on, before
+     * anyone is answered.
+     */
     private void recount(String id) {
         Worker w = roster.worker(id);
         if (w != null) {
@@ -112,7 +128,17 @@
     /** As the companion sees them. */
     List<Host.Known> known() {
         List<String> out = roster.out();
-        return told.values().stream().map(e -> new Host.Known(e.id(), e.zone(), e.kind(), e.weight(), e.startedMillis(),
-                e.state() == State.READY, out.contains(e.id()))).toList();
+        return told.values().stream()
+                .map(
+                        e ->
+                                new Host.Known(
+                                        e.id(),
+                                        e.zone(),
+                                        e.kind(),
+                                        e.weight(),
+                                        e.startedMillis(),
+                                        e.state() == State.READY,
+                                        out.contains(e.id())))
+                .toList();
     }
 }
--- a/daemon/src/main/java/postgrade/discovery/Lines.java
+++ b/daemon/src/main/java/postgrade/discovery/Lines.java
@@ -4,8 +4,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Cuts the bytes of a watch into objects and empty lines. An object may be indented and span many lines; a line break
- * inside it is no sign of life. Only what is whole is told.
+ * Cuts the bytes of a watch into objects and empty lines. An object may be indented and span many
+ * lines; a line break inside it is no sign of life. Only what is whole is told.
  */
 final class Lines {
 
@@ -24,6 +24,7 @@
     private int depth;
     private boolean quoted;
     private boolean escaped;
+
     /** An object has ended on this line: its end is not an empty line. */
     private boolean used;
 
--- a/daemon/src/main/java/postgrade/discovery/Pace.java
+++ b/daemon/src/main/java/postgrade/discovery/Pace.java
@@ -6,20 +6,25 @@
 final class Pace {
 
     /**
-     * Doubles with each opening that ends or is refused: guards discovery against openings without end. Also guards the
-     * drain rule: what the agent has counts as told whether or not a watch is open, and 500 ms are given for a change.
+     * Doubles with each opening that ends or is refused: guards discovery against openings without
+     * end. Also guards the drain rule: what the agent has counts as told whether or not a watch is
+     * open, and 500 ms are given for a change.
      */
     private static final long PAUSE_MICROS = 100_000;
+
     private static final long MOST_PAUSE_MICROS = 300_000;
+
     /**
-     * How long an opening is given doubles with each that is silent, up to this. Discovery that was down answers, on
-     * its return, what has been asked meanwhile: the question that waits is heard at once, so no pause lies between.
+     * How long an opening is given doubles with each that is silent, up to this. Discovery that was
+     * down answers, on its return, what has been asked meanwhile: the question that waits is heard
+     * at once, so no pause lies between.
      */
     private static final long MOST_FIRST_MICROS = 2_000_000;
 
     private final long leastFirstMicros;
     private final SplittableRandom random;
     private long pauseMicros = PAUSE_MICROS;
+
     /** Openings since the last news that were silent. */
     private int silent;
 
@@ -34,11 +39,14 @@
         silent = 0;
     }
 
-    /** @param times that one opening has brought news */
+    /**
+     * @param times that one opening has brought news
+     */
     void heard(int times) {
         silent = 0;
         if (times > 1) {
-            // Guards discovery: watches that end right after their first object are not opened ever faster.
+            // Guards discovery: watches that end right after their first object are not opened ever
+            // faster.
             pauseMicros = PAUSE_MICROS;
         }
     }
--- a/daemon/src/main/java/postgrade/discovery/TargetList.java
+++ b/daemon/src/main/java/postgrade/discovery/TargetList.java
@@ -15,13 +15,29 @@
     private static final Logger LOG = LoggerFactory.getLogger(TargetList.class);
 
     /** How far a provider is in its life. */
-    public enum State { READY, DRAINING, GONE }
+    public enum State {
+        READY,
+        DRAINING,
+        GONE
+    }
 
-    /** @param startedMillis its latest start in Unix time, 0 for long ago */
-    public record Entry(String id, InetSocketAddress address, String zone, String kind, int cell, State state,
-            double weight, long startedMillis) { }
+    /**
+     * @param startedMillis its latest start in Unix time, 0 for long ago
+     */
+    public record Entry(
+            String id,
+            InetSocketAddress address,
+            String zone,
+            String kind,
+            int cell,
+            State state,
+            double weight,
+            long startedMillis) {}
 
-    /** Reads the protocol's form; entries that cannot be read are passed over. An exception names what is wrong. */
+    /**
+     * Reads the protocol's form; entries that cannot be read are passed over. An exception names
+     * what is wrong.
+     */
     public static TargetList of(JsonObject json) {
         List<Entry> entries = new ArrayList<>();
         List<String> faulty = new ArrayList<>();
@@ -31,7 +47,8 @@
                 try {
                     entries.add(entry(v.asObject()));
                 } catch (RuntimeException e) {
-                    // Guards the rest of the list: one entry that cannot be read must not hide the others.
+                    // Guards the rest of the list: one entry that cannot be read must not hide the
+                    // others.
                     faulty.add(e.getMessage() + " in " + v);
                 }
             }
@@ -46,25 +63,40 @@
     private static Entry entry(JsonObject e) {
         String id = e.getString("id", "");
         String address = e.getString("addr", "");
-        State state = switch (e.getString("state", "")) {
-            case "ready" -> State.READY;
-            case "gone" -> State.GONE;
-            default -> State.DRAINING; // So is any state that we do not know: nothing new for it.
-        };
+        State state =
+                switch (e.getString("state", "")) {
+                    case "ready" -> State.READY;
+                    case "gone" -> State.GONE;
+                    default -> State.DRAINING; // So is any state that we do not know: nothing new
+                        // for it.
+                };
         if (id.isEmpty()) {
             throw new IllegalArgumentException("id is missing");
         }
-        return new Entry(id, state == State.GONE && address.isEmpty() ? null : address(address),
-                e.getString("zone", ""), e.getString("kind", ""), (int) e.getDouble("cell", 0), state,
-                e.getDouble("weight", 1), (long) e.getDouble("started_ms", 0));
+        return new Entry(
+                id,
+                state == State.GONE && address.isEmpty() ? null : address(address),
+                e.getString("zone", ""),
+                e.getString("kind", ""),
+                (int) e.getDouble("cell", 0),
+                state,
+                e.getDouble("weight", 1),
+                (long) e.getDouble("started_ms", 0));
     }
 
     public void warnOfFaulty() {
         if (!faulty.isEmpty()) {
-            Events.warn(LOG, "list.entries-not-understood").addKeyValue("version", version)
-                    .addKeyValue("entries", faulty.size()).addKeyValue("first", faulty.get(0))
-                    .log("list version " + version + ": " + faulty.size()
-                            + " entries not understood and passed over, first: " + faulty.get(0));
+            Events.warn(LOG, "list.entries-not-understood")
+                    .addKeyValue("version", version)
+                    .addKeyValue("entries", faulty.size())
+                    .addKeyValue("first", faulty.get(0))
+                    .log(
+                            "list version "
+                                    + version
+                                    + ": "
+                                    + faulty.size()
+                                    + " entries not understood and passed over, first: "
+                                    + faulty.get(0));
         }
     }
 
@@ -77,7 +109,8 @@
     public static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         try {
-            return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
+            return new InetSocketAddress(
+                    text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
         } catch (RuntimeException e) {
             throw new IllegalArgumentException("\"" + text + "\" is not address:port", e);
         }
--- a/daemon/src/main/java/postgrade/discovery/Watch.java
+++ b/daemon/src/main/java/postgrade/discovery/Watch.java
@@ -19,21 +19,29 @@
 import postgrade.log.Events;
 
 /**
- * Watches the list of providers. A watch that ends, or is silent for longer than {@link Patience} allows, is opened
- * again from the last version after a pause. Without any version it starts from 0, which brings the whole list. Only a
- * whole line or a whole list counts as news: half a line that drips on is silence.
+ * Watches the list of providers. A watch that ends, or is silent for longer than {@link Patience}
+ * allows, is opened again from the last version after a pause. Without any version it starts from
+ * 0, which brings the whole list. Only a whole line or a whole list counts as news: half a line
+ * that drips on is silence.
  *
- * <p>The first object of a watch is due at once, also when nothing has changed, and brings what the former one missed:
- * a call for the whole list beside it would add to the load and find nothing more.
+ * <p>The first object of a watch is due at once, also when nothing has changed, and brings what the
+ * former one missed: a call for the whole list beside it would add to the load and find nothing
+ * more.
  *
- * <p>Discovery may move. Versions of two addresses need not agree, so the new one is asked for its whole list first;
- * until that has come the watch at the former address is still heard, and its end is no alarm.
+ * <p>Discovery may move. Versions of two addresses need not agree, so the new one is asked for its
+ * whole list first; until that has come the watch at the former address is still heard, and its end
+ * is no alarm.
  */
 public final class Watch {
 
     private static final Logger LOG = LoggerFactory.getLogger(Watch.class);
-    /** Bytes that were read in the very turn in which patience ends may be a whole line with the next read. */
+
+    /**
+     * Bytes that were read in the very turn in which patience ends may be a whole line with the
+     * next read.
+     */
     private static final long MORE_MICROS = 50_000;
+
     /** Guards the memory against a list that never ends. */
     private static final int MOST_LIST = 4 << 20;
 
@@ -46,10 +54,13 @@
     private InetSocketAddress address;
     private long version;
     private Session session;
+
     /** The watch at the address before the last move, until the new one has told its list. */
     private Session former;
+
     /** The whole list of this address is still to be had. */
     private boolean moved;
+
     private boolean lost;
     private long heardMicros = -1;
     private long heardBeforeMicros = -1;
@@ -59,8 +70,14 @@
      * @param version of the list known already, 0 for none
      * @param host this dispatcher's name, by which its pauses differ from those of others
      */
-    public Watch(InetSocketAddress address, String host, long version, Patience patience, Reactor reactor,
-            Timers timers, Consumer<TargetList> taker) {
+    public Watch(
+            InetSocketAddress address,
+            String host,
+            long version,
+            Patience patience,
+            Reactor reactor,
+            Timers timers,
+            Consumer<TargetList> taker) {
         this.address = address;
         this.host = host;
         this.version = version;
@@ -85,7 +102,9 @@
         return version;
     }
 
-    /** When discovery was last heard before the list that is being taken in, or -1 if it never was. */
+    /**
+     * When discovery was last heard before the list that is being taken in, or -1 if it never was.
+     */
     public long heardBeforeMicros() {
         return heardBeforeMicros;
     }
@@ -100,7 +119,9 @@
         if (to.equals(address)) {
             return;
         }
-        Events.info(LOG, "watch.moving").addKeyValue("from", address).addKeyValue("to", to)
+        Events.info(LOG, "watch.moving")
+                .addKeyValue("from", address)
+                .addKeyValue("to", to)
                 .log("watch of the provider list moves from " + address + " to " + to);
         if (again != null) {
             again.cancel(); // No session is open.
@@ -120,25 +141,37 @@
     private void broken(String why, boolean wasSilent) {
         if (!lost) {
             lost = true;
-            Events.warn(LOG, "watch.lost").addKeyValue("why", why).addKeyValue("version", version)
-                    .log("watch of the provider list lost (" + why + "); kept at version " + version
-                            + " and opened again");
+            Events.warn(LOG, "watch.lost")
+                    .addKeyValue("why", why)
+                    .addKeyValue("version", version)
+                    .log(
+                            "watch of the provider list lost ("
+                                    + why
+                                    + "); kept at version "
+                                    + version
+                                    + " and opened again");
         }
         session = null;
-        again = timers.at(timers.nowMicros() + pace.untilNextMicros(wasSilent), () -> {
-            again = null;
-            open();
-        });
+        again =
+                timers.at(
+                        timers.nowMicros() + pace.untilNextMicros(wasSilent),
+                        () -> {
+                            again = null;
+                            open();
+                        });
     }
 
-    /** @param times that this session has brought news */
+    /**
+     * @param times that this session has brought news
+     */
     private void heard(int times) {
         pace.heard(times);
         heardBeforeMicros = heardMicros;
         heardMicros = timers.nowMicros();
         if (lost) {
             lost = false;
-            Events.info(LOG, "watch.back").addKeyValue("version", version)
+            Events.info(LOG, "watch.back")
+                    .addKeyValue("version", version)
                     .log("watch of the provider list is back at version " + version);
         }
     }
@@ -150,8 +183,14 @@
         heard(1);
         moved = false;
         version = list.version();
-        Events.info(LOG, "watch.moved").addKeyValue("to", address).addKeyValue("version", version)
-                .log("watch of the provider list has moved to " + address + " at version " + version);
+        Events.info(LOG, "watch.moved")
+                .addKeyValue("to", address)
+                .addKeyValue("version", version)
+                .log(
+                        "watch of the provider list has moved to "
+                                + address
+                                + " at version "
+                                + version);
         if (former != null) {
             former.drop();
             former = null;
@@ -230,7 +269,9 @@
             }
         }
 
-        /** The whole list has come: the watch follows it on the same connection, if that stays open. */
+        /**
+         * The whole list has come: the watch follows it on the same connection, if that stays open.
+         */
         private void whole(boolean staysOpen) {
             fetched(read(list.toString(StandardCharsets.UTF_8)));
             list.reset();
@@ -286,7 +327,8 @@
             if (session == this) {
                 broken(why, wasSilent);
             } else if (former == this) {
-                former = null; // Discovery has moved, and its former address ends what is open: no alarm.
+                former = null; // Discovery has moved, and its former address ends what is open: no
+                // alarm.
             }
         }
 
--- a/daemon/src/main/java/postgrade/http/ArrivalTimes.java
+++ b/daemon/src/main/java/postgrade/http/ArrivalTimes.java
@@ -1,8 +1,9 @@
 package postgrade.http;
 
 /**
- * Tells since when what is read from a socket may have lain there unread. A client's time runs from when it sent its request,
- * so what a late turn, a pause or a full backlog held up has less time left than one that has just come.
+ * Tells since when what is read from a socket may have lain there unread. A client's time runs from
+ * when it sent its request, so what a late turn, a pause or a full backlog held up has less time
+ * left than one that has just come.
  *
  * <p>It knows times alone, in microseconds of the loop's clock, and is used on the loop's thread.
  */
@@ -12,16 +13,22 @@
 
     /** The socket is last known to have held nothing unread. */
     private long emptyMicros;
+
     /** The loop has waited for it without a break since then. */
     private long watchedMicros;
 
-    /** @param emptyMicros when it is known to have held nothing; @param nowMicros from when on the loop waits for it */
+    /**
+     * @param emptyMicros when it is known to have held nothing; @param nowMicros from when on the
+     *     loop waits for it
+     */
     public ArrivalTimes(long emptyMicros, long nowMicros) {
         this.emptyMicros = emptyMicros;
         watchedMicros = nowMicros;
     }
 
-    /** The loop waits for it from now on, or no longer. A call that changes nothing has no effect. */
+    /**
+     * The loop waits for it from now on, or no longer. A call that changes nothing has no effect.
+     */
     public void watch(long nowMicros, boolean watched) {
         if (watched != (watchedMicros != NOT_WATCHED)) {
             watchedMicros = watched ? nowMicros : NOT_WATCHED;
@@ -31,8 +38,8 @@
     /**
      * What lies there is about to be read.
      *
-     * @param lastWaitMicros when the loop's wait before the one that has just ended had ended: what was watched during that wait
-     *     and has not been read since had nothing unread
+     * @param lastWaitMicros when the loop's wait before the one that has just ended had ended: what
+     *     was watched during that wait and has not been read since had nothing unread
      * @return the last moment at which it is known not to have been there
      */
     public long beforeRead(long lastWaitMicros) {
--- a/daemon/src/main/java/postgrade/http/Connection.java
+++ b/daemon/src/main/java/postgrade/http/Connection.java
@@ -10,7 +10,10 @@
 import java.nio.channels.SocketChannel;
 import java.util.ArrayDeque;
 
-/** One TCP connection on the loop. Its owner hears what comes in and when it ends; writes are kept until sent. */
+/**
+ * One TCP connection on the loop. Its owner hears what comes in and when it ends; writes are kept
+ * until sent.
+ */
 public final class Connection implements Reactor.Handler {
 
     /** So often at most a look reads on: an end may lie behind all that a peer may send ahead. */
@@ -19,15 +22,21 @@
     /** Who owns the connection. */
     public interface Owner {
         /** A connect of ours has come up. */
-        default void connected(Connection c) { }
+        default void connected(Connection c) {}
 
         /** Bytes have come; what the owner leaves in the buffer is lost. */
         void received(Connection c, ByteBuffer bytes) throws BadMessage;
 
-        /** The peer has ended its side. The connection is closed right after, and {@link #closed} follows. */
-        default void ended(Connection c) { }
+        /**
+         * The peer has ended its side. The connection is closed right after, and {@link #closed}
+         * follows.
+         */
+        default void ended(Connection c) {}
 
-        /** What came is not a message. The owner may answer, and must see to it that the connection is closed. */
+        /**
+         * What came is not a message. The owner may answer, and must see to it that the connection
+         * is closed.
+         */
         void bad(Connection c, BadMessage e);
 
         /** The connection is gone, unless the owner closed it itself. */
@@ -53,12 +62,16 @@
     }
 
     /** Wraps an accepted channel, whose place in the budget is taken already. */
-    public static Connection accepted(Reactor reactor, SocketChannel channel, Owner owner) throws IOException {
+    public static Connection accepted(Reactor reactor, SocketChannel channel, Owner owner)
+            throws IOException {
         return accepted(reactor, channel, owner, false);
     }
 
-    /** @param urgent served first in a turn */
-    public static Connection accepted(Reactor reactor, SocketChannel channel, Owner owner, boolean urgent)
+    /**
+     * @param urgent served first in a turn
+     */
+    public static Connection accepted(
+            Reactor reactor, SocketChannel channel, Owner owner, boolean urgent)
             throws IOException {
         Connection c = new Connection(reactor, channel, owner, urgent);
         c.begin(SelectionKey.OP_READ);
@@ -71,8 +84,8 @@
      * @throws NoSocketException if it is for want of something of ours
      * @throws IOException if the peer's system refuses at once
      */
-    public static Connection open(Reactor reactor, InetSocketAddress to, Owner owner, boolean urgent)
-            throws IOException {
+    public static Connection open(
+            Reactor reactor, InetSocketAddress to, Owner owner, boolean urgent) throws IOException {
         if (!reactor.sockets().takeToConnect(urgent)) {
             throw new NoSocketException("every socket is in use", null);
         }
@@ -81,7 +94,10 @@
             c = new Connection(reactor, reactor.systemCalls().open(), owner, urgent);
             c.connecting = true;
             c.begin(SelectionKey.OP_CONNECT);
-            reactor.systemCalls().connect(c.channel, to); // Also one that comes up at once is told of in the next turn.
+            reactor.systemCalls()
+                    .connect(
+                            c.channel,
+                            to); // Also one that comes up at once is told of in the next turn.
             return c;
         } catch (IOException | RuntimeException e) {
             if (c == null) {
@@ -139,7 +155,8 @@
             try {
                 owner.received(this, in);
             } catch (BadMessage e) {
-                // Guards the loop and the peer's next bytes: nothing after a bad message can be made sense of.
+                // Guards the loop and the peer's next bytes: nothing after a bad message can be
+                // made sense of.
                 owner.bad(this, e);
             }
         }
@@ -147,8 +164,9 @@
     }
 
     /**
-     * Reads what lies in the socket by now, though the loop has not come to it or the connection is paused: the owner hears
-     * of it, and of the end behind it. Guards what is about to be done on the word of an older look.
+     * Reads what lies in the socket by now, though the loop has not come to it or the connection is
+     * paused: the owner hears of it, and of the end behind it. Guards what is about to be done on
+     * the word of an older look.
      */
     public void look() {
         if (closed || connecting) {
@@ -181,7 +199,9 @@
         }
     }
 
-    /** Sends the bytes, part by part, now or as soon as the peer takes them. They are not copied. */
+    /**
+     * Sends the bytes, part by part, now or as soon as the peer takes them. They are not copied.
+     */
     public void write(byte[]... parts) {
         if (closed) {
             return;
@@ -194,7 +214,8 @@
             try {
                 flush();
             } catch (IOException e) {
-                // The bytes stay unsent and the read side will tell of the break: nothing of the owner's runs
+                // The bytes stay unsent and the read side will tell of the break: nothing of the
+                // owner's runs
                 // inside its own call.
             }
         }
@@ -202,7 +223,11 @@
 
     private void flush() throws IOException {
         if (!unsent.isEmpty()) {
-            reactor.systemCalls().write(channel, unsent.toArray(new ByteBuffer[0])); // All parts in one packet, if they fit.
+            reactor.systemCalls()
+                    .write(
+                            channel,
+                            unsent.toArray(
+                                    new ByteBuffer[0])); // All parts in one packet, if they fit.
         }
         while (!unsent.isEmpty() && !unsent.peek().hasRemaining()) {
             unsent.poll();
@@ -214,7 +239,9 @@
     }
 
     private void interest() {
-        key.interestOps((paused ? 0 : SelectionKey.OP_READ) | (unsent.isEmpty() ? 0 : SelectionKey.OP_WRITE));
+        key.interestOps(
+                (paused ? 0 : SelectionKey.OP_READ)
+                        | (unsent.isEmpty() ? 0 : SelectionKey.OP_WRITE));
     }
 
     /** While paused nothing more is read; the peer's own system holds it back. */
@@ -242,7 +269,10 @@
         return !closed;
     }
 
-    /** An idle connection may be closed for a new one when sockets are short, one on probation before all others. */
+    /**
+     * An idle connection may be closed for a new one when sockets are short, one on probation
+     * before all others.
+     */
     public void idle(boolean isIdle, boolean onProbation) {
         if (!closed) {
             reactor.sockets().idle(this, isIdle, onProbation);
@@ -250,8 +280,9 @@
     }
 
     /**
-     * Ends our side once all is sent, and closes when the peer ends its own. Guards the last answer: a close with
-     * unread bytes waiting resets the connection, and the peer may lose what it has not read.
+     * Ends our side once all is sent, and closes when the peer ends its own. Guards the last
+     * answer: a close with unread bytes waiting resets the connection, and the peer may lose what
+     * it has not read.
      */
     public void closeWhenSent() {
         if (closing || closed) {
@@ -275,8 +306,9 @@
     }
 
     /**
-     * Closed for want of sockets, unless something has come that the loop has not looked at; the owner is told. Guards a
-     * request that was under way, and the last answer: a close over unread bytes resets the connection.
+     * Closed for want of sockets, unless something has come that the loop has not looked at; the
+     * owner is told. Guards a request that was under way, and the last answer: a close over unread
+     * bytes resets the connection.
      */
     void evict() {
         look();
--- a/daemon/src/main/java/postgrade/http/LookBuffers.java
+++ b/daemon/src/main/java/postgrade/http/LookBuffers.java
@@ -3,11 +3,18 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
 
-/** Buffers that are lent for looks out of turn, and used again. Guards the loop's time: a look comes before every send. */
+/**
+ * Buffers that are lent for looks out of turn, and used again. Guards the loop's time: a look comes
+ * before every send.
+ */
 public final class LookBuffers {
 
     private static final int BYTES = 8 << 10;
-    /** Guards the memory outside the heap: where looks nest deeper the further ones get a buffer that is not kept. */
+
+    /**
+     * Guards the memory outside the heap: where looks nest deeper the further ones get a buffer
+     * that is not kept.
+     */
     private static final int MOST_KEPT = 4;
 
     private final ArrayDeque<ByteBuffer> free = new ArrayDeque<>(MOST_KEPT);
--- a/daemon/src/main/java/postgrade/http/Message.java
+++ b/daemon/src/main/java/postgrade/http/Message.java
@@ -8,15 +8,18 @@
 public final class Message {
     /** Of a request; null in a response. */
     String method;
+
     String target;
+
     /** Of a response; 0 in a request. */
     int status;
+
     boolean http10;
     byte[] body = {};
     final List<String> names = new ArrayList<>(12);
     final List<String> values = new ArrayList<>(12);
 
-    Message() { }
+    Message() {}
 
     public String method() {
         return method;
--- a/daemon/src/main/java/postgrade/http/MessageParser.java
+++ b/daemon/src/main/java/postgrade/http/MessageParser.java
@@ -9,8 +9,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads messages from bytes as they come, one at a time. Every part is bounded, so that no peer can make us hold
- * more than a head and a body of the greatest length.
+ * Reads messages from bytes as they come, one at a time. Every part is bounded, so that no peer can
+ * make us hold more than a head and a body of the greatest length.
  */
 public final class MessageParser {
 
@@ -23,7 +23,16 @@
     /** As much of a start line as may have come. */
     private static final Pattern BEGINNING = Pattern.compile("\\r?|[A-Z]{0,16}|[A-Z]{1,16} (/.*)?");
 
-    private enum Part { START_LINE, HEADERS, BODY, TO_THE_END, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILERS }
+    private enum Part {
+        START_LINE,
+        HEADERS,
+        BODY,
+        TO_THE_END,
+        CHUNK_SIZE,
+        CHUNK,
+        CHUNK_END,
+        TRAILERS
+    }
 
     private final boolean requests;
     private final Consumer<byte[]> stream;
@@ -66,7 +75,8 @@
         try {
             MessageParser parser = ofRequests();
             parser.parse(bytes.duplicate());
-            String line = new String(parser.line, 0, parser.lineLength, StandardCharsets.ISO_8859_1);
+            String line =
+                    new String(parser.line, 0, parser.lineLength, StandardCharsets.ISO_8859_1);
             return parser.part != Part.START_LINE || BEGINNING.matcher(line).matches();
         } catch (BadMessage e) {
             return false;
@@ -90,13 +100,17 @@
         return body.size();
     }
 
-    /** Takes bytes up to the end of one message at most; returns it once it is whole, null until then. */
+    /**
+     * Takes bytes up to the end of one message at most; returns it once it is whole, null until
+     * then.
+     */
     public Message parse(ByteBuffer in) throws BadMessage {
         while (in.hasRemaining()) {
-            boolean whole = switch (part) {
-                case BODY, TO_THE_END, CHUNK -> takeBody(in);
-                default -> takeLine(in) && endLine();
-            };
+            boolean whole =
+                    switch (part) {
+                        case BODY, TO_THE_END, CHUNK -> takeBody(in);
+                        default -> takeLine(in) && endLine();
+                    };
             if (whole) {
                 return finish();
             }
@@ -104,7 +118,10 @@
         return null;
     }
 
-    /** The peer has ended its side: a response without a length ends here. Null if this cuts a message short. */
+    /**
+     * The peer has ended its side: a response without a length ends here. Null if this cuts a
+     * message short.
+     */
     public Message atEnd() {
         return part == Part.TO_THE_END ? finish() : null;
     }
@@ -114,7 +131,9 @@
         whole.body = body.toByteArray();
         message = new Message();
         if (whole.body.length > SMALL) {
-            body = new ByteArrayOutputStream(SMALL); // Guards the memory: an idle connection keeps no large buffer.
+            body =
+                    new ByteArrayOutputStream(
+                            SMALL); // Guards the memory: an idle connection keeps no large buffer.
         }
         body.reset();
         part = Part.START_LINE;
@@ -148,7 +167,8 @@
         lineLength = 0;
         switch (part) {
             case START_LINE -> {
-                if (!text.isEmpty()) { // Blank lines before a message are allowed, and count to its head.
+                if (!text.isEmpty()) { // Blank lines before a message are allowed, and count to its
+                    // head.
                     startLine(text);
                     part = Part.HEADERS;
                 }
@@ -182,12 +202,15 @@
     private void startLine(String text) throws BadMessage {
         String[] words = text.split(" ", 3);
         String version = requests ? words[words.length - 1] : words[0];
-        if (words.length < (requests ? 3 : 2) || !version.equals("HTTP/1.1") && !version.equals("HTTP/1.0")) {
+        if (words.length < (requests ? 3 : 2)
+                || !version.equals("HTTP/1.1") && !version.equals("HTTP/1.0")) {
             throw new BadMessage(400, "not a start line of HTTP/1.1");
         }
         message.http10 = version.equals("HTTP/1.0");
         if (requests) {
-            if (!token(words[0]) || words[1].isEmpty() || words[1].chars().anyMatch(c -> c <= ' ' || c > '~')) {
+            if (!token(words[0])
+                    || words[1].isEmpty()
+                    || words[1].chars().anyMatch(c -> c <= ' ' || c > '~')) {
                 throw new BadMessage(400, "bad method or target");
             }
             message.method = words[0];
@@ -220,7 +243,9 @@
     /** True if the message has no body. */
     private boolean endHead() throws BadMessage {
         boolean chunked = message.header("transfer-encoding") != null;
-        if (chunked && (message.http10 || !message.header("transfer-encoding").equalsIgnoreCase("chunked"))) {
+        if (chunked
+                && (message.http10
+                        || !message.header("transfer-encoding").equalsIgnoreCase("chunked"))) {
             throw new BadMessage(400, "transfer encoding not known");
         }
         // Guards against smuggling: whatever leaves two readings of where the message ends.
@@ -246,7 +271,8 @@
             part = Part.TO_THE_END;
             left = Long.MAX_VALUE;
         }
-        expectsContinue = requests && part != Part.HEADERS && message.lists("expect", "100-continue");
+        expectsContinue =
+                requests && part != Part.HEADERS && message.lists("expect", "100-continue");
         return part == Part.HEADERS;
     }
 
@@ -276,7 +302,8 @@
     }
 
     private long number(String text, int radix, long most, int statusAbove) throws BadMessage {
-        if (text.isEmpty() || text.chars().anyMatch(c -> Character.digit(c, radix) < 0 || c > 'f')) {
+        if (text.isEmpty()
+                || text.chars().anyMatch(c -> Character.digit(c, radix) < 0 || c > 'f')) {
             throw new BadMessage(400, "not a number where one is due");
         }
         long value = 0;
@@ -291,6 +318,7 @@
 
     private static boolean token(String text) {
         return !text.isEmpty()
-                && text.chars().allMatch(c -> c > ' ' && c < 127 && "()<>@,;:\\\"/[]?={}".indexOf(c) < 0);
+                && text.chars()
+                        .allMatch(c -> c > ' ' && c < 127 && "()<>@,;:\\\"/[]?={}".indexOf(c) < 0);
     }
 }
