--- a/daemon/src/main/java/postgrade/http/MessageWriter.java
+++ b/daemon/src/main/java/postgrade/http/MessageWriter.java
@@ -6,16 +6,27 @@
 /** Writes one message into bytes. */
 public final class MessageWriter {
 
-    private static final Map<Integer, String> REASONS = Map.ofEntries(Map.entry(100, "Continue"), Map.entry(200, "OK"),
-            Map.entry(204, "No Content"), Map.entry(400, "Bad Request"), Map.entry(404, "Not Found"),
-            Map.entry(405, "Method Not Allowed"), Map.entry(408, "Request Timeout"), Map.entry(409, "Conflict"),
-            Map.entry(411, "Length Required"), Map.entry(413, "Content Too Large"), Map.entry(429, "Too Many Requests"),
-            Map.entry(431, "Request Header Fields Too Large"), Map.entry(502, "Bad Gateway"),
-            Map.entry(503, "Service Unavailable"), Map.entry(504, "Gateway Timeout"));
+    private static final Map<Integer, String> REASONS =
+            Map.ofEntries(
+                    Map.entry(100, "Continue"),
+                    Map.entry(200, "OK"),
+                    Map.entry(204, "No Content"),
+                    Map.entry(400, "Bad Request"),
+                    Map.entry(404, "Not Found"),
+                    Map.entry(405, "Method Not Allowed"),
+                    Map.entry(408, "Request Timeout"),
+                    Map.entry(409, "Conflict"),
+                    Map.entry(411, "Length Required"),
+                    Map.entry(413, "Content Too Large"),
+                    Map.entry(429, "Too Many Requests"),
+                    Map.entry(431, "Request Header Fields Too Large"),
+                    Map.entry(502, "Bad Gateway"),
+                    Map.entry(503, "Service Unavailable"),
+                    Map.entry(504, "Gateway Timeout"));
 
     private final StringBuilder head = new StringBuilder(256);
 
-    private MessageWriter() { }
+    private MessageWriter() {}
 
     public static MessageWriter request(String method, String target) {
         MessageWriter w = new MessageWriter();
@@ -25,7 +36,10 @@
 
     public static MessageWriter response(int status) {
         MessageWriter w = new MessageWriter();
-        w.head.append("HTTP/1.1 ").append(status).append(' ').append(REASONS.getOrDefault(status, "Status"))
+        w.head.append("HTTP/1.1 ")
+                .append(status)
+                .append(' ')
+                .append(REASONS.getOrDefault(status, "Status"))
                 .append("\r\n");
         return w;
     }
--- a/daemon/src/main/java/postgrade/http/Reactor.java
+++ b/daemon/src/main/java/postgrade/http/Reactor.java
@@ -8,20 +8,22 @@
 /** The loop as channels see it. */
 public interface Reactor {
 
-    SelectionKey register(SelectableChannel channel, int interest, Handler handler) throws IOException;
+    SelectionKey register(SelectableChannel channel, int interest, Handler handler)
+            throws IOException;
 
     /** One buffer for all reads; what is in it must be taken before the handler returns. */
     ByteBuffer readBuffer();
 
     /**
-     * Lends a buffer, empty, for a look out of turn. Looks may nest (one tells an owner of an end, who has another connection
-     * looked at), so each has its own until {@link #giveBack}. Who seldom looks may leave it at a new one each time.
+     * Lends a buffer, empty, for a look out of turn. Looks may nest (one tells an owner of an end,
+     * who has another connection looked at), so each has its own until {@link #giveBack}. Who
+     * seldom looks may leave it at a new one each time.
      */
     default ByteBuffer lend() {
         return LookBuffers.another();
     }
 
-    default void giveBack(ByteBuffer lent) { }
+    default void giveBack(ByteBuffer lent) {}
 
     SocketBudget sockets();
 
@@ -38,7 +40,11 @@
     /** Whose channel is ready. */
     interface Handler {
         /** The order in which the ready channels of a turn are served. */
-        enum Order { FIRST, USUAL, LAST }
+        enum Order {
+            FIRST,
+            USUAL,
+            LAST
+        }
 
         void ready(SelectionKey key) throws IOException;
 
--- a/daemon/src/main/java/postgrade/http/SocketBudget.java
+++ b/daemon/src/main/java/postgrade/http/SocketBudget.java
@@ -5,17 +5,21 @@
 import java.util.List;
 
 /**
- * One budget for the sockets of all peers. Guards against running out of descriptors, which would fail accepts and
- * connects alike: when it is used up, an idle connection is closed for a new one.
+ * One budget for the sockets of all peers. Guards against running out of descriptors, which would
+ * fail accepts and connects alike: when it is used up, an idle connection is closed for a new one.
  *
- * <p>Which one follows the segmented LRU scheme: connections are on probation until they have proved useful, and the
- * one of them that has been idle longest goes first. Guards the connections that usual peers keep against hundreds
- * of others that come and say nothing, or ask once and stay.
+ * <p>Which one follows the segmented LRU scheme: connections are on probation until they have
+ * proved useful, and the one of them that has been idle longest goes first. Guards the connections
+ * that usual peers keep against hundreds of others that come and say nothing, or ask once and stay.
  */
 public final class SocketBudget {
 
-    /** Accepted connections take this part at most, or busy consumers could leave none to reach a provider. */
+    /**
+     * Accepted connections take this part at most, or busy consumers could leave none to reach a
+     * provider.
+     */
     private static final double MOST_ACCEPTED = 0.75;
+
     /** Places that only discovery may take: without it every decision ages. */
     private static final int FOR_DISCOVERY = 2;
 
@@ -39,8 +43,8 @@
     }
 
     /**
-     * Takes a place for a connection that has been accepted, if need be by closing an idle one; one place more than there are
-     * where the idle ones turn out not to be.
+     * Takes a place for a connection that has been accepted, if need be by closing an idle one; one
+     * place more than there are where the idle ones turn out not to be.
      *
      * @param anyIdle also one that is past its probation may be closed
      */
@@ -50,9 +54,14 @@
         }
     }
 
-    /** Whether {@link #takeToAccept} would find a place; nothing is closed for one that may not come. */
+    /**
+     * Whether {@link #takeToAccept} would find a place; nothing is closed for one that may not
+     * come.
+     */
     public boolean hasToAccept(boolean anyIdle) {
-        return open < (int) (most * MOST_ACCEPTED) || !onProbation.isEmpty() || anyIdle && !idle.isEmpty();
+        return open < (int) (most * MOST_ACCEPTED)
+                || !onProbation.isEmpty()
+                || anyIdle && !idle.isEmpty();
     }
 
     /** Takes a place for a connection of ours. */
@@ -62,7 +71,8 @@
 
     private boolean take(int limit, boolean anyIdle) {
         while (open >= limit) {
-            Iterator<Connection> oldest = (onProbation.isEmpty() && anyIdle ? idle : onProbation).iterator();
+            Iterator<Connection> oldest =
+                    (onProbation.isEmpty() && anyIdle ? idle : onProbation).iterator();
             if (!oldest.hasNext()) {
                 return false;
             }
--- a/daemon/src/main/java/postgrade/http/SystemCalls.java
+++ b/daemon/src/main/java/postgrade/http/SystemCalls.java
@@ -8,15 +8,19 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * The system calls on which the loop and its connections depend. They stand in one place so that tests can make each of them
- * fail, be short or return early; nothing in the configuration replaces them. Called on the loop's thread alone.
+ * The system calls on which the loop and its connections depend. They stand in one place so that
+ * tests can make each of them fail, be short or return early; nothing in the configuration replaces
+ * them. Called on the loop's thread alone.
  */
 public interface SystemCalls {
 
     /** The system's own. */
-    SystemCalls REAL = new SystemCalls() { };
+    SystemCalls REAL = new SystemCalls() {};
 
-    /** Waits until a channel is ready, at most so long; 0 does not wait, a negative time has no bound. */
+    /**
+     * Waits until a channel is ready, at most so long; 0 does not wait, a negative time has no
+     * bound.
+     */
     default void select(Selector selector, long millis) throws IOException {
         if (millis == 0) {
             selector.selectNow();
@@ -27,7 +31,9 @@
         }
     }
 
-    /** @return null if no connection waits */
+    /**
+     * @return null if no connection waits
+     */
     default SocketChannel accept(ServerSocketChannel server) throws IOException {
         return server.accept();
     }
@@ -45,7 +51,9 @@
         channel.finishConnect();
     }
 
-    /** @return the number of bytes read, negative at the peer's end */
+    /**
+     * @return the number of bytes read, negative at the peer's end
+     */
     default int read(SocketChannel channel, ByteBuffer into) throws IOException {
         return channel.read(into);
     }
--- a/daemon/src/main/java/postgrade/lifecycle/Lifecycle.java
+++ b/daemon/src/main/java/postgrade/lifecycle/Lifecycle.java
@@ -3,18 +3,26 @@
 import java.util.OptionalLong;
 
 /**
- * Where a dispatcher stands between start and end, and what follows from it at a given time. The one place that decides
- * whether it is ready, whether it accepts, and when connections and jobs come to their end. It does nothing itself.
+ * Where a dispatcher stands between start and end, and what follows from it at a given time. The
+ * one place that decides whether it is ready, whether it accepts, and when connections and jobs
+ * come to their end. It does nothing itself.
  *
- * <p>Standby and stopping are two timetables for the same questions; a dispatcher in standby may be told to stop, and
- * then both bind.
+ * <p>Standby and stopping are two timetables for the same questions; a dispatcher in standby may be
+ * told to stop, and then both bind.
  */
 public final class Lifecycle {
 
     /** What the dispatcher is about. */
     public enum State {
-        STARTING, ACTIVE, STANDBY, STOPPING, HANDING_OVER,
-        /** All that was taken is answered; what is left are connections that their peers have to end. */
+        STARTING,
+        ACTIVE,
+        STANDBY,
+        STOPPING,
+        HANDING_OVER,
+        /**
+         * All that was taken is answered; what is left are connections that their peers have to
+         * end.
+         */
         CLOSING;
 
         public String word() {
@@ -23,25 +31,48 @@
     }
 
     private static final long NEVER = Long.MAX_VALUE;
+
     /** The front asks for readiness every 0.1 s and sends new connections for 0.2 s more. */
     private static final long FRONT_KNOWS_MICROS = 350_000;
-    /** From then on nobody's connection is kept idle: all are gone, or closing, well before 4 s have passed. */
+
+    /**
+     * From then on nobody's connection is kept idle: all are gone, or closing, well before 4 s have
+     * passed.
+     */
     private static final long STANDBY_LEAVE_MICROS = 500_000;
+
     /** 4 s after the call no job of the last 2 s may be held. */
     private static final long STANDBY_LATE_MICROS = 1_900_000;
+
     private static final long STANDBY_CONCLUDE_MICROS = 3_400_000;
+
     /** What comes up to so long after SIGTERM may be left to SIGKILL; what comes later may not. */
     private static final long TAKEN_MICROS = 700_000;
-    /** SIGKILL follows the longest deadline, or this if that is longer, and {@link #TAKEN_MICROS} at the earliest. */
+
+    /**
+     * SIGKILL follows the longest deadline, or this if that is longer, and {@link #TAKEN_MICROS} at
+     * the earliest.
+     */
     private static final long MOST_GRACE_MICROS = 3_000_000;
-    /** So long before SIGKILL consumers are turned away, and then answered whatever their jobs have come to. */
+
+    /**
+     * So long before SIGKILL consumers are turned away, and then answered whatever their jobs have
+     * come to.
+     */
     private static final long LEAVE_MICROS = 1_400_000;
+
     private static final long CONCLUDE_MICROS = 300_000;
+
     /** New connections come for up to 0.4 s after SIGTERM, however short the deadlines. */
     private static final long STILL_SENT_MICROS = 500_000;
+
     /** Peers that have not ended their connections by then are not waited for. */
     private static final long END_MICROS = 50_000;
-    /** A successor takes the consumers at once; most connections end with their next answer before they would idle. */
+
+    /**
+     * A successor takes the consumers at once; most connections end with their next answer before
+     * they would idle.
+     */
     private static final long HAND_OVER_LEAVE_MICROS = 1_000_000;
 
     private boolean started;
@@ -52,9 +83,13 @@
     private long killMicros = NEVER;
 
     public State state() {
-        return closing ? State.CLOSING : stopMicros != NEVER ? successor ? State.HANDING_OVER : State.STOPPING
-                : standbyMicros != NEVER ? State.STANDBY
-                : started ? State.ACTIVE : State.STARTING;
+        return closing
+                ? State.CLOSING
+                : stopMicros != NEVER
+                        ? successor ? State.HANDING_OVER : State.STOPPING
+                        : standbyMicros != NEVER
+                                ? State.STANDBY
+                                : started ? State.ACTIVE : State.STARTING;
     }
 
     /** It takes consumers from now on; until then they wait in the backlog. */
@@ -90,11 +125,15 @@
         if (stopMicros == NEVER) {
             stopMicros = nowMicros;
             successor = hasSuccessor;
-            killMicros = nowMicros + Math.min(longestDeadlineMicros, MOST_GRACE_MICROS) + TAKEN_MICROS;
+            killMicros =
+                    nowMicros + Math.min(longestDeadlineMicros, MOST_GRACE_MICROS) + TAKEN_MICROS;
         }
     }
 
-    /** A successor has come; or it has died, and what it was to take is ours again for as long as we may live. */
+    /**
+     * A successor has come; or it has died, and what it was to take is ours again for as long as we
+     * may live.
+     */
     public void successor(boolean isThere) {
         successor = isThere;
     }
@@ -104,7 +143,10 @@
         closing = true;
     }
 
-    /** The front may send consumers. In an upgrade the pair is one dispatcher, ready as its successor is. */
+    /**
+     * The front may send consumers. In an upgrade the pair is one dispatcher, ready as its
+     * successor is.
+     */
     public boolean ready() {
         return state() == State.ACTIVE || state() == State.HANDING_OVER && standbyMicros == NEVER;
     }
@@ -119,22 +161,28 @@
         return standbyMicros == NEVER ? -1 : nowMicros - standbyMicros;
     }
 
-    /** New connections are accepted: the consumers', and always the providers' call-backs, but for a successor's. */
+    /**
+     * New connections are accepted: the consumers', and always the providers' call-backs, but for a
+     * successor's.
+     */
     public boolean accepts() {
         return state() != State.HANDING_OVER && state() != State.CLOSING;
     }
 
     /** An answer to a consumer ends its connection. */
     public boolean endsConnections(long nowMicros) {
-        return state() == State.HANDING_OVER || past(standbyMicros, FRONT_KNOWS_MICROS, nowMicros)
+        return state() == State.HANDING_OVER
+                || past(standbyMicros, FRONT_KNOWS_MICROS, nowMicros)
                 || leaves(nowMicros);
     }
 
     /** Consumers' connections that await nothing are closed. */
     public boolean leaves(long nowMicros) {
         return past(standbyMicros, STANDBY_LEAVE_MICROS, nowMicros)
-                || past(killMicros, -LEAVE_MICROS, nowMicros) && past(stopMicros, STILL_SENT_MICROS, nowMicros)
-                || state() == State.HANDING_OVER && past(stopMicros, HAND_OVER_LEAVE_MICROS, nowMicros);
+                || past(killMicros, -LEAVE_MICROS, nowMicros)
+                        && past(stopMicros, STILL_SENT_MICROS, nowMicros)
+                || state() == State.HANDING_OVER
+                        && past(stopMicros, HAND_OVER_LEAVE_MICROS, nowMicros);
     }
 
     /** Jobs that came since then are answered now as they stand; none if empty. */
@@ -149,7 +197,10 @@
         return since == NEVER ? OptionalLong.empty() : OptionalLong.of(since);
     }
 
-    /** The process may end once all is answered; not before, as consumers use what connections they hold. */
+    /**
+     * The process may end once all is answered; not before, as consumers use what connections they
+     * hold.
+     */
     public boolean mayEnd(long nowMicros) {
         return stopMicros != NEVER && leaves(nowMicros);
     }
--- a/daemon/src/main/java/postgrade/operator/Further.java
+++ b/daemon/src/main/java/postgrade/operator/Further.java
@@ -2,27 +2,34 @@
 
 import java.util.Set;
 
-/** Operators' calls beyond {@link Operations}, by their paths. Who takes them knows nothing of how they came. */
+/**
+ * Operators' calls beyond {@link Operations}, by their paths. Who takes them knows nothing of how
+ * they came.
+ */
 public interface Further {
 
     /** Exactly one answer is given to each call. */
     interface Reply {
-        /** @param retryAfterMicros when to come again, 0 where that does not help @param json one object */
+        /**
+         * @param retryAfterMicros when to come again, 0 where that does not help @param json one
+         *     object
+         */
         void answer(int status, long retryAfterMicros, String json);
     }
 
     /** None there. */
-    Further NONE = new Further() {
-        @Override
-        public Set<String> methods(String path) {
-            return Set.of();
-        }
-
-        @Override
-        public void call(String method, String path, byte[] body, Reply reply) {
-            throw new IllegalStateException(path);
-        }
-    };
+    Further NONE =
+            new Further() {
+                @Override
+                public Set<String> methods(String path) {
+                    return Set.of();
+                }
+
+                @Override
+                public void call(String method, String path, byte[] body, Reply reply) {
+                    throw new IllegalStateException(path);
+                }
+            };
 
     /** How a path may be called; none for a path that is not known. */
     Set<String> methods(String path);
--- a/daemon/src/main/java/postgrade/operator/Operations.java
+++ b/daemon/src/main/java/postgrade/operator/Operations.java
@@ -4,7 +4,13 @@
 public interface Operations {
 
     /** One thing to ask for. */
-    enum Call { STATUS, ENTER, EXIT, STANDBY, ACTIVE }
+    enum Call {
+        STATUS,
+        ENTER,
+        EXIT,
+        STANDBY,
+        ACTIVE
+    }
 
     /** Exactly one of these is called, once, at latest when {@link #LONGEST_MICROS} have passed. */
     interface Reply {
@@ -14,7 +20,10 @@
     }
 
     /** Why not: there is no such worker, or the dispatcher is not in a state for it. */
-    enum No { UNKNOWN, NOT_NOW }
+    enum No {
+        UNKNOWN,
+        NOT_NOW
+    }
 
     /** Half of what the caller has, who waits for 1 s. */
     long LONGEST_MICROS = 500_000;
--- a/daemon/src/main/java/postgrade/operator/OperatorConnection.java
+++ b/daemon/src/main/java/postgrade/operator/OperatorConnection.java
@@ -20,10 +20,23 @@
 /** One connection of an operator's, for one call. */
 final class OperatorConnection implements Connection.Owner, Operations.Reply {
 
-    /** So long a caller may take over its call, or over the answer and the end of the connection. */
+    /**
+     * So long a caller may take over its call, or over the answer and the end of the connection.
+     */
     private static final long PATIENCE_MICROS = 5_000_000;
-    private static final Map<String, Call> CALLS = Map.of("/status", Call.STATUS, "/maintenance/enter", Call.ENTER,
-            "/maintenance/exit", Call.EXIT, "/standby", Call.STANDBY, "/active", Call.ACTIVE);
+
+    private static final Map<String, Call> CALLS =
+            Map.of(
+                    "/status",
+                    Call.STATUS,
+                    "/maintenance/enter",
+                    Call.ENTER,
+                    "/maintenance/exit",
+                    Call.EXIT,
+                    "/standby",
+                    Call.STANDBY,
+                    "/active",
+                    Call.ACTIVE);
 
     private final OperatorListener listener;
     private final Connection connection;
@@ -87,13 +100,23 @@
         if (methods.isEmpty()) {
             answer(404, null, "there is no call " + path);
         } else if (!methods.contains(message.method())) {
-            answer(405, String.join(", ", methods), path + " is called by " + String.join(" or ", methods) + ", not "
-                    + message.method());
+            answer(
+                    405,
+                    String.join(", ", methods),
+                    path
+                            + " is called by "
+                            + String.join(" or ", methods)
+                            + ", not "
+                            + message.method());
         } else if (message.body().length > listener.further.mostBody(path)) {
             answer(413, null, "body too large");
         } else {
-            listener.further.call(message.method(), path, message.body(), (status, retryAfterMicros, json) ->
-                    answer(status, null, retryAfterMicros, json));
+            listener.further.call(
+                    message.method(),
+                    path,
+                    message.body(),
+                    (status, retryAfterMicros, json) ->
+                            answer(status, null, retryAfterMicros, json));
         }
     }
 
@@ -106,8 +129,9 @@
         }
         JsonValue id = json.isObject() ? json.asObject().get("id") : null;
         if (id == null || !id.isString() || id.asString().isEmpty()) {
-            throw new IllegalArgumentException("the body has to be an object with the worker's id as a string: "
-                    + "{\"id\":\"ID\"}");
+            throw new IllegalArgumentException(
+                    "the body has to be an object with the worker's id as a string: "
+                            + "{\"id\":\"ID\"}");
         }
         return id.asString();
     }
@@ -129,12 +153,24 @@
     private void answer(int status, String allow, long retryAfterMicros, String text) {
         asked = true;
         connection.idle(false, false);
-        connection.write(MessageWriter.response(status).header("Allow", allow)
-                .header("Retry-After", retryAfterMicros == 0 ? null : (retryAfterMicros + 999_999) / 1_000_000)
-                .header("Content-Type", text.startsWith("{") ? "application/json" : "text/plain; charset=utf-8")
-                .header("Connection", "close").body((text + "\n").getBytes(StandardCharsets.UTF_8)));
+        connection.write(
+                MessageWriter.response(status)
+                        .header("Allow", allow)
+                        .header(
+                                "Retry-After",
+                                retryAfterMicros == 0
+                                        ? null
+                                        : (retryAfterMicros + 999_999) / 1_000_000)
+                        .header(
+                                "Content-Type",
+                                text.startsWith("{")
+                                        ? "application/json"
+                                        : "text/plain; charset=utf-8")
+                        .header("Connection", "close")
+                        .body((text + "\n").getBytes(StandardCharsets.UTF_8)));
         connection.closeWhenSent();
-        connection.idle(true, false); // It may go for another caller, after those who have not called.
+        connection.idle(
+                true, false); // It may go for another caller, after those who have not called.
     }
 
     private void expire() {
--- a/daemon/src/main/java/postgrade/operator/OperatorListener.java
+++ b/daemon/src/main/java/postgrade/operator/OperatorListener.java
@@ -16,14 +16,19 @@
 import postgrade.log.Events;
 
 /**
- * The address where operators call. Its sockets are its own, and it is served ahead of the consumers, so that no load of
- * theirs keeps an operator waiting.
+ * The address where operators call. Its sockets are its own, and it is served ahead of the
+ * consumers, so that no load of theirs keeps an operator waiting.
  */
 public final class OperatorListener implements Reactor.Handler, Reactor {
 
     private static final Logger LOG = LoggerFactory.getLogger(OperatorListener.class);
-    /** Descriptors to set aside: of them three quarters are for callers, of whom some sit and say nothing. */
+
+    /**
+     * Descriptors to set aside: of them three quarters are for callers, of whom some sit and say
+     * nothing.
+     */
     public static final int PLACES = 16;
+
     private static final int BACKLOG = 64;
 
     final Timers timers;
@@ -34,8 +39,13 @@
     private final ServerSocketChannel channel;
     private final SelectionKey key;
 
-    public OperatorListener(InetSocketAddress address, Operations operations, Further further, Reactor loop,
-            Timers timers) throws IOException {
+    public OperatorListener(
+            InetSocketAddress address,
+            Operations operations,
+            Further further,
+            Reactor loop,
+            Timers timers)
+            throws IOException {
         this.operations = operations;
         this.further = further;
         this.loop = loop;
@@ -58,7 +68,8 @@
 
     @Override
     public void ready(SelectionKey ready) throws IOException {
-        // Guards those who call: one who sits there and has sent no whole call goes for the next who comes.
+        // Guards those who call: one who sits there and has sent no whole call goes for the next
+        // who comes.
         while (places.hasToAccept(true)) {
             SocketChannel accepted = channel.accept();
             if (accepted == null) {
@@ -72,7 +83,8 @@
                 places.giveBack();
             }
         }
-        key.interestOps(0); // Every place is taken by a call that waits for its answer, which is due soon.
+        key.interestOps(
+                0); // Every place is taken by a call that waits for its answer, which is due soon.
     }
 
     void closed() {
@@ -81,7 +93,9 @@
 
     @Override
     public void failed(Exception e) {
-        Events.warn(LOG, "operator.accept-failed").setCause(e).log("accept of an operator's call failed");
+        Events.warn(LOG, "operator.accept-failed")
+                .setCause(e)
+                .log("accept of an operator's call failed");
         key.interestOps(0);
         timers.at(timers.nowMicros() + Operations.LONGEST_MICROS / 2, this::closed);
     }
@@ -89,7 +103,8 @@
     // ---- The loop, but for the budget.
 
     @Override
-    public SelectionKey register(SelectableChannel to, int interest, Handler handler) throws IOException {
+    public SelectionKey register(SelectableChannel to, int interest, Handler handler)
+            throws IOException {
         return loop.register(to, interest, handler);
     }
 
--- a/daemon/src/main/java/postgrade/provider/Call.java
+++ b/daemon/src/main/java/postgrade/provider/Call.java
@@ -18,7 +18,10 @@
 
     /** How far it has come. What follows what stands in {@link #NEXT} alone. */
     enum State {
-        /** Waits for a connection or for its answer: {@link #link} and what has been written tell which. */
+        /**
+         * Waits for a connection or for its answer: {@link #link} and what has been written tell
+         * which.
+         */
         OUT,
         /** The provider has answered 202, and its call-back is awaited. */
         TAKEN,
@@ -27,14 +30,18 @@
         ENDED
     }
 
-    static final Map<State, Set<State>> NEXT = Map.of(
-            State.OUT, EnumSet.of(State.TAKEN, State.GIVING_UP, State.ENDED),
-            State.TAKEN, EnumSet.of(State.GIVING_UP, State.ENDED),
-            State.GIVING_UP, EnumSet.of(State.ENDED),
-            State.ENDED, EnumSet.noneOf(State.class));
+    static final Map<State, Set<State>> NEXT =
+            Map.of(
+                    State.OUT, EnumSet.of(State.TAKEN, State.GIVING_UP, State.ENDED),
+                    State.TAKEN, EnumSet.of(State.GIVING_UP, State.ENDED),
+                    State.GIVING_UP, EnumSet.of(State.ENDED),
+                    State.ENDED, EnumSet.noneOf(State.class));
 
-    /** A call ended by its call-back leaves its connection once the 202 comes, which is due by then. */
+    /**
+     * A call ended by its call-back leaves its connection once the 202 comes, which is due by then.
+     */
     private static final long ANSWER_MICROS = 1_000_000;
+
     /** A 202 that was on its way when the call was given up has come by then. */
     private static final long CROSSING_MICROS = 100_000;
 
@@ -47,6 +54,7 @@
     private State state = State.OUT;
     private boolean accepted;
     private boolean reached;
+
     /** Not null from the state {@link State#GIVING_UP} on. */
     private GiveUp giveUp;
 
@@ -54,7 +62,13 @@
      * @param fence the claim it goes with, or null
      * @param givingUp counts those that are being given up
      */
-    Call(Gateway gateway, Timers timers, Pool pool, InvokerCall call, String fence, IntConsumer givingUp) {
+    Call(
+            Gateway gateway,
+            Timers timers,
+            Pool pool,
+            InvokerCall call,
+            String fence,
+            IntConsumer givingUp) {
         super(call.payload().body());
         this.gateway = gateway;
         this.timers = timers;
@@ -76,11 +90,14 @@
     @Override
     byte[] head() {
         Payload p = call.payload();
-        return MessageWriter.request(p.method(), p.target()).header("Host", pool.host())
-                .header("X-Request-Id", call.id()).header("X-Fence", fence)
+        return MessageWriter.request(p.method(), p.target())
+                .header("Host", pool.host())
+                .header("X-Request-Id", call.id())
+                .header("X-Fence", fence)
                 .header("X-Deadline", Math.max(1, call.untilMicros() - timers.nowMicros()) + "u")
                 .header("Idempotency-Key", p.idempotencyKey())
-                .header("Content-Type", p.contentType()).headFor(p.body());
+                .header("Content-Type", p.contentType())
+                .headFor(p.body());
     }
 
     @Override
@@ -93,7 +110,10 @@
         return nowMicros > call.writtenByMicros() || call.unwanted();
     }
 
-    /** The wire or a call-back has told of the end: what is still asked of the provider is asked no more. */
+    /**
+     * The wire or a call-back has told of the end: what is still asked of the provider is asked no
+     * more.
+     */
     private boolean over() {
         if (!to(State.ENDED)) {
             return false;
@@ -122,7 +142,8 @@
         int status = response.status();
         boolean neverRan = "1".equals(response.header("x-not-run"));
         if (status == 202) {
-            accepted = true; // Its end comes by a call-back, or by the answer to a DELETE under way.
+            accepted =
+                    true; // Its end comes by a call-back, or by the answer to a DELETE under way.
             to(State.TAKEN);
         } else if (status == 500 || status == 503 || status == 504) {
             end(neverRan && status != 500 ? Outcome.FULL : Outcome.ERROR);
@@ -132,7 +153,8 @@
                 stopGivingUp();
             }
         } else {
-            spoilt(Outcome.ERROR); // No answer that the protocol knows: the job may run, or may yet.
+            spoilt(Outcome.ERROR); // No answer that the protocol knows: the job may run, or may
+            // yet.
         }
     }
 
@@ -156,8 +178,9 @@
     }
 
     /**
-     * What came as its answer does not tell whether the provider has taken it. Guards against a second call beside one that
-     * runs: it is given up on the wire before the module hears. One that is being given up goes on with that.
+     * What came as its answer does not tell whether the provider has taken it. Guards against a
+     * second call beside one that runs: it is given up on the wire before the module hears. One
+     * that is being given up goes on with that.
      */
     private void spoilt(Outcome as) {
         reached = true;
@@ -189,11 +212,13 @@
         if (!over && link == null) {
             pool.withdraw(this);
         } else if (link != null) {
-            timers.at(timers.nowMicros() + ANSWER_MICROS, () -> {
-                if (link != null) {
-                    link.abort();
-                }
-            });
+            timers.at(
+                    timers.nowMicros() + ANSWER_MICROS,
+                    () -> {
+                        if (link != null) {
+                            link.abort();
+                        }
+                    });
         }
     }
 
@@ -216,19 +241,26 @@
         reached = true;
         dropBy(done);
         if (link != null) {
-            // Guards against a 202 that crosses: with it the job runs, and only the answer to the DELETE ends that.
+            // Guards against a 202 that crosses: with it the job runs, and only the answer to the
+            // DELETE ends that.
             timers.at(timers.nowMicros() + CROSSING_MICROS, this::closeUntaken);
         }
     }
 
     private void dropBy(Runnable done) {
-        giveUp = new GiveUp(timers, pool, call, givingUp, () -> {
-            to(State.ENDED);
-            done.run();
-            if (link != null) {
-                link.abort(); // Nothing is awaited on it any more.
-            }
-        });
+        giveUp =
+                new GiveUp(
+                        timers,
+                        pool,
+                        call,
+                        givingUp,
+                        () -> {
+                            to(State.ENDED);
+                            done.run();
+                            if (link != null) {
+                                link.abort(); // Nothing is awaited on it any more.
+                            }
+                        });
         giveUp.send();
     }
 
--- a/daemon/src/main/java/postgrade/provider/FreeLinks.java
+++ b/daemon/src/main/java/postgrade/provider/FreeLinks.java
@@ -8,15 +8,20 @@
 /** The connections of a pool that carry nothing: those that rest, and the idle ones. */
 final class FreeLinks {
     /**
-     * So long an answered connection carries nothing. Guards the next request on it against a second answer that comes late:
-     * it would be taken for that one's, and one that tells of a job not run would let it run twice.
+     * So long an answered connection carries nothing. Guards the next request on it against a
+     * second answer that comes late: it would be taken for that one's, and one that tells of a job
+     * not run would let it run twice.
      */
     static final long REST_MICROS = 20_000;
 
     private final Timers timers;
     private final KeepAlive keepAlive;
     private final ArrayDeque<Link> idle = new ArrayDeque<>();
-    /** The one that began first in front. One whose rest is over stays among them until one is taken. */
+
+    /**
+     * The one that began first in front. One whose rest is over stays among them until one is
+     * taken.
+     */
     private final ArrayDeque<Link> resting = new ArrayDeque<>();
 
     FreeLinks(Timers timers, KeepAlive keepAlive) {
@@ -34,10 +39,12 @@
         }
         for (Link link = idle.pollLast(); link != null; link = idle.pollLast()) {
             link.timer.cancel();
-            // Guards against a connection that its provider has closed since the loop last looked at it, and one that
+            // Guards against a connection that its provider has closed since the loop last looked
+            // at it, and one that
             // has been idle for too long by what has been learnt since.
             link.idleMicros = timers.nowMicros() - link.freeMicros;
-            if (link.idleMicros < keepAlive.limitMicros(timers.nowMicros()) && link.connection.stillOpen()) {
+            if (link.idleMicros < keepAlive.limitMicros(timers.nowMicros())
+                    && link.connection.stillOpen()) {
                 return link;
             }
             link.fail();
@@ -45,14 +52,19 @@
         return null;
     }
 
-    /** @param as {@code IDLE} or {@code RESTING} */
+    /**
+     * @param as {@code IDLE} or {@code RESTING}
+     */
     void add(Link link, Link.State as) {
         link.to(as);
         link.freeMicros = timers.nowMicros();
         (as == Link.State.IDLE ? idle : resting).add(link);
         link.connection.idle(true, false);
-        // Guards against the provider's own closing of idle connections: what is written then is reset.
-        link.timer = timers.at(timers.nowMicros() + keepAlive.limitMicros(timers.nowMicros()), link::fail);
+        // Guards against the provider's own closing of idle connections: what is written then is
+        // reset.
+        link.timer =
+                timers.at(
+                        timers.nowMicros() + keepAlive.limitMicros(timers.nowMicros()), link::fail);
     }
 
     void remove(Link link) {
--- a/daemon/src/main/java/postgrade/provider/GiveUp.java
+++ b/daemon/src/main/java/postgrade/provider/GiveUp.java
@@ -7,17 +7,19 @@
 import postgrade.http.MessageWriter;
 
 /**
- * DELETE of one job, again until it is answered or the job's consumer gives up. Guards against two calls out: until it is
- * answered the provider may still run the job, and the module is not told.
+ * DELETE of one job, again until it is answered or the job's consumer gives up. Guards against two
+ * calls out: until it is answered the provider may still run the job, and the module is not told.
  */
 final class GiveUp {
     /** How long one DELETE may take. */
     private static final long ANSWER_MICROS = 400_000;
+
     /**
-     * The pause before the next doubles from the one to the other. Guards the provider: one whose process has ended refuses
-     * each, and each would be a new connection, up to the job's deadline.
+     * The pause before the next doubles from the one to the other. Guards the provider: one whose
+     * process has ended refuses each, and each would be a new connection, up to the job's deadline.
      */
     private static final long FIRST_PAUSE_MICROS = 50_000;
+
     private static final long LONGEST_PAUSE_MICROS = 400_000;
 
     private final Timers timers;
@@ -29,7 +31,9 @@
     private boolean finished;
     private long pauseMicros = FIRST_PAUSE_MICROS;
 
-    /** @param underWay counts those that are under way */
+    /**
+     * @param underWay counts those that are under way
+     */
     GiveUp(Timers timers, Pool pool, InvokerCall call, IntConsumer underWay, Runnable done) {
         this.timers = timers;
         this.pool = pool;
@@ -49,7 +53,10 @@
         pool.send(sent);
     }
 
-    /** The call has ended otherwise: a DELETE that still waits for its connection is not written any more. */
+    /**
+     * The call has ended otherwise: a DELETE that still waits for its connection is not written any
+     * more.
+     */
     void stop() {
         if (close() && !delete.over && delete.link == null) {
             pool.withdraw(delete); // Guards a later call to the same provider, which it would end.
@@ -74,15 +81,18 @@
     }
 
     /**
-     * Also after a refusal, which is no word on the job: a provider may keep no more connections, or have ended its listener
-     * and still complete what it runs. That the process has died is told by its machine's call-back.
+     * Also after a refusal, which is no word on the job: a provider may keep no more connections,
+     * or have ended its listener and still complete what it runs. That the process has died is told
+     * by its machine's call-back.
      */
     private void again() {
         if (timers.nowMicros() >= call.deadlineMicros()) {
             finish(); // The consumer has its answer by now and nothing will be sent again.
         } else {
-            // The last one goes out at the deadline: a longer pause would keep a process that is to end waiting for it.
-            timers.at(Math.min(timers.nowMicros() + pauseMicros, call.deadlineMicros()), this::send);
+            // The last one goes out at the deadline: a longer pause would keep a process that is to
+            // end waiting for it.
+            timers.at(
+                    Math.min(timers.nowMicros() + pauseMicros, call.deadlineMicros()), this::send);
             pauseMicros = Math.min(2 * pauseMicros, LONGEST_PAUSE_MICROS);
         }
     }
@@ -94,7 +104,9 @@
 
         @Override
         byte[] head() {
-            return MessageWriter.request("DELETE", "/jobs/" + call.id()).header("Host", pool.host()).noBody();
+            return MessageWriter.request("DELETE", "/jobs/" + call.id())
+                    .header("Host", pool.host())
+                    .noBody();
         }
 
         @Override
--- a/daemon/src/main/java/postgrade/provider/KeepAlive.java
+++ b/daemon/src/main/java/postgrade/provider/KeepAlive.java
@@ -1,14 +1,19 @@
 package postgrade.provider;
 
 /**
- * How long a connection to a provider may stand idle and still be trusted with a request. The settings say when
- * providers close idle connections, but what lies between may forget them sooner and without a word; the next
- * request on such a connection ends as a reset, and one that must not run twice is lost with it. So each break of a
- * connection that had been idle shortens the time, and a while without any lengthens it again.
+ * How long a connection to a provider may stand idle and still be trusted with a request. The
+ * settings say when providers close idle connections, but what lies between may forget them sooner
+ * and without a word; the next request on such a connection ends as a reset, and one that must not
+ * run twice is lost with it. So each break of a connection that had been idle shortens the time,
+ * and a while without any lengthens it again.
  */
 final class KeepAlive {
-    /** Sooner breaks are no sign of idleness, and to keep no connection at all would cost a handshake a request. */
+    /**
+     * Sooner breaks are no sign of idleness, and to keep no connection at all would cost a
+     * handshake a request.
+     */
     private static final long LEAST_MICROS = 50_000;
+
     private static final long QUIET_MICROS = 30_000_000;
 
     private long mostMicros;
@@ -26,7 +31,8 @@
      * @param learntHolds the network is the same one, and so is what was learnt of shorter times
      */
     void most(long micros, boolean learntHolds) {
-        limitMicros = learntHolds && limitMicros < mostMicros ? Math.min(limitMicros, micros) : micros;
+        limitMicros =
+                learntHolds && limitMicros < mostMicros ? Math.min(limitMicros, micros) : micros;
         mostMicros = micros;
     }
 
--- a/daemon/src/main/java/postgrade/provider/Link.java
+++ b/daemon/src/main/java/postgrade/provider/Link.java
@@ -22,18 +22,22 @@
         /** May carry a request. */
         IDLE,
         CARRYING,
-        /** Has been answered a moment ago: what comes now is a second answer, and ends it as it would an idle one. */
+        /**
+         * Has been answered a moment ago: what comes now is a second answer, and ends it as it
+         * would an idle one.
+         */
         RESTING,
         CLOSED
     }
 
-    static final Map<State, Set<State>> NEXT = Map.of(
-            State.CONNECTING, EnumSet.of(State.FRESH, State.CLOSED),
-            State.FRESH, EnumSet.of(State.IDLE, State.CARRYING, State.CLOSED),
-            State.IDLE, EnumSet.of(State.CARRYING, State.CLOSED),
-            State.CARRYING, EnumSet.of(State.RESTING, State.CLOSED),
-            State.RESTING, EnumSet.of(State.IDLE, State.CLOSED),
-            State.CLOSED, EnumSet.noneOf(State.class));
+    static final Map<State, Set<State>> NEXT =
+            Map.of(
+                    State.CONNECTING, EnumSet.of(State.FRESH, State.CLOSED),
+                    State.FRESH, EnumSet.of(State.IDLE, State.CARRYING, State.CLOSED),
+                    State.IDLE, EnumSet.of(State.CARRYING, State.CLOSED),
+                    State.CARRYING, EnumSet.of(State.RESTING, State.CLOSED),
+                    State.RESTING, EnumSet.of(State.IDLE, State.CLOSED),
+                    State.CLOSED, EnumSet.noneOf(State.class));
 
     final Pool pool;
     final InetSocketAddress to;
@@ -43,8 +47,10 @@
     Timers.Timer timer;
     private State state = State.CONNECTING;
     private boolean spoilt;
+
     /** When it was last left idle, and how long it had been so when it was given its request. */
     long freeMicros;
+
     long idleMicros;
 
     Link(Pool pool, InetSocketAddress to) {
@@ -79,7 +85,8 @@
     @Override
     public void received(Connection c, ByteBuffer bytes) throws BadMessage {
         if (request == null) {
-            fail(); // Guards the next request: bytes that nobody asked for would be taken for its response.
+            fail(); // Guards the next request: bytes that nobody asked for would be taken for its
+            // response.
             return;
         }
         Message response = parser.parse(bytes);
@@ -133,8 +140,12 @@
             pool.brokeAfterIdle(idleMicros);
             lost.link = null;
             lost.over = true;
-            lost.broken(!written ? Request.Break.NEVER_WRITTEN
-                    : answerBegan() ? Request.Break.IN_ANSWER : Request.Break.AFTER_LAST_BYTE);
+            lost.broken(
+                    !written
+                            ? Request.Break.NEVER_WRITTEN
+                            : answerBegan()
+                                    ? Request.Break.IN_ANSWER
+                                    : Request.Break.AFTER_LAST_BYTE);
         }
     }
 
--- a/daemon/src/main/java/postgrade/provider/Pacing.java
+++ b/daemon/src/main/java/postgrade/provider/Pacing.java
@@ -1,8 +1,9 @@
 package postgrade.provider;
 
 /**
- * How often connections to a provider may be opened, where many dispatchers may do so at once. Nothing paces unless one
- * is given; a request never waits for it longer than {@link Pool#PATIENCE_MICROS}.
+ * How often connections to a provider may be opened, where many dispatchers may do so at once.
+ * Nothing paces unless one is given; a request never waits for it longer than {@link
+ * Pool#PATIENCE_MICROS}.
  */
 @FunctionalInterface
 public interface Pacing {
--- a/daemon/src/main/java/postgrade/provider/Pool.java
+++ b/daemon/src/main/java/postgrade/provider/Pool.java
@@ -12,11 +12,16 @@
 import postgrade.http.Reactor;
 
 /**
- * The connections to one provider. A request takes an idle one, else waits for one that rests or for the one it has opened.
+ * The connections to one provider. A request takes an idle one, else waits for one that rests or
+ * for the one it has opened.
  */
 final class Pool {
-    /** A request waits so long for one of the connections in use, before one more is opened against the pace. */
+    /**
+     * A request waits so long for one of the connections in use, before one more is opened against
+     * the pace.
+     */
     static final long PATIENCE_MICROS = 40_000;
+
     private final Reactor reactor;
     private final Timers timers;
     private final LongSupplier connectTimeoutMicros;
@@ -24,20 +29,36 @@
     final String id;
     InetSocketAddress address;
     boolean ready;
-    /** Calls, and requests that give up, which keep the pool although the list has dropped the provider. */
+
+    /**
+     * Calls, and requests that give up, which keep the pool although the list has dropped the
+     * provider.
+     */
     int users;
+
     private final FreeLinks free;
     private final ArrayDeque<Request> waiting = new ArrayDeque<>();
     private int connecting;
     private int fresh;
     private int up;
+
     /** Runs once the first of those that rest has rested; null unless something waits for it. */
     private Timers.Timer wake;
-    /** Connections that are opened against the pace once patience ends, if something still waits for them then. */
+
+    /**
+     * Connections that are opened against the pace once patience ends, if something still waits for
+     * them then.
+     */
     private int postponed;
+
     private final Supplier<Pacing> pacing;
 
-    Pool(String id, Reactor reactor, Timers timers, LongSupplier connectTimeoutMicros, KeepAlive keepAlive,
+    Pool(
+            String id,
+            Reactor reactor,
+            Timers timers,
+            LongSupplier connectTimeoutMicros,
+            KeepAlive keepAlive,
             Supplier<Pacing> pacing) {
         this.pacing = pacing;
         this.id = id;
@@ -73,10 +94,12 @@
             }
         } else {
             postponed++;
-            timers.at(timers.nowMicros() + PATIENCE_MICROS, () -> {
-                postponed--;
-                replace(); // Guards the request's time: what it waits for may be stuck.
-            });
+            timers.at(
+                    timers.nowMicros() + PATIENCE_MICROS,
+                    () -> {
+                        postponed--;
+                        replace(); // Guards the request's time: what it waits for may be stuck.
+                    });
         }
     }
 
@@ -91,7 +114,9 @@
     }
 
     private static Request.Break breakBy(IOException e) {
-        return e instanceof NoSocketException ? Request.Break.NO_SOCKET : Request.Break.NEVER_WRITTEN;
+        return e instanceof NoSocketException
+                ? Request.Break.NO_SOCKET
+                : Request.Break.NEVER_WRITTEN;
     }
 
     private void open() throws IOException {
@@ -116,7 +141,10 @@
         }
     }
 
-    /** A connect failed: the request that has waited longest has lost its connection, unless another is due. */
+    /**
+     * A connect failed: the request that has waited longest has lost its connection, unless another
+     * is due.
+     */
     private void connectFailed(Request.Break how) {
         if (lacksOne()) {
             waitInVain(waiting.peek(), how);
@@ -154,7 +182,10 @@
         }
     }
 
-    /** Guards against a former process under this id: the list may have named another address meanwhile. */
+    /**
+     * Guards against a former process under this id: the list may have named another address
+     * meanwhile.
+     */
     private boolean isCurrent(Link link) {
         return link.to.equals(address);
     }
@@ -162,7 +193,10 @@
     private void wakeForWaiting() {
         if (wake == null && !waiting.isEmpty() && free.resting() > 0) {
             // At the end of the turn: see cameUp.
-            wake = timers.at(free.firstRestedMicros(), () -> timers.at(timers.nowMicros(), this::giveRested));
+            wake =
+                    timers.at(
+                            free.firstRestedMicros(),
+                            () -> timers.at(timers.nowMicros(), this::giveRested));
         }
     }
 
@@ -179,7 +213,10 @@
         wakeForWaiting();
     }
 
-    /** Guards what must not run twice: a repeat whose connection has come up too late is not written. */
+    /**
+     * Guards what must not run twice: a repeat whose connection has come up too late is not
+     * written.
+     */
     private Request firstInTime() {
         Request next = waiting.peek();
         while (next != null && next.isLate(timers.nowMicros())) {
@@ -191,8 +228,9 @@
     }
 
     /**
-     * Guards against a request whose consumer has left or whose time is over, of which we shall read later in this
-     * turn: nothing is written before all channels have been served and the timers that are due have run.
+     * Guards against a request whose consumer has left or whose time is over, of which we shall
+     * read later in this turn: nothing is written before all channels have been served and the
+     * timers that are due have run.
      */
     void cameUp(Link link) {
         link.to(Link.State.FRESH);
@@ -200,11 +238,13 @@
         connecting--;
         up++;
         fresh++;
-        timers.at(timers.nowMicros(), () -> {
-            if (link.state() == Link.State.FRESH) {
-                give(link);
-            }
-        });
+        timers.at(
+                timers.nowMicros(),
+                () -> {
+                    if (link.state() == Link.State.FRESH) {
+                        give(link);
+                    }
+                });
     }
 
     /** A link has closed; what waits for it gets another, or has waited in vain. */
@@ -227,11 +267,12 @@
             case IDLE, RESTING -> {
                 free.remove(link);
                 if (lacksOne()) {
-                    // Not at once: the list may be about to name another address, or its place be wanted for another.
+                    // Not at once: the list may be about to name another address, or its place be
+                    // wanted for another.
                     timers.at(timers.nowMicros(), this::replace);
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -245,7 +286,10 @@
         r.over = true;
     }
 
-    /** Guards the drain rule: new work that still waits for a connection must not leave once it is up. */
+    /**
+     * Guards the drain rule: new work that still waits for a connection must not leave once it is
+     * up.
+     */
     void drain() {
         ready = false;
         for (Request r : new ArrayList<>(waiting)) {
--- a/daemon/src/main/java/postgrade/provider/ProviderPools.java
+++ b/daemon/src/main/java/postgrade/provider/ProviderPools.java
@@ -21,27 +21,33 @@
 public final class ProviderPools implements Providers {
 
     private static final Logger LOG = LoggerFactory.getLogger(ProviderPools.class);
-    /** Idle connections are retired after this part of the time after which providers close them. */
+
+    /**
+     * Idle connections are retired after this part of the time after which providers close them.
+     */
     private static final double RETIRE = 0.6;
+
     private static final long PROBE_MICROS = 300_000;
+
     /** Has ended already. */
-    private static final Handle NOT_SENT = new Handle() {
-        @Override
-        public void giveUp(Runnable done) { }
+    private static final Handle NOT_SENT =
+            new Handle() {
+                @Override
+                public void giveUp(Runnable done) {}
 
-        @Override
-        public void ended() { }
+                @Override
+                public void ended() {}
 
-        @Override
-        public boolean written() {
-            return false;
-        }
+                @Override
+                public boolean written() {
+                    return false;
+                }
 
-        @Override
-        public boolean mayReport() {
-            return false;
-        }
-    };
+                @Override
+                public boolean mayReport() {
+                    return false;
+                }
+            };
 
     private final Reactor reactor;
     private final Timers timers;
@@ -50,11 +56,17 @@
     private final KeepAlive keepAlive;
     private final Map<String, Pool> pools = new HashMap<>();
     private Fences fences = Fences.NONE;
+
     /** Null where nothing paces. */
     private Pacing pacing;
+
     private int givingUp;
 
-    public ProviderPools(Gateway gateway, Reactor reactor, Timers timers, long connectTimeoutMicros,
+    public ProviderPools(
+            Gateway gateway,
+            Reactor reactor,
+            Timers timers,
+            long connectTimeoutMicros,
             long idleMicros) {
         this.gateway = gateway;
         this.reactor = reactor;
@@ -106,28 +118,46 @@
 
     // ---- The list.
 
-    /** Applies a change of the list, before the module hears of it. A whole list drops what it lacks. */
+    /**
+     * Applies a change of the list, before the module hears of it. A whole list drops what it
+     * lacks.
+     */
     public void list(boolean whole, List<Target> targets) {
         Set<String> named = new HashSet<>();
         for (Target t : targets) {
             named.add(t.id());
-            Pool pool = pools.computeIfAbsent(t.id(), id -> new Pool(id, reactor, timers,
-                    () -> connectTimeoutMicros, keepAlive, () -> pacing));
+            Pool pool =
+                    pools.computeIfAbsent(
+                            t.id(),
+                            id ->
+                                    new Pool(
+                                            id,
+                                            reactor,
+                                            timers,
+                                            () -> connectTimeoutMicros,
+                                            keepAlive,
+                                            () -> pacing));
             if (pool.address != null && !pool.address.equals(t.address())) {
                 pool.closeIdle();
             }
-            pool.address = t.address() == null ? pool.address : t.address(); // One that is gone may have none.
+            pool.address =
+                    t.address() == null
+                            ? pool.address
+                            : t.address(); // One that is gone may have none.
             state(pool, t.ready());
         }
         if (whole) {
-            pools.values().stream().filter(p -> !named.contains(p.id)).forEach(p -> state(p, false));
+            pools.values().stream()
+                    .filter(p -> !named.contains(p.id))
+                    .forEach(p -> state(p, false));
         }
         pools.values().removeIf(p -> !p.ready && p.unused());
     }
 
     private void state(Pool pool, boolean ready) {
         if (ready != pool.ready) {
-            Events.info(LOG, ready ? "provider.ready" : "provider.leaving").addKeyValue("provider", pool.id)
+            Events.info(LOG, ready ? "provider.ready" : "provider.leaving")
+                    .addKeyValue("provider", pool.id)
                     .log("provider " + pool.id + (ready ? " ready" : " takes no new work"));
         }
         if (ready) {
@@ -151,8 +181,14 @@
             gateway.ended(call, Outcome.NOT_SENT);
             return NOT_SENT;
         }
-        Call sent = new Call(gateway, timers, pool, call,
-                fences.of(call.jobClass(), call.tenant(), call.providerId()), count -> givingUp += count);
+        Call sent =
+                new Call(
+                        gateway,
+                        timers,
+                        pool,
+                        call,
+                        fences.of(call.jobClass(), call.tenant(), call.providerId()),
+                        count -> givingUp += count);
         pool.users++;
         pool.send(sent);
         return sent;
--- a/daemon/src/main/java/postgrade/provider/Request.java
+++ b/daemon/src/main/java/postgrade/provider/Request.java
@@ -9,21 +9,33 @@
     static final byte[] NONE = {};
 
     /**
-     * How a request has lost its connection; {@code NO_SOCKET}: none could be begun for want of something of ours; {@code
-     * IN_ANSWER}: what came of an answer says nothing certain.
+     * How a request has lost its connection; {@code NO_SOCKET}: none could be begun for want of
+     * something of ours; {@code IN_ANSWER}: what came of an answer says nothing certain.
      */
-    enum Break { NO_SOCKET, NEVER_WRITTEN, DRAINED, TOO_LATE, AFTER_LAST_BYTE, IN_ANSWER }
+    enum Break {
+        NO_SOCKET,
+        NEVER_WRITTEN,
+        DRAINED,
+        TOO_LATE,
+        AFTER_LAST_BYTE,
+        IN_ANSWER
+    }
 
     private byte[] body;
+
     /** The link that carries it, null while it waits for one and after its end. */
     Link link;
+
     boolean over;
 
     Request(byte[] body) {
         this.body = body;
     }
 
-    /** Made as it is written: what it says of the time left must hold then, however long it has waited. */
+    /**
+     * Made as it is written: what it says of the time left must hold then, however long it has
+     * waited.
+     */
     abstract byte[] head();
 
     void writeTo(Connection c) {
--- a/daemon/src/main/java/postgrade/upgrade/Asks.java
+++ b/daemon/src/main/java/postgrade/upgrade/Asks.java
@@ -26,17 +26,21 @@
         boolean[] all = {true};
         for (Peer p : new ArrayList<>(up.peers)) {
             if (!p.serving) {
-                p.send(new JsonObject(what).add("ask", 0)); // Read before it serves; not waited for.
+                p.send(
+                        new JsonObject(what)
+                                .add("ask", 0)); // Read before it serves; not waited for.
                 continue;
             }
             open[0]++;
             long number = ++count;
-            asked.put(number, heard -> {
-                all[0] &= heard;
-                if (--open[0] == 0) {
-                    done.accept(all[0]);
-                }
-            });
+            asked.put(
+                    number,
+                    heard -> {
+                        all[0] &= heard;
+                        if (--open[0] == 0) {
+                            done.accept(all[0]);
+                        }
+                    });
             p.outstanding.add(number);
             up.timers.at(up.timers.nowMicros() + ASK_MICROS, () -> answered(p, number, false));
             p.send(new JsonObject(what).add("ask", number));
--- a/daemon/src/main/java/postgrade/upgrade/Left.java
+++ b/daemon/src/main/java/postgrade/upgrade/Left.java
@@ -10,14 +10,19 @@
 import org.slf4j.LoggerFactory;
 import postgrade.log.Events;
 
-/** A small file beside the links: what a process leaves for one that has met it and not heard it out. */
+/**
+ * A small file beside the links: what a process leaves for one that has met it and not heard it
+ * out.
+ */
 final class Left {
 
     private static final Logger LOG = LoggerFactory.getLogger(Left.class);
 
     private final Path file;
 
-    /** @param file null where there is no folder for it */
+    /**
+     * @param file null where there is no folder for it
+     */
     Left(Path file) {
         this.file = file;
     }
@@ -28,20 +33,29 @@
             return;
         }
         try {
-            Path next = file.resolveSibling(file.getFileName() + "." + ProcessHandle.current().pid());
+            Path next =
+                    file.resolveSibling(file.getFileName() + "." + ProcessHandle.current().pid());
             Files.writeString(next, what.toString());
-            Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.move(
+                    next,
+                    file,
+                    StandardCopyOption.ATOMIC_MOVE,
+                    StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
-            Events.warn(LOG, "upgrade.not-left").addKeyValue("why", e.toString())
+            Events.warn(LOG, "upgrade.not-left")
+                    .addKeyValue("why", e.toString())
                     .log("what operators said cannot be left for a new process (" + e + ")");
         }
     }
 
     JsonObject read() {
         try {
-            return file == null || !Files.exists(file) ? null : Json.parse(Files.readString(file)).asObject();
+            return file == null || !Files.exists(file)
+                    ? null
+                    : Json.parse(Files.readString(file)).asObject();
         } catch (IOException | RuntimeException e) {
-            Events.warn(LOG, "upgrade.left-not-understood").addKeyValue("why", e.toString())
+            Events.warn(LOG, "upgrade.left-not-understood")
+                    .addKeyValue("why", e.toString())
                     .log("what a process left was not understood (" + e + "); started without it");
             return null;
         }
--- a/daemon/src/main/java/postgrade/upgrade/Lines.java
+++ b/daemon/src/main/java/postgrade/upgrade/Lines.java
@@ -12,8 +12,12 @@
 /** Messages as lines of text, whatever parts they come and go in. */
 final class Lines {
 
-    /** Guards the memory against a line that never ends; a state with a thousand workers is a fifth of it. */
+    /**
+     * Guards the memory against a line that never ends; a state with a thousand workers is a fifth
+     * of it.
+     */
     static final int MOST_LINE = 1 << 20;
+
     /** A peer that does not read is not written to without end. */
     private static final int MOST_UNSENT = 256;
 
--- a/daemon/src/main/java/postgrade/upgrade/Meeting.java
+++ b/daemon/src/main/java/postgrade/upgrade/Meeting.java
@@ -15,12 +15,20 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** How a new process comes to its links with those that run, and waits for what they tell. Before the loop runs. */
+/**
+ * How a new process comes to its links with those that run, and waits for what they tell. Before
+ * the loop runs.
+ */
 final class Meeting {
 
     private static final Logger LOG = LoggerFactory.getLogger(Meeting.class);
-    /** A peer under load on a small part of a core may need as long; the new process is due within 6 s. */
+
+    /**
+     * A peer under load on a small part of a core may need as long; the new process is due within 6
+     * s.
+     */
     static final long STATE_MILLIS = 2_500;
+
     /** A link that broke before the peer had told is made again so often, while there is time. */
     private static final long AGAIN_MILLIS = 50;
 
@@ -32,7 +40,11 @@
 
     /** Its link is among the peers from then on, if somebody listens there. */
     void connect(Path file) {
-        JsonObject hello = Json.object().add("hello", Upgrade.FORM).add("id", up.id).add("dispatcher", up.dispatcher);
+        JsonObject hello =
+                Json.object()
+                        .add("hello", Upgrade.FORM)
+                        .add("id", up.id)
+                        .add("dispatcher", up.dispatcher);
         SocketChannel channel = null;
         try {
             channel = SocketChannel.open(UnixDomainSocketAddress.of(file));
@@ -42,7 +54,8 @@
             p.send(hello);
         } catch (IOException | RuntimeException e) {
             try {
-                // Guards against what a killed process leaves: nobody listens there, and nobody will under this name.
+                // Guards against what a killed process leaves: nobody listens there, and nobody
+                // will under this name.
                 Files.deleteIfExists(file);
                 if (channel != null) {
                     channel.close();
@@ -54,8 +67,9 @@
     }
 
     /**
-     * Until all have told or time is up. A peer whose link has broken before it told may live: a process that serves and is
-     * not linked with would hold the address, and this one could not listen beside it. Where nobody is, connecting fails.
+     * Until all have told or time is up. A peer whose link has broken before it told may live: a
+     * process that serves and is not linked with would hold the address, and this one could not
+     * listen beside it. Where nobody is, connecting fails.
      */
     void await() {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(STATE_MILLIS);
@@ -71,7 +85,8 @@
                 if (left <= 0) {
                     break;
                 }
-                boolean heard = selector.select(broken.isEmpty() ? left : Math.min(left, AGAIN_MILLIS)) > 0;
+                boolean heard =
+                        selector.select(broken.isEmpty() ? left : Math.min(left, AGAIN_MILLIS)) > 0;
                 for (SelectionKey key : selector.selectedKeys()) {
                     read((Peer) key.attachment(), broken);
                 }
--- a/daemon/src/main/java/postgrade/upgrade/Peer.java
+++ b/daemon/src/main/java/postgrade/upgrade/Peer.java
@@ -22,8 +22,10 @@
 
     private final Upgrade up;
     final SocketChannel channel;
+
     /** Where it listens, if it was this process that made the link; else null. */
     final Path file;
+
     private final Lines lines = new Lines();
     final List<Long> outstanding = new ArrayList<>();
     private SelectionKey key;
@@ -66,7 +68,8 @@
 
     private void interest() {
         if (key != null && key.isValid()) {
-            key.interestOps(SelectionKey.OP_READ | (lines.allWritten() ? 0 : SelectionKey.OP_WRITE));
+            key.interestOps(
+                    SelectionKey.OP_READ | (lines.allWritten() ? 0 : SelectionKey.OP_WRITE));
         }
     }
 
@@ -107,13 +110,18 @@
 
     private void take(JsonObject m) {
         if (m.get("hello") != null) {
-            if (m.getInt("hello", 0) != Upgrade.FORM || !up.dispatcher.equals(m.getString("dispatcher", ""))) {
+            if (m.getInt("hello", 0) != Upgrade.FORM
+                    || !up.dispatcher.equals(m.getString("dispatcher", ""))) {
                 throw new IllegalArgumentException("another dispatcher's, or of another form");
             }
             come(m.get("id").asString());
             if (open) {
-                send(Json.object().add("state", up.owner.snapshot()).add("id", up.id)
-                        .add("serving", up.serving).add("stopping", up.stopping));
+                send(
+                        Json.object()
+                                .add("state", up.owner.snapshot())
+                                .add("id", up.id)
+                                .add("serving", up.serving)
+                                .add("stopping", up.stopping));
                 up.owner.peersChanged();
             }
         } else if (m.get("state") != null) {
@@ -142,7 +150,10 @@
         }
     }
 
-    /** Its name is known. Of two links with one process, the one that the later of the two made stays. */
+    /**
+     * Its name is known. Of two links with one process, the one that the later of the two made
+     * stays.
+     */
     private void come(String name) {
         id = name;
         boolean known = false;
@@ -157,7 +168,8 @@
             up.peers.add(this);
         }
         if (open) {
-            Events.info(LOG, "upgrade.linked").addKeyValue("peer", id)
+            Events.info(LOG, "upgrade.linked")
+                    .addKeyValue("peer", id)
                     .log("linked with process " + id + " of this dispatcher");
         }
     }
@@ -175,15 +187,22 @@
         }
     }
 
-    /** @param why null if it has ended the link itself, as it does when its process ends */
+    /**
+     * @param why null if it has ended the link itself, as it does when its process ends
+     */
     void lost(Exception why) {
         if (!open) {
             return;
         }
         drop();
         if (id != null && key != null) {
-            Events.info(LOG, "upgrade.unlinked").addKeyValue("peer", id)
-                    .log("process " + id + " of this dispatcher is gone" + (why == null ? "" : " (" + why + ")"));
+            Events.info(LOG, "upgrade.unlinked")
+                    .addKeyValue("peer", id)
+                    .log(
+                            "process "
+                                    + id
+                                    + " of this dispatcher is gone"
+                                    + (why == null ? "" : " (" + why + ")"));
             up.owner.peersChanged();
         }
     }
--- a/daemon/src/main/java/postgrade/upgrade/Upgrade.java
+++ b/daemon/src/main/java/postgrade/upgrade/Upgrade.java
@@ -23,11 +23,13 @@
 import postgrade.log.Events;
 
 /**
- * The link between the processes of one dispatcher while a new version takes the place of an old one. Each listens on a
- * Unix-domain socket of its own name in a folder that they share; a new one connects to all it finds there and takes over
- * what they know before it listens for consumers. From then on either passes on what came to it and is the other's.
+ * The link between the processes of one dispatcher while a new version takes the place of an old
+ * one. Each listens on a Unix-domain socket of its own name in a folder that they share; a new one
+ * connects to all it finds there and takes over what they know before it listens for consumers.
+ * From then on either passes on what came to it and is the other's.
  *
- * <p>Without such a folder, or where the platform refuses such sockets, there is no link and nothing else is lost.
+ * <p>Without such a folder, or where the platform refuses such sockets, there is no link and
+ * nothing else is lost.
  */
 public final class Upgrade implements Reactor.Handler {
 
@@ -35,6 +37,7 @@
     static final int FORM = 1;
     private static final String SUFFIX = ".link";
     private static final long AFTER_UNIX_MILLIS = 500_000_000_000_000L;
+
     /** Guards the descriptors: an upgrade has one peer, one that follows at once two. */
     private static final int MOST_PEERS = 4;
 
@@ -87,11 +90,16 @@
     }
 
     /**
-     * Comparable by the time since the machine started, which no step of its wall clock turns round; of one millisecond the
-     * process number decides. Earlier versions took Unix time: theirs come before all of ours.
+     * Comparable by the time since the machine started, which no step of its wall clock turns
+     * round; of one millisecond the process number decides. Earlier versions took Unix time: theirs
+     * come before all of ours.
      */
     static String processId(long machineNanos, long processNumber) {
-        return String.format(Locale.ROOT, "%015d-%010d", AFTER_UNIX_MILLIS + machineNanos / 1_000_000, processNumber);
+        return String.format(
+                Locale.ROOT,
+                "%015d-%010d",
+                AFTER_UNIX_MILLIS + machineNanos / 1_000_000,
+                processNumber);
     }
 
     private String prefix() {
@@ -106,9 +114,14 @@
             server.configureBlocking(false);
             reactor.register(server, SelectionKey.OP_ACCEPT, this);
         } catch (IOException | RuntimeException e) {
-            // Guards the start: where the platform has no such sockets the dispatcher serves as well.
-            Events.info(LOG, "upgrade.no-link").addKeyValue("why", String.valueOf(e.getMessage()))
-                    .log("no link for upgrades (" + e.getMessage() + "); a new version would need a restart");
+            // Guards the start: where the platform has no such sockets the dispatcher serves as
+            // well.
+            Events.info(LOG, "upgrade.no-link")
+                    .addKeyValue("why", String.valueOf(e.getMessage()))
+                    .log(
+                            "no link for upgrades ("
+                                    + e.getMessage()
+                                    + "); a new version would need a restart");
             close();
             server = null;
         }
@@ -117,37 +130,47 @@
     // ---- A new process finds those before it.
 
     /**
-     * Connects to the processes that run already and waits for what they know. Returns it of the latest that answered in
-     * time, or null. To be called before the loop runs.
+     * Connects to the processes that run already and waits for what they know. Returns it of the
+     * latest that answered in time, or null. To be called before the loop runs.
      */
     public JsonObject join() {
         if (server == null) {
             return null;
         }
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, prefix() + "*" + SUFFIX)) {
+        try (DirectoryStream<Path> files =
+                Files.newDirectoryStream(folder, prefix() + "*" + SUFFIX)) {
             for (Path file : files) {
                 if (!file.equals(path) && peers.size() < MOST_PEERS) {
                     meeting.connect(file);
                 }
             }
         } catch (IOException | RuntimeException e) {
-            Events.warn(LOG, "upgrade.not-looked").setCause(e).log("could not look for a process to take over from");
+            Events.warn(LOG, "upgrade.not-looked")
+                    .setCause(e)
+                    .log("could not look for a process to take over from");
         }
         Peer latest = null;
         if (peers.isEmpty()) {
-            left.forget(); // A plain start: what operators said goes with the process that they said it to.
+            left.forget(); // A plain start: what operators said goes with the process that they
+            // said it to.
         } else {
             met = true;
             meeting.await();
         }
         for (Peer p : new ArrayList<>(peers)) {
             p.begin();
-            latest = p.state != null && (latest == null || p.id.compareTo(latest.id) > 0) ? p : latest;
+            latest =
+                    p.state != null && (latest == null || p.id.compareTo(latest.id) > 0)
+                            ? p
+                            : latest;
         }
         return latest == null ? null : latest.state;
     }
 
-    /** What a process has left that was there when this one began and died before it could tell; null where none did. */
+    /**
+     * What a process has left that was there when this one began and died before it could tell;
+     * null where none did.
+     */
     public JsonObject left() {
         return met ? left.read() : null;
     }
@@ -171,7 +194,10 @@
         tellAll(Json.object().add("stopping", true));
     }
 
-    /** Another process serves and is not to end: it takes the consumers. An upgrade undone leaves them to the old one. */
+    /**
+     * Another process serves and is not to end: it takes the consumers. An upgrade undone leaves
+     * them to the old one.
+     */
     public boolean hasSuccessor() {
         return peers.stream().anyMatch(p -> p.serving && !p.stopping);
     }
@@ -189,15 +215,19 @@
 
     // ---- Passing on.
 
-    /** Hands a call-back to whoever holds its job. True once all others
-     * have looked at it, false if one did not answer in time. */
+    /**
+     * Hands a call-back to whoever holds its job. True once all others have looked at it, false if
+     * one did not answer in time.
+     */
     public void callBack(byte[] body, Consumer<Boolean> done) {
         asks.askAll(Json.object().add("event", new String(body, StandardCharsets.UTF_8)), done);
     }
 
     /** Tells the others of an operator's call that was carried out here. */
     public void call(String call, String workerId, Consumer<Boolean> done) {
-        asks.askAll(Json.object().add("call", call).add("worker", workerId == null ? "" : workerId), done);
+        asks.askAll(
+                Json.object().add("call", call).add("worker", workerId == null ? "" : workerId),
+                done);
     }
 
     // ---- The listener's side.
@@ -220,12 +250,15 @@
         channel.configureBlocking(false);
         Peer p = new Peer(this, channel, null);
         p.begin();
-        // As long as it waits for what we know: a process that starts on a full machine may be held up in between.
-        timers.at(timers.nowMicros() + Meeting.STATE_MILLIS * 1000, () -> {
-            if (p.id == null) {
-                p.lost(new IOException("said nothing"));
-            }
-        });
+        // As long as it waits for what we know: a process that starts on a full machine may be held
+        // up in between.
+        timers.at(
+                timers.nowMicros() + Meeting.STATE_MILLIS * 1000,
+                () -> {
+                    if (p.id == null) {
+                        p.lost(new IOException("said nothing"));
+                    }
+                });
     }
 
     @Override
--- a/daemon/src/test/java/postgrade/benchlink/SettingsReaderTest.java
+++ b/daemon/src/test/java/postgrade/benchlink/SettingsReaderTest.java
@@ -14,12 +14,13 @@
 
 public class SettingsReaderTest {
 
-    private static final String PAIRS = "balancers=5 index=1 zone=hall-b skus=big,small classes.count=2"
-            + " classes.0.name=price classes.0.idempotency=read_like classes.0.onTimeNs=200000000"
-            + " classes.1.name=confirm classes.1.idempotency=non_idempotent classes.1.onTimeNs=300000000"
-            + " specifics.classKind=-1,1 specifics.classStretch=2.5,1.75 tenants.count=1 tenants.0.name=kvart"
-            + " tenants.0.quotaPerS=33.0 limits.mayProbe=true fees.probe=0.0034 limits.retryAfter=false"
-            + " limits.maxRetryAfterNs=2000000000 telemetry.source=silent";
+    private static final String PAIRS =
+            "balancers=5 index=1 zone=hall-b skus=big,small classes.count=2"
+                    + " classes.0.name=price classes.0.idempotency=read_like classes.0.onTimeNs=200000000"
+                    + " classes.1.name=confirm classes.1.idempotency=non_idempotent classes.1.onTimeNs=300000000"
+                    + " specifics.classKind=-1,1 specifics.classStretch=2.5,1.75 tenants.count=1 tenants.0.name=kvart"
+                    + " tenants.0.quotaPerS=33.0 limits.mayProbe=true fees.probe=0.0034 limits.retryAfter=false"
+                    + " limits.maxRetryAfterNs=2000000000 telemetry.source=silent";
 
     private static Settings ofPairs(String text) {
         Map<String, String> pairs = new LinkedHashMap<>();
@@ -31,13 +32,19 @@
 
     @Test
     public void pairsAndNestedJsonGiveTheModuleTheSame() {
-        Settings nested = SettingsReader.ofPairs(JsonPairs.of(Json.parse(("{'balancers':5,'index':1,'zone':'hall-b',"
-                + "'skus':['big','small'],'classes':[{'name':'price','idempotency':'read_like','onTimeNs':200000000},"
-                + "{'name':'confirm','idempotency':'non_idempotent','onTimeNs':300000000}],"
-                + "'specifics':{'classKind':[-1,1],'classStretch':[2.5,1.75]},"
-                + "'tenants':[{'name':'kvart','quotaPerS':33.0}],'fees':{'probe':0.0034},"
-                + "'telemetry':{'source':'silent','fields':[]},'limits':{'mayProbe':true,'retryAfter':false,'maxRetryAfterNs':2000000000}}")
-                .replace('\'', '"')).asObject())).settings();
+        Settings nested =
+                SettingsReader.ofPairs(
+                                JsonPairs.of(
+                                        Json.parse(
+                                                        ("{'balancers':5,'index':1,'zone':'hall-b',"
+                                                                        + "'skus':['big','small'],'classes':[{'name':'price','idempotency':'read_like','onTimeNs':200000000},"
+                                                                        + "{'name':'confirm','idempotency':'non_idempotent','onTimeNs':300000000}],"
+                                                                        + "'specifics':{'classKind':[-1,1],'classStretch':[2.5,1.75]},"
+                                                                        + "'tenants':[{'name':'kvart','quotaPerS':33.0}],'fees':{'probe':0.0034},"
+                                                                        + "'telemetry':{'source':'silent','fields':[]},'limits':{'mayProbe':true,'retryAfter':false,'maxRetryAfterNs':2000000000}}")
+                                                                .replace('\'', '"'))
+                                                .asObject()))
+                        .settings();
         Settings pairs = ofPairs(PAIRS);
         assertEquals(pairs.classes, nested.classes);
         assertEquals(Effect.UNSAFE, nested.classes.get(1).effect());
--- a/daemon/src/test/java/postgrade/consumer/ConnectionStateTest.java
+++ b/daemon/src/test/java/postgrade/consumer/ConnectionStateTest.java
@@ -19,13 +19,19 @@
     /** What is read behind our end is never sent on, and no answer follows the last one. */
     @Test
     public void onceTheLastAnswerIsGivenNothingIsTakenAgain() {
-        Set<ConnectionState> ending = EnumSet.of(ConnectionState.ANSWERING, ConnectionState.LINGERING, ConnectionState.CLOSED);
+        Set<ConnectionState> ending =
+                EnumSet.of(
+                        ConnectionState.ANSWERING,
+                        ConnectionState.LINGERING,
+                        ConnectionState.CLOSED);
         for (ConnectionState from : ending) {
             for (ConnectionState to : EnumSet.complementOf(EnumSet.copyOf(ending))) {
                 assertFalse(from + " to " + to, leads(from, to));
             }
         }
-        assertFalse("the last one is given once", leads(ConnectionState.LINGERING, ConnectionState.ANSWERING));
+        assertFalse(
+                "the last one is given once",
+                leads(ConnectionState.LINGERING, ConnectionState.ANSWERING));
     }
 
     /** One request at a time: the next is taken only once the one that waits has its answer. */
--- a/daemon/src/test/java/postgrade/daemon/AttemptStage.java
+++ b/daemon/src/test/java/postgrade/daemon/AttemptStage.java
@@ -22,8 +22,8 @@
 import postgrade.provider.Target;
 
 /**
- * The gateway and its pools on a loop that the test turns: sockets are real, time passes when the test says so, and what is
- * ready is served before the module decides, as in the daemon's own loop.
+ * The gateway and its pools on a loop that the test turns: sockets are real, time passes when the
+ * test says so, and what is ready is served before the module decides, as in the daemon's own loop.
  */
 public abstract class AttemptStage {
 
@@ -54,7 +54,13 @@
 
     @Before
     public void begin() {
-        gateway = new Gateway(out -> script = new Script(out), mayDuplicate(), 100, hand, (event, message, thrown) -> { });
+        gateway =
+                new Gateway(
+                        out -> script = new Script(out),
+                        mayDuplicate(),
+                        100,
+                        hand,
+                        (event, message, thrown) -> {});
         pools = new ProviderPools(gateway, hand, hand, 2_000 * MILLI, 10_000 * MILLI);
         gateway.connect(pools);
         list(target("w1", one, true), target("w2", two, true));
@@ -80,23 +86,37 @@
 
     /** A consumer's job, taken over but not yet decided on. */
     Invocation open(String id, String jobClass) {
-        Invocation in = new Invocation(id, jobClass, null, null, 1, 0, hand.nowMicros() + DEADLINE,
-                new Payload("POST", "/api", null, null, "job".getBytes(StandardCharsets.US_ASCII)), new Consumer() {
-                    @Override
-                    public void serve(byte[] result) {
-                        answers.add(id + " served");
-                    }
-
-                    @Override
-                    public void reject(long retryAfterMicros) {
-                        answers.add(id + " rejected");
-                    }
-
-                    @Override
-                    public void fail(boolean timedOut) {
-                        answers.add(id + " failed");
-                    }
-                });
+        Invocation in =
+                new Invocation(
+                        id,
+                        jobClass,
+                        null,
+                        null,
+                        1,
+                        0,
+                        hand.nowMicros() + DEADLINE,
+                        new Payload(
+                                "POST",
+                                "/api",
+                                null,
+                                null,
+                                "job".getBytes(StandardCharsets.US_ASCII)),
+                        new Consumer() {
+                            @Override
+                            public void serve(byte[] result) {
+                                answers.add(id + " served");
+                            }
+
+                            @Override
+                            public void reject(long retryAfterMicros) {
+                                answers.add(id + " rejected");
+                            }
+
+                            @Override
+                            public void fail(boolean timedOut) {
+                                answers.add(id + " failed");
+                            }
+                        });
         gateway.open(in);
         return in;
     }
@@ -119,10 +139,11 @@
 
     /** Turns, none of which lets time pass, until something has come on the connection. */
     void arrives(Socket s) throws IOException {
-        hand.until(() -> {
-            turn();
-            return available(s) > 0;
-        });
+        hand.until(
+                () -> {
+                    turn();
+                    return available(s) > 0;
+                });
     }
 
     /** A worker's side of the next connection to it. */
--- a/daemon/src/test/java/postgrade/daemon/BadInputTest.java
+++ b/daemon/src/test/java/postgrade/daemon/BadInputTest.java
@@ -14,43 +14,72 @@
 import postgrade.daemon.Peer.Arrived;
 import postgrade.lifecycle.Lifecycle;
 
-/** Clients that send what they should not, on time that the test turns: each is answered and ended, others are served. */
+/**
+ * Clients that send what they should not, on time that the test turns: each is answered and ended,
+ * others are served.
+ */
 public class BadInputTest extends AttemptStage {
 
     private static final long STEP = 500 * MILLI;
     private static final String JOB = "POST /api HTTP/1.1\r\nX-Class: price\r\nX-Request-Id: ";
-    /** What each sends, the status it is given, null where it sent nothing, and whether that is due at once. */
+
+    /**
+     * What each sends, the status it is given, null where it sent nothing, and whether that is due
+     * at once.
+     */
     private static final Object[][] CLIENTS = {
         {"NONSENSE\r\n\r\n", 400, true},
         {"POST /api HTTP/1.1\r\nContent-Length: 70000\r\n\r\n" + "x".repeat(70_000), 413, true},
-        {JOB + "many\r\nContent-Length: 0\r\n\r\n" + (JOB + "next\r\nContent-Length: 60000\r\n\r\n"
-                + "x".repeat(60_000)).repeat(3), 400, true}, // Ahead of the first one's answer.
+        {
+            JOB
+                    + "many\r\nContent-Length: 0\r\n\r\n"
+                    + (JOB + "next\r\nContent-Length: 60000\r\n\r\n" + "x".repeat(60_000))
+                            .repeat(3),
+            400,
+            true
+        }, // Ahead of the first one's answer.
         {JOB + "half\r\nContent-Length: 9\r\n\r\nhalf", 408, false},
         {"POST /api HT", 408, false},
-        {"", null, false}};
+        {"", null, false}
+    };
 
     private Listener listener;
 
-    public BadInputTest() throws IOException { }
+    public BadInputTest() throws IOException {}
 
     @Before
     public void listen() throws IOException {
         Lifecycle lifecycle = new Lifecycle();
         lifecycle.started();
-        listener = new Listener(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), false,
-                Map.of("price", DEADLINE), Set.of(), () -> true, lifecycle, new Turns.Alone(), gateway, hand, hand);
-        script.onJob = job -> {
-            if (job.id().startsWith("usual")) {
-                script.out.send(job.id(), "w1", 0);
-            }
-        };
+        listener =
+                new Listener(
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                        false,
+                        Map.of("price", DEADLINE),
+                        Set.of(),
+                        () -> true,
+                        lifecycle,
+                        new Turns.Alone(),
+                        gateway,
+                        hand,
+                        hand);
+        script.onJob =
+                job -> {
+                    if (job.id().startsWith("usual")) {
+                        script.out.send(job.id(), "w1", 0);
+                    }
+                };
     }
 
     private Socket connect() throws IOException {
         Socket s = new Socket();
         sockets.add(s);
         s.setSoTimeout(Peer.PATIENCE_S * 1000);
-        hand.heard(() -> s.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.port())));
+        hand.heard(
+                () ->
+                        s.connect(
+                                new InetSocketAddress(
+                                        InetAddress.getLoopbackAddress(), listener.port())));
         return s;
     }
 
@@ -59,14 +88,21 @@
     }
 
     /** Another client's job, the worker's word that it is done, and the answers to both. */
-    private void served(String id, Socket client, Socket callBacks, Socket worker) throws IOException {
+    private void served(String id, Socket client, Socket callBacks, Socket worker)
+            throws IOException {
         hand.heard(() -> Peer.write(client, JOB + id + "\r\nContent-Length: 0\r\n\r\n"));
         turn();
         Arrived attempt = worker == null ? request(one) : request(worker);
         says(attempt.socket(), "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
         String done = "{\"id\":\"" + id + "\",\"from\":\"w1\",\"state\":\"done\"}";
-        hand.heard(() -> Peer.write(callBacks, "POST /v1/job-events HTTP/1.1\r\nContent-Length: " + done.length()
-                + "\r\n\r\n" + done));
+        hand.heard(
+                () ->
+                        Peer.write(
+                                callBacks,
+                                "POST /v1/job-events HTTP/1.1\r\nContent-Length: "
+                                        + done.length()
+                                        + "\r\n\r\n"
+                                        + done));
         assertEquals(204, status(callBacks));
         assertEquals(200, status(client));
         turn();
@@ -74,7 +110,8 @@
     }
 
     @Test
-    public void eachIsAnsweredAndEndedWithin3sOfConnectingAndGoneSoonAfterWhileOthersAreServed() throws Exception {
+    public void eachIsAnsweredAndEndedWithin3sOfConnectingAndGoneSoonAfterWhileOthersAreServed()
+            throws Exception {
         Socket usual = connect();
         Socket callBacks = connect();
         served("usual", usual, callBacks, null);
@@ -100,10 +137,16 @@
             if (CLIENTS[i][1] != null) {
                 assertEquals("client " + i, CLIENTS[i][1], status(bad[i]));
             }
-            assertEquals("client " + i + " has been ended, not reset", -1, bad[i].getInputStream().read());
+            assertEquals(
+                    "client " + i + " has been ended, not reset",
+                    -1,
+                    bad[i].getInputStream().read());
         }
         pass(STEP);
         hand.until(() -> true);
-        assertEquals("none of them holds a place though it has not ended its own side", before, hand.open());
+        assertEquals(
+                "none of them holds a place though it has not ended its own side",
+                before,
+                hand.open());
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/ClaimsTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ClaimsTest.java
@@ -35,7 +35,7 @@
     }
 
     @Override
-    public void close() { }
+    public void close() {}
 
     @Override
     public Claims claims() {
@@ -58,8 +58,13 @@
 
     private Socket submit(String id, String headers) throws IOException {
         Socket s = connect();
-        Peer.write(s, "POST /api HTTP/1.1\r\nX-Request-Id: " + id + "\r\nX-Class: price\r\n" + headers
-                + "Content-Length: 3\r\n\r\njob");
+        Peer.write(
+                s,
+                "POST /api HTTP/1.1\r\nX-Request-Id: "
+                        + id
+                        + "\r\nX-Class: price\r\n"
+                        + headers
+                        + "Content-Length: 3\r\n\r\njob");
         return s;
     }
 
@@ -70,15 +75,18 @@
     }
 
     @Test
-    public void aClaimIsKnownBeforeTheModuleHearsOfTheJobAndABadOneNeverReachesIt() throws Exception {
+    public void aClaimIsKnownBeforeTheModuleHearsOfTheJobAndABadOneNeverReachesIt()
+            throws Exception {
         serveScripted(server("w1", one.address(), "ready"));
         script.onJob = job -> script.out.refuse(job.id(), 0);
         turnedAway("c1", "X-Window-Lasts: soon\r\n", "x-window-lasts has to be");
-        turnedAway("c1", "X-Window-Lasts: 1m\r\nX-Window-Lasts: 1m\r\n", "x-window-lasts is repeated");
+        turnedAway(
+                "c1", "X-Window-Lasts: 1m\r\nX-Window-Lasts: 1m\r\n", "x-window-lasts is repeated");
         assertEquals(429, Peer.read(submit("c1", "X-Window-Lasts: 90m\r\n")).status());
         script.hears("claim c1 price 90m");
         script.hears("job c1");
-        assertEquals("told too, so that nothing older holds", 429, Peer.read(submit("c1", "")).status());
+        assertEquals(
+                "told too, so that nothing older holds", 429, Peer.read(submit("c1", "")).status());
         script.hears("claim c1 price null");
         script.hears("job c1");
     }
@@ -90,7 +98,8 @@
         submit("d1", "X-Window-Lasts: 1m\r\n");
         script.hears("claim d1 price 1m");
         script.hears("job d1");
-        assertEquals("its id is open", 409, Peer.read(submit("d1", "X-Window-Lasts: 2m\r\n")).status());
+        assertEquals(
+                "its id is open", 409, Peer.read(submit("d1", "X-Window-Lasts: 2m\r\n")).status());
         assertEquals("no place", 429, Peer.read(submit("d2", "X-Window-Lasts: 3m\r\n")).status());
         assertTrue("heard of neither", script.heard.isEmpty());
     }
@@ -100,7 +109,10 @@
         plan = null;
         serveScripted(server("w1", one.address(), "ready"));
         script.onJob = job -> script.out.refuse(job.id(), 0);
-        assertEquals(429, Peer.read(submit("e1", "X-Window-Lasts: soon\r\nX-Window-Lasts: now\r\n")).status());
+        assertEquals(
+                429,
+                Peer.read(submit("e1", "X-Window-Lasts: soon\r\nX-Window-Lasts: now\r\n"))
+                        .status());
         script.hears("job e1");
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/CompanionTest.java
+++ b/daemon/src/test/java/postgrade/daemon/CompanionTest.java
@@ -23,7 +23,10 @@
 import postgrade.daemon.Peer.Arrived;
 import postgrade.operator.Further;
 
-/** What stands beside a dispatcher hears what goes on, has its say, and is asked what operators want of it. */
+/**
+ * What stands beside a dispatcher hears what goes on, has its say, and is asked what operators want
+ * of it.
+ */
 public class CompanionTest extends Stage implements Companion, Further {
 
     private final LinkedBlockingQueue<String> heard = new LinkedBlockingQueue<>();
@@ -36,10 +39,11 @@
     @Before
     public void besideTheDaemon() {
         operators = true;
-        plan = h -> {
-            host = h;
-            return this;
-        };
+        plan =
+                h -> {
+                    host = h;
+                    return this;
+                };
     }
 
     private Socket postOnceItListens(String id) throws Exception {
@@ -133,10 +137,16 @@
     }
 
     @Test
-    public void itHearsOfListsOperatorsAndTheEndAndItsShareAndAbilityReachTheModule() throws Exception {
+    public void itHearsOfListsOperatorsAndTheEndAndItsShareAndAbilityReachTheModule()
+            throws Exception {
         serveScripted(server("w1", one.address(), "ready"));
         assertSame(Ability.ALL, script.ability);
-        watched(json(42, true, server("w1", one.address(), "ready"), server("w2", two.address(), "ready")));
+        watched(
+                json(
+                        42,
+                        true,
+                        server("w1", one.address(), "ready"),
+                        server("w2", two.address(), "ready")));
         hears("listed [w1, w2]");
         script.hears("list FULL [w1 READY, w2 READY]");
         assertEquals(200, call(daemon, "PUT /maintenance/enter", "{\"id\":\"w1\"}").status());
@@ -144,7 +154,15 @@
         script.hears("list CHANGES [w1 DRAINING]");
         host.loop().execute(() -> host.share(1.5));
         script.hears("share 1.5");
-        host.loop().execute(() -> heard.add(host.putBack("w1") + " " + host.ready() + " " + host.alone()));
+        host.loop()
+                .execute(
+                        () ->
+                                heard.add(
+                                        host.putBack("w1")
+                                                + " "
+                                                + host.ready()
+                                                + " "
+                                                + host.alone()));
         hears("true true true");
         script.hears("list CHANGES [w1 READY]");
         ended(stopping(daemon));
@@ -172,10 +190,11 @@
     @Test
     public void itIsAskedWhenATurnBeginsBeforeAnythingIsTakenIn() throws Exception {
         serveScripted(server("w1", one.address(), "ready"));
-        script.onJob = job -> {
-            heard.add("turn " + (turnMicros == host.timers().nowMicros()));
-            script.out.refuse(job.id(), 0);
-        };
+        script.onJob =
+                job -> {
+                    heard.add("turn " + (turnMicros == host.timers().nowMicros()));
+                    script.out.refuse(job.id(), 0);
+                };
         Socket consumer = post("t1", "price", "15000m");
         hears("turn true");
         assertEquals(429, Peer.read(consumer).status());
@@ -222,8 +241,10 @@
     }
 
     @Test
-    public void withoutAFileNothingIsLookedForAndAFileWithoutSharingInTheProgramIsAFault() throws Exception {
-        Map<String, String> environment = new HashMap<>(configuration(server("w1", one.address(), "ready")));
+    public void withoutAFileNothingIsLookedForAndAFileWithoutSharingInTheProgramIsAFault()
+            throws Exception {
+        Map<String, String> environment =
+                new HashMap<>(configuration(server("w1", one.address(), "ready")));
         assertEquals(null, Companions.of(Config.read(environment)));
         environment.put("ROUTER_SHARING", "sharing.star");
         try {
--- a/daemon/src/test/java/postgrade/daemon/CopiesTest.java
+++ b/daemon/src/test/java/postgrade/daemon/CopiesTest.java
@@ -8,7 +8,7 @@
 /** Where two attempts of a job may be out at once. */
 public class CopiesTest extends AttemptStage {
 
-    public CopiesTest() throws IOException { }
+    public CopiesTest() throws IOException {}
 
     @Override
     boolean mayDuplicate() {
--- a/daemon/src/test/java/postgrade/daemon/DarkTest.java
+++ b/daemon/src/test/java/postgrade/daemon/DarkTest.java
@@ -8,7 +8,10 @@
 import org.junit.Test;
 import postgrade.daemon.Peer.Arrived;
 
-/** While discovery is down, only the workers' own answers tell that one of them drains. Discovery never speaks here. */
+/**
+ * While discovery is down, only the workers' own answers tell that one of them drains. Discovery
+ * never speaks here.
+ */
 public class DarkTest extends Stage {
 
     private Peer other;
@@ -31,10 +34,13 @@
     }
 
     @Test
-    public void whatIsHandedBackUnstartedIsServedElsewhereAlsoWhereItMustNotRunTwice() throws Exception {
+    public void whatIsHandedBackUnstartedIsServedElsewhereAlsoWhereItMustNotRunTwice()
+            throws Exception {
         serve(server("w1", one.address(), "ready"), server("w2", two.address(), "ready"));
         Socket consumer = post("h1", "confirm", "15000m");
-        Peer.write(first().socket(), "HTTP/1.1 503 Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
+        Peer.write(
+                first().socket(),
+                "HTTP/1.1 503 Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
         isServedByTheOther(consumer, "h1");
     }
 
--- a/daemon/src/test/java/postgrade/daemon/FloodTest.java
+++ b/daemon/src/test/java/postgrade/daemon/FloodTest.java
@@ -12,12 +12,18 @@
 import org.junit.Test;
 import postgrade.daemon.Peer.Arrived;
 
-/** Clients that send as much as is kept, and go: others' jobs and call-backs are served meanwhile, and nothing of it stays. */
+/**
+ * Clients that send as much as is kept, and go: others' jobs and call-backs are served meanwhile,
+ * and nothing of it stays.
+ */
 public class FloodTest extends Stage {
 
     private static final int BODY = 65_536;
     private static final int FILLS = (24 << 20) / BODY;
-    private static final String LARGE = "POST /api HTTP/1.1\r\nX-Class: price\r\nContent-Length: " + BODY + "\r\nX-Request-Id: ";
+    private static final String LARGE =
+            "POST /api HTTP/1.1\r\nX-Class: price\r\nContent-Length: "
+                    + BODY
+                    + "\r\nX-Request-Id: ";
 
     private Turns turns;
 
@@ -25,11 +31,12 @@
     public void turn() throws Exception {
         turns = new Turns(Config.read(configuration()), 1024);
         turns.provider("w1", one);
-        turns.script.onJob = job -> {
-            if (job.id().startsWith("usual")) {
-                turns.script.out.send(job.id(), "w1", 0);
-            }
-        };
+        turns.script.onJob =
+                job -> {
+                    if (job.id().startsWith("usual")) {
+                        turns.script.out.send(job.id(), "w1", 0);
+                    }
+                };
     }
 
     @After
@@ -58,21 +65,25 @@
             turns.script.hears("job flood" + i);
         }
         Socket over = turns.connect();
-        Peer.write(over, LARGE + "over\r\n\r\n" + "x".repeat(BODY - 1)); // Not whole, and never to be.
+        Peer.write(
+                over, LARGE + "over\r\n\r\n" + "x".repeat(BODY - 1)); // Not whole, and never to be.
         Arrived answer = Peer.read(over);
         assertEquals(429, answer.status());
         assertEquals("ended, not reset", -1, over.getInputStream().read());
         usualIsServed("usual0");
-        turns.crossing(0, () -> {
-            for (int i = 0; i < flood.size(); i++) {
-                Socket s = flood.get(i);
-                Peer.write(s, LARGE + "more" + i + "\r\n\r\n" + "x".repeat(BODY / 2));
-                if (i % 2 == 0) {
-                    s.setSoLinger(true, 0); // With a reset.
-                }
-                s.close();
-            }
-        }, () -> { });
+        turns.crossing(
+                0,
+                () -> {
+                    for (int i = 0; i < flood.size(); i++) {
+                        Socket s = flood.get(i);
+                        Peer.write(s, LARGE + "more" + i + "\r\n\r\n" + "x".repeat(BODY / 2));
+                        if (i % 2 == 0) {
+                            s.setSoLinger(true, 0); // With a reset.
+                        }
+                        s.close();
+                    }
+                },
+                () -> {});
         usualIsServed("usual1");
         turns.script.heard.clear();
         Socket large = turns.connect();
--- a/daemon/src/test/java/postgrade/daemon/FullHouseTest.java
+++ b/daemon/src/test/java/postgrade/daemon/FullHouseTest.java
@@ -11,8 +11,10 @@
     private static final int PLACES = 64;
     private static final int ACCEPTED = PLACES * 3 / 4;
     private static final int OF_DISCOVERY = 2;
+
     /** Far more turns than the watch's pause has, and few enough to remember each. */
     private static final int MOST_WANTS = 200_000;
+
     private volatile int wants;
 
     /** A list that cannot be followed lets jobs go to workers that drain. */
@@ -21,18 +23,20 @@
         descriptors = PLACES + 32;
         serveScripted(server("w1", one.address(), "ready"));
         String last = "busy" + (ACCEPTED - 1);
-        script.onJob = job -> {
-            if (job.id().equals(last)) { // Now all connections to workers at once.
-                for (int i = 1; i < ACCEPTED; i++) {
-                    script.out.send("busy" + i, "w1", 0);
-                }
-            }
-        };
-        script.onFinished = (id, outcome) -> {
-            if (id.equals(last) && wants++ < MOST_WANTS) {
-                script.out.send(id, "w1", 0); // In each turn it wants a connection.
-            }
-        };
+        script.onJob =
+                job -> {
+                    if (job.id().equals(last)) { // Now all connections to workers at once.
+                        for (int i = 1; i < ACCEPTED; i++) {
+                            script.out.send("busy" + i, "w1", 0);
+                        }
+                    }
+                };
+        script.onFinished =
+                (id, outcome) -> {
+                    if (id.equals(last) && wants++ < MOST_WANTS) {
+                        script.out.send(id, "w1", 0); // In each turn it wants a connection.
+                    }
+                };
         Arrived watch = discovery.next("GET /api/targets?watch=1&from=41 ");
         Peer.write(watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         chunk(watch, json(42, false, server("w2", two.address(), "ready")));
--- a/daemon/src/test/java/postgrade/daemon/GiveUpCrossingTest.java
+++ b/daemon/src/test/java/postgrade/daemon/GiveUpCrossingTest.java
@@ -10,10 +10,13 @@
 import postgrade.daemon.Peer.Arrived;
 import postgrade.gateway.JobState;
 
-/** What a worker says in the moment in which an attempt is given up, or so that nobody can tell what it means. */
+/**
+ * What a worker says in the moment in which an attempt is given up, or so that nobody can tell what
+ * it means.
+ */
 public class GiveUpCrossingTest extends AttemptStage {
 
-    public GiveUpCrossingTest() throws IOException { }
+    public GiveUpCrossingTest() throws IOException {}
 
     private Arrived sent(String id) throws IOException {
         open(id);
@@ -39,7 +42,10 @@
         hasHeard(end);
     }
 
-    /** With it the job runs: it counted as given up 100 ms on, whether or not the DELETE had arrived. */
+    /**
+     * With it the job runs: it counted as given up 100 ms on, whether or not the DELETE had
+     * arrived.
+     */
     @Test
     public void afterA202ThatCrossesOnlyTheAnsweredDeleteEndsTheAttempt() throws Exception {
         Arrived job = sent("x1");
@@ -82,10 +88,16 @@
         hasHeard("finished x4 0 CANCELLED false");
     }
 
-    /** It counted as a reset, though it may have been a 202 for a job that runs: what followed was a second attempt. */
+    /**
+     * It counted as a reset, though it may have been a 202 for a job that runs: what followed was a
+     * second attempt.
+     */
     @Test
     public void anAttemptWhoseAnswerIsSpoiltIsGivenUpBeforeTheModuleHears() throws Exception {
-        for (String spoilt : List.of("HTTP/1.1 2x2 Accepted\r\n\r\n", "HTTP/1.1 202 Accepted\r\nContent-Length: x\r\n\r\n")) {
+        for (String spoilt :
+                List.of(
+                        "HTTP/1.1 2x2 Accepted\r\n\r\n",
+                        "HTTP/1.1 202 Accepted\r\nContent-Length: x\r\n\r\n")) {
             script.heard.clear();
             Arrived job = sent("s" + spoilt.length());
             says(job.socket(), spoilt);
@@ -118,9 +130,13 @@
         assertTrue("nothing is still given up", pools.quiet());
     }
 
-    /** It counted as an error at once, though the job may run, or may yet: what followed was a second attempt. */
+    /**
+     * It counted as an error at once, though the job may run, or may yet: what followed was a
+     * second attempt.
+     */
     @Test
-    public void anAttemptWhoseAnswerTheProtocolDoesNotKnowIsGivenUpBeforeTheModuleHears() throws Exception {
+    public void anAttemptWhoseAnswerTheProtocolDoesNotKnowIsGivenUpBeforeTheModuleHears()
+            throws Exception {
         for (int status : new int[] {200, 204, 302, 304, 408, 429, 501, 502, 599, 600}) {
             script.heard.clear();
             Arrived job = sent("u" + status);
@@ -202,13 +218,14 @@
 
     private void isRefused() throws IOException {
         assertEquals("a DELETE asks for a connection", 1, hand.open());
-        hand.heard(() -> { });
+        hand.heard(() -> {});
         assertEquals(0, hand.open());
     }
 
     /** Each was a new connection, 20 a second up to the deadline. */
     @Test
-    public void aDeleteThatIsRefusedIsRepeatedEverMoreSeldomAndNoLaterThanTheDeadline() throws Exception {
+    public void aDeleteThatIsRefusedIsRepeatedEverMoreSeldomAndNoLaterThanTheDeadline()
+            throws Exception {
         runsButRefuses("b1");
         long since = 0;
         for (long pause : new long[] {50, 100, 200, 400, 400}) {
@@ -230,7 +247,10 @@
         hasHeard("finished b1 0 TIMEOUT false");
     }
 
-    /** One that drains may end its listener, and one that has all the connections it keeps refuses more: neither has dropped it. */
+    /**
+     * One that drains may end its listener, and one that has all the connections it keeps refuses
+     * more: neither has dropped it.
+     */
     @Test
     public void aWorkerThatRefusesADeleteMayRunTheJobOn() throws Exception {
         runsButRefuses("b2");
--- a/daemon/src/test/java/postgrade/daemon/HandOverTest.java
+++ b/daemon/src/test/java/postgrade/daemon/HandOverTest.java
@@ -28,7 +28,10 @@
 import postgrade.daemon.Peer.Arrived;
 import postgrade.operator.Further;
 
-/** What goes from the old process of a dispatcher to the new one, and what does not where either fails early. */
+/**
+ * What goes from the old process of a dispatcher to the new one, and what does not where either
+ * fails early.
+ */
 public class HandOverTest extends Stage {
 
     private static final String HOST = "127.0.0.78";
@@ -39,7 +42,9 @@
         operators = true;
         listen = held(HOST);
         shared = Files.createDirectory(folder.getRoot().toPath().resolve("t"));
-        environment = configuration(server("w1", one.address(), "ready"), server("w2", two.address(), "ready"));
+        environment =
+                configuration(
+                        server("w1", one.address(), "ready"), server("w2", two.address(), "ready"));
     }
 
     private Path link() throws IOException {
@@ -50,19 +55,26 @@
 
     @Test
     public void tokensColdBudgetsAndFiguresGoOverTheLinkAndTheRateIsHalved() throws Exception {
-        daemon = new Daemon(Config.read(environment), null, out -> script = new Script(out), PATIENCE);
+        daemon =
+                new Daemon(
+                        Config.read(environment), null, out -> script = new Script(out), PATIENCE);
         Script first = script;
-        first.learnt = List.of(new Learnt("tenant", "t", new double[] {2.5, 40, 0, 1e9}),
-                new Learnt("cold", "w1", new double[] {5e8, 1.5, 2e8, 0.5}),
-                new Learnt("class", "price", new double[] {4e6, 120, 0.25}));
+        first.learnt =
+                List.of(
+                        new Learnt("tenant", "t", new double[] {2.5, 40, 0, 1e9}),
+                        new Learnt("cold", "w1", new double[] {5e8, 1.5, 2e8, 0.5}),
+                        new Learnt("class", "price", new double[] {4e6, 120, 0.25}));
         daemon.start();
         first.hears("list STORED [w1 READY, w2 READY]");
-        Daemon second = new Daemon(Config.read(environment), null, out -> script = new Script(out), PATIENCE);
+        Daemon second =
+                new Daemon(
+                        Config.read(environment), null, out -> script = new Script(out), PATIENCE);
         second.start();
         script.hears("list STORED [w1 READY, w2 READY]");
         script.hears("share 0.5");
-        script.hears("learn [tenant t [2.5, 40.0, 0.0, 1.0E9], cold w1 [5.0E8, 1.5, 2.0E8, 0.5], "
-                + "class price [4000000.0, 120.0, 0.25]]");
+        script.hears(
+                "learn [tenant t [2.5, 40.0, 0.0, 1.0E9], cold w1 [5.0E8, 1.5, 2.0E8, 0.5], "
+                        + "class price [4000000.0, 120.0, 0.25]]");
         first.hears("share 0.5");
         ended(stopping(daemon));
         ended(stopping(second));
@@ -90,7 +102,8 @@
         assertTrue(status, status.contains("\"out\":[\"w1\"]"));
         ended(stopping(daemon));
         Files.write(left, said);
-        Process plain = program(environment); // Its address is free: the others here have ended in order.
+        Process plain =
+                program(environment); // Its address is free: the others here have ended in order.
         try (BufferedReader log = plain.errorReader()) {
             String line = log.readLine();
             while (line != null && !line.contains(" listens on ")) {
@@ -106,28 +119,29 @@
     @Test
     public void whatTheCompanionTellsReachesThatOfTheNewProcessAtItsStart() throws Exception {
         List<String> told = new ArrayList<>();
-        Companion.Plan beside = host -> {
-            told.add(host.told() + " " + host.tookOver() + " " + host.alone());
-            return new Companion() {
-                @Override
-                public Ability ability() {
-                    return Ability.ALL;
-                }
-
-                @Override
-                public String tells() {
-                    return "{\"word\":\"as \u010dvor\"}";
-                }
-
-                @Override
-                public Further calls() {
-                    return Further.NONE;
-                }
-
-                @Override
-                public void close() { }
-            };
-        };
+        Companion.Plan beside =
+                host -> {
+                    told.add(host.told() + " " + host.tookOver() + " " + host.alone());
+                    return new Companion() {
+                        @Override
+                        public Ability ability() {
+                            return Ability.ALL;
+                        }
+
+                        @Override
+                        public String tells() {
+                            return "{\"word\":\"as \u010dvor\"}";
+                        }
+
+                        @Override
+                        public Further calls() {
+                            return Further.NONE;
+                        }
+
+                        @Override
+                        public void close() {}
+                    };
+                };
         daemon = new Daemon(Config.read(environment), beside);
         daemon.start();
         Daemon second = new Daemon(Config.read(environment), beside);
@@ -139,13 +153,19 @@
 
     @Test
     public void aNewProcessThatFailsAtItsStartLeavesTheOldOneAsItWas() throws Exception {
-        daemon = new Daemon(Config.read(environment), null, out -> script = new Script(out), PATIENCE);
+        daemon =
+                new Daemon(
+                        Config.read(environment), null, out -> script = new Script(out), PATIENCE);
         daemon.start();
         script.hears("list STORED [w1 READY, w2 READY]");
         Map<String, String> clash = new HashMap<>(environment);
         Path file = folder.newFile().toPath();
-        Files.writeString(file, Files.readString(Path.of(environment.get("ROUTER_CONFIG")))
-                .replace("\"operator\":\"127.0.0.1:0\"", "\"operator\":\"127.0.0.1:" + daemon.operatorPort() + "\""));
+        Files.writeString(
+                file,
+                Files.readString(Path.of(environment.get("ROUTER_CONFIG")))
+                        .replace(
+                                "\"operator\":\"127.0.0.1:0\"",
+                                "\"operator\":\"127.0.0.1:" + daemon.operatorPort() + "\""));
         clash.put("ROUTER_CONFIG", file.toString());
         Process failing = program(clash);
         try {
@@ -165,35 +185,50 @@
         ended(stopping(daemon));
     }
 
-    /** Told to end by one that has come to serve, while the loop is held: some wait to be accepted, a request is half read. */
+    /**
+     * Told to end by one that has come to serve, while the loop is held: some wait to be accepted,
+     * a request is half read.
+     */
     @Test
     public void whatIsUnderWayOrInTheBacklogWhenTheListenerPassesIsServedHere() throws Exception {
-        daemon = new Daemon(Config.read(environment), null, out -> script = new Script(out), PATIENCE);
+        daemon =
+                new Daemon(
+                        Config.read(environment), null, out -> script = new Script(out), PATIENCE);
         daemon.start();
         Config c = Config.read(environment);
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch goesOn = new CountDownLatch(1);
-        script.onJob = job -> {
-            script.out.send(job.id(), "w1", 0);
-            if (job.id().equals("holds")) {
-                held.countDown();
-                hold(goesOn);
-            }
-        };
+        script.onJob =
+                job -> {
+                    script.out.send(job.id(), "w1", 0);
+                    if (job.id().equals("holds")) {
+                        held.countDown();
+                        hold(goesOn);
+                    }
+                };
         try (SocketChannel successor = SocketChannel.open(UnixDomainSocketAddress.of(link()))) {
-            tells(successor, "{\"hello\":1,\"id\":\"x\",\"dispatcher\":\"" + c.name + " " + c.listen + "\"}\n{\"serving\":true}\n");
+            tells(
+                    successor,
+                    "{\"hello\":1,\"id\":\"x\",\"dispatcher\":\""
+                            + c.name
+                            + " "
+                            + c.listen
+                            + "\"}\n{\"serving\":true}\n");
             script.hearsAmongOthers("share 0.5");
             Map<String, Socket> clients = new HashMap<>();
             clients.put("sent", post("sent", "price", "15000m"));
             Arrived sent = one.next("POST");
             Socket half = connect();
             clients.put("half", half);
-            Peer.write(half, "POST /api HTTP/1.1\r\nX-Request-Id: half\r\nX-Class: price\r\nContent-Length: 3\r\n\r\n");
+            Peer.write(
+                    half,
+                    "POST /api HTTP/1.1\r\nX-Request-Id: half\r\nX-Class: price\r\nContent-Length: 3\r\n\r\n");
             clients.put("holds", post("holds", "price", "15000m"));
             assertTrue(held.await(Peer.PATIENCE_S, TimeUnit.SECONDS));
             clients.put("backlog", post("backlog", "price", "15000m"));
             Thread stop = stopping(daemon);
-            while (stop.getState() != Thread.State.WAITING) { // For the loop, which has been told by then.
+            while (stop.getState()
+                    != Thread.State.WAITING) { // For the loop, which has been told by then.
                 Thread.onSpinWait();
             }
             goesOn.countDown();
@@ -203,8 +238,11 @@
                 job.accept();
                 String id = job.header("X-Request-Id");
                 // The workers' call-backs come to the successor, which passes them on.
-                tells(successor, "{\"ask\":1,\"event\":\"{\\\"id\\\":\\\"" + id
-                        + "\\\",\\\"from\\\":\\\"w1\\\",\\\"state\\\":\\\"done\\\"}\"}\n");
+                tells(
+                        successor,
+                        "{\"ask\":1,\"event\":\"{\\\"id\\\":\\\""
+                                + id
+                                + "\\\",\\\"from\\\":\\\"w1\\\",\\\"state\\\":\\\"done\\\"}\"}\n");
                 Socket client = clients.get(id);
                 Arrived answer = Peer.read(client);
                 assertEquals(id, 200, answer.status());
--- a/daemon/src/test/java/postgrade/daemon/LateDialTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LateDialTest.java
@@ -7,10 +7,13 @@
 import org.junit.Test;
 import postgrade.gateway.Invocation;
 
-/** Connections to workers that come up after an attempt was decided on, and what may have happened meanwhile. */
+/**
+ * Connections to workers that come up after an attempt was decided on, and what may have happened
+ * meanwhile.
+ */
 public class LateDialTest extends AttemptStage {
 
-    public LateDialTest() throws IOException { }
+    public LateDialTest() throws IOException {}
 
     /** The next attempt is the first that the worker sees. */
     private void nothingWasWrittenTo(Socket worker) throws IOException {
@@ -19,7 +22,10 @@
         assertEquals("next", request(worker).header("X-Request-Id"));
     }
 
-    /** What it told was the time left when it was decided on, up to a connect's time more than was left at the send. */
+    /**
+     * What it told was the time left when it was decided on, up to a connect's time more than was
+     * left at the send.
+     */
     @Test
     public void anAttemptTellsWhatIsLeftWhenItIsWritten() throws Exception {
         open("d1");
@@ -29,13 +35,16 @@
         assertEquals(DEADLINE - 1_500 * MILLI + "u", request(worker).header("X-Deadline"));
     }
 
-    /** The channels of a turn are served in any order, and a late turn's may have waited for long. */
+    /**
+     * The channels of a turn are served in any order, and a late turn's may have waited for long.
+     */
     @Test
-    public void aConsumerWhoseLeavingIsReadAfterTheConnectionCameUpHasNothingWritten() throws Exception {
+    public void aConsumerWhoseLeavingIsReadAfterTheConnectionCameUpHasNothingWritten()
+            throws Exception {
         Invocation in = open("l1");
         turn();
         Socket worker = accept(one);
-        hand.heard(() -> { }); // It has come up.
+        hand.heard(() -> {}); // It has come up.
         gateway.abandon(in);
         turn();
         nothingWasWrittenTo(worker);
@@ -43,14 +52,15 @@
 
     /** The script calls nothing off, as the module does not where the settings forbid it. */
     @Test
-    public void aConsumerThatLeftWhileItCameUpHasNothingWrittenAlsoWhereNothingMayBeCalledOff() throws Exception {
+    public void aConsumerThatLeftWhileItCameUpHasNothingWrittenAlsoWhereNothingMayBeCalledOff()
+            throws Exception {
         Invocation in = open("l2");
         turn();
         Socket worker = accept(one);
         gateway.abandon(in);
         turn();
         hasHeard("finished l2 0 NOT_SENT true");
-        hand.heard(() -> { });
+        hand.heard(() -> {});
         turn();
         nothingWasWrittenTo(worker);
     }
@@ -62,17 +72,18 @@
         Socket worker = accept(one);
         script.out.refuse("l3", 0);
         turn();
-        hand.heard(() -> { });
+        hand.heard(() -> {});
         turn();
         nothingWasWrittenTo(worker);
     }
 
     @Test
-    public void noneIsWrittenToAWorkerThatDrainsInTheTurnInWhichItsConnectionComesUp() throws Exception {
+    public void noneIsWrittenToAWorkerThatDrainsInTheTurnInWhichItsConnectionComesUp()
+            throws Exception {
         open("l4");
         turn();
         Socket worker = accept(one);
-        hand.heard(() -> { });
+        hand.heard(() -> {});
         list(target("w1", one, false));
         turn();
         turn();
@@ -80,7 +91,9 @@
         list(target("w1", one, true));
         open("next");
         turn();
-        assertEquals("next", request(one).header("X-Request-Id")); // On one more: the former pool is forgotten.
+        assertEquals(
+                "next",
+                request(one).header("X-Request-Id")); // On one more: the former pool is forgotten.
         assertEquals("nothing came on the first", 0, available(worker));
     }
 
@@ -94,7 +107,7 @@
         turn();
         Socket late = accept(one);
         list(target("w1", two, true));
-        hand.heard(() -> { });
+        hand.heard(() -> {});
         turn();
         assertEquals("m2", request(two).header("X-Request-Id"));
         hand.heard(() -> Peer.write(former, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"));
@@ -106,7 +119,10 @@
         assertEquals(-1, late.getInputStream().read());
     }
 
-    /** It was decided on in time, and written once its connection was up: the job could run a second time. */
+    /**
+     * It was decided on in time, and written once its connection was up: the job could run a second
+     * time.
+     */
     @Test
     public void aRepeatIsNotWrittenOnceRepeatsAreNoLongerDropped() throws Exception {
         open("k1");
@@ -119,7 +135,7 @@
         turn();
         Socket second = accept(two);
         pass(101 * MILLI);
-        hand.heard(() -> { });
+        hand.heard(() -> {});
         turn();
         turn();
         hasHeard("finished k1 0 RESET false", "finished k1 1 NOT_SENT false");
@@ -127,7 +143,10 @@
         nothingWasWrittenTo(second);
     }
 
-    /** The one that had opened it was left without a connection and a timer, and waited for its deadline. */
+    /**
+     * The one that had opened it was left without a connection and a timer, and waited for its
+     * deadline.
+     */
     @Test
     public void whenAConnectFailsNoneThatWaitsIsForgotten() throws Exception {
         boolean[] mayOpen = {true};
@@ -142,10 +161,10 @@
         mayOpen[0] = true;
         open("p2");
         turn();
-        hand.heard(() -> { }); // Refused.
+        hand.heard(() -> {}); // Refused.
         turn();
         pass(40 * MILLI);
-        hand.heard(() -> { });
+        hand.heard(() -> {});
         turn();
         hasHeard("finished p1 0 UNREACHABLE false", "finished p2 0 UNREACHABLE false");
     }
--- a/daemon/src/test/java/postgrade/daemon/LateWordTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LateWordTest.java
@@ -10,10 +10,13 @@
 import postgrade.daemon.Peer.Arrived;
 import postgrade.gateway.JobState;
 
-/** What a worker says of an attempt when it is all but over, and what comes of its connection long after. */
+/**
+ * What a worker says of an attempt when it is all but over, and what comes of its connection long
+ * after.
+ */
 public class LateWordTest extends AttemptStage {
 
-    public LateWordTest() throws IOException { }
+    public LateWordTest() throws IOException {}
 
     private void isServed(String id) {
         hasHeard("finished " + id + " 0 SERVED true");
@@ -21,7 +24,10 @@
         assertTrue("nothing is given up", pools.quiet());
     }
 
-    /** The result is the answer, and the worker is not asked to drop what it has done: its next job may have the same id. */
+    /**
+     * The result is the answer, and the worker is not asked to drop what it has done: its next job
+     * may have the same id.
+     */
     @Test
     public void doneInTheTurnInWhichItIsGivenUpIsTheAnswerAndNoDeleteFollows() throws Exception {
         Socket worker = taken("a");
@@ -54,16 +60,20 @@
         assertEquals(1, ends().size());
     }
 
-    /** The worker has taken the job: its connection is of no meaning to it, and only a call-back tells of its end. */
+    /**
+     * The worker has taken the job: its connection is of no meaning to it, and only a call-back
+     * tells of its end.
+     */
     @Test
     public void aResetLongAfterThe202EndsNothing() throws Exception {
         Socket worker = taken("c");
         reports("c", "w1", JobState.STARTED);
         pass(2_000 * MILLI);
-        hand.heard(() -> {
-            worker.setSoLinger(true, 0);
-            worker.close();
-        });
+        hand.heard(
+                () -> {
+                    worker.setSoLinger(true, 0);
+                    worker.close();
+                });
         turn();
         pass(100 * MILLI);
         hasHeard();
--- a/daemon/src/test/java/postgrade/daemon/LearntIdleTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LearntIdleTest.java
@@ -7,12 +7,18 @@
 import org.junit.Test;
 import postgrade.gateway.JobState;
 
-/** How long an idle connection is trusted with a request, learnt of one that broke, and other settings after that. */
+/**
+ * How long an idle connection is trusted with a request, learnt of one that broke, and other
+ * settings after that.
+ */
 public class LearntIdleTest extends AttemptStage {
 
-    public LearntIdleTest() throws IOException { }
+    public LearntIdleTest() throws IOException {}
 
-    /** Idle connections are kept for 1 s from now on: one that was idle for 2 s broke under its request. */
+    /**
+     * Idle connections are kept for 1 s from now on: one that was idle for 2 s broke under its
+     * request.
+     */
     private void breaksAfterTwoSeconds() throws IOException {
         Socket former = served("a");
         pass(2_000 * MILLI);
@@ -41,7 +47,10 @@
         assertEquals("retired", -1, next.getInputStream().read());
     }
 
-    /** It was kept, and each of the new deployment's connections was closed after half of a time that its network never knew. */
+    /**
+     * It was kept, and each of the new deployment's connections was closed after half of a time
+     * that its network never knew.
+     */
     @Test
     public void itIsForgottenUnderAnothers() throws Exception {
         breaksAfterTwoSeconds();
--- a/daemon/src/test/java/postgrade/daemon/LeavingTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LeavingTest.java
@@ -18,6 +18,7 @@
 public class LeavingTest extends Stage {
 
     private static final String ATTEMPT = "POST";
+
     /** Longer than two sweeps. */
     private static final long SWEEPS_MILLIS = 120;
 
@@ -25,10 +26,14 @@
         void leave(Socket s) throws IOException;
     }
 
-    private static final List<Way> WAYS = List.of(Socket::close, Socket::shutdownOutput, s -> {
-        s.setSoLinger(true, 0); // With a reset.
-        s.close();
-    });
+    private static final List<Way> WAYS =
+            List.of(
+                    Socket::close,
+                    Socket::shutdownOutput,
+                    s -> {
+                        s.setSoLinger(true, 0); // With a reset.
+                        s.close();
+                    });
 
     private Turns turns;
 
@@ -65,10 +70,11 @@
         for (Way way : WAYS) {
             Socket[] client = new Socket[1];
             client[0] = turns.connect();
-            turns.script.onJob = job -> {
-                leave(way, client[0]);
-                turns.script.out.send(job.id(), "w1", 0);
-            };
+            turns.script.onJob =
+                    job -> {
+                        leave(way, client[0]);
+                        turns.script.out.send(job.id(), "w1", 0);
+                    };
             Turns.post(client[0], "a1");
             turns.script.hears("job a1");
             turns.script.hears("abandoned a1");
@@ -82,12 +88,13 @@
         for (Way way : WAYS) {
             Socket client = turns.connect();
             turns.script.onJob = job -> turns.script.out.send(job.id(), "w1", 0);
-            turns.script.onFinished = (id, outcome) -> {
-                if (outcome == Outcome.FULL) {
-                    leave(way, client);
-                    turns.script.out.send(id, "w2", 0);
-                }
-            };
+            turns.script.onFinished =
+                    (id, outcome) -> {
+                        if (outcome == Outcome.FULL) {
+                            leave(way, client);
+                            turns.script.out.send(id, "w2", 0);
+                        }
+                    };
             Turns.post(client, "r1");
             one.next(ATTEMPT).reply("503 Full\r\nX-Not-Run: 1", "");
             turns.script.hears("job r1");
@@ -103,31 +110,45 @@
         turns.script.onJob = job -> turns.script.out.send(job.id(), "w1", 0);
         StringBuilder many = new StringBuilder();
         for (int i = 0; many.length() < 100_000; i++) { // A turn reads 64 KiB of it.
-            many.append("POST /api HTTP/1.1\r\nX-Request-Id: m").append(i)
-                    .append("\r\nX-Class: price\r\nContent-Length: 1000\r\n\r\n").append("x".repeat(1000));
+            many.append("POST /api HTTP/1.1\r\nX-Request-Id: m")
+                    .append(i)
+                    .append("\r\nX-Class: price\r\nContent-Length: 1000\r\n\r\n")
+                    .append("x".repeat(1000));
         }
-        turns.crossing(0, () -> {
-            Socket client = turns.connect();
-            Peer.write(client, many.toString());
-            client.close();
-        }, () -> { });
+        turns.crossing(
+                0,
+                () -> {
+                    Socket client = turns.connect();
+                    Peer.write(client, many.toString());
+                    client.close();
+                },
+                () -> {});
         turns.script.hears("job m0");
         turns.script.hears("abandoned m0");
         turns.script.hears("finished m0 0 NOT_SENT true");
         nothingWasSent();
     }
 
-    /** What was turned away is read from again at the next sweep only, but a job that waits behind it is another matter. */
+    /**
+     * What was turned away is read from again at the next sweep only, but a job that waits behind
+     * it is another matter.
+     */
     @Test
     public void theEndOfOneThatWasTurnedAwayBeforeIsSeenInTheSameTurn() throws Exception {
         Socket client = turns.connect();
-        turns.script.onJob = job -> {
-            leave(Socket::close, client);
-            turns.script.out.timer("next turn", 0);
-        };
-        turns.crossing(SWEEPS_MILLIS, () -> { }, // The next sweep is far.
-                () -> Peer.write(client, "GET /nowhere HTTP/1.1\r\n\r\nPOST /api HTTP/1.1\r\nX-Request-Id: p1\r\n"
-                        + "X-Class: price\r\nContent-Length: 0\r\n\r\n"));
+        turns.script.onJob =
+                job -> {
+                    leave(Socket::close, client);
+                    turns.script.out.timer("next turn", 0);
+                };
+        turns.crossing(
+                SWEEPS_MILLIS,
+                () -> {}, // The next sweep is far.
+                () ->
+                        Peer.write(
+                                client,
+                                "GET /nowhere HTTP/1.1\r\n\r\nPOST /api HTTP/1.1\r\nX-Request-Id: p1\r\n"
+                                        + "X-Class: price\r\nContent-Length: 0\r\n\r\n"));
         turns.script.hears("job p1");
         turns.script.hears("abandoned p1");
         turns.script.hears("timer next turn");
@@ -146,12 +167,16 @@
             turns.script.hears("job d1");
             turns.turn();
             Socket[] up = new Socket[1];
-            turns.crossing(0, () -> {
-                for (int i = 0; i < 3; i++) {
-                    up[0] = deaf.accept(); // The third is ours: it comes up with the system's next try.
-                    sockets.add(up[0]);
-                }
-            }, client::close);
+            turns.crossing(
+                    0,
+                    () -> {
+                        for (int i = 0; i < 3; i++) {
+                            up[0] = deaf.accept(); // The third is ours: it comes up with the
+                            // system's next try.
+                            sockets.add(up[0]);
+                        }
+                    },
+                    client::close);
             turns.script.hears("abandoned d1");
             turns.script.hears("finished d1 0 NOT_SENT true");
             assertEquals("nothing was written", 0, up[0].getInputStream().available());
@@ -165,7 +190,7 @@
         turns.script.hears("job warm");
         one.next(ATTEMPT).accept();
         turns.turn(); // The first attempt of all has a connection at once.
-        turns.script.onJob = job -> { };
+        turns.script.onJob = job -> {};
         int many = 100;
         Socket[] clients = new Socket[many];
         for (int i = 0; i < many; i++) {
@@ -174,17 +199,21 @@
         }
         Socket go = turns.connect();
         turns.turn();
-        turns.script.onJob = job -> {
-            for (int i = 0; i < many; i++) {
-                turns.script.out.send("b" + i, "w1", 0);
-            }
-        };
-        turns.crossing(0, () -> {
-            for (Socket c : clients) {
-                c.close();
-            }
-            Turns.post(go, "go");
-        }, () -> { });
+        turns.script.onJob =
+                job -> {
+                    for (int i = 0; i < many; i++) {
+                        turns.script.out.send("b" + i, "w1", 0);
+                    }
+                };
+        turns.crossing(
+                0,
+                () -> {
+                    for (Socket c : clients) {
+                        c.close();
+                    }
+                    Turns.post(go, "go");
+                },
+                () -> {});
         nothingWasSent();
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/LinkCrossingTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LinkCrossingTest.java
@@ -26,12 +26,14 @@
 import org.junit.Test;
 import org.junit.rules.Timeout;
 
-/** A process that serves, by script, beside which a new one starts: it holds the address whatever becomes of the link. */
+/**
+ * A process that serves, by script, beside which a new one starts: it holds the address whatever
+ * becomes of the link.
+ */
 public class LinkCrossingTest extends Stage {
 
     private static final String HOST = "127.0.0.79";
-    @Rule
-    public final Timeout timeout = Timeout.seconds(60);
+    @Rule public final Timeout timeout = Timeout.seconds(60);
     private final ExecutorService starts = Executors.newSingleThreadExecutor();
     private Map<String, String> environment;
     private ServerSocketChannel serves;
@@ -44,9 +46,14 @@
         shared = Files.createDirectory(folder.getRoot().toPath().resolve("t"));
         environment = configuration(server("w1", one.address(), "ready"));
         Config c = Config.read(environment);
-        Path link = shared.resolve("pg-" + Integer.toHexString((c.name + " " + c.listen).hashCode())
-                + "-000000000000001-0000000001.link");
-        links = ServerSocketChannel.open(StandardProtocolFamily.UNIX).bind(UnixDomainSocketAddress.of(link));
+        Path link =
+                shared.resolve(
+                        "pg-"
+                                + Integer.toHexString((c.name + " " + c.listen).hashCode())
+                                + "-000000000000001-0000000001.link");
+        links =
+                ServerSocketChannel.open(StandardProtocolFamily.UNIX)
+                        .bind(UnixDomainSocketAddress.of(link));
         serves = ServerSocketChannel.open();
         serves.setOption(StandardSocketOptions.SO_REUSEADDR, true);
         serves.setOption(StandardSocketOptions.SO_REUSEPORT, true);
@@ -62,16 +69,17 @@
 
     /** One that fails says so at once: whoever waits for its link would wait in vain. */
     private Future<Daemon> starting() {
-        return starts.submit(() -> {
-            try {
-                Daemon d = new Daemon(Config.read(environment));
-                d.start();
-                return d;
-            } catch (Exception e) {
-                links.close();
-                throw e;
-            }
-        });
+        return starts.submit(
+                () -> {
+                    try {
+                        Daemon d = new Daemon(Config.read(environment));
+                        d.start();
+                        return d;
+                    } catch (Exception e) {
+                        links.close();
+                        throw e;
+                    }
+                });
     }
 
     /** A new process has connected and said who it is. */
@@ -100,9 +108,12 @@
     }
 
     private static void tells(SocketChannel c) throws IOException {
-        c.write(ByteBuffer.wrap(("{\"state\":{\"list\":{\"version\":41,\"full\":true,\"servers\":[]},\"discovery\":\"\","
-                + "\"roster\":[{\"id\":\"w1\",\"out\":5,\"back\":-1}],\"standby\":-1,\"learnt\":[]},\"id\":\"old\","
-                + "\"serving\":true,\"stopping\":false}\n").getBytes(StandardCharsets.UTF_8)));
+        c.write(
+                ByteBuffer.wrap(
+                        ("{\"state\":{\"list\":{\"version\":41,\"full\":true,\"servers\":[]},\"discovery\":\"\","
+                                        + "\"roster\":[{\"id\":\"w1\",\"out\":5,\"back\":-1}],\"standby\":-1,\"learnt\":[]},\"id\":\"old\","
+                                        + "\"serving\":true,\"stopping\":false}\n")
+                                .getBytes(StandardCharsets.UTF_8)));
     }
 
     private Daemon started(Future<Daemon> start) throws Exception {
@@ -125,7 +136,10 @@
         ended(stopping(daemon));
     }
 
-    /** One that is stopped for longer than a new process waits is there all the same: they share address and sockets. */
+    /**
+     * One that is stopped for longer than a new process waits is there all the same: they share
+     * address and sockets.
+     */
     @Test
     public void oneThatIsSilentForTheWholeTimeIsStillCounted() throws Exception {
         Future<Daemon> start = starting();
--- a/daemon/src/test/java/postgrade/daemon/OperatorTest.java
+++ b/daemon/src/test/java/postgrade/daemon/OperatorTest.java
@@ -64,7 +64,8 @@
     }
 
     @Test
-    public void aWorkerTakenOutGetsNothingWhateverIsListedUntilItIsPutBackAndThenIsTried() throws Exception {
+    public void aWorkerTakenOutGetsNothingWhateverIsListedUntilItIsPutBackAndThenIsTried()
+            throws Exception {
         serveScripted(server("w1", one.address(), "ready"), server("w2", two.address(), "ready"));
         assertEquals(200, out("w1"));
         assertEquals(200, out("w1"));
@@ -73,7 +74,13 @@
         Peer.write(watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         chunk(watch, json(42, false, server("w1", one.address(), "gone")));
         script.hears("list CHANGES [w1 GONE]");
-        chunk(watch, json(43, true, server("w1", one.address(), "ready"), server("w2", two.address(), "ready")));
+        chunk(
+                watch,
+                json(
+                        43,
+                        true,
+                        server("w1", one.address(), "ready"),
+                        server("w2", two.address(), "ready")));
         script.hears("list FULL [w1 DRAINING, w2 READY]");
         script.onJob = job -> script.out.send(job.id(), "w1", 0);
         post("m1", "price", "15000m");
@@ -91,7 +98,8 @@
     @Test
     public void callsAndJobsCutAtAnyByteAreTaken() throws Exception {
         serve(server("w1", one.address(), "ready"));
-        String text = "PUT /maintenance/enter HTTP/1.1\r\nContent-Length: 11\r\n\r\n{\"id\":\"w9\"}";
+        String text =
+                "PUT /maintenance/enter HTTP/1.1\r\nContent-Length: 11\r\n\r\n{\"id\":\"w9\"}";
         for (int cut = 1; cut < text.length(); cut++) {
             Socket s = operator();
             s.setTcpNoDelay(true);
@@ -99,7 +107,8 @@
             Peer.write(s, text.substring(cut));
             assertEquals("cut at " + cut, 404, Peer.read(s).status());
         }
-        String job = "POST /api HTTP/1.1\r\nX-Request-Id: ID\r\nX-Class: price\r\nContent-Length: 3\r\n\r\njob";
+        String job =
+                "POST /api HTTP/1.1\r\nX-Request-Id: ID\r\nX-Class: price\r\nContent-Length: 3\r\n\r\njob";
         Socket s = connect();
         s.setTcpNoDelay(true);
         for (int cut = 1; cut < job.length(); cut++) {
@@ -127,7 +136,8 @@
     }
 
     @Test
-    public void inStandbyConsumersAreTurnedAwayCallBacksAreTakenAndActiveTakesConsumersAgain() throws Exception {
+    public void inStandbyConsumersAreTurnedAwayCallBacksAreTakenAndActiveTakesConsumersAgain()
+            throws Exception {
         serve(server("w1", one.address(), "ready"));
         Socket idle = post("d1", "price", "15000m");
         one.next("POST").accept();
--- a/daemon/src/test/java/postgrade/daemon/OtherCustomerTest.java
+++ b/daemon/src/test/java/postgrade/daemon/OtherCustomerTest.java
@@ -12,45 +12,82 @@
 import java.util.Map;
 import org.junit.Test;
 
-/** Customers whose settings share some names and nothing else: one alone, and one after the other in one process. */
+/**
+ * Customers whose settings share some names and nothing else: one alone, and one after the other in
+ * one process.
+ */
 public class OtherCustomerTest extends Stage {
 
-    /** Six classes, digits and hyphens in names, eight zones. Two workers of one kind, which is not named first. */
-    private static final String MANY = "{'balancers':3,'index':2,'zone':'s-2','kindOfService':'jobs','tier':0,"
-            + "'tiers':['sort-workers'],'skus':['2u-48','m'],'dcs':['n-1','n-2','n-3','s-1','s-2','s-3','w-1','a'],"
-            + "'classes':[" + job("scan-2d", "read_like", 150, 900, 12) + "," + job("label-4x6", "non_idempotent", 200, 950, 1)
-            + "," + job("eta-15", "read_like", 120, 700, 0.5) + "," + job("3pl-sync", "idempotency_key", 400, 3000, 2)
-            + "," + job("both", "non_idempotent", 800, 8000, 4) + "," + job("z9", "non_idempotent", 200, 2000, 3) + "],"
-            + "'specifics':{'tellsStart':true,'classKind':[-1,-1,1,-1,-1,-1],'classStretch':[2,2,1.5,2,1.75,2.5]},"
-            + "'limits':{'cancel':true,'maxAttempts':5,'mayDuplicate':true,'mostHeld':200,'connIdleNs':6000000000,"
-            + "'connectTimeoutNs':15000000000,'maxRetryAfterNs':1000000000},"
-            + "'obligations':{'coldShare':0.12,'warmWithinNs':18000000000,'fallMultiple':2.0,'fallNs':1000000000},"
-            + "'tenants':[{'name':'t-01','quotaPerS':90},{'name':'8-ball','quotaPerS':30},{'name':'t','quotaPerS':30}]}";
-    /** One class, one tenant, one zone, one attempt; a class and a tenant are called as with the other. */
-    private static final String PLAIN = "{'balancers':1,'index':0,'zone':'main','kindOfService':'jobs','tier':0,"
-            + "'tiers':['pool'],'skus':['m'],'dcs':['main'],"
-            + "'classes':[" + job("both", "read_like", 300, 9000, 1) + "," + job("x", "read_like", 300, 9000, 1) + "],"
-            + "'specifics':{'tellsStart':true,'classKind':[-1,-1],'classStretch':[2,2]},"
-            + "'limits':{'cancel':false,'maxAttempts':2,'mayDuplicate':false,'mostHeld':100,'connIdleNs':20000000000,"
-            + "'connectTimeoutNs':15000000000,'maxRetryAfterNs':3000000000},"
-            + "'obligations':{'coldShare':0.2,'warmWithinNs':20000000000,'fallMultiple':4.0,'fallNs':2500000000},"
-            + "'tenants':[{'name':'t','quotaPerS':10}]}";
+    /**
+     * Six classes, digits and hyphens in names, eight zones. Two workers of one kind, which is not
+     * named first.
+     */
+    private static final String MANY =
+            "{'balancers':3,'index':2,'zone':'s-2','kindOfService':'jobs','tier':0,"
+                    + "'tiers':['sort-workers'],'skus':['2u-48','m'],'dcs':['n-1','n-2','n-3','s-1','s-2','s-3','w-1','a'],"
+                    + "'classes':["
+                    + job("scan-2d", "read_like", 150, 900, 12)
+                    + ","
+                    + job("label-4x6", "non_idempotent", 200, 950, 1)
+                    + ","
+                    + job("eta-15", "read_like", 120, 700, 0.5)
+                    + ","
+                    + job("3pl-sync", "idempotency_key", 400, 3000, 2)
+                    + ","
+                    + job("both", "non_idempotent", 800, 8000, 4)
+                    + ","
+                    + job("z9", "non_idempotent", 200, 2000, 3)
+                    + "],"
+                    + "'specifics':{'tellsStart':true,'classKind':[-1,-1,1,-1,-1,-1],'classStretch':[2,2,1.5,2,1.75,2.5]},"
+                    + "'limits':{'cancel':true,'maxAttempts':5,'mayDuplicate':true,'mostHeld':200,'connIdleNs':6000000000,"
+                    + "'connectTimeoutNs':15000000000,'maxRetryAfterNs':1000000000},"
+                    + "'obligations':{'coldShare':0.12,'warmWithinNs':18000000000,'fallMultiple':2.0,'fallNs':1000000000},"
+                    + "'tenants':[{'name':'t-01','quotaPerS':90},{'name':'8-ball','quotaPerS':30},{'name':'t','quotaPerS':30}]}";
+
+    /**
+     * One class, one tenant, one zone, one attempt; a class and a tenant are called as with the
+     * other.
+     */
+    private static final String PLAIN =
+            "{'balancers':1,'index':0,'zone':'main','kindOfService':'jobs','tier':0,"
+                    + "'tiers':['pool'],'skus':['m'],'dcs':['main'],"
+                    + "'classes':["
+                    + job("both", "read_like", 300, 9000, 1)
+                    + ","
+                    + job("x", "read_like", 300, 9000, 1)
+                    + "],"
+                    + "'specifics':{'tellsStart':true,'classKind':[-1,-1],'classStretch':[2,2]},"
+                    + "'limits':{'cancel':false,'maxAttempts':2,'mayDuplicate':false,'mostHeld':100,'connIdleNs':20000000000,"
+                    + "'connectTimeoutNs':15000000000,'maxRetryAfterNs':3000000000},"
+                    + "'obligations':{'coldShare':0.2,'warmWithinNs':20000000000,'fallMultiple':4.0,'fallNs':2500000000},"
+                    + "'tenants':[{'name':'t','quotaPerS':10}]}";
 
     private Path file;
 
     private static String job(String name, String effect, int aimMs, int deadlineMs, double worth) {
-        return "{'name':'" + name + "','idempotency':'" + effect + "','group':'all','windowNs':5000000000,'onTimeNs':"
-                + aimMs + "000000,'deadlineNs':" + deadlineMs + "000000,'importance':" + worth + ",'lateShare':0.0}";
+        return "{'name':'"
+                + name
+                + "','idempotency':'"
+                + effect
+                + "','group':'all','windowNs':5000000000,'onTimeNs':"
+                + aimMs
+                + "000000,'deadlineNs':"
+                + deadlineMs
+                + "000000,'importance':"
+                + worth
+                + ",'lateShare':0.0}";
     }
 
     private void settings(String text) throws IOException {
         JsonObject json = Json.parse(Files.readString(file)).asObject();
-        Files.writeString(file, json.set("settings", Json.parse(text.replace('\'', '"'))).toString());
+        Files.writeString(
+                file, json.set("settings", Json.parse(text.replace('\'', '"'))).toString());
     }
 
     private void serve(String text) throws Exception {
         Map<String, String> environment =
-                configuration(server("w1", one.address(), "ready"), server("w2", two.address(), "ready"));
+                configuration(
+                        server("w1", one.address(), "ready"), server("w2", two.address(), "ready"));
         file = Path.of(environment.get("ROUTER_CONFIG"));
         settings(text);
         daemon = new Daemon(Config.read(environment));
@@ -59,8 +96,15 @@
 
     private Socket submitted(String id, String jobClass, String tenant) throws IOException {
         Socket s = connect();
-        Peer.write(s, "POST /api HTTP/1.1\r\nX-Request-Id: " + id + "\r\nX-Class: " + jobClass + "\r\nX-Tenant: " + tenant
-                + "\r\nX-Deadline: 15000m\r\nContent-Length: 3\r\n\r\njob");
+        Peer.write(
+                s,
+                "POST /api HTTP/1.1\r\nX-Request-Id: "
+                        + id
+                        + "\r\nX-Class: "
+                        + jobClass
+                        + "\r\nX-Tenant: "
+                        + tenant
+                        + "\r\nX-Deadline: 15000m\r\nContent-Length: 3\r\n\r\njob");
         return s;
     }
 
--- a/daemon/src/test/java/postgrade/daemon/Peer.java
+++ b/daemon/src/test/java/postgrade/daemon/Peer.java
@@ -16,7 +16,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A scripted peer on loopback: hands over what arrives and answers only what the test tells it to. */
+/**
+ * A scripted peer on loopback: hands over what arrives and answers only what the test tells it to.
+ */
 final class Peer implements AutoCloseable {
 
     static final int PATIENCE_S = 20;
@@ -24,7 +26,14 @@
     /** One message, and the connection it came on. */
     record Arrived(Socket socket, String head, String body) {
         void reply(String status, String body) {
-            write(socket, "HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+            write(
+                    socket,
+                    "HTTP/1.1 "
+                            + status
+                            + "\r\nContent-Length: "
+                            + body.length()
+                            + "\r\n\r\n"
+                            + body);
         }
 
         void accept() {
@@ -57,15 +66,22 @@
     private final BlockingQueue<Socket> ended = new LinkedBlockingQueue<>();
 
     Peer() throws IOException {
-        // Guards against the dispatchers of earlier tests, which look for their peers for ever: no address comes again.
+        // Guards against the dispatchers of earlier tests, which look for their peers for ever: no
+        // address comes again.
         int count = PEERS.incrementAndGet();
-        server = new ServerSocket(0, 50, InetAddress.getByName("127.0." + (1 + count / 200) + "." + (1 + count % 200)));
-        daemon(() -> {
-            while (true) {
-                Socket s = server.accept();
-                daemon(() -> receive(s));
-            }
-        });
+        server =
+                new ServerSocket(
+                        0,
+                        50,
+                        InetAddress.getByName(
+                                "127.0." + (1 + count / 200) + "." + (1 + count % 200)));
+        daemon(
+                () -> {
+                    while (true) {
+                        Socket s = server.accept();
+                        daemon(() -> receive(s));
+                    }
+                });
     }
 
     private void receive(Socket s) throws IOException {
@@ -83,13 +99,15 @@
     }
 
     private static void daemon(Io task) {
-        Thread t = new Thread(() -> {
-            try {
-                task.run();
-            } catch (IOException e) {
-                // The test is over, or has broken the connection itself.
-            }
-        });
+        Thread t =
+                new Thread(
+                        () -> {
+                            try {
+                                task.run();
+                            } catch (IOException e) {
+                                // The test is over, or has broken the connection itself.
+                            }
+                        });
         t.setDaemon(true);
         t.start();
     }
--- a/daemon/src/test/java/postgrade/daemon/ReloadTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ReloadTest.java
@@ -45,29 +45,53 @@
         turnedDown(c, "\"discovery\"", "\"discover\"", "discovery: missing");
         turnedDown(c, "\"limits\":{\"sockets\":1024},", "", "limits: missing");
         turnedDown(c, "\"maxAttempts\":4,", "", "settings.limits.maxAttempts: missing");
-        turnedDown(c, "\"onTimeNs\":20000000000,\"deadlineNs\":20000000000},{", "\"onTimeNs\":200000000},{",
+        turnedDown(
+                c,
+                "\"onTimeNs\":20000000000,\"deadlineNs\":20000000000},{",
+                "\"onTimeNs\":200000000},{",
                 "settings.classes.0.deadlineNs: missing");
         turnedDown(c, "\"idempotency\":\"non_idempotent\",", "", "settings: classes.1.idempotency");
-        turnedDown(c, "\"name\":\"confirm\"", "\"name\":\"price\"", "settings.classes.1.name: two classes");
+        turnedDown(
+                c,
+                "\"name\":\"confirm\"",
+                "\"name\":\"price\"",
+                "settings.classes.1.name: two classes");
         for (String bad : new String[] {"0", "-1", "1.5", "\"4\"", "null", "true", "[]", "1e300"}) {
-            turnedDown(c, "\"maxAttempts\":4", "\"maxAttempts\":" + bad, "settings.limits.maxAttempts: ");
+            turnedDown(
+                    c,
+                    "\"maxAttempts\":4",
+                    "\"maxAttempts\":" + bad,
+                    "settings.limits.maxAttempts: ");
             turnedDown(c, "20000000000},{", bad + "},{", "settings.classes.0.deadlineNs: ");
         }
-        turnedDown(c, "\"maxAttempts\":4", "\"maxAttempts\":NaN", "ROUTER_CONFIG: not a JSON object");
-        turnedDown(c, text.substring(text.indexOf("\"classes\":["), text.indexOf("],\"limits\"")), "\"classes\":[",
+        turnedDown(
+                c, "\"maxAttempts\":4", "\"maxAttempts\":NaN", "ROUTER_CONFIG: not a JSON object");
+        turnedDown(
+                c,
+                text.substring(text.indexOf("\"classes\":["), text.indexOf("],\"limits\"")),
+                "\"classes\":[",
                 "settings: classes");
-        Files.writeString(file, text.replace("\"price\"", "\"quote\"").replace(":20000000000}", ":2e9}"));
-        assertEquals(Map.of("quote", 2_000_000L, "confirm", 2_000_000L), c.readAgain().deadlineMicros);
+        Files.writeString(
+                file, text.replace("\"price\"", "\"quote\"").replace(":20000000000}", ":2e9}"));
+        assertEquals(
+                Map.of("quote", 2_000_000L, "confirm", 2_000_000L), c.readAgain().deadlineMicros);
     }
 
-    /** What is faulty changes nothing, discovery's address included; what is right is in force at once. */
+    /**
+     * What is faulty changes nothing, discovery's address included; what is right is in force at
+     * once.
+     */
     @Test
     public void newClassesAreServedVanishedOnesNoLongerAndJobsUnderWayGoOn() throws Exception {
         Map<String, String> environment = configuration(server("w1", one.address(), "ready"));
         file = Path.of(environment.get("ROUTER_CONFIG"));
         text = Files.readString(file);
-        daemon = new Daemon(Config.read(environment), null, out -> script = new Script(out),
-                new Patience(20_000_000, 20_000_000, 0));
+        daemon =
+                new Daemon(
+                        Config.read(environment),
+                        null,
+                        out -> script = new Script(out),
+                        new Patience(20_000_000, 20_000_000, 0));
         daemon.start();
         script.heard.take();
         script.onJob = job -> script.out.send(job.id(), "w1", 0);
@@ -75,7 +99,9 @@
         script.hears("job r1");
         one.next("POST").accept();
         discovery.next("GET /api/targets?watch=1&from=41 ");
-        Files.writeString(file, text.replace(discovery.address(), two.address()).replace("\"maxAttempts\":4,", ""));
+        Files.writeString(
+                file,
+                text.replace(discovery.address(), two.address()).replace("\"maxAttempts\":4,", ""));
         daemon.reload();
         assertEquals("and by this answer it has been read", 200, ready());
         Files.writeString(file, text.replace("\"price\"", "\"quote\""));
@@ -92,29 +118,45 @@
         assertEquals(200, Peer.read(fresh).status());
     }
 
-    /** What a worker that drains has goes on and it gets no more; what waits for a connection keeps its class and its time. */
+    /**
+     * What a worker that drains has goes on and it gets no more; what waits for a connection keeps
+     * its class and its time.
+     */
     @Test
     public void aReloadWhileAWorkerDrainsAndAnAttemptWaitsChangesNeither() throws Exception {
         try (ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             deaf.setSoTimeout(Peer.PATIENCE_S * 1000);
             for (int i = 0; i < 2; i++) {
-                sockets.add(new Socket(deaf.getInetAddress(), deaf.getLocalPort())); // A full backlog.
+                sockets.add(
+                        new Socket(deaf.getInetAddress(), deaf.getLocalPort())); // A full backlog.
             }
-            Map<String, String> environment = configuration(server("w1", one.address(), "ready"),
-                    server("late", "127.0.0.1:" + deaf.getLocalPort(), "ready"));
+            Map<String, String> environment =
+                    configuration(
+                            server("w1", one.address(), "ready"),
+                            server("late", "127.0.0.1:" + deaf.getLocalPort(), "ready"));
             file = Path.of(environment.get("ROUTER_CONFIG"));
-            daemon = new Daemon(Config.read(environment), null, out -> script = new Script(out),
-                    new Patience(20_000_000, 20_000_000, 0));
+            daemon =
+                    new Daemon(
+                            Config.read(environment),
+                            null,
+                            out -> script = new Script(out),
+                            new Patience(20_000_000, 20_000_000, 0));
             daemon.start();
-            script.onJob = job -> script.out.send(job.id(), job.id().startsWith("late") ? "late" : "w1", 0);
+            script.onJob =
+                    job ->
+                            script.out.send(
+                                    job.id(), job.id().startsWith("late") ? "late" : "w1", 0);
             Socket held = post("held", "price", "15000m");
             one.next("POST").accept();
             Socket waits = post("late1", "price", "15000m");
             script.hearsAmongOthers("job late1");
             watched(json(42, false, server("w1", one.address(), "draining")));
             script.hears("list CHANGES [w1 DRAINING]");
-            Files.writeString(file, Files.readString(file).replace("\"price\"", "\"quote\"")
-                    .replace("\"connIdleNs\":" + idleNs, "\"connIdleNs\":1000000000"));
+            Files.writeString(
+                    file,
+                    Files.readString(file)
+                            .replace("\"price\"", "\"quote\"")
+                            .replace("\"connIdleNs\":" + idleNs, "\"connIdleNs\":1000000000"));
             daemon.reload();
             script.hears("settings [quote, confirm]");
             script.onFinished = (id, outcome) -> script.out.refuse(id, 0);
@@ -123,7 +165,8 @@
             script.hears("finished next 0 NOT_SENT false");
             assertEquals("its worker drains", 429, Peer.read(next).status());
             for (int i = 0; i < 3; i++) {
-                sockets.add(deaf.accept()); // The third is ours: it comes up with the system's next try.
+                sockets.add(deaf.accept()); // The third is ours: it comes up with the system's next
+                // try.
             }
             Peer.Arrived job = Peer.read(sockets.get(sockets.size() - 1));
             assertEquals("late1", job.header("X-Request-Id"));
--- a/daemon/src/test/java/postgrade/daemon/RestingTest.java
+++ b/daemon/src/test/java/postgrade/daemon/RestingTest.java
@@ -9,12 +9,16 @@
 import postgrade.daemon.Peer.Arrived;
 import postgrade.gateway.Invocation;
 
-/** A connection that has just been answered, and a second answer on it that comes some milliseconds late. */
+/**
+ * A connection that has just been answered, and a second answer on it that comes some milliseconds
+ * late.
+ */
 public class RestingTest extends AttemptStage {
 
-    private static final String NOT_RUN = "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
+    private static final String NOT_RUN =
+            "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
 
-    public RestingTest() throws IOException { }
+    public RestingTest() throws IOException {}
 
     private void waits(Socket resting, int connections, long micros) {
         pass(micros);
@@ -22,7 +26,9 @@
         assertEquals("nor another one opened", connections, hand.open());
     }
 
-    /** It was taken for the next job's, which ran on while the module was told that it never ran. */
+    /**
+     * It was taken for the next job's, which ran on while the module was told that it never ran.
+     */
     @Test
     public void aSecondAnswerIsNotTakenForTheNextJobs() throws Exception {
         Socket resting = taken("a1");
@@ -71,7 +77,7 @@
         open("d3");
         turn();
         Socket other = accept(one);
-        hand.heard(() -> { });
+        hand.heard(() -> {});
         turn();
         assertEquals("d2", request(other).header("X-Request-Id"));
         waits(resting, 2, 20 * MILLI - 1);
--- a/daemon/src/test/java/postgrade/daemon/Script.java
+++ b/daemon/src/test/java/postgrade/daemon/Script.java
@@ -12,16 +12,19 @@
 import postgrade.Ability;
 import postgrade.Dispatcher;
 
-/** A decision module that writes down what it hears and does what the test says. Runs on the loop's thread. */
+/**
+ * A decision module that writes down what it hears and does what the test says. Runs on the loop's
+ * thread.
+ */
 final class Script implements Dispatcher {
     final Actions out;
     Ability ability;
     volatile double lastShare = 1;
     volatile List<Learnt> learnt = List.of();
     final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
-    volatile Consumer<Job> onJob = job -> { };
-    volatile BiConsumer<String, Integer> onStarted = (id, attempt) -> { };
-    volatile BiConsumer<String, Outcome> onFinished = (id, outcome) -> { };
+    volatile Consumer<Job> onJob = job -> {};
+    volatile BiConsumer<String, Integer> onStarted = (id, attempt) -> {};
+    volatile BiConsumer<String, Outcome> onFinished = (id, outcome) -> {};
 
     Script(Actions out) {
         this.out = out;
@@ -31,7 +34,9 @@
         assertEquals(expected, heard.poll(Peer.PATIENCE_S, TimeUnit.SECONDS));
     }
 
-    /** Passes over what else is heard, where that depends on how late the loop comes to a deadline. */
+    /**
+     * Passes over what else is heard, where that depends on how late the loop comes to a deadline.
+     */
     void hearsAmongOthers(String expected) throws InterruptedException {
         String next;
         do {
@@ -42,7 +47,11 @@
 
     @Override
     public void list(long nowNs, ListForm form, List<Worker> workers) {
-        heard.add("list " + form + " " + workers.stream().map(w -> w.id() + " " + w.phase()).toList());
+        heard.add(
+                "list "
+                        + form
+                        + " "
+                        + workers.stream().map(w -> w.id() + " " + w.phase()).toList());
     }
 
     @Override
@@ -58,8 +67,17 @@
     @Override
     public void learn(long nowNs, List<Learnt> all) {
         if (!all.isEmpty()) {
-            heard.add("learn " + all.stream().map(l -> l.of() + " " + l.name() + " " + Arrays.toString(l.figures()))
-                    .toList());
+            heard.add(
+                    "learn "
+                            + all.stream()
+                                    .map(
+                                            l ->
+                                                    l.of()
+                                                            + " "
+                                                            + l.name()
+                                                            + " "
+                                                            + Arrays.toString(l.figures()))
+                                    .toList());
         }
     }
 
@@ -94,10 +112,11 @@
     }
 
     @Override
-    public void streaming(long nowNs, String jobId, int attempt) { }
+    public void streaming(long nowNs, String jobId, int attempt) {}
 
     @Override
-    public void finished(long nowNs, String jobId, int attempt, Outcome outcome, boolean last, Load load) {
+    public void finished(
+            long nowNs, String jobId, int attempt, Outcome outcome, boolean last, Load load) {
         heard.add("finished " + jobId + " " + attempt + " " + outcome + " " + last);
         onFinished.accept(jobId, outcome);
     }
--- a/daemon/src/test/java/postgrade/daemon/ShutdownCrossingTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ShutdownCrossingTest.java
@@ -15,14 +15,15 @@
     public void aRequestOnARestingConnectionInTheMomentItIsClosedIsServed() throws Exception {
         Socket kept = resting("k1");
         Socket other = resting("k2");
-        stop(() -> { }, () -> Turns.post(kept, "k3"));
+        stop(() -> {}, () -> Turns.post(kept, "k3"));
         turns.script.hears("job k3");
         rejectedAndEnded(kept);
         assertEquals("ended, not reset", -1, other.getInputStream().read());
     }
 
     @Test
-    public void whatIsAcceptedUnreadOrInTheBacklogWhenTheProcessWouldEndIsServed() throws Exception {
+    public void whatIsAcceptedUnreadOrInTheBacklogWhenTheProcessWouldEndIsServed()
+            throws Exception {
         Socket[] late = new Socket[2];
         stop(() -> late[0] = turns.post("b1"), () -> late[1] = turns.post("b2"));
         rejectedAndEnded(late[0]);
@@ -32,8 +33,12 @@
     @Test
     public void aConnectionThatHasJustComeIsGivenAMomentForItsRequest() throws Exception {
         Socket[] late = new Socket[1];
-        stop(() -> late[0] = turns.connect(),
-                () -> turns.loop.at(turns.loop.nowMicros(), () -> Turns.post(late[0], "m1"))); // Behind all that is due.
+        stop(
+                () -> late[0] = turns.connect(),
+                () ->
+                        turns.loop.at(
+                                turns.loop.nowMicros(),
+                                () -> Turns.post(late[0], "m1"))); // Behind all that is due.
         rejectedAndEnded(late[0]);
     }
 
@@ -41,7 +46,12 @@
     public void theProcessEndsOnceItsPeersHaveEndedTheirConnections() throws Exception {
         Socket kept = resting("e1");
         CountDownLatch later = new CountDownLatch(1);
-        stop(() -> { }, () -> turns.loop.at(turns.loop.nowMicros() + 25_000, later::countDown)); // Behind the next check.
+        stop(
+                () -> {},
+                () ->
+                        turns.loop.at(
+                                turns.loop.nowMicros() + 25_000,
+                                later::countDown)); // Behind the next check.
         assertEquals("told to leave", -1, kept.getInputStream().read());
         assertTrue("it may not have read all", later.await(Peer.PATIENCE_S, TimeUnit.SECONDS));
         kept.close();
@@ -51,10 +61,12 @@
     @Test
     public void aPeerThatNeverEndsItsConnectionIsNotWaitedForBeyondSigkill() throws Exception {
         Socket kept = resting("n1");
-        stop(() -> { }, () -> { });
+        stop(() -> {}, () -> {});
         CountDownLatch later = new CountDownLatch(1);
         // It is waited for until 0.6 s and one more have passed; SIGKILL may come at 1.5 s.
-        turns.crossing(KILL_MILLIS - UNTIL_LEAVING_MILLIS, () -> { },
+        turns.crossing(
+                KILL_MILLIS - UNTIL_LEAVING_MILLIS,
+                () -> {},
                 () -> turns.loop.at(turns.loop.nowMicros() + 1, later::countDown));
         turns.ends();
         assertEquals("ended in that turn", 1, later.getCount());
@@ -64,7 +76,7 @@
     @Test
     public void aRequestThatComesBehindOurEndIsNeverSentOn() throws Exception {
         Socket kept = resting("s1");
-        stop(() -> { }, () -> { });
+        stop(() -> {}, () -> {});
         assertEquals(-1, kept.getInputStream().read());
         Turns.post(kept, "s2");
         kept.close();
@@ -76,7 +88,9 @@
     public void aRequestBehindTheOneThatEndsItsConnectionIsNeverSentOn() throws Exception {
         Socket kept = resting("p1");
         String job = "POST /api HTTP/1.1\r\nX-Class: price\r\nContent-Length: 0\r\nX-Request-Id: ";
-        stop(() -> { }, () -> Peer.write(kept, job + "p2\r\n\r\n" + job + "p3\r\n\r\n")); // In one packet.
+        stop(
+                () -> {},
+                () -> Peer.write(kept, job + "p2\r\n\r\n" + job + "p3\r\n\r\n")); // In one packet.
         turns.script.hears("job p2");
         rejectedAndEnded(kept);
         kept.close();
@@ -87,8 +101,12 @@
     @Test
     public void aRequestThatWouldBeWholeTooLateIsRejectedAndItsRestIsPassedOver() throws Exception {
         Socket half = turns.connect();
-        stop(() -> Peer.write(half, "POST /api HTTP/1.1\r\nX-Request-Id: h1\r\nX-Class: price\r\nContent-Length: 3\r\n\r\n"),
-                () -> { });
+        stop(
+                () ->
+                        Peer.write(
+                                half,
+                                "POST /api HTTP/1.1\r\nX-Request-Id: h1\r\nX-Class: price\r\nContent-Length: 3\r\n\r\n"),
+                () -> {});
         rejectedAndEnded(half);
         Peer.write(half, "job");
         half.close();
@@ -100,7 +118,7 @@
     public void whoSaysNothingIsEndedWithoutLosingWhatComesInThatMoment() throws Exception {
         Socket silent = turns.connect();
         turns.turn();
-        turns.crossing(2_100, () -> { }, () -> Turns.post(silent, "w1")); // It is given 2 s.
+        turns.crossing(2_100, () -> {}, () -> Turns.post(silent, "w1")); // It is given 2 s.
         turns.script.hears("job w1");
         assertEquals(429, Peer.read(silent).status());
     }
@@ -114,9 +132,10 @@
             turns.script.hears("job j" + i);
             assertEquals(429, Peer.read(idle[i]).status());
         }
-        turns.crossing(SWEEPS_MILLIS, () -> { }, () -> { });
+        turns.crossing(SWEEPS_MILLIS, () -> {}, () -> {});
         Socket[] fresh = new Socket[1];
-        turns.crossing(SWEEPS_MILLIS, () -> fresh[0] = turns.post("f1"), () -> Turns.post(idle[0], "f2"));
+        turns.crossing(
+                SWEEPS_MILLIS, () -> fresh[0] = turns.post("f1"), () -> Turns.post(idle[0], "f2"));
         assertEquals("the one that was idle longest", 429, Peer.read(idle[0]).status());
         assertEquals(429, Peer.read(fresh[0]).status());
         assertEquals("another has gone", -1, idle[1].getInputStream().read());
--- a/daemon/src/test/java/postgrade/daemon/ShutdownStage.java
+++ b/daemon/src/test/java/postgrade/daemon/ShutdownStage.java
@@ -11,13 +11,21 @@
 import org.junit.Before;
 import postgrade.daemon.Peer.Arrived;
 
-/** The stage of what SIGTERM crosses: the loop with all that serves clients and ends, and a hook into its turns. */
+/**
+ * The stage of what SIGTERM crosses: the loop with all that serves clients and ends, and a hook
+ * into its turns.
+ */
 public abstract class ShutdownStage extends Stage {
 
-    /** SIGKILL comes 1.5 s after SIGTERM at the earliest, resting connections are closed from 0.5 s on. */
+    /**
+     * SIGKILL comes 1.5 s after SIGTERM at the earliest, resting connections are closed from 0.5 s
+     * on.
+     */
     static final long DEADLINE_NS = 800_000_000L;
+
     static final long UNTIL_LEAVING_MILLIS = 600;
     static final long KILL_MILLIS = 1_500;
+
     /** Longer than two sweeps and checks. */
     static final long SWEEPS_MILLIS = 120;
 
--- a/daemon/src/test/java/postgrade/daemon/ShutdownStagesTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ShutdownStagesTest.java
@@ -9,7 +9,10 @@
 import org.junit.Test;
 import postgrade.daemon.Peer.Arrived;
 
-/** SIGTERM meets a job at a stage of its life, and it goes on once resting connections are ended: it gets its one answer. */
+/**
+ * SIGTERM meets a job at a stage of its life, and it goes on once resting connections are ended: it
+ * gets its one answer.
+ */
 public class ShutdownStagesTest extends ShutdownStage {
 
     private Socket sentOn(String id) throws Exception {
@@ -36,10 +39,10 @@
     @Test
     public void aJobThatIsQueuedWithoutAnAttemptIsSentAndAnswered() throws Exception {
         turns.provider("w1", one);
-        turns.script.onJob = job -> { };
+        turns.script.onJob = job -> {};
         Socket client = turns.post("q1");
         turns.script.hears("job q1");
-        stop(() -> { }, () -> { });
+        stop(() -> {}, () -> {});
         turns.on(() -> turns.script.out.send("q1", "w1", 0));
         one.next("POST").accept();
         answeredOnce(client, "q1");
@@ -50,15 +53,17 @@
         try (ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             deaf.setSoTimeout(Peer.PATIENCE_S * 1000);
             for (int i = 0; i < 2; i++) {
-                sockets.add(new Socket(deaf.getInetAddress(), deaf.getLocalPort())); // A full backlog.
+                sockets.add(
+                        new Socket(deaf.getInetAddress(), deaf.getLocalPort())); // A full backlog.
             }
             turns.provider("w1", deaf.getInetAddress().getHostAddress(), deaf.getLocalPort());
             turns.script.onJob = job -> turns.script.out.send(job.id(), "w1", 0);
             Socket client = turns.post("c1");
             turns.script.hears("job c1");
-            stop(() -> { }, () -> { });
+            stop(() -> {}, () -> {});
             for (int i = 0; i < 3; i++) {
-                sockets.add(deaf.accept()); // The third is ours: it comes up with the system's next try.
+                sockets.add(deaf.accept()); // The third is ours: it comes up with the system's next
+                // try.
             }
             Arrived job = Peer.read(sockets.get(sockets.size() - 1));
             assertEquals("c1", job.header("X-Request-Id"));
@@ -71,7 +76,7 @@
     public void aJobThatHasBeenSentAndNotTakenYetIsAnswered() throws Exception {
         Socket client = sentOn("n1");
         Arrived job = one.next("POST");
-        stop(() -> { }, () -> { });
+        stop(() -> {}, () -> {});
         job.accept();
         answeredOnce(client, "n1");
     }
@@ -82,23 +87,28 @@
         one.next("POST").accept();
         assertEquals(204, callBack("s1", "w1", "started"));
         turns.script.hears("started s1 0");
-        stop(() -> { }, () -> { });
+        stop(() -> {}, () -> {});
         answeredOnce(client, "s1");
     }
 
     @Test
     public void aRequestInPartIsNotTakenForARestingConnection() throws Exception {
         Socket half = turns.connect();
-        Peer.write(half, "POST /api HTTP/1.1\r\nX-Request-Id: f1\r\nX-Class: price\r\nContent-Length: 3\r\n\r\n");
+        Peer.write(
+                half,
+                "POST /api HTTP/1.1\r\nX-Request-Id: f1\r\nX-Class: price\r\nContent-Length: 3\r\n\r\n");
         turns.turn();
-        stop(() -> { }, () -> { });
+        stop(() -> {}, () -> {});
         Peer.write(half, "job");
         rejectedAndEnded(half);
         half.close();
         turns.ends();
     }
 
-    /** Answers fill what the system holds for a client that does not read: the last ones are still with us. */
+    /**
+     * Answers fill what the system holds for a client that does not read: the last ones are still
+     * with us.
+     */
     @Test
     public void whatAClientReadsLateIsWrittenToTheLastByte() throws Exception {
         turns.provider("w1", one);
@@ -107,20 +117,30 @@
         Socket late = new Socket();
         late.setReceiveBufferSize(4096);
         late.setSoTimeout(Peer.PATIENCE_S * 1000);
-        late.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), turns.listener.port()));
+        late.connect(
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), turns.listener.port()));
         sockets.add(late);
         boolean[] allSent = {true};
         int answers = 0;
         for (; allSent[0]; answers++) {
             Turns.post(late, "l" + answers);
             one.next("POST").accept();
-            assertEquals(204, callBack("{\"id\":\"l" + answers + "\",\"from\":\"w1\",\"state\":\"done\",\"result\":\""
-                    + result + "\"}"));
+            assertEquals(
+                    204,
+                    callBack(
+                            "{\"id\":\"l"
+                                    + answers
+                                    + "\",\"from\":\"w1\",\"state\":\"done\",\"result\":\""
+                                    + result
+                                    + "\"}"));
             turns.on(() -> allSent[0] = turns.listener.quiet());
         }
         turns.on(turns.ending::begin);
-        turns.crossing(KILL_MILLIS, () -> { }, () -> { });
-        turns.crossing(SWEEPS_MILLIS, () -> { }, () -> { }); // Its peers are waited for no longer, but for what they are owed.
+        turns.crossing(KILL_MILLIS, () -> {}, () -> {});
+        turns.crossing(
+                SWEEPS_MILLIS,
+                () -> {},
+                () -> {}); // Its peers are waited for no longer, but for what they are owed.
         for (int i = 0; i < answers; i++) {
             Arrived answer = Peer.read(late);
             assertEquals(200, answer.status());
--- a/daemon/src/test/java/postgrade/daemon/SignalTest.java
+++ b/daemon/src/test/java/postgrade/daemon/SignalTest.java
@@ -25,7 +25,8 @@
     }
 
     private void send(String signal) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-" + signal, "" + program.pid()).start().waitFor());
+        assertEquals(
+                0, new ProcessBuilder("kill", "-" + signal, "" + program.pid()).start().waitFor());
     }
 
     private String log() throws IOException, InterruptedException {
@@ -65,7 +66,8 @@
             line = errors.readLine();
         }
         assertTrue("it has outlived the signal", line != null);
-        Files.writeString(file, text.replace(discovery.address(), two.address())); // The reload reads again.
+        Files.writeString(
+                file, text.replace(discovery.address(), two.address())); // The reload reads again.
         two.next("GET /api/targets ");
         send("KILL");
         program.waitFor();
--- a/daemon/src/test/java/postgrade/daemon/Stage.java
+++ b/daemon/src/test/java/postgrade/daemon/Stage.java
@@ -21,20 +21,24 @@
 import postgrade.daemon.Peer.Arrived;
 import postgrade.discovery.Patience;
 
-/** The stage of the stories: a daemon on loopback between scripted consumers, providers and discovery. */
+/**
+ * The stage of the stories: a daemon on loopback between scripted consumers, providers and
+ * discovery.
+ */
 public abstract class Stage {
 
     /** Nothing is silent at its opening, however slow the machine; but soon after a line. */
     static final Patience PATIENCE = new Patience(20_000_000, 500_000, 0);
-    static final String SETTINGS = "'balancers':1,'classes':["
-            + "{'name':'price','idempotency':'read_like','onTimeNs':20000000000,'deadlineNs':20000000000},"
-            + "{'name':'confirm','idempotency':'non_idempotent','onTimeNs':200000000,'deadlineNs':20000000000}],"
-            + "'limits':{'cancel':true,'maxAttempts':4,'mayDuplicate':false,'mostHeld':HELD,"
-            + "'connIdleNs':IDLE,'connectTimeoutNs':15000000000,'retryAfter':false,'maxRetryAfterNs':2000000000},"
-            + "'specifics':{'tellsStart':true}";
-
-    @Rule
-    public final TemporaryFolder folder = new TemporaryFolder();
+
+    static final String SETTINGS =
+            "'balancers':1,'classes':["
+                    + "{'name':'price','idempotency':'read_like','onTimeNs':20000000000,'deadlineNs':20000000000},"
+                    + "{'name':'confirm','idempotency':'non_idempotent','onTimeNs':200000000,'deadlineNs':20000000000}],"
+                    + "'limits':{'cancel':true,'maxAttempts':4,'mayDuplicate':false,'mostHeld':HELD,"
+                    + "'connIdleNs':IDLE,'connectTimeoutNs':15000000000,'retryAfter':false,'maxRetryAfterNs':2000000000},"
+                    + "'specifics':{'tellsStart':true}";
+
+    @Rule public final TemporaryFolder folder = new TemporaryFolder();
     Peer discovery;
     Peer one;
     Peer two;
@@ -46,8 +50,10 @@
     int descriptors = 1024;
     boolean operators;
     String listen = "127.0.0.1:0";
+
     /** What stands beside the daemon, if anything is to. */
     Companion.Plan plan;
+
     /** The folder that the processes of one dispatcher share, if there is to be one. */
     Path shared;
 
@@ -59,8 +65,8 @@
     }
 
     /**
-     * A port for processes of one dispatcher that listen one after another, held by a socket that is bound and never listens:
-     * nobody else is given it while none of them does.
+     * A port for processes of one dispatcher that listen one after another, held by a socket that
+     * is bound and never listens: nobody else is given it while none of them does.
      */
     String held(String host) throws IOException {
         Socket holder = new Socket();
@@ -74,11 +80,12 @@
     @After
     public void end() throws IOException {
         if (script != null) {
-            // Guards the tests that follow: a script that sends again whatever fails would do so for ever, and fill the heap,
+            // Guards the tests that follow: a script that sends again whatever fails would do so
+            // for ever, and fill the heap,
             // once the consumer and the providers are gone.
-            script.onJob = job -> { };
-            script.onStarted = (id, attempt) -> { };
-            script.onFinished = (id, outcome) -> { };
+            script.onJob = job -> {};
+            script.onStarted = (id, attempt) -> {};
+            script.onFinished = (id, outcome) -> {};
         }
         for (Socket s : sockets) {
             s.close();
@@ -91,22 +98,46 @@
     // ---- Setting the stage.
 
     static String server(String id, String address, String state) {
-        return "{'id':'" + id + "','addr':'" + address + "','zone':'a','kind':'m','cell':0,'state':'" + state
+        return "{'id':'"
+                + id
+                + "','addr':'"
+                + address
+                + "','zone':'a','kind':'m','cell':0,'state':'"
+                + state
                 + "','weight':1.0,'started_ms':0}";
     }
 
     static String json(long version, boolean full, String... servers) {
-        return ("{'version':" + version + ",'full':" + full + ",'servers':[" + String.join(",", servers) + "]}")
+        return ("{'version':"
+                        + version
+                        + ",'full':"
+                        + full
+                        + ",'servers':["
+                        + String.join(",", servers)
+                        + "]}")
                 .replace('\'', '"');
     }
 
     Map<String, String> configuration(String... servers) throws IOException {
         Path file = folder.newFile().toPath();
-        Files.writeString(file, ("{'name':'n1','listen':'" + listen + "','discovery':'" + discovery.address()
-                + (operators ? "','operator':'127.0.0.1:0" : "") + "','seed':'8c1f30d27a5be964','limits':{'sockets':" + descriptors + "},'settings':{"
-                + SETTINGS.replace("HELD", "" + held).replace("IDLE", "" + idleNs) + "},'known':").replace('\'', '"')
-                + json(41, true, servers) + "}");
-        return shared == null ? Map.of("ROUTER_CONFIG", file.toString())
+        Files.writeString(
+                file,
+                ("{'name':'n1','listen':'"
+                                        + listen
+                                        + "','discovery':'"
+                                        + discovery.address()
+                                        + (operators ? "','operator':'127.0.0.1:0" : "")
+                                        + "','seed':'8c1f30d27a5be964','limits':{'sockets':"
+                                        + descriptors
+                                        + "},'settings':{"
+                                        + SETTINGS.replace("HELD", "" + held)
+                                                .replace("IDLE", "" + idleNs)
+                                        + "},'known':")
+                                .replace('\'', '"')
+                        + json(41, true, servers)
+                        + "}");
+        return shared == null
+                ? Map.of("ROUTER_CONFIG", file.toString())
                 : Map.of("ROUTER_CONFIG", file.toString(), "TMPDIR", shared.toString());
     }
 
@@ -117,8 +148,12 @@
 
     /** With a module that does what the test says. */
     void serveScripted(String... servers) throws Exception {
-        daemon = new Daemon(Config.read(configuration(servers)), plan, out -> script = new Script(out),
-                PATIENCE);
+        daemon =
+                new Daemon(
+                        Config.read(configuration(servers)),
+                        plan,
+                        out -> script = new Script(out),
+                        PATIENCE);
         daemon.start();
         script.heard.take(); // The stored list.
     }
@@ -137,8 +172,15 @@
     }
 
     static void post(Socket s, String id, String jobClass, String deadline) {
-        Peer.write(s, "POST /api?a=b HTTP/1.1\r\nHost: backend.local\r\nX-Request-Id: " + id + "\r\nX-Class: "
-                + jobClass + "\r\nX-Deadline: " + deadline + "\r\nContent-Length: 3\r\n\r\njob");
+        Peer.write(
+                s,
+                "POST /api?a=b HTTP/1.1\r\nHost: backend.local\r\nX-Request-Id: "
+                        + id
+                        + "\r\nX-Class: "
+                        + jobClass
+                        + "\r\nX-Deadline: "
+                        + deadline
+                        + "\r\nContent-Length: 3\r\n\r\njob");
     }
 
     Arrived exchange(String text) throws IOException {
@@ -152,13 +194,22 @@
     }
 
     int callBack(String body) throws IOException {
-        String head = "POST /v1/job-events HTTP/1.1\r\nContent-Length: " + body.length() + "\r\n\r\n";
+        String head =
+                "POST /v1/job-events HTTP/1.1\r\nContent-Length: " + body.length() + "\r\n\r\n";
         return exchange(head + body).status();
     }
 
     int callBack(String id, String from, String state) throws IOException {
-        return callBack("{\"id\":\"" + id + "\",\"from\":\"" + from + "\",\"state\":\"" + state
-                + "\",\"result\":\"made by " + from + "\"}");
+        return callBack(
+                "{\"id\":\""
+                        + id
+                        + "\",\"from\":\""
+                        + from
+                        + "\",\"state\":\""
+                        + state
+                        + "\",\"result\":\"made by "
+                        + from
+                        + "\"}");
     }
 
     void watched(String line) throws InterruptedException {
@@ -192,14 +243,22 @@
     }
 
     static void chunk(Arrived watch, String line) {
-        Peer.write(watch.socket(), Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
+        Peer.write(
+                watch.socket(), Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
     }
 
-    /** @param by a command that starts it, if it is not to be started plainly */
+    /**
+     * @param by a command that starts it, if it is not to be started plainly
+     */
     static Process program(Map<String, String> environment, String... by) throws IOException {
         List<String> command = new ArrayList<>(List.of(by));
-        command.addAll(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-cp", System.getProperty("java.class.path"), "postgrade.daemon.Main", "serve"));
+        command.addAll(
+                List.of(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "postgrade.daemon.Main",
+                        "serve"));
         ProcessBuilder b = new ProcessBuilder(command);
         b.environment().putAll(environment);
         return b.start();
--- a/daemon/src/test/java/postgrade/daemon/StartTest.java
+++ b/daemon/src/test/java/postgrade/daemon/StartTest.java
@@ -8,12 +8,19 @@
 import postgrade.daemon.Peer.Arrived;
 import postgrade.discovery.Patience;
 
-/** What the agent has counts as told from the first moment of a new process; the list known from before may be old. */
+/**
+ * What the agent has counts as told from the first moment of a new process; the list known from
+ * before may be old.
+ */
 public class StartTest extends Stage {
 
     private void serve(long startMicros) throws Exception {
-        daemon = new Daemon(Config.read(configuration(server("w1", one.address(), "ready"))),
-                null, out -> script = new Script(out), new Patience(20_000_000, 20_000_000, startMicros));
+        daemon =
+                new Daemon(
+                        Config.read(configuration(server("w1", one.address(), "ready"))),
+                        null,
+                        out -> script = new Script(out),
+                        new Patience(20_000_000, 20_000_000, startMicros));
         daemon.start();
         script.hears("list STORED [w1 READY]");
         script.onJob = job -> script.out.send(job.id(), "w1", 0);
@@ -31,7 +38,9 @@
         script.hears("list CHANGES [w1 DRAINING]");
         script.hears("job b1");
         script.hears("finished b1 0 NOT_SENT false");
-        assertTrue("nothing has gone to a worker that was drained before the start", one.nothingArrived());
+        assertTrue(
+                "nothing has gone to a worker that was drained before the start",
+                one.nothingArrived());
         assertEquals("and by now it has no worker", 503, ready());
         assertEquals(429, Peer.read(consumer).status());
     }
