--- a/daemon/src/test/java/postgrade/daemon/StoriesTest.java
+++ b/daemon/src/test/java/postgrade/daemon/StoriesTest.java
@@ -19,12 +19,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import org.junit.After;
 import org.junit.Test;
 import postgrade.daemon.Peer.Arrived;
 import postgrade.discovery.Patience;
 
-/** Stories over loopback: the whole daemon against scripted peers, one for each thing that goes wrong. */
+/**
+ * Stories over loopback: the whole daemon against scripted peers, one for each thing that goes
+ * wrong.
+ */
 public class StoriesTest extends Stage {
 
     // ---- The life of a job.
@@ -53,19 +55,28 @@
         assertEquals(200, Peer.read(consumer).status());
     }
 
-    /** Without the consumer's key a provider cannot know a repeat, ours or the consumer's own by another way. */
+    /**
+     * Without the consumer's key a provider cannot know a repeat, ours or the consumer's own by
+     * another way.
+     */
     @Test
     public void theConsumersIdempotencyKeyGoesWithEachAttempt() throws Exception {
         serve(server("w1", one.address(), "ready"), server("w2", one.address(), "ready"));
-        String head = "POST /api HTTP/1.1\r\nX-Request-Id: i1\r\nX-Class: price\r\nContent-Length: 0\r\n";
+        String head =
+                "POST /api HTTP/1.1\r\nX-Request-Id: i1\r\nX-Class: price\r\nContent-Length: 0\r\n";
         Socket consumer = connect();
         Peer.write(consumer, head + "Idempotency-Key: \"8e03 978e\"\r\n\r\n");
         Arrived first = one.next("POST");
         assertEquals("\"8e03 978e\"", first.header("Idempotency-Key"));
         first.reply("503 Full\r\nX-Not-Run: 1", "");
         assertEquals("\"8e03 978e\"", one.next("POST").header("Idempotency-Key"));
-        assertEquals("two readings", 400, exchange(head.replace("i1", "i2")
-                + "Idempotency-Key: a\r\nIdempotency-Key: b\r\n\r\n").status());
+        assertEquals(
+                "two readings",
+                400,
+                exchange(
+                                head.replace("i1", "i2")
+                                        + "Idempotency-Key: a\r\nIdempotency-Key: b\r\n\r\n")
+                        .status());
         post("i3", "price", "15000m");
         assertNull("where there is none", one.next("POST").header("Idempotency-Key"));
     }
@@ -106,9 +117,14 @@
         serveScripted(server("w1", one.address(), "ready"));
         script.onJob = job -> script.out.send(job.id(), "w1", 0);
         script.onFinished = (id, outcome) -> script.out.refuse(id, 1_500_000_000L);
-        String[][] stories = {{"500 Error", "ERROR"}, {"503 Full\r\nX-Not-Run: 1", "FULL"}, {"503 No", "ERROR"},
-            {"202 Accepted", "failed", "ERROR"}, {"202 Accepted", "returned", "FULL"},
-            {"202 Accepted", "lost", "RESET"}};
+        String[][] stories = {
+            {"500 Error", "ERROR"},
+            {"503 Full\r\nX-Not-Run: 1", "FULL"},
+            {"503 No", "ERROR"},
+            {"202 Accepted", "failed", "ERROR"},
+            {"202 Accepted", "returned", "FULL"},
+            {"202 Accepted", "lost", "RESET"}
+        };
         for (int i = 0; i < stories.length; i++) {
             Socket consumer = post("j" + i, "price", "15000m");
             one.next("POST").reply(stories[i][0], "");
@@ -230,10 +246,11 @@
     @Test
     public void aSecondCallBesideOneThatIsOutIsNotSent() throws Exception {
         serveScripted(server("w1", one.address(), "ready"), server("w2", two.address(), "ready"));
-        script.onJob = job -> {
-            script.out.send(job.id(), "w1", 0);
-            script.out.send(job.id(), "w2", 0);
-        };
+        script.onJob =
+                job -> {
+                    script.out.send(job.id(), "w1", 0);
+                    script.out.send(job.id(), "w2", 0);
+                };
         post("d1", "price", "15000m");
         one.next("POST").accept();
         script.hears("job d1");
@@ -252,7 +269,7 @@
         callBack("e1", "w1", "returned");
         script.hears("finished e1 0 FULL false");
         one.next("POST").accept();
-        script.onFinished = (id, outcome) -> { };
+        script.onFinished = (id, outcome) -> {};
         callBack("e1", "w1", "returned");
         one.next("DELETE /jobs/e1 ").reply("200 OK", "");
         script.hears("finished e1 1 RESET false");
@@ -284,16 +301,25 @@
         serveScripted(server("w1", one.address(), "ready"));
         watched(json(43, false, server("w2", two.address(), "ready")));
         script.hears("list CHANGES [w2 READY]");
-        Arrived again = discovery.next("GET /api/targets?watch=1&from=43 "); // Silent after its line.
+        Arrived again =
+                discovery.next("GET /api/targets?watch=1&from=43 "); // Silent after its line.
         again.breakOff();
         again = discovery.next("GET /api/targets?watch=1&from=43 ");
         Peer.write(again.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         chunk(again, "no JSON");
         again = discovery.next("GET /api/targets?watch=1&from=43 ");
         Peer.write(again.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        chunk(again, json(50, true, server("", two.address(), "ready"), server("w2", two.address(), "ready"),
-                server("w3", "nowhere", "ready"), server("w4", one.address(), "never heard of")));
-        script.hears("list FULL [w2 READY, w4 DRAINING]"); // Entries that cannot be read hide no others.
+        chunk(
+                again,
+                json(
+                        50,
+                        true,
+                        server("", two.address(), "ready"),
+                        server("w2", two.address(), "ready"),
+                        server("w3", "nowhere", "ready"),
+                        server("w4", one.address(), "never heard of")));
+        script.hears(
+                "list FULL [w2 READY, w4 DRAINING]"); // Entries that cannot be read hide no others.
         script.onJob = job -> script.out.send(job.id(), "w1", 0);
         post("l1", "price", "15000m");
         script.hears("job l1");
@@ -311,15 +337,21 @@
 
     @Test
     public void aMovedWatchTakesTheWholeListAndHearsTheFormerAddressUntilThen() throws Exception {
-        Path file = Path.of(configuration(server("w1", one.address(), "ready")).get("ROUTER_CONFIG"));
-        daemon = new Daemon(Config.read(Map.of("ROUTER_CONFIG", file.toString())), null,
-                out -> script = new Script(out), new Patience(20_000_000, 20_000_000, 0));
+        Path file =
+                Path.of(configuration(server("w1", one.address(), "ready")).get("ROUTER_CONFIG"));
+        daemon =
+                new Daemon(
+                        Config.read(Map.of("ROUTER_CONFIG", file.toString())),
+                        null,
+                        out -> script = new Script(out),
+                        new Patience(20_000_000, 20_000_000, 0));
         daemon.start();
         script.hears("list STORED [w1 READY]");
         Arrived former = discovery.next("GET /api/targets?watch=1&from=41 ");
         Peer.write(former.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         try (Peer next = new Peer()) {
-            Files.writeString(file, Files.readString(file).replace(discovery.address(), next.address()));
+            Files.writeString(
+                    file, Files.readString(file).replace(discovery.address(), next.address()));
             daemon.reload();
             Arrived whole = next.next("GET /api/targets ");
             chunk(former, json(42, false, server("w2", two.address(), "ready")));
@@ -345,19 +377,30 @@
     public void badInputIsAnsweredAndEndsItsConnectionAlone() throws Exception {
         serve(server("w1", one.address(), "ready"));
         String post = "POST /api HTTP/1.1\r\n";
-        String[][] stories = {{"NONSENSE\r\n\r\n", "400"}, {post + "a b: c\r\n\r\n", "400"},
-            {post + "Content-Length: 70000\r\n\r\n", "413"}, {post + "Content-Length: -1\r\n\r\n", "400"},
+        String[][] stories = {
+            {"NONSENSE\r\n\r\n", "400"},
+            {post + "a b: c\r\n\r\n", "400"},
+            {post + "Content-Length: 70000\r\n\r\n", "413"},
+            {post + "Content-Length: -1\r\n\r\n", "400"},
             {post + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", "400"},
             {post + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", "400"},
             {post + "Content-Length: 3\r\nContent-Length: 3\r\n\r\n", "400"},
-            {post + "Content-Length: +3\r\n\r\n", "400"}, {post + "Content-Length: 99999999999999999999\r\n\r\n", "413"}, {post + "Content-Length: \r\n\r\n", "400"},
+            {post + "Content-Length: +3\r\n\r\n", "400"},
+            {post + "Content-Length: 99999999999999999999\r\n\r\n", "413"},
+            {post + "Content-Length: \r\n\r\n", "400"},
             {post + "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n", "400"},
             {"POST /api HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", "400"},
             {post + "Transfer-Encoding: chunked\r\n\r\n 3\r\n", "400"},
             {post + "Transfer-Encoding: chunked\r\n\r\n-1\r\n", "400"},
             {post + "Transfer-Encoding: chunked\r\n\r\n3\r\nabcd\r\n", "400"},
-            {post + "X-Request-Id: n1\r\nX-Class: price\r\nContent-Length: 3\r\n\r\njob and more", "400"},
-            {post + "X: " + "x".repeat(20_000) + "\r\n\r\n", "431"}, {post + "a: b\r\n".repeat(70) + "\r\n", "431"}};
+            {
+                post
+                        + "X-Request-Id: n1\r\nX-Class: price\r\nContent-Length: 3\r\n\r\njob and more",
+                "400"
+            },
+            {post + "X: " + "x".repeat(20_000) + "\r\n\r\n", "431"},
+            {post + "a: b\r\n".repeat(70) + "\r\n", "431"}
+        };
         for (String[] story : stories) {
             Arrived answer = exchange(story[0]);
             assertEquals(story[0], story[1], "" + answer.status());
@@ -366,13 +409,28 @@
         assertEquals(400, Peer.read(post("", "price", "1m")).status());
         assertEquals(400, Peer.read(post("a/../b c", "price", "1m")).status());
         assertEquals(400, Peer.read(post("i1", "no class", "1m")).status());
-        for (String deadline : List.of("soon", "-1m", "0m", "NaNm", "1e3m", "5dm", "m", "99999999999m",
-                "9".repeat(400) + "m")) {
+        for (String deadline :
+                List.of(
+                        "soon",
+                        "-1m",
+                        "0m",
+                        "NaNm",
+                        "1e3m",
+                        "5dm",
+                        "m",
+                        "99999999999m",
+                        "9".repeat(400) + "m")) {
             assertEquals(deadline, 400, Peer.read(post("i1", "price", deadline)).status());
         }
         assertEquals(411, exchange(post + "X-Request-Id: i1\r\nX-Class: price\r\n\r\n").status());
-        assertEquals("repeated", 400, Peer.read(post("i1\r\nX-Request-Id: i2", "price", "15000m")).status());
-        assertEquals("no slots", 400, Peer.read(post("i1\r\nX-Extras: slots=-4", "price", "15000m")).status());
+        assertEquals(
+                "repeated",
+                400,
+                Peer.read(post("i1\r\nX-Request-Id: i2", "price", "15000m")).status());
+        assertEquals(
+                "no slots",
+                400,
+                Peer.read(post("i1\r\nX-Extras: slots=-4", "price", "15000m")).status());
         assertEquals(404, exchange("GET /other HTTP/1.1\r\n\r\n").status());
         assertEquals(405, exchange("GET /api HTTP/1.1\r\n\r\n").status());
         assertEquals(200, ready());
@@ -380,7 +438,8 @@
     }
 
     @Test
-    public void whoSaysNothingOrNeverEndsIsTurnedAwayWithin3sOfConnectingAndKeptConnectionsStay() throws Exception {
+    public void whoSaysNothingOrNeverEndsIsTurnedAwayWithin3sOfConnectingAndKeptConnectionsStay()
+            throws Exception {
         serve(server("w1", one.address(), "ready"));
         Socket kept = post("o1", "price", "15000m");
         one.next("POST").accept();
@@ -400,15 +459,20 @@
         assertEquals(200, Peer.read(kept).status());
     }
 
-    /** Jobs written over more than 2 s were turned away as if they had stopped; one that trickles for ever still is. */
+    /**
+     * Jobs written over more than 2 s were turned away as if they had stopped; one that trickles
+     * for ever still is.
+     */
     @Test
-    public void aJobThatComesOnInPiecesIsTakenHoweverSlowlyAndOneThatNeverEndsIsNot() throws Exception {
+    public void aJobThatComesOnInPiecesIsTakenHoweverSlowlyAndOneThatNeverEndsIsNot()
+            throws Exception {
         serve(server("w1", one.address(), "ready"));
         Socket trickles = connect();
         Socket slow = connect();
         slow.setTcpNoDelay(true);
         trickles.setSoTimeout(500);
-        String job = "POST /api HTTP/1.1\r\nX-Request-Id: s1\r\nX-Class: price\r\nContent-Length: 3\r\n\r\njob";
+        String job =
+                "POST /api HTTP/1.1\r\nX-Request-Id: s1\r\nX-Class: price\r\nContent-Length: 3\r\n\r\njob";
         boolean turnedAway = false;
         long start = System.nanoTime();
         for (int i = 0; !turnedAway; i++) {
@@ -433,7 +497,8 @@
     public void anErrorOverBytesThatNobodyReadsIsNotLost() throws Exception {
         serve(server("w1", one.address(), "ready"));
         Socket s = connect();
-        Peer.write(s, "POST /api HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n" + "x".repeat(4 << 20));
+        Peer.write(
+                s, "POST /api HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n" + "x".repeat(4 << 20));
         assertEquals(413, Peer.read(s).status());
         assertEquals("ended, not reset", -1, s.getInputStream().read());
     }
@@ -483,8 +548,10 @@
     public void aConsumerThatAsksBeforeItsBodyIsToldToGoOn() throws Exception {
         serve(server("w1", one.address(), "ready"));
         Socket consumer = connect();
-        Peer.write(consumer, "POST /api HTTP/1.1\r\nX-Request-Id: q1\r\nX-Class: price\r\nContent-Length: 3\r\n"
-                + "Expect: 100-continue\r\n\r\n");
+        Peer.write(
+                consumer,
+                "POST /api HTTP/1.1\r\nX-Request-Id: q1\r\nX-Class: price\r\nContent-Length: 3\r\n"
+                        + "Expect: 100-continue\r\n\r\n");
         assertEquals(100, Peer.read(consumer).status());
         Peer.write(consumer, "job");
         assertEquals("job", one.next("POST").body());
@@ -509,7 +576,8 @@
     }
 
     @Test
-    public void beyondTheMostHeldAJobIsRejectedAtOnceAndAnIdHeldAlreadyIsAConflict() throws Exception {
+    public void beyondTheMostHeldAJobIsRejectedAtOnceAndAnIdHeldAlreadyIsAConflict()
+            throws Exception {
         held = 1;
         serveScripted(server("w1", one.address(), "ready"));
         post("h1", "price", "15000m");
@@ -519,10 +587,12 @@
     }
 
     @Test
-    public void beyondTheBytesThatTheHeapCanHoldLargeJobsAreRejectedAndSmallOnesTaken() throws Exception {
+    public void beyondTheBytesThatTheHeapCanHoldLargeJobsAreRejectedAndSmallOnesTaken()
+            throws Exception {
         held = 1000;
         serveScripted(server("w1", one.address(), "ready"));
-        String large = "POST /api HTTP/1.1\r\nX-Class: price\r\nContent-Length: 65536\r\nX-Request-Id: ";
+        String large =
+                "POST /api HTTP/1.1\r\nX-Class: price\r\nContent-Length: 65536\r\nX-Request-Id: ";
         int most = (24 << 20) / 65536;
         for (int i = 0; i <= most; i++) {
             Peer.write(connect(), large + i + "\r\n\r\n" + "x".repeat(65536));
@@ -544,9 +614,10 @@
         serveScripted(server("w1", one.address(), "ready"));
         post("f0", "price", "300m");
         assertEquals("forgotten", 429, Peer.read(sockets.get(0)).status());
-        script.onJob = job -> {
-            throw new IllegalStateException("scripted");
-        };
+        script.onJob =
+                job -> {
+                    throw new IllegalStateException("scripted");
+                };
         assertEquals(429, Peer.read(post("f1", "price", "15000m")).status());
         assertEquals(200, ready());
     }
@@ -579,7 +650,9 @@
         callBack("v2", "w1", "done");
         Peer.read(consumer);
         Peer.read(other);
-        Thread.sleep(400); // The idleness itself: without the guard the other connection is kept for 6 s.
+        Thread.sleep(
+                400); // The idleness itself: without the guard the other connection is kept for 6
+        // s.
         post(consumer, "v3", "confirm", "15000m");
         Arrived broken = one.next("POST");
         broken.breakOff();
@@ -601,7 +674,8 @@
         first.accept();
         callBack("k1", "w1", "done");
         Peer.read(consumer);
-        first.socket().shutdownOutput(); // Arrives at once; a close waits for the thread that reads.
+        first.socket()
+                .shutdownOutput(); // Arrives at once; a close waits for the thread that reads.
         post(consumer, "k2", "confirm", "15000m");
         one.next("POST").accept();
         callBack("k2", "w1", "done");
@@ -641,9 +715,17 @@
         assertTrue("one is still owed", stop.isAlive());
         Socket early = connect(); // A call-back whose connection is there before its bytes are.
         assertEquals(503, ready());
-        Thread.sleep(3 * Daemon.STOP_CHECK_MICROS / 1000); // Not for luck: without its guard these checks close it.
+        Thread.sleep(
+                3
+                        * Daemon.STOP_CHECK_MICROS
+                        / 1000); // Not for luck: without its guard these checks close it.
         String done = "{\"id\":\"p1\",\"from\":\"w1\",\"state\":\"done\"}";
-        Peer.write(early, "POST /v1/job-events HTTP/1.1\r\nContent-Length: " + done.length() + "\r\n\r\n" + done);
+        Peer.write(
+                early,
+                "POST /v1/job-events HTTP/1.1\r\nContent-Length: "
+                        + done.length()
+                        + "\r\n\r\n"
+                        + done);
         assertEquals(204, Peer.read(early).status());
         assertEquals(200, Peer.read(before).status());
         ended(stop);
@@ -662,7 +744,8 @@
         while (ready() == 200) {
             Thread.onSpinWait();
         }
-        while (System.nanoTime() - start < 1_000_000_000L) { // Later than what SIGKILL may find unanswered.
+        while (System.nanoTime() - start
+                < 1_000_000_000L) { // Later than what SIGKILL may find unanswered.
             post(kept, "z2" + System.nanoTime(), "price", "15000m");
             Arrived job = one.next("POST");
             job.accept();
@@ -688,7 +771,8 @@
         hangUp(p, good, "discovery", "nowhere"); // Faulty.
         while (!asked.head().startsWith("GET /api/targets?watch=1&from=1 ")) {
             asked.reply("200 OK", json(1, true, server("w1", one.address(), "ready")));
-            asked = two.next("GET /api/targets"); // Again where the reply was late on a slow machine.
+            asked = two.next("GET /api/targets"); // Again where the reply was late on a slow
+            // machine.
         }
         p.toHandle().destroy(); // SIGTERM; the process object itself would close its log too.
         String log = new String(p.getErrorStream().readAllBytes());
@@ -697,7 +781,11 @@
         assertFalse("the move is no alarm: " + log, log.contains("list lost (closed)"));
         assertTrue(log, log.contains("all answered"));
         Path file = Path.of(good.get("ROUTER_CONFIG"));
-        Files.writeString(file, Files.readString(file).replace("nowhere", "discovery").replace("read_like", "perhaps"));
+        Files.writeString(
+                file,
+                Files.readString(file)
+                        .replace("nowhere", "discovery")
+                        .replace("read_like", "perhaps"));
         p = program(good);
         log = new String(p.getErrorStream().readAllBytes());
         assertEquals(2, p.waitFor());
@@ -710,7 +798,10 @@
         }
     }
 
-    /** Days were lost to it: the bench had been started with nohup, and its dispatchers never read a new configuration. */
+    /**
+     * Days were lost to it: the bench had been started with nohup, and its dispatchers never read a
+     * new configuration.
+     */
     @Test
     public void aProgramThatIsStartedWithSighupIgnoredSaysThatItCannotReadAgain() throws Exception {
         Map<String, String> good = configuration(server("w1", one.address(), "ready"));
@@ -727,7 +818,8 @@
     }
 
     /** Replaces a word of the configuration file and sends SIGHUP. */
-    private static void hangUp(Process p, Map<String, String> environment, String from, String to) throws Exception {
+    private static void hangUp(Process p, Map<String, String> environment, String from, String to)
+            throws Exception {
         Path file = Path.of(environment.get("ROUTER_CONFIG"));
         Files.writeString(file, Files.readString(file).replace(from, to));
         new ProcessBuilder("kill", "-HUP", "" + p.pid()).start().waitFor();
--- a/daemon/src/test/java/postgrade/daemon/SystemCallsTest.java
+++ b/daemon/src/test/java/postgrade/daemon/SystemCallsTest.java
@@ -21,10 +21,11 @@
 /** System calls that fail for a moment, are short or return early, at each point of a job's way. */
 public class SystemCallsTest extends Stage {
 
-    private static final List<Failure> OUR_OWN_WANTS = List.of(
-            () -> new BindException("Cannot assign requested address"),
-            () -> new SocketException("No buffer space available"),
-            () -> new SocketException("Network is unreachable"));
+    private static final List<Failure> OUR_OWN_WANTS =
+            List.of(
+                    () -> new BindException("Cannot assign requested address"),
+                    () -> new SocketException("No buffer space available"),
+                    () -> new SocketException("Network is unreachable"));
 
     private final FailingCalls calls = new FailingCalls();
     private Turns turns;
@@ -42,14 +43,27 @@
         turns.close();
     }
 
-    /** Answers the attempt, reports the job done on a connection of its own, and reads the client's answer. */
+    /**
+     * Answers the attempt, reports the job done on a connection of its own, and reads the client's
+     * answer.
+     */
     private void isServed(String id, Socket client, Peer worker, String from) throws Exception {
         Arrived attempt = worker.next("POST");
         assertEquals(id, attempt.header("X-Request-Id"));
         Peer.write(attempt.socket(), "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
-        String body = "{\"id\":\"" + id + "\",\"from\":\"" + from + "\",\"state\":\"done\",\"result\":\"made\"}";
+        String body =
+                "{\"id\":\""
+                        + id
+                        + "\",\"from\":\""
+                        + from
+                        + "\",\"state\":\"done\",\"result\":\"made\"}";
         Socket report = turns.connect();
-        Peer.write(report, "POST /v1/job-events HTTP/1.1\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+        Peer.write(
+                report,
+                "POST /v1/job-events HTTP/1.1\r\nContent-Length: "
+                        + body.length()
+                        + "\r\n\r\n"
+                        + body);
         assertEquals(204, Peer.read(report).status());
         Arrived answer = Peer.read(client);
         assertEquals(200, answer.status());
@@ -58,12 +72,14 @@
 
     /** The module may try another worker, and holds nothing against this one. */
     @Test
-    public void aConnectThatFailsForWantOfOursIsToldAsSuchAndTheJobGoesElsewhere() throws Exception {
-        turns.script.onFinished = (id, outcome) -> {
-            if (outcome == Outcome.NO_SOCKET) {
-                turns.script.out.send(id, "w2", 0);
-            }
-        };
+    public void aConnectThatFailsForWantOfOursIsToldAsSuchAndTheJobGoesElsewhere()
+            throws Exception {
+        turns.script.onFinished =
+                (id, outcome) -> {
+                    if (outcome == Outcome.NO_SOCKET) {
+                        turns.script.out.send(id, "w2", 0);
+                    }
+                };
         int number = 0;
         for (Call call : List.of(Call.OPEN, Call.CONNECT)) {
             for (Failure failure : OUR_OWN_WANTS) {
@@ -105,7 +121,9 @@
         turns.script.hears("job a1");
         calls.fail(Call.ACCEPT, 3, () -> new IOException("Too many open files in system"));
         Socket waits = turns.post("a2");
-        isServed("a1", before, one, "w1"); // Its call-back comes on a connection that waits behind the other.
+        isServed(
+                "a1", before, one,
+                "w1"); // Its call-back comes on a connection that waits behind the other.
         isServed("a2", waits, one, "w1");
         assertEquals(0, calls.left(Call.ACCEPT));
     }
@@ -133,13 +151,13 @@
     public void aRequestThatLayUnreadInASocketTellsItsWorkerOfTheTimeThatIsLeft() throws Exception {
         Socket client = turns.connect();
         turns.turn(); // It is accepted and watched.
-        turns.crossing(300, () -> Turns.post(client, "u1"), () -> { });
+        turns.crossing(300, () -> Turns.post(client, "u1"), () -> {});
         assertTellsAtMost(14_700_000, one.next("POST"));
     }
 
     @Test
     public void neitherDoesOneThatWaitedInTheBacklogTellMore() throws Exception {
-        turns.crossing(300, () -> turns.post("u2"), () -> { });
+        turns.crossing(300, () -> turns.post("u2"), () -> {});
         assertTellsAtMost(14_700_000, one.next("POST"));
     }
 
--- a/daemon/src/test/java/postgrade/daemon/Turns.java
+++ b/daemon/src/test/java/postgrade/daemon/Turns.java
@@ -25,8 +25,9 @@
 import postgrade.upgrade.Upgrade;
 
 /**
- * The loop with all that serves clients, and a hook into one of its turns: while the loop is held, and after the turn's
- * select, peers may do what the loop has not seen when it comes to what is due.
+ * The loop with all that serves clients, and a hook into one of its turns: while the loop is held,
+ * and after the turn's select, peers may do what the loop has not seen when it comes to what is
+ * due.
  */
 final class Turns implements AutoCloseable {
 
@@ -44,10 +45,13 @@
     final Ending ending;
     private final List<Socket> sockets = new ArrayList<>();
     private final Thread thread;
+
     /** Told at the end of this turn. */
     private CountDownLatch noted;
 
-    /** @param places for sockets */
+    /**
+     * @param places for sockets
+     */
     Turns(Config config, int places) throws IOException {
         this(config, places, SystemCalls.REAL);
     }
@@ -55,14 +59,34 @@
     Turns(Config config, int places, SystemCalls systemCalls) throws IOException {
         loop = new Loop(new SocketBudget(places), config.clock, systemCalls);
         Script[] made = new Script[1];
-        gateway = new Gateway(out -> made[0] = new Script(out), false, 1000, loop, (event, message, thrown) -> { });
+        gateway =
+                new Gateway(
+                        out -> made[0] = new Script(out),
+                        false,
+                        1000,
+                        loop,
+                        (event, message, thrown) -> {});
         script = made[0];
-        providers = new ProviderPools(gateway, loop, loop, config.connectTimeoutMicros, config.idleMicros);
+        providers =
+                new ProviderPools(
+                        gateway, loop, loop, config.connectTimeoutMicros, config.idleMicros);
         gateway.connect(providers);
         Upgrade alone = new Upgrade(null, config.name, loop, loop, null);
-        listener = new Listener(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), false, config.deadlineMicros,
-                Set.of(), () -> true, lifecycle, new Alone(), gateway, loop, loop);
-        ending = new Ending(loop, lifecycle, gateway, providers, listener, alone, null, () -> config);
+        listener =
+                new Listener(
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                        false,
+                        config.deadlineMicros,
+                        Set.of(),
+                        () -> true,
+                        lifecycle,
+                        new Alone(),
+                        gateway,
+                        loop,
+                        loop);
+        ending =
+                new Ending(
+                        loop, lifecycle, gateway, providers, listener, alone, null, () -> config);
         lifecycle.started();
         thread = new Thread(this::run, "loop");
         thread.setDaemon(true);
@@ -84,21 +108,22 @@
 
     private void run() {
         try {
-            loop.run(new Loop.Turn() {
-                @Override
-                public void take() {
-                    gateway.turn();
-                    if (noted != null) {
-                        noted.countDown();
-                        noted = null;
-                    }
-                }
-
-                @Override
-                public boolean pending() {
-                    return gateway.pending();
-                }
-            });
+            loop.run(
+                    new Loop.Turn() {
+                        @Override
+                        public void take() {
+                            gateway.turn();
+                            if (noted != null) {
+                                noted.countDown();
+                                noted = null;
+                            }
+                        }
+
+                        @Override
+                        public boolean pending() {
+                            return gateway.pending();
+                        }
+                    });
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -106,7 +131,11 @@
 
     /** A provider, ready from the start. */
     void provider(String id, String host, int port) throws InterruptedException {
-        on(() -> providers.list(false, List.of(new Target(id, new InetSocketAddress(host, port), true))));
+        on(
+                () ->
+                        providers.list(
+                                false,
+                                List.of(new Target(id, new InetSocketAddress(host, port), true))));
     }
 
     void provider(String id, Peer peer) throws InterruptedException {
@@ -117,27 +146,34 @@
     /** Runs something on the loop and waits for it. */
     void on(Runnable task) throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
-        loop.ask(() -> {
-            task.run();
-            done.countDown();
-        });
+        loop.ask(
+                () -> {
+                    task.run();
+                    done.countDown();
+                });
         assertTrue(done.await(Peer.PATIENCE_S, TimeUnit.SECONDS));
     }
 
     /**
-     * Holds the loop for so long at least that what is due by then is due in its next turn; what peers do meanwhile is ready
-     * in that turn. What they do after its select is not. Returns when that turn is over.
+     * Holds the loop for so long at least that what is due by then is due in its next turn; what
+     * peers do meanwhile is ready in that turn. What they do after its select is not. Returns when
+     * that turn is over.
      */
     void crossing(long holdMillis, Io whileHeld, Io afterSelect) throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
         Throwable[] failed = new Throwable[1];
-        loop.ask(() -> loop.at(loop.nowMicros(), () -> {
-            held(holdMillis, whileHeld, failed);
-            loop.ask(() -> {
-                held(0, afterSelect, failed);
-                noted = done;
-            });
-        }));
+        loop.ask(
+                () ->
+                        loop.at(
+                                loop.nowMicros(),
+                                () -> {
+                                    held(holdMillis, whileHeld, failed);
+                                    loop.ask(
+                                            () -> {
+                                                held(0, afterSelect, failed);
+                                                noted = done;
+                                            });
+                                }));
         assertTrue(done.await(Peer.PATIENCE_S, TimeUnit.SECONDS));
         if (failed[0] != null) {
             throw new AssertionError(failed[0]);
--- a/daemon/src/test/java/postgrade/daemon/UnsentTest.java
+++ b/daemon/src/test/java/postgrade/daemon/UnsentTest.java
@@ -18,19 +18,21 @@
     @Test
     public void whatTheModuleFailsOrStumblesOverWithoutASendIsRefused() throws Exception {
         serveScripted(server("w1", one.address(), "ready"));
-        script.onJob = job -> {
-            if (job.id().equals("f1")) {
-                script.out.fail(job.id());
-            } else {
-                throw new IllegalStateException("as told");
-            }
-        };
+        script.onJob =
+                job -> {
+                    if (job.id().equals("f1")) {
+                        script.out.fail(job.id());
+                    } else {
+                        throw new IllegalStateException("as told");
+                    }
+                };
         refused(post("f1", "confirm", "15000m"));
         refused(post("f2", "confirm", "15000m"));
     }
 
     @Test
-    public void aCallWhoseConnectionNeverCameUpIsWithdrawnAtTheDeadlineAndItsJobRefused() throws Exception {
+    public void aCallWhoseConnectionNeverCameUpIsWithdrawnAtTheDeadlineAndItsJobRefused()
+            throws Exception {
         try (ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             for (int i = 0; i < 2; i++) {
                 sockets.add(new Socket(deaf.getInetAddress(), deaf.getLocalPort()));
@@ -42,31 +44,39 @@
             script.hearsAmongOthers("job d1");
             script.hearsAmongOthers("finished d1 0 NOT_SENT false");
             refused(consumer);
-            script.onFinished = (id, outcome) -> { };
+            script.onFinished = (id, outcome) -> {};
             consumer = post("d2", "confirm", "300m"); // The module forgets it.
             script.hearsAmongOthers("job d2");
             script.hearsAmongOthers("finished d2 0 NOT_SENT false");
             refused(consumer);
-            script.onJob = job -> {
-                script.out.send(job.id(), "w1", 0);
-                script.out.fail(job.id()); // Sooner.
-            };
+            script.onJob =
+                    job -> {
+                        script.out.send(job.id(), "w1", 0);
+                        script.out.fail(job.id()); // Sooner.
+                    };
             refused(post("d3", "confirm", "15000m"));
         }
     }
 
-    /** A repeat that comes to its worker after the window in which that drops repeats would run again. */
+    /**
+     * A repeat that comes to its worker after the window in which that drops repeats would run
+     * again.
+     */
     @Test
     public void aCallWhoseConnectionComesUpBehindItsWindowIsNotWritten() throws Exception {
         serveScripted(server("w1", one.address(), "ready"));
-        script.onJob = job -> script.out.send(job.id(), "w1", 0, 0); // A connection comes up in a later turn.
+        script.onJob =
+                job ->
+                        script.out.send(
+                                job.id(), "w1", 0, 0); // A connection comes up in a later turn.
         script.onFinished = (id, outcome) -> script.out.fail(id);
         Socket consumer = post("k1", "price", "15000m");
         script.hearsAmongOthers("finished k1 0 NOT_SENT false");
         refused(consumer);
         script.onJob = job -> script.out.send(job.id(), "w1", 0, TimeUnit.MINUTES.toNanos(1));
         post("k2", "price", "15000m");
-        assertEquals("the first one left nothing behind", "k2", one.next("POST").header("X-Request-Id"));
+        assertEquals(
+                "the first one left nothing behind", "k2", one.next("POST").header("X-Request-Id"));
     }
 
     @Test
@@ -89,10 +99,11 @@
 
     /** A new connection that is closed without an answer counts as a request refused or lost. */
     @Test
-    public void aConnectionThatFindsNoPlaceWaitsUnharmedAndIsServedOnceThereIsOne() throws Exception {
+    public void aConnectionThatFindsNoPlaceWaitsUnharmedAndIsServedOnceThereIsOne()
+            throws Exception {
         descriptors = 96; // 64 for sockets, 48 of them for accepted ones and the watch.
         serveScripted(server("w1", one.address(), "ready"));
-        script.onJob = job -> { };
+        script.onJob = job -> {};
         for (int i = 0; i < 47; i++) {
             post("busy" + i, "price", "15000m");
             script.hearsAmongOthers("job busy" + i);
@@ -104,10 +115,11 @@
             chunk(watch, json(42 + turn, false, server("w2", two.address(), "ready")));
             script.hearsAmongOthers("list CHANGES [w2 READY]");
         }
-        script.onJob = job -> {
-            script.out.refuse(job.id(), 0);
-            script.out.refuse("busy0", 0);
-        };
+        script.onJob =
+                job -> {
+                    script.out.refuse(job.id(), 0);
+                    script.out.refuse("busy0", 0);
+                };
         sockets.get(1).close(); // Its place is free.
         script.hearsAmongOthers("abandoned busy1");
         script.hearsAmongOthers("job last");
--- a/daemon/src/test/java/postgrade/daemon/UpgradeTest.java
+++ b/daemon/src/test/java/postgrade/daemon/UpgradeTest.java
@@ -29,6 +29,7 @@
 
     /** An address of its own, so that no other test's connection has the port. */
     private static final String HOST = "127.0.0.77";
+
     private Map<String, String> environment;
     private Daemon old;
 
@@ -37,7 +38,9 @@
         operators = true;
         listen = held(HOST);
         shared = Files.createDirectory(folder.getRoot().toPath().resolve("t"));
-        environment = configuration(server("w1", one.address(), "ready"), server("w2", two.address(), "ready"));
+        environment =
+                configuration(
+                        server("w1", one.address(), "ready"), server("w2", two.address(), "ready"));
     }
 
     private Daemon started() throws Exception {
@@ -61,7 +64,10 @@
         ended(stopping(d));
     }
 
-    /** Jobs at both processes, and call-backs that reach either: each job gets its answer, whoever was called. */
+    /**
+     * Jobs at both processes, and call-backs that reach either: each job gets its answer, whoever
+     * was called.
+     */
     @Test
     public void callBacksReachTheProcessThatHasTheJobWhicheverTheyCameTo() throws Exception {
         old = started();
@@ -70,7 +76,9 @@
         for (int i = 0; i < 24; i++) {
             consumers.add(post("u" + i, "price", "15000m"));
         }
-        for (int arrived = 0; arrived < 24; Thread.onSpinWait()) { // Sent on, so that each has a call to end.
+        for (int arrived = 0;
+                arrived < 24;
+                Thread.onSpinWait()) { // Sent on, so that each has a call to end.
             for (Peer p : List.of(one, two)) {
                 if (!p.nothingArrived()) {
                     p.next("POST");
@@ -110,7 +118,9 @@
         assertTrue(status(daemon), status(daemon).contains("standby"));
         Daemon third = new Daemon(Config.read(environment));
         third.start();
-        assertTrue("an upgrade in standby stays there: " + status(third), status(third).contains("standby"));
+        assertTrue(
+                "an upgrade in standby stays there: " + status(third),
+                status(third).contains("standby"));
         assertTrue(status(third), status(third).contains("\"out\":[\"w2\"]"));
         assertEquals(200, call(daemon, "PUT /active", "").status());
         assertTrue(status(third), status(third).contains("active"));
@@ -120,7 +130,8 @@
     }
 
     @Test
-    public void withASuccessorAStopLeavesTheDoorToItAnswersWhatItHasAndEndsEarly() throws Exception {
+    public void withASuccessorAStopLeavesTheDoorToItAnswersWhatItHasAndEndsEarly()
+            throws Exception {
         old = started();
         Socket before = post("h1", "price", "15000m");
         started();
@@ -163,14 +174,21 @@
     public void whatDeadProcessesLeaveAndWhoSendsGarbageFailNoStartAndNoUpgrade() throws Exception {
         old = started();
         Path link = links().get(0);
-        String prefix = link.getFileName().toString().replaceFirst("[0-9]{15}-[0-9]{10}[.]link", "");
+        String prefix =
+                link.getFileName().toString().replaceFirst("[0-9]{15}-[0-9]{10}[.]link", "");
         Path dead = shared.resolve(prefix + "000000000000001-0000000001.link");
         try (ServerSocketChannel left = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
             left.bind(UnixDomainSocketAddress.of(dead));
         }
         Path file = Files.createFile(shared.resolve(prefix + "000000000000002-0000000002.link"));
-        for (String text : new String[] {"nonsense\n", "{\"hello\":1,\"id\":\"x\",\"dispatcher\":\"other\"}\n",
-            "{\"ask\":1}\n", "{\"hello\":1,\"dispa", "[]\n"}) {
+        for (String text :
+                new String[] {
+                    "nonsense\n",
+                    "{\"hello\":1,\"id\":\"x\",\"dispatcher\":\"other\"}\n",
+                    "{\"ask\":1}\n",
+                    "{\"hello\":1,\"dispa",
+                    "[]\n"
+                }) {
             SocketChannel c = SocketChannel.open(UnixDomainSocketAddress.of(link));
             c.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
             if (text.endsWith("\n")) {
@@ -203,7 +221,8 @@
     }
 
     @Test
-    public void realProcessesReadAgainInTheOverlapOutliveAKilledOneAndAreReplacedAgain() throws Exception {
+    public void realProcessesReadAgainInTheOverlapOutliveAKilledOneAndAreReplacedAgain()
+            throws Exception {
         List<Process> all = new ArrayList<>();
         List<BufferedReader> logs = new ArrayList<>();
         try {
@@ -215,7 +234,8 @@
             says(logs.get(0), "linked with process");
             says(logs.get(1), "listens on");
             for (int i = 0; i < 2; i++) {
-                discovery.next("GET /api/targets?watch=1&from=41 "); // Each handles the signal by now.
+                discovery.next(
+                        "GET /api/targets?watch=1&from=41 "); // Each handles the signal by now.
             }
             for (int i = 0; i < 2; i++) {
                 signal("HUP", all.get(i));
@@ -234,7 +254,8 @@
             says(logs.get(2), "of this dispatcher is gone");
             signal("TERM", all.get(2));
             says(logs.get(2), "all answered");
-            // The line is written before the link is removed: what the process leaves is judged once it has ended.
+            // The line is written before the link is removed: what the process leaves is judged
+            // once it has ended.
             assertTrue("the last one ends", all.get(2).waitFor(Peer.PATIENCE_S, TimeUnit.SECONDS));
             assertTrue(links().isEmpty());
         } finally {
--- a/daemon/src/test/java/postgrade/daemon/WallsTest.java
+++ b/daemon/src/test/java/postgrade/daemon/WallsTest.java
@@ -10,33 +10,67 @@
 /** The walls between the daemon's sides. */
 public class WallsTest {
 
-    private static final JavaClasses DAEMON = new ClassFileImporter()
-            .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("postgrade");
+    private static final JavaClasses DAEMON =
+            new ClassFileImporter()
+                    .withImportOption(new ImportOption.DoNotIncludeTests())
+                    .importPackages("postgrade");
 
     private static void apart(String from, String... others) {
-        noClasses().that().resideInAPackage(from).should().dependOnClassesThat().resideInAnyPackage(others)
+        noClasses()
+                .that()
+                .resideInAPackage(from)
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(others)
                 .check(DAEMON);
     }
 
     @Test
     public void noFrontKnowsABack() {
-        apart("postgrade.consumer..", "postgrade.provider..", "postgrade.discovery..", "postgrade.daemon..");
-        apart("postgrade.provider..", "postgrade.consumer..", "postgrade.discovery..", "postgrade.daemon..");
-        apart("postgrade.discovery..", "postgrade.consumer..", "postgrade.provider..", "postgrade.daemon..",
+        apart(
+                "postgrade.consumer..",
+                "postgrade.provider..",
+                "postgrade.discovery..",
+                "postgrade.daemon..");
+        apart(
+                "postgrade.provider..",
+                "postgrade.consumer..",
+                "postgrade.discovery..",
+                "postgrade.daemon..");
+        apart(
+                "postgrade.discovery..",
+                "postgrade.consumer..",
+                "postgrade.provider..",
+                "postgrade.daemon..",
                 "postgrade.gateway.Gateway");
     }
 
     @Test
     public void theCodecKnowsNobody() {
-        apart("postgrade.http..", "postgrade", "postgrade.gateway..", "postgrade.consumer..", "postgrade.provider..",
-                "postgrade.discovery..", "postgrade.daemon..");
+        apart(
+                "postgrade.http..",
+                "postgrade",
+                "postgrade.gateway..",
+                "postgrade.consumer..",
+                "postgrade.provider..",
+                "postgrade.discovery..",
+                "postgrade.daemon..");
     }
 
     @Test
     public void theDaemonKnowsNothingOfSharing() {
-        apart("postgrade..", "postgrade.sharing..", "postgrade.quorum..", "postgrade.calendar..", "io.microraft..",
+        apart(
+                "postgrade..",
+                "postgrade.sharing..",
+                "postgrade.quorum..",
+                "postgrade.calendar..",
+                "io.microraft..",
                 "io.grpc..");
-        apart("postgrade.companion..", "postgrade.daemon..", "postgrade.consumer..", "postgrade.provider..",
+        apart(
+                "postgrade.companion..",
+                "postgrade.daemon..",
+                "postgrade.consumer..",
+                "postgrade.provider..",
                 "postgrade.discovery..");
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/WorkerStartTimesTest.java
+++ b/daemon/src/test/java/postgrade/daemon/WorkerStartTimesTest.java
@@ -5,7 +5,10 @@
 
 import org.junit.Test;
 
-/** Starts of workers told in true Unix time to a process whose wall clock was stepped before it began. */
+/**
+ * Starts of workers told in true Unix time to a process whose wall clock was stepped before it
+ * began.
+ */
 public class WorkerStartTimesTest {
 
     private static final long SECOND = 1_000_000;
@@ -28,14 +31,21 @@
     @Test
     public void underATrueClockAStartIsWhereItWas() throws Exception {
         WorkerStartTimes times = withWallClockOffBy(0);
-        assertEquals(nowMicros - 5 * SECOND, times.micros("w", startedAgo(5 * SECOND), nowMicros, nowMicros - SECOND), TOLERANCE);
-        assertEquals(nowMicros - HOUR, times.micros("v", startedAgo(HOUR), nowMicros, WorkerStartTimes.NEVER_HEARD), TOLERANCE);
+        assertEquals(
+                nowMicros - 5 * SECOND,
+                times.micros("w", startedAgo(5 * SECOND), nowMicros, nowMicros - SECOND),
+                TOLERANCE);
+        assertEquals(
+                nowMicros - HOUR,
+                times.micros("v", startedAgo(HOUR), nowMicros, WorkerStartTimes.NEVER_HEARD),
+                TOLERANCE);
         assertEquals(0, times.micros("u", 0, nowMicros, nowMicros));
     }
 
     /** Else a worker in slow start would pass as warm. */
     @Test
-    public void underAClockAnHourAheadAChangeTellsAStartSinceDiscoveryWasLastHeard() throws Exception {
+    public void underAClockAnHourAheadAChangeTellsAStartSinceDiscoveryWasLastHeard()
+            throws Exception {
         WorkerStartTimes times = withWallClockOffBy(HOUR);
         long heardBefore = nowMicros - 2 * SECOND;
         long started = times.micros("w", startedAgo(SECOND), nowMicros, heardBefore);
@@ -44,11 +54,17 @@
 
     /** Else a warm worker would pass as cold for an hour. */
     @Test
-    public void underAClockAnHourBehindAStartIsNoLaterThanTheMomentItIsFirstTold() throws Exception {
+    public void underAClockAnHourBehindAStartIsNoLaterThanTheMomentItIsFirstTold()
+            throws Exception {
         WorkerStartTimes times = withWallClockOffBy(-HOUR);
-        assertEquals(nowMicros, times.micros("w", startedAgo(SECOND), nowMicros, WorkerStartTimes.NEVER_HEARD));
-        assertEquals("told again", nowMicros,
-                times.micros("w", startedAgo(SECOND), nowMicros + 30 * SECOND, nowMicros + 29 * SECOND));
+        assertEquals(
+                nowMicros,
+                times.micros("w", startedAgo(SECOND), nowMicros, WorkerStartTimes.NEVER_HEARD));
+        assertEquals(
+                "told again",
+                nowMicros,
+                times.micros(
+                        "w", startedAgo(SECOND), nowMicros + 30 * SECOND, nowMicros + 29 * SECOND));
     }
 
     @Test
--- a/daemon/src/test/java/postgrade/discovery/Hand.java
+++ b/daemon/src/test/java/postgrade/discovery/Hand.java
@@ -30,7 +30,8 @@
     private final List<SelectableChannel> channels = new ArrayList<>();
     private int served;
 
-    private record Due(long whenMicros, long number, Runnable[] task) implements Timer, Comparable<Due> {
+    private record Due(long whenMicros, long number, Runnable[] task)
+            implements Timer, Comparable<Due> {
         @Override
         public void cancel() {
             task[0] = null;
@@ -38,7 +39,9 @@
 
         @Override
         public int compareTo(Due o) {
-            return whenMicros != o.whenMicros ? Long.compare(whenMicros, o.whenMicros) : Long.compare(number, o.number);
+            return whenMicros != o.whenMicros
+                    ? Long.compare(whenMicros, o.whenMicros)
+                    : Long.compare(number, o.number);
         }
     }
 
@@ -128,7 +131,8 @@
     }
 
     @Override
-    public SelectionKey register(SelectableChannel channel, int interest, Handler handler) throws IOException {
+    public SelectionKey register(SelectableChannel channel, int interest, Handler handler)
+            throws IOException {
         channels.add(channel);
         return channel.register(selector, interest, handler);
     }
--- a/daemon/src/test/java/postgrade/discovery/WatchScheduleTest.java
+++ b/daemon/src/test/java/postgrade/discovery/WatchScheduleTest.java
@@ -17,21 +17,31 @@
 import org.junit.Test;
 
 /**
- * The worst sum of the watch's patience and pauses, on time that the test turns: whatever failed before, once discovery
- * can be reached what it has is in force by then.
+ * The worst sum of the watch's patience and pauses, on time that the test turns: whatever failed
+ * before, once discovery can be reached what it has is in force by then.
  */
 public class WatchScheduleTest {
 
     /** Patience with a line, which is the longest wait of all, and one read more. */
     private static final long WORST_MICROS = 2_300_000 + 50_000;
+
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final int SCHEDULES = 60;
     private static final int MOST_FAILURES = 7;
 
     /** What becomes of an opening. */
     private enum Failure {
-        REFUSED, ENDED, RESET, ENDED_BEHIND_ITS_HEAD, ANSWERED_503, RUBBISH, ENDED_BEHIND_ITS_LIST,
-        SILENT, SILENT_BEHIND_ITS_HEAD, HALF_AN_OBJECT, SILENT_BEHIND_ITS_LIST;
+        REFUSED,
+        ENDED,
+        RESET,
+        ENDED_BEHIND_ITS_HEAD,
+        ANSWERED_503,
+        RUBBISH,
+        ENDED_BEHIND_ITS_LIST,
+        SILENT,
+        SILENT_BEHIND_ITS_HEAD,
+        HALF_AN_OBJECT,
+        SILENT_BEHIND_ITS_LIST;
 
         boolean lasts() {
             return ordinal() >= SILENT.ordinal();
@@ -69,21 +79,29 @@
         taken = 0;
         version = 41;
         listen(0);
-        watch = new Watch(new InetSocketAddress(loopback, port), "n" + schedule, version, Patience.USUAL, hand, hand,
-                list -> taken++);
+        watch =
+                new Watch(
+                        new InetSocketAddress(loopback, port),
+                        "n" + schedule,
+                        version,
+                        Patience.USUAL,
+                        hand,
+                        hand,
+                        list -> taken++);
         watch.open();
     }
 
     private Socket accept() throws IOException {
         Socket s = discovery.accept();
         sockets.add(s);
-        hand.until(() -> {
-            try {
-                return s.getInputStream().available() > 0;
-            } catch (IOException e) {
-                throw new AssertionError(e);
-            }
-        });
+        hand.until(
+                () -> {
+                    try {
+                        return s.getInputStream().available() > 0;
+                    } catch (IOException e) {
+                        throw new AssertionError(e);
+                    }
+                });
         return s;
     }
 
@@ -99,13 +117,20 @@
         return "{\"version\":" + version + ",\"full\":" + whole + ",\"servers\":[]}";
     }
 
-    /** Answers the opening that is under way as asked for: the whole list, or a watch's first object. */
+    /**
+     * Answers the opening that is under way as asked for: the whole list, or a watch's first
+     * object.
+     */
     private void answer(Socket s) throws IOException {
         byte[] asked = s.getInputStream().readNBytes(s.getInputStream().available());
-        boolean whole = new String(asked, StandardCharsets.US_ASCII).startsWith("GET /api/targets HTTP");
+        boolean whole =
+                new String(asked, StandardCharsets.US_ASCII).startsWith("GET /api/targets HTTP");
         String body = list(++version, whole);
-        send(s, whole ? "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body
-                : HEAD + chunk(body + "\n"));
+        send(
+                s,
+                whole
+                        ? "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body
+                        : HEAD + chunk(body + "\n"));
         int before = taken;
         hand.until(() -> taken > before);
         assertEquals(version, watch.version());
@@ -134,9 +159,11 @@
                 s.close();
             }
             case SILENT_BEHIND_ITS_HEAD -> hand.heard(() -> send(s, HEAD));
-            case HALF_AN_OBJECT -> hand.heard(() -> send(s, HEAD + chunk(list(version + 1, false).substring(0, 9))));
+            case HALF_AN_OBJECT ->
+                    hand.heard(
+                            () -> send(s, HEAD + chunk(list(version + 1, false).substring(0, 9))));
             case SILENT_BEHIND_ITS_LIST -> answer(s);
-            default -> { }
+            default -> {}
         }
         if (!how.lasts()) {
             hand.until(() -> hand.open() == 0);
@@ -160,10 +187,14 @@
         }
     }
 
-    /** From this moment on, somewhere within the wait that a failure has led to, an opening is answered. */
+    /**
+     * From this moment on, somewhere within the wait that a failure has led to, an opening is
+     * answered.
+     */
     private long isInForceAfter(SplittableRandom random) throws IOException {
         boolean waits = hand.open() == 1;
-        hand.passes(random.nextLong(waits ? 2_000_000 : 300_000), () -> (hand.open() == 1) != waits);
+        hand.passes(
+                random.nextLong(waits ? 2_000_000 : 300_000), () -> (hand.open() == 1) != waits);
         long from = hand.nowMicros();
         boolean opening = !waits && hand.open() == 1;
         if (!opening) {
@@ -174,7 +205,8 @@
     }
 
     @Test
-    public void whateverFailedBeforeWhatDiscoveryHasIsInForceBeforeItCountsAsTold() throws IOException {
+    public void whateverFailedBeforeWhatDiscoveryHasIsInForceBeforeItCountsAsTold()
+            throws IOException {
         long worst = 0;
         for (int schedule = 0; schedule < SCHEDULES; schedule++) {
             SplittableRandom random = new SplittableRandom(schedule);
@@ -197,7 +229,10 @@
         assertTrue("the longest waits are met: " + worst, worst > 1_500_000);
     }
 
-    /** Jitter at both ends: no opening is given more, and no pause is longer, than this, whatever came before. */
+    /**
+     * Jitter at both ends: no opening is given more, and no pause is longer, than this, whatever
+     * came before.
+     */
     @Test
     public void paceIsBoundedAtBothEndsOfItsSpread() {
         long[] least = new long[8];
@@ -220,9 +255,13 @@
         long[] ends = {400_000, 800_000, 1_600_000, 2_000_000, 100_000, 200_000, 300_000, 300_000};
         for (int i = 0; i < ends.length; i++) {
             assertTrue(i + ": " + most[i], most[i] <= ends[i] && most[i] > 0.999 * ends[i]);
-            assertTrue(i + ": " + least[i], least[i] >= 0.9 * ends[i] - 1 && least[i] < 0.901 * ends[i]);
+            assertTrue(
+                    i + ": " + least[i],
+                    least[i] >= 0.9 * ends[i] - 1 && least[i] < 0.901 * ends[i]);
         }
         long silent = Patience.USUAL.silentMicros() + most[0] + most[1] + most[2];
-        assertTrue("three silent openings, and the fourth is heard by 6 s", silent + 500_000 < 6_000_000);
+        assertTrue(
+                "three silent openings, and the fourth is heard by 6 s",
+                silent + 500_000 < 6_000_000);
     }
 }
--- a/daemon/src/test/java/postgrade/discovery/WatchTest.java
+++ b/daemon/src/test/java/postgrade/discovery/WatchTest.java
@@ -21,6 +21,7 @@
 
     /** What a dead watch misses counts as told so long after its last line. */
     private static final long TOLD_MICROS = 6_000_000;
+
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     private final Hand hand;
@@ -36,8 +37,15 @@
 
     @Before
     public void open() {
-        watch = new Watch(new InetSocketAddress(discovery.getInetAddress(), discovery.getLocalPort()), "n1", 41,
-                Patience.USUAL, hand, hand, taken::add);
+        watch =
+                new Watch(
+                        new InetSocketAddress(discovery.getInetAddress(), discovery.getLocalPort()),
+                        "n1",
+                        41,
+                        Patience.USUAL,
+                        hand,
+                        hand,
+                        taken::add);
         watch.open();
     }
 
@@ -54,7 +62,9 @@
         Socket s = discovery.accept();
         sockets.add(s);
         hand.until(() -> available(s) > 0);
-        asked = new String(s.getInputStream().readNBytes(available(s)), StandardCharsets.US_ASCII).split(" HTTP")[0];
+        asked =
+                new String(s.getInputStream().readNBytes(available(s)), StandardCharsets.US_ASCII)
+                        .split(" HTTP")[0];
         return s;
     }
 
@@ -67,12 +77,17 @@
     }
 
     private static void send(Socket s, String text) throws IOException {
-        s.getOutputStream().write((Integer.toHexString(text.length()) + "\r\n" + text + "\r\n").getBytes());
+        s.getOutputStream()
+                .write((Integer.toHexString(text.length()) + "\r\n" + text + "\r\n").getBytes());
     }
 
     private static String object(long version, String state) {
-        return "{\"version\":" + version + ",\"full\":false,\"servers\":[{\"id\":\"w{1}\\\"\",\"addr\":\"127.0.0.1:1\","
-                + "\"state\":\"" + state + "\"}]}";
+        return "{\"version\":"
+                + version
+                + ",\"full\":false,\"servers\":[{\"id\":\"w{1}\\\"\",\"addr\":\"127.0.0.1:1\","
+                + "\"state\":\""
+                + state
+                + "\"}]}";
     }
 
     private void tells(Socket s, String text) throws IOException {
@@ -124,14 +139,16 @@
     }
 
     @Test
-    public void oneThatIsSilentSinceItsOpeningIsFoundOutWithinTheGraceForDrains() throws IOException {
+    public void oneThatIsSilentSinceItsOpeningIsFoundOutWithinTheGraceForDrains()
+            throws IOException {
         long opened = hand.nowMicros();
         assertTrue(ends(next()) < 450_000);
         isInForceInTime(opened);
     }
 
     @Test
-    public void oneThatFallsSilentLaterIsOpenedAgainAndWhatItMissedIsInForceBefore6s() throws IOException {
+    public void oneThatFallsSilentLaterIsOpenedAgainAndWhatItMissedIsInForceBefore6s()
+            throws IOException {
         Socket s = first();
         hand.passes(2_000_000, () -> false);
         tells(s, "\n");
@@ -154,11 +171,19 @@
     }
 
     @Test
-    public void objectsMaySpanLinesAndShareThemAndEmptyLinesBetweenAreSignsOfLife() throws IOException {
+    public void objectsMaySpanLinesAndShareThemAndEmptyLinesBetweenAreSignsOfLife()
+            throws IOException {
         Socket s = first();
         String indented = object(43, "ready").replace(",", ",\n    ").replace("{\"", "{\r\n\n\"");
         tells(s, indented.substring(0, 70));
-        tells(s, indented.substring(70) + "\n" + object(44, "draining") + " " + object(45, "gone") + "\n\n");
+        tells(
+                s,
+                indented.substring(70)
+                        + "\n"
+                        + object(44, "draining")
+                        + " "
+                        + object(45, "gone")
+                        + "\n\n");
         hand.until(() -> taken.size() == 4);
         assertEquals(List.of(42L, 43L, 44L, 45L), taken.stream().map(TargetList::version).toList());
         assertEquals("w{1}\"", taken.get(1).entries().get(0).id());
@@ -172,7 +197,8 @@
 
     /** After a move all counts as told within 4 s. */
     @Test
-    public void aWholeListIsAskedForUntilItComesAndTheWatchBehindItHasTheSameClock() throws IOException {
+    public void aWholeListIsAskedForUntilItComesAndTheWatchBehindItHasTheSameClock()
+            throws IOException {
         Socket former = first();
         try (ServerSocket to = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             discovery = to;
@@ -181,15 +207,23 @@
             for (int i = 0; i < 3; i++) {
                 next();
                 assertEquals("GET /api/targets", asked);
-                assertTrue(hand.passes(TOLD_MICROS, () -> hand.open() == 1)); // The former one is heard still.
+                assertTrue(
+                        hand.passes(
+                                TOLD_MICROS,
+                                () -> hand.open() == 1)); // The former one is heard still.
                 assertTrue(hand.passes(TOLD_MICROS, () -> hand.open() == 2));
                 tells(former, "\n");
             }
             Socket s = next();
             assertTrue("after " + (hand.nowMicros() - moved), hand.nowMicros() - moved < 3_500_000);
             String list = object(7, "draining").replace("false", "true");
-            s.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
-                    .getBytes());
+            s.getOutputStream()
+                    .write(
+                            ("HTTP/1.1 200 OK\r\nContent-Length: "
+                                            + list.length()
+                                            + "\r\n\r\n"
+                                            + list)
+                                    .getBytes());
             hand.until(() -> taken.size() == 2);
             assertEquals("the former one is ended", 1, hand.open());
             hand.until(() -> available(s) > 0);
@@ -221,6 +255,8 @@
             hand.until(() -> hand.open() == 0);
         }
         long each = (hand.nowMicros() - ended) / 10;
-        assertTrue("each after " + each + " where it ends after its first object", each > 200_000 && each < 300_000);
+        assertTrue(
+                "each after " + each + " where it ends after its first object",
+                each > 200_000 && each < 300_000);
     }
 }
--- a/daemon/src/test/java/postgrade/http/ArrivalTimesTest.java
+++ b/daemon/src/test/java/postgrade/http/ArrivalTimesTest.java
@@ -4,7 +4,10 @@
 
 import org.junit.Test;
 
-/** Since when unread bytes may have lain in a socket. Waits of the loop end at 100, 200, 300 and so on. */
+/**
+ * Since when unread bytes may have lain in a socket. Waits of the loop end at 100, 200, 300 and so
+ * on.
+ */
 public class ArrivalTimesTest {
 
     private final ArrivalTimes times = new ArrivalTimes(50, 100);
--- a/daemon/src/test/java/postgrade/http/ConnectionTest.java
+++ b/daemon/src/test/java/postgrade/http/ConnectionTest.java
@@ -22,7 +22,10 @@
 import org.junit.Before;
 import org.junit.Test;
 
-/** One accepted connection over loopback, looked at and ended in moments of the test's choice. No loop runs. */
+/**
+ * One accepted connection over loopback, looked at and ended in moments of the test's choice. No
+ * loop runs.
+ */
 public class ConnectionTest implements Reactor, Connection.Owner {
 
     private final SocketBudget sockets = new SocketBudget(10);
@@ -39,7 +42,9 @@
     @Before
     public void connect() throws IOException {
         selector = Selector.open();
-        server = ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        server =
+                ServerSocketChannel.open()
+                        .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         peer = SocketChannel.open(server.getLocalAddress());
         ours = server.accept();
         sockets.takeToAccept(true);
@@ -65,7 +70,8 @@
     }
 
     @Test
-    public void aLookTakesAllThatHasComeAndTheEndBehindItThoughNothingIsReadOtherwise() throws IOException {
+    public void aLookTakesAllThatHasComeAndTheEndBehindItThoughNothingIsReadOtherwise()
+            throws IOException {
         connection.pause(true);
         inUse.put((byte) 7);
         send("x".repeat(20_000));
@@ -107,7 +113,9 @@
         assertFalse(connection.isOpen());
     }
 
-    /** A look tells an owner of bytes, who has another connection looked at before they are taken. */
+    /**
+     * A look tells an owner of bytes, who has another connection looked at before they are taken.
+     */
     @Test
     public void looksWithinLooksSpoilNeitherEachOthersBytesNorTheLoops() throws IOException {
         Set<ByteBuffer> buffers = Collections.newSetFromMap(new IdentityHashMap<>());
@@ -118,27 +126,32 @@
             int next = i + 1;
             peers[i] = SocketChannel.open(server.getLocalAddress());
             sockets.takeToAccept(true);
-            chain[i] = Connection.accepted(this, server.accept(), new Connection.Owner() {
-                @Override
-                public void received(Connection c, ByteBuffer bytes) {
-                    buffers.add(bytes);
-                    if (next < chain.length) {
-                        chain[next].look();
-                        assertTrue(chain[next].stillOpen());
-                    }
-                    inner.append(StandardCharsets.ISO_8859_1.decode(bytes)).append(' ');
-                }
-
-                @Override
-                public void bad(Connection c, BadMessage e) {
-                    throw new AssertionError(e);
-                }
-
-                @Override
-                public void closed(Connection c) {
-                    inner.append("closed ");
-                }
-            });
+            chain[i] =
+                    Connection.accepted(
+                            this,
+                            server.accept(),
+                            new Connection.Owner() {
+                                @Override
+                                public void received(Connection c, ByteBuffer bytes) {
+                                    buffers.add(bytes);
+                                    if (next < chain.length) {
+                                        chain[next].look();
+                                        assertTrue(chain[next].stillOpen());
+                                    }
+                                    inner.append(StandardCharsets.ISO_8859_1.decode(bytes))
+                                            .append(' ');
+                                }
+
+                                @Override
+                                public void bad(Connection c, BadMessage e) {
+                                    throw new AssertionError(e);
+                                }
+
+                                @Override
+                                public void closed(Connection c) {
+                                    inner.append("closed ");
+                                }
+                            });
         }
         for (int round = 0; round < 2; round++) { // By new buffers, then by those given back.
             for (int i = 0; i < chain.length; i++) {
@@ -186,7 +199,8 @@
     // ---- The loop.
 
     @Override
-    public SelectionKey register(SelectableChannel channel, int interest, Handler handler) throws IOException {
+    public SelectionKey register(SelectableChannel channel, int interest, Handler handler)
+            throws IOException {
         return channel.register(selector, interest, handler);
     }
 
--- a/daemon/src/test/java/postgrade/http/FailingCalls.java
+++ b/daemon/src/test/java/postgrade/http/FailingCalls.java
@@ -12,7 +12,15 @@
 /** System calls that fail, are short or return early as often as a test says. */
 public final class FailingCalls implements SystemCalls {
 
-    public enum Call { SELECT, ACCEPT, OPEN, CONNECT, FINISH_CONNECT, READ, WRITE }
+    public enum Call {
+        SELECT,
+        ACCEPT,
+        OPEN,
+        CONNECT,
+        FINISH_CONNECT,
+        READ,
+        WRITE
+    }
 
     /** Makes the error of a call that is to fail. */
     public interface Failure {
--- a/daemon/src/test/java/postgrade/lifecycle/LifecycleTest.java
+++ b/daemon/src/test/java/postgrade/lifecycle/LifecycleTest.java
@@ -32,7 +32,8 @@
         assertTrue(life.endsConnections(T + 4 * S / 10));
         assertTrue(life.leaves(T + S));
         assertEquals(OptionalLong.empty(), life.concludesSince(T + 3 * S));
-        assertTrue("4 s after the call none of the last 2 s is held",
+        assertTrue(
+                "4 s after the call none of the last 2 s is held",
                 life.concludesSince(T + 39 * S / 10).getAsLong() <= T + 2 * S);
         assertFalse("it does not exit", life.mayEnd(T + 60 * S));
         life.standby(T + 3 * S);
@@ -56,9 +57,14 @@
         assertTrue("SIGKILL follows a shorter deadline sooner", brief.leaves(T + 14 * S / 10));
         Lifecycle briefest = new Lifecycle();
         briefest.stop(T, 3 * S / 10, false);
-        assertFalse("new connections still come", briefest.leaves(T + 4 * S / 10) || briefest.mayEnd(T + 4 * S / 10));
+        assertFalse(
+                "new connections still come",
+                briefest.leaves(T + 4 * S / 10) || briefest.mayEnd(T + 4 * S / 10));
         assertTrue(briefest.mayEnd(T + 5 * S / 10));
-        assertEquals("in time before SIGKILL", T + 7 * S / 10, briefest.concludesSince(T + 7 * S / 10).getAsLong());
+        assertEquals(
+                "in time before SIGKILL",
+                T + 7 * S / 10,
+                briefest.concludesSince(T + 7 * S / 10).getAsLong());
     }
 
     @Test
--- a/daemon/src/test/java/postgrade/upgrade/HelloTest.java
+++ b/daemon/src/test/java/postgrade/upgrade/HelloTest.java
@@ -29,16 +29,17 @@
 import postgrade.http.Reactor;
 import postgrade.http.SocketBudget;
 
-/** Who connects to a process and is held up before it says who it is, on time that the test turns. */
+/**
+ * Who connects to a process and is held up before it says who it is, on time that the test turns.
+ */
 public class HelloTest implements Reactor, Timers, Upgrade.Owner {
 
-    private record Task(long atMicros, Runnable does) { }
+    private record Task(long atMicros, Runnable does) {}
 
     /** Reading from a link that is not let go would not end. */
-    @Rule
-    public final Timeout timeout = Timeout.seconds(30);
-    @Rule
-    public final TemporaryFolder folder = new TemporaryFolder();
+    @Rule public final Timeout timeout = Timeout.seconds(30);
+
+    @Rule public final TemporaryFolder folder = new TemporaryFolder();
     private final ByteBuffer buffer = ByteBuffer.allocate(64 << 10);
     private final List<Task> tasks = new ArrayList<>();
     private Selector selector;
@@ -91,12 +92,18 @@
     @Test
     public void whoSaysItLateWithinItsOwnPatienceIsLinkedAndTold() throws IOException {
         passes(2_400_000);
-        held.write(ByteBuffer.wrap("{\"hello\":1,\"id\":\"x\",\"dispatcher\":\"n1 here\"}\n".getBytes(StandardCharsets.UTF_8)));
+        held.write(
+                ByteBuffer.wrap(
+                        "{\"hello\":1,\"id\":\"x\",\"dispatcher\":\"n1 here\"}\n"
+                                .getBytes(StandardCharsets.UTF_8)));
         until(() -> old.count() == 1);
         ByteBuffer state = ByteBuffer.allocate(1000);
         assertTrue(held.read(state) > 0);
         String said = new String(state.array(), 0, state.position(), StandardCharsets.UTF_8);
-        assertEquals(said, "as it is", Json.parse(said.strip()).asObject().get("state").asObject().getString("what", ""));
+        assertEquals(
+                said,
+                "as it is",
+                Json.parse(said.strip()).asObject().get("state").asObject().getString("what", ""));
         passes(10_000_000);
         assertEquals("and it stays", 1, old.count());
     }
@@ -111,7 +118,8 @@
     // ---- The loop, turned by hand, and what the process knows.
 
     @Override
-    public SelectionKey register(SelectableChannel channel, int interest, Handler handler) throws IOException {
+    public SelectionKey register(SelectableChannel channel, int interest, Handler handler)
+            throws IOException {
         return channel.register(selector, interest, handler);
     }
 
@@ -143,11 +151,11 @@
     }
 
     @Override
-    public void callBack(byte[] body) { }
+    public void callBack(byte[] body) {}
 
     @Override
-    public void called(String call, String id) { }
+    public void called(String call, String id) {}
 
     @Override
-    public void peersChanged() { }
+    public void peersChanged() {}
 }
--- a/daemon/src/test/java/postgrade/upgrade/ProcessIdTest.java
+++ b/daemon/src/test/java/postgrade/upgrade/ProcessIdTest.java
@@ -11,8 +11,12 @@
 
     @Test
     public void theLaterProcessComesLaterWhateverTheWallClockSaysMeanwhile() {
-        assertTrue(Upgrade.processId(HOUR_NS, 900).compareTo(Upgrade.processId(HOUR_NS + 1_000_000, 5)) < 0);
-        assertTrue("of one millisecond", Upgrade.processId(HOUR_NS, 5).compareTo(Upgrade.processId(HOUR_NS, 900)) < 0);
+        assertTrue(
+                Upgrade.processId(HOUR_NS, 900).compareTo(Upgrade.processId(HOUR_NS + 1_000_000, 5))
+                        < 0);
+        assertTrue(
+                "of one millisecond",
+                Upgrade.processId(HOUR_NS, 5).compareTo(Upgrade.processId(HOUR_NS, 900)) < 0);
     }
 
     @Test
--- a/fleet/src/main/java/postgrade/fleet/Ledger.java
+++ b/fleet/src/main/java/postgrade/fleet/Ledger.java
@@ -11,8 +11,9 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * What a stand-in saw, written down line by line: {@code time, event, id, party, detail}, separated by tabs. A line is in
- * the file, safe from this process's death, once {@link #flush} has returned. Thread-safe.
+ * What a stand-in saw, written down line by line: {@code time, event, id, party, detail}, separated
+ * by tabs. A line is in the file, safe from this process's death, once {@link #flush} has returned.
+ * Thread-safe.
  */
 public final class Ledger implements Closeable {
 
@@ -20,14 +21,21 @@
     private static final int MOST_HELD = 1 << 20;
 
     private final FileChannel file;
+
     /** Guards the order of writes; never taken while the monitor of this is held. */
     private final Object writing = new Object();
+
     private ByteArrayOutputStream held = new ByteArrayOutputStream(1 << 16);
     private ByteArrayOutputStream spare = new ByteArrayOutputStream(1 << 16);
 
     /** Opens a ledger to be added to; a line cut off by a death before is ended first. */
     public Ledger(Path path) throws IOException {
-        file = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
+        file =
+                FileChannel.open(
+                        path,
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.READ,
+                        StandardOpenOption.WRITE);
         long size = file.size();
         if (size > 0) {
             ByteBuffer last = ByteBuffer.allocate(1);
@@ -41,7 +49,17 @@
 
     /** Adds a line. Nothing in it may hold a tab or a line end; those are written as spaces. */
     public void add(long micros, String event, String id, String party, String detail) {
-        String line = micros + "\t" + event + "\t" + plain(id) + "\t" + plain(party) + "\t" + plain(detail) + "\n";
+        String line =
+                micros
+                        + "\t"
+                        + event
+                        + "\t"
+                        + plain(id)
+                        + "\t"
+                        + plain(party)
+                        + "\t"
+                        + plain(detail)
+                        + "\n";
         byte[] bytes = line.getBytes(StandardCharsets.UTF_8);
         int size;
         synchronized (this) {
@@ -65,7 +83,10 @@
         return text;
     }
 
-    /** Hands all lines to the system. Lines may be added meanwhile: a slow disk holds nobody up but the caller. */
+    /**
+     * Hands all lines to the system. Lines may be added meanwhile: a slow disk holds nobody up but
+     * the caller.
+     */
     public void flush() {
         synchronized (writing) {
             ByteArrayOutputStream out;
--- a/fleet/src/main/java/postgrade/fleet/check/LedgerReader.java
+++ b/fleet/src/main/java/postgrade/fleet/check/LedgerReader.java
@@ -16,7 +16,9 @@
         /** The value of {@code name=value} among the detail's words, or null. */
         public String value(String name) {
             for (String word : detail.split(" ")) {
-                if (word.startsWith(name) && word.length() > name.length() && word.charAt(name.length()) == '=') {
+                if (word.startsWith(name)
+                        && word.length() > name.length()
+                        && word.charAt(name.length()) == '=') {
                     return word.substring(name.length() + 1);
                 }
             }
@@ -29,7 +31,7 @@
         }
     }
 
-    private LedgerReader() { }
+    private LedgerReader() {}
 
     public static List<Line> read(Path file) throws IOException {
         List<Line> lines = new ArrayList<>();
@@ -37,7 +39,13 @@
             for (String text = reader.readLine(); text != null; text = reader.readLine()) {
                 String[] parts = text.split("\t", -1);
                 if (parts.length == 5 && parts[0].matches("[0-9]{1,18}")) {
-                    lines.add(new Line(Long.parseLong(parts[0]), parts[1], parts[2], parts[3], parts[4]));
+                    lines.add(
+                            new Line(
+                                    Long.parseLong(parts[0]),
+                                    parts[1],
+                                    parts[2],
+                                    parts[3],
+                                    parts[4]));
                 }
             }
         }
--- a/fleet/src/main/java/postgrade/fleet/check/RuleChecker.java
+++ b/fleet/src/main/java/postgrade/fleet/check/RuleChecker.java
@@ -14,9 +14,9 @@
 import postgrade.fleet.check.LedgerReader.Line;
 
 /**
- * Judges the rules from the ledgers of workers, discovery and clients alone. It shares no code with the dispatcher, so a
- * misunderstanding there is not repeated here. Times are those of the ledgers; each limit is extended by 50 ms,
- * as the protocol says.
+ * Judges the rules from the ledgers of workers, discovery and clients alone. It shares no code with
+ * the dispatcher, so a misunderstanding there is not repeated here. Times are those of the ledgers;
+ * each limit is extended by 50 ms, as the protocol says.
  */
 public final class RuleChecker {
 
@@ -27,7 +27,8 @@
         ONE_ATTEMPT("at most one attempt of a request is out at a time"),
         NO_REPEAT("what must not run twice is not sent again once it may have run, nor refused"),
         SENT_ONCE("a client sends each request once"),
-        DRAIN("nothing new goes to a worker later than 500 ms after the dispatcher was told that it drains or is gone"),
+        DRAIN(
+                "nothing new goes to a worker later than 500 ms after the dispatcher was told that it drains or is gone"),
         COLD("no cold worker is pushed over");
 
         public final String meaning;
@@ -38,7 +39,7 @@
     }
 
     /** One breach of a rule. */
-    public record Violation(Rule rule, long micros, String id, String what) { }
+    public record Violation(Rule rule, long micros, String id, String what) {}
 
     /** What was judged, so that a clean verdict on nothing is not taken for a good one. */
     public static final class Verdict {
@@ -61,6 +62,7 @@
 
     /** By how much the protocol extends each limit, in microseconds. */
     public static final long SLACK_MICROS = 50_000;
+
     private static final long GRACE = 500_000;
 
     /** One attempt as its worker saw it. */
@@ -94,21 +96,25 @@
     }
 
     /**
-     * Judges a run's folder: {@code workers.ledger} and {@code discovery.ledger} of the fleet, and {@code clients.ledger}.
+     * Judges a run's folder: {@code workers.ledger} and {@code discovery.ledger} of the fleet, and
+     * {@code clients.ledger}.
      */
     public static Verdict judge(Path folder) throws IOException {
         return judge(folder, SLACK_MICROS);
     }
 
     /**
-     * The same, with another extension of limits: on a machine that others use, stand-ins may be held up for longer than
-     * the protocol grants, and see late what was done in time.
+     * The same, with another extension of limits: on a machine that others use, stand-ins may be
+     * held up for longer than the protocol grants, and see late what was done in time.
      */
     public static Verdict judge(Path folder, long slackMicros) throws IOException {
         return judge(folder, slackMicros, slackMicros);
     }
 
-    /** @param lateMicros how long after its deadline an answer may be seen by a client that waits for a core itself */
+    /**
+     * @param lateMicros how long after its deadline an answer may be seen by a client that waits
+     *     for a core itself
+     */
     public static Verdict judge(Path folder, long slackMicros, long lateMicros) throws IOException {
         RuleChecker c = new RuleChecker(slackMicros, lateMicros);
         c.workers(LedgerReader.read(folder.resolve("workers.ledger")));
@@ -159,7 +165,7 @@
                 }
                 case "fell-over" -> breach(Rule.COLD, l.micros(), "", l.party() + " fell over");
                 case "restarted" -> verdict.restarts++;
-                default -> { }
+                default -> {}
             }
         }
         attempts.values().forEach(all -> all.sort((a, b) -> Long.compare(a.received, b.received)));
@@ -171,10 +177,21 @@
                 Attempt before = all.get(i - 1);
                 Attempt next = all.get(i);
                 // A close crosses the next attempt on the way: the one who closed knew of it first.
-                if (next.received < before.ended && (before.ended == Long.MAX_VALUE
-                        || next.received < before.ended - slack || !before.how.equals("given-up"))) {
-                    breach(Rule.ONE_ATTEMPT, next.received, next.id, "at " + next.worker + " while that at "
-                            + before.worker + " was out (" + before.how + ")");
+                if (next.received < before.ended
+                        && (before.ended == Long.MAX_VALUE
+                                || next.received < before.ended - slack
+                                || !before.how.equals("given-up"))) {
+                    breach(
+                            Rule.ONE_ATTEMPT,
+                            next.received,
+                            next.id,
+                            "at "
+                                    + next.worker
+                                    + " while that at "
+                                    + before.worker
+                                    + " was out ("
+                                    + before.how
+                                    + ")");
                 }
             }
         }
@@ -186,8 +203,17 @@
                 Attempt next = all.get(i);
                 for (Attempt before : all.subList(0, i)) {
                     if (!next.repeatable && before.mayHaveRun()) {
-                        breach(Rule.NO_REPEAT, next.received, next.id, next.jobClass + " at " + next.worker
-                                + " after an attempt at " + before.worker + " that ended " + before.how);
+                        breach(
+                                Rule.NO_REPEAT,
+                                next.received,
+                                next.id,
+                                next.jobClass
+                                        + " at "
+                                        + next.worker
+                                        + " after an attempt at "
+                                        + before.worker
+                                        + " that ended "
+                                        + before.how);
                         break;
                     }
                 }
@@ -202,7 +228,8 @@
         for (Line l : lines) {
             if (l.event().equals("told")) {
                 boolean leaves = !"ready".equals(l.value("state"));
-                told.computeIfAbsent(l.party() + " " + l.id(), k -> new TreeMap<>()).put(l.micros(), leaves);
+                told.computeIfAbsent(l.party() + " " + l.id(), k -> new TreeMap<>())
+                        .put(l.micros(), leaves);
                 verdict.drainsTold += leaves ? 1 : 0;
             }
         }
@@ -216,12 +243,22 @@
                 verdict.sendsWhileDraining++;
                 // The first of the words in a row that it leaves is what counts.
                 long since = last.getKey();
-                for (Map.Entry<Long, Boolean> e = last; e != null && e.getValue(); e = known.lowerEntry(e.getKey())) {
+                for (Map.Entry<Long, Boolean> e = last;
+                        e != null && e.getValue();
+                        e = known.lowerEntry(e.getKey())) {
                     since = e.getKey();
                 }
                 if (a.first > since + GRACE + slack) {
-                    breach(Rule.DRAIN, a.first, a.id, a.via + " sent it to " + a.worker + " "
-                            + (a.first - since) / 1000 + " ms after it was told");
+                    breach(
+                            Rule.DRAIN,
+                            a.first,
+                            a.id,
+                            a.via
+                                    + " sent it to "
+                                    + a.worker
+                                    + " "
+                                    + (a.first - since) / 1000
+                                    + " ms after it was told");
                 }
             }
         }
@@ -253,9 +290,10 @@
                         breach(Rule.ONE_ANSWER, l.micros(), l.id(), "answered twice");
                     }
                 }
-                // Not taken by the dispatcher, which was down or went down; or left by a client that died itself.
+                // Not taken by the dispatcher, which was down or went down; or left by a client
+                // that died itself.
                 case "unsent", "broken-idle", "client-died" -> excused.add(l.id());
-                default -> { }
+                default -> {}
             }
         }
         logicalOrders(lines);
@@ -280,11 +318,19 @@
             }
         }
         for (Map.Entry<String, List<String>> e : tries.entrySet()) {
-            long ran = e.getValue().stream().filter(id -> attempts.getOrDefault(id, List.of()).stream()
-                    .anyMatch(Attempt::mayHaveRun)).count();
+            long ran =
+                    e.getValue().stream()
+                            .filter(
+                                    id ->
+                                            attempts.getOrDefault(id, List.of()).stream()
+                                                    .anyMatch(Attempt::mayHaveRun))
+                            .count();
             if (ran > 1) {
-                breach(Rule.NO_REPEAT, 0, e.getValue().get(1), "job " + e.getKey() + " may have run in " + ran
-                        + " of its tries");
+                breach(
+                        Rule.NO_REPEAT,
+                        0,
+                        e.getValue().get(1),
+                        "job " + e.getKey() + " may have run in " + ran + " of its tries");
             }
         }
     }
@@ -293,20 +339,32 @@
         long status = answer.number("status");
         long deadline = sent.number("deadline");
         if (deadline > 0 && answer.micros() > sent.micros() + deadline + late) {
-            breach(Rule.ONE_ANSWER, answer.micros(), answer.id(), "answered "
-                    + (answer.micros() - sent.micros()) / 1000 + " ms after it was sent, with a deadline of "
-                    + deadline / 1000 + " ms");
+            breach(
+                    Rule.ONE_ANSWER,
+                    answer.micros(),
+                    answer.id(),
+                    "answered "
+                            + (answer.micros() - sent.micros()) / 1000
+                            + " ms after it was sent, with a deadline of "
+                            + deadline / 1000
+                            + " ms");
         }
         if (status == 200 && !answer.id().equals(results.get(answer.value("result")))) {
-            breach(Rule.TRUE_ANSWER, answer.micros(), answer.id(), "served with " + answer.value("result")
-                    + ", which no worker made for it");
+            breach(
+                    Rule.TRUE_ANSWER,
+                    answer.micros(),
+                    answer.id(),
+                    "served with " + answer.value("result") + ", which no worker made for it");
         }
         boolean refused = status == 429 || status == 503;
         if (refused && "false".equals(sent.value("repeatable"))) {
             for (Attempt a : attempts.getOrDefault(answer.id(), List.of())) {
                 if (a.mayHaveRun()) {
-                    breach(Rule.NO_REPEAT, answer.micros(), answer.id(), "refused, though it may have run at "
-                            + a.worker + " (" + a.how + ")");
+                    breach(
+                            Rule.NO_REPEAT,
+                            answer.micros(),
+                            answer.id(),
+                            "refused, though it may have run at " + a.worker + " (" + a.how + ")");
                     break;
                 }
             }
--- a/fleet/src/main/java/postgrade/fleet/model/Accelerators.java
+++ b/fleet/src/main/java/postgrade/fleet/model/Accelerators.java
@@ -1,8 +1,9 @@
 package postgrade.fleet.model;
 
 /**
- * A worker's accelerators. Each remembers the highest grant that it was told of and turns an older one away, and none is
- * begun for a later grant while anything of an earlier one runs on that grant's accelerators. A new process remembers nothing.
+ * A worker's accelerators. Each remembers the highest grant that it was told of and turns an older
+ * one away, and none is begun for a later grant while anything of an earlier one runs on that
+ * grant's accelerators. A new process remembers nothing.
  */
 final class Accelerators {
 
@@ -14,7 +15,10 @@
         users = new Job[count];
     }
 
-    /** Whether a later grant of any of its accelerators has been seen, or there are no such accelerators. */
+    /**
+     * Whether a later grant of any of its accelerators has been seen, or there are no such
+     * accelerators.
+     */
     boolean turnsAway(Fence f) {
         for (Fence.Grant g : f.grants()) {
             if (highest.length < 64 && g.mask() >> highest.length != 0) {
--- a/fleet/src/main/java/postgrade/fleet/model/ColdStart.java
+++ b/fleet/src/main/java/postgrade/fleet/model/ColdStart.java
@@ -2,7 +2,10 @@
 
 import java.util.ArrayDeque;
 
-/** How far a worker has warmed up since its start, and whether it was sent more than a cold one bears. */
+/**
+ * How far a worker has warmed up since its start, and whether it was sent more than a cold one
+ * bears.
+ */
 final class ColdStart {
 
     private final WorkerSpec spec;
@@ -24,7 +27,9 @@
     }
 
     double warmth(long now) {
-        return cold(now) ? spec.coldShare() + (1 - spec.coldShare()) * (now - bornMicros) / spec.warmMicros() : 1;
+        return cold(now)
+                ? spec.coldShare() + (1 - spec.coldShare()) * (now - bornMicros) / spec.warmMicros()
+                : 1;
     }
 
     /** True where it falls over by this work: a cold worker bears only so much within a time. */
@@ -35,6 +40,7 @@
         }
         double all = sent.stream().mapToLong(s -> s[1]).sum();
         // One job may be large by chance: that alone tips nobody.
-        return sent.size() > spec.cores() + 1 && all > spec.fallMultiple() * capacity * spec.fallMicros();
+        return sent.size() > spec.cores() + 1
+                && all > spec.fallMultiple() * capacity * spec.fallMicros();
     }
 }
--- a/fleet/src/main/java/postgrade/fleet/model/Fence.java
+++ b/fleet/src/main/java/postgrade/fleet/model/Fence.java
@@ -4,21 +4,23 @@
 import java.util.List;
 
 /**
- * What a job is let in by: for each grant a mask of accelerators and the grant's number, as the header
- * {@code X-Fence: MASK=NUMBER,...} says it, masks in hexadecimal.
+ * What a job is let in by: for each grant a mask of accelerators and the grant's number, as the
+ * header {@code X-Fence: MASK=NUMBER,...} says it, masks in hexadecimal.
  */
 public record Fence(List<Grant> grants) {
 
     /** A job that nobody reserved anything for. */
     public static final Fence NONE = new Fence(List.of());
 
-    public record Grant(long mask, long number) { }
+    public record Grant(long mask, long number) {}
 
     public Fence {
         grants = List.copyOf(grants);
     }
 
-    /** @throws IllegalArgumentException naming the header */
+    /**
+     * @throws IllegalArgumentException naming the header
+     */
     public static Fence of(String header) {
         if (header == null) {
             return NONE;
@@ -36,7 +38,8 @@
                 all |= mask;
                 grants.add(new Grant(mask, number));
             } catch (IllegalArgumentException | ArrayIndexOutOfBoundsException e) {
-                throw new IllegalArgumentException("X-Fence must be MASK=NUMBER,... with masks in hexadecimal");
+                throw new IllegalArgumentException(
+                        "X-Fence must be MASK=NUMBER,... with masks in hexadecimal");
             }
         }
         return new Fence(grants);
--- a/fleet/src/main/java/postgrade/fleet/model/Listener.java
+++ b/fleet/src/main/java/postgrade/fleet/model/Listener.java
@@ -5,7 +5,9 @@
 
     void started(long nowMicros, Job job);
 
-    /** @param share of its work done, 0 to 1 */
+    /**
+     * @param share of its work done, 0 to 1
+     */
     void progress(long nowMicros, Job job, double share);
 
     void done(long nowMicros, Job job);
--- a/fleet/src/main/java/postgrade/fleet/model/WaitingLine.java
+++ b/fleet/src/main/java/postgrade/fleet/model/WaitingLine.java
@@ -5,7 +5,9 @@
 import java.util.TreeMap;
 import java.util.function.Predicate;
 
-/** The jobs that wait at a worker: higher priorities first, and of one priority whoever came first. */
+/**
+ * The jobs that wait at a worker: higher priorities first, and of one priority whoever came first.
+ */
 final class WaitingLine {
 
     private final TreeMap<Integer, Deque<Job>> byPriority = new TreeMap<>();
@@ -26,7 +28,10 @@
         size++;
     }
 
-    /** The first that may begin, or null. One that waits for an accelerator holds up nobody who needs none. */
+    /**
+     * The first that may begin, or null. One that waits for an accelerator holds up nobody who
+     * needs none.
+     */
     Job next(Predicate<Job> mayBegin) {
         for (Deque<Job> line : byPriority.values()) {
             for (Job job : line) {
--- a/fleet/src/main/java/postgrade/fleet/model/WorkerModel.java
+++ b/fleet/src/main/java/postgrade/fleet/model/WorkerModel.java
@@ -7,15 +7,18 @@
 import java.util.Map;
 
 /**
- * One worker's insides, in time that is handed in: cores, a queue by priority, suspension, cold starts, falling over,
- * drains, accelerators, and what faults do to its pace. No sockets, clocks or threads; all times are microseconds of one clock.
+ * One worker's insides, in time that is handed in: cores, a queue by priority, suspension, cold
+ * starts, falling over, drains, accelerators, and what faults do to its pace. No sockets, clocks or
+ * threads; all times are microseconds of one clock.
  *
- * <p>Call {@link #advance} before anything else at a time, and again at {@link #nextMicros} at the latest.
+ * <p>Call {@link #advance} before anything else at a time, and again at {@link #nextMicros} at the
+ * latest.
  */
 public final class WorkerModel {
 
     /** How finely the rise of a cold worker's capacity is followed. */
     private static final long COLD_STEP = 50_000;
+
     private static final double DONE = 1e-6;
 
     private final WorkerSpec spec;
@@ -32,8 +35,11 @@
     private boolean draining;
     private boolean down;
 
-    /** @param progressEvery between reports of progress of a running job; 0 for none */
-    public WorkerModel(WorkerSpec spec, long nowMicros, boolean cold, long progressEvery, Listener listener) {
+    /**
+     * @param progressEvery between reports of progress of a running job; 0 for none
+     */
+    public WorkerModel(
+            WorkerSpec spec, long nowMicros, boolean cold, long progressEvery, Listener listener) {
         this.spec = spec;
         this.listener = listener;
         this.progressEvery = progressEvery;
@@ -44,12 +50,17 @@
 
     // ---- What the host tells.
 
-    /** Takes a job. False: it is full, drains, is down or knows a later grant; the job has not been looked at. */
+    /**
+     * Takes a job. False: it is full, drains, is down or knows a later grant; the job has not been
+     * looked at.
+     */
     public boolean submit(Job job) {
         if (down || draining || jobs.containsKey(job.id) || turnsAway(job)) {
             return false;
         }
-        boolean full = running.size() >= spec.cores() || job.accelerated && accelerators.freeFor(job.fence) < 0;
+        boolean full =
+                running.size() >= spec.cores()
+                        || job.accelerated && accelerators.freeFor(job.fence) < 0;
         if (full && waiting.size() >= spec.queue() && !wouldSuspend(job)) {
             return false;
         }
@@ -94,7 +105,10 @@
         job.left = Math.min(job.left, workMicros);
     }
 
-    /** The sender gave a job up. True if it was here. A running one goes on where the worker is like that. */
+    /**
+     * The sender gave a job up. True if it was here. A running one goes on where the worker is like
+     * that.
+     */
     public boolean giveUp(String id) {
         Job job = jobs.get(id);
         if (job == null) {
@@ -215,7 +229,9 @@
     }
 
     private boolean wouldSuspend(Job job) {
-        return spec.suspends() && running.stream().anyMatch(r -> r.repeatable && !r.accelerated && r.priority < job.priority);
+        return spec.suspends()
+                && running.stream()
+                        .anyMatch(r -> r.repeatable && !r.accelerated && r.priority < job.priority);
     }
 
     private void fill() {
@@ -254,7 +270,10 @@
     private Job lowest(Job than) {
         Job lowest = null;
         for (Job r : running) {
-            if (spec.suspends() && r.repeatable && !r.accelerated && r.priority < than.priority
+            if (spec.suspends()
+                    && r.repeatable
+                    && !r.accelerated
+                    && r.priority < than.priority
                     && (lowest == null || r.priority < lowest.priority)) {
                 lowest = r;
             }
--- a/fleet/src/main/java/postgrade/fleet/net/CallBackClient.java
+++ b/fleet/src/main/java/postgrade/fleet/net/CallBackClient.java
@@ -22,7 +22,9 @@
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
 
-/** One worker's call-backs to one dispatcher: each repeated until it is answered, at most ten times. */
+/**
+ * One worker's call-backs to one dispatcher: each repeated until it is answered, at most ten times.
+ */
 final class CallBackClient {
 
     private static final int MOST_TRIES = 10;
@@ -56,7 +58,10 @@
         pump();
     }
 
-    /** The worker's process has died: what it had not told yet is lost, and its idle connections are reset. */
+    /**
+     * The worker's process has died: what it had not told yet is lost, and its idle connections are
+     * reset.
+     */
     void die() {
         waiting.clear();
         idle.forEach(Http::reset);
@@ -81,30 +86,44 @@
 
     private void connect() {
         open++;
-        ChannelFuture f = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) PATIENCE_MS).option(ChannelOption.TCP_NODELAY, true)
-                .handler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel c) {
-                        c.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(Http.MOST_BODY),
-                                new Answers());
+        ChannelFuture f =
+                new Bootstrap()
+                        .group(loop)
+                        .channel(NioSocketChannel.class)
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) PATIENCE_MS)
+                        .option(ChannelOption.TCP_NODELAY, true)
+                        .handler(
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel c) {
+                                        c.pipeline()
+                                                .addLast(
+                                                        new HttpClientCodec(),
+                                                        new HttpObjectAggregator(Http.MOST_BODY),
+                                                        new Answers());
+                                    }
+                                })
+                        .connect(to);
+        f.addListener(
+                done -> {
+                    if (!done.isSuccess()) {
+                        open--;
+                        // The dispatcher is down or restarting: what waits loses one of its tries.
+                        waiting.removeIf(call -> ++call.tries >= MOST_TRIES);
+                        loop.schedule(this::pump, AGAIN_MS, TimeUnit.MILLISECONDS);
                     }
-                }).connect(to);
-        f.addListener(done -> {
-            if (!done.isSuccess()) {
-                open--;
-                // The dispatcher is down or restarting: what waits loses one of its tries.
-                waiting.removeIf(call -> ++call.tries >= MOST_TRIES);
-                loop.schedule(this::pump, AGAIN_MS, TimeUnit.MILLISECONDS);
-            }
-        });
+                });
     }
 
     private void write(Channel c, Call call) {
         call.tries++;
         c.pipeline().get(Answers.class).call = call;
-        FullHttpRequest r = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/v1/job-events",
-                Unpooled.copiedBuffer(call.body, StandardCharsets.UTF_8));
+        FullHttpRequest r =
+                new DefaultFullHttpRequest(
+                        HttpVersion.HTTP_1_1,
+                        HttpMethod.POST,
+                        "/v1/job-events",
+                        Unpooled.copiedBuffer(call.body, StandardCharsets.UTF_8));
         r.headers().set("Host", "dispatcher").setInt("Content-Length", r.content().readableBytes());
         c.writeAndFlush(r);
         Answers answers = c.pipeline().get(Answers.class);
@@ -141,10 +160,13 @@
 
         private void again(Call failed) {
             if (failed.tries < MOST_TRIES) {
-                loop.schedule(() -> {
-                    waiting.add(failed);
-                    pump();
-                }, AGAIN_MS, TimeUnit.MILLISECONDS);
+                loop.schedule(
+                        () -> {
+                            waiting.add(failed);
+                            pump();
+                        },
+                        AGAIN_MS,
+                        TimeUnit.MILLISECONDS);
             }
         }
 
--- a/fleet/src/main/java/postgrade/fleet/net/Fleet.java
+++ b/fleet/src/main/java/postgrade/fleet/net/Fleet.java
@@ -25,8 +25,9 @@
 import postgrade.log.Events;
 
 /**
- * A stand-in fleet: workers, and for each dispatcher an agent of discovery, all on loopback. Writes the ledgers
- * {@code workers.ledger} and {@code discovery.ledger} and a configuration for each dispatcher into its folder.
+ * A stand-in fleet: workers, and for each dispatcher an agent of discovery, all on loopback. Writes
+ * the ledgers {@code workers.ledger} and {@code discovery.ledger} and a configuration for each
+ * dispatcher into its folder.
  */
 public final class Fleet implements Closeable {
 
@@ -51,7 +52,8 @@
      * @param dispatchers how many there will be; their addresses are chosen here
      * @param threads event loops for the workers
      */
-    public Fleet(FleetPlan plan, Path folder, int dispatchers, int threads) throws IOException, InterruptedException {
+    public Fleet(FleetPlan plan, Path folder, int dispatchers, int threads)
+            throws IOException, InterruptedException {
         this.plan = plan;
         this.folder = folder;
         random = new SplittableRandom(plan.seed + 17);
@@ -61,7 +63,8 @@
         loops = new NioEventLoopGroup(threads, new DefaultThreadFactory("fleet", true));
         chooseAddresses(dispatchers);
         for (FleetPlan.Worker w : plan.workers) {
-            WorkerServer server = new WorkerServer(plan, w, loops.next(), this.dispatchers, workersLedger);
+            WorkerServer server =
+                    new WorkerServer(plan, w, loops.next(), this.dispatchers, workersLedger);
             server.listen();
             workers.add(server);
         }
@@ -74,15 +77,17 @@
             agent.known(known);
             int port = agent.listen();
             discovery.add(agent);
-            Files.writeString(folder.resolve("n" + (d + 1) + ".json"), configuration(d, port, known));
+            Files.writeString(
+                    folder.resolve("n" + (d + 1) + ".json"), configuration(d, port, known));
         }
     }
 
     /**
-     * Ports for the dispatchers, which bind them later in processes of their own. Guarded against: a port from the
-     * ephemeral range, free when chosen, being taken for an outgoing connection (of a worker, a client or another
-     * dispatcher) before its dispatcher listens, or while it is away. So the ports come from below that range, which no
-     * bind to port 0 or connect is given, and each is held as long as the fleet is there.
+     * Ports for the dispatchers, which bind them later in processes of their own. Guarded against:
+     * a port from the ephemeral range, free when chosen, being taken for an outgoing connection (of
+     * a worker, a client or another dispatcher) before its dispatcher listens, or while it is away.
+     * So the ports come from below that range, which no bind to port 0 or connect is given, and
+     * each is held as long as the fleet is there.
      */
     private void chooseAddresses(int count) throws IOException {
         int[] span = portsBelowEphemeral();
@@ -98,11 +103,14 @@
             }
         }
         if (dispatchers.size() < count) {
-            throw new IOException("no " + count + " free ports between " + span[0] + " and " + span[1]);
+            throw new IOException(
+                    "no " + count + " free ports between " + span[0] + " and " + span[1]);
         }
     }
 
-    /** The ports [from, to) for dispatchers: up to 8,000 just below the system's ephemeral range. */
+    /**
+     * The ports [from, to) for dispatchers: up to 8,000 just below the system's ephemeral range.
+     */
     static int[] portsBelowEphemeral() {
         int low = 32768;
         try {
@@ -129,9 +137,15 @@
         return workers.size();
     }
 
-    private DiscoveryServer.Entry entry(WorkerServer w, int dispatcher, String state, long startedMillis) {
-        return new DiscoveryServer.Entry(w.worker.id(), w.address(dispatcher), w.worker.zone(),
-                w.worker.spec().kind(), state, startedMillis);
+    private DiscoveryServer.Entry entry(
+            WorkerServer w, int dispatcher, String state, long startedMillis) {
+        return new DiscoveryServer.Entry(
+                w.worker.id(),
+                w.address(dispatcher),
+                w.worker.zone(),
+                w.worker.spec().kind(),
+                state,
+                startedMillis);
     }
 
     private String configuration(int d, int discoveryPort, List<DiscoveryServer.Entry> known) {
@@ -140,28 +154,57 @@
         StringBuilder priority = new StringBuilder();
         for (JobClass c : plan.classes.values()) {
             String comma = classes.length() == 0 ? "" : ",";
-            classes.append(comma).append(String.format(Locale.ROOT, "{\"name\":\"%s\",\"idempotency\":\"%s\","
-                    + "\"onTimeNs\":%d,\"deadlineNs\":%d,\"importance\":%s}", c.name(),
-                    c.repeatable() ? "read_like" : "non_idempotent", (long) (c.aimMs() * 1e6),
-                    (long) (c.deadlineMs() * 1e6), c.worth()));
+            classes.append(comma)
+                    .append(
+                            String.format(
+                                    Locale.ROOT,
+                                    "{\"name\":\"%s\",\"idempotency\":\"%s\","
+                                            + "\"onTimeNs\":%d,\"deadlineNs\":%d,\"importance\":%s}",
+                                    c.name(),
+                                    c.repeatable() ? "read_like" : "non_idempotent",
+                                    (long) (c.aimMs() * 1e6),
+                                    (long) (c.deadlineMs() * 1e6),
+                                    c.worth()));
             stretch.append(comma).append(c.stretch());
             priority.append(comma).append(c.priority());
         }
         StringBuilder tenants = new StringBuilder();
-        plan.tenants.forEach((name, rate) -> tenants.append(tenants.length() == 0 ? "" : ",")
-                .append("{\"name\":\"").append(name).append("\",\"quotaPerS\":").append(rate).append('}'));
+        plan.tenants.forEach(
+                (name, rate) ->
+                        tenants.append(tenants.length() == 0 ? "" : ",")
+                                .append("{\"name\":\"")
+                                .append(name)
+                                .append("\",\"quotaPerS\":")
+                                .append(rate)
+                                .append('}'));
         var spec = plan.workers.get(0).spec();
-        return String.format(Locale.ROOT, "{\"name\":\"n%d\",\"listen\":\"127.0.0.1:%d\",\"discovery\":\"127.0.0.1:%d\","
-                + "\"seed\":\"%x\",%n\"limits\":{\"sockets\":4096},%n\"known\":%s,%n\"settings\":{\"balancers\":%d,"
-                + "\"index\":%d,\"zone\":\"%s\",\"classes\":[%s],\"tenants\":[%s],\"limits\":{\"cancel\":true,"
-                + "\"maxAttempts\":4,\"mayDuplicate\":false,\"mostHeld\":20000,\"connIdleNs\":%d,"
-                + "\"connectTimeoutNs\":250000000,\"maxRetryAfterNs\":2000000000},\"obligations\":{\"coldShare\":%s,"
-                + "\"warmWithinNs\":%d,\"fallMultiple\":%s,\"fallNs\":%d},\"specifics\":{\"tellsStart\":true,"
-                + "\"classStretch\":[%s],\"classPriority\":[%s],\"queueOrder\":\"priority\"},"
-                + "\"telemetry\":{\"source\":\"silent\"},\"tickNs\":4000000}}%n", d + 1, dispatchers.get(d).getPort(),
-                discoveryPort, plan.seed * 1000 + d, DiscoveryServer.json(1, true, known), dispatchers.size(), d,
-                plan.workers.get(0).zone(), classes, tenants, (long) (plan.idleMs * 1e6), spec.coldShare(),
-                spec.warmMicros() * 1000, spec.fallMultiple(), spec.fallMicros() * 1000, stretch, priority);
+        return String.format(
+                Locale.ROOT,
+                "{\"name\":\"n%d\",\"listen\":\"127.0.0.1:%d\",\"discovery\":\"127.0.0.1:%d\","
+                        + "\"seed\":\"%x\",%n\"limits\":{\"sockets\":4096},%n\"known\":%s,%n\"settings\":{\"balancers\":%d,"
+                        + "\"index\":%d,\"zone\":\"%s\",\"classes\":[%s],\"tenants\":[%s],\"limits\":{\"cancel\":true,"
+                        + "\"maxAttempts\":4,\"mayDuplicate\":false,\"mostHeld\":20000,\"connIdleNs\":%d,"
+                        + "\"connectTimeoutNs\":250000000,\"maxRetryAfterNs\":2000000000},\"obligations\":{\"coldShare\":%s,"
+                        + "\"warmWithinNs\":%d,\"fallMultiple\":%s,\"fallNs\":%d},\"specifics\":{\"tellsStart\":true,"
+                        + "\"classStretch\":[%s],\"classPriority\":[%s],\"queueOrder\":\"priority\"},"
+                        + "\"telemetry\":{\"source\":\"silent\"},\"tickNs\":4000000}}%n",
+                d + 1,
+                dispatchers.get(d).getPort(),
+                discoveryPort,
+                plan.seed * 1000 + d,
+                DiscoveryServer.json(1, true, known),
+                dispatchers.size(),
+                d,
+                plan.workers.get(0).zone(),
+                classes,
+                tenants,
+                (long) (plan.idleMs * 1e6),
+                spec.coldShare(),
+                spec.warmMicros() * 1000,
+                spec.fallMultiple(),
+                spec.fallMicros() * 1000,
+                stretch,
+                priority);
     }
 
     // ---- The timetable.
@@ -172,16 +215,22 @@
         clock.scheduleAtFixedRate(this::flush, FLUSH_MS, FLUSH_MS, TimeUnit.MILLISECONDS);
         for (Fault f : plan.faults) {
             List<WorkerServer> met = part(f);
-            at(f.at(), () -> {
-                discoveryLedger.add(Clock.micros(), "fault", "", f.kind(), "begins");
-                Events.info(LOG, "fleet.fault-begins").addKeyValue("kind", f.kind()).addKeyValue("workers", met.size())
-                        .log("fault " + f.kind() + " begins at " + met.size() + " workers");
-                begin(f, met);
-            });
-            at(f.at() + f.lasts(), () -> {
-                discoveryLedger.add(Clock.micros(), "fault", "", f.kind(), "ends");
-                end(f, met);
-            });
+            at(
+                    f.at(),
+                    () -> {
+                        discoveryLedger.add(Clock.micros(), "fault", "", f.kind(), "begins");
+                        Events.info(LOG, "fleet.fault-begins")
+                                .addKeyValue("kind", f.kind())
+                                .addKeyValue("workers", met.size())
+                                .log("fault " + f.kind() + " begins at " + met.size() + " workers");
+                        begin(f, met);
+                    });
+            at(
+                    f.at() + f.lasts(),
+                    () -> {
+                        discoveryLedger.add(Clock.micros(), "fault", "", f.kind(), "ends");
+                        end(f, met);
+                    });
         }
     }
 
@@ -201,15 +250,29 @@
             case "fast_errors" -> met.forEach(w -> w.on(() -> w.failing = f.figure("share", 0.7)));
             case "resets" -> met.forEach(w -> w.on(() -> w.resetting = f.figure("share", 0.3)));
             case "silence" -> met.forEach(w -> w.on(() -> w.silent = true));
-            case "heavy_tail" -> met.forEach(w -> w.on(() -> {
-                w.tailClass = f.jobClass();
-                w.tailShare = f.figure("share", 0.01);
-                w.tailFactor = f.figure("factor", 15);
-            }));
-            case "neighbour" -> toggle(f, met, f.figure("on_s", 2), f.figure("on_s", 2),
-                    (w, on) -> w.model().neighbour(on ? f.figure("share", 0.5) : 0));
-            case "pauses" -> toggle(f, met, f.figure("pause_ms", 100) / 1000, f.figure("every_s", 2),
-                    (w, on) -> w.model().pause(on));
+            case "heavy_tail" ->
+                    met.forEach(
+                            w ->
+                                    w.on(
+                                            () -> {
+                                                w.tailClass = f.jobClass();
+                                                w.tailShare = f.figure("share", 0.01);
+                                                w.tailFactor = f.figure("factor", 15);
+                                            }));
+            case "neighbour" ->
+                    toggle(
+                            f,
+                            met,
+                            f.figure("on_s", 2),
+                            f.figure("on_s", 2),
+                            (w, on) -> w.model().neighbour(on ? f.figure("share", 0.5) : 0));
+            case "pauses" ->
+                    toggle(
+                            f,
+                            met,
+                            f.figure("pause_ms", 100) / 1000,
+                            f.figure("every_s", 2),
+                            (w, on) -> w.model().pause(on));
             case "discovery_silence" -> discovery.forEach(a -> a.silent(true));
             case "drain", "shrink" -> {
                 double over = f.kind().equals("shrink") ? f.lasts() : 0;
@@ -249,7 +312,7 @@
             case "silence" -> met.forEach(w -> w.on(() -> w.silent = false));
             case "heavy_tail" -> met.forEach(w -> w.on(() -> w.tailShare = 0));
             case "discovery_silence" -> discovery.forEach(a -> a.silent(false));
-            default -> { }
+            default -> {}
         }
     }
 
@@ -257,27 +320,34 @@
     private void leave(WorkerServer w, double drainSeconds) {
         w.on(() -> w.drain(true));
         notice(w, "draining", 0);
-        at(drainSeconds, () -> {
-            w.on(() -> w.die(true));
-            notice(w, "gone", 0);
-        });
+        at(
+                drainSeconds,
+                () -> {
+                    w.on(() -> w.die(true));
+                    notice(w, "gone", 0);
+                });
     }
 
     /** The process dies and another starts, cold; the list tells of it late. */
     private void restart(WorkerServer w, double downSeconds) {
         w.on(() -> w.die(true));
-        at(downSeconds, () -> {
-            w.on(w::restart);
-            notice(w, "ready", System.currentTimeMillis());
-        });
+        at(
+                downSeconds,
+                () -> {
+                    w.on(w::restart);
+                    notice(w, "ready", System.currentTimeMillis());
+                });
     }
 
-    /** Tells each dispatcher's agent, each at a time of its own; lost notices come with a later one. */
+    /**
+     * Tells each dispatcher's agent, each at a time of its own; lost notices come with a later one.
+     */
     private void notice(WorkerServer w, String state, long startedMillis) {
         for (int d = 0; d < discovery.size(); d++) {
             DiscoveryServer agent = discovery.get(d);
             DiscoveryServer.Entry e = entry(w, d, state, startedMillis);
-            double late = plan.noticeMs[0] + (plan.noticeMs[1] - plan.noticeMs[0]) * random.nextDouble();
+            double late =
+                    plan.noticeMs[0] + (plan.noticeMs[1] - plan.noticeMs[0]) * random.nextDouble();
             boolean lost = random.nextDouble() < plan.noticesLost;
             at((lost ? late + 5000 : late) / 1000, () -> agent.change(List.of(e)));
         }
--- a/fleet/src/main/java/postgrade/fleet/net/Http.java
+++ b/fleet/src/main/java/postgrade/fleet/net/Http.java
@@ -16,11 +16,14 @@
 
     static final int MOST_BODY = 1 << 20;
 
-    private Http() { }
+    private Http() {}
 
     static FullHttpResponse response(int status, String body, String... headers) {
-        FullHttpResponse r = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status),
-                Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
+        FullHttpResponse r =
+                new DefaultFullHttpResponse(
+                        HttpVersion.HTTP_1_1,
+                        HttpResponseStatus.valueOf(status),
+                        Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
         for (int i = 0; i < headers.length; i += 2) {
             r.headers().set(headers[i], headers[i + 1]);
         }
@@ -34,7 +37,10 @@
         c.close();
     }
 
-    /** Notes when the first byte of a request came, ahead of the codec, which tells only when it is whole. */
+    /**
+     * Notes when the first byte of a request came, ahead of the codec, which tells only when it is
+     * whole.
+     */
     static final class FirstByte extends ChannelInboundHandlerAdapter {
         private long micros;
 
--- a/fleet/src/main/java/postgrade/fleet/net/WorkerRequests.java
+++ b/fleet/src/main/java/postgrade/fleet/net/WorkerRequests.java
@@ -32,11 +32,15 @@
     }
 
     private void idleFrom(ChannelHandlerContext ctx) {
-        idle = server.loop.schedule(() -> {
-            if (unanswered == null) {
-                ctx.close();
-            }
-        }, (long) server.plan.idleMs, TimeUnit.MILLISECONDS);
+        idle =
+                server.loop.schedule(
+                        () -> {
+                            if (unanswered == null) {
+                                ctx.close();
+                            }
+                        },
+                        (long) server.plan.idleMs,
+                        TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -55,17 +59,20 @@
         String uri = r.uri();
         String id = r.headers().get("X-Request-Id");
         if (r.method().name().equals("DELETE") && uri.startsWith("/jobs/")) {
-            server.on(() -> {
-                server.giveUp(uri.substring(6));
-                answer(ctx, 200, "");
-            });
+            server.on(
+                    () -> {
+                        server.giveUp(uri.substring(6));
+                        answer(ctx, 200, "");
+                    });
         } else if (r.method().name().equals("POST") && id != null) {
             long micros = Clock.micros();
             String fence = r.headers().get("X-Fence");
             if (fresh && server.plan.handshakeMs > 0) {
                 // What a handshake costs the first request of a connection.
-                server.loop.schedule(() -> server.on(() -> take(ctx, id, uri, fence, micros, firstMicros)),
-                        (long) (server.plan.handshakeMs * 1000), TimeUnit.MICROSECONDS);
+                server.loop.schedule(
+                        () -> server.on(() -> take(ctx, id, uri, fence, micros, firstMicros)),
+                        (long) (server.plan.handshakeMs * 1000),
+                        TimeUnit.MICROSECONDS);
             } else {
                 server.on(() -> take(ctx, id, uri, fence, micros, firstMicros));
             }
@@ -83,15 +90,35 @@
         }
     }
 
-    private void take(ChannelHandlerContext ctx, String id, String uri, String fence, long micros,
+    private void take(
+            ChannelHandlerContext ctx,
+            String id,
+            String uri,
+            String fence,
+            long micros,
             long firstMicros) {
         JobClass c = server.classOf(uri);
         Attempt a = new Attempt(dispatcher, id, ctx.channel());
-        server.ledger.add(micros, "received", id, server.worker.id(), "a=" + a.number + " via=" + dispatcher + " first="
-                + firstMicros + " class=" + (c == null ? "?" : c.name()) + " repeatable="
-                + (c == null || c.repeatable()) + " capacity=" + Math.round(server.model.capacity() * 1000) + " work="
-                + (c == null ? 0 : Math.round(server.work(c, id)))
-                + (fence == null ? "" : " fence=" + fence));
+        server.ledger.add(
+                micros,
+                "received",
+                id,
+                server.worker.id(),
+                "a="
+                        + a.number
+                        + " via="
+                        + dispatcher
+                        + " first="
+                        + firstMicros
+                        + " class="
+                        + (c == null ? "?" : c.name())
+                        + " repeatable="
+                        + (c == null || c.repeatable())
+                        + " capacity="
+                        + Math.round(server.model.capacity() * 1000)
+                        + " work="
+                        + (c == null ? 0 : Math.round(server.work(c, id)))
+                        + (fence == null ? "" : " fence=" + fence));
         if (!ctx.channel().isActive()) {
             server.end(a, "given-up");
             return;
@@ -114,7 +141,15 @@
             answer(ctx, 400, e.getMessage() + "\n");
             return;
         }
-        Job job = new Job(id, c.priority(), c.repeatable(), server.work(c, id), a, c.accelerated(), grants);
+        Job job =
+                new Job(
+                        id,
+                        c.priority(),
+                        c.repeatable(),
+                        server.work(c, id),
+                        a,
+                        c.accelerated(),
+                        grants);
         unanswered = a;
         boolean outdated = server.model.turnsAway(job);
         if (!server.model.submit(job)) {
--- a/fleet/src/main/java/postgrade/fleet/net/WorkerServer.java
+++ b/fleet/src/main/java/postgrade/fleet/net/WorkerServer.java
@@ -27,8 +27,9 @@
 import postgrade.fleet.plan.FleetPlan.JobClass;
 
 /**
- * One emulated worker on sockets: the protocol's words round a {@link WorkerModel}. It has an address for each
- * dispatcher, by which it knows whom to call back. All of it runs on one event loop.
+ * One emulated worker on sockets: the protocol's words round a {@link WorkerModel}. It has an
+ * address for each dispatcher, by which it knows whom to call back. All of it runs on one event
+ * loop.
  */
 final class WorkerServer implements Listener {
 
@@ -53,22 +54,37 @@
     double tailShare;
     double tailFactor = 1;
 
-    WorkerServer(FleetPlan plan, FleetPlan.Worker worker, EventLoop loop, List<InetSocketAddress> dispatchers,
+    WorkerServer(
+            FleetPlan plan,
+            FleetPlan.Worker worker,
+            EventLoop loop,
+            List<InetSocketAddress> dispatchers,
             Ledger ledger) {
         this.plan = plan;
         this.worker = worker;
         this.loop = loop;
         this.ledger = ledger;
         random = new SplittableRandom(plan.seed ^ worker.id().hashCode());
-        model = new WorkerModel(worker.spec(), Clock.micros(), false, (long) (plan.progressMs * 1000), this);
+        model =
+                new WorkerModel(
+                        worker.spec(),
+                        Clock.micros(),
+                        false,
+                        (long) (plan.progressMs * 1000),
+                        this);
         ports = new int[dispatchers.size()];
         listeners = new Channel[ports.length];
-        callBacks = dispatchers.stream().map(d -> new CallBackClient(loop, d)).toArray(CallBackClient[]::new);
+        callBacks =
+                dispatchers.stream()
+                        .map(d -> new CallBackClient(loop, d))
+                        .toArray(CallBackClient[]::new);
     }
 
     // ---- Life.
 
-    /** Opens its addresses; the first time at ports that the system chooses, afterwards at the same. */
+    /**
+     * Opens its addresses; the first time at ports that the system chooses, afterwards at the same.
+     */
     void listen() throws InterruptedException {
         for (int d = 0; d < ports.length; d++) {
             listeners[d] = bind(d).sync().channel();
@@ -77,15 +93,20 @@
     }
 
     private io.netty.channel.ChannelFuture bind(int dispatcher) {
-        return new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_BACKLOG, 256)
+        return new ServerBootstrap()
+                .group(loop, loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .option(ChannelOption.SO_BACKLOG, 256)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel c) {
-                        accepted(dispatcher, c);
-                    }
-                }).bind("127.0.0.1", ports[dispatcher]);
+                .childHandler(
+                        new ChannelInitializer<Channel>() {
+                            @Override
+                            protected void initChannel(Channel c) {
+                                accepted(dispatcher, c);
+                            }
+                        })
+                .bind("127.0.0.1", ports[dispatcher]);
     }
 
     String address(int dispatcher) {
@@ -101,17 +122,22 @@
         note("connected", "", "via=" + dispatcher);
         c.closeFuture().addListener(f -> connections.remove(c));
         Http.FirstByte first = new Http.FirstByte();
-        c.pipeline().addLast(first, new HttpServerCodec(), new HttpObjectAggregator(Http.MOST_BODY),
-                new WorkerRequests(this, dispatcher, first));
+        c.pipeline()
+                .addLast(
+                        first,
+                        new HttpServerCodec(),
+                        new HttpObjectAggregator(Http.MOST_BODY),
+                        new WorkerRequests(this, dispatcher, first));
     }
 
     /** Runs a task on the worker's loop, at the present of its model. */
     void on(Runnable task) {
-        loop.execute(() -> {
-            turn();
-            task.run();
-            rest();
-        });
+        loop.execute(
+                () -> {
+                    turn();
+                    task.run();
+                    rest();
+                });
     }
 
     private void turn() {
@@ -130,16 +156,23 @@
         }
         timerMicros = next;
         if (next < Long.MAX_VALUE) {
-            timer = loop.schedule(() -> {
-                timerMicros = Long.MAX_VALUE;
-                timer = null;
-                turn();
-                rest();
-            }, Math.max(0, next - Clock.micros()), TimeUnit.MICROSECONDS);
+            timer =
+                    loop.schedule(
+                            () -> {
+                                timerMicros = Long.MAX_VALUE;
+                                timer = null;
+                                turn();
+                                rest();
+                            },
+                            Math.max(0, next - Clock.micros()),
+                            TimeUnit.MICROSECONDS);
         }
     }
 
-    /** Dies as a process does: connections are reset, new ones refused. With or without word of the lost jobs. */
+    /**
+     * Dies as a process does: connections are reset, new ones refused. With or without word of the
+     * lost jobs.
+     */
     void die(boolean agentTells) {
         note("died", "", "");
         List<Job> lost = model.die();
@@ -163,11 +196,13 @@
     void restart() {
         for (int d = 0; d < ports.length; d++) {
             int at = d;
-            bind(d).addListener((io.netty.channel.ChannelFutureListener) f -> {
-                if (f.isSuccess()) {
-                    listeners[at] = f.channel();
-                }
-            });
+            bind(d).addListener(
+                            (io.netty.channel.ChannelFutureListener)
+                                    f -> {
+                                        if (f.isSuccess()) {
+                                            listeners[at] = f.channel();
+                                        }
+                                    });
         }
         model.restart();
         note("restarted", "", "");
@@ -196,18 +231,23 @@
 
     double work(JobClass c, String id) {
         double work = plan.workMicros(c, id);
-        boolean tail = tailShare > 0 && (tailClass == null || tailClass.equals(c.name()))
-                && new SplittableRandom(id.hashCode() * 7L + plan.seed).nextDouble() < tailShare;
+        boolean tail =
+                tailShare > 0
+                        && (tailClass == null || tailClass.equals(c.name()))
+                        && new SplittableRandom(id.hashCode() * 7L + plan.seed).nextDouble()
+                                < tailShare;
         return tail ? work * tailFactor : work;
     }
 
     void giveUp(String id) {
         Attempt[] found = new Attempt[1];
-        model.jobs().forEachRemaining(j -> {
-            if (j.id.equals(id)) {
-                found[0] = (Attempt) j.attachment;
-            }
-        });
+        model.jobs()
+                .forEachRemaining(
+                        j -> {
+                            if (j.id.equals(id)) {
+                                found[0] = (Attempt) j.attachment;
+                            }
+                        });
         if (model.giveUp(id) && found[0] != null) {
             end(found[0], "given-up");
         }
@@ -230,16 +270,28 @@
         if (silent) {
             return;
         }
-        String json = "{\"id\":\"" + a.id + "\",\"from\":\"" + worker.id() + "\",\"state\":\"" + state + "\"" + more
-                + "}";
+        String json =
+                "{\"id\":\""
+                        + a.id
+                        + "\",\"from\":\""
+                        + worker.id()
+                        + "\",\"state\":\""
+                        + state
+                        + "\""
+                        + more
+                        + "}";
         CallBackClient to = callBacks[a.dispatcher];
-        long lateMs = plan.callBacks.lateMs() > 0 ? random.nextLong((long) plan.callBacks.lateMs() + 1) : 0;
-        Runnable send = () -> {
-            to.send(json);
-            if (random.nextDouble() < plan.callBacks.twice()) {
-                to.send(json);
-            }
-        };
+        long lateMs =
+                plan.callBacks.lateMs() > 0
+                        ? random.nextLong((long) plan.callBacks.lateMs() + 1)
+                        : 0;
+        Runnable send =
+                () -> {
+                    to.send(json);
+                    if (random.nextDouble() < plan.callBacks.twice()) {
+                        to.send(json);
+                    }
+                };
         if (lateMs > 0) {
             loop.schedule(send, lateMs, TimeUnit.MILLISECONDS);
         } else {
@@ -250,13 +302,21 @@
     @Override
     public void started(long now, Job job) {
         Attempt a = (Attempt) job.attachment;
-        note("started", a.id, "a=" + a.number + (job.accelerated ? " accelerator=" + model.acceleratorOf(job) : ""));
+        note(
+                "started",
+                a.id,
+                "a="
+                        + a.number
+                        + (job.accelerated ? " accelerator=" + model.acceleratorOf(job) : ""));
         tell(a, "started", "");
     }
 
     @Override
     public void progress(long now, Job job, double share) {
-        tell((Attempt) job.attachment, "running", String.format(Locale.ROOT, ",\"share\":%.3f", share));
+        tell(
+                (Attempt) job.attachment,
+                "running",
+                String.format(Locale.ROOT, ",\"share\":%.3f", share));
     }
 
     @Override
--- a/fleet/src/main/java/postgrade/fleet/plan/FleetPlan.java
+++ b/fleet/src/main/java/postgrade/fleet/plan/FleetPlan.java
@@ -20,12 +20,23 @@
 import postgrade.script.Values;
 import postgrade.script.Values.HostObject;
 
-/** A fleet as a script describes it. All of it is read and checked here; messages name file and key. */
+/**
+ * A fleet as a script describes it. All of it is read and checked here; messages name file and key.
+ */
 public final class FleetPlan {
 
     /** What is known of a class of jobs. */
-    public record JobClass(String name, double workMs, double sigma, int priority, boolean repeatable, double deadlineMs,
-            double aimMs, double stretch, double worth, boolean accelerated) { }
+    public record JobClass(
+            String name,
+            double workMs,
+            double sigma,
+            int priority,
+            boolean repeatable,
+            double deadlineMs,
+            double aimMs,
+            double stretch,
+            double worth,
+            boolean accelerated) {}
 
     /**
      * A trouble with a time.
@@ -33,24 +44,51 @@
      * @param at and lasts in seconds since the fleet's start
      * @param part of the workers that it meets, 0 to 1
      */
-    public record Fault(String kind, double at, double lasts, double part, Map<String, Double> figures, String jobClass) {
+    public record Fault(
+            String kind,
+            double at,
+            double lasts,
+            double part,
+            Map<String, Double> figures,
+            String jobClass) {
         public double figure(String name, double absent) {
             return figures.getOrDefault(name, absent);
         }
     }
 
-    /** How call-backs behave: parts of them that come before the 202, twice, or late by up to so much. */
-    public record CallBacks(double early, double twice, double lateMs) { }
+    /**
+     * How call-backs behave: parts of them that come before the 202, twice, or late by up to so
+     * much.
+     */
+    public record CallBacks(double early, double twice, double lateMs) {}
 
     /** Kinds of faults, with the figures that each takes. */
-    private static final Map<String, List<String>> KINDS = Map.of(
-            "fast_errors", List.of("share"), "pauses", List.of("every_s", "pause_ms"),
-            "neighbour", List.of("share", "on_s"), "heavy_tail", List.of("share", "factor"),
-            "resets", List.of("share"), "silence", List.of(), "shrink", List.of("drain_s"),
-            "restart", List.of("down_s"), "discovery_silence", List.of(), "drain", List.of("drain_s"));
+    private static final Map<String, List<String>> KINDS =
+            Map.of(
+                    "fast_errors",
+                    List.of("share"),
+                    "pauses",
+                    List.of("every_s", "pause_ms"),
+                    "neighbour",
+                    List.of("share", "on_s"),
+                    "heavy_tail",
+                    List.of("share", "factor"),
+                    "resets",
+                    List.of("share"),
+                    "silence",
+                    List.of(),
+                    "shrink",
+                    List.of("drain_s"),
+                    "restart",
+                    List.of("down_s"),
+                    "discovery_silence",
+                    List.of(),
+                    "drain",
+                    List.of("drain_s"));
 
     /** One group of like workers, as the script states it. */
-    private record Group(int count, WorkerSpec spec, double slowest, double fastest, String zone) implements HostObject {
+    private record Group(int count, WorkerSpec spec, double slowest, double fastest, String zone)
+            implements HostObject {
         @Override
         public String typeName() {
             return "worker";
@@ -70,7 +108,7 @@
     }
 
     /** One worker of the fleet. */
-    public record Worker(String id, String zone, WorkerSpec spec) { }
+    public record Worker(String id, String zone, WorkerSpec spec) {}
 
     public final String name;
     public final long seed;
@@ -79,8 +117,13 @@
     public final Map<String, Double> tenants = new LinkedHashMap<>();
     public final List<Fault> faults = new ArrayList<>();
     public final CallBacks callBacks;
-    /** How late changes of the list come, in milliseconds: the least and the most; and the part that is lost. */
+
+    /**
+     * How late changes of the list come, in milliseconds: the least and the most; and the part that
+     * is lost.
+     */
     public final double[] noticeMs;
+
     public final double noticesLost;
     public final double idleMs;
     public final int mostConnections;
@@ -96,27 +139,56 @@
                 throw faulty("workers", "must hold worker(...), not " + Values.type(g));
             }
             for (int i = 0; i < group.count; i++) {
-                double speed = group.slowest + (group.fastest - group.slowest) * random.nextDouble();
+                double speed =
+                        group.slowest + (group.fastest - group.slowest) * random.nextDouble();
                 WorkerSpec s = group.spec;
-                workers.add(new Worker(String.format("w-%04d", workers.size() + 1), group.zone,
-                        new WorkerSpec(s.kind(), s.cores(), speed, s.queue(), s.coldShare(), s.warmMicros(),
-                                s.fallMultiple(), s.fallMicros(), s.suspends(), s.runsOn(), s.accelerators())));
+                workers.add(
+                        new Worker(
+                                String.format("w-%04d", workers.size() + 1),
+                                group.zone,
+                                new WorkerSpec(
+                                        s.kind(),
+                                        s.cores(),
+                                        speed,
+                                        s.queue(),
+                                        s.coldShare(),
+                                        s.warmMicros(),
+                                        s.fallMultiple(),
+                                        s.fallMicros(),
+                                        s.suspends(),
+                                        s.runsOn(),
+                                        s.accelerators())));
             }
         }
         if (workers.isEmpty() || workers.size() > 2000) {
             throw faulty("workers", "1 to 2000 are needed, there are " + workers.size());
         }
-        dict(m, "classes", true).forEach((k, v) -> {
-            if (!(v instanceof Made made && made.value instanceof JobClass c)) {
-                throw faulty("classes", k + " must be work(...), not " + Values.type(v));
-            }
-            classes.put(k, new JobClass(k, c.workMs, c.sigma, c.priority, c.repeatable, c.deadlineMs, c.aimMs,
-                    c.stretch, c.worth, c.accelerated));
-        });
+        dict(m, "classes", true)
+                .forEach(
+                        (k, v) -> {
+                            if (!(v instanceof Made made && made.value instanceof JobClass c)) {
+                                throw faulty(
+                                        "classes", k + " must be work(...), not " + Values.type(v));
+                            }
+                            classes.put(
+                                    k,
+                                    new JobClass(
+                                            k,
+                                            c.workMs,
+                                            c.sigma,
+                                            c.priority,
+                                            c.repeatable,
+                                            c.deadlineMs,
+                                            c.aimMs,
+                                            c.stretch,
+                                            c.worth,
+                                            c.accelerated));
+                        });
         if (classes.isEmpty()) {
             throw faulty("classes", "at least one is needed");
         }
-        dict(m, "tenants", false).forEach((k, v) -> tenants.put(k, positive("tenants[" + k + "]", v)));
+        dict(m, "tenants", false)
+                .forEach((k, v) -> tenants.put(k, positive("tenants[" + k + "]", v)));
         for (Object f : list(m, "faults", false)) {
             if (!(f instanceof Made made && made.value instanceof Fault fault)) {
                 throw faulty("faults", "must hold fault(...), not " + Values.type(f));
@@ -131,8 +203,13 @@
             throw faulty("callbacks", "must be call_backs(...), not " + Values.type(cb));
         }
         callBacks = cb == null ? new CallBacks(0, 0, 0) : (CallBacks) ((Made) cb).value;
-        noticeMs = range(m.global("notice_ms") == null ? Sequence.ListValue.class : m.global("notice_ms"),
-                "notice_ms", new double[] {50, 500});
+        noticeMs =
+                range(
+                        m.global("notice_ms") == null
+                                ? Sequence.ListValue.class
+                                : m.global("notice_ms"),
+                        "notice_ms",
+                        new double[] {50, 500});
         noticesLost = number(m, "notices_lost", 0, 0);
         idleMs = number(m, "idle_ms", 10_000, 1);
         mostConnections = (int) number(m, "most_connections", 256, 1);
@@ -150,10 +227,13 @@
 
     /** A fleet from a text, for tests and the shipped ones. */
     public static FleetPlan of(String name, String text) {
-        return new FleetPlan(name, Script.run(name, text, names(), l -> { }));
+        return new FleetPlan(name, Script.run(name, text, names(), l -> {}));
     }
 
-    /** A fleet of ours, by name: {@code zagreb} is the operators' own, {@code route-boxes} has accelerators. */
+    /**
+     * A fleet of ours, by name: {@code zagreb} is the operators' own, {@code route-boxes} has
+     * accelerators.
+     */
     public static String shippedText(String name) {
         try (InputStream in = FleetPlan.class.getResourceAsStream("/fleets/" + name + ".star")) {
             if (in == null) {
@@ -167,47 +247,110 @@
 
     private static Map<String, Object> names() {
         return Map.of(
-                "worker", Script.function("worker", "count kind cores speed queue? zone? cold_share? warm_s?"
-                        + " fall_multiple? fall_s? suspends? runs_on? accelerators?", a -> new Group((int) num("count", a[0], 1),
-                        new WorkerSpec(str("kind", a[1]), (int) num("cores", a[2], 1), 1,
-                                (int) num("queue", or(a[4], 8L), 0), num("cold_share", or(a[6], 0.14), 0),
-                                (long) (num("warm_s", or(a[7], 23L), 0) * 1e6),
-                                num("fall_multiple", or(a[8], 3L), 0), (long) (num("fall_s", or(a[9], 2L), 0) * 1e6),
-                                bool("suspends", or(a[10], true)), bool("runs_on", or(a[11], false)),
-                                (int) num("accelerators", or(a[12], 0L), 0)),
-                        pair("speed", a[3])[0], pair("speed", a[3])[1], str("zone", or(a[5], "main")))),
-                "work", Script.function("work", "mean_ms sigma? priority? repeatable? deadline_ms? aim_ms? stretch?"
-                        + " worth? accelerated?", a -> new Made("work", new JobClass("", num("mean_ms", a[0], 0),
-                        num("sigma", or(a[1], 0.4), 0), (int) num("priority", or(a[2], 0L), 0),
-                        bool("repeatable", or(a[3], true)), num("deadline_ms", or(a[4], 5000L), 1),
-                        num("aim_ms", or(a[5], 200L), 0), num("stretch", or(a[6], 2L), 0),
-                        num("worth", or(a[7], 1L), 0), bool("accelerated", or(a[8], false))))),
-                "call_backs", Script.function("call_backs", "early? twice? late_ms?", a -> new Made("call_backs",
-                        new CallBacks(share("early", or(a[0], 0L)), share("twice", or(a[1], 0L)),
-                                num("late_ms", or(a[2], 0L), 0)))),
-                "fault", Script.function("fault", "kind at lasts part? job_class? figures?", FleetPlan::fault));
+                "worker",
+                        Script.function(
+                                "worker",
+                                "count kind cores speed queue? zone? cold_share? warm_s?"
+                                        + " fall_multiple? fall_s? suspends? runs_on? accelerators?",
+                                a ->
+                                        new Group(
+                                                (int) num("count", a[0], 1),
+                                                new WorkerSpec(
+                                                        str("kind", a[1]),
+                                                        (int) num("cores", a[2], 1),
+                                                        1,
+                                                        (int) num("queue", or(a[4], 8L), 0),
+                                                        num("cold_share", or(a[6], 0.14), 0),
+                                                        (long)
+                                                                (num("warm_s", or(a[7], 23L), 0)
+                                                                        * 1e6),
+                                                        num("fall_multiple", or(a[8], 3L), 0),
+                                                        (long)
+                                                                (num("fall_s", or(a[9], 2L), 0)
+                                                                        * 1e6),
+                                                        bool("suspends", or(a[10], true)),
+                                                        bool("runs_on", or(a[11], false)),
+                                                        (int)
+                                                                num(
+                                                                        "accelerators",
+                                                                        or(a[12], 0L),
+                                                                        0)),
+                                                pair("speed", a[3])[0],
+                                                pair("speed", a[3])[1],
+                                                str("zone", or(a[5], "main")))),
+                "work",
+                        Script.function(
+                                "work",
+                                "mean_ms sigma? priority? repeatable? deadline_ms? aim_ms? stretch?"
+                                        + " worth? accelerated?",
+                                a ->
+                                        new Made(
+                                                "work",
+                                                new JobClass(
+                                                        "",
+                                                        num("mean_ms", a[0], 0),
+                                                        num("sigma", or(a[1], 0.4), 0),
+                                                        (int) num("priority", or(a[2], 0L), 0),
+                                                        bool("repeatable", or(a[3], true)),
+                                                        num("deadline_ms", or(a[4], 5000L), 1),
+                                                        num("aim_ms", or(a[5], 200L), 0),
+                                                        num("stretch", or(a[6], 2L), 0),
+                                                        num("worth", or(a[7], 1L), 0),
+                                                        bool("accelerated", or(a[8], false))))),
+                "call_backs",
+                        Script.function(
+                                "call_backs",
+                                "early? twice? late_ms?",
+                                a ->
+                                        new Made(
+                                                "call_backs",
+                                                new CallBacks(
+                                                        share("early", or(a[0], 0L)),
+                                                        share("twice", or(a[1], 0L)),
+                                                        num("late_ms", or(a[2], 0L), 0)))),
+                "fault",
+                        Script.function(
+                                "fault",
+                                "kind at lasts part? job_class? figures?",
+                                FleetPlan::fault));
     }
 
     private static Object fault(Object[] a) {
         String kind = str("kind", a[0]);
         List<String> known = KINDS.get(kind);
         if (known == null) {
-            throw Script.error("fault: there is no kind " + kind + "; there are " + String.join(", ",
-                    KINDS.keySet().stream().sorted().toList()));
+            throw Script.error(
+                    "fault: there is no kind "
+                            + kind
+                            + "; there are "
+                            + String.join(", ", KINDS.keySet().stream().sorted().toList()));
         }
         Map<String, Double> figures = new LinkedHashMap<>();
         if (a[5] instanceof DictValue d) {
             for (Object k : d.keyList()) {
                 if (!(k instanceof String s) || !known.contains(s)) {
-                    throw Script.error("fault: " + kind + " has no figure " + Values.repr(k) + "; it has " + known);
+                    throw Script.error(
+                            "fault: "
+                                    + kind
+                                    + " has no figure "
+                                    + Values.repr(k)
+                                    + "; it has "
+                                    + known);
                 }
                 figures.put(s, num(s, d.getOrNull(k), 0));
             }
         } else if (a[5] != null) {
             throw Script.error("fault: figures must be a dict, not " + Values.type(a[5]));
         }
-        return new Made("fault", new Fault(kind, num("at", a[1], 0), num("lasts", a[2], 0),
-                share("part", or(a[3], 1L)), figures, a[4] == null ? null : str("job_class", a[4])));
+        return new Made(
+                "fault",
+                new Fault(
+                        kind,
+                        num("at", a[1], 0),
+                        num("lasts", a[2], 0),
+                        share("part", or(a[3], 1L)),
+                        figures,
+                        a[4] == null ? null : str("job_class", a[4])));
     }
 
     // ---- Reading values.
@@ -219,7 +362,8 @@
     private static double num(String key, Object v, double least) {
         double d = v instanceof Long n ? n : v instanceof Double x ? x : Double.NaN;
         if (!(d >= least && d < 1e15)) {
-            throw Script.error(key + " must be a number from " + plain(least) + " on, not " + Values.repr(v));
+            throw Script.error(
+                    key + " must be a number from " + plain(least) + " on, not " + Values.repr(v));
         }
         return d;
     }
@@ -282,8 +426,12 @@
         }
         double d = v instanceof Long n ? n : v instanceof Double x ? x : Double.NaN;
         if (!(d >= least)) {
-            throw faulty(key, "must be a number" + (least == Long.MIN_VALUE ? "" : " from " + plain(least) + " on")
-                    + ", not " + Values.repr(v));
+            throw faulty(
+                    key,
+                    "must be a number"
+                            + (least == Long.MIN_VALUE ? "" : " from " + plain(least) + " on")
+                            + ", not "
+                            + Values.repr(v));
         }
         return d;
     }
@@ -321,10 +469,15 @@
         return new IllegalArgumentException(name + ": " + key + ": " + what);
     }
 
-    /** How long the job of this id takes on a core of speed 1, in microseconds: the same wherever it runs. */
+    /**
+     * How long the job of this id takes on a core of speed 1, in microseconds: the same wherever it
+     * runs.
+     */
     public double workMicros(JobClass c, String id) {
         SplittableRandom r = new SplittableRandom(seed * 31 + id.hashCode());
-        double gauss = Math.sqrt(-2 * Math.log(1 - r.nextDouble())) * Math.cos(2 * Math.PI * r.nextDouble());
+        double gauss =
+                Math.sqrt(-2 * Math.log(1 - r.nextDouble()))
+                        * Math.cos(2 * Math.PI * r.nextDouble());
         return Math.max(1000, c.workMs * 1000 * Math.exp(c.sigma * gauss - c.sigma * c.sigma / 2));
     }
 }
--- a/fleet/src/test/java/postgrade/fleet/RuleCheckerTest.java
+++ b/fleet/src/test/java/postgrade/fleet/RuleCheckerTest.java
@@ -12,11 +12,13 @@
 import postgrade.fleet.check.RuleChecker;
 import postgrade.fleet.check.RuleChecker.Rule;
 
-/** Proves the checker: a clean run passes, and each rule, once broken in the ledgers, is found broken and no other. */
+/**
+ * Proves the checker: a clean run passes, and each rule, once broken in the ledgers, is found
+ * broken and no other.
+ */
 class RuleCheckerTest {
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
     private Ledger workers;
     private Ledger discovery;
     private Ledger clients;
@@ -70,7 +72,12 @@
     }
 
     private void sent(long micros, String id, int job, boolean repeatable) {
-        clients.add(micros, "sent", id, "client", "job=" + job + ".0 class=c deadline=1000000 repeatable=" + repeatable);
+        clients.add(
+                micros,
+                "sent",
+                id,
+                "client",
+                "job=" + job + ".0 class=c deadline=1000000 repeatable=" + repeatable);
     }
 
     private void answer(long micros, String id, int status, String result) {
@@ -78,11 +85,21 @@
     }
 
     private void received(long micros, String id, int attempt, String worker, boolean repeatable) {
-        workers.add(micros, "received", id, worker, "a=" + attempt + " via=0 first=" + (micros - 10)
-                + " class=c repeatable=" + repeatable);
-    }
-
-    private void ended(long micros, String how, String id, int attempt, String worker, String more) {
+        workers.add(
+                micros,
+                "received",
+                id,
+                worker,
+                "a="
+                        + attempt
+                        + " via=0 first="
+                        + (micros - 10)
+                        + " class=c repeatable="
+                        + repeatable);
+    }
+
+    private void ended(
+            long micros, String how, String id, int attempt, String worker, String more) {
         workers.add(micros, how, id, worker, "a=" + attempt + more);
     }
 
@@ -91,7 +108,9 @@
             l.close();
         }
         RuleChecker.Verdict v = RuleChecker.judge(folder);
-        assertEquals(List.of(rules), v.violations.stream().map(RuleChecker.Violation::rule).toList(),
+        assertEquals(
+                List.of(rules),
+                v.violations.stream().map(RuleChecker.Violation::rule).toList(),
                 v.violations.toString());
     }
 
@@ -99,8 +118,9 @@
     void aCleanRunPassesAndWhatWasJudgedIsCounted() throws IOException {
         finds();
         RuleChecker.Verdict v = RuleChecker.judge(folder);
-        assertEquals(List.of(6L, 5L, 10L, 1L, 1L), List.of(v.requests, v.answered, v.attempts, v.drainsTold,
-                v.sendsWhileDraining));
+        assertEquals(
+                List.of(6L, 5L, 10L, 1L, 1L),
+                List.of(v.requests, v.answered, v.attempts, v.drainsTold, v.sendsWhileDraining));
     }
 
     @Test
@@ -208,6 +228,8 @@
             again.add(9_100_000, "unsent", "y", "client", "");
         }
         assertEquals(List.of(), RuleChecker.judge(folder).violations);
-        assertEquals("9100000\tunsent\ty\tclient\t", Files.readAllLines(file).get(Files.readAllLines(file).size() - 1));
+        assertEquals(
+                "9100000\tunsent\ty\tclient\t",
+                Files.readAllLines(file).get(Files.readAllLines(file).size() - 1));
     }
 }
--- a/fleet/src/test/java/postgrade/fleet/net/FenceTest.java
+++ b/fleet/src/test/java/postgrade/fleet/net/FenceTest.java
@@ -18,29 +18,34 @@
 /** What a stand-in worker with accelerators answers to grants, on the wire. */
 class FenceTest {
 
-    private static final String PLAN = """
+    private static final String PLAN =
+            """
             workers = [worker(1, "box", cores = 4, speed = 1, accelerators = 2)]
             classes = {"plan": work(400, sigma = 0, accelerated = True), "check": work(5)}
             """;
 
-    @TempDir
-    Path folder;
-    private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
+    @TempDir Path folder;
+    private final HttpClient client =
+            HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     private String address;
     private int last;
 
     private HttpResponse<String> post(String jobClass, String fence) throws Exception {
-        HttpRequest.Builder r = HttpRequest.newBuilder(URI.create("http://" + address + "/api/" + jobClass))
-                .header("X-Request-Id", "r" + ++last).POST(HttpRequest.BodyPublishers.ofString(""));
-        return client.send(fence == null ? r.build() : r.header("X-Fence", fence).build(),
+        HttpRequest.Builder r =
+                HttpRequest.newBuilder(URI.create("http://" + address + "/api/" + jobClass))
+                        .header("X-Request-Id", "r" + ++last)
+                        .POST(HttpRequest.BodyPublishers.ofString(""));
+        return client.send(
+                fence == null ? r.build() : r.header("X-Fence", fence).build(),
                 HttpResponse.BodyHandlers.ofString());
     }
 
     @Test
     void anEarlierGrantIsTurnedAwayUnstartedAndAFaultyOneIsNamed() throws Exception {
         try (Fleet fleet = new Fleet(FleetPlan.of("test", PLAN), folder, 1, 1)) {
-            Matcher known = Pattern.compile("\"addr\":\"([^\"]+)\"").matcher(
-                    Files.readString(fleet.configurationOf(0)));
+            Matcher known =
+                    Pattern.compile("\"addr\":\"([^\"]+)\"")
+                            .matcher(Files.readString(fleet.configurationOf(0)));
             assertTrue(known.find());
             address = known.group(1);
             assertEquals(202, post("plan", "1=7").statusCode());
--- a/fleet/src/test/java/postgrade/fleet/net/FleetPortsTest.java
+++ b/fleet/src/test/java/postgrade/fleet/net/FleetPortsTest.java
@@ -16,11 +16,13 @@
 import org.junit.jupiter.api.io.TempDir;
 import postgrade.fleet.plan.FleetPlan;
 
-/** The dispatchers' ports are chosen where no outgoing connection can take them before they are bound. */
+/**
+ * The dispatchers' ports are chosen where no outgoing connection can take them before they are
+ * bound.
+ */
 class FleetPortsTest {
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     @Test
     void dispatchersListenBelowTheEphemeralRange() throws Exception {
@@ -29,12 +31,15 @@
         if (Files.isReadable(range)) {
             low = Integer.parseInt(Files.readAllLines(range).get(0).trim().split("\\s+")[0]);
         }
-        String plan = "seed = 3\nworkers = [worker(2, 'big', cores = 2, speed = (1, 2), zone = 'a', queue = 5)]\n"
-                + "classes = {'slot-check': work(10)}\ntenants = {'kvart-market': 100}\n";
+        String plan =
+                "seed = 3\nworkers = [worker(2, 'big', cores = 2, speed = (1, 2), zone = 'a', queue = 5)]\n"
+                        + "classes = {'slot-check': work(10)}\ntenants = {'kvart-market': 100}\n";
         try (Fleet fleet = new Fleet(FleetPlan.of("t.star", plan), folder, 6, 1)) {
             Set<Integer> ports = new HashSet<>();
             for (InetSocketAddress a : fleet.dispatchers()) {
-                assertTrue(a.getPort() < low && a.getPort() >= 1024, a + " is outside [1024, " + low + ")");
+                assertTrue(
+                        a.getPort() < low && a.getPort() >= 1024,
+                        a + " is outside [1024, " + low + ")");
                 ports.add(a.getPort());
             }
             assertEquals(6, ports.size(), "each dispatcher has a port of its own");
@@ -52,7 +57,10 @@
                     new Socket(held.address().getAddress(), held.port()).close();
                     assertThrows(IOException.class, () -> new HeldPort(held.port()), "listened on");
                 }
-                assertThrows(IOException.class, () -> new Socket(held.address().getAddress(), held.port()), "nobody there");
+                assertThrows(
+                        IOException.class,
+                        () -> new Socket(held.address().getAddress(), held.port()),
+                        "nobody there");
             }
         }
     }
--- a/lab/src/main/java/postgrade/lab/demo/Demo.java
+++ b/lab/src/main/java/postgrade/lab/demo/Demo.java
@@ -21,13 +21,15 @@
 import postgrade.load.imports.Importer;
 
 /**
- * The whole path once: a generated Friday is written as a HAR file, imported, and replayed through real dispatchers
- * against a stand-in fleet that has a bad afternoon; the ledgers are judged and a report is written.
+ * The whole path once: a generated Friday is written as a HAR file, imported, and replayed through
+ * real dispatchers against a stand-in fleet that has a bad afternoon; the ledgers are judged and a
+ * report is written.
  */
 public final class Demo {
 
     /** Friday's troubles, in seconds of the replay. */
-    private static final String FAULTS = """
+    private static final String FAULTS =
+            """
             faults = [
                 fault("fast_errors", at = 10, lasts = 8, part = 0.15, figures = {"share": 0.6}),
                 fault("neighbour", at = 15, lasts = 15, part = 0.3, figures = {"share": 0.5, "on_s": 2}),
@@ -37,12 +39,15 @@
             """;
 
     /** How it ended. */
-    public record Outcome(ReplayResult replay, RuleChecker.Verdict verdict, Path report) { }
+    public record Outcome(ReplayResult replay, RuleChecker.Verdict verdict, Path report) {}
 
-    /** All run on one machine: an answer that comes late there is late, and not an answer that never came. */
+    /**
+     * All run on one machine: an answer that comes late there is late, and not an answer that never
+     * came.
+     */
     private static final long LINGER_MICROS = 5_000_000;
 
-    private Demo() { }
+    private Demo() {}
 
     /**
      * Runs it.
@@ -51,11 +56,13 @@
      * @param seconds length of the replay
      * @param rate mean jobs a second
      */
-    public static Outcome run(Path folder, int dispatchers, double seconds, double rate, Consumer<String> tell)
+    public static Outcome run(
+            Path folder, int dispatchers, double seconds, double rate, Consumer<String> tell)
             throws IOException, InterruptedException {
         Files.createDirectories(folder);
         if (Files.exists(folder.resolve("clients.ledger"))) {
-            throw new IllegalArgumentException(folder + " holds a run already; name another folder with --dir");
+            throw new IllegalArgumentException(
+                    folder + " holds a run already; name another folder with --dir");
         }
         double speed = 10;
         Friday.Options friday = new Friday.Options();
@@ -71,20 +78,34 @@
         job.out = folder.resolve("friday.trace");
         job.rejects = folder.resolve("friday.rejects.jsonl");
         ImportReport imported = Importer.run(job);
-        tell.accept(String.format(Locale.ROOT, "a Friday of %.0f s with %d jobs, written as %s and imported: %d jobs",
-                friday.seconds, jobs, har.getFileName(), imported.jobs));
+        tell.accept(
+                String.format(
+                        Locale.ROOT,
+                        "a Friday of %.0f s with %d jobs, written as %s and imported: %d jobs",
+                        friday.seconds,
+                        jobs,
+                        har.getFileName(),
+                        imported.jobs));
         FleetPlan plan = FleetPlan.of("demo.star", FleetPlan.shippedText("zagreb") + FAULTS);
         List<DispatcherProcess> processes = new ArrayList<>();
         try (Fleet fleet = new Fleet(plan, folder, dispatchers, 2)) {
             for (int d = 0; d < dispatchers; d++) {
-                processes.add(DispatcherProcess.start(fleet.configurationOf(d), fleet.dispatchers().get(d),
-                        folder.resolve("n" + (d + 1) + ".log")));
+                processes.add(
+                        DispatcherProcess.start(
+                                fleet.configurationOf(d),
+                                fleet.dispatchers().get(d),
+                                folder.resolve("n" + (d + 1) + ".log")));
             }
             for (DispatcherProcess p : processes) {
                 p.awaitReady();
             }
-            tell.accept(fleet.size() + " workers and " + dispatchers + " dispatchers are up; replaying at " + (int) speed
-                    + " times the speed");
+            tell.accept(
+                    fleet.size()
+                            + " workers and "
+                            + dispatchers
+                            + " dispatchers are up; replaying at "
+                            + (int) speed
+                            + " times the speed");
             fleet.begin();
             ReplayOptions o = new ReplayOptions();
             o.trace = job.out;
--- a/lab/src/main/java/postgrade/lab/replay/Clients.java
+++ b/lab/src/main/java/postgrade/lab/replay/Clients.java
@@ -24,13 +24,20 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 
-/** Clients on one event loop: connections to each target, one request at a time on each, kept and opened as needed. */
+/**
+ * Clients on one event loop: connections to each target, one request at a time on each, kept and
+ * opened as needed.
+ */
 final class Clients {
 
     private static final int CONNECT_MS = 2000;
     private static final int WARM_STEP_MS = 10;
     private static final int MOST_BODY = 1 << 20;
-    /** An answer's end this soon after the request may have crossed it: an idle connection that was closed. */
+
+    /**
+     * An answer's end this soon after the request may have crossed it: an idle connection that was
+     * closed.
+     */
     private static final long CROSSING = 20_000;
 
     /** The connections to one target. */
@@ -57,21 +64,22 @@
     }
 
     /**
-     * Opens connections to a target and asks on each whether it is ready, so that the first jobs do not pay for what
-     * the virtual machine and the system do only once.
+     * Opens connections to a target and asks on each whether it is ready, so that the first jobs do
+     * not pay for what the virtual machine and the system do only once.
      *
      * @return completed once all have been answered or given up
      */
     CompletableFuture<Void> warm(InetSocketAddress target, int connections, int rounds) {
         CompletableFuture<Void> done = new CompletableFuture<>();
-        loop.execute(() -> {
-            Pool pool = pools.computeIfAbsent(target, Pool::new);
-            Warming w = new Warming(pool, Math.min(connections, most), rounds, done);
-            for (int i = 0; i < w.connections; i++) {
-                connect(pool);
-            }
-            loop.schedule(w::round, WARM_STEP_MS, TimeUnit.MILLISECONDS);
-        });
+        loop.execute(
+                () -> {
+                    Pool pool = pools.computeIfAbsent(target, Pool::new);
+                    Warming w = new Warming(pool, Math.min(connections, most), rounds, done);
+                    for (int i = 0; i < w.connections; i++) {
+                        connect(pool);
+                    }
+                    loop.schedule(w::round, WARM_STEP_MS, TimeUnit.MILLISECONDS);
+                });
         return done;
     }
 
@@ -92,16 +100,24 @@
 
         void round() {
             if (left-- == 0) {
-                asked.stream().filter(c -> c.pipeline().get(Answers.class) != null
-                        && c.pipeline().get(Answers.class).warming).forEach(Channel::close); // They never answered.
+                asked.stream()
+                        .filter(
+                                c ->
+                                        c.pipeline().get(Answers.class) != null
+                                                && c.pipeline().get(Answers.class).warming)
+                        .forEach(Channel::close); // They never answered.
                 done.complete(null);
                 return;
             }
             for (Channel c = pool.idle.poll(); c != null; c = pool.idle.poll()) {
                 c.pipeline().get(Answers.class).warming = true;
                 asked.add(c);
-                c.writeAndFlush(c.alloc().buffer().writeBytes("GET /-/ready HTTP/1.1\r\nHost: w\r\n\r\n".getBytes(
-                        StandardCharsets.ISO_8859_1)));
+                c.writeAndFlush(
+                        c.alloc()
+                                .buffer()
+                                .writeBytes(
+                                        "GET /-/ready HTTP/1.1\r\nHost: w\r\n\r\n"
+                                                .getBytes(StandardCharsets.ISO_8859_1)));
             }
             loop.schedule(this::round, WARM_STEP_MS, TimeUnit.MILLISECONDS);
         }
@@ -109,12 +125,16 @@
 
     /** From any thread. */
     void send(Try t, InetSocketAddress target) {
-        loop.execute(() -> {
-            Pool pool = pools.computeIfAbsent(target, Pool::new);
-            pool.waiting.add(t);
-            loop.schedule(() -> expire(pool, t), t.deadlineMicros + replay.lingerMicros(), TimeUnit.MICROSECONDS);
-            pump(pool);
-        });
+        loop.execute(
+                () -> {
+                    Pool pool = pools.computeIfAbsent(target, Pool::new);
+                    pool.waiting.add(t);
+                    loop.schedule(
+                            () -> expire(pool, t),
+                            t.deadlineMicros + replay.lingerMicros(),
+                            TimeUnit.MICROSECONDS);
+                    pump(pool);
+                });
     }
 
     /** A try that waits for a connection until its time is over never leaves. */
@@ -129,7 +149,8 @@
             Channel c = pool.idle.pollLast();
             if (c == null) {
                 // As many connections on their way as tries wait, within the bound.
-                int connecting = pool.open < most ? Math.min(pool.waiting.size(), most - pool.open) : 0;
+                int connecting =
+                        pool.open < most ? Math.min(pool.waiting.size(), most - pool.open) : 0;
                 if (connecting > 0 && pool.waiting.size() > opening(pool)) {
                     connect(pool);
                 }
@@ -150,25 +171,35 @@
     private void connect(Pool pool) {
         pool.open++;
         openings.merge(pool, 1, Integer::sum);
-        new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
+        new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-                .handler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel c) {
-                        c.pipeline().addLast(new HttpResponseDecoder(), new HttpObjectAggregator(MOST_BODY),
-                                new Answers(pool));
-                    }
-                }).connect(pool.target).addListener(f -> {
-                    openings.merge(pool, -1, Integer::sum);
-                    if (!f.isSuccess()) {
-                        pool.open--;
-                        Try t = pool.waiting.poll();
-                        if (t != null) {
-                            replay.unsent(t, "connection refused");
-                        }
-                        pump(pool);
-                    }
-                });
+                .handler(
+                        new ChannelInitializer<Channel>() {
+                            @Override
+                            protected void initChannel(Channel c) {
+                                c.pipeline()
+                                        .addLast(
+                                                new HttpResponseDecoder(),
+                                                new HttpObjectAggregator(MOST_BODY),
+                                                new Answers(pool));
+                            }
+                        })
+                .connect(pool.target)
+                .addListener(
+                        f -> {
+                            openings.merge(pool, -1, Integer::sum);
+                            if (!f.isSuccess()) {
+                                pool.open--;
+                                Try t = pool.waiting.poll();
+                                if (t != null) {
+                                    replay.unsent(t, "connection refused");
+                                }
+                                pump(pool);
+                            }
+                        });
         if (pool.waiting.size() > opening(pool) && pool.open < most) {
             connect(pool);
         }
@@ -177,17 +208,30 @@
     private void write(Pool pool, Channel c, Try t) {
         Answers answers = c.pipeline().get(Answers.class);
         answers.current = t;
-        answers.timeout = loop.schedule(() -> answers.giveUp(c, t), t.deadlineMicros + replay.lingerMicros(),
-                TimeUnit.MICROSECONDS);
+        answers.timeout =
+                loop.schedule(
+                        () -> answers.giveUp(c, t),
+                        t.deadlineMicros + replay.lingerMicros(),
+                        TimeUnit.MICROSECONDS);
         replay.left(t);
         c.writeAndFlush(request(c, pool.target, t));
     }
 
-    /** Written by hand: the headers of the protocol, a path that tells the class to whoever runs it, and a body. */
+    /**
+     * Written by hand: the headers of the protocol, a path that tells the class to whoever runs it,
+     * and a body.
+     */
     private static ByteBuf request(Channel c, InetSocketAddress target, Try t) {
-        StringBuilder head = new StringBuilder(320).append("POST /api/").append(t.job.jobClass())
-                .append(" HTTP/1.1\r\nHost: ").append(target.getHostString()).append("\r\nX-Request-Id: ").append(t.id)
-                .append("\r\nX-Class: ").append(t.job.jobClass());
+        StringBuilder head =
+                new StringBuilder(320)
+                        .append("POST /api/")
+                        .append(t.job.jobClass())
+                        .append(" HTTP/1.1\r\nHost: ")
+                        .append(target.getHostString())
+                        .append("\r\nX-Request-Id: ")
+                        .append(t.id)
+                        .append("\r\nX-Class: ")
+                        .append(t.job.jobClass());
         if (t.job.tenant() != null) {
             head.append("\r\nX-Tenant: ").append(t.job.tenant());
         }
@@ -198,7 +242,10 @@
             head.append("\r\nX-Retry: 1");
         }
         int body = Math.min(t.job.bodyBytes(), 65_536);
-        head.append("\r\nX-Deadline: ").append(t.deadlineMicros).append("u\r\nContent-Length: ").append(body)
+        head.append("\r\nX-Deadline: ")
+                .append(t.deadlineMicros)
+                .append("u\r\nContent-Length: ")
+                .append(body)
                 .append("\r\n\r\n");
         ByteBuf bytes = c.alloc().buffer(head.length() + body);
         bytes.writeCharSequence(head, StandardCharsets.ISO_8859_1);
@@ -247,7 +294,10 @@
                 return;
             }
             used = true;
-            replay.answered(t, r.status().code(), r.content().toString(StandardCharsets.UTF_8),
+            replay.answered(
+                    t,
+                    r.status().code(),
+                    r.content().toString(StandardCharsets.UTF_8),
                     r.headers().get("Retry-After"));
             if (HttpUtil.isKeepAlive(r)) {
                 pool.idle.add(ctx.channel());
--- a/lab/src/main/java/postgrade/lab/replay/Fates.java
+++ b/lab/src/main/java/postgrade/lab/replay/Fates.java
@@ -20,14 +20,15 @@
         UNSENT
     }
 
-    private final Map<String, Fate> byChain = new LinkedHashMap<>() {
-        private static final long serialVersionUID = 1L;
+    private final Map<String, Fate> byChain =
+            new LinkedHashMap<>() {
+                private static final long serialVersionUID = 1L;
 
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Fate> eldest) {
-            return size() > MOST;
-        }
-    };
+                @Override
+                protected boolean removeEldestEntry(Map.Entry<String, Fate> eldest) {
+                    return size() > MOST;
+                }
+            };
 
     private static String chain(long firstTry, int copy) {
         return firstTry + "." + copy;
@@ -42,8 +43,8 @@
     }
 
     /**
-     * Whether a retry is called for: its chain's latest try failed, and may be tried again. Of what must not run twice
-     * only a refusal or a try that never left calls for one.
+     * Whether a retry is called for: its chain's latest try failed, and may be tried again. Of what
+     * must not run twice only a refusal or a try that never left calls for one.
      */
     synchronized boolean callsForRetry(long firstTry, int copy, boolean neverTwice) {
         Fate fate = byChain.get(chain(firstTry, copy));
--- a/lab/src/main/java/postgrade/lab/replay/Fidelity.java
+++ b/lab/src/main/java/postgrade/lab/replay/Fidelity.java
@@ -11,7 +11,10 @@
 import postgrade.trace.TraceJob;
 import postgrade.trace.TraceReader;
 
-/** How closely a replay followed its trace: rate in windows of 5 s, and the mix of classes. First tries are compared. */
+/**
+ * How closely a replay followed its trace: rate in windows of 5 s, and the mix of classes. First
+ * tries are compared.
+ */
 public final class Fidelity {
 
     private static final long WINDOW = 5_000_000;
@@ -23,10 +26,15 @@
      * @param worstRate the greatest difference of a window's rate
      * @param worstMix the greatest difference of a class's share of all
      */
-    public record Found(int windows, long recorded, long sent, double worstRate, double worstMix,
-            Map<String, double[]> shares) { }
+    public record Found(
+            int windows,
+            long recorded,
+            long sent,
+            double worstRate,
+            double worstMix,
+            Map<String, double[]> shares) {}
 
-    private Fidelity() { }
+    private Fidelity() {}
 
     /** Compares the run in a folder with the trace that it replayed whole, from its beginning. */
     public static Found of(Path trace, Path folder) throws IOException {
@@ -70,8 +78,11 @@
         for (Map.Entry<Long, Long> w : recorded.entrySet()) {
             if (w.getKey() < recorded.lastKey()) {
                 windows++;
-                worstRate = Math.max(worstRate, Math.abs(sent.getOrDefault(w.getKey(), 0L) - w.getValue())
-                        / (double) w.getValue());
+                worstRate =
+                        Math.max(
+                                worstRate,
+                                Math.abs(sent.getOrDefault(w.getKey(), 0L) - w.getValue())
+                                        / (double) w.getValue());
             }
         }
         double worstMix = 0;
--- a/lab/src/main/java/postgrade/lab/replay/Rehearsal.java
+++ b/lab/src/main/java/postgrade/lab/replay/Rehearsal.java
@@ -28,14 +28,14 @@
 import postgrade.trace.wire.Header;
 
 /**
- * Plays a short replay against a sink in this process, before the real one. Guards the schedule's first seconds: code
- * that the virtual machine has not compiled yet takes a hundred times as long.
+ * Plays a short replay against a sink in this process, before the real one. Guards the schedule's
+ * first seconds: code that the virtual machine has not compiled yet takes a hundred times as long.
  */
 final class Rehearsal {
 
     private static final int RATE = 4000;
 
-    private Rehearsal() { }
+    private Rehearsal() {}
 
     static void run(double seconds, int loops) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("postgrade-rehearsal");
@@ -45,8 +45,21 @@
             Path trace = folder.resolve("r.trace");
             try (TraceWriter w = new TraceWriter(trace, Header.getDefaultInstance())) {
                 for (int i = 0; i < seconds * RATE; i++) {
-                    w.add(new TraceJob(0, i * 1_000_000L / RATE, i % 8 == 0 ? "order-confirm" : "basket-price", "t",
-                            "k", 5_000_000, 200, 0, -1, 0, 0, 0, 0));
+                    w.add(
+                            new TraceJob(
+                                    0,
+                                    i * 1_000_000L / RATE,
+                                    i % 8 == 0 ? "order-confirm" : "basket-price",
+                                    "t",
+                                    "k",
+                                    5_000_000,
+                                    200,
+                                    0,
+                                    -1,
+                                    0,
+                                    0,
+                                    0,
+                                    0));
                 }
             }
             ReplayOptions o = new ReplayOptions();
@@ -69,15 +82,27 @@
     }
 
     /** A target that answers everything after so long; it lives as long as its loops. */
-    static InetSocketAddress sink(NioEventLoopGroup group, long delayMs) throws InterruptedException {
-        return (InetSocketAddress) new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel c) {
-                        c.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(1 << 20),
-                                new Sink(delayMs));
-                    }
-                }).bind("127.0.0.1", 0).sync().channel().localAddress();
+    static InetSocketAddress sink(NioEventLoopGroup group, long delayMs)
+            throws InterruptedException {
+        return (InetSocketAddress)
+                new ServerBootstrap()
+                        .group(group)
+                        .channel(NioServerSocketChannel.class)
+                        .childHandler(
+                                new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel c) {
+                                        c.pipeline()
+                                                .addLast(
+                                                        new HttpServerCodec(),
+                                                        new HttpObjectAggregator(1 << 20),
+                                                        new Sink(delayMs));
+                                    }
+                                })
+                        .bind("127.0.0.1", 0)
+                        .sync()
+                        .channel()
+                        .localAddress();
     }
 
     private static final class Sink extends SimpleChannelInboundHandler<FullHttpRequest> {
@@ -89,13 +114,17 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest r) {
-            DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
-                    Unpooled.copiedBuffer("r.w.1", StandardCharsets.US_ASCII));
+            DefaultFullHttpResponse answer =
+                    new DefaultFullHttpResponse(
+                            HttpVersion.HTTP_1_1,
+                            HttpResponseStatus.OK,
+                            Unpooled.copiedBuffer("r.w.1", StandardCharsets.US_ASCII));
             answer.headers().setInt("Content-Length", 5);
             if (delayMs == 0) {
                 ctx.writeAndFlush(answer);
             } else {
-                ctx.executor().schedule(() -> ctx.writeAndFlush(answer), delayMs, TimeUnit.MILLISECONDS);
+                ctx.executor()
+                        .schedule(() -> ctx.writeAndFlush(answer), delayMs, TimeUnit.MILLISECONDS);
             }
         }
 
