--- a/lab/src/main/java/postgrade/lab/replay/Replay.java
+++ b/lab/src/main/java/postgrade/lab/replay/Replay.java
@@ -1,6 +1,5 @@
 package postgrade.lab.replay;
 
-import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
 import io.netty.util.concurrent.DefaultThreadFactory;
 import java.io.IOException;
@@ -25,19 +24,24 @@
 import postgrade.trace.TraceReader;
 
 /**
- * Sends a trace's jobs to dispatchers at their times: open loop, by a schedule that no answer delays. What is to be sent
- * of a class that must not run twice is in the ledger, and so out of a crash's reach, before its first byte leaves; nothing
- * is ever sent again by itself.
+ * Sends a trace's jobs to dispatchers at their times: open loop, by a schedule that no answer
+ * delays. What is to be sent of a class that must not run twice is in the ledger, and so out of a
+ * crash's reach, before its first byte leaves; nothing is ever sent again by itself.
  */
 public final class Replay {
 
-    /** So long before its time a job is planned, and its intent written; jobs of one step in one go. */
+    /**
+     * So long before its time a job is planned, and its intent written; jobs of one step in one go.
+     */
     private static final long AHEAD = 40_000;
+
     private static final long STEP = 10_000;
     private static final int MOST_PLANNED = 1 << 18;
     private static final Try END = new Try(null, 0, "", 0, false, 0);
+
     /** The last stretch before a time is waited out awake. */
     private static final long SPIN = 150;
+
     private static final long FLUSH_MS = 20;
     private static final long PROGRESS_EVERY = 1_000_000;
     private static final long LATE = 1_000;
@@ -50,8 +54,10 @@
     private final Fates fates = new Fates();
     private final List<Clients> clients = new ArrayList<>();
     private final AtomicLong underWay = new AtomicLong();
+
     /** Of a replay cut off before: what had been meant to go out. */
     private final Set<String> meant = new HashSet<>();
+
     private long doneBefore;
     private int generation;
 
@@ -62,7 +68,8 @@
         if (o.resume) {
             readBefore(file);
         } else if (Files.exists(file) && Files.size(file) > 0) {
-            throw new IllegalArgumentException(o.folder + " holds a replay already; --resume goes on with it");
+            throw new IllegalArgumentException(
+                    o.folder + " holds a replay already; --resume goes on with it");
         }
         ledger = new Ledger(file);
     }
@@ -88,7 +95,8 @@
             if (l.event().equals("began")) {
                 generation++;
             } else if (job != null) {
-                doneBefore = Math.max(doneBefore, Long.parseLong(job.substring(0, job.indexOf('.'))));
+                doneBefore =
+                        Math.max(doneBefore, Long.parseLong(job.substring(0, job.indexOf('.'))));
                 if (l.event().equals("intent")) {
                     meant.add(job);
                 }
@@ -96,15 +104,18 @@
             switch (l.event()) {
                 case "answer", "unsent", "gave-up", "broken", "broken-idle" -> over.add(l.id());
                 case "client-died" -> dead.add(l.id()); // By a death before the last one.
-                default -> { }
+                default -> {}
             }
         }
-        result.skippedOnResume = lines.stream().filter(l -> l.event().equals("intent") && !over.contains(l.id()))
-                .count();
+        result.skippedOnResume =
+                lines.stream()
+                        .filter(l -> l.event().equals("intent") && !over.contains(l.id()))
+                        .count();
         try (Ledger cut = new Ledger(file)) {
             // Their client died with them: nobody waits for an answer any more.
             for (LedgerReader.Line l : lines) {
-                if ((l.event().equals("sent") || l.event().equals("intent")) && !over.contains(l.id())
+                if ((l.event().equals("sent") || l.event().equals("intent"))
+                        && !over.contains(l.id())
                         && dead.add(l.id())) {
                     cut.add(Clock.micros(), "client-died", l.id(), "client", "");
                 }
@@ -113,14 +124,21 @@
     }
 
     private ReplayResult run() throws IOException, InterruptedException {
-        NioEventLoopGroup group = new NioEventLoopGroup(o.loops + 1, new DefaultThreadFactory("clients", true));
+        NioEventLoopGroup group =
+                new NioEventLoopGroup(o.loops + 1, new DefaultThreadFactory("clients", true));
         try (TraceReader trace = new TraceReader(o.trace)) {
             for (int i = 0; i < o.loops; i++) {
-                clients.add(new Clients(this, group.next(), Math.max(1, o.mostConnections / o.loops)));
+                clients.add(
+                        new Clients(this, group.next(), Math.max(1, o.mostConnections / o.loops)));
             }
-            ledger.add(Clock.micros(), "began", "", "client", "trace=" + o.trace.getFileName() + " seed=" + o.seed
-                    + " speed=" + o.speed);
-            group.next().scheduleAtFixedRate(ledger::flush, FLUSH_MS, FLUSH_MS, TimeUnit.MILLISECONDS);
+            ledger.add(
+                    Clock.micros(),
+                    "began",
+                    "",
+                    "client",
+                    "trace=" + o.trace.getFileName() + " seed=" + o.seed + " speed=" + o.speed);
+            group.next()
+                    .scheduleAtFixedRate(ledger::flush, FLUSH_MS, FLUSH_MS, TimeUnit.MILLISECONDS);
             warm();
             trace.seek(o.fromMicros);
             schedule(trace);
@@ -162,7 +180,8 @@
         TraceJob job = trace.next();
         while (job != null && job.number() <= doneBefore) {
             if (meant.contains(job.number() + ".0") || o.neverTwice.contains(job.jobClass())) {
-                fates.set(stub(job), Fate.FAILED); // May have gone out: no retry of it is called for.
+                fates.set(
+                        stub(job), Fate.FAILED); // May have gone out: no retry of it is called for.
             }
             job = trace.next();
         }
@@ -191,19 +210,23 @@
     }
 
     /**
-     * Reads the trace ahead of the schedule, and writes down the intents of what must not be sent twice. On a thread of
-     * its own, so that neither the trace's nor the ledger's file can hold the schedule up.
+     * Reads the trace ahead of the schedule, and writes down the intents of what must not be sent
+     * twice. On a thread of its own, so that neither the trace's nor the ledger's file can hold the
+     * schedule up.
      */
     private void plan(TraceReader trace, TraceJob first, long origin, BlockingQueue<Try> planned) {
         List<Try> batch = new ArrayList<>();
         try {
             TraceJob job = first;
-            while (job != null && job.atMicros() < o.toMicros
+            while (job != null
+                    && job.atMicros() < o.toMicros
                     && due(job, origin) - result.startMicros <= o.mostMicros) {
                 long until = due(job, origin) + STEP;
                 sleep(due(job, origin) - AHEAD);
                 batch.clear();
-                while (job != null && job.atMicros() < o.toMicros && due(job, origin) < until
+                while (job != null
+                        && job.atMicros() < o.toMicros
+                        && due(job, origin) < until
                         && due(job, origin) - result.startMicros <= o.mostMicros) {
                     expand(job, due(job, origin), batch);
                     job = trace.next();
@@ -216,7 +239,8 @@
                     }
                 }
                 if (any) {
-                    ledger.flush(); // Guards against a death in between: a resume must know what may have left.
+                    ledger.flush(); // Guards against a death in between: a resume must know what
+                    // may have left.
                 }
                 for (Try t : batch) {
                     planned.put(t);
@@ -257,10 +281,23 @@
         int copies = (int) factor + (mixed(o.seed * 31 + chain) < factor - (int) factor ? 1 : 0);
         boolean neverTwice = o.neverTwice.contains(job.jobClass());
         for (int copy = 0; copy < copies; copy++) {
-            String id = String.format(Locale.ROOT, "%016x", scramble(o.seed * 1_000_003 + job.number() * 64 + copy
-                    + (neverTwice ? 0 : generation * 7_919_000_000_000L)));
-            to.add(new Try(job, copy, id, job.deadlineMicros() > 0 ? job.deadlineMicros() : o.deadlineMicros,
-                    neverTwice, due));
+            String id =
+                    String.format(
+                            Locale.ROOT,
+                            "%016x",
+                            scramble(
+                                    o.seed * 1_000_003
+                                            + job.number() * 64
+                                            + copy
+                                            + (neverTwice ? 0 : generation * 7_919_000_000_000L)));
+            to.add(
+                    new Try(
+                            job,
+                            copy,
+                            id,
+                            job.deadlineMicros() > 0 ? job.deadlineMicros() : o.deadlineMicros,
+                            neverTwice,
+                            due));
         }
     }
 
@@ -290,12 +327,17 @@
     private void progress(long now) {
         if (o.progress != null && now - lastProgress > PROGRESS_EVERY) {
             long sent = result.sent.sum();
-            o.progress.accept(String.format(Locale.ROOT,
-                    "%5.0f s  %7.1f/s  sent %d  served %d  refused %d  failed %d  under way %d",
-                    (now - result.startMicros) / 1e6, lastProgress == 0 ? 0
-                            : (sent - lastSent) * 1e6 / (now - lastProgress), sent, result.served.sum(),
-                    result.refused.sum(), result.failed.sum() + result.gaveUp.sum() + result.broken.sum(),
-                    underWay.get()));
+            o.progress.accept(
+                    String.format(
+                            Locale.ROOT,
+                            "%5.0f s  %7.1f/s  sent %d  served %d  refused %d  failed %d  under way %d",
+                            (now - result.startMicros) / 1e6,
+                            lastProgress == 0 ? 0 : (sent - lastSent) * 1e6 / (now - lastProgress),
+                            sent,
+                            result.served.sum(),
+                            result.refused.sum(),
+                            result.failed.sum() + result.gaveUp.sum() + result.broken.sum(),
+                            underWay.get()));
             lastProgress = now;
             lastSent = sent;
         }
@@ -305,7 +347,8 @@
         underWay.incrementAndGet();
         fates.set(t, Fate.UNDER_WAY);
         int at = next++;
-        clients.get(at % clients.size()).send(t, o.targets.get(at / clients.size() % o.targets.size()));
+        clients.get(at % clients.size())
+                .send(t, o.targets.get(at / clients.size() % o.targets.size()));
     }
 
     // ---- What the clients tell; on their loops.
@@ -326,30 +369,50 @@
             return;
         }
         long now = Clock.micros();
-        ledger.add(now, "answer", t.id, "client", "status=" + status + " result="
-                + (status == 200 ? body : "-") + (retryAfter == null ? "" : " retry_after=" + retryAfter));
+        ledger.add(
+                now,
+                "answer",
+                t.id,
+                "client",
+                "status="
+                        + status
+                        + " result="
+                        + (status == 200 ? body : "-")
+                        + (retryAfter == null ? "" : " retry_after=" + retryAfter));
         if (status == 200) {
             result.served.increment();
-            result.latency.recordValue(Math.min(3_600_000_000L, Math.max(0, now - t.intendedMicros)));
+            result.latency.recordValue(
+                    Math.min(3_600_000_000L, Math.max(0, now - t.intendedMicros)));
         } else if (status == 429 || status == 503) {
             result.refused.increment();
         } else {
             result.failed.increment();
         }
-        fates.set(t, status == 200 ? Fate.SERVED : status == 429 || status == 503 ? Fate.REFUSED : Fate.FAILED);
+        fates.set(
+                t,
+                status == 200
+                        ? Fate.SERVED
+                        : status == 429 || status == 503 ? Fate.REFUSED : Fate.FAILED);
         underWay.decrementAndGet();
     }
 
     void unsent(Try t, String why) {
         if (!over(t)) {
-            ledger.add(Clock.micros(), "unsent", t.id, "client", t.detail() + " why=" + why.replace(' ', '_'));
+            ledger.add(
+                    Clock.micros(),
+                    "unsent",
+                    t.id,
+                    "client",
+                    t.detail() + " why=" + why.replace(' ', '_'));
             result.unsent.increment();
             fates.set(t, Fate.UNSENT);
             underWay.decrementAndGet();
         }
     }
 
-    /** The connection ended without an answer. @param idle before the dispatcher can have read of it */
+    /**
+     * The connection ended without an answer. @param idle before the dispatcher can have read of it
+     */
     void broken(Try t, boolean idle) {
         if (!over(t)) {
             ledger.add(Clock.micros(), idle ? "broken-idle" : "broken", t.id, "client", "");
--- a/lab/src/main/java/postgrade/lab/replay/Search.java
+++ b/lab/src/main/java/postgrade/lab/replay/Search.java
@@ -8,20 +8,23 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Looks for the highest rate at which a level of service is kept: doubles the speed until it is broken, then halves the
- * interval. A broken step is tried once more, since one unlucky burst proves nothing.
+ * Looks for the highest rate at which a level of service is kept: doubles the speed until it is
+ * broken, then halves the interval. A broken step is tried once more, since one unlucky burst
+ * proves nothing.
  */
 public final class Search {
 
     /** One replay of the search. */
-    public record Step(double speed, double rate, boolean kept, String reached) { }
+    public record Step(double speed, double rate, boolean kept, String reached) {}
 
-    /** @param highest the last step that kept the level, or null if even the first broke it */
-    public record Found(Step highest, List<Step> steps) { }
+    /**
+     * @param highest the last step that kept the level, or null if even the first broke it
+     */
+    public record Found(Step highest, List<Step> steps) {}
 
     private static final int PAUSE_MS = 1500;
 
-    private Search() { }
+    private Search() {}
 
     /**
      * Runs it.
@@ -30,8 +33,13 @@
      * @param seconds the length of a step
      * @param narrow ends once the interval is within this part of the speed, 0.05 for 5%
      */
-    public static Found run(ReplayOptions base, Level level, double seconds, double narrow,
-            java.util.function.Consumer<String> tell) throws IOException, InterruptedException {
+    public static Found run(
+            ReplayOptions base,
+            Level level,
+            double seconds,
+            double narrow,
+            java.util.function.Consumer<String> tell)
+            throws IOException, InterruptedException {
         Path folder = base.folder;
         List<Step> steps = new ArrayList<>();
         double low = 0;
@@ -61,12 +69,23 @@
     }
 
     private static String told(Step s) {
-        return String.format(Locale.ROOT, "speed %.3f, %.1f a second: %s (%s)", s.speed, s.rate,
-                s.kept ? "kept" : "broken", s.reached);
+        return String.format(
+                Locale.ROOT,
+                "speed %.3f, %.1f a second: %s (%s)",
+                s.speed,
+                s.rate,
+                s.kept ? "kept" : "broken",
+                s.reached);
     }
 
-    private static Step step(ReplayOptions base, Path folder, Level level, double speed, double seconds,
-            List<Step> steps) throws IOException, InterruptedException {
+    private static Step step(
+            ReplayOptions base,
+            Path folder,
+            Level level,
+            double speed,
+            double seconds,
+            List<Step> steps)
+            throws IOException, InterruptedException {
         base.folder = folder.resolve("step" + (steps.size() + 1));
         base.speed = speed;
         base.mostMicros = (long) (seconds * 1e6);
@@ -74,7 +93,12 @@
         ReplayResult r = Replay.run(base);
         base.rehearsalSeconds = 0; // The first step has warmed the machine up for all.
         double took = Math.max(0.001, Math.min(seconds, r.seconds()));
-        Step step = new Step(speed, (r.sent.sum() + r.unsent.sum()) / took, level.keptBy(r), level.reached(r));
+        Step step =
+                new Step(
+                        speed,
+                        (r.sent.sum() + r.unsent.sum()) / took,
+                        level.keptBy(r),
+                        level.reached(r));
         steps.add(step);
         TimeUnit.MILLISECONDS.sleep(PAUSE_MS); // What the step has left behind is done with.
         return step;
--- a/lab/src/main/java/postgrade/lab/tables/Overhead.java
+++ b/lab/src/main/java/postgrade/lab/tables/Overhead.java
@@ -9,14 +9,15 @@
 import postgrade.fleet.check.LedgerReader.Line;
 
 /**
- * What the way through a dispatcher adds: of each request served, the time from its sending to its answer less the time
- * that its worker had it. One clock serves all ledgers, so the two can be subtracted.
+ * What the way through a dispatcher adds: of each request served, the time from its sending to its
+ * answer less the time that its worker had it. One clock serves all ledgers, so the two can be
+ * subtracted.
  */
 public final class Overhead {
 
     private static final long MOST = 600_000_000;
 
-    private Overhead() { }
+    private Overhead() {}
 
     /** In microseconds, of the requests served by their first attempt. */
     public static Histogram of(Path folder) throws IOException {
@@ -36,9 +37,15 @@
         for (Line l : LedgerReader.read(folder.resolve("clients.ledger"))) {
             if (l.event().equals("sent")) {
                 sent.put(l.id(), l.micros());
-            } else if (l.event().equals("answer") && l.number("status") == 200 && sent.containsKey(l.id())
-                    && had.containsKey(l.id()) && attempts.get(l.id()) == 1) {
-                added.recordValue(Math.max(0, Math.min(MOST, l.micros() - sent.get(l.id()) - had.get(l.id()))));
+            } else if (l.event().equals("answer")
+                    && l.number("status") == 200
+                    && sent.containsKey(l.id())
+                    && had.containsKey(l.id())
+                    && attempts.get(l.id()) == 1) {
+                added.recordValue(
+                        Math.max(
+                                0,
+                                Math.min(MOST, l.micros() - sent.get(l.id()) - had.get(l.id()))));
             }
         }
         return added;
--- a/lab/src/main/java/postgrade/lab/tables/RunData.java
+++ b/lab/src/main/java/postgrade/lab/tables/RunData.java
@@ -11,13 +11,21 @@
 import postgrade.fleet.check.LedgerReader.Line;
 
 /**
- * A run as its ledgers tell it, one row for each request that was to be sent. Made from the ledgers alone, so a run that
- * was cut off can be told of as well.
+ * A run as its ledgers tell it, one row for each request that was to be sent. Made from the ledgers
+ * alone, so a run that was cut off can be told of as well.
  */
 public final class RunData {
 
     /** How a request ended, as its client saw it. */
-    public enum End { SERVED, REFUSED, FAILED, GAVE_UP, BROKEN, UNSENT, LOST }
+    public enum End {
+        SERVED,
+        REFUSED,
+        FAILED,
+        GAVE_UP,
+        BROKEN,
+        UNSENT,
+        LOST
+    }
 
     /**
      * One request. Times are microseconds since the run's start; -1 for what did not happen.
@@ -25,8 +33,20 @@
      * @param worker that served it, or null
      * @param retryAfter as the dispatcher advised, in seconds; -1 for none
      */
-    public record Row(String id, String job, String jobClass, String tenant, int attempt, long intended, long sent,
-            long answered, int status, End end, String worker, double retryAfter, long deadline) {
+    public record Row(
+            String id,
+            String job,
+            String jobClass,
+            String tenant,
+            int attempt,
+            long intended,
+            long sent,
+            long answered,
+            int status,
+            End end,
+            String worker,
+            double retryAfter,
+            long deadline) {
 
         /** From the intended time to the answer; -1 without one. */
         public long latency() {
@@ -36,12 +56,16 @@
 
     public final Path folder;
     public final List<Row> rows = new ArrayList<>();
+
     /** Attempts that each worker received. */
     public final Map<String, Long> attemptsByWorker = new java.util.TreeMap<>();
+
     /** Faults of the fleet, as they began and ended. */
     public final List<Line> faults = new ArrayList<>();
+
     public long startMicros;
     private Map<String, java.util.TreeMap<Integer, RunTables.Second>> seconds;
+
     /** What the run began with, as the ledger tells it. */
     public String began = "";
 
@@ -65,7 +89,8 @@
             }
         }
         if (Files.exists(folder.resolve("discovery.ledger"))) {
-            LedgerReader.read(folder.resolve("discovery.ledger")).stream().filter(l -> l.event().equals("fault"))
+            LedgerReader.read(folder.resolve("discovery.ledger")).stream()
+                    .filter(l -> l.event().equals("fault"))
                     .forEach(run.faults::add);
         }
         return run;
@@ -78,10 +103,11 @@
         for (Line l : lines) {
             switch (l.event()) {
                 case "answer" -> answers.put(l.id(), l);
-                case "gave-up", "broken", "broken-idle", "client-died" -> ends.put(l.id(), l.event());
+                case "gave-up", "broken", "broken-idle", "client-died" ->
+                        ends.put(l.id(), l.event());
                 case "began" -> began = l.detail();
                 case "sent", "unsent" -> startMicros = Math.min(startMicros, l.number("intended"));
-                default -> { }
+                default -> {}
             }
         }
         for (Line l : lines) {
@@ -96,25 +122,46 @@
 
     private Row row(Line l, long sent, Line answer, String ended) {
         int status = answer == null ? 0 : (int) answer.number("status");
-        End end = answer != null ? status == 200 ? End.SERVED : status == 429 || status == 503 ? End.REFUSED : End.FAILED
-                : ended == null ? End.LOST : switch (ended) {
-                    case "gave-up" -> End.GAVE_UP;
-                    case "unsent" -> End.UNSENT;
-                    case "client-died" -> End.LOST;
-                    default -> End.BROKEN;
-                };
+        End end =
+                answer != null
+                        ? status == 200
+                                ? End.SERVED
+                                : status == 429 || status == 503 ? End.REFUSED : End.FAILED
+                        : ended == null
+                                ? End.LOST
+                                : switch (ended) {
+                                    case "gave-up" -> End.GAVE_UP;
+                                    case "unsent" -> End.UNSENT;
+                                    case "client-died" -> End.LOST;
+                                    default -> End.BROKEN;
+                                };
         String result = answer == null || status != 200 ? null : answer.value("result");
-        String worker = result == null || !result.startsWith("r.") ? null : result.substring(2, result.lastIndexOf('.'));
+        String worker =
+                result == null || !result.startsWith("r.")
+                        ? null
+                        : result.substring(2, result.lastIndexOf('.'));
         String retryAfter = answer == null ? null : answer.value("retry_after");
-        return new Row(l.id(), l.value("job"), l.value("class"), l.value("tenant"), (int) l.number("attempt"),
-                l.number("intended") - startMicros, sent < 0 ? -1 : sent - startMicros,
-                answer == null ? -1 : answer.micros() - startMicros, status, end, worker,
-                retryAfter == null ? -1 : Double.parseDouble(retryAfter), l.number("deadline"));
+        return new Row(
+                l.id(),
+                l.value("job"),
+                l.value("class"),
+                l.value("tenant"),
+                (int) l.number("attempt"),
+                l.number("intended") - startMicros,
+                sent < 0 ? -1 : sent - startMicros,
+                answer == null ? -1 : answer.micros() - startMicros,
+                status,
+                end,
+                worker,
+                retryAfter == null ? -1 : Double.parseDouble(retryAfter),
+                l.number("deadline"));
     }
 
     /** Counts by class and second, made once: every table and figure asks for them. */
     Map<String, java.util.TreeMap<Integer, RunTables.Second>> seconds(
-            java.util.function.Function<RunData, Map<String, java.util.TreeMap<Integer, RunTables.Second>>> make) {
+            java.util.function.Function<
+                            RunData, Map<String, java.util.TreeMap<Integer, RunTables.Second>>>
+                    make) {
         if (seconds == null) {
             seconds = make.apply(this);
         }
--- a/lab/src/test/java/postgrade/lab/ReplayMain.java
+++ b/lab/src/test/java/postgrade/lab/ReplayMain.java
@@ -10,7 +10,7 @@
 /** A replay in a process of its own, to be killed: TRACE FOLDER PORT SPEED. */
 public final class ReplayMain {
 
-    private ReplayMain() { }
+    private ReplayMain() {}
 
     public static void main(String[] args) throws Exception {
         ReplayOptions o = new ReplayOptions();
--- a/lab/src/test/java/postgrade/lab/ReplayTest.java
+++ b/lab/src/test/java/postgrade/lab/ReplayTest.java
@@ -34,23 +34,27 @@
 import postgrade.trace.TraceWriter;
 import postgrade.trace.wire.Header;
 
-/** Replays against real dispatchers in processes of their own, and a fleet in this one; judged by the ledgers. */
+/**
+ * Replays against real dispatchers in processes of their own, and a fleet in this one; judged by
+ * the ledgers.
+ */
 class ReplayTest {
 
-    private static final String FLEET = "seed = 3\n"
-            + "workers = [worker(4, 'big', cores = 8, speed = (1, 2), zone = 'a', queue = 50)]\n"
-            + "classes = {'basket-price': work(20), 'slot-check': work(10), 'route-plan': work(30), "
-            + "'order-confirm': work(10, priority = 1, repeatable = False)}\n"
-            + "tenants = {'kvart-market': 1000, 'zeleni-kos': 1000, 'pekara-lipa': 1000, 'mesnica-brod': 1000}\n"
-            + "callbacks = call_backs(early = 0.1, twice = 0.1, late_ms = 5)\n";
+    private static final String FLEET =
+            "seed = 3\n"
+                    + "workers = [worker(4, 'big', cores = 8, speed = (1, 2), zone = 'a', queue = 50)]\n"
+                    + "classes = {'basket-price': work(20), 'slot-check': work(10), 'route-plan': work(30), "
+                    + "'order-confirm': work(10, priority = 1, repeatable = False)}\n"
+                    + "tenants = {'kvart-market': 1000, 'zeleni-kos': 1000, 'pekara-lipa': 1000, 'mesnica-brod': 1000}\n"
+                    + "callbacks = call_backs(early = 0.1, twice = 0.1, late_ms = 5)\n";
 
     /** CI may hold a stand-in up; what is judged here is order, not milliseconds. */
     static final long SLACK = 2_500_000;
+
     /** Nor is an answer lost that comes late on a machine that is busy with other things. */
     static final long LINGER = 20_000_000;
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
     private final List<Process> processes = new ArrayList<>();
     private final List<DispatcherProcess> served = new ArrayList<>();
     private Fleet fleet;
@@ -64,11 +68,20 @@
         }
     }
 
-    static Process java(Map<String, String> environment, Path log, String main, String... args) throws IOException {
-        List<String> command = new ArrayList<>(List.of(System.getProperty("java.home") + "/bin/java",
-                "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"), main));
+    static Process java(Map<String, String> environment, Path log, String main, String... args)
+            throws IOException {
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                System.getProperty("java.home") + "/bin/java",
+                                "-XX:+UseSerialGC",
+                                "-XX:TieredStopAtLevel=1",
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                main));
         command.addAll(List.of(args));
-        ProcessBuilder b = new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log.toFile());
+        ProcessBuilder b =
+                new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log.toFile());
         b.environment().putAll(environment);
         return b.start();
     }
@@ -76,8 +89,11 @@
     private List<InetSocketAddress> serve(String plan, int dispatchers) throws Exception {
         fleet = new Fleet(FleetPlan.of("t.star", plan), folder, dispatchers, 2);
         for (int d = 0; d < dispatchers; d++) {
-            served.add(DispatcherProcess.start(fleet.configurationOf(d), fleet.dispatchers().get(d),
-                    folder.resolve("n" + (d + 1) + ".log")));
+            served.add(
+                    DispatcherProcess.start(
+                            fleet.configurationOf(d),
+                            fleet.dispatchers().get(d),
+                            folder.resolve("n" + (d + 1) + ".log")));
         }
         for (DispatcherProcess p : served) {
             p.awaitReady();
@@ -140,7 +156,10 @@
                 assertTrue(at >= 0, "none leaves before its time");
             }
         }
-        assertEquals(1.5 * want.get("basket-price"), got.get("basket-price"), 0.1 * want.get("basket-price"));
+        assertEquals(
+                1.5 * want.get("basket-price"),
+                got.get("basket-price"),
+                0.1 * want.get("basket-price"));
         for (String c : List.of("slot-check", "route-plan", "order-confirm")) {
             assertEquals(want.get(c), got.get(c), c);
         }
@@ -150,16 +169,22 @@
 
     @Test
     void everyKindOfFaultLeavesTheRulesWhole() throws Exception {
-        List<InetSocketAddress> targets = serve(FLEET + "faults = [fault('fast_errors', 0.2, 2, 0.25, figures = "
-                + "{'share': 0.5}), fault('resets', 1, 2, 0.5, figures = {'share': 0.3}), fault('pauses', 0, 4, 0.5, "
-                + "figures = {'every_s': 0.3, 'pause_ms': 80}), fault('neighbour', 1, 2, 0.5), fault('heavy_tail', 0, 4, "
-                + "1, 'slot-check', {'share': 0.05, 'factor': 20}), fault('restart', 2, 1, 0.25, figures = "
-                + "{'down_s': 0.5}), fault('drain', 3, 1, 0.25, figures = {'drain_s': 0.7}), "
-                + "fault('discovery_silence', 1.5, 0.5)]\n", 2);
+        List<InetSocketAddress> targets =
+                serve(
+                        FLEET
+                                + "faults = [fault('fast_errors', 0.2, 2, 0.25, figures = "
+                                + "{'share': 0.5}), fault('resets', 1, 2, 0.5, figures = {'share': 0.3}), fault('pauses', 0, 4, 0.5, "
+                                + "figures = {'every_s': 0.3, 'pause_ms': 80}), fault('neighbour', 1, 2, 0.5), fault('heavy_tail', 0, 4, "
+                                + "1, 'slot-check', {'share': 0.05, 'factor': 20}), fault('restart', 2, 1, 0.25, figures = "
+                                + "{'down_s': 0.5}), fault('drain', 3, 1, 0.25, figures = {'drain_s': 0.7}), "
+                                + "fault('discovery_silence', 1.5, 0.5)]\n",
+                        2);
         ReplayOptions o = options(friday(50, 80), targets);
         o.speed = 10;
         ReplayResult r = Replay.run(o);
-        assertTrue(r.served.sum() > 0, "some are served all the same; how many depends on the machine");
+        assertTrue(
+                r.served.sum() > 0,
+                "some are served all the same; how many depends on the machine");
         judgedClean();
     }
 
@@ -168,18 +193,39 @@
         Path trace = folder.resolve("even.trace");
         try (TraceWriter w = new TraceWriter(trace, Header.getDefaultInstance())) {
             for (int i = 0; i < 500; i++) {
-                w.add(new TraceJob(0, i * 2000L, "basket-price", null, null, 900_000, 10, 0, -1, 0, 0, 0, 0));
+                w.add(
+                        new TraceJob(
+                                0,
+                                i * 2000L,
+                                "basket-price",
+                                null,
+                                null,
+                                900_000,
+                                10,
+                                0,
+                                -1,
+                                0,
+                                0,
+                                0,
+                                0));
             }
         }
         try (ServerSocket stalled = new ServerSocket(0, 2000, InetAddress.getLoopbackAddress())) {
-            ReplayOptions o = options(trace, List.of(new InetSocketAddress("127.0.0.1", stalled.getLocalPort())));
+            ReplayOptions o =
+                    options(
+                            trace,
+                            List.of(new InetSocketAddress("127.0.0.1", stalled.getLocalPort())));
             o.mostConnections = 1200;
             o.lingerMicros = 250_000;
-            ReplayResult r = Replay.run(o); // Nobody accepts: the system takes the bytes, and nothing comes back.
+            ReplayResult r =
+                    Replay.run(o); // Nobody accepts: the system takes the bytes, and nothing comes
+            // back.
             assertEquals(500, r.sent.sum());
             assertEquals(500, r.gaveUp.sum());
-            List<Line> sent = LedgerReader.read(folder.resolve("clients.ledger")).stream()
-                    .filter(l -> l.event().equals("sent")).toList();
+            List<Line> sent =
+                    LedgerReader.read(folder.resolve("clients.ledger")).stream()
+                            .filter(l -> l.event().equals("sent"))
+                            .toList();
             // Two loops write them, in the order in which each had a connection.
             var times = sent.stream().mapToLong(l -> l.number("intended")).summaryStatistics();
             long spread = times.getMax() - times.getMin();
@@ -194,9 +240,16 @@
         int kills = Integer.getInteger("postgrade.kills", 4);
         Path trace = friday(40 + 4.0 * kills, 100);
         java.util.Random random = new java.util.Random(kills);
-        String[] args = {trace.toString(), folder.toString(), Integer.toString(targets.get(0).getPort()), "6"};
+        String[] args = {
+            trace.toString(), folder.toString(), Integer.toString(targets.get(0).getPort()), "6"
+        };
         for (int i = 0; i <= kills; i++) {
-            Process p = java(Map.of(), folder.resolve("replayer.log"), "postgrade.lab.ReplayMain", args);
+            Process p =
+                    java(
+                            Map.of(),
+                            folder.resolve("replayer.log"),
+                            "postgrade.lab.ReplayMain",
+                            args);
             processes.add(p);
             if (i < kills) {
                 awaitGrowth(p, 1000 + random.nextInt(60_000));
@@ -212,13 +265,23 @@
         List<Line> lines = LedgerReader.read(folder.resolve("clients.ledger"));
         for (Line l : lines) {
             if (l.event().equals("intent")) {
-                assertTrue(sent.add(l.value("job")), "order " + l.value("job") + " was meant to go out twice");
+                assertTrue(
+                        sent.add(l.value("job")),
+                        "order " + l.value("job") + " was meant to go out twice");
             }
         }
-        assertEquals(lines.stream().filter(l -> l.event().equals("client-died")).map(Line::id).distinct().count(),
-                lines.stream().filter(l -> l.event().equals("client-died")).count(), "each death is told once");
+        assertEquals(
+                lines.stream()
+                        .filter(l -> l.event().equals("client-died"))
+                        .map(Line::id)
+                        .distinct()
+                        .count(),
+                lines.stream().filter(l -> l.event().equals("client-died")).count(),
+                "each death is told once");
         long began = lines.stream().filter(l -> l.event().equals("began")).count();
-        assertTrue(began > kills / 2 && began <= kills + 1, "a replayer may die before it has said that it began: " + began);
+        assertTrue(
+                began > kills / 2 && began <= kills + 1,
+                "a replayer may die before it has said that it began: " + began);
     }
 
     /** Until the clients' ledger has grown by so many bytes: a point somewhere in the replay. */
@@ -226,7 +289,8 @@
         Path file = folder.resolve("clients.ledger");
         long before = java.nio.file.Files.exists(file) ? java.nio.file.Files.size(file) : 0;
         while (replayer.isAlive()) {
-            if (java.nio.file.Files.exists(file) && java.nio.file.Files.size(file) > before + bytes) {
+            if (java.nio.file.Files.exists(file)
+                    && java.nio.file.Files.size(file) > before + bytes) {
                 return;
             }
             TimeUnit.MILLISECONDS.sleep(1);
@@ -238,11 +302,13 @@
     void whatIsFaultyIsNamed() throws IOException {
         Path trace = friday(1, 10);
         ReplayOptions o = options(trace, List.of());
-        assertEquals("--target: at least one is needed",
+        assertEquals(
+                "--target: at least one is needed",
                 assertThrows(IllegalArgumentException.class, () -> Replay.run(o)).getMessage());
         ReplayOptions p = options(trace, List.of(new InetSocketAddress("127.0.0.1", 9)));
         p.mix.put("x", -1.0);
-        assertEquals("--mix: x must be from 0 to 100",
+        assertEquals(
+                "--mix: x must be from 0 to 100",
                 assertThrows(IllegalArgumentException.class, () -> Replay.run(p)).getMessage());
     }
 }
--- a/lab/src/test/java/postgrade/lab/ReportTest.java
+++ b/lab/src/test/java/postgrade/lab/ReportTest.java
@@ -26,8 +26,7 @@
 
 class ReportTest {
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     /** A run of 12 s with 10 jobs a second, of which some end otherwise than served. */
     private Path run(String name, int latencyMs) throws IOException {
@@ -38,16 +37,49 @@
             for (int i = 0; i < 120; i++) {
                 long at = 1_000_000 + i * 100_000;
                 String id = name + i;
-                clients.add(at + 300, "sent", id, "client", "job=" + (i + 1) + ".0 class=" + (i % 4 == 0 ? "b" : "a")
-                        + " tenant=<t> attempt=0 deadline=5000000 intended=" + at + " repeatable=true");
+                clients.add(
+                        at + 300,
+                        "sent",
+                        id,
+                        "client",
+                        "job="
+                                + (i + 1)
+                                + ".0 class="
+                                + (i % 4 == 0 ? "b" : "a")
+                                + " tenant=<t> attempt=0 deadline=5000000 intended="
+                                + at
+                                + " repeatable=true");
                 if (i % 10 == 9) {
-                    clients.add(at + 900, "answer", id, "client", "status=429 result=- retry_after=0.5");
+                    clients.add(
+                            at + 900,
+                            "answer",
+                            id,
+                            "client",
+                            "status=429 result=- retry_after=0.5");
                     continue;
                 }
-                workers.add(at + 500, "received", id, "w1", "a=" + (i + latencyMs * 1000) + " via=0 first=" + at
-                        + " class=a repeatable=true");
-                workers.add(at + 600, "done", id, "w1", "a=" + (i + latencyMs * 1000) + " result=r.w1." + i);
-                clients.add(at + latencyMs * 1000L, "answer", id, "client", "status=200 result=r.w1." + i);
+                workers.add(
+                        at + 500,
+                        "received",
+                        id,
+                        "w1",
+                        "a="
+                                + (i + latencyMs * 1000)
+                                + " via=0 first="
+                                + at
+                                + " class=a repeatable=true");
+                workers.add(
+                        at + 600,
+                        "done",
+                        id,
+                        "w1",
+                        "a=" + (i + latencyMs * 1000) + " result=r.w1." + i);
+                clients.add(
+                        at + latencyMs * 1000L,
+                        "answer",
+                        id,
+                        "client",
+                        "status=200 result=r.w1." + i);
             }
         }
         return run;
@@ -57,31 +89,41 @@
     void aRunsPageHoldsItsFiguresAndNeedsNothingFromOutside() throws IOException {
         Path run = run("r", 40);
         String page = Files.readString(Report.write(run));
-        assertTrue(page.contains("No rule is broken") && page.contains("<svg") && page.contains("108"), "served: 108");
+        assertTrue(
+                page.contains("No rule is broken") && page.contains("<svg") && page.contains("108"),
+                "served: 108");
         assertTrue(page.contains("&lt;t&gt;"), "what comes from outside is escaped");
-        assertFalse(page.contains("src=\"http") || page.contains("href=\"http") || page.contains("<script"),
+        assertFalse(
+                page.contains("src=\"http")
+                        || page.contains("href=\"http")
+                        || page.contains("<script"),
                 "no network");
         assertEquals(120, rows(run.resolve("jobs.parquet")));
         assertEquals(24, rows(run.resolve("seconds.parquet")));
     }
 
     private static long rows(Path table) throws IOException {
-        return ParquetReader.streamContent(table.toFile(), HydratorSupplier.constantly(new Hydrator<Integer, Integer>() {
-            @Override
-            public Integer start() {
-                return 0;
-            }
+        return ParquetReader.streamContent(
+                        table.toFile(),
+                        HydratorSupplier.constantly(
+                                new Hydrator<Integer, Integer>() {
+                                    @Override
+                                    public Integer start() {
+                                        return 0;
+                                    }
 
-            @Override
-            public Integer add(Integer cells, String column, Object value) {
-                return cells + 1;
-            }
+                                    @Override
+                                    public Integer add(Integer cells, String column, Object value) {
+                                        return cells + 1;
+                                    }
 
-            @Override
-            public Integer finish(Integer cells) {
-                return cells;
-            }
-        })).filter(cells -> cells > 0).count();
+                                    @Override
+                                    public Integer finish(Integer cells) {
+                                        return cells;
+                                    }
+                                }))
+                .filter(cells -> cells > 0)
+                .count();
     }
 
     @Test
@@ -98,7 +140,9 @@
     void twoRunsStandSideBySideWithTheirDifference() throws IOException {
         Path page = Report.compare(run("a", 40), run("b", 90), folder.resolve("ab.html"));
         String text = Files.readString(page);
-        assertTrue(text.contains("latency p50, ms") && text.contains("+50.0"), text.substring(0, 3000));
+        assertTrue(
+                text.contains("latency p50, ms") && text.contains("+50.0"),
+                text.substring(0, 3000));
     }
 
     @Test
@@ -118,7 +162,21 @@
         Path trace = folder.resolve("x.trace");
         try (TraceWriter w = new TraceWriter(trace, Header.getDefaultInstance())) {
             for (int i = 0; i < 120; i++) {
-                w.add(new TraceJob(0, i * 200_000L, i % 4 == 0 ? "b" : "a", null, null, 0, 0, 0, -1, 0, 0, 0, 0));
+                w.add(
+                        new TraceJob(
+                                0,
+                                i * 200_000L,
+                                i % 4 == 0 ? "b" : "a",
+                                null,
+                                null,
+                                0,
+                                0,
+                                0,
+                                -1,
+                                0,
+                                0,
+                                0,
+                                0));
             }
         }
         Fidelity.Found f = Fidelity.of(trace, run);
@@ -139,7 +197,9 @@
         assertTrue(level.keptBy(r), level.reached(r));
         r.unsent.add(101);
         assertFalse(level.keptBy(r), "what never left is not served");
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> Level.of("p95<fast")).getMessage()
-                .contains("--level: p95<fast"));
+        assertTrue(
+                assertThrows(IllegalArgumentException.class, () -> Level.of("p95<fast"))
+                        .getMessage()
+                        .contains("--level: p95<fast"));
     }
 }
--- a/lab/src/test/java/postgrade/lab/replay/ScheduleBench.java
+++ b/lab/src/test/java/postgrade/lab/replay/ScheduleBench.java
@@ -5,10 +5,13 @@
 import java.util.List;
 import java.util.Locale;
 
-/** How well the schedule is kept, against a target that is never the bottleneck: TRACE FOLDER SECONDS [REHEARSAL]. */
+/**
+ * How well the schedule is kept, against a target that is never the bottleneck: TRACE FOLDER
+ * SECONDS [REHEARSAL].
+ */
 public final class ScheduleBench {
 
-    private ScheduleBench() { }
+    private ScheduleBench() {}
 
     public static void main(String[] args) throws Exception {
         NioEventLoopGroup group = new NioEventLoopGroup(2);
@@ -19,10 +22,17 @@
         o.mostMicros = (long) (Double.parseDouble(args[2]) * 1e6);
         o.rehearsalSeconds = args.length > 3 ? Double.parseDouble(args[3]) : o.rehearsalSeconds;
         ReplayResult r = Replay.run(o);
-        System.out.printf(Locale.ROOT, "sent %d in %.2f s, within 1 ms %.3f%%; lateness p50 %.3f p99 %.3f p99.9 %.3f most "
-                + "%.3f ms%n", r.sent.sum(), r.seconds(), 100.0 * (r.sent.sum() - r.late.sum()) / r.sent.sum(),
-                r.lateness.getValueAtPercentile(50) / 1000.0, r.lateness.getValueAtPercentile(99) / 1000.0,
-                r.lateness.getValueAtPercentile(99.9) / 1000.0, r.lateness.getMaxValue() / 1000.0);
+        System.out.printf(
+                Locale.ROOT,
+                "sent %d in %.2f s, within 1 ms %.3f%%; lateness p50 %.3f p99 %.3f p99.9 %.3f most "
+                        + "%.3f ms%n",
+                r.sent.sum(),
+                r.seconds(),
+                100.0 * (r.sent.sum() - r.late.sum()) / r.sent.sum(),
+                r.lateness.getValueAtPercentile(50) / 1000.0,
+                r.lateness.getValueAtPercentile(99) / 1000.0,
+                r.lateness.getValueAtPercentile(99.9) / 1000.0,
+                r.lateness.getMaxValue() / 1000.0);
         System.exit(0);
     }
 }
--- a/load/src/main/java/postgrade/load/convert/Converter.java
+++ b/load/src/main/java/postgrade/load/convert/Converter.java
@@ -21,32 +21,60 @@
 import postgrade.trace.TraceJob;
 import postgrade.trace.TraceReader;
 
-/** Writes a trace in the forms that `load import` reads. What each form cannot hold is told in docs/load.md. */
+/**
+ * Writes a trace in the forms that `load import` reads. What each form cannot hold is told in
+ * docs/load.md.
+ */
 public final class Converter {
 
     /** The forms by the end of a file's name. */
-    public enum Form { HAR, COMBINED, JSONL, PARQUET }
-
-    private static final Map<String, String> OPERATIONS = Map.of("basket-price", "price", "slot-check", "slots",
-            "route-plan", "route", "order-confirm", "confirm");
-    private static final DateTimeFormatter CLF = DateTimeFormatter.ofPattern("dd/MMM/yyyy:HH:mm:ss Z", Locale.ENGLISH)
-            .withZone(ZoneOffset.UTC);
-
-    private Converter() { }
+    public enum Form {
+        HAR,
+        COMBINED,
+        JSONL,
+        PARQUET
+    }
 
-    /** @throws IllegalArgumentException if the name ends in none that is known */
+    private static final Map<String, String> OPERATIONS =
+            Map.of(
+                    "basket-price",
+                    "price",
+                    "slot-check",
+                    "slots",
+                    "route-plan",
+                    "route",
+                    "order-confirm",
+                    "confirm");
+    private static final DateTimeFormatter CLF =
+            DateTimeFormatter.ofPattern("dd/MMM/yyyy:HH:mm:ss Z", Locale.ENGLISH)
+                    .withZone(ZoneOffset.UTC);
+
+    private Converter() {}
+
+    /**
+     * @throws IllegalArgumentException if the name ends in none that is known
+     */
     public static Form formOf(String name) {
         String n = name.toLowerCase(Locale.ROOT);
         n = n.endsWith(".gz") ? n.substring(0, n.length() - 3) : n;
-        return n.endsWith(".har") ? Form.HAR : n.endsWith(".log") ? Form.COMBINED : n.endsWith(".jsonl") ? Form.JSONL
-                : n.endsWith(".parquet") ? Form.PARQUET : unknown(name);
+        return n.endsWith(".har")
+                ? Form.HAR
+                : n.endsWith(".log")
+                        ? Form.COMBINED
+                        : n.endsWith(".jsonl")
+                                ? Form.JSONL
+                                : n.endsWith(".parquet") ? Form.PARQUET : unknown(name);
     }
 
     private static Form unknown(String name) {
-        throw new IllegalArgumentException(name + ": its form is told by its end: .har, .log, .jsonl, .parquet, .trace");
+        throw new IllegalArgumentException(
+                name + ": its form is told by its end: .har, .log, .jsonl, .parquet, .trace");
     }
 
-    /** Writes the whole trace; the file has its name only once it is whole. Returns the number of jobs. */
+    /**
+     * Writes the whole trace; the file has its name only once it is whole. Returns the number of
+     * jobs.
+     */
     public static long write(Path trace, Path out, Form form) throws IOException {
         Path part = out.resolveSibling(out.getFileName() + ".part");
         try (TraceReader r = new TraceReader(trace)) {
@@ -61,7 +89,8 @@
                     }
                 }
             }
-            Files.move(part, out, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+            Files.move(
+                    part, out, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
             return r.jobs();
         } finally {
             Files.deleteIfExists(part);
@@ -70,19 +99,25 @@
 
     private static Writer writer(Path file, boolean packed) throws IOException {
         OutputStream out = Files.newOutputStream(file);
-        return new BufferedWriter(new OutputStreamWriter(packed ? new GZIPOutputStream(out, 1 << 16) : out,
-                StandardCharsets.UTF_8), 1 << 16);
+        return new BufferedWriter(
+                new OutputStreamWriter(
+                        packed ? new GZIPOutputStream(out, 1 << 16) : out, StandardCharsets.UTF_8),
+                1 << 16);
     }
 
     private static Instant at(TraceReader r, TraceJob j) {
-        return Instant.EPOCH.plus(r.header().getStartUnixMicros() + j.atMicros(),
+        return Instant.EPOCH.plus(
+                r.header().getStartUnixMicros() + j.atMicros(),
                 java.time.temporal.ChronoUnit.MICROS);
     }
 
     private static String target(TraceJob j) {
         String operation = OPERATIONS.getOrDefault(j.jobClass(), j.jobClass());
-        StringBuilder t = new StringBuilder("/api/").append(encoded(j.tenant() == null ? "-" : j.tenant()))
-                .append('/').append(encoded(operation));
+        StringBuilder t =
+                new StringBuilder("/api/")
+                        .append(encoded(j.tenant() == null ? "-" : j.tenant()))
+                        .append('/')
+                        .append(encoded(operation));
         char next = '?';
         if (j.key() != null) {
             t.append(next).append("key=").append(encoded(j.key()));
--- a/load/src/main/java/postgrade/load/convert/Inspection.java
+++ b/load/src/main/java/postgrade/load/convert/Inspection.java
@@ -18,7 +18,9 @@
 import postgrade.trace.TraceReader;
 import postgrade.trace.wire.Header;
 
-/** What a trace holds: rate over time, mix by class and tenant, retries, and what its import found. */
+/**
+ * What a trace holds: rate over time, mix by class and tenant, retries, and what its import found.
+ */
 public final class Inspection {
 
     private static final int MOST_ROWS = 24;
@@ -43,7 +45,10 @@
         lastMicros = r.lastMicros();
         long wanted = Math.max(1_000_000, lastMicros / MOST_ROWS);
         long nice = 1_000_000;
-        for (long step : new long[] {1, 2, 5, 10, 15, 30, 60, 120, 300, 600, 900, 1800, 3600, 7200, 14400, 86400}) {
+        for (long step :
+                new long[] {
+                    1, 2, 5, 10, 15, 30, 60, 120, 300, 600, 900, 1800, 3600, 7200, 14400, 86400
+                }) {
             nice = step * 1_000_000;
             if (nice >= wanted) {
                 break;
@@ -85,16 +90,33 @@
         double seconds = lastMicros / 1e6;
         out.printf(Locale.ROOT, "%d jobs in %.3f s, from %s", jobs, seconds, start());
         out.printf(Locale.ROOT, "; %.1f a second%n", seconds > 0 ? jobs / seconds : 0);
-        out.printf("made by %s%s%n", header.getMadeBy(), header.getPlan().isEmpty() ? ""
-                : ", plan " + header.getPlan());
-        header.getSourcesList().forEach(s -> out.printf("source %s: %s, %d entries%s%n", s.getName(), s.getFormat(),
-                s.getEntries(), s.getSha256().isEmpty() ? "" : ", sha256 " + s.getSha256().substring(0, 16)));
+        out.printf(
+                "made by %s%s%n",
+                header.getMadeBy(), header.getPlan().isEmpty() ? "" : ", plan " + header.getPlan());
+        header.getSourcesList()
+                .forEach(
+                        s ->
+                                out.printf(
+                                        "source %s: %s, %d entries%s%n",
+                                        s.getName(),
+                                        s.getFormat(),
+                                        s.getEntries(),
+                                        s.getSha256().isEmpty()
+                                                ? ""
+                                                : ", sha256 " + s.getSha256().substring(0, 16)));
         out.println();
         long most = buckets.stream().mapToLong(n -> n).max().orElse(1);
-        out.printf(Locale.ROOT, "rate over time, in steps of %.0f s (jobs a second)%n", bucketMicros / 1e6);
+        out.printf(
+                Locale.ROOT,
+                "rate over time, in steps of %.0f s (jobs a second)%n",
+                bucketMicros / 1e6);
         for (int i = 0; i < buckets.size(); i++) {
             long n = buckets.get(i);
-            out.printf(Locale.ROOT, "  %10.0f s  %9.1f  %s%n", i * (bucketMicros / 1e6), n / (bucketMicros / 1e6),
+            out.printf(
+                    Locale.ROOT,
+                    "  %10.0f s  %9.1f  %s%n",
+                    i * (bucketMicros / 1e6),
+                    n / (bucketMicros / 1e6),
                     "#".repeat((int) (n * BAR / Math.max(1, most))));
         }
         mix(out, "class", classes);
@@ -109,21 +131,33 @@
     }
 
     private String start() {
-        return Instant.EPOCH.plus(header.getStartUnixMicros(), java.time.temporal.ChronoUnit.MICROS).toString();
+        return Instant.EPOCH
+                .plus(header.getStartUnixMicros(), java.time.temporal.ChronoUnit.MICROS)
+                .toString();
     }
 
     private void mix(PrintWriter out, String what, Map<?, Long> counts) {
         out.printf("%nby %s%n", what);
-        counts.forEach((k, n) -> out.printf(Locale.ROOT, "  %-24s %10d  %6.2f%%%n", k, n, 100.0 * n / Math.max(1,
-                jobs)));
+        counts.forEach(
+                (k, n) ->
+                        out.printf(
+                                Locale.ROOT,
+                                "  %-24s %10d  %6.2f%%%n",
+                                k,
+                                n,
+                                100.0 * n / Math.max(1, jobs)));
     }
 
     private void anomalies(PrintWriter out) {
-        out.printf("%nimport: %d entries = %d jobs + %d left out by the plan + %d rejected%n", imported.entries,
-                imported.jobs, imported.droppedCount(), imported.rejectedCount());
-        imported.dropped.forEach((reason, n) -> out.printf("  %-24s %10d  left out: %s%n", "dropped", n, reason));
-        imported.rejected.forEach((c, n) -> out.printf("  %-24s %10d  rejected: %s%n", c.key(), n, c.meaning));
-        imported.repaired.forEach((c, n) -> out.printf("  %-24s %10d  mended: %s%n", c.key(), n, c.meaning));
+        out.printf(
+                "%nimport: %d entries = %d jobs + %d left out by the plan + %d rejected%n",
+                imported.entries, imported.jobs, imported.droppedCount(), imported.rejectedCount());
+        imported.dropped.forEach(
+                (reason, n) -> out.printf("  %-24s %10d  left out: %s%n", "dropped", n, reason));
+        imported.rejected.forEach(
+                (c, n) -> out.printf("  %-24s %10d  rejected: %s%n", c.key(), n, c.meaning));
+        imported.repaired.forEach(
+                (c, n) -> out.printf("  %-24s %10d  mended: %s%n", c.key(), n, c.meaning));
     }
 
     /** For programs. */
@@ -178,7 +212,8 @@
         return byKey;
     }
 
-    private static void counts(JsonGenerator g, String name, Map<?, Long> counts) throws IOException {
+    private static void counts(JsonGenerator g, String name, Map<?, Long> counts)
+            throws IOException {
         g.writeObjectFieldStart(name);
         for (Map.Entry<?, Long> e : counts.entrySet()) {
             g.writeNumberField(String.valueOf(e.getKey()), e.getValue());
--- a/load/src/main/java/postgrade/load/generate/Damage.java
+++ b/load/src/main/java/postgrade/load/generate/Damage.java
@@ -19,28 +19,42 @@
 import java.util.Random;
 import postgrade.load.source.Cause;
 
-/** Damages a combined log in ways that happen, a known number of times each, to try an import or a plan on. */
+/**
+ * Damages a combined log in ways that happen, a known number of times each, to try an import or a
+ * plan on.
+ */
 public final class Damage {
 
-    private static final DateTimeFormatter CLF = DateTimeFormatter.ofPattern("dd/MMM/yyyy:HH:mm:ss Z", Locale.ENGLISH);
-    private static final List<Cause> PER_LINE = List.of(Cause.TRUNCATED, Cause.INTERLEAVED, Cause.NUL_BYTES,
-            Cause.BAD_UTF8, Cause.TOO_LONG, Cause.BAD_TIME, Cause.NOT_OF_THE_FORMAT);
+    private static final DateTimeFormatter CLF =
+            DateTimeFormatter.ofPattern("dd/MMM/yyyy:HH:mm:ss Z", Locale.ENGLISH);
+    private static final List<Cause> PER_LINE =
+            List.of(
+                    Cause.TRUNCATED,
+                    Cause.INTERLEAVED,
+                    Cause.NUL_BYTES,
+                    Cause.BAD_UTF8,
+                    Cause.TOO_LONG,
+                    Cause.BAD_TIME,
+                    Cause.NOT_OF_THE_FORMAT);
     private static final int NULS = 100;
     private static final int LONG_LINE = 70_000;
 
-    private Damage() { }
+    private Damage() {}
 
     /**
      * Writes a damaged copy.
      *
-     * @param each how often each kind of damage is done to a line; the clock is set once back and once forward
+     * @param each how often each kind of damage is done to a line; the clock is set once back and
+     *     once forward
      * @return how often each anomaly is in the copy
      * @throws IllegalArgumentException if there are too few lines for it
      */
-    public static Map<Cause, Long> write(Path log, Path out, int each, long seed) throws IOException {
+    public static Map<Cause, Long> write(Path log, Path out, int each, long seed)
+            throws IOException {
         List<String> lines = Files.readAllLines(log);
         if (lines.size() < 10 * (each + 1) * PER_LINE.size()) {
-            throw new IllegalArgumentException(log + ": " + lines.size() + " lines are too few for so much damage");
+            throw new IllegalArgumentException(
+                    log + ": " + lines.size() + " lines are too few for so much damage");
         }
         Random random = new Random(seed);
         List<Integer> places = new ArrayList<>();
@@ -61,9 +75,15 @@
         int forward = 2 * lines.size() / 3;
         try (OutputStream to = new BufferedOutputStream(Files.newOutputStream(out))) {
             for (int i = 0; i < lines.size(); i++) {
-                Duration off = i >= forward ? Duration.ofHours(3) : i >= back ? Duration.ofHours(-2) : Duration.ZERO;
-                damaged(to, off.isZero() ? lines.get(i) : shifted(lines.get(i), off), at.get(i), lines.get(i - (i > 0
-                        ? 1 : 0)));
+                Duration off =
+                        i >= forward
+                                ? Duration.ofHours(3)
+                                : i >= back ? Duration.ofHours(-2) : Duration.ZERO;
+                damaged(
+                        to,
+                        off.isZero() ? lines.get(i) : shifted(lines.get(i), off),
+                        at.get(i),
+                        lines.get(i - (i > 0 ? 1 : 0)));
             }
         }
         done.put(Cause.CLOCK_BACKWARDS, 1L);
@@ -74,11 +94,13 @@
     private static String shifted(String line, Duration by) {
         int from = line.indexOf('[');
         int to = line.indexOf(']');
-        return line.substring(0, from + 1) + CLF.format(OffsetDateTime.parse(line.substring(from + 1, to), CLF).plus(by))
+        return line.substring(0, from + 1)
+                + CLF.format(OffsetDateTime.parse(line.substring(from + 1, to), CLF).plus(by))
                 + line.substring(to);
     }
 
-    private static void damaged(OutputStream to, String line, Cause cause, String before) throws IOException {
+    private static void damaged(OutputStream to, String line, Cause cause, String before)
+            throws IOException {
         String text = line + "\n";
         if (cause == null) {
             write(to, text);
--- a/load/src/main/java/postgrade/load/generate/Friday.java
+++ b/load/src/main/java/postgrade/load/generate/Friday.java
@@ -20,9 +20,9 @@
 import postgrade.trace.wire.Source;
 
 /**
- * Makes a trace shaped like a Friday afternoon: a rising trend with an evening peak, bursts, shops of unequal size, keys
- * of which few are frequent, bodies and answers with a heavy tail, and clients that try again. The same options and seed
- * give the same bytes.
+ * Makes a trace shaped like a Friday afternoon: a rising trend with an evening peak, bursts, shops
+ * of unequal size, keys of which few are frequent, bodies and answers with a heavy tail, and
+ * clients that try again. The same options and seed give the same bytes.
  */
 public final class Friday {
 
@@ -30,34 +30,46 @@
     public static final class Options {
         public long seed = 1;
         public double seconds = 600;
+
         /** Mean rate of first tries over the whole, in jobs a second. */
         public double rate = 94;
+
         /** How far the trend swings round the mean, 0 to 1. */
         public double swing = 0.5;
+
         /** Bursts in each minute, each of 2 to 8 s at 1.5 to 2.3 times the rate. */
         public double burstsPerMinute = 0.5;
+
         /** Part of the jobs that are recorded as refused or failed, and tried again. */
         public double failing = 0.02;
+
         public int keys = 20_000;
+
         /** Unix time of the start, in seconds. */
         public long startSeconds = 1_792_764_000L; // Friday, 23 October 2026, 14:00 UTC.
     }
 
     /** One class of jobs as the operators describe it. */
-    private record Kind(String name, double share, double workMs, long deadlineMicros) { }
+    private record Kind(String name, double share, double workMs, long deadlineMicros) {}
 
-    private static final List<Kind> KINDS = List.of(new Kind("basket-price", 0.39, 430, 5_000_000),
-            new Kind("slot-check", 0.25, 215, 5_000_000), new Kind("route-plan", 0.23, 845, 10_000_000),
-            new Kind("order-confirm", 0.13, 215, 5_000_000));
-    private static final String[] SHOPS = {"kvart-market", "zeleni-kos", "pekara-lipa", "mesnica-brod"};
+    private static final List<Kind> KINDS =
+            List.of(
+                    new Kind("basket-price", 0.39, 430, 5_000_000),
+                    new Kind("slot-check", 0.25, 215, 5_000_000),
+                    new Kind("route-plan", 0.23, 845, 10_000_000),
+                    new Kind("order-confirm", 0.13, 215, 5_000_000));
+    private static final String[] SHOPS = {
+        "kvart-market", "zeleni-kos", "pekara-lipa", "mesnica-brod"
+    };
     private static final double[] SHARES = {0.45, 0.34, 0.11, 0.10};
     private static final int MOST_RETRIES = 2;
     private static final long MICROS = 1_000_000;
 
-    private record Burst(double from, double to, double factor) { }
+    private record Burst(double from, double to, double factor) {}
 
     /** A try that is due; retries wait in order of time. */
-    private record Due(long at, int kind, String shop, String key, int body, long first, int attempt) { }
+    private record Due(
+            long at, int kind, String shop, String key, int body, long first, int attempt) {}
 
     private final Options o;
     private final UniformRandomProvider random;
@@ -76,8 +88,11 @@
         tail = InverseTransformParetoSampler.of(random, 5, 2.2);
         body = LogNormalSampler.of(gauss, Math.log(300), 0.8);
         double gap = 60 / Math.max(o.burstsPerMinute, 1e-9);
-        for (double t = gap * random.nextDouble(); t < o.seconds; t += gap * (0.5 + random.nextDouble())) {
-            bursts.add(new Burst(t, t + 2 + 6 * random.nextDouble(), 1.5 + 0.8 * random.nextDouble()));
+        for (double t = gap * random.nextDouble();
+                t < o.seconds;
+                t += gap * (0.5 + random.nextDouble())) {
+            bursts.add(
+                    new Burst(t, t + 2 + 6 * random.nextDouble(), 1.5 + 0.8 * random.nextDouble()));
         }
     }
 
@@ -88,7 +103,8 @@
 
     private double rateAt(double second) {
         double x = second / o.seconds;
-        // Rises through the afternoon to a peak at three quarters, and falls off; the mean over the whole is 1.
+        // Rises through the afternoon to a peak at three quarters, and falls off; the mean over the
+        // whole is 1.
         double trend = 1 + o.swing * Math.sin(2 * Math.PI * (x - 0.5));
         double burst = 1;
         for (Burst b : bursts) {
@@ -101,10 +117,15 @@
 
     private long write(Path out, String madeBy) throws IOException {
         Source source = Source.newBuilder().setName("friday").setFormat("generated").build();
-        Header header = Header.newBuilder().setMadeBy(madeBy).setStartUnixMicros(o.startSeconds * MICROS)
-                .addSources(source).putNotes("seed", Long.toString(o.seed))
-                .putNotes("rate", String.format(Locale.ROOT, "%.3f", o.rate))
-                .putNotes("seconds", String.format(Locale.ROOT, "%.3f", o.seconds)).build();
+        Header header =
+                Header.newBuilder()
+                        .setMadeBy(madeBy)
+                        .setStartUnixMicros(o.startSeconds * MICROS)
+                        .addSources(source)
+                        .putNotes("seed", Long.toString(o.seed))
+                        .putNotes("rate", String.format(Locale.ROOT, "%.3f", o.rate))
+                        .putNotes("seconds", String.format(Locale.ROOT, "%.3f", o.seconds))
+                        .build();
         double most = o.rate * (1 + o.swing) * 2.3;
         PriorityQueue<Due> retries = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
         TraceWriter writer = new TraceWriter(out, header);
@@ -116,7 +137,8 @@
                     continue; // Thinning: keeps arrivals at the rate of their moment.
                 }
                 long at = (long) (t * MICROS);
-                while (!retries.isEmpty() && retries.peek().at <= Math.min(at, (long) (o.seconds * MICROS))) {
+                while (!retries.isEmpty()
+                        && retries.peek().at <= Math.min(at, (long) (o.seconds * MICROS))) {
                     one(writer, retries.poll(), retries);
                 }
                 if (t >= o.seconds) {
@@ -135,7 +157,8 @@
         int kind = pick(KINDS.stream().mapToDouble(Kind::share).toArray());
         String shop = SHOPS[pick(SHARES)];
         String key = String.format(Locale.ROOT, "%016x", keys.sample() * 0x9e3779b97f4a7c15L);
-        return new Due(at, kind, shop, key, (int) Math.max(16, Math.min(60_000, body.sample())), 0, 0);
+        return new Due(
+                at, kind, shop, key, (int) Math.max(16, Math.min(60_000, body.sample())), 0, 0);
     }
 
     private int pick(double[] shares) {
@@ -158,12 +181,33 @@
             status = random.nextInt(4) == 0 ? 502 : 429;
             duration = status == 429 ? 3000 + random.nextInt(2000) : duration / 2;
         }
-        long number = writer.add(new TraceJob(0, d.at, kind.name, d.shop, d.key, kind.deadlineMicros, d.body, status,
-                duration, d.first, d.attempt, 1, 0));
+        long number =
+                writer.add(
+                        new TraceJob(
+                                0,
+                                d.at,
+                                kind.name,
+                                d.shop,
+                                d.key,
+                                kind.deadlineMicros,
+                                d.body,
+                                status,
+                                duration,
+                                d.first,
+                                d.attempt,
+                                1,
+                                0));
         if (status != 200 && d.attempt < MOST_RETRIES && random.nextDouble() < 0.9) {
             long wait = (long) ((0.1 + 0.9 * random.nextDouble()) * MICROS);
-            retries.add(new Due(d.at + duration + wait, d.kind, d.shop, d.key, d.body,
-                    d.first == 0 ? number : d.first, d.attempt + 1));
+            retries.add(
+                    new Due(
+                            d.at + duration + wait,
+                            d.kind,
+                            d.shop,
+                            d.key,
+                            d.body,
+                            d.first == 0 ? number : d.first,
+                            d.attempt + 1));
         }
     }
 }
--- a/load/src/main/java/postgrade/load/imports/ImportReport.java
+++ b/load/src/main/java/postgrade/load/imports/ImportReport.java
@@ -6,7 +6,10 @@
 import java.util.TreeMap;
 import postgrade.load.source.Cause;
 
-/** What an import came to: every entry read is a job, was dropped, or was rejected, and each is counted. */
+/**
+ * What an import came to: every entry read is a job, was dropped, or was rejected, and each is
+ * counted.
+ */
 public final class ImportReport {
 
     public long entries;
@@ -16,8 +19,10 @@
     public long lastMicros;
     public final Map<Cause, Long> repaired = new EnumMap<>(Cause.class);
     public final Map<Cause, Long> rejected = new EnumMap<>(Cause.class);
+
     /** Entries that the plan left out, by its reason. */
     public final Map<String, Long> dropped = new TreeMap<>();
+
     /** Format by file. */
     public final Map<String, String> formats = new LinkedHashMap<>();
 
--- a/load/src/main/java/postgrade/load/imports/Importer.java
+++ b/load/src/main/java/postgrade/load/imports/Importer.java
@@ -25,23 +25,33 @@
 import postgrade.trace.TraceWriter;
 import postgrade.trace.wire.Header;
 
-/** Turns recorded requests into a trace: reads, classifies, mends times, sorts, spreads, recognises retries, writes. */
+/**
+ * Turns recorded requests into a trace: reads, classifies, mends times, sorts, spreads, recognises
+ * retries, writes.
+ */
 public final class Importer {
 
     /** What one import is to do. */
     public static final class Job {
         public List<String> inputs = List.of();
+
         /** As {@link Formats#named} takes it, or {@code auto}. */
         public String format = "auto";
+
         /** Null for the shipped one of each source's format. */
         public Plan plan;
+
         public Path out;
+
         /** Where rejected and mended entries are written. */
         public Path rejects;
+
         /** The first entry that would be rejected ends the import. */
         public boolean strict;
+
         /** Records held in memory while sorting. */
         public int room = 1 << 17;
+
         public String madeBy = "postgrade load import";
     }
 
@@ -77,7 +87,10 @@
     private Importer(Job job) throws IOException {
         this.job = job;
         sorter = new Sorter(job.room);
-        rejects = job.rejects == null ? null : new JsonFactory().createGenerator(Files.newBufferedWriter(job.rejects));
+        rejects =
+                job.rejects == null
+                        ? null
+                        : new JsonFactory().createGenerator(Files.newBufferedWriter(job.rejects));
         if (rejects != null) {
             rejects.setRootValueSeparator(new com.fasterxml.jackson.core.io.SerializedString("\n"));
         }
@@ -99,7 +112,8 @@
         } finally {
             importer.sorter.close();
             if (importer.rejects != null) {
-                importer.rejects.writeRaw(importer.rejects.getOutputContext().getCurrentIndex() < 0 ? "" : "\n");
+                importer.rejects.writeRaw(
+                        importer.rejects.getOutputContext().getCurrentIndex() < 0 ? "" : "\n");
                 importer.rejects.close();
             }
         }
@@ -111,8 +125,10 @@
     private void read(String name) throws IOException {
         try (Input in = Input.open(name)) {
             Source source = source(in);
-            Plan plan = job.plan != null ? job.plan
-                    : shipped.computeIfAbsent(source.name(), Plan::shippedFor);
+            Plan plan =
+                    job.plan != null
+                            ? job.plan
+                            : shipped.computeIfAbsent(source.name(), Plan::shippedFor);
             used = plan;
             report.formats.put(name, source.name());
             Reading reading = new Reading(name, plan, sources.size() + 1);
@@ -122,10 +138,17 @@
                 in.content().transferTo(java.io.OutputStream.nullOutputStream());
             } catch (EOFException | ZipException e) {
                 // The packed stream is cut off or damaged: what came before it has been taken.
-                reading.rejected(Cause.TRUNCATED, reading.lastLine + 1, "packed stream: " + e.getMessage());
+                reading.rejected(
+                        Cause.TRUNCATED, reading.lastLine + 1, "packed stream: " + e.getMessage());
             }
-            sources.add(postgrade.trace.wire.Source.newBuilder().setName(fileName(name)).setFormat(source.name())
-                    .setBytes(in.bytes()).setSha256(in.sha256()).setEntries(report.entries - before).build());
+            sources.add(
+                    postgrade.trace.wire.Source.newBuilder()
+                            .setName(fileName(name))
+                            .setFormat(source.name())
+                            .setBytes(in.bytes())
+                            .setSha256(in.sha256())
+                            .setEntries(report.entries - before)
+                            .build());
         } catch (ZipException e) {
             throw new SourceException(name + ": damaged: " + e.getMessage());
         }
@@ -143,8 +166,12 @@
         byte[] beginning = in.beginning();
         Source source = Formats.recognised(beginning, policies.zone);
         if (source == null) {
-            throw new SourceException(in.name() + ": " + (beginning.length == 0 ? "empty"
-                    : "its format is not recognised; name it with --format"));
+            throw new SourceException(
+                    in.name()
+                            + ": "
+                            + (beginning.length == 0
+                                    ? "empty"
+                                    : "its format is not recognised; name it with --format"));
         }
         return source;
     }
@@ -198,8 +225,13 @@
             r.key = planned.key();
             r.retryKey = planned.retryKey();
             r.deadlineMicros = planned.deadlineMicros();
-            r.bodyBytes = (int) Math.min(Integer.MAX_VALUE, planned.bodyBytes() >= 0 ? planned.bodyBytes()
-                    : Math.max(0, e.bytesReceived()));
+            r.bodyBytes =
+                    (int)
+                            Math.min(
+                                    Integer.MAX_VALUE,
+                                    planned.bodyBytes() >= 0
+                                            ? planned.bodyBytes()
+                                            : Math.max(0, e.bytesReceived()));
             r.status = e.status();
             r.durationMicros = e.durationMicros();
             r.markedRetry = e.markedRetry();
@@ -216,7 +248,8 @@
                 lastMicros = time;
                 return true;
             }
-            if (e.ambiguous && time < lastMicros - policies.backwardsToleranceMicros
+            if (e.ambiguous
+                    && time < lastMicros - policies.backwardsToleranceMicros
                     && policies.of(Cause.DST_FOLD).equals("later")) {
                 time += fold(e);
                 count(Cause.DST_FOLD, e, "read as its second time");
@@ -233,7 +266,8 @@
                     offsetMicros += lastMicros - time;
                     time = lastMicros;
                 } else {
-                    lastMicros = time; // Kept: told once for each jump, not for each line behind it.
+                    lastMicros =
+                            time; // Kept: told once for each jump, not for each line behind it.
                 }
             } else if (time > lastMicros + policies.forwardsGapMicros) {
                 String action = policies.of(Cause.CLOCK_FORWARDS);
@@ -278,9 +312,11 @@
         private void reject(Cause cause, long line, String text) throws IOException {
             ImportReport.count(report.rejected, cause);
             note(cause, line, "rejected", text);
-            boolean meant = cause == Cause.WEBSOCKET || cause == Cause.CACHED; // Left out as the plan says.
+            boolean meant =
+                    cause == Cause.WEBSOCKET || cause == Cause.CACHED; // Left out as the plan says.
             if (job.strict && !meant) {
-                throw new StrictException(name + ":" + line + ": " + cause.key() + ": " + cause.meaning);
+                throw new StrictException(
+                        name + ":" + line + ": " + cause.key() + ": " + cause.meaning);
             }
         }
 
@@ -312,7 +348,8 @@
         Policies policies = used == null ? new Policies() : used.policies();
         RetryChains chains = new RetryChains(policies, marks);
         Output output = new Output(policies, chains);
-        Spreader spreader = new Spreader(policies.of(Cause.SECOND_RESOLUTION).equals("spread"), output::take);
+        Spreader spreader =
+                new Spreader(policies.of(Cause.SECOND_RESOLUTION).equals("spread"), output::take);
         try {
             sorter.drain(spreader::take);
             spreader.end();
@@ -350,18 +387,33 @@
                 }
                 ImportReport.count(report.repaired, Cause.RETRY_WITHOUT_FIRST);
             }
-            long number = writer.add(new TraceJob(0, r.at - report.firstMicros, r.jobClass, r.tenant, r.key,
-                    r.deadlineMicros, r.bodyBytes, r.status, r.durationMicros, link.firstTry(), link.attempt(),
-                    r.source, r.line));
+            long number =
+                    writer.add(
+                            new TraceJob(
+                                    0,
+                                    r.at - report.firstMicros,
+                                    r.jobClass,
+                                    r.tenant,
+                                    r.key,
+                                    r.deadlineMicros,
+                                    r.bodyBytes,
+                                    r.status,
+                                    r.durationMicros,
+                                    link.firstTry(),
+                                    link.attempt(),
+                                    r.source,
+                                    r.line));
             chains.written(r, number, link);
             report.lastMicros = r.at;
             report.retries += link.firstTry() > 0 ? 1 : 0;
-            
         }
 
         private Header header(long start) {
-            Header.Builder h = Header.newBuilder().setMadeBy(job.madeBy).setStartUnixMicros(start)
-                    .addAllSources(sources);
+            Header.Builder h =
+                    Header.newBuilder()
+                            .setMadeBy(job.madeBy)
+                            .setStartUnixMicros(start)
+                            .addAllSources(sources);
             if (used != null) {
                 h.setPlan(used.name()).setPlanSha256(used.sha256());
             }
--- a/load/src/main/java/postgrade/load/imports/Record.java
+++ b/load/src/main/java/postgrade/load/imports/Record.java
@@ -4,10 +4,13 @@
 final class Record {
     /** Unix time, in microseconds. */
     long at;
+
     /** How finely the time was written, in microseconds. */
     long resolution;
+
     /** Its place in the order of reading, which decides between equal times. */
     long order;
+
     String jobClass;
     String tenant;
     String key;
--- a/load/src/main/java/postgrade/load/imports/RetryChains.java
+++ b/load/src/main/java/postgrade/load/imports/RetryChains.java
@@ -10,20 +10,23 @@
 import postgrade.trace.TraceJob;
 
 /**
- * Recognises retries among records in the order of time: those that clients have marked or, where none is marked and the
- * plan allows it, those alike to one whose answer was a refusal, a failure or a give-up, and that come after it within a window.
+ * Recognises retries among records in the order of time: those that clients have marked or, where
+ * none is marked and the plan allows it, those alike to one whose answer was a refusal, a failure
+ * or a give-up, and that come after it within a window.
  */
 final class RetryChains {
 
     private static final int MOST_HELD = 200_000;
     private static final int MOST_OF_ONE = 64;
 
-    private record Key(String jobClass, String tenant, String key) { }
+    private record Key(String jobClass, String tenant, String key) {}
 
     /** A try that may be followed by a retry. */
-    private record Try(long first, int attempt, long endMicros, boolean failed) { }
+    private record Try(long first, int attempt, long endMicros, boolean failed) {}
 
-    /** @param firstTry 0 for a first try; @param orphan marked as a retry of none that is there */
+    /**
+     * @param firstTry 0 for a first try; @param orphan marked as a retry of none that is there
+     */
     record Link(long firstTry, int attempt, boolean orphan) {
         static final Link FIRST = new Link(0, 0, false);
         static final Link ORPHAN = new Link(0, 0, true);
@@ -40,13 +43,18 @@
         long lastMicros;
     }
 
-    /** @param marks whether the sources have marked any: clients that mark their retries mark them all */
+    /**
+     * @param marks whether the sources have marked any: clients that mark their retries mark them
+     *     all
+     */
     RetryChains(Policies policies, boolean marks) {
         this.policies = policies;
         guesses = policies.retries == Policies.Retries.AUTO && !marks;
     }
 
-    /** What the record is a retry of. The try that it follows is taken: no other retry follows it. */
+    /**
+     * What the record is a retry of. The try that it follows is taken: no other retry follows it.
+     */
     Link link(Record r) {
         Tries tries = policies.retries == Policies.Retries.NONE ? null : open.get(key(r));
         // Without a mark it must have something of its own in common with the try before it.
@@ -60,7 +68,10 @@
         return new Link(before.first, before.attempt + 1, false);
     }
 
-    /** The latest try that failed and was over before this record; for a marked one any, where none failed. */
+    /**
+     * The latest try that failed and was over before this record; for a marked one any, where none
+     * failed.
+     */
     private Try latest(Tries tries, Record r) {
         Try any = null;
         for (int i = tries.all.size() - 1; i >= 0; i--) {
@@ -78,7 +89,8 @@
     void written(Record r, long number, Link link) {
         boolean failed = TraceJob.failed(r.status, r.durationMicros, r.deadlineMicros);
         // Without marks only a try that failed can be followed by a retry.
-        if (policies.retries == Policies.Retries.NONE || guesses && (!failed || r.retryKey == null && r.key == null)) {
+        if (policies.retries == Policies.Retries.NONE
+                || guesses && (!failed || r.retryKey == null && r.key == null)) {
             return;
         }
         Key key = key(r);
@@ -89,9 +101,12 @@
             tries.all.remove(0);
             held--;
         }
-        tries.all.add(new Try(link.firstTry == 0 ? number : link.firstTry, link.attempt,
-                r.at + Math.max(0, r.durationMicros),
-                failed));
+        tries.all.add(
+                new Try(
+                        link.firstTry == 0 ? number : link.firstTry,
+                        link.attempt,
+                        r.at + Math.max(0, r.durationMicros),
+                        failed));
         held++;
         tries.lastMicros = r.at;
         open.put(key, tries);
@@ -117,7 +132,9 @@
     }
 
     private static Key key(Record r) {
-        return new Key(r.jobClass, r.tenant, Objects.requireNonNullElse(r.retryKey, Objects.requireNonNullElse(r.key,
-                "")));
+        return new Key(
+                r.jobClass,
+                r.tenant,
+                Objects.requireNonNullElse(r.retryKey, Objects.requireNonNullElse(r.key, "")));
     }
 }
--- a/load/src/main/java/postgrade/load/imports/Sorter.java
+++ b/load/src/main/java/postgrade/load/imports/Sorter.java
@@ -9,8 +9,9 @@
 import java.util.PriorityQueue;
 
 /**
- * Puts records into the order of time in bounded memory. Logs are nearly in order, so a run goes on as long as what
- * comes is no older than what was written; older ones gather for a run of their own. Runs are merged at the end.
+ * Puts records into the order of time in bounded memory. Logs are nearly in order, so a run goes on
+ * as long as what comes is no older than what was written; older ones gather for a run of their
+ * own. Runs are merged at the end.
  */
 final class Sorter implements Closeable {
 
@@ -23,7 +24,9 @@
     private long written = Long.MIN_VALUE;
     private boolean spilled;
 
-    /** @param room so many records are held in memory; twice as many at the most */
+    /**
+     * @param room so many records are held in memory; twice as many at the most
+     */
     Sorter(int room) throws IOException {
         this.room = room;
         folder = Files.createTempDirectory("postgrade-import");
@@ -99,10 +102,11 @@
     }
 
     /** One run and the record that is next in it. */
-    private record Head(Record record, Spool.Reader reader) { }
+    private record Head(Record record, Spool.Reader reader) {}
 
     private void merge(Taker taker) throws IOException {
-        PriorityQueue<Head> heads = new PriorityQueue<>((a, b) -> Record.compare(a.record, b.record));
+        PriorityQueue<Head> heads =
+                new PriorityQueue<>((a, b) -> Record.compare(a.record, b.record));
         List<Spool.Reader> readers = new ArrayList<>();
         try {
             for (Path file : files) {
--- a/load/src/main/java/postgrade/load/imports/Spool.java
+++ b/load/src/main/java/postgrade/load/imports/Spool.java
@@ -17,10 +17,11 @@
 
     private static final int BUFFER = 1 << 16;
     private static final int MOST_NUMBER = 10;
+
     /** Texts that come again are written once; guards the memory against keys that never do. */
     private static final int MOST_TEXTS = 4096;
 
-    private Spool() { }
+    private Spool() {}
 
     static final class Writer implements Closeable {
         final Path file;
@@ -154,7 +155,7 @@
         private long number(int first) throws IOException {
             long value = 0;
             int b = first;
-            for (int shift = 0;; shift += 7) {
+            for (int shift = 0; ; shift += 7) {
                 if (b < 0) {
                     throw new EOFException();
                 }
@@ -172,7 +173,7 @@
                 return at == 0 ? null : texts.get(at - 2);
             }
             byte[] bytes = new byte[(int) number(read())];
-            for (int i = 0; i < bytes.length;) {
+            for (int i = 0; i < bytes.length; ) {
                 int had = Math.min(bytes.length - i, end - next);
                 System.arraycopy(buffer, next, bytes, i, had);
                 next += had;
--- a/load/src/main/java/postgrade/load/imports/Spreader.java
+++ b/load/src/main/java/postgrade/load/imports/Spreader.java
@@ -6,8 +6,9 @@
 import java.util.PriorityQueue;
 
 /**
- * Spreads records that were written with the same coarse time evenly over what that time stands for: forty lines of one
- * second did not come all at its start. Takes and gives records in the order of time.
+ * Spreads records that were written with the same coarse time evenly over what that time stands
+ * for: forty lines of one second did not come all at its start. Takes and gives records in the
+ * order of time.
  */
 final class Spreader {
 
@@ -42,10 +43,13 @@
         group.add(r);
     }
 
-    /** @param then when what follows begins */
+    /**
+     * @param then when what follows begins
+     */
     private void endGroup(long then) throws IOException {
         int n = group.size();
-        boolean apart = waiting.isEmpty() && n > 0 && group.get(0).at + group.get(0).resolution <= then;
+        boolean apart =
+                waiting.isEmpty() && n > 0 && group.get(0).at + group.get(0).resolution <= then;
         for (int i = 0; i < n; i++) {
             Record r = group.get(i);
             r.at += (2L * i + 1) * r.resolution / (2L * n);
@@ -61,7 +65,8 @@
 
     /** What is older than anything that may still come goes on. */
     private void release(long before) throws IOException {
-        while (!waiting.isEmpty() && waiting.peek().at <= before
+        while (!waiting.isEmpty()
+                && waiting.peek().at <= before
                 && (group.isEmpty() || waiting.peek().at <= group.get(0).at)) {
             next.take(waiting.poll());
         }
--- a/load/src/main/java/postgrade/load/plan/Plan.java
+++ b/load/src/main/java/postgrade/load/plan/Plan.java
@@ -23,15 +23,23 @@
 import postgrade.script.Values;
 
 /**
- * A plan: a script whose {@code classify(entry)} says what job an entry stands for. All its settings are checked here,
- * before any source is read.
+ * A plan: a script whose {@code classify(entry)} says what job an entry stands for. All its
+ * settings are checked here, before any source is read.
  */
 public final class Plan {
 
     /** Steps of one call of classify. */
     private static final long STEPS = 100_000;
-    private static final List<String> SETTINGS = List.of("anomalies", "time_zone", "retries", "retry_window_s",
-            "deadline_ms", "clock_backwards_tolerance_s", "clock_forwards_gap_s");
+
+    private static final List<String> SETTINGS =
+            List.of(
+                    "anomalies",
+                    "time_zone",
+                    "retries",
+                    "retry_window_s",
+                    "deadline_ms",
+                    "clock_backwards_tolerance_s",
+                    "clock_forwards_gap_s");
     private static final int MOST_NAME = 128;
 
     private final String name;
@@ -52,20 +60,26 @@
         if (!java.nio.file.Files.isReadable(file)) {
             throw new java.nio.file.NoSuchFileException(file.toString());
         }
-        return new Plan(file.getFileName().toString(), java.nio.file.Files.readString(file),
+        return new Plan(
+                file.getFileName().toString(),
+                java.nio.file.Files.readString(file),
                 Script.run(file, predeclared(), printer));
     }
 
     /** A plan of ours: {@code har}, {@code log} or {@code jsonl}. */
     public static Plan shipped(String name) {
         String text = shippedText(name);
-        return new Plan(name + ".star (shipped)", text, Script.run(name + ".star", text, predeclared(), l -> { }));
+        return new Plan(
+                name + ".star (shipped)",
+                text,
+                Script.run(name + ".star", text, predeclared(), l -> {}));
     }
 
     public static String shippedText(String name) {
         try (InputStream in = Plan.class.getResourceAsStream("/plans/" + name + ".star")) {
             if (in == null) {
-                throw new IllegalArgumentException("no plan is shipped for " + name + "; there are har, log and jsonl");
+                throw new IllegalArgumentException(
+                        "no plan is shipped for " + name + "; there are har, log and jsonl");
             }
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
@@ -80,8 +94,16 @@
 
     private static Map<String, Object> predeclared() {
         return Map.of(
-                "job", Script.function("job", "job_class tenant? key? deadline_ms? body_bytes? retry_key?", Plan::job),
-                "drop", Script.function("drop", "reason", a -> new PlannedJob.Dropped(text(a[0], "reason"))));
+                "job",
+                        Script.function(
+                                "job",
+                                "job_class tenant? key? deadline_ms? body_bytes? retry_key?",
+                                Plan::job),
+                "drop",
+                        Script.function(
+                                "drop",
+                                "reason",
+                                a -> new PlannedJob.Dropped(text(a[0], "reason"))));
     }
 
     private static Object job(Object[] a) {
@@ -89,8 +111,13 @@
         if (jobClass.isEmpty()) {
             throw Script.error("job: job_class is empty");
         }
-        return new PlannedJob(jobClass, optional(a[1], "tenant"), optional(a[2], "key"),
-                a[3] == null || a[3] == Values.None.NONE ? 0 : Math.round(number(a[3], "deadline_ms") * 1000),
+        return new PlannedJob(
+                jobClass,
+                optional(a[1], "tenant"),
+                optional(a[2], "key"),
+                a[3] == null || a[3] == Values.None.NONE
+                        ? 0
+                        : Math.round(number(a[3], "deadline_ms") * 1000),
                 a[4] == null || a[4] == Values.None.NONE ? -1 : (long) number(a[4], "body_bytes"),
                 optional(a[5], "retry_key"));
     }
@@ -133,7 +160,9 @@
         for (String global : m.globals()) {
             // Guards against a setting that is misspelt and so does nothing.
             for (String known : SETTINGS) {
-                if (!global.startsWith("_") && !global.equals(known) && global.replace("_", "").equalsIgnoreCase(known.replace("_", ""))) {
+                if (!global.startsWith("_")
+                        && !global.equals(known)
+                        && global.replace("_", "").equalsIgnoreCase(known.replace("_", ""))) {
                     throw faulty(global, "is not a setting; " + known + " is");
                 }
             }
@@ -149,15 +178,18 @@
         Object retries = m.global("retries");
         if (retries != null) {
             try {
-                policies.retries = Policies.Retries.valueOf(textOf("retries", retries).toUpperCase(Locale.ROOT));
+                policies.retries =
+                        Policies.Retries.valueOf(
+                                textOf("retries", retries).toUpperCase(Locale.ROOT));
             } catch (IllegalArgumentException e) {
                 throw faulty("retries", "must be auto, marked or none, not " + retries);
             }
         }
         policies.retryWindowMicros = micros(m, "retry_window_s", 1e6, policies.retryWindowMicros);
-        policies.backwardsToleranceMicros = micros(m, "clock_backwards_tolerance_s", 1e6,
-                policies.backwardsToleranceMicros);
-        policies.forwardsGapMicros = micros(m, "clock_forwards_gap_s", 1e6, policies.forwardsGapMicros);
+        policies.backwardsToleranceMicros =
+                micros(m, "clock_backwards_tolerance_s", 1e6, policies.backwardsToleranceMicros);
+        policies.forwardsGapMicros =
+                micros(m, "clock_forwards_gap_s", 1e6, policies.forwardsGapMicros);
         deadlineMicros = micros(m, "deadline_ms", 1e3, 0);
     }
 
@@ -172,8 +204,13 @@
                 return;
             }
         }
-        throw faulty("anomalies", "there is no anomaly " + Values.repr(key) + "; there are " + String.join(", ",
-                Policies.CHOICES.keySet().stream().map(Cause::key).toList()));
+        throw faulty(
+                "anomalies",
+                "there is no anomaly "
+                        + Values.repr(key)
+                        + "; there are "
+                        + String.join(
+                                ", ", Policies.CHOICES.keySet().stream().map(Cause::key).toList()));
     }
 
     private long micros(Module m, String key, double unit, long absent) {
@@ -222,8 +259,15 @@
     public Object classify(Entry e) {
         Object made = classify.call(e);
         if (made instanceof PlannedJob j) {
-            return j.deadlineMicros() > 0 || deadlineMicros == 0 ? j : new PlannedJob(j.jobClass(), j.tenant(),
-                    j.key(), deadlineMicros, j.bodyBytes(), j.retryKey());
+            return j.deadlineMicros() > 0 || deadlineMicros == 0
+                    ? j
+                    : new PlannedJob(
+                            j.jobClass(),
+                            j.tenant(),
+                            j.key(),
+                            deadlineMicros,
+                            j.bodyBytes(),
+                            j.retryKey());
         }
         if (made instanceof PlannedJob.Dropped) {
             return made;
@@ -233,8 +277,10 @@
 
     private static String digest(String text) {
         try {
-            return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256")
-                    .digest(text.getBytes(StandardCharsets.UTF_8)));
+            return HexFormat.of()
+                    .formatHex(
+                            MessageDigest.getInstance("SHA-256")
+                                    .digest(text.getBytes(StandardCharsets.UTF_8)));
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e); // Every Java has it.
         }
--- a/load/src/main/java/postgrade/load/plan/PlannedJob.java
+++ b/load/src/main/java/postgrade/load/plan/PlannedJob.java
@@ -5,12 +5,19 @@
 /**
  * What a plan makes of an entry.
  *
- * @param retryKey what a retry has in common with its first try, besides class and tenant; null for the key
+ * @param retryKey what a retry has in common with its first try, besides class and tenant; null for
+ *     the key
  * @param deadlineMicros 0 where the plan gives none
  * @param bodyBytes -1 where the plan gives none
  */
-public record PlannedJob(String jobClass, String tenant, String key, long deadlineMicros, long bodyBytes,
-        String retryKey) implements HostObject {
+public record PlannedJob(
+        String jobClass,
+        String tenant,
+        String key,
+        long deadlineMicros,
+        long bodyBytes,
+        String retryKey)
+        implements HostObject {
 
     /** The plan leaves the entry out. */
     public record Dropped(String reason) implements HostObject {
--- a/load/src/main/java/postgrade/load/source/Cause.java
+++ b/load/src/main/java/postgrade/load/source/Cause.java
@@ -2,7 +2,10 @@
 
 import java.util.Locale;
 
-/** Why an entry is not taken as it stands. The names are stable: they stand in rejects files, plans and reports. */
+/**
+ * Why an entry is not taken as it stands. The names are stable: they stand in rejects files, plans
+ * and reports.
+ */
 public enum Cause {
     NOT_OF_THE_FORMAT("the line is not of the format"),
     TRUNCATED("the line or file ends in mid-entry"),
--- a/load/src/main/java/postgrade/load/source/Entry.java
+++ b/load/src/main/java/postgrade/load/source/Entry.java
@@ -3,7 +3,8 @@
 import postgrade.script.Values.HostObject;
 
 /**
- * One request as a source tells of it, with what a plan can ask for. The object is used again for the next one.
+ * One request as a source tells of it, with what a plan can ask for. The object is used again for
+ * the next one.
  *
  * <p>Absent texts are empty, absent numbers -1.
  */
@@ -11,14 +12,19 @@
 
     /** Unix time, in microseconds, as read; the importer may mend it. */
     public long timeMicros;
+
     /** How finely the time was written, in microseconds: 1,000,000 for whole seconds. */
     public long resolutionMicros = 1;
+
     /** The time was written without a zone and fell into an hour that the clocks pass twice. */
     public boolean ambiguous;
+
     public long line;
     public String file = "";
+
     /** Made once: the object serves for many entries. */
     private Object header;
+
     private Object param;
     private Object extra;
 
@@ -121,21 +127,29 @@
         }
     }
 
-    /** A method of entries that takes one name and gives a text, or the second argument where there is none. */
+    /**
+     * A method of entries that takes one name and gives a text, or the second argument where there
+     * is none.
+     */
     private record Method(String name, java.util.function.BiFunction<Entry, String, String> body) {
         Object bind(Entry e) {
-            return postgrade.script.Script.function(name, "name default?", a -> {
-                if (!(a[0] instanceof String s)) {
-                    throw postgrade.script.Script.error(name + ": the name must be a string");
-                }
-                String v = body.apply(e, s);
-                return v != null ? v : a[1] != null ? a[1] : "";
-            });
+            return postgrade.script.Script.function(
+                    name,
+                    "name default?",
+                    a -> {
+                        if (!(a[0] instanceof String s)) {
+                            throw postgrade.script.Script.error(
+                                    name + ": the name must be a string");
+                        }
+                        String v = body.apply(e, s);
+                        return v != null ? v : a[1] != null ? a[1] : "";
+                    });
         }
     }
 
-    private static final Method HEADER = new Method("header",
-            (e, n) -> e.field("header:" + n.toLowerCase(java.util.Locale.ROOT)));
+    private static final Method HEADER =
+            new Method(
+                    "header", (e, n) -> e.field("header:" + n.toLowerCase(java.util.Locale.ROOT)));
     private static final Method EXTRA = new Method("extra", Entry::field);
     private static final Method PARAM = new Method("param", (e, n) -> param(e.query(), n));
 
@@ -145,12 +159,15 @@
         while (from < query.length()) {
             int end = query.indexOf('&', from);
             end = end < 0 ? query.length() : end;
-            if (query.startsWith(name, from) && from + name.length() <= end
+            if (query.startsWith(name, from)
+                    && from + name.length() <= end
                     && (from + name.length() == end || query.charAt(from + name.length()) == '=')) {
                 String value = query.substring(Math.min(end, from + name.length() + 1), end);
                 try {
-                    return value.indexOf('%') < 0 && value.indexOf('+') < 0 ? value
-                            : java.net.URLDecoder.decode(value, java.nio.charset.StandardCharsets.UTF_8);
+                    return value.indexOf('%') < 0 && value.indexOf('+') < 0
+                            ? value
+                            : java.net.URLDecoder.decode(
+                                    value, java.nio.charset.StandardCharsets.UTF_8);
                 } catch (IllegalArgumentException e) {
                     return value; // Not encoded as it should be: better as it is than not at all.
                 }
--- a/load/src/main/java/postgrade/load/source/Fields.java
+++ b/load/src/main/java/postgrade/load/source/Fields.java
@@ -1,8 +1,8 @@
 package postgrade.load.source;
 
 /**
- * The names of what entries hold. Headers of the request are {@code header:NAME} and of the answer {@code sent:NAME},
- * in lower case; what has no name here goes by the name that its format uses.
+ * The names of what entries hold. Headers of the request are {@code header:NAME} and of the answer
+ * {@code sent:NAME}, in lower case; what has no name here goes by the name that its format uses.
  */
 public final class Fields {
 
@@ -19,5 +19,5 @@
     public static final String SENT = "bytes-sent";
     public static final String RECEIVED = "bytes-received";
 
-    private Fields() { }
+    private Fields() {}
 }
--- a/load/src/main/java/postgrade/load/source/Formats.java
+++ b/load/src/main/java/postgrade/load/source/Formats.java
@@ -19,11 +19,11 @@
         KNOWN.put("common-us", LogFormat.COMMON + " %D");
     }
 
-    private Formats() { }
+    private Formats() {}
 
     /**
-     * @param format {@code auto}, {@code har}, {@code jsonl}, {@code w3c}, {@code common}, {@code combined},
-     *     {@code apache:LOGFORMAT} or {@code nginx:LOG_FORMAT}
+     * @param format {@code auto}, {@code har}, {@code jsonl}, {@code w3c}, {@code common}, {@code
+     *     combined}, {@code apache:LOGFORMAT} or {@code nginx:LOG_FORMAT}
      * @throws IllegalArgumentException for an unknown name or a format that is not understood
      */
     public static Source named(String format, ZoneId zone) {
@@ -38,8 +38,14 @@
             case "har" -> new HarSource();
             case "jsonl" -> new JsonLinesSource();
             case "w3c" -> new LogSource("w3c", null);
-            default -> throw new IllegalArgumentException("unknown format " + format + "; known are auto, har, jsonl, "
-                    + "w3c, " + String.join(", ", KNOWN.keySet()) + ", apache:LOGFORMAT and nginx:LOG_FORMAT");
+            default ->
+                    throw new IllegalArgumentException(
+                            "unknown format "
+                                    + format
+                                    + "; known are auto, har, jsonl, "
+                                    + "w3c, "
+                                    + String.join(", ", KNOWN.keySet())
+                                    + ", apache:LOGFORMAT and nginx:LOG_FORMAT");
         };
     }
 
@@ -51,8 +57,12 @@
         if (start.startsWith("{")) {
             int line = start.indexOf('\n');
             String first = (line < 0 ? start : start.substring(0, line)).strip();
-            boolean har = start.substring(0, Math.min(start.length(), 4096)).matches("(?s)\\{\\s*\"log\"\\s*:.*");
-            return har ? named("har", zone) : first.endsWith("}") || line >= 0 ? named("jsonl", zone) : null;
+            boolean har =
+                    start.substring(0, Math.min(start.length(), 4096))
+                            .matches("(?s)\\{\\s*\"log\"\\s*:.*");
+            return har
+                    ? named("har", zone)
+                    : first.endsWith("}") || line >= 0 ? named("jsonl", zone) : null;
         }
         if (text.startsWith("#") && text.contains("#Fields:")) {
             return named("w3c", zone);
@@ -68,7 +78,8 @@
             int fit = 0;
             LogEntry entry = new LogEntry();
             for (String line : text.split("\n")) {
-                byte[] b = line.replace("\r", "").replace("\0", "").getBytes(StandardCharsets.UTF_8);
+                byte[] b =
+                        line.replace("\r", "").replace("\0", "").getBytes(StandardCharsets.UTF_8);
                 fit += format.read(b, b.length, entry) == null && entry.plausible() ? 1 : 0;
             }
             if (fit > most) {
@@ -76,7 +87,8 @@
                 best = known.getKey();
             }
         }
-        // Some of the lines may be damaged, but a format that fits only now and then is the wrong one.
+        // Some of the lines may be damaged, but a format that fits only now and then is the wrong
+        // one.
         return best == null || most * 3 < lines ? null : named(best, zone);
     }
 }
--- a/load/src/main/java/postgrade/load/source/HarSource.java
+++ b/load/src/main/java/postgrade/load/source/HarSource.java
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.core.JsonToken;
-import com.fasterxml.jackson.core.StreamReadFeature;
 import com.fasterxml.jackson.core.StreamReadConstraints;
+import com.fasterxml.jackson.core.StreamReadFeature;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
@@ -13,17 +13,24 @@
 import java.util.Base64;
 import java.util.Locale;
 
-/** HAR 1.1 and 1.2, read entry by entry: bodies of answers are passed over, so a file may be larger than memory. */
+/**
+ * HAR 1.1 and 1.2, read entry by entry: bodies of answers are passed over, so a file may be larger
+ * than memory.
+ */
 final class HarSource implements Source {
 
     private static final int MOST_TEXT = 64 << 20;
 
-    private final JsonFactory json = JsonFactory.builder().disable(StreamReadFeature.AUTO_CLOSE_SOURCE)
-            .streamReadConstraints(StreamReadConstraints.builder()
-            .maxStringLength(MOST_TEXT).build()).build();
+    private final JsonFactory json =
+            JsonFactory.builder()
+                    .disable(StreamReadFeature.AUTO_CLOSE_SOURCE)
+                    .streamReadConstraints(
+                            StreamReadConstraints.builder().maxStringLength(MOST_TEXT).build())
+                    .build();
 
     /** Anomalies of the entry being read, told once it is whole. */
     private boolean negative;
+
     private boolean webSocket;
     private boolean cached;
     private boolean timed;
@@ -40,7 +47,10 @@
     public void read(InputStream in, Policies policies, Sink sink) throws IOException {
         in.mark(3);
         byte[] bom = in.readNBytes(3);
-        if (!(bom.length == 3 && bom[0] == (byte) 0xef && bom[1] == (byte) 0xbb && bom[2] == (byte) 0xbf)) {
+        if (!(bom.length == 3
+                && bom[0] == (byte) 0xef
+                && bom[1] == (byte) 0xbb
+                && bom[2] == (byte) 0xbf)) {
             in.reset();
         }
         MapEntry entry = new MapEntry();
@@ -61,12 +71,18 @@
             }
         } catch (JsonProcessingException e) {
             // Whatever came whole before this has been taken.
-            boolean atEnd = p.releaseBuffered(java.io.OutputStream.nullOutputStream()) <= 0 && in.read() < 0;
-            sink.rejected(atEnd ? Cause.TRUNCATED : Cause.BAD_JSON, entry.line + 1, "after " + entry.line + " entries: " + e.getOriginalMessage());
+            boolean atEnd =
+                    p.releaseBuffered(java.io.OutputStream.nullOutputStream()) <= 0
+                            && in.read() < 0;
+            sink.rejected(
+                    atEnd ? Cause.TRUNCATED : Cause.BAD_JSON,
+                    entry.line + 1,
+                    "after " + entry.line + " entries: " + e.getOriginalMessage());
         }
     }
 
-    private void log(JsonParser p, MapEntry entry, Policies policies, Sink sink) throws IOException {
+    private void log(JsonParser p, MapEntry entry, Policies policies, Sink sink)
+            throws IOException {
         while (p.nextToken() == JsonToken.FIELD_NAME) {
             boolean entries = p.currentName().equals("entries");
             if (p.nextToken() == JsonToken.START_ARRAY && entries) {
@@ -111,8 +127,8 @@
                     p.skipChildren();
                 }
                 case "_resourceType" -> webSocket |= "websocket".equals(p.getText());
-                case "_fromCache", "fromCache", "_fromDiskCache" -> cached |= t != JsonToken.VALUE_FALSE
-                        && t != JsonToken.VALUE_NULL;
+                case "_fromCache", "fromCache", "_fromDiskCache" ->
+                        cached |= t != JsonToken.VALUE_FALSE && t != JsonToken.VALUE_NULL;
                 default -> p.skipChildren();
             }
         }
@@ -129,7 +145,10 @@
         }
     }
 
-    /** The parts of a duration; -1 stands for one that does not apply, anything else below 0 is wrong. */
+    /**
+     * The parts of a duration; -1 stands for one that does not apply, anything else below 0 is
+     * wrong.
+     */
     private void timings(JsonParser p, JsonToken t) throws IOException {
         if (t != JsonToken.START_OBJECT) {
             p.skipChildren();
@@ -204,7 +223,8 @@
             JsonToken t = p.nextToken();
             if (t == JsonToken.VALUE_STRING && name.equals("text")) {
                 postText = p.getText();
-            } else if (t == JsonToken.VALUE_STRING && (name.equals("encoding") || name.equals("_encoding"))) {
+            } else if (t == JsonToken.VALUE_STRING
+                    && (name.equals("encoding") || name.equals("_encoding"))) {
                 base64 = p.getText().equals("base64");
             } else {
                 p.skipChildren();
@@ -232,7 +252,10 @@
     }
 
     private void tell(MapEntry e, Policies policies, Sink sink) throws IOException {
-        String shown = e.fields.getOrDefault(Fields.METHOD, "?") + " " + e.fields.getOrDefault(Fields.TARGET, "?");
+        String shown =
+                e.fields.getOrDefault(Fields.METHOD, "?")
+                        + " "
+                        + e.fields.getOrDefault(Fields.TARGET, "?");
         String started = e.fields.get("started");
         if (started == null || !Stamps.iso(started, ZoneId.of("UTC"), e)) {
             sink.rejected(Cause.BAD_TIME, e.line, shown);
@@ -264,7 +287,8 @@
         sink.entry(e);
     }
 
-    private static boolean drops(Cause cause, Policies policies, Sink sink, MapEntry e, String shown)
+    private static boolean drops(
+            Cause cause, Policies policies, Sink sink, MapEntry e, String shown)
             throws IOException {
         if (policies.of(cause).equals("drop")) {
             sink.rejected(cause, e.line, shown);
--- a/load/src/main/java/postgrade/load/source/Input.java
+++ b/load/src/main/java/postgrade/load/source/Input.java
@@ -13,7 +13,10 @@
 import java.util.HexFormat;
 import java.util.zip.GZIPInputStream;
 
-/** A file or standard input, plain, gzip or zstd, told apart by content. Counts and digests the bytes as stored. */
+/**
+ * A file or standard input, plain, gzip or zstd, told apart by content. Counts and digests the
+ * bytes as stored.
+ */
 public final class Input implements Closeable {
 
     /** So much of the content is looked at to tell formats apart. */
@@ -32,9 +35,13 @@
         in.reset();
         if (magic.length >= 2 && magic[0] == 0x1f && magic[1] == (byte) 0x8b) {
             content = new BufferedInputStream(new GZIPInputStream(in, 1 << 16), 1 << 16);
-        } else if (magic.length == 4 && magic[0] == 0x28 && magic[1] == (byte) 0xb5 && magic[2] == 0x2f
+        } else if (magic.length == 4
+                && magic[0] == 0x28
+                && magic[1] == (byte) 0xb5
+                && magic[2] == 0x2f
                 && magic[3] == (byte) 0xfd) {
-            content = new BufferedInputStream(new ZstdInputStream(in).setContinuous(false), 1 << 16);
+            content =
+                    new BufferedInputStream(new ZstdInputStream(in).setContinuous(false), 1 << 16);
         } else {
             content = in;
         }
@@ -54,13 +61,16 @@
         return content;
     }
 
-    /** The beginning of the content, which stays unread. A stream that breaks in it gives what came before. */
+    /**
+     * The beginning of the content, which stays unread. A stream that breaks in it gives what came
+     * before.
+     */
     public byte[] beginning() throws IOException {
         content.mark(BEGINNING);
         byte[] some = new byte[BEGINNING];
         int n = 0;
         try {
-            for (int got; n < some.length && (got = content.read(some, n, some.length - n)) > 0;) {
+            for (int got; n < some.length && (got = content.read(some, n, some.length - n)) > 0; ) {
                 n += got;
             }
         } catch (java.io.EOFException | java.util.zip.ZipException e) {
--- a/load/src/main/java/postgrade/load/source/JsonLinesSource.java
+++ b/load/src/main/java/postgrade/load/source/JsonLinesSource.java
@@ -10,17 +10,29 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** One JSON object a line. Fields go by the names that loggers commonly use; all others can be asked for by name. */
+/**
+ * One JSON object a line. Fields go by the names that loggers commonly use; all others can be asked
+ * for by name.
+ */
 final class JsonLinesSource implements Source {
 
     private static final int MOST_DEPTH = 8;
-    private static final Map<String, String> NAMES = Map.ofEntries(Map.entry("request", Fields.REQUEST),
-            Map.entry("method", Fields.METHOD), Map.entry("request_method", Fields.METHOD),
-            Map.entry("path", Fields.TARGET), Map.entry("url", Fields.TARGET), Map.entry("uri", Fields.TARGET),
-            Map.entry("target", Fields.TARGET), Map.entry("request_uri", Fields.TARGET),
-            Map.entry("client", Fields.CLIENT), Map.entry("remote_addr", Fields.CLIENT),
-            Map.entry("ip", Fields.CLIENT), Map.entry("user", Fields.USER), Map.entry("remote_user", Fields.USER),
-            Map.entry("host", Fields.HOST));
+    private static final Map<String, String> NAMES =
+            Map.ofEntries(
+                    Map.entry("request", Fields.REQUEST),
+                    Map.entry("method", Fields.METHOD),
+                    Map.entry("request_method", Fields.METHOD),
+                    Map.entry("path", Fields.TARGET),
+                    Map.entry("url", Fields.TARGET),
+                    Map.entry("uri", Fields.TARGET),
+                    Map.entry("target", Fields.TARGET),
+                    Map.entry("request_uri", Fields.TARGET),
+                    Map.entry("client", Fields.CLIENT),
+                    Map.entry("remote_addr", Fields.CLIENT),
+                    Map.entry("ip", Fields.CLIENT),
+                    Map.entry("user", Fields.USER),
+                    Map.entry("remote_user", Fields.USER),
+                    Map.entry("host", Fields.HOST));
 
     private final JsonFactory json = new JsonFactory();
 
@@ -42,7 +54,8 @@
             String text = LogSource.shown(lines.bytes, lines.length);
             if (lines.tooLong) {
                 sink.rejected(Cause.TOO_LONG, number, text);
-            } else if (lines.hadNuls && (lines.length == 0 || policies.of(Cause.NUL_BYTES).equals("reject"))) {
+            } else if (lines.hadNuls
+                    && (lines.length == 0 || policies.of(Cause.NUL_BYTES).equals("reject"))) {
                 sink.rejected(Cause.NUL_BYTES, number, text);
             } else {
                 boolean utf8 = Utf8.valid(lines.bytes, lines.length);
@@ -50,8 +63,12 @@
                     sink.rejected(Cause.BAD_UTF8, number, text);
                     continue;
                 }
-                Cause wrong = parse(new String(lines.bytes, 0, lines.length, StandardCharsets.UTF_8), lines.unended,
-                        policies, entry);
+                Cause wrong =
+                        parse(
+                                new String(lines.bytes, 0, lines.length, StandardCharsets.UTF_8),
+                                lines.unended,
+                                policies,
+                                entry);
                 if (wrong != null) {
                     sink.rejected(wrong, number, text);
                     continue;
@@ -67,7 +84,8 @@
         }
     }
 
-    private Cause parse(String text, boolean last, Policies policies, MapEntry e) throws IOException {
+    private Cause parse(String text, boolean last, Policies policies, MapEntry e)
+            throws IOException {
         e.clear();
         try (JsonParser p = json.createParser(text)) {
             if (p.nextToken() != JsonToken.START_OBJECT) {
@@ -93,7 +111,8 @@
         return Cause.BAD_TIME;
     }
 
-    private static void object(JsonParser p, String path, MapEntry e, int depth) throws IOException {
+    private static void object(JsonParser p, String path, MapEntry e, int depth)
+            throws IOException {
         for (JsonToken t = p.nextToken(); t != JsonToken.END_OBJECT; t = p.nextToken()) {
             String name = p.currentName();
             t = p.nextToken();
@@ -133,8 +152,20 @@
     }
 
     private static long duration(MapEntry e) {
-        Map<String, Double> units = Map.of("duration_us", 1.0, "duration_ms", 1e3, "latency_ms", 1e3, "elapsed_ms",
-                1e3, "duration_s", 1e6, "request_time", 1e6);
+        Map<String, Double> units =
+                Map.of(
+                        "duration_us",
+                        1.0,
+                        "duration_ms",
+                        1e3,
+                        "latency_ms",
+                        1e3,
+                        "elapsed_ms",
+                        1e3,
+                        "duration_s",
+                        1e6,
+                        "request_time",
+                        1e6);
         for (Map.Entry<String, Double> u : units.entrySet()) {
             String v = e.fields.get(u.getKey());
             if (v != null && v.matches("[0-9]{1,15}(\\.[0-9]{1,15})?")) {
--- a/load/src/main/java/postgrade/load/source/Lines.java
+++ b/load/src/main/java/postgrade/load/source/Lines.java
@@ -3,7 +3,9 @@
 import java.io.IOException;
 import java.io.InputStream;
 
-/** Cuts bytes into lines in bounded memory. The line lies in {@link #bytes} until the next is read. */
+/**
+ * Cuts bytes into lines in bounded memory. The line lies in {@link #bytes} until the next is read.
+ */
 final class Lines {
 
     static final int MOST_LINE = 64 << 10;
@@ -16,10 +18,13 @@
 
     byte[] bytes = new byte[1024];
     int length;
+
     /** The line had more bytes than are kept. */
     boolean tooLong;
+
     /** The line had NUL bytes, which have been left out. */
     boolean hadNuls;
+
     /** The line ended with the source, not with a line end. */
     boolean unended;
 
@@ -30,7 +35,11 @@
     /** Reads the next line; false at the end. A byte order mark before the first is left out. */
     boolean next() throws IOException {
         boolean any = read();
-        if (first && length >= 3 && bytes[0] == (byte) 0xef && bytes[1] == (byte) 0xbb && bytes[2] == (byte) 0xbf) {
+        if (first
+                && length >= 3
+                && bytes[0] == (byte) 0xef
+                && bytes[1] == (byte) 0xbb
+                && bytes[2] == (byte) 0xbf) {
             length -= 3;
             System.arraycopy(bytes, 3, bytes, 0, length);
         }
--- a/load/src/main/java/postgrade/load/source/LogEntry.java
+++ b/load/src/main/java/postgrade/load/source/LogEntry.java
@@ -45,8 +45,10 @@
     @Override
     public String target() {
         if (target == null) {
-            target = format.targetAt >= 0 ? text(from[format.targetAt], to[format.targetAt])
-                    : target(format.pathAt, format.queryAt);
+            target =
+                    format.targetAt >= 0
+                            ? text(from[format.targetAt], to[format.targetAt])
+                            : target(format.pathAt, format.queryAt);
         }
         return target;
     }
@@ -56,10 +58,14 @@
             return word(1);
         }
         String q = query < 0 ? "" : text(from[query], to[query]);
-        return text(from[path], to[path]) + (q.isEmpty() || q.equals("-") ? "" : (q.startsWith("?") ? "" : "?") + q);
+        return text(from[path], to[path])
+                + (q.isEmpty() || q.equals("-") ? "" : (q.startsWith("?") ? "" : "?") + q);
     }
 
-    /** Method, target or protocol out of the request line. A target may hold spaces: clients send what they like. */
+    /**
+     * Method, target or protocol out of the request line. A target may hold spaces: clients send
+     * what they like.
+     */
     private String word(int which) {
         int at = format.requestAt;
         if (at < 0) {
@@ -73,7 +79,11 @@
         while (last > first && bytes[last] != ' ') {
             last--;
         }
-        boolean protocol = last > first && to[at] - last > 5 && bytes[last + 1] == 'H' && bytes[last + 2] == 'T';
+        boolean protocol =
+                last > first
+                        && to[at] - last > 5
+                        && bytes[last + 1] == 'H'
+                        && bytes[last + 2] == 'T';
         if (which == 0) {
             return text(from[at], first);
         } else if (which == 1) {
--- a/load/src/main/java/postgrade/load/source/LogFormat.java
+++ b/load/src/main/java/postgrade/load/source/LogFormat.java
@@ -9,25 +9,30 @@
 import java.util.Map;
 
 /**
- * A format of log lines, compiled: literal bytes with fields between them. Made from Apache's {@code LogFormat},
- * nginx's {@code log_format} or the {@code #Fields} of W3C's extended format.
+ * A format of log lines, compiled: literal bytes with fields between them. Made from Apache's
+ * {@code LogFormat}, nginx's {@code log_format} or the {@code #Fields} of W3C's extended format.
  */
 public final class LogFormat {
 
     /** NCSA common. */
     public static final String COMMON = "%h %l %u %t \"%r\" %>s %b";
+
     /** NCSA combined: common with referer and user agent. */
     public static final String COMBINED = COMMON + " \"%{Referer}i\" \"%{User-Agent}i\"";
 
     /** How a field's bytes end. */
-    private enum Ends { AT_LITERAL, AT_QUOTE, AT_END }
+    private enum Ends {
+        AT_LITERAL,
+        AT_QUOTE,
+        AT_END
+    }
 
     /**
      * @param name of {@link Fields}, or the format's own; null for one that is passed over
      * @param stamp reads it, where it is the time
      * @param unitMicros of a duration, else 0
      */
-    private record Field(String name, Stamps.Reader stamp, long unitMicros, boolean fraction) { }
+    private record Field(String name, Stamps.Reader stamp, long unitMicros, boolean fraction) {}
 
     final String name;
     private final List<byte[]> literals = new ArrayList<>();
@@ -36,15 +41,19 @@
     private Ends[] ends;
     private int duration = -1;
     private int stampCount;
+
     /** IIS writes spaces inside fields as plus signs. */
     private boolean plusIsSpace;
+
     /** Places of what every line is asked for; -1 where there is none. */
     int requestAt;
+
     int targetAt;
     int pathAt;
     int queryAt;
     int statusAt;
     int retryAt;
+
     /** nginx writes the time at which the answer was done. */
     private boolean stampedAtEnd;
 
@@ -74,9 +83,11 @@
         if (stampCount == 0) {
             throw new IllegalArgumentException("the format " + name + " has no time");
         }
-        if (!places.containsKey(Fields.REQUEST) && !places.containsKey(Fields.TARGET)
+        if (!places.containsKey(Fields.REQUEST)
+                && !places.containsKey(Fields.TARGET)
                 && !places.containsKey(Fields.PATH_ONLY)) {
-            throw new IllegalArgumentException("the format " + name + " has neither a request nor a path");
+            throw new IllegalArgumentException(
+                    "the format " + name + " has neither a request nor a path");
         }
         requestAt = place(Fields.REQUEST);
         targetAt = place(Fields.TARGET);
@@ -88,10 +99,14 @@
         for (int i = 0; i < ends.length; i++) {
             byte[] before = literals.get(i);
             byte[] behind = literals.get(i + 1);
-            boolean quoted = before.length > 0 && before[before.length - 1] == '"' && behind.length > 0
-                    && behind[0] == '"';
+            boolean quoted =
+                    before.length > 0
+                            && before[before.length - 1] == '"'
+                            && behind.length > 0
+                            && behind[0] == '"';
             if (behind.length == 0 && i + 1 < ends.length) {
-                throw new IllegalArgumentException("the format " + name + " has two fields with nothing between them");
+                throw new IllegalArgumentException(
+                        "the format " + name + " has two fields with nothing between them");
             }
             ends[i] = quoted ? Ends.AT_QUOTE : behind.length == 0 ? Ends.AT_END : Ends.AT_LITERAL;
         }
@@ -147,7 +162,8 @@
             i = end + 1;
         }
         if (i >= format.length()) {
-            throw new IllegalArgumentException("the format " + format + " ends with an incomplete %");
+            throw new IllegalArgumentException(
+                    "the format " + format + " ends with an incomplete %");
         }
         char c = format.charAt(i);
         if (c == '%') {
@@ -180,12 +196,15 @@
             case 'b', 'B', 'O', 'S' -> text(c == 'S' ? "bytes-both" : Fields.SENT);
             case 'I' -> text(Fields.RECEIVED);
             case 'D' -> lasting("duration", 1);
-            case 'T' -> switch (lower) {
-                case "", "s" -> lasting("duration", 1_000_000);
-                case "ms" -> lasting("duration", 1000);
-                case "us" -> lasting("duration", 1);
-                default -> throw new IllegalArgumentException("%{" + argument + "}T is not understood");
-            };
+            case 'T' ->
+                    switch (lower) {
+                        case "", "s" -> lasting("duration", 1_000_000);
+                        case "ms" -> lasting("duration", 1000);
+                        case "us" -> lasting("duration", 1);
+                        default ->
+                                throw new IllegalArgumentException(
+                                        "%{" + argument + "}T is not understood");
+                    };
             case 't' -> stamp(apacheTime(argument.replaceFirst("^(begin|end):", ""), zone));
             case 'm' -> text(Fields.METHOD);
             case 'U' -> text(Fields.PATH_ONLY);
@@ -195,8 +214,10 @@
             case 'i' -> text("header:" + lower);
             case 'o' -> text("sent:" + lower);
             case 'A', 'C', 'e', 'f', 'k', 'L', 'n', 'p', 'P', 'R', 'X' ->
-                text(argument == null ? String.valueOf(c) : c + ":" + argument);
-            default -> throw new IllegalArgumentException("%" + c + " in the format " + format + " is not understood");
+                    text(argument == null ? String.valueOf(c) : c + ":" + argument);
+            default ->
+                    throw new IllegalArgumentException(
+                            "%" + c + " in the format " + format + " is not understood");
         };
     }
 
@@ -205,8 +226,9 @@
             case "sec" -> Stamps.unix(1_000_000);
             case "msec" -> Stamps.unix(1000);
             case "usec" -> Stamps.unix(1);
-            case "msec_frac", "usec_frac" -> throw new IllegalArgumentException("%{" + argument
-                    + "}t alone is no time; use %{usec}t");
+            case "msec_frac", "usec_frac" ->
+                    throw new IllegalArgumentException(
+                            "%{" + argument + "}t alone is no time; use %{usec}t");
             default -> Stamps.strftime(argument, zone);
         };
     }
@@ -225,8 +247,9 @@
             boolean braces = from < format.length() && format.charAt(from) == '{';
             from += braces ? 1 : 0;
             int end = from;
-            while (end < format.length() && (Character.isLetterOrDigit(format.charAt(end))
-                    || format.charAt(end) == '_')) {
+            while (end < format.length()
+                    && (Character.isLetterOrDigit(format.charAt(end))
+                            || format.charAt(end) == '_')) {
                 end++;
             }
             if (end == from || braces && (end == format.length() || format.charAt(end) != '}')) {
@@ -277,7 +300,10 @@
             }
             if (all[i].equals("date") && i + 1 < all.length && all[i + 1].equals("time")) {
                 Stamps.Reader both = Stamps.iso(zone);
-                f.field(new Field(null, both, 0, true)); // Reads over the space to the end of the time behind it.
+                f.field(
+                        new Field(
+                                null, both, 0,
+                                true)); // Reads over the space to the end of the time behind it.
                 i++;
                 continue;
             }
@@ -315,7 +341,11 @@
     // ---- Reading.
 
     /** What is wrong with a line. */
-    public enum Fault { NOT_OF_THE_FORMAT, CUT_SHORT, BAD_TIME }
+    public enum Fault {
+        NOT_OF_THE_FORMAT,
+        CUT_SHORT,
+        BAD_TIME
+    }
 
     /** Reads a line into the entry. Returns null, or what is wrong. */
     Fault read(byte[] line, int length, LogEntry into) {
--- a/load/src/main/java/postgrade/load/source/LogSource.java
+++ b/load/src/main/java/postgrade/load/source/LogSource.java
@@ -9,7 +9,11 @@
 final class LogSource implements Source {
 
     private static final int MOST_SHOWN = 200;
-    /** Where in a line another may begin is looked for so far; it is looked for only in lines that cannot be read. */
+
+    /**
+     * Where in a line another may begin is looked for so far; it is looked for only in lines that
+     * cannot be read.
+     */
     private static final int MOST_SEARCH = 2048;
 
     private final String name;
@@ -43,8 +47,12 @@
                 continue;
             }
             if (w3c && lines.length > 0 && lines.bytes[0] == '#') {
-                comment(shown(lines.bytes, lines.length > MOST_SHOWN ? MOST_SHOWN : lines.length), lines, policies,
-                        number, sink);
+                comment(
+                        shown(lines.bytes, lines.length > MOST_SHOWN ? MOST_SHOWN : lines.length),
+                        lines,
+                        policies,
+                        number,
+                        sink);
                 continue;
             }
             if (lines.tooLong) {
@@ -57,7 +65,8 @@
         }
     }
 
-    private void comment(String text, Lines lines, Policies policies, long number, Sink sink) throws IOException {
+    private void comment(String text, Lines lines, Policies policies, long number, Sink sink)
+            throws IOException {
         if (text.startsWith("#Fields:")) {
             String whole = new String(lines.bytes, 0, lines.length, StandardCharsets.UTF_8);
             try {
@@ -69,7 +78,8 @@
         }
     }
 
-    private void line(Lines lines, LogEntry entry, Policies policies, Sink sink) throws IOException {
+    private void line(Lines lines, LogEntry entry, Policies policies, Sink sink)
+            throws IOException {
         if (lines.hadNuls) {
             String text = shown(lines.bytes, lines.length);
             if (lines.length == 0 || policies.of(Cause.NUL_BYTES).equals("reject")) {
@@ -94,7 +104,10 @@
         sink.entry(entry);
     }
 
-    /** A line that cannot be read may end in a whole one: its writer was cut off, and another wrote on. */
+    /**
+     * A line that cannot be read may end in a whole one: its writer was cut off, and another wrote
+     * on.
+     */
     private boolean salvage(Lines lines, LogEntry entry, Policies policies, Sink sink, Fault fault)
             throws IOException {
         String text = shown(lines.bytes, lines.length);
@@ -112,8 +125,14 @@
                 return true;
             }
         }
-        sink.rejected(fault == Fault.BAD_TIME ? Cause.BAD_TIME : fault == Fault.CUT_SHORT || lines.unended
-                ? Cause.TRUNCATED : Cause.NOT_OF_THE_FORMAT, entry.line, text);
+        sink.rejected(
+                fault == Fault.BAD_TIME
+                        ? Cause.BAD_TIME
+                        : fault == Fault.CUT_SHORT || lines.unended
+                                ? Cause.TRUNCATED
+                                : Cause.NOT_OF_THE_FORMAT,
+                entry.line,
+                text);
         return false;
     }
 }
--- a/load/src/main/java/postgrade/load/source/Source.java
+++ b/load/src/main/java/postgrade/load/source/Source.java
@@ -9,6 +9,9 @@
     /** Its name in reports and traces: {@code har}, {@code combined}, {@code w3c}. */
     String name();
 
-    /** Reads all entries, in constant memory. What cannot be read is told to the sink and ends nothing. */
+    /**
+     * Reads all entries, in constant memory. What cannot be read is told to the sink and ends
+     * nothing.
+     */
     void read(InputStream in, Policies policies, Sink sink) throws IOException;
 }
--- a/load/src/main/java/postgrade/load/source/Stamps.java
+++ b/load/src/main/java/postgrade/load/source/Stamps.java
@@ -26,7 +26,7 @@
         boolean read(byte[] b, int from, int to, Entry into);
     }
 
-    private Stamps() { }
+    private Stamps() {}
 
     private static void set(Entry into, long micros, long resolution) {
         into.timeMicros = micros;
@@ -34,7 +34,10 @@
         into.ambiguous = false;
     }
 
-    /** {@code 10/Oct/2026:13:55:36 +0200}: of the common log formats. Most lines repeat the second before. */
+    /**
+     * {@code 10/Oct/2026:13:55:36 +0200}: of the common log formats. Most lines repeat the second
+     * before.
+     */
     static Reader clf() {
         return new Reader() {
             private final byte[] last = new byte[CLF_LENGTH];
@@ -62,8 +65,12 @@
     private static final String MONTHS = "JanFebMarAprMayJunJulAugSepOctNovDec";
 
     private static long clf(byte[] b, int from) {
-        if (b[from + 2] != '/' || b[from + 6] != '/' || b[from + 11] != ':' || b[from + 14] != ':'
-                || b[from + 17] != ':' || b[from + 20] != ' ') {
+        if (b[from + 2] != '/'
+                || b[from + 6] != '/'
+                || b[from + 11] != ':'
+                || b[from + 14] != ':'
+                || b[from + 17] != ':'
+                || b[from + 20] != ' ') {
             return Long.MIN_VALUE;
         }
         int month = MONTHS.indexOf(new String(b, from + 3, 3, StandardCharsets.ISO_8859_1));
@@ -75,15 +82,23 @@
         int sign = b[from + 21] == '-' ? -1 : b[from + 21] == '+' ? 1 : 0;
         int zoneHour = digits(b, from + 22, 2);
         int zoneMinute = digits(b, from + 24, 2);
-        if (month < 0 || month % 3 != 0 || sign == 0 || (day | year | hour | minute | second | zoneHour
-                | zoneMinute) < 0 || zoneHour > 18 || zoneMinute > 59) {
+        if (month < 0
+                || month % 3 != 0
+                || sign == 0
+                || (day | year | hour | minute | second | zoneHour | zoneMinute) < 0
+                || zoneHour > 18
+                || zoneMinute > 59) {
             return Long.MIN_VALUE;
         }
         try {
             // A leap second is the next one's start: other times leave it no place.
-            long seconds = LocalDateTime.of(year, month / 3 + 1, day, hour, minute, Math.min(second, 59))
-                    .toEpochSecond(ZoneOffset.UTC) + (second == 60 ? 1 : 0);
-            return second > 60 ? Long.MIN_VALUE : (seconds - sign * (zoneHour * 3600L + zoneMinute * 60)) * MICROS;
+            long seconds =
+                    LocalDateTime.of(year, month / 3 + 1, day, hour, minute, Math.min(second, 59))
+                                    .toEpochSecond(ZoneOffset.UTC)
+                            + (second == 60 ? 1 : 0);
+            return second > 60
+                    ? Long.MIN_VALUE
+                    : (seconds - sign * (zoneHour * 3600L + zoneMinute * 60)) * MICROS;
         } catch (DateTimeException e) {
             return Long.MIN_VALUE;
         }
@@ -103,7 +118,8 @@
 
     /** ISO 8601 with a zone, or without one in the zone given. */
     static Reader iso(ZoneId zone) {
-        return (b, from, to, into) -> iso(new String(b, from, to - from, StandardCharsets.ISO_8859_1), zone, into);
+        return (b, from, to, into) ->
+                iso(new String(b, from, to - from, StandardCharsets.ISO_8859_1), zone, into);
     }
 
     static boolean iso(String text, ZoneId zone, Entry into) {
@@ -112,10 +128,20 @@
             int dot = Math.max(t.indexOf('.'), t.indexOf(','));
             t = t.replace(',', '.');
             long resolution = dot < 0 ? MICROS : fraction(t, dot);
-            boolean zoned = t.endsWith("Z") || t.length() > 19 && t.substring(19).matches(".*[+-][0-9:]{4,5}");
+            boolean zoned =
+                    t.endsWith("Z")
+                            || t.length() > 19 && t.substring(19).matches(".*[+-][0-9:]{4,5}");
             if (zoned) {
-                set(into, micros(OffsetDateTime.parse(t.matches(".*[+-][0-9]{4}")
-                        ? t.substring(0, t.length() - 2) + ":" + t.substring(t.length() - 2) : t).toInstant()),
+                set(
+                        into,
+                        micros(
+                                OffsetDateTime.parse(
+                                                t.matches(".*[+-][0-9]{4}")
+                                                        ? t.substring(0, t.length() - 2)
+                                                                + ":"
+                                                                + t.substring(t.length() - 2)
+                                                        : t)
+                                        .toInstant()),
                         resolution);
             } else {
                 local(LocalDateTime.parse(t), zone, resolution, into);
@@ -147,10 +173,13 @@
 
     /** By how much the clocks are set back where this time stands twice, in microseconds. */
     static long foldMicros(long micros, ZoneId zone) {
-        LocalDateTime t = LocalDateTime.ofInstant(Instant.EPOCH.plus(micros, java.time.temporal.ChronoUnit.MICROS),
-                zone);
+        LocalDateTime t =
+                LocalDateTime.ofInstant(
+                        Instant.EPOCH.plus(micros, java.time.temporal.ChronoUnit.MICROS), zone);
         java.util.List<ZoneOffset> offsets = zone.getRules().getValidOffsets(t);
-        return offsets.size() < 2 ? 0 : (offsets.get(0).getTotalSeconds() - offsets.get(1).getTotalSeconds()) * MICROS;
+        return offsets.size() < 2
+                ? 0
+                : (offsets.get(0).getTotalSeconds() - offsets.get(1).getTotalSeconds()) * MICROS;
     }
 
     static long micros(Instant t) {
@@ -191,11 +220,19 @@
         DateTimeFormatter format = formatter(pattern);
         return (b, from, to, into) -> {
             try {
-                TemporalAccessor t = format.parse(new String(b, from, to - from, StandardCharsets.ISO_8859_1));
-                LocalDateTime local = LocalDateTime.of(t.query(TemporalQueries.localDate()),
-                        t.query(TemporalQueries.localTime()));
+                TemporalAccessor t =
+                        format.parse(new String(b, from, to - from, StandardCharsets.ISO_8859_1));
+                LocalDateTime local =
+                        LocalDateTime.of(
+                                t.query(TemporalQueries.localDate()),
+                                t.query(TemporalQueries.localTime()));
                 if (t.isSupported(ChronoField.OFFSET_SECONDS)) {
-                    set(into, micros(local.toInstant(ZoneOffset.ofTotalSeconds(t.get(ChronoField.OFFSET_SECONDS)))),
+                    set(
+                            into,
+                            micros(
+                                    local.toInstant(
+                                            ZoneOffset.ofTotalSeconds(
+                                                    t.get(ChronoField.OFFSET_SECONDS)))),
                             MICROS);
                 } else {
                     local(local, zone, MICROS, into);
@@ -216,29 +253,30 @@
                 continue;
             }
             c = pattern.charAt(++i);
-            String java = switch (c) {
-                case 'Y' -> "uuuu";
-                case 'm' -> "MM";
-                case 'd' -> "dd";
-                case 'e' -> "ppd";
-                case 'H' -> "HH";
-                case 'M' -> "mm";
-                case 'S' -> "ss";
-                case 'b', 'h' -> "MMM";
-                case 'B' -> "MMMM";
-                case 'y' -> "uu";
-                case 'a' -> "EEE";
-                case 'A' -> "EEEE";
-                case 'j' -> "DDD";
-                case 'F' -> "uuuu-MM-dd";
-                case 'T' -> "HH:mm:ss";
-                case 'D' -> "MM/dd/uu";
-                case 'R' -> "HH:mm";
-                case 'p' -> "a";
-                case 'I' -> "hh";
-                case 'z' -> "xx";
-                default -> null;
-            };
+            String java =
+                    switch (c) {
+                        case 'Y' -> "uuuu";
+                        case 'm' -> "MM";
+                        case 'd' -> "dd";
+                        case 'e' -> "ppd";
+                        case 'H' -> "HH";
+                        case 'M' -> "mm";
+                        case 'S' -> "ss";
+                        case 'b', 'h' -> "MMM";
+                        case 'B' -> "MMMM";
+                        case 'y' -> "uu";
+                        case 'a' -> "EEE";
+                        case 'A' -> "EEEE";
+                        case 'j' -> "DDD";
+                        case 'F' -> "uuuu-MM-dd";
+                        case 'T' -> "HH:mm:ss";
+                        case 'D' -> "MM/dd/uu";
+                        case 'R' -> "HH:mm";
+                        case 'p' -> "a";
+                        case 'I' -> "hh";
+                        case 'z' -> "xx";
+                        default -> null;
+                    };
             if (c == '%') {
                 b.appendLiteral('%');
             } else if (java == null) {
--- a/load/src/main/java/postgrade/load/source/Utf8.java
+++ b/load/src/main/java/postgrade/load/source/Utf8.java
@@ -3,7 +3,7 @@
 /** Whether bytes are UTF-8, quickly for those that are ASCII. */
 final class Utf8 {
 
-    private Utf8() { }
+    private Utf8() {}
 
     static boolean valid(byte[] b, int length) {
         for (int i = 0; i < length; i++) {
--- a/load/src/test/java/postgrade/load/OracleTest.java
+++ b/load/src/test/java/postgrade/load/OracleTest.java
@@ -79,9 +79,14 @@
 
         @Override
         public void entry(Entry e) {
-            entries.add(List.of(or(e.field(Fields.CLIENT)), String.valueOf(e.timeMicros / 1000),
-                    or(e.field(Fields.METHOD)), e.target(), e.status() == 0 ? "" : "" + e.status(),
-                    or(e.field("header:user-agent"))));
+            entries.add(
+                    List.of(
+                            or(e.field(Fields.CLIENT)),
+                            String.valueOf(e.timeMicros / 1000),
+                            or(e.field(Fields.METHOD)),
+                            e.target(),
+                            e.status() == 0 ? "" : "" + e.status(),
+                            or(e.field("header:user-agent"))));
         }
 
         private static String or(String s) {
@@ -89,7 +94,7 @@
         }
 
         @Override
-        public void repaired(Cause cause, long line, String text) { }
+        public void repaired(Cause cause, long line, String text) {}
 
         @Override
         public void rejected(Cause cause, long line, String text) {
@@ -99,8 +104,12 @@
 
     private static Kept ours(String line) throws Exception {
         Kept kept = new Kept();
-        Formats.named("combined", ZoneId.of("UTC")).read(new java.io.ByteArrayInputStream(
-                (line + "\n").getBytes(StandardCharsets.UTF_8)), new Policies(), kept);
+        Formats.named("combined", ZoneId.of("UTC"))
+                .read(
+                        new java.io.ByteArrayInputStream(
+                                (line + "\n").getBytes(StandardCharsets.UTF_8)),
+                        new Policies(),
+                        kept);
         return kept;
     }
 
@@ -108,18 +117,44 @@
     void theSameFieldsAsAnotherParserOnEveryLineOfAFuzzedCorpus() throws Exception {
         Parser<Record> parser = new HttpdLoglineParser<>(Record.class, LogFormat.COMBINED);
         Random random = new Random(11);
-        String[] paths = {"/", "/api/kvart/price?key=a", "/a%20b", "/x?y=z&a=b", "/p/q/r", "/api/t/confirm?deadline=5"};
-        String[] agents = {"-", "Mozilla/5.0 (X11; Linux)", "curl/8", "a \\\"quoted\\\" one", "back\\\\slash"};
-        String[] months = {"Jan", "Feb", "Mar", "Apr", "May", "Jun", "Jul", "Aug", "Sep", "Oct", "Nov", "Dec"};
+        String[] paths = {
+            "/",
+            "/api/kvart/price?key=a",
+            "/a%20b",
+            "/x?y=z&a=b",
+            "/p/q/r",
+            "/api/t/confirm?deadline=5"
+        };
+        String[] agents = {
+            "-", "Mozilla/5.0 (X11; Linux)", "curl/8", "a \\\"quoted\\\" one", "back\\\\slash"
+        };
+        String[] months = {
+            "Jan", "Feb", "Mar", "Apr", "May", "Jun", "Jul", "Aug", "Sep", "Oct", "Nov", "Dec"
+        };
         for (int i = 0; i < 4000; i++) {
-            String line = String.format("10.%d.%d.%d - %s [%02d/%s/20%02d:%02d:%02d:%02d %s%02d00] \"%s %s HTTP/1.%d\" %s %s"
-                    + " \"%s\" \"%s\"", random.nextInt(256), random.nextInt(256), random.nextInt(256),
-                    random.nextBoolean() ? "-" : "user" + i, 1 + random.nextInt(28), months[random.nextInt(12)],
-                    20 + random.nextInt(10), random.nextInt(24), random.nextInt(60), random.nextInt(60),
-                    random.nextBoolean() ? "+" : "-", random.nextInt(12), random.nextBoolean() ? "GET" : "POST",
-                    paths[random.nextInt(paths.length)], random.nextInt(2), 100 + random.nextInt(500),
-                    random.nextBoolean() ? "-" : "" + random.nextInt(100_000),
-                    random.nextBoolean() ? "-" : "http://a/b", agents[random.nextInt(agents.length)]);
+            String line =
+                    String.format(
+                            "10.%d.%d.%d - %s [%02d/%s/20%02d:%02d:%02d:%02d %s%02d00] \"%s %s HTTP/1.%d\" %s %s"
+                                    + " \"%s\" \"%s\"",
+                            random.nextInt(256),
+                            random.nextInt(256),
+                            random.nextInt(256),
+                            random.nextBoolean() ? "-" : "user" + i,
+                            1 + random.nextInt(28),
+                            months[random.nextInt(12)],
+                            20 + random.nextInt(10),
+                            random.nextInt(24),
+                            random.nextInt(60),
+                            random.nextInt(60),
+                            random.nextBoolean() ? "+" : "-",
+                            random.nextInt(12),
+                            random.nextBoolean() ? "GET" : "POST",
+                            paths[random.nextInt(paths.length)],
+                            random.nextInt(2),
+                            100 + random.nextInt(500),
+                            random.nextBoolean() ? "-" : "" + random.nextInt(100_000),
+                            random.nextBoolean() ? "-" : "http://a/b",
+                            agents[random.nextInt(agents.length)]);
             Record theirs = parser.parse(new Record(), line);
             Kept kept = ours(line);
             assertEquals(1, kept.entries.size(), line);
@@ -127,7 +162,11 @@
             while (want.size() < 6) {
                 want.add("");
             }
-            want.set(5, want.get(5).replace("\\\"", "\"").replace("\\\\", "\\")); // They leave escapes as written.
+            want.set(
+                    5,
+                    want.get(5)
+                            .replace("\\\"", "\"")
+                            .replace("\\\\", "\\")); // They leave escapes as written.
             assertEquals(want, kept.entries.get(0), line);
         }
     }
@@ -135,20 +174,32 @@
     @Test
     void noBytesMakeAReaderThrow() throws Exception {
         Random random = new Random(12);
-        String good = "10.0.0.1 - - [23/Oct/2026:10:00:00 +0000] \"POST /api/t/price?key=a HTTP/1.1\" 200 1 \"-\" \"x\"";
-        String har = "{\"log\":{\"entries\":[{\"startedDateTime\":\"2026-10-23T10:00:00Z\",\"time\":1,\"request\":"
-                + "{\"method\":\"POST\",\"url\":\"/\",\"headers\":[{\"name\":\"X-Class\",\"value\":\"c\"}],\"bodySize\":1},"
-                + "\"response\":{\"status\":200}}]}}";
+        String good =
+                "10.0.0.1 - - [23/Oct/2026:10:00:00 +0000] \"POST /api/t/price?key=a HTTP/1.1\" 200 1 \"-\" \"x\"";
+        String har =
+                "{\"log\":{\"entries\":[{\"startedDateTime\":\"2026-10-23T10:00:00Z\",\"time\":1,\"request\":"
+                        + "{\"method\":\"POST\",\"url\":\"/\",\"headers\":[{\"name\":\"X-Class\",\"value\":\"c\"}],\"bodySize\":1},"
+                        + "\"response\":{\"status\":200}}]}}";
         for (int i = 0; i < 4000; i++) {
             String format = List.of("combined", "w3c", "jsonl", "har").get(i % 4);
-            byte[] bytes = (i % 4 < 2 ? (i % 4 == 1 ? "#Fields: date time cs-uri-stem\n" : "") + good + "\n" + good : har)
-                    .getBytes(StandardCharsets.UTF_8);
+            byte[] bytes =
+                    (i % 4 < 2
+                                    ? (i % 4 == 1 ? "#Fields: date time cs-uri-stem\n" : "")
+                                            + good
+                                            + "\n"
+                                            + good
+                                    : har)
+                            .getBytes(StandardCharsets.UTF_8);
             for (int n = random.nextInt(8); n >= 0; n--) {
                 bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
             }
             Kept kept = new Kept();
-            Formats.named(format, ZoneId.of("UTC")).read(new java.io.BufferedInputStream(
-                    new java.io.ByteArrayInputStream(bytes)), new Policies(), kept);
+            Formats.named(format, ZoneId.of("UTC"))
+                    .read(
+                            new java.io.BufferedInputStream(
+                                    new java.io.ByteArrayInputStream(bytes)),
+                            new Policies(),
+                            kept);
             assertTrue(kept.entries.size() + kept.rejected.size() >= 0);
         }
     }
@@ -168,9 +219,13 @@
         var theirs = new HarReader().readFromFile(har.toFile()).getLog().getEntries();
         assertEquals(theirs.size(), kept.entries.size());
         for (int i = 0; i < theirs.size(); i++) {
-            assertEquals(theirs.get(i).getStartedDateTime().getTime(), Long.parseLong(kept.entries.get(i).get(1)));
+            assertEquals(
+                    theirs.get(i).getStartedDateTime().getTime(),
+                    Long.parseLong(kept.entries.get(i).get(1)));
             assertEquals(theirs.get(i).getRequest().getUrl(), kept.entries.get(i).get(3));
-            assertEquals(theirs.get(i).getResponse().getStatus(), Integer.parseInt(kept.entries.get(i).get(4)));
+            assertEquals(
+                    theirs.get(i).getResponse().getStatus(),
+                    Integer.parseInt(kept.entries.get(i).get(4)));
         }
         assertTrue(new JsonFactory().createParser(har.toFile()).nextToken().isStructStart());
     }
--- a/log/src/main/java/postgrade/log/EventLine.java
+++ b/log/src/main/java/postgrade/log/EventLine.java
@@ -9,10 +9,17 @@
 import org.slf4j.event.Level;
 
 /** One line of the log. Whatever the text or fields hold, it stays one line. */
-record EventLine(long unixMillis, Level level, String logger, String message, List<KeyValuePair> fields,
+record EventLine(
+        long unixMillis,
+        Level level,
+        String logger,
+        String message,
+        List<KeyValuePair> fields,
         Throwable thrown) {
 
-    /** Names in the text that on-call staff search for; they are older than the structured lines. */
+    /**
+     * Names in the text that on-call staff search for; they are older than the structured lines.
+     */
     private static String name(Level level) {
         return switch (level) {
             case ERROR -> "SEVERE";
@@ -24,13 +31,20 @@
 
     String text() {
         String cause = thrown == null ? "" : " (" + thrown + " at " + place() + ")";
-        return Instant.ofEpochMilli(unixMillis) + " " + name(level) + " " + oneLine(message + cause) + "\n";
+        return Instant.ofEpochMilli(unixMillis)
+                + " "
+                + name(level)
+                + " "
+                + oneLine(message + cause)
+                + "\n";
     }
 
     /** {@code {"time","level","event","message","logger", and the event's own fields}}. */
     String json() {
-        JsonObject line = Json.object().add("time", Instant.ofEpochMilli(unixMillis).toString())
-                .add("level", name(level));
+        JsonObject line =
+                Json.object()
+                        .add("time", Instant.ofEpochMilli(unixMillis).toString())
+                        .add("level", name(level));
         if (fields != null) {
             for (KeyValuePair field : fields) {
                 line.set(field.key, value(field.value));
@@ -61,7 +75,8 @@
 
     /** Guards whoever reads by the line: a message from outside may hold line ends. */
     private static String oneLine(String text) {
-        return text.indexOf('\n') < 0 && text.indexOf('\r') < 0 ? text
+        return text.indexOf('\n') < 0 && text.indexOf('\r') < 0
+                ? text
                 : text.replace("\r", "\\r").replace("\n", "\\n");
     }
 }
--- a/log/src/main/java/postgrade/log/EventLogger.java
+++ b/log/src/main/java/postgrade/log/EventLogger.java
@@ -7,7 +7,9 @@
 import org.slf4j.helpers.MessageFormatter;
 import org.slf4j.spi.LoggingEventAware;
 
-/** One logger. Events with fields come by {@link #log(LoggingEvent)}, plain lines by the call below. */
+/**
+ * One logger. Events with fields come by {@link #log(LoggingEvent)}, plain lines by the call below.
+ */
 final class EventLogger extends LegacyAbstractLogger implements LoggingEventAware {
 
     private static final long serialVersionUID = 1L;
@@ -18,16 +20,26 @@
 
     @Override
     public void log(LoggingEvent event) {
-        String message = event.getArguments() == null ? event.getMessage()
-                : MessageFormatter.arrayFormat(event.getMessage(), event.getArgumentArray()).getMessage();
-        EventLogs.write(new EventLine(System.currentTimeMillis(), event.getLevel(), name, message,
-                event.getKeyValuePairs(), event.getThrowable()));
+        String message =
+                event.getArguments() == null
+                        ? event.getMessage()
+                        : MessageFormatter.arrayFormat(event.getMessage(), event.getArgumentArray())
+                                .getMessage();
+        EventLogs.write(
+                new EventLine(
+                        System.currentTimeMillis(),
+                        event.getLevel(),
+                        name,
+                        message,
+                        event.getKeyValuePairs(),
+                        event.getThrowable()));
     }
 
     @Override
-    protected void handleNormalizedLoggingCall(Level level, Marker marker, String message, Object[] arguments,
-            Throwable thrown) {
-        String text = arguments == null ? message : MessageFormatter.basicArrayFormat(message, arguments);
+    protected void handleNormalizedLoggingCall(
+            Level level, Marker marker, String message, Object[] arguments, Throwable thrown) {
+        String text =
+                arguments == null ? message : MessageFormatter.basicArrayFormat(message, arguments);
         EventLogs.write(new EventLine(System.currentTimeMillis(), level, name, text, null, thrown));
     }
 
--- a/log/src/main/java/postgrade/log/EventLogs.java
+++ b/log/src/main/java/postgrade/log/EventLogs.java
@@ -14,13 +14,17 @@
 import org.slf4j.spi.SLF4JServiceProvider;
 
 /**
- * The backend of SLF4J in all our programs: one line an event on standard error, as text or as a JSON object. It holds
- * no thread, file or shutdown hook, so lines written during an orderly stop are kept.
+ * The backend of SLF4J in all our programs: one line an event on standard error, as text or as a
+ * JSON object. It holds no thread, file or shutdown hook, so lines written during an orderly stop
+ * are kept.
  */
 public final class EventLogs implements SLF4JServiceProvider {
 
     /** How a line is written. */
-    public enum Format { TEXT, JSON }
+    public enum Format {
+        TEXT,
+        JSON
+    }
 
     private static final String SLF4J_API = "2.0.99";
     private static final Map<String, Level> QUIET = new ConcurrentHashMap<>();
@@ -32,10 +36,15 @@
     private final IMarkerFactory markers = new BasicMarkerFactory();
     private final MDCAdapter contexts = new BasicMDCAdapter();
 
-    /** Names this backend to SLF4J, which then looks for no other: a search costs the start of a process time. */
+    /**
+     * Names this backend to SLF4J, which then looks for no other: a search costs the start of a
+     * process time.
+     */
     public static void use(Format as) {
         System.setProperty("slf4j.provider", EventLogs.class.getName());
-        System.setProperty("slf4j.internal.verbosity", "WARN"); // Else SLF4J writes a line of its own about it.
+        System.setProperty(
+                "slf4j.internal.verbosity",
+                "WARN"); // Else SLF4J writes a line of its own about it.
         format = as;
     }
 
@@ -54,7 +63,10 @@
         least = level;
     }
 
-    /** A library that tells much: of its loggers, whose names begin so, only lines from this level on are written. */
+    /**
+     * A library that tells much: of its loggers, whose names begin so, only lines from this level
+     * on are written.
+     */
     public static void quiet(String prefix, Level from) {
         QUIET.put(prefix, from);
     }
@@ -65,8 +77,12 @@
     }
 
     static boolean writes(String logger, Level level) {
-        return level.toInt() >= least.toInt() && QUIET.entrySet().stream().noneMatch(q ->
-                level.toInt() < q.getValue().toInt() && logger.startsWith(q.getKey()));
+        return level.toInt() >= least.toInt()
+                && QUIET.entrySet().stream()
+                        .noneMatch(
+                                q ->
+                                        level.toInt() < q.getValue().toInt()
+                                                && logger.startsWith(q.getKey()));
     }
 
     static void write(EventLine line) {
--- a/log/src/main/java/postgrade/log/Events.java
+++ b/log/src/main/java/postgrade/log/Events.java
@@ -10,9 +10,11 @@
     /** The key under which a line carries its event's name. */
     public static final String EVENT = "event";
 
-    private Events() { }
+    private Events() {}
 
-    /** An event to be given fields and then its text, by {@link LoggingEventBuilder#log(String)}. */
+    /**
+     * An event to be given fields and then its text, by {@link LoggingEventBuilder#log(String)}.
+     */
     public static LoggingEventBuilder info(Logger log, String event) {
         return log.atLevel(Level.INFO).addKeyValue(EVENT, event);
     }
--- a/log/src/test/java/postgrade/log/EventLogsTest.java
+++ b/log/src/test/java/postgrade/log/EventLogsTest.java
@@ -46,8 +46,11 @@
     @Test
     void aJsonLineHasTheEventsNameAndItsFieldsWithTheirTypes() {
         EventLogs.use(EventLogs.Format.JSON);
-        Events.error(log, "loop.ended").addKeyValue("version", 41L).addKeyValue("share", 0.5)
-                .setCause(new IllegalStateException("why \"so\"")).log("the loop ended");
+        Events.error(log, "loop.ended")
+                .addKeyValue("version", 41L)
+                .addKeyValue("share", 0.5)
+                .setCause(new IllegalStateException("why \"so\""))
+                .log("the loop ended");
         JsonObject line = Json.parse(written()).asObject();
         assertEquals("SEVERE", line.getString("level", ""));
         assertEquals("loop.ended", line.getString("event", ""));
@@ -67,7 +70,9 @@
 
     @Test
     void anUnknownFormatIsNamed() {
-        assertEquals("--log-format is text or json, not xml",
-                assertThrows(IllegalArgumentException.class, () -> EventLogs.formatNamed("xml")).getMessage());
+        assertEquals(
+                "--log-format is text or json, not xml",
+                assertThrows(IllegalArgumentException.class, () -> EventLogs.formatNamed("xml"))
+                        .getMessage());
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/engine/Admission.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/Admission.java
@@ -13,15 +13,18 @@
 import postgrade.quorum.wire.Endpoint;
 
 /**
- * Takes in voters whose store is new, at the leader. The newcomer learns the log first; then the identity that its name
- * had before goes, and then it votes. So there are never more voters than the settings name, and none votes that could
- * have forgotten a vote. Each of the newcomer's questions takes one step on.
+ * Takes in voters whose store is new, at the leader. The newcomer learns the log first; then the
+ * identity that its name had before goes, and then it votes. So there are never more voters than
+ * the settings name, and none votes that could have forgotten a vote. Each of the newcomer's
+ * questions takes one step on.
  */
 final class Admission {
 
     private static final Logger LOG = LoggerFactory.getLogger(Admission.class);
+
     /** So many entries behind is caught up: the log's time goes on all the while. */
     private static final long BEHIND = 50;
+
     private static final int TELL_TWICE = 20;
 
     private final QuorumSettings settings;
@@ -37,16 +40,22 @@
     }
 
     void asked(RaftNode node, Endpoint newcomer) {
-        if (busy || settings.voter(newcomer.name()) == null || newcomer.equals(node.getLocalEndpoint())) {
+        if (busy
+                || settings.voter(newcomer.name()) == null
+                || newcomer.equals(node.getLocalEndpoint())) {
             return;
         }
         busy = true;
-        node.getReport().whenComplete((r, e) -> thread.execute(() -> {
-            busy = false;
-            if (e == null) {
-                step(node, newcomer, r.getResult());
-            }
-        }));
+        node.getReport()
+                .whenComplete(
+                        (r, e) ->
+                                thread.execute(
+                                        () -> {
+                                            busy = false;
+                                            if (e == null) {
+                                                step(node, newcomer, r.getResult());
+                                            }
+                                        }));
     }
 
     private void step(RaftNode node, Endpoint newcomer, RaftNodeReport report) {
@@ -55,16 +64,25 @@
                 || members.getVotingMembers().contains(newcomer)) {
             return; // One change at a time.
         }
-        Optional<RaftEndpoint> former = members.getMembers().stream()
-                .filter(m -> m instanceof Endpoint e && e.name().equals(newcomer.name()) && !e.equals(newcomer))
-                .findFirst();
+        Optional<RaftEndpoint> former =
+                members.getMembers().stream()
+                        .filter(
+                                m ->
+                                        m instanceof Endpoint e
+                                                && e.name().equals(newcomer.name())
+                                                && !e.equals(newcomer))
+                        .findFirst();
         if (former.isPresent() && heard(node, report, former.get())) {
             // It may have gone a moment ago, so it is told only where it goes on.
             if (++twice % TELL_TWICE != 0) {
                 return;
             }
-            Events.warn(LOG, "sharing.twice").addKeyValue("voter", newcomer.name())
-                    .log("a second process calls itself " + newcomer.name() + "; it is not taken in");
+            Events.warn(LOG, "sharing.twice")
+                    .addKeyValue("voter", newcomer.name())
+                    .log(
+                            "a second process calls itself "
+                                    + newcomer.name()
+                                    + "; it is not taken in");
             return;
         }
         if (former.isPresent() && !members.getVotingMembers().contains(former.get())) {
@@ -81,7 +99,10 @@
         }
     }
 
-    /** Whether the former identity answered lately: then its process lives, and another has taken its name. */
+    /**
+     * Whether the former identity answered lately: then its process lives, and another has taken
+     * its name.
+     */
     private boolean heard(RaftNode node, RaftNodeReport report, RaftEndpoint former) {
         long timeout = node.getConfig().getLeaderHeartbeatTimeoutSecs() * 1000;
         return report.getHeartbeatTimestamps().getOrDefault(former, 0L) + timeout > clock.millis();
@@ -89,13 +110,22 @@
 
     private void change(RaftNode node, RaftEndpoint who, MembershipChangeMode how, String why) {
         busy = true;
-        node.changeMembership(who, how, node.getCommittedMembers().getLogIndex()).whenComplete((r, e) ->
-                thread.execute(() -> {
-                    busy = false;
-                    if (e == null) {
-                        Events.info(LOG, "sharing.voters").addKeyValue("voter", who.getId()).addKeyValue("why", why)
-                                .log("voters changed: " + who.getId() + ", " + why);
-                    }
-                }));
+        node.changeMembership(who, how, node.getCommittedMembers().getLogIndex())
+                .whenComplete(
+                        (r, e) ->
+                                thread.execute(
+                                        () -> {
+                                            busy = false;
+                                            if (e == null) {
+                                                Events.info(LOG, "sharing.voters")
+                                                        .addKeyValue("voter", who.getId())
+                                                        .addKeyValue("why", why)
+                                                        .log(
+                                                                "voters changed: "
+                                                                        + who.getId()
+                                                                        + ", "
+                                                                        + why);
+                                            }
+                                        }));
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/engine/EngineThread.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/EngineThread.java
@@ -14,9 +14,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * The one thread of a voter: consensus, its store, and what it serves. The engine counts in whole seconds; here a
- * second of its own lasts one heartbeat, for its tasks as for its clock, so that a dead leader is replaced in less than
- * two seconds of ours.
+ * The one thread of a voter: consensus, its store, and what it serves. The engine counts in whole
+ * seconds; here a second of its own lasts one heartbeat, for its tasks as for its clock, so that a
+ * dead leader is replaced in less than two seconds of ours.
  */
 final class EngineThread implements RaftNodeExecutor {
 
@@ -29,12 +29,15 @@
 
     EngineThread(String name, int heartbeatMillis) {
         speed = 1000.0 / heartbeatMillis;
-        pool = new ScheduledThreadPoolExecutor(1, task -> {
-            Thread t = new Thread(task, "quorum-engine-" + name);
-            t.setDaemon(true);
-            thread = t;
-            return t;
-        });
+        pool =
+                new ScheduledThreadPoolExecutor(
+                        1,
+                        task -> {
+                            Thread t = new Thread(task, "quorum-engine-" + name);
+                            t.setDaemon(true);
+                            thread = t;
+                            return t;
+                        });
         pool.setRemoveOnCancelPolicy(true);
         pool.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
     }
--- a/quorum/src/main/java/postgrade/quorum/engine/EraBegin.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/EraBegin.java
@@ -17,17 +17,21 @@
 import postgrade.quorum.wire.proto.HelloRequest;
 
 /**
- * Begins an era: an operator's step, at one voter whose process does not run. It makes a store with one voter in it;
- * the others are taken in by it as any voter is whose store is new. So there is one beginning, not three that might
- * differ.
+ * Begins an era: an operator's step, at one voter whose process does not run. It makes a store with
+ * one voter in it; the others are taken in by it as any voter is whose store is new. So there is
+ * one beginning, not three that might differ.
  */
 public final class EraBegin {
 
     private static final long MOST_ERA = 1L << 22;
-    /** Each call ends by itself in time; that is told late on a busy machine, which is no answer against an era. */
+
+    /**
+     * Each call ends by itself in time; that is told late on a busy machine, which is no answer
+     * against an era.
+     */
     private static final long TOLD_MILLIS = 60_000;
 
-    private EraBegin() { }
+    private EraBegin() {}
 
     /** What stands against it, or null where it has been done. */
     public static String begin(QuorumSettings settings, long era) throws IOException {
@@ -47,10 +51,19 @@
         }
         for (HelloReply r : others(settings).values()) {
             if (r.getEra() >= era) {
-                return "era: " + r.getName() + " is in era " + r.getEra() + ", a new one must lie above";
+                return "era: "
+                        + r.getName()
+                        + " is in era "
+                        + r.getEra()
+                        + ", a new one must lie above";
             }
             if (!r.getLeader().isEmpty()) {
-                return "era: " + r.getName() + " is served by " + r.getLeader() + " in era " + r.getEra()
+                return "era: "
+                        + r.getName()
+                        + " is served by "
+                        + r.getLeader()
+                        + " in era "
+                        + r.getEra()
                         + ", which need not end";
             }
         }
@@ -61,8 +74,11 @@
             Files.move(settings.store().resolve(VoterStore.FILE), settings.store().resolve(aside));
         }
         Endpoint self = new Endpoint(settings.name(), Voter.identity());
-        VoterStore.create(settings.store(), new VoterStore.Facts(self, era + "-" + Voter.identity(), era,
-                List.of(self.toString()))).close();
+        VoterStore.create(
+                        settings.store(),
+                        new VoterStore.Facts(
+                                self, era + "-" + Voter.identity(), era, List.of(self.toString())))
+                .close();
         return null;
     }
 
@@ -72,10 +88,15 @@
         Links links = new Links(settings, events);
         CompletableFuture<Map<String, HelloReply>> answers = new CompletableFuture<>();
         try {
-            new Peers(settings, links, thread).greet(HelloRequest.newBuilder().setName(settings.name()).build(),
-                    settings.requestMillis(), answers::complete);
+            new Peers(settings, links, thread)
+                    .greet(
+                            HelloRequest.newBuilder().setName(settings.name()).build(),
+                            settings.requestMillis(),
+                            answers::complete);
             return answers.get(settings.requestMillis() + TOLD_MILLIS, TimeUnit.MILLISECONDS);
-        } catch (InterruptedException | java.util.concurrent.ExecutionException | TimeoutException e) {
+        } catch (InterruptedException
+                | java.util.concurrent.ExecutionException
+                | TimeoutException e) {
             throw new IOException("the other voters could not be asked", e);
         } finally {
             links.close();
--- a/quorum/src/main/java/postgrade/quorum/engine/Faults.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/Faults.java
@@ -4,7 +4,10 @@
 import org.slf4j.LoggerFactory;
 import postgrade.log.Events;
 
-/** What keeps a process apart from the others: one sentence for operators, one line of the log at each change. */
+/**
+ * What keeps a process apart from the others: one sentence for operators, one line of the log at
+ * each change.
+ */
 public final class Faults {
 
     private static final Logger LOG = LoggerFactory.getLogger(Faults.class);
@@ -38,7 +41,9 @@
     public void clear() {
         if (fault != null) {
             fault = null;
-            Events.info(LOG, "sharing.well").addKeyValue("process", name).log("nothing keeps it apart any more");
+            Events.info(LOG, "sharing.well")
+                    .addKeyValue("process", name)
+                    .log("nothing keeps it apart any more");
         }
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/engine/Group.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/Group.java
@@ -30,17 +30,29 @@
 import postgrade.shared.Moment;
 import postgrade.shared.Part;
 
-/** One era's log as this voter keeps it: engine, store and replica. All is called on the engine's thread. */
+/**
+ * One era's log as this voter keeps it: engine, store and replica. All is called on the engine's
+ * thread.
+ */
 final class Group {
 
     private static final Logger LOG = LoggerFactory.getLogger(Group.class);
     private static final int SNAPSHOT_EVERY = 2000;
     private static final int MOST_PENDING = 1000;
     private static final int BATCH = 200;
-    /** How long votes are waited for, and the spread of it, in the engine's time: a heartbeat is a second of it. */
+
+    /**
+     * How long votes are waited for, and the spread of it, in the engine's time: a heartbeat is a
+     * second of it.
+     */
     private static final int VOTE_MILLIS = 3000;
+
     private static final int MOST_ROUNDS = 6;
-    /** The log's time is told so seldom, as each entry is synced at all voters: most of what an idle one does. */
+
+    /**
+     * The log's time is told so seldom, as each entry is synced at all voters: most of what an idle
+     * one does.
+     */
     private static final int HEARTBEATS_OF_A_STEP = 2;
 
     private final QuorumSettings settings;
@@ -58,8 +70,14 @@
     final Reads reads;
     final Admission admission;
 
-    Group(QuorumSettings settings, List<Part> parts, LongSupplier nowMicros, EngineThread thread, Links links,
-            VoterStore store) throws IOException {
+    Group(
+            QuorumSettings settings,
+            List<Part> parts,
+            LongSupplier nowMicros,
+            EngineThread thread,
+            Links links,
+            VoterStore store)
+            throws IOException {
         this.settings = settings;
         this.thread = thread;
         this.links = links;
@@ -67,41 +85,68 @@
         facts = store.facts();
         replica = new Replica(facts.era(), parts);
         advanceMicros = settings.heartbeatMillis() * 1000L;
-        clock = new LogClock(settings.name(), settings.incarnation(), nowMicros, settings.electionMillis() * 1000L,
-                HEARTBEATS_OF_A_STEP * advanceMicros);
+        clock =
+                new LogClock(
+                        settings.name(),
+                        settings.incarnation(),
+                        nowMicros,
+                        settings.electionMillis() * 1000L,
+                        HEARTBEATS_OF_A_STEP * advanceMicros);
         reads = new Reads(thread, links, facts.group(), settings.requestMillis());
         admission = new Admission(settings, thread, thread.clock(nowMicros));
-        RaftConfig config = RaftConfig.newBuilder()
-                .setLeaderHeartbeatPeriodSecs(1)
-                .setLeaderHeartbeatTimeoutSecs(Math.max(2, settings.electionMillis() / settings.heartbeatMillis()))
-                .setLeaderElectionTimeoutMillis(VOTE_MILLIS).setCommitCountToTakeSnapshot(SNAPSHOT_EVERY)
-                .setMaxPendingLogEntryCount(MOST_PENDING).setAppendEntriesRequestBatchSize(BATCH)
-                .setTransferSnapshotsFromFollowersEnabled(false).setRaftNodeReportPublishPeriodSecs(60).build();
-        RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder().setGroupId(facts.group()).setConfig(config)
-                .setRandom(spread).setExecutor(thread).setClock(thread.clock(nowMicros)).setStateMachine(replica)
-                .setStore(store)
-                .setRaftNodeReportListener(r -> changed(r.getReason())).setTransport(new Transport() {
-                    @Override
-                    public void send(io.microraft.RaftEndpoint target, io.microraft.model.message.RaftMessage m) {
-                        if (!silent) {
-                            links.send(Endpoint.of(target), RaftShapes.write(m, target.getId().toString()));
-                        }
-                    }
+        RaftConfig config =
+                RaftConfig.newBuilder()
+                        .setLeaderHeartbeatPeriodSecs(1)
+                        .setLeaderHeartbeatTimeoutSecs(
+                                Math.max(2, settings.electionMillis() / settings.heartbeatMillis()))
+                        .setLeaderElectionTimeoutMillis(VOTE_MILLIS)
+                        .setCommitCountToTakeSnapshot(SNAPSHOT_EVERY)
+                        .setMaxPendingLogEntryCount(MOST_PENDING)
+                        .setAppendEntriesRequestBatchSize(BATCH)
+                        .setTransferSnapshotsFromFollowersEnabled(false)
+                        .setRaftNodeReportPublishPeriodSecs(60)
+                        .build();
+        RaftNode.RaftNodeBuilder builder =
+                RaftNode.newBuilder()
+                        .setGroupId(facts.group())
+                        .setConfig(config)
+                        .setRandom(spread)
+                        .setExecutor(thread)
+                        .setClock(thread.clock(nowMicros))
+                        .setStateMachine(replica)
+                        .setStore(store)
+                        .setRaftNodeReportListener(r -> changed(r.getReason()))
+                        .setTransport(
+                                new Transport() {
+                                    @Override
+                                    public void send(
+                                            io.microraft.RaftEndpoint target,
+                                            io.microraft.model.message.RaftMessage m) {
+                                        if (!silent) {
+                                            links.send(
+                                                    Endpoint.of(target),
+                                                    RaftShapes.write(m, target.getId().toString()));
+                                        }
+                                    }
 
-                    @Override
-                    public boolean isReachable(io.microraft.RaftEndpoint endpoint) {
-                        return true;
-                    }
-                });
+                                    @Override
+                                    public boolean isReachable(io.microraft.RaftEndpoint endpoint) {
+                                        return true;
+                                    }
+                                });
         RestoredRaftState restored = store.restored();
-        node = restored != null ? builder.setRestoredState(restored).build()
-                : builder.setLocalEndpoint(facts.self())
-                        .setInitialGroupMembers(LogShapes.endpoints(facts.initial())).build();
+        node =
+                restored != null
+                        ? builder.setRestoredState(restored).build()
+                        : builder.setLocalEndpoint(facts.self())
+                                .setInitialGroupMembers(LogShapes.endpoints(facts.initial()))
+                                .build();
     }
 
     /**
-     * Spreads elections. The engine's own spread is a tenth of its second, a hundredth of ours, and two that tie would
-     * go on tying. Each round waits longer, so that a disk that is slow just now does not outlast all of them.
+     * Spreads elections. The engine's own spread is a tenth of its second, a hundredth of ours, and
+     * two that tie would go on tying. Each round waits longer, so that a disk that is slow just now
+     * does not outlast all of them.
      */
     private static final class Spread extends Random {
         private static final long serialVersionUID = 1L;
@@ -129,14 +174,16 @@
     }
 
     /**
-     * A voter that began a pre-vote and then heard of the leader in the same term, as each does that comes back, keeps
-     * the engine's mark of that pre-vote, and begins no other: with two such voters a dead leader would never be
-     * replaced.
+     * A voter that began a pre-vote and then heard of the leader in the same term, as each does
+     * that comes back, keeps the engine's mark of that pre-vote, and begins no other: with two such
+     * voters a dead leader would never be replaced.
      */
     private void electAnew() {
         RaftNodeImpl engine = (RaftNodeImpl) node;
-        if (engine.state().role() == RaftRole.FOLLOWER && engine.state().preCandidateState() != null
-                && engine.state().leader() != null && engine.isLeaderHeartbeatTimeoutElapsed()) {
+        if (engine.state().role() == RaftRole.FOLLOWER
+                && engine.state().preCandidateState() != null
+                && engine.state().leader() != null
+                && engine.isLeaderHeartbeatTimeoutElapsed()) {
             engine.leader(null);
             engine.runPreVote();
         }
@@ -152,8 +199,11 @@
             spread.rounds = 0;
         }
         if (now != null && !now.equals(leader)) {
-            Events.info(LOG, "sharing.leader").addKeyValue("process", settings.name()).addKeyValue("leader", now)
-                    .addKeyValue("term", node.getTerm().getTerm()).addKeyValue("era", facts.era())
+            Events.info(LOG, "sharing.leader")
+                    .addKeyValue("process", settings.name())
+                    .addKeyValue("leader", now)
+                    .addKeyValue("term", node.getTerm().getTerm())
+                    .addKeyValue("era", facts.era())
                     .log(now + " leads");
         }
         leader = now;
@@ -183,7 +233,9 @@
     }
 
     void handle(RaftMsg m) {
-        if (silent || !m.getGroup().equals(facts.group()) || !m.getTo().equals(facts.self().toString())) {
+        if (silent
+                || !m.getGroup().equals(facts.group())
+                || !m.getTo().equals(facts.self().toString())) {
             return; // Meant for another log, or for the identity before this one.
         }
         if (counts(m, node.getTerm().getTerm())) {
@@ -191,41 +243,52 @@
         }
     }
 
-    /** Guards the engine, which counts an answer to an earlier leadership of ours for the one of now. */
+    /**
+     * Guards the engine, which counts an answer to an earlier leadership of ours for the one of
+     * now.
+     */
     static boolean counts(RaftMsg m, int term) {
         return !RaftShapes.answersLeader(m) || m.getTerm() >= term;
     }
 
     /** Has the leader's quorum confirm, then tells what changed since the asker's index. */
     void pull(PullRequest request, Consumer<PullReply> answer) {
-        reads.confirm(node, index -> {
-            PullReply.Builder reply = PullReply.newBuilder().setGroup(facts.group())
-                    .setVoters(node.getCommittedMembers().getVotingMembers().size());
-            if (leaderName() != null) {
-                reply.setLeader(leaderName());
-            }
-            if (index == Reads.REFUSED) {
-                answer.accept(reply.setFault("no quorum").build());
-                return;
-            }
-            boolean resumed = request.getIndex() > 0 && request.getGroup().equals(facts.group());
-            Pages.fill(reply, replica.machine, request, resumed);
-            answer.accept(reply.build());
-        });
+        reads.confirm(
+                node,
+                index -> {
+                    PullReply.Builder reply =
+                            PullReply.newBuilder()
+                                    .setGroup(facts.group())
+                                    .setVoters(
+                                            node.getCommittedMembers().getVotingMembers().size());
+                    if (leaderName() != null) {
+                        reply.setLeader(leaderName());
+                    }
+                    if (index == Reads.REFUSED) {
+                        answer.accept(reply.setFault("no quorum").build());
+                        return;
+                    }
+                    boolean resumed =
+                            request.getIndex() > 0 && request.getGroup().equals(facts.group());
+                    Pages.fill(reply, replica.machine, request, resumed);
+                    answer.accept(reply.build());
+                });
     }
 
     void decide(Command c, Consumer<AskReply> answer) {
-        node.<Replica.Decided>replicate(c).whenComplete((o, e) -> {
-            AskReply.Builder reply = AskReply.newBuilder().setGroup(facts.group());
-            if (leaderName() != null) {
-                reply.setLeader(leaderName());
-            }
-            if (e == null) {
-                reply.setAnswer(Shapes.answer(o.getResult().answer()))
-                        .setMoment(Shapes.moment(o.getResult().moment()));
-            }
-            answer.accept(reply.build());
-        });
+        node.<Replica.Decided>replicate(c)
+                .whenComplete(
+                        (o, e) -> {
+                            AskReply.Builder reply = AskReply.newBuilder().setGroup(facts.group());
+                            if (leaderName() != null) {
+                                reply.setLeader(leaderName());
+                            }
+                            if (e == null) {
+                                reply.setAnswer(Shapes.answer(o.getResult().answer()))
+                                        .setMoment(Shapes.moment(o.getResult().moment()));
+                            }
+                            answer.accept(reply.build());
+                        });
     }
 
     Moment moment() {
--- a/quorum/src/main/java/postgrade/quorum/engine/LogClock.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/LogClock.java
@@ -8,12 +8,14 @@
 /**
  * Moves the log's time on, while this voter leads, by what its own monotonic clock has measured.
  *
- * <p>No moment is logged twice, and none that nobody led. Within a term only its leader's entries are committed, and
- * each tells the time from where the last committed one ended. A leader begins to measure when it sees that it leads,
- * which is after a majority has turned from the one before: that one's entries were proposed earlier. What was asked
- * for and may yet be committed is never told again. A leader that slept tells at most {@code most}: what it slept
- * beyond is lost to the log, so that nothing expires for want of renewals that it could not take. Its first entry tells
- * no time: what leaders before it left uncommitted commits with that, and no time from before may be counted behind it.
+ * <p>No moment is logged twice, and none that nobody led. Within a term only its leader's entries
+ * are committed, and each tells the time from where the last committed one ended. A leader begins
+ * to measure when it sees that it leads, which is after a majority has turned from the one before:
+ * that one's entries were proposed earlier. What was asked for and may yet be committed is never
+ * told again. A leader that slept tells at most {@code most}: what it slept beyond is lost to the
+ * log, so that nothing expires for want of renewals that it could not take. Its first entry tells
+ * no time: what leaders before it left uncommitted commits with that, and no time from before may
+ * be counted behind it.
  */
 final class LogClock {
 
@@ -24,10 +26,13 @@
     private final LongSupplier nowMicros;
     private final long most;
     private final long step;
+
     /** Up to where the time of this term is logged. */
     private long from;
+
     private int term = NONE;
     private boolean asked;
+
     /** An entry of this leadership is committed, and with it all that was before. */
     private boolean begun;
 
@@ -66,19 +71,23 @@
     private void ask(RaftNode node, int current, long now) {
         asked = true;
         long by = begun ? Math.min(most, now - from) : 0;
-        node.replicate(Machine.advance(name, incarnation, by)).whenComplete((done, e) -> {
-            if (term != current) {
-                return;
-            }
-            if (e == null) {
-                from = now;
-                begun = true;
-                asked = false;
-            } else if (cause(e) instanceof CannotReplicateException) {
-                asked = false; // It never came into the log: the next one tells the same time.
-            }
-            // Else it may be committed yet: nothing more is told in this term by this measure.
-        });
+        node.replicate(Machine.advance(name, incarnation, by))
+                .whenComplete(
+                        (done, e) -> {
+                            if (term != current) {
+                                return;
+                            }
+                            if (e == null) {
+                                from = now;
+                                begun = true;
+                                asked = false;
+                            } else if (cause(e) instanceof CannotReplicateException) {
+                                asked = false; // It never came into the log: the next one tells the
+                                // same time.
+                            }
+                            // Else it may be committed yet: nothing more is told in this term by
+                            // this measure.
+                        });
     }
 
     private static Throwable cause(Throwable e) {
