--- a/quorum/src/main/java/postgrade/quorum/engine/Pages.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/Pages.java
@@ -13,29 +13,37 @@
 import postgrade.shared.Rows.Change;
 
 /**
- * Splits what is told of the state, so that no message grows with it. A page is what changed since an index, in the order
- * of part and key, from where the page before ended; nothing is held between two pages.
+ * Splits what is told of the state, so that no message grows with it. A page is what changed since
+ * an index, in the order of part and key, from where the page before ended; nothing is held between
+ * two pages.
  */
 public final class Pages {
 
     /** A page ends with the change that reaches this. */
     public static final int BYTES = 256 << 10;
 
-    private static final Comparator<Change> ORDER = Comparator.comparing(Change::part).thenComparing(Change::key);
+    private static final Comparator<Change> ORDER =
+            Comparator.comparing(Change::part).thenComparing(Change::key);
 
-    private Pages() { }
+    private Pages() {}
 
-    /** Fills in what has changed since the request's index, or all there is where that is not known. */
-    public static void fill(PullReply.Builder reply, Machine machine, PullRequest request, boolean resumed) {
+    /**
+     * Fills in what has changed since the request's index, or all there is where that is not known.
+     */
+    public static void fill(
+            PullReply.Builder reply, Machine machine, PullRequest request, boolean resumed) {
         List<Change> changes = resumed ? machine.rows().since(request.getIndex()) : null;
         reply.setMoment(Shapes.moment(machine.moment())).setWhole(changes == null);
         if (!request.getPages()) {
             reply.addAllChanges(Shapes.changes(changes == null ? machine.rows().all() : changes));
             return;
         }
-        // The whole told in place of changes begins anew: what was asked for goes on from elsewhere.
-        boolean on = !request.getAfterPart().isEmpty() && (changes != null || request.getIndex() == 0);
-        Change after = on ? new Change(0, request.getAfterPart(), request.getAfterKey(), null) : null;
+        // The whole told in place of changes begins anew: what was asked for goes on from
+        // elsewhere.
+        boolean on =
+                !request.getAfterPart().isEmpty() && (changes != null || request.getIndex() == 0);
+        Change after =
+                on ? new Change(0, request.getAfterPart(), request.getAfterKey(), null) : null;
         int bytes = 0;
         for (Change c : changes == null ? machine.rows().all() : ordered(changes)) {
             if (after != null && ORDER.compare(c, after) <= 0) {
@@ -51,7 +59,9 @@
         }
     }
 
-    /** As {@code Rows.all} has them, and one for each key: the row that is there, else its removal. */
+    /**
+     * As {@code Rows.all} has them, and one for each key: the row that is there, else its removal.
+     */
     private static List<Change> ordered(List<Change> changes) {
         TreeMap<Change, Change> latest = new TreeMap<>(ORDER);
         changes.forEach(c -> latest.put(c, c)); // Rows come behind removals.
--- a/quorum/src/main/java/postgrade/quorum/engine/Peers.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/Peers.java
@@ -27,30 +27,44 @@
 
     /** Asks all; {@code done} gets the answers that came in time, by name. */
     void greet(HelloRequest hello, long withinMillis, Consumer<Map<String, HelloReply>> done) {
-        List<Voter> others = settings.voters().stream().filter(v -> !v.name().equals(settings.name())).toList();
+        List<Voter> others =
+                settings.voters().stream().filter(v -> !v.name().equals(settings.name())).toList();
         Map<String, HelloReply> replies = new HashMap<>();
         int[] left = {others.size()};
         if (others.isEmpty()) {
             thread.submit(() -> done.accept(replies));
         }
         for (Voter v : others) {
-            links.call(v.name(), Methods.HELLO, hello, withinMillis, (reply, status) -> thread.submit(() -> {
-                if (reply != null && reply.getName().equals(v.name())) {
-                    replies.put(v.name(), reply);
-                }
-                if (--left[0] == 0) {
-                    done.accept(replies);
-                }
-            }));
+            links.call(
+                    v.name(),
+                    Methods.HELLO,
+                    hello,
+                    withinMillis,
+                    (reply, status) ->
+                            thread.submit(
+                                    () -> {
+                                        if (reply != null && reply.getName().equals(v.name())) {
+                                            replies.put(v.name(), reply);
+                                        }
+                                        if (--left[0] == 0) {
+                                            done.accept(replies);
+                                        }
+                                    }));
         }
     }
 
-    /** One in the latest era, one that knows a leader before others; null where none has a store. */
+    /**
+     * One in the latest era, one that knows a leader before others; null where none has a store.
+     */
     static HelloReply latest(Map<String, HelloReply> replies) {
         HelloReply latest = null;
         for (HelloReply r : replies.values()) {
-            if (!r.getGroup().isEmpty() && (latest == null || r.getEra() > latest.getEra()
-                    || r.getEra() == latest.getEra() && latest.getLeader().isEmpty() && !r.getLeader().isEmpty())) {
+            if (!r.getGroup().isEmpty()
+                    && (latest == null
+                            || r.getEra() > latest.getEra()
+                            || r.getEra() == latest.getEra()
+                                    && latest.getLeader().isEmpty()
+                                    && !r.getLeader().isEmpty())) {
                 latest = r;
             }
         }
@@ -59,22 +73,40 @@
 
     /** A voter that keeps another log of the same era, or null. */
     static String others(Map<String, HelloReply> replies, long era, String group) {
-        return replies.values().stream().filter(r -> r.getEra() == era && !r.getGroup().isEmpty()
-                && !r.getGroup().equals(group)).map(HelloReply::getName).findFirst().orElse(null);
+        return replies.values().stream()
+                .filter(
+                        r ->
+                                r.getEra() == era
+                                        && !r.getGroup().isEmpty()
+                                        && !r.getGroup().equals(group))
+                .map(HelloReply::getName)
+                .findFirst()
+                .orElse(null);
     }
 
-    /** Whether the leader counts this identity no more, by a later list of members than the one it is in. */
+    /**
+     * Whether the leader counts this identity no more, by a later list of members than the one it
+     * is in.
+     */
     static boolean retired(Map<String, HelloReply> replies, Group group) {
         var mine = group.node.getCommittedMembers();
-        return mine.getMembers().contains(group.facts.self()) && replies.values().stream().anyMatch(r -> r.getLeads()
-                && r.getGroup().equals(group.facts.group()) && r.getMembersIndex() > mine.getLogIndex()
-                && !r.getMembersList().contains(group.facts.self().toString()));
+        return mine.getMembers().contains(group.facts.self())
+                && replies.values().stream()
+                        .anyMatch(
+                                r ->
+                                        r.getLeads()
+                                                && r.getGroup().equals(group.facts.group())
+                                                && r.getMembersIndex() > mine.getLogIndex()
+                                                && !r.getMembersList()
+                                                        .contains(group.facts.self().toString()));
     }
 
     /** What an operator must know where no voter that answers has a store. */
     static String noneIsThere(QuorumSettings settings, Map<String, HelloReply> replies) {
         int silent = settings.voters().size() - 1 - replies.size();
-        return "no store here, and none of the voters that answer has one (" + silent + " do not answer): "
+        return "no store here, and none of the voters that answer has one ("
+                + silent
+                + " do not answer): "
                 + "an era has to be begun";
     }
 
@@ -92,7 +124,13 @@
             }
         }
         int all = there.size() + gone.size();
-        return there.size() > all / 2 ? null : "no quorum: " + there.size() + " of " + all + " voters are there; "
-                + String.join(", ", gone);
+        return there.size() > all / 2
+                ? null
+                : "no quorum: "
+                        + there.size()
+                        + " of "
+                        + all
+                        + " voters are there; "
+                        + String.join(", ", gone);
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/engine/Reads.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/Reads.java
@@ -12,13 +12,15 @@
 import postgrade.quorum.wire.proto.ReadRequest;
 
 /**
- * Confirms by the quorum up to where a reader must have read. All readers that wait share one round; a round begins
- * only after the one before has ended, so that no answer counts for a question put after it was given.
+ * Confirms by the quorum up to where a reader must have read. All readers that wait share one
+ * round; a round begins only after the one before has ended, so that no answer counts for a
+ * question put after it was given.
  */
 final class Reads {
 
     /** Rounds are at least so far apart, whatever is asked. */
     private static final long PACE_MICROS = 50_000;
+
     private static final int MOST_WAITING = 512;
     static final long REFUSED = -1;
 
@@ -55,17 +57,42 @@
         Endpoints leader = new Endpoints(node);
         if (leader.self()) {
             node.query(Replica.READ, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
-                    .whenComplete((o, e) -> thread.execute(() -> ended(node, batch, e == null ? index(o) : REFUSED)));
+                    .whenComplete(
+                            (o, e) ->
+                                    thread.execute(
+                                            () ->
+                                                    ended(
+                                                            node,
+                                                            batch,
+                                                            e == null ? index(o) : REFUSED)));
         } else if (leader.name() != null) {
-            links.call(leader.name(), Methods.READ, ReadRequest.newBuilder().setGroup(group).build(), requestMillis,
-                    (reply, status) -> thread.execute(() -> {
-                        if (reply == null || !reply.getConfirmed()) {
-                            ended(node, batch, REFUSED);
-                            return;
-                        }
-                        node.waitFor(reply.getIndex(), thread.engineTime(requestMillis)).whenComplete((o, e) ->
-                                thread.execute(() -> ended(node, batch, e == null ? reply.getIndex() : REFUSED)));
-                    }));
+            links.call(
+                    leader.name(),
+                    Methods.READ,
+                    ReadRequest.newBuilder().setGroup(group).build(),
+                    requestMillis,
+                    (reply, status) ->
+                            thread.execute(
+                                    () -> {
+                                        if (reply == null || !reply.getConfirmed()) {
+                                            ended(node, batch, REFUSED);
+                                            return;
+                                        }
+                                        node.waitFor(
+                                                        reply.getIndex(),
+                                                        thread.engineTime(requestMillis))
+                                                .whenComplete(
+                                                        (o, e) ->
+                                                                thread.execute(
+                                                                        () ->
+                                                                                ended(
+                                                                                        node,
+                                                                                        batch,
+                                                                                        e == null
+                                                                                                ? reply
+                                                                                                        .getIndex()
+                                                                                                : REFUSED)));
+                                    }));
         } else {
             ended(node, batch, REFUSED);
         }
@@ -77,12 +104,14 @@
 
     private void ended(RaftNode node, List<LongConsumer> batch, long index) {
         batch.forEach(done -> done.accept(index));
-        thread.afterMicros(() -> {
-            running = !waiting.isEmpty();
-            if (running) {
-                round(node);
-            }
-        }, PACE_MICROS);
+        thread.afterMicros(
+                () -> {
+                    running = !waiting.isEmpty();
+                    if (running) {
+                        round(node);
+                    }
+                },
+                PACE_MICROS);
     }
 
     /** Gives up whoever waits. */
@@ -99,7 +128,9 @@
         }
 
         String name() {
-            return node.getTerm().getLeaderEndpoint() instanceof postgrade.quorum.wire.Endpoint e ? e.name() : null;
+            return node.getTerm().getLeaderEndpoint() instanceof postgrade.quorum.wire.Endpoint e
+                    ? e.name()
+                    : null;
         }
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/engine/Replica.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/Replica.java
@@ -14,14 +14,15 @@
 final class Replica implements StateMachine {
 
     /** A question to the machine that changes nothing and is no entry of the log. */
-    static final Object READ = new Object() {
-        @Override
-        public String toString() {
-            return "read";
-        }
-    };
-
-    record Decided(Answer answer, Moment moment) { }
+    static final Object READ =
+            new Object() {
+                @Override
+                public String toString() {
+                    return "read";
+                }
+            };
+
+    record Decided(Answer answer, Moment moment) {}
 
     final Machine machine;
 
--- a/quorum/src/main/java/postgrade/quorum/engine/Voter.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/Voter.java
@@ -21,9 +21,9 @@
 import postgrade.shared.Part;
 
 /**
- * A process that votes, or is to. It opens its store, asks its peers whether that is all it had promised on, and votes;
- * without a store it waits to be taken in under a new identity; with one that cannot be written it votes no more until
- * the store can be opened again.
+ * A process that votes, or is to. It opens its store, asks its peers whether that is all it had
+ * promised on, and votes; without a store it waits to be taken in under a new identity; with one
+ * that cannot be written it votes no more until the store can be opened again.
  */
 public final class Voter {
 
@@ -44,7 +44,12 @@
     private volatile boolean votes;
     private volatile String leader;
 
-    public Voter(QuorumSettings settings, List<Part> parts, LongSupplier nowMicros, Links links, Faults faults) {
+    public Voter(
+            QuorumSettings settings,
+            List<Part> parts,
+            LongSupplier nowMicros,
+            Links links,
+            Faults faults) {
         this.settings = settings;
         this.parts = parts;
         this.nowMicros = nowMicros;
@@ -71,10 +76,11 @@
     }
 
     public void start() {
-        thread.submit(() -> {
-            open();
-            greet();
-        });
+        thread.submit(
+                () -> {
+                    open();
+                    greet();
+                });
     }
 
     /** Whether it counts as a voter now. */
@@ -94,17 +100,24 @@
         try {
             if (!VoterStore.exists(settings.store())) {
                 Files.createDirectories(settings.store());
-                faults.set("no store in " + settings.store() + ": waiting for a quorum to be taken in by");
+                faults.set(
+                        "no store in "
+                                + settings.store()
+                                + ": waiting for a quorum to be taken in by");
                 return;
             }
             store = VoterStore.open(settings.store());
-            peers.greet(hello(false), settings.electionMillis(), replies -> checked(store, replies));
+            peers.greet(
+                    hello(false), settings.electionMillis(), replies -> checked(store, replies));
         } catch (IOException e) {
             failed(e.getMessage());
         }
     }
 
-    /** The peers have told what they saw of this voter: it goes on only where the store holds all of that. */
+    /**
+     * The peers have told what they saw of this voter: it goes on only where the store holds all of
+     * that.
+     */
     private void checked(VoterStore opened, Map<String, HelloReply> replies) {
         if (closed || store != opened || group != null) {
             return;
@@ -113,7 +126,13 @@
             int term = store.term();
             for (HelloReply r : replies.values()) {
                 if (r.getEra() > store.facts().era()) {
-                    retire("is of era " + store.facts().era() + ", and " + r.getName() + " is in era " + r.getEra());
+                    retire(
+                            "is of era "
+                                    + store.facts().era()
+                                    + ", and "
+                                    + r.getName()
+                                    + " is in era "
+                                    + r.getEra());
                     return;
                 }
                 if (r.getGroup().equals(store.facts().group())
@@ -134,8 +153,10 @@
         store.countBoot();
         group = new Group(settings, parts, nowMicros, thread, links, store);
         group.start();
-        Events.info(LOG, "sharing.opened").addKeyValue("process", settings.name())
-                .addKeyValue("identity", group.facts.self().identity()).addKeyValue("era", group.facts.era())
+        Events.info(LOG, "sharing.opened")
+                .addKeyValue("process", settings.name())
+                .addKeyValue("identity", group.facts.self().identity())
+                .addKeyValue("era", group.facts.era())
                 .log("opened the store of era " + group.facts.era());
     }
 
@@ -173,7 +194,12 @@
         try {
             Path file = settings.store().resolve(VoterStore.FILE);
             Files.move(file, settings.store().resolve(aside));
-            faults.set("the store " + why + "; it is kept as " + aside + ", waiting to be taken in anew");
+            faults.set(
+                    "the store "
+                            + why
+                            + "; it is kept as "
+                            + aside
+                            + ", waiting to be taken in anew");
         } catch (IOException e) {
             faults.set("the store " + why + ", and cannot be put aside: " + e.getMessage());
         }
@@ -183,12 +209,18 @@
         HelloRequest.Builder b = HelloRequest.newBuilder().setName(settings.name()).setJoin(join);
         if (store != null) {
             VoterStore.Facts f = store.facts();
-            b.setIdentity(f.self().identity()).setGroup(f.group()).setEra(f.era()).setBoot(store.boot());
+            b.setIdentity(f.self().identity())
+                    .setGroup(f.group())
+                    .setEra(f.era())
+                    .setBoot(store.boot());
         }
         return b.build();
     }
 
-    /** Asks the peers again and again what they are: that is how eras, and voters that come back, are found. */
+    /**
+     * Asks the peers again and again what they are: that is how eras, and voters that come back,
+     * are found.
+     */
     private void greet() {
         if (closed) {
             return;
@@ -196,8 +228,10 @@
         leader = group == null ? null : group.leaderName();
         votes = group != null && group.votes();
         boolean join = group != null && !votes;
-        long pause = group == null || join || leader == null ? settings.electionMillis() / 4
-                : settings.electionMillis();
+        long pause =
+                group == null || join || leader == null
+                        ? settings.electionMillis() / 4
+                        : settings.electionMillis();
         peers.greet(hello(join), settings.electionMillis(), this::greeted);
         thread.afterMicros(this::greet, pause * 1000L);
     }
@@ -220,11 +254,20 @@
                 return;
             }
             if (latest != null && latest.getEra() > group.facts.era()) {
-                retire("is of era " + group.facts.era() + ", and " + latest.getName() + " is in era "
-                        + latest.getEra());
+                retire(
+                        "is of era "
+                                + group.facts.era()
+                                + ", and "
+                                + latest.getName()
+                                + " is in era "
+                                + latest.getEra());
             } else if (Peers.others(replies, group.facts.era(), group.facts.group()) != null) {
-                faults.set("two eras " + group.facts.era() + " at once: "
-                        + Peers.others(replies, group.facts.era(), group.facts.group()) + " is in another");
+                faults.set(
+                        "two eras "
+                                + group.facts.era()
+                                + " at once: "
+                                + Peers.others(replies, group.facts.era(), group.facts.group())
+                                + " is in another");
             } else if (Peers.retired(replies, group)) {
                 retire("was replaced: the others have taken in another of this name");
             } else if (group.leaderName() == null) {
@@ -250,13 +293,24 @@
 
     private void join(Map<String, HelloReply> replies, HelloReply latest) throws IOException {
         if (Peers.others(replies, latest.getEra(), latest.getGroup()) != null) {
-            faults.set("two eras " + latest.getEra() + " at once: " + latest.getName() + " and "
-                    + Peers.others(replies, latest.getEra(), latest.getGroup()) + " are in different ones");
+            faults.set(
+                    "two eras "
+                            + latest.getEra()
+                            + " at once: "
+                            + latest.getName()
+                            + " and "
+                            + Peers.others(replies, latest.getEra(), latest.getGroup())
+                            + " are in different ones");
             return;
         }
-        store = VoterStore.create(settings.store(), new VoterStore.Facts(
-                new Endpoint(settings.name(), identity()), latest.getGroup(), latest.getEra(),
-                latest.getInitialList()));
+        store =
+                VoterStore.create(
+                        settings.store(),
+                        new VoterStore.Facts(
+                                new Endpoint(settings.name(), identity()),
+                                latest.getGroup(),
+                                latest.getEra(),
+                                latest.getInitialList()));
         begin();
         faults.set("new here: waiting to be taken in as a voter");
     }
@@ -271,18 +325,20 @@
     /**
      * Ends it, with the store closed.
      *
-     * @param ended told on its thread once all that waited here is answered, whatever went wrong at its end
+     * @param ended told on its thread once all that waited here is answered, whatever went wrong at
+     *     its end
      */
     public void close(Runnable ended) {
-        thread.submit(() -> {
-            closed = true;
-            try {
-                letGo();
-            } finally {
-                thread.close();
-                ended.run();
-            }
-        });
+        thread.submit(
+                () -> {
+                    closed = true;
+                    try {
+                        letGo();
+                    } finally {
+                        thread.close();
+                        ended.run();
+                    }
+                });
     }
 
     public boolean awaitClosed(long millis) throws InterruptedException {
--- a/quorum/src/main/java/postgrade/quorum/follow/Asker.java
+++ b/quorum/src/main/java/postgrade/quorum/follow/Asker.java
@@ -12,7 +12,10 @@
 import postgrade.shared.Command;
 import postgrade.shared.Sharing.Reply;
 
-/** Has commands decided: asks the leader where it is known, else any voter, with the same id until the time is up. */
+/**
+ * Has commands decided: asks the leader where it is known, else any voter, with the same id until
+ * the time is up.
+ */
 public final class Asker {
 
     private static final long FIRST_PAUSE_MICROS = 40_000;
@@ -29,8 +32,14 @@
     private String leader;
     private int at;
 
-    Asker(QuorumSettings settings, LongSupplier nowMicros, FollowThread thread, List<Way> ways, Eras eras,
-            Executor onLoop, long seed) {
+    Asker(
+            QuorumSettings settings,
+            LongSupplier nowMicros,
+            FollowThread thread,
+            List<Way> ways,
+            Eras eras,
+            Executor onLoop,
+            long seed) {
         this.settings = settings;
         this.nowMicros = nowMicros;
         this.thread = thread;
@@ -48,7 +57,8 @@
     }
 
     private Reply undecided() {
-        // One election, spread, so that whoever was left without an answer does not come back at once.
+        // One election, spread, so that whoever was left without an answer does not come back at
+        // once.
         long election = settings.electionMillis() * 1000L;
         return new Reply(null, null, election + random.nextLong(election));
     }
@@ -73,15 +83,20 @@
         }
         Way way = way();
         long within = Math.min(settings.requestMillis(), Math.max(1, left / 1000));
-        AskRequest request = AskRequest.newBuilder().setCommand(Shapes.command(asked.command))
-                .setWithinMicros(within * 1000).setEra(eras.era()).build();
+        AskRequest request =
+                AskRequest.newBuilder()
+                        .setCommand(Shapes.command(asked.command))
+                        .setWithinMicros(within * 1000)
+                        .setEra(eras.era())
+                        .build();
         boolean[] over = {false};
-        Consumer<AskReply> answered = reply -> {
-            if (!over[0]) {
-                over[0] = true;
-                answered(asked, way, reply, pause);
-            }
-        };
+        Consumer<AskReply> answered =
+                reply -> {
+                    if (!over[0]) {
+                        over[0] = true;
+                        answered(asked, way, reply, pause);
+                    }
+                };
         way.ask(request, within, reply -> thread.run(() -> answered.accept(reply)));
         thread.after(() -> answered.accept(null), within * 1000 + 20_000);
     }
@@ -101,7 +116,10 @@
         }
         if (reply != null && reply.hasAnswer() && eras.takes(way.voter(), reply.getGroup())) {
             leader = reply.getLeader().isEmpty() ? leader : reply.getLeader();
-            finish(asked, new Reply(Shapes.answer(reply.getAnswer()), Shapes.moment(reply.getMoment()), 0));
+            finish(
+                    asked,
+                    new Reply(
+                            Shapes.answer(reply.getAnswer()), Shapes.moment(reply.getMoment()), 0));
             return;
         }
         String hint = reply == null || reply.getLeader().isEmpty() ? null : reply.getLeader();
@@ -109,18 +127,20 @@
         if (leader == null) {
             at++;
         }
-        thread.after(() -> attempt(asked, Math.min(LONGEST_PAUSE_MICROS, pause * 2)),
+        thread.after(
+                () -> attempt(asked, Math.min(LONGEST_PAUSE_MICROS, pause * 2)),
                 (long) (pause * (0.5 + random.nextDouble())));
     }
 
     private void finish(Asked asked, Reply reply) {
         if (!asked.finished) {
             asked.finished = true;
-            onLoop.execute(() -> {
-                if (!closed) {
-                    asked.done.accept(reply);
-                }
-            });
+            onLoop.execute(
+                    () -> {
+                        if (!closed) {
+                            asked.done.accept(reply);
+                        }
+                    });
         }
     }
 
--- a/quorum/src/main/java/postgrade/quorum/follow/Eras.java
+++ b/quorum/src/main/java/postgrade/quorum/follow/Eras.java
@@ -3,8 +3,8 @@
 import postgrade.quorum.engine.Faults;
 
 /**
- * Which era a process takes answers from: the latest that it has heard of, and of that one log only. Written and read
- * on the follow thread.
+ * Which era a process takes answers from: the latest that it has heard of, and of that one log
+ * only. Written and read on the follow thread.
  */
 public final class Eras {
 
--- a/quorum/src/main/java/postgrade/quorum/follow/FollowThread.java
+++ b/quorum/src/main/java/postgrade/quorum/follow/FollowThread.java
@@ -4,17 +4,23 @@
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 
-/** The thread on which a process follows and asks; not the loop, and not the one that writes a voter's log. */
+/**
+ * The thread on which a process follows and asks; not the loop, and not the one that writes a
+ * voter's log.
+ */
 public final class FollowThread {
 
     private final ScheduledThreadPoolExecutor pool;
 
     public FollowThread(String name) {
-        pool = new ScheduledThreadPoolExecutor(1, task -> {
-            Thread t = new Thread(task, "quorum-follow-" + name);
-            t.setDaemon(true);
-            return t;
-        });
+        pool =
+                new ScheduledThreadPoolExecutor(
+                        1,
+                        task -> {
+                            Thread t = new Thread(task, "quorum-follow-" + name);
+                            t.setDaemon(true);
+                            return t;
+                        });
         pool.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
     }
 
--- a/quorum/src/main/java/postgrade/quorum/follow/Follower.java
+++ b/quorum/src/main/java/postgrade/quorum/follow/Follower.java
@@ -10,17 +10,25 @@
 import postgrade.shared.View;
 
 /**
- * Keeps the view: pulls what has changed, from one voter as long as it answers, then from the next. A view counts from
- * when its pull was sent, and only where the leader's quorum confirmed after that.
+ * Keeps the view: pulls what has changed, from one voter as long as it answers, then from the next.
+ * A view counts from when its pull was sent, and only where the leader's quorum confirmed after
+ * that.
  */
 public final class Follower {
 
     /** The longest pause after failures, in pulls. */
     private static final int MOST_PAUSE = 8;
-    /** A process that had to turn to another voter looks for its first one again after so many pulls. */
+
+    /**
+     * A process that had to turn to another voter looks for its first one again after so many
+     * pulls.
+     */
     private static final int RETURN_AFTER = 40;
+
     private static final int MOST_FAILURES = 5;
-    static final String NO_VIEW = "no voter confirms a view: there is no quorum, or none can be reached";
+    static final String NO_VIEW =
+            "no voter confirms a view: there is no quorum, or none can be reached";
+
     /** Between two pages, so that others are served meanwhile. */
     private static final long PAGE_PAUSE_MICROS = 1_000;
 
@@ -41,8 +49,14 @@
     private int sent;
     private int good;
 
-    Follower(QuorumSettings settings, LongSupplier nowMicros, FollowThread thread, List<Way> ways, Eras eras,
-            Faults faults, long seed) {
+    Follower(
+            QuorumSettings settings,
+            LongSupplier nowMicros,
+            FollowThread thread,
+            List<Way> ways,
+            Eras eras,
+            Faults faults,
+            long seed) {
         this.settings = settings;
         this.nowMicros = nowMicros;
         this.thread = thread;
@@ -75,13 +89,22 @@
         Way way = ways.get(at % ways.size());
         int number = ++sent;
         long asOf = nowMicros.getAsLong();
-        PullRequest request = gathering.asks().setName(settings.name()).setEra(eras.era()).setGroup(eras.group())
-                .build();
+        PullRequest request =
+                gathering
+                        .asks()
+                        .setName(settings.name())
+                        .setEra(eras.era())
+                        .setGroup(eras.group())
+                        .build();
         boolean[] over = {false};
-        way.pull(request, settings.requestMillis(), reply ->
-                thread.run(() -> answered(way, number, over, asOf, reply)));
+        way.pull(
+                request,
+                settings.requestMillis(),
+                reply -> thread.run(() -> answered(way, number, over, asOf, reply)));
         // A voter in this process has no deadline of its own.
-        thread.after(() -> answered(way, number, over, asOf, null), settings.requestMillis() * 1000L + 50_000);
+        thread.after(
+                () -> answered(way, number, over, asOf, null),
+                settings.requestMillis() * 1000L + 50_000);
     }
 
     private void answered(Way way, int number, boolean[] over, long asOf, PullReply reply) {
@@ -122,13 +145,15 @@
     }
 
     /**
-     * One that has no view yet asks the next voter soon, each twice: the first may be down, and the first call of a process
-     * is slow. From then on it is no more impatient than others, and no less.
+     * One that has no view yet asks the next voter soon, each twice: the first may be down, and the
+     * first call of a process is slow. From then on it is no more impatient than others, and no
+     * less.
      *
      * @param quick so many failures are followed by a short pause
      */
     static long pauseMillis(int pullMillis, int failures, int quick) {
-        return failures <= quick ? pullMillis / 4
+        return failures <= quick
+                ? pullMillis / 4
                 : (long) pullMillis * Math.min(MOST_PAUSE, 1 << Math.min(failures - quick - 1, 3));
     }
 
--- a/quorum/src/main/java/postgrade/quorum/follow/Following.java
+++ b/quorum/src/main/java/postgrade/quorum/follow/Following.java
@@ -20,8 +20,15 @@
     private final Follower follower;
     private final Asker asker;
 
-    /** @param voter the one in this process, or null */
-    public Following(QuorumSettings settings, LongSupplier nowMicros, Links links, Voter voter, Faults faults,
+    /**
+     * @param voter the one in this process, or null
+     */
+    public Following(
+            QuorumSettings settings,
+            LongSupplier nowMicros,
+            Links links,
+            Voter voter,
+            Faults faults,
             Executor onLoop) {
         thread = new FollowThread(settings.name());
         List<Way> ways = ways(settings, links, voter);
@@ -31,7 +38,10 @@
         asker = new Asker(settings, nowMicros, thread, ways, eras, onLoop, seed + 1);
     }
 
-    /** One's own voter first; the others in an order that differs by process, so that they share the pulls. */
+    /**
+     * One's own voter first; the others in an order that differs by process, so that they share the
+     * pulls.
+     */
     private static List<Way> ways(QuorumSettings settings, Links links, Voter voter) {
         List<Way> ways = new ArrayList<>();
         if (voter != null) {
--- a/quorum/src/main/java/postgrade/quorum/follow/Gathering.java
+++ b/quorum/src/main/java/postgrade/quorum/follow/Gathering.java
@@ -12,9 +12,10 @@
 import postgrade.shared.View;
 
 /**
- * Puts a view together from pages. The state goes on while they come, so a pass over it that took several pages is followed
- * by one over what has changed since its first: whatever changed after that is told once more. A pass of one page is the
- * state of one moment, and only that makes a view. What has come is kept over lost answers and changes of the voter.
+ * Puts a view together from pages. The state goes on while they come, so a pass over it that took
+ * several pages is followed by one over what has changed since its first: whatever changed after
+ * that is told once more. A pass of one page is the state of one moment, and only that makes a
+ * view. What has come is kept over lost answers and changes of the voter.
  */
 public final class Gathering {
 
@@ -22,13 +23,18 @@
     private List<Change> changes = new ArrayList<>();
     private boolean whole;
     private String group = "";
+
     /** What was told so far covers all up to here. */
     private long base;
+
     /** Of the latest page. */
     private Moment latest = Moment.NONE;
+
     private boolean took;
+
     /** Of the first page of this pass. */
     private Moment first;
+
     private String part = "";
     private String key = "";
 
@@ -60,7 +66,11 @@
     }
 
     public PullRequest.Builder asks() {
-        return PullRequest.newBuilder().setPages(true).setIndex(base).setAfterPart(part).setAfterKey(key);
+        return PullRequest.newBuilder()
+                .setPages(true)
+                .setIndex(base)
+                .setAfterPart(part)
+                .setAfterKey(key);
     }
 
     /** Takes a page; the view where it is the last that was needed, else null. */
@@ -94,8 +104,15 @@
             pass();
             return null;
         }
-        View view = new View(moment, whole ? Rows.of(moment.index(), changes) : changes.isEmpty() ? before.rows()
-                : before.rows().with(moment.index(), changes), Math.max(asOfMicros, before.asOfMicros()));
+        View view =
+                new View(
+                        moment,
+                        whole
+                                ? Rows.of(moment.index(), changes)
+                                : changes.isEmpty()
+                                        ? before.rows()
+                                        : before.rows().with(moment.index(), changes),
+                        Math.max(asOfMicros, before.asOfMicros()));
         begin(view);
         return view;
     }
--- a/quorum/src/main/java/postgrade/quorum/follow/Way.java
+++ b/quorum/src/main/java/postgrade/quorum/follow/Way.java
@@ -9,7 +9,10 @@
 import postgrade.quorum.wire.proto.PullReply;
 import postgrade.quorum.wire.proto.PullRequest;
 
-/** A way to a voter: over the wire, or to the one in this process. Answers are null where none came in time. */
+/**
+ * A way to a voter: over the wire, or to the one in this process. Answers are null where none came
+ * in time.
+ */
 interface Way {
 
     String voter();
@@ -27,12 +30,22 @@
 
             @Override
             public void pull(PullRequest request, long withinMillis, Consumer<PullReply> done) {
-                links.call(voter, Methods.PULL, request, withinMillis, (reply, status) -> done.accept(reply));
+                links.call(
+                        voter,
+                        Methods.PULL,
+                        request,
+                        withinMillis,
+                        (reply, status) -> done.accept(reply));
             }
 
             @Override
             public void ask(AskRequest request, long withinMillis, Consumer<AskReply> done) {
-                links.call(voter, Methods.ASK, request, withinMillis, (reply, status) -> done.accept(reply));
+                links.call(
+                        voter,
+                        Methods.ASK,
+                        request,
+                        withinMillis,
+                        (reply, status) -> done.accept(reply));
             }
         };
     }
--- a/quorum/src/main/java/postgrade/quorum/settings/QuorumSettings.java
+++ b/quorum/src/main/java/postgrade/quorum/settings/QuorumSettings.java
@@ -20,8 +20,16 @@
  * @param heartbeatMillis how often a leader shows that it is there, and moves the log's time on
  * @param electionMillis a leader unheard of for so long is replaced
  */
-public record QuorumSettings(String name, long incarnation, List<Voter> voters, Path store, long viewAgeMicros,
-        int requestMillis, int pullMillis, int heartbeatMillis, int electionMillis) {
+public record QuorumSettings(
+        String name,
+        long incarnation,
+        List<Voter> voters,
+        Path store,
+        long viewAgeMicros,
+        int requestMillis,
+        int pullMillis,
+        int heartbeatMillis,
+        int electionMillis) {
 
     public static final long VIEW_AGE_MICROS = 2_000_000;
     public static final int REQUEST_MILLIS = 500;
@@ -41,7 +49,8 @@
             }
             try {
                 if (!InetAddress.getByName(host).isLoopbackAddress()) {
-                    throw new Faulty("voters", name + ": host must be a loopback address, not " + host);
+                    throw new Faulty(
+                            "voters", name + ": host must be a loopback address, not " + host);
                 }
             } catch (UnknownHostException e) {
                 throw new Faulty("voters", name + ": host " + host + " is not known");
@@ -89,22 +98,51 @@
 
     /** With the customary bounds. */
     public static QuorumSettings of(String name, List<Voter> voters, Path store) {
-        return new QuorumSettings(name, 0, voters, store, VIEW_AGE_MICROS, REQUEST_MILLIS, PULL_MILLIS,
-                HEARTBEAT_MILLIS, ELECTION_MILLIS);
+        return new QuorumSettings(
+                name,
+                0,
+                voters,
+                store,
+                VIEW_AGE_MICROS,
+                REQUEST_MILLIS,
+                PULL_MILLIS,
+                HEARTBEAT_MILLIS,
+                ELECTION_MILLIS);
     }
 
     public QuorumSettings withIncarnation(long taken) {
-        return new QuorumSettings(name, taken, voters, store, viewAgeMicros, requestMillis, pullMillis,
-                heartbeatMillis, electionMillis);
+        return new QuorumSettings(
+                name,
+                taken,
+                voters,
+                store,
+                viewAgeMicros,
+                requestMillis,
+                pullMillis,
+                heartbeatMillis,
+                electionMillis);
     }
 
     /** Under a name that is no voter's, as voters bound the pulls of each name. */
     public QuorumSettings beside() {
-        String other = name.substring(0, Math.min(name.length(), MOST_NAME - BESIDE.length() - voters.size())) + BESIDE;
+        String other =
+                name.substring(
+                                0,
+                                Math.min(
+                                        name.length(), MOST_NAME - BESIDE.length() - voters.size()))
+                        + BESIDE;
         while (voter(other) != null) {
             other += "-";
         }
-        return new QuorumSettings(other, 0, voters, null, viewAgeMicros, requestMillis, pullMillis, heartbeatMillis,
+        return new QuorumSettings(
+                other,
+                0,
+                voters,
+                null,
+                viewAgeMicros,
+                requestMillis,
+                pullMillis,
+                heartbeatMillis,
                 electionMillis);
     }
 
--- a/quorum/src/main/java/postgrade/quorum/settings/SharingFile.java
+++ b/quorum/src/main/java/postgrade/quorum/settings/SharingFile.java
@@ -16,14 +16,22 @@
 import postgrade.script.Values.HostObject;
 
 /**
- * Reads how a process shares from a script, such as {@code deploy/sharing.star}. One file may serve several processes:
- * each is told its name when it is started, and keeps its store in a folder of that name. What is faulty is told with
- * file and key, and with the line where the script made it.
+ * Reads how a process shares from a script, such as {@code deploy/sharing.star}. One file may serve
+ * several processes: each is told its name when it is started, and keeps its store in a folder of
+ * that name. What is faulty is told with file and key, and with the line where the script made it.
  */
 public final class SharingFile {
 
-    private static final Set<String> KEYS = Set.of("name", "voters", "store", "view_age_ms", "request_ms", "pull_ms",
-            "heartbeat_ms", "election_ms");
+    private static final Set<String> KEYS =
+            Set.of(
+                    "name",
+                    "voters",
+                    "store",
+                    "view_age_ms",
+                    "request_ms",
+                    "pull_ms",
+                    "heartbeat_ms",
+                    "election_ms");
 
     private record Made(Voter voter) implements HostObject {
         @Override
@@ -47,7 +55,7 @@
 
     /** Reads a file that says the process's name itself. */
     public static QuorumSettings read(Path file) {
-        return read(file, null, line -> { });
+        return read(file, null, line -> {});
     }
 
     /**
@@ -90,7 +98,9 @@
     private QuorumSettings settings(String given, Set<String> others) {
         for (String global : script.globals()) {
             Object value = script.global(global);
-            if (!KEYS.contains(global) && !others.contains(global) && !global.startsWith("_")
+            if (!KEYS.contains(global)
+                    && !others.contains(global)
+                    && !global.startsWith("_")
                     && !Values.type(value).equals("function")) {
                 throw faulty(new Faulty(global, "is no setting; names of one's own begin with _"));
             }
@@ -101,7 +111,11 @@
                 throw new Faulty("name", "is missing: this process needs a name of its own");
             }
             String store = text("store");
-            return new QuorumSettings(name, 0, voters(), store == null ? null : Path.of(store).resolve(name),
+            return new QuorumSettings(
+                    name,
+                    0,
+                    voters(),
+                    store == null ? null : Path.of(store).resolve(name),
                     number("view_age_ms", QuorumSettings.VIEW_AGE_MICROS / 1000) * 1000,
                     (int) number("request_ms", QuorumSettings.REQUEST_MILLIS),
                     (int) number("pull_ms", QuorumSettings.PULL_MILLIS),
@@ -117,12 +131,16 @@
     private List<Voter> voters() {
         Object value = script.global("voters");
         if (!(value instanceof Sequence sequence)) {
-            throw new Faulty("voters", value == null ? "is missing" : "must be a list, not " + Values.type(value));
+            throw new Faulty(
+                    "voters",
+                    value == null ? "is missing" : "must be a list, not " + Values.type(value));
         }
         List<Voter> voters = new ArrayList<>();
         for (int i = 0; i < sequence.size(); i++) {
             if (!(sequence.get(i) instanceof Made made)) {
-                throw new Faulty("voters", "must hold voter(name, host, port), not " + Values.type(sequence.get(i)));
+                throw new Faulty(
+                        "voters",
+                        "must hold voter(name, host, port), not " + Values.type(sequence.get(i)));
             }
             voters.add(made.voter);
         }
--- a/quorum/src/main/java/postgrade/quorum/store/Incarnations.java
+++ b/quorum/src/main/java/postgrade/quorum/store/Incarnations.java
@@ -5,14 +5,19 @@
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 
-/** Numbers a process's starts: each is higher than the one before, also where the wall clock was set back. */
+/**
+ * Numbers a process's starts: each is higher than the one before, also where the wall clock was set
+ * back.
+ */
 public final class Incarnations {
 
     private static final String FILE = "incarnation";
 
-    private Incarnations() { }
+    private Incarnations() {}
 
-    /** @param folder may be null: then the wall's time alone counts */
+    /**
+     * @param folder may be null: then the wall's time alone counts
+     */
     public static long next(Path folder, long wallMillis) {
         if (folder == null) {
             return wallMillis;
@@ -29,7 +34,11 @@
             Files.createDirectories(folder);
             Path whole = folder.resolve(FILE + ".new");
             Files.writeString(whole, next + "\n");
-            Files.move(whole, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.move(
+                    whole,
+                    file,
+                    StandardCopyOption.ATOMIC_MOVE,
+                    StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
             // A full or read-only disk keeps no process from serving.
         }
--- a/quorum/src/main/java/postgrade/quorum/store/VoterStore.java
+++ b/quorum/src/main/java/postgrade/quorum/store/VoterStore.java
@@ -29,10 +29,12 @@
 import postgrade.quorum.wire.proto.Term;
 
 /**
- * What a voter must not forget: its log, its term and its vote, on disk before anyone is told. One thread uses it.
+ * What a voter must not forget: its log, its term and its vote, on disk before anyone is told. One
+ * thread uses it.
  *
- * <p>Once a write has failed, nothing is written or promised any more: {@code failed} is told, and each later call
- * fails too. What stands on the disk then is known again only after the file was opened anew.
+ * <p>Once a write has failed, nothing is written or promised any more: {@code failed} is told, and
+ * each later call fails too. What stands on the disk then is known again only after the file was
+ * opened anew.
  */
 public final class VoterStore implements RaftStore {
 
@@ -45,7 +47,7 @@
     private final MVMap<String, byte[]> state;
     private final MVMap<Long, byte[]> log;
     private final MVMap<Long, byte[]> chunks;
-    private Consumer<String> failed = why -> { };
+    private Consumer<String> failed = why -> {};
     private String fault;
     private long slowestNanos;
 
@@ -61,7 +63,9 @@
         return Files.exists(folder.resolve(FILE));
     }
 
-    /** Opens what is there. The file is held alone: a second process that opens it is turned away. */
+    /**
+     * Opens what is there. The file is held alone: a second process that opens it is turned away.
+     */
     public static VoterStore open(Path folder) throws IOException {
         if (!exists(folder)) {
             throw new IOException("no store in " + folder);
@@ -70,7 +74,8 @@
         String format = store.facts.get("format");
         if (!String.valueOf(FORMAT).equals(format)) {
             store.mv.closeImmediately();
-            throw new IOException("the store has format " + format + ", this program knows " + FORMAT);
+            throw new IOException(
+                    "the store has format " + format + ", this program knows " + FORMAT);
         }
         return store;
     }
@@ -89,15 +94,20 @@
         store.facts.put("era", String.valueOf(facts.era()));
         store.facts.put("boot", "0");
         store.facts.put("initial", String.join(" ", facts.initial()));
-        store.write(() -> { });
+        store.write(() -> {});
         return store;
     }
 
     private static VoterStore file(Path folder) throws IOException {
         try {
-            // Commits come from here alone, each followed by a sync; nothing is written behind our back.
-            return new VoterStore(new MVStore.Builder().fileName(folder.resolve(FILE).toString())
-                    .autoCommitDisabled().cacheSize(1).open());
+            // Commits come from here alone, each followed by a sync; nothing is written behind our
+            // back.
+            return new VoterStore(
+                    new MVStore.Builder()
+                            .fileName(folder.resolve(FILE).toString())
+                            .autoCommitDisabled()
+                            .cacheSize(1)
+                            .open());
         } catch (MVStoreException | IllegalArgumentException e) {
             throw new IOException("the store cannot be opened: " + e.getMessage(), e);
         }
@@ -109,11 +119,14 @@
      * @param group names the era's one log; another log of the same era has another name
      * @param initial members with which the log began
      */
-    public record Facts(Endpoint self, String group, long era, List<String> initial) { }
+    public record Facts(Endpoint self, String group, long era, List<String> initial) {}
 
     public Facts facts() {
-        return new Facts(new Endpoint(facts.get("name"), facts.get("identity")), facts.get("group"),
-                Long.parseLong(facts.get("era")), List.of(facts.get("initial").split(" ")));
+        return new Facts(
+                new Endpoint(facts.get("name"), facts.get("identity")),
+                facts.get("group"),
+                Long.parseLong(facts.get("era")),
+                List.of(facts.get("initial").split(" ")));
     }
 
     /** How often it was opened to vote. */
@@ -137,7 +150,9 @@
     }
 
     public long lastIndex() {
-        return Math.max(log.isEmpty() ? 0 : log.lastKey(), chunks.isEmpty() ? 0 : chunks.lastKey() / CHUNKS);
+        return Math.max(
+                log.isEmpty() ? 0 : log.lastKey(),
+                chunks.isEmpty() ? 0 : chunks.lastKey() / CHUNKS);
     }
 
     public int term() throws IOException {
@@ -164,7 +179,10 @@
         }
         Self s = Self.parseFrom(self);
         DefaultRaftModelFactory model = new DefaultRaftModelFactory();
-        Term term = state.containsKey("term") ? Term.parseFrom(state.get("term")) : Term.getDefaultInstance();
+        Term term =
+                state.containsKey("term")
+                        ? Term.parseFrom(state.get("term"))
+                        : Term.getDefaultInstance();
         SnapshotEntry snapshot = snapshot(model);
         List<LogEntry> entries = new ArrayList<>();
         long next = snapshot == null ? 1 : snapshot.getIndex() + 1;
@@ -175,20 +193,32 @@
             }
             entries.add(LogShapes.entry(Entry.parseFrom(log.get(key))));
         }
-        return new RestoredRaftState(model.createRaftEndpointPersistentStateBuilder()
-                .setLocalEndpoint(Endpoint.of(s.getEndpoint())).setVoting(s.getVoting()).build(),
+        return new RestoredRaftState(
+                model.createRaftEndpointPersistentStateBuilder()
+                        .setLocalEndpoint(Endpoint.of(s.getEndpoint()))
+                        .setVoting(s.getVoting())
+                        .build(),
                 LogShapes.members(Members.parseFrom(initial)),
-                model.createRaftTermPersistentStateBuilder().setTerm(term.getTerm())
-                        .setVotedFor(term.getVotedFor().isEmpty() ? null : Endpoint.of(term.getVotedFor())).build(),
-                snapshot, entries);
+                model.createRaftTermPersistentStateBuilder()
+                        .setTerm(term.getTerm())
+                        .setVotedFor(
+                                term.getVotedFor().isEmpty()
+                                        ? null
+                                        : Endpoint.of(term.getVotedFor()))
+                        .build(),
+                snapshot,
+                entries);
     }
 
     /** The latest of which every chunk is there. */
-    private SnapshotEntry snapshot(DefaultRaftModelFactory model) throws InvalidProtocolBufferException {
-        for (Long key = chunks.lastKey(); key != null; key = chunks.lowerKey(key / CHUNKS * CHUNKS)) {
+    private SnapshotEntry snapshot(DefaultRaftModelFactory model)
+            throws InvalidProtocolBufferException {
+        for (Long key = chunks.lastKey();
+                key != null;
+                key = chunks.lowerKey(key / CHUNKS * CHUNKS)) {
             long index = key / CHUNKS;
             List<SnapshotChunk> all = new ArrayList<>();
-            for (Iterator<Long> keys = chunks.keyIterator(index * CHUNKS); keys.hasNext();) {
+            for (Iterator<Long> keys = chunks.keyIterator(index * CHUNKS); keys.hasNext(); ) {
                 long chunk = keys.next();
                 if (chunk / CHUNKS != index) {
                     break;
@@ -196,8 +226,12 @@
                 all.add(LogShapes.chunk(Chunk.parseFrom(chunks.get(chunk))));
             }
             if (all.size() == all.get(0).getSnapshotChunkCount()) {
-                return model.createSnapshotEntryBuilder().setIndex(index).setTerm(all.get(0).getTerm())
-                        .setSnapshotChunks(all).setGroupMembersView(all.get(0).getGroupMembersView()).build();
+                return model.createSnapshotEntryBuilder()
+                        .setIndex(index)
+                        .setTerm(all.get(0).getTerm())
+                        .setSnapshotChunks(all)
+                        .setGroupMembersView(all.get(0).getGroupMembersView())
+                        .build();
             }
         }
         return null;
@@ -205,20 +239,37 @@
 
     @Override
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState s) throws IOException {
-        write(() -> state.put("self", Self.newBuilder().setEndpoint(s.getLocalEndpoint().getId().toString())
-                .setVoting(s.isVoting()).build().toByteArray()));
+        write(
+                () ->
+                        state.put(
+                                "self",
+                                Self.newBuilder()
+                                        .setEndpoint(s.getLocalEndpoint().getId().toString())
+                                        .setVoting(s.isVoting())
+                                        .build()
+                                        .toByteArray()));
     }
 
     @Override
-    public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) throws IOException {
+    public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members)
+            throws IOException {
         write(() -> state.put("initial", LogShapes.members(members).toByteArray()));
     }
 
     @Override
     public void persistAndFlushTerm(RaftTermPersistentState t) throws IOException {
-        write(() -> state.put("term", Term.newBuilder().setTerm(t.getTerm())
-                .setVotedFor(t.getVotedFor() == null ? "" : t.getVotedFor().getId().toString())
-                .build().toByteArray()));
+        write(
+                () ->
+                        state.put(
+                                "term",
+                                Term.newBuilder()
+                                        .setTerm(t.getTerm())
+                                        .setVotedFor(
+                                                t.getVotedFor() == null
+                                                        ? ""
+                                                        : t.getVotedFor().getId().toString())
+                                        .build()
+                                        .toByteArray()));
     }
 
     @Override
@@ -228,7 +279,11 @@
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk c) throws IOException {
-        change(() -> chunks.put(c.getIndex() * CHUNKS + c.getSnapshotChunkIndex(), LogShapes.chunk(c).toByteArray()));
+        change(
+                () ->
+                        chunks.put(
+                                c.getIndex() * CHUNKS + c.getSnapshotChunkIndex(),
+                                LogShapes.chunk(c).toByteArray()));
     }
 
     @Override
@@ -238,10 +293,11 @@
 
     @Override
     public void truncateLogEntriesUntil(long index) throws IOException {
-        change(() -> {
-            remove(log, 0, index);
-            remove(chunks, 0, index * CHUNKS - 1);
-        });
+        change(
+                () -> {
+                    remove(log, 0, index);
+                    remove(chunks, 0, index * CHUNKS - 1);
+                });
     }
 
     @Override
@@ -250,24 +306,27 @@
     }
 
     private static void remove(MVMap<Long, byte[]> map, long from, long until) {
-        for (Long key = map.ceilingKey(from); key != null && key <= until; key = map.higherKey(key)) {
+        for (Long key = map.ceilingKey(from);
+                key != null && key <= until;
+                key = map.higherKey(key)) {
             map.remove(key);
         }
     }
 
     @Override
     public void flush() throws IOException {
-        write(() -> { });
+        write(() -> {});
     }
 
     private void write(Runnable what) throws IOException {
-        change(() -> {
-            long from = System.nanoTime();
-            what.run();
-            mv.commit();
-            mv.sync();
-            slowestNanos = Math.max(slowestNanos, System.nanoTime() - from);
-        });
+        change(
+                () -> {
+                    long from = System.nanoTime();
+                    what.run();
+                    mv.commit();
+                    mv.sync();
+                    slowestNanos = Math.max(slowestNanos, System.nanoTime() - from);
+                });
     }
 
     /** The longest that a write has taken since that was last forgotten. */
--- a/quorum/src/main/java/postgrade/quorum/wire/Endpoint.java
+++ b/quorum/src/main/java/postgrade/quorum/wire/Endpoint.java
@@ -3,8 +3,9 @@
 import io.microraft.RaftEndpoint;
 
 /**
- * A voter as its peers count it: its name from the settings and the identity of its store. A store that was wiped comes
- * back with another identity, so a vote given by the one cannot be taken for a vote of the other.
+ * A voter as its peers count it: its name from the settings and the identity of its store. A store
+ * that was wiped comes back with another identity, so a vote given by the one cannot be taken for a
+ * vote of the other.
  */
 public record Endpoint(String name, String identity) implements RaftEndpoint {
 
--- a/quorum/src/main/java/postgrade/quorum/wire/LogShapes.java
+++ b/quorum/src/main/java/postgrade/quorum/wire/LogShapes.java
@@ -22,16 +22,17 @@
 public final class LogShapes {
 
     /** The first entry of a leader's term: commits what stood before it, and changes nothing. */
-    public static final Object NEW_TERM = new Object() {
-        @Override
-        public String toString() {
-            return "new term";
-        }
-    };
+    public static final Object NEW_TERM =
+            new Object() {
+                @Override
+                public String toString() {
+                    return "new term";
+                }
+            };
 
     static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
 
-    private LogShapes() { }
+    private LogShapes() {}
 
     public static Entry entry(LogEntry e) {
         Entry.Builder b = Entry.newBuilder().setIndex(e.getIndex()).setTerm(e.getTerm());
@@ -39,9 +40,12 @@
         if (operation instanceof Command c) {
             b.setCommand(Shapes.command(c));
         } else if (operation instanceof UpdateRaftGroupMembersOp op) {
-            b.setChange(MemberChange.newBuilder().addAllMembers(ids(op.getMembers()))
-                    .addAllVoting(ids(op.getVotingMembers())).setEndpoint(op.getEndpoint().getId().toString())
-                    .setMode(op.getMode().ordinal()));
+            b.setChange(
+                    MemberChange.newBuilder()
+                            .addAllMembers(ids(op.getMembers()))
+                            .addAllVoting(ids(op.getVotingMembers()))
+                            .setEndpoint(op.getEndpoint().getId().toString())
+                            .setMode(op.getMode().ordinal()));
         } else if (operation == NEW_TERM) {
             b.setNewTerm(true);
         } else {
@@ -51,40 +55,63 @@
     }
 
     public static LogEntry entry(Entry m) {
-        Object operation = switch (m.getOperationCase()) {
-            case COMMAND -> Shapes.command(m.getCommand());
-            case CHANGE -> MODEL.createUpdateRaftGroupMembersOpBuilder()
-                    .setMembers(endpoints(m.getChange().getMembersList()))
-                    .setVotingMembers(endpoints(m.getChange().getVotingList()))
-                    .setEndpoint(Endpoint.of(m.getChange().getEndpoint()))
-                    .setMode(MembershipChangeMode.values()[m.getChange().getMode()]).build();
-            case NEW_TERM -> NEW_TERM;
-            case OPERATION_NOT_SET -> throw new IllegalArgumentException("an entry without an operation");
-        };
-        return MODEL.createLogEntryBuilder().setIndex(m.getIndex()).setTerm(m.getTerm()).setOperation(operation)
+        Object operation =
+                switch (m.getOperationCase()) {
+                    case COMMAND -> Shapes.command(m.getCommand());
+                    case CHANGE ->
+                            MODEL.createUpdateRaftGroupMembersOpBuilder()
+                                    .setMembers(endpoints(m.getChange().getMembersList()))
+                                    .setVotingMembers(endpoints(m.getChange().getVotingList()))
+                                    .setEndpoint(Endpoint.of(m.getChange().getEndpoint()))
+                                    .setMode(MembershipChangeMode.values()[m.getChange().getMode()])
+                                    .build();
+                    case NEW_TERM -> NEW_TERM;
+                    case OPERATION_NOT_SET ->
+                            throw new IllegalArgumentException("an entry without an operation");
+                };
+        return MODEL.createLogEntryBuilder()
+                .setIndex(m.getIndex())
+                .setTerm(m.getTerm())
+                .setOperation(operation)
                 .build();
     }
 
     public static Members members(RaftGroupMembersView v) {
-        return Members.newBuilder().setIndex(v.getLogIndex()).addAllMembers(ids(v.getMembers()))
-                .addAllVoting(ids(v.getVotingMembers())).build();
+        return Members.newBuilder()
+                .setIndex(v.getLogIndex())
+                .addAllMembers(ids(v.getMembers()))
+                .addAllVoting(ids(v.getVotingMembers()))
+                .build();
     }
 
     public static RaftGroupMembersView members(Members m) {
-        return MODEL.createRaftGroupMembersViewBuilder().setLogIndex(m.getIndex())
-                .setMembers(endpoints(m.getMembersList())).setVotingMembers(endpoints(m.getVotingList())).build();
+        return MODEL.createRaftGroupMembersViewBuilder()
+                .setLogIndex(m.getIndex())
+                .setMembers(endpoints(m.getMembersList()))
+                .setVotingMembers(endpoints(m.getVotingList()))
+                .build();
     }
 
     public static Chunk chunk(SnapshotChunk c) {
-        return Chunk.newBuilder().setIndex(c.getIndex()).setTerm(c.getTerm()).setNumber(c.getSnapshotChunkIndex())
-                .setCount(c.getSnapshotChunkCount()).setMembers(members(c.getGroupMembersView()))
-                .setRows(Shapes.snapshot((Machine.Snapshot) c.getOperation())).build();
+        return Chunk.newBuilder()
+                .setIndex(c.getIndex())
+                .setTerm(c.getTerm())
+                .setNumber(c.getSnapshotChunkIndex())
+                .setCount(c.getSnapshotChunkCount())
+                .setMembers(members(c.getGroupMembersView()))
+                .setRows(Shapes.snapshot((Machine.Snapshot) c.getOperation()))
+                .build();
     }
 
     public static SnapshotChunk chunk(Chunk m) {
-        return MODEL.createSnapshotChunkBuilder().setIndex(m.getIndex()).setTerm(m.getTerm())
-                .setSnapshotChunkIndex(m.getNumber()).setSnapshotChunkCount(m.getCount())
-                .setGroupMembersView(members(m.getMembers())).setOperation(Shapes.snapshot(m.getRows())).build();
+        return MODEL.createSnapshotChunkBuilder()
+                .setIndex(m.getIndex())
+                .setTerm(m.getTerm())
+                .setSnapshotChunkIndex(m.getNumber())
+                .setSnapshotChunkCount(m.getCount())
+                .setGroupMembersView(members(m.getMembers()))
+                .setOperation(Shapes.snapshot(m.getRows()))
+                .build();
     }
 
     public static List<String> ids(Collection<RaftEndpoint> endpoints) {
--- a/quorum/src/main/java/postgrade/quorum/wire/Methods.java
+++ b/quorum/src/main/java/postgrade/quorum/wire/Methods.java
@@ -25,28 +25,33 @@
 public final class Methods {
 
     static final String SERVICE = "postgrade.Quorum";
+
     /** Guards the receiver: a snapshot is the largest message. */
     static final int MOST_BYTES = 64 << 20;
 
     /** A stream of consensus messages, one way; answers come on the other's stream. */
-    static final MethodDescriptor<RaftMsg, None> RAFT = method("Raft", MethodType.CLIENT_STREAMING,
-            RaftMsg.parser(), None.parser());
-    public static final MethodDescriptor<PullRequest, PullReply> PULL = method("Pull", MethodType.UNARY,
-            PullRequest.parser(), PullReply.parser());
-    public static final MethodDescriptor<ReadRequest, ReadReply> READ = method("Read", MethodType.UNARY,
-            ReadRequest.parser(), ReadReply.parser());
-    public static final MethodDescriptor<AskRequest, AskReply> ASK = method("Ask", MethodType.UNARY,
-            AskRequest.parser(), AskReply.parser());
-    public static final MethodDescriptor<HelloRequest, HelloReply> HELLO = method("Hello", MethodType.UNARY,
-            HelloRequest.parser(), HelloReply.parser());
+    static final MethodDescriptor<RaftMsg, None> RAFT =
+            method("Raft", MethodType.CLIENT_STREAMING, RaftMsg.parser(), None.parser());
+
+    public static final MethodDescriptor<PullRequest, PullReply> PULL =
+            method("Pull", MethodType.UNARY, PullRequest.parser(), PullReply.parser());
+    public static final MethodDescriptor<ReadRequest, ReadReply> READ =
+            method("Read", MethodType.UNARY, ReadRequest.parser(), ReadReply.parser());
+    public static final MethodDescriptor<AskRequest, AskReply> ASK =
+            method("Ask", MethodType.UNARY, AskRequest.parser(), AskReply.parser());
+    public static final MethodDescriptor<HelloRequest, HelloReply> HELLO =
+            method("Hello", MethodType.UNARY, HelloRequest.parser(), HelloReply.parser());
 
-    private Methods() { }
+    private Methods() {}
 
-    private static <A extends MessageLite, B extends MessageLite> MethodDescriptor<A, B> method(String name,
-            MethodType type, Parser<A> in, Parser<B> out) {
-        return MethodDescriptor.<A, B>newBuilder().setType(type)
+    private static <A extends MessageLite, B extends MessageLite> MethodDescriptor<A, B> method(
+            String name, MethodType type, Parser<A> in, Parser<B> out) {
+        return MethodDescriptor.<A, B>newBuilder()
+                .setType(type)
                 .setFullMethodName(MethodDescriptor.generateFullMethodName(SERVICE, name))
-                .setRequestMarshaller(marshaller(in)).setResponseMarshaller(marshaller(out)).build();
+                .setRequestMarshaller(marshaller(in))
+                .setResponseMarshaller(marshaller(out))
+                .build();
     }
 
     private static <T extends MessageLite> Marshaller<T> marshaller(Parser<T> parser) {
@@ -59,9 +64,13 @@
             @Override
             public T parse(InputStream in) {
                 try {
-                    return parser.parseFrom(in.readAllBytes(), ExtensionRegistryLite.getEmptyRegistry());
+                    return parser.parseFrom(
+                            in.readAllBytes(), ExtensionRegistryLite.getEmptyRegistry());
                 } catch (InvalidProtocolBufferException e) {
-                    throw Status.INVALID_ARGUMENT.withDescription("not a message").withCause(e).asRuntimeException();
+                    throw Status.INVALID_ARGUMENT
+                            .withDescription("not a message")
+                            .withCause(e)
+                            .asRuntimeException();
                 } catch (IOException e) {
                     throw Status.INTERNAL.withCause(e).asRuntimeException();
                 }
--- a/quorum/src/main/java/postgrade/quorum/wire/RaftShapes.java
+++ b/quorum/src/main/java/postgrade/quorum/wire/RaftShapes.java
@@ -14,7 +14,6 @@
 import io.microraft.model.message.TriggerLeaderElectionRequest;
 import io.microraft.model.message.VoteRequest;
 import io.microraft.model.message.VoteResponse;
-import java.util.List;
 import postgrade.quorum.wire.proto.RaftMsg;
 
 /** Messages of the consensus engine as they go over the wire. */
@@ -31,7 +30,7 @@
     private static final int VOTED = 9;
     private static final int ELECT = 10;
 
-    private RaftShapes() { }
+    private RaftShapes() {}
 
     /** Whether it answers what a leader sent. */
     public static boolean answersLeader(RaftMsg m) {
@@ -39,37 +38,58 @@
     }
 
     public static RaftMsg write(RaftMessage m, String to) {
-        RaftMsg.Builder b = RaftMsg.newBuilder().setGroup(m.getGroupId().toString()).setTo(to)
-                .setSender(m.getSender().getId().toString()).setTerm(m.getTerm());
+        RaftMsg.Builder b =
+                RaftMsg.newBuilder()
+                        .setGroup(m.getGroupId().toString())
+                        .setTo(to)
+                        .setSender(m.getSender().getId().toString())
+                        .setTerm(m.getTerm());
         if (m instanceof AppendEntriesRequest r) {
-            b.setKind(APPEND).setLogTerm(r.getPreviousLogTerm()).setLogIndex(r.getPreviousLogIndex())
-                    .setCommit(r.getCommitIndex()).setQuery(r.getQuerySequenceNumber())
+            b.setKind(APPEND)
+                    .setLogTerm(r.getPreviousLogTerm())
+                    .setLogIndex(r.getPreviousLogIndex())
+                    .setCommit(r.getCommitIndex())
+                    .setQuery(r.getQuerySequenceNumber())
                     .setFlow(r.getFlowControlSequenceNumber());
             r.getLogEntries().forEach(e -> b.addEntries(LogShapes.entry(e)));
         } else if (m instanceof AppendEntriesSuccessResponse r) {
-            b.setKind(APPENDED).setLogIndex(r.getLastLogIndex()).setQuery(r.getQuerySequenceNumber())
+            b.setKind(APPENDED)
+                    .setLogIndex(r.getLastLogIndex())
+                    .setQuery(r.getQuerySequenceNumber())
                     .setFlow(r.getFlowControlSequenceNumber());
         } else if (m instanceof AppendEntriesFailureResponse r) {
-            b.setKind(NOT_APPENDED).setLogIndex(r.getExpectedNextIndex()).setQuery(r.getQuerySequenceNumber())
+            b.setKind(NOT_APPENDED)
+                    .setLogIndex(r.getExpectedNextIndex())
+                    .setQuery(r.getQuerySequenceNumber())
                     .setFlow(r.getFlowControlSequenceNumber());
         } else if (m instanceof InstallSnapshotRequest r) {
-            b.setKind(INSTALL).setFlag(r.isSenderLeader()).setLogTerm(r.getSnapshotTerm())
-                    .setLogIndex(r.getSnapshotIndex()).setChunkCount(r.getTotalSnapshotChunkCount())
+            b.setKind(INSTALL)
+                    .setFlag(r.isSenderLeader())
+                    .setLogTerm(r.getSnapshotTerm())
+                    .setLogIndex(r.getSnapshotIndex())
+                    .setChunkCount(r.getTotalSnapshotChunkCount())
                     .addAllHolders(LogShapes.ids(r.getSnapshottedMembers()))
                     .setMembers(LogShapes.members(r.getGroupMembersView()))
-                    .setQuery(r.getQuerySequenceNumber()).setFlow(r.getFlowControlSequenceNumber());
+                    .setQuery(r.getQuerySequenceNumber())
+                    .setFlow(r.getFlowControlSequenceNumber());
             if (r.getSnapshotChunk() != null) {
                 b.setChunk(LogShapes.chunk(r.getSnapshotChunk()));
             }
         } else if (m instanceof InstallSnapshotResponse r) {
-            b.setKind(INSTALLED).setLogIndex(r.getSnapshotIndex()).setChunkNumber(r.getRequestedSnapshotChunkIndex())
-                    .setQuery(r.getQuerySequenceNumber()).setFlow(r.getFlowControlSequenceNumber());
+            b.setKind(INSTALLED)
+                    .setLogIndex(r.getSnapshotIndex())
+                    .setChunkNumber(r.getRequestedSnapshotChunkIndex())
+                    .setQuery(r.getQuerySequenceNumber())
+                    .setFlow(r.getFlowControlSequenceNumber());
         } else if (m instanceof PreVoteRequest r) {
             b.setKind(PRE_VOTE).setLogTerm(r.getLastLogTerm()).setLogIndex(r.getLastLogIndex());
         } else if (m instanceof PreVoteResponse r) {
             b.setKind(PRE_VOTED).setFlag(r.isGranted());
         } else if (m instanceof VoteRequest r) {
-            b.setKind(VOTE).setLogTerm(r.getLastLogTerm()).setLogIndex(r.getLastLogIndex()).setFlag(r.isSticky());
+            b.setKind(VOTE)
+                    .setLogTerm(r.getLastLogTerm())
+                    .setLogIndex(r.getLastLogIndex())
+                    .setFlag(r.isSticky());
         } else if (m instanceof VoteResponse r) {
             b.setKind(VOTED).setFlag(r.isGranted());
         } else if (m instanceof TriggerLeaderElectionRequest r) {
@@ -85,44 +105,109 @@
         RaftEndpoint sender = Endpoint.of(m.getSender());
         int term = m.getTerm();
         return switch (m.getKind()) {
-            case APPEND -> MODEL.createAppendEntriesRequestBuilder().setGroupId(group).setSender(sender).setTerm(term)
-                    .setPreviousLogTerm(m.getLogTerm()).setPreviousLogIndex(m.getLogIndex())
-                    .setCommitIndex(m.getCommit())
-                    .setLogEntries(m.getEntriesList().stream().map(LogShapes::entry).toList())
-                    .setQuerySequenceNumber(m.getQuery()).setFlowControlSequenceNumber(m.getFlow()).build();
-            case APPENDED -> MODEL.createAppendEntriesSuccessResponseBuilder().setGroupId(group).setSender(sender)
-                    .setTerm(term).setLastLogIndex(m.getLogIndex()).setQuerySequenceNumber(m.getQuery())
-                    .setFlowControlSequenceNumber(m.getFlow()).build();
-            case NOT_APPENDED -> MODEL.createAppendEntriesFailureResponseBuilder().setGroupId(group).setSender(sender)
-                    .setTerm(term).setExpectedNextIndex(m.getLogIndex()).setQuerySequenceNumber(m.getQuery())
-                    .setFlowControlSequenceNumber(m.getFlow()).build();
-            case INSTALL -> MODEL.createInstallSnapshotRequestBuilder().setGroupId(group).setSender(sender)
-                    .setTerm(term).setSenderLeader(m.getFlag()).setSnapshotTerm(m.getLogTerm())
-                    .setSnapshotIndex(m.getLogIndex()).setTotalSnapshotChunkCount(m.getChunkCount())
-                    .setSnapshotChunk(m.hasChunk() ? LogShapes.chunk(m.getChunk()) : null)
-                    .setSnapshottedMembers(LogShapes.endpoints(m.getHoldersList()))
-                    .setGroupMembersView(LogShapes.members(m.getMembers()))
-                    .setQuerySequenceNumber(m.getQuery()).setFlowControlSequenceNumber(m.getFlow()).build();
-            case INSTALLED -> MODEL.createInstallSnapshotResponseBuilder().setGroupId(group).setSender(sender)
-                    .setTerm(term).setSnapshotIndex(m.getLogIndex()).setRequestedSnapshotChunkIndex(m.getChunkNumber())
-                    .setQuerySequenceNumber(m.getQuery()).setFlowControlSequenceNumber(m.getFlow()).build();
+            case APPEND ->
+                    MODEL.createAppendEntriesRequestBuilder()
+                            .setGroupId(group)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setPreviousLogTerm(m.getLogTerm())
+                            .setPreviousLogIndex(m.getLogIndex())
+                            .setCommitIndex(m.getCommit())
+                            .setLogEntries(
+                                    m.getEntriesList().stream().map(LogShapes::entry).toList())
+                            .setQuerySequenceNumber(m.getQuery())
+                            .setFlowControlSequenceNumber(m.getFlow())
+                            .build();
+            case APPENDED ->
+                    MODEL.createAppendEntriesSuccessResponseBuilder()
+                            .setGroupId(group)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setLastLogIndex(m.getLogIndex())
+                            .setQuerySequenceNumber(m.getQuery())
+                            .setFlowControlSequenceNumber(m.getFlow())
+                            .build();
+            case NOT_APPENDED ->
+                    MODEL.createAppendEntriesFailureResponseBuilder()
+                            .setGroupId(group)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setExpectedNextIndex(m.getLogIndex())
+                            .setQuerySequenceNumber(m.getQuery())
+                            .setFlowControlSequenceNumber(m.getFlow())
+                            .build();
+            case INSTALL ->
+                    MODEL.createInstallSnapshotRequestBuilder()
+                            .setGroupId(group)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setSenderLeader(m.getFlag())
+                            .setSnapshotTerm(m.getLogTerm())
+                            .setSnapshotIndex(m.getLogIndex())
+                            .setTotalSnapshotChunkCount(m.getChunkCount())
+                            .setSnapshotChunk(m.hasChunk() ? LogShapes.chunk(m.getChunk()) : null)
+                            .setSnapshottedMembers(LogShapes.endpoints(m.getHoldersList()))
+                            .setGroupMembersView(LogShapes.members(m.getMembers()))
+                            .setQuerySequenceNumber(m.getQuery())
+                            .setFlowControlSequenceNumber(m.getFlow())
+                            .build();
+            case INSTALLED ->
+                    MODEL.createInstallSnapshotResponseBuilder()
+                            .setGroupId(group)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setSnapshotIndex(m.getLogIndex())
+                            .setRequestedSnapshotChunkIndex(m.getChunkNumber())
+                            .setQuerySequenceNumber(m.getQuery())
+                            .setFlowControlSequenceNumber(m.getFlow())
+                            .build();
             default -> election(m, group, sender, term);
         };
     }
 
     private static RaftMessage election(RaftMsg m, String group, RaftEndpoint sender, int term) {
         return switch (m.getKind()) {
-            case PRE_VOTE -> MODEL.createPreVoteRequestBuilder().setGroupId(group).setSender(sender).setTerm(term)
-                    .setLastLogTerm(m.getLogTerm()).setLastLogIndex(m.getLogIndex()).build();
-            case PRE_VOTED -> MODEL.createPreVoteResponseBuilder().setGroupId(group).setSender(sender).setTerm(term)
-                    .setGranted(m.getFlag()).build();
-            case VOTE -> MODEL.createVoteRequestBuilder().setGroupId(group).setSender(sender).setTerm(term)
-                    .setLastLogTerm(m.getLogTerm()).setLastLogIndex(m.getLogIndex()).setSticky(m.getFlag()).build();
-            case VOTED -> MODEL.createVoteResponseBuilder().setGroupId(group).setSender(sender).setTerm(term)
-                    .setGranted(m.getFlag()).build();
-            case ELECT -> MODEL.createTriggerLeaderElectionRequestBuilder().setGroupId(group).setSender(sender)
-                    .setTerm(term).setLastLogTerm(m.getLogTerm()).setLastLogIndex(m.getLogIndex()).build();
-            default -> throw new IllegalArgumentException("no such kind of message: " + m.getKind());
+            case PRE_VOTE ->
+                    MODEL.createPreVoteRequestBuilder()
+                            .setGroupId(group)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setLastLogTerm(m.getLogTerm())
+                            .setLastLogIndex(m.getLogIndex())
+                            .build();
+            case PRE_VOTED ->
+                    MODEL.createPreVoteResponseBuilder()
+                            .setGroupId(group)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setGranted(m.getFlag())
+                            .build();
+            case VOTE ->
+                    MODEL.createVoteRequestBuilder()
+                            .setGroupId(group)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setLastLogTerm(m.getLogTerm())
+                            .setLastLogIndex(m.getLogIndex())
+                            .setSticky(m.getFlag())
+                            .build();
+            case VOTED ->
+                    MODEL.createVoteResponseBuilder()
+                            .setGroupId(group)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setGranted(m.getFlag())
+                            .build();
+            case ELECT ->
+                    MODEL.createTriggerLeaderElectionRequestBuilder()
+                            .setGroupId(group)
+                            .setSender(sender)
+                            .setTerm(term)
+                            .setLastLogTerm(m.getLogTerm())
+                            .setLastLogIndex(m.getLogIndex())
+                            .build();
+            default ->
+                    throw new IllegalArgumentException("no such kind of message: " + m.getKind());
         };
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/wire/Server.java
+++ b/quorum/src/main/java/postgrade/quorum/wire/Server.java
@@ -25,7 +25,9 @@
 /** Where a voter listens. Calls come on the transport's thread and must be handed on at once. */
 public final class Server {
 
-    /** What a voter does with what it is asked; each {@code answer} is called once, on any thread. */
+    /**
+     * What a voter does with what it is asked; each {@code answer} is called once, on any thread.
+     */
     public interface Desk {
         void raft(RaftMsg message);
 
@@ -45,31 +47,46 @@
     private final io.grpc.Server server;
 
     public Server(Voter at, EventLoopGroup events, Desk desk) throws IOException {
-        ServerServiceDefinition service = ServerServiceDefinition.builder(Methods.SERVICE)
-                .addMethod(Methods.RAFT, ServerCalls.asyncClientStreamingCall(answer -> new RaftStream(desk, answer)))
-                .addMethod(Methods.PULL, unary(desk::pull))
-                .addMethod(Methods.READ, unary(desk::read))
-                .addMethod(Methods.ASK, unary(desk::ask))
-                .addMethod(Methods.HELLO, unary(desk::hello)).build();
-        server = NettyServerBuilder.forAddress(new InetSocketAddress(at.host(), at.port()))
-                .bossEventLoopGroup(events).workerEventLoopGroup(events).channelType(NioServerSocketChannel.class)
-                .directExecutor().maxInboundMessageSize(Methods.MOST_BYTES).addService(service).build();
+        ServerServiceDefinition service =
+                ServerServiceDefinition.builder(Methods.SERVICE)
+                        .addMethod(
+                                Methods.RAFT,
+                                ServerCalls.asyncClientStreamingCall(
+                                        answer -> new RaftStream(desk, answer)))
+                        .addMethod(Methods.PULL, unary(desk::pull))
+                        .addMethod(Methods.READ, unary(desk::read))
+                        .addMethod(Methods.ASK, unary(desk::ask))
+                        .addMethod(Methods.HELLO, unary(desk::hello))
+                        .build();
+        server =
+                NettyServerBuilder.forAddress(new InetSocketAddress(at.host(), at.port()))
+                        .bossEventLoopGroup(events)
+                        .workerEventLoopGroup(events)
+                        .channelType(NioServerSocketChannel.class)
+                        .directExecutor()
+                        .maxInboundMessageSize(Methods.MOST_BYTES)
+                        .addService(service)
+                        .build();
         server.start();
     }
 
     private static <A, B> io.grpc.ServerCallHandler<A, B> unary(Unary<A, B> does) {
-        return ServerCalls.asyncUnaryCall((A request, StreamObserver<B> to) -> {
-            ServerCallStreamObserver<B> answer = (ServerCallStreamObserver<B>) to;
-            answer.setOnCancelHandler(() -> { }); // Whoever gave up waiting is no error here.
-            does.call(request, reply -> {
-                synchronized (answer) {
-                    if (!answer.isCancelled()) {
-                        answer.onNext(reply);
-                        answer.onCompleted();
-                    }
-                }
-            });
-        });
+        return ServerCalls.asyncUnaryCall(
+                (A request, StreamObserver<B> to) -> {
+                    ServerCallStreamObserver<B> answer = (ServerCallStreamObserver<B>) to;
+                    answer.setOnCancelHandler(
+                            () -> {}); // Whoever gave up waiting is no error here.
+                    does.call(
+                            request,
+                            reply -> {
+                                synchronized (answer) {
+                                    if (!answer.isCancelled()) {
+                                        answer.onNext(reply);
+                                        answer.onCompleted();
+                                    }
+                                }
+                            });
+                });
     }
 
     private static final class RaftStream implements StreamObserver<RaftMsg> {
@@ -79,7 +96,7 @@
         RaftStream(Desk desk, StreamObserver<None> answer) {
             this.desk = desk;
             this.answer = answer;
-            ((ServerCallStreamObserver<None>) answer).setOnCancelHandler(() -> { });
+            ((ServerCallStreamObserver<None>) answer).setOnCancelHandler(() -> {});
         }
 
         @Override
@@ -99,7 +116,6 @@
         }
     }
 
-
     public void close() {
         server.shutdownNow();
     }
--- a/quorum/src/main/java/postgrade/quorum/wire/Shapes.java
+++ b/quorum/src/main/java/postgrade/quorum/wire/Shapes.java
@@ -19,7 +19,7 @@
 /** What the shared state is made of, as it goes over the wire and into the store. */
 public final class Shapes {
 
-    private Shapes() { }
+    private Shapes() {}
 
     public static RowMsg row(Row row) {
         return RowMsg.newBuilder().putAllValues(row.values()).build();
@@ -30,17 +30,31 @@
     }
 
     public static CommandMsg command(Command c) {
-        return CommandMsg.newBuilder().setRequestId(c.requestId()).setFrom(c.from()).setIncarnation(c.incarnation())
-                .setPart(c.part()).setVerb(c.verb()).setArgs(row(c.args())).build();
+        return CommandMsg.newBuilder()
+                .setRequestId(c.requestId())
+                .setFrom(c.from())
+                .setIncarnation(c.incarnation())
+                .setPart(c.part())
+                .setVerb(c.verb())
+                .setArgs(row(c.args()))
+                .build();
     }
 
     public static Command command(CommandMsg m) {
-        return new Command(m.getRequestId(), m.getFrom(), m.getIncarnation(), m.getPart(), m.getVerb(),
+        return new Command(
+                m.getRequestId(),
+                m.getFrom(),
+                m.getIncarnation(),
+                m.getPart(),
+                m.getVerb(),
                 row(m.getArgs()));
     }
 
     public static AnswerMsg answer(Answer a) {
-        return AnswerMsg.newBuilder().setStatus(a.status().ordinal()).setText(a.text()).setFields(row(a.fields()))
+        return AnswerMsg.newBuilder()
+                .setStatus(a.status().ordinal())
+                .setText(a.text())
+                .setFields(row(a.fields()))
                 .build();
     }
 
@@ -49,7 +63,11 @@
     }
 
     public static MomentMsg moment(Moment at) {
-        return MomentMsg.newBuilder().setEra(at.era()).setIndex(at.index()).setMicros(at.micros()).build();
+        return MomentMsg.newBuilder()
+                .setEra(at.era())
+                .setIndex(at.index())
+                .setMicros(at.micros())
+                .build();
     }
 
     public static Moment moment(MomentMsg m) {
@@ -63,20 +81,29 @@
     }
 
     public static ChangeMsg change(Change c) {
-        ChangeMsg.Builder b = ChangeMsg.newBuilder().setIndex(c.index()).setPart(c.part()).setKey(c.key());
+        ChangeMsg.Builder b =
+                ChangeMsg.newBuilder().setIndex(c.index()).setPart(c.part()).setKey(c.key());
         return c.row() == null ? b.setRemoved(true).build() : b.setRow(row(c.row())).build();
     }
 
     public static List<Change> told(List<ChangeMsg> changes) {
         List<Change> read = new ArrayList<>(changes.size());
         for (ChangeMsg m : changes) {
-            read.add(new Change(m.getIndex(), m.getPart(), m.getKey(), m.getRemoved() ? null : row(m.getRow())));
+            read.add(
+                    new Change(
+                            m.getIndex(),
+                            m.getPart(),
+                            m.getKey(),
+                            m.getRemoved() ? null : row(m.getRow())));
         }
         return read;
     }
 
     public static SnapshotMsg snapshot(Machine.Snapshot s) {
-        return SnapshotMsg.newBuilder().setMoment(moment(s.moment())).addAllRows(changes(s.rows())).build();
+        return SnapshotMsg.newBuilder()
+                .setMoment(moment(s.moment()))
+                .addAllRows(changes(s.rows()))
+                .build();
     }
 
     public static Machine.Snapshot snapshot(SnapshotMsg m) {
--- a/quorum/src/test/java/postgrade/quorum/ClosingTest.java
+++ b/quorum/src/test/java/postgrade/quorum/ClosingTest.java
@@ -71,16 +71,26 @@
         assertNull(Quorum.beginEra(settings, 1));
         EventLoopGroup events = new NioEventLoopGroup(1);
         Links links = new Links(settings, events);
-        Voter voter = new Voter(settings, List.of(new Cluster.Sums()), this::micros, links, new Faults("a"));
+        Voter voter =
+                new Voter(
+                        settings,
+                        List.of(new Cluster.Sums()),
+                        this::micros,
+                        links,
+                        new Faults("a"));
         try {
             voter.start();
             cluster.await("it leads", () -> "a".equals(voter.leader()));
             hold();
-            // The first begins a round of reads, the second waits for the next one; the end comes right behind them.
-            voter.desk().pull(PullRequest.newBuilder().setName("x").build(), reply -> { });
-            voter.desk().pull(PullRequest.newBuilder().setName("y").build(), reply -> {
-                throw new RejectedExecutionException("its connection has ended");
-            });
+            // The first begins a round of reads, the second waits for the next one; the end comes
+            // right behind them.
+            voter.desk().pull(PullRequest.newBuilder().setName("x").build(), reply -> {});
+            voter.desk()
+                    .pull(
+                            PullRequest.newBuilder().setName("y").build(),
+                            reply -> {
+                                throw new RejectedExecutionException("its connection has ended");
+                            });
             CountDownLatch ended = new CountDownLatch(1);
             voter.close(ended::countDown);
             goesOn.countDown();
--- a/quorum/src/test/java/postgrade/quorum/Cluster.java
+++ b/quorum/src/test/java/postgrade/quorum/Cluster.java
@@ -33,6 +33,7 @@
 
     /** For what must come: it bounds what hangs, and judges nobody's pace. */
     static final long LONG_MICROS = 100_000_000;
+
     private static final long DEADLINE_MILLIS = 120_000;
 
     /** Counts what it was told to add, by key. */
@@ -70,8 +71,8 @@
     }
 
     /**
-     * A port that stays ours while its voter is away: a socket is bound to it and never listens, so the system gives it to
-     * nobody else, and lets the voter listen beside it.
+     * A port that stays ours while its voter is away: a socket is bound to it and never listens, so
+     * the system gives it to nobody else, and lets the voter listen beside it.
      */
     private int hold() throws IOException {
         Socket holder = new Socket();
@@ -82,7 +83,8 @@
     }
 
     QuorumSettings settings(String name) {
-        return new QuorumSettings(name, 0, voters, folder.resolve(name), 2_000_000, 500, 50, 50, 800);
+        return new QuorumSettings(
+                name, 0, voters, folder.resolve(name), 2_000_000, 500, 50, 50, 800);
     }
 
     /** Three voters of a first era, all of which count. */
@@ -99,7 +101,13 @@
 
     void start(String... names) throws IOException {
         for (String name : names) {
-            open.put(name, Quorum.open(settings(name), List.of(new Sums()), () -> System.nanoTime() / 1000, loop));
+            open.put(
+                    name,
+                    Quorum.open(
+                            settings(name),
+                            List.of(new Sums()),
+                            () -> System.nanoTime() / 1000,
+                            loop));
         }
     }
 
@@ -128,8 +136,12 @@
     /** Until all of them vote, and see that all three do. */
     void awaitAll(String... names) {
         for (String name : names) {
-            await(name + " votes", () -> open.get(name).standing().role() == Quorum.Role.VOTER
-                    && open.get(name).standing().voters() == 3 && open.get(name).standing().leader() != null);
+            await(
+                    name + " votes",
+                    () ->
+                            open.get(name).standing().role() == Quorum.Role.VOTER
+                                    && open.get(name).standing().voters() == 3
+                                    && open.get(name).standing().leader() != null);
         }
     }
 
@@ -157,7 +169,12 @@
         while (!there.getAsBoolean()) {
             if (System.nanoTime() > until) {
                 StringBuilder told = new StringBuilder();
-                open.forEach((n, q) -> told.append('\n').append(q.standing()).append(' ').append(q.view().moment()));
+                open.forEach(
+                        (n, q) ->
+                                told.append('\n')
+                                        .append(q.standing())
+                                        .append(' ')
+                                        .append(q.view().moment()));
                 throw new AssertionError("waited in vain: " + what + told);
             }
             try {
--- a/quorum/src/test/java/postgrade/quorum/FullDisk.java
+++ b/quorum/src/test/java/postgrade/quorum/FullDisk.java
@@ -7,27 +7,47 @@
 import postgrade.quorum.store.VoterStore;
 import postgrade.quorum.wire.Endpoint;
 
-/** A process whose files may not grow beyond what its shell allows: writes until the store refuses, then reads. */
+/**
+ * A process whose files may not grow beyond what its shell allows: writes until the store refuses,
+ * then reads.
+ */
 public final class FullDisk {
 
-    private FullDisk() { }
+    private FullDisk() {}
 
     public static void main(String[] args) throws Exception {
         Path folder = Path.of(args[0]);
         Endpoint self = new Endpoint("a", "1");
-        VoterStore store = VoterStore.create(folder, new VoterStore.Facts(self, "1-x", 1, List.of("a/1")));
+        VoterStore store =
+                VoterStore.create(folder, new VoterStore.Facts(self, "1-x", 1, List.of("a/1")));
         String[] told = {"nothing"};
         store.onFailure(why -> told[0] = why);
         var model = new DefaultRaftModelFactory();
-        store.persistAndFlushLocalEndpoint(model.createRaftEndpointPersistentStateBuilder().setLocalEndpoint(self)
-                .setVoting(true).build());
-        store.persistAndFlushInitialGroupMembers(model.createRaftGroupMembersViewBuilder().setLogIndex(0)
-                .setMembers(List.of(self)).setVotingMembers(List.of(self)).build());
+        store.persistAndFlushLocalEndpoint(
+                model.createRaftEndpointPersistentStateBuilder()
+                        .setLocalEndpoint(self)
+                        .setVoting(true)
+                        .build());
+        store.persistAndFlushInitialGroupMembers(
+                model.createRaftGroupMembersViewBuilder()
+                        .setLogIndex(0)
+                        .setMembers(List.of(self))
+                        .setVotingMembers(List.of(self))
+                        .build());
         long flushed = 0;
         try {
             while (true) {
-                store.persistLogEntries(List.of(model.createLogEntryBuilder().setIndex(flushed + 1).setTerm(1)
-                        .setOperation(Cluster.add("r" + flushed, "key-" + "x".repeat(2000), 1)).build()));
+                store.persistLogEntries(
+                        List.of(
+                                model.createLogEntryBuilder()
+                                        .setIndex(flushed + 1)
+                                        .setTerm(1)
+                                        .setOperation(
+                                                Cluster.add(
+                                                        "r" + flushed,
+                                                        "key-" + "x".repeat(2000),
+                                                        1))
+                                        .build()));
                 store.flush();
                 flushed++;
             }
@@ -43,7 +63,8 @@
         store.close();
         VoterStore again = VoterStore.open(folder);
         long there = again.restored().getLogEntries().size();
-        System.out.println("some flushed: " + (flushed > 0) + ", lost: " + Math.max(0, flushed - there));
+        System.out.println(
+                "some flushed: " + (flushed > 0) + ", lost: " + Math.max(0, flushed - there));
         again.close();
     }
 }
--- a/quorum/src/test/java/postgrade/quorum/QuorumTest.java
+++ b/quorum/src/test/java/postgrade/quorum/QuorumTest.java
@@ -27,7 +27,9 @@
             Reply more = c.ask(other, Cluster.add("r2", "k", 2), Cluster.LONG_MICROS);
             assertEquals(7, more.answer().fields().whole("sum"));
             assertTrue(more.moment().after(first.moment()));
-            assertTrue("the log's time never runs ahead", more.moment().micros() < (System.nanoTime() - begun) / 1000);
+            assertTrue(
+                    "the log's time never runs ahead",
+                    more.moment().micros() < (System.nanoTime() - begun) / 1000);
         }
     }
 
@@ -42,8 +44,12 @@
             c.ask("o", Cluster.add("t", "k19", 1), Cluster.LONG_MICROS);
             c.await("the change came", () -> c.sum("o", "k19") == 20);
             long micros = c.open.get("o").view().moment().micros();
-            c.await("the log's time goes on", () -> c.open.get("o").view().moment().micros() > micros + 200_000);
-            c.await("its view is young", () -> c.open.get("o").view().ageMicros(System.nanoTime() / 1000) < 2_000_000);
+            c.await(
+                    "the log's time goes on",
+                    () -> c.open.get("o").view().moment().micros() > micros + 200_000);
+            c.await(
+                    "its view is young",
+                    () -> c.open.get("o").view().ageMicros(System.nanoTime() / 1000) < 2_000_000);
         }
     }
 
@@ -57,8 +63,14 @@
             assertFalse(none.decided());
             assertTrue(none.retryAfterMicros() > 0);
             long asOf = c.open.get("o").view().asOfMicros();
-            c.await("c says so", () -> c.open.get("c").standing().fault() != null
-                    && c.open.get("c").standing().fault().startsWith("no quorum: 1 of 3"));
+            c.await(
+                    "c says so",
+                    () ->
+                            c.open.get("c").standing().fault() != null
+                                    && c.open.get("c")
+                                            .standing()
+                                            .fault()
+                                            .startsWith("no quorum: 1 of 3"));
             assertEquals(asOf, c.open.get("o").view().asOfMicros());
             c.start("a");
             Reply decided = c.ask("o", Cluster.add("r1", "k", 5), Cluster.LONG_MICROS);
@@ -70,7 +82,11 @@
     @Test
     public void allComeBackFromTheirStores() throws Exception {
         try (Cluster c = Cluster.begun()) {
-            long fence = c.ask("a", Cluster.add("r1", "k", 5), Cluster.LONG_MICROS).answer().fields().whole("fence");
+            long fence =
+                    c.ask("a", Cluster.add("r1", "k", 5), Cluster.LONG_MICROS)
+                            .answer()
+                            .fields()
+                            .whole("fence");
             c.stop("a", "b", "c");
             c.start("a", "b", "c");
             Reply again = c.ask("c", Cluster.add("r1", "k", 5), Cluster.LONG_MICROS);
@@ -83,12 +99,16 @@
     public void votersThatCameBackUnderALeaderReplaceIt() throws Exception {
         try (Cluster c = Cluster.begun()) {
             String leader = c.open.get("a").standing().leader();
-            String[] others = c.open.keySet().stream().filter(n -> !n.equals(leader)).toArray(String[]::new);
+            String[] others =
+                    c.open.keySet().stream().filter(n -> !n.equals(leader)).toArray(String[]::new);
             for (String other : others) {
                 c.stop(other);
                 c.start(other);
-                c.await(other + " follows", () -> c.open.get(other).view().known()
-                        && leader.equals(c.open.get(other).standing().leader()));
+                c.await(
+                        other + " follows",
+                        () ->
+                                c.open.get(other).view().known()
+                                        && leader.equals(c.open.get(other).standing().leader()));
             }
             c.awaitAll(others);
             c.stop(leader);
--- a/quorum/src/test/java/postgrade/quorum/SharingFileTest.java
+++ b/quorum/src/test/java/postgrade/quorum/SharingFileTest.java
@@ -16,42 +16,47 @@
 
 public class SharingFileTest {
 
-    private static final String VOTERS = "voters = [voter('a', '127.0.0.1', 7301), voter('b', '127.0.0.1', 7302), "
-            + "voter('c', '127.0.0.1', 7303)]\n";
+    private static final String VOTERS =
+            "voters = [voter('a', '127.0.0.1', 7301), voter('b', '127.0.0.1', 7302), "
+                    + "voter('c', '127.0.0.1', 7303)]\n";
 
-    @Rule
-    public final TemporaryFolder folder = new TemporaryFolder();
+    @Rule public final TemporaryFolder folder = new TemporaryFolder();
 
     @Test
     public void theShippedFileServesVotersAndObservers() {
         Path shipped = Path.of("..", "deploy", "sharing.star");
-        QuorumSettings a = SharingFile.read(shipped, "a", line -> { });
+        QuorumSettings a = SharingFile.read(shipped, "a", line -> {});
         assertTrue(a.votes());
         assertEquals(Path.of("var/sharing/a"), a.store());
         assertEquals(2_000_000, a.viewAgeMicros());
-        assertFalse(SharingFile.read(shipped, "gateway-7", line -> { }).votes());
+        assertFalse(SharingFile.read(shipped, "gateway-7", line -> {}).votes());
     }
 
     @Test
     public void whatIsFaultyIsNamedByFileAndKey() throws Exception {
-        Map<String, String> faulty = Map.of(
-                VOTERS + "store = 's'", "sharing.star: name: is missing: this process needs a name of its own",
-                VOTERS + "name = 'a'", "sharing.star: store: is missing, and a is a voter",
-                VOTERS + "name = 'o'\npuls_ms = 3",
-                "sharing.star: puls_ms: is no setting; names of one's own begin with _",
-                VOTERS + "name = 'o'\npull_ms = 1 << 70",
-                "sharing.star: pull_ms: must lie between 10 and 10000, not 2147483647",
-                VOTERS + "name = 'o'\nview_age_ms = 300",
-                "sharing.star: view_age_ms: must lie between 500 and 600000, not 300",
-                VOTERS + "name = 'no good'",
-                "sharing.star: name: must be 1 to 64 letters, digits, dots, dashes or underscores",
-                "name = 'o'\nvoters = ['a']", "sharing.star: voters: must hold voter(name, host, port), not string",
-                "name = 'o'\nvoters = [voter('a', '127.0.0.1', 1), voter('b', '127.0.0.1', 2)]",
-                "sharing.star: voters: must be 3 or 5, or 1 to try out, not 2");
+        Map<String, String> faulty =
+                Map.of(
+                        VOTERS + "store = 's'",
+                        "sharing.star: name: is missing: this process needs a name of its own",
+                        VOTERS + "name = 'a'",
+                        "sharing.star: store: is missing, and a is a voter",
+                        VOTERS + "name = 'o'\npuls_ms = 3",
+                        "sharing.star: puls_ms: is no setting; names of one's own begin with _",
+                        VOTERS + "name = 'o'\npull_ms = 1 << 70",
+                        "sharing.star: pull_ms: must lie between 10 and 10000, not 2147483647",
+                        VOTERS + "name = 'o'\nview_age_ms = 300",
+                        "sharing.star: view_age_ms: must lie between 500 and 600000, not 300",
+                        VOTERS + "name = 'no good'",
+                        "sharing.star: name: must be 1 to 64 letters, digits, dots, dashes or underscores",
+                        "name = 'o'\nvoters = ['a']",
+                        "sharing.star: voters: must hold voter(name, host, port), not string",
+                        "name = 'o'\nvoters = [voter('a', '127.0.0.1', 1), voter('b', '127.0.0.1', 2)]",
+                        "sharing.star: voters: must be 3 or 5, or 1 to try out, not 2");
         for (Map.Entry<String, String> e : faulty.entrySet()) {
             assertEquals(e.getValue(), complaint(e.getKey()));
         }
-        assertEquals("sharing.star:2:16: voters: a: host must be a loopback address, not 192.0.2.1",
+        assertEquals(
+                "sharing.star:2:16: voters: a: host must be a loopback address, not 192.0.2.1",
                 complaint("name = 'o'\nvoters = [voter('a', '192.0.2.1', 7301)]"));
     }
 
--- a/quorum/src/test/java/postgrade/quorum/StoreTest.java
+++ b/quorum/src/test/java/postgrade/quorum/StoreTest.java
@@ -23,17 +23,27 @@
             c.stop("b", "c");
             c.wipe("b");
             c.start("b");
-            // With two left that are not the majority of those who promised, nothing may be decided.
-            c.await("b says what it waits for", () -> fault(c, "b").startsWith("no store")
-                    || fault(c, "b").startsWith("new here"));
+            // With two left that are not the majority of those who promised, nothing may be
+            // decided.
+            c.await(
+                    "b says what it waits for",
+                    () ->
+                            fault(c, "b").startsWith("no store")
+                                    || fault(c, "b").startsWith("new here"));
             assertTrue(!c.ask("a", Cluster.add("r2", "k", 1), 2_000_000).decided());
             assertEquals(Quorum.Role.OBSERVER, c.open.get("b").standing().role());
             c.start("c");
             c.awaitAll("a", "b", "c");
-            assertEquals(6, c.ask("b", Cluster.add("r2", "k", 1), Cluster.LONG_MICROS).answer().fields().whole("sum"));
+            assertEquals(
+                    6,
+                    c.ask("b", Cluster.add("r2", "k", 1), Cluster.LONG_MICROS)
+                            .answer()
+                            .fields()
+                            .whole("sum"));
             c.stop("a");
-            assertTrue("a and the newcomer's pair decide", c.ask("b", Cluster.add("r3", "k", 1),
-                    Cluster.LONG_MICROS).decided());
+            assertTrue(
+                    "a and the newcomer's pair decide",
+                    c.ask("b", Cluster.add("r3", "k", 1), Cluster.LONG_MICROS).decided());
             c.stop("b");
             assertTrue(!before.equals(identity(c, "b")));
         }
@@ -42,7 +52,11 @@
     @Test
     public void afterATotalLossOnlyANewEraServesAndItsFencesLieAbove() throws Exception {
         try (Cluster c = Cluster.begun()) {
-            long fence = c.ask("a", Cluster.add("r1", "k", 5), Cluster.LONG_MICROS).answer().fields().whole("fence");
+            long fence =
+                    c.ask("a", Cluster.add("r1", "k", 5), Cluster.LONG_MICROS)
+                            .answer()
+                            .fields()
+                            .whole("fence");
             c.start("o");
             c.await("o sees era 1", () -> c.open.get("o").view().moment().era() == 1);
             c.stop("a", "b", "c");
@@ -51,7 +65,9 @@
             c.wipe("b");
             c.wipe("c");
             c.start("a", "b", "c");
-            c.await("a says so", () -> fault(c, "a").startsWith("no store here, and none of the voters"));
+            c.await(
+                    "a says so",
+                    () -> fault(c, "a").startsWith("no store here, and none of the voters"));
             assertTrue(!c.ask("o", Cluster.add("r1", "k", 5), 1_000_000).decided());
             c.stop("a");
             assertTrue(Quorum.beginEra(c.settings("a"), 0).startsWith("era: must lie"));
@@ -73,7 +89,10 @@
         }
     }
 
-    /** It listens again at once: a port that is let go of a moment after the end would keep a process from its start. */
+    /**
+     * It listens again at once: a port that is let go of a moment after the end would keep a
+     * process from its start.
+     */
     @Test
     public void aVoterThatWasClosedHasLetGoOfItsPort() throws Exception {
         try (Cluster c = Cluster.begun()) {
@@ -95,12 +114,15 @@
             c.awaitAll("b");
             c.ask("b", Cluster.add("r1", "k", 5), Cluster.LONG_MICROS);
             c.stop("b");
-            Files.copy(c.folder.resolve("kept"), c.folder.resolve("b").resolve(VoterStore.FILE),
+            Files.copy(
+                    c.folder.resolve("kept"),
+                    c.folder.resolve("b").resolve(VoterStore.FILE),
                     StandardCopyOption.REPLACE_EXISTING);
             c.start("b");
             c.awaitAll("a", "b", "c");
-            assertTrue("the copy is kept aside", Files.exists(c.folder.resolve("b").resolve(
-                    VoterStore.FILE + "." + before)));
+            assertTrue(
+                    "the copy is kept aside",
+                    Files.exists(c.folder.resolve("b").resolve(VoterStore.FILE + "." + before)));
         }
     }
 
@@ -127,19 +149,30 @@
             assertNull(Quorum.beginEra(c.settings("a"), 1));
             assertNull("a does not run, so nobody can tell", Quorum.beginEra(c.settings("b"), 1));
             c.start("a", "b", "c");
-            c.await("both say so", () -> fault(c, "a").startsWith("two eras 1 at once")
-                    && fault(c, "b").startsWith("two eras 1 at once"));
-            assertEquals("c joins neither", Quorum.Role.OBSERVER, c.open.get("c").standing().role());
+            c.await(
+                    "both say so",
+                    () ->
+                            fault(c, "a").startsWith("two eras 1 at once")
+                                    && fault(c, "b").startsWith("two eras 1 at once"));
+            assertEquals(
+                    "c joins neither", Quorum.Role.OBSERVER, c.open.get("c").standing().role());
         }
     }
 
     @Test
     public void whatWasFlushedOutlivesAFullDisk() throws Exception {
         Path folder = Files.createTempDirectory("full");
-        Process full = new ProcessBuilder("bash", "-c", "ulimit -f 2000; exec \"$0\" -cp \"$1\" \"$2\" \"$3\"",
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                System.getProperty("java.class.path"), FullDisk.class.getName(), folder.toString())
-                .redirectError(ProcessBuilder.Redirect.INHERIT).start();
+        Process full =
+                new ProcessBuilder(
+                                "bash",
+                                "-c",
+                                "ulimit -f 2000; exec \"$0\" -cp \"$1\" \"$2\" \"$3\"",
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                System.getProperty("java.class.path"),
+                                FullDisk.class.getName(),
+                                folder.toString())
+                        .redirectError(ProcessBuilder.Redirect.INHERIT)
+                        .start();
         String told = new String(full.getInputStream().readAllBytes());
         assertEquals(0, full.waitFor());
         assertEquals("refused: true\nlater flush: refused\nsome flushed: true, lost: 0\n", told);
--- a/quorum/src/test/java/postgrade/quorum/engine/AnswersTest.java
+++ b/quorum/src/test/java/postgrade/quorum/engine/AnswersTest.java
@@ -42,11 +42,12 @@
         assertEquals("nothing", told.get(20, TimeUnit.SECONDS));
         List<String> all = new ArrayList<>();
         CompletableFuture<Void> done = new CompletableFuture<>();
-        thread.submit(() -> {
-            Consumer<String> answer = InTime.within(thread, 1, "nothing", all::add);
-            answer.accept("decided");
-            thread.afterMicros(() -> done.complete(null), 5_000);
-        });
+        thread.submit(
+                () -> {
+                    Consumer<String> answer = InTime.within(thread, 1, "nothing", all::add);
+                    answer.accept("decided");
+                    thread.afterMicros(() -> done.complete(null), 5_000);
+                });
         done.get(20, TimeUnit.SECONDS);
         assertEquals("told once", List.of("decided"), all);
         thread.close();
--- a/quorum/src/test/java/postgrade/quorum/engine/LogClockTest.java
+++ b/quorum/src/test/java/postgrade/quorum/engine/LogClockTest.java
@@ -27,34 +27,40 @@
     private long now = 1_000_000;
     private final LogClock clock = new LogClock("a", 1, () -> now, MOST, 0);
 
-    private final RaftTerm terms = new RaftTerm() {
-        @Override
-        public int getTerm() {
-            return term;
-        }
-
-        @Override
-        public RaftEndpoint getLeaderEndpoint() {
-            return leader;
-        }
+    private final RaftTerm terms =
+            new RaftTerm() {
+                @Override
+                public int getTerm() {
+                    return term;
+                }
 
-        @Override
-        public RaftEndpoint getVotedEndpoint() {
-            return null;
-        }
-    };
+                @Override
+                public RaftEndpoint getLeaderEndpoint() {
+                    return leader;
+                }
 
-    private final RaftNode node = (RaftNode) Proxy.newProxyInstance(RaftNode.class.getClassLoader(),
-            new Class<?>[] {RaftNode.class}, (proxy, method, args) -> switch (method.getName()) {
-                case "getTerm" -> terms;
-                case "getLocalEndpoint" -> self;
-                case "replicate" -> {
-                    asked.add((Command) args[0]);
-                    answer = new CompletableFuture<>();
-                    yield answer;
+                @Override
+                public RaftEndpoint getVotedEndpoint() {
+                    return null;
                 }
-                default -> throw new AssertionError(method);
-            });
+            };
+
+    private final RaftNode node =
+            (RaftNode)
+                    Proxy.newProxyInstance(
+                            RaftNode.class.getClassLoader(),
+                            new Class<?>[] {RaftNode.class},
+                            (proxy, method, args) ->
+                                    switch (method.getName()) {
+                                        case "getTerm" -> terms;
+                                        case "getLocalEndpoint" -> self;
+                                        case "replicate" -> {
+                                            asked.add((Command) args[0]);
+                                            answer = new CompletableFuture<>();
+                                            yield answer;
+                                        }
+                                        default -> throw new AssertionError(method);
+                                    });
 
     private void tickAfter(long micros) {
         now += micros;
--- a/quorum/src/test/java/postgrade/quorum/engine/PagesTest.java
+++ b/quorum/src/test/java/postgrade/quorum/engine/PagesTest.java
@@ -47,8 +47,10 @@
     private int pages;
 
     private void change(String verb, int key) {
-        machine.apply(machine.moment().index() + 1, new Command("", "test", 1, "texts", verb,
-                Row.of("key", String.format("k%05d", key))));
+        machine.apply(
+                machine.moment().index() + 1,
+                new Command(
+                        "", "test", 1, "texts", verb, Row.of("key", String.format("k%05d", key))));
     }
 
     private View page() {
@@ -56,7 +58,9 @@
         Pages.fill(reply, machine, gathering.asks().build(), pages++ > 0);
         PullReply page = reply.build();
         told += page.getSerializedSize();
-        assertTrue("a page of " + page.getSerializedSize(), page.getSerializedSize() < Pages.BYTES + TEXT.length() + 1000);
+        assertTrue(
+                "a page of " + page.getSerializedSize(),
+                page.getSerializedSize() < Pages.BYTES + TEXT.length() + 1000);
         return gathering.take(1_000_000 + pages, page);
     }
 
@@ -78,7 +82,7 @@
         for (int i = 0; i < ROWS; i++) {
             change("put", i);
         }
-        for (View view = null; view == null || told < OLD_MOST;) {
+        for (View view = null; view == null || told < OLD_MOST; ) {
             view = page();
             assertTrue("half a view was published", view == null || told > OLD_MOST);
             change("put", pages % 7); // Behind the cursor.
--- a/quorum/src/test/java/postgrade/quorum/follow/FollowerTest.java
+++ b/quorum/src/test/java/postgrade/quorum/follow/FollowerTest.java
@@ -63,7 +63,12 @@
                 afterAnswers = faults.now();
                 answered.countDown();
             }
-            done.accept(PullReply.newBuilder().setGroup("1-g").setMoment(MomentMsg.newBuilder()).setLeader("v1").build());
+            done.accept(
+                    PullReply.newBuilder()
+                            .setGroup("1-g")
+                            .setMoment(MomentMsg.newBuilder())
+                            .setLeader("v1")
+                            .build());
         }
 
         @Override
@@ -77,10 +82,27 @@
         Faults faults = new Faults("f");
         FollowThread thread = new FollowThread("f");
         LateVoter voter = new LateVoter(faults, 6);
-        QuorumSettings settings = new QuorumSettings("f", 1, List.of(new QuorumSettings.Voter("v1", "127.0.0.1", 1)),
-                Path.of("unused"), 2_000_000, 500, 10, 50, 800);
+        QuorumSettings settings =
+                new QuorumSettings(
+                        "f",
+                        1,
+                        List.of(new QuorumSettings.Voter("v1", "127.0.0.1", 1)),
+                        Path.of("unused"),
+                        2_000_000,
+                        500,
+                        10,
+                        50,
+                        800);
         try {
-            new Follower(settings, () -> System.nanoTime() / 1000, thread, List.of(voter), new Eras(faults), faults, 7).start();
+            new Follower(
+                            settings,
+                            () -> System.nanoTime() / 1000,
+                            thread,
+                            List.of(voter),
+                            new Eras(faults),
+                            faults,
+                            7)
+                    .start();
             assertTrue(voter.answered.await(20, TimeUnit.SECONDS));
         } finally {
             thread.close();
--- a/quorum/src/test/java/postgrade/quorum/wire/LinksTest.java
+++ b/quorum/src/test/java/postgrade/quorum/wire/LinksTest.java
@@ -31,7 +31,10 @@
 import postgrade.quorum.wire.proto.ReadReply;
 import postgrade.quorum.wire.proto.ReadRequest;
 
-/** One side of the wire, against a voter that keeps what it hears and answers only its peers' greeting. */
+/**
+ * One side of the wire, against a voter that keeps what it hears and answers only its peers'
+ * greeting.
+ */
 public class LinksTest {
 
     private final EventLoopGroup events = new NioEventLoopGroup(1);
@@ -46,13 +49,13 @@
         }
 
         @Override
-        public void pull(PullRequest request, Consumer<PullReply> answer) { }
+        public void pull(PullRequest request, Consumer<PullReply> answer) {}
 
         @Override
-        public void read(ReadRequest request, Consumer<ReadReply> answer) { }
+        public void read(ReadRequest request, Consumer<ReadReply> answer) {}
 
         @Override
-        public void ask(AskRequest request, Consumer<AskReply> answer) { }
+        public void ask(AskRequest request, Consumer<AskReply> answer) {}
 
         @Override
         public void hello(HelloRequest request, Consumer<HelloReply> answer) {
@@ -74,7 +77,8 @@
         }
     }
 
-    private <A, B> B call(io.grpc.MethodDescriptor<A, B> method, A request, long within) throws Exception {
+    private <A, B> B call(io.grpc.MethodDescriptor<A, B> method, A request, long within)
+            throws Exception {
         CompletableFuture<B> answer = new CompletableFuture<>();
         links.call("b", method, request, within, (reply, status) -> answer.complete(reply));
         return answer.get(20, TimeUnit.SECONDS);
@@ -104,7 +108,12 @@
         open();
         links.silentNanos = Long.MAX_VALUE;
         CompletableFuture<PullReply> waits = new CompletableFuture<>();
-        links.call("b", Methods.PULL, PullRequest.getDefaultInstance(), 60_000, (r, status) -> waits.complete(r));
+        links.call(
+                "b",
+                Methods.PULL,
+                PullRequest.getDefaultInstance(),
+                60_000,
+                (r, status) -> waits.complete(r));
         for (int i = 0; i < 4; i++) {
             assertNull(call(Methods.ASK, AskRequest.getDefaultInstance(), 5));
         }
--- a/rig/src/main/java/postgrade/rig/Options.java
+++ b/rig/src/main/java/postgrade/rig/Options.java
@@ -3,7 +3,10 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What a bench is called with: {@code key=value}, each key known and with a value of its own where it is left out. */
+/**
+ * What a bench is called with: {@code key=value}, each key known and with a value of its own where
+ * it is left out.
+ */
 public final class Options {
 
     private static final int USAGE = 2;
--- a/rig/src/main/java/postgrade/rig/check/LogCheck.java
+++ b/rig/src/main/java/postgrade/rig/check/LogCheck.java
@@ -6,21 +6,23 @@
 import java.util.Map;
 
 /**
- * Whether the replicated log was one log: no index ever carried two entries, no entry that was answered for was lost, none
- * was carried out twice, and what one process saw only went forward.
+ * Whether the replicated log was one log: no index ever carried two entries, no entry that was
+ * answered for was lost, none was carried out twice, and what one process saw only went forward.
  */
 public final class LogCheck {
 
     /** What a replica carried out at an index: a digest of the entry and of all before it. */
-    public record Applied(String process, long incarnation, long era, long index, String digest) { }
+    public record Applied(String process, long incarnation, long era, long index, String digest) {}
 
-    /** What a caller was told was done. @param key unique to the call @param index at which it was */
-    public record Told(String key, long era, long index) { }
+    /**
+     * What a caller was told was done. @param key unique to the call @param index at which it was
+     */
+    public record Told(String key, long era, long index) {}
 
     /** A view that a process took, in the order in which it did. */
-    public record Viewed(String process, long incarnation, long era, long index) { }
+    public record Viewed(String process, long incarnation, long era, long index) {}
 
-    private LogCheck() { }
+    private LogCheck() {}
 
     public static List<Breach> agreement(List<Applied> applied) {
         Map<String, Applied> first = new HashMap<>();
@@ -28,21 +30,44 @@
         for (Applied a : applied) {
             Applied before = first.putIfAbsent(a.era + "/" + a.index, a);
             if (before != null && !before.digest.equals(a.digest)) {
-                breaches.add(new Breach("agreement", a.index, a.process, "index " + a.index + " of era " + a.era
-                        + " is " + a.digest + " here and " + before.digest + " at " + before.process));
+                breaches.add(
+                        new Breach(
+                                "agreement",
+                                a.index,
+                                a.process,
+                                "index "
+                                        + a.index
+                                        + " of era "
+                                        + a.era
+                                        + " is "
+                                        + a.digest
+                                        + " here and "
+                                        + before.digest
+                                        + " at "
+                                        + before.process));
             }
         }
         return breaches;
     }
 
-    /** @param present how often each key stands in the end state */
+    /**
+     * @param present how often each key stands in the end state
+     */
     public static List<Breach> durable(List<Told> told, Map<String, Long> present) {
         List<Breach> breaches = new ArrayList<>();
         for (Told t : told) {
             long times = present.getOrDefault(t.key, 0L);
             if (times != 1) {
-                breaches.add(new Breach(times == 0 ? "lost" : "twice", t.index, t.key, "answered for at index " + t.index
-                        + ", carried out " + times + " times"));
+                breaches.add(
+                        new Breach(
+                                times == 0 ? "lost" : "twice",
+                                t.index,
+                                t.key,
+                                "answered for at index "
+                                        + t.index
+                                        + ", carried out "
+                                        + times
+                                        + " times"));
             }
         }
         return breaches;
@@ -53,9 +78,21 @@
         List<Breach> breaches = new ArrayList<>();
         for (Viewed v : viewed) {
             Viewed before = last.put(v.process + "/" + v.incarnation, v);
-            if (before != null && (v.era < before.era || v.era == before.era && v.index < before.index)) {
-                breaches.add(new Breach("backward", v.index, v.process, "view of " + v.era + "/" + v.index + " after "
-                        + before.era + "/" + before.index));
+            if (before != null
+                    && (v.era < before.era || v.era == before.era && v.index < before.index)) {
+                breaches.add(
+                        new Breach(
+                                "backward",
+                                v.index,
+                                v.process,
+                                "view of "
+                                        + v.era
+                                        + "/"
+                                        + v.index
+                                        + " after "
+                                        + before.era
+                                        + "/"
+                                        + before.index));
             }
         }
         return breaches;
--- a/rig/src/main/java/postgrade/rig/check/OutCheck.java
+++ b/rig/src/main/java/postgrade/rig/check/OutCheck.java
@@ -1,31 +1,49 @@
 package postgrade.rig.check;
 
 import java.util.ArrayList;
+import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import java.util.HashMap;
 
-/** Whether nothing went to a worker that operators had taken out, from whichever process, restarted or not. */
+/**
+ * Whether nothing went to a worker that operators had taken out, from whichever process, restarted
+ * or not.
+ */
 public final class OutCheck {
 
-    /** @param out or back in again; told to all by then */
-    public record Told(long micros, String worker, boolean out) { }
+    /**
+     * @param out or back in again; told to all by then
+     */
+    public record Told(long micros, String worker, boolean out) {}
 
-    public record Sent(long micros, String process, String worker, String job) { }
+    public record Sent(long micros, String process, String worker, String job) {}
 
-    private OutCheck() { }
+    private OutCheck() {}
 
-    /** @param graceMicros in which what was under way may still arrive */
+    /**
+     * @param graceMicros in which what was under way may still arrive
+     */
     public static List<Breach> judge(List<Told> told, List<Sent> sent, long graceMicros) {
         Map<String, TreeMap<Long, Boolean>> known = new HashMap<>();
-        told.forEach(t -> known.computeIfAbsent(t.worker, w -> new TreeMap<>()).put(t.micros, t.out));
+        told.forEach(
+                t -> known.computeIfAbsent(t.worker, w -> new TreeMap<>()).put(t.micros, t.out));
         List<Breach> breaches = new ArrayList<>();
         for (Sent s : sent) {
-            Map.Entry<Long, Boolean> last = known.getOrDefault(s.worker, new TreeMap<>()).floorEntry(s.micros);
+            Map.Entry<Long, Boolean> last =
+                    known.getOrDefault(s.worker, new TreeMap<>()).floorEntry(s.micros);
             if (last != null && last.getValue() && s.micros > last.getKey() + graceMicros) {
-                breaches.add(new Breach("out", s.micros, s.job, s.process + " sent it to " + s.worker + " "
-                        + (s.micros - last.getKey()) / 1000 + " ms after that was taken out"));
+                breaches.add(
+                        new Breach(
+                                "out",
+                                s.micros,
+                                s.job,
+                                s.process
+                                        + " sent it to "
+                                        + s.worker
+                                        + " "
+                                        + (s.micros - last.getKey()) / 1000
+                                        + " ms after that was taken out"));
             }
         }
         return breaches;
--- a/rig/src/main/java/postgrade/rig/check/ShareCheck.java
+++ b/rig/src/main/java/postgrade/rig/check/ShareCheck.java
@@ -7,19 +7,25 @@
 import java.util.Map;
 
 /**
- * Whether the parts of the rates that processes live by come to no more than one at any moment. A part counts from when its
- * process took it until it takes another or is dead; a process that is merely silent keeps what it had.
+ * Whether the parts of the rates that processes live by come to no more than one at any moment. A
+ * part counts from when its process took it until it takes another or is dead; a process that is
+ * merely silent keeps what it had.
  */
 public final class ShareCheck {
 
-    /** @param part of every rate; 0 once it is dead */
-    public record Took(long micros, String process, double part) { }
+    /**
+     * @param part of every rate; 0 once it is dead
+     */
+    public record Took(long micros, String process, double part) {}
 
-    public record Verdict(List<Breach> breaches, double most, long judged) { }
+    public record Verdict(List<Breach> breaches, double most, long judged) {}
 
-    private ShareCheck() { }
+    private ShareCheck() {}
 
-    /** @param bound by how much the sum may stand above one @param forMicros and for how long at most */
+    /**
+     * @param bound by how much the sum may stand above one @param forMicros and for how long at
+     *     most
+     */
     public static Verdict judge(List<Took> took, double bound, long forMicros) {
         List<Took> inOrder = new ArrayList<>(took);
         inOrder.sort(Comparator.comparingLong(Took::micros));
@@ -31,8 +37,14 @@
             Took t = inOrder.get(i);
             // What stood until now stood for that long.
             if (forMicros > 0 && since != Long.MAX_VALUE && t.micros - since > forMicros) {
-                breaches.add(new Breach("share", since, t.process, String.format("the sum was above %.3f for %d ms",
-                        1 + bound, (t.micros - since) / 1000)));
+                breaches.add(
+                        new Breach(
+                                "share",
+                                since,
+                                t.process,
+                                String.format(
+                                        "the sum was above %.3f for %d ms",
+                                        1 + bound, (t.micros - since) / 1000)));
                 since = Long.MAX_VALUE;
             }
             parts.put(t.process, t.part);
@@ -41,7 +53,12 @@
             boolean over = sum > 1 + bound + 1e-9;
             since = over ? Math.min(since, t.micros) : Long.MAX_VALUE;
             if (over && forMicros == 0) {
-                breaches.add(new Breach("share", t.micros, t.process, String.format("the sum is %.3f", sum)));
+                breaches.add(
+                        new Breach(
+                                "share",
+                                t.micros,
+                                t.process,
+                                String.format("the sum is %.3f", sum)));
             }
         }
         if (since != Long.MAX_VALUE && forMicros > 0) {
--- a/rig/src/main/java/postgrade/rig/check/WindowCheck.java
+++ b/rig/src/main/java/postgrade/rig/check/WindowCheck.java
@@ -3,30 +3,46 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Whether no job started at a site within its maintenance, by the version of its calendar in force at that moment. */
+/**
+ * Whether no job started at a site within its maintenance, by the version of its calendar in force
+ * at that moment.
+ */
 public final class WindowCheck {
 
     /** [from, to), in the time that starts are told in. */
-    public record Span(long from, long to) { }
+    public record Span(long from, long to) {}
 
     /** A calendar of a site, whole. It stands from then on until one with a later moment does. */
-    public record Version(String site, long inForceFrom, List<Span> maintenance) { }
+    public record Version(String site, long inForceFrom, List<Span> maintenance) {}
 
-    public record Started(long micros, String site, String job) { }
+    public record Started(long micros, String site, String job) {}
 
-    private WindowCheck() { }
+    private WindowCheck() {}
 
-    /** @param slackMicros by how much the clock of what was started may be off against that of the calendar */
-    public static List<Breach> judge(List<Version> versions, List<Started> started, long slackMicros) {
+    /**
+     * @param slackMicros by how much the clock of what was started may be off against that of the
+     *     calendar
+     */
+    public static List<Breach> judge(
+            List<Version> versions, List<Started> started, long slackMicros) {
         List<Breach> breaches = new ArrayList<>();
         for (Started s : started) {
-            // Within the slack round a change either version may have been the one in force: both must forbid it.
+            // Within the slack round a change either version may have been the one in force: both
+            // must forbid it.
             Version early = inForce(versions, s.site, s.micros - slackMicros);
             Version late = inForce(versions, s.site, s.micros + slackMicros);
             Span span = within(late, s.micros, slackMicros);
             if (span != null && within(early, s.micros, slackMicros) != null) {
-                breaches.add(new Breach("window", s.micros, s.job, "started at " + s.site + " "
-                        + (s.micros - span.from) / 1000 + " ms into maintenance"));
+                breaches.add(
+                        new Breach(
+                                "window",
+                                s.micros,
+                                s.job,
+                                "started at "
+                                        + s.site
+                                        + " "
+                                        + (s.micros - span.from) / 1000
+                                        + " ms into maintenance"));
             }
         }
         return breaches;
@@ -35,7 +51,9 @@
     private static Version inForce(List<Version> versions, String site, long at) {
         Version best = null;
         for (Version v : versions) {
-            if (v.site.equals(site) && v.inForceFrom <= at && (best == null || v.inForceFrom >= best.inForceFrom)) {
+            if (v.site.equals(site)
+                    && v.inForceFrom <= at
+                    && (best == null || v.inForceFrom >= best.inForceFrom)) {
                 best = v;
             }
         }
--- a/rig/src/main/java/postgrade/rig/check/lease/Leases.java
+++ b/rig/src/main/java/postgrade/rig/check/lease/Leases.java
@@ -7,12 +7,15 @@
 import postgrade.rig.check.lease.Linearizable.Call;
 
 /**
- * What a store of reservations has to be, told without a clock: accelerators by number, each free, held under a fence or
- * resting. That something expires or has rested is an act of the store's own, which may happen once it is due.
+ * What a store of reservations has to be, told without a clock: accelerators by number, each free,
+ * held under a fence or resting. That something expires or has rested is an act of the store's own,
+ * which may happen once it is due.
  */
 public final class Leases {
 
-    /** @param held accelerators of each grant @param resting those that nobody may be granted yet */
+    /**
+     * @param held accelerators of each grant @param resting those that nobody may be granted yet
+     */
     public record State(long all, Map<Grant, Long> held, long resting, long highest) {
 
         public static State of(int accelerators) {
@@ -32,19 +35,33 @@
         }
     }
 
-    private Leases() { }
+    private Leases() {}
 
     public static UnaryOperator<State> granted(String holder, long fence, long mask) {
-        return s -> (s.taken() & mask) != 0 || (mask & ~s.all) != 0 || fence < s.highest ? null
-                : new State(s.all, with(s.held, new Grant(holder, fence), mask), s.resting, fence);
+        return s ->
+                (s.taken() & mask) != 0 || (mask & ~s.all) != 0 || fence < s.highest
+                        ? null
+                        : new State(
+                                s.all,
+                                with(s.held, new Grant(holder, fence), mask),
+                                s.resting,
+                                fence);
     }
 
     /** The holder's next incarnation has what the former one had, under a fence of its own. */
     public static UnaryOperator<State> takenOver(String holder, long former, long fence) {
         return s -> {
             Long mask = s.held.get(new Grant(holder, former));
-            return mask == null || fence <= s.highest ? null : new State(s.all, with(with(s.held,
-                    new Grant(holder, former), 0), new Grant(holder, fence), mask), s.resting, fence);
+            return mask == null || fence <= s.highest
+                    ? null
+                    : new State(
+                            s.all,
+                            with(
+                                    with(s.held, new Grant(holder, former), 0),
+                                    new Grant(holder, fence),
+                                    mask),
+                            s.resting,
+                            fence);
         };
     }
 
@@ -67,12 +84,17 @@
         return s -> {
             Grant grant = new Grant(holder, fence);
             Long mask = s.held.get(grant);
-            return mask == null ? null : new State(s.all, with(s.held, grant, 0), s.resting | mask, s.highest);
+            return mask == null
+                    ? null
+                    : new State(s.all, with(s.held, grant, 0), s.resting | mask, s.highest);
         };
     }
 
     public static UnaryOperator<State> rested(long mask) {
-        return s -> (s.resting & mask) != mask ? null : new State(s.all, s.held, s.resting & ~mask, s.highest);
+        return s ->
+                (s.resting & mask) != mask
+                        ? null
+                        : new State(s.all, s.held, s.resting & ~mask, s.highest);
     }
 
     private static Map<Grant, Long> with(Map<Grant, Long> held, Grant grant, long mask) {
--- a/rig/src/main/java/postgrade/rig/check/lease/Linearizable.java
+++ b/rig/src/main/java/postgrade/rig/check/lease/Linearizable.java
@@ -9,24 +9,28 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Whether calls that overlap in time can be put in one order, each between its sending and its answer, in which an object
- * gives those answers. The search of Wing and Gong, with the states that were met kept, as Lowe does.
+ * Whether calls that overlap in time can be put in one order, each between its sending and its
+ * answer, in which an object gives those answers. The search of Wing and Gong, with the states that
+ * were met kept, as Lowe does.
  */
 public final class Linearizable {
 
     /**
      * A call, or something that the object does by itself.
      *
-     * @param answered {@link Long#MAX_VALUE} where nobody heard of its end: it may or may not have happened
+     * @param answered {@link Long#MAX_VALUE} where nobody heard of its end: it may or may not have
+     *     happened
      * @param effect the state after it, or null where the object could not have answered so
      */
-    public record Call<S>(String name, long sent, long answered, UnaryOperator<S> effect) { }
+    public record Call<S>(String name, long sent, long answered, UnaryOperator<S> effect) {}
 
-    private record Met(BitSet done, Object state) { }
+    private record Met(BitSet done, Object state) {}
 
-    private Linearizable() { }
+    private Linearizable() {}
 
-    /** @return null where there is such an order, else the call that could be put nowhere */
+    /**
+     * @return null where there is such an order, else the call that could be put nowhere
+     */
     public static <S> Call<S> firstOutOfOrder(S begin, List<Call<S>> history) {
         List<Call<S>> calls = new ArrayList<>(history);
         calls.sort(Comparator.comparingLong(Call::sent));
@@ -46,7 +50,9 @@
             long bound = calls.get(answeredFirst).answered;
             S state = states.get(states.size() - 1);
             boolean went = false;
-            for (int i = Math.max(next, done.nextClearBit(0)); i < n && calls.get(i).sent <= bound; i++) {
+            for (int i = Math.max(next, done.nextClearBit(0));
+                    i < n && calls.get(i).sent <= bound;
+                    i++) {
                 S after = done.get(i) ? null : calls.get(i).effect.apply(state);
                 if (after == null) {
                     continue;
@@ -78,12 +84,16 @@
         }
     }
 
-    /** Of the calls that still have to be put in order, the one that was answered first; -1 where there is none. */
+    /**
+     * Of the calls that still have to be put in order, the one that was answered first; -1 where
+     * there is none.
+     */
     private static <S> int earliestAnswer(List<Call<S>> calls, BitSet done) {
         int first = -1;
         for (int i = done.nextClearBit(0); i < calls.size(); i = done.nextClearBit(i + 1)) {
             if (first >= 0 && calls.get(i).sent > calls.get(first).answered) {
-                break; // They are in the order of their sending: no later one can have been answered before.
+                break; // They are in the order of their sending: no later one can have been
+                // answered before.
             }
             if (calls.get(i).answered < Long.MAX_VALUE
                     && (first < 0 || calls.get(i).answered < calls.get(first).answered)) {
--- a/rig/src/main/java/postgrade/rig/cluster/Cluster.java
+++ b/rig/src/main/java/postgrade/rig/cluster/Cluster.java
@@ -19,8 +19,9 @@
 import postgrade.rig.timetable.Step;
 
 /**
- * Processes of one kind with all that stands between and under them: a folder for each with its store, a port that is held
- * for each that listens, a proxy between each pair, one history. Closing it leaves no process behind.
+ * Processes of one kind with all that stands between and under them: a folder for each with its
+ * store, a port that is held for each that listens, a proxy between each pair, one history. Closing
+ * it leaves no process behind.
  */
 public final class Cluster implements Closeable {
 
@@ -34,12 +35,16 @@
     private final Mesh mesh;
     private final Map<String, HeldPort> ports = new LinkedHashMap<>();
     private final Map<String, Program> running = new LinkedHashMap<>();
+
     /** Those whose place another of the same name has taken while they still ran. */
     private final List<Program> former = new ArrayList<>();
+
     private final Map<String, Path> copies = new LinkedHashMap<>();
     private Recipe recipe;
 
-    /** @param listening those that others connect to; each gets a port of its own */
+    /**
+     * @param listening those that others connect to; each gets a port of its own
+     */
     public Cluster(Path folder, List<String> names, List<String> listening) throws IOException {
         this.folder = folder;
         Files.createDirectories(folder);
@@ -99,8 +104,8 @@
     }
 
     /**
-     * Starts a second process of that name beside the first, for an upgrade. From here on the name means the new one; the
-     * former is handed back.
+     * Starts a second process of that name beside the first, for an upgrade. From here on the name
+     * means the new one; the former is handed back.
      */
     public synchronized Program startBeside(String name) throws IOException {
         Program before = of(name);
@@ -112,8 +117,14 @@
 
     /** Carries a step of a timetable out. */
     public void act(Step s) throws IOException, InterruptedException {
-        history.add("rig", "step", new JsonObject().add("do", s.act()).add("who", s.who()).add("to", s.to())
-                .add("figure", s.figure()));
+        history.add(
+                "rig",
+                "step",
+                new JsonObject()
+                        .add("do", s.act())
+                        .add("who", s.who())
+                        .add("to", s.to())
+                        .add("figure", s.figure()));
         switch (s.act()) {
             case "kill" -> of(s.who()).kill();
             case "start" -> start(s.who());
--- a/rig/src/main/java/postgrade/rig/comeback/Comeback.java
+++ b/rig/src/main/java/postgrade/rig/comeback/Comeback.java
@@ -26,19 +26,31 @@
 import postgrade.rig.serve.SharingScript;
 
 /**
- * The bench of coming back: many dispatchers under load, most of them killed at once, round after round; without sharing,
- * with it, and with the state of the killed wiped, in one run. Takes {@code key=value}: out, fleet, dispatchers, killed,
- * voters, rounds, blocks, load, seed, modes; steady_ms before each kill, and after_ms from the last one ready on.
+ * The bench of coming back: many dispatchers under load, most of them killed at once, round after
+ * round; without sharing, with it, and with the state of the killed wiped, in one run. Takes {@code
+ * key=value}: out, fleet, dispatchers, killed, voters, rounds, blocks, load, seed, modes; steady_ms
+ * before each kill, and after_ms from the last one ready on.
  */
 public final class Comeback {
 
     private static final long WARM_MS = 6000;
     private static final long SAMPLE_MS = 250;
 
-    private static final Map<String, String> USUAL = Map.ofEntries(entry("out", "found/comeback"),
-            entry("dispatchers", "20"), entry("killed", "14"), entry("voters", "3"), entry("rounds", "5"),
-            entry("blocks", "2"), entry("load", "0.7"), entry("seed", "1"), entry("fleet", "bench/comeback/fleet.star"),
-            entry("modes", "off,on,wiped"), entry("steady_ms", "2500"), entry("after_ms", "6000"), entry("more", ""));
+    private static final Map<String, String> USUAL =
+            Map.ofEntries(
+                    entry("out", "found/comeback"),
+                    entry("dispatchers", "20"),
+                    entry("killed", "14"),
+                    entry("voters", "3"),
+                    entry("rounds", "5"),
+                    entry("blocks", "2"),
+                    entry("load", "0.7"),
+                    entry("seed", "1"),
+                    entry("fleet", "bench/comeback/fleet.star"),
+                    entry("modes", "off,on,wiped"),
+                    entry("steady_ms", "2500"),
+                    entry("after_ms", "6000"),
+                    entry("more", ""));
     private final Options options;
     private final Map<String, Figures> figures = new LinkedHashMap<>();
     private SplittableRandom random;
@@ -77,32 +89,66 @@
         return s.toString();
     }
 
-    private void block(String mode, Path folder, FleetPlan plan, StringBuilder lines) throws Exception {
+    private void block(String mode, Path folder, FleetPlan plan, StringBuilder lines)
+            throws Exception {
         Serving.Options o = new Serving.Options();
         o.dispatchers = options.whole("dispatchers");
         o.voters = options.whole("voters");
         o.plan = plan;
-        o.sharing = mode.equals("off") ? null : SharingScript.proxied(options.text("more").replace(';', '\n') + "\n");
+        o.sharing =
+                mode.equals("off")
+                        ? null
+                        : SharingScript.proxied(options.text("more").replace(';', '\n') + "\n");
         List<Round> rounds = new ArrayList<>();
         List<Shops.Kind> kinds = new ArrayList<>();
-        double rate = plan.tenants.values().stream().mapToDouble(Double::doubleValue).sum()
-                * Double.parseDouble(options.text("load"));
-        plan.tenants.forEach((tenant, quota) -> plan.classes.values().forEach(c -> kinds.add(new Shops.Kind(c.name(),
-                tenant, quota, (long) (c.deadlineMs() * 1000), c.repeatable()))));
+        double rate =
+                plan.tenants.values().stream().mapToDouble(Double::doubleValue).sum()
+                        * Double.parseDouble(options.text("load"));
+        plan.tenants.forEach(
+                (tenant, quota) ->
+                        plan.classes
+                                .values()
+                                .forEach(
+                                        c ->
+                                                kinds.add(
+                                                        new Shops.Kind(
+                                                                c.name(),
+                                                                tenant,
+                                                                quota,
+                                                                (long) (c.deadlineMs() * 1000),
+                                                                c.repeatable()))));
         long outSince;
         String out = plan.workers.get(1).id();
         ScheduledExecutorService sampler = Executors.newSingleThreadScheduledExecutor();
         try (Serving s = new Serving(folder, o);
-                Shops shops = new Shops(s.consumers(), kinds, random.nextInt(1 << 20), folder.resolve("clients.ledger"))) {
+                Shops shops =
+                        new Shops(
+                                s.consumers(),
+                                kinds,
+                                random.nextInt(1 << 20),
+                                folder.resolve("clients.ledger"))) {
             if (o.sharing != null) {
                 s.beginEra(s.voters().get(0), 1);
             }
             s.startAll();
             for (String name : o.sharing == null ? List.<String>of() : s.names()) {
-                s.until("membership", "GET", name, "/sharing", null, 60_000, a -> a.json().getBoolean("joined", false));
+                s.until(
+                        "membership",
+                        "GET",
+                        name,
+                        "/sharing",
+                        null,
+                        60_000,
+                        a -> a.json().getBoolean("joined", false));
             }
             for (String name : s.names()) {
-                s.until("worker out", "PUT", name, "/maintenance/enter", "{\"id\":\"" + out + "\"}", 20_000,
+                s.until(
+                        "worker out",
+                        "PUT",
+                        name,
+                        "/maintenance/enter",
+                        "{\"id\":\"" + out + "\"}",
+                        20_000,
                         a -> a.status() == 200 || a.status() == 409);
             }
             outSince = Clock.micros();
@@ -119,20 +165,32 @@
         } finally {
             sampler.shutdownNow();
         }
-        Judge.judge(folder, plan, rounds, out, outSince, figures.computeIfAbsent(mode, Figures::new));
-        for (Figures.Of f : figures.get(mode).rounds.subList(figures.get(mode).rounds.size() - rounds.size(),
-                figures.get(mode).rounds.size())) {
+        Judge.judge(
+                folder, plan, rounds, out, outSince, figures.computeIfAbsent(mode, Figures::new));
+        for (Figures.Of f :
+                figures.get(mode)
+                        .rounds
+                        .subList(
+                                figures.get(mode).rounds.size() - rounds.size(),
+                                figures.get(mode).rounds.size())) {
             lines.append(f.json(mode)).append('\n');
         }
     }
 
     private static void sample(Serving s) {
         FaultProxy.Counts c = s.cluster().mesh().counts();
-        s.cluster().history().add("rig", "between", new JsonObject().add("connections", c.connections())
-                .add("bytes", c.bytesOut() + c.bytesBack()));
+        s.cluster()
+                .history()
+                .add(
+                        "rig",
+                        "between",
+                        new JsonObject()
+                                .add("connections", c.connections())
+                                .add("bytes", c.bytesOut() + c.bytesBack()));
     }
 
-    private Round round(String mode, int number, Serving s, FleetPlan plan) throws IOException, InterruptedException {
+    private Round round(String mode, int number, Serving s, FleetPlan plan)
+            throws IOException, InterruptedException {
         if (!mode.equals("off")) {
             awaitMembers(s);
         }
@@ -140,7 +198,9 @@
         TimeUnit.MILLISECONDS.sleep(options.whole("steady_ms"));
         TreeSet<String> killed = draw(s);
         List<Program> programs = killed.stream().map(n -> s.cluster().of(n)).toList();
-        s.cluster().history().add("rig", "kill", new JsonObject().add("who", String.join(",", killed)));
+        s.cluster()
+                .history()
+                .add("rig", "kill", new JsonObject().add("who", String.join(",", killed)));
         long kill = Clock.micros();
         programs.forEach(Program::strike);
         for (Program p : programs) {
@@ -163,20 +223,33 @@
     }
 
     /**
-     * All are members again, and all who vote do. A voter that was wiped is taken in anew, which takes its time; if another
-     * were wiped before, the majority of the stores would be lost, and with it the whole state.
+     * All are members again, and all who vote do. A voter that was wiped is taken in anew, which
+     * takes its time; if another were wiped before, the majority of the stores would be lost, and
+     * with it the whole state.
      */
     private static void awaitMembers(Serving s) throws InterruptedException {
         for (String name : s.names()) {
             boolean votes = s.voters().contains(name);
-            s.until("membership", "GET", name, "/sharing", null, 120_000, a -> a.json().getBoolean("joined", false)
-                    && (!votes || a.json().get("fault").isNull()));
+            s.until(
+                    "membership",
+                    "GET",
+                    name,
+                    "/sharing",
+                    null,
+                    120_000,
+                    a ->
+                            a.json().getBoolean("joined", false)
+                                    && (!votes || a.json().get("fault").isNull()));
         }
     }
 
-    /** Most of all, and of the voters one: the others' log must outlive it, or all would be a loss of the whole state. */
+    /**
+     * Most of all, and of the voters one: the others' log must outlive it, or all would be a loss
+     * of the whole state.
+     */
     private TreeSet<String> draw(Serving s) {
-        List<String> observers = new ArrayList<>(s.names().subList(s.voters().size(), s.names().size()));
+        List<String> observers =
+                new ArrayList<>(s.names().subList(s.voters().size(), s.names().size()));
         TreeSet<String> killed = new TreeSet<>();
         if (!s.voters().isEmpty()) {
             killed.add(s.voters().get(random.nextInt(s.voters().size())));
--- a/rig/src/main/java/postgrade/rig/comeback/Growth.java
+++ b/rig/src/main/java/postgrade/rig/comeback/Growth.java
@@ -3,7 +3,10 @@
 import java.util.List;
 import postgrade.rig.history.History;
 
-/** A count that only grows, sampled now and then: how fast it grew, and at most within about a second. */
+/**
+ * A count that only grows, sampled now and then: how fast it grew, and at most within about a
+ * second.
+ */
 final class Growth {
 
     private static final long SECOND = 1_000_000;
@@ -26,8 +29,11 @@
                 last = e;
             }
         }
-        return first == null || last.micros() == first.micros() ? 0
-                : (last.whole(field) - first.whole(field)) * (double) SECOND / (last.micros() - first.micros());
+        return first == null || last.micros() == first.micros()
+                ? 0
+                : (last.whole(field) - first.whole(field))
+                        * (double) SECOND
+                        / (last.micros() - first.micros());
     }
 
     double most(long from, long to) {
--- a/rig/src/main/java/postgrade/rig/comeback/Service.java
+++ b/rig/src/main/java/postgrade/rig/comeback/Service.java
@@ -8,17 +8,20 @@
 import postgrade.fleet.plan.FleetPlan.JobClass;
 
 /**
- * What was served, by the clients' ledger alone: of the worth of the jobs that were sent at a time, the part that was served
- * in time, within a class's aim as far as it stretches.
+ * What was served, by the clients' ledger alone: of the worth of the jobs that were sent at a time,
+ * the part that was served in time, within a class's aim as far as it stretches.
  */
 final class Service {
 
     /** Jobs are gathered by when they were sent, in steps of this. */
     static final long STEP = 250_000;
+
     /** And judged over this many steps. */
     static final int WINDOW = 4;
+
     /** Full service holds for so long at least. */
     private static final int HOLDS = 8;
+
     private static final double NEAR = 0.95;
 
     private final long begin;
@@ -68,7 +71,7 @@
                     }
                 }
                 case "gave-up", "broken", "broken-idle" -> lost[at]++;
-                default -> { }
+                default -> {}
             }
         }
     }
@@ -91,7 +94,9 @@
     /** When full service began that then held; -1 if it did not before the end. */
     long fullFrom(long since, long until, double steady) {
         int holding = 0;
-        for (int i = Math.max(0, step(since)); i + WINDOW <= Math.min(offered.length, step(until)); i++) {
+        for (int i = Math.max(0, step(since));
+                i + WINDOW <= Math.min(offered.length, step(until));
+                i++) {
             double all = 0;
             double served = 0;
             for (int j = i; j < i + WINDOW; j++) {
@@ -106,7 +111,7 @@
         return -1;
     }
 
-    record Missed(int late, int refused, int lost) { }
+    record Missed(int late, int refused, int lost) {}
 
     Missed missed(long from, long to) {
         int l = 0;
--- a/rig/src/main/java/postgrade/rig/cost/Cost.java
+++ b/rig/src/main/java/postgrade/rig/cost/Cost.java
@@ -16,25 +16,43 @@
 import postgrade.rig.serve.SharingScript;
 
 /**
- * What sharing costs a dispatcher's processor: one that shares nothing, an observer and a voter under the same steady rate, in
- * blocks by turns within one run; while one is under load the others idle, which tells what sharing costs without jobs. Takes
- * {@code key=value}: out, fleet, dispatchers, rates, block (seconds), rounds, warm (seconds).
+ * What sharing costs a dispatcher's processor: one that shares nothing, an observer and a voter
+ * under the same steady rate, in blocks by turns within one run; while one is under load the others
+ * idle, which tells what sharing costs without jobs. Takes {@code key=value}: out, fleet,
+ * dispatchers, rates, block (seconds), rounds, warm (seconds).
  */
 public final class Cost {
 
     private static final int VOTERS = 3;
 
-    private static final Map<String, String> USUAL = Map.of("out", "found/cost", "dispatchers", "4",
-            "rates", "200,1000", "block", "15", "rounds", "2", "warm", "60", "fleet", "bench/cost/fleet.star");
+    private static final Map<String, String> USUAL =
+            Map.of(
+                    "out",
+                    "found/cost",
+                    "dispatchers",
+                    "4",
+                    "rates",
+                    "200,1000",
+                    "block",
+                    "15",
+                    "rounds",
+                    "2",
+                    "warm",
+                    "60",
+                    "fleet",
+                    "bench/cost/fleet.star");
     private final Options options;
     private final List<Subject> subjects = new ArrayList<>();
     private final List<Block> blocks = new ArrayList<>();
 
     /** A dispatcher that is measured, and who sends to it alone. */
-    private record Subject(String mode, long pid, Shops shops, Path ledger) { }
+    private record Subject(String mode, long pid, Shops shops, Path ledger) {}
 
-    /** @param rate jobs a second to this one meanwhile, 0 where it idled */
-    private record Block(String mode, int rate, long from, long to, long loop, long sharing, long all) { }
+    /**
+     * @param rate jobs a second to this one meanwhile, 0 where it idled
+     */
+    private record Block(
+            String mode, int rate, long from, long to, long loop, long sharing, long all) {}
 
     private Cost(Options options) {
         this.options = options;
@@ -49,20 +67,43 @@
         Files.createDirectories(out);
         String text = Files.readString(Path.of(options.text("fleet")));
         try (Serving alone = serving(out.resolve("off"), text, null);
-                Serving sharing = serving(out.resolve("on"), text.replaceFirst("seed = ", "seed = 7"),
-                        SharingScript.direct(""))) {
+                Serving sharing =
+                        serving(
+                                out.resolve("on"),
+                                text.replaceFirst("seed = ", "seed = 7"),
+                                SharingScript.direct(""))) {
             alone.cluster().start("n1");
             alone.awaitReady("n1", 60_000);
             sharing.beginEra("n1", 1);
             sharing.startAll();
             for (String name : sharing.names()) {
-                sharing.until("membership", "GET", name, "/sharing", null, 60_000,
+                sharing.until(
+                        "membership",
+                        "GET",
+                        name,
+                        "/sharing",
+                        null,
+                        60_000,
                         a -> a.json().getBoolean("joined", false));
             }
-            // A voter that does not lead: the leader's own work beside is in docs/measurements/quorum.md.
-            String leader = sharing.until("leader", "GET", "n1", "/sharing", null, 60_000,
-                    a -> !a.json().get("leader").isNull()).json().getString("leader", "");
-            String voter = sharing.voters().stream().filter(v -> !v.equals(leader)).findFirst().orElseThrow();
+            // A voter that does not lead: the leader's own work beside is in
+            // docs/measurements/quorum.md.
+            String leader =
+                    sharing.until(
+                                    "leader",
+                                    "GET",
+                                    "n1",
+                                    "/sharing",
+                                    null,
+                                    60_000,
+                                    a -> !a.json().get("leader").isNull())
+                            .json()
+                            .getString("leader", "");
+            String voter =
+                    sharing.voters().stream()
+                            .filter(v -> !v.equals(leader))
+                            .findFirst()
+                            .orElseThrow();
             subject("off", alone, "n1", out);
             subject("observer", sharing, sharing.names().get(VOTERS), out);
             subject("voter", sharing, voter, out);
@@ -79,7 +120,8 @@
         System.out.print(table);
     }
 
-    private Serving serving(Path folder, String text, Serving.Script script) throws IOException, InterruptedException {
+    private Serving serving(Path folder, String text, Serving.Script script)
+            throws IOException, InterruptedException {
         Serving.Options o = new Serving.Options();
         o.dispatchers = options.whole("dispatchers");
         o.voters = VOTERS;
@@ -89,17 +131,40 @@
     }
 
     private void subject(String mode, Serving s, String name, Path out) throws IOException {
-        FleetPlan plan = FleetPlan.of("fleet.star", Files.readString(Path.of(options.text("fleet"))));
+        FleetPlan plan =
+                FleetPlan.of("fleet.star", Files.readString(Path.of(options.text("fleet"))));
         List<Shops.Kind> kinds = new ArrayList<>();
-        plan.tenants.forEach((tenant, quota) -> plan.classes.values().forEach(c -> kinds.add(new Shops.Kind(c.name(),
-                tenant, quota, (long) (c.deadlineMs() * 1000), c.repeatable()))));
+        plan.tenants.forEach(
+                (tenant, quota) ->
+                        plan.classes
+                                .values()
+                                .forEach(
+                                        c ->
+                                                kinds.add(
+                                                        new Shops.Kind(
+                                                                c.name(),
+                                                                tenant,
+                                                                quota,
+                                                                (long) (c.deadlineMs() * 1000),
+                                                                c.repeatable()))));
         Path ledger = out.resolve(mode + ".ledger");
-        subjects.add(new Subject(mode, s.cluster().of(name).pid(),
-                new Shops(List.of(s.consumers().get(s.names().indexOf(name))), kinds, subjects.size() + 1, ledger), ledger));
+        subjects.add(
+                new Subject(
+                        mode,
+                        s.cluster().of(name).pid(),
+                        new Shops(
+                                List.of(s.consumers().get(s.names().indexOf(name))),
+                                kinds,
+                                subjects.size() + 1,
+                                ledger),
+                        ledger));
     }
 
     private void measure() throws IOException, InterruptedException {
-        int[] rates = List.of(options.text("rates").split(",")).stream().mapToInt(Integer::parseInt).toArray();
+        int[] rates =
+                List.of(options.text("rates").split(",")).stream()
+                        .mapToInt(Integer::parseInt)
+                        .toArray();
         for (Subject s : subjects) {
             s.shops.rate(rates[rates.length - 1]);
         }
@@ -129,8 +194,15 @@
             Subject s = subjects.get(i);
             long to = Clock.micros();
             ThreadTimes after = ThreadTimes.of(s.pid);
-            blocks.add(new Block(s.mode, s == loaded ? rate : 0, from, to, after.since(before.get(i), ThreadTimes.LOOP),
-                    after.since(before.get(i), ThreadTimes.SHARING), after.all() - before.get(i).all()));
+            blocks.add(
+                    new Block(
+                            s.mode,
+                            s == loaded ? rate : 0,
+                            from,
+                            to,
+                            after.since(before.get(i), ThreadTimes.LOOP),
+                            after.since(before.get(i), ThreadTimes.SHARING),
+                            after.all() - before.get(i).all()));
         }
         loaded.shops.finish();
     }
@@ -138,22 +210,62 @@
     // ---- What came out.
 
     private String table() throws IOException {
-        StringBuilder s = new StringBuilder("| dispatcher | jobs/s | s | jobs served | loop | sharing | all |\n"
-                + "| --- | --- | --- | --- | --- | --- | --- |\n");
+        StringBuilder s =
+                new StringBuilder(
+                        "| dispatcher | jobs/s | s | jobs served | loop | sharing | all |\n"
+                                + "| --- | --- | --- | --- | --- | --- | --- |\n");
         for (Subject of : subjects) {
-            List<Long> served = LedgerReader.read(of.ledger).stream().filter(l -> l.event().equals("answer")
-                    && l.number("status") == 200).map(LedgerReader.Line::micros).toList();
-            blocks.stream().filter(b -> b.mode.equals(of.mode)).map(Block::rate).distinct().sorted().forEach(rate -> {
-                List<Block> same = blocks.stream().filter(b -> b.mode.equals(of.mode) && b.rate == rate).toList();
-                double seconds = same.stream().mapToDouble(b -> (b.to - b.from) / 1e6).sum();
-                long jobs = served.stream().filter(at -> same.stream().anyMatch(b -> at >= b.from && at < b.to)).count();
-                s.append(String.format("| %s | %d | %.0f | %d |", of.mode, rate, seconds, jobs));
-                // Microseconds a job under load; of each second where it idles.
-                double by = rate == 0 ? seconds : jobs;
-                s.append(String.format(" %.1f | %.1f | %.1f |%n", same.stream().mapToLong(Block::loop).sum() / 1e3 / by,
-                        same.stream().mapToLong(Block::sharing).sum() / 1e3 / by,
-                        same.stream().mapToLong(Block::all).sum() / 1e3 / by));
-            });
+            List<Long> served =
+                    LedgerReader.read(of.ledger).stream()
+                            .filter(l -> l.event().equals("answer") && l.number("status") == 200)
+                            .map(LedgerReader.Line::micros)
+                            .toList();
+            blocks.stream()
+                    .filter(b -> b.mode.equals(of.mode))
+                    .map(Block::rate)
+                    .distinct()
+                    .sorted()
+                    .forEach(
+                            rate -> {
+                                List<Block> same =
+                                        blocks.stream()
+                                                .filter(
+                                                        b ->
+                                                                b.mode.equals(of.mode)
+                                                                        && b.rate == rate)
+                                                .toList();
+                                double seconds =
+                                        same.stream().mapToDouble(b -> (b.to - b.from) / 1e6).sum();
+                                long jobs =
+                                        served.stream()
+                                                .filter(
+                                                        at ->
+                                                                same.stream()
+                                                                        .anyMatch(
+                                                                                b ->
+                                                                                        at >= b.from
+                                                                                                && at
+                                                                                                        < b.to))
+                                                .count();
+                                s.append(
+                                        String.format(
+                                                "| %s | %d | %.0f | %d |",
+                                                of.mode, rate, seconds, jobs));
+                                // Microseconds a job under load; of each second where it idles.
+                                double by = rate == 0 ? seconds : jobs;
+                                s.append(
+                                        String.format(
+                                                " %.1f | %.1f | %.1f |%n",
+                                                same.stream().mapToLong(Block::loop).sum()
+                                                        / 1e3
+                                                        / by,
+                                                same.stream().mapToLong(Block::sharing).sum()
+                                                        / 1e3
+                                                        / by,
+                                                same.stream().mapToLong(Block::all).sum()
+                                                        / 1e3
+                                                        / by));
+                            });
         }
         return s.toString();
     }
--- a/rig/src/main/java/postgrade/rig/cost/ThreadTimes.java
+++ b/rig/src/main/java/postgrade/rig/cost/ThreadTimes.java
@@ -8,20 +8,24 @@
 import java.util.stream.Stream;
 
 /**
- * The time that a process has had on processors, as a whole and by thread, in nanoseconds. The whole counts threads that have
- * ended too, in the system's ticks of 10 ms.
+ * The time that a process has had on processors, as a whole and by thread, in nanoseconds. The
+ * whole counts threads that have ended too, in the system's ticks of 10 ms.
  */
 record ThreadTimes(long all, Map<String, One> threads) {
 
     static final String LOOP = "loop";
     static final String SHARING = "sharing";
     private static final long TICK = 10_000_000;
+
     /** In {@code /proc/PID/stat}, of the fields behind the program's name. */
     private static final int USER = 11;
+
     private static final int SYSTEM = 12;
 
-    /** @param group what it does, by its name */
-    record One(String group, long nanos) { }
+    /**
+     * @param group what it does, by its name
+     */
+    record One(String group, long nanos) {}
 
     static ThreadTimes of(long pid) throws IOException {
         Path process = Path.of("/proc", Long.toString(pid));
@@ -32,8 +36,13 @@
         try (Stream<Path> tasks = Files.list(process.resolve("task"))) {
             for (Path task : (Iterable<Path>) tasks::iterator) {
                 try {
-                    threads.put(task.getFileName().toString(), new One(group(Files.readString(task.resolve("comm")).strip()),
-                            Long.parseLong(Files.readString(task.resolve("schedstat")).split(" ")[0])));
+                    threads.put(
+                            task.getFileName().toString(),
+                            new One(
+                                    group(Files.readString(task.resolve("comm")).strip()),
+                                    Long.parseLong(
+                                            Files.readString(task.resolve("schedstat"))
+                                                    .split(" ")[0])));
                 } catch (IOException e) {
                     // It has ended; the whole counts it.
                 }
@@ -42,16 +51,27 @@
         return new ThreadTimes(all, threads);
     }
 
-    /** By the names that the dispatcher and its libraries give their threads, of which the system keeps 15 letters. */
+    /**
+     * By the names that the dispatcher and its libraries give their threads, of which the system
+     * keeps 15 letters.
+     */
     private static String group(String name) {
         if (name.equals(LOOP)) {
             return LOOP;
         }
-        return name.startsWith("quorum") || name.startsWith("sharing") || name.startsWith("memory")
-                || name.startsWith("grpc") || name.startsWith("MVStore") ? SHARING : "";
+        return name.startsWith("quorum")
+                        || name.startsWith("sharing")
+                        || name.startsWith("memory")
+                        || name.startsWith("grpc")
+                        || name.startsWith("MVStore")
+                ? SHARING
+                : "";
     }
 
-    /** How long the threads of a group ran since then, by the names that they have now: a thread gets its name after its start. */
+    /**
+     * How long the threads of a group ran since then, by the names that they have now: a thread
+     * gets its name after its start.
+     */
     long since(ThreadTimes before, String group) {
         long sum = 0;
         for (Map.Entry<String, One> e : threads.entrySet()) {
--- a/rig/src/main/java/postgrade/rig/disk/Disk.java
+++ b/rig/src/main/java/postgrade/rig/disk/Disk.java
@@ -14,7 +14,7 @@
 /** Faults on what a process has stored. Done while it is dead, or under it. */
 public final class Disk {
 
-    private Disk() { }
+    private Disk() {}
 
     /** Nothing is left; the folder itself stays. */
     public static void wipe(Path store) throws IOException {
@@ -33,7 +33,9 @@
     /** The files below a folder, in one order. */
     public static List<Path> files(Path store) throws IOException {
         try (Stream<Path> tree = Files.walk(store)) {
-            return tree.filter(p -> Files.isRegularFile(p, LinkOption.NOFOLLOW_LINKS)).sorted().toList();
+            return tree.filter(p -> Files.isRegularFile(p, LinkOption.NOFOLLOW_LINKS))
+                    .sorted()
+                    .toList();
         }
     }
 
@@ -80,8 +82,9 @@
     }
 
     /**
-     * Takes the right to write away, or gives it back. For a program that runs as the system's own user the rights of files
-     * do not count: it is held up by {@link postgrade.rig.process.Program.Start#fileLimit} of 0 instead.
+     * Takes the right to write away, or gives it back. For a program that runs as the system's own
+     * user the rights of files do not count: it is held up by {@link
+     * postgrade.rig.process.Program.Start#fileLimit} of 0 instead.
      */
     public static void readOnly(Path store, boolean now) throws IOException {
         try (Stream<Path> tree = Files.walk(store)) {
--- a/rig/src/main/java/postgrade/rig/history/History.java
+++ b/rig/src/main/java/postgrade/rig/history/History.java
@@ -17,12 +17,15 @@
 import postgrade.fleet.Clock;
 
 /**
- * What happened in a run, in the order in which the rig learnt it: a JSON line each in a file, and in memory for whoever
- * waits for an event. Times are those of the ledgers: microseconds of the machine's monotonic clock. Thread-safe.
+ * What happened in a run, in the order in which the rig learnt it: a JSON line each in a file, and
+ * in memory for whoever waits for an event. Times are those of the ledgers: microseconds of the
+ * machine's monotonic clock. Thread-safe.
  */
 public final class History implements Closeable {
 
-    /** @param who a process, a proxy or the rig @param kind what it was @param fields all the rest */
+    /**
+     * @param who a process, a proxy or the rig @param kind what it was @param fields all the rest
+     */
     public record Event(long micros, String who, String kind, JsonObject fields) {
 
         public String text(String name) {
@@ -41,8 +44,12 @@
 
     public History(Path path) throws IOException {
         Files.createDirectories(path.toAbsolutePath().getParent());
-        file = Files.newBufferedWriter(path, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING,
-                StandardOpenOption.WRITE);
+        file =
+                Files.newBufferedWriter(
+                        path,
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.TRUNCATE_EXISTING,
+                        StandardOpenOption.WRITE);
     }
 
     public long micros() {
@@ -54,8 +61,13 @@
         try {
             Event e = new Event(micros(), who, kind, fields);
             events.add(e);
-            file.write(new JsonObject().add("us", e.micros).add("who", who).add("kind", kind).add("with", fields)
-                    .toString());
+            file.write(
+                    new JsonObject()
+                            .add("us", e.micros)
+                            .add("who", who)
+                            .add("kind", kind)
+                            .add("with", fields)
+                            .toString());
             file.newLine();
             file.flush();
             grown.signalAll();
@@ -91,7 +103,8 @@
      *
      * @throws IllegalStateException if it has not come in time
      */
-    public Event await(String what, int from, long withinMillis, Predicate<Event> sought) throws InterruptedException {
+    public Event await(String what, int from, long withinMillis, Predicate<Event> sought)
+            throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMillis);
         lock.lock();
         try {
@@ -104,8 +117,14 @@
                 }
                 long left = end - System.nanoTime();
                 if (left <= 0) {
-                    throw new IllegalStateException("no " + what + " within " + withinMillis + " ms; the last: "
-                            + events.subList(Math.max(from, events.size() - 12), events.size()));
+                    throw new IllegalStateException(
+                            "no "
+                                    + what
+                                    + " within "
+                                    + withinMillis
+                                    + " ms; the last: "
+                                    + events.subList(
+                                            Math.max(from, events.size() - 12), events.size()));
                 }
                 grown.awaitNanos(left);
             }
--- a/rig/src/main/java/postgrade/rig/history/HistoryReader.java
+++ b/rig/src/main/java/postgrade/rig/history/HistoryReader.java
@@ -9,10 +9,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads histories that were kept. A last line cut off by the rig's death is passed over; any other is an error. */
+/**
+ * Reads histories that were kept. A last line cut off by the rig's death is passed over; any other
+ * is an error.
+ */
 public final class HistoryReader {
 
-    private HistoryReader() { }
+    private HistoryReader() {}
 
     public static List<History.Event> read(Path file) throws IOException {
         List<String> lines = Files.readAllLines(file);
@@ -20,8 +23,12 @@
         for (int i = 0; i < lines.size(); i++) {
             try {
                 JsonObject o = Json.parse(lines.get(i)).asObject();
-                events.add(new History.Event(o.get("us").asLong(), o.get("who").asString(), o.get("kind").asString(),
-                        o.get("with").asObject()));
+                events.add(
+                        new History.Event(
+                                o.get("us").asLong(),
+                                o.get("who").asString(),
+                                o.get("kind").asString(),
+                                o.get("with").asObject()));
             } catch (ParseException | NullPointerException | UnsupportedOperationException e) {
                 if (i + 1 < lines.size()) {
                     throw new IOException(file.getFileName() + ":" + (i + 1) + " is no event", e);
--- a/rig/src/main/java/postgrade/rig/load/Shops.java
+++ b/rig/src/main/java/postgrade/rig/load/Shops.java
@@ -17,25 +17,36 @@
 import postgrade.fleet.Ledger;
 
 /**
- * Shops that send jobs at a steady rate to whichever dispatchers can be reached, and write down what came of them in the
- * clients' ledger. A refused connection passes a dispatcher over for a while, as a front does; nothing is sent twice.
+ * Shops that send jobs at a steady rate to whichever dispatchers can be reached, and write down
+ * what came of them in the clients' ledger. A refused connection passes a dispatcher over for a
+ * while, as a front does; nothing is sent twice.
  */
 public final class Shops implements Closeable {
 
     private static final long PASSED_OVER_MICROS = 500_000;
+
     /** An answer that comes late is worth knowing of; whoever judges tells late from never. */
     private static final long LINGER_MS = 20_000;
+
     private static final int WAIT_MS = 60_000;
 
-    /** @param weight among all kinds */
-    public record Kind(String jobClass, String tenant, double weight, long deadlineMicros, boolean repeatable) { }
+    /**
+     * @param weight among all kinds
+     */
+    public record Kind(
+            String jobClass,
+            String tenant,
+            double weight,
+            long deadlineMicros,
+            boolean repeatable) {}
 
     private final List<Target> targets = new ArrayList<>();
     private final List<Kind> kinds;
     private final SplittableRandom random;
     private final Ledger ledger;
     private final ExecutorService senders = Executors.newCachedThreadPool(daemons("shop"));
-    private final ScheduledExecutorService clock = Executors.newSingleThreadScheduledExecutor(daemons("shops' clock"));
+    private final ScheduledExecutorService clock =
+            Executors.newSingleThreadScheduledExecutor(daemons("shops' clock"));
     private final AtomicLong underWay = new AtomicLong();
     private final long seed;
     private long number;
@@ -43,7 +54,8 @@
     private double owed;
     private long last;
 
-    public Shops(List<InetSocketAddress> addresses, List<Kind> kinds, long seed, Path ledger) throws IOException {
+    public Shops(List<InetSocketAddress> addresses, List<Kind> kinds, long seed, Path ledger)
+            throws IOException {
         for (int i = 0; i < addresses.size(); i++) {
             targets.add(new Target("n" + (i + 1), addresses.get(i)));
         }
@@ -89,18 +101,30 @@
         }
         number++;
         String id = String.format("%08x%08x", seed * 31 + 7, number);
-        String detail = "job=" + number + " class=" + kind.jobClass + " tenant=" + kind.tenant + " deadline="
-                + kind.deadlineMicros + " intended=" + now + " repeatable=" + kind.repeatable;
+        String detail =
+                "job="
+                        + number
+                        + " class="
+                        + kind.jobClass
+                        + " tenant="
+                        + kind.tenant
+                        + " deadline="
+                        + kind.deadlineMicros
+                        + " intended="
+                        + now
+                        + " repeatable="
+                        + kind.repeatable;
         int first = random.nextInt(targets.size());
         Kind of = kind;
         underWay.incrementAndGet();
-        senders.execute(() -> {
-            try {
-                send(id, of, detail, first);
-            } finally {
-                underWay.decrementAndGet();
-            }
-        });
+        senders.execute(
+                () -> {
+                    try {
+                        send(id, of, detail, first);
+                    } finally {
+                        underWay.decrementAndGet();
+                    }
+                });
     }
 
     private void send(String id, Kind kind, String detail, int first) {
@@ -126,11 +150,31 @@
             // Before its last byte leaves, as a death could come between.
             sent = Clock.micros();
             ledger.add(sent, "sent", id, "client", detail + " via=" + t.name);
-            Target.Answer a = line.exchange("POST /api/" + kind.jobClass + " HTTP/1.1\r\nHost: w\r\nX-Request-Id: " + id
-                    + "\r\nX-Class: " + kind.jobClass + "\r\nX-Tenant: " + kind.tenant + "\r\nX-Deadline: "
-                    + kind.deadlineMicros + "u\r\nContent-Length: 2\r\n\r\n{}", kind.deadlineMicros / 1000 + LINGER_MS);
-            ledger.add(Clock.micros(), "answer", id, "client", "status=" + a.status() + " result="
-                    + (a.status() == 200 ? a.body() : "-") + " via=" + t.name);
+            Target.Answer a =
+                    line.exchange(
+                            "POST /api/"
+                                    + kind.jobClass
+                                    + " HTTP/1.1\r\nHost: w\r\nX-Request-Id: "
+                                    + id
+                                    + "\r\nX-Class: "
+                                    + kind.jobClass
+                                    + "\r\nX-Tenant: "
+                                    + kind.tenant
+                                    + "\r\nX-Deadline: "
+                                    + kind.deadlineMicros
+                                    + "u\r\nContent-Length: 2\r\n\r\n{}",
+                            kind.deadlineMicros / 1000 + LINGER_MS);
+            ledger.add(
+                    Clock.micros(),
+                    "answer",
+                    id,
+                    "client",
+                    "status="
+                            + a.status()
+                            + " result="
+                            + (a.status() == 200 ? a.body() : "-")
+                            + " via="
+                            + t.name);
             t.back(line, a.keep());
         } catch (java.net.SocketTimeoutException e) {
             ledger.add(Clock.micros(), "gave-up", id, "client", "via=" + t.name);
--- a/rig/src/main/java/postgrade/rig/load/Target.java
+++ b/rig/src/main/java/postgrade/rig/load/Target.java
@@ -16,7 +16,7 @@
     private static final long IDLE_NANOS = 4_000_000_000L;
     private static final int MOST_LINE = 1 << 14;
 
-    record Answer(int status, String body, boolean keep) { }
+    record Answer(int status, String body, boolean keep) {}
 
     final String name;
     private final InetSocketAddress address;
@@ -96,7 +96,8 @@
             if (body.length < length) {
                 throw new IOException("cut off within the body");
             }
-            return new Answer(Integer.parseInt(status[1]), new String(body, StandardCharsets.UTF_8), keep);
+            return new Answer(
+                    Integer.parseInt(status[1]), new String(body, StandardCharsets.UTF_8), keep);
         }
 
         private String text() throws IOException {
