--- a/rig/src/main/java/postgrade/rig/process/Program.java
+++ b/rig/src/main/java/postgrade/rig/process/Program.java
@@ -20,17 +20,21 @@
 import postgrade.rig.history.History;
 
 /**
- * A real process of a Java program. Each line that it writes becomes an event of the history: a line that is a JSON object
- * with a text {@code kind} or {@code event} by that name, any other by the name {@code line}. No process outlives the rig.
+ * A real process of a Java program. Each line that it writes becomes an event of the history: a
+ * line that is a JSON object with a text {@code kind} or {@code event} by that name, any other by
+ * the name {@code line}. No process outlives the rig.
  */
 public final class Program implements Closeable {
 
     private static final Set<Process> RUNNING = ConcurrentHashMap.newKeySet();
+
     /** A process that is to end by itself may have to start first, on a busy machine. */
     private static final long MOST_SECONDS = 240;
 
     static {
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> RUNNING.forEach(Process::destroyForcibly), "rig's end"));
+        Runtime.getRuntime()
+                .addShutdownHook(
+                        new Thread(() -> RUNNING.forEach(Process::destroyForcibly), "rig's end"));
     }
 
     private final String name;
@@ -55,8 +59,13 @@
         private final List<String> arguments = new ArrayList<>();
         private final Map<String, String> environment = new ConcurrentHashMap<>();
         private String classPath = System.getProperty("java.class.path");
-        private List<String> flags = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m",
-                "-XX:-UsePerfData", "-XX:+ExitOnOutOfMemoryError");
+        private List<String> flags =
+                List.of(
+                        "-XX:+UseSerialGC",
+                        "-XX:TieredStopAtLevel=1",
+                        "-Xmx96m",
+                        "-XX:-UsePerfData",
+                        "-XX:+ExitOnOutOfMemoryError");
         private long fileBlocks = -1;
         private Path folder;
 
@@ -100,8 +109,14 @@
         public Program in(History history) throws IOException {
             List<String> command = new ArrayList<>();
             if (fileBlocks >= 0) {
-                // The signal that comes with the limit is passed over, so that the write itself fails.
-                command.addAll(List.of("bash", "-c", "trap '' XFSZ; ulimit -f " + fileBlocks + "; exec \"$@\"", "limited"));
+                // The signal that comes with the limit is passed over, so that the write itself
+                // fails.
+                command.addAll(
+                        List.of(
+                                "bash",
+                                "-c",
+                                "trap '' XFSZ; ulimit -f " + fileBlocks + "; exec \"$@\"",
+                                "limited"));
             }
             command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
             command.addAll(flags);
@@ -164,8 +179,13 @@
     }
 
     /** Waits for an event of this process. */
-    public History.Event await(String kind, int from, long withinMillis) throws InterruptedException {
-        return history.await(name + "'s " + kind, from, withinMillis, e -> e.who().equals(name) && e.kind().equals(kind));
+    public History.Event await(String kind, int from, long withinMillis)
+            throws InterruptedException {
+        return history.await(
+                name + "'s " + kind,
+                from,
+                withinMillis,
+                e -> e.who().equals(name) && e.kind().equals(kind));
     }
 
     /** Gives it a line to read. */
@@ -209,7 +229,8 @@
     }
 
     private void signal(String which) throws IOException, InterruptedException {
-        if (new ProcessBuilder("kill", "-" + which, Long.toString(pid())).start().waitFor() != 0 && alive()) {
+        if (new ProcessBuilder("kill", "-" + which, Long.toString(pid())).start().waitFor() != 0
+                && alive()) {
             throw new IOException("SIG" + which + " did not reach " + name);
         }
     }
@@ -222,7 +243,8 @@
         // Else what it last wrote might count as written after its end.
         reader.join(TimeUnit.SECONDS.toMillis(MOST_SECONDS));
         if (reader.isAlive()) {
-            throw new IllegalStateException(name + " ended, and what it wrote could not be read to its end");
+            throw new IllegalStateException(
+                    name + " ended, and what it wrote could not be read to its end");
         }
         return process.exitValue();
     }
--- a/rig/src/main/java/postgrade/rig/proxy/FaultProxy.java
+++ b/rig/src/main/java/postgrade/rig/proxy/FaultProxy.java
@@ -14,9 +14,10 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Stands between one process that connects and one that listens, and spoils what passes. All switches work while it runs,
- * on connections that are open and on later ones. Its port is bound once and kept to the end; where it leads may change,
- * so that a process started again may listen on another port.
+ * Stands between one process that connects and one that listens, and spoils what passes. All
+ * switches work while it runs, on connections that are open and on later ones. Its port is bound
+ * once and kept to the end; where it leads may change, so that a process started again may listen
+ * on another port.
  */
 public final class FaultProxy implements Closeable {
 
@@ -24,20 +25,23 @@
     private static final int BACKLOG = 256;
 
     /** What went through, for bounds on how much is asked. */
-    public record Counts(long connections, long bytesOut, long bytesBack) { }
+    public record Counts(long connections, long bytesOut, long bytesBack) {}
 
     private final String name;
     private final ServerSocket listener;
     private final Set<Passage> open = ConcurrentHashMap.newKeySet();
     private final Map<Way, Boolean> cut = new EnumMap<>(Map.of(Way.OUT, false, Way.BACK, false));
     private final Map<Way, Long> delayNanos = new EnumMap<>(Map.of(Way.OUT, 0L, Way.BACK, 0L));
-    private final Map<Way, AtomicLong> bytes = Map.of(Way.OUT, new AtomicLong(), Way.BACK, new AtomicLong());
+    private final Map<Way, AtomicLong> bytes =
+            Map.of(Way.OUT, new AtomicLong(), Way.BACK, new AtomicLong());
     private final AtomicLong connections = new AtomicLong();
     private volatile InetSocketAddress target;
     private volatile boolean refusing;
     private volatile boolean closed;
+
     /** For connections to come: so many bytes of a way, then the end. Below 0: no end. */
     private Way endWay = Way.OUT;
+
     private long endAfter = -1;
 
     /** Listens at once. Connections are reset until it leads somewhere. */
@@ -63,7 +67,10 @@
 
     // ---- Switches.
 
-    /** Nothing passes that way from now on, on any connection. What is sent meanwhile comes when it is healed. */
+    /**
+     * Nothing passes that way from now on, on any connection. What is sent meanwhile comes when it
+     * is healed.
+     */
     public synchronized void cut(Way way) {
         cut.put(way, true);
         open.forEach(p -> p.gate(way).shut(true));
@@ -82,10 +89,13 @@
         for (Way w : Way.values()) {
             cut.put(w, false);
             delayNanos.put(w, 0L);
-            open.stream().filter(p -> !p.stalled()).forEach(p -> {
-                p.gate(w).shut(false);
-                p.gate(w).delay(0);
-            });
+            open.stream()
+                    .filter(p -> !p.stalled())
+                    .forEach(
+                            p -> {
+                                p.gate(w).shut(false);
+                                p.gate(w).delay(0);
+                            });
         }
     }
 
@@ -95,7 +105,10 @@
         open.forEach(p -> p.gate(way).delay(millis * 1_000_000));
     }
 
-    /** The connections that are open now say nothing any more and never end by themselves; later ones are well. */
+    /**
+     * The connections that are open now say nothing any more and never end by themselves; later
+     * ones are well.
+     */
     public synchronized void stall() {
         open.forEach(Passage::stall);
     }
@@ -110,7 +123,9 @@
         refusing = now;
     }
 
-    /** All connections, open and later ones, end once so many more bytes of that way have passed. */
+    /**
+     * All connections, open and later ones, end once so many more bytes of that way have passed.
+     */
     public synchronized void closeAfter(Way way, long more) {
         endWay = way;
         endAfter = more;
@@ -182,7 +197,10 @@
         p.begin(name);
     }
 
-    /** A connection through a cut does not come up until it is healed, whether or not somebody listens beyond. */
+    /**
+     * A connection through a cut does not come up until it is healed, whether or not somebody
+     * listens beyond.
+     */
     private synchronized boolean awaitPassable() {
         try {
             while (cut.containsValue(true) && !closed) {
--- a/rig/src/main/java/postgrade/rig/proxy/Gate.java
+++ b/rig/src/main/java/postgrade/rig/proxy/Gate.java
@@ -4,7 +4,10 @@
 import java.util.concurrent.locks.Condition;
 import java.util.concurrent.locks.ReentrantLock;
 
-/** What holds bytes of one way up. Bytes that are held are not lost: as with a cut cable, they come when it is healed. */
+/**
+ * What holds bytes of one way up. Bytes that are held are not lost: as with a cut cable, they come
+ * when it is healed.
+ */
 final class Gate {
 
     private final ReentrantLock lock = new ReentrantLock();
--- a/rig/src/main/java/postgrade/rig/proxy/Mesh.java
+++ b/rig/src/main/java/postgrade/rig/proxy/Mesh.java
@@ -15,11 +15,13 @@
 /** A proxy between every ordered pair of names: whoever connects, and whoever listens. */
 public final class Mesh implements Closeable {
 
-    private record Pair(String from, String to) { }
+    private record Pair(String from, String to) {}
 
     private final Map<Pair, FaultProxy> proxies = new LinkedHashMap<>();
 
-    /** @param listening those that anybody connects to; the others only connect */
+    /**
+     * @param listening those that anybody connects to; the others only connect
+     */
     public Mesh(List<String> names, List<String> listening) throws IOException {
         for (String from : names) {
             for (String to : listening) {
@@ -64,19 +66,22 @@
     }
 
     private void each(Predicate<Pair> which, Consumer<FaultProxy> what) {
-        proxies.forEach((pair, proxy) -> {
-            if (which.test(pair)) {
-                what.accept(proxy);
-            }
-        });
+        proxies.forEach(
+                (pair, proxy) -> {
+                    if (which.test(pair)) {
+                        what.accept(proxy);
+                    }
+                });
     }
 
     public Set<String> names() {
         Set<String> names = new TreeSet<>();
-        proxies.keySet().forEach(p -> {
-            names.add(p.from);
-            names.add(p.to);
-        });
+        proxies.keySet()
+                .forEach(
+                        p -> {
+                            names.add(p.from);
+                            names.add(p.to);
+                        });
         return names;
     }
 
--- a/rig/src/main/java/postgrade/rig/proxy/Passage.java
+++ b/rig/src/main/java/postgrade/rig/proxy/Passage.java
@@ -16,14 +16,22 @@
 
     private final Map<Way, Socket> from;
     private final Map<Way, Gate> gates = Map.of(Way.OUT, new Gate(), Way.BACK, new Gate());
-    private final Map<Way, AtomicLong> left = Map.of(Way.OUT, new AtomicLong(Long.MAX_VALUE), Way.BACK,
-            new AtomicLong(Long.MAX_VALUE));
+    private final Map<Way, AtomicLong> left =
+            Map.of(
+                    Way.OUT,
+                    new AtomicLong(Long.MAX_VALUE),
+                    Way.BACK,
+                    new AtomicLong(Long.MAX_VALUE));
     private final Map<Way, AtomicLong> bytes;
     private final Consumer<Passage> over;
     private final AtomicInteger waysOpen = new AtomicInteger(2);
     private volatile boolean stalled;
 
-    Passage(Socket connecting, Socket listening, Map<Way, AtomicLong> bytes, Consumer<Passage> over) {
+    Passage(
+            Socket connecting,
+            Socket listening,
+            Map<Way, AtomicLong> bytes,
+            Consumer<Passage> over) {
         from = Map.of(Way.OUT, connecting, Way.BACK, listening);
         this.bytes = bytes;
         this.over = over;
@@ -89,7 +97,10 @@
         }
     }
 
-    /** A side was reset. Nobody hears of it while that way is shut: whoever dies behind a cut says nothing. */
+    /**
+     * A side was reset. Nobody hears of it while that way is shut: whoever dies behind a cut says
+     * nothing.
+     */
     private void broken(Way way) {
         try {
             if (gates.get(way).pass(System.nanoTime())) {
--- a/rig/src/main/java/postgrade/rig/proxy/Way.java
+++ b/rig/src/main/java/postgrade/rig/proxy/Way.java
@@ -1,4 +1,7 @@
 package postgrade.rig.proxy;
 
 /** Whose bytes: those of whoever connects, or those of whoever listens. */
-public enum Way { OUT, BACK }
+public enum Way {
+    OUT,
+    BACK
+}
--- a/rig/src/main/java/postgrade/rig/serve/Call.java
+++ b/rig/src/main/java/postgrade/rig/serve/Call.java
@@ -14,11 +14,16 @@
 /** An operator's call, and what came back. */
 public final class Call {
 
-    private static final HttpClient CLIENT = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
-            .connectTimeout(Duration.ofSeconds(2)).build();
+    private static final HttpClient CLIENT =
+            HttpClient.newBuilder()
+                    .version(HttpClient.Version.HTTP_1_1)
+                    .connectTimeout(Duration.ofSeconds(2))
+                    .build();
     private static final Duration MOST = Duration.ofSeconds(5);
 
-    /** @param text of the body @param retryAfter empty where none was told */
+    /**
+     * @param text of the body @param retryAfter empty where none was told
+     */
     public record Answer(int status, String text, String retryAfter) {
 
         /** The body as an object; an empty one where it is none. */
@@ -31,14 +36,21 @@
         }
     }
 
-    private Call() { }
+    private Call() {}
 
-    public static Answer of(String method, InetSocketAddress at, String path, String body) throws IOException,
-            InterruptedException {
-        HttpRequest r = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + at.getPort() + path)).timeout(MOST)
-                .method(method, body == null ? HttpRequest.BodyPublishers.noBody()
-                        : HttpRequest.BodyPublishers.ofString(body)).build();
+    public static Answer of(String method, InetSocketAddress at, String path, String body)
+            throws IOException, InterruptedException {
+        HttpRequest r =
+                HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + at.getPort() + path))
+                        .timeout(MOST)
+                        .method(
+                                method,
+                                body == null
+                                        ? HttpRequest.BodyPublishers.noBody()
+                                        : HttpRequest.BodyPublishers.ofString(body))
+                        .build();
         HttpResponse<String> a = CLIENT.send(r, HttpResponse.BodyHandlers.ofString());
-        return new Answer(a.statusCode(), a.body(), a.headers().firstValue("Retry-After").orElse(""));
+        return new Answer(
+                a.statusCode(), a.body(), a.headers().firstValue("Retry-After").orElse(""));
     }
 }
--- a/rig/src/main/java/postgrade/rig/serve/Serving.java
+++ b/rig/src/main/java/postgrade/rig/serve/Serving.java
@@ -24,7 +24,10 @@
 import postgrade.rig.history.History;
 import postgrade.rig.process.Program;
 
-/** Real dispatchers, {@code postgrade serve} each, before one stand-in fleet. They are named n1, n2 and so on. */
+/**
+ * Real dispatchers, {@code postgrade serve} each, before one stand-in fleet. They are named n1, n2
+ * and so on.
+ */
 public final class Serving implements Closeable {
 
     private static final int STEP_MS = 10;
@@ -37,8 +40,10 @@
     /** What is to be started. */
     public static final class Options {
         public int dispatchers = 3;
+
         /** The first so many vote. */
         public int voters = 3;
+
         public FleetPlan plan;
         public Script sharing;
         public Map<String, String> environment = new HashMap<>();
@@ -54,7 +59,11 @@
     private final Map<String, InetSocketAddress> consumers = new LinkedHashMap<>();
     private final Map<String, HeldPort> operators = new LinkedHashMap<>();
     private final Map<String, Map<String, String>> environments = new HashMap<>();
-    /** Where the processes of one dispatcher find each other: the system takes no socket with a path as long as a test's. */
+
+    /**
+     * Where the processes of one dispatcher find each other: the system takes no socket with a path
+     * as long as a test's.
+     */
     private final Path links;
 
     public Serving(Path folder, Options options) throws IOException, InterruptedException {
@@ -78,8 +87,9 @@
     }
 
     /**
-     * Starts a new version of a dispatcher beside the one that runs, which is handed back. The new one has an operators' port
-     * of its own, to which calls of that name go from here on; {@code formerly} is a name for those to the former.
+     * Starts a new version of a dispatcher beside the one that runs, which is handed back. The new
+     * one has an operators' port of its own, to which calls of that name go from here on; {@code
+     * formerly} is a name for those to the former.
      */
     public Program upgrade(String name, String formerly) throws IOException {
         operators.put(formerly, operators.get(name));
@@ -103,9 +113,14 @@
     private Program.Start recipe(String name) throws IOException {
         Path own = links.resolve(name);
         Files.createDirectories(own);
-        Program.Start s = new Program.Start(name, "postgrade.cli.Postgrade", "--log-format", "json", "serve")
-                .environment("ROUTER_CONFIG", fleet.configurationOf(names.indexOf(name)).toAbsolutePath().toString())
-                .environment("TMPDIR", own.toAbsolutePath().toString());
+        Program.Start s =
+                new Program.Start(name, "postgrade.cli.Postgrade", "--log-format", "json", "serve")
+                        .environment(
+                                "ROUTER_CONFIG",
+                                fleet.configurationOf(names.indexOf(name))
+                                        .toAbsolutePath()
+                                        .toString())
+                        .environment("TMPDIR", own.toAbsolutePath().toString());
         o.environment.forEach(s::environment);
         environments.getOrDefault(name, Map.of()).forEach(s::environment);
         return s;
@@ -142,11 +157,21 @@
 
     /** The operator's step at a voter that does not run. */
     public void beginEra(String name, long era) throws IOException, InterruptedException {
-        try (Program p = new Program.Start(name, "postgrade.cli.Postgrade", "sharing", "begin-era",
-                cluster.folder(name).resolve("sharing.star").toString(), "--name", name, "--era", Long.toString(era))
-                .in(cluster.history())) {
+        try (Program p =
+                new Program.Start(
+                                name,
+                                "postgrade.cli.Postgrade",
+                                "sharing",
+                                "begin-era",
+                                cluster.folder(name).resolve("sharing.star").toString(),
+                                "--name",
+                                name,
+                                "--era",
+                                Long.toString(era))
+                        .in(cluster.history())) {
             if (p.ended() != 0) {
-                throw new IllegalStateException("era " + era + " has not begun at " + name + ": " + lastOf(name));
+                throw new IllegalStateException(
+                        "era " + era + " has not begun at " + name + ": " + lastOf(name));
             }
         }
     }
@@ -161,14 +186,19 @@
     }
 
     /** Waits until it takes jobs, and notes when that was seen first. */
-    public long awaitReady(String name, long withinMillis) throws IOException, InterruptedException {
+    public long awaitReady(String name, long withinMillis)
+            throws IOException, InterruptedException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMillis);
         while (System.nanoTime() < end && cluster.of(name).alive()) {
             try (Socket s = new Socket()) {
                 s.connect(consumers.get(name), 500);
                 s.setSoTimeout(500);
-                s.getOutputStream().write("GET /-/ready HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
-                if (new String(s.getInputStream().readNBytes(12), StandardCharsets.ISO_8859_1).endsWith("200")) {
+                s.getOutputStream()
+                        .write(
+                                "GET /-/ready HTTP/1.1\r\n\r\n"
+                                        .getBytes(StandardCharsets.ISO_8859_1));
+                if (new String(s.getInputStream().readNBytes(12), StandardCharsets.ISO_8859_1)
+                        .endsWith("200")) {
                     return cluster.history().add(name, "ready", new JsonObject()).micros();
                 }
             } catch (IOException e) {
@@ -176,31 +206,48 @@
             }
             TimeUnit.MILLISECONDS.sleep(STEP_MS);
         }
-        throw new IllegalStateException(name + " did not become ready; the last of it: "
-                + lastOf(name));
+        throw new IllegalStateException(
+                name + " did not become ready; the last of it: " + lastOf(name));
     }
 
     private List<History.Event> lastOf(String name) {
-        List<History.Event> own = cluster.history().all().stream().filter(e -> e.who().equals(name)).toList();
+        List<History.Event> own =
+                cluster.history().all().stream().filter(e -> e.who().equals(name)).toList();
         return own.subList(Math.max(0, own.size() - 5), own.size());
     }
 
-    public Call.Answer call(String method, String name, String path, String body) throws IOException,
-            InterruptedException {
+    public Call.Answer call(String method, String name, String path, String body)
+            throws IOException, InterruptedException {
         return Call.of(method, operators.get(name).address(), path, body);
     }
 
-    /** Asks until the answer is the one sought; each answer that differs from the last is kept in the history. */
-    public Call.Answer until(String what, String method, String name, String path, String body, long withinMillis,
-            java.util.function.Predicate<Call.Answer> sought) throws InterruptedException {
+    /**
+     * Asks until the answer is the one sought; each answer that differs from the last is kept in
+     * the history.
+     */
+    public Call.Answer until(
+            String what,
+            String method,
+            String name,
+            String path,
+            String body,
+            long withinMillis,
+            java.util.function.Predicate<Call.Answer> sought)
+            throws InterruptedException {
         long end = Clock.micros() + withinMillis * 1000;
         Call.Answer last = null;
         while (true) {
             try {
                 Call.Answer now = call(method, name, path, body);
                 if (!now.equals(last)) {
-                    cluster.history().add(name, "told", new JsonObject().add("path", path).add("status", now.status())
-                            .add("text", now.text()));
+                    cluster.history()
+                            .add(
+                                    name,
+                                    "told",
+                                    new JsonObject()
+                                            .add("path", path)
+                                            .add("status", now.status())
+                                            .add("text", now.text()));
                 }
                 last = now;
                 if (sought.test(now)) {
@@ -210,8 +257,15 @@
                 // It is down, or on its way up.
             }
             if (Clock.micros() > end) {
-                throw new IllegalStateException("no " + what + " at " + name + " within " + withinMillis + " ms; last "
-                        + last);
+                throw new IllegalStateException(
+                        "no "
+                                + what
+                                + " at "
+                                + name
+                                + " within "
+                                + withinMillis
+                                + " ms; last "
+                                + last);
             }
             TimeUnit.MILLISECONDS.sleep(STEP_MS);
         }
--- a/rig/src/main/java/postgrade/rig/serve/SharingScript.java
+++ b/rig/src/main/java/postgrade/rig/serve/SharingScript.java
@@ -6,7 +6,7 @@
 /** The scripts by which dispatchers of the rig share. */
 public final class SharingScript {
 
-    private SharingScript() { }
+    private SharingScript() {}
 
     /** Voters at their own ports, with nothing between. */
     public static Serving.Script direct(String more) {
@@ -18,11 +18,20 @@
         return (name, cluster, voters) -> script(name, cluster, voters, true) + more;
     }
 
-    private static String script(String name, Cluster cluster, List<String> voters, boolean proxied) {
-        StringBuilder s = new StringBuilder("name = \"" + name + "\"\nstore = \"" + cluster.store(name).toAbsolutePath()
-                + "\"\nvoters = [\n");
+    private static String script(
+            String name, Cluster cluster, List<String> voters, boolean proxied) {
+        StringBuilder s =
+                new StringBuilder(
+                        "name = \""
+                                + name
+                                + "\"\nstore = \""
+                                + cluster.store(name).toAbsolutePath()
+                                + "\"\nvoters = [\n");
         for (String v : voters) {
-            s.append("    voter(\"").append(v).append("\", \"127.0.0.1\", ").append(cluster.port(proxied ? name : v, v))
+            s.append("    voter(\"")
+                    .append(v)
+                    .append("\", \"127.0.0.1\", ")
+                    .append(cluster.port(proxied ? name : v, v))
                     .append("),\n");
         }
         return s.append("]\n").toString();
--- a/rig/src/main/java/postgrade/rig/timetable/Player.java
+++ b/rig/src/main/java/postgrade/rig/timetable/Player.java
@@ -7,13 +7,18 @@
 import postgrade.rig.cluster.Cluster;
 import postgrade.rig.history.History;
 
-/** Plays a timetable upon a cluster: what has a time at that time, what waits for an event after it. */
+/**
+ * Plays a timetable upon a cluster: what has a time at that time, what waits for an event after it.
+ */
 public final class Player {
 
-    /** An event that never comes ends the run as failed; guards against a timetable that tests nothing. */
+    /**
+     * An event that never comes ends the run as failed; guards against a timetable that tests
+     * nothing.
+     */
     private static final long EVENT_MS = 30_000;
 
-    private Player() { }
+    private Player() {}
 
     /** Returns once the last step is carried out. */
     public static void play(Timetable timetable, Cluster on) throws Exception {
--- a/rig/src/test/java/postgrade/rig/KeptFolder.java
+++ b/rig/src/test/java/postgrade/rig/KeptFolder.java
@@ -8,7 +8,10 @@
 import org.junit.runner.Description;
 import postgrade.rig.disk.Disk;
 
-/** A folder for a test that stays after it, with all histories, until the test runs again: {@code target/rig/GROUP/TEST}. */
+/**
+ * A folder for a test that stays after it, with all histories, until the test runs again: {@code
+ * target/rig/GROUP/TEST}.
+ */
 public final class KeptFolder extends TestWatcher {
 
     private final String group;
--- a/rig/src/test/java/postgrade/rig/check/ChecksTest.java
+++ b/rig/src/test/java/postgrade/rig/check/ChecksTest.java
@@ -16,7 +16,10 @@
 import postgrade.rig.check.WindowCheck.Started;
 import postgrade.rig.check.WindowCheck.Version;
 
-/** Each checker passes a clean history, and finds a violation put into it at a place that a seed names. */
+/**
+ * Each checker passes a clean history, and finds a violation put into it at a place that a seed
+ * names.
+ */
 public class ChecksTest {
 
     private static final int SEEDS = 200;
@@ -65,26 +68,49 @@
     public void aStartInsideMaintenanceByTheVersionInForceIsFound() {
         for (int seed = 0; seed < SEEDS; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            List<Version> versions = List.of(new Version("hall", 0, List.of(new Span(100_000, 200_000))),
-                    new Version("hall", 500_000, List.of(new Span(600_000, 700_000), new Span(150_000, 160_000))));
-            List<Started> fine = List.of(new Started(99_999, "hall", "a"), new Started(200_000, "hall", "b"),
-                    new Started(150_000, "other", "c"), new Started(599_999, "hall", "d"));
+            List<Version> versions =
+                    List.of(
+                            new Version("hall", 0, List.of(new Span(100_000, 200_000))),
+                            new Version(
+                                    "hall",
+                                    500_000,
+                                    List.of(
+                                            new Span(600_000, 700_000),
+                                            new Span(150_000, 160_000))));
+            List<Started> fine =
+                    List.of(
+                            new Started(99_999, "hall", "a"),
+                            new Started(200_000, "hall", "b"),
+                            new Started(150_000, "other", "c"),
+                            new Started(599_999, "hall", "d"));
             assertEquals(List.of(), WindowCheck.judge(versions, fine, 0));
             List<Started> bad = new ArrayList<>(fine);
-            bad.add(new Started((random.nextBoolean() ? 100_000 : 600_000) + random.nextLong(100_000), "hall", "x"));
-            assertEquals(List.of("x"), WindowCheck.judge(versions, bad, 0).stream().map(Breach::who).toList());
+            bad.add(
+                    new Started(
+                            (random.nextBoolean() ? 100_000 : 600_000) + random.nextLong(100_000),
+                            "hall",
+                            "x"));
+            assertEquals(
+                    List.of("x"),
+                    WindowCheck.judge(versions, bad, 0).stream().map(Breach::who).toList());
         }
     }
 
     @Test
     public void aSendToAWorkerTakenOutIsFound() {
-        List<OutCheck.Told> told = List.of(new OutCheck.Told(1000, "w", true), new OutCheck.Told(9000, "w", false));
-        List<OutCheck.Sent> sent = List.of(new OutCheck.Sent(900, "n1", "w", "a"), new OutCheck.Sent(1100, "n1", "w", "b"),
-                new OutCheck.Sent(5000, "n1", "v", "c"), new OutCheck.Sent(9001, "n1", "w", "d"));
+        List<OutCheck.Told> told =
+                List.of(new OutCheck.Told(1000, "w", true), new OutCheck.Told(9000, "w", false));
+        List<OutCheck.Sent> sent =
+                List.of(
+                        new OutCheck.Sent(900, "n1", "w", "a"),
+                        new OutCheck.Sent(1100, "n1", "w", "b"),
+                        new OutCheck.Sent(5000, "n1", "v", "c"),
+                        new OutCheck.Sent(9001, "n1", "w", "d"));
         assertEquals(List.of(), OutCheck.judge(told, sent, 200));
         List<OutCheck.Sent> bad = new ArrayList<>(sent);
         bad.add(new OutCheck.Sent(8999, "n2", "w", "x"));
-        assertEquals(List.of("x"), OutCheck.judge(told, bad, 200).stream().map(Breach::who).toList());
+        assertEquals(
+                List.of("x"), OutCheck.judge(told, bad, 200).stream().map(Breach::who).toList());
     }
 
     @Test
@@ -103,12 +129,21 @@
             forked.set(at, new Applied(was.process(), 1, 0, was.index(), "other"));
             assertEquals("seed " + seed, 1, LogCheck.agreement(forked).size());
         }
-        List<LogCheck.Told> told = List.of(new LogCheck.Told("a", 0, 1), new LogCheck.Told("b", 0, 2));
+        List<LogCheck.Told> told =
+                List.of(new LogCheck.Told("a", 0, 1), new LogCheck.Told("b", 0, 2));
         assertEquals(List.of(), LogCheck.durable(told, Map.of("a", 1L, "b", 1L)));
-        assertEquals(List.of("lost", "twice"), LogCheck.durable(told, Map.of("b", 2L)).stream().map(Breach::what).toList());
+        assertEquals(
+                List.of("lost", "twice"),
+                LogCheck.durable(told, Map.of("b", 2L)).stream().map(Breach::what).toList());
         LogCheck.Viewed first = new LogCheck.Viewed("n", 1, 0, 9);
         assertEquals(1, LogCheck.forward(List.of(first, new LogCheck.Viewed("n", 1, 0, 8))).size());
-        assertEquals(0, LogCheck.forward(List.of(first, new LogCheck.Viewed("n", 2, 0, 8),
-                new LogCheck.Viewed("n", 2, 1, 1))).size());
+        assertEquals(
+                0,
+                LogCheck.forward(
+                                List.of(
+                                        first,
+                                        new LogCheck.Viewed("n", 2, 0, 8),
+                                        new LogCheck.Viewed("n", 2, 1, 1)))
+                        .size());
     }
 }
--- a/rig/src/test/java/postgrade/rig/check/lease/LeaseChecksTest.java
+++ b/rig/src/test/java/postgrade/rig/check/lease/LeaseChecksTest.java
@@ -26,22 +26,39 @@
 
     @Test
     void anAcceleratorUsedForTwoAtOnceIsSeen() {
-        List<Use> sound = new ArrayList<>(List.of(use(1, "n1", "ana", 5), use(9, "n2", "ana", 5), use(10, "n1", "ivo", 7),
-                use(12, "n2", "ivo", 7), use(13, "n1", "ivo", 9)));
+        List<Use> sound =
+                new ArrayList<>(
+                        List.of(
+                                use(1, "n1", "ana", 5),
+                                use(9, "n2", "ana", 5),
+                                use(10, "n1", "ivo", 7),
+                                use(12, "n2", "ivo", 7),
+                                use(13, "n1", "ivo", 9)));
         assertEquals(List.of(), UseCheck.exclusion(sound));
         sound.add(use(10, "n2", "ana", 5));
         assertEquals("exclusion", UseCheck.exclusion(sound).get(0).what());
-        assertEquals(1, UseCheck.exclusion(List.of(use(1, "n1", "ana", 5), use(2, "n2", "ivo", 5))).size());
+        assertEquals(
+                1,
+                UseCheck.exclusion(List.of(use(1, "n1", "ana", 5), use(2, "n2", "ivo", 5))).size());
     }
 
     @Test
     void whatIsUsedTooLongOrEndsTooSoonIsSeen() {
-        List<Grant> grants = List.of(new Grant("ana", 5, 3000, 900, 1000, NEVER), new Grant("ivo", 7, 3000, 900, 1000, 950));
+        List<Grant> grants =
+                List.of(
+                        new Grant("ana", 5, 3000, 900, 1000, NEVER),
+                        new Grant("ivo", 7, 3000, 900, 1000, 950));
         assertEquals(List.of(), UseCheck.timely(List.of(use(5000, "n1", "ana", 5)), grants, 1000));
         assertEquals(1, UseCheck.timely(List.of(use(5001, "n1", "ana", 5)), grants, 1000).size());
-        assertEquals(List.of(), UseCheck.early(List.of(new Gone(3901, "n1", "ana", 5), new Gone(960, "n1", "ivo", 7)),
-                grants, 1, 0));
-        assertEquals(1, UseCheck.early(List.of(new Gone(3899, "n1", "ana", 5)), grants, 1, 0).size());
+        assertEquals(
+                List.of(),
+                UseCheck.early(
+                        List.of(new Gone(3901, "n1", "ana", 5), new Gone(960, "n1", "ivo", 7)),
+                        grants,
+                        1,
+                        0));
+        assertEquals(
+                1, UseCheck.early(List.of(new Gone(3899, "n1", "ana", 5)), grants, 1, 0).size());
     }
 
     private static Call<State> call(long sent, long answered, UnaryOperator<State> effect) {
@@ -50,19 +67,48 @@
 
     @Test
     void grantsThatNoOrderExplainsAreSeen() {
-        List<Call<State>> sound = List.of(call(0, 10, Leases.granted("h", 3, 3)), call(1, 9, Leases.refused(2)),
-                call(11, 12, Leases.renewed("h", 3)), call(20, NEVER, Leases.ended("h", 3)), call(30, NEVER, Leases.rested(3)),
-                call(31, 40, Leases.granted("h", 8, 1)), call(35, 50, Leases.gone("h", 3)));
+        List<Call<State>> sound =
+                List.of(
+                        call(0, 10, Leases.granted("h", 3, 3)),
+                        call(1, 9, Leases.refused(2)),
+                        call(11, 12, Leases.renewed("h", 3)),
+                        call(20, NEVER, Leases.ended("h", 3)),
+                        call(30, NEVER, Leases.rested(3)),
+                        call(31, 40, Leases.granted("h", 8, 1)),
+                        call(35, 50, Leases.gone("h", 3)));
         assertNull(Leases.judge(2, sound));
-        assertNotNull(Leases.judge(2, List.of(call(0, 10, Leases.granted("h", 3, 1)), call(11, 20, Leases.granted("h", 5, 1)))),
+        assertNotNull(
+                Leases.judge(
+                        2,
+                        List.of(
+                                call(0, 10, Leases.granted("h", 3, 1)),
+                                call(11, 20, Leases.granted("h", 5, 1)))),
                 "granted twice");
-        assertNotNull(Leases.judge(2, List.of(call(0, 10, Leases.granted("h", 5, 1)), call(11, 20, Leases.granted("h", 4, 2)))),
+        assertNotNull(
+                Leases.judge(
+                        2,
+                        List.of(
+                                call(0, 10, Leases.granted("h", 5, 1)),
+                                call(11, 20, Leases.granted("h", 4, 2)))),
                 "the fence went back");
-        assertNotNull(Leases.judge(2, List.of(call(0, 10, Leases.granted("h", 5, 1)), call(11, 20, Leases.gone("h", 5)))),
+        assertNotNull(
+                Leases.judge(
+                        2,
+                        List.of(
+                                call(0, 10, Leases.granted("h", 5, 1)),
+                                call(11, 20, Leases.gone("h", 5)))),
                 "gone, though nothing ended it");
-        assertNotNull(Leases.judge(2, List.of(call(0, 10, Leases.granted("h", 5, 3)), call(11, 20, Leases.ended("h", 5)),
-                call(21, 22, Leases.granted("h", 9, 1)))), "granted before it had rested");
-        assertNotNull(Leases.judge(2, List.of(call(0, 10, Leases.refused(2)))), "refused, though all were free");
+        assertNotNull(
+                Leases.judge(
+                        2,
+                        List.of(
+                                call(0, 10, Leases.granted("h", 5, 3)),
+                                call(11, 20, Leases.ended("h", 5)),
+                                call(21, 22, Leases.granted("h", 9, 1)))),
+                "granted before it had rested");
+        assertNotNull(
+                Leases.judge(2, List.of(call(0, 10, Leases.refused(2)))),
+                "refused, though all were free");
     }
 
     @Test
@@ -74,13 +120,18 @@
             // Each call takes effect at 10 i + 5 and is stretched over its neighbours.
             for (int i = 0; i < 400; i++) {
                 long at = 10L * i + 5;
-                UnaryOperator<State> effect = switch (i % 4) {
-                    case 0 -> Leases.granted("h", ++fence, 1);
-                    case 1 -> Leases.renewed("h", fence);
-                    case 2 -> Leases.ended("h", fence);
-                    default -> Leases.rested(1);
-                };
-                history.add(call(at - random.nextInt(25), i % 4 == 3 ? NEVER : at + random.nextInt(25), effect));
+                UnaryOperator<State> effect =
+                        switch (i % 4) {
+                            case 0 -> Leases.granted("h", ++fence, 1);
+                            case 1 -> Leases.renewed("h", fence);
+                            case 2 -> Leases.ended("h", fence);
+                            default -> Leases.rested(1);
+                        };
+                history.add(
+                        call(
+                                at - random.nextInt(25),
+                                i % 4 == 3 ? NEVER : at + random.nextInt(25),
+                                effect));
             }
             assertNull(Leases.judge(1, history), "seed " + seed);
             history.add(call(2004, 2006, Leases.granted("h", fence + 1, 1)));
--- a/rig/src/test/java/postgrade/rig/disk/DiskTest.java
+++ b/rig/src/test/java/postgrade/rig/disk/DiskTest.java
@@ -15,8 +15,7 @@
 
 public class DiskTest {
 
-    @Rule
-    public final TemporaryFolder folder = new TemporaryFolder();
+    @Rule public final TemporaryFolder folder = new TemporaryFolder();
 
     @Test
     public void whatWasStoredIsSpoiltAsAskedAndRolledBack() throws IOException {
--- a/rig/src/test/java/postgrade/rig/ground/Ground.java
+++ b/rig/src/test/java/postgrade/rig/ground/Ground.java
@@ -14,7 +14,10 @@
 import postgrade.rig.history.History.Event;
 import postgrade.rig.process.Program;
 
-/** Three voters and observers in processes of their own, a proxy between each two, and what is checked of every run. */
+/**
+ * Three voters and observers in processes of their own, a proxy between each two, and what is
+ * checked of every run.
+ */
 final class Ground implements Closeable {
 
     static final List<String> VOTERS = List.of("n1", "n2", "n3");
@@ -29,11 +32,13 @@
     Ground(Path folder, String... observers) throws IOException {
         names.addAll(List.of(observers));
         cluster = new Cluster(folder, names, VOTERS);
-        cluster.recipe(name -> {
-            Program.Start s = new Program.Start(name, Node.class.getName(), arguments(name)).environment("HOME",
-                    folder.toString());
-            return limits.containsKey(name) ? s.fileLimit(limits.get(name)) : s;
-        });
+        cluster.recipe(
+                name -> {
+                    Program.Start s =
+                            new Program.Start(name, Node.class.getName(), arguments(name))
+                                    .environment("HOME", folder.toString());
+                    return limits.containsKey(name) ? s.fileLimit(limits.get(name)) : s;
+                });
     }
 
     private String[] arguments(String name, String... before) {
@@ -53,11 +58,17 @@
         }
     }
 
-    /** @return what stands against it, empty where it was done */
+    /**
+     * @return what stands against it, empty where it was done
+     */
     String era(String name, long era) throws IOException, InterruptedException {
         int from = cluster.history().size();
-        try (Program p = new Program.Start(name, Node.class.getName(), arguments(name, "era", Long.toString(era)))
-                .in(cluster.history())) {
+        try (Program p =
+                new Program.Start(
+                                name,
+                                Node.class.getName(),
+                                arguments(name, "era", Long.toString(era)))
+                        .in(cluster.history())) {
             String against = p.await("era", from, MOST).text("against");
             p.ended();
             return against;
@@ -82,39 +93,83 @@
         return cluster.of(name).await(kind, from, MOST);
     }
 
-    void awaitStanding(String name, int from, String role, long voters) throws InterruptedException {
-        cluster.history().await(name + " as " + role + " among " + voters, from, MOST, e -> e.who().equals(name)
-                && e.kind().equals("standing") && e.text("role").equals(role) && e.whole("voters") == voters);
+    void awaitStanding(String name, int from, String role, long voters)
+            throws InterruptedException {
+        cluster.history()
+                .await(
+                        name + " as " + role + " among " + voters,
+                        from,
+                        MOST,
+                        e ->
+                                e.who().equals(name)
+                                        && e.kind().equals("standing")
+                                        && e.text("role").equals(role)
+                                        && e.whole("voters") == voters);
     }
 
-    /** By its log, which has a line of each fault: a standing that is only looked at now and then may pass one over. */
+    /**
+     * By its log, which has a line of each fault: a standing that is only looked at now and then
+     * may pass one over.
+     */
     void awaitFault(String name, int from, String part) throws InterruptedException {
-        cluster.history().await(name + "'s fault of " + part, from, MOST, e -> e.who().equals(name)
-                && e.kind().equals("line") && e.text("text").contains(" WARNING ") && e.text("text").contains(part));
+        cluster.history()
+                .await(
+                        name + "'s fault of " + part,
+                        from,
+                        MOST,
+                        e ->
+                                e.who().equals(name)
+                                        && e.kind().equals("line")
+                                        && e.text("text").contains(" WARNING ")
+                                        && e.text("text").contains(part));
     }
 
     /** A fault that stays, by its standing too. */
     void awaitLastingFault(String name, int from, String part) throws InterruptedException {
         awaitFault(name, from, part);
-        cluster.history().await(name + "'s lasting fault of " + part, from, MOST, e -> e.who().equals(name)
-                && e.kind().equals("standing") && e.text("fault").contains(part));
+        cluster.history()
+                .await(
+                        name + "'s lasting fault of " + part,
+                        from,
+                        MOST,
+                        e ->
+                                e.who().equals(name)
+                                        && e.kind().equals("standing")
+                                        && e.text("fault").contains(part));
     }
 
     /** The leader as this process last told it; between two leaders it is waited for. */
     String leader(String by) throws InterruptedException {
         List<Event> all = cluster.history().all();
         int last = all.size() - 1;
-        while (last > 0 && !(all.get(last).who().equals(by) && all.get(last).kind().equals("standing"))) {
+        while (last > 0
+                && !(all.get(last).who().equals(by) && all.get(last).kind().equals("standing"))) {
             last--;
         }
-        return cluster.history().await(by + "'s leader", Math.max(0, last), MOST, e -> e.who().equals(by)
-                && e.kind().equals("standing") && !e.text("leader").isEmpty()).text("leader");
+        return cluster.history()
+                .await(
+                        by + "'s leader",
+                        Math.max(0, last),
+                        MOST,
+                        e ->
+                                e.who().equals(by)
+                                        && e.kind().equals("standing")
+                                        && !e.text("leader").isEmpty())
+                .text("leader");
     }
 
     /** Waits until this process has told of a leader that is not the former one, which has died. */
     void awaitLeaderAfter(String former, String by, int from) throws InterruptedException {
-        cluster.history().await(by + "'s leader after " + former, from, MOST, e -> e.who().equals(by)
-                && e.kind().equals("standing") && !e.text("leader").isEmpty() && !e.text("leader").equals(former));
+        cluster.history()
+                .await(
+                        by + "'s leader after " + former,
+                        from,
+                        MOST,
+                        e ->
+                                e.who().equals(by)
+                                        && e.kind().equals("standing")
+                                        && !e.text("leader").isEmpty()
+                                        && !e.text("leader").equals(former));
     }
 
     /** One other than that of all voters. */
@@ -126,8 +181,15 @@
     Event ask(String name, String id, String key) throws IOException, InterruptedException {
         int from = cluster.history().size();
         cluster.of(name).tell("ask " + id + " " + key);
-        return cluster.history().await("answer to " + id, from, MOST, e -> e.who().equals(name)
-                && e.kind().endsWith("decided") && e.text("id").equals(id));
+        return cluster.history()
+                .await(
+                        "answer to " + id,
+                        from,
+                        MOST,
+                        e ->
+                                e.who().equals(name)
+                                        && e.kind().endsWith("decided")
+                                        && e.text("id").equals(id));
     }
 
     /** Asks again under the same id, by these in turn, until it is decided. */
@@ -154,21 +216,38 @@
         while (!(all.get(begun).who().equals(name) && all.get(begun).kind().equals("begun"))) {
             begun--;
         }
-        cluster.history().await(name + "'s view of " + index, begun, MOST, e -> e.who().equals(name)
-                && e.kind().equals("view") && e.whole("index") >= index);
+        cluster.history()
+                .await(
+                        name + "'s view of " + index,
+                        begun,
+                        MOST,
+                        e ->
+                                e.who().equals(name)
+                                        && e.kind().equals("view")
+                                        && e.whole("index") >= index);
     }
 
-    /** What the view of this process holds once it holds that entry: a command is decided before a view tells it. */
+    /**
+     * What the view of this process holds once it holds that entry: a command is decided before a
+     * view tells it.
+     */
     Map<String, Long> rows(String name, long index) throws IOException, InterruptedException {
         awaitView(name, index);
         int from = cluster.history().size();
         cluster.of(name).tell("rows");
         Map<String, Long> rows = new TreeMap<>();
-        await(name, "rows", from).fields().get("rows").asObject().forEach(m -> rows.put(m.getName(), m.getValue().asLong()));
+        await(name, "rows", from)
+                .fields()
+                .get("rows")
+                .asObject()
+                .forEach(m -> rows.put(m.getName(), m.getValue().asLong()));
         return rows;
     }
 
-    /** What must hold of any run: all saw one log, nothing answered for is lost or doubled, no view went back. */
+    /**
+     * What must hold of any run: all saw one log, nothing answered for is lost or doubled, no view
+     * went back.
+     */
     void judge(String by) throws IOException, InterruptedException {
         List<LogCheck.Applied> seen = new ArrayList<>();
         List<LogCheck.Viewed> views = new ArrayList<>();
@@ -179,15 +258,25 @@
             switch (e.kind()) {
                 case "begun" -> starts.merge(e.who(), 1L, Long::sum);
                 case "view" -> {
-                    seen.add(new LogCheck.Applied(e.who(), starts.get(e.who()), e.whole("era"), e.whole("index"),
-                            e.text("digest")));
-                    views.add(new LogCheck.Viewed(e.who(), starts.get(e.who()), e.whole("era"), e.whole("index")));
+                    seen.add(
+                            new LogCheck.Applied(
+                                    e.who(),
+                                    starts.get(e.who()),
+                                    e.whole("era"),
+                                    e.whole("index"),
+                                    e.text("digest")));
+                    views.add(
+                            new LogCheck.Viewed(
+                                    e.who(),
+                                    starts.get(e.who()),
+                                    e.whole("era"),
+                                    e.whole("index")));
                 }
                 case "decided" -> {
                     told.add(new LogCheck.Told(e.text("key"), e.whole("era"), e.whole("index")));
                     latest = Math.max(latest, e.whole("index"));
                 }
-                default -> { }
+                default -> {}
             }
         }
         assertEquals(List.of(), LogCheck.agreement(seen));
--- a/rig/src/test/java/postgrade/rig/ground/GroundTest.java
+++ b/rig/src/test/java/postgrade/rig/ground/GroundTest.java
@@ -14,8 +14,7 @@
 /** Shared state in real processes, with faults on and between them. */
 public class GroundTest {
 
-    @Rule
-    public final KeptFolder folder = new KeptFolder("ground");
+    @Rule public final KeptFolder folder = new KeptFolder("ground");
 
     private Ground ground(String... observers) throws IOException, InterruptedException {
         Ground g = new Ground(folder.path(), observers);
@@ -29,7 +28,8 @@
     }
 
     @Test
-    public void whatWasAnsweredForOutlivesAKilledLeaderAndCountsOnce() throws IOException, InterruptedException {
+    public void whatWasAnsweredForOutlivesAKilledLeaderAndCountsOnce()
+            throws IOException, InterruptedException {
         try (Ground g = ground("o1")) {
             for (int i = 0; i < 5; i++) {
                 Event first = g.count("o1");
@@ -51,14 +51,16 @@
     }
 
     @Test
-    public void aWipedVoterDoesNotVoteUnderItsFormerIdentity() throws IOException, InterruptedException {
+    public void aWipedVoterDoesNotVoteUnderItsFormerIdentity()
+            throws IOException, InterruptedException {
         try (Ground g = ground("o1")) {
             String leader = g.leader("o1");
             String wiped = Ground.other(leader);
             String behind = Ground.other(leader, wiped);
             g.cluster.mesh().isolate(Set.of(behind));
             Event kept = g.count("o1", leader);
-            // Of the two that know of it one forgets, and the other is cut off: the rest would be a majority by number.
+            // Of the two that know of it one forgets, and the other is cut off: the rest would be a
+            // majority by number.
             g.cluster.of(leader).stop();
             g.cluster.of(wiped).kill();
             Disk.wipe(g.cluster.store(wiped));
@@ -79,8 +81,8 @@
     }
 
     @Test
-    public void aStoppedLeaderIsReplacedAndWhenItWakesItAnswersNothingOfItsOwn() throws IOException,
-            InterruptedException {
+    public void aStoppedLeaderIsReplacedAndWhenItWakesItAnswersNothingOfItsOwn()
+            throws IOException, InterruptedException {
         try (Ground g = ground("o1")) {
             g.count("o1");
             String leader = g.leader("o1");
@@ -94,7 +96,8 @@
     }
 
     @Test
-    public void whoIsCutOffKnowsThatItsViewIsOldAndGoesForwardWhenHealed() throws IOException, InterruptedException {
+    public void whoIsCutOffKnowsThatItsViewIsOldAndGoesForwardWhenHealed()
+            throws IOException, InterruptedException {
         try (Ground g = ground("o1", "o2")) {
             g.count("o1");
             int from = g.cluster.history().size();
@@ -110,8 +113,8 @@
     }
 
     @Test
-    public void aFollowerCutOneWayDoesNotEndTheLeaderAndAMinorityDecidesNothing() throws IOException,
-            InterruptedException {
+    public void aFollowerCutOneWayDoesNotEndTheLeaderAndAMinorityDecidesNothing()
+            throws IOException, InterruptedException {
         try (Ground g = ground("o1")) {
             String leader = g.leader("o1");
             String muted = Ground.other(leader);
@@ -131,7 +134,8 @@
     }
 
     @Test
-    public void afterATotalLossANewEraLiesAboveAndAnEarlierOneIsRefused() throws IOException, InterruptedException {
+    public void afterATotalLossANewEraLiesAboveAndAnEarlierOneIsRefused()
+            throws IOException, InterruptedException {
         try (Ground g = ground("o1")) {
             Event old = g.count("o1");
             for (String v : Ground.VOTERS) {
@@ -151,7 +155,8 @@
             Event fresh = g.decided("fresh", "fresh", "o1");
             assertEquals(2, fresh.whole("era"));
             assertTrue(Long.parseLong(fresh.text("fence")) > Long.parseLong(old.text("fence")));
-            // A voter that comes back with its store of the former era is not followed, nor does it vote.
+            // A voter that comes back with its store of the former era is not followed, nor does it
+            // vote.
             g.cluster.of("n3").kill();
             g.cluster.rollBack("n3");
             from = g.cluster.history().size();
--- a/rig/src/test/java/postgrade/rig/ground/Node.java
+++ b/rig/src/test/java/postgrade/rig/ground/Node.java
@@ -21,9 +21,9 @@
 import postgrade.shared.View;
 
 /**
- * A real process that shares state and does nothing else: told on standard input, it writes what it sees on standard output.
- * Arguments: its name, its store, and the voters as it finds them, {@code n1=port}; {@code era N} before them begins an era
- * and ends.
+ * A real process that shares state and does nothing else: told on standard input, it writes what it
+ * sees on standard output. Arguments: its name, its store, and the voters as it finds them, {@code
+ * n1=port}; {@code era N} before them begins an era and ends.
  */
 public final class Node {
 
@@ -56,7 +56,10 @@
         Node node = new Node(args[from], Path.of(args[from + 1]), voters);
         if (era) {
             String against = Quorum.beginEra(node.settings, Long.parseLong(args[1]));
-            tell(new JsonObject().add("kind", "era").add("against", against == null ? "" : against));
+            tell(
+                    new JsonObject()
+                            .add("kind", "era")
+                            .add("against", against == null ? "" : against));
             System.exit(against == null ? 0 : 1);
         }
         node.run();
@@ -68,7 +71,10 @@
 
     private void run() throws IOException {
         quorum = Quorum.open(settings, List.of(new Tally()), micros, loop);
-        tell(new JsonObject().add("kind", "up").add("incarnation", quorum.standing().incarnation()));
+        tell(
+                new JsonObject()
+                        .add("kind", "up")
+                        .add("incarnation", quorum.standing().incarnation()));
         loop.scheduleAtFixedRate(this::look, 5, 5, TimeUnit.MILLISECONDS);
         Scanner lines = new Scanner(System.in);
         while (lines.hasNextLine()) {
@@ -80,48 +86,81 @@
 
     private void obey(String[] words) {
         if (words[0].equals("ask")) {
-            Command c = new Command(words[1], name, quorum.standing().incarnation(), Tally.PART, "add",
-                    Row.of("key", words[2]));
+            Command c =
+                    new Command(
+                            words[1],
+                            name,
+                            quorum.standing().incarnation(),
+                            Tally.PART,
+                            "add",
+                            Row.of("key", words[2]));
             quorum.ask(c, 1_500_000, reply -> tell(answered(words[1], words[2], reply)));
         } else if (words[0].equals("rows")) {
             JsonObject rows = new JsonObject();
-            quorum.view().rows().of(Tally.PART).forEach((key, row) -> rows.add(key, row.whole("times")));
-            tell(new JsonObject().add("kind", "rows").add("index", quorum.view().moment().index()).add("rows", rows));
+            quorum.view()
+                    .rows()
+                    .of(Tally.PART)
+                    .forEach((key, row) -> rows.add(key, row.whole("times")));
+            tell(
+                    new JsonObject()
+                            .add("kind", "rows")
+                            .add("index", quorum.view().moment().index())
+                            .add("rows", rows));
         }
     }
 
     private static JsonObject answered(String id, String key, Sharing.Reply reply) {
-        JsonObject o = new JsonObject().add("kind", reply.decided() ? "decided" : "undecided").add("id", id)
-                .add("key", key);
+        JsonObject o =
+                new JsonObject()
+                        .add("kind", reply.decided() ? "decided" : "undecided")
+                        .add("id", id)
+                        .add("key", key);
         if (reply.decided()) {
-            o.add("status", reply.answer().status().name()).add("times", reply.answer().fields().text("times", ""))
-                    .add("fence", reply.answer().fields().text("fence", "")).add("era", reply.moment().era())
+            o.add("status", reply.answer().status().name())
+                    .add("times", reply.answer().fields().text("times", ""))
+                    .add("fence", reply.answer().fields().text("fence", ""))
+                    .add("era", reply.moment().era())
                     .add("index", reply.moment().index());
         }
         return o;
     }
 
-    /** Each new view with a digest of all that it holds, each change of standing, and whether the view is within its bound. */
+    /**
+     * Each new view with a digest of all that it holds, each change of standing, and whether the
+     * view is within its bound.
+     */
     private void look() {
         View view = quorum.view();
         if (view != last && view.known() && !view.moment().equals(last.moment())) {
             Map<String, Map<String, String>> all = new TreeMap<>();
             view.rows().of(Tally.PART).forEach((key, row) -> all.put(key, row.values()));
-            tell(new JsonObject().add("kind", "view").add("era", view.moment().era())
-                    .add("index", view.moment().index()).add("digest", Integer.toHexString(all.hashCode())));
+            tell(
+                    new JsonObject()
+                            .add("kind", "view")
+                            .add("era", view.moment().era())
+                            .add("index", view.moment().index())
+                            .add("digest", Integer.toHexString(all.hashCode())));
         }
         last = view;
         Sharing.Standing s = quorum.standing();
         if (!s.toString().equals(standing)) {
             standing = s.toString();
-            tell(new JsonObject().add("kind", "standing").add("role", s.role().name())
-                    .add("leader", s.leader() == null ? "" : s.leader()).add("voters", s.voters())
-                    .add("fault", s.fault() == null ? "" : s.fault()));
+            tell(
+                    new JsonObject()
+                            .add("kind", "standing")
+                            .add("role", s.role().name())
+                            .add("leader", s.leader() == null ? "" : s.leader())
+                            .add("voters", s.voters())
+                            .add("fault", s.fault() == null ? "" : s.fault()));
         }
-        boolean now = view.known() && view.ageMicros(micros.getAsLong()) <= settings.viewAgeMicros();
+        boolean now =
+                view.known() && view.ageMicros(micros.getAsLong()) <= settings.viewAgeMicros();
         if (now != fresh) {
             fresh = now;
-            tell(new JsonObject().add("kind", now ? "fresh" : "stale").add("index", view.moment().index()));
+            tell(
+                    new JsonObject()
+                            .add("kind", now ? "fresh" : "stale")
+                            .add("index", view.moment().index()));
         }
     }
 }
--- a/rig/src/test/java/postgrade/rig/ground/Tally.java
+++ b/rig/src/test/java/postgrade/rig/ground/Tally.java
@@ -7,7 +7,10 @@
 import postgrade.shared.Row;
 import postgrade.shared.Rows;
 
-/** The plainest part: how often each key was counted. A command lost or carried out twice shows for ever. */
+/**
+ * The plainest part: how often each key was counted. A command lost or carried out twice shows for
+ * ever.
+ */
 final class Tally implements Part {
 
     static final String PART = "tally";
--- a/rig/src/test/java/postgrade/rig/lease/LeaseBench.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseBench.java
@@ -12,9 +12,9 @@
 import postgrade.rig.history.HistoryReader;
 
 /**
- * Reservations under faults: clusters side by side, each with holders at work, for so many faults or until the time is
- * over. Prints what was counted. Arguments: folder, clusters, faults of each, minutes at most, seed, and the one fault to
- * be put if not all of them; or {@code judge} and
+ * Reservations under faults: clusters side by side, each with holders at work, for so many faults
+ * or until the time is over. Prints what was counted. Arguments: folder, clusters, faults of each,
+ * minutes at most, seed, and the one fault to be put if not all of them; or {@code judge} and
  * histories that were kept, which are then judged once more.
  */
 public final class LeaseBench {
@@ -22,7 +22,7 @@
     /** A cluster's history is judged as one; it stays small enough for that. */
     private static final int MOST_OF_ONE = 60;
 
-    private LeaseBench() { }
+    private LeaseBench() {}
 
     /** What came of one cluster. */
     private static final class Share implements Runnable {
@@ -51,7 +51,8 @@
             try {
                 for (int round = 0; left() > 0 && System.nanoTime() < until; round++) {
                     Path own = Files.createDirectories(folder.resolve("round" + round));
-                    try (LeaseRun run = new LeaseRun(own, seed + 1000L * round, (seed + round) % 2 == 0)) {
+                    try (LeaseRun run =
+                            new LeaseRun(own, seed + 1000L * round, (seed + round) % 2 == 0)) {
                         round(run);
                     }
                 }
@@ -76,7 +77,8 @@
                 }
             } catch (IllegalStateException e) {
                 done.merge(f, 1, Integer::sum);
-                notBack.add(f + " in " + folder.getFileName() + ": " + e.getMessage().split(":")[0]);
+                notBack.add(
+                        f + " in " + folder.getFileName() + ": " + e.getMessage().split(":")[0]);
             }
             withoutGrants.addAll(run.withoutGrantsMicros);
             calls += run.calls.calls.size();
@@ -88,11 +90,26 @@
     private static void judge(List<String> files) throws java.io.IOException {
         for (String file : files) {
             List<History.Event> all = HistoryReader.read(Path.of(file));
-            LeaseVerdict v = new LeaseVerdict(all, all.stream().filter(e -> e.kind().equals("call"))
-                    .map(LeaseCalls.Call::of).toList(), all.stream().filter(LeaseRun::granted).map(e -> e.whole("at"))
-                    .toList(), LeaseRun.ACCELERATORS, false);
-            System.out.println(file + ": faults " + all.stream().filter(e -> e.kind().equals("fault")).count()
-                    + ", grants " + v.grants.size() + ", ends of use seen " + v.uses + ", breaches " + v.breaches);
+            LeaseVerdict v =
+                    new LeaseVerdict(
+                            all,
+                            all.stream()
+                                    .filter(e -> e.kind().equals("call"))
+                                    .map(LeaseCalls.Call::of)
+                                    .toList(),
+                            all.stream().filter(LeaseRun::granted).map(e -> e.whole("at")).toList(),
+                            LeaseRun.ACCELERATORS,
+                            false);
+            System.out.println(
+                    file
+                            + ": faults "
+                            + all.stream().filter(e -> e.kind().equals("fault")).count()
+                            + ", grants "
+                            + v.grants.size()
+                            + ", ends of use seen "
+                            + v.uses
+                            + ", breaches "
+                            + v.breaches);
         }
     }
 
@@ -103,7 +120,10 @@
         }
         Path folder = Path.of(a[0]);
         long until = System.nanoTime() + Long.parseLong(a[3]) * 60_000_000_000L;
-        LeaseRun.Fault[] of = a.length > 5 ? new LeaseRun.Fault[] {LeaseRun.Fault.valueOf(a[5])} : LeaseRun.Fault.values();
+        LeaseRun.Fault[] of =
+                a.length > 5
+                        ? new LeaseRun.Fault[] {LeaseRun.Fault.valueOf(a[5])}
+                        : LeaseRun.Fault.values();
         List<Share> shares = new ArrayList<>();
         List<Thread> threads = new ArrayList<>();
         for (int i = 0; i < Integer.parseInt(a[1]); i++) {
@@ -127,7 +147,8 @@
         List<Long> dark = new ArrayList<>();
         List<Long> late = new ArrayList<>();
         List<Long> part = new ArrayList<>();
-        Map<String, Integer> breaches = new TreeMap<>(Map.of("exclusion", 0, "early", 0, "late", 0, "order", 0));
+        Map<String, Integer> breaches =
+                new TreeMap<>(Map.of("exclusion", 0, "early", 0, "late", 0, "order", 0));
         List<String> notBack = new ArrayList<>();
         long uses = 0;
         long grants = 0;
@@ -159,8 +180,15 @@
         System.out.println("faults " + done.values().stream().mapToInt(n -> n).sum() + " " + done);
         System.out.println("clusters that did not come back " + notBack.size());
         notBack.forEach(s -> System.out.println("  " + s));
-        System.out.println("calls decided " + calls + ", grants " + grants + ", ends of use seen " + uses
-                + ", calls and events put in order " + ordered);
+        System.out.println(
+                "calls decided "
+                        + calls
+                        + ", grants "
+                        + grants
+                        + ", ends of use seen "
+                        + uses
+                        + ", calls and events put in order "
+                        + ordered);
         System.out.println("breaches " + breaches);
         System.out.println("last use beyond the time to live, ms: " + quantiles(late, 1000));
         System.out.println("the same as part of its bound, %: " + quantiles(part, 10));
@@ -174,8 +202,14 @@
             return "none";
         }
         Collections.sort(values);
-        return String.format(Locale.ROOT, "n %d, p50 %.0f, p90 %.0f, p99 %.0f, most %.0f", values.size(),
-                at(values, 0.5) / unit, at(values, 0.9) / unit, at(values, 0.99) / unit, at(values, 1) / unit);
+        return String.format(
+                Locale.ROOT,
+                "n %d, p50 %.0f, p90 %.0f, p99 %.0f, most %.0f",
+                values.size(),
+                at(values, 0.5) / unit,
+                at(values, 0.9) / unit,
+                at(values, 0.99) / unit,
+                at(values, 1) / unit);
     }
 
     private static double at(List<Long> sorted, double q) {
--- a/rig/src/test/java/postgrade/rig/lease/LeaseCalls.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseCalls.java
@@ -7,7 +7,10 @@
 import java.util.concurrent.ThreadLocalRandom;
 import postgrade.rig.history.History;
 
-/** Calls of holders, each repeated under its id through one process or another until it is decided; all are kept. */
+/**
+ * Calls of holders, each repeated under its id through one process or another until it is decided;
+ * all are kept.
+ */
 final class LeaseCalls {
 
     private static final long WITHIN_MILLIS = 400;
@@ -16,10 +19,21 @@
     /**
      * One call that was decided.
      *
-     * @param sent when it was first sent @param ended when its answer came, both by the machine's monotonic clock
+     * @param sent when it was first sent @param ended when its answer came, both by the machine's
+     *     monotonic clock
      */
-    record Call(String holder, long incarnation, String verb, long ttlMicros, int accelerators, long sent, long ended,
-            String status, String state, long fence, long mask) {
+    record Call(
+            String holder,
+            long incarnation,
+            String verb,
+            long ttlMicros,
+            int accelerators,
+            long sent,
+            long ended,
+            String status,
+            String state,
+            long fence,
+            long mask) {
         boolean done() {
             return status.equals("DONE");
         }
@@ -29,15 +43,33 @@
         }
 
         JsonObject fields() {
-            return new JsonObject().add("holder", holder).add("incarnation", incarnation).add("verb", verb)
-                    .add("ttl", ttlMicros).add("accelerators", accelerators).add("sent", sent).add("ended", ended)
-                    .add("status", status).add("state", state).add("fence", fence).add("mask", mask);
+            return new JsonObject()
+                    .add("holder", holder)
+                    .add("incarnation", incarnation)
+                    .add("verb", verb)
+                    .add("ttl", ttlMicros)
+                    .add("accelerators", accelerators)
+                    .add("sent", sent)
+                    .add("ended", ended)
+                    .add("status", status)
+                    .add("state", state)
+                    .add("fence", fence)
+                    .add("mask", mask);
         }
 
         static Call of(History.Event e) {
-            return new Call(e.text("holder"), e.whole("incarnation"), e.text("verb"), e.whole("ttl"),
-                    (int) e.whole("accelerators"), e.whole("sent"), e.whole("ended"), e.text("status"),
-                    e.text("state"), e.whole("fence"), e.whole("mask"));
+            return new Call(
+                    e.text("holder"),
+                    e.whole("incarnation"),
+                    e.text("verb"),
+                    e.whole("ttl"),
+                    (int) e.whole("accelerators"),
+                    e.whole("sent"),
+                    e.whole("ended"),
+                    e.text("status"),
+                    e.text("state"),
+                    e.whole("fence"),
+                    e.whole("mask"));
         }
     }
 
@@ -52,23 +84,46 @@
         return System.nanoTime() / 1000;
     }
 
-    /** @throws IllegalStateException where nobody decides it for a minute */
-    Call call(String holder, long incarnation, long ttlMillis, int accelerators, String verb, String more)
+    /**
+     * @throws IllegalStateException where nobody decides it for a minute
+     */
+    Call call(
+            String holder,
+            long incarnation,
+            long ttlMillis,
+            int accelerators,
+            String verb,
+            String more)
             throws InterruptedException {
         String id = cluster.freshId();
-        String words = verb + " holder=" + holder + " site=z incarnation=" + incarnation + " " + more;
+        String words =
+                verb + " holder=" + holder + " site=z incarnation=" + incarnation + " " + more;
         long sent = stamp();
         int through = ThreadLocalRandom.current().nextInt(2);
         while (stamp() - sent < PATIENCE_MICROS) {
             int from = cluster.history.size();
             cluster.ask(LeaseCluster.OBSERVERS.get(through++ % 2), id, WITHIN_MILLIS, words);
             try {
-                History.Event e = cluster.history.await("answer to " + id, from, WITHIN_MILLIS + 100,
-                        r -> r.kind().equals("reply") && r.text("id").equals(id));
+                History.Event e =
+                        cluster.history.await(
+                                "answer to " + id,
+                                from,
+                                WITHIN_MILLIS + 100,
+                                r -> r.kind().equals("reply") && r.text("id").equals(id));
                 if (e.fields().getBoolean("decided", false)) {
-                    Call done = new Call(holder, incarnation, verb, ttlMillis * 1000, accelerators, sent, stamp(),
-                            e.text("status"), e.text("state").isEmpty() ? e.text("text") : e.text("state"),
-                            number(e.text("fence")), mask(e.text("allotment")));
+                    Call done =
+                            new Call(
+                                    holder,
+                                    incarnation,
+                                    verb,
+                                    ttlMillis * 1000,
+                                    accelerators,
+                                    sent,
+                                    stamp(),
+                                    e.text("status"),
+                                    e.text("state").isEmpty() ? e.text("text") : e.text("state"),
+                                    number(e.text("fence")),
+                                    mask(e.text("allotment")));
                     calls.add(done);
                     cluster.history.add("rig", "call", done.fields());
                     return done;
@@ -86,6 +141,8 @@
     }
 
     private static long mask(String allotment) {
-        return allotment.startsWith(LeaseNode.WORKER + "=") ? Long.parseLong(allotment.substring(2), 16) : 0;
+        return allotment.startsWith(LeaseNode.WORKER + "=")
+                ? Long.parseLong(allotment.substring(2), 16)
+                : 0;
     }
 }
--- a/rig/src/test/java/postgrade/rig/lease/LeaseCluster.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseCluster.java
@@ -17,13 +17,19 @@
 import postgrade.rig.process.Program;
 import postgrade.rig.proxy.Mesh;
 
-/** Three voters and two observers in processes of their own, a proxy between every two, clocks 2% apart. */
+/**
+ * Three voters and two observers in processes of their own, a proxy between every two, clocks 2%
+ * apart.
+ */
 final class LeaseCluster implements Closeable {
 
     static final List<String> VOTERS = List.of("a", "b", "c");
     static final List<String> OBSERVERS = List.of("x", "y");
+
     /** Parts per million by which a process's clock is off. */
-    private static final Map<String, Integer> RATES = Map.of("a", 10_000, "b", -10_000, "c", 0, "x", -10_000, "y", 10_000);
+    private static final Map<String, Integer> RATES =
+            Map.of("a", 10_000, "b", -10_000, "c", 0, "x", -10_000, "y", 10_000);
+
     private static final long PATIENCE_MILLIS = 240_000;
 
     final History history;
@@ -34,7 +40,9 @@
     private final String[] more;
     private long lastId;
 
-    /** @param more virtual machine's properties for every process */
+    /**
+     * @param more virtual machine's properties for every process
+     */
     LeaseCluster(Path folder, History history, String... more) throws IOException {
         this.folder = folder;
         this.history = history;
@@ -56,24 +64,49 @@
     }
 
     void start(String name, String... rest) throws IOException {
-        String voters = VOTERS.stream().map(v -> v + "=" + (v.equals(name) ? ports.get(v).port()
-                : mesh.between(name, v).port())).collect(Collectors.joining(","));
-        List<String> args = new ArrayList<>(List.of(name, folder.resolve(name).toString(), voters,
-                RATES.get(name).toString()));
+        String voters =
+                VOTERS.stream()
+                        .map(
+                                v ->
+                                        v
+                                                + "="
+                                                + (v.equals(name)
+                                                        ? ports.get(v).port()
+                                                        : mesh.between(name, v).port()))
+                        .collect(Collectors.joining(","));
+        List<String> args =
+                new ArrayList<>(
+                        List.of(
+                                name,
+                                folder.resolve(name).toString(),
+                                voters,
+                                RATES.get(name).toString()));
         args.addAll(List.of(rest));
-        List<String> flags = new ArrayList<>(List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m",
-                "-XX:-UsePerfData"));
+        List<String> flags =
+                new ArrayList<>(
+                        List.of(
+                                "-XX:+UseSerialGC",
+                                "-XX:TieredStopAtLevel=1",
+                                "-Xmx96m",
+                                "-XX:-UsePerfData"));
         flags.addAll(List.of(more));
-        programs.put(name, new Program.Start(name, LeaseNode.class.getName(), args.toArray(new String[0]))
-                .flags(flags.toArray(new String[0])).in(history));
+        programs.put(
+                name,
+                new Program.Start(name, LeaseNode.class.getName(), args.toArray(new String[0]))
+                        .flags(flags.toArray(new String[0]))
+                        .in(history));
     }
 
-    /** Until every voter votes, all three count and all agree on one leader that lives, by what each said last. */
+    /**
+     * Until every voter votes, all three count and all agree on one leader that lives, by what each
+     * said last.
+     */
     void awaitWell() throws InterruptedException {
         long end = System.nanoTime() + PATIENCE_MILLIS * 1_000_000;
         while (leader() == null) {
             if (System.nanoTime() > end) {
-                throw new IllegalStateException("not well again within " + PATIENCE_MILLIS + " ms: " + standings());
+                throw new IllegalStateException(
+                        "not well again within " + PATIENCE_MILLIS + " ms: " + standings());
             }
             int from = history.size();
             try {
@@ -90,7 +123,10 @@
         String leader = null;
         for (String v : VOTERS) {
             History.Event e = said.get(v);
-            if (e == null || !e.kind().equals("standing") || !e.text("role").equals("VOTER") || e.whole("voters") != 3
+            if (e == null
+                    || !e.kind().equals("standing")
+                    || !e.text("role").equals("VOTER")
+                    || e.whole("voters") != 3
                     || leader != null && !leader.equals(e.text("leader"))) {
                 return null;
             }
@@ -102,7 +138,9 @@
     private Map<String, History.Event> standings() {
         Map<String, History.Event> said = new HashMap<>();
         for (History.Event e : history.all()) {
-            if (e.kind().equals("standing") || e.kind().equals("begun") || e.kind().equals("ended")) {
+            if (e.kind().equals("standing")
+                    || e.kind().equals("begun")
+                    || e.kind().equals("ended")) {
                 said.put(e.who(), e);
             }
         }
--- a/rig/src/test/java/postgrade/rig/lease/LeaseFaultsTest.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseFaultsTest.java
@@ -13,18 +13,23 @@
 import postgrade.rig.history.History;
 import postgrade.rig.lease.LeaseCalls.Call;
 
-/** Reservations over real processes: the leader dies or sleeps, a process is cut off. Each waits for what must come. */
+/**
+ * Reservations over real processes: the leader dies or sleeps, a process is cut off. Each waits for
+ * what must come.
+ */
 class LeaseFaultsTest {
 
     /** Of one that is to expire, and of one that is kept: a busy machine holds its calls up. */
     private static final long TTL = 2000;
+
     private static final long KEPT = 15_000;
+
     /** Of one that is to be seen by all and then to expire. */
     private static final long SEEN = 8000;
+
     private static final long SOON = 240_000;
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
     private History history;
     private LeaseCluster cluster;
     private LeaseCalls calls;
@@ -37,7 +42,9 @@
         cluster = new LeaseCluster(folder, history, properties);
         cluster.begin();
         calls = new LeaseCalls(cluster);
-        assertTrue(calls.call("-", 0, 0, 0, "unit", "worker=w kind=box accelerators=4 version=1").done());
+        assertTrue(
+                calls.call("-", 0, 0, 0, "unit", "worker=w kind=box accelerators=4 version=1")
+                        .done());
     }
 
     @AfterEach
@@ -47,24 +54,39 @@
     }
 
     private Call acquire(String holder, int accelerators, long ttl) throws InterruptedException {
-        return calls.call(holder, 1, ttl, accelerators, "acquire", "accelerators=" + accelerators + " ttlMs=" + ttl
-                + " wait=0");
+        return calls.call(
+                holder,
+                1,
+                ttl,
+                accelerators,
+                "acquire",
+                "accelerators=" + accelerators + " ttlMs=" + ttl + " wait=0");
     }
 
     /** Renews a grant all the while, until {@link #forsake}. */
     private void keep(Call grant) {
         kept = true;
-        keeper = new Thread(() -> {
-            try {
-                while (kept) {
-                    lost |= !calls.call(grant.holder(), 1, grant.ttlMicros() / 1000, grant.accelerators(), "renew",
-                            "fence=" + grant.fence()).done();
-                    Thread.sleep(200);
-                }
-            } catch (InterruptedException | IllegalStateException e) {
-                lost = true;
-            }
-        }, "keeper");
+        keeper =
+                new Thread(
+                        () -> {
+                            try {
+                                while (kept) {
+                                    lost |=
+                                            !calls.call(
+                                                            grant.holder(),
+                                                            1,
+                                                            grant.ttlMicros() / 1000,
+                                                            grant.accelerators(),
+                                                            "renew",
+                                                            "fence=" + grant.fence())
+                                                    .done();
+                                    Thread.sleep(200);
+                                }
+                            } catch (InterruptedException | IllegalStateException e) {
+                                lost = true;
+                            }
+                        },
+                        "keeper");
         keeper.setDaemon(true);
         keeper.start();
     }
@@ -77,17 +99,35 @@
 
     private void release(Call grant) throws InterruptedException {
         forsake();
-        assertTrue(calls.call(grant.holder(), 1, KEPT, grant.accelerators(), "release", "fence=" + grant.fence()).done());
+        assertTrue(
+                calls.call(
+                                grant.holder(),
+                                1,
+                                KEPT,
+                                grant.accelerators(),
+                                "release",
+                                "fence=" + grant.fence())
+                        .done());
     }
 
-    private History.Event uses(String process, int from, String holder) throws InterruptedException {
-        return history.await(process + " using for " + holder, from, SOON, e -> e.who().equals(process)
-                && e.kind().equals("use") && e.text("now").startsWith(holder));
+    private History.Event uses(String process, int from, String holder)
+            throws InterruptedException {
+        return history.await(
+                process + " using for " + holder,
+                from,
+                SOON,
+                e ->
+                        e.who().equals(process)
+                                && e.kind().equals("use")
+                                && e.text("now").startsWith(holder));
     }
 
     private History.Event usesNothing(String process, int from) throws InterruptedException {
-        return history.await(process + " using nothing", from, SOON, e -> e.who().equals(process)
-                && e.kind().equals("use") && e.text("now").isEmpty());
+        return history.await(
+                process + " using nothing",
+                from,
+                SOON,
+                e -> e.who().equals(process) && e.kind().equals("use") && e.text("now").isEmpty());
     }
 
     /** Asks until it is granted; the accelerators are another's, or rest. */
@@ -103,8 +143,8 @@
     }
 
     private List<postgrade.rig.check.Breach> breaches() {
-        return new LeaseVerdict(history.all(), List.copyOf(calls.calls), List.of(), 4, true).breaches.stream()
-                .filter(b -> !b.what().equals("late")).toList();
+        return new LeaseVerdict(history.all(), List.copyOf(calls.calls), List.of(), 4, true)
+                .breaches.stream().filter(b -> !b.what().equals("late")).toList();
     }
 
     @Test
@@ -121,8 +161,15 @@
         assertEquals(ivo.mask(), next.mask());
         // Longer than the first grant's time to live: it is the renewals that count.
         long beyond = ana.ended() + KEPT * 1000;
-        history.await("use for ana beyond her first grant", history.size(), SOON, e -> e.who().equals("y")
-                && e.kind().equals("use") && e.text("now").startsWith("ana") && e.whole("at") > beyond);
+        history.await(
+                "use for ana beyond her first grant",
+                history.size(),
+                SOON,
+                e ->
+                        e.who().equals("y")
+                                && e.kind().equals("use")
+                                && e.text("now").startsWith("ana")
+                                && e.whole("at") > beyond);
         forsake();
         assertEquals(List.of(), breaches());
     }
@@ -134,7 +181,8 @@
         String leader = cluster.leader();
         uses(leader, 0, "ana");
         cluster.programs.get(leader).stop();
-        // Cut off as well until it has looked: else word of what has changed may come to it before its first look.
+        // Cut off as well until it has looked: else word of what has changed may come to it before
+        // its first look.
         cluster.mesh.isolate(Set.of(leader));
         keep(awaitGrant("ivo", 4));
         int woken = history.size();
@@ -142,11 +190,21 @@
         cluster.programs.get(leader).resume();
         String look = cluster.freshId();
         cluster.ask(leader, look, 500, "look");
-        history.await("its look", woken, SOON, e -> e.kind().equals("reply") && e.text("id").equals(look));
+        history.await(
+                "its look",
+                woken,
+                SOON,
+                e -> e.kind().equals("reply") && e.text("id").equals(look));
         cluster.mesh.heal();
         uses(leader, history.size(), "ivo");
-        assertFalse(history.all().subList(woken, history.size()).stream().anyMatch(e -> e.kind().equals("use")
-                && e.whole("at") >= woke && e.text("now").startsWith("ana")), "the one that slept went on with what it knew");
+        assertFalse(
+                history.all().subList(woken, history.size()).stream()
+                        .anyMatch(
+                                e ->
+                                        e.kind().equals("use")
+                                                && e.whole("at") >= woke
+                                                && e.text("now").startsWith("ana")),
+                "the one that slept went on with what it knew");
         forsake();
         assertEquals(List.of(), breaches());
     }
--- a/rig/src/test/java/postgrade/rig/lease/LeaseHolder.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseHolder.java
@@ -3,7 +3,10 @@
 import java.util.SplittableRandom;
 import postgrade.rig.lease.LeaseCalls.Call;
 
-/** A shop's planner: asks, waits, renews while it lives, then releases or dies without a word, and comes back. */
+/**
+ * A shop's planner: asks, waits, renews while it lives, then releases or dies without a word, and
+ * comes back.
+ */
 final class LeaseHolder implements Runnable {
 
     private final LeaseCalls calls;
@@ -47,12 +50,21 @@
     private void live() throws InterruptedException {
         incarnation++;
         long ttl = random.nextLong(2000, 4000);
-        String acquire = "accelerators=" + accelerators + " ttlMs=" + ttl + " wait=" + (waits ? 1 : 0);
+        String acquire =
+                "accelerators=" + accelerators + " ttlMs=" + ttl + " wait=" + (waits ? 1 : 0);
         long until = System.nanoTime() + random.nextLong(2_000_000_000L, 8_000_000_000L);
         long fence = 0;
         while (!over && System.nanoTime() < until) {
-            Call c = fence == 0 || random.nextInt(4) == 0 ? calls.call(name, incarnation, ttl, accelerators, "acquire",
-                    acquire) : calls.call(name, incarnation, ttl, accelerators, "renew", "fence=" + fence);
+            Call c =
+                    fence == 0 || random.nextInt(4) == 0
+                            ? calls.call(name, incarnation, ttl, accelerators, "acquire", acquire)
+                            : calls.call(
+                                    name,
+                                    incarnation,
+                                    ttl,
+                                    accelerators,
+                                    "renew",
+                                    "fence=" + fence);
             fence = c.granted() ? c.fence() : 0;
             pause(ttl / 4);
         }
--- a/rig/src/test/java/postgrade/rig/lease/LeaseNode.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseNode.java
@@ -24,14 +24,17 @@
 import postgrade.shared.View;
 
 /**
- * A process that shares reservations and would use them: it says all the while for whom it would send, by its own clock
- * and view, and asks what it is told to. Stamps are the machine's monotonic clock, the same in all processes.
+ * A process that shares reservations and would use them: it says all the while for whom it would
+ * send, by its own clock and view, and asks what it is told to. Stamps are the machine's monotonic
+ * clock, the same in all processes.
  */
 public final class LeaseNode {
 
     static final String WORKER = "w";
+
     /** Holders that only show whether grants are made at all; nothing is said of them. */
     static final String PROBE = "p";
+
     private static final long SAMPLE_MILLIS = 5;
     private static final long REPEAT_MICROS = 200_000;
 
@@ -51,7 +54,10 @@
         this.times = times;
     }
 
-    /** Arguments: name, store folder, voters as name=port with commas between, parts per million of the clock. */
+    /**
+     * Arguments: name, store folder, voters as name=port with commas between, parts per million of
+     * the clock.
+     */
     public static void main(String[] a) throws Exception {
         List<QuorumSettings.Voter> voters = new ArrayList<>();
         for (String v : a[2].split(",")) {
@@ -61,10 +67,21 @@
         long begun = System.nanoTime() / 1000;
         double rate = 1 + Long.parseLong(a[3]) / 1e6;
         LongSupplier clock = () -> begun + (long) ((System.nanoTime() / 1000 - begun) * rate);
-        QuorumSettings settings = new QuorumSettings(a[0], 0, voters, Path.of(a[1]), Times.USUAL.viewBoundMicros(), 500,
-                100, QuorumSettings.HEARTBEAT_MILLIS, QuorumSettings.ELECTION_MILLIS);
+        QuorumSettings settings =
+                new QuorumSettings(
+                        a[0],
+                        0,
+                        voters,
+                        Path.of(a[1]),
+                        Times.USUAL.viewBoundMicros(),
+                        500,
+                        100,
+                        QuorumSettings.HEARTBEAT_MILLIS,
+                        QuorumSettings.ELECTION_MILLIS);
         if (a.length > 4 && a[4].equals("begin")) {
-            say("era", new JsonObject().add("against", String.valueOf(Quorum.beginEra(settings, 1))));
+            say(
+                    "era",
+                    new JsonObject().add("against", String.valueOf(Quorum.beginEra(settings, 1))));
         }
         // A process that goes on with an old view, to show that the bound on its age is needed.
         boolean heedless = Boolean.getBoolean("postgrade.test.heedless");
@@ -73,7 +90,8 @@
         Quorum quorum = Quorum.open(settings, List.of(new LeasePart(Times.USUAL)), clock, loop);
         LeaseNode node = new LeaseNode(quorum, clock, times);
         loop.scheduleWithFixedDelay(node::sample, 0, SAMPLE_MILLIS, TimeUnit.MILLISECONDS);
-        BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
+        BufferedReader in =
+                new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             String told = line;
             loop.execute(() -> node.ask(told));
@@ -101,21 +119,36 @@
             int eq = words[i].indexOf('=');
             fields.put(words[i].substring(0, eq), words[i].substring(eq + 1));
         }
-        Command c = fields.containsKey("worker") ? new Command(words[0], "rig", 1, LeasePart.NAME, words[2],
-                new postgrade.shared.Row(fields)) : Leases.command(words[2], words[0], "rig", 1, fields);
-        sharing.ask(c, Long.parseLong(words[1]) * 1000, reply -> {
-            JsonObject told = new JsonObject().add("id", words[0]).add("decided", reply.decided());
-            if (reply.decided()) {
-                told.add("status", reply.answer().status().name()).add("text", reply.answer().text());
-                reply.answer().fields().values().forEach(told::add);
-            }
-            say("reply", told);
-        });
+        Command c =
+                fields.containsKey("worker")
+                        ? new Command(
+                                words[0],
+                                "rig",
+                                1,
+                                LeasePart.NAME,
+                                words[2],
+                                new postgrade.shared.Row(fields))
+                        : Leases.command(words[2], words[0], "rig", 1, fields);
+        sharing.ask(
+                c,
+                Long.parseLong(words[1]) * 1000,
+                reply -> {
+                    JsonObject told =
+                            new JsonObject().add("id", words[0]).add("decided", reply.decided());
+                    if (reply.decided()) {
+                        told.add("status", reply.answer().status().name())
+                                .add("text", reply.answer().text());
+                        reply.answer().fields().values().forEach(told::add);
+                    }
+                    say("reply", told);
+                });
     }
 
     private void sample() {
-        // Of the moment at which it is decided. A process may be stopped between that and its saying so, as it may be
-        // between deciding to send a job and writing it: against that stands the fence, and no time.
+        // Of the moment at which it is decided. A process may be stopped between that and its
+        // saying so, as it may be
+        // between deciding to send a job and writing it: against that stands the fence, and no
+        // time.
         long at = stamp();
         long now = clock.getAsLong();
         View view = sharing.view();
@@ -126,24 +159,34 @@
                     seen.put(f.get("holder"), Long.parseLong(f.get("fence")));
                 }
             }
-            grants.forEach((holder, fence) -> {
-                if (!fence.equals(seen.get(holder))) {
-                    say("gone", new JsonObject().add("holder", holder).add("fence", fence));
-                }
-            });
+            grants.forEach(
+                    (holder, fence) -> {
+                        if (!fence.equals(seen.get(holder))) {
+                            say("gone", new JsonObject().add("holder", holder).add("fence", fence));
+                        }
+                    });
             grants = seen;
             reservations = new Reservations(view, times);
         }
         StringBuilder may = new StringBuilder();
         for (String holder : grants.keySet()) {
             for (Reservations.Use u : reservations.usable(now, holder, WORKER)) {
-                may.append(may.length() == 0 ? "" : " ").append(holder).append(' ').append(u.mask()).append(' ')
+                may.append(may.length() == 0 ? "" : " ")
+                        .append(holder)
+                        .append(' ')
+                        .append(u.mask())
+                        .append(' ')
                         .append(u.fence());
             }
         }
         if (!may.toString().equals(using) || !using.isEmpty() && at - saidMicros > REPEAT_MICROS) {
-            say(at, "use", new JsonObject().add("last", usedMicros).add("now", may.toString()).add("log",
-                    view.moment().micros()));
+            say(
+                    at,
+                    "use",
+                    new JsonObject()
+                            .add("last", usedMicros)
+                            .add("now", may.toString())
+                            .add("log", view.moment().micros()));
             saidMicros = at;
             using = may.toString();
         }
@@ -152,8 +195,13 @@
         String told = s.role() + " " + s.leader() + " " + s.voters();
         if (!told.equals(standing)) {
             standing = told;
-            say("standing", new JsonObject().add("role", s.role().name()).add("leader", String.valueOf(s.leader()))
-                    .add("voters", s.voters()).add("fault", String.valueOf(s.fault())));
+            say(
+                    "standing",
+                    new JsonObject()
+                            .add("role", s.role().name())
+                            .add("leader", String.valueOf(s.leader()))
+                            .add("voters", s.voters())
+                            .add("fault", String.valueOf(s.fault())));
         }
     }
 }
--- a/rig/src/test/java/postgrade/rig/lease/LeaseRun.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseRun.java
@@ -13,10 +13,22 @@
 import postgrade.rig.history.History;
 import postgrade.rig.process.Program;
 
-/** A cluster with holders at work and probes that show whether grants are made, and the faults between them. */
+/**
+ * A cluster with holders at work and probes that show whether grants are made, and the faults
+ * between them.
+ */
 final class LeaseRun implements Closeable {
 
-    enum Fault { KILL_LEADER, STOP_LEADER, CUT_LEADER, MUTE_LEADER, KILL_VOTER, WIPE_VOTER, STOP_OBSERVER, CUT_OBSERVER }
+    enum Fault {
+        KILL_LEADER,
+        STOP_LEADER,
+        CUT_LEADER,
+        MUTE_LEADER,
+        KILL_VOTER,
+        WIPE_VOTER,
+        STOP_OBSERVER,
+        CUT_OBSERVER
+    }
 
     static final int ACCELERATORS = 6;
     private static final int PROBE_UNITS = 6;
@@ -33,8 +45,13 @@
     private final ScheduledExecutorService prober = Executors.newSingleThreadScheduledExecutor();
     private long probes;
     int faults;
-    /** Holders whose call nobody decided for a minute: their last call may come later and is not judged. */
+
+    /**
+     * Holders whose call nobody decided for a minute: their last call may come later and is not
+     * judged.
+     */
     int gaveUp;
+
     /** From each death of a leader to the first grant that was asked for after it. */
     final List<Long> withoutGrantsMicros = new ArrayList<>();
 
@@ -52,12 +69,21 @@
         for (int i = 0; i < PROBE_UNITS; i++) {
             unit(LeaseNode.PROBE + i, "q", "probe", 62);
         }
-        prober.scheduleAtFixedRate(() -> {
-            long n = ++probes;
-            cluster.ask(LeaseCluster.OBSERVERS.get((int) (n % 2)), LeaseNode.PROBE + LeaseCalls.stamp(),
-                    PROBE_WITHIN_MILLIS, "acquire holder=" + LeaseNode.PROBE + n
-                    + " kind=probe accelerators=1 ttlMs=2000 wait=0");
-        }, 0, PROBE_MILLIS, TimeUnit.MILLISECONDS);
+        prober.scheduleAtFixedRate(
+                () -> {
+                    long n = ++probes;
+                    cluster.ask(
+                            LeaseCluster.OBSERVERS.get((int) (n % 2)),
+                            LeaseNode.PROBE + LeaseCalls.stamp(),
+                            PROBE_WITHIN_MILLIS,
+                            "acquire holder="
+                                    + LeaseNode.PROBE
+                                    + n
+                                    + " kind=probe accelerators=1 ttlMs=2000 wait=0");
+                },
+                0,
+                PROBE_MILLIS,
+                TimeUnit.MILLISECONDS);
         for (int i = 0; i < count; i++) {
             LeaseHolder h = new LeaseHolder(calls, "h" + i, 1 + i % 3, waits, random.nextLong());
             holders.add(h);
@@ -68,13 +94,31 @@
         }
     }
 
-    private void unit(String worker, String site, String kind, int accelerators) throws InterruptedException {
+    private void unit(String worker, String site, String kind, int accelerators)
+            throws InterruptedException {
         String id = cluster.freshId();
         int from = history.size();
-        cluster.ask("x", id, 10_000, "unit worker=" + worker + " site=" + site + " kind=" + kind + " accelerators="
-                + accelerators + " version=1");
-        history.await("unit " + worker, from, 12_000, e -> e.kind().equals("reply") && e.text("id").equals(id)
-                && e.text("status").equals("DONE"));
+        cluster.ask(
+                "x",
+                id,
+                10_000,
+                "unit worker="
+                        + worker
+                        + " site="
+                        + site
+                        + " kind="
+                        + kind
+                        + " accelerators="
+                        + accelerators
+                        + " version=1");
+        history.await(
+                "unit " + worker,
+                from,
+                12_000,
+                e ->
+                        e.kind().equals("reply")
+                                && e.text("id").equals(id)
+                                && e.text("status").equals("DONE"));
     }
 
     Fault anyFault() {
@@ -96,8 +140,13 @@
         String observer = LeaseCluster.OBSERVERS.get(random.nextInt(2));
         int from = history.size();
         long at = LeaseCalls.stamp();
-        history.add("rig", "fault", new com.eclipsesource.json.JsonObject().add("what", f.name()).add("at", at)
-                .add("leader", leader));
+        history.add(
+                "rig",
+                "fault",
+                new com.eclipsesource.json.JsonObject()
+                        .add("what", f.name())
+                        .add("at", at)
+                        .add("leader", leader));
         switch (f) {
             case KILL_LEADER -> killed(leader, false);
             case KILL_VOTER -> killed(voter, false);
@@ -109,8 +158,12 @@
             default -> cut(() -> cluster.mesh.isolate(Set.of(observer)));
         }
         if (f == Fault.KILL_LEADER || f == Fault.KILL_VOTER && voter.equals(leader)) {
-            History.Event e = history.await("a grant after the leader's death", from, 60_000, r -> granted(r)
-                    && asked(r) > at);
+            History.Event e =
+                    history.await(
+                            "a grant after the leader's death",
+                            from,
+                            60_000,
+                            r -> granted(r) && asked(r) > at);
             withoutGrantsMicros.add(e.whole("at") - at);
         }
         cluster.awaitWell();
@@ -118,7 +171,9 @@
     }
 
     static boolean granted(History.Event e) {
-        return e.kind().equals("reply") && e.text("id").startsWith(LeaseNode.PROBE) && e.text("status").equals("DONE");
+        return e.kind().equals("reply")
+                && e.text("id").startsWith(LeaseNode.PROBE)
+                && e.text("status").equals("DONE");
     }
 
     private static long asked(History.Event e) {
@@ -157,8 +212,12 @@
         prober.shutdownNow();
         gaveUp = (int) holders.stream().filter(h -> h.failure != null).count();
         List<History.Event> all = history.all();
-        return new LeaseVerdict(all, List.copyOf(calls.calls), all.stream().filter(LeaseRun::granted)
-                .map(e -> e.whole("at")).toList(), ACCELERATORS, !waits);
+        return new LeaseVerdict(
+                all,
+                List.copyOf(calls.calls),
+                all.stream().filter(LeaseRun::granted).map(e -> e.whole("at")).toList(),
+                ACCELERATORS,
+                !waits);
     }
 
     @Override
--- a/rig/src/test/java/postgrade/rig/lease/LeaseVerdict.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseVerdict.java
@@ -17,26 +17,42 @@
 import postgrade.rig.history.History;
 import postgrade.rig.lease.LeaseCalls.Call;
 
-/** Hands a run's history to the checkers. The times stand here once more, so that a change of the product's shows. */
+/**
+ * Hands a run's history to the checkers. The times stand here once more, so that a change of the
+ * product's shows.
+ */
 final class LeaseVerdict {
 
     static final long VIEW = 1_500_000;
     static final long REST = 3_000_000;
     static final long UNCOMMITTED = 1_000_000;
     static final double RATIO = 1.03;
-    /** Between two entries of the log's time, and their way to a commit, on a machine that is busy. */
+
+    /**
+     * Between two entries of the log's time, and their way to a commit, on a machine that is busy.
+     */
     static final long STEP = 350_000;
+
     /** Without grants for longer than this, nobody led. */
     private static final long OUTAGE = 250_000;
 
     final List<Breach> breaches = new ArrayList<>();
-    /** For each grant that ended unrenewed: how long after its time to live it was last used, and the bound on that. */
+
+    /**
+     * For each grant that ended unrenewed: how long after its time to live it was last used, and
+     * the bound on that.
+     */
     final List<long[]> lateAndBound = new ArrayList<>();
+
     final Map<String, Grant> grants = new TreeMap<>();
     final int uses;
     final int judgedInOrder;
 
-    LeaseVerdict(List<History.Event> events, List<Call> calls, List<Long> probesGranted, int accelerators,
+    LeaseVerdict(
+            List<History.Event> events,
+            List<Call> calls,
+            List<Long> probesGranted,
+            int accelerators,
             boolean withRefusals) {
         List<Use> used = uses(events);
         uses = used.size();
@@ -66,16 +82,31 @@
             Long former = lastOfHolder.put(c.holder(), c.fence());
             Grant g = grants.get(key(c.holder(), c.fence()));
             if (former != null && former != c.fence()) {
-                released(c.holder(), former, c.sent()); // Taken over by the next incarnation, unless it had ended before.
+                released(
+                        c.holder(),
+                        former,
+                        c.sent()); // Taken over by the next incarnation, unless it had ended
+                // before.
             }
-            grants.put(key(c.holder(), c.fence()), new Grant(c.holder(), c.fence(), c.ttlMicros(), c.sent(), c.ended(),
-                    g == null ? Long.MAX_VALUE : g.releasedMicros()));
+            grants.put(
+                    key(c.holder(), c.fence()),
+                    new Grant(
+                            c.holder(),
+                            c.fence(),
+                            c.ttlMicros(),
+                            c.sent(),
+                            c.ended(),
+                            g == null ? Long.MAX_VALUE : g.releasedMicros()));
         } else if (c.verb().equals("release") && lastOfHolder.containsKey(c.holder())) {
             released(c.holder(), lastOfHolder.get(c.holder()), c.sent());
         } else if (c.verb().equals("renew") && lastOfHolder.containsKey(c.holder()) && !c.done()) {
             Grant g = grants.get(key(c.holder(), lastOfHolder.get(c.holder())));
-            breaches.addAll(UseCheck.early(List.of(new Gone(c.ended(), "answer", g.holder(), g.fence())), List.of(g),
-                    RATIO, UNCOMMITTED));
+            breaches.addAll(
+                    UseCheck.early(
+                            List.of(new Gone(c.ended(), "answer", g.holder(), g.fence())),
+                            List.of(g),
+                            RATIO,
+                            UNCOMMITTED));
         }
     }
 
@@ -84,8 +115,16 @@
     }
 
     private void released(String holder, long fence, long at) {
-        grants.computeIfPresent(key(holder, fence), (k, g) -> new Grant(holder, fence, g.ttlMicros(), g.lastSentMicros(),
-                g.lastEndMicros(), Math.min(at, g.releasedMicros())));
+        grants.computeIfPresent(
+                key(holder, fence),
+                (k, g) ->
+                        new Grant(
+                                holder,
+                                fence,
+                                g.ttlMicros(),
+                                g.lastSentMicros(),
+                                g.lastEndMicros(),
+                                Math.min(at, g.releasedMicros())));
     }
 
     /** Both ends of each spell in which a process would have used something. */
@@ -108,8 +147,13 @@
         String[] words = what == null || what.isEmpty() ? new String[0] : what.split(" ");
         for (int i = 0; i < words.length; i += 3) {
             for (long mask = Long.parseLong(words[i + 1]); mask != 0; mask &= mask - 1) {
-                uses.add(new Use(at, who, Long.toString(Long.numberOfTrailingZeros(mask)), words[i],
-                        Long.parseLong(words[i + 2])));
+                uses.add(
+                        new Use(
+                                at,
+                                who,
+                                Long.toString(Long.numberOfTrailingZeros(mask)),
+                                words[i],
+                                Long.parseLong(words[i + 2])));
             }
         }
     }
@@ -119,8 +163,10 @@
         used.forEach(u -> lastUse.merge(key(u.holder(), u.fence()), u.micros(), Math::max));
         for (Grant g : grants.values()) {
             long last = lastUse.getOrDefault(key(g.holder(), g.fence()), 0L);
-            long bound = (long) ((g.ttlMicros() + 2 * STEP + VIEW) * RATIO) - g.ttlMicros()
-                    + withoutGrants(probes, g.lastEndMicros(), last);
+            long bound =
+                    (long) ((g.ttlMicros() + 2 * STEP + VIEW) * RATIO)
+                            - g.ttlMicros()
+                            + withoutGrants(probes, g.lastEndMicros(), last);
             List<Use> of = List.of(new Use(last, "", "", g.holder(), g.fence()));
             breaches.addAll(UseCheck.timely(of, List.of(g), bound));
             if (g.releasedMicros() > last && last > g.lastEndMicros()) {
@@ -156,19 +202,45 @@
                 UnaryOperator<State> granted = Leases.granted(c.holder(), c.fence(), c.mask());
                 UnaryOperator<State> over = Leases.takenOver(c.holder(), former, c.fence());
                 long sent = asking.getOrDefault(c.holder(), c.sent());
-                all.add(new Linearizable.Call<>("grant " + c, sent, c.ended(), s -> s.held().containsKey(
-                        new Leases.Grant(c.holder(), former)) ? over.apply(s) : granted.apply(s)));
+                all.add(
+                        new Linearizable.Call<>(
+                                "grant " + c,
+                                sent,
+                                c.ended(),
+                                s ->
+                                        s.held().containsKey(new Leases.Grant(c.holder(), former))
+                                                ? over.apply(s)
+                                                : granted.apply(s)));
             } else if (same) {
-                all.add(new Linearizable.Call<>("renewal " + c, c.sent(), c.ended(),
-                        Leases.renewed(c.holder(), c.fence())));
-            } else if (c.verb().equals("acquire") && c.status().equals("CONFLICT") && withRefusals) {
-                all.add(new Linearizable.Call<>("refusal " + c, c.sent(), c.ended(), Leases.refused(c.accelerators())));
+                all.add(
+                        new Linearizable.Call<>(
+                                "renewal " + c,
+                                c.sent(),
+                                c.ended(),
+                                Leases.renewed(c.holder(), c.fence())));
+            } else if (c.verb().equals("acquire")
+                    && c.status().equals("CONFLICT")
+                    && withRefusals) {
+                all.add(
+                        new Linearizable.Call<>(
+                                "refusal " + c,
+                                c.sent(),
+                                c.ended(),
+                                Leases.refused(c.accelerators())));
             } else if (c.verb().equals("release") && c.state().equals("released")) {
-                all.add(new Linearizable.Call<>("release " + c, c.sent(), c.ended(),
-                        Leases.ended(c.holder(), before.fence())));
+                all.add(
+                        new Linearizable.Call<>(
+                                "release " + c,
+                                c.sent(),
+                                c.ended(),
+                                Leases.ended(c.holder(), before.fence())));
             } else if (before != null && !c.verb().equals("acquire")) {
-                all.add(new Linearizable.Call<>("gone " + c, c.sent(), c.ended(),
-                        Leases.gone(c.holder(), before.fence())));
+                all.add(
+                        new Linearizable.Call<>(
+                                "gone " + c,
+                                c.sent(),
+                                c.ended(),
+                                Leases.gone(c.holder(), before.fence())));
             }
             if (c.granted()) {
                 last.put(c.holder(), c);
@@ -178,15 +250,31 @@
             }
         }
         Map<String, Long> masks = new HashMap<>();
-        calls.stream().filter(Call::granted).forEach(c -> masks.put(key(c.holder(), c.fence()), c.mask()));
-        grants.values().forEach(g -> {
-            long ends = g.lastSentMicros() + (long) ((g.ttlMicros() - UNCOMMITTED) / RATIO);
-            all.add(new Linearizable.Call<>("expiry of " + g.fence(), ends, Long.MAX_VALUE,
-                    Leases.ended(g.holder(), g.fence())));
-            long rested = Math.min(ends, g.releasedMicros()) + (long) ((REST - UNCOMMITTED) / RATIO);
-            all.add(new Linearizable.Call<>("rest of " + g.fence(), rested, Long.MAX_VALUE,
-                    Leases.rested(masks.get(key(g.holder(), g.fence())))));
-        });
+        calls.stream()
+                .filter(Call::granted)
+                .forEach(c -> masks.put(key(c.holder(), c.fence()), c.mask()));
+        grants.values()
+                .forEach(
+                        g -> {
+                            long ends =
+                                    g.lastSentMicros()
+                                            + (long) ((g.ttlMicros() - UNCOMMITTED) / RATIO);
+                            all.add(
+                                    new Linearizable.Call<>(
+                                            "expiry of " + g.fence(),
+                                            ends,
+                                            Long.MAX_VALUE,
+                                            Leases.ended(g.holder(), g.fence())));
+                            long rested =
+                                    Math.min(ends, g.releasedMicros())
+                                            + (long) ((REST - UNCOMMITTED) / RATIO);
+                            all.add(
+                                    new Linearizable.Call<>(
+                                            "rest of " + g.fence(),
+                                            rested,
+                                            Long.MAX_VALUE,
+                                            Leases.rested(masks.get(key(g.holder(), g.fence())))));
+                        });
         return all;
     }
 }
--- a/rig/src/test/java/postgrade/rig/process/Echo.java
+++ b/rig/src/test/java/postgrade/rig/process/Echo.java
@@ -8,10 +8,11 @@
 /** A small real process: repeats what it is told, and writes files when asked. */
 public final class Echo {
 
-    private Echo() { }
+    private Echo() {}
 
     public static void main(String[] args) {
-        System.out.println("{\"kind\":\"up\",\"clock\":\"" + System.getenv("POSTGRADE_TEST_CLOCK") + "\"}");
+        System.out.println(
+                "{\"kind\":\"up\",\"clock\":\"" + System.getenv("POSTGRADE_TEST_CLOCK") + "\"}");
         Scanner lines = new Scanner(System.in);
         while (lines.hasNextLine()) {
             String line = lines.nextLine();
--- a/rig/src/test/java/postgrade/rig/process/ProgramTest.java
+++ b/rig/src/test/java/postgrade/rig/process/ProgramTest.java
@@ -20,8 +20,7 @@
     /** A virtual machine has to start within it, on a busy machine too. */
     private static final long MOST = 120_000;
 
-    @Rule
-    public final TemporaryFolder folder = new TemporaryFolder();
+    @Rule public final TemporaryFolder folder = new TemporaryFolder();
     private Path kept;
     private History history;
 
--- a/rig/src/test/java/postgrade/rig/proxy/FaultProxyTest.java
+++ b/rig/src/test/java/postgrade/rig/proxy/FaultProxyTest.java
@@ -22,6 +22,7 @@
 
     /** Far above what is needed: it bounds what hangs, and judges nobody's pace. */
     private static final int MOST_MILLIS = 60_000;
+
     private ServerSocket server;
     private FaultProxy proxy;
 
@@ -30,7 +31,8 @@
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         server.setSoTimeout(MOST_MILLIS);
         proxy = new FaultProxy("p");
-        proxy.leadsTo(new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort()));
+        proxy.leadsTo(
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort()));
     }
 
     @After
@@ -58,15 +60,19 @@
     }
 
     private static void ended(Socket s) {
-        assertThrows(SocketException.class, () -> {
-            InputStream in = s.getInputStream();
-            assertEquals("an ordinary end instead of a reset", Integer.MIN_VALUE, in.read());
-        });
+        assertThrows(
+                SocketException.class,
+                () -> {
+                    InputStream in = s.getInputStream();
+                    assertEquals(
+                            "an ordinary end instead of a reset", Integer.MIN_VALUE, in.read());
+                });
     }
 
     @Test
     public void whatIsCutOneWayComesWhenHealedAndTheOtherWayIsOpen() throws IOException {
-        try (Socket c = client(); Socket s = accepted()) {
+        try (Socket c = client();
+                Socket s = accepted()) {
             proxy.cut(Way.OUT);
             c.getOutputStream().write(new byte[] {1, 2, 3});
             s.getOutputStream().write(9);
@@ -80,7 +86,8 @@
 
     @Test
     public void anEndBehindACutIsNotHeardOf() throws IOException {
-        try (Socket c = client(); Socket s = accepted()) {
+        try (Socket c = client();
+                Socket s = accepted()) {
             proxy.cut();
             s.setSoLinger(true, 0);
             s.close();
@@ -92,7 +99,8 @@
 
     @Test
     public void aResetReachesBothSides() throws IOException {
-        try (Socket c = client(); Socket s = accepted()) {
+        try (Socket c = client();
+                Socket s = accepted()) {
             c.getOutputStream().write(1);
             assertEquals(1, s.getInputStream().read());
             proxy.reset();
@@ -103,13 +111,15 @@
 
     @Test
     public void stalledConnectionsStaySilentWhileNewOnesAreWell() throws IOException {
-        try (Socket c = client(); Socket s = accepted()) {
+        try (Socket c = client();
+                Socket s = accepted()) {
             c.getOutputStream().write(1);
             assertEquals(1, s.getInputStream().read());
             proxy.stall();
             c.getOutputStream().write(2);
             silent(s);
-            try (Socket c2 = client(); Socket s2 = accepted()) {
+            try (Socket c2 = client();
+                    Socket s2 = accepted()) {
                 c2.getOutputStream().write(3);
                 assertEquals(3, s2.getInputStream().read());
             }
@@ -121,7 +131,8 @@
     @Test
     public void itClosesAfterSoManyBytes() throws IOException {
         proxy.closeAfter(Way.OUT, 4);
-        try (Socket c = client(); Socket s = accepted()) {
+        try (Socket c = client();
+                Socket s = accepted()) {
             c.getOutputStream().write(new byte[] {1, 2, 3, 4, 5, 6});
             assertArrayEquals(new byte[] {1, 2, 3, 4}, s.getInputStream().readAllBytes());
         }
@@ -129,7 +140,8 @@
 
     @Test
     public void delayedBytesComeLate() throws IOException {
-        try (Socket c = client(); Socket s = accepted()) {
+        try (Socket c = client();
+                Socket s = accepted()) {
             proxy.delay(Way.OUT, 120);
             long begun = System.nanoTime();
             c.getOutputStream().write(1);
@@ -142,7 +154,8 @@
     public void thePortStaysWhileWhereItLeadsChanges() throws IOException {
         int port = proxy.port();
         server.close();
-        // Where nobody listens, and nobody else can begin to: the port that was let go of may be another's by now.
+        // Where nobody listens, and nobody else can begin to: the port that was let go of may be
+        // another's by now.
         try (HeldPort nobodys = new HeldPort()) {
             proxy.leadsTo(nobodys.address());
             try (Socket c = client()) {
@@ -151,8 +164,10 @@
         }
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         server.setSoTimeout(MOST_MILLIS);
-        proxy.leadsTo(new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort()));
-        try (Socket c = client(); Socket s = accepted()) {
+        proxy.leadsTo(
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort()));
+        try (Socket c = client();
+                Socket s = accepted()) {
             c.getOutputStream().write(7);
             assertEquals(7, s.getInputStream().read());
         }
--- a/rig/src/test/java/postgrade/rig/serve/ServingTest.java
+++ b/rig/src/test/java/postgrade/rig/serve/ServingTest.java
@@ -13,23 +13,33 @@
 import postgrade.rig.KeptFolder;
 import postgrade.rig.load.Shops;
 
-/** Real dispatchers under load, one killed and begun again: the rig sees it, and the rules hold for all that lived on. */
+/**
+ * Real dispatchers under load, one killed and begun again: the rig sees it, and the rules hold for
+ * all that lived on.
+ */
 public class ServingTest {
 
-    @Rule
-    public final KeptFolder folder = new KeptFolder("serve");
+    @Rule public final KeptFolder folder = new KeptFolder("serve");
 
     @Test
-    public void aKilledDispatcherComesBackAtItsPortAndTheRulesHold() throws IOException, InterruptedException {
+    public void aKilledDispatcherComesBackAtItsPortAndTheRulesHold()
+            throws IOException, InterruptedException {
         Serving.Options o = new Serving.Options();
         o.dispatchers = 2;
         o.voters = 0;
         o.plan = FleetPlan.of("t.star", FleetPlan.shippedText("zagreb"));
         try (Serving s = new Serving(folder.path(), o)) {
             s.startAll();
-            try (Shops shops = new Shops(s.consumers(), List.of(new Shops.Kind("slot-check", "kvart-market", 1, 20_000_000,
-                    true), new Shops.Kind("order-confirm", "zeleni-kos", 1, 20_000_000, false)), 5,
-                    folder.path().resolve("clients.ledger"))) {
+            try (Shops shops =
+                    new Shops(
+                            s.consumers(),
+                            List.of(
+                                    new Shops.Kind(
+                                            "slot-check", "kvart-market", 1, 20_000_000, true),
+                                    new Shops.Kind(
+                                            "order-confirm", "zeleni-kos", 1, 20_000_000, false)),
+                            5,
+                            folder.path().resolve("clients.ledger"))) {
                 shops.rate(40);
                 s.until("jobs", "GET", "n1", "/status", null, 120_000, a -> a.status() == 200);
                 s.cluster().of("n2").kill();
@@ -42,9 +52,14 @@
             s.fleet().flush();
             RuleChecker.Verdict v = RuleChecker.judge(folder.path(), 2_500_000, 60_000_000);
             assertTrue(v.requests > 0 && v.attempts > 0);
-            List<String> broken = LedgerReader.read(folder.path().resolve("clients.ledger")).stream()
-                    .filter(l -> l.event().equals("broken") && "n2".equals(l.value("via"))).map(l -> l.id()).toList();
-            assertEquals(List.of(), v.violations.stream().filter(b -> !broken.contains(b.id())).toList());
+            List<String> broken =
+                    LedgerReader.read(folder.path().resolve("clients.ledger")).stream()
+                            .filter(l -> l.event().equals("broken") && "n2".equals(l.value("via")))
+                            .map(l -> l.id())
+                            .toList();
+            assertEquals(
+                    List.of(),
+                    v.violations.stream().filter(b -> !broken.contains(b.id())).toList());
         }
     }
 
@@ -52,8 +67,12 @@
         long end = System.nanoTime() + 120_000_000_000L;
         while (System.nanoTime() < end) {
             s.fleet().flush();
-            if (LedgerReader.read(folder.path().resolve("workers.ledger")).stream().anyMatch(l ->
-                    l.event().equals("received") && l.number("via") == 1 && l.micros() > since)) {
+            if (LedgerReader.read(folder.path().resolve("workers.ledger")).stream()
+                    .anyMatch(
+                            l ->
+                                    l.event().equals("received")
+                                            && l.number("via") == 1
+                                            && l.micros() > since)) {
                 return;
             }
             Thread.sleep(50);
--- a/rig/src/test/java/postgrade/rig/shared/ComingBackTest.java
+++ b/rig/src/test/java/postgrade/rig/shared/ComingBackTest.java
@@ -27,21 +27,29 @@
 import postgrade.rig.process.Program;
 import postgrade.rig.serve.Call;
 
-/** Coming back: shares, workers out, and state lost, over kills and cuts of real dispatchers under load. */
+/**
+ * Coming back: shares, workers out, and state lost, over kills and cuts of real dispatchers under
+ * load.
+ */
 public class ComingBackTest {
 
     /** All but what the settings keep for a place for ever, a quarter of the even part. */
     private static final double LIVING = 0.937;
+
     private static final String WORKER = "w-0002";
 
-    @Rule
-    public final KeptFolder folder = new KeptFolder("comingback");
+    @Rule public final KeptFolder folder = new KeptFolder("comingback");
     private SharedServing s;
 
     @Before
     public void open() throws IOException, InterruptedException {
-        s = new SharedServing(folder.path(), "lease_s = 4\nlinger_s = 0\nmemory_every_s = 0.5\n", "", "slot-check",
-                "order-confirm");
+        s =
+                new SharedServing(
+                        folder.path(),
+                        "lease_s = 4\nlinger_s = 0\nmemory_every_s = 0.5\n",
+                        "",
+                        "slot-check",
+                        "order-confirm");
         s.shops.rate(60);
     }
 
@@ -53,37 +61,47 @@
     }
 
     /** Of one that returns first: what grows is seen before what must have shrunk by then. */
-    private double sum(List<ShareCheck.Took> took, Set<String> dead, String... first) throws IOException,
-            InterruptedException {
+    private double sum(List<ShareCheck.Took> took, Set<String> dead, String... first)
+            throws IOException, InterruptedException {
         List<String> order = new ArrayList<>(List.of(first));
         SharedServing.ALL.stream().filter(n -> !order.contains(n)).forEach(order::add);
         Map<String, Double> parts = new TreeMap<>();
         for (String name : order) {
-            parts.put(name, dead.contains(name) ? 0 : s.serving.call("GET", name, "/sharing", null).json()
-                    .getDouble("share", 0) / SharedServing.ALL.size());
+            parts.put(
+                    name,
+                    dead.contains(name)
+                            ? 0
+                            : s.serving
+                                            .call("GET", name, "/sharing", null)
+                                            .json()
+                                            .getDouble("share", 0)
+                                    / SharedServing.ALL.size());
         }
         long now = Clock.micros();
-        parts.entrySet().stream().sorted(Map.Entry.comparingByValue()).forEach(e ->
-                took.add(new ShareCheck.Took(now, e.getKey(), e.getValue())));
+        parts.entrySet().stream()
+                .sorted(Map.Entry.comparingByValue())
+                .forEach(e -> took.add(new ShareCheck.Took(now, e.getKey(), e.getValue())));
         return parts.values().stream().mapToDouble(Double::doubleValue).sum();
     }
 
     @Test
-    public void sharesOfTheDeadGoToTheLivingAndBackAndNeverComeToMoreThanTheWhole() throws IOException,
-            InterruptedException {
+    public void sharesOfTheDeadGoToTheLivingAndBackAndNeverComeToMoreThanTheWhole()
+            throws IOException, InterruptedException {
         List<ShareCheck.Took> took = new ArrayList<>();
         double most = 0;
         most = Math.max(most, sum(took, Set.of()));
         s.kill("n4");
         double grown = 0;
-        for (long end = Clock.micros() + SharedServing.MOST * 1000; grown < LIVING && Clock.micros() < end;) {
+        for (long end = Clock.micros() + SharedServing.MOST * 1000;
+                grown < LIVING && Clock.micros() < end; ) {
             grown = sum(took, Set.of("n4"));
             most = Math.max(most, grown);
         }
         assertTrue("the living serve by " + grown + " of the rates", grown >= LIVING);
         s.startAgain("n4");
         double own = 0;
-        for (long end = Clock.micros() + SharedServing.MOST * 1000; own < 0.99 && Clock.micros() < end;) {
+        for (long end = Clock.micros() + SharedServing.MOST * 1000;
+                own < 0.99 && Clock.micros() < end; ) {
             most = Math.max(most, sum(took, Set.of(), "n4"));
             own = s.serving.call("GET", "n4", "/sharing", null).json().getDouble("share", 0);
         }
@@ -93,8 +111,12 @@
     }
 
     @Test
-    public void aWorkerOutStaysOutForOneThatComesBackWithNothing() throws IOException, InterruptedException {
-        assertEquals(200, s.decided("PUT", "n1", "/maintenance/enter", new JsonObject().add("id", WORKER)).status());
+    public void aWorkerOutStaysOutForOneThatComesBackWithNothing()
+            throws IOException, InterruptedException {
+        assertEquals(
+                200,
+                s.decided("PUT", "n1", "/maintenance/enter", new JsonObject().add("id", WORKER))
+                        .status());
         // All know of it once each says so itself.
         awaitOut(SharedServing.ALL.toArray(new String[0]));
         long told = Clock.micros();
@@ -108,15 +130,26 @@
         long sent = s.awaitSent("n4", "slot-check", knows);
         s.awaitSent("n4", "slot-check", sent + 3_000_000);
         s.judgeRules("n4");
-        List<OutCheck.Sent> judged = sends().stream().filter(one -> !one.process().equals("n4")
-                || one.micros() < killed || one.micros() > knows).toList();
-        assertEquals(List.of(), OutCheck.judge(List.of(new OutCheck.Told(told, WORKER, true)), judged,
-                SharedServing.SLACK_MICROS));
+        List<OutCheck.Sent> judged =
+                sends().stream()
+                        .filter(
+                                one ->
+                                        !one.process().equals("n4")
+                                                || one.micros() < killed
+                                                || one.micros() > knows)
+                        .toList();
+        assertEquals(
+                List.of(),
+                OutCheck.judge(
+                        List.of(new OutCheck.Told(told, WORKER, true)),
+                        judged,
+                        SharedServing.SLACK_MICROS));
     }
 
     private void awaitOut(String... names) throws InterruptedException {
         for (String name : names) {
-            s.serving.until(WORKER + " out", "GET", name, "/status", null, SharedServing.MOST, a -> out(a));
+            s.serving.until(
+                    WORKER + " out", "GET", name, "/status", null, SharedServing.MOST, a -> out(a));
         }
     }
 
@@ -124,16 +157,24 @@
     private void judgeOut(Map<String, Long> knew) throws IOException {
         List<OutCheck.Sent> all = sends();
         for (Map.Entry<String, Long> e : knew.entrySet()) {
-            assertEquals(List.of(), OutCheck.judge(List.of(new OutCheck.Told(e.getValue(), WORKER, true)), all.stream()
-                    .filter(one -> one.process().equals(e.getKey())).toList(), SharedServing.SLACK_MICROS));
+            assertEquals(
+                    List.of(),
+                    OutCheck.judge(
+                            List.of(new OutCheck.Told(e.getValue(), WORKER, true)),
+                            all.stream().filter(one -> one.process().equals(e.getKey())).toList(),
+                            SharedServing.SLACK_MICROS));
         }
     }
 
     @Test
-    public void aWorkerTakenOutAtOneThatIsCutOffIsOutThereAtOnceAndEverywhereOnceHealed() throws IOException,
-            InterruptedException {
+    public void aWorkerTakenOutAtOneThatIsCutOffIsOutThereAtOnceAndEverywhereOnceHealed()
+            throws IOException, InterruptedException {
         s.serving.cluster().mesh().isolate(Set.of("n4"));
-        assertEquals(200, s.serving.call("PUT", "n4", "/maintenance/enter", "{\"id\":\"" + WORKER + "\"}").status());
+        assertEquals(
+                200,
+                s.serving
+                        .call("PUT", "n4", "/maintenance/enter", "{\"id\":\"" + WORKER + "\"}")
+                        .status());
         long alone = Clock.micros();
         // Cut off for longer than a call waits for its decision.
         s.awaitSent("n4", "slot-check", alone + 3_000_000);
@@ -149,11 +190,18 @@
         s.judgeRules();
     }
 
-    /** Left out until it is known why a start beside another one now and then finds its address in use: see docs/rig.md. */
+    /**
+     * Left out until it is known why a start beside another one now and then finds its address in
+     * use: see docs/rig.md.
+     */
     @Ignore("now and then the new process finds its address in use, cause unknown")
     @Test
-    public void anUpgradeKeepsOnePlaceAmongTheMembersAndTheWorkerOut() throws IOException, InterruptedException {
-        assertEquals(200, s.decided("PUT", "n1", "/maintenance/enter", new JsonObject().add("id", WORKER)).status());
+    public void anUpgradeKeepsOnePlaceAmongTheMembersAndTheWorkerOut()
+            throws IOException, InterruptedException {
+        assertEquals(
+                200,
+                s.decided("PUT", "n1", "/maintenance/enter", new JsonObject().add("id", WORKER))
+                        .status());
         awaitOut(SharedServing.ALL.toArray(new String[0]));
         long told = Clock.micros();
         long place = place(s.until("place", "n1", a -> place(a) != 0).json());
@@ -163,7 +211,10 @@
         // Once it has a view it would join, were it to; time enough for that to be decided.
         s.until("view", "n4", a -> a.get("viewAgeMs").isNumber());
         s.awaitSent("n4", "slot-check", Clock.micros() + 4_000_000);
-        assertEquals("whose place it is", place, place(s.until("view", "n1", a -> place(a) != 0).json()));
+        assertEquals(
+                "whose place it is",
+                place,
+                place(s.until("view", "n1", a -> place(a) != 0).json()));
         old.terminate();
         old.ended();
         s.until("another's place", "n1", a -> place(a) != 0 && place(a) != place);
@@ -193,7 +244,9 @@
         List<OutCheck.Sent> sent = new ArrayList<>();
         for (Line l : s.workers()) {
             if (l.event().equals("received")) {
-                sent.add(new OutCheck.Sent(l.number("first"), "n" + (l.number("via") + 1), l.party(), l.id()));
+                sent.add(
+                        new OutCheck.Sent(
+                                l.number("first"), "n" + (l.number("via") + 1), l.party(), l.id()));
             }
         }
         return sent;
@@ -213,8 +266,8 @@
     }
 
     @Test
-    public void aSpoiltMemoryIsKeptAsideAndWithoutAQuorumEveryRequestIsStillAnswered() throws IOException,
-            InterruptedException {
+    public void aSpoiltMemoryIsKeptAsideAndWithoutAQuorumEveryRequestIsStillAnswered()
+            throws IOException, InterruptedException {
         s.awaitSent("n4", "slot-check", 0);
         s.kill("n4");
         List<Path> memories = new ArrayList<>();
@@ -228,17 +281,38 @@
         assertEquals(1, memories.size());
         int from = s.serving.cluster().history().size();
         s.startAgain("n4");
-        String why = s.serving.cluster().of("n4").await("memory.unusable", from, SharedServing.MOST).text("why");
+        String why =
+                s.serving
+                        .cluster()
+                        .of("n4")
+                        .await("memory.unusable", from, SharedServing.MOST)
+                        .text("why");
         assertTrue(why, why.contains("checksum"));
-        assertTrue("kept aside", Files.exists(memories.get(0).resolveSibling(memories.get(0).getFileName() + ".unusable")));
+        assertTrue(
+                "kept aside",
+                Files.exists(
+                        memories.get(0)
+                                .resolveSibling(memories.get(0).getFileName() + ".unusable")));
         // Two of three voters gone: nothing can be decided, and all jobs go on.
         s.kill("n1");
         s.kill("n2");
         // Beyond what a view is good for: by then each goes by what it has without one.
         long alone = Clock.micros() + 8_000_000;
-        Call.Answer a = s.serving.until("no decision", "PUT", "n4", "/reservations/acquire", new JsonObject()
-                .add("requestId", "none").add("holder", "planner").add("site", "hall-b").add("accelerators", 1)
-                .add("ttlMs", 5000).toString(), SharedServing.MOST, r -> r.status() == 503);
+        Call.Answer a =
+                s.serving.until(
+                        "no decision",
+                        "PUT",
+                        "n4",
+                        "/reservations/acquire",
+                        new JsonObject()
+                                .add("requestId", "none")
+                                .add("holder", "planner")
+                                .add("site", "hall-b")
+                                .add("accelerators", 1)
+                                .add("ttlMs", 5000)
+                                .toString(),
+                        SharedServing.MOST,
+                        r -> r.status() == 503);
         assertTrue(a.toString(), !a.retryAfter().isEmpty());
         s.awaitSent("n3", "order-confirm", alone);
         s.awaitSent("n4", "order-confirm", alone);
--- a/rig/src/test/java/postgrade/rig/shared/ReservationsTest.java
+++ b/rig/src/test/java/postgrade/rig/shared/ReservationsTest.java
@@ -15,21 +15,30 @@
 import postgrade.rig.KeptFolder;
 import postgrade.rig.serve.Call;
 
-/** Reservations by operators' calls to whole dispatchers, over a leader's death and pause, and a cut. */
+/**
+ * Reservations by operators' calls to whole dispatchers, over a leader's death and pause, and a
+ * cut.
+ */
 public class ReservationsTest {
 
     private static final long TTL_MS = 3000;
-    /** Of one whose renewals wait for another leader; a busy machine takes some tries to find one. */
+
+    /**
+     * Of one whose renewals wait for another leader; a busy machine takes some tries to find one.
+     */
     private static final long PAUSED_TTL_MS = 8000;
 
-    @Rule
-    public final KeptFolder folder = new KeptFolder("reservations");
+    @Rule public final KeptFolder folder = new KeptFolder("reservations");
     private SharedServing s;
 
     @Before
     public void open() throws IOException, InterruptedException {
-        s = new SharedServing(folder.path(), "accelerators = {\"planner\": 2}\nreserving = [\"route-plan\"]\n",
-                ", accelerators = 2", "slot-check");
+        s =
+                new SharedServing(
+                        folder.path(),
+                        "accelerators = {\"planner\": 2}\nreserving = [\"route-plan\"]\n",
+                        ", accelerators = 2",
+                        "slot-check");
     }
 
     @After
@@ -45,7 +54,11 @@
 
     /** All six accelerators of the site. */
     private Call.Answer acquire(String by, String name, long ttlMs) throws InterruptedException {
-        return s.decided("PUT", by, "/reservations/acquire", holder(name).add("accelerators", 6).add("ttlMs", ttlMs));
+        return s.decided(
+                "PUT",
+                by,
+                "/reservations/acquire",
+                holder(name).add("accelerators", 6).add("ttlMs", ttlMs));
     }
 
     private Call.Answer acquire(String by, String name) throws InterruptedException {
@@ -57,7 +70,9 @@
     }
 
     private static String fence(Call.Answer a) {
-        return a.json().get("fence") == null ? "" : a.json().get("fence").toString().replace("\"", "");
+        return a.json().get("fence") == null
+                ? ""
+                : a.json().get("fence").toString().replace("\"", "");
     }
 
     /** The site's accelerators are told to the state by dispatchers, some time after they begin. */
@@ -72,8 +87,8 @@
     }
 
     @Test
-    public void aHolderThatDiedIsExpiredOverTheLeadersDeathAndTheNextIsGrantedAfterIt() throws IOException,
-            InterruptedException {
+    public void aHolderThatDiedIsExpiredOverTheLeadersDeathAndTheNextIsGrantedAfterIt()
+            throws IOException, InterruptedException {
         String one = fence(first("n4", "one", TTL_MS));
         // From before the renewal is sent: whatever was decided, was decided later.
         long renewed = Clock.micros();
@@ -90,15 +105,17 @@
                 && Clock.micros() < renewed + SharedServing.MOST * 1000);
         assertEquals(granted.toString(), "granted", granted.json().getString("state", ""));
         long early = renewed + TTL_MS * 1000 * 97 / 100;
-        assertTrue("granted " + (Clock.micros() - renewed) / 1000 + " ms after the last renewal", Clock.micros() > early);
+        assertTrue(
+                "granted " + (Clock.micros() - renewed) / 1000 + " ms after the last renewal",
+                Clock.micros() > early);
         assertTrue(Long.parseLong(fence(granted)) > Long.parseLong(one));
         assertNotEquals(200, renew(by, "one", one).status());
         s.awaitGone("one", by);
     }
 
     @Test
-    public void aRenewedReservationOutlivesAPausedLeaderAndNobodyElseIsGrantedIt() throws IOException,
-            InterruptedException {
+    public void aRenewedReservationOutlivesAPausedLeaderAndNobodyElseIsGrantedIt()
+            throws IOException, InterruptedException {
         String one = fence(first("n4", "one", PAUSED_TTL_MS));
         String leader = s.leader("n4");
         s.serving.cluster().of(leader).stop();
@@ -114,24 +131,68 @@
     }
 
     @Test
-    public void oneThatIsCutOffDecidesNothingAndARepeatedCallCountsOnce() throws IOException, InterruptedException {
+    public void oneThatIsCutOffDecidesNothingAndARepeatedCallCountsOnce()
+            throws IOException, InterruptedException {
         String zero = fence(first("n1", "zero", SharedServing.MOST));
         s.serving.cluster().mesh().isolate(Set.of("n4"));
-        String body = holder("one").add("accelerators", 2).add("ttlMs", 30_000).add("requestId", "same").toString();
-        Call.Answer cut = s.serving.until("refusal", "PUT", "n4", "/reservations/acquire", body, SharedServing.MOST,
-                a -> a.status() == 503);
+        String body =
+                holder("one")
+                        .add("accelerators", 2)
+                        .add("ttlMs", 30_000)
+                        .add("requestId", "same")
+                        .toString();
+        Call.Answer cut =
+                s.serving.until(
+                        "refusal",
+                        "PUT",
+                        "n4",
+                        "/reservations/acquire",
+                        body,
+                        SharedServing.MOST,
+                        a -> a.status() == 503);
         assertTrue(cut.toString(), !cut.retryAfter().isEmpty());
-        Call.Answer there = s.serving.until("decision", "PUT", "n1", "/reservations/acquire", body, SharedServing.MOST,
-                a -> a.status() == 200);
+        Call.Answer there =
+                s.serving.until(
+                        "decision",
+                        "PUT",
+                        "n1",
+                        "/reservations/acquire",
+                        body,
+                        SharedServing.MOST,
+                        a -> a.status() == 200);
         assertEquals(there.toString(), "waiting", there.json().getString("state", ""));
         // Granted before it is repeated: a second effect would have another answer than the first.
-        assertEquals(200, s.decided("PUT", "n1", "/reservations/release", holder("zero").add("fence", zero)).status());
-        s.serving.until("grant", "GET", "n1", "/reservations", null, SharedServing.MOST, a -> a.status() == 200
-                && a.json().get("reservations").asArray().values().stream().anyMatch(r -> r.asObject()
-                        .getString("holder", "").equals("one") && r.asObject().get("fence") != null));
+        assertEquals(
+                200,
+                s.decided("PUT", "n1", "/reservations/release", holder("zero").add("fence", zero))
+                        .status());
+        s.serving.until(
+                "grant",
+                "GET",
+                "n1",
+                "/reservations",
+                null,
+                SharedServing.MOST,
+                a ->
+                        a.status() == 200
+                                && a.json().get("reservations").asArray().values().stream()
+                                        .anyMatch(
+                                                r ->
+                                                        r.asObject()
+                                                                        .getString("holder", "")
+                                                                        .equals("one")
+                                                                && r.asObject().get("fence")
+                                                                        != null));
         s.serving.cluster().mesh().heal();
-        Call.Answer again = s.serving.until("decision", "PUT", "n4", "/reservations/acquire", body, SharedServing.MOST,
-                a -> a.status() != 503);
+        Call.Answer again =
+                s.serving.until(
+                        "decision",
+                        "PUT",
+                        "n4",
+                        "/reservations/acquire",
+                        body,
+                        SharedServing.MOST,
+                        a -> a.status() != 503);
         assertEquals(there.json().get("state"), again.json().get("state"));
         assertEquals(there.json().get("place"), again.json().get("place"));
     }
--- a/rig/src/test/java/postgrade/rig/shared/SharedServing.java
+++ b/rig/src/test/java/postgrade/rig/shared/SharedServing.java
@@ -17,17 +17,31 @@
 import postgrade.rig.serve.Serving;
 import postgrade.rig.serve.SharingScript;
 
-/** Four dispatchers that share, three of them voters, with a proxy between each two, before a small fleet under load. */
+/**
+ * Four dispatchers that share, three of them voters, with a proxy between each two, before a small
+ * fleet under load.
+ */
 final class SharedServing implements Closeable {
 
     static final long MOST = 240_000;
-    /** The stand-ins share the machine with all else that runs on it, and see late what was done in time. */
+
+    /**
+     * The stand-ins share the machine with all else that runs on it, and see late what was done in
+     * time.
+     */
     static final long SLACK_MICROS = 2_500_000;
-    /** And a client that waits for a core sees its answer late: how late is no matter of the dispatcher's rules. */
+
+    /**
+     * And a client that waits for a core sees its answer late: how late is no matter of the
+     * dispatcher's rules.
+     */
     static final long LATE_MICROS = 60_000_000;
+
     static final List<String> ALL = List.of("n1", "n2", "n3", "n4");
+
     /** The seed chooses the ports: two programs that run tests at once must not choose the same. */
-    private static final String FLEET = """
+    private static final String FLEET =
+            """
             seed = %d
             workers = [
                 worker(4, "plain", cores = 4, speed = 1, zone = "hall-a"),
@@ -46,18 +60,23 @@
     private final Path folder;
     private int calls;
 
-    SharedServing(Path folder, String sharing, String planners, String... classes) throws IOException,
-            InterruptedException {
+    SharedServing(Path folder, String sharing, String planners, String... classes)
+            throws IOException, InterruptedException {
         this.folder = folder;
         Serving.Options o = new Serving.Options();
         o.dispatchers = ALL.size();
-        o.plan = FleetPlan.of("shared.star", String.format(FLEET, ProcessHandle.current().pid(), planners));
+        o.plan =
+                FleetPlan.of(
+                        "shared.star",
+                        String.format(FLEET, ProcessHandle.current().pid(), planners));
         o.sharing = SharingScript.proxied(sharing);
         serving = new Serving(folder, o);
         List<Shops.Kind> kinds = new java.util.ArrayList<>();
         for (String c : classes) {
             for (String tenant : o.plan.tenants.keySet()) {
-                kinds.add(new Shops.Kind(c, tenant, 1, 20_000_000, o.plan.classes.get(c).repeatable()));
+                kinds.add(
+                        new Shops.Kind(
+                                c, tenant, 1, 20_000_000, o.plan.classes.get(c).repeatable()));
             }
         }
         shops = new Shops(serving.consumers(), kinds, 9, folder.resolve("clients.ledger"));
@@ -68,7 +87,10 @@
                 awaitJoined(name);
             }
             for (String name : serving.voters()) {
-                until("vote", name, a -> a.getString("role", "").equals("voter") && a.getInt("voters", 0) == 3);
+                until(
+                        "vote",
+                        name,
+                        a -> a.getString("role", "").equals("voter") && a.getInt("voters", 0) == 3);
             }
         } catch (Exception | Error e) {
             close();
@@ -78,7 +100,14 @@
 
     Call.Answer until(String what, String name, java.util.function.Predicate<JsonObject> sought)
             throws InterruptedException {
-        return serving.until(what, "GET", name, "/sharing", null, MOST, a -> a.status() == 200 && sought.test(a.json()));
+        return serving.until(
+                what,
+                "GET",
+                name,
+                "/sharing",
+                null,
+                MOST,
+                a -> a.status() == 200 && sought.test(a.json()));
     }
 
     void awaitJoined(String name) throws InterruptedException {
@@ -91,7 +120,10 @@
 
     /** A voter other than these. */
     static String other(String... not) {
-        return List.of("n1", "n2", "n3").stream().filter(v -> !List.of(not).contains(v)).findFirst().orElseThrow();
+        return List.of("n1", "n2", "n3").stream()
+                .filter(v -> !List.of(not).contains(v))
+                .findFirst()
+                .orElseThrow();
     }
 
     String requestId() {
@@ -99,7 +131,8 @@
     }
 
     /** Calls until it is decided, with one request id. */
-    Call.Answer decided(String method, String name, String path, JsonObject body) throws InterruptedException {
+    Call.Answer decided(String method, String name, String path, JsonObject body)
+            throws InterruptedException {
         String text = body.add("requestId", requestId()).toString();
         return serving.until("decision", method, name, path, text, MOST, a -> a.status() != 503);
     }
@@ -124,12 +157,15 @@
     }
 
     /** Waits until this dispatcher has sent a job of that class to a worker since then. */
-    long awaitSent(String name, String jobClass, long since) throws IOException, InterruptedException {
+    long awaitSent(String name, String jobClass, long since)
+            throws IOException, InterruptedException {
         long via = ALL.indexOf(name);
         long end = Clock.micros() + MOST * 1000;
         while (Clock.micros() < end) {
             for (Line l : workers()) {
-                if (l.event().equals("received") && l.number("via") == via && l.number("first") > since
+                if (l.event().equals("received")
+                        && l.number("via") == via
+                        && l.number("first") > since
                         && jobClass.equals(l.value("class"))) {
                     return l.number("first");
                 }
@@ -142,16 +178,28 @@
     /** Waits until no process tells of this holder any more. */
     void awaitGone(String holder, String... names) throws InterruptedException {
         for (String name : names) {
-            serving.until(holder + " gone", "GET", name, "/reservations", null, MOST, a -> a.status() == 200
-                    && !a.text().contains("\"" + holder + "\""));
+            serving.until(
+                    holder + " gone",
+                    "GET",
+                    name,
+                    "/reservations",
+                    null,
+                    MOST,
+                    a -> a.status() == 200 && !a.text().contains("\"" + holder + "\""));
         }
     }
 
     /** The rules of the protocol hold for all but what a killed dispatcher had taken. */
     void judgeRules(String... killed) throws IOException, InterruptedException {
         shops.finish();
-        List<String> died = clients().stream().filter(l -> l.event().startsWith("broken")
-                && List.of(killed).contains(l.value("via"))).map(Line::id).toList();
+        List<String> died =
+                clients().stream()
+                        .filter(
+                                l ->
+                                        l.event().startsWith("broken")
+                                                && List.of(killed).contains(l.value("via")))
+                        .map(Line::id)
+                        .toList();
         workers();
         RuleChecker.Verdict v = RuleChecker.judge(folder, SLACK_MICROS, LATE_MICROS);
         assertEquals(List.of(), v.violations.stream().filter(b -> !died.contains(b.id())).toList());
--- a/rig/src/test/java/postgrade/rig/shared/StartWindowsTest.java
+++ b/rig/src/test/java/postgrade/rig/shared/StartWindowsTest.java
@@ -25,26 +25,37 @@
 import postgrade.rig.check.WindowCheck.Version;
 import postgrade.rig.serve.Call;
 
-/** Start windows in whole dispatchers: a calendar's change over a restart and a cut, and a faulty calendar. */
+/**
+ * Start windows in whole dispatchers: a calendar's change over a restart and a cut, and a faulty
+ * calendar.
+ */
 public class StartWindowsTest {
 
     private static final String SITE = "hall-b";
-    private static final DateTimeFormatter UTC = DateTimeFormatter.ofPattern("yyyyMMdd'T'HHmmss'Z'")
-            .withZone(ZoneOffset.UTC);
+    private static final DateTimeFormatter UTC =
+            DateTimeFormatter.ofPattern("yyyyMMdd'T'HHmmss'Z'").withZone(ZoneOffset.UTC);
+
     /** The wall clock's whole seconds, and the worker's view of a send. */
     private static final long SLACK = 100_000;
+
     private static final long LASTS_MICROS = 5_000_000;
 
-    @Rule
-    public final KeptFolder folder = new KeptFolder("windows");
+    @Rule public final KeptFolder folder = new KeptFolder("windows");
     private SharedServing s;
+
     /** From the wall clock to that of the ledgers, in microseconds. */
     private long offset;
 
     @Before
     public void open() throws IOException, InterruptedException {
-        s = new SharedServing(folder.path(), "windows = [window(\"route-plan\", [\"hall-b\"], lasts_ms = 100)]\n"
-                + "sites_by_zone = {\"hall-b\": \"hall-b\"}\nclock_error_ms = 2000\n", "", "slot-check", "route-plan");
+        s =
+                new SharedServing(
+                        folder.path(),
+                        "windows = [window(\"route-plan\", [\"hall-b\"], lasts_ms = 100)]\n"
+                                + "sites_by_zone = {\"hall-b\": \"hall-b\"}\nclock_error_ms = 2000\n",
+                        "",
+                        "slot-check",
+                        "route-plan");
         offset = Clock.micros() - System.currentTimeMillis() * 1000;
         assertEquals(200, put("n1", calendar()).status());
         for (String name : SharedServing.ALL) {
@@ -61,27 +72,44 @@
     }
 
     private static String calendar(long... fromAndUntilSeconds) {
-        StringBuilder c = new StringBuilder("BEGIN:VCALENDAR\r\nVERSION:2.0\r\nPRODID:-//rig//EN\r\n");
+        StringBuilder c =
+                new StringBuilder("BEGIN:VCALENDAR\r\nVERSION:2.0\r\nPRODID:-//rig//EN\r\n");
         long[] all = fromAndUntilSeconds.length > 0 ? fromAndUntilSeconds : new long[] {0, 1};
         for (int i = 0; i < all.length; i += 2) {
-            c.append("BEGIN:VEVENT\r\nUID:m").append(i).append("\r\nDTSTAMP:20260101T000000Z\r\nDTSTART:")
-                    .append(UTC.format(Instant.ofEpochSecond(all[i]))).append("\r\nDTEND:")
-                    .append(UTC.format(Instant.ofEpochSecond(all[i + 1]))).append("\r\nSUMMARY:belts\r\nEND:VEVENT\r\n");
+            c.append("BEGIN:VEVENT\r\nUID:m")
+                    .append(i)
+                    .append("\r\nDTSTAMP:20260101T000000Z\r\nDTSTART:")
+                    .append(UTC.format(Instant.ofEpochSecond(all[i])))
+                    .append("\r\nDTEND:")
+                    .append(UTC.format(Instant.ofEpochSecond(all[i + 1])))
+                    .append("\r\nSUMMARY:belts\r\nEND:VEVENT\r\n");
         }
         return c.append("END:VCALENDAR\r\n").toString();
     }
 
     private Call.Answer put(String by, String text) throws InterruptedException {
-        return s.decided("PUT", by, "/calendar", new JsonObject().add("site", SITE).add("zone", "Europe/Zagreb")
-                .add("text", text));
+        return s.decided(
+                "PUT",
+                by,
+                "/calendar",
+                new JsonObject().add("site", SITE).add("zone", "Europe/Zagreb").add("text", text));
     }
 
     private void awaitMayStart(String name) throws InterruptedException {
-        s.serving.until("opening", "POST", name, "/windows", "{\"class\":\"route-plan\"}", SharedServing.MOST,
+        s.serving.until(
+                "opening",
+                "POST",
+                name,
+                "/windows",
+                "{\"class\":\"route-plan\"}",
+                SharedServing.MOST,
                 a -> a.status() == 200 && a.json().getBoolean("mayStart", false));
     }
 
-    /** Maintenance that begins once the calendar counts for certain; its span in the time of ledgers. */
+    /**
+     * Maintenance that begins once the calendar counts for certain; its span in the time of
+     * ledgers.
+     */
     private Span announce(String by) throws InterruptedException {
         for (int tries = 0; tries < 10; tries++) {
             long from = System.currentTimeMillis() / 1000 + 15 + 3 * tries;
@@ -91,7 +119,8 @@
             if (Clock.micros() + a.json().getLong("inMicros", 0) < begins) {
                 return new Span(begins, begins + LASTS_MICROS);
             }
-            // Decided too late for this one to be judged: another, that begins later, takes its place.
+            // Decided too late for this one to be judged: another, that begins later, takes its
+            // place.
         }
         throw new AssertionError("no calendar was decided in time to count before its maintenance");
     }
@@ -101,7 +130,9 @@
         long others = 0;
         for (Line l : s.workers()) {
             if (l.event().equals("received")) {
-                boolean within = l.number("first") >= maintenance.from() && l.number("first") < maintenance.to();
+                boolean within =
+                        l.number("first") >= maintenance.from()
+                                && l.number("first") < maintenance.to();
                 if ("route-plan".equals(l.value("class"))) {
                     started.add(new Started(l.number("first"), SITE, l.id()));
                 } else {
@@ -110,7 +141,9 @@
             }
         }
         assertTrue("none of a class without windows went on", others > 0);
-        List<Breach> breaches = WindowCheck.judge(List.of(new Version(SITE, 0, List.of(maintenance))), started, SLACK);
+        List<Breach> breaches =
+                WindowCheck.judge(
+                        List.of(new Version(SITE, 0, List.of(maintenance))), started, SLACK);
         assertEquals(List.of(), breaches);
     }
 
@@ -118,7 +151,9 @@
         List<String> plans = new ArrayList<>();
         long refused = 0;
         for (Line l : s.clients()) {
-            if (l.event().equals("sent") && "route-plan".equals(l.value("class")) && l.micros() >= from
+            if (l.event().equals("sent")
+                    && "route-plan".equals(l.value("class"))
+                    && l.micros() >= from
                     && l.micros() < to) {
                 plans.add(l.id());
             } else if (l.event().equals("answer") && plans.contains(l.id())) {
@@ -129,7 +164,8 @@
     }
 
     @Test
-    public void nothingStartsWithinMaintenanceOverARestart() throws IOException, InterruptedException {
+    public void nothingStartsWithinMaintenanceOverARestart()
+            throws IOException, InterruptedException {
         Span maintenance = announce("n2");
         s.awaitSent("n4", "route-plan", Clock.micros());
         s.kill("n4");
@@ -143,8 +179,8 @@
     }
 
     @Test
-    public void oneThatIsCutOffBeforeTheChangeStartsNothingThatNeedsAWindow() throws IOException,
-            InterruptedException {
+    public void oneThatIsCutOffBeforeTheChangeStartsNothingThatNeedsAWindow()
+            throws IOException, InterruptedException {
         s.awaitSent("n4", "route-plan", Clock.micros());
         s.serving.cluster().mesh().isolate(Set.of("n4"));
         Span maintenance = announce("n1");
@@ -157,30 +193,56 @@
     }
 
     @Test
-    public void aCalendarUploadedWhileTheLeaderDiesCountsOnceAndForAll() throws IOException, InterruptedException {
+    public void aCalendarUploadedWhileTheLeaderDiesCountsOnceAndForAll()
+            throws IOException, InterruptedException {
         String leader = s.leader("n4");
         String by = SharedServing.other(leader);
         String third = SharedServing.other(leader, by);
         long from = System.currentTimeMillis() / 1000 + 32;
-        Span maintenance = new Span(from * 1_000_000 + offset, from * 1_000_000 + offset + LASTS_MICROS);
-        String body = new JsonObject().add("site", SITE).add("zone", "Europe/Zagreb").add("requestId", "dying")
-                .add("text", calendar(from, from + LASTS_MICROS / 1_000_000)).toString();
-        Thread first = new Thread(() -> {
-            try {
-                s.serving.call("PUT", leader, "/calendar", body);
-            } catch (IOException | InterruptedException e) {
-                // It dies over it: whether it was decided is not known to whoever called.
-            }
-        });
+        Span maintenance =
+                new Span(from * 1_000_000 + offset, from * 1_000_000 + offset + LASTS_MICROS);
+        String body =
+                new JsonObject()
+                        .add("site", SITE)
+                        .add("zone", "Europe/Zagreb")
+                        .add("requestId", "dying")
+                        .add("text", calendar(from, from + LASTS_MICROS / 1_000_000))
+                        .toString();
+        Thread first =
+                new Thread(
+                        () -> {
+                            try {
+                                s.serving.call("PUT", leader, "/calendar", body);
+                            } catch (IOException | InterruptedException e) {
+                                // It dies over it: whether it was decided is not known to whoever
+                                // called.
+                            }
+                        });
         first.start();
         s.kill(leader);
         first.join();
-        Call.Answer one = s.serving.until("decision", "PUT", by, "/calendar", body, SharedServing.MOST,
-                a -> a.status() != 503);
+        Call.Answer one =
+                s.serving.until(
+                        "decision",
+                        "PUT",
+                        by,
+                        "/calendar",
+                        body,
+                        SharedServing.MOST,
+                        a -> a.status() != 503);
         assertEquals(one.toString(), 200, one.status());
-        assertTrue(one.toString(), Clock.micros() + one.json().getLong("inMicros", 0) < maintenance.from());
-        Call.Answer again = s.serving.until("decision", "PUT", third, "/calendar", body, SharedServing.MOST,
-                a -> a.status() != 503);
+        assertTrue(
+                one.toString(),
+                Clock.micros() + one.json().getLong("inMicros", 0) < maintenance.from());
+        Call.Answer again =
+                s.serving.until(
+                        "decision",
+                        "PUT",
+                        third,
+                        "/calendar",
+                        body,
+                        SharedServing.MOST,
+                        a -> a.status() != 503);
         assertEquals(one.json().get("text"), again.json().get("text"));
         s.startAgain(leader);
         s.awaitSent("n4", "slot-check", maintenance.from() + LASTS_MICROS / 2);
@@ -191,14 +253,26 @@
     }
 
     @Test
-    public void aFaultyCalendarIsTurnedDownByLineAndTheFormerStays() throws IOException, InterruptedException {
-        String faulty = calendar(1_900_000_000L, 1_900_003_600L).replace("SUMMARY:belts",
-                "RRULE:FREQ=SOMETIMES\r\nSUMMARY:belts");
+    public void aFaultyCalendarIsTurnedDownByLineAndTheFormerStays()
+            throws IOException, InterruptedException {
+        String faulty =
+                calendar(1_900_000_000L, 1_900_003_600L)
+                        .replace("SUMMARY:belts", "RRULE:FREQ=SOMETIMES\r\nSUMMARY:belts");
         Call.Answer a = put("n3", faulty);
         assertEquals(a.toString(), 400, a.status());
         assertTrue(a.toString(), a.text().contains("line 9") && a.text().contains("RRULE"));
-        assertEquals(409, s.decided("PUT", "n3", "/calendar", new JsonObject().add("site", SITE)
-                .add("zone", "Europe/Zagreb").add("text", calendar()).add("expects", "1")).status());
+        assertEquals(
+                409,
+                s.decided(
+                                "PUT",
+                                "n3",
+                                "/calendar",
+                                new JsonObject()
+                                        .add("site", SITE)
+                                        .add("zone", "Europe/Zagreb")
+                                        .add("text", calendar())
+                                        .add("expects", "1"))
+                        .status());
         for (String name : SharedServing.ALL) {
             awaitMayStart(name);
             s.awaitSent(name, "route-plan", Clock.micros());
--- a/rig/src/test/java/postgrade/rig/timetable/PlayerTest.java
+++ b/rig/src/test/java/postgrade/rig/timetable/PlayerTest.java
@@ -13,12 +13,14 @@
 
 public class PlayerTest {
 
-    @Rule
-    public final KeptFolder folder = new KeptFolder("player");
+    @Rule public final KeptFolder folder = new KeptFolder("player");
 
     @Test
     public void stepsFollowTheirTimesAndEvents() throws Exception {
-        Timetable t = Timetable.of("t.star", """
+        Timetable t =
+                Timetable.of(
+                        "t.star",
+                        """
                 steps = [
                     step(0, "kill", "e1"),
                     step(0.01, "start", "e1", after = "e1 ended"),
@@ -31,11 +33,15 @@
             c.start("e2").await("up", 0, 20_000);
             Player.play(t, c);
             c.of("e2").await("ended", 0, 20_000);
-            List<String> faults = c.history().all().stream().filter(e -> e.kind().equals("step"))
-                    .map(e -> e.text("do") + " " + e.text("who")).toList();
+            List<String> faults =
+                    c.history().all().stream()
+                            .filter(e -> e.kind().equals("step"))
+                            .map(e -> e.text("do") + " " + e.text("who"))
+                            .toList();
             assertEquals(List.of("kill e1", "start e1", "kill e2"), faults);
             List<Event> of1 = c.history().all().stream().filter(e -> e.who().equals("e1")).toList();
-            assertEquals(List.of("begun", "up", "fault.kill", "ended", "begun", "up"),
+            assertEquals(
+                    List.of("begun", "up", "fault.kill", "ended", "begun", "up"),
                     of1.stream().map(Event::kind).toList());
         }
     }
--- a/rig/src/test/java/postgrade/rig/timetable/TimetableTest.java
+++ b/rig/src/test/java/postgrade/rig/timetable/TimetableTest.java
@@ -10,7 +10,8 @@
 
 public class TimetableTest {
 
-    private static final String STEPS = """
+    private static final String STEPS =
+            """
             steps = [
                 step(0.5, "kill", ["n1", "n2", "n3"], times = 20, gap = 1, jitter = 0.25),
                 step(0.1, "cut", "n1", to = "n2", after = "n1 leader"),
@@ -28,7 +29,10 @@
 
     @Test
     public void aFaultyStepIsNamed() {
-        ScriptError e = assertThrows(ScriptError.class, () -> Timetable.of("a.star", "steps = [step(1, \"burn\", \"n1\")]"));
+        ScriptError e =
+                assertThrows(
+                        ScriptError.class,
+                        () -> Timetable.of("a.star", "steps = [step(1, \"burn\", \"n1\")]"));
         assertTrue(e.getMessage(), e.getMessage().contains("there is no fault burn"));
     }
 }
--- a/script/src/main/java/postgrade/script/Builtin.java
+++ b/script/src/main/java/postgrade/script/Builtin.java
@@ -15,7 +15,9 @@
     private final Signature signature;
     private final Body body;
 
-    /** @param parameters as {@link Signature} takes them */
+    /**
+     * @param parameters as {@link Signature} takes them
+     */
     Builtin(String name, String parameters, Body body) {
         this(new Signature(name, parameters), body);
     }
--- a/script/src/main/java/postgrade/script/Callable.java
+++ b/script/src/main/java/postgrade/script/Callable.java
@@ -14,5 +14,5 @@
 
     Object call(Run thread, List<Object> args, Map<String, Object> named);
 
-    default void freeze() { }
+    default void freeze() {}
 }
--- a/script/src/main/java/postgrade/script/Compiler.java
+++ b/script/src/main/java/postgrade/script/Compiler.java
@@ -49,14 +49,19 @@
 import postgrade.script.grammar.StarlarkParser.SuffixContext;
 import postgrade.script.grammar.StarlarkParser.SuiteContext;
 import postgrade.script.grammar.StarlarkParser.TestContext;
-import postgrade.script.grammar.StarlarkParser.UnaryContext;
 
-/** Turns a parse tree into nodes, with every name bound to its slot. What a script misnames is found here. */
+/**
+ * Turns a parse tree into nodes, with every name bound to its slot. What a script misnames is found
+ * here.
+ */
 final class Compiler {
 
     private static final int MOST_DEPTH = 400;
 
-    /** The names of one function, or of the file. A comprehension's variables hide others while it lasts. */
+    /**
+     * The names of one function, or of the file. A comprehension's variables hide others while it
+     * lasts.
+     */
     private static final class Scope {
         final Scope outer;
         final Map<String, Integer> names = new HashMap<>();
@@ -90,7 +95,7 @@
     }
 
     /** The file's statements, and the slots of its names. */
-    record Compiled(Node body, Map<String, Integer> names, int slots) { }
+    record Compiled(Node body, Map<String, Integer> names, int slots) {}
 
     Compiled compile(FileContext tree) {
         tree.stmt().forEach(this::declare);
@@ -135,7 +140,8 @@
         ParseTree t = unwrap(tree);
         if (t instanceof NameOperandContext n) {
             scope.declare(n.getText());
-        } else if (t instanceof ExprListContext || t instanceof ParenOperandContext
+        } else if (t instanceof ExprListContext
+                || t instanceof ParenOperandContext
                 || t instanceof ListOperandContext) {
             for (int i = 0; i < t.getChildCount(); i++) {
                 if (t.getChild(i) instanceof ParserRuleContext) {
@@ -160,7 +166,9 @@
         if (s.defStmt() != null) {
             DefStmtContext d = s.defStmt();
             String name = d.NAME().getText();
-            return new Node.Assign(new Node.Slot(scope.declare(name)), function(name, at(d), d.params(), d.suite()));
+            return new Node.Assign(
+                    new Node.Slot(scope.declare(name)),
+                    function(name, at(d), d.params(), d.suite()));
         } else if (s.ifStmt() != null) {
             return conditional(s.ifStmt());
         } else if (s.forStmt() != null) {
@@ -185,7 +193,8 @@
     }
 
     private Node suite(SuiteContext s) {
-        return s.simpleStmt() != null ? simple(s.simpleStmt())
+        return s.simpleStmt() != null
+                ? simple(s.simpleStmt())
                 : new Node.Block(s.stmt().stream().map(this::statement).toList());
     }
 
@@ -215,20 +224,31 @@
     }
 
     private Node load(LoadStmtContext l) {
-        if (scope.outer != null || !(l.getParent().getParent().getParent() instanceof FileContext)) {
+        if (scope.outer != null
+                || !(l.getParent().getParent().getParent() instanceof FileContext)) {
             throw new ScriptError(at(l), "load is allowed at the top of a file only");
         }
-        Module from = loader.load(Strings.unquote(l.STRING().getText(), at(l.STRING().getSymbol())),
-                at(l.STRING().getSymbol()));
+        Module from =
+                loader.load(
+                        Strings.unquote(l.STRING().getText(), at(l.STRING().getSymbol())),
+                        at(l.STRING().getSymbol()));
         List<Node> all = new ArrayList<>();
         for (LoadBindingContext b : l.loadBinding()) {
             String name = Strings.unquote(b.STRING().getText(), at(b));
             Object v = name.startsWith("_") ? null : from.global(name);
             if (v == null) {
-                throw new ScriptError(at(b), from.file() + " has no " + name
-                        + (name.startsWith("_") ? " to load: a name that begins with _ is private" : ""));
+                throw new ScriptError(
+                        at(b),
+                        from.file()
+                                + " has no "
+                                + name
+                                + (name.startsWith("_")
+                                        ? " to load: a name that begins with _ is private"
+                                        : ""));
             }
-            all.add(new Node.Assign(new Node.Slot(scope.declare(boundName(b))), new Node.Constant(v)));
+            all.add(
+                    new Node.Assign(
+                            new Node.Slot(scope.declare(boundName(b))), new Node.Constant(v)));
         }
         return new Node.Block(all);
     }
@@ -246,8 +266,10 @@
             throw new ScriptError(at(s), "cannot assign to several variables by " + s.op.getText());
         }
         String op = s.op.getText().substring(0, s.op.getText().length() - 1);
-        Node before = target instanceof Node.Element e ? new Node.Index(e.place(), e.of(), e.at())
-                : list(s.exprList(0));
+        Node before =
+                target instanceof Node.Element e
+                        ? new Node.Index(e.place(), e.of(), e.at())
+                        : list(s.exprList(0));
         return new Node.Augment(at(s.op), op, before, target, value);
     }
 
@@ -267,17 +289,21 @@
         if (t instanceof ListOperandContext l && l.compClause().isEmpty() && !l.test().isEmpty()) {
             return new Node.Unpacked(at(l), l.test().stream().map(this::target).toList());
         }
-        if (t instanceof PrimaryContext p && p.suffix(p.suffix().size() - 1) instanceof IndexSuffixContext i
+        if (t instanceof PrimaryContext p
+                && p.suffix(p.suffix().size() - 1) instanceof IndexSuffixContext i
                 && i.subscript().exprList() != null) {
-            return new Node.Element(at(i), primary(p, p.suffix().size() - 1), list(i.subscript().exprList()));
+            return new Node.Element(
+                    at(i), primary(p, p.suffix().size() - 1), list(i.subscript().exprList()));
         }
-        throw new ScriptError(at((ParserRuleContext) (t instanceof TerminalNode n ? n.getParent() : t)),
+        throw new ScriptError(
+                at((ParserRuleContext) (t instanceof TerminalNode n ? n.getParent() : t)),
                 "cannot assign to this");
     }
 
     private Node.Target vars(LoopVarsContext l) {
         List<Node.Target> all = l.primary().stream().map(this::target).toList();
-        boolean one = all.size() == 1 && !(l.getChild(l.getChildCount() - 1) instanceof TerminalNode);
+        boolean one =
+                all.size() == 1 && !(l.getChild(l.getChildCount() - 1) instanceof TerminalNode);
         return one ? all.get(0) : new Node.Unpacked(at(l), all);
     }
 
@@ -310,10 +336,12 @@
             } else {
                 Node fallback = p.test() == null ? null : test(p.test());
                 if (fallback == null && optional && !namedOnly) {
-                    throw new ScriptError(at(p), "parameter " + text + " without a default follows one with");
+                    throw new ScriptError(
+                            at(p), "parameter " + text + " without a default follows one with");
                 }
                 optional |= fallback != null;
-                parameters.add(new Function.Parameter(text, inner.declare(text), fallback, namedOnly));
+                parameters.add(
+                        new Function.Parameter(text, inner.declare(text), fallback, namedOnly));
                 positional += namedOnly ? 0 : 1;
             }
         }
@@ -326,7 +354,9 @@
             code = new Node.Return(test((TestContext) body));
         }
         scope = inner.outer;
-        return new Node.Def(new Function.Code(name, place, parameters, positional, rest, named, inner.slots, code));
+        return new Node.Def(
+                new Function.Code(
+                        name, place, parameters, positional, rest, named, inner.slots, code));
     }
 
     // ---- Expressions.
@@ -349,14 +379,18 @@
                 return function("lambda", at(t), t.params(), t.test());
             }
             Node first = any(t.orTest(0));
-            return t.orTest().size() == 1 ? first
+            return t.orTest().size() == 1
+                    ? first
                     : new Node.Conditional(any(t.orTest(1)), first, test(t.test()));
         } finally {
             depth--;
         }
     }
 
-    /** Any of the levels between orTest and unary: operands with operators between them, or one operand. */
+    /**
+     * Any of the levels between orTest and unary: operands with operators between them, or one
+     * operand.
+     */
     private Node any(ParseTree tree) {
         ParseTree t = tree;
         while (t.getChildCount() == 1 && !(t instanceof PrimaryContext)) {
@@ -390,7 +424,8 @@
         if (t instanceof ComparisonContext c) {
             String op = c.compOp().getChildCount() == 2 ? "not in" : c.compOp().getText();
             Place place = at(c.compOp());
-            return op.equals("==") || op.equals("!=") ? new Node.Equal(place, op.equals("=="), left, right)
+            return op.equals("==") || op.equals("!=")
+                    ? new Node.Equal(place, op.equals("=="), left, right)
                     : new Node.Binary(place, op, left, right);
         }
         Token op = ((TerminalNode) t.getChild(i)).getSymbol();
@@ -426,11 +461,17 @@
     private Node call(PrimaryContext p, int i, CallSuffixContext c, Node callee, Node receiver) {
         List<Node.Argument> arguments = arguments(c.args());
         Node call = new Node.Call(at(c), callee, arguments);
-        if (i > 0 && p.suffix(i - 1) instanceof DotSuffixContext d && c.args() != null && c.args().arg().size() == 1
+        if (i > 0
+                && p.suffix(i - 1) instanceof DotSuffixContext d
+                && c.args() != null
+                && c.args().arg().size() == 1
                 && d.NAME().getText().matches("startswith|endswith")
                 && unwrap(c.args().arg(0)) instanceof StringOperandContext s) {
-            return new Node.Affix(receiver, d.NAME().getText().equals("startswith"),
-                    Strings.unquote(s.getText(), at(s)), call);
+            return new Node.Affix(
+                    receiver,
+                    d.NAME().getText().equals("startswith"),
+                    Strings.unquote(s.getText(), at(s)),
+                    call);
         }
         return call;
     }
@@ -440,8 +481,12 @@
         boolean later = false;
         for (ArgContext a : args == null ? List.<ArgContext>of() : args.arg()) {
             Node v = test(a.test());
-            Node.Kind kind = a.STAR() != null ? Node.Kind.REST : a.STARSTAR() != null ? Node.Kind.NAMED_REST
-                    : a.NAME() != null ? Node.Kind.NAMED : Node.Kind.PLAIN;
+            Node.Kind kind =
+                    a.STAR() != null
+                            ? Node.Kind.REST
+                            : a.STARSTAR() != null
+                                    ? Node.Kind.NAMED_REST
+                                    : a.NAME() != null ? Node.Kind.NAMED : Node.Kind.PLAIN;
             if (kind == Node.Kind.PLAIN && later) {
                 throw new ScriptError(at(a), "an argument without a name follows one with");
             }
@@ -457,8 +502,12 @@
             return new Node.Index(at(s), of, list(c.exprList()));
         }
         Node none = new Node.Constant(Values.None.NONE);
-        return new Node.Slice(at(s), of, c.lower == null ? none : test(c.lower),
-                c.upper == null ? none : test(c.upper), c.step == null ? none : test(c.step));
+        return new Node.Slice(
+                at(s),
+                of,
+                c.lower == null ? none : test(c.lower),
+                c.upper == null ? none : test(c.upper),
+                c.step == null ? none : test(c.step));
     }
 
     private Node operand(OperandContext o) {
@@ -471,14 +520,17 @@
         } else if (o instanceof StringOperandContext s) {
             return new Node.Constant(Strings.unquote(s.getText(), at(s)));
         } else if (o instanceof ListOperandContext l) {
-            return l.compClause().isEmpty() ? new Node.ListOf(tests(l.test()), false)
+            return l.compClause().isEmpty()
+                    ? new Node.ListOf(tests(l.test()), false)
                     : comprehension(at(l), l.compClause(), null, l.test(0));
         } else if (o instanceof DictOperandContext d) {
             if (!d.compClause().isEmpty()) {
                 EntryContext e = d.entry(0);
                 return comprehension(at(d), d.compClause(), e.test(0), e.test(1));
             }
-            return new Node.DictOf(at(d), d.entry().stream().map(e -> test(e.test(0))).toList(),
+            return new Node.DictOf(
+                    at(d),
+                    d.entry().stream().map(e -> test(e.test(0))).toList(),
                     d.entry().stream().map(e -> test(e.test(1))).toList());
         }
         ParenOperandContext p = (ParenOperandContext) o;
@@ -490,7 +542,10 @@
         if (digits.length() > 5000) {
             throw new ScriptError("int too large");
         }
-        int radix = digits.startsWith("0x") ? 16 : digits.startsWith("0o") ? 8 : digits.startsWith("0b") ? 2 : 10;
+        int radix =
+                digits.startsWith("0x")
+                        ? 16
+                        : digits.startsWith("0o") ? 8 : digits.startsWith("0b") ? 2 : 10;
         return Values.number(new BigInteger(radix == 10 ? digits : digits.substring(2), radix));
     }
 
@@ -511,7 +566,8 @@
         return new Node.Constant(v);
     }
 
-    private Node comprehension(Place place, List<CompClauseContext> clauses, TestContext key, TestContext value) {
+    private Node comprehension(
+            Place place, List<CompClauseContext> clauses, TestContext key, TestContext value) {
         Map<String, Integer> before = new HashMap<>(scope.names);
         List<Node.Clause> all = new ArrayList<>();
         if (clauses.get(0).loopVars() == null) {
@@ -533,7 +589,10 @@
         return new Node.Comprehension(place, all, k, v);
     }
 
-    /** A comprehension's variable has a slot of its own, also where the function has one of that name. */
+    /**
+     * A comprehension's variable has a slot of its own, also where the function has one of that
+     * name.
+     */
     private void declareFresh(ParseTree tree) {
         ParseTree t = unwrap(tree);
         if (t instanceof NameOperandContext n) {
--- a/script/src/main/java/postgrade/script/Format.java
+++ b/script/src/main/java/postgrade/script/Format.java
@@ -7,7 +7,7 @@
 /** The two ways to fill a string with values: {@code %} and {@code format}. */
 final class Format {
 
-    private Format() { }
+    private Format() {}
 
     static String percent(Run run, String pattern, Object values) {
         List<Object> args = values instanceof Sequence.Tuple t ? t.toList() : List.of(values);
@@ -49,8 +49,10 @@
                 if (!Values.isInt(v) && !(v instanceof Double d && !d.isNaN() && !d.isInfinite())) {
                     throw new ScriptError("%" + verb + " needs a number, not " + Values.type(v));
                 }
-                java.math.BigInteger n = v instanceof Double d ? new java.math.BigDecimal(d).toBigInteger()
-                        : Values.big(v);
+                java.math.BigInteger n =
+                        v instanceof Double d
+                                ? new java.math.BigDecimal(d).toBigInteger()
+                                : Values.big(v);
                 String digits = n.toString(verb == 'd' ? 10 : verb == 'o' ? 8 : 16);
                 return verb == 'X' ? digits.toUpperCase(Locale.ROOT) : digits;
             case 'f', 'e', 'g', 'F', 'E', 'G':
@@ -61,7 +63,8 @@
                 if (Double.isNaN(d) || Double.isInfinite(d)) {
                     return Values.realText(d);
                 }
-                return verb == 'g' || verb == 'G' ? Values.realText(d)
+                return verb == 'g' || verb == 'G'
+                        ? Values.realText(d)
                         : String.format(Locale.ROOT, "%" + (verb == 'F' ? 'f' : verb), d);
             case 'c':
                 if (v instanceof String s && s.codePointCount(0, s.length()) == 1) {
@@ -106,7 +109,12 @@
                         throw new ScriptError("format: numbered and unnumbered fields mixed");
                     }
                     numbered |= !name.isEmpty();
-                    int at = name.isEmpty() ? auto++ : name.length() > 6 ? Integer.MAX_VALUE : Integer.parseInt(name);
+                    int at =
+                            name.isEmpty()
+                                    ? auto++
+                                    : name.length() > 6
+                                            ? Integer.MAX_VALUE
+                                            : Integer.parseInt(name);
                     if (at >= args.size()) {
                         throw new ScriptError("format: no value for field " + at);
                     }
--- a/script/src/main/java/postgrade/script/Function.java
+++ b/script/src/main/java/postgrade/script/Function.java
@@ -8,11 +8,21 @@
 final class Function implements Callable {
 
     /** One parameter; those behind {@code *} can only be named. */
-    record Parameter(String name, int slot, Node fallback, boolean namedOnly) { }
+    record Parameter(String name, int slot, Node fallback, boolean namedOnly) {}
 
-    /** What is known before it runs. {@code restSlot} and {@code namedSlot} are -1 where there is none. */
-    record Code(String name, Place place, List<Parameter> parameters, int positional, int restSlot, int namedSlot,
-            int slots, Node body) { }
+    /**
+     * What is known before it runs. {@code restSlot} and {@code namedSlot} are -1 where there is
+     * none.
+     */
+    record Code(
+            String name,
+            Place place,
+            List<Parameter> parameters,
+            int positional,
+            int restSlot,
+            int namedSlot,
+            int slots,
+            Node body) {}
 
     private final Code code;
     private final Frame outer;
@@ -62,10 +72,15 @@
         }
         if (code.restSlot >= 0) {
             run.makes(8L * args.size());
-            frame.slots[code.restSlot] = new Sequence.Tuple(List.copyOf(args.subList(given, args.size())));
+            frame.slots[code.restSlot] =
+                    new Sequence.Tuple(List.copyOf(args.subList(given, args.size())));
         } else if (args.size() > given) {
-            throw new ScriptError(code.name + ": takes at most " + code.positional + " positional arguments, got "
-                    + args.size());
+            throw new ScriptError(
+                    code.name
+                            + ": takes at most "
+                            + code.positional
+                            + " positional arguments, got "
+                            + args.size());
         }
         DictValue others = code.namedSlot >= 0 ? new DictValue() : null;
         for (Map.Entry<String, Object> n : named.entrySet()) {
--- a/script/src/main/java/postgrade/script/Indenter.java
+++ b/script/src/main/java/postgrade/script/Indenter.java
@@ -10,7 +10,9 @@
 import postgrade.script.grammar.StarlarkLexer;
 import postgrade.script.grammar.StarlarkParser;
 
-/** Turns line ends and leading spaces into NEWLINE, INDENT and DEDENT, as the specification says. */
+/**
+ * Turns line ends and leading spaces into NEWLINE, INDENT and DEDENT, as the specification says.
+ */
 final class Indenter implements TokenSource {
 
     private static final int MOST_DEPTH = 100;
@@ -47,16 +49,18 @@
             t = lexer.nextToken();
         }
         switch (t.getType()) {
-            case StarlarkLexer.SPACE -> { }
+            case StarlarkLexer.SPACE -> {}
             case StarlarkLexer.NEWLINE -> {
                 if (!lineBegins && brackets == 0) {
                     ready.add(t);
                     lineBegins = true;
                 }
             }
-            case StarlarkLexer.UNKNOWN -> throw new ScriptError(at(t), "unexpected character "
-                    + Values.repr(t.getText()));
-            case StarlarkLexer.RESERVED -> throw new ScriptError(at(t), "'" + t.getText() + "' is a reserved word");
+            case StarlarkLexer.UNKNOWN ->
+                    throw new ScriptError(
+                            at(t), "unexpected character " + Values.repr(t.getText()));
+            case StarlarkLexer.RESERVED ->
+                    throw new ScriptError(at(t), "'" + t.getText() + "' is a reserved word");
             case Token.EOF -> {
                 if (!lineBegins) {
                     ready.add(made(StarlarkLexer.NEWLINE, t));
@@ -106,7 +110,7 @@
                 }
             }
             case ")", "]", "}" -> brackets = Math.max(0, brackets - 1);
-            default -> { }
+            default -> {}
         }
     }
 
