--- a/script/src/main/java/postgrade/script/Methods.java
+++ b/script/src/main/java/postgrade/script/Methods.java
@@ -13,7 +13,9 @@
 /** The methods of strings, lists and dicts. */
 final class Methods {
 
-    /** What a method does with its own value, given its arguments in order; null for one left out. */
+    /**
+     * What a method does with its own value, given its arguments in order; null for one left out.
+     */
     interface Body<T> {
         Object call(Run run, T self, Object[] a);
     }
@@ -30,24 +32,28 @@
     private static final Map<String, Method<Sequence.ListValue>> OF_LIST = new HashMap<>();
     private static final Map<String, Method<DictValue>> OF_DICT = new HashMap<>();
 
-    private Methods() { }
+    private Methods() {}
 
     /** A value's method, bound to it; null if it has none of this name. */
     static Callable of(Object v, String name) {
         if (v instanceof String s) {
             if (name.equals("format")) {
-                return Builtin.open("format", null, (run, args, named) -> Format.braces(run, s, args, named));
+                return Builtin.open(
+                        "format", null, (run, args, named) -> Format.braces(run, s, args, named));
             }
             return bound(OF_STRING.get(name), s);
         } else if (v instanceof Sequence.ListValue l) {
             return bound(OF_LIST.get(name), l);
         } else if (v instanceof DictValue d) {
             if (name.equals("update")) {
-                return Builtin.open("update", null, (run, args, named) -> {
-                    d.check();
-                    Builtins.fill(run, "update", d, args, named);
-                    return None.NONE;
-                });
+                return Builtin.open(
+                        "update",
+                        null,
+                        (run, args, named) -> {
+                            d.check();
+                            Builtins.fill(run, "update", d, args, named);
+                            return None.NONE;
+                        });
             }
             return bound(OF_DICT.get(name), d);
         }
@@ -60,8 +66,11 @@
 
     /** A value's method where it has fixed parameters, else null. */
     static Method<?> find(Object v, String name) {
-        return v instanceof String ? OF_STRING.get(name) : v instanceof Sequence.ListValue ? OF_LIST.get(name)
-                : v instanceof DictValue ? OF_DICT.get(name) : null;
+        return v instanceof String
+                ? OF_STRING.get(name)
+                : v instanceof Sequence.ListValue
+                        ? OF_LIST.get(name)
+                        : v instanceof DictValue ? OF_DICT.get(name) : null;
     }
 
     static Set<String> names(Object v) {
@@ -156,7 +165,8 @@
         return cut == null ? Character.isWhitespace(c) : cut.indexOf(c) >= 0;
     }
 
-    private static boolean any(Object given, java.util.function.Predicate<String> test, String what) {
+    private static boolean any(
+            Object given, java.util.function.Predicate<String> test, String what) {
         if (given instanceof Sequence.Tuple t) {
             return t.toList().stream().anyMatch(o -> test.test(str(o, what)));
         }
@@ -235,7 +245,8 @@
         if (at < 0) {
             return right ? Sequence.Tuple.of("", "", s) : Sequence.Tuple.of(s, "", "");
         }
-        return Sequence.Tuple.of(s.substring(0, at), s.substring(at, at + length), s.substring(at + length));
+        return Sequence.Tuple.of(
+                s.substring(0, at), s.substring(at, at + length), s.substring(at + length));
     }
 
     private static String separator(Object v) {
@@ -252,7 +263,8 @@
         for (int i = 0; i < s.length(); i++) {
             char c = s.charAt(i);
             if (c == '\n' || c == '\r') {
-                int end = c == '\r' && i + 1 < s.length() && s.charAt(i + 1) == '\n' ? i + 2 : i + 1;
+                int end =
+                        c == '\r' && i + 1 < s.length() && s.charAt(i + 1) == '\n' ? i + 2 : i + 1;
                 lines.add(s.substring(from, keep ? end : i));
                 from = end;
                 i = end - 1;
@@ -307,18 +319,33 @@
     }
 
     static {
-        string("capitalize", "", (r, s, a) -> s.isEmpty() ? s
-                : s.substring(0, 1).toUpperCase(Locale.ROOT) + s.substring(1).toLowerCase(Locale.ROOT));
+        string(
+                "capitalize",
+                "",
+                (r, s, a) ->
+                        s.isEmpty()
+                                ? s
+                                : s.substring(0, 1).toUpperCase(Locale.ROOT)
+                                        + s.substring(1).toLowerCase(Locale.ROOT));
         string("count", "sub start? end?", (r, s, a) -> count(s, a));
-        string("elems", "", (r, s, a) -> listOf(r, s.chars().mapToObj(c -> String.valueOf((char) c)).toList()));
-        string("endswith", "suffix start? end?", (r, s, a) -> {
-            int[] p = span(s, a[1], a[2]);
-            return p[0] <= p[1] && any(a[0], s.substring(p[0], p[1])::endsWith, "suffix");
-        });
-        string("startswith", "prefix start? end?", (r, s, a) -> {
-            int[] p = span(s, a[1], a[2]);
-            return p[0] <= p[1] && any(a[0], s.substring(p[0], p[1])::startsWith, "prefix");
-        });
+        string(
+                "elems",
+                "",
+                (r, s, a) -> listOf(r, s.chars().mapToObj(c -> String.valueOf((char) c)).toList()));
+        string(
+                "endswith",
+                "suffix start? end?",
+                (r, s, a) -> {
+                    int[] p = span(s, a[1], a[2]);
+                    return p[0] <= p[1] && any(a[0], s.substring(p[0], p[1])::endsWith, "suffix");
+                });
+        string(
+                "startswith",
+                "prefix start? end?",
+                (r, s, a) -> {
+                    int[] p = span(s, a[1], a[2]);
+                    return p[0] <= p[1] && any(a[0], s.substring(p[0], p[1])::startsWith, "prefix");
+                });
         string("find", "sub start? end?", (r, s, a) -> find(s, a, false));
         string("rfind", "sub start? end?", (r, s, a) -> find(s, a, true));
         string("index", "sub start? end?", (r, s, a) -> found(find(s, a, false)));
@@ -327,119 +354,194 @@
         string("isalpha", "", (r, s, a) -> all(s, Character::isLetter));
         string("isdigit", "", (r, s, a) -> all(s, Character::isDigit));
         string("isspace", "", (r, s, a) -> all(s, Character::isWhitespace));
-        string("islower", "", (r, s, a) -> s.equals(s.toLowerCase(Locale.ROOT))
-                && s.chars().anyMatch(Character::isLetter));
-        string("isupper", "", (r, s, a) -> s.equals(s.toUpperCase(Locale.ROOT))
-                && s.chars().anyMatch(Character::isLetter));
-        string("istitle", "", (r, s, a) -> s.equals(title(s)) && s.chars().anyMatch(Character::isLetter));
-        string("join", "parts", (r, s, a) -> {
-            StringBuilder to = new StringBuilder();
-            for (Object part : Values.list(a[0])) {
-                to.append(to.length() == 0 ? "" : s).append(str(part, "join: each part"));
-                r.makes(to.length());
-            }
-            return to.toString();
-        });
+        string(
+                "islower",
+                "",
+                (r, s, a) ->
+                        s.equals(s.toLowerCase(Locale.ROOT))
+                                && s.chars().anyMatch(Character::isLetter));
+        string(
+                "isupper",
+                "",
+                (r, s, a) ->
+                        s.equals(s.toUpperCase(Locale.ROOT))
+                                && s.chars().anyMatch(Character::isLetter));
+        string(
+                "istitle",
+                "",
+                (r, s, a) -> s.equals(title(s)) && s.chars().anyMatch(Character::isLetter));
+        string(
+                "join",
+                "parts",
+                (r, s, a) -> {
+                    StringBuilder to = new StringBuilder();
+                    for (Object part : Values.list(a[0])) {
+                        to.append(to.length() == 0 ? "" : s).append(str(part, "join: each part"));
+                        r.makes(to.length());
+                    }
+                    return to.toString();
+                });
         string("lower", "", (r, s, a) -> s.toLowerCase(Locale.ROOT));
         string("upper", "", (r, s, a) -> s.toUpperCase(Locale.ROOT));
         string("title", "", (r, s, a) -> title(s));
         string("strip", "chars?", (r, s, a) -> strip(s, a[0], true, true));
         string("lstrip", "chars?", (r, s, a) -> strip(s, a[0], true, false));
         string("rstrip", "chars?", (r, s, a) -> strip(s, a[0], false, true));
-        string("partition", "sep", (r, s, a) -> {
-            String sep = separator(a[0]);
-            return cut(s, s.indexOf(sep), sep.length(), false);
-        });
-        string("rpartition", "sep", (r, s, a) -> {
-            String sep = separator(a[0]);
-            return cut(s, s.lastIndexOf(sep), sep.length(), true);
-        });
-        string("removeprefix", "prefix", (r, s, a) -> s.startsWith(str(a[0], "prefix"))
-                ? s.substring(((String) a[0]).length()) : s);
-        string("removesuffix", "suffix", (r, s, a) -> s.endsWith(str(a[0], "suffix"))
-                ? s.substring(0, s.length() - ((String) a[0]).length()) : s);
+        string(
+                "partition",
+                "sep",
+                (r, s, a) -> {
+                    String sep = separator(a[0]);
+                    return cut(s, s.indexOf(sep), sep.length(), false);
+                });
+        string(
+                "rpartition",
+                "sep",
+                (r, s, a) -> {
+                    String sep = separator(a[0]);
+                    return cut(s, s.lastIndexOf(sep), sep.length(), true);
+                });
+        string(
+                "removeprefix",
+                "prefix",
+                (r, s, a) ->
+                        s.startsWith(str(a[0], "prefix"))
+                                ? s.substring(((String) a[0]).length())
+                                : s);
+        string(
+                "removesuffix",
+                "suffix",
+                (r, s, a) ->
+                        s.endsWith(str(a[0], "suffix"))
+                                ? s.substring(0, s.length() - ((String) a[0]).length())
+                                : s);
         string("replace", "old new count?", Methods::replace);
         string("split", "sep? maxsplit?", (r, s, a) -> listOf(r, split(s, a[0], a[1], false)));
         string("rsplit", "sep? maxsplit?", (r, s, a) -> listOf(r, split(s, a[0], a[1], true)));
-        string("splitlines", "keepends?", (r, s, a) -> listOf(r, lines(s, a[0] != null && Values.truth(a[0]))));
-
-        list("append", "x", (r, l, a) -> {
-            r.makes(8);
-            l.changeable().add(a[0]);
-            return None.NONE;
-        });
-        list("clear", "", (r, l, a) -> {
-            l.changeable().clear();
-            return None.NONE;
-        });
-        list("extend", "x", (r, l, a) -> {
-            List<Object> more = Values.list(a[0]);
-            r.makes(8L * more.size() + l.size());
-            l.changeable().addAll(more);
-            return None.NONE;
-        });
-        list("index", "x start? end?", (r, l, a) -> {
-            int end = edge(a[2], l.size(), l.size());
-            for (int i = edge(a[1], 0, l.size()); i < end; i++) {
-                if (Values.equal(l.get(i), a[0])) {
-                    return (long) i;
-                }
-            }
-            throw new ScriptError("value not found in list");
-        });
-        list("insert", "i x", (r, l, a) -> {
-            r.makes(8);
-            l.changeable().add(edge(a[0], 0, l.size()), a[1]);
-            return None.NONE;
-        });
-        list("pop", "i?", (r, l, a) -> {
-            ArrayList<Object> values = l.changeable();
-            return values.remove(Ops.position(a[0] == null ? -1L : a[0], values.size(), "list"));
-        });
-        list("remove", "x", (r, l, a) -> {
-            ArrayList<Object> values = l.changeable();
-            for (int i = 0; i < values.size(); i++) {
-                if (Values.equal(values.get(i), a[0])) {
-                    values.remove(i);
+        string(
+                "splitlines",
+                "keepends?",
+                (r, s, a) -> listOf(r, lines(s, a[0] != null && Values.truth(a[0]))));
+
+        list(
+                "append",
+                "x",
+                (r, l, a) -> {
+                    r.makes(8);
+                    l.changeable().add(a[0]);
                     return None.NONE;
-                }
-            }
-            throw new ScriptError("value not found in list");
-        });
+                });
+        list(
+                "clear",
+                "",
+                (r, l, a) -> {
+                    l.changeable().clear();
+                    return None.NONE;
+                });
+        list(
+                "extend",
+                "x",
+                (r, l, a) -> {
+                    List<Object> more = Values.list(a[0]);
+                    r.makes(8L * more.size() + l.size());
+                    l.changeable().addAll(more);
+                    return None.NONE;
+                });
+        list(
+                "index",
+                "x start? end?",
+                (r, l, a) -> {
+                    int end = edge(a[2], l.size(), l.size());
+                    for (int i = edge(a[1], 0, l.size()); i < end; i++) {
+                        if (Values.equal(l.get(i), a[0])) {
+                            return (long) i;
+                        }
+                    }
+                    throw new ScriptError("value not found in list");
+                });
+        list(
+                "insert",
+                "i x",
+                (r, l, a) -> {
+                    r.makes(8);
+                    l.changeable().add(edge(a[0], 0, l.size()), a[1]);
+                    return None.NONE;
+                });
+        list(
+                "pop",
+                "i?",
+                (r, l, a) -> {
+                    ArrayList<Object> values = l.changeable();
+                    return values.remove(
+                            Ops.position(a[0] == null ? -1L : a[0], values.size(), "list"));
+                });
+        list(
+                "remove",
+                "x",
+                (r, l, a) -> {
+                    ArrayList<Object> values = l.changeable();
+                    for (int i = 0; i < values.size(); i++) {
+                        if (Values.equal(values.get(i), a[0])) {
+                            values.remove(i);
+                            return None.NONE;
+                        }
+                    }
+                    throw new ScriptError("value not found in list");
+                });
 
-        dict("clear", "", (r, d, a) -> {
-            d.clear();
-            return None.NONE;
-        });
+        dict(
+                "clear",
+                "",
+                (r, d, a) -> {
+                    d.clear();
+                    return None.NONE;
+                });
         dict("get", "key default?", (r, d, a) -> or(d.getOrNull(a[0]), a[1]));
-        dict("items", "", (r, d, a) -> listOf(r, d.keyList().stream()
-                .map(k -> Sequence.Tuple.of(k, d.getOrNull(k))).toList()));
+        dict(
+                "items",
+                "",
+                (r, d, a) ->
+                        listOf(
+                                r,
+                                d.keyList().stream()
+                                        .map(k -> Sequence.Tuple.of(k, d.getOrNull(k)))
+                                        .toList()));
         dict("keys", "", (r, d, a) -> listOf(r, d.keyList()));
         dict("values", "", (r, d, a) -> listOf(r, d.keyList().stream().map(d::getOrNull).toList()));
-        dict("pop", "key default?", (r, d, a) -> {
-            Object was = d.remove(a[0]);
-            if (was == null && a[1] == null) {
-                throw new ScriptError("pop: key " + Values.repr(a[0]) + " not found in dict");
-            }
-            return was == null ? a[1] : was;
-        });
-        dict("popitem", "", (r, d, a) -> {
-            d.check();
-            if (d.size() == 0) {
-                throw new ScriptError("popitem: empty dict");
-            }
-            Object key = d.iterator().next();
-            return Sequence.Tuple.of(key, d.remove(key));
-        });
-        dict("setdefault", "key default?", (r, d, a) -> {
-            Object was = d.getOrNull(a[0]);
-            if (was == null) {
-                r.makes(8);
-                d.put(a[0], or(a[1], None.NONE));
-                return or(a[1], None.NONE);
-            }
-            return was;
-        });
+        dict(
+                "pop",
+                "key default?",
+                (r, d, a) -> {
+                    Object was = d.remove(a[0]);
+                    if (was == null && a[1] == null) {
+                        throw new ScriptError(
+                                "pop: key " + Values.repr(a[0]) + " not found in dict");
+                    }
+                    return was == null ? a[1] : was;
+                });
+        dict(
+                "popitem",
+                "",
+                (r, d, a) -> {
+                    d.check();
+                    if (d.size() == 0) {
+                        throw new ScriptError("popitem: empty dict");
+                    }
+                    Object key = d.iterator().next();
+                    return Sequence.Tuple.of(key, d.remove(key));
+                });
+        dict(
+                "setdefault",
+                "key default?",
+                (r, d, a) -> {
+                    Object was = d.getOrNull(a[0]);
+                    if (was == null) {
+                        r.makes(8);
+                        d.put(a[0], or(a[1], None.NONE));
+                        return or(a[1], None.NONE);
+                    }
+                    return was;
+                });
     }
 
     private static Object or(Object first, Object second) {
--- a/script/src/main/java/postgrade/script/Module.java
+++ b/script/src/main/java/postgrade/script/Module.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** A script that has run: its names and functions, none of which change any more. May be used by any thread. */
+/**
+ * A script that has run: its names and functions, none of which change any more. May be used by any
+ * thread.
+ */
 public final class Module {
     private final String file;
     private final Map<String, Integer> names;
@@ -45,13 +48,22 @@
     public HostFunction function(String name, int arguments, long steps) {
         Object v = global(name);
         if (!(v instanceof Function f)) {
-            throw new ScriptError(file + ": " + (v == null ? "a function " + name + " is needed"
-                    : name + " must be a function, not " + Values.type(v)));
+            throw new ScriptError(
+                    file
+                            + ": "
+                            + (v == null
+                                    ? "a function " + name + " is needed"
+                                    : name + " must be a function, not " + Values.type(v)));
         }
         long needed = f.code().parameters().stream().filter(p -> p.fallback() == null).count();
         if (needed > arguments || f.code().restSlot() < 0 && f.code().positional() < arguments) {
-            throw new ScriptError(f.code().place(), "function " + name + " must take " + arguments
-                    + (arguments == 1 ? " argument" : " arguments"));
+            throw new ScriptError(
+                    f.code().place(),
+                    "function "
+                            + name
+                            + " must take "
+                            + arguments
+                            + (arguments == 1 ? " argument" : " arguments"));
         }
         return new HostFunction(f, steps);
     }
@@ -64,7 +76,7 @@
 
         HostFunction(Function function, long steps) {
             this.function = function;
-            run = new Run(steps, line -> { });
+            run = new Run(steps, line -> {});
         }
 
         /** Calls it. Not to be called by two threads at once. */
--- a/script/src/main/java/postgrade/script/Node.java
+++ b/script/src/main/java/postgrade/script/Node.java
@@ -8,19 +8,22 @@
 import postgrade.script.Values.None;
 
 /**
- * One node of a compiled script, which evaluates itself. Expressions give a value; statements give null to go on, or a
- * {@link Flow}. A node that can go wrong gives its place to the error.
+ * One node of a compiled script, which evaluates itself. Expressions give a value; statements give
+ * null to go on, or a {@link Flow}. A node that can go wrong gives its place to the error.
  */
 abstract class Node {
 
     abstract Object eval(Run run, Frame f);
 
     /** Why a sequence of statements ends early. */
-    interface Flow { }
+    interface Flow {}
 
-    enum Jump implements Flow { BREAK, CONTINUE }
+    enum Jump implements Flow {
+        BREAK,
+        CONTINUE
+    }
 
-    record Returned(Object value) implements Flow { }
+    record Returned(Object value) implements Flow {}
 
     // ---- Expressions.
 
@@ -198,7 +201,10 @@
         }
     }
 
-    /** A call of {@code s.startswith("...")} or endswith with a constant: spares a plan the general way. */
+    /**
+     * A call of {@code s.startswith("...")} or endswith with a constant: spares a plan the general
+     * way.
+     */
     static final class Affix extends Node {
         private final Node of;
         private final boolean start;
@@ -250,7 +256,9 @@
         private final Place place;
         private final Node[] parts;
 
-        /** @param parts the value, lower, upper and step */
+        /**
+         * @param parts the value, lower, upper and step
+         */
         Slice(Place place, Node... parts) {
             this.place = place;
             this.parts = parts;
@@ -276,19 +284,29 @@
     }
 
     /** How an argument is given: in order, by name, or as a list or dict of several. */
-    enum Kind { PLAIN, NAMED, REST, NAMED_REST }
+    enum Kind {
+        PLAIN,
+        NAMED,
+        REST,
+        NAMED_REST
+    }
 
-    record Argument(Kind kind, String name, Node value) { }
+    record Argument(Kind kind, String name, Node value) {}
 
     static final class Call extends Node {
         private final Place place;
         private final Node callee;
         private final List<Argument> arguments;
 
-        /** Of a call whose arguments are plain or named only: their values, how many are plain, the others' names. */
+        /**
+         * Of a call whose arguments are plain or named only: their values, how many are plain, the
+         * others' names.
+         */
         private final Node[] values;
+
         private final int plain;
         private final String[] names;
+
         /** The method of strings that this calls, if there is one of the name. */
         private final Methods.Method<?> ofString;
 
@@ -296,7 +314,8 @@
             this.place = place;
             this.callee = callee;
             this.arguments = arguments;
-            boolean simple = arguments.stream().allMatch(a -> a.kind == Kind.PLAIN || a.kind == Kind.NAMED);
+            boolean simple =
+                    arguments.stream().allMatch(a -> a.kind == Kind.PLAIN || a.kind == Kind.NAMED);
             plain = (int) arguments.stream().filter(a -> a.kind == Kind.PLAIN).count();
             values = simple ? arguments.stream().map(Argument::value).toArray(Node[]::new) : null;
             names = arguments.stream().skip(plain).map(Argument::name).toArray(String[]::new);
@@ -307,8 +326,12 @@
         Object eval(Run run, Frame f) {
             if (values != null && callee instanceof Dot dot) {
                 Object of = dot.of.eval(run, f);
-                Methods.Method<?> m = of instanceof String ? ofString : of instanceof Values.HostObject ? null
-                        : Methods.find(of, dot.name);
+                Methods.Method<?> m =
+                        of instanceof String
+                                ? ofString
+                                : of instanceof Values.HostObject
+                                        ? null
+                                        : Methods.find(of, dot.name);
                 if (m != null) {
                     Object[] given = all(values, run, f);
                     try {
@@ -360,7 +383,8 @@
             }
         }
 
-        private static void add(Run run, Argument a, Object v, List<Object> args, Map<String, Object> named) {
+        private static void add(
+                Run run, Argument a, Object v, List<Object> args, Map<String, Object> named) {
             if (a.kind == Kind.NAMED) {
                 put(named, a.name, v);
             } else if (a.kind == Kind.REST) {
@@ -368,7 +392,13 @@
                 run.makes(8L * more.size());
                 args.addAll(more);
             } else if (v instanceof DictValue d) {
-                d.keyList().forEach(k -> put(named, Values.text(k, "a name behind **"), d.getOrNull(k)));
+                d.keyList()
+                        .forEach(
+                                k ->
+                                        put(
+                                                named,
+                                                Values.text(k, "a name behind **"),
+                                                d.getOrNull(k)));
             } else {
                 throw new ScriptError("** needs a dict, not " + Values.type(v));
             }
@@ -416,7 +446,8 @@
                 Object value = values[i].eval(run, f);
                 try {
                     if (d.getOrNull(key) != null) {
-                        throw new ScriptError("key " + Values.repr(key) + " stands twice in the dict");
+                        throw new ScriptError(
+                                "key " + Values.repr(key) + " stands twice in the dict");
                     }
                     d.put(key, value);
                 } catch (ScriptError e) {
@@ -428,7 +459,7 @@
     }
 
     /** One {@code for} or {@code if} of a comprehension; {@code vars} is null for an if. */
-    record Clause(Place place, Target vars, Node over) { }
+    record Clause(Place place, Target vars, Node over) {}
 
     static final class Comprehension extends Node {
         private final List<Clause> clauses;
@@ -436,7 +467,9 @@
         private final Node value;
         private final Place place;
 
-        /** @param key null for a list */
+        /**
+         * @param key null for a list
+         */
         Comprehension(Place place, List<Clause> clauses, Node key, Node value) {
             this.place = place;
             this.clauses = clauses;
@@ -448,23 +481,31 @@
         Object eval(Run run, Frame f) {
             if (key == null) {
                 ArrayList<Object> all = new ArrayList<>();
-                walk(run, f, 0, () -> {
-                    run.makes(8);
-                    all.add(value.eval(run, f));
-                });
+                walk(
+                        run,
+                        f,
+                        0,
+                        () -> {
+                            run.makes(8);
+                            all.add(value.eval(run, f));
+                        });
                 return new Sequence.ListValue(all);
             }
             DictValue d = new DictValue();
-            walk(run, f, 0, () -> {
-                run.makes(8);
-                Object k = key.eval(run, f);
-                Object v = value.eval(run, f);
-                try {
-                    d.put(k, v);
-                } catch (ScriptError e) {
-                    throw e.at(place);
-                }
-            });
+            walk(
+                    run,
+                    f,
+                    0,
+                    () -> {
+                        run.makes(8);
+                        Object k = key.eval(run, f);
+                        Object v = value.eval(run, f);
+                        try {
+                            d.put(k, v);
+                        } catch (ScriptError e) {
+                            throw e.at(place);
+                        }
+                    });
             return d;
         }
 
@@ -480,16 +521,21 @@
                 }
                 return;
             }
-            overEach(c.place, run, c.over.eval(run, f), v -> {
-                c.vars.assign(run, f, v);
-                walk(run, f, at + 1, each);
-                return true;
-            });
+            overEach(
+                    c.place,
+                    run,
+                    c.over.eval(run, f),
+                    v -> {
+                        c.vars.assign(run, f, v);
+                        walk(run, f, at + 1, each);
+                        return true;
+                    });
         }
     }
 
     /** Calls back with each element until told to stop; the collection cannot change meanwhile. */
-    static void overEach(Place place, Run run, Object over, java.util.function.Predicate<Object> each) {
+    static void overEach(
+            Place place, Run run, Object over, java.util.function.Predicate<Object> each) {
         Iterator<Object> walk;
         try {
             walk = Values.iterate(over);
@@ -574,8 +620,13 @@
                 throw e.at(place);
             }
             if (values.size() != targets.size()) {
-                throw new ScriptError(place, "cannot unpack " + values.size() + " values into " + targets.size()
-                        + " variables");
+                throw new ScriptError(
+                        place,
+                        "cannot unpack "
+                                + values.size()
+                                + " values into "
+                                + targets.size()
+                                + " variables");
             }
             for (int i = 0; i < values.size(); i++) {
                 targets.get(i).assign(run, f, values.get(i));
@@ -622,10 +673,14 @@
             Object was = before.eval(run, f);
             Object by = value.eval(run, f);
             try {
-                if (op.equals("+") && was instanceof Sequence.ListValue l && by instanceof Sequence s) {
+                if (op.equals("+")
+                        && was instanceof Sequence.ListValue l
+                        && by instanceof Sequence s) {
                     run.makes(8L * s.size());
                     l.changeable().addAll(s.toList());
-                } else if (op.equals("|") && was instanceof DictValue d && by instanceof DictValue e) {
+                } else if (op.equals("|")
+                        && was instanceof DictValue d
+                        && by instanceof DictValue e) {
                     d.check();
                     run.makes(8L * e.size());
                     e.keyList().forEach(k -> d.put(k, e.getOrNull(k)));
@@ -699,7 +754,9 @@
 
         @Override
         Object eval(Run run, Frame f) {
-            return Values.truth(test.eval(run, f)) ? yes.eval(run, f) : no == null ? null : no.eval(run, f);
+            return Values.truth(test.eval(run, f))
+                    ? yes.eval(run, f)
+                    : no == null ? null : no.eval(run, f);
         }
     }
 
@@ -719,14 +776,18 @@
         @Override
         Object eval(Run run, Frame f) {
             Object[] end = new Object[1];
-            overEach(place, run, over.eval(run, f), v -> {
-                vars.assign(run, f, v);
-                Object flow = body.eval(run, f);
-                if (flow instanceof Returned) {
-                    end[0] = flow;
-                }
-                return flow == null || flow == Jump.CONTINUE;
-            });
+            overEach(
+                    place,
+                    run,
+                    over.eval(run, f),
+                    v -> {
+                        vars.assign(run, f, v);
+                        Object flow = body.eval(run, f);
+                        if (flow instanceof Returned) {
+                            end[0] = flow;
+                        }
+                        return flow == null || flow == Jump.CONTINUE;
+                    });
             return end[0];
         }
     }
--- a/script/src/main/java/postgrade/script/Ops.java
+++ b/script/src/main/java/postgrade/script/Ops.java
@@ -9,7 +9,7 @@
 
     private static final int MOST_SHIFT = 512;
 
-    private Ops() { }
+    private Ops() {}
 
     static Object binary(Run t, String op, Object a, Object b) {
         switch (op) {
@@ -18,10 +18,13 @@
             case "-":
                 if (a instanceof Long x && b instanceof Long y) {
                     long r = x - y;
-                    return ((x ^ y) & (x ^ r)) < 0 ? Values.number(Values.big(a).subtract(Values.big(b))) : (Object) r;
+                    return ((x ^ y) & (x ^ r)) < 0
+                            ? Values.number(Values.big(a).subtract(Values.big(b)))
+                            : (Object) r;
                 }
                 if (numbers(a, b)) {
-                    return floats(a, b) ? (Object) (Values.real(a) - Values.real(b))
+                    return floats(a, b)
+                            ? (Object) (Values.real(a) - Values.real(b))
                             : Values.number(Values.big(a).subtract(Values.big(b)));
                 }
                 break;
@@ -34,7 +37,8 @@
                 break;
             case "//":
                 if (numbers(a, b)) {
-                    return floats(a, b) ? divisor(Values.real(b), Math.floor(Values.real(a) / Values.real(b)))
+                    return floats(a, b)
+                            ? divisor(Values.real(b), Math.floor(Values.real(a) / Values.real(b)))
                             : floorDivide(a, b);
                 }
                 break;
@@ -43,7 +47,9 @@
                     return Format.percent(t, s, b);
                 }
                 if (numbers(a, b)) {
-                    return floats(a, b) ? modulo(Values.real(a), Values.real(b)) : floorModulo(a, b);
+                    return floats(a, b)
+                            ? modulo(Values.real(a), Values.real(b))
+                            : floorModulo(a, b);
                 }
                 break;
             case "|":
@@ -93,7 +99,8 @@
             default:
                 break;
         }
-        throw new ScriptError("unsupported operation: " + Values.type(a) + " " + op + " " + Values.type(b));
+        throw new ScriptError(
+                "unsupported operation: " + Values.type(a) + " " + op + " " + Values.type(b));
     }
 
     private static boolean nan(Object a, Object b) {
@@ -116,17 +123,22 @@
     private static Object add(Run t, Object a, Object b) {
         if (a instanceof Long x && b instanceof Long y) {
             long r = x + y;
-            return ((x ^ r) & (y ^ r)) < 0 ? Values.number(Values.big(a).add(Values.big(b))) : (Object) r;
+            return ((x ^ r) & (y ^ r)) < 0
+                    ? Values.number(Values.big(a).add(Values.big(b)))
+                    : (Object) r;
         }
         if (a instanceof String x && b instanceof String y) {
             t.makes(x.length() + (long) y.length());
             return x + y;
         }
         if (numbers(a, b)) {
-            return floats(a, b) ? (Object) (Values.real(a) + Values.real(b))
+            return floats(a, b)
+                    ? (Object) (Values.real(a) + Values.real(b))
                     : Values.number(Values.big(a).add(Values.big(b)));
         }
-        if (a instanceof Sequence x && b instanceof Sequence y && x.typeName().equals(y.typeName())
+        if (a instanceof Sequence x
+                && b instanceof Sequence y
+                && x.typeName().equals(y.typeName())
                 && !(x instanceof Sequence.Range)) {
             t.makes(8L * (x.size() + (long) y.size()));
             List<Object> all = new ArrayList<>(x.toList());
@@ -204,7 +216,8 @@
             return Math.floorMod(x, y);
         }
         BigInteger r = Values.big(a).mod(Values.big(b).abs());
-        return Values.number(Values.big(b).signum() < 0 && r.signum() != 0 ? r.add(Values.big(b)) : r);
+        return Values.number(
+                Values.big(b).signum() < 0 && r.signum() != 0 ? r.add(Values.big(b)) : r);
     }
 
     private static Object modulo(double a, double b) {
@@ -219,7 +232,8 @@
         if (by < 0 || op.equals("<<") && by > MOST_SHIFT) {
             throw new ScriptError("shift by " + by);
         }
-        return Values.number(op.equals("<<") ? Values.big(a).shiftLeft(by) : Values.big(a).shiftRight(by));
+        return Values.number(
+                op.equals("<<") ? Values.big(a).shiftLeft(by) : Values.big(a).shiftRight(by));
     }
 
     private static boolean in(Object a, Object b) {
@@ -280,7 +294,8 @@
         int i = Values.small(at, "index");
         int from = i < 0 ? i + length : i;
         if (from < 0 || from >= length) {
-            throw new ScriptError("index " + i + " out of range: " + what + " has " + length + " elements");
+            throw new ScriptError(
+                    "index " + i + " out of range: " + what + " has " + length + " elements");
         }
         return from;
     }
@@ -301,8 +316,14 @@
             throw new ScriptError("slice: step must not be 0");
         }
         int length = Values.length(in);
-        int start = by > 0 ? bound(lower, 0, length, 0, length) : bound(lower, length - 1, length, -1, length - 1);
-        int stop = by > 0 ? bound(upper, length, length, 0, length) : bound(upper, -1, length, -1, length - 1);
+        int start =
+                by > 0
+                        ? bound(lower, 0, length, 0, length)
+                        : bound(lower, length - 1, length, -1, length - 1);
+        int stop =
+                by > 0
+                        ? bound(upper, length, length, 0, length)
+                        : bound(upper, -1, length, -1, length - 1);
         StringBuilder text = new StringBuilder();
         List<Object> part = new ArrayList<>();
         for (long i = start; by > 0 ? i < stop : i > stop; i += by) {
--- a/script/src/main/java/postgrade/script/Run.java
+++ b/script/src/main/java/postgrade/script/Run.java
@@ -9,6 +9,7 @@
 
     /** No string, list or repetition grows beyond this many characters or elements. */
     static final int MOST_SIZE = 4_000_000;
+
     private static final int MOST_CALLS = 200;
 
     private final long steps;
@@ -17,7 +18,8 @@
     private long left;
 
     /**
-     * @param steps the most steps, so that every run ends: a call, a turn of a loop, an element made, each counts
+     * @param steps the most steps, so that every run ends: a call, a turn of a loop, an element
+     *     made, each counts
      * @param printer takes what {@code print} writes
      */
     Run(long steps, Consumer<String> printer) {
--- a/script/src/main/java/postgrade/script/ScriptError.java
+++ b/script/src/main/java/postgrade/script/ScriptError.java
@@ -3,7 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The one exception that a script can end with. The message begins with file, line and column, where known. */
+/**
+ * The one exception that a script can end with. The message begins with file, line and column,
+ * where known.
+ */
 public final class ScriptError extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
@@ -54,7 +57,8 @@
 
     @Override
     public String getMessage() {
-        return (place == null ? "" : place + ": ") + what
+        return (place == null ? "" : place + ": ")
+                + what
                 + (calls.isEmpty() ? "" : "\n  " + String.join("\n  ", calls));
     }
 }
--- a/script/src/main/java/postgrade/script/Sequence.java
+++ b/script/src/main/java/postgrade/script/Sequence.java
@@ -79,7 +79,8 @@
             if (step == 0) {
                 throw new ScriptError("range: step must not be 0");
             }
-            long span = step > 0 ? Math.subtractExact(stop, start) : Math.subtractExact(start, stop);
+            long span =
+                    step > 0 ? Math.subtractExact(stop, start) : Math.subtractExact(start, stop);
             long by = Math.abs(step);
             long count = span <= 0 ? 0 : (span - 1) / by + 1;
             if (count > Integer.MAX_VALUE) {
@@ -109,7 +110,12 @@
         }
 
         String text() {
-            return "range(" + start + ", " + (start + count * step) + (step == 1 ? "" : ", " + step) + ")";
+            return "range("
+                    + start
+                    + ", "
+                    + (start + count * step)
+                    + (step == 1 ? "" : ", " + step)
+                    + ")";
         }
     }
 
--- a/script/src/main/java/postgrade/script/Signature.java
+++ b/script/src/main/java/postgrade/script/Signature.java
@@ -10,10 +10,13 @@
     private final String[] parameters;
     private final int needed;
 
-    /** @param parameters names separated by spaces; optional ones end in {@code ?} and come last */
+    /**
+     * @param parameters names separated by spaces; optional ones end in {@code ?} and come last
+     */
     Signature(String name, String parameters) {
         this.name = name;
-        this.parameters = parameters.isEmpty() ? new String[0] : parameters.replace("?", "").split(" ");
+        this.parameters =
+                parameters.isEmpty() ? new String[0] : parameters.replace("?", "").split(" ");
         int optional = (int) parameters.chars().filter(c -> c == '?').count();
         needed = this.parameters.length - optional;
     }
@@ -37,8 +40,14 @@
      */
     Object[] bind(Object[] values, int plain, String[] names) {
         if (plain > parameters.length) {
-            throw new ScriptError(name + ": takes at most " + parameters.length + " argument"
-                    + (parameters.length == 1 ? "" : "s") + ", got " + plain);
+            throw new ScriptError(
+                    name
+                            + ": takes at most "
+                            + parameters.length
+                            + " argument"
+                            + (parameters.length == 1 ? "" : "s")
+                            + ", got "
+                            + plain);
         }
         Object[] all = new Object[parameters.length];
         System.arraycopy(values, 0, all, 0, plain);
--- a/script/src/main/java/postgrade/script/Strings.java
+++ b/script/src/main/java/postgrade/script/Strings.java
@@ -3,13 +3,14 @@
 /** Reads string literals. */
 final class Strings {
 
-    private Strings() { }
+    private Strings() {}
 
     static String unquote(String literal, Place place) {
         boolean raw = literal.charAt(0) == 'r' || literal.charAt(0) == 'R';
         int from = raw ? 1 : 0;
         int quotes = literal.startsWith("\"\"\"", from) || literal.startsWith("'''", from) ? 3 : 1;
-        String body = literal.substring(from + quotes, literal.length() - quotes).replace("\r\n", "\n");
+        String body =
+                literal.substring(from + quotes, literal.length() - quotes).replace("\r\n", "\n");
         if (raw || body.indexOf('\\') < 0) {
             return body;
         }
@@ -23,10 +24,18 @@
             c = body.charAt(++i);
             int simple = "abfnrtv\\'\"\n".indexOf(c);
             if (simple >= 0) {
-                to.append(new String[] {"\u0007", "\b", "\f", "\n", "\r", "\t", "\u000b", "\\", "'", "\"", ""}[simple]);
+                to.append(
+                        new String[] {
+                                    "\u0007", "\b", "\f", "\n", "\r", "\t", "\u000b", "\\", "'",
+                                    "\"", ""
+                                }
+                                [simple]);
             } else if (c >= '0' && c <= '7') {
                 int end = i;
-                while (end < body.length() && end < i + 3 && body.charAt(end) >= '0' && body.charAt(end) <= '7') {
+                while (end < body.length()
+                        && end < i + 3
+                        && body.charAt(end) >= '0'
+                        && body.charAt(end) <= '7') {
                     end++;
                 }
                 to.append((char) Integer.parseInt(body.substring(i, end), 8));
--- a/script/src/main/java/postgrade/script/Values.java
+++ b/script/src/main/java/postgrade/script/Values.java
@@ -5,11 +5,12 @@
 import java.util.List;
 
 /**
- * The values of scripts and what every value can do: its type's name, truth, text, equality, order and hash.
+ * The values of scripts and what every value can do: its type's name, truth, text, equality, order
+ * and hash.
  *
- * <p>A value is one of: {@link None}, Boolean, Long, BigInteger (only beyond the range of Long), Double, String,
- * {@link Sequence.Tuple}, {@link Sequence.ListValue}, {@link Sequence.Range}, {@link DictValue}, {@link Struct},
- * {@link Callable} or {@link HostObject}.
+ * <p>A value is one of: {@link None}, Boolean, Long, BigInteger (only beyond the range of Long),
+ * Double, String, {@link Sequence.Tuple}, {@link Sequence.ListValue}, {@link Sequence.Range},
+ * {@link DictValue}, {@link Struct}, {@link Callable} or {@link HostObject}.
  */
 public final class Values {
 
@@ -17,7 +18,7 @@
     public static final class None {
         public static final None NONE = new None();
 
-        private None() { }
+        private None() {}
 
         @Override
         public String toString() {
@@ -36,7 +37,7 @@
     private static final int MOST_BITS = 1 << 16;
     private static final int MOST_DEPTH = 60;
 
-    private Values() { }
+    private Values() {}
 
     // ---- Types.
 
@@ -116,7 +117,8 @@
         if (v instanceof Long n && n >= Integer.MIN_VALUE && n <= Integer.MAX_VALUE) {
             return (int) (long) n;
         }
-        throw new ScriptError(what + " must be an int" + (isInt(v) ? " in range" : ", not " + type(v)));
+        throw new ScriptError(
+                what + " must be an int" + (isInt(v) ? " in range" : ", not " + type(v)));
     }
 
     static String text(Object v, String what) {
@@ -178,8 +180,11 @@
         if (a instanceof Double || b instanceof Double) {
             double x = real(a);
             double y = real(b);
-            if (a instanceof Double && b instanceof Double || Double.isNaN(x) || Double.isInfinite(x)
-                    || Double.isNaN(y) || Double.isInfinite(y)) {
+            if (a instanceof Double && b instanceof Double
+                    || Double.isNaN(x)
+                    || Double.isInfinite(x)
+                    || Double.isNaN(y)
+                    || Double.isInfinite(y)) {
                 return x == y ? 0 : Double.compare(x, y);
             }
             return new java.math.BigDecimal(exact(a)).compareTo(new java.math.BigDecimal(exact(b)));
@@ -208,7 +213,9 @@
         if (a instanceof Boolean x && b instanceof Boolean y) {
             return x.compareTo(y);
         }
-        if (a instanceof Sequence x && b instanceof Sequence y && x.typeName().equals(y.typeName())
+        if (a instanceof Sequence x
+                && b instanceof Sequence y
+                && x.typeName().equals(y.typeName())
                 && !(x instanceof Sequence.Range)) {
             for (int i = 0; i < Math.min(x.size(), y.size()); i++) {
                 if (!equal(x.get(i), y.get(i), depth + 1)) {
@@ -222,8 +229,12 @@
 
     /** The form in which a value is a key of a Java map: numbers that are equal must be one key. */
     static Object key(Object v) {
-        if (v instanceof String || v instanceof Long || v instanceof Boolean || v instanceof None
-                || v instanceof BigInteger || v instanceof Callable) {
+        if (v instanceof String
+                || v instanceof Long
+                || v instanceof Boolean
+                || v instanceof None
+                || v instanceof BigInteger
+                || v instanceof Callable) {
             return v;
         }
         if (v instanceof Double d) {
@@ -239,8 +250,11 @@
             return List.of("range", r.toList());
         }
         if (v instanceof Struct s) {
-            return List.of("struct", s.fields().keyList().stream().map(k -> List.of(k, key(s.get((String) k))))
-                    .toList());
+            return List.of(
+                    "struct",
+                    s.fields().keyList().stream()
+                            .map(k -> List.of(k, key(s.get((String) k))))
+                            .toList());
         }
         throw new ScriptError("unhashable type: " + type(v));
     }
@@ -332,9 +346,16 @@
         if (e < 0) {
             return text;
         }
-        String digits = text.substring(0, e).endsWith(".0") ? text.substring(0, e - 2) : text.substring(0, e);
+        String digits =
+                text.substring(0, e).endsWith(".0")
+                        ? text.substring(0, e - 2)
+                        : text.substring(0, e);
         int power = Integer.parseInt(text.substring(e + 1));
-        return digits + "e" + (power < 0 ? "-" : "+") + (Math.abs(power) < 10 ? "0" : "") + Math.abs(power);
+        return digits
+                + "e"
+                + (power < 0 ? "-" : "+")
+                + (Math.abs(power) < 10 ? "0" : "")
+                + Math.abs(power);
     }
 
     private static void quote(String s, StringBuilder to) {
@@ -361,7 +382,9 @@
 
     // ---- Iteration.
 
-    /** Walks over a list, tuple, range or a dict's keys; whoever changes it meanwhile gets an error. */
+    /**
+     * Walks over a list, tuple, range or a dict's keys; whoever changes it meanwhile gets an error.
+     */
     static Iterator<Object> iterate(Object v) {
         if (v instanceof Sequence s) {
             return s.iterator();
@@ -413,7 +436,8 @@
         } else if (java instanceof Float f) {
             return (double) f;
         } else if (java instanceof List<?> l) {
-            return new Sequence.ListValue(new java.util.ArrayList<>(l.stream().map(Values::of).toList()));
+            return new Sequence.ListValue(
+                    new java.util.ArrayList<>(l.stream().map(Values::of).toList()));
         } else if (java instanceof java.util.Map<?, ?> m) {
             DictValue d = new DictValue();
             m.forEach((k, v) -> d.put(of(k), of(v)));
--- a/sharing/src/main/java/postgrade/sharing/All.java
+++ b/sharing/src/main/java/postgrade/sharing/All.java
@@ -5,7 +5,10 @@
 import postgrade.Dispatcher.Job;
 import postgrade.Dispatcher.Worker;
 
-/** Several that have a say: a job starts when all let it, and a worker is as small as all of them make it together. */
+/**
+ * Several that have a say: a job starts when all let it, and a worker is as small as all of them
+ * make it together.
+ */
 final class All implements Ability {
 
     private final List<Ability> abilities;
--- a/sharing/src/main/java/postgrade/sharing/Shared.java
+++ b/sharing/src/main/java/postgrade/sharing/Shared.java
@@ -53,8 +53,13 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(Shared.class);
     private static final long TICK_MICROS = 50_000;
-    /** Above the longest time to a first view that was seen with a quorum there, on a machine ten times overfull. */
+
+    /**
+     * Above the longest time to a first view that was seen with a quorum there, on a machine ten
+     * times overfull.
+     */
     private static final long PATIENCE_MICROS = 10_000_000;
+
     private static final long HOLD_MICROS = 2_000_000;
     private static final long REMEMBERING_MICROS = 1_000_000;
 
@@ -73,21 +78,47 @@
     private final List<Runnable> ticking;
     private String failure;
     private boolean closed;
+
     /** A view has come, and all parts have gone by it. */
     private boolean knows;
 
-    /** @param aside where files and sockets are opened */
+    /**
+     * @param aside where files and sockets are opened
+     */
     Shared(Host host, SharingSettings settings, Opener opener, Executor aside) {
         this.host = host;
-        List<Part> parts = new ArrayList<>(List.of(new MemberPart(), new OutPart(),
-                new LeasePart(Times.USUAL), new CalendarPart()));
+        List<Part> parts =
+                new ArrayList<>(
+                        List.of(
+                                new MemberPart(),
+                                new OutPart(),
+                                new LeasePart(Times.USUAL),
+                                new CalendarPart()));
         Former former = Former.of(host.told());
-        sharing = new Late(host, former == null ? host.name() : former.name(), parts, opener, aside);
-        session = new Session(host, sharing, former, terms(settings, host.settings()), settings.cutOffShare());
+        sharing =
+                new Late(host, former == null ? host.name() : former.name(), parts, opener, aside);
+        session =
+                new Session(
+                        host,
+                        sharing,
+                        former,
+                        terms(settings, host.settings()),
+                        settings.cutOffShare());
         outs = new Outs(host, sharing);
-        progress = new Progress(host, new Recovery.Bounds(settings.viewAgeMicros(), PATIENCE_MICROS, HOLD_MICROS));
-        keeper = settings.memory() == null ? null : new Keeper(host, new MemoryFile(settings.memory(), host.name()),
-                settings.memoryEveryMicros(), progress::usual, outs::known);
+        progress =
+                new Progress(
+                        host,
+                        new Recovery.Bounds(
+                                settings.viewAgeMicros(), PATIENCE_MICROS, HOLD_MICROS));
+        keeper =
+                settings.memory() == null
+                        ? null
+                        : new Keeper(
+                                host,
+                                new MemoryFile(settings.memory(), host.name()),
+                                settings.memoryEveryMicros(),
+                                progress::usual,
+                                outs::known);
         Memory memory = keeper == null ? null : keeper.recall();
         remembers = memory != null;
         if (memory != null) {
@@ -99,24 +130,50 @@
         }
         calls = new Calls(sharing, host.micros());
         ReservationCalls.addTo(calls, sharing);
-        SharingCall.addTo(calls, sharing, session, progress, () -> keeper == null ? null : keeper.fault());
-        reserving = new Reserving(host, sharing, new Fleet.Accelerators(settings.accelerators(),
-                settings.acceleratorsVersion()), settings.reserving(), settings.lends());
+        SharingCall.addTo(
+                calls, sharing, session, progress, () -> keeper == null ? null : keeper.fault());
+        reserving =
+                new Reserving(
+                        host,
+                        sharing,
+                        new Fleet.Accelerators(
+                                settings.accelerators(), settings.acceleratorsVersion()),
+                        settings.reserving(),
+                        settings.lends());
         opening = new Opening(host, sharing, aside, settings.windows());
         Set<String> bound = new HashSet<>(settings.reserving());
         settings.windows().classes().forEach(w -> bound.add(w.name()));
         connecting = new Connecting(host, settings.returnMultiple(), bound);
         CalendarCalls.addTo(calls, host, sharing, aside);
         WindowCalls.addTo(calls, host, opening);
-        ability = new All(List.of(reserving.ability(), opening.ability(),
-                connecting, new Admission(progress, host.timers()::nowMicros, this::ratePerS, host.name().hashCode())));
-        ticking = List.of(session::tick, sharing::tick, outs::tick, reserving::tick, opening::tick,
-                keeper == null ? () -> { } : this::keep, this::look);
+        ability =
+                new All(
+                        List.of(
+                                reserving.ability(),
+                                opening.ability(),
+                                connecting,
+                                new Admission(
+                                        progress,
+                                        host.timers()::nowMicros,
+                                        this::ratePerS,
+                                        host.name().hashCode())));
+        ticking =
+                List.of(
+                        session::tick,
+                        sharing::tick,
+                        outs::tick,
+                        reserving::tick,
+                        opening::tick,
+                        keeper == null ? () -> {} : this::keep,
+                        this::look);
         tick();
     }
 
     private static Terms terms(SharingSettings s, Settings dispatchers) {
-        return new Terms(s.places() == 0 ? dispatchers.gateways : s.places(), s.leaseMicros(), s.lingerMicros(),
+        return new Terms(
+                s.places() == 0 ? dispatchers.gateways : s.places(),
+                s.leaseMicros(),
+                s.lingerMicros(),
                 s.floorShare());
     }
 
@@ -142,7 +199,10 @@
         return knows;
     }
 
-    /** One that has kept nothing would go by the list alone, and send to workers that operators took out long ago. */
+    /**
+     * One that has kept nothing would go by the list alone, and send to workers that operators took
+     * out long ago.
+     */
     @Override
     public long patienceMicros() {
         return remembers ? REMEMBERING_MICROS : PATIENCE_MICROS;
@@ -152,11 +212,16 @@
     private void failed(RuntimeException e) {
         if (!e.toString().equals(failure)) {
             failure = e.toString();
-            Events.error(LOG, "sharing.failed").setCause(e).log("a part of sharing failed; the others go on");
+            Events.error(LOG, "sharing.failed")
+                    .setCause(e)
+                    .log("a part of sharing failed; the others go on");
         }
     }
 
-    /** The process that has the place has the file too: two that write it would leave neither's whole. */
+    /**
+     * The process that has the place has the file too: two that write it would leave neither's
+     * whole.
+     */
     private void keep() {
         if (host.alone() || sharing.isOpen()) {
             keeper.tick();
@@ -165,7 +230,12 @@
 
     @Override
     public String tells() {
-        return new Former(sharing.standing().name(), session.incarnation(), outs.known(), outs.words()).text();
+        return new Former(
+                        sharing.standing().name(),
+                        session.incarnation(),
+                        outs.known(),
+                        outs.words())
+                .text();
     }
 
     /** Of jobs within the tenants' shares, at this process. */
@@ -193,7 +263,10 @@
         return connecting.mayConnect(worker, must);
     }
 
-    /** Guards the others' shares: after a pause of this process its own has fallen before anything is taken in by it. */
+    /**
+     * Guards the others' shares: after a pause of this process its own has fallen before anything
+     * is taken in by it.
+     */
     @Override
     public void turn() {
         session.look();
--- a/sharing/src/main/java/postgrade/sharing/SharingFinder.java
+++ b/sharing/src/main/java/postgrade/sharing/SharingFinder.java
@@ -28,11 +28,13 @@
             throw new IllegalArgumentException(e.getMessage(), e);
         }
         return host -> {
-            ExecutorService aside = Executors.newSingleThreadExecutor(task -> {
-                Thread thread = new Thread(task, "sharing-aside");
-                thread.setDaemon(true);
-                return thread;
-            });
+            ExecutorService aside =
+                    Executors.newSingleThreadExecutor(
+                            task -> {
+                                Thread thread = new Thread(task, "sharing-aside");
+                                thread.setDaemon(true);
+                                return thread;
+                            });
             return new Shared(host, both.sharing(), opener(both.quorum()), aside);
         };
     }
@@ -40,7 +42,8 @@
     private static Opener opener(QuorumSettings settings) {
         return new Opener() {
             @Override
-            public Sharing open(List<Part> parts, LongSupplier nowMicros, Executor onLoop) throws IOException {
+            public Sharing open(List<Part> parts, LongSupplier nowMicros, Executor onLoop)
+                    throws IOException {
                 return Quorum.open(settings, parts, nowMicros, onLoop);
             }
 
--- a/sharing/src/main/java/postgrade/sharing/calls/Answers.java
+++ b/sharing/src/main/java/postgrade/sharing/calls/Answers.java
@@ -13,7 +13,10 @@
 
     private static final long WITHIN_MICROS = 1_000_000;
     private static final long AGAIN_MICROS = 1_000_000;
-    /** Guards the daily calls: those that wait for the quorum never take all places of the listener. */
+
+    /**
+     * Guards the daily calls: those that wait for the quorum never take all places of the listener.
+     */
     private static final int MOST_WAITING = 6;
 
     private final Sharing sharing;
@@ -35,7 +38,10 @@
 
     /** It cannot be decided now. */
     void notNow(Reply reply, String sentence, long againMicros) {
-        reply.answer(503, againMicros > 0 ? againMicros : AGAIN_MICROS, about(Json.object().add("error", sentence)));
+        reply.answer(
+                503,
+                againMicros > 0 ? againMicros : AGAIN_MICROS,
+                about(Json.object().add("error", sentence)));
     }
 
     private String about(JsonObject json) {
@@ -44,7 +50,9 @@
     }
 
     JsonValue viewAge(View view) {
-        return view.known() ? Json.value(Math.max(0, view.ageMicros(nowMicros.getAsLong())) / 1000) : Json.NULL;
+        return view.known()
+                ? Json.value(Math.max(0, view.ageMicros(nowMicros.getAsLong())) / 1000)
+                : Json.NULL;
     }
 
     /** Has a command decided and tells what came of it. */
@@ -54,31 +62,41 @@
             return;
         }
         waiting++;
-        sharing.ask(command, WITHIN_MICROS, decided -> {
-            waiting--;
-            if (!decided.decided()) {
-                notNow(reply, "no quorum has decided this in time; the same requestId may be sent again",
-                        decided.retryAfterMicros());
-                return;
-            }
-            switch (decided.answer().status()) {
-                case DONE -> {
-                    JsonObject json = Json.object().add("text", decided.answer().text());
-                    decided.answer().fields().values().forEach((name, value) -> json.add(name, value(value)));
-                    if (decided.moment() != null) {
-                        json.add("index", decided.moment().index());
+        sharing.ask(
+                command,
+                WITHIN_MICROS,
+                decided -> {
+                    waiting--;
+                    if (!decided.decided()) {
+                        notNow(
+                                reply,
+                                "no quorum has decided this in time; the same requestId may be sent again",
+                                decided.retryAfterMicros());
+                        return;
+                    }
+                    switch (decided.answer().status()) {
+                        case DONE -> {
+                            JsonObject json = Json.object().add("text", decided.answer().text());
+                            decided.answer()
+                                    .fields()
+                                    .values()
+                                    .forEach((name, value) -> json.add(name, value(value)));
+                            if (decided.moment() != null) {
+                                json.add("index", decided.moment().index());
+                            }
+                            done(reply, json);
+                        }
+                        case FAULTY -> bad(reply, 400, decided.answer().text());
+                        case UNKNOWN -> bad(reply, 404, decided.answer().text());
+                        default -> bad(reply, 409, decided.answer().text());
                     }
-                    done(reply, json);
-                }
-                case FAULTY -> bad(reply, 400, decided.answer().text());
-                case UNKNOWN -> bad(reply, 404, decided.answer().text());
-                default -> bad(reply, 409, decided.answer().text());
-            }
-        });
+                });
     }
 
     /** Whole numbers go as such, as long as every reader keeps them exactly. */
     static JsonValue value(String text) {
-        return text.matches("-?(0|[1-9][0-9]{0,14})") ? Json.value(Long.parseLong(text)) : Json.value(text);
+        return text.matches("-?(0|[1-9][0-9]{0,14})")
+                ? Json.value(Long.parseLong(text))
+                : Json.value(text);
     }
 }
--- a/sharing/src/main/java/postgrade/sharing/calls/Body.java
+++ b/sharing/src/main/java/postgrade/sharing/calls/Body.java
@@ -14,7 +14,7 @@
     private static final String REQUEST_ID = "requestId";
     private static final int LONGEST_ID = 100;
 
-    private Body() { }
+    private Body() {}
 
     /** A call that cannot be taken. */
     static final class Bad extends RuntimeException {
@@ -28,7 +28,12 @@
     static JsonObject object(byte[] body) {
         JsonValue json;
         try {
-            json = Json.parse(StandardCharsets.UTF_8.newDecoder().decode(java.nio.ByteBuffer.wrap(body)).toString());
+            json =
+                    Json.parse(
+                            StandardCharsets.UTF_8
+                                    .newDecoder()
+                                    .decode(java.nio.ByteBuffer.wrap(body))
+                                    .toString());
         } catch (CharacterCodingException e) {
             throw new Bad("body is not UTF-8");
         } catch (RuntimeException | StackOverflowError e) {
--- a/sharing/src/main/java/postgrade/sharing/calls/CalendarCalls.java
+++ b/sharing/src/main/java/postgrade/sharing/calls/CalendarCalls.java
@@ -14,9 +14,14 @@
 /** Takes a site's maintenance calendar: checked whole, aside, before anybody else hears of it. */
 public final class CalendarCalls {
 
-    /** A calendar of the greatest length, with the marks that JSON puts before ends of lines and quotes. */
+    /**
+     * A calendar of the greatest length, with the marks that JSON puts before ends of lines and
+     * quotes.
+     */
     private static final int MOST_BODY = 384 << 10;
-    private static final java.util.Set<String> FIELDS = java.util.Set.of("site", "zone", "text", "inMs", "expects");
+
+    private static final java.util.Set<String> FIELDS =
+            java.util.Set.of("site", "zone", "text", "inMs", "expects");
 
     private final Host host;
     private final Sharing sharing;
@@ -31,7 +36,9 @@
         this.aside = aside;
     }
 
-    /** @param aside where a calendar is worked out, which may take a second */
+    /**
+     * @param aside where a calendar is worked out, which may take a second
+     */
     public static void addTo(Calls calls, Host host, Sharing sharing, Executor aside) {
         CalendarCalls c = new CalendarCalls(host, sharing, calls.answers(), aside);
         calls.add("PUT", "/calendar", MOST_BODY, c::put);
@@ -41,9 +48,13 @@
         JsonObject object = Body.object(body);
         String requestId = Body.requestId(object);
         Map<String, String> fields = Body.fields(object);
-        fields.keySet().stream().filter(f -> !FIELDS.contains(f)).findFirst().ifPresent(f -> {
-            throw new Body.Bad(f + " is not a field of a calendar");
-        });
+        fields.keySet().stream()
+                .filter(f -> !FIELDS.contains(f))
+                .findFirst()
+                .ifPresent(
+                        f -> {
+                            throw new Body.Bad(f + " is not a field of a calendar");
+                        });
         String site = Body.needed(object, "site");
         String text = Body.needed(object, "text");
         if (text.isEmpty()) {
@@ -65,23 +76,28 @@
         }
         checking = true;
         Row asked = args;
-        aside.execute(() -> {
-            String fault = fault(site, zone, text);
-            host.loop().execute(() -> {
-                checking = false;
-                if (fault == null) {
-                    decide(requestId, "put", asked, reply);
-                } else {
-                    answers.bad(reply, 400, fault);
-                }
-            });
-        });
+        aside.execute(
+                () -> {
+                    String fault = fault(site, zone, text);
+                    host.loop()
+                            .execute(
+                                    () -> {
+                                        checking = false;
+                                        if (fault == null) {
+                                            decide(requestId, "put", asked, reply);
+                                        } else {
+                                            answers.bad(reply, 400, fault);
+                                        }
+                                    });
+                });
     }
 
     private static String fault(String site, String zone, String text) {
         try {
             CalendarCheck.Result r = CalendarCheck.check(site, zone, text);
-            return r.ok() ? null : (r.line() == 0 ? "" : "text line " + r.line() + ": ") + r.sentence();
+            return r.ok()
+                    ? null
+                    : (r.line() == 0 ? "" : "text line " + r.line() + ": ") + r.sentence();
         } catch (RuntimeException | StackOverflowError e) {
             return "text cannot be read: " + e;
         }
@@ -89,6 +105,8 @@
 
     private void decide(String requestId, String verb, Row args, Reply reply) {
         Sharing.Standing us = sharing.standing();
-        answers.decide(new Command(requestId, us.name(), us.incarnation(), CalendarPart.NAME, verb, args), reply);
+        answers.decide(
+                new Command(requestId, us.name(), us.incarnation(), CalendarPart.NAME, verb, args),
+                reply);
     }
 }
--- a/sharing/src/main/java/postgrade/sharing/calls/Calls.java
+++ b/sharing/src/main/java/postgrade/sharing/calls/Calls.java
@@ -19,7 +19,7 @@
         void take(byte[] body, Reply reply);
     }
 
-    private record Way(Take take, int mostBody) { }
+    private record Way(Take take, int mostBody) {}
 
     private final Map<String, Map<String, Way>> paths = new LinkedHashMap<>();
     private final Answers answers;
@@ -37,7 +37,8 @@
     }
 
     void add(String method, String path, int mostBody, Take take) {
-        paths.computeIfAbsent(path, p -> new LinkedHashMap<>()).put(method, new Way(take, mostBody));
+        paths.computeIfAbsent(path, p -> new LinkedHashMap<>())
+                .put(method, new Way(take, mostBody));
     }
 
     @Override
@@ -47,7 +48,10 @@
 
     @Override
     public int mostBody(String path) {
-        return paths.getOrDefault(path, Map.of()).values().stream().mapToInt(Way::mostBody).max().orElse(MOST_BODY);
+        return paths.getOrDefault(path, Map.of()).values().stream()
+                .mapToInt(Way::mostBody)
+                .max()
+                .orElse(MOST_BODY);
     }
 
     @Override
--- a/sharing/src/main/java/postgrade/sharing/calls/ReservationCalls.java
+++ b/sharing/src/main/java/postgrade/sharing/calls/ReservationCalls.java
@@ -21,12 +21,22 @@
     public static void addTo(Calls calls, Sharing sharing) {
         ReservationCalls r = new ReservationCalls(sharing, calls.answers());
         for (String verb : new String[] {"acquire", "renew", "release"}) {
-            calls.add("PUT", "/reservations/" + verb, (body, reply) -> {
-                JsonObject object = Body.object(body);
-                Sharing.Standing us = sharing.standing();
-                calls.answers().decide(Leases.command(verb, Body.requestId(object), us.name(), us.incarnation(),
-                        Body.fields(object)), reply);
-            });
+            calls.add(
+                    "PUT",
+                    "/reservations/" + verb,
+                    (body, reply) -> {
+                        JsonObject object = Body.object(body);
+                        Sharing.Standing us = sharing.standing();
+                        calls.answers()
+                                .decide(
+                                        Leases.command(
+                                                verb,
+                                                Body.requestId(object),
+                                                us.name(),
+                                                us.incarnation(),
+                                                Body.fields(object)),
+                                        reply);
+                    });
         }
         calls.add("GET", "/reservations", (body, reply) -> r.list(reply));
     }
@@ -38,11 +48,13 @@
             return;
         }
         JsonArray all = Json.array();
-        Leases.list(view.rows(), view.moment().micros()).forEach(fields -> {
-            JsonObject one = Json.object();
-            fields.forEach((name, value) -> one.add(name, Answers.value(value)));
-            all.add(one);
-        });
+        Leases.list(view.rows(), view.moment().micros())
+                .forEach(
+                        fields -> {
+                            JsonObject one = Json.object();
+                            fields.forEach((name, value) -> one.add(name, Answers.value(value)));
+                            all.add(one);
+                        });
         answers.done(reply, Json.object().add("reservations", all));
     }
 }
--- a/sharing/src/main/java/postgrade/sharing/calls/WindowCalls.java
+++ b/sharing/src/main/java/postgrade/sharing/calls/WindowCalls.java
@@ -24,7 +24,9 @@
 /** When a job may start: by its class, or by a plan of its own. */
 public final class WindowCalls {
 
-    private static final Set<String> FIELDS = Set.of("class", "earliest", "deadline", "lastsMs", "sites", "requestId");
+    private static final Set<String> FIELDS =
+            Set.of("class", "earliest", "deadline", "lastsMs", "sites", "requestId");
+
     /** Guards the answer's length; what comes later is asked for with a later earliest start. */
     private static final int MOST_TOLD = 200;
 
@@ -44,42 +46,82 @@
 
     private void ask(byte[] body, Reply reply) {
         JsonObject object = Body.object(body);
-        object.names().stream().filter(f -> !FIELDS.contains(f)).findFirst().ifPresent(f -> {
-            throw new Body.Bad(f + " is not a field of a plan");
-        });
+        object.names().stream()
+                .filter(f -> !FIELDS.contains(f))
+                .findFirst()
+                .ifPresent(
+                        f -> {
+                            throw new Body.Bad(f + " is not a field of a plan");
+                        });
         long now = host.unixMillis().getAsLong();
         Plan plan = plan(object, now);
         if (plan == null) {
             answers.bad(reply, 404, "class " + Body.needed(object, "class") + " has no windows");
             return;
         }
-        Windows.Answer answer = Windows.query(plan, opening.calendars(), now, opening.settings().clockErrorMillis());
+        Windows.Answer answer =
+                Windows.query(
+                        plan, opening.calendars(), now, opening.settings().clockErrorMillis());
         if (answer.starts().isEmpty() && !answer.unknown().isEmpty()) {
-            answers.notNow(reply, "sites: of none is the calendar known: " + answer.unknown().get(0).detail(), 0);
+            answers.notNow(
+                    reply,
+                    "sites: of none is the calendar known: " + answer.unknown().get(0).detail(),
+                    0);
             return;
         }
         JsonArray sites = Json.array();
-        answer.starts().forEach(s -> sites.add(Json.object().add("site", s.site()).add("version", s.version())
-                .add("starts", intervals(s.starts()))));
+        answer.starts()
+                .forEach(
+                        s ->
+                                sites.add(
+                                        Json.object()
+                                                .add("site", s.site())
+                                                .add("version", s.version())
+                                                .add("starts", intervals(s.starts()))));
         JsonArray exclusions = Json.array();
         answer.exclusions().stream().limit(MOST_TOLD).forEach(e -> exclusions.add(exclusion(e)));
-        answers.done(reply, Json.object().add("mayStart", answer.mayStart(now)).add("now", time(now))
-                .add("opens", time(answer.opens())).add("closes", time(answer.closes()))
-                .add("lastsMs", plan.lasts()).add("together", intervals(answer.together())).add("sites", sites)
-                .add("exclusions", exclusions));
+        answers.done(
+                reply,
+                Json.object()
+                        .add("mayStart", answer.mayStart(now))
+                        .add("now", time(now))
+                        .add("opens", time(answer.opens()))
+                        .add("closes", time(answer.closes()))
+                        .add("lastsMs", plan.lasts())
+                        .add("together", intervals(answer.together()))
+                        .add("sites", sites)
+                        .add("exclusions", exclusions));
     }
 
     private Plan plan(JsonObject object, long now) {
         if (object.get("class") != null) {
             String name = Body.needed(object, "class");
-            WindowClass c = opening.settings().classes().stream().filter(w -> w.name().equals(name)).findFirst()
-                    .orElse(null);
-            return c == null ? null : c.plan(now, lasts(object, Math.max(c.declared(), c.quantile() == 0 ? 0
-                    : opening.learntMillis(name, c.quantile()))));
+            WindowClass c =
+                    opening.settings().classes().stream()
+                            .filter(w -> w.name().equals(name))
+                            .findFirst()
+                            .orElse(null);
+            return c == null
+                    ? null
+                    : c.plan(
+                            now,
+                            lasts(
+                                    object,
+                                    Math.max(
+                                            c.declared(),
+                                            c.quantile() == 0
+                                                    ? 0
+                                                    : opening.learntMillis(name, c.quantile()))));
         }
         try {
-            long earliest = object.get("earliest") == null ? now : instant("earliest", object.get("earliest"));
-            return new Plan(earliest, deadline(object.get("deadline")).millis(earliest), lasts(object, -1),
+            long earliest =
+                    object.get("earliest") == null
+                            ? now
+                            : instant("earliest", object.get("earliest"));
+            return new Plan(
+                    earliest,
+                    deadline(object.get("deadline")).millis(earliest),
+                    lasts(object, -1),
                     sites(object.get("sites")));
         } catch (IllegalArgumentException e) {
             throw new Body.Bad(e.getMessage());
@@ -92,7 +134,8 @@
             return otherwise;
         }
         if (v == null || !v.isNumber() || v.asDouble() != Math.rint(v.asDouble())) {
-            throw new Body.Bad("lastsMs " + (v == null ? "is missing" : "has to be a whole number"));
+            throw new Body.Bad(
+                    "lastsMs " + (v == null ? "is missing" : "has to be a whole number"));
         }
         double lasts = v.asDouble();
         if (lasts < 0 || lasts > Plan.LONGEST) {
@@ -124,11 +167,13 @@
         }
         JsonObject daily = v.asObject();
         try {
-            return new Deadline.Daily(LocalTime.parse(Body.needed(daily, "time")),
+            return new Deadline.Daily(
+                    LocalTime.parse(Body.needed(daily, "time")),
                     ZoneId.of(Body.needed(daily, "zone")).getRules());
         } catch (DateTimeException e) {
-            throw new Body.Bad("deadline has to be a time such as 18:00 and a zone such as Europe/Zagreb: "
-                    + e.getMessage());
+            throw new Body.Bad(
+                    "deadline has to be a time such as 18:00 and a zone such as Europe/Zagreb: "
+                            + e.getMessage());
         }
     }
 
@@ -144,7 +189,9 @@
     }
 
     private static JsonValue time(long millis) {
-        return millis >= Long.MAX_VALUE / 8 ? Json.NULL : Json.value(Instant.ofEpochMilli(millis).toString());
+        return millis >= Long.MAX_VALUE / 8
+                ? Json.NULL
+                : Json.value(Instant.ofEpochMilli(millis).toString());
     }
 
     private static JsonArray intervals(Intervals all) {
@@ -156,8 +203,11 @@
     }
 
     private static JsonObject exclusion(Exclusion e) {
-        return Json.object().add("from", time(e.from())).add("to", time(e.to()))
+        return Json.object()
+                .add("from", time(e.from()))
+                .add("to", time(e.to()))
                 .add("site", e.site() == null ? Json.NULL : Json.value(e.site()))
-                .add("reason", e.reason().name().toLowerCase(java.util.Locale.ROOT)).add("detail", e.detail());
+                .add("reason", e.reason().name().toLowerCase(java.util.Locale.ROOT))
+                .add("detail", e.detail());
     }
 }
--- a/sharing/src/main/java/postgrade/sharing/lease/Reserving.java
+++ b/sharing/src/main/java/postgrade/sharing/lease/Reserving.java
@@ -18,11 +18,15 @@
 import postgrade.shared.Sharing;
 import postgrade.shared.View;
 
-/** Reservations beside a dispatcher: their say in the module's choices, and the fleet as the shared state has it. */
+/**
+ * Reservations beside a dispatcher: their say in the module's choices, and the fleet as the shared
+ * state has it.
+ */
 public final class Reserving {
 
     private static final long EVERY_MICROS = 500_000;
     private static final long WITHIN_MICROS = 1_000_000;
+
     /** A large fleet is told over some rounds, so that it never crowds the log. */
     private static final int MOST_AT_ONCE = 50;
 
@@ -39,14 +43,22 @@
      * @param reserving classes whose jobs use reserved accelerators
      * @throws IllegalArgumentException for a class that there is not, or that must not run twice
      */
-    public Reserving(Host host, Sharing sharing, Fleet.Accelerators accelerators, Set<String> reserving,
+    public Reserving(
+            Host host,
+            Sharing sharing,
+            Fleet.Accelerators accelerators,
+            Set<String> reserving,
             boolean lends) {
         this.host = host;
         this.sharing = sharing;
         this.accelerators = accelerators;
         Map<String, Effect> effects = new HashMap<>();
         host.settings().classes.forEach(c -> effects.put(c.name(), c.effect()));
-        ability = new LeaseAbility(sharing::view, Times.USUAL, new LeaseAbility.Rules(reserving, effects, lends));
+        ability =
+                new LeaseAbility(
+                        sharing::view,
+                        Times.USUAL,
+                        new LeaseAbility.Rules(reserving, effects, lends));
     }
 
     public Ability ability() {
@@ -63,15 +75,26 @@
         long now = host.timers().nowMicros();
         View view = sharing.view();
         Sharing.Standing us = sharing.standing();
-        if (us.incarnation() == 0 || now < dueMicros || asking > 0 || !us.name().equals(us.leader()) || view.moment().fence() < decidedFence) {
+        if (us.incarnation() == 0
+                || now < dueMicros
+                || asking > 0
+                || !us.name().equals(us.leader())
+                || view.moment().fence() < decidedFence) {
             return;
         }
         dueMicros = now + EVERY_MICROS;
         List<Worker> workers = new ArrayList<>();
         Set<String> out = new HashSet<>();
         for (Host.Known w : host.workers()) {
-            workers.add(new Worker(w.id(), w.zone(), w.kind(), 0, w.ready() ? Phase.READY : Phase.DRAINING, w.weight(),
-                    w.startedMillis() * 1_000_000));
+            workers.add(
+                    new Worker(
+                            w.id(),
+                            w.zone(),
+                            w.kind(),
+                            0,
+                            w.ready() ? Phase.READY : Phase.DRAINING,
+                            w.weight(),
+                            w.startedMillis() * 1_000_000));
             if (w.out()) {
                 out.add(w.id());
             }
@@ -79,15 +102,23 @@
         if (workers.isEmpty()) {
             return; // Before discovery has told, nothing is known to be gone.
         }
-        List<Command> due = Fleet.due(view.rows(), workers, out, accelerators, us.name(), us.incarnation());
-        due.stream().limit(MOST_AT_ONCE).forEach(c -> {
-            asking++;
-            sharing.ask(c, WITHIN_MICROS, reply -> {
-                asking--;
-                if (reply.decided() && reply.moment() != null) {
-                    decidedFence = Math.max(decidedFence, reply.moment().fence());
-                }
-            });
-        });
+        List<Command> due =
+                Fleet.due(view.rows(), workers, out, accelerators, us.name(), us.incarnation());
+        due.stream()
+                .limit(MOST_AT_ONCE)
+                .forEach(
+                        c -> {
+                            asking++;
+                            sharing.ask(
+                                    c,
+                                    WITHIN_MICROS,
+                                    reply -> {
+                                        asking--;
+                                        if (reply.decided() && reply.moment() != null) {
+                                            decidedFence =
+                                                    Math.max(decidedFence, reply.moment().fence());
+                                        }
+                                    });
+                        });
     }
 }
--- a/sharing/src/main/java/postgrade/sharing/memory/Keeper.java
+++ b/sharing/src/main/java/postgrade/sharing/memory/Keeper.java
@@ -20,18 +20,26 @@
 import postgrade.log.Events;
 
 /**
- * Keeps what this process learns, and tells the module at its start what a former one had learnt. The loop makes an
- * immutable copy now and then; one thread writes it. While that thread waits for a slow disk, copies are passed over.
+ * Keeps what this process learns, and tells the module at its start what a former one had learnt.
+ * The loop makes an immutable copy now and then; one thread writes it. While that thread waits for
+ * a slow disk, copies are passed over.
  */
 public final class Keeper {
 
     private static final Logger LOG = LoggerFactory.getLogger(Keeper.class);
+
     /** Workers out stand among the figures under this word; the module never sees it. */
     private static final String OUT = "out";
+
     private static final String WORKER = "worker";
     private static final String COLD = "cold";
-    /** That its sends to cold workers are all there: told by the last word alone, as what follows any other is lost by a crash. */
+
+    /**
+     * That its sends to cold workers are all there: told by the last word alone, as what follows
+     * any other is lost by a crash.
+     */
     private static final String UP = "up";
+
     private static final long LAST_WRITE_MILLIS = 300;
 
     private final Host host;
@@ -45,11 +53,19 @@
     private volatile boolean closed;
     private volatile String fault;
     private long dueMicros;
+
     /** What was kept of workers, until the list tells which of them are the same still. */
     private Memory ofWorkers;
 
-    /** @param served worth in time of late, as a part of what was asked for; NaN where not known */
-    public Keeper(Host host, MemoryFile file, long everyMicros, DoubleSupplier served, Supplier<Set<String>> out) {
+    /**
+     * @param served worth in time of late, as a part of what was asked for; NaN where not known
+     */
+    public Keeper(
+            Host host,
+            MemoryFile file,
+            long everyMicros,
+            DoubleSupplier served,
+            Supplier<Set<String>> out) {
         this.host = host;
         this.file = file;
         this.everyMicros = everyMicros;
@@ -60,7 +76,10 @@
         writer.start();
     }
 
-    /** What a former process had learnt, or null. The module is told what may be trusted, unless it knows better. */
+    /**
+     * What a former process had learnt, or null. The module is told what may be trusted, unless it
+     * knows better.
+     */
     public Memory recall() {
         Memory memory = file.read(unixMicros());
         if (memory == null || host.tookOver()) {
@@ -78,9 +97,15 @@
         }
         host.learn(with(memory, others).trusted(unixMicros(), Map.of()));
         ofWorkers = workers.isEmpty() ? null : with(memory, workers);
-        Events.info(LOG, "memory.read").addKeyValue("figures", memory.figures().size())
-                .addKeyValue("age_ms", memory.ageMicros(unixMicros()) / 1000).log("going by what was learnt "
-                        + memory.ageMicros(unixMicros()) / 1000 + " ms ago, " + memory.figures().size() + " figures");
+        Events.info(LOG, "memory.read")
+                .addKeyValue("figures", memory.figures().size())
+                .addKeyValue("age_ms", memory.ageMicros(unixMicros()) / 1000)
+                .log(
+                        "going by what was learnt "
+                                + memory.ageMicros(unixMicros()) / 1000
+                                + " ms ago, "
+                                + memory.figures().size()
+                                + " figures");
         return memory;
     }
 
@@ -88,7 +113,10 @@
         return m.figures().stream().filter(f -> !f.learnt().of().equals(UP)).toList();
     }
 
-    /** Guards the next process: this one may die before it has written, and what it sends till then is in no file. */
+    /**
+     * Guards the next process: this one may die before it has written, and what it sends till then
+     * is in no file.
+     */
     private boolean unmark(Memory memory) {
         try {
             file.write(with(memory, unmarked(memory)));
@@ -101,7 +129,9 @@
     /** Workers that were out. */
     public static Set<String> out(Memory memory) {
         Set<String> all = new HashSet<>();
-        memory.figures().stream().filter(f -> f.learnt().of().equals(OUT)).forEach(f -> all.add(f.learnt().name()));
+        memory.figures().stream()
+                .filter(f -> f.learnt().of().equals(OUT))
+                .forEach(f -> all.add(f.learnt().name()));
         return all;
     }
 
@@ -113,7 +143,10 @@
         return new Memory(m.dispatcher(), m.savedMicros(), m.served(), figures);
     }
 
-    /** Discovery has told of the workers: the module hears what was learnt of those that have not started since. */
+    /**
+     * Discovery has told of the workers: the module hears what was learnt of those that have not
+     * started since.
+     */
     public void listed() {
         if (ofWorkers != null && !host.workers().isEmpty()) {
             host.learn(ofWorkers.trusted(unixMicros(), started()));
@@ -145,7 +178,9 @@
     }
 
     private Memory now() {
-        Memory m = Memory.of(host.name(), unixMicros(), served.getAsDouble(), host.learnt(), started());
+        Memory m =
+                Memory.of(
+                        host.name(), unixMicros(), served.getAsDouble(), host.learnt(), started());
         List<Memory.Figure> all = new ArrayList<>();
         // First, so that no bound cuts them off.
         out.get().forEach(w -> all.add(new Memory.Figure(new Learnt(OUT, w, new double[] {0}), 0)));
@@ -175,8 +210,14 @@
             why = e.toString();
         }
         if (why != null && fault == null) {
-            Events.warn(LOG, "memory.not-written").addKeyValue("why", why)
-                    .log("what was learnt cannot be kept in " + file.path() + " (" + why + "); trying again");
+            Events.warn(LOG, "memory.not-written")
+                    .addKeyValue("why", why)
+                    .log(
+                            "what was learnt cannot be kept in "
+                                    + file.path()
+                                    + " ("
+                                    + why
+                                    + "); trying again");
         } else if (why == null && fault != null) {
             Events.info(LOG, "memory.written").log("what was learnt is kept again");
         }
@@ -188,7 +229,10 @@
         return fault;
     }
 
-    /** The last word, at the end of the process. Waits a little for it, as nobody is served any more. */
+    /**
+     * The last word, at the end of the process. Waits a little for it, as nobody is served any
+     * more.
+     */
     public void close() {
         if (!busy) {
             busy = true;
--- a/sharing/src/main/java/postgrade/sharing/memory/MemoryFile.java
+++ b/sharing/src/main/java/postgrade/sharing/memory/MemoryFile.java
@@ -17,14 +17,16 @@
 import postgrade.log.Events;
 
 /**
- * Where a process keeps what it learnt. Written beside, forced to the disk and renamed, so that there is always a whole
- * one: the former or the new. One that cannot be used is kept aside for whoever looks into it.
+ * Where a process keeps what it learnt. Written beside, forced to the disk and renamed, so that
+ * there is always a whole one: the former or the new. One that cannot be used is kept aside for
+ * whoever looks into it.
  */
 public final class MemoryFile {
 
     private static final Logger LOG = LoggerFactory.getLogger(MemoryFile.class);
     private static final String NAME = "learnt.memory";
     private static final String ASIDE = ".unusable";
+
     /** Guards the start against a file that somebody else has put there. */
     private static final long MOST_BYTES = 16 << 20;
 
@@ -54,7 +56,8 @@
         } catch (NoSuchFileException e) {
             LOG.debug("no snapshot of what was learnt", e);
         } catch (IOException e) {
-            Events.warn(LOG, "memory.not-read").addKeyValue("why", e.toString())
+            Events.warn(LOG, "memory.not-read")
+                    .addKeyValue("why", e.toString())
                     .log("the snapshot " + file + " cannot be read (" + e + "); starting without");
         }
         return null;
@@ -69,7 +72,9 @@
         } catch (IOException e) {
             where = "it could not be kept aside: " + e;
         }
-        Events.warn(LOG, "memory.unusable").addKeyValue("fault", fault).addKeyValue("why", why)
+        Events.warn(LOG, "memory.unusable")
+                .addKeyValue("fault", fault)
+                .addKeyValue("why", why)
                 .log("the snapshot " + file + " is not used: " + why + "; " + where);
     }
 
@@ -78,8 +83,12 @@
         Files.createDirectories(file.getParent());
         Path next = file.resolveSibling(NAME + ".next");
         ByteBuffer bytes = ByteBuffer.wrap(MemoryFormat.write(memory));
-        try (FileChannel out = FileChannel.open(next, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-                StandardOpenOption.TRUNCATE_EXISTING)) {
+        try (FileChannel out =
+                FileChannel.open(
+                        next,
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.WRITE,
+                        StandardOpenOption.TRUNCATE_EXISTING)) {
             while (bytes.hasRemaining()) {
                 out.write(bytes);
             }
--- a/sharing/src/main/java/postgrade/sharing/pace/Connecting.java
+++ b/sharing/src/main/java/postgrade/sharing/pace/Connecting.java
@@ -10,27 +10,35 @@
 import postgrade.companion.Host;
 
 /**
- * Paces new connections to workers. A worker without one is passed over until its gate opens, as long as another that
- * has one can take the job; a job waits for that once, to the module's next look, and never longer.
+ * Paces new connections to workers. A worker without one is passed over until its gate opens, as
+ * long as another that has one can take the job; a job waits for that once, to the module's next
+ * look, and never longer.
  */
 public final class Connecting implements Ability {
 
     /** A worker that holds fewer of our calls can take one more. */
     private static final int FEW = 2;
+
     private static final int MOST_WAITING = 1000;
 
     private final Host host;
     private final Openings openings;
-    /** Classes that cannot go just anywhere: what is reserved for them, or their sites, may have no connection. */
+
+    /**
+     * Classes that cannot go just anywhere: what is reserved for them, or their sites, may have no
+     * connection.
+     */
     private final Set<String> bound;
-    private final Map<String, Long> waiting = new LinkedHashMap<>() {
-        private static final long serialVersionUID = 1L;
 
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
-            return size() > MOST_WAITING;
-        }
-    };
+    private final Map<String, Long> waiting =
+            new LinkedHashMap<>() {
+                private static final long serialVersionUID = 1L;
+
+                @Override
+                protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
+                    return size() > MOST_WAITING;
+                }
+            };
     private Job asked;
     private long askedNs;
     private boolean othersCan;
@@ -39,11 +47,17 @@
         this.host = host;
         this.bound = Set.copyOf(bound);
         int places = Math.max(1, host.settings().gateways);
-        openings = new Openings(places, Math.floorMod(host.name().hashCode(), places),
-                multiple, host.keptMicros());
+        openings =
+                new Openings(
+                        places,
+                        Math.floorMod(host.name().hashCode(), places),
+                        multiple,
+                        host.keptMicros());
     }
 
-    /** @param alive members by the view, 0 where it does not tell */
+    /**
+     * @param alive members by the view, 0 where it does not tell
+     */
     public void look(int alive) {
         openings.look(host.timers().nowMicros(), alive, host.keptMicros());
     }
@@ -55,8 +69,12 @@
 
     @Override
     public double part(long nowNs, Job job, Worker worker) {
-        return bound.contains(job.jobClass()) || host.connected(worker.id())
-                || openings.open(host.timers().nowMicros(), worker.id()) || !othersCan(nowNs, job) ? 1 : 0;
+        return bound.contains(job.jobClass())
+                        || host.connected(worker.id())
+                        || openings.open(host.timers().nowMicros(), worker.id())
+                        || !othersCan(nowNs, job)
+                ? 1
+                : 0;
     }
 
     /** Asked for each worker, and told by one look at all of them for a job. */
--- a/sharing/src/main/java/postgrade/sharing/progress/Admission.java
+++ b/sharing/src/main/java/postgrade/sharing/progress/Admission.java
@@ -8,13 +8,18 @@
 import postgrade.comeback.Ramp;
 import postgrade.comeback.Returning;
 
-/** While workers are cold after a return, takes in what they can do; the rest is told to come later, spread out. */
+/**
+ * While workers are cold after a return, takes in what they can do; the rest is told to come later,
+ * spread out.
+ */
 public final class Admission implements Ability {
 
     private static final double NANOS = 1e3;
     private static final long LEAST_MICROS = 300_000;
+
     /** Even a few callers do not come back in one moment. */
     private static final long LEAST_WIDTH_MICROS = 300_000;
+
     private static final long MOST_MICROS = 2_000_000;
 
     private final Progress progress;
@@ -23,8 +28,11 @@
     private final long seed;
     private final Crowd crowd = new Crowd();
 
-    /** @param ratePerS of jobs within all shares here, once all is admitted */
-    public Admission(Progress progress, LongSupplier nowMicros, DoubleSupplier ratePerS, long seed) {
+    /**
+     * @param ratePerS of jobs within all shares here, once all is admitted
+     */
+    public Admission(
+            Progress progress, LongSupplier nowMicros, DoubleSupplier ratePerS, long seed) {
         this.progress = progress;
         this.nowMicros = nowMicros;
         this.ratePerS = ratePerS;
@@ -40,7 +48,17 @@
         }
         boolean admitted = ramp.admits(now, job.id());
         crowd.asked(now, !admitted);
-        return admitted ? 0 : (long) (Returning.afterMicros(job.id(), seed, LEAST_MICROS,
-                Math.max(LEAST_WIDTH_MICROS, crowd.widthMicros(ratePerS.getAsDouble())), MOST_MICROS) * NANOS);
+        return admitted
+                ? 0
+                : (long)
+                        (Returning.afterMicros(
+                                        job.id(),
+                                        seed,
+                                        LEAST_MICROS,
+                                        Math.max(
+                                                LEAST_WIDTH_MICROS,
+                                                crowd.widthMicros(ratePerS.getAsDouble())),
+                                        MOST_MICROS)
+                                * NANOS);
     }
 }
--- a/sharing/src/main/java/postgrade/sharing/progress/Progress.java
+++ b/sharing/src/main/java/postgrade/sharing/progress/Progress.java
@@ -20,7 +20,10 @@
 import postgrade.gateway.Witness;
 import postgrade.log.Events;
 
-/** Measures how far this process has come back, by what is served, and says so in the log and to operators. */
+/**
+ * Measures how far this process has come back, by what is served, and says so in the log and to
+ * operators.
+ */
 public final class Progress implements Witness {
 
     private static final Logger LOG = LoggerFactory.getLogger(Progress.class);
@@ -53,7 +56,9 @@
         worth.remember(served);
     }
 
-    /** @param able what the known workers can do now, as a part of what they can once all are warm */
+    /**
+     * @param able what the known workers can do now, as a part of what they can once all are warm
+     */
     public void ramp(double able) {
         ramp = new Ramp(host.timers().nowMicros(), able);
     }
@@ -72,7 +77,9 @@
         return worth.usual();
     }
 
-    /** @param members that live by the view, 0 where it does not tell */
+    /**
+     * @param members that live by the view, 0 where it does not tell
+     */
     public void look(long viewAgeMicros, boolean joined, int members) {
         long now = host.timers().nowMicros();
         if (now >= meansDueMicros) {
@@ -84,8 +91,17 @@
         }
         alive = members;
         Phase was = recovery.phase();
-        Phase is = recovery.look(now, new Seen(remembers, ramp != null, viewAgeMicros, joined,
-                ramp == null ? 0 : ramp.part(now), worth.served(now), worth.before()));
+        Phase is =
+                recovery.look(
+                        now,
+                        new Seen(
+                                remembers,
+                                ramp != null,
+                                viewAgeMicros,
+                                joined,
+                                ramp == null ? 0 : ramp.part(now),
+                                worth.served(now),
+                                worth.before()));
         if (is == Phase.FULL && was != Phase.FULL) {
             worth.recovered();
         }
@@ -96,8 +112,11 @@
         List<Step> steps = recovery.steps();
         for (Step s : steps.subList(Math.min(said, steps.size()), steps.size())) {
             long after = (s.atMicros() - startedMicros) / 1000;
-            Events.info(LOG, "comeback.phase").addKeyValue("phase", s.phase().text()).addKeyValue("after_ms", after)
-                    .addKeyValue("cause", s.cause()).log(s.phase().text() + " after " + after + " ms: " + s.cause());
+            Events.info(LOG, "comeback.phase")
+                    .addKeyValue("phase", s.phase().text())
+                    .addKeyValue("after_ms", after)
+                    .addKeyValue("cause", s.cause())
+                    .log(s.phase().text() + " after " + after + " ms: " + s.cause());
         }
         said = steps.size();
     }
@@ -120,7 +139,8 @@
     public void answered(String id, String jobClass, long afterMicros, boolean served) {
         JobClass c = classes.get(jobClass);
         if (c != null) {
-            double aim = c.aimNs() / NANOS + c.aimStretch() * meanMicros.getOrDefault(jobClass, 0.0);
+            double aim =
+                    c.aimNs() / NANOS + c.aimStretch() * meanMicros.getOrDefault(jobClass, 0.0);
             worth.add(host.timers().nowMicros(), c.worth(), served && afterMicros <= aim);
         }
     }
@@ -139,8 +159,16 @@
     /** All phases with their times, for operators. */
     public JsonArray phases() {
         JsonArray all = Json.array();
-        recovery.steps().forEach(s -> all.add(Json.object().add("phase", s.phase().text())
-                .add("afterMs", (s.atMicros() - startedMicros) / 1000).add("cause", s.cause())));
+        recovery.steps()
+                .forEach(
+                        s ->
+                                all.add(
+                                        Json.object()
+                                                .add("phase", s.phase().text())
+                                                .add(
+                                                        "afterMs",
+                                                        (s.atMicros() - startedMicros) / 1000)
+                                                .add("cause", s.cause())));
         return all;
     }
 }
--- a/sharing/src/main/java/postgrade/sharing/session/Former.java
+++ b/sharing/src/main/java/postgrade/sharing/session/Former.java
@@ -22,8 +22,11 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(Former.class);
 
-    /** @param requestId by which it is asked for, also by the next process, so that it has its effect once */
-    public record Word(String worker, boolean out, String requestId) { }
+    /**
+     * @param requestId by which it is asked for, also by the next process, so that it has its
+     *     effect once
+     */
+    public record Word(String worker, boolean out, String requestId) {}
 
     /** Null where nothing was told, or what was told is not understood. */
     public static Former of(String told) {
@@ -39,9 +42,14 @@
                 JsonArray a = w.asArray();
                 words.add(new Word(a.get(0).asString(), a.get(1).asBoolean(), a.get(2).asString()));
             }
-            return new Former(json.get("name").asString(), Long.parseLong(json.get("incarnation").asString()), out, words);
+            return new Former(
+                    json.get("name").asString(),
+                    Long.parseLong(json.get("incarnation").asString()),
+                    out,
+                    words);
         } catch (RuntimeException e) {
-            Events.warn(LOG, "sharing.former-not-understood").addKeyValue("why", e.toString())
+            Events.warn(LOG, "sharing.former-not-understood")
+                    .addKeyValue("why", e.toString())
                     .log("what the running process told of sharing was not understood (" + e + ")");
             return null;
         }
@@ -53,7 +61,11 @@
         JsonArray all = Json.array();
         words.forEach(w -> all.add(Json.array().add(w.worker).add(w.out).add(w.requestId)));
         // As text: a reader that takes numbers for doubles would lose the last digits.
-        return Json.object().add("name", name).add("incarnation", Long.toString(incarnation)).add("out", outs)
-                .add("words", all).toString();
+        return Json.object()
+                .add("name", name)
+                .add("incarnation", Long.toString(incarnation))
+                .add("out", outs)
+                .add("words", all)
+                .toString();
     }
 }
--- a/sharing/src/main/java/postgrade/sharing/session/Late.java
+++ b/sharing/src/main/java/postgrade/sharing/session/Late.java
@@ -14,9 +14,9 @@
 import postgrade.shared.View;
 
 /**
- * Shared state that may come later, or not at all: while it cannot be opened there is no view, and nothing is decided.
- * While another process of this dispatcher has store and place this one follows beside it, with a view of its own, and
- * opens its own once that process has ended.
+ * Shared state that may come later, or not at all: while it cannot be opened there is no view, and
+ * nothing is decided. While another process of this dispatcher has store and place this one follows
+ * beside it, with a view of its own, and opens its own once that process has ended.
  */
 public final class Late implements Sharing {
 
@@ -29,8 +29,10 @@
     private final Executor aside;
     private final String name;
     private Sharing sharing;
+
     /** Followed beside the other process, and until the own view is as new. */
     private Sharing beside;
+
     private String fault = "not opened yet";
     private boolean opening;
     private boolean closed;
@@ -75,8 +77,10 @@
     /** Off the loop: files and sockets. */
     private void open(boolean alone) {
         try {
-            Sharing opened = alone ? opener.open(parts, host.micros(), host.loop())
-                    : opener.beside(host.micros(), host.loop());
+            Sharing opened =
+                    alone
+                            ? opener.open(parts, host.micros(), host.loop())
+                            : opener.beside(host.micros(), host.loop());
             host.loop().execute(() -> opened(opened, alone));
         } catch (IOException | RuntimeException e) {
             host.loop().execute(() -> failed(e));
@@ -94,14 +98,18 @@
         }
         if (!alone) {
             beside = opened;
-            Events.info(LOG, "sharing.beside").log("following the shared state beside the process that has this one's"
-                    + " place");
+            Events.info(LOG, "sharing.beside")
+                    .log(
+                            "following the shared state beside the process that has this one's"
+                                    + " place");
             return;
         }
         sharing = opened;
         fault = null;
         Standing s = opened.standing();
-        Events.info(LOG, "sharing.opened").addKeyValue("name", s.name()).addKeyValue("incarnation", s.incarnation())
+        Events.info(LOG, "sharing.opened")
+                .addKeyValue("name", s.name())
+                .addKeyValue("incarnation", s.incarnation())
                 .log("state is shared as " + s.name() + ", incarnation " + s.incarnation());
     }
 
@@ -110,7 +118,8 @@
         notBeforeMicros = host.timers().nowMicros() + AGAIN_MICROS;
         String why = e.getMessage() == null ? e.toString() : e.getMessage();
         if (!why.equals(fault)) {
-            Events.warn(LOG, "sharing.not-opened").addKeyValue("why", why)
+            Events.warn(LOG, "sharing.not-opened")
+                    .addKeyValue("why", why)
                     .log("state cannot be shared (" + why + "); serving without, trying again");
         }
         fault = why;
@@ -145,8 +154,13 @@
             return sharing.standing();
         }
         Standing other = beside == null ? null : beside.standing();
-        return new Standing(name, 0, Role.OBSERVER, other == null ? null : other.leader(),
-                other == null ? 0 : other.voters(), fault);
+        return new Standing(
+                name,
+                0,
+                Role.OBSERVER,
+                other == null ? null : other.leader(),
+                other == null ? 0 : other.voters(),
+                fault);
     }
 
     @Override
--- a/sharing/src/main/java/postgrade/sharing/session/Opener.java
+++ b/sharing/src/main/java/postgrade/sharing/session/Opener.java
@@ -11,10 +11,15 @@
 @FunctionalInterface
 public interface Opener {
 
-    /** @param onLoop where its answers come back */
+    /**
+     * @param onLoop where its answers come back
+     */
     Sharing open(List<Part> parts, LongSupplier nowMicros, Executor onLoop) throws IOException;
 
-    /** Follows beside the process that has this one's place, and takes nothing from it; null where that is not to be had. */
+    /**
+     * Follows beside the process that has this one's place, and takes nothing from it; null where
+     * that is not to be had.
+     */
     default Sharing beside(LongSupplier nowMicros, Executor onLoop) throws IOException {
         return null;
     }
--- a/sharing/src/main/java/postgrade/sharing/session/Outs.java
+++ b/sharing/src/main/java/postgrade/sharing/session/Outs.java
@@ -14,8 +14,9 @@
 import postgrade.shared.View;
 
 /**
- * Workers out, here and in the shared state. What operators say here is told until it is decided; what the state says
- * is done here. While a word of our own is under way it goes before what the view still says.
+ * Workers out, here and in the shared state. What operators say here is told until it is decided;
+ * what the state says is done here. While a word of our own is under way it goes before what the
+ * view still says.
  */
 public final class Outs {
 
@@ -49,24 +50,31 @@
 
     /** They were out when this process last ran. It holds until a view says otherwise. */
     public void remember(Set<String> workers) {
-        workers.forEach(w -> {
-            known.add(w);
-            host.takeOut(w);
-        });
+        workers.forEach(
+                w -> {
+                    known.add(w);
+                    host.takeOut(w);
+                });
     }
 
-    /** A process that lives, or has just ended, has told this one of it. What is not decided yet is asked for here too. */
+    /**
+     * A process that lives, or has just ended, has told this one of it. What is not decided yet is
+     * asked for here too.
+     */
     public void takeUp(Former former) {
         remember(former.out());
-        former.words().forEach(w -> {
-            words.put(w.worker(), new Word(w.out(), w.requestId()));
-            mark(w.worker(), w.out());
-        });
+        former.words()
+                .forEach(
+                        w -> {
+                            words.put(w.worker(), new Word(w.out(), w.requestId()));
+                            mark(w.worker(), w.out());
+                        });
     }
 
     /** What operators have said here and no view tells yet, for the next process. */
     public List<Former.Word> words() {
-        return words.entrySet().stream().map(e -> new Former.Word(e.getKey(), e.getValue().out, e.getValue().requestId))
+        return words.entrySet().stream()
+                .map(e -> new Former.Word(e.getKey(), e.getValue().out, e.getValue().requestId))
                 .toList();
     }
 
@@ -77,8 +85,14 @@
 
     /** An operator has said so here, and it is done here. */
     public void said(String worker, boolean out) {
-        String id = sharing.standing().name() + "-" + sharing.standing().incarnation() + "-out-" + ++said + "-"
-                + Long.toHexString(host.micros().getAsLong());
+        String id =
+                sharing.standing().name()
+                        + "-"
+                        + sharing.standing().incarnation()
+                        + "-out-"
+                        + ++said
+                        + "-"
+                        + Long.toHexString(host.micros().getAsLong());
         words.put(worker, new Word(out, id));
         mark(worker, out);
         tick();
@@ -95,17 +109,19 @@
     /** Called again and again. */
     public void tick() {
         View view = sharing.view();
-        words.values().removeIf(w -> w.decided && view.known() && view.moment().fence() >= w.seenFrom);
+        words.values()
+                .removeIf(w -> w.decided && view.known() && view.moment().fence() >= w.seenFrom);
         if (view.known() && view.rows() != seen) {
             seen = view.rows();
             take(OutPart.out(seen));
         }
         if (view.known()) {
-            words.forEach((worker, w) -> {
-                if (!w.asked && !w.decided) {
-                    ask(worker, w);
-                }
-            });
+            words.forEach(
+                    (worker, w) -> {
+                        if (!w.asked && !w.decided) {
+                            ask(worker, w);
+                        }
+                    });
         }
     }
 
@@ -127,18 +143,26 @@
         w.asked = true;
         String name = sharing.standing().name();
         long incarnation = sharing.standing().incarnation();
-        Command c = w.out ? OutPart.takeOut(w.requestId, name, incarnation, worker)
-                : OutPart.putBack(w.requestId, name, incarnation, worker);
-        sharing.ask(c, WITHIN_MICROS, reply -> {
-            w.asked = false;
-            if (reply.decided()) {
-                w.decided = true;
-                // The view may be older than the word: until it has come so far it is not gone by.
-                w.seenFrom = reply.moment() == null ? 0 : reply.moment().fence();
-                if (reply.answer().status() == Status.FAULTY || reply.answer().status() == Status.CONFLICT) {
-                    w.seenFrom = Long.MAX_VALUE; // It cannot be told; what was said here stays here.
-                }
-            }
-        });
+        Command c =
+                w.out
+                        ? OutPart.takeOut(w.requestId, name, incarnation, worker)
+                        : OutPart.putBack(w.requestId, name, incarnation, worker);
+        sharing.ask(
+                c,
+                WITHIN_MICROS,
+                reply -> {
+                    w.asked = false;
+                    if (reply.decided()) {
+                        w.decided = true;
+                        // The view may be older than the word: until it has come so far it is not
+                        // gone by.
+                        w.seenFrom = reply.moment() == null ? 0 : reply.moment().fence();
+                        if (reply.answer().status() == Status.FAULTY
+                                || reply.answer().status() == Status.CONFLICT) {
+                            w.seenFrom = Long.MAX_VALUE; // It cannot be told; what was said here
+                            // stays here.
+                        }
+                    }
+                });
     }
 }
--- a/sharing/src/main/java/postgrade/sharing/session/Session.java
+++ b/sharing/src/main/java/postgrade/sharing/session/Session.java
@@ -12,10 +12,14 @@
 import postgrade.shared.Sharing;
 import postgrade.shared.View;
 
-/** This process among the members: joins, renews its lease, and serves by the share that its view grants. */
+/**
+ * This process among the members: joins, renews its lease, and serves by the share that its view
+ * grants.
+ */
 public final class Session {
 
     private static final Logger LOG = LoggerFactory.getLogger(Session.class);
+
     /** A lease lives through the loss of some renewals. */
     private static final int RENEWALS = 6;
 
@@ -25,8 +29,13 @@
     private final long fallback;
     private final long renewMicros;
     private Shares shares;
-    /** By the membership of the process that this one takes the place of, until it has its own; null where there is none. */
+
+    /**
+     * By the membership of the process that this one takes the place of, until it has its own; null
+     * where there is none.
+     */
     private Shares former;
+
     private boolean joined;
     private boolean asking;
     private boolean ended;
@@ -43,12 +52,17 @@
         this.sharing = sharing;
         this.terms = terms;
         this.fallback = fallback;
-        this.former = former == null || former.incarnation() == 0 ? null
-                : new Shares(former.name(), former.incarnation(), terms, fallback);
+        this.former =
+                former == null || former.incarnation() == 0
+                        ? null
+                        : new Shares(former.name(), former.incarnation(), terms, fallback);
         renewMicros = terms.leaseMicros() / RENEWALS;
     }
 
-    /** What it is granted falls as its view grows old: asked before anything is taken in, as after a pause. */
+    /**
+     * What it is granted falls as its view grows old: asked before anything is taken in, as after a
+     * pause.
+     */
     public void look() {
         View view = sharing.view();
         long now = host.timers().nowMicros();
@@ -85,8 +99,10 @@
             refused = "a later start of this name has taken its place";
             Events.warn(LOG, "sharing.replaced").log(refused + "; serving by the least share");
         } else if (view.known() && !asking && now >= dueMicros) {
-            ask(joined ? MemberPart.renew(name(), incarnation, goneBy())
-                    : MemberPart.join(name(), incarnation, terms));
+            ask(
+                    joined
+                            ? MemberPart.renew(name(), incarnation, goneBy())
+                            : MemberPart.join(name(), incarnation, terms));
         }
     }
 
@@ -95,8 +111,9 @@
     }
 
     /**
-     * Guards the sum of the rates: a second process of this dispatcher goes by this membership too, by a view that may be
-     * older. While it lives no lesser share is told to be gone by, so the rest stays reserved to the end of its lease.
+     * Guards the sum of the rates: a second process of this dispatcher goes by this membership too,
+     * by a view that may be older. While it lives no lesser share is told to be gone by, so the
+     * rest stays reserved to the end of its lease.
      */
     private long goneBy() {
         return host.alone() ? shares.goneBy() : 0;
@@ -108,35 +125,53 @@
 
     private void ask(Command c) {
         asking = true;
-        sharing.ask(c, renewMicros, reply -> {
-            asking = false;
-            long now = host.timers().nowMicros();
-            if (!reply.decided()) {
-                dueMicros = now + renewMicros / 2;
-                return;
-            }
-            dueMicros = now + renewMicros;
-            boolean done = reply.answer().status() == Status.DONE;
-            if (done != joined && done) {
-                Events.info(LOG, "sharing.joined").log("joined the members as " + name());
-            }
-            String why = done || reply.answer().status() == Status.UNKNOWN ? null : reply.answer().text();
-            if (why != null && !why.equals(refused)) {
-                Events.warn(LOG, "sharing.not-joined").addKeyValue("why", why).log("not among the members: " + why);
-            }
-            refused = why;
-            if (!done) {
-                dueMicros = joined ? now : dueMicros; // A renewal that finds no member: join anew at once.
-            }
-            joined = done;
-        });
+        sharing.ask(
+                c,
+                renewMicros,
+                reply -> {
+                    asking = false;
+                    long now = host.timers().nowMicros();
+                    if (!reply.decided()) {
+                        dueMicros = now + renewMicros / 2;
+                        return;
+                    }
+                    dueMicros = now + renewMicros;
+                    boolean done = reply.answer().status() == Status.DONE;
+                    if (done != joined && done) {
+                        Events.info(LOG, "sharing.joined").log("joined the members as " + name());
+                    }
+                    String why =
+                            done || reply.answer().status() == Status.UNKNOWN
+                                    ? null
+                                    : reply.answer().text();
+                    if (why != null && !why.equals(refused)) {
+                        Events.warn(LOG, "sharing.not-joined")
+                                .addKeyValue("why", why)
+                                .log("not among the members: " + why);
+                    }
+                    refused = why;
+                    if (!done) {
+                        dueMicros =
+                                joined
+                                        ? now
+                                        : dueMicros; // A renewal that finds no member: join anew at
+                        // once.
+                    }
+                    joined = done;
+                });
     }
 
-    /** The process ends; its place is kept for a while. One that another process of this dispatcher goes by is not left. */
+    /**
+     * The process ends; its place is kept for a while. One that another process of this dispatcher
+     * goes by is not left.
+     */
     public void leave() {
         if (joined && !ended && host.alone()) {
             ended = true;
-            sharing.ask(MemberPart.leave(name(), sharing.standing().incarnation()), renewMicros, reply -> { });
+            sharing.ask(
+                    MemberPart.leave(name(), sharing.standing().incarnation()),
+                    renewMicros,
+                    reply -> {});
         }
     }
 
@@ -144,9 +179,14 @@
         return joined || former != null && former.goneBy() > 0 && !former.replaced();
     }
 
-    /** Under which incarnation this dispatcher is a member, by this process or the one before; 0 where it is not. */
+    /**
+     * Under which incarnation this dispatcher is a member, by this process or the one before; 0
+     * where it is not.
+     */
     public long incarnation() {
-        return joined ? sharing.standing().incarnation() : former == null ? 0 : former.incarnation();
+        return joined
+                ? sharing.standing().incarnation()
+                : former == null ? 0 : former.incarnation();
     }
 
     /** The part of its even share by which it serves. */
--- a/sharing/src/main/java/postgrade/sharing/settings/SharingPlan.java
+++ b/sharing/src/main/java/postgrade/sharing/settings/SharingPlan.java
@@ -26,12 +26,30 @@
 import postgrade.window.Deadline;
 import postgrade.window.WindowClass;
 
-/** Reads {@code deploy/sharing.star}: with whom a process shares, and what it does with the shared state. */
+/**
+ * Reads {@code deploy/sharing.star}: with whom a process shares, and what it does with the shared
+ * state.
+ */
 public final class SharingPlan {
 
-    private static final Set<String> KEYS = Set.of("memory", "memory_every_s", "places", "lease_s", "linger_s", "floor",
-            "cut_off", "accelerators", "accelerators_version", "reserving", "lends", "windows", "sites_by_kind",
-            "sites_by_zone", "clock_error_ms", "return_multiple");
+    private static final Set<String> KEYS =
+            Set.of(
+                    "memory",
+                    "memory_every_s",
+                    "places",
+                    "lease_s",
+                    "linger_s",
+                    "floor",
+                    "cut_off",
+                    "accelerators",
+                    "accelerators_version",
+                    "reserving",
+                    "lends",
+                    "windows",
+                    "sites_by_kind",
+                    "sites_by_zone",
+                    "clock_error_ms",
+                    "return_multiple");
     private static final double MICROS = 1e6;
     private static final long MOST = 1_000_000_000L;
 
@@ -59,7 +77,7 @@
     }
 
     /** What one file says. */
-    public record Both(QuorumSettings quorum, SharingSettings sharing) { }
+    public record Both(QuorumSettings quorum, SharingSettings sharing) {}
 
     /**
      * @param dispatcher name of the process, where the file does not say another
@@ -67,11 +85,16 @@
      */
     public static Both read(Path file, String dispatcher) {
         Map<String, Object> names = new HashMap<>(SharingFile.names());
-        names.put("window", Script.function("window", "job_class sites from_time? until? zone? lasts_ms? quantile?",
-                SharingPlan::window));
-        Module script = Script.run(file, names, line -> { });
-        QuorumSettings quorum = SharingFile.read(script, file, script.global("name") == null ? dispatcher
-                : null, KEYS);
+        names.put(
+                "window",
+                Script.function(
+                        "window",
+                        "job_class sites from_time? until? zone? lasts_ms? quantile?",
+                        SharingPlan::window));
+        Module script = Script.run(file, names, line -> {});
+        QuorumSettings quorum =
+                SharingFile.read(
+                        script, file, script.global("name") == null ? dispatcher : null, KEYS);
         try {
             return new Both(quorum, new SharingPlan(script).settings(quorum));
         } catch (IllegalArgumentException e) {
@@ -82,10 +105,20 @@
     private SharingSettings settings(QuorumSettings q) {
         String memory = text("memory");
         Path folder = memory != null ? Path.of(memory).resolve(q.name()) : q.store();
-        return new SharingSettings(folder, (long) (number("memory_every_s", 2, 0.1, 3600) * MICROS),
-                (int) number("places", 0, 0, 1000), (long) (number("lease_s", 6, 4, 3600) * MICROS),
-                (long) (number("linger_s", 20, 0, 3600) * MICROS), share("floor"), share("cut_off"), q.viewAgeMicros(),
-                counts(), (long) number("accelerators_version", 1, 1, MOST), reserving(), truth("lends"), windows(),
+        return new SharingSettings(
+                folder,
+                (long) (number("memory_every_s", 2, 0.1, 3600) * MICROS),
+                (int) number("places", 0, 0, 1000),
+                (long) (number("lease_s", 6, 4, 3600) * MICROS),
+                (long) (number("linger_s", 20, 0, 3600) * MICROS),
+                share("floor"),
+                share("cut_off"),
+                q.viewAgeMicros(),
+                counts(),
+                (long) number("accelerators_version", 1, 1, MOST),
+                reserving(),
+                truth("lends"),
+                windows(),
                 number("return_multiple", 2, 1, 1000));
     }
 
@@ -95,13 +128,18 @@
 
     private Map<String, Integer> counts() {
         Map<String, Integer> counts = new HashMap<>();
-        dict("accelerators").forEach((kind, v) -> {
-            if (!(v instanceof Long n) || n < 1 || n > 62) {
-                throw new IllegalArgumentException("accelerators: " + kind + " must have 1 to 62, not "
-                        + Values.repr(v));
-            }
-            counts.put(kind, n.intValue());
-        });
+        dict("accelerators")
+                .forEach(
+                        (kind, v) -> {
+                            if (!(v instanceof Long n) || n < 1 || n > 62) {
+                                throw new IllegalArgumentException(
+                                        "accelerators: "
+                                                + kind
+                                                + " must have 1 to 62, not "
+                                                + Values.repr(v));
+                            }
+                            counts.put(kind, n.intValue());
+                        });
         return counts;
     }
 
@@ -115,11 +153,15 @@
         List<WindowClass> classes = new ArrayList<>();
         for (Object v : list("windows")) {
             if (!(v instanceof Made made)) {
-                throw new IllegalArgumentException("windows: must hold window(...), not " + Values.type(v));
+                throw new IllegalArgumentException(
+                        "windows: must hold window(...), not " + Values.type(v));
             }
             classes.add(made.window);
         }
-        return new WindowSettings(classes, texts("sites_by_kind"), texts("sites_by_zone"),
+        return new WindowSettings(
+                classes,
+                texts("sites_by_kind"),
+                texts("sites_by_zone"),
                 (long) number("clock_error_ms", 1000, 0, 3_600_000));
     }
 
@@ -135,11 +177,19 @@
                 sites.add(argument("sites", s.get(i)));
             }
             LocalTime from = a[2] == null ? null : LocalTime.parse(argument("from_time", a[2]));
-            Deadline until = a[3] == null ? Deadline.NONE
-                    : new Deadline.Daily(LocalTime.parse(argument("until", a[3])), rules);
-            return new Made(new WindowClass(argument("job_class", a[0]), sites, from, rules, until,
-                    a[6] == null ? 0 : within("quantile", a[6], 0, 1),
-                    a[5] == null ? 0 : (long) within("lasts_ms", a[5], 0, 1e12)));
+            Deadline until =
+                    a[3] == null
+                            ? Deadline.NONE
+                            : new Deadline.Daily(LocalTime.parse(argument("until", a[3])), rules);
+            return new Made(
+                    new WindowClass(
+                            argument("job_class", a[0]),
+                            sites,
+                            from,
+                            rules,
+                            until,
+                            a[6] == null ? 0 : within("quantile", a[6], 0, 1),
+                            a[5] == null ? 0 : (long) within("lasts_ms", a[5], 0, 1e12)));
         } catch (DateTimeException | IllegalArgumentException e) {
             throw Script.error("window: " + e.getMessage());
         }
@@ -169,7 +219,8 @@
     private boolean truth(String key) {
         Object v = script.global(key);
         if (v != null && !(v instanceof Boolean)) {
-            throw new IllegalArgumentException(key + ": must be True or False, not " + Values.type(v));
+            throw new IllegalArgumentException(
+                    key + ": must be True or False, not " + Values.type(v));
         }
         return v != null && (Boolean) v;
     }
@@ -185,7 +236,8 @@
         }
         double d = ((Number) v).doubleValue();
         if (!(d >= least && d <= most)) {
-            throw new IllegalArgumentException(key + ": must lie between " + plain(least) + " and " + plain(most));
+            throw new IllegalArgumentException(
+                    key + ": must lie between " + plain(least) + " and " + plain(most));
         }
         return d;
     }
@@ -213,7 +265,9 @@
         }
         Map<String, Object> all = new HashMap<>();
         if (v != null) {
-            ((DictValue) v).keyList().forEach(k -> all.put(string(key, k), ((DictValue) v).getOrNull(k)));
+            ((DictValue) v)
+                    .keyList()
+                    .forEach(k -> all.put(string(key, k), ((DictValue) v).getOrNull(k)));
         }
         return all;
     }
--- a/sharing/src/main/java/postgrade/sharing/window/Opening.java
+++ b/sharing/src/main/java/postgrade/sharing/window/Opening.java
@@ -19,10 +19,13 @@
 import postgrade.window.SiteCalendar;
 import postgrade.window.WindowAbility;
 
-/** Start windows beside a dispatcher. Calendars are worked out aside, as a large one takes a while. */
+/**
+ * Start windows beside a dispatcher. Calendars are worked out aside, as a large one takes a while.
+ */
 public final class Opening {
 
     private static final Logger LOG = LoggerFactory.getLogger(Opening.class);
+
     /** Whoever hears of a new calendar later has to know by this that its view is too old. */
     private static final long MOST_VIEW_AGE_MICROS = 5_000_000;
 
@@ -40,13 +43,23 @@
         this.sharing = sharing;
         this.aside = aside;
         this.settings = settings;
-        settings.classes().forEach(c -> {
-            if (host.settings().classes.stream().noneMatch(k -> k.name().equals(c.name()))) {
-                throw new IllegalArgumentException("windows: there is no class " + c.name());
-            }
-        });
-        ability = new WindowAbility(settings.classes(), new WindowAbility.Sites(settings.sitesByKind(),
-                settings.sitesByZone()), calendars, lengths, settings.clockErrorMillis(), host.name().hashCode());
+        settings.classes()
+                .forEach(
+                        c -> {
+                            if (host.settings().classes.stream()
+                                    .noneMatch(k -> k.name().equals(c.name()))) {
+                                throw new IllegalArgumentException(
+                                        "windows: there is no class " + c.name());
+                            }
+                        });
+        ability =
+                new WindowAbility(
+                        settings.classes(),
+                        new WindowAbility.Sites(settings.sitesByKind(), settings.sitesByZone()),
+                        calendars,
+                        lengths,
+                        settings.clockErrorMillis(),
+                        host.name().hashCode());
         tick();
     }
 
@@ -67,7 +80,10 @@
         return settings;
     }
 
-    /** How long jobs of this class are to be taken to last, in milliseconds, for an operator's question. */
+    /**
+     * How long jobs of this class are to be taken to last, in milliseconds, for an operator's
+     * question.
+     */
     public long learntMillis(String jobClass, double quantile) {
         return lengths.quantile(jobClass, quantile);
     }
@@ -110,16 +126,28 @@
         }
         SiteCalendar done = calendar;
         String fault = why;
-        host.loop().execute(() -> {
-            underWay.remove(w.site() + ":" + w.version());
-            if (done != null) {
-                calendars.workedOut(done);
-            } else {
-                calendars.unreadable(w, fault);
-            }
-            Events.info(LOG, done == null ? "calendar.unreadable" : "calendar.known").addKeyValue("site", w.site())
-                    .addKeyValue("version", w.version()).log("calendar " + w.version() + " of " + w.site()
-                            + (done == null ? " cannot be read here: " + fault : " is known"));
-        });
+        host.loop()
+                .execute(
+                        () -> {
+                            underWay.remove(w.site() + ":" + w.version());
+                            if (done != null) {
+                                calendars.workedOut(done);
+                            } else {
+                                calendars.unreadable(w, fault);
+                            }
+                            Events.info(
+                                            LOG,
+                                            done == null ? "calendar.unreadable" : "calendar.known")
+                                    .addKeyValue("site", w.site())
+                                    .addKeyValue("version", w.version())
+                                    .log(
+                                            "calendar "
+                                                    + w.version()
+                                                    + " of "
+                                                    + w.site()
+                                                    + (done == null
+                                                            ? " cannot be read here: " + fault
+                                                            : " is known"));
+                        });
     }
 }
--- a/sharing/src/main/java/postgrade/sharing/window/PlanHeaders.java
+++ b/sharing/src/main/java/postgrade/sharing/window/PlanHeaders.java
@@ -17,18 +17,23 @@
 import postgrade.window.Plan;
 import postgrade.window.WindowAbility;
 
-/** Reads a job's own plan from its headers. What operators set for its class binds it all the same. */
+/**
+ * Reads a job's own plan from its headers. What operators set for its class binds it all the same.
+ */
 final class PlanHeaders implements Claims {
 
     private static final String EARLIEST = "X-Window-Earliest";
     private static final String DEADLINE = "X-Window-Deadline";
     private static final String LASTS = "X-Window-Lasts";
     private static final String SITES = "X-Window-Sites";
-    private static final Set<String> NAMES = Set.of("x-window-earliest", "x-window-deadline", "x-window-lasts",
-            "x-window-sites");
+    private static final Set<String> NAMES =
+            Set.of("x-window-earliest", "x-window-deadline", "x-window-lasts", "x-window-sites");
+
     /** Guards against what Java takes for a number besides. */
     private static final Pattern LENGTH = Pattern.compile("([0-9]{1,18})([mu])");
-    private static final Pattern LOCAL = Pattern.compile("([0-9]{2}:[0-9]{2}(?::[0-9]{2})?) ([!-~]{1,64})");
+
+    private static final Pattern LOCAL =
+            Pattern.compile("([0-9]{2}:[0-9]{2}(?::[0-9]{2})?) ([!-~]{1,64})");
     private static final long MICROS = 1_000;
     private static final long ANY_TIME = 0;
 
@@ -49,7 +54,8 @@
 
     @Override
     public Consumer<String> read(String jobClass, UnaryOperator<String> value) {
-        Plan plan = NAMES.stream().allMatch(n -> value.apply(n) == null) ? null : plan(jobClass, value);
+        Plan plan =
+                NAMES.stream().allMatch(n -> value.apply(n) == null) ? null : plan(jobClass, value);
         return id -> ability.planned(id, plan);
     }
 
@@ -57,10 +63,12 @@
         long now = unixMillis.getAsLong();
         Plan ofClass = ability.ofClass(now, jobClass);
         String from = value.apply("x-window-earliest");
-        // Not now, as the module hears of the job by another look at the clock, which may be set back between.
+        // Not now, as the module hears of the job by another look at the clock, which may be set
+        // back between.
         long earliest = from == null ? ANY_TIME : instant(EARLIEST, from);
         String until = value.apply("x-window-deadline");
-        long deadline = until == null ? Long.MAX_VALUE : deadline(until, from == null ? now : earliest);
+        long deadline =
+                until == null ? Long.MAX_VALUE : deadline(until, from == null ? now : earliest);
         long lasts = lasts(value.apply("x-window-lasts"), ofClass);
         List<String> sites = sites(value.apply("x-window-sites"), ofClass);
         if (ofClass != null) {
@@ -81,8 +89,12 @@
             new Plan(millis, millis, 0, List.of()); // Its bounds.
             return millis;
         } catch (DateTimeException | ArithmeticException | IllegalArgumentException e) {
-            throw bad(header, "has to be an instant such as 2026-12-02T06:00:00Z"
-                    + (header.equals(DEADLINE) ? ", or a time and its zone such as 18:00 Europe/Zagreb" : ""));
+            throw bad(
+                    header,
+                    "has to be an instant such as 2026-12-02T06:00:00Z"
+                            + (header.equals(DEADLINE)
+                                    ? ", or a time and its zone such as 18:00 Europe/Zagreb"
+                                    : ""));
         }
     }
 
@@ -92,7 +104,8 @@
             return instant(DEADLINE, text);
         }
         try {
-            return new Deadline.Daily(LocalTime.parse(local.group(1)), ZoneId.of(local.group(2)).getRules())
+            return new Deadline.Daily(
+                            LocalTime.parse(local.group(1)), ZoneId.of(local.group(2)).getRules())
                     .millis(earliest);
         } catch (DateTimeException e) {
             throw bad(DEADLINE, "has no such time or zone: " + e.getMessage());
@@ -105,12 +118,16 @@
         }
         Matcher m = text == null ? null : LENGTH.matcher(text);
         if (m == null || !m.matches()) {
-            throw bad(LASTS, text == null ? "is missing, and the class has no windows"
-                    : "has to be a whole number with the unit m or u, such as 90000m");
+            throw bad(
+                    LASTS,
+                    text == null
+                            ? "is missing, and the class has no windows"
+                            : "has to be a whole number with the unit m or u, such as 90000m");
         }
         long number = Long.parseLong(m.group(1));
         // Rounded up: it must have ended in time.
-        long millis = m.group(2).equals("m") ? number : number / MICROS + (number % MICROS == 0 ? 0 : 1);
+        long millis =
+                m.group(2).equals("m") ? number : number / MICROS + (number % MICROS == 0 ? 0 : 1);
         if (millis > Plan.LONGEST) {
             throw bad(LASTS, "must not be longer than " + Plan.LONGEST + "m");
         }
@@ -128,8 +145,11 @@
         for (String part : text.split(",", -1)) {
             String site = part.strip();
             if (!known.contains(site) || sites.contains(site)) {
-                throw bad(SITES, sites.contains(site) ? "names " + site + " twice" : "names \"" + site
-                        + "\", which is no site here");
+                throw bad(
+                        SITES,
+                        sites.contains(site)
+                                ? "names " + site + " twice"
+                                : "names \"" + site + "\", which is no site here");
             }
             if (ofClass != null && !ofClass.sites().contains(site)) {
                 throw bad(SITES, "names " + site + ", where jobs of this class may not run");
--- a/sharing/src/main/java/postgrade/sharing/window/WindowSettings.java
+++ b/sharing/src/main/java/postgrade/sharing/window/WindowSettings.java
@@ -9,11 +9,15 @@
 /**
  * Start windows as set by operators.
  *
- * @param sitesByKind and {@code sitesByZone}: at which site a worker stands, by its kind where that is named
+ * @param sitesByKind and {@code sitesByZone}: at which site a worker stands, by its kind where that
+ *     is named
  * @param clockErrorMillis how far this machine's wall clock may be off
  */
-public record WindowSettings(List<WindowClass> classes, Map<String, String> sitesByKind,
-        Map<String, String> sitesByZone, long clockErrorMillis) {
+public record WindowSettings(
+        List<WindowClass> classes,
+        Map<String, String> sitesByKind,
+        Map<String, String> sitesByZone,
+        long clockErrorMillis) {
 
     public boolean any() {
         return !classes.isEmpty() || !sitesByKind.isEmpty() || !sitesByZone.isEmpty();
@@ -27,5 +31,6 @@
         return all;
     }
 
-    public static final WindowSettings NONE = new WindowSettings(List.of(), Map.of(), Map.of(), 1_000);
+    public static final WindowSettings NONE =
+            new WindowSettings(List.of(), Map.of(), Map.of(), 1_000);
 }
--- a/sharing/src/test/java/postgrade/sharing/ConnectingTest.java
+++ b/sharing/src/test/java/postgrade/sharing/ConnectingTest.java
@@ -17,7 +17,11 @@
 public class ConnectingTest {
 
     private static final int WORKERS = 16;
-    /** As the host keeps connections for 4 s, two processes at twice steady make one each in 2 s at a worker. */
+
+    /**
+     * As the host keeps connections for 4 s, two processes at twice steady make one each in 2 s at
+     * a worker.
+     */
     private static final long KEPT = 4_000_000;
 
     private final FakeHost host = new FakeHost("a");
@@ -64,9 +68,16 @@
         assertEquals("all in the end", WORKERS, times.size());
         int most = 0;
         for (long from : times) {
-            most = Math.max(most, (int) times.stream().filter(t -> t >= from && t < from + KEPT / 8).count());
+            most =
+                    Math.max(
+                            most,
+                            (int)
+                                    times.stream()
+                                            .filter(t -> t >= from && t < from + KEPT / 8)
+                                            .count());
         }
-        // A quarter of the time between two at a worker brings a quarter of the workers, about; by phases, one more or two.
+        // A quarter of the time between two at a worker brings a quarter of the workers, about; by
+        // phases, one more or two.
         assertTrue("at most " + most, most <= WORKERS / 4 + 3);
         assertTrue("only the first had to be", connecting.forced() <= 1);
     }
@@ -84,7 +95,8 @@
         Job second = job("price");
         assertEquals(1, part(second, 0), 0);
         assertEquals(0, part(second, shut), 0);
-        assertEquals("what is bound to some workers waits for none", 1, part(job("confirm"), shut), 0);
+        assertEquals(
+                "what is bound to some workers waits for none", 1, part(job("confirm"), shut), 0);
         host.run(50_000);
         assertEquals("at the next look it goes anywhere", 1, part(second, shut), 0);
         host.calls = 2;
--- a/sharing/src/test/java/postgrade/sharing/FakeHost.java
+++ b/sharing/src/test/java/postgrade/sharing/FakeHost.java
@@ -20,10 +20,14 @@
 /** A dispatcher on virtual time, of which only what its companion sees is there. */
 final class FakeHost implements Host, Timers {
 
-    private record Due(long when, long number, Runnable task) { }
-
-    private final PriorityQueue<Due> due = new PriorityQueue<>((a, b) -> a.when != b.when
-            ? Long.compare(a.when, b.when) : Long.compare(a.number, b.number));
+    private record Due(long when, long number, Runnable task) {}
+
+    private final PriorityQueue<Due> due =
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.when != b.when
+                                    ? Long.compare(a.when, b.when)
+                                    : Long.compare(a.number, b.number));
     private final String name;
     private long now = 86_400_000_000L;
     private long count;
@@ -73,8 +77,14 @@
 
     @Override
     public Settings settings() {
-        return Settings.builder().gateways(2).classes(List.of(JobClass.of("price", Effect.SAFE),
-                JobClass.of("confirm", Effect.UNSAFE))).tenants(List.of(new Tenant("t", 100))).build();
+        return Settings.builder()
+                .gateways(2)
+                .classes(
+                        List.of(
+                                JobClass.of("price", Effect.SAFE),
+                                JobClass.of("confirm", Effect.UNSAFE)))
+                .tenants(List.of(new Tenant("t", 100)))
+                .build();
     }
 
     @Override
--- a/sharing/src/test/java/postgrade/sharing/FakeQuorum.java
+++ b/sharing/src/test/java/postgrade/sharing/FakeQuorum.java
@@ -14,17 +14,22 @@
 import postgrade.shared.View;
 import postgrade.sharing.session.Opener;
 
-/** One machine that decides at once, as long as it is reached; each process has its own view of it. */
+/**
+ * One machine that decides at once, as long as it is reached; each process has its own view of it.
+ */
 final class FakeQuorum {
 
     private Machine machine;
     private long index;
     private long incarnations;
     final Set<String> cutOff = new HashSet<>();
+
     /** Their pulls get no answer, though what they ask for is decided. */
     final Set<FakeHost> blind = new HashSet<>();
+
     /** What they open has no view yet; what they follow beside another process has. */
     final Set<FakeHost> late = new HashSet<>();
+
     boolean lost;
     String leader = "v1";
 
@@ -76,7 +81,11 @@
         @Override
         public View view() {
             if (reached() && !blind.contains(host) && !(incarnation > 0 && late.contains(host))) {
-                view = new View(machine.moment(), Rows.of(index, machine.save().rows()), host.nowMicros());
+                view =
+                        new View(
+                                machine.moment(),
+                                Rows.of(index, machine.save().rows()),
+                                host.nowMicros());
             }
             return view;
         }
@@ -86,16 +95,19 @@
             if (reached()) {
                 host.loop().execute(() -> decide(command, done));
             } else {
-                host.at(host.nowMicros() + withinMicros, () -> done.accept(new Reply(null, null, 700_000)));
+                host.at(
+                        host.nowMicros() + withinMicros,
+                        () -> done.accept(new Reply(null, null, 700_000)));
             }
         }
 
         @Override
         public Standing standing() {
-            return new Standing(host.name(), incarnation, Role.OBSERVER, reached() ? leader : null, 3, null);
+            return new Standing(
+                    host.name(), incarnation, Role.OBSERVER, reached() ? leader : null, 3, null);
         }
 
         @Override
-        public void close() { }
+        public void close() {}
     }
 }
--- a/sharing/src/test/java/postgrade/sharing/MemoryTest.java
+++ b/sharing/src/test/java/postgrade/sharing/MemoryTest.java
@@ -25,13 +25,15 @@
 import postgrade.sharing.memory.Keeper;
 import postgrade.sharing.memory.MemoryFile;
 
-/** What a process learnt outlives it, as far as it may be trusted; what may not is named and kept aside. */
+/**
+ * What a process learnt outlives it, as far as it may be trusted; what may not is named and kept
+ * aside.
+ */
 public class MemoryTest {
 
     private static final long SECOND = 1_000_000;
 
-    @Rule
-    public final TemporaryFolder folder = new TemporaryFolder();
+    @Rule public final TemporaryFolder folder = new TemporaryFolder();
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
 
     @Before
@@ -49,10 +51,12 @@
         FakeHost host = new FakeHost("n1");
         host.worker("w1", 1000);
         host.worker("w2", 2000);
-        host.learnt = List.of(new Learnt("class", "price", new double[] {5e6, 100, 1}),
-                new Learnt("worker", "w1", new double[] {1, 0, 0, 1.5, 9, 0, 0, 0, 0}),
-                new Learnt("worker", "w2", new double[] {2, 0, 0, 1.5, 9, 0, 0, 0, 0}),
-                new Learnt("tenant", "t", new double[] {3, 50, 0, 0}));
+        host.learnt =
+                List.of(
+                        new Learnt("class", "price", new double[] {5e6, 100, 1}),
+                        new Learnt("worker", "w1", new double[] {1, 0, 0, 1.5, 9, 0, 0, 0, 0}),
+                        new Learnt("worker", "w2", new double[] {2, 0, 0, 1.5, 9, 0, 0, 0, 0}),
+                        new Learnt("tenant", "t", new double[] {3, 50, 0, 0}));
         return host;
     }
 
@@ -82,7 +86,8 @@
     }
 
     @Test
-    public void figuresComeBackByAgeThoseOfARestartedWorkerDoNotAndTokensAreNoFullBurst() throws Exception {
+    public void figuresComeBackByAgeThoseOfARestartedWorkerDoNotAndTokensAreNoFullBurst()
+            throws Exception {
         kept();
         FakeHost later = host();
         later.workers.clear();
@@ -93,8 +98,10 @@
         assertEquals(Set.of("w9"), Keeper.out(memory));
         assertEquals(List.of("class price", "tenant t"), names(later.told));
         assertEquals("as they were", 3, later.told.get(1).figures()[0], 0);
-        assertEquals("and the time since for the refill", 60e9, later.told.get(1).figures()[3], 1e9);
-        assertEquals("half of what was seen a minute ago counts", 50, later.told.get(0).figures()[1], 1);
+        assertEquals(
+                "and the time since for the refill", 60e9, later.told.get(1).figures()[3], 1e9);
+        assertEquals(
+                "half of what was seen a minute ago counts", 50, later.told.get(0).figures()[1], 1);
         later.worker("w1", 1000);
         later.worker("w2", 9000);
         keeper.listed();
@@ -106,9 +113,13 @@
     }
 
     @Test
-    public void thatAllSendsToColdWorkersAreThereIsToldByOneThatEndedInOrderAndOnce() throws Exception {
+    public void thatAllSendsToColdWorkersAreThereIsToldByOneThatEndedInOrderAndOnce()
+            throws Exception {
         FakeHost host = host();
-        host.learnt = List.of(new Learnt("cold", "w1", new double[] {1e8, 2e8}), new Learnt("up", "", new double[] {5e9}));
+        host.learnt =
+                List.of(
+                        new Learnt("cold", "w1", new double[] {1e8, 2e8}),
+                        new Learnt("up", "", new double[] {5e9}));
         Keeper first = keeper(host);
         first.close();
         for (List<String> told : List.of(List.of("cold w1", "up "), List.of("cold w1"))) {
@@ -123,11 +134,16 @@
         host.run(SECOND);
         killed.tick();
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (file().read(host.unixMillis * 1000).savedMicros() < host.unixMillis * 1000 && System.nanoTime() < end) {
+        while (file().read(host.unixMillis * 1000).savedMicros() < host.unixMillis * 1000
+                && System.nanoTime() < end) {
             Thread.onSpinWait();
         }
-        assertEquals(List.of("cold", "out"), file().read(host.unixMillis * 1000).figures().stream()
-                .map(f -> f.learnt().of()).sorted().toList());
+        assertEquals(
+                List.of("cold", "out"),
+                file().read(host.unixMillis * 1000).figures().stream()
+                        .map(f -> f.learnt().of())
+                        .sorted()
+                        .toList());
     }
 
     @Test
@@ -150,7 +166,8 @@
         assertTrue(said, said.contains(cause));
         assertFalse(Files.exists(file().path()));
         Path aside = file().path().resolveSibling("learnt.memory.unusable");
-        assertEquals(new String(bytes, StandardCharsets.ISO_8859_1),
+        assertEquals(
+                new String(bytes, StandardCharsets.ISO_8859_1),
                 new String(Files.readAllBytes(aside), StandardCharsets.ISO_8859_1));
         assertNull("the next start has none", file().read(1_800_000_010_000_000L));
     }
@@ -163,7 +180,9 @@
         byte[] flipped = good.clone();
         flipped[good.length - 9] ^= 4;
         unusable("checksum", flipped);
-        unusable("does not begin with", "something else entirely\n".getBytes(StandardCharsets.UTF_8));
+        unusable(
+                "does not begin with",
+                "something else entirely\n".getBytes(StandardCharsets.UTF_8));
         unusable("bytes", new byte[17 << 20]);
         Files.write(file().path(), good);
         log.reset();
--- a/sharing/src/test/java/postgrade/sharing/PlanHeadersTest.java
+++ b/sharing/src/test/java/postgrade/sharing/PlanHeadersTest.java
@@ -22,7 +22,10 @@
 import postgrade.window.Deadline;
 import postgrade.window.WindowClass;
 
-/** A job's own plan by its headers, over its class's windows. It is 2027-01-15 08:00 UTC, 9 o'clock in Zagreb. */
+/**
+ * A job's own plan by its headers, over its class's windows. It is 2027-01-15 08:00 UTC, 9 o'clock
+ * in Zagreb.
+ */
 public class PlanHeadersTest {
 
     private static final long SECOND = 1_000_000;
@@ -33,20 +36,50 @@
     private Shared shared;
 
     private static SharingSettings settings(WindowSettings windows) {
-        return new SharingSettings(null, SECOND, 0, 6 * SECOND, 20 * SECOND, Terms.EVEN / 4, Terms.EVEN / 4,
-                2 * SECOND, Map.of(), 1, Set.of(), false, windows, 2);
+        return new SharingSettings(
+                null,
+                SECOND,
+                0,
+                6 * SECOND,
+                20 * SECOND,
+                Terms.EVEN / 4,
+                Terms.EVEN / 4,
+                2 * SECOND,
+                Map.of(),
+                1,
+                Set.of(),
+                false,
+                windows,
+                2);
     }
 
     @Before
     public void calendars() {
-        WindowClass price = new WindowClass("price", List.of("zagreb"), null, null, Deadline.NONE, 0, 60_000);
-        shared = new Shared(host, settings(new WindowSettings(List.of(price), Map.of(), Map.of("a", "zagreb", "b",
-                "split"), 0)), quorum.as(host), Runnable::run);
+        WindowClass price =
+                new WindowClass("price", List.of("zagreb"), null, null, Deadline.NONE, 0, 60_000);
+        shared =
+                new Shared(
+                        host,
+                        settings(
+                                new WindowSettings(
+                                        List.of(price),
+                                        Map.of(),
+                                        Map.of("a", "zagreb", "b", "split"),
+                                        0)),
+                        quorum.as(host),
+                        Runnable::run);
         run(2);
         for (String site : List.of("zagreb", "split")) {
-            shared.calls().call("PUT", "/calendar", ("{\"site\":\"" + site + "\",\"zone\":\"Europe/Zagreb\",\"text\":\""
-                    + "BEGIN:VCALENDAR\\r\\nVERSION:2.0\\r\\nPRODID:-//t//t//EN\\r\\nEND:VCALENDAR\\r\\n\"}").getBytes(),
-                    (status, again, json) -> assertEquals(json, 200, status));
+            shared.calls()
+                    .call(
+                            "PUT",
+                            "/calendar",
+                            ("{\"site\":\""
+                                            + site
+                                            + "\",\"zone\":\"Europe/Zagreb\",\"text\":\""
+                                            + "BEGIN:VCALENDAR\\r\\nVERSION:2.0\\r\\nPRODID:-//t//t//EN\\r\\nEND:VCALENDAR\\r\\n\"}")
+                                    .getBytes(),
+                            (status, again, json) -> assertEquals(json, 200, status));
             run(1);
         }
         run(20);
@@ -70,7 +103,8 @@
     /** When a job with these headers opens, in seconds from now. */
     private double opens(String id, String jobClass, String... namesAndValues) {
         shared.claims().read(jobClass, headers(namesAndValues)::get).accept(id);
-        return shared.ability().opensInNs(host.nowMicros() * 1000, job(id, jobClass)) / (double) SECOND_NS;
+        return shared.ability().opensInNs(host.nowMicros() * 1000, job(id, jobClass))
+                / (double) SECOND_NS;
     }
 
     private static Job job(String id, String jobClass) {
@@ -78,8 +112,11 @@
     }
 
     private double part(String id, String jobClass, String zone) {
-        return shared.ability().part(host.nowMicros() * 1000, job(id, jobClass),
-                new Worker("w" + zone, zone, "m", 0, Phase.READY, 1, 0));
+        return shared.ability()
+                .part(
+                        host.nowMicros() * 1000,
+                        job(id, jobClass),
+                        new Worker("w" + zone, zone, "m", 0, Phase.READY, 1, 0));
     }
 
     @Test
@@ -89,21 +126,76 @@
         assertEquals(0, opens("j1", "confirm", "lasts", "1000m", "sites", "split"), 0);
         assertEquals(1, part("j1", "confirm", "b"), 0);
         assertEquals("not at another site", 0, part("j1", "confirm", "a"), 0);
-        assertEquals("one hour on, and its share of the spread", 3600, opens("j2", "confirm", "earliest",
-                "2027-01-15T09:00:24Z", "lasts", "1000m", "sites", "zagreb, split"), 700);
-        assertTrue(opens("j2", "confirm", "earliest", "2027-01-15T09:00:24Z", "lasts", "1m", "sites", "split") > 3000);
-        assertEquals("18:00 in Zagreb is 8 h 59 min ahead", 0, opens("j3", "confirm", "deadline", "18:00 Europe/Zagreb",
-                "lasts", "32300000m", "sites", "split"), 0);
-        assertTrue(opens("j3", "confirm", "deadline", "18:00 Europe/Zagreb", "lasts", "32400000m", "sites", "split") > 0);
-        assertTrue(opens("j3", "confirm", "deadline", "2027-01-15T08:00:30Z", "lasts", "60000000u", "sites", "split") > 0);
+        assertEquals(
+                "one hour on, and its share of the spread",
+                3600,
+                opens(
+                        "j2",
+                        "confirm",
+                        "earliest",
+                        "2027-01-15T09:00:24Z",
+                        "lasts",
+                        "1000m",
+                        "sites",
+                        "zagreb, split"),
+                700);
+        assertTrue(
+                opens(
+                                "j2",
+                                "confirm",
+                                "earliest",
+                                "2027-01-15T09:00:24Z",
+                                "lasts",
+                                "1m",
+                                "sites",
+                                "split")
+                        > 3000);
+        assertEquals(
+                "18:00 in Zagreb is 8 h 59 min ahead",
+                0,
+                opens(
+                        "j3",
+                        "confirm",
+                        "deadline",
+                        "18:00 Europe/Zagreb",
+                        "lasts",
+                        "32300000m",
+                        "sites",
+                        "split"),
+                0);
+        assertTrue(
+                opens(
+                                "j3",
+                                "confirm",
+                                "deadline",
+                                "18:00 Europe/Zagreb",
+                                "lasts",
+                                "32400000m",
+                                "sites",
+                                "split")
+                        > 0);
+        assertTrue(
+                opens(
+                                "j3",
+                                "confirm",
+                                "deadline",
+                                "2027-01-15T08:00:30Z",
+                                "lasts",
+                                "60000000u",
+                                "sites",
+                                "split")
+                        > 0);
         assertEquals("given up on and sent again without", 0, opens("j1", "confirm"), 0);
         assertEquals(1, part("j1", "confirm", "c"), 0);
     }
 
     @Test
     public void whatIsSetForItsClassBindsAJobAllTheSame() {
-        assertEquals("it needs 60 s of its class's, whatever it says", 1,
-                opens("k1", "price", "deadline", "2027-01-15T08:01:00Z", "lasts", "1m") > 0 ? 1 : 0, 0);
+        assertEquals(
+                "it needs 60 s of its class's, whatever it says",
+                1,
+                opens("k1", "price", "deadline", "2027-01-15T08:01:00Z", "lasts", "1m") > 0 ? 1 : 0,
+                0);
         assertEquals(0, opens("k2", "price", "deadline", "2027-01-15T09:00:00Z", "lasts", "1m"), 0);
         assertEquals(1, part("k2", "price", "a"), 0);
         assertEquals(0, part("k2", "price", "b"), 0);
@@ -121,8 +213,14 @@
 
     @Test
     public void aBadValueIsNamedByItsHeader() {
-        for (String time : List.of("", "soon", "2027-01-15", "2027-02-30T00:00:00Z", "+99999-01-15T00:00:00Z",
-                "18:00 Europe/Zagreb")) {
+        for (String time :
+                List.of(
+                        "",
+                        "soon",
+                        "2027-01-15",
+                        "2027-02-30T00:00:00Z",
+                        "+99999-01-15T00:00:00Z",
+                        "18:00 Europe/Zagreb")) {
             bad("X-Window-Earliest has to be an instant", "price", "earliest", time);
         }
         for (String time : List.of("", "18:00", "18:00 ", "6 pm Europe/Zagreb")) {
@@ -143,9 +241,21 @@
 
     @Test
     public void withoutWindowsNoHeaderIsLookedAt() {
-        assertNull(new Shared(new FakeHost("b"), settings(WindowSettings.NONE), quorum.as(host), Runnable::run).claims());
+        assertNull(
+                new Shared(
+                                new FakeHost("b"),
+                                settings(WindowSettings.NONE),
+                                quorum.as(host),
+                                Runnable::run)
+                        .claims());
         Claims read = shared.claims();
-        assertEquals(Set.of("x-window-earliest", "x-window-deadline", "x-window-lasts", "x-window-sites"), read.names());
+        assertEquals(
+                Set.of(
+                        "x-window-earliest",
+                        "x-window-deadline",
+                        "x-window-lasts",
+                        "x-window-sites"),
+                read.names());
         assertEquals("and no claim, no plan", 0, Ability.ALL.opensInNs(0, job("x", "price")), 0);
     }
 }
--- a/sharing/src/test/java/postgrade/sharing/SharedTest.java
+++ b/sharing/src/test/java/postgrade/sharing/SharedTest.java
@@ -22,7 +22,9 @@
 import postgrade.window.Deadline;
 import postgrade.window.WindowClass;
 
-/** Two dispatchers' companions on one state: shares, workers out, operators' calls. Time is virtual. */
+/**
+ * Two dispatchers' companions on one state: shares, workers out, operators' calls. Time is virtual.
+ */
 public class SharedTest {
 
     private static final long SECOND = 1_000_000;
@@ -32,8 +34,21 @@
     private final Map<FakeHost, Shared> all = new LinkedHashMap<>();
 
     private static SharingSettings settings(WindowSettings windows) {
-        return new SharingSettings(null, SECOND, 0, 6 * SECOND, 20 * SECOND, Terms.EVEN / 4, Terms.EVEN / 4,
-                2 * SECOND, Map.of("m", 4), 1, Set.of("price"), false, windows, 2);
+        return new SharingSettings(
+                null,
+                SECOND,
+                0,
+                6 * SECOND,
+                20 * SECOND,
+                Terms.EVEN / 4,
+                Terms.EVEN / 4,
+                2 * SECOND,
+                Map.of("m", 4),
+                1,
+                Set.of("price"),
+                false,
+                windows,
+                2);
     }
 
     private FakeHost start(String name) {
@@ -53,15 +68,20 @@
         }
     }
 
-    private record Answered(int status, long retryAfterMicros, JsonObject json) { }
+    private record Answered(int status, long retryAfterMicros, JsonObject json) {}
 
     private Answered call(FakeHost host, String method, String path, String body) {
         Answered[] answered = new Answered[1];
-        all.get(host).calls().call(method, path, body.replace('\'', '"').getBytes(StandardCharsets.UTF_8),
-                (status, again, json) -> {
-                    assertEquals("answered once", null, answered[0]);
-                    answered[0] = new Answered(status, again, Json.parse(json).asObject());
-                });
+        all.get(host)
+                .calls()
+                .call(
+                        method,
+                        path,
+                        body.replace('\'', '"').getBytes(StandardCharsets.UTF_8),
+                        (status, again, json) -> {
+                            assertEquals("answered once", null, answered[0]);
+                            answered[0] = new Answered(status, again, Json.parse(json).asObject());
+                        });
         for (int i = 0; answered[0] == null && i < 20; i++) {
             run(SECOND / 10);
         }
@@ -80,7 +100,9 @@
         quorum.cutOff.add("b");
         for (int i = 0; i < 400; i++) {
             run(SECOND / 10);
-            assertTrue("the sum is never above the whole: " + a.share + " " + b.share, a.share + b.share <= 2.0001);
+            assertTrue(
+                    "the sum is never above the whole: " + a.share + " " + b.share,
+                    a.share + b.share <= 2.0001);
         }
         assertEquals(1.75, a.share, 0.01);
         assertEquals(0.25, b.share, 0);
@@ -134,7 +156,11 @@
         b.alone = false;
         all.put(b, new Shared(b, SETTINGS, quorum.as(b), Runnable::run));
         run(3 * SECOND);
-        assertTrue(call(b, "GET", "/sharing", "").json.getString("fault", "").contains("another process"));
+        assertTrue(
+                call(b, "GET", "/sharing", "")
+                        .json
+                        .getString("fault", "")
+                        .contains("another process"));
         b.alone = true;
         run(3 * SECOND);
         JsonObject now = call(b, "GET", "/sharing", "").json;
@@ -145,16 +171,30 @@
     public void whatCannotBeOpenedIsTriedAgainAndServedWithoutMeanwhile() {
         FakeHost a = new FakeHost("a");
         boolean[] full = {true};
-        all.put(a, new Shared(a, SETTINGS, (parts, now, loop) -> {
-            if (full[0]) {
-                throw new java.io.IOException("no space left on device");
-            }
-            return quorum.as(a).open(parts, now, loop);
-        }, Runnable::run));
+        all.put(
+                a,
+                new Shared(
+                        a,
+                        SETTINGS,
+                        (parts, now, loop) -> {
+                            if (full[0]) {
+                                throw new java.io.IOException("no space left on device");
+                            }
+                            return quorum.as(a).open(parts, now, loop);
+                        },
+                        Runnable::run));
         run(5 * SECOND);
-        assertEquals("no space left on device", call(a, "GET", "/sharing", "").json.getString("fault", ""));
-        assertEquals(503, call(a, "PUT", "/reservations/acquire", "{'holder':'s','site':'a','accelerators':1,"
-                + "'ttlMs':1000}").status);
+        assertEquals(
+                "no space left on device",
+                call(a, "GET", "/sharing", "").json.getString("fault", ""));
+        assertEquals(
+                503,
+                call(
+                                a,
+                                "PUT",
+                                "/reservations/acquire",
+                                "{'holder':'s','site':'a','accelerators':1," + "'ttlMs':1000}")
+                        .status);
         full[0] = false;
         run(5 * SECOND);
         assertTrue(call(a, "GET", "/sharing", "").json.getBoolean("joined", false));
@@ -179,7 +219,9 @@
         quorum.lost = true;
         run(5 * SECOND);
         json = call(a, "GET", "/sharing", "").json;
-        assertTrue(json.toString(), json.getLong("viewAgeMs", 0) >= 5000 && json.get("leader").isNull());
+        assertTrue(
+                json.toString(),
+                json.getLong("viewAgeMs", 0) >= 5000 && json.get("leader").isNull());
     }
 
     @Test
@@ -197,7 +239,8 @@
         Answered again = call(a, "PUT", "/reservations/acquire", ask);
         assertEquals("once, whoever is asked", got.json.get("fence"), again.json.get("fence"));
         run(SECOND);
-        assertEquals(1, call(a, "GET", "/reservations", "").json.get("reservations").asArray().size());
+        assertEquals(
+                1, call(a, "GET", "/reservations", "").json.get("reservations").asArray().size());
         Worker w1 = new Worker("w1", "a", "m", 0, Phase.READY, 1, 0);
         Job own = new Job("1", "price", "shop", null, 1, 1, 0);
         Job other = new Job("2", "price", "t", null, 1, 1, 0);
@@ -205,30 +248,61 @@
         Ability ability = all.get(a).ability();
         assertEquals(1, ability.part(a.nowMicros() * 1000, own, w1), 0);
         assertEquals(0.25, ability.part(a.nowMicros() * 1000, other, w1), 0);
-        assertEquals("never depends on sharing", 1, ability.part(a.nowMicros() * 1000, confirm, w1), 0);
+        assertEquals(
+                "never depends on sharing", 1, ability.part(a.nowMicros() * 1000, confirm, w1), 0);
         assertEquals("7=" + got.json.get("fence"), all.get(a).fence("price", "shop", "w1"));
         assertEquals(null, all.get(a).fence("price", "t", "w1"));
         quorum.cutOff.add("a");
         run(3 * SECOND);
         assertEquals("its view is too old", null, all.get(a).fence("price", "shop", "w1"));
-        Answered release = call(b, "PUT", "/reservations/release", "{'holder':'shop','site':'a','fence':1}");
+        Answered release =
+                call(b, "PUT", "/reservations/release", "{'holder':'shop','site':'a','fence':1}");
         assertEquals(409, release.status);
-        assertEquals(404, call(b, "PUT", "/reservations/renew", "{'holder':'x','site':'a','fence':1}").status);
-        assertEquals(200, call(b, "PUT", "/reservations/release", "{'holder':'shop','site':'a','fence':"
-                + got.json.get("fence") + "}").status);
+        assertEquals(
+                404,
+                call(b, "PUT", "/reservations/renew", "{'holder':'x','site':'a','fence':1}")
+                        .status);
+        assertEquals(
+                200,
+                call(
+                                b,
+                                "PUT",
+                                "/reservations/release",
+                                "{'holder':'shop','site':'a','fence':"
+                                        + got.json.get("fence")
+                                        + "}")
+                        .status);
     }
 
     private static String calendar(String begin, String end, String more) {
         return ("{'site':'zagreb','zone':'Europe/Zagreb','text':'BEGIN:VCALENDAR\\r\\nVERSION:2.0\\r\\n"
-                + "PRODID:-//t//t//EN\\r\\nBEGIN:VEVENT\\r\\nUID:1\\r\\nDTSTAMP:20270101T000000Z\\r\\nDTSTART:" + begin
-                + "\\r\\nDTEND:" + end + "\\r\\n" + more + "END:VEVENT\\r\\nEND:VCALENDAR\\r\\n'}");
+                + "PRODID:-//t//t//EN\\r\\nBEGIN:VEVENT\\r\\nUID:1\\r\\nDTSTAMP:20270101T000000Z\\r\\nDTSTART:"
+                + begin
+                + "\\r\\nDTEND:"
+                + end
+                + "\\r\\n"
+                + more
+                + "END:VEVENT\\r\\nEND:VCALENDAR\\r\\n'}");
     }
 
     @Test
     public void noJobOfAClassWithWindowsStartsWithoutACalendarInMaintenanceOrByAnOldView() {
-        WindowSettings windows = new WindowSettings(List.of(new WindowClass("price", List.of("zagreb"), null, null,
-                Deadline.NONE, 0, 60_000)), Map.of(), Map.of("a", "zagreb"), 1000);
-        FakeHost a = start("a", settings(windows)); // It is 2027-01-15 08:00 UTC, 9 o'clock in Zagreb.
+        WindowSettings windows =
+                new WindowSettings(
+                        List.of(
+                                new WindowClass(
+                                        "price",
+                                        List.of("zagreb"),
+                                        null,
+                                        null,
+                                        Deadline.NONE,
+                                        0,
+                                        60_000)),
+                        Map.of(),
+                        Map.of("a", "zagreb"),
+                        1000);
+        FakeHost a =
+                start("a", settings(windows)); // It is 2027-01-15 08:00 UTC, 9 o'clock in Zagreb.
         FakeHost b = start("b", settings(windows));
         run(2 * SECOND);
         Ability ability = all.get(a).ability();
@@ -237,36 +311,79 @@
         assertTrue(ability.opensInNs(a.nowMicros() * 1000, job) > 0);
         assertEquals(0, ability.opensInNs(a.nowMicros() * 1000, free));
         assertEquals(503, call(b, "POST", "/windows", "{'class':'price'}").status);
-        Answered bad = call(b, "PUT", "/calendar", calendar("20270115T090000", "20270115T090500", "RRULE:FREQ=X\\r\\n"));
+        Answered bad =
+                call(
+                        b,
+                        "PUT",
+                        "/calendar",
+                        calendar("20270115T090000", "20270115T090500", "RRULE:FREQ=X\\r\\n"));
         assertEquals(400, bad.status);
-        assertTrue(bad.json.toString(), bad.json.getString("error", "").matches("text line 9: RRULE .*"));
-        assertEquals(200, call(b, "PUT", "/calendar", calendar("20270115T090200", "20270115T093000", "")).status);
+        assertTrue(
+                bad.json.toString(),
+                bad.json.getString("error", "").matches("text line 9: RRULE .*"));
+        assertEquals(
+                200,
+                call(b, "PUT", "/calendar", calendar("20270115T090200", "20270115T093000", ""))
+                        .status);
         run(SECOND);
         assertEquals(0, ability.opensInNs(a.nowMicros() * 1000, job));
-        assertEquals(1, ability.part(a.nowMicros() * 1000, job, new Worker("w", "a", "m", 0, Phase.READY, 1, 0)), 0);
-        assertEquals(0, ability.part(a.nowMicros() * 1000, job, new Worker("w", "b", "m", 0, Phase.READY, 1, 0)), 0);
+        assertEquals(
+                1,
+                ability.part(
+                        a.nowMicros() * 1000, job, new Worker("w", "a", "m", 0, Phase.READY, 1, 0)),
+                0);
+        assertEquals(
+                0,
+                ability.part(
+                        a.nowMicros() * 1000, job, new Worker("w", "b", "m", 0, Phase.READY, 1, 0)),
+                0);
         JsonObject open = call(a, "POST", "/windows", "{'class':'price'}").json;
         assertEquals("2027-01-15T08:00:59.001Z", open.getString("closes", ""));
         run(60 * SECOND);
-        assertTrue("it would run into the maintenance", ability.opensInNs(a.nowMicros() * 1000, job) > 0);
+        assertTrue(
+                "it would run into the maintenance",
+                ability.opensInNs(a.nowMicros() * 1000, job) > 0);
         JsonObject closed = call(a, "POST", "/windows", "{'class':'price'}").json;
         assertEquals("2027-01-15T08:30:01Z", closed.getString("opens", ""));
-        assertEquals("maintenance", closed.get("exclusions").asArray().get(0).asObject().getString("reason", ""));
+        assertEquals(
+                "maintenance",
+                closed.get("exclusions").asArray().get(0).asObject().getString("reason", ""));
         run(1800 * SECOND);
         assertEquals(0, ability.opensInNs(a.nowMicros() * 1000, job));
         quorum.cutOff.add("a");
         run(6 * SECOND);
-        assertTrue("another calendar may count by now", ability.opensInNs(a.nowMicros() * 1000, job) > 0);
+        assertTrue(
+                "another calendar may count by now",
+                ability.opensInNs(a.nowMicros() * 1000, job) > 0);
         assertEquals(404, call(b, "POST", "/windows", "{'class':'confirm'}").status);
-        assertEquals(200, call(b, "POST", "/windows", "{'earliest':'2027-02-01T00:00:00Z','deadline':{'time':'18:00',"
-                + "'zone':'Europe/Zagreb'},'lastsMs':600000,'sites':['zagreb']}").status);
+        assertEquals(
+                200,
+                call(
+                                b,
+                                "POST",
+                                "/windows",
+                                "{'earliest':'2027-02-01T00:00:00Z','deadline':{'time':'18:00',"
+                                        + "'zone':'Europe/Zagreb'},'lastsMs':600000,'sites':['zagreb']}")
+                        .status);
         for (String faulty : new String[] {"earliest", "deadline", "sites", "lastsMs"}) {
-            Answered answer = call(b, "POST", "/windows", "{'lastsMs':5,'sites':['zagreb']}".replace("}",
-                    faulty.equals("sites") || faulty.equals("lastsMs") ? "}" : ",'" + faulty + "':'soon'}")
-                    .replace("'" + faulty + "':5", "'" + faulty + "':-5").replace("['zagreb']",
-                            faulty.equals("sites") ? "[]" : "['zagreb']"));
+            Answered answer =
+                    call(
+                            b,
+                            "POST",
+                            "/windows",
+                            "{'lastsMs':5,'sites':['zagreb']}"
+                                    .replace(
+                                            "}",
+                                            faulty.equals("sites") || faulty.equals("lastsMs")
+                                                    ? "}"
+                                                    : ",'" + faulty + "':'soon'}")
+                                    .replace("'" + faulty + "':5", "'" + faulty + "':-5")
+                                    .replace(
+                                            "['zagreb']",
+                                            faulty.equals("sites") ? "[]" : "['zagreb']"));
             assertEquals(faulty, 400, answer.status);
-            assertTrue(answer.json.toString(), answer.json.getString("error", "").startsWith(faulty));
+            assertTrue(
+                    answer.json.toString(), answer.json.getString("error", "").startsWith(faulty));
         }
     }
 
@@ -275,16 +392,24 @@
         FakeHost a = start("a");
         run(SECOND);
         String path = "/reservations/acquire";
-        for (String[] bad : new String[][] {{"{", "body is not JSON"}, {"[]", "body has to be an object"},
-            {"{'requestId':7}", "requestId has to be"}, {"{'holder':['x']}", "holder has to be"},
-            {"{'holder':'a','holder':'b'}", "holder stands there twice"}}) {
+        for (String[] bad :
+                new String[][] {
+                    {"{", "body is not JSON"},
+                    {"[]", "body has to be an object"},
+                    {"{'requestId':7}", "requestId has to be"},
+                    {"{'holder':['x']}", "holder has to be"},
+                    {"{'holder':'a','holder':'b'}", "holder stands there twice"}
+                }) {
             Answered answer = call(a, "PUT", path, bad[0]);
             assertEquals(bad[0], 400, answer.status);
-            assertTrue(answer.json.toString(), answer.json.getString("error", "").startsWith(bad[1]));
-            assertTrue(answer.json.get("viewAgeMs").isNumber() && answer.json.get("era").isNumber());
+            assertTrue(
+                    answer.json.toString(), answer.json.getString("error", "").startsWith(bad[1]));
+            assertTrue(
+                    answer.json.get("viewAgeMs").isNumber() && answer.json.get("era").isNumber());
         }
         quorum.lost = true;
-        Answered none = call(a, "PUT", path, "{'holder':'s','site':'a','accelerators':1,'ttlMs':1000}");
+        Answered none =
+                call(a, "PUT", path, "{'holder':'s','site':'a','accelerators':1,'ttlMs':1000}");
         assertEquals(503, none.status);
         assertEquals(700_000, none.retryAfterMicros);
         assertEquals(Set.of(), all.get(a).calls().methods("/nowhere"));
--- a/sharing/src/test/java/postgrade/sharing/SharingPlanTest.java
+++ b/sharing/src/test/java/postgrade/sharing/SharingPlanTest.java
@@ -18,11 +18,11 @@
 
     private static final String VOTERS = "voters = [voter('a', '127.0.0.1', 7301)]\nstore = 's'\n";
 
-    @Rule
-    public final TemporaryFolder folder = new TemporaryFolder();
+    @Rule public final TemporaryFolder folder = new TemporaryFolder();
 
     private Path file(String text) throws Exception {
-        return Files.writeString(folder.getRoot().toPath().resolve("sharing.star"), VOTERS + text + "\n");
+        return Files.writeString(
+                folder.getRoot().toPath().resolve("sharing.star"), VOTERS + text + "\n");
     }
 
     @Test
@@ -30,16 +30,21 @@
         Path shipped = Path.of("..", "deploy", "sharing.star");
         SharingPlan.Both plain = SharingPlan.read(shipped, "a");
         assertEquals(Path.of("var", "sharing", "a"), plain.sharing().memory());
-        assertEquals(Path.of("var", "sharing", "n7"), SharingPlan.read(shipped, "n7").sharing().memory());
+        assertEquals(
+                Path.of("var", "sharing", "n7"),
+                SharingPlan.read(shipped, "n7").sharing().memory());
         String all = Files.readString(shipped);
         String from = all.substring(all.indexOf("# ---- What `serve`"));
-        // A line that begins with a name and = is a setting commented out, as are those that go on in brackets.
+        // A line that begins with a name and = is a setting commented out, as are those that go on
+        // in brackets.
         StringBuilder in = new StringBuilder();
         boolean open = false;
         for (String line : from.lines().toList()) {
             if (open || line.matches("# [a-z_]+ = .*")) {
                 in.append(line.substring(2)).append('\n');
-                open = in.chars().filter(c -> c == '(').count() > in.chars().filter(c -> c == ')').count();
+                open =
+                        in.chars().filter(c -> c == '(').count()
+                                > in.chars().filter(c -> c == ')').count();
             }
         }
         SharingPlan.Both full = SharingPlan.read(file(in.toString()), "a");
@@ -60,21 +65,33 @@
             {"accelerators = {'m': 0}", "sharing.star: accelerators: m must have 1 to 62, not 0"},
             {"lends = 1", "sharing.star: lends: must be True or False, not int"},
             {"windows = ['price']", "sharing.star: windows: must hold window(...), not string"},
-            {"windows = [window('p', [])]", "sharing.star:3:18: window: sites of class p must not be empty"},
-            {"windows = [window('p', ['s'], until = '25:00')]",
+            {
+                "windows = [window('p', [])]",
+                "sharing.star:3:18: window: sites of class p must not be empty"
+            },
+            {
+                "windows = [window('p', ['s'], until = '25:00')]",
                 "sharing.star:3:18: window: Text '25:00' could not be parsed: Invalid value for HourOfDay "
-                    + "(valid values 0 - 23): 25"},
-            {"leese_s = 7", "sharing.star: leese_s: is no setting; names of one's own begin with _"},
+                        + "(valid values 0 - 23): 25"
+            },
+            {
+                "leese_s = 7",
+                "sharing.star: leese_s: is no setting; names of one's own begin with _"
+            },
         };
         for (String[] f : faulty) {
             Path file = file(f[0]);
-            assertEquals(f[1], assertThrows(RuntimeException.class, () -> SharingPlan.read(file, "a")).getMessage());
+            assertEquals(
+                    f[1],
+                    assertThrows(RuntimeException.class, () -> SharingPlan.read(file, "a"))
+                            .getMessage());
         }
     }
 
     @Test
     public void aDispatcherFindsItByItself() throws Exception {
-        Companion.Finder finder = ServiceLoader.load(Companion.Finder.class).findFirst().orElseThrow();
+        Companion.Finder finder =
+                ServiceLoader.load(Companion.Finder.class).findFirst().orElseThrow();
         assertEquals(SharingFinder.class, finder.getClass());
         Path file = file("pull_ms = [");
         assertThrows(IllegalArgumentException.class, () -> finder.read(file, "a"));
--- a/sharing/src/test/java/postgrade/sharing/SuccessionTest.java
+++ b/sharing/src/test/java/postgrade/sharing/SuccessionTest.java
@@ -18,17 +18,45 @@
 import postgrade.window.Deadline;
 import postgrade.window.WindowClass;
 
-/** Two processes of one dispatcher and their companions, beside another dispatcher's, on one state. Time is virtual. */
+/**
+ * Two processes of one dispatcher and their companions, beside another dispatcher's, on one state.
+ * Time is virtual.
+ */
 public class SuccessionTest {
 
     private static final long SECOND = 1_000_000;
-    private static final SharingSettings SETTINGS = new SharingSettings(null, SECOND, 0, 6 * SECOND, 20 * SECOND,
-            Terms.EVEN / 4, Terms.EVEN / 4, 2 * SECOND, Map.of("m", 4), 1, Set.of("price"), false,
-            new WindowSettings(List.of(new WindowClass("price", List.of("zagreb"), null, null, Deadline.NONE, 0, 60_000)),
-                    Map.of(), Map.of("a", "zagreb"), 1000), 2);
-    private static final String CALENDAR = "{\"site\":\"zagreb\",\"zone\":\"Europe/Zagreb\",\"text\":\"BEGIN:VCALENDAR\\r\\n"
-            + "VERSION:2.0\\r\\nPRODID:-//t//t//EN\\r\\nBEGIN:VEVENT\\r\\nUID:1\\r\\nDTSTAMP:20270101T000000Z\\r\\n"
-            + "DTSTART:20270301T090000\\r\\nDTEND:20270301T100000\\r\\nEND:VEVENT\\r\\nEND:VCALENDAR\\r\\n\"}";
+    private static final SharingSettings SETTINGS =
+            new SharingSettings(
+                    null,
+                    SECOND,
+                    0,
+                    6 * SECOND,
+                    20 * SECOND,
+                    Terms.EVEN / 4,
+                    Terms.EVEN / 4,
+                    2 * SECOND,
+                    Map.of("m", 4),
+                    1,
+                    Set.of("price"),
+                    false,
+                    new WindowSettings(
+                            List.of(
+                                    new WindowClass(
+                                            "price",
+                                            List.of("zagreb"),
+                                            null,
+                                            null,
+                                            Deadline.NONE,
+                                            0,
+                                            60_000)),
+                            Map.of(),
+                            Map.of("a", "zagreb"),
+                            1000),
+                    2);
+    private static final String CALENDAR =
+            "{\"site\":\"zagreb\",\"zone\":\"Europe/Zagreb\",\"text\":\"BEGIN:VCALENDAR\\r\\n"
+                    + "VERSION:2.0\\r\\nPRODID:-//t//t//EN\\r\\nBEGIN:VEVENT\\r\\nUID:1\\r\\nDTSTAMP:20270101T000000Z\\r\\n"
+                    + "DTSTART:20270301T090000\\r\\nDTEND:20270301T100000\\r\\nEND:VEVENT\\r\\nEND:VCALENDAR\\r\\n\"}";
 
     private final FakeQuorum quorum = new FakeQuorum();
     private final Map<FakeHost, Shared> all = new LinkedHashMap<>();
@@ -50,7 +78,9 @@
 
     private JsonObject call(FakeHost host, String method, String path, String body) {
         String[] answer = new String[1];
-        all.get(host).calls().call(method, path, body.getBytes(), (status, again, json) -> answer[0] = json);
+        all.get(host)
+                .calls()
+                .call(method, path, body.getBytes(), (status, again, json) -> answer[0] = json);
         while (answer[0] == null) {
             run(SECOND / 10);
         }
@@ -107,7 +137,9 @@
             assertEquals("at each moment", 0, ability.opensInNs(next.nowMicros() * 1000, job));
         }
         told = call(next, "GET", "/sharing", "");
-        assertTrue(told.toString(), told.get("fault").isNull() && told.get("members").asArray().size() == 2);
+        assertTrue(
+                told.toString(),
+                told.get("fault").isNull() && told.get("members").asArray().size() == 2);
         assertEquals("the place is the new one's", "3", told.get("incarnation").toString());
     }
 
@@ -163,7 +195,9 @@
     }
 
     private void sum(double ofA) {
-        assertTrue("the sum is never above the whole: " + ofA + " " + other.share, ofA + other.share <= 2.0001);
+        assertTrue(
+                "the sum is never above the whole: " + ofA + " " + other.share,
+                ofA + other.share <= 2.0001);
     }
 
     @Test
