--- a/simulation/src/main/java/postgrade/simulation/Main.java
+++ b/simulation/src/main/java/postgrade/simulation/Main.java
@@ -11,10 +11,11 @@
 /** Runs seeds: {@code --seeds A..B [--threads N]}, or one with its story: {@code --trace SEED}. */
 public final class Main {
 
-    private static final String USAGE = "usage: simulation --seeds A..B [--threads N] | --trace SEED";
+    private static final String USAGE =
+            "usage: simulation --seeds A..B [--threads N] | --trace SEED";
     private static final int MOST_TOLD = 5;
 
-    private Main() { }
+    private Main() {}
 
     public static void main(String[] args) {
         System.exit(run(args));
@@ -59,25 +60,53 @@
         AtomicLong next = new AtomicLong(from);
         AtomicLong failed = new AtomicLong();
         Map<String, Long> seen = new TreeMap<>();
-        LongStream.range(0, threads).mapToObj(t -> new Thread(() -> {
-            for (long seed = next.getAndIncrement(); seed <= to; seed = next.getAndIncrement()) {
-                Result r = Simulation.run(seed, new Mechanisms(), null);
-                synchronized (seen) {
-                    r.seen().forEach((what, n) -> seen.merge(what, n, most(what) ? Math::max : Long::sum));
-                    if (!r.violations().isEmpty() && failed.incrementAndGet() <= MOST_TOLD) {
-                        tell(r);
-                    }
-                }
-            }
-        })).toList().stream().peek(Thread::start).toList().forEach(Main::join);
+        LongStream.range(0, threads)
+                .mapToObj(
+                        t ->
+                                new Thread(
+                                        () -> {
+                                            for (long seed = next.getAndIncrement();
+                                                    seed <= to;
+                                                    seed = next.getAndIncrement()) {
+                                                Result r =
+                                                        Simulation.run(
+                                                                seed, new Mechanisms(), null);
+                                                synchronized (seen) {
+                                                    r.seen()
+                                                            .forEach(
+                                                                    (what, n) ->
+                                                                            seen.merge(
+                                                                                    what,
+                                                                                    n,
+                                                                                    most(what)
+                                                                                            ? Math
+                                                                                                    ::max
+                                                                                            : Long
+                                                                                                    ::sum));
+                                                    if (!r.violations().isEmpty()
+                                                            && failed.incrementAndGet()
+                                                                    <= MOST_TOLD) {
+                                                        tell(r);
+                                                    }
+                                                }
+                                            }
+                                        }))
+                .toList()
+                .stream()
+                .peek(Thread::start)
+                .toList()
+                .forEach(Main::join);
         seen.forEach((what, n) -> System.out.println(what + ": " + n));
-        System.out.printf("%d seeds, %d failing, %.1f s%n", to - from + 1, failed.get(),
-                (System.nanoTime() - began) / 1e9);
+        System.out.printf(
+                "%d seeds, %d failing, %.1f s%n",
+                to - from + 1, failed.get(), (System.nanoTime() - began) / 1e9);
         return failed.get() == 0 ? 0 : 1;
     }
 
     private static boolean most(String what) {
-        return what.contains("most") || what.contains("greatest") || what.contains("within a second");
+        return what.contains("most")
+                || what.contains("greatest")
+                || what.contains("within a second");
     }
 
     private static void join(Thread t) {
--- a/simulation/src/main/java/postgrade/simulation/check/Checks.java
+++ b/simulation/src/main/java/postgrade/simulation/check/Checks.java
@@ -10,9 +10,9 @@
 import postgrade.shared.Rows;
 
 /**
- * What is watched during a run. It looks at rows, views and true time, and reckons on its own: nothing here calls what
- * it judges. It keeps the first violations, and counts of what was seen, so that a run in which nothing happened is
- * noticed.
+ * What is watched during a run. It looks at rows, views and true time, and reckons on its own:
+ * nothing here calls what it judges. It keeps the first violations, and counts of what was seen, so
+ * that a run in which nothing happened is noticed.
  */
 public final class Checks {
 
@@ -48,7 +48,8 @@
     }
 
     /** Figures of the run, in the checkers' own terms. Shares are multiples of the even one. */
-    public record Expected(int places, double floor, double fallback, long leaseMicros, long lingerMicros) { }
+    public record Expected(
+            int places, double floor, double fallback, long leaseMicros, long lingerMicros) {}
 
     /** A replica has carried out an entry. */
     public void applied(String replica, Moment at, Command command, Answer answer, Rows rows) {
--- a/simulation/src/main/java/postgrade/simulation/check/LeaseCheck.java
+++ b/simulation/src/main/java/postgrade/simulation/check/LeaseCheck.java
@@ -11,17 +11,18 @@
 import postgrade.shared.Rows;
 
 /**
- * No accelerator is used for two holders at one instant, by whatever views; none is granted twice; fences of an
- * accelerator grow; none ends early by true time, nor lives on by the log's.
+ * No accelerator is used for two holders at one instant, by whatever views; none is granted twice;
+ * fences of an accelerator grow; none ends early by true time, nor lives on by the log's.
  */
 public final class LeaseCheck {
 
     private static final double FASTEST = 1.02;
     private static final long BACKLOG = 2_000_000;
+
     /** The count begins with the next entry that moves the time on, and ends with one. */
     private static final long STEPS = 2_000_000;
 
-    private record Renewed(long trueMicros, long logMicros, long ttlMicros) { }
+    private record Renewed(long trueMicros, long logMicros, long ttlMicros) {}
 
     private final Checks checks;
     private final Map<String, Renewed> renewed = new HashMap<>();
@@ -57,38 +58,51 @@
         if (key != null && held.containsKey(key)) {
             renewed.put(key, new Renewed(checks.now(), at.micros(), held.get(key).whole("ttl")));
         }
-        held.keySet().forEach(k -> {
-            Renewed r = renewed.computeIfAbsent(k, n ->
-                    new Renewed(checks.now(), at.micros(), held.get(k).whole("ttl")));
-            if (at.micros() - r.logMicros > r.ttlMicros + STEPS) {
-                checks.violation("%s still holds %.3f s of the log after it renewed", k,
-                        (at.micros() - r.logMicros) / 1e6);
-            }
-        });
+        held.keySet()
+                .forEach(
+                        k -> {
+                            Renewed r =
+                                    renewed.computeIfAbsent(
+                                            k,
+                                            n ->
+                                                    new Renewed(
+                                                            checks.now(),
+                                                            at.micros(),
+                                                            held.get(k).whole("ttl")));
+                            if (at.micros() - r.logMicros > r.ttlMicros + STEPS) {
+                                checks.violation(
+                                        "%s still holds %.3f s of the log after it renewed",
+                                        k, (at.micros() - r.logMicros) / 1e6);
+                            }
+                        });
     }
 
     private void ended(String holder, Moment at, boolean released) {
         Renewed r = renewed.remove(holder);
         checks.count(released ? "reservations released" : "reservations expired");
-        if (!released && r != null && (checks.now() - r.trueMicros) * FASTEST + BACKLOG < r.ttlMicros) {
-            checks.violation("%s was expired %.3f s after it renewed, at %s", holder,
-                    (checks.now() - r.trueMicros) / 1e6, at);
+        if (!released
+                && r != null
+                && (checks.now() - r.trueMicros) * FASTEST + BACKLOG < r.ttlMicros) {
+            checks.violation(
+                    "%s was expired %.3f s after it renewed, at %s",
+                    holder, (checks.now() - r.trueMicros) / 1e6, at);
         }
     }
 
     private void disjoint(Map<String, Row> held) {
         Map<String, String> by = new HashMap<>();
-        held.forEach((holder, row) -> {
-            for (String one : row.text("allotment").split(",")) {
-                String[] at = one.split("=");
-                long mask = Long.parseLong(at[1], 16);
-                for (int bit = 0; mask >> bit != 0; bit++) {
-                    if ((mask >> bit & 1) == 1) {
-                        granted(at[0] + "/" + bit, holder, row.whole("fence"), by);
+        held.forEach(
+                (holder, row) -> {
+                    for (String one : row.text("allotment").split(",")) {
+                        String[] at = one.split("=");
+                        long mask = Long.parseLong(at[1], 16);
+                        for (int bit = 0; mask >> bit != 0; bit++) {
+                            if ((mask >> bit & 1) == 1) {
+                                granted(at[0] + "/" + bit, holder, row.whole("fence"), by);
+                            }
+                        }
                     }
-                }
-            }
-        });
+                });
     }
 
     private void granted(String accelerator, String holder, long fence, Map<String, String> by) {
@@ -115,7 +129,9 @@
             if ((mask >> bit & 1) == 1) {
                 String other = users.put(worker + "/" + bit, holder);
                 if (other != null && !other.equals(holder)) {
-                    checks.violation("%s/%d is used for %s and, by %s, for %s", worker, bit, other, dispatcher, holder);
+                    checks.violation(
+                            "%s/%d is used for %s and, by %s, for %s",
+                            worker, bit, other, dispatcher, holder);
                 }
             }
         }
--- a/simulation/src/main/java/postgrade/simulation/check/LogCheck.java
+++ b/simulation/src/main/java/postgrade/simulation/check/LogCheck.java
@@ -8,15 +8,15 @@
 import postgrade.shared.Rows;
 
 /**
- * Replicas carry out the same and come to the same; and the log's time runs no faster than the fastest clock, but for
- * what a leader had measured and not yet had decided.
+ * Replicas carry out the same and come to the same; and the log's time runs no faster than the
+ * fastest clock, but for what a leader had measured and not yet had decided.
  */
 public final class LogCheck {
 
     private static final double FASTEST = 1.02;
     private static final long BACKLOG = 2_000_000;
 
-    private record Was(Command command, Answer answer, long micros, int state) { }
+    private record Was(Command command, Answer answer, long micros, int state) {}
 
     private final Checks checks;
     private final Map<Long, Was> decided = new HashMap<>();
@@ -38,7 +38,8 @@
         Was was = decided.putIfAbsent(at.index(), is);
         if (was != null) {
             if (!was.equals(is)) {
-                checks.violation("replica %s differs at entry %d: %s, not %s", replica, at.index(), is, was);
+                checks.violation(
+                        "replica %s differs at entry %d: %s, not %s", replica, at.index(), is, was);
             }
             return false;
         }
@@ -57,15 +58,18 @@
     /** A view is what the log held at its entry. */
     void viewed(String who, Moment at, Rows rows) {
         Was was = decided.get(at.index());
-        if (at.era() == era && (was == null || was.micros != at.micros() || was.state != state(at, rows))) {
+        if (at.era() == era
+                && (was == null || was.micros != at.micros() || was.state != state(at, rows))) {
             checks.violation("view of %s at entry %d is not what was decided", who, at.index());
         }
     }
 
     /** Of some entries, since each look takes all rows. */
     private static int state(Moment at, Rows rows) {
-        return at.index() % 4 != 0 ? 0 : 31 * (31 * rows.of("member").hashCode() + rows.of("out").hashCode())
-                + 7 * rows.of("lease").hashCode()
-                + rows.of("lease.waiting").hashCode();
+        return at.index() % 4 != 0
+                ? 0
+                : 31 * (31 * rows.of("member").hashCode() + rows.of("out").hashCode())
+                        + 7 * rows.of("lease").hashCode()
+                        + rows.of("lease.waiting").hashCode();
     }
 }
--- a/simulation/src/main/java/postgrade/simulation/check/OutCheck.java
+++ b/simulation/src/main/java/postgrade/simulation/check/OutCheck.java
@@ -4,10 +4,13 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A worker that an operator was told is out, or back, is so in every later view, until the next is asked for. */
+/**
+ * A worker that an operator was told is out, or back, is so in every later view, until the next is
+ * asked for.
+ */
 public final class OutCheck {
 
-    private record Told(boolean out, long at) { }
+    private record Told(boolean out, long at) {}
 
     private final Checks checks;
     private final Map<String, Told> told = new HashMap<>();
@@ -31,11 +34,13 @@
     }
 
     public void seen(String who, Set<String> out, long asOf) {
-        told.forEach((worker, t) -> {
-            if (asOf >= t.at && out.contains(worker) != t.out) {
-                checks.violation("%s sees %s %s, an operator was told otherwise before", who, worker,
-                        t.out ? "in" : "out");
-            }
-        });
+        told.forEach(
+                (worker, t) -> {
+                    if (asOf >= t.at && out.contains(worker) != t.out) {
+                        checks.violation(
+                                "%s sees %s %s, an operator was told otherwise before",
+                                who, worker, t.out ? "in" : "out");
+                    }
+                });
     }
 }
--- a/simulation/src/main/java/postgrade/simulation/check/PeakCheck.java
+++ b/simulation/src/main/java/postgrade/simulation/check/PeakCheck.java
@@ -25,7 +25,8 @@
         }
         checks.most(what + " within a second", of.size());
         if (of.size() > mostPerSecond) {
-            checks.violation("%d %s within a second, at most %.1f allowed", of.size(), what, mostPerSecond);
+            checks.violation(
+                    "%d %s within a second, at most %.1f allowed", of.size(), what, mostPerSecond);
         }
     }
 }
--- a/simulation/src/main/java/postgrade/simulation/check/SessionCheck.java
+++ b/simulation/src/main/java/postgrade/simulation/check/SessionCheck.java
@@ -8,13 +8,16 @@
 import postgrade.shared.Row;
 import postgrade.shared.Rows;
 
-/** No member is expired early by true time, nor kept longer than its lease by the log's; incarnations only grow. */
+/**
+ * No member is expired early by true time, nor kept longer than its lease by the log's;
+ * incarnations only grow.
+ */
 public final class SessionCheck {
 
     private static final double FASTEST = 1.02;
     private static final long BACKLOG = 2_000_000;
 
-    private record Renewed(long trueMicros, long logMicros) { }
+    private record Renewed(long trueMicros, long logMicros) {}
 
     private final Checks checks;
     private final Checks.Expected expected;
@@ -36,7 +39,9 @@
         boolean done = answer.status() == Answer.Status.DONE;
         if (c.part().equals("member") && done) {
             if (incarnations.getOrDefault(c.from(), 0L) > c.incarnation()) {
-                checks.violation("incarnation %d of %s was let in after a later one", c.incarnation(), c.from());
+                checks.violation(
+                        "incarnation %d of %s was let in after a later one",
+                        c.incarnation(), c.from());
             }
             incarnations.put(c.from(), c.incarnation());
             if (!c.verb().equals("leave")) {
@@ -58,11 +63,14 @@
             return;
         }
         if (over && (checks.now() - last.trueMicros) * FASTEST + BACKLOG < expected.leaseMicros()) {
-            checks.violation("%s was expired %.3f s after it renewed", name, (checks.now() - last.trueMicros) / 1e6);
+            checks.violation(
+                    "%s was expired %.3f s after it renewed",
+                    name, (checks.now() - last.trueMicros) / 1e6);
         }
         if (!over && at.micros() - last.logMicros > expected.leaseMicros()) {
-            checks.violation("%s is not expired %.3f s of the log after it renewed", name,
-                    (at.micros() - last.logMicros) / 1e6);
+            checks.violation(
+                    "%s is not expired %.3f s of the log after it renewed",
+                    name, (at.micros() - last.logMicros) / 1e6);
         }
         if (over) {
             checks.count("looks at expired members");
--- a/simulation/src/main/java/postgrade/simulation/check/ViewCheck.java
+++ b/simulation/src/main/java/postgrade/simulation/check/ViewCheck.java
@@ -8,11 +8,12 @@
 /** What a process sees never goes back, and is never older than it says. */
 public final class ViewCheck {
 
-    private record Last(long incarnation, Moment at) { }
+    private record Last(long incarnation, Moment at) {}
 
     private final Checks checks;
     private final LogCheck log;
     private final Map<String, Last> last = new HashMap<>();
+
     /** The latest entry decided by some time, of late. */
     private final java.util.TreeMap<Long, Moment> decidedBy = new java.util.TreeMap<>();
 
@@ -31,7 +32,9 @@
         }
     }
 
-    /** @param asOf true time of which the view claims to know all that was decided */
+    /**
+     * @param asOf true time of which the view claims to know all that was decided
+     */
     public void taken(String who, long incarnation, Moment at, Rows rows, long asOf) {
         Last was = last.get(who);
         if (was != null && was.incarnation == incarnation && was.at.after(at)) {
@@ -40,8 +43,9 @@
         last.put(who, new Last(incarnation, at));
         var by = decidedBy.floorEntry(asOf);
         if (by != null && by.getValue().after(at)) {
-            checks.violation("view of %s as of %.6f s lacks entry %d, decided by then", who, asOf / 1e6,
-                    by.getValue().index());
+            checks.violation(
+                    "view of %s as of %.6f s lacks entry %d, decided by then",
+                    who, asOf / 1e6, by.getValue().index());
         }
         log.viewed(who, at, rows);
         checks.count("views");
--- a/simulation/src/main/java/postgrade/simulation/check/WindowCheck.java
+++ b/simulation/src/main/java/postgrade/simulation/check/WindowCheck.java
@@ -4,7 +4,10 @@
 import postgrade.shared.Row;
 import postgrade.shared.Rows;
 
-/** No job starts at a site that is closed by the version in force. Texts say {@code open} or {@code closed}. */
+/**
+ * No job starts at a site that is closed by the version in force. Texts say {@code open} or {@code
+ * closed}.
+ */
 public final class WindowCheck {
 
     private final Checks checks;
@@ -20,7 +23,10 @@
             closed = false; // No version counts, so none closes it.
             return;
         }
-        boolean is = rows.get("calendar", "text:s:" + site.text("current")).text("text").equals("closed");
+        boolean is =
+                rows.get("calendar", "text:s:" + site.text("current"))
+                        .text("text")
+                        .equals("closed");
         if (is != closed) {
             checks.count("changes of the calendar in force");
         }
--- a/simulation/src/main/java/postgrade/simulation/model/Clock.java
+++ b/simulation/src/main/java/postgrade/simulation/model/Clock.java
@@ -1,6 +1,9 @@
 package postgrade.simulation.model;
 
-/** A machine's monotonic clock: it never stands or goes back, and runs a little fast, by a rate that may change. */
+/**
+ * A machine's monotonic clock: it never stands or goes back, and runs a little fast, by a rate that
+ * may change.
+ */
 public final class Clock {
 
     private double local;
--- a/simulation/src/main/java/postgrade/simulation/model/Disk.java
+++ b/simulation/src/main/java/postgrade/simulation/model/Disk.java
@@ -12,7 +12,10 @@
 import postgrade.comeback.Unusable;
 import postgrade.simulation.check.Checks;
 
-/** A dispatcher's own snapshot: written now and then, and torn, flipped, aged or swapped while it is dead. */
+/**
+ * A dispatcher's own snapshot: written now and then, and torn, flipped, aged or swapped while it is
+ * dead.
+ */
 final class Disk {
 
     private static final long SAVE = 5_000_000;
@@ -45,10 +48,18 @@
         }
         savedAt = local;
         tokens = world.random.nextDouble() * 2;
-        Memory memory = Memory.of(owner, wall + local, 0.9,
-                List.of(new Learnt("tenant", "shop", new double[] {tokens, 10, 1, 0}),
-                        new Learnt("worker", "w1", new double[] {3, 1e9, 1, 1.2, 4, 1e6, 1e9, 1e9, 0})),
-                Map.of("w1", world.now() / 20_000_000));
+        Memory memory =
+                Memory.of(
+                        owner,
+                        wall + local,
+                        0.9,
+                        List.of(
+                                new Learnt("tenant", "shop", new double[] {tokens, 10, 1, 0}),
+                                new Learnt(
+                                        "worker",
+                                        "w1",
+                                        new double[] {3, 1e9, 1, 1.2, 4, 1e6, 1e9, 1e9, 0})),
+                        Map.of("w1", world.now() / 20_000_000));
         file = MemoryFormat.write(memory);
         written.add(Arrays.hashCode(file));
         copies.add(file);
@@ -93,11 +104,15 @@
     }
 
     private void judge(Memory memory, Learnt now, long started) {
-        Memory.Figure was = memory.figures().stream().filter(f -> f.learnt().of().equals(now.of())).findFirst()
-                .orElseThrow();
+        Memory.Figure was =
+                memory.figures().stream()
+                        .filter(f -> f.learnt().of().equals(now.of()))
+                        .findFirst()
+                        .orElseThrow();
         if (now.of().equals("tenant") && now.figures()[0] != was.learnt().figures()[0]) {
-            checks.violation("%s came back with %.3f tokens, not %.3f", owner, now.figures()[0],
-                    was.learnt().figures()[0]);
+            checks.violation(
+                    "%s came back with %.3f tokens, not %.3f",
+                    owner, now.figures()[0], was.learnt().figures()[0]);
         }
         if (now.of().equals("worker") && started > was.startedMillis()) {
             checks.violation("%s went by figures of a worker that was restarted since", owner);
--- a/simulation/src/main/java/postgrade/simulation/model/Dispatching.java
+++ b/simulation/src/main/java/postgrade/simulation/model/Dispatching.java
@@ -37,10 +37,15 @@
     private static final double MULTIPLE = 2;
     private static final double SERVED = 0.9;
 
-    private record Sent(long local, long trueTime) { }
+    private record Sent(long local, long trueTime) {}
 
     /** What all of them go by. */
-    record Plan(List<String> voters, Terms terms, long fallback, Mechanisms mechanisms, Checks checks) { }
+    record Plan(
+            List<String> voters,
+            Terms terms,
+            long fallback,
+            Mechanisms mechanisms,
+            Checks checks) {}
 
     private final Plan plan;
     private final int place;
@@ -69,7 +74,12 @@
         this.place = place;
         this.plan = plan;
         int places = plan.terms().places();
-        stampede = new Stampede(new Steady(places * 0.5, places * 1e6 / PULL, 0, 0, 0), MULTIPLE, places, place);
+        stampede =
+                new Stampede(
+                        new Steady(places * 0.5, places * 1e6 / PULL, 0, 0, 0),
+                        MULTIPLE,
+                        places,
+                        place);
         disk = new Disk(world, name(), plan.checks());
     }
 
@@ -114,9 +124,20 @@
             pull();
         }
         ramp.answered(world.chance(0.02));
-        double part = recovery.phase() == Phase.RAMPING || recovery.phase() == Phase.FULL ? ramp.part(now) : 0;
-        recovery.look(now, new Recovery.Seen(remembers, listKnown, view.ageMicros(now),
-                shares.goneBy() > 0, part, SERVED * part, SERVED));
+        double part =
+                recovery.phase() == Phase.RAMPING || recovery.phase() == Phase.FULL
+                        ? ramp.part(now)
+                        : 0;
+        recovery.look(
+                now,
+                new Recovery.Seen(
+                        remembers,
+                        listKnown,
+                        view.ageMicros(now),
+                        shares.goneBy() > 0,
+                        part,
+                        SERVED * part,
+                        SERVED));
         disk.turn(now, shares.factor(view, now));
     }
 
@@ -141,9 +162,9 @@
         Member own = Member.of(view.rows(), name());
         shares.factor(view, local());
         if (own != null && own.incarnation() == incarnation) {
-            ask(MemberPart.renew(name(), incarnation, shares.goneBy()), a -> { });
+            ask(MemberPart.renew(name(), incarnation, shares.goneBy()), a -> {});
         } else if (view.known()) {
-            ask(MemberPart.join(name(), incarnation, plan.terms()), a -> { });
+            ask(MemberPart.join(name(), incarnation, plan.terms()), a -> {});
         }
     }
 
@@ -178,7 +199,10 @@
         if (p.from() < 0) {
             rows = Rows.of(p.moment().index(), p.changes());
         } else if (p.moment().era() == view.moment().era() && p.from() == view.moment().index()) {
-            rows = p.changes().isEmpty() ? view.rows() : view.rows().with(p.moment().index(), p.changes());
+            rows =
+                    p.changes().isEmpty()
+                            ? view.rows()
+                            : view.rows().with(p.moment().index(), p.changes());
         } else {
             return;
         }
--- a/simulation/src/main/java/postgrade/simulation/model/Faults.java
+++ b/simulation/src/main/java/postgrade/simulation/model/Faults.java
@@ -20,20 +20,27 @@
     static Faults all(Simulation s) {
         Faults f = new Faults(s, s.world.between(800_000, 6_000_000));
         if (s.world.chance(0.7)) {
-            s.world.network.faults(s.world.random.nextDouble() * 0.1, s.world.random.nextDouble() * 0.1,
-                    s.world.random.nextDouble() * 0.1, s.world.chance(0.5));
+            s.world.network.faults(
+                    s.world.random.nextDouble() * 0.1,
+                    s.world.random.nextDouble() * 0.1,
+                    s.world.random.nextDouble() * 0.1,
+                    s.world.chance(0.5));
         }
         f.next();
         return f;
     }
 
-    /** One dispatcher after another is restarted, and each is back before its place is given away. */
+    /**
+     * One dispatcher after another is restarted, and each is back before its place is given away.
+     */
     static Faults rolling(Simulation s) {
         Faults f = new Faults(s, 0);
-        s.world.in(12_000_000, () -> {
-            s.checks.shares.maySwing(false); // All have joined.
-            f.roll(0);
-        });
+        s.world.in(
+                12_000_000,
+                () -> {
+                    s.checks.shares.maySwing(false); // All have joined.
+                    f.roll(0);
+                });
         return f;
     }
 
@@ -41,10 +48,13 @@
         if (!over) {
             Dispatching d = s.dispatchers.get(which % s.dispatchers.size());
             d.kill();
-            back(d, world.between(300_000, s.terms.lingerMicros() - 1_000_000), () -> {
-                d.start();
-                world.in(world.between(500_000, 3_000_000), () -> roll(which + 1));
-            });
+            back(
+                    d,
+                    world.between(300_000, s.terms.lingerMicros() - 1_000_000),
+                    () -> {
+                        d.start();
+                        world.in(world.between(500_000, 3_000_000), () -> roll(which + 1));
+                    });
         }
     }
 
@@ -56,12 +66,14 @@
     }
 
     private void next() {
-        world.in(world.exponential(meanMicros), () -> {
-            if (!over) {
-                fault();
-                next();
-            }
-        });
+        world.in(
+                world.exponential(meanMicros),
+                () -> {
+                    if (!over) {
+                        fault();
+                        next();
+                    }
+                });
     }
 
     private void fault() {
@@ -69,17 +81,28 @@
         if (dice < 14) {
             killed(world.any(s.dispatchers), world.exponential(6_000_000));
         } else if (dice < 17) {
-            s.dispatchers.stream().filter(d -> world.chance(0.7)).toList()
+            s.dispatchers.stream()
+                    .filter(d -> world.chance(0.7))
+                    .toList()
                     .forEach(d -> killed(d, 200_000 + world.exponential(8_000_000)));
         } else if (dice < 30) {
-            paused(world.any(s.dispatchers), world.exponential(world.chance(0.5) ? 500_000 : 12_000_000));
+            paused(
+                    world.any(s.dispatchers),
+                    world.exponential(world.chance(0.5) ? 500_000 : 12_000_000));
         } else if (dice < 38) {
             killed(world.any(s.voters), world.exponential(4_000_000));
         } else if (dice < 46) {
             paused(world.any(s.voters), world.exponential(world.chance(0.5) ? 800_000 : 8_000_000));
         } else if (dice < 54) {
-            s.voters.stream().filter(Voter::leads).toList()
-                    .forEach(v -> paused(v, world.exponential(world.chance(0.5) ? 800_000 : 10_000_000)));
+            s.voters.stream()
+                    .filter(Voter::leads)
+                    .toList()
+                    .forEach(
+                            v ->
+                                    paused(
+                                            v,
+                                            world.exponential(
+                                                    world.chance(0.5) ? 800_000 : 10_000_000)));
         } else if (dice < 66) {
             isolate(world.any(world.names()));
         } else if (dice < 74) {
@@ -109,11 +132,13 @@
     }
 
     private void back(Node n, long inMicros, Runnable how) {
-        world.in(inMicros, () -> {
-            if (!over) {
-                how.run();
-            }
-        });
+        world.in(
+                inMicros,
+                () -> {
+                    if (!over) {
+                        how.run();
+                    }
+                });
     }
 
     private void isolate(String name) {
@@ -150,16 +175,23 @@
         if (s.lost()) {
             return;
         }
-        s.voters.stream().filter(v -> !v.wiped()).limit(count).toList().forEach(v -> {
-            v.kill();
-            v.wipe();
-        });
+        s.voters.stream()
+                .filter(v -> !v.wiped())
+                .limit(count)
+                .toList()
+                .forEach(
+                        v -> {
+                            v.kill();
+                            v.wipe();
+                        });
         if (s.lost()) {
-            world.in(world.between(500_000, 15_000_000), () -> {
-                if (!over) {
-                    s.newEra();
-                }
-            });
+            world.in(
+                    world.between(500_000, 15_000_000),
+                    () -> {
+                        if (!over) {
+                            s.newEra();
+                        }
+                    });
         }
     }
 }
--- a/simulation/src/main/java/postgrade/simulation/model/Keeper.java
+++ b/simulation/src/main/java/postgrade/simulation/model/Keeper.java
@@ -23,21 +23,36 @@
     private void units() {
         world.in(3_000_000, this::units);
         for (String worker : Privileges.WORKERS) {
-            ask(LeasePart.NAME, "unit", Row.of("worker", worker, "site", "s", "kind", "k", "accelerators", 2,
-                    "version", 1));
+            ask(
+                    LeasePart.NAME,
+                    "unit",
+                    Row.of(
+                            "worker",
+                            worker,
+                            "site",
+                            "s",
+                            "kind",
+                            "k",
+                            "accelerators",
+                            2,
+                            "version",
+                            1));
         }
     }
 
     private void calendar() {
         world.in(world.between(6_000_000, 30_000_000), this::calendar);
         open = !open;
-        ask(CalendarPart.NAME, "put", Row.of("site", "s", "zone", "UTC", "text", open ? "open" : "closed"));
+        ask(
+                CalendarPart.NAME,
+                "put",
+                Row.of("site", "s", "zone", "UTC", "text", open ? "open" : "closed"));
     }
 
     private void ask(String part, String verb, Row args) {
         Dispatching over = world.any(dispatchers);
         if (over.running()) {
-            over.ask(new Command("", over.name(), 1, part, verb, args), a -> { });
+            over.ask(new Command("", over.name(), 1, part, verb, args), a -> {});
         }
     }
 }
--- a/simulation/src/main/java/postgrade/simulation/model/Mechanisms.java
+++ b/simulation/src/main/java/postgrade/simulation/model/Mechanisms.java
@@ -11,7 +11,8 @@
 import postgrade.window.CalendarPart;
 
 /**
- * What the simulation drives. Tests put in one with a mechanism switched off, to see that the checkers notice.
+ * What the simulation drives. Tests put in one with a mechanism switched off, to see that the
+ * checkers notice.
  */
 public class Mechanisms {
 
--- a/simulation/src/main/java/postgrade/simulation/model/Network.java
+++ b/simulation/src/main/java/postgrade/simulation/model/Network.java
@@ -21,7 +21,8 @@
 
     /**
      * @param late part of the messages that take up to seconds
-     * @param stray second copies arrive long after the first, when their sender may have been started again
+     * @param stray second copies arrive long after the first, when their sender may have been
+     *     started again
      */
     public void faults(double loss, double twice, double late, boolean stray) {
         this.loss = loss;
@@ -50,12 +51,14 @@
     }
 
     private void deliver(String from, String to, Message message, long after, boolean strays) {
-        world.in(LEAST_MICROS + after, () -> {
-            // A cut takes what is on its way with it.
-            if (!cut.contains(from + ">" + to) && (stray || !strays)) {
-                Node node = world.node(to);
-                node.happen(() -> node.receive(from, message));
-            }
-        });
+        world.in(
+                LEAST_MICROS + after,
+                () -> {
+                    // A cut takes what is on its way with it.
+                    if (!cut.contains(from + ">" + to) && (stray || !strays)) {
+                        Node node = world.node(to);
+                        node.happen(() -> node.receive(from, message));
+                    }
+                });
     }
 }
--- a/simulation/src/main/java/postgrade/simulation/model/Node.java
+++ b/simulation/src/main/java/postgrade/simulation/model/Node.java
@@ -31,7 +31,11 @@
     }
 
     final void drift() {
-        clock.run(world.now(), world.chance(0.5) ? 1 + world.random.nextDouble() * 0.02 : world.chance(0.5) ? 1 : 1.02);
+        clock.run(
+                world.now(),
+                world.chance(0.5)
+                        ? 1 + world.random.nextDouble() * 0.02
+                        : world.chance(0.5) ? 1 : 1.02);
     }
 
     final boolean running() {
@@ -87,11 +91,12 @@
             return;
         }
         int then = life;
-        Runnable ours = () -> {
-            if (life == then) {
-                what.run();
-            }
-        };
+        Runnable ours =
+                () -> {
+                    if (life == then) {
+                        what.run();
+                    }
+                };
         if (paused) {
             waiting.add(ours);
         } else {
@@ -102,11 +107,13 @@
     /** After so long by its own clock, about, unless it is killed before. */
     final void after(long micros, Runnable what) {
         int then = life;
-        world.in(micros, () -> {
-            if (life == then) {
-                happen(what);
-            }
-        });
+        world.in(
+                micros,
+                () -> {
+                    if (life == then) {
+                        happen(what);
+                    }
+                });
     }
 
     final void send(String to, Message message) {
--- a/simulation/src/main/java/postgrade/simulation/model/Operator.java
+++ b/simulation/src/main/java/postgrade/simulation/model/Operator.java
@@ -7,7 +7,10 @@
 import postgrade.shared.Command;
 import postgrade.simulation.check.Checks;
 
-/** Takes a worker out and puts it back, over any dispatcher, and repeats a call until it is answered. */
+/**
+ * Takes a worker out and puts it back, over any dispatcher, and repeats a call until it is
+ * answered.
+ */
 final class Operator {
 
     private final World world;
@@ -38,14 +41,19 @@
         String is = request;
         Dispatching over = world.any(dispatchers);
         if (over.running()) {
-            Command c = out ? OutPart.takeOut(is, over.name(), 1, worker) : OutPart.putBack(is, over.name(), 1, worker);
+            Command c =
+                    out
+                            ? OutPart.takeOut(is, over.name(), 1, worker)
+                            : OutPart.putBack(is, over.name(), 1, worker);
             over.ask(c, a -> answered(is, a));
         }
-        world.in(700_000, () -> {
-            if (is.equals(request)) {
-                call();
-            }
-        });
+        world.in(
+                700_000,
+                () -> {
+                    if (is.equals(request)) {
+                        call();
+                    }
+                });
     }
 
     private void answered(String of, Answer answer) {
@@ -57,11 +65,13 @@
         }
         request = null;
         checks.out.told(worker, out);
-        world.in(world.between(500_000, 4_000_000), () -> {
-            if (request == null) {
-                next();
-            }
-        });
+        world.in(
+                world.between(500_000, 4_000_000),
+                () -> {
+                    if (request == null) {
+                        next();
+                    }
+                });
     }
 
     /** Whatever was said in the former era is lost. */
@@ -70,14 +80,17 @@
         out = false;
         request = null;
         checks.out.newEra();
-        world.in(3_000_000, () -> {
-            if (request == null) {
-                next();
-            }
-        });
+        world.in(
+                3_000_000,
+                () -> {
+                    if (request == null) {
+                        next();
+                    }
+                });
     }
 
-    static List<Operator> some(World world, int count, List<Dispatching> dispatchers, Checks checks) {
+    static List<Operator> some(
+            World world, int count, List<Dispatching> dispatchers, Checks checks) {
         List<Operator> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             all.add(new Operator(world, "w" + i, dispatchers, checks));
--- a/simulation/src/main/java/postgrade/simulation/model/Planner.java
+++ b/simulation/src/main/java/postgrade/simulation/model/Planner.java
@@ -6,7 +6,10 @@
 import postgrade.shared.Command;
 import postgrade.shared.Row;
 
-/** Reserves accelerators, renews them through any dispatcher, and gives them back or dies, again and again. */
+/**
+ * Reserves accelerators, renews them through any dispatcher, and gives them back or dies, again and
+ * again.
+ */
 final class Planner {
 
     static final List<String> HOLDERS = List.of("h0", "h1", "h2");
@@ -59,8 +62,18 @@
     private void ask(String verb, Row more, java.util.function.Consumer<Answer> done) {
         Dispatching over = world.any(dispatchers);
         if (over.running()) {
-            Row args = more.with("holder", holder, "site", "s", "accelerators", wanted, "ttlMs", ttlMillis,
-                    "incarnation", incarnation);
+            Row args =
+                    more.with(
+                            "holder",
+                            holder,
+                            "site",
+                            "s",
+                            "accelerators",
+                            wanted,
+                            "ttlMs",
+                            ttlMillis,
+                            "incarnation",
+                            incarnation);
             over.ask(new Command("", over.name(), 1, LeasePart.NAME, verb, args), done);
         }
     }
@@ -68,7 +81,7 @@
     private void end(long life) {
         if (incarnation == life) {
             if (fence != 0 && world.chance(0.5)) {
-                ask("release", Row.of("fence", fence), a -> { });
+                ask("release", Row.of("fence", fence), a -> {});
             }
             lives = false;
             world.in(world.between(100_000, 5_000_000), this::begin);
--- a/simulation/src/main/java/postgrade/simulation/model/Privileges.java
+++ b/simulation/src/main/java/postgrade/simulation/model/Privileges.java
@@ -37,10 +37,33 @@
             reservations = new Reservations(view, mechanisms.leaseTimes());
         }
         calendars.view(view, local);
-        calendars.wanted(0, 0).forEach(w -> calendars.workedOut(SiteCalendar.compile(w.site(), w.version(),
-                w.text().equals("open") ? List.of() : List.of(Event.once("closed", new Event.When(
-                        LocalDateTime.of(1970, 1, 1, 0, 0).minusDays(5), ZoneOffset.UTC.getRules()),
-                        Event.Length.ofDays(20))), -FAR / 10, FAR / 10)));
+        calendars
+                .wanted(0, 0)
+                .forEach(
+                        w ->
+                                calendars.workedOut(
+                                        SiteCalendar.compile(
+                                                w.site(),
+                                                w.version(),
+                                                w.text().equals("open")
+                                                        ? List.of()
+                                                        : List.of(
+                                                                Event.once(
+                                                                        "closed",
+                                                                        new Event.When(
+                                                                                LocalDateTime.of(
+                                                                                                1970,
+                                                                                                1,
+                                                                                                1,
+                                                                                                0,
+                                                                                                0)
+                                                                                        .minusDays(
+                                                                                                5),
+                                                                                ZoneOffset.UTC
+                                                                                        .getRules()),
+                                                                        Event.Length.ofDays(20))),
+                                                -FAR / 10,
+                                                FAR / 10)));
     }
 
     /** Tells the checkers what may be done at this instant. */
@@ -48,7 +71,8 @@
         for (String worker : WORKERS) {
             for (String holder : Planner.HOLDERS) {
                 long asked = mechanisms.usesOldViews() ? reservations.view().asOfMicros() : now;
-                reservations.usable(asked, holder, worker)
+                reservations
+                        .usable(asked, holder, worker)
                         .forEach(u -> checks.leases.used(dispatcher, worker, u.mask(), holder));
             }
         }
--- a/simulation/src/main/java/postgrade/simulation/model/Simulation.java
+++ b/simulation/src/main/java/postgrade/simulation/model/Simulation.java
@@ -24,17 +24,28 @@
     private long era = 1;
 
     /** What a run came to. */
-    public record Result(long seed, List<String> violations, Map<String, Long> seen) { }
+    public record Result(long seed, List<String> violations, Map<String, Long> seen) {}
 
     private Simulation(long seed, Mechanisms mechanisms, Consumer<String> trace) {
         world = new World(seed, trace);
         long floor = world.between(100_000, 500_000);
-        terms = new Terms((int) world.between(3, 7), world.between(5_000_000, 8_000_000),
-                world.between(2_000_000, 12_000_000), floor);
+        terms =
+                new Terms(
+                        (int) world.between(3, 7),
+                        world.between(5_000_000, 8_000_000),
+                        world.between(2_000_000, 12_000_000),
+                        floor);
         long fallback = seed % 5 == 4 ? Terms.EVEN : floor;
         cutOffMicros = (long) (terms.leaseMicros() / 1.0201); // By a clock that runs fast.
-        checks = new Checks(world::now, new Checks.Expected(terms.places(), floor / 1e6, fallback / 1e6,
-                terms.leaseMicros(), terms.lingerMicros()));
+        checks =
+                new Checks(
+                        world::now,
+                        new Checks.Expected(
+                                terms.places(),
+                                floor / 1e6,
+                                fallback / 1e6,
+                                terms.leaseMicros(),
+                                terms.lingerMicros()));
         List<String> names = new ArrayList<>();
         int count = world.chance(0.7) ? 3 : 5;
         for (int i = 0; i < count; i++) {
@@ -50,7 +61,9 @@
         new Keeper(world, dispatchers);
     }
 
-    /** @param trace takes the story line by line, or null */
+    /**
+     * @param trace takes the story line by line, or null
+     */
     public static Result run(long seed, Mechanisms mechanisms, Consumer<String> trace) {
         Simulation s = new Simulation(seed, mechanisms, trace);
         try {
@@ -133,7 +146,9 @@
             checks.leases.look();
             factors.put(d.name(), d.factor());
             if (d.unseenMicros() > 2_000_000) {
-                checks.violation("view of %s is %.3f s old though nothing is wrong", d.name(), d.unseenMicros() / 1e6);
+                checks.violation(
+                        "view of %s is %.3f s old though nothing is wrong",
+                        d.name(), d.unseenMicros() / 1e6);
             }
             if (d.phase() != Phase.FULL) {
                 checks.violation("%s is %s though nothing is wrong", d.name(), d.phase().text());
--- a/simulation/src/main/java/postgrade/simulation/model/Voter.java
+++ b/simulation/src/main/java/postgrade/simulation/model/Voter.java
@@ -23,15 +23,16 @@
 import postgrade.simulation.model.Message.Voted;
 
 /**
- * A voter: a plain model of a replicated log with elections, only so faithful that it loses, delays and reorders what a
- * real one would. What it wrote survives a kill; a wiped one takes no part before a new era.
+ * A voter: a plain model of a replicated log with elections, only so faithful that it loses, delays
+ * and reorders what a real one would. What it wrote survives a kill; a wiped one takes no part
+ * before a new era.
  */
 final class Voter extends Node {
 
     private static final long TICK = 50_000;
     private static final int MOST_ENTRIES = 200;
 
-    private record Read(String from, Pull pull, long round, long index) { }
+    private record Read(String from, Pull pull, long round, long index) {}
 
     private final List<String> voters;
     private final Mechanisms mechanisms;
@@ -134,7 +135,8 @@
             votes.clear();
             votes.add(name());
             resetElection();
-            voters.stream().filter(v -> !v.equals(name()))
+            voters.stream()
+                    .filter(v -> !v.equals(name()))
                     .forEach(v -> send(v, new Vote(era, term, log.size(), lastTerm())));
         }
     }
@@ -149,7 +151,9 @@
             append(Machine.advance(name(), term, Math.min(passed, Machine.MOST_ADVANCE_MICROS)));
         } else {
             for (; passed > 0; passed -= Machine.MOST_ADVANCE_MICROS) {
-                append(Machine.advance(name(), term, Math.min(passed, Machine.MOST_ADVANCE_MICROS)));
+                append(
+                        Machine.advance(
+                                name(), term, Math.min(passed, Machine.MOST_ADVANCE_MICROS)));
             }
         }
         measuredAt = local();
@@ -179,7 +183,16 @@
     private void replicate(String to) {
         long from = next.getOrDefault(to, (long) log.size());
         int end = (int) Math.min(log.size(), from + MOST_ENTRIES);
-        send(to, new Append(era, term, from, termOf(from), List.copyOf(log.subList((int) from, end)), commit, round));
+        send(
+                to,
+                new Append(
+                        era,
+                        term,
+                        from,
+                        termOf(from),
+                        List.copyOf(log.subList((int) from, end)),
+                        commit,
+                        round));
     }
 
     @Override
@@ -192,8 +205,11 @@
             return;
         } else if (message instanceof Vote v && v.era() == era) {
             later(v.term());
-            boolean newer = v.lastTerm() > lastTerm() || v.lastTerm() == lastTerm() && v.lastIndex() >= log.size();
-            boolean granted = v.term() == term && newer && (votedFor == null || votedFor.equals(from));
+            boolean newer =
+                    v.lastTerm() > lastTerm()
+                            || v.lastTerm() == lastTerm() && v.lastIndex() >= log.size();
+            boolean granted =
+                    v.term() == term && newer && (votedFor == null || votedFor.equals(from));
             if (granted) {
                 votedFor = from;
                 resetElection();
@@ -236,7 +252,8 @@
         reads.clear();
         voters.forEach(v -> next.put(v, (long) log.size()));
         measuredAt = local();
-        advanceIndex = append(Machine.advance(name(), term, 0)); // Commits what earlier leaders left.
+        advanceIndex =
+                append(Machine.advance(name(), term, 0)); // Commits what earlier leaders left.
         broadcast();
     }
 
@@ -249,7 +266,10 @@
         leader = from;
         resetElection();
         if (a.previous() > log.size() || termOf(a.previous()) != a.previousTerm()) {
-            send(from, new Appended(era, term, false, Math.min(log.size(), a.previous() - 1), a.round()));
+            send(
+                    from,
+                    new Appended(
+                            era, term, false, Math.min(log.size(), a.previous() - 1), a.round()));
             return;
         }
         for (int i = 0; i < a.entries().size(); i++) {
@@ -324,7 +344,8 @@
         } else if (!mechanisms.confirmsReads()) {
             answer(new Read(from, p, 0, 0));
         } else if (termOf(commit) == term) {
-            // A round begun after this must come back from most: then nobody else had decided anything before it.
+            // A round begun after this must come back from most: then nobody else had decided
+            // anything before it.
             reads.add(new Read(from, p, round + 1, commit));
         }
     }
@@ -332,7 +353,8 @@
     private void answerReads() {
         List<Read> still = new ArrayList<>();
         for (Read r : reads) {
-            if (majority(rounds.values().stream().filter(n -> n >= r.round).count()) && applied >= r.index) {
+            if (majority(rounds.values().stream().filter(n -> n >= r.round).count())
+                    && applied >= r.index) {
                 answer(r);
             } else if (still.size() < MOST_ENTRIES) {
                 still.add(r);
@@ -346,7 +368,10 @@
         Moment moment = machine.moment();
         long since = r.pull.era() == era && r.pull.index() <= moment.index() ? r.pull.index() : -1;
         var changes = since < 0 ? null : machine.rows().since(since);
-        send(r.from, changes == null ? new Pulled(r.pull.number(), moment, -1, machine.save().rows())
-                : new Pulled(r.pull.number(), moment, since, changes));
+        send(
+                r.from,
+                changes == null
+                        ? new Pulled(r.pull.number(), moment, -1, machine.save().rows())
+                        : new Pulled(r.pull.number(), moment, since, changes));
     }
 }
--- a/simulation/src/main/java/postgrade/simulation/model/World.java
+++ b/simulation/src/main/java/postgrade/simulation/model/World.java
@@ -13,19 +13,22 @@
 /** True time, everything that is going to happen, and all chance, from one seed. */
 public final class World {
 
-    private record Event(long at, long order, Runnable what) { }
+    private record Event(long at, long order, Runnable what) {}
 
     public final UniformRandomProvider random;
     public final Network network;
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
+            new PriorityQueue<>(
+                    Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
     private final Map<String, Node> nodes = new HashMap<>();
     private final List<String> order = new ArrayList<>();
     private final Consumer<String> trace;
     private long now;
     private long scheduled;
 
-    /** @param trace takes each line of the story, or null */
+    /**
+     * @param trace takes each line of the story, or null
+     */
     public World(long seed, Consumer<String> trace) {
         random = RandomSource.XO_SHI_RO_256_PP.create(seed);
         network = new Network(this);
--- a/simulation/src/test/java/postgrade/member/Broken.java
+++ b/simulation/src/test/java/postgrade/member/Broken.java
@@ -11,7 +11,7 @@
 /** Members with one mechanism switched off each, to see that the checkers notice. */
 public final class Broken {
 
-    private Broken() { }
+    private Broken() {}
 
     private abstract static class WithSplit extends MemberPart {
         abstract Member seen(Member m, Moment at, Terms terms);
@@ -22,7 +22,10 @@
         }
     }
 
-    /** Takes a share back and gives it away at once, without waiting until its holder was seen to go by less. */
+    /**
+     * Takes a share back and gives it away at once, without waiting until its holder was seen to go
+     * by less.
+     */
     public static Part growsWithoutWaiting() {
         return new WithSplit() {
             @Override
@@ -37,8 +40,16 @@
         return new WithSplit() {
             @Override
             Member seen(Member m, Moment at, Terms terms) {
-                return m.alive(at.micros()) ? m : new Member(m.name(), m.incarnation(),
-                        Math.min(m.until(), at.micros() - terms.lingerMicros()), m.share(), m.grant(), 0, 0);
+                return m.alive(at.micros())
+                        ? m
+                        : new Member(
+                                m.name(),
+                                m.incarnation(),
+                                Math.min(m.until(), at.micros() - terms.lingerMicros()),
+                                m.share(),
+                                m.grant(),
+                                0,
+                                0);
             }
         };
     }
@@ -50,8 +61,18 @@
             public Answer apply(Rows rows, Moment at, Command c) {
                 Member m = Member.of(rows, c.from());
                 if (m != null && c.incarnation() < m.incarnation()) {
-                    rows.put(Member.PART, m.name(), new Member(m.name(), c.incarnation(), m.until(), m.share(),
-                            m.grant(), m.held(), m.heldUntil()).row());
+                    rows.put(
+                            Member.PART,
+                            m.name(),
+                            new Member(
+                                            m.name(),
+                                            c.incarnation(),
+                                            m.until(),
+                                            m.share(),
+                                            m.grant(),
+                                            m.held(),
+                                            m.heldUntil())
+                                    .row());
                 }
                 return super.apply(rows, at, c);
             }
@@ -63,8 +84,16 @@
         return new WithSplit() {
             @Override
             Member seen(Member m, Moment at, Terms terms) {
-                return m.until() - at.micros() > terms.leaseMicros() / 2 ? m : new Member(m.name(), m.incarnation(),
-                        Math.min(m.until(), at.micros()), m.share(), m.grant(), m.held(), m.heldUntil());
+                return m.until() - at.micros() > terms.leaseMicros() / 2
+                        ? m
+                        : new Member(
+                                m.name(),
+                                m.incarnation(),
+                                Math.min(m.until(), at.micros()),
+                                m.share(),
+                                m.grant(),
+                                m.held(),
+                                m.heldUntil());
             }
         };
     }
--- a/simulation/src/test/java/postgrade/simulation/SimulationTest.java
+++ b/simulation/src/test/java/postgrade/simulation/SimulationTest.java
@@ -27,23 +27,39 @@
 import postgrade.simulation.model.Simulation.Result;
 import postgrade.window.CalendarPart;
 
-/** Seeds hold; and each checker finds what it is there for, once the mechanism that prevents it is switched off. */
+/**
+ * Seeds hold; and each checker finds what it is there for, once the mechanism that prevents it is
+ * switched off.
+ */
 public class SimulationTest {
 
     private static final int MOST_TRIED = 60;
 
     @Test
     public void twoHundredSeedsHold() {
-        List<Result> all = LongStream.rangeClosed(1, 200).parallel()
-                .mapToObj(seed -> Simulation.run(seed, new Mechanisms(), null)).toList();
+        List<Result> all =
+                LongStream.rangeClosed(1, 200)
+                        .parallel()
+                        .mapToObj(seed -> Simulation.run(seed, new Mechanisms(), null))
+                        .toList();
         List<Result> failing = all.stream().filter(r -> !r.violations().isEmpty()).toList();
         assertTrue(failing.toString(), failing.isEmpty());
-        for (String needed : List.of("new eras", "operators' calls answered", "looks at expired members",
-                "reservations expired", "changes of the calendar in force", "looks at an open site",
-                "snapshots gone by", "snapshots put aside, TORN", "snapshots put aside, FLIPPED")) {
+        for (String needed :
+                List.of(
+                        "new eras",
+                        "operators' calls answered",
+                        "looks at expired members",
+                        "reservations expired",
+                        "changes of the calendar in force",
+                        "looks at an open site",
+                        "snapshots gone by",
+                        "snapshots put aside, TORN",
+                        "snapshots put aside, FLIPPED")) {
             assertTrue(needed, all.stream().anyMatch(r -> r.seen().containsKey(needed)));
         }
-        assertTrue("shares grew", all.stream().anyMatch(r -> of(r, "greatest share, thousandths of even") > 2000));
+        assertTrue(
+                "shares grew",
+                all.stream().anyMatch(r -> of(r, "greatest share, thousandths of even") > 2000));
     }
 
     private static long of(Result r, String what) {
@@ -60,10 +76,21 @@
         assertTrue(one.size() > 5);
     }
 
-    /** Some seed has a violation that says so; the first seeds to look at are given, so that it is quick. */
+    /**
+     * Some seed has a violation that says so; the first seeds to look at are given, so that it is
+     * quick.
+     */
     private static void found(String violation, long from, Supplier<Mechanisms> broken) {
-        assertTrue("no seed finds: " + violation, LongStream.range(from, from + MOST_TRIED).parallel().anyMatch(seed ->
-                Simulation.run(seed, broken.get(), null).violations().stream().anyMatch(v -> v.contains(violation))));
+        assertTrue(
+                "no seed finds: " + violation,
+                LongStream.range(from, from + MOST_TRIED)
+                        .parallel()
+                        .anyMatch(
+                                seed ->
+                                        Simulation.run(seed, broken.get(), null)
+                                                .violations()
+                                                .stream()
+                                                .anyMatch(v -> v.contains(violation))));
     }
 
     private static Mechanisms members(Supplier<Part> part) {
@@ -98,94 +125,140 @@
 
     @Test
     public void aProcessThatNeverFallsIsFound() {
-        found("shares sum to", 1, () -> new Mechanisms() {
-            @Override
-            public Shares shares(String name, long incarnation, Terms terms, long fallback) {
-                return Broken.neverFalls(name, incarnation, terms);
-            }
-        });
+        found(
+                "shares sum to",
+                1,
+                () ->
+                        new Mechanisms() {
+                            @Override
+                            public Shares shares(
+                                    String name, long incarnation, Terms terms, long fallback) {
+                                return Broken.neverFalls(name, incarnation, terms);
+                            }
+                        });
     }
 
     @Test
     public void driftAndBacklogIgnoredAreFound() {
-        found("shares sum to", 80, () -> new Mechanisms() {
-            @Override
-            public Shares shares(String name, long incarnation, Terms terms, long fallback) {
-                return Broken.ignoresDriftAndBacklog(name, incarnation, terms);
-            }
-        });
+        found(
+                "shares sum to",
+                80,
+                () ->
+                        new Mechanisms() {
+                            @Override
+                            public Shares shares(
+                                    String name, long incarnation, Terms terms, long fallback) {
+                                return Broken.ignoresDriftAndBacklog(name, incarnation, terms);
+                            }
+                        });
     }
 
     @Test
     public void readsThatNobodyConfirmedAreFound() {
-        found("decided by then", 1, () -> new Mechanisms() {
-            @Override
-            public boolean confirmsReads() {
-                return false;
-            }
-        });
+        found(
+                "decided by then",
+                1,
+                () ->
+                        new Mechanisms() {
+                            @Override
+                            public boolean confirmsReads() {
+                                return false;
+                            }
+                        });
     }
 
     @Test
     public void aLeaderThatSaysAllItSleptAtOnceIsFound() {
-        found("the log's time ran ahead", 1, () -> new Mechanisms() {
-            @Override
-            public boolean boundsBacklog() {
-                return false;
-            }
-        });
+        found(
+                "the log's time ran ahead",
+                1,
+                () ->
+                        new Mechanisms() {
+                            @Override
+                            public boolean boundsBacklog() {
+                                return false;
+                            }
+                        });
     }
 
     @Test
     public void anAcceleratorUsedByAnOldViewIsFound() {
-        found("is used for", 1, () -> new Mechanisms() {
-            @Override
-            public boolean usesOldViews() {
-                return true;
-            }
-        });
+        found(
+                "is used for",
+                1,
+                () ->
+                        new Mechanisms() {
+                            @Override
+                            public boolean usesOldViews() {
+                                return true;
+                            }
+                        });
     }
 
     /** A part whose rows somebody changes before each step of the log's time. */
     private static Mechanisms meddled(Part part, BiConsumer<Rows, Moment> meddle) {
-        Part meddled = new Part() {
-            @Override
-            public String name() {
-                return part.name();
-            }
+        Part meddled =
+                new Part() {
+                    @Override
+                    public String name() {
+                        return part.name();
+                    }
 
-            @Override
-            public Answer apply(Rows rows, Moment at, Command command) {
-                return part.apply(rows, at, command);
-            }
+                    @Override
+                    public Answer apply(Rows rows, Moment at, Command command) {
+                        return part.apply(rows, at, command);
+                    }
 
-            @Override
-            public void advance(Rows rows, Moment at) {
-                meddle.accept(rows, at);
-                part.advance(rows, at);
-            }
-        };
+                    @Override
+                    public void advance(Rows rows, Moment at) {
+                        meddle.accept(rows, at);
+                        part.advance(rows, at);
+                    }
+                };
         return new Mechanisms() {
             @Override
             public List<Part> parts() {
-                return super.parts().stream().map(p -> p.name().equals(part.name()) ? meddled : p).toList();
+                return super.parts().stream()
+                        .map(p -> p.name().equals(part.name()) ? meddled : p)
+                        .toList();
             }
         };
     }
 
     @Test
     public void anAcceleratorGrantedWithoutRestIsFound() {
-        found("is used for", 1, () -> meddled(new LeasePart(Times.USUAL), (rows, at) ->
-                rows.of("lease.resting").forEach((key, row) -> rows.put("lease.resting", key, row.with("until", 1)))));
+        found(
+                "is used for",
+                1,
+                () ->
+                        meddled(
+                                new LeasePart(Times.USUAL),
+                                (rows, at) ->
+                                        rows.of("lease.resting")
+                                                .forEach(
+                                                        (key, row) ->
+                                                                rows.put(
+                                                                        "lease.resting",
+                                                                        key,
+                                                                        row.with("until", 1)))));
     }
 
     @Test
     public void aCalendarInForceTooSoonIsFound() {
-        found("at a closed site", 1, () -> meddled(new CalendarPart(), (rows, at) -> {
-            Row site = rows.get("calendar", "site:s");
-            if (site != null && site.has("next")) {
-                rows.put("calendar", "site:s", site.with("countsFrom", at.micros()));
-            }
-        }));
+        found(
+                "at a closed site",
+                1,
+                () ->
+                        meddled(
+                                new CalendarPart(),
+                                (rows, at) -> {
+                                    Row site = rows.get("calendar", "site:s");
+                                    if (site != null && site.has("next")) {
+                                        rows.put(
+                                                "calendar",
+                                                "site:s",
+                                                site.with("countsFrom", at.micros()));
+                                    }
+                                }));
     }
 }
--- a/trace/src/main/java/postgrade/trace/Frames.java
+++ b/trace/src/main/java/postgrade/trace/Frames.java
@@ -15,10 +15,11 @@
     static final int FRAME_BYTES = 9;
     static final int FOOTER_BYTES = 16;
     static final int BLOCK_JOBS = 4096;
+
     /** Guards the reader's memory against a length that is damaged. */
     static final int MOST_FRAME = 64 << 20;
 
-    private Frames() { }
+    private Frames() {}
 
     static int checksum(byte[] bytes) {
         CRC32C crc = new CRC32C();
--- a/trace/src/main/java/postgrade/trace/TraceJob.java
+++ b/trace/src/main/java/postgrade/trace/TraceJob.java
@@ -14,8 +14,20 @@
  * @param source the place of its source in the header, from 1; 0 where there is none
  * @param line its line or entry in the source, from 1
  */
-public record TraceJob(long number, long atMicros, String jobClass, String tenant, String key, long deadlineMicros,
-        int bodyBytes, int status, long durationMicros, long firstTry, int attempt, int source, long line) {
+public record TraceJob(
+        long number,
+        long atMicros,
+        String jobClass,
+        String tenant,
+        String key,
+        long deadlineMicros,
+        int bodyBytes,
+        int status,
+        long durationMicros,
+        long firstTry,
+        int attempt,
+        int source,
+        long line) {
 
     public boolean isRetry() {
         return firstTry != 0;
@@ -23,7 +35,9 @@
 
     /** The client was refused, failed or gave up: what makes clients try again. */
     public static boolean failed(int status, long durationMicros, long deadlineMicros) {
-        return status == 429 || status == 499 || status >= 500
+        return status == 429
+                || status == 499
+                || status >= 500
                 || deadlineMicros > 0 && durationMicros >= deadlineMicros;
     }
 }
--- a/trace/src/main/java/postgrade/trace/TraceReader.java
+++ b/trace/src/main/java/postgrade/trace/TraceReader.java
@@ -43,8 +43,12 @@
             }
             header = Header.parseFrom(frame(Frames.HEADER));
             if (header.getVersion() != Frames.VERSION) {
-                throw new TraceException(file, "version " + header.getVersion() + " of the format; this program reads "
-                        + Frames.VERSION);
+                throw new TraceException(
+                        file,
+                        "version "
+                                + header.getVersion()
+                                + " of the format; this program reads "
+                                + Frames.VERSION);
             }
         } catch (EOFException e) {
             raw.close();
@@ -61,7 +65,8 @@
     /** Whether the file begins as a trace does. */
     public static boolean isTrace(byte[] beginning) {
         return beginning.length >= Frames.MAGIC.length
-                && Arrays.equals(beginning, 0, Frames.MAGIC.length, Frames.MAGIC, 0, Frames.MAGIC.length);
+                && Arrays.equals(
+                        beginning, 0, Frames.MAGIC.length, Frames.MAGIC, 0, Frames.MAGIC.length);
     }
 
     private Index readIndex() throws IOException {
@@ -73,11 +78,14 @@
         long offset = raw.readLong();
         byte[] magic = new byte[Frames.END_MAGIC.length];
         raw.readFully(magic);
-        if (!Arrays.equals(magic, Frames.END_MAGIC) || offset < Frames.MAGIC.length || offset >= length) {
+        if (!Arrays.equals(magic, Frames.END_MAGIC)
+                || offset < Frames.MAGIC.length
+                || offset >= length) {
             byte[] begin = new byte[Frames.MAGIC.length];
             raw.seek(0);
             raw.readFully(begin);
-            throw new TraceException(file, isTrace(begin) ? "cut off: its end is missing" : "not a trace");
+            throw new TraceException(
+                    file, isTrace(begin) ? "cut off: its end is missing" : "not a trace");
         }
         from(offset);
         return Index.parseFrom(frame(Frames.INDEX));
@@ -85,7 +93,10 @@
 
     private void from(long offset) throws IOException {
         raw.seek(offset);
-        in = new DataInputStream(new BufferedInputStream(Channels.newInputStream(raw.getChannel()), 1 << 16));
+        in =
+                new DataInputStream(
+                        new BufferedInputStream(
+                                Channels.newInputStream(raw.getChannel()), 1 << 16));
     }
 
     private byte[] frame(byte kind) throws IOException {
@@ -100,7 +111,8 @@
             throw new TraceException(file, "cut off in block " + blocks);
         }
         if (Frames.checksum(bytes) != checksum) {
-            throw new TraceException(file, "damaged at block " + blocks + ": the checksum does not fit");
+            throw new TraceException(
+                    file, "damaged at block " + blocks + ": the checksum does not fit");
         }
         return bytes;
     }
@@ -177,9 +189,20 @@
         Job j = block.getJobs(nextInBlock++);
         at += j.getAfterMicros();
         number++;
-        return new TraceJob(number, at, text(j.getJobClass()), text(j.getTenant()), text(j.getKey()),
-                j.getDeadlineMicros(), j.getBodyBytes(), j.getStatus(), j.getDurationMicrosAnd1() - 1,
-                j.getFirstTry(), j.getAttempt(), j.getSource(), j.getLine());
+        return new TraceJob(
+                number,
+                at,
+                text(j.getJobClass()),
+                text(j.getTenant()),
+                text(j.getKey()),
+                j.getDeadlineMicros(),
+                j.getBodyBytes(),
+                j.getStatus(),
+                j.getDurationMicrosAnd1() - 1,
+                j.getFirstTry(),
+                j.getAttempt(),
+                j.getSource(),
+                j.getLine());
     }
 
     private String text(int place) throws TraceException {
--- a/trace/src/main/java/postgrade/trace/TraceWriter.java
+++ b/trace/src/main/java/postgrade/trace/TraceWriter.java
@@ -16,8 +16,9 @@
 import postgrade.trace.wire.Job;
 
 /**
- * Writes a trace, job by job in the order of time, in constant memory. The file has its name only once it is whole:
- * until {@link #close} it is written beside it, and {@link #abandon} leaves nothing.
+ * Writes a trace, job by job in the order of time, in constant memory. The file has its name only
+ * once it is whole: until {@link #close} it is written beside it, and {@link #abandon} leaves
+ * nothing.
  */
 public final class TraceWriter implements Closeable {
 
@@ -52,26 +53,38 @@
     }
 
     /**
-     * Adds a job. Its number is given by its place and returned; that of the argument does not count.
+     * Adds a job. Its number is given by its place and returned; that of the argument does not
+     * count.
      *
      * @throws IllegalArgumentException if it comes before the job before it, or retries none
      */
     public long add(TraceJob j) throws IOException {
         if (j.atMicros() < last) {
-            throw new IllegalArgumentException("job at " + j.atMicros() + " us follows one at " + last + " us");
+            throw new IllegalArgumentException(
+                    "job at " + j.atMicros() + " us follows one at " + last + " us");
         }
         if (j.firstTry() > jobs) {
-            throw new IllegalArgumentException("a retry of job " + j.firstTry() + ", of which there are " + jobs);
+            throw new IllegalArgumentException(
+                    "a retry of job " + j.firstTry() + ", of which there are " + jobs);
         }
         boolean first = block.getJobsCount() == 0;
         if (first) {
             blockFirst = j.atMicros();
         }
-        Job.Builder b = Job.newBuilder().setAfterMicros(first ? j.atMicros() : j.atMicros() - last)
-                .setJobClass(text(j.jobClass())).setTenant(text(j.tenant())).setKey(text(j.key()))
-                .setDeadlineMicros(j.deadlineMicros()).setBodyBytes(j.bodyBytes()).setStatus(j.status())
-                .setDurationMicrosAnd1(j.durationMicros() + 1).setFirstTry(j.firstTry()).setAttempt(j.attempt())
-                .setSource(j.source()).setLine(j.line());
+        Job.Builder b =
+                Job.newBuilder()
+                        .setAfterMicros(first ? j.atMicros() : j.atMicros() - last)
+                        .setJobClass(text(j.jobClass()))
+                        .setTenant(text(j.tenant()))
+                        .setKey(text(j.key()))
+                        .setDeadlineMicros(j.deadlineMicros())
+                        .setBodyBytes(j.bodyBytes())
+                        .setStatus(j.status())
+                        .setDurationMicrosAnd1(j.durationMicros() + 1)
+                        .setFirstTry(j.firstTry())
+                        .setAttempt(j.attempt())
+                        .setSource(j.source())
+                        .setLine(j.line());
         block.addJobs(b);
         last = j.atMicros();
         jobs++;
@@ -95,8 +108,13 @@
     }
 
     private void endBlock() throws IOException {
-        index.addEntries(Index.Entry.newBuilder().setOffset(offset).setFirstMicros(blockFirst).setLastMicros(last)
-                .setJobs(block.getJobsCount()).setFirstJob(jobs - block.getJobsCount() + 1));
+        index.addEntries(
+                Index.Entry.newBuilder()
+                        .setOffset(offset)
+                        .setFirstMicros(blockFirst)
+                        .setLastMicros(last)
+                        .setJobs(block.getJobsCount())
+                        .setFirstJob(jobs - block.getJobsCount() + 1));
         frame(Frames.BLOCK, block.build().toByteArray());
         block = Block.newBuilder();
         texts.clear();
--- a/trace/src/test/java/postgrade/trace/TraceTest.java
+++ b/trace/src/test/java/postgrade/trace/TraceTest.java
@@ -18,8 +18,7 @@
 
 class TraceTest {
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private List<TraceJob> write(Path file, int count) throws IOException {
         Random random = new Random(3);
@@ -29,10 +28,21 @@
             for (int n = 1; n <= count; n++) {
                 at += random.nextInt(1000);
                 boolean retry = n > 1 && random.nextInt(10) == 0;
-                TraceJob j = new TraceJob(n, at, "c" + random.nextInt(4), random.nextBoolean() ? "t" : null,
-                        random.nextInt(3) == 0 ? null : "k" + random.nextInt(1000), random.nextInt(5000),
-                        random.nextInt(65536), random.nextBoolean() ? 200 : 0, random.nextInt(3) - 1L,
-                        retry ? n - 1 : 0, retry ? 1 : 0, 1, n);
+                TraceJob j =
+                        new TraceJob(
+                                n,
+                                at,
+                                "c" + random.nextInt(4),
+                                random.nextBoolean() ? "t" : null,
+                                random.nextInt(3) == 0 ? null : "k" + random.nextInt(1000),
+                                random.nextInt(5000),
+                                random.nextInt(65536),
+                                random.nextBoolean() ? 200 : 0,
+                                random.nextInt(3) - 1L,
+                                retry ? n - 1 : 0,
+                                retry ? 1 : 0,
+                                1,
+                                n);
                 jobs.add(j);
                 assertEquals(n, w.add(j));
             }
@@ -55,8 +65,15 @@
         try (TraceReader r = new TraceReader(file)) {
             assertEquals(10_000, r.jobs());
             assertEquals(jobs, rest(r));
-            for (long micros : new long[] {0, 1, jobs.get(4096).atMicros(), jobs.get(5000).atMicros(),
-                jobs.get(9999).atMicros(), jobs.get(9999).atMicros() + 1}) {
+            for (long micros :
+                    new long[] {
+                        0,
+                        1,
+                        jobs.get(4096).atMicros(),
+                        jobs.get(5000).atMicros(),
+                        jobs.get(9999).atMicros(),
+                        jobs.get(9999).atMicros() + 1
+                    }) {
                 r.seek(micros);
                 assertEquals(jobs.stream().filter(j -> j.atMicros() >= micros).toList(), rest(r));
             }
@@ -87,11 +104,15 @@
             byte[] changed = whole.clone();
             changed[at] ^= 0x10;
             Files.write(bad, changed);
-            TraceException e = assertThrows(TraceException.class, () -> {
-                try (TraceReader r = new TraceReader(bad)) {
-                    rest(r);
-                }
-            }, "changed at " + at);
+            TraceException e =
+                    assertThrows(
+                            TraceException.class,
+                            () -> {
+                                try (TraceReader r = new TraceReader(bad)) {
+                                    rest(r);
+                                }
+                            },
+                            "changed at " + at);
             assertTrue(e.getMessage().startsWith(bad.toString()));
         }
     }
@@ -101,9 +122,11 @@
         Path file = folder.resolve("a.trace");
         TraceWriter w = new TraceWriter(file, Header.getDefaultInstance());
         w.add(new TraceJob(0, 5, "c", null, null, 0, 0, 0, -1, 0, 0, 0, 0));
-        assertThrows(IllegalArgumentException.class,
+        assertThrows(
+                IllegalArgumentException.class,
                 () -> w.add(new TraceJob(0, 4, "c", null, null, 0, 0, 0, -1, 0, 0, 0, 0)));
-        assertThrows(IllegalArgumentException.class,
+        assertThrows(
+                IllegalArgumentException.class,
                 () -> w.add(new TraceJob(0, 6, "c", null, null, 0, 0, 0, -1, 2, 1, 0, 0)));
         assertFalse(Files.exists(file));
         w.abandon();
