--- a/core/src/main/java/postgrade/comeback/MemoryFormat.java
+++ b/core/src/main/java/postgrade/comeback/MemoryFormat.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.zip.CRC32C;
-import postgrade.Dispatcher.Learnt;
 import postgrade.comeback.Memory.Figure;
 import postgrade.comeback.Unusable.Fault;
+import postgrade.policy.api.TransferredFigures;
 
 /**
  * A snapshot as bytes: a head line with version, checksum and length, then lines of words. All of
@@ -58,12 +58,12 @@
 
     private static String line(Figure f) {
         StringBuilder line =
-                new StringBuilder(Words.escape(f.learnt().of()))
+                new StringBuilder(Words.escape(f.learnt().category()))
                         .append(' ')
                         .append(Words.escape(f.learnt().name()))
                         .append(' ')
                         .append(f.startedMillis());
-        double[] figures = f.learnt().figures();
+        double[] figures = f.learnt().values();
         for (int i = 0; i < figures.length && i < MOST_NUMBERS; i++) {
             line.append(' ').append(Double.isFinite(figures[i]) ? figures[i] : 0.0);
         }
@@ -166,7 +166,7 @@
             }
         }
         return new Figure(
-                new Learnt(Words.plain(words[0]), Words.plain(words[1]), figures),
+                new TransferredFigures(Words.plain(words[0]), Words.plain(words[1]), figures),
                 Long.parseLong(words[2]));
     }
 }
--- a/core/src/main/java/postgrade/comeback/Trust.java
+++ b/core/src/main/java/postgrade/comeback/Trust.java
@@ -1,6 +1,6 @@
 package postgrade.comeback;
 
-import postgrade.Dispatcher.Learnt;
+import postgrade.policy.api.TransferredFigures;
 
 /**
  * How figures age. Counts of what was seen fade, so that what is seen from now on soon weighs more;
@@ -20,20 +20,20 @@
 
     private Trust() {}
 
-    static boolean ofWorker(Learnt l) {
-        return l.of().equals("worker") || l.of().equals("cold");
+    static boolean ofWorker(TransferredFigures l) {
+        return l.category().equals("worker") || l.category().equals("cold");
     }
 
     /** As it counts so much later; null where nothing is left of it, or it is not understood. */
-    static Learnt aged(Learnt l, long ageMicros) {
+    static TransferredFigures aged(TransferredFigures l, long ageMicros) {
         if (ageMicros > MOST_MICROS) {
             return null;
         }
-        double[] f = l.figures().clone();
+        double[] f = l.values().clone();
         double keep = Math.pow(0.5, ageMicros / (double) HALF_MICROS);
         double ageNs = ageMicros * NS;
         boolean left =
-                switch (l.of()) {
+                switch (l.category()) {
                     case "class" -> f.length >= 3 && jobClass(f, keep);
                     case "kind" -> f.length >= 3 && kind(f, keep);
                     case "worker" -> f.length >= 9 && worker(f, keep, ageNs);
@@ -42,7 +42,7 @@
                     case "up" -> f.length == 1 && up(f, ageNs);
                     default -> false;
                 };
-        return left ? new Learnt(l.of(), l.name(), f) : null;
+        return left ? new TransferredFigures(l.category(), l.name(), f) : null;
     }
 
     private static boolean jobClass(double[] f, double keep) {
--- a/core/src/main/java/postgrade/gateway/Endings.java
+++ b/core/src/main/java/postgrade/gateway/Endings.java
@@ -4,9 +4,9 @@
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
 import java.util.function.Supplier;
-import postgrade.Dispatcher;
-import postgrade.Dispatcher.Load;
-import postgrade.Dispatcher.Outcome;
+import postgrade.policy.api.AttemptOutcome;
+import postgrade.policy.api.DispatchPolicy;
+import postgrade.policy.api.LoadReport;
 
 /**
  * How calls and invocations end: each call once, each invocation with one final answer, and the
@@ -17,14 +17,14 @@
     private final Timers timers;
     private final Faults faults;
     private final Turn turn;
-    private final Supplier<Dispatcher> module;
+    private final Supplier<DispatchPolicy> module;
     private final ArrayDeque<Invocation> touched = new ArrayDeque<>();
     Witness witness = Witness.NONE;
 
     /** Invocations that have no answer yet. */
     int waiting;
 
-    Endings(Timers timers, Faults faults, Turn turn, Supplier<Dispatcher> module) {
+    Endings(Timers timers, Faults faults, Turn turn, Supplier<DispatchPolicy> module) {
         this.timers = timers;
         this.faults = faults;
         this.turn = turn;
@@ -51,7 +51,7 @@
                 });
     }
 
-    void end(InvokerCall call, Outcome outcome, byte[] result) {
+    void end(InvokerCall call, AttemptOutcome outcome, byte[] result) {
         if (!call.out()) {
             return;
         }
@@ -62,12 +62,17 @@
             call.timer.cancel();
         }
         witness.ended(in.jobClass, outcome, timers.nowMicros() - call.beganMicros);
-        if (outcome == Outcome.SERVED && !in.answered) {
+        if (outcome == AttemptOutcome.SERVED && !in.answered) {
             answer(in, true);
             in.consumer.serve(result);
         }
         boolean last = in.answered;
-        tell(in, now -> module.get().finished(now, in.id, call.number, outcome, last, Load.NONE));
+        tell(
+                in,
+                now ->
+                        module.get()
+                                .attemptFinished(
+                                        now, in.id, call.number, outcome, last, LoadReport.NONE));
     }
 
     /** Marks the one final answer, which the caller gives. */
@@ -109,7 +114,7 @@
         for (InvokerCall call : in.calls) {
             if (call.out() && call.handle != null && !call.handle.written()) {
                 call.handle.giveUp(() -> {});
-                end(call, Outcome.NOT_SENT, null);
+                end(call, AttemptOutcome.NOT_SENT, null);
             }
         }
     }
@@ -123,7 +128,7 @@
                             + " unanswered at its deadline; failed here",
                     null);
             failed(in, true);
-            tell(in, now -> module.get().abandoned(now, in.id));
+            tell(in, now -> module.get().clientLeft(now, in.id));
         }
     }
 
@@ -131,12 +136,13 @@
         if (call.out() && timers.nowMicros() >= call.invocation.deadlineMicros) {
             // The module owes the answer now and can send no more, so it need not wait for the
             // provider.
-            Outcome as = call.handle.written() ? Outcome.TIMEOUT : Outcome.NOT_SENT;
+            AttemptOutcome as =
+                    call.handle.written() ? AttemptOutcome.TIMEOUT : AttemptOutcome.NOT_SENT;
             call.handle.giveUp(() -> {});
             end(call, as, null);
         } else {
             call.timer = timers.at(call.invocation.deadlineMicros, () -> expire(call));
-            giveUp(call, Outcome.TIMEOUT);
+            giveUp(call, AttemptOutcome.TIMEOUT);
         }
     }
 
@@ -144,7 +150,7 @@
      * Guards against two calls out: the module hears, and may send again, only after the call is
      * given up.
      */
-    void giveUp(InvokerCall call, Outcome as) {
+    void giveUp(InvokerCall call, AttemptOutcome as) {
         if (call.out() && !call.givingUp) {
             call.givingUp = true;
             call.handle.giveUp(() -> end(call, as, null));
--- a/core/src/main/java/postgrade/gateway/Gateway.java
+++ b/core/src/main/java/postgrade/gateway/Gateway.java
@@ -5,16 +5,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
-import postgrade.Ability;
-import postgrade.Dispatcher;
-import postgrade.Dispatcher.Actions;
-import postgrade.Dispatcher.Job;
-import postgrade.Dispatcher.Learnt;
-import postgrade.Dispatcher.ListForm;
-import postgrade.Dispatcher.Load;
-import postgrade.Dispatcher.Outcome;
-import postgrade.Dispatcher.Settings;
-import postgrade.Dispatcher.Worker;
+import postgrade.policy.api.AttemptOutcome;
+import postgrade.policy.api.DispatchPolicy;
+import postgrade.policy.api.Job;
+import postgrade.policy.api.JobConstraints;
+import postgrade.policy.api.LoadReport;
+import postgrade.policy.api.PolicyActions;
+import postgrade.policy.api.PolicySettings;
+import postgrade.policy.api.TransferredFigures;
+import postgrade.policy.api.WorkerInfo;
+import postgrade.policy.api.WorkerListForm;
 
 /**
  * The daemon's core. It holds the open invocations and their calls, hands events to the decision
@@ -39,7 +39,7 @@
 
     private final Timers timers;
     private final Faults faults;
-    private final Dispatcher module;
+    private final DispatchPolicy module;
     private int mostHeld;
     private boolean mayDuplicate;
     private final Map<String, Invocation> open = new HashMap<>();
@@ -54,7 +54,7 @@
      * @param faults hears of what went wrong in the module
      */
     public Gateway(
-            Function<Actions, Dispatcher> module,
+            Function<PolicyActions, DispatchPolicy> module,
             boolean mayDuplicate,
             int mostHeld,
             Timers timers,
@@ -77,7 +77,7 @@
                                 this::module));
     }
 
-    private Dispatcher module() {
+    private DispatchPolicy module() {
         return module;
     }
 
@@ -118,7 +118,7 @@
         turn.event(
                 now -> {
                     try {
-                        module.job(
+                        module.jobArrived(
                                 now,
                                 new Job(
                                         in.id,
@@ -145,7 +145,7 @@
     public void abandon(Invocation in) {
         if (!in.answered) {
             endings.conclude(in);
-            endings.tell(in, now -> module.abandoned(now, in.id));
+            endings.tell(in, now -> module.clientLeft(now, in.id));
             endings.withdraw(in);
         }
     }
@@ -157,7 +157,7 @@
         for (Invocation in : new ArrayList<>(open.values())) {
             if (!in.answered && in.arrivedMicros >= micros) {
                 endings.failed(in, false);
-                endings.tell(in, now -> module.abandoned(now, in.id));
+                endings.tell(in, now -> module.clientLeft(now, in.id));
             }
         }
     }
@@ -175,16 +175,17 @@
         switch (state) {
             case STARTED -> {
                 call.beganMicros = timers.nowMicros();
-                endings.tell(in, now -> module.started(now, id, call.number));
+                endings.tell(in, now -> module.attemptStarted(now, id, call.number));
             }
-            case RUNNING -> endings.tell(in, now -> module.progress(now, id, call.number, share));
+            case RUNNING ->
+                    endings.tell(in, now -> module.attemptProgressed(now, id, call.number, share));
             default -> {
                 if (state != JobState.DONE && call.echoes()) {
                     // Guards against a late call-back of an earlier call to the same provider,
                     // which would free
                     // this one while it runs: it is given up before the module hears, and may have
                     // run.
-                    endings.giveUp(call, Outcome.RESET);
+                    endings.giveUp(call, AttemptOutcome.RESET);
                 } else {
                     call.handle.ended();
                     endings.end(call, state.end, result);
@@ -195,7 +196,7 @@
     }
 
     /** How a call ended, as the provider's side saw it. */
-    public void ended(InvokerCall call, Outcome outcome) {
+    public void ended(InvokerCall call, AttemptOutcome outcome) {
         endings.end(call, outcome, null);
     }
 
@@ -208,50 +209,50 @@
             endings.answer(call.invocation, false);
             call.invocation.consumer.fail(false);
         }
-        endings.end(call, Outcome.CANCELLED, null);
+        endings.end(call, AttemptOutcome.CANCELLED, null);
     }
 
     public void probed(String providerId, boolean answered) {
-        turn.event(now -> module.probed(now, providerId, answered, Load.NONE));
+        turn.event(now -> module.workerProbed(now, providerId, answered, LoadReport.NONE));
     }
 
     /**
      * Other settings hold from now on, for the module too. Open invocations keep their deadline and
      * their duplicates.
      */
-    public void settings(Settings settings, int most) {
+    public void settings(PolicySettings settings, int most) {
         mostHeld = most;
-        mayDuplicate = settings.mayDuplicate;
-        turn.first(now -> module.settings(now, settings));
+        mayDuplicate = settings.allowsConcurrentAttempts;
+        turn.first(now -> module.settingsChanged(now, settings));
     }
 
     /** So large a part of what the dispatcher may do is this process's. */
     public void share(double part) {
-        turn.first(now -> module.share(now, part));
+        turn.first(now -> module.shareChanged(now, part));
     }
 
     /** Consulted from now on for what may start, and where. */
-    public void ability(Ability ability) {
-        module.ability(ability);
+    public void ability(JobConstraints ability) {
+        module.constraintsChanged(ability);
     }
 
     /** What a new process of this dispatcher is to know of the module's. */
-    public List<Learnt> learnt() {
-        return module.learnt(timers.nowMicros() * NANOS);
+    public List<TransferredFigures> learnt() {
+        return module.exportFigures(timers.nowMicros() * NANOS);
     }
 
     /** Takes over what another process has learnt; the list has been queued. */
-    public void learn(List<Learnt> all) {
-        turn.first(now -> module.learn(now, all));
+    public void learn(List<TransferredFigures> all) {
+        turn.first(now -> module.importFigures(now, all));
     }
 
-    public void list(ListForm form, List<Worker> workers) {
-        turn.first(now -> module.list(now, form, workers));
+    public void list(WorkerListForm form, List<WorkerInfo> workers) {
+        turn.first(now -> module.workersUpdated(now, form, workers));
     }
 
     /** An operator has put this worker back; the list that says so has been queued. */
     public void recalled(String providerId) {
-        turn.first(now -> module.recalled(now, providerId));
+        turn.first(now -> module.workerReenabled(now, providerId));
     }
 
     /** Nothing is owed, under way or waiting to be told. */
--- a/core/src/main/java/postgrade/gateway/InvokerCall.java
+++ b/core/src/main/java/postgrade/gateway/InvokerCall.java
@@ -1,6 +1,6 @@
 package postgrade.gateway;
 
-import postgrade.Dispatcher.Outcome;
+import postgrade.policy.api.AttemptOutcome;
 
 /** One attempt of an invocation at one provider. */
 public final class InvokerCall {
@@ -13,7 +13,7 @@
     Timers.Timer timer;
     long beganMicros;
     boolean givingUp;
-    Outcome end;
+    AttemptOutcome end;
 
     InvokerCall(
             Invocation invocation,
@@ -77,7 +77,9 @@
 
     /** No provider has had it: trying again is harmless. */
     boolean sentNowhere() {
-        return end == Outcome.NOT_SENT || end == Outcome.UNREACHABLE || end == Outcome.NO_SOCKET;
+        return end == AttemptOutcome.NOT_SENT
+                || end == AttemptOutcome.UNREACHABLE
+                || end == AttemptOutcome.NO_SOCKET;
     }
 
     boolean out() {
--- a/core/src/main/java/postgrade/gateway/JobState.java
+++ b/core/src/main/java/postgrade/gateway/JobState.java
@@ -1,20 +1,20 @@
 package postgrade.gateway;
 
-import postgrade.Dispatcher.Outcome;
+import postgrade.policy.api.AttemptOutcome;
 
 /** What a provider reports of a job it has taken. */
 public enum JobState {
     STARTED(null),
     RUNNING(null),
-    DONE(Outcome.SERVED),
-    FAILED(Outcome.ERROR),
-    RETURNED(Outcome.FULL),
-    LOST(Outcome.RESET);
+    DONE(AttemptOutcome.SERVED),
+    FAILED(AttemptOutcome.ERROR),
+    RETURNED(AttemptOutcome.FULL),
+    LOST(AttemptOutcome.RESET);
 
     /** How the call has ended, or null if it goes on. */
-    final Outcome end;
+    final AttemptOutcome end;
 
-    JobState(Outcome end) {
+    JobState(AttemptOutcome end) {
         this.end = end;
     }
 }
--- a/core/src/main/java/postgrade/gateway/Orders.java
+++ b/core/src/main/java/postgrade/gateway/Orders.java
@@ -2,12 +2,12 @@
 
 import java.util.Map;
 import java.util.function.Supplier;
-import postgrade.Dispatcher;
-import postgrade.Dispatcher.Actions;
-import postgrade.Dispatcher.Outcome;
+import postgrade.policy.api.AttemptOutcome;
+import postgrade.policy.api.DispatchPolicy;
+import postgrade.policy.api.PolicyActions;
 
 /** The module's actions, kept until it has heard all events of the turn. */
-final class Orders implements Actions {
+final class Orders implements PolicyActions {
 
     private static final long NANOS = 1_000;
 
@@ -17,7 +17,7 @@
     private final Endings endings;
     private final Map<String, Invocation> open;
     private final Supplier<Providers> providers;
-    private final Supplier<Dispatcher> module;
+    private final Supplier<DispatchPolicy> module;
 
     Orders(
             Timers timers,
@@ -26,7 +26,7 @@
             Endings endings,
             Map<String, Invocation> open,
             Supplier<Providers> providers,
-            Supplier<Dispatcher> module) {
+            Supplier<DispatchPolicy> module) {
         this.timers = timers;
         this.faults = faults;
         this.turn = turn;
@@ -37,28 +37,28 @@
     }
 
     @Override
-    public void send(String jobId, String workerId, long limitNs) {
-        send(jobId, workerId, limitNs, Long.MAX_VALUE);
+    public void startAttempt(String jobId, String workerId, long limitNs) {
+        startAttempt(jobId, workerId, limitNs, Long.MAX_VALUE);
     }
 
     @Override
-    public void send(String jobId, String workerId, long limitNs, long windowNs) {
+    public void startAttempt(String jobId, String workerId, long limitNs, long windowNs) {
         turn.action(() -> carryOut(jobId, workerId, limitNs, windowNs));
     }
 
     @Override
-    public void cancel(String jobId, int attempt) {
+    public void cancelAttempt(String jobId, int attempt) {
         turn.action(
                 () -> {
                     Invocation in = open.get(jobId);
                     if (in != null && attempt < in.calls.size()) {
-                        endings.giveUp(in.calls.get(attempt), Outcome.CANCELLED);
+                        endings.giveUp(in.calls.get(attempt), AttemptOutcome.CANCELLED);
                     }
                 });
     }
 
     @Override
-    public void refuse(String jobId, long retryAfterNs) {
+    public void reject(String jobId, long retryAfterNs) {
         turn.action(
                 () -> {
                     Invocation in = open.get(jobId);
@@ -87,16 +87,16 @@
     }
 
     @Override
-    public void timer(String token, long inNs) {
+    public void startTimer(String token, long inNs) {
         turn.action(
                 () ->
                         timers.at(
                                 timers.nowMicros() + (inNs + NANOS - 1) / NANOS,
-                                () -> turn.event(now -> module.get().timer(now, token))));
+                                () -> turn.event(now -> module.get().timerFired(now, token))));
     }
 
     @Override
-    public void watch() {
+    public void watchWorkers() {
         // The daemon watches the list from its start on, whether asked to or not.
     }
 
@@ -126,7 +126,7 @@
                         "the module asked for a second call of a job that has one out; not sent",
                         null);
             }
-            endings.end(call, Outcome.NOT_SENT, null);
+            endings.end(call, AttemptOutcome.NOT_SENT, null);
             return;
         }
         call.timer = timers.at(until, () -> endings.expire(call));
--- a/core/src/main/java/postgrade/gateway/Witness.java
+++ b/core/src/main/java/postgrade/gateway/Witness.java
@@ -1,6 +1,6 @@
 package postgrade.gateway;
 
-import postgrade.Dispatcher.Outcome;
+import postgrade.policy.api.AttemptOutcome;
 
 /** Sees what becomes of invocations and their calls, and changes nothing of it. */
 public interface Witness {
@@ -17,5 +17,5 @@
      * A call to a provider has ended, so long after it began there, or was sent where nobody told
      * of its beginning.
      */
-    default void ended(String jobClass, Outcome outcome, long ranMicros) {}
+    default void ended(String jobClass, AttemptOutcome outcome, long ranMicros) {}
 }
--- a/core/src/main/java/postgrade/lease/Fleet.java
+++ b/core/src/main/java/postgrade/lease/Fleet.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import postgrade.Dispatcher.Phase;
-import postgrade.Dispatcher.Worker;
 import postgrade.lease.Unit.State;
+import postgrade.policy.api.WorkerInfo;
+import postgrade.policy.api.WorkerPhase;
 import postgrade.shared.Command;
 import postgrade.shared.Row;
 import postgrade.shared.Rows;
@@ -36,7 +36,7 @@
      */
     public static List<Command> due(
             Rows rows,
-            Collection<Worker> workers,
+            Collection<WorkerInfo> workers,
             Set<String> out,
             Accelerators accelerators,
             String from,
@@ -44,7 +44,7 @@
         Map<String, Unit> known = new HashMap<>();
         new Book(rows).units().forEach(u -> known.put(u.worker(), u));
         List<Command> due = new ArrayList<>();
-        for (Worker w : workers) {
+        for (WorkerInfo w : workers) {
             Integer count = accelerators.perKind.get(w.kind());
             Unit unit = known.remove(w.id());
             if (unit == null && count == null) {
@@ -77,12 +77,14 @@
                                         accelerators.version)));
             }
             State state =
-                    w.phase() == Phase.GONE
+                    w.phase() == WorkerPhase.GONE
                             ? State.GONE
                             : out.contains(w.id())
                                     ? State.OUT
-                                    : w.phase() == Phase.DRAINING ? State.DRAINING : State.READY;
-            presence(due, unit, w.id(), w.bornNs() / 1_000_000, state, from, incarnation);
+                                    : w.phase() == WorkerPhase.DRAINING
+                                            ? State.DRAINING
+                                            : State.READY;
+            presence(due, unit, w.id(), w.startedNs() / 1_000_000, state, from, incarnation);
         }
         known.values()
                 .forEach(
--- a/core/src/main/java/postgrade/lease/LeaseAbility.java
+++ b/core/src/main/java/postgrade/lease/LeaseAbility.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Supplier;
-import postgrade.Ability;
-import postgrade.Dispatcher.Effect;
-import postgrade.Dispatcher.Job;
-import postgrade.Dispatcher.Worker;
 import postgrade.lease.Reservations.Use;
+import postgrade.policy.api.Idempotency;
+import postgrade.policy.api.Job;
+import postgrade.policy.api.JobConstraints;
+import postgrade.policy.api.WorkerInfo;
 import postgrade.shared.View;
 
 /**
@@ -17,7 +17,7 @@
  * takes the privilege away and never makes a worker unable: it costs features and no answer. Jobs
  * that must not run twice are never limited by any of this.
  */
-public final class LeaseAbility implements Ability {
+public final class LeaseAbility implements JobConstraints {
 
     /**
      * However much of a worker is reserved, so much of it is there for jobs that need no
@@ -39,7 +39,7 @@
      * @param lends reserved accelerators to jobs that may be repeated and end before the holder
      *     needs them
      */
-    public record Rules(Set<String> reserving, Map<String, Effect> effects, boolean lends) {
+    public record Rules(Set<String> reserving, Map<String, Idempotency> effects, boolean lends) {
         public Rules {
             reserving = Set.copyOf(reserving);
             effects = Map.copyOf(effects);
@@ -47,7 +47,7 @@
                 if (!effects.containsKey(name)) {
                     throw new IllegalArgumentException("reserving: there is no class " + name);
                 }
-                if (effects.get(name) == Effect.UNSAFE) {
+                if (effects.get(name) == Idempotency.NOT_IDEMPOTENT) {
                     throw new IllegalArgumentException(
                             "reserving: "
                                     + name
@@ -83,10 +83,10 @@
     }
 
     @Override
-    public double part(long nowNs, Job job, Worker worker) {
+    public double usableShare(long nowNs, Job job, WorkerInfo worker) {
         Reservations all = reservations();
         long accelerators = all.accelerators(worker.id());
-        if (accelerators == 0 || rules.effects.get(job.jobClass()) == Effect.UNSAFE) {
+        if (accelerators == 0 || rules.effects.get(job.jobClass()) == Idempotency.NOT_IDEMPOTENT) {
             return 1;
         }
         long nowMicros = nowNs / 1000;
@@ -119,7 +119,7 @@
     private boolean lent(Reservations all, long nowMicros, Job job, Use use) {
         return rules.lends
                 && all.fresh(nowMicros)
-                && rules.effects.get(job.jobClass()) == Effect.SAFE
+                && rules.effects.get(job.jobClass()) == Idempotency.IDEMPOTENT
                 && all.logMicros(nowMicros) + job.timeLeftNs() / 1000 * times.clockRatio()
                         < use.neededMicros();
     }
--- a/core/src/main/java/postgrade/policy/Admission.java
+++ b/core/src/main/java/postgrade/policy/Admission.java
@@ -1,8 +1,8 @@
 package postgrade.policy;
 
 import java.util.stream.DoubleStream;
-import postgrade.Dispatcher.Job;
 import postgrade.policy.State.*;
+import postgrade.policy.api.Job;
 
 /** Whether a job lies within its tenant's and its key's share, and whether one beyond it may go. */
 record Admission(Memory my, Sight sight) {
@@ -92,7 +92,7 @@
         if (!my.reported && fleet > 0) {
             // No report tells of the other gateways' jobs: they hold an even share each, as we do,
             // or less.
-            double theirs = my.others * (my.set.gateways - 1) * ownLoad(nowNs);
+            double theirs = my.others * (my.set.dispatcherCount - 1) * ownLoad(nowNs);
             my.usualRoom = Math.max(0, 1 - theirs / fleet);
         }
         double free =
@@ -119,7 +119,7 @@
      * one.
      */
     double fleetLoad(long nowNs) {
-        return ownLoad(nowNs) * my.set.gateways;
+        return ownLoad(nowNs) * my.set.dispatcherCount;
     }
 
     /**
@@ -135,6 +135,6 @@
     }
 
     private static double costPerWorth(ClassState cls) {
-        return cls.meanNs / cls.is.worth();
+        return cls.meanNs / cls.is.priorityWeight();
     }
 }
--- a/core/src/main/java/postgrade/policy/Choice.java
+++ b/core/src/main/java/postgrade/policy/Choice.java
@@ -1,7 +1,7 @@
 package postgrade.policy;
 
-import postgrade.Dispatcher.Effect;
 import postgrade.policy.State.*;
+import postgrade.policy.api.Idempotency;
 
 /** Which worker gets a job. */
 record Choice(Memory my, Sight sight, Cold cold, Gate gate) {
@@ -19,7 +19,7 @@
      * random.
      */
     Node pick(long nowNs, Held h, boolean needsRoom) {
-        boolean once = h.cls.is.effect() == Effect.UNSAFE;
+        boolean once = h.cls.is.idempotency() == Idempotency.NOT_IDEMPOTENT;
         Node fewest = null;
         double least = Double.MAX_VALUE;
         double ties = 0;
@@ -38,7 +38,7 @@
                             * sight.warmth(nowNs, n)
                             / Sight.pace(n)
                             / (1 + n.kind.waitedNs / h.cls.meanNs)
-                            * my.ability.part(nowNs, h.job, n.info);
+                            * my.ability.usableShare(nowNs, h.job, n.info);
             // A full answer comes at once and leaves none of our jobs there: fewest alone would
             // feed it more.
             double full = sight.slots(n) * (1 - Math.min(1, (nowNs - n.fullNs) / my.dearestNs));
--- a/core/src/main/java/postgrade/policy/Cold.java
+++ b/core/src/main/java/postgrade/policy/Cold.java
@@ -23,11 +23,11 @@
     boolean permits(long nowNs, Held h, Node n) {
         int senders = senders(nowNs, n);
         return sight.warmth(nowNs, n) >= 1
-                || Math.floorMod(my.set.gateway + n.hash, my.set.gateways) < senders
-                        && nowNs - my.bootNs >= my.set.fallNs
+                || Math.floorMod(my.set.dispatcherIndex + n.hash, my.set.dispatcherCount) < senders
+                        && nowNs - my.bootNs >= my.set.overloadWindowNs
                         && cost(h, n)
                                 <= my.share * forAll(nowNs, n) / senders
-                                        - n.coldSpent(nowNs - my.set.fallNs);
+                                        - n.coldSpent(nowNs - my.set.overloadWindowNs);
     }
 
     void spend(long nowNs, Held h, Node n) {
@@ -38,20 +38,20 @@
 
     /** How many gateways there are for each that may send there. */
     double rarity(long nowNs, Node n) {
-        return sight.warmth(nowNs, n) < 1 ? (double) my.set.gateways / senders(nowNs, n) : 1;
+        return sight.warmth(nowNs, n) < 1 ? (double) my.set.dispatcherCount / senders(nowNs, n) : 1;
     }
 
     private int senders(long nowNs, Node n) {
         double jobs = forAll(nowNs, n) / (my.dearestNs * n.kind.pace);
-        return (int) Math.max(1, Math.min(my.set.gateways, jobs));
+        return (int) Math.max(1, Math.min(my.set.dispatcherCount, jobs));
     }
 
     private double forAll(long nowNs, Node n) {
         return COLD_SAFETY
-                * my.set.fallMultiple
+                * my.set.overloadMultiple
                 * sight.warmth(nowNs, n)
                 * provenSlots(nowNs, n)
-                * my.set.fallNs;
+                * my.set.overloadWindowNs;
     }
 
     /**
--- a/core/src/main/java/postgrade/policy/Decide.java
+++ b/core/src/main/java/postgrade/policy/Decide.java
@@ -2,16 +2,24 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import postgrade.Ability;
-import postgrade.Dispatcher;
 import postgrade.policy.State.*;
+import postgrade.policy.api.AttemptOutcome;
+import postgrade.policy.api.DispatchPolicy;
+import postgrade.policy.api.Job;
+import postgrade.policy.api.JobConstraints;
+import postgrade.policy.api.LoadReport;
+import postgrade.policy.api.PolicyActions;
+import postgrade.policy.api.PolicySettings;
+import postgrade.policy.api.TransferredFigures;
+import postgrade.policy.api.WorkerInfo;
+import postgrade.policy.api.WorkerListForm;
 
 /**
  * All decisions of one gateway: the front, which hands each event to the parts that decide. The
  * types, events and actions stand in Dispatcher.java. docs/design.md says what is kept of the
  * design, and when each departure from it acts.
  */
-public final class Decide implements Dispatcher {
+public final class Decide implements DispatchPolicy {
 
     private static final String SWEEP = "sweep";
 
@@ -24,7 +32,7 @@
     private final Workers workers;
     private boolean sweeping;
 
-    public Decide(Settings settings, long seed, Actions actions) {
+    public Decide(PolicySettings settings, long seed, PolicyActions actions) {
         my = new Memory(settings, seed, actions);
         my.askAgainNs = Workers.AGAIN_NS;
         sight = new Sight(my);
@@ -38,17 +46,17 @@
     }
 
     @Override
-    public void settings(long nowNs, Settings settings) {
+    public void settingsChanged(long nowNs, PolicySettings settings) {
         my.settings(nowNs, settings);
     }
 
     @Override
-    public void ability(Ability ability) {
+    public void constraintsChanged(JobConstraints ability) {
         my.ability = ability;
     }
 
     @Override
-    public void job(long nowNs, Job job) {
+    public void jobArrived(long nowNs, Job job) {
         ClassState cls = my.classes.get(job.jobClass());
         if (cls == null) {
             throw new IllegalArgumentException("unknown class " + job.jobClass());
@@ -56,9 +64,9 @@
         if (my.jobs.containsKey(job.id())) {
             return; // One id, one life: the first job under it still owes its answer.
         }
-        long closedForNs = my.ability.opensInNs(nowNs, job);
+        long closedForNs = my.ability.startsInNs(nowNs, job);
         if (closedForNs > 0) {
-            my.out.refuse(
+            my.out.reject(
                     job.id(),
                     closedForNs); // Perhaps hours: the longest usual wait does not bound it.
             return;
@@ -73,7 +81,7 @@
     }
 
     @Override
-    public void abandoned(long nowNs, String jobId) {
+    public void clientLeft(long nowNs, String jobId) {
         Held h = my.jobs.get(jobId);
         if (h != null) {
             h.answered = true;
@@ -84,13 +92,13 @@
     // ---- Outcomes and notices. What concerns an ended attempt or an unknown job is left alone.
 
     @Override
-    public void started(long nowNs, String jobId, int attempt) {
+    public void attemptStarted(long nowNs, String jobId, int attempt) {
         sight.started(nowNs, Held.running(my.jobs.get(jobId), attempt));
     }
 
     @Override
-    public void streaming(long nowNs, String jobId, int attempt) {
-        started(nowNs, jobId, attempt);
+    public void attemptStreaming(long nowNs, String jobId, int attempt) {
+        attemptStarted(nowNs, jobId, attempt);
         Attempt a = Held.running(my.jobs.get(jobId), attempt);
         if (a != null) {
             a.held.streaming = true;
@@ -98,8 +106,13 @@
     }
 
     @Override
-    public void finished(
-            long nowNs, String jobId, int attempt, Outcome outcome, boolean last, Load load) {
+    public void attemptFinished(
+            long nowNs,
+            String jobId,
+            int attempt,
+            AttemptOutcome outcome,
+            boolean last,
+            LoadReport load) {
         Attempt a = Held.running(my.jobs.get(jobId), attempt);
         if (a == null) {
             return;
@@ -109,7 +122,7 @@
         h.end(a, outcome.provesNotRun());
         sight.report(nowNs, a.node, load);
         health.judge(nowNs, a, outcome);
-        if (outcome == Outcome.SERVED) {
+        if (outcome == AttemptOutcome.SERVED) {
             retries.earn();
             sight.served(nowNs, a);
         }
@@ -122,7 +135,7 @@
     }
 
     @Override
-    public void probed(long nowNs, String workerId, boolean answered, Load load) {
+    public void workerProbed(long nowNs, String workerId, boolean answered, LoadReport load) {
         Node n = my.nodes.get(workerId);
         if (n != null && answered) {
             sight.report(nowNs, n, load);
@@ -130,9 +143,9 @@
     }
 
     @Override
-    public void timer(long nowNs, String token) {
+    public void timerFired(long nowNs, String token) {
         if (token.equals(Workers.ASK)) {
-            my.out.watch();
+            my.out.watchWorkers();
         } else if (token.equals(SWEEP)) {
             sweeping = false;
             new ArrayList<>(my.jobs.values()).forEach(h -> retries.sweep(nowNs, h));
@@ -143,28 +156,28 @@
     private void sweepLater() {
         if (!sweeping && !my.jobs.isEmpty()) {
             sweeping = true;
-            my.out.timer(SWEEP, Retries.SWEEP_NS);
+            my.out.startTimer(SWEEP, Retries.SWEEP_NS);
         }
     }
 
     @Override
-    public void share(long nowNs, double part) {
+    public void shareChanged(long nowNs, double part) {
         my.share(part);
     }
 
     @Override
-    public List<Learnt> learnt(long nowNs) {
+    public List<TransferredFigures> exportFigures(long nowNs) {
         return Experience.tell(nowNs, my);
     }
 
     @Override
-    public void learn(long nowNs, List<Learnt> all) {
+    public void importFigures(long nowNs, List<TransferredFigures> all) {
         Experience.take(nowNs, all, my);
         my.weighClasses();
     }
 
     @Override
-    public void list(long nowNs, ListForm form, List<Worker> listed) {
+    public void workersUpdated(long nowNs, WorkerListForm form, List<WorkerInfo> listed) {
         workers.list(nowNs, form, listed);
     }
 
@@ -172,7 +185,7 @@
      * Put back by an operator, restarted. It owes one trial: others look better while it is cold.
      */
     @Override
-    public void recalled(long nowNs, String workerId) {
+    public void workerReenabled(long nowNs, String workerId) {
         Node n = my.nodes.get(workerId);
         if (n != null) {
             n.forget();
--- a/core/src/main/java/postgrade/policy/Experience.java
+++ b/core/src/main/java/postgrade/policy/Experience.java
@@ -3,12 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import postgrade.Deployment;
-import postgrade.Dispatcher.Learnt;
 import postgrade.policy.State.Bucket;
 import postgrade.policy.State.ClassState;
 import postgrade.policy.State.Kind;
 import postgrade.policy.State.Node;
+import postgrade.policy.api.Deployment;
+import postgrade.policy.api.TransferredFigures;
 
 /**
  * Turns what one gateway remembers into figures that another process of it takes over, and back.
@@ -39,8 +39,8 @@
 
     private Experience() {}
 
-    static List<Learnt> tell(long nowNs, Memory my) {
-        List<Learnt> all = new ArrayList<>();
+    static List<TransferredFigures> tell(long nowNs, Memory my) {
+        List<TransferredFigures> all = new ArrayList<>();
         my.classes.forEach(
                 (name, c) -> add(all, CLASS, name, c.meanNs, c.served, c.failures, c.seenNs));
         my.kinds.forEach((name, k) -> add(all, KIND, name, k.slots, k.pace, k.served, k.waitedNs));
@@ -79,7 +79,8 @@
         return all;
     }
 
-    private static void tell(List<Learnt> all, long nowNs, String of, Map<String, Bucket> buckets) {
+    private static void tell(
+            List<TransferredFigures> all, long nowNs, String of, Map<String, Bucket> buckets) {
         List<String> names =
                 new ArrayList<>(buckets.keySet()); // In the order of their use, the latest last.
         for (String name : names.subList(Math.max(0, names.size() - MOST_BUCKETS), names.size())) {
@@ -88,8 +89,9 @@
         }
     }
 
-    private static void add(List<Learnt> all, String of, String name, double... figures) {
-        all.add(new Learnt(of, name, figures));
+    private static void add(
+            List<TransferredFigures> all, String of, String name, double... figures) {
+        all.add(new TransferredFigures(of, name, figures));
     }
 
     /**
@@ -97,15 +99,15 @@
      * was learnt under another deployment's settings is passed over, but for what cold workers were
      * sent: that they have had.
      */
-    static void take(long nowNs, List<Learnt> all, Memory my) {
+    static void take(long nowNs, List<TransferredFigures> all, Memory my) {
         // An earlier version tells no names, and is taken for the same.
         boolean same = deployment(all).same(my.set.deployment);
-        for (Learnt l : all) {
-            double[] f = l.figures();
-            if (!same && !l.of().equals(COLD)) {
+        for (TransferredFigures l : all) {
+            double[] f = l.values();
+            if (!same && !l.category().equals(COLD)) {
                 continue;
             }
-            switch (l.of()) {
+            switch (l.category()) {
                 case CLASS -> take(my.classes.get(l.name()), f);
                 case KIND -> take(my.kinds.get(l.name()), f);
                 case WORKER -> take(nowNs, my.nodes.get(l.name()), f);
@@ -128,15 +130,15 @@
         }
     }
 
-    private static Deployment deployment(List<Learnt> all) {
+    private static Deployment deployment(List<TransferredFigures> all) {
         Deployment told = Deployment.UNNAMED;
         for (Deployment.Sort sort : Deployment.Sort.values()) {
             told =
                     told.with(
                             sort,
                             all.stream()
-                                    .filter(l -> l.of().equals(NAMED + sort))
-                                    .map(Learnt::name)
+                                    .filter(l -> l.category().equals(NAMED + sort))
+                                    .map(TransferredFigures::name)
                                     .toList());
         }
         return told;
--- a/core/src/main/java/postgrade/policy/Gate.java
+++ b/core/src/main/java/postgrade/policy/Gate.java
@@ -1,8 +1,8 @@
 package postgrade.policy;
 
-import postgrade.Dispatcher.Effect;
-import postgrade.Dispatcher.Group;
 import postgrade.policy.State.*;
+import postgrade.policy.api.DeduplicationScope;
+import postgrade.policy.api.Idempotency;
 
 /** Every attempt and every final answer passes here, and only here are the rules kept. */
 record Gate(Memory my, Cold cold) {
@@ -16,21 +16,25 @@
                 || h.sent >= my.set.maxAttempts
                 || nowNs >= h.deadlineNs
                 || !n.ready
-                || h.cls.is.kind() != null && !h.cls.is.kind().equals(n.info.kind())) {
+                || h.cls.is.requiredWorkerKind() != null
+                        && !h.cls.is.requiredWorkerKind().equals(n.info.kind())) {
             return false;
         }
         Attempt first = firstThatBinds(h);
         if (first != null
-                && (h.cls.is.effect() == Effect.UNSAFE
-                        || !h.cls.is.group().shared(first.node.info, n.info)
-                        || nowNs + Retries.SWEEP_NS >= first.sentNs + h.cls.is.windowNs())) {
+                && (h.cls.is.idempotency() == Idempotency.NOT_IDEMPOTENT
+                        || !h.cls.is.deduplicationScope().covers(first.node.info, n.info)
+                        || nowNs + Retries.SWEEP_NS
+                                >= first.sentNs + h.cls.is.deduplicationWindowNs())) {
             return false;
         }
-        return cold.permits(nowNs, h, n) && my.ability.part(nowNs, h.job, n.info) > 0;
+        return cold.permits(nowNs, h, n) && my.ability.usableShare(nowNs, h.job, n.info) > 0;
     }
 
     boolean mayRefuse(Held h) {
-        boolean dropsRepeats = h.cls.is.effect() == Effect.KEYED && h.cls.is.group() == Group.ALL;
+        boolean dropsRepeats =
+                h.cls.is.idempotency() == Idempotency.DEDUPLICATED
+                        && h.cls.is.deduplicationScope() == DeduplicationScope.ALL;
         return !h.answered && (dropsRepeats || firstThatBinds(h) == null);
     }
 
@@ -39,7 +43,7 @@
      * safe.
      */
     private static Attempt firstThatBinds(Held h) {
-        int i = h.cls.is.effect() == Effect.SAFE ? h.sent : 0;
+        int i = h.cls.is.idempotency() == Idempotency.IDEMPOTENT ? h.sent : 0;
         while (i < h.sent && h.attempts[i].neverRan) {
             i++;
         }
@@ -47,25 +51,28 @@
     }
 
     void send(long nowNs, Held h, Node n) {
-        if (h.out > 0 && !my.set.mayDuplicate || !maySend(nowNs, h, n)) {
+        if (h.out > 0 && !my.set.allowsConcurrentAttempts || !maySend(nowNs, h, n)) {
             return;
         }
         Attempt first = firstThatBinds(h);
         long windowNs =
                 first == null
                         ? Long.MAX_VALUE
-                        : first.sentNs + h.cls.is.windowNs() - Retries.SWEEP_NS - nowNs;
+                        : first.sentNs
+                                + h.cls.is.deduplicationWindowNs()
+                                - Retries.SWEEP_NS
+                                - nowNs;
         cold.spend(nowNs, h, n);
         n.untried = false;
         n.averageUsed(nowNs, Sight.REPORT_LAG_NS);
         h.begin(nowNs, n);
-        my.out.send(h.job.id(), n.id, 0, windowNs);
+        my.out.startAttempt(h.job.id(), n.id, 0, windowNs);
     }
 
     /** The final answer: a refusal where trying again is harmless, a failure otherwise. */
     void conclude(long nowNs, Held h) {
         if (mayRefuse(h) && nowNs < h.deadlineNs) {
-            my.out.refuse(h.job.id(), Math.min(h.retryAfterNs, my.set.maxRetryAfterNs));
+            my.out.reject(h.job.id(), Math.min(h.retryAfterNs, my.set.maxRetryAfterNs));
         } else if (!h.answered) {
             my.out.fail(h.job.id());
         }
@@ -85,9 +92,9 @@
 
     void callOff(Held h, int attempt) {
         Attempt a = h.attempts[attempt];
-        if (!a.ended && !a.called && my.set.mayCancel) {
+        if (!a.ended && !a.called && my.set.allowsCancellation) {
             a.called = true;
-            my.out.cancel(h.job.id(), attempt);
+            my.out.cancelAttempt(h.job.id(), attempt);
         }
     }
 }
--- a/core/src/main/java/postgrade/policy/Health.java
+++ b/core/src/main/java/postgrade/policy/Health.java
@@ -1,7 +1,7 @@
 package postgrade.policy;
 
-import postgrade.Dispatcher.Outcome;
 import postgrade.policy.State.*;
+import postgrade.policy.api.AttemptOutcome;
 
 /** Which workers are left out for their failures, and which failures are the job's own. */
 record Health(Memory my) {
@@ -21,7 +21,7 @@
     /** Ejections, and the wait before the list is asked for again, double at most so often. */
     static final int DOUBLINGS = 3;
 
-    void judge(long nowNs, Attempt a, Outcome outcome) {
+    void judge(long nowNs, Attempt a, AttemptOutcome outcome) {
         Node n = a.node;
         switch (outcome) {
             case SERVED -> {
--- a/core/src/main/java/postgrade/policy/Memory.java
+++ b/core/src/main/java/postgrade/policy/Memory.java
@@ -7,9 +7,6 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import postgrade.Ability;
-import postgrade.Dispatcher.Actions;
-import postgrade.Dispatcher.Settings;
 import postgrade.policy.State.Bucket;
 import postgrade.policy.State.ClassState;
 import postgrade.policy.State.Fading;
@@ -17,12 +14,15 @@
 import postgrade.policy.State.Kind;
 import postgrade.policy.State.Node;
 import postgrade.policy.State.Table;
+import postgrade.policy.api.JobConstraints;
+import postgrade.policy.api.PolicyActions;
+import postgrade.policy.api.PolicySettings;
 
 /** All that one gateway remembers, shared by the parts that decide. Nothing is decided here. */
 final class Memory {
-    Settings set;
-    Ability ability = Ability.ALL;
-    final Actions out;
+    PolicySettings set;
+    JobConstraints ability = JobConstraints.NONE;
+    final PolicyActions out;
     final SplittableRandom random;
     final Map<String, ClassState> classes = new HashMap<>();
     final Map<String, Double> tenantRates = new HashMap<>();
@@ -50,11 +50,11 @@
     long askAgainNs;
     long bootNs = -1;
 
-    Memory(Settings settings, long seed, Actions actions) {
+    Memory(PolicySettings settings, long seed, PolicyActions actions) {
         out = actions;
         random = new SplittableRandom(seed);
-        tenantBuckets = new Table<>(settings.tableSize);
-        keyBuckets = new Table<>(settings.tableSize);
+        tenantBuckets = new Table<>(settings.mostBuckets);
+        keyBuckets = new Table<>(settings.mostBuckets);
         settings(0, settings);
     }
 
@@ -63,15 +63,15 @@
      * settings no longer name. Under another's all begins anew as at a start. Either way jobs under
      * way hold the class that they came with.
      */
-    void settings(long nowNs, Settings next) {
-        Settings former = set;
+    void settings(long nowNs, PolicySettings next) {
+        PolicySettings former = set;
         set = next;
         boolean same = former != null && former.deployment.same(next.deployment);
         Map<String, ClassState> known = same ? Map.copyOf(classes) : Map.of();
         classes.clear();
         next.classes.forEach(c -> classes.put(c.name(), new ClassState(c, known.get(c.name()))));
         tenantRates.clear();
-        next.tenants.forEach(t -> tenantRates.put(t.name(), t.ratePerS() / next.gateways));
+        next.tenants.forEach(t -> tenantRates.put(t.name(), t.ratePerS() / next.dispatcherCount));
         allRates = tenantRates.values().stream().mapToDouble(r -> r).sum();
         if (!same) {
             forget();
@@ -79,9 +79,9 @@
         tenantBuckets.keySet().retainAll(tenantRates.keySet());
         weighClasses();
         if (former != null
-                && (next.fallNs > former.fallNs
-                        || next.warmWithinNs > former.warmWithinNs
-                        || next.coldShare < former.coldShare)) {
+                && (next.overloadWindowNs > former.overloadWindowNs
+                        || next.slowStartNs > former.slowStartNs
+                        || next.slowStartInitialShare < former.slowStartInitialShare)) {
             // Guards workers that count as cold only now: what was sent to them has not been
             // counted, or not for so long.
             bootNs = nowNs;
--- a/core/src/main/java/postgrade/policy/Retries.java
+++ b/core/src/main/java/postgrade/policy/Retries.java
@@ -1,8 +1,8 @@
 package postgrade.policy;
 
-import postgrade.Dispatcher.Effect;
-import postgrade.Dispatcher.Outcome;
 import postgrade.policy.State.*;
+import postgrade.policy.api.AttemptOutcome;
+import postgrade.policy.api.Idempotency;
 
 /** When a job is sent, waits, is sent again or moves, and when it is given up. */
 record Retries(
@@ -51,7 +51,7 @@
             gate.send(nowNs, h, n);
         } else if (h.sent >= my.set.maxAttempts
                 || !h.withinShare && gate.mayRefuse(h)
-                || nowNs - h.arrivedNs >= h.cls.is.aimNs()
+                || nowNs - h.arrivedNs >= h.cls.is.latencyObjectiveNs()
                 || h.deadlineNs - nowNs <= 2 * SWEEP_NS) {
             // The next sweep may come too late for an answer: a client's last try can start near
             // its end.
@@ -69,19 +69,19 @@
     }
 
     /** No attempt is out and the client still waits: another attempt, or the final answer. */
-    void next(long nowNs, Held h, Attempt a, Outcome outcome) {
+    void next(long nowNs, Held h, Attempt a, AttemptOutcome outcome) {
         // Not sent to a worker that is leaving says nothing of the job: another worker may take it.
-        boolean moot = outcome == Outcome.NOT_SENT && a.node.ready;
+        boolean moot = outcome == AttemptOutcome.NOT_SENT && a.node.ready;
         boolean over =
                 h.deadlineNs - nowNs <= SWEEP_NS
                         || moot
                         || h.streaming
                         || !a.neverRan
-                                && (h.cls.is.effect() == Effect.UNSAFE
+                                && (h.cls.is.idempotency() == Idempotency.NOT_IDEMPOTENT
                                         || health.ownFault(h) > OWN_FAULT)
-                        || outcome == Outcome.RESET && ++h.resets == MOST_RESETS
+                        || outcome == AttemptOutcome.RESET && ++h.resets == MOST_RESETS
                         || a.called && hopeless(nowNs, h, a.node);
-        boolean paid = a.neverRan || a.called && outcome == Outcome.CANCELLED;
+        boolean paid = a.neverRan || a.called && outcome == AttemptOutcome.CANCELLED;
         // Attempts that may run a job twice are bounded by what was served, so that they never feed
         // a jam.
         if (over || !paid && (my.retryBudget < 1 || my.retryBudget-- < 1)) {
@@ -96,7 +96,7 @@
     }
 
     void sweep(long nowNs, Held h) {
-        if (h.out == 1 && my.set.tellsStart && nowNs < h.deadlineNs) {
+        if (h.out == 1 && my.set.workersReportStart && nowNs < h.deadlineNs) {
             lookAfterUnstarted(nowNs, h);
         } else if (!h.answered && !h.streaming && nowNs >= h.deadlineNs) {
             gate.conclude(nowNs, h);
@@ -118,15 +118,18 @@
         if (a.ended || a.startedNs >= 0) {
             return;
         }
-        double moveCost = 1 + MOVE_COST / my.set.gateways;
+        double moveCost = 1 + MOVE_COST / my.set.dispatcherCount;
         if (!a.lost) {
             a.node.waited(nowNs, Math.max(sight.waitNs(nowNs, a.node), nowNs - a.sentNs));
         }
-        boolean movable = !a.called && my.set.mayCancel && h.cls.is.effect() != Effect.UNSAFE;
+        boolean movable =
+                !a.called
+                        && my.set.allowsCancellation
+                        && h.cls.is.idempotency() != Idempotency.NOT_IDEMPOTENT;
         if (movable && hopeless(nowNs, h, a.node)) {
             gate.callOff(h, h.sent - 1);
         } else if (movable
-                && nowNs - a.sentNs >= Math.max(Sight.ANSWER_NS, h.cls.is.aimNs() / 2)
+                && nowNs - a.sentNs >= Math.max(Sight.ANSWER_NS, h.cls.is.latencyObjectiveNs() / 2)
                 && my.retryBudget >= moveCost
                 && choice.pick(nowNs, h, true) != null) {
             my.retryBudget -= moveCost;
--- a/core/src/main/java/postgrade/policy/Sight.java
+++ b/core/src/main/java/postgrade/policy/Sight.java
@@ -1,7 +1,7 @@
 package postgrade.policy;
 
-import postgrade.Dispatcher.Load;
 import postgrade.policy.State.*;
+import postgrade.policy.api.LoadReport;
 
 /**
  * What is known of a worker: its size, how warm it is, its room, its waits and how long jobs run
@@ -68,10 +68,10 @@
 
     /** The part of its work that a worker can do for sure, by the time since its start. */
     double warmth(long nowNs, Node n) {
-        double cold = my.set.coldShare;
-        return n.bornNs == 0 || nowNs - n.bornNs >= my.set.warmWithinNs
+        double cold = my.set.slowStartInitialShare;
+        return n.bornNs == 0 || nowNs - n.bornNs >= my.set.slowStartNs
                 ? 1
-                : cold + (1 - cold) * Math.max(0, nowNs - n.bornNs) / my.set.warmWithinNs;
+                : cold + (1 - cold) * Math.max(0, nowNs - n.bornNs) / my.set.slowStartNs;
     }
 
     /**
@@ -85,7 +85,7 @@
         return (age == 1 ? usual : n.room + (usual - n.room) * age) - n.used;
     }
 
-    void report(long nowNs, Node n, Load load) {
+    void report(long nowNs, Node n, LoadReport load) {
         double free = load.freeSlots();
         if (free >= 0 && free < 1e6) {
             n.averageUsed(nowNs, REPORT_LAG_NS);
--- a/core/src/main/java/postgrade/policy/State.java
+++ b/core/src/main/java/postgrade/policy/State.java
@@ -5,9 +5,9 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.stream.DoubleStream;
-import postgrade.Dispatcher.Job;
-import postgrade.Dispatcher.JobClass;
-import postgrade.Dispatcher.Worker;
+import postgrade.policy.api.Job;
+import postgrade.policy.api.JobClass;
+import postgrade.policy.api.WorkerInfo;
 
 /**
  * What {@link Decide} remembers: plain records and counts of one gateway. Nothing is decided here.
@@ -48,7 +48,7 @@
         final String id;
         final long hash;
         final Kind kind;
-        Worker info;
+        WorkerInfo info;
 
         /** May be sent to, as far as the list binds; and whether the newest list names it ready. */
         boolean ready;
@@ -195,7 +195,7 @@
 
         /** Within so long a job of mean length is in time. */
         double inTimeNs() {
-            return is.aimNs() + is.aimStretch() * meanNs;
+            return is.latencyObjectiveNs() + is.objectivePerServiceTime() * meanNs;
         }
     }
 
--- a/core/src/main/java/postgrade/policy/Workers.java
+++ b/core/src/main/java/postgrade/policy/Workers.java
@@ -1,10 +1,10 @@
 package postgrade.policy;
 
 import java.util.List;
-import postgrade.Dispatcher.ListForm;
-import postgrade.Dispatcher.Phase;
-import postgrade.Dispatcher.Worker;
 import postgrade.policy.State.*;
+import postgrade.policy.api.WorkerInfo;
+import postgrade.policy.api.WorkerListForm;
+import postgrade.policy.api.WorkerPhase;
 
 /** What the list of workers tells. */
 record Workers(Memory my) {
@@ -17,40 +17,40 @@
 
     static final String ASK = "ask";
 
-    void list(long nowNs, ListForm form, List<Worker> workers) {
+    void list(long nowNs, WorkerListForm form, List<WorkerInfo> workers) {
         my.bootNs = my.bootNs < 0 ? nowNs : my.bootNs;
-        if (form == ListForm.ERROR) {
-            my.out.timer(ASK, my.askAgainNs / 2 + my.random.nextLong(my.askAgainNs));
+        if (form == WorkerListForm.FAILED) {
+            my.out.startTimer(ASK, my.askAgainNs / 2 + my.random.nextLong(my.askAgainNs));
             my.askAgainNs = Math.min(AGAIN_NS << Health.DOUBLINGS, my.askAgainNs * 2);
             return;
         }
-        if (form == ListForm.STORED && my.set.asksForList) {
-            my.out.watch();
+        if (form == WorkerListForm.CACHED && my.set.pollsWorkerList) {
+            my.out.watchWorkers();
         } else {
             my.askAgainNs = AGAIN_NS;
         }
-        if (form != ListForm.CHANGES) {
+        if (form != WorkerListForm.DELTA) {
             my.nodes.values().forEach(this::unlist);
         }
-        for (Worker w : workers) {
-            if (w.phase() == Phase.GONE) {
+        for (WorkerInfo w : workers) {
+            if (w.phase() == WorkerPhase.GONE) {
                 unlist(my.nodes.get(w.id()));
                 continue;
             }
             Kind kind = my.kinds.computeIfAbsent(w.kind(), k -> new Kind());
             Node n = my.nodes.computeIfAbsent(w.id(), k -> new Node(k, kind));
             n.info = w;
-            boolean newStart = w.bornNs() > n.bornNs;
-            if (w.phase() == Phase.DRAINING) {
+            boolean newStart = w.startedNs() > n.bornNs;
+            if (w.phase() == WorkerPhase.DRAINING) {
                 n.ready = false;
                 n.drainedNs = nowNs;
-            } else if (newStart || n.drainedNs == 0 || !my.set.droppedStayOpen) {
+            } else if (newStart || n.drainedNs == 0 || !my.set.keepsUnlistedWorkers) {
                 n.ready = true;
                 n.drainedNs = 0;
             }
             n.listed = n.ready;
             if (newStart) {
-                n.bornNs = w.bornNs();
+                n.bornNs = w.startedNs();
                 n.room = Double.NaN;
             }
         }
@@ -61,7 +61,7 @@
                                 n.own == 0
                                         && (n.ready
                                                 ? !n.listed && n.ejections > Health.DOUBLINGS
-                                                : !my.set.droppedStayOpen
+                                                : !my.set.keepsUnlistedWorkers
                                                         || n.drainedNs == 0
                                                         || nowNs - n.drainedNs > DRAIN_MEMORY_NS));
         my.ready.clear();
@@ -83,7 +83,7 @@
     private void unlist(Node n) {
         if (n != null) {
             n.listed = false;
-            n.ready &= my.set.droppedStayOpen;
+            n.ready &= my.set.keepsUnlistedWorkers;
         }
     }
 }
--- a/core/src/main/java/postgrade/Deployment.java
+++ b/core/src/main/java/postgrade/policy/api/Deployment.java
@@ -1,4 +1,4 @@
-package postgrade;
+package postgrade.policy.api;
 
 import java.util.Collection;
 import java.util.Collections;
@@ -8,12 +8,18 @@
 import java.util.TreeSet;
 
 /**
- * Whose settings they are, told by the names in them. What was learnt under one customer's settings
- * is of no use under another's, also where both happen to call a class or a tenant the same.
+ * Identifies the deployment that settings belong to, by the names in them. What was learnt under
+ * one deployment's settings is of no use under another's, also where both call a class or a tenant
+ * the same.
+ *
+ * @param names the names of each sort; a sort of which the settings name nothing is absent
  */
 public record Deployment(Map<Sort, Set<String>> names) {
 
-    /** Whom the names tell. Classes do not: one customer may replace all of its own at once. */
+    /**
+     * Sorts of names that identify a deployment. Classes do not: a deployment may replace all of
+     * its own at once.
+     */
     public enum Sort {
         TIER,
         KIND,
@@ -21,8 +27,10 @@
         TENANT
     }
 
+    /** Names nothing, and is the same as any other. */
     public static final Deployment UNNAMED = new Deployment(Map.of());
 
+    /** This with these names of a sort, in place of those it had. */
     public Deployment with(Sort sort, Collection<String> some) {
         Map<Sort, Set<String>> all = new TreeMap<>(names);
         if (some.isEmpty()) {
@@ -34,8 +42,8 @@
     }
 
     /**
-     * Names may come and go under way; settings that share none of a sort that both name are
-     * another deployment's.
+     * Whether both are one deployment. Names may come and go, so two that share a name of each sort
+     * that both name are the same.
      */
     public boolean same(Deployment other) {
         return names.entrySet().stream()
--- a/core/src/main/java/postgrade/roster/Roster.java
+++ b/core/src/main/java/postgrade/roster/Roster.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import postgrade.Dispatcher.Phase;
-import postgrade.Dispatcher.Worker;
+import postgrade.policy.api.WorkerInfo;
+import postgrade.policy.api.WorkerPhase;
 
 /**
  * The workers as they count here: what discovery says, and over it what operators have said. A
@@ -23,7 +23,7 @@
     /** Guards the memory against a discovery that names ever new workers. */
     private static final int MOST_SEEN = 10_000;
 
-    private final Map<String, Worker> told = new TreeMap<>();
+    private final Map<String, WorkerInfo> told = new TreeMap<>();
     private final Set<String> seen = new HashSet<>();
 
     /** Since when each is out; and for those put back, when they were out and back. */
@@ -41,13 +41,13 @@
     public record Record(String id, long outNs, long backNs) {}
 
     /** Takes in what discovery says and returns how it counts. */
-    public List<Worker> list(boolean whole, Collection<Worker> workers) {
+    public List<WorkerInfo> list(boolean whole, Collection<WorkerInfo> workers) {
         if (whole) {
             told.clear();
         }
-        List<Worker> counted = new ArrayList<>();
-        for (Worker w : workers) {
-            if (w.phase() == Phase.GONE) {
+        List<WorkerInfo> counted = new ArrayList<>();
+        for (WorkerInfo w : workers) {
+            if (w.phase() == WorkerPhase.GONE) {
                 told.remove(w.id());
             } else {
                 told.put(w.id(), w);
@@ -60,12 +60,14 @@
         return counted;
     }
 
-    private Worker counted(Worker w) {
-        Phase phase =
-                w.phase() == Phase.READY && outNs.containsKey(w.id()) ? Phase.DRAINING : w.phase();
+    private WorkerInfo counted(WorkerInfo w) {
+        WorkerPhase phase =
+                w.phase() == WorkerPhase.READY && outNs.containsKey(w.id())
+                        ? WorkerPhase.DRAINING
+                        : w.phase();
         Record was = back.get(w.id());
-        long born = was == null || w.bornNs() > was.outNs ? w.bornNs() : was.backNs;
-        return new Worker(w.id(), w.zone(), w.kind(), w.cell(), phase, w.weight(), born);
+        long born = was == null || w.startedNs() > was.outNs ? w.startedNs() : was.backNs;
+        return new WorkerInfo(w.id(), w.zone(), w.kind(), w.cell(), phase, w.weight(), born);
     }
 
     /** Those that are out, in order. */
@@ -87,8 +89,8 @@
     }
 
     /** As it counts now, or null where the list does not name it. */
-    public Worker worker(String id) {
-        Worker w = told.get(id);
+    public WorkerInfo worker(String id) {
+        WorkerInfo w = told.get(id);
         return w == null ? null : counted(w);
     }
 
--- a/core/src/main/java/postgrade/settings/SettingsReader.java
+++ b/core/src/main/java/postgrade/settings/SettingsReader.java
@@ -3,12 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import postgrade.Deployment;
-import postgrade.Dispatcher.Effect;
-import postgrade.Dispatcher.Group;
-import postgrade.Dispatcher.JobClass;
-import postgrade.Dispatcher.Settings;
-import postgrade.Dispatcher.Tenant;
+import postgrade.policy.api.DeduplicationScope;
+import postgrade.policy.api.Deployment;
+import postgrade.policy.api.Idempotency;
+import postgrade.policy.api.JobClass;
+import postgrade.policy.api.PolicySettings;
+import postgrade.policy.api.Tenant;
 
 /**
  * Reads the settings of a deployment, so that the adapter and the daemon give the module the same.
@@ -36,7 +36,7 @@
     }
 
     /** Exceptions name the faulty key. */
-    public Settings settings() {
+    public PolicySettings settings() {
         List<String> kinds = list("skus");
         List<String> classKinds = list("specifics.classKind");
         List<String> stretches = list("specifics.classStretch");
@@ -71,20 +71,20 @@
             String at = "tenants." + i + ".";
             tenants.add(new Tenant(must(at + "name"), number(at + "quotaPerS")));
         }
-        return Settings.builder()
-                .gateways((int) number("balancers", 1))
-                .gateway((int) number("index", 0))
+        return PolicySettings.builder()
+                .dispatcherCount((int) number("balancers", 1))
+                .dispatcherIndex((int) number("index", 0))
                 .zone(text("zone", ""))
                 .named(Deployment.Sort.TIER, list("tiers"))
                 .named(Deployment.Sort.KIND, kinds)
                 .named(Deployment.Sort.ZONE, list("dcs"))
                 .classes(classes)
                 .tenants(tenants)
-                .asksForList("ask".equals(pairs.get("discovery")))
-                .droppedStayOpen(yes("obligations.droppedStayOpen", false))
+                .pollsWorkerList("ask".equals(pairs.get("discovery")))
+                .keepsUnlistedWorkers(yes("obligations.droppedStayOpen", false))
                 .maxAttempts((int) number("limits.maxAttempts", 3))
-                .mayDuplicate(yes("limits.mayDuplicate", false))
-                .mayCancel(yes("limits.cancel", false))
+                .allowsConcurrentAttempts(yes("limits.mayDuplicate", false))
+                .allowsCancellation(yes("limits.cancel", false))
                 // Where no report comes with its answer, a probe tells less than it costs the
                 // worker and the job.
                 .probes(
@@ -95,33 +95,33 @@
                 // refused one is always
                 // told when to come back: some observe it, and the others lose nothing.
                 .maxRetryAfterNs((long) number("limits.maxRetryAfterNs", 0))
-                .tellsStart(yes("specifics.tellsStart", false))
-                .cold(
+                .workersReportStart(yes("specifics.tellsStart", false))
+                .slowStart(
                         number("obligations.coldShare", 1),
                         (long) number("obligations.warmWithinNs", 0))
-                .fall(
+                .overload(
                         number("obligations.fallMultiple", 1),
                         (long) number("obligations.fallNs", 1e9))
                 .tickNs((long) number("tickNs", 1e6))
                 .build();
     }
 
-    private Effect effect(String at) {
+    private Idempotency effect(String at) {
         String value = must(at + "idempotency");
         return switch (value) {
-            case "read_like" -> Effect.SAFE;
-            case "idempotency_key" -> Effect.KEYED;
-            case "non_idempotent" -> Effect.UNSAFE;
+            case "read_like" -> Idempotency.IDEMPOTENT;
+            case "idempotency_key" -> Idempotency.DEDUPLICATED;
+            case "non_idempotent" -> Idempotency.NOT_IDEMPOTENT;
             default -> throw new IllegalArgumentException(at + "idempotency cannot be " + value);
         };
     }
 
-    private Group group(String at) {
+    private DeduplicationScope group(String at) {
         String value = pairs.getOrDefault(at + "group", "all");
         return switch (value) {
-            case "all" -> Group.ALL;
-            case "zone" -> Group.ZONE;
-            case "cell" -> Group.CELL;
+            case "all" -> DeduplicationScope.ALL;
+            case "zone" -> DeduplicationScope.ZONE;
+            case "cell" -> DeduplicationScope.CELL;
             default -> throw new IllegalArgumentException(at + "group cannot be " + value);
         };
     }
--- a/core/src/main/java/postgrade/window/WindowAbility.java
+++ b/core/src/main/java/postgrade/window/WindowAbility.java
@@ -4,16 +4,16 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import postgrade.Ability;
-import postgrade.Dispatcher.Job;
-import postgrade.Dispatcher.Worker;
+import postgrade.policy.api.Job;
+import postgrade.policy.api.JobConstraints;
+import postgrade.policy.api.WorkerInfo;
 
 /**
  * Start windows before the module's decisions: a job outside its windows is refused at once and
  * told when to come again; a worker whose site closes before the job would end is not able for it.
  * Classes without windows pass untouched.
  */
-public final class WindowAbility implements Ability {
+public final class WindowAbility implements JobConstraints {
 
     /** Which site a worker stands at. By its kind where that is named, else by its zone. */
     public record Sites(Map<String, String> byKind, Map<String, String> byZone) {
@@ -22,7 +22,7 @@
             byZone = Map.copyOf(byZone);
         }
 
-        String of(Worker w) {
+        String of(WorkerInfo w) {
             String site = byKind.get(w.kind());
             return site == null ? byZone.get(w.zone()) : site;
         }
@@ -134,7 +134,7 @@
     }
 
     @Override
-    public long opensInNs(long nowNs, Job job) {
+    public long startsInNs(long nowNs, Job job) {
         long now = now(nowNs);
         boolean own = plans.containsKey(job.id());
         Plan plan = plan(now, job);
@@ -168,7 +168,7 @@
     }
 
     @Override
-    public double part(long nowNs, Job job, Worker worker) {
+    public double usableShare(long nowNs, Job job, WorkerInfo worker) {
         long now = now(nowNs);
         Plan plan = plan(now, job);
         if (plan == null) {
--- a/core/src/test/java/postgrade/comeback/MemoryTest.java
+++ b/core/src/test/java/postgrade/comeback/MemoryTest.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.Test;
-import postgrade.Dispatcher.Learnt;
 import postgrade.comeback.Unusable.Fault;
+import postgrade.policy.api.TransferredFigures;
 
 /** What a snapshot holds, what of it may be trusted, and which are not gone by. */
 public class MemoryTest {
@@ -24,17 +24,19 @@
                     SAVED,
                     0.9,
                     List.of(
-                            new Learnt("class", "pri ce\u00e9\\", new double[] {2e8, 100, 0.5}),
-                            new Learnt("kind", "", new double[] {4, 2, 1}),
-                            new Learnt("worker", "w1", WORKER),
-                            new Learnt("worker", "unlisted", WORKER),
-                            new Learnt("cold", "w1", new double[] {1e8, 2}),
-                            new Learnt("tenant", "shop", new double[] {1.5, 40, 4, 1e7})),
+                            new TransferredFigures(
+                                    "class", "pri ce\u00e9\\", new double[] {2e8, 100, 0.5}),
+                            new TransferredFigures("kind", "", new double[] {4, 2, 1}),
+                            new TransferredFigures("worker", "w1", WORKER),
+                            new TransferredFigures("worker", "unlisted", WORKER),
+                            new TransferredFigures("cold", "w1", new double[] {1e8, 2}),
+                            new TransferredFigures(
+                                    "tenant", "shop", new double[] {1.5, 40, 4, 1e7})),
                     Map.of("w1", 5000L, "w2", 0L));
 
-    private Learnt trusted(String of, long age, long started) {
+    private TransferredFigures trusted(String of, long age, long started) {
         return memory.trusted(SAVED + age, Map.of("w1", started)).stream()
-                .filter(l -> l.of().equals(of))
+                .filter(l -> l.category().equals(of))
                 .findFirst()
                 .orElse(null);
     }
@@ -45,24 +47,24 @@
         assertArrayEquals(MemoryFormat.write(memory), MemoryFormat.write(read));
         assertEquals(5, read.figures().size());
         assertEquals("pri ce\u00e9\\", read.figures().get(0).learnt().name());
-        assertArrayEquals(WORKER, read.figures().get(2).learnt().figures(), 0);
+        assertArrayEquals(WORKER, read.figures().get(2).learnt().values(), 0);
         assertEquals(0.9, read.served(), 0);
     }
 
     @Test
     public void figuresFadeByAgeAndTokensStay() {
         assertArrayEquals(
-                new double[] {2e8, 50, 0.25}, trusted("class", HALF, 5000).figures(), 1e-9);
+                new double[] {2e8, 50, 0.25}, trusted("class", HALF, 5000).values(), 1e-9);
         assertEquals("once seen is nothing by then", null, trusted("kind", HALF, 5000));
         assertArrayEquals(
                 new double[] {1.5, 0, 1, 1.25, 4, 1e6, 61e9, 60.1e9, 1},
-                trusted("worker", HALF, 5000).figures(),
+                trusted("worker", HALF, 5000).values(),
                 1e-3);
         assertArrayEquals(
-                new double[] {1.5, 20, 2, 60.01e9}, trusted("tenant", HALF, 5000).figures(), 1e-3);
-        assertArrayEquals(new double[] {60.1e9, 2}, trusted("cold", HALF, 5000).figures(), 1e-3);
+                new double[] {1.5, 20, 2, 60.01e9}, trusted("tenant", HALF, 5000).values(), 1e-3);
+        assertArrayEquals(new double[] {60.1e9, 2}, trusted("cold", HALF, 5000).values(), 1e-3);
         assertEquals(List.of(), memory.trusted(SAVED + Trust.MOST_MICROS + 1, Map.of("w1", 5000L)));
-        assertEquals("a clock set back", 3.0, trusted("worker", -100, 5000).figures()[0], 0);
+        assertEquals("a clock set back", 3.0, trusted("worker", -100, 5000).values()[0], 0);
     }
 
     @Test
--- a/core/src/test/java/postgrade/lease/LeaseAbilityTest.java
+++ b/core/src/test/java/postgrade/lease/LeaseAbilityTest.java
@@ -9,10 +9,10 @@
 import java.util.Set;
 import org.junit.Before;
 import org.junit.Test;
-import postgrade.Dispatcher.Effect;
-import postgrade.Dispatcher.Job;
-import postgrade.Dispatcher.Phase;
-import postgrade.Dispatcher.Worker;
+import postgrade.policy.api.Idempotency;
+import postgrade.policy.api.Job;
+import postgrade.policy.api.WorkerInfo;
+import postgrade.policy.api.WorkerPhase;
 import postgrade.shared.Command;
 import postgrade.shared.Machine;
 import postgrade.shared.Row;
@@ -25,9 +25,12 @@
  */
 public class LeaseAbilityTest {
 
-    private static final Worker HALF = new Worker("w-1", "zagreb", "box", 0, Phase.READY, 1, 0);
-    private static final Worker FREE = new Worker("w-2", "zagreb", "box", 0, Phase.READY, 1, 0);
-    private static final Worker PLAIN = new Worker("w-9", "zagreb", "till", 0, Phase.READY, 1, 0);
+    private static final WorkerInfo HALF =
+            new WorkerInfo("w-1", "zagreb", "box", 0, WorkerPhase.READY, 1, 0);
+    private static final WorkerInfo FREE =
+            new WorkerInfo("w-2", "zagreb", "box", 0, WorkerPhase.READY, 1, 0);
+    private static final WorkerInfo PLAIN =
+            new WorkerInfo("w-9", "zagreb", "till", 0, WorkerPhase.READY, 1, 0);
     private static final long FRESH = 1_000_000_000L;
     private static final long OLD = FRESH + Times.USUAL.viewBoundMicros() * 1000 + 1000;
 
@@ -44,11 +47,11 @@
                         Set.of("replan"),
                         Map.of(
                                 "replan",
-                                Effect.KEYED,
+                                Idempotency.DEDUPLICATED,
                                 "slot-check",
-                                Effect.SAFE,
+                                Idempotency.IDEMPOTENT,
                                 "order-confirm",
-                                Effect.UNSAFE),
+                                Idempotency.NOT_IDEMPOTENT),
                         lends));
     }
 
@@ -107,12 +110,13 @@
     @Test
     public void theHoldersJobsGoToItsOwnFirstAndOthersSeeTheWorkerSmaller() {
         LeaseAbility a = ability(false);
-        assertEquals(1, a.part(FRESH, job("replan", "ana", 1), HALF), 0);
-        assertEquals(LeaseAbility.ELSEWHERE, a.part(FRESH, job("replan", "ana", 1), FREE), 0);
-        assertEquals(0.5, a.part(FRESH, job("replan", "ivo", 1), HALF), 0);
-        assertEquals(1, a.part(FRESH, job("replan", "ivo", 1), FREE), 0);
-        assertEquals(0.5, a.part(FRESH, job("slot-check", "ana", 1), HALF), 0);
-        assertEquals(1, a.part(FRESH, job("slot-check", "ana", 1), PLAIN), 0);
+        assertEquals(1, a.usableShare(FRESH, job("replan", "ana", 1), HALF), 0);
+        assertEquals(
+                LeaseAbility.ELSEWHERE, a.usableShare(FRESH, job("replan", "ana", 1), FREE), 0);
+        assertEquals(0.5, a.usableShare(FRESH, job("replan", "ivo", 1), HALF), 0);
+        assertEquals(1, a.usableShare(FRESH, job("replan", "ivo", 1), FREE), 0);
+        assertEquals(0.5, a.usableShare(FRESH, job("slot-check", "ana", 1), HALF), 0);
+        assertEquals(1, a.usableShare(FRESH, job("slot-check", "ana", 1), PLAIN), 0);
         assertEquals("3=" + fence, a.fenceFor(FRESH, "replan", "ana", "w-1"));
         assertNull(a.fenceFor(FRESH, "replan", "ivo", "w-1"));
         assertNull(a.fenceFor(FRESH, "slot-check", "ana", "w-1"));
@@ -123,13 +127,15 @@
         LeaseAbility a = ability(true);
         ask("acquire", "holder", "eva", "kind", "box", "accelerators", 6, "ttlMs", 3000);
         view = new View(machine.moment(), Rows.of(index, machine.save().rows()), FRESH / 1000);
-        assertEquals("all of it is others'", 0, a.part(FRESH, job("replan", "ivo", 1), FREE), 0);
-        assertEquals(LeaseAbility.LEAST, a.part(OLD, job("replan", "ivo", 1), FREE), 0);
-        assertEquals(LeaseAbility.LEAST, a.part(FRESH, job("slot-check", "ivo", 1), FREE), 0);
-        assertEquals(LeaseAbility.LEAST, a.part(OLD, job("replan", "ana", 1), HALF), 0);
+        assertEquals(
+                "all of it is others'", 0, a.usableShare(FRESH, job("replan", "ivo", 1), FREE), 0);
+        assertEquals(LeaseAbility.LEAST, a.usableShare(OLD, job("replan", "ivo", 1), FREE), 0);
+        assertEquals(
+                LeaseAbility.LEAST, a.usableShare(FRESH, job("slot-check", "ivo", 1), FREE), 0);
+        assertEquals(LeaseAbility.LEAST, a.usableShare(OLD, job("replan", "ana", 1), HALF), 0);
         assertNull(a.fenceFor(OLD, "replan", "ana", "w-1"));
         view = View.NONE;
-        assertEquals(1, a.part(FRESH, job("replan", "ivo", 1), FREE), 0);
+        assertEquals(1, a.usableShare(FRESH, job("replan", "ivo", 1), FREE), 0);
     }
 
     @Test
@@ -137,33 +143,34 @@
         ask("acquire", "holder", "eva", "kind", "box", "accelerators", 6, "ttlMs", 3000);
         view = new View(machine.moment(), Rows.of(index, machine.save().rows()), FRESH / 1000);
         for (long at : new long[] {FRESH, OLD}) {
-            assertEquals(1, ability(true).part(at, job("order-confirm", "ivo", 1), HALF), 0);
+            assertEquals(1, ability(true).usableShare(at, job("order-confirm", "ivo", 1), HALF), 0);
         }
         assertThrows(
                 IllegalArgumentException.class,
                 () ->
                         new LeaseAbility.Rules(
                                 Set.of("order-confirm"),
-                                Map.of("order-confirm", Effect.UNSAFE),
+                                Map.of("order-confirm", Idempotency.NOT_IDEMPOTENT),
                                 false));
     }
 
     @Test
     public void lentIsWhatEndsBeforeTheHoldersFirstJobAndMayBeRepeated() {
         LeaseAbility a = ability(true);
-        assertEquals(1, a.part(FRESH, job("slot-check", "ivo", 50), HALF), 0);
-        assertEquals(0.5, a.part(FRESH, job("slot-check", "ivo", 60), HALF), 0);
-        assertEquals(0.5, a.part(FRESH, job("replan", "ivo", 1), HALF), 0);
-        assertEquals(0.5, a.part(OLD, job("slot-check", "ivo", 1), HALF), 0);
+        assertEquals(1, a.usableShare(FRESH, job("slot-check", "ivo", 50), HALF), 0);
+        assertEquals(0.5, a.usableShare(FRESH, job("slot-check", "ivo", 60), HALF), 0);
+        assertEquals(0.5, a.usableShare(FRESH, job("replan", "ivo", 1), HALF), 0);
+        assertEquals(0.5, a.usableShare(OLD, job("slot-check", "ivo", 1), HALF), 0);
     }
 
     @Test
     public void discoveryTellsWhatIsThereAndALateListUndoesNothing() {
         Machine fresh = new Machine(1, List.of(new LeasePart(Times.USUAL)));
         var perKind = new Fleet.Accelerators(Map.of("box", 4), 1);
-        Worker back = new Worker("w-1", "zagreb", "box", 0, Phase.READY, 1, 9_000_000);
-        Worker leaving = new Worker("w-2", "zagreb", "box", 0, Phase.DRAINING, 1, 0);
-        for (List<Worker> list :
+        WorkerInfo back =
+                new WorkerInfo("w-1", "zagreb", "box", 0, WorkerPhase.READY, 1, 9_000_000);
+        WorkerInfo leaving = new WorkerInfo("w-2", "zagreb", "box", 0, WorkerPhase.DRAINING, 1, 0);
+        for (List<WorkerInfo> list :
                 List.of(
                         List.of(HALF, FREE, PLAIN),
                         List.of(back, leaving, PLAIN),
--- a/core/src/test/java/postgrade/lease/LendingTest.java
+++ b/core/src/test/java/postgrade/lease/LendingTest.java
@@ -10,10 +10,10 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import org.junit.Test;
-import postgrade.Dispatcher.Effect;
-import postgrade.Dispatcher.Job;
-import postgrade.Dispatcher.Phase;
-import postgrade.Dispatcher.Worker;
+import postgrade.policy.api.Idempotency;
+import postgrade.policy.api.Job;
+import postgrade.policy.api.WorkerInfo;
+import postgrade.policy.api.WorkerPhase;
 import postgrade.shared.Command;
 import postgrade.shared.Machine;
 import postgrade.shared.Row;
@@ -39,10 +39,10 @@
 
     private static Result run(long seed, boolean lends) {
         Machine machine = new Machine(1, List.of(new LeasePart(Times.USUAL)));
-        List<Worker> workers = new ArrayList<>();
+        List<WorkerInfo> workers = new ArrayList<>();
         long index = 0;
         for (int w = 0; w < WORKERS; w++) {
-            workers.add(new Worker("w" + w, "z", "k", 0, Phase.READY, 1, 0));
+            workers.add(new WorkerInfo("w" + w, "z", "k", 0, WorkerPhase.READY, 1, 0));
             machine.apply(
                     ++index,
                     new Command(
@@ -90,7 +90,11 @@
                         Times.USUAL,
                         new LeaseAbility.Rules(
                                 Set.of("plan"),
-                                Map.of("plan", Effect.KEYED, "check", Effect.SAFE),
+                                Map.of(
+                                        "plan",
+                                        Idempotency.DEDUPLICATED,
+                                        "check",
+                                        Idempotency.IDEMPOTENT),
                                 lends));
 
         SplittableRandom random = new SplittableRandom(seed);
@@ -122,7 +126,7 @@
             for (int w = 0; w < WORKERS; w++) {
                 double now = t;
                 busyUntil.get(w).removeIf(u -> u <= now);
-                double part = ability.part((long) (t * 1e9), job, workers.get(w));
+                double part = ability.usableShare((long) (t * 1e9), job, workers.get(w));
                 double load =
                         part == 0
                                 ? Double.MAX_VALUE
--- a/core/src/test/java/postgrade/policy/ColdRampTest.java
+++ b/core/src/test/java/postgrade/policy/ColdRampTest.java
@@ -9,13 +9,13 @@
 import java.util.Map;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import postgrade.Dispatcher.Effect;
-import postgrade.Dispatcher.Group;
-import postgrade.Dispatcher.JobClass;
-import postgrade.Dispatcher.Settings;
-import postgrade.Dispatcher.Tenant;
 import postgrade.policy.FleetSimulation.Call;
 import postgrade.policy.FleetSimulation.Machine;
+import postgrade.policy.api.DeduplicationScope;
+import postgrade.policy.api.Idempotency;
+import postgrade.policy.api.JobClass;
+import postgrade.policy.api.PolicySettings;
+import postgrade.policy.api.Tenant;
 
 /**
  * What all gateways together send to a cold worker, in a seeded simulation. Within each window it
@@ -36,16 +36,16 @@
     /** What the fleet can do, jobs a second. */
     private static final double CAPACITY = SLOTS * 1e9 / MEAN;
 
-    private static Settings settings(int gateways, int index) {
-        return Settings.builder()
-                .gateways(gateways)
-                .gateway(index)
+    private static PolicySettings settings(int gateways, int index) {
+        return PolicySettings.builder()
+                .dispatcherCount(gateways)
+                .dispatcherIndex(index)
                 .classes(
                         List.of(
                                 new JobClass(
                                         "short",
-                                        Effect.SAFE,
-                                        Group.ALL,
+                                        Idempotency.IDEMPOTENT,
+                                        DeduplicationScope.ALL,
                                         0,
                                         200 * MS,
                                         2,
@@ -55,8 +55,8 @@
                                         false),
                                 new JobClass(
                                         "long",
-                                        Effect.UNSAFE,
-                                        Group.ALL,
+                                        Idempotency.NOT_IDEMPOTENT,
+                                        DeduplicationScope.ALL,
                                         0,
                                         500 * MS,
                                         2,
@@ -65,11 +65,11 @@
                                         null,
                                         false)))
                 .tenants(List.of(new Tenant("t", 0.8 * CAPACITY)))
-                .tellsStart(true)
+                .workersReportStart(true)
                 .maxAttempts(4)
-                .mayDuplicate(false)
-                .cold(0.15, 20 * SECOND)
-                .fall(MULTIPLE, WINDOW)
+                .allowsConcurrentAttempts(false)
+                .slowStart(0.15, 20 * SECOND)
+                .overload(MULTIPLE, WINDOW)
                 .build();
     }
 
--- a/core/src/test/java/postgrade/policy/DecideTest.java
+++ b/core/src/test/java/postgrade/policy/DecideTest.java
@@ -18,39 +18,39 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import postgrade.Ability;
-import postgrade.Dispatcher.Effect;
-import postgrade.Dispatcher.Group;
-import postgrade.Dispatcher.Job;
-import postgrade.Dispatcher.JobClass;
-import postgrade.Dispatcher.Learnt;
-import postgrade.Dispatcher.ListForm;
-import postgrade.Dispatcher.Load;
-import postgrade.Dispatcher.Outcome;
-import postgrade.Dispatcher.Phase;
-import postgrade.Dispatcher.Settings;
-import postgrade.Dispatcher.Tenant;
-import postgrade.Dispatcher.Worker;
+import postgrade.policy.api.AttemptOutcome;
+import postgrade.policy.api.DeduplicationScope;
+import postgrade.policy.api.Idempotency;
+import postgrade.policy.api.Job;
+import postgrade.policy.api.JobClass;
+import postgrade.policy.api.JobConstraints;
+import postgrade.policy.api.LoadReport;
+import postgrade.policy.api.PolicySettings;
+import postgrade.policy.api.Tenant;
+import postgrade.policy.api.TransferredFigures;
+import postgrade.policy.api.WorkerInfo;
+import postgrade.policy.api.WorkerListForm;
+import postgrade.policy.api.WorkerPhase;
 
 class DecideTest {
 
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1_000 * MS;
-    private static final Load FREE = new Load(8, 0, 0, 0);
-    private static final Load FULL_UP = new Load(0, 0, 0, 0);
+    private static final LoadReport FREE = new LoadReport(8, 0, 0, 0);
+    private static final LoadReport FULL_UP = new LoadReport(0, 0, 0, 0);
 
     private final Recorder out = new Recorder();
     private int jobNumber;
 
-    private static Settings.Builder settings() {
-        return Settings.builder()
+    private static PolicySettings.Builder settings() {
+        return PolicySettings.builder()
                 .classes(
                         List.of(
-                                JobClass.of("safe", Effect.SAFE),
+                                JobClass.of("safe", Idempotency.IDEMPOTENT),
                                 new JobClass(
                                         "keyed",
-                                        Effect.KEYED,
-                                        Group.ALL,
+                                        Idempotency.DEDUPLICATED,
+                                        DeduplicationScope.ALL,
                                         30 * SECOND,
                                         SECOND,
                                         2,
@@ -60,8 +60,8 @@
                                         false),
                                 new JobClass(
                                         "zoned",
-                                        Effect.KEYED,
-                                        Group.ZONE,
+                                        Idempotency.DEDUPLICATED,
+                                        DeduplicationScope.ZONE,
                                         30 * SECOND,
                                         SECOND,
                                         2,
@@ -71,8 +71,8 @@
                                         false),
                                 new JobClass(
                                         "celled",
-                                        Effect.KEYED,
-                                        Group.CELL,
+                                        Idempotency.DEDUPLICATED,
+                                        DeduplicationScope.CELL,
                                         30 * SECOND,
                                         SECOND,
                                         2,
@@ -80,11 +80,11 @@
                                         0,
                                         null,
                                         false),
-                                JobClass.of("unsafe", Effect.UNSAFE),
+                                JobClass.of("unsafe", Idempotency.NOT_IDEMPOTENT),
                                 new JobClass(
                                         "big-only",
-                                        Effect.SAFE,
-                                        Group.ALL,
+                                        Idempotency.IDEMPOTENT,
+                                        DeduplicationScope.ALL,
                                         0,
                                         SECOND,
                                         0,
@@ -94,8 +94,8 @@
                                         false),
                                 new JobClass(
                                         "stream",
-                                        Effect.SAFE,
-                                        Group.ALL,
+                                        Idempotency.IDEMPOTENT,
+                                        DeduplicationScope.ALL,
                                         0,
                                         SECOND,
                                         0,
@@ -107,8 +107,8 @@
                 .maxAttempts(4);
     }
 
-    private static Worker worker(String id, Phase phase, long bornNs) {
-        return new Worker(
+    private static WorkerInfo worker(String id, WorkerPhase phase, long bornNs) {
+        return new WorkerInfo(
                 id,
                 "z" + id.charAt(1),
                 id.startsWith("b") ? "big" : "std",
@@ -118,19 +118,19 @@
                 bornNs);
     }
 
-    private Decide start(Settings settings, String... workers) {
+    private Decide start(PolicySettings settings, String... workers) {
         Decide d = new Decide(settings, 7, out);
-        List<Worker> list = new ArrayList<>();
+        List<WorkerInfo> list = new ArrayList<>();
         for (String id : workers) {
-            list.add(worker(id, Phase.READY, 0));
+            list.add(worker(id, WorkerPhase.READY, 0));
         }
-        d.list(0, ListForm.FULL, list);
+        d.workersUpdated(0, WorkerListForm.FULL, list);
         return d;
     }
 
     private String job(Decide d, long nowNs, String jobClass, String tenant, String key) {
         String id = "j" + jobNumber++;
-        d.job(nowNs, new Job(id, jobClass, tenant, key, 20 * SECOND, 1, 0));
+        d.jobArrived(nowNs, new Job(id, jobClass, tenant, key, 20 * SECOND, 1, 0));
         return id;
     }
 
@@ -139,10 +139,10 @@
     }
 
     /** Serves one job on each worker, with this report. */
-    private void warmUp(Decide d, int workers, Load load) {
+    private void warmUp(Decide d, int workers, LoadReport load) {
         for (int i = 0; i < workers; i++) {
             String id = job(d, i, "safe");
-            d.finished(i, id, 0, Outcome.SERVED, true, load);
+            d.attemptFinished(i, id, 0, AttemptOutcome.SERVED, true, load);
         }
     }
 
@@ -153,11 +153,11 @@
                 start(
                         settings()
                                 .tenants(List.of(new Tenant("t", ratePerS)))
-                                .gateways(gateways)
+                                .dispatcherCount(gateways)
                                 .build(),
                         "s1");
         String id = job(d, 0, "safe");
-        d.finished(0, id, 0, Outcome.SERVED, true, FULL_UP);
+        d.attemptFinished(0, id, 0, AttemptOutcome.SERVED, true, FULL_UP);
         return d;
     }
 
@@ -169,7 +169,7 @@
         }
         assertEquals(4, out.count("refuse"), "a burst of two seconds of the rate is admitted");
         assertEquals("refuse j12 250000000", out.last("refuse"));
-        d.finished(0, "j1", 0, Outcome.SERVED, true, FULL_UP);
+        d.attemptFinished(0, "j1", 0, AttemptOutcome.SERVED, true, FULL_UP);
         job(d, SECOND / 8, "safe", "t", null);
         assertEquals(5, out.count("refuse"));
         job(d, SECOND / 4, "safe", "t", null);
@@ -195,9 +195,10 @@
 
     @Test
     void refusedJobIsChargedToItsOtherBuckets() {
-        Settings s = settings().tenants(List.of(new Tenant("a", 1), new Tenant("b", 100))).build();
+        PolicySettings s =
+                settings().tenants(List.of(new Tenant("a", 1), new Tenant("b", 100))).build();
         Decide d = start(s, "s1");
-        d.finished(0, job(d, 0, "safe"), 0, Outcome.SERVED, true, FULL_UP);
+        d.attemptFinished(0, job(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, FULL_UP);
         for (int i = 0; i < 300; i++) {
             job(d, 0, "unsafe", "a", "k");
         }
@@ -213,13 +214,13 @@
 
     @Test
     void evictedBucketReturnsFull() {
-        Settings s =
+        PolicySettings s =
                 settings()
                         .tenants(List.of(new Tenant("a", 0.1), new Tenant("b", 0.1)))
-                        .tableSize(1)
+                        .mostBuckets(1)
                         .build();
         Decide d = start(s, "s1");
-        d.finished(0, job(d, 0, "safe"), 0, Outcome.SERVED, true, FULL_UP);
+        d.attemptFinished(0, job(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, FULL_UP);
         for (int i = 0; i < 6; i++) {
             job(d, 0, "safe", "a", null);
         }
@@ -231,7 +232,7 @@
 
     @Test
     void tenantBeyondItsRateOverdrawsOnlyVisibleRoom() {
-        Settings s = settings().tenants(List.of(new Tenant("t", 0.1))).build();
+        PolicySettings s = settings().tenants(List.of(new Tenant("t", 0.1))).build();
         Decide d = start(s, "s1", "s2", "s3", "s4");
         warmUp(d, 8, FREE);
         for (int i = 0; i < 30; i++) {
@@ -247,7 +248,7 @@
      */
     @Test
     void oldReportsOfABusyFleetShowNoRoomForExcess() {
-        Settings s = settings().tenants(List.of(new Tenant("t", 1))).build();
+        PolicySettings s = settings().tenants(List.of(new Tenant("t", 1))).build();
         Decide d = start(s, IntStream.range(0, 20).mapToObj(i -> "s" + i).toArray(String[]::new));
         warmUp(d, 5, FREE);
         warmUp(d, 100, FULL_UP);
@@ -287,7 +288,7 @@
         assertEquals("b1", out.sentTo(job(d, 0, "big-only")));
         Decide none = start(settings().build(), "s1");
         String id = job(none, 0, "big-only");
-        none.timer(2 * SECOND, "sweep");
+        none.timerFired(2 * SECOND, "sweep");
         assertEquals(1, out.count("refuse " + id), "no able worker: refused when hope is gone");
     }
 
@@ -295,9 +296,9 @@
     void emptyListRefusesWithRetryAfterWhenHopeIsGone() {
         Decide d = start(settings().build());
         String id = job(d, 0, "unsafe");
-        d.timer(50 * MS, "sweep");
+        d.timerFired(50 * MS, "sweep");
         assertEquals(0, out.count("refuse"));
-        d.timer(1100 * MS, "sweep");
+        d.timerFired(1100 * MS, "sweep");
         assertEquals("refuse " + id + " 500000000", out.last("refuse"));
     }
 
@@ -307,9 +308,9 @@
     void jobUnansweredAtItsDeadlineFailsOnceAndIsNotSentAgain() {
         Decide d = start(settings().build(), "s1", "s2");
         String id = job(d, 0, "unsafe");
-        d.finished(20 * SECOND, id, 0, Outcome.TIMEOUT, false, Load.NONE);
-        d.timer(21 * SECOND, "sweep");
-        d.abandoned(21 * SECOND, id);
+        d.attemptFinished(20 * SECOND, id, 0, AttemptOutcome.TIMEOUT, false, LoadReport.NONE);
+        d.timerFired(21 * SECOND, "sweep");
+        d.clientLeft(21 * SECOND, id);
         assertEquals(1, out.count("fail " + id));
         assertEquals(1, out.count("send " + id));
         assertEquals(0, out.count("refuse " + id));
@@ -319,16 +320,16 @@
     void lateRepeatedAndUnknownEventsAreIgnored() {
         Decide d = start(settings().build(), "s1", "s2");
         String id = job(d, 0, "safe");
-        d.finished(1, id, 0, Outcome.SERVED, true, Load.NONE);
+        d.attemptFinished(1, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         int said = out.said.size();
-        d.finished(2, id, 0, Outcome.RESET, false, Load.NONE);
-        d.finished(2, "nobody", 3, Outcome.FULL, false, Load.NONE);
-        d.started(2, id, 0);
-        d.progress(2, "nobody", -1, 0.5);
-        d.streaming(2, "nobody", 0);
-        d.abandoned(2, id);
-        d.probed(2, "nobody", true, FREE);
-        d.timer(2, "unheard of");
+        d.attemptFinished(2, id, 0, AttemptOutcome.RESET, false, LoadReport.NONE);
+        d.attemptFinished(2, "nobody", 3, AttemptOutcome.FULL, false, LoadReport.NONE);
+        d.attemptStarted(2, id, 0);
+        d.attemptProgressed(2, "nobody", -1, 0.5);
+        d.attemptStreaming(2, "nobody", 0);
+        d.clientLeft(2, id);
+        d.workerProbed(2, "nobody", true, FREE);
+        d.timerFired(2, "unheard of");
         assertEquals(said, out.said.size());
     }
 
@@ -336,8 +337,8 @@
     void streamThatHasBegunHasNoDeadline() {
         Decide d = start(settings().build(), "s1");
         String id = job(d, 0, "stream");
-        d.streaming(SECOND, id, 0);
-        d.timer(30 * SECOND, "sweep");
+        d.attemptStreaming(SECOND, id, 0);
+        d.timerFired(30 * SECOND, "sweep");
         assertEquals(0, out.count("fail") + out.count("refuse"));
     }
 
@@ -353,9 +354,9 @@
         Decide d = start(settings().build(), workers);
         String unsent = job(d, 0, "unsafe");
         String first = out.sentTo(unsent);
-        d.finished(1, unsent, 0, Outcome.NO_SOCKET, false, Load.NONE);
+        d.attemptFinished(1, unsent, 0, AttemptOutcome.NO_SOCKET, false, LoadReport.NONE);
         assertNotEquals(first, out.sentTo(unsent), "it has run nowhere");
-        d.finished(2, unsent, 1, Outcome.SERVED, true, FREE);
+        d.attemptFinished(2, unsent, 1, AttemptOutcome.SERVED, true, FREE);
         Set<String> used = new TreeSet<>();
         for (int i = 0; i < workers.length; i++) {
             used.add(out.sentTo(job(d, 3, "safe")));
@@ -365,14 +366,14 @@
 
     @ParameterizedTest
     @EnumSource(
-            value = Outcome.class,
+            value = AttemptOutcome.class,
             names = {"FULL", "UNREACHABLE"})
-    void provenNotRunIsTriedElsewhere(Outcome outcome) {
+    void provenNotRunIsTriedElsewhere(AttemptOutcome outcome) {
         for (String c : List.of("safe", "keyed", "zoned", "celled", "unsafe")) {
             Decide d = start(settings().build(), "s1", "s2", "s3");
             String id = job(d, 0, c);
             String first = out.sentTo(id);
-            d.finished(1, id, 0, outcome, false, Load.NONE);
+            d.attemptFinished(1, id, 0, outcome, false, LoadReport.NONE);
             assertEquals(2, out.count("send " + id), c);
             assertNotEquals(first, out.sentTo(id), c);
         }
@@ -386,11 +387,11 @@
         "NOT_SENT,safe,refuse", "NOT_SENT,keyed,refuse", "NOT_SENT,unsafe,refuse"
     })
     void mayHaveRunIsRepeatedOnlyAsTheClassAllows(
-            Outcome outcome, String jobClass, String expected) {
+            AttemptOutcome outcome, String jobClass, String expected) {
         Decide d = start(settings().build(), "s1", "s2", "s3");
         String id = job(d, 0, jobClass);
         int before = out.said.size();
-        d.finished(1, id, 0, outcome, false, Load.NONE);
+        d.attemptFinished(1, id, 0, outcome, false, LoadReport.NONE);
         List<String> after = out.said.subList(before, out.said.size());
         assertEquals(1, after.size());
         assertTrue(after.get(0).startsWith(expected + " " + id), after.get(0));
@@ -401,11 +402,11 @@
         Decide d = start(settings().build(), "s1", "s2");
         String id = job(d, 0, "unsafe");
         String leaving = out.sentTo(id);
-        d.list(
+        d.workersUpdated(
                 1,
-                ListForm.CHANGES,
-                List.of(new Worker(leaving, "z", "std", 0, Phase.DRAINING, 1, 0)));
-        d.finished(1, id, 0, Outcome.NOT_SENT, false, Load.NONE);
+                WorkerListForm.DELTA,
+                List.of(new WorkerInfo(leaving, "z", "std", 0, WorkerPhase.DRAINING, 1, 0)));
+        d.attemptFinished(1, id, 0, AttemptOutcome.NOT_SENT, false, LoadReport.NONE);
         assertEquals(leaving.equals("s1") ? "s2" : "s1", out.sentTo(id));
     }
 
@@ -416,7 +417,7 @@
         for (int i = 0; i < 20; i++) {
             String id = job(d, 0, jobClass);
             char zone = out.sentTo(id).charAt(1);
-            d.finished(1, id, 0, Outcome.RESET, false, Load.NONE);
+            d.attemptFinished(1, id, 0, AttemptOutcome.RESET, false, LoadReport.NONE);
             assertEquals(zone, out.sentTo(id).charAt(1));
             assertEquals(
                     0, out.count("refuse " + id), "a refusal would promise that it had not run");
@@ -425,14 +426,14 @@
 
     @Test
     void keyedJobIsNotRepeatedAfterItsWindow() {
-        Settings s =
-                Settings.builder()
+        PolicySettings s =
+                PolicySettings.builder()
                         .classes(
                                 List.of(
                                         new JobClass(
                                                 "keyed",
-                                                Effect.KEYED,
-                                                Group.ALL,
+                                                Idempotency.DEDUPLICATED,
+                                                DeduplicationScope.ALL,
                                                 2 * SECOND,
                                                 SECOND,
                                                 0,
@@ -443,7 +444,7 @@
                         .build();
         Decide d = start(s, "s1", "s2");
         String id = job(d, 0, "keyed");
-        d.finished(2 * SECOND, id, 0, Outcome.RESET, false, Load.NONE);
+        d.attemptFinished(2 * SECOND, id, 0, AttemptOutcome.RESET, false, LoadReport.NONE);
         assertEquals(1, out.count("send " + id));
         assertEquals(
                 1,
@@ -460,16 +461,16 @@
         Decide d = start(settings().build(), "s1", "s2", "s3");
         String id = job(d, 0, "keyed");
         assertEquals(Long.MAX_VALUE, out.windowNs, "it has not run");
-        d.finished(SECOND, id, 0, Outcome.UNREACHABLE, false, Load.NONE);
+        d.attemptFinished(SECOND, id, 0, AttemptOutcome.UNREACHABLE, false, LoadReport.NONE);
         assertEquals(Long.MAX_VALUE, out.windowNs, "nor now");
-        d.finished(3 * SECOND, id, 1, Outcome.RESET, false, Load.NONE);
+        d.attemptFinished(3 * SECOND, id, 1, AttemptOutcome.RESET, false, LoadReport.NONE);
         assertEquals(3, out.count("send " + id));
         assertEquals(
                 SECOND + 30 * SECOND - 3 * SECOND - 50 * MS,
                 out.windowNs,
                 "from the first that may have run");
         id = job(d, 4 * SECOND, "safe");
-        d.finished(4 * SECOND, id, 0, Outcome.RESET, false, Load.NONE);
+        d.attemptFinished(4 * SECOND, id, 0, AttemptOutcome.RESET, false, LoadReport.NONE);
         assertEquals(2, out.count("send " + id));
         assertEquals(Long.MAX_VALUE, out.windowNs);
     }
@@ -479,10 +480,10 @@
         Decide d = start(settings().build(), "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8");
         String id = job(d, 0, "unsafe");
         for (int i = 0; i < 4; i++) {
-            d.timer(i * SECOND / 10, "sweep");
-            d.finished(i * SECOND / 10, id, i, Outcome.FULL, false, FREE);
+            d.timerFired(i * SECOND / 10, "sweep");
+            d.attemptFinished(i * SECOND / 10, id, i, AttemptOutcome.FULL, false, FREE);
         }
-        d.timer(SECOND, "sweep");
+        d.timerFired(SECOND, "sweep");
         assertEquals(4, out.count("send " + id));
         assertEquals(1, out.count("refuse " + id));
     }
@@ -496,12 +497,12 @@
     @Test
     void withoutReportsJobsFollowTheSizesThatTheListAnnounces() {
         Decide d = new Decide(settings().build(), 7, out);
-        d.list(
+        d.workersUpdated(
                 0,
-                ListForm.FULL,
+                WorkerListForm.FULL,
                 List.of(
-                        new Worker("s1", "z", "small", 0, Phase.READY, 1, 0),
-                        new Worker("s2", "z", "large", 0, Phase.READY, 3, 0)));
+                        new WorkerInfo("s1", "z", "small", 0, WorkerPhase.READY, 1, 0),
+                        new WorkerInfo("s2", "z", "large", 0, WorkerPhase.READY, 3, 0)));
         for (int i = 0; i < 40; i++) {
             job(d, 1, "safe");
         }
@@ -516,16 +517,16 @@
      */
     @Test
     void withNoneOfOursAnywhereJobsGoInProportionToSize() {
-        Decide d = new Decide(settings().gateways(14).build(), 7, out);
-        d.list(
+        Decide d = new Decide(settings().dispatcherCount(14).build(), 7, out);
+        d.workersUpdated(
                 0,
-                ListForm.FULL,
+                WorkerListForm.FULL,
                 List.of(
-                        new Worker("s1", "z", "small", 0, Phase.READY, 1, 0),
-                        new Worker("s2", "z", "large", 0, Phase.READY, 3, 0)));
+                        new WorkerInfo("s1", "z", "small", 0, WorkerPhase.READY, 1, 0),
+                        new WorkerInfo("s2", "z", "large", 0, WorkerPhase.READY, 3, 0)));
         for (int i = 0; i < 400; i++) {
             String id = job(d, i * MS, "safe");
-            d.finished(i * MS, id, 0, Outcome.SERVED, true, Load.NONE);
+            d.attemptFinished(i * MS, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
         long small = out.sendsTo("s1"::equals);
         assertTrue(
@@ -541,27 +542,29 @@
      */
     @Test
     void jobsGoLessToAKindWhoseJobsWaitBeforeTheyStart() {
-        Decide d = new Decide(settings().gateways(14).tellsStart(true).build(), 7, out);
-        List<Worker> fleet = new ArrayList<>();
+        Decide d =
+                new Decide(settings().dispatcherCount(14).workersReportStart(true).build(), 7, out);
+        List<WorkerInfo> fleet = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             fleet.add(
-                    new Worker(
+                    new WorkerInfo(
                             (i % 2 == 0 ? "small-" : "large-") + i,
                             "z",
                             i % 2 == 0 ? "small" : "large",
                             0,
-                            Phase.READY,
+                            WorkerPhase.READY,
                             1,
                             0));
         }
-        d.list(0, ListForm.FULL, fleet);
+        d.workersUpdated(0, WorkerListForm.FULL, fleet);
         for (int i = 0; i < 400; i++) {
             long nowNs =
                     i * 300 * MS; // Each worker hears of one job of ours in some twenty seconds.
             String id = job(d, nowNs, "safe");
             long waitNs = out.sentTo(id).startsWith("small") ? 20 * MS : 2 * MS;
-            d.started(nowNs + waitNs, id, 0);
-            d.finished(nowNs + waitNs + MS, id, 0, Outcome.SERVED, true, Load.NONE);
+            d.attemptStarted(nowNs + waitNs, id, 0);
+            d.attemptFinished(
+                    nowNs + waitNs + MS, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
         long small = out.sendsTo(w -> w.startsWith("small-"));
         // 176 where a worker's wait fades to none; 153 with the kind's wait in the size alone.
@@ -576,28 +579,35 @@
     void aColdWorkerIsNotTakenToWaitAsLongAsItsKind() {
         Decide d =
                 new Decide(
-                        settings().tellsStart(true).cold(0.5, 100 * SECOND).fall(3, SECOND).build(),
+                        settings()
+                                .workersReportStart(true)
+                                .slowStart(0.5, 100 * SECOND)
+                                .overload(3, SECOND)
+                                .build(),
                         7,
                         out);
-        d.list(0, ListForm.FULL, List.of(new Worker("old", "z", "k", 0, Phase.READY, 1, 0)));
+        d.workersUpdated(
+                0,
+                WorkerListForm.FULL,
+                List.of(new WorkerInfo("old", "z", "k", 0, WorkerPhase.READY, 1, 0)));
         for (int i = 0; i < 40; i++) {
             long nowNs = i * 100 * MS;
             String id = job(d, nowNs, "safe");
-            d.started(nowNs + 20 * MS, id, 0);
-            d.finished(nowNs + 21 * MS, id, 0, Outcome.SERVED, true, Load.NONE);
+            d.attemptStarted(nowNs + 20 * MS, id, 0);
+            d.attemptFinished(nowNs + 21 * MS, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
-        d.list(
+        d.workersUpdated(
                 4 * SECOND,
-                ListForm.CHANGES,
-                List.of(new Worker("new", "z", "k", 0, Phase.READY, 1, 4 * SECOND)));
+                WorkerListForm.DELTA,
+                List.of(new WorkerInfo("new", "z", "k", 0, WorkerPhase.READY, 1, 4 * SECOND)));
         long toNew = 0;
         for (int i = 0; i < 40; i++) {
             long nowNs = 10 * SECOND + i * SECOND;
             String id = job(d, nowNs, "safe");
             boolean cold = out.sentTo(id).equals("new");
             toNew += cold ? 1 : 0;
-            d.started(nowNs + (cold ? 0 : 20 * MS), id, 0);
-            d.finished(nowNs + 21 * MS, id, 0, Outcome.SERVED, true, Load.NONE);
+            d.attemptStarted(nowNs + (cold ? 0 : 20 * MS), id, 0);
+            d.attemptFinished(nowNs + 21 * MS, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
         assertTrue(toNew >= 10, toNew + " of 40 to the cold worker");
     }
@@ -609,12 +619,12 @@
     @Test
     void workerWithoutWeightCountsAsOneOfMeanSize() {
         Decide d = new Decide(settings().build(), 7, out);
-        d.list(
+        d.workersUpdated(
                 0,
-                ListForm.FULL,
+                WorkerListForm.FULL,
                 List.of(
-                        new Worker("s1", "z", "std", 0, Phase.READY, 0, 0),
-                        new Worker("s2", "z", "std", 0, Phase.READY, 4, 0)));
+                        new WorkerInfo("s1", "z", "std", 0, WorkerPhase.READY, 0, 0),
+                        new WorkerInfo("s2", "z", "std", 0, WorkerPhase.READY, 4, 0)));
         for (int i = 0; i < 20; i++) {
             job(d, 1, "safe");
         }
@@ -631,22 +641,28 @@
         Decide d =
                 start(
                         settings()
-                                .gateways(gateways)
+                                .dispatcherCount(gateways)
                                 .tenants(List.of(new Tenant("t", 1), new Tenant("u", 150)))
                                 .build(),
                         "s1",
                         "s2");
         for (long nowNs = SECOND; nowNs < 4 * SECOND; nowNs += 100 * MS) {
-            d.finished(nowNs + 90 * MS, job(d, nowNs, "safe"), 0, Outcome.SERVED, true, Load.NONE);
+            d.attemptFinished(
+                    nowNs + 90 * MS,
+                    job(d, nowNs, "safe"),
+                    0,
+                    AttemptOutcome.SERVED,
+                    true,
+                    LoadReport.NONE);
         }
         for (int i = 0; i < 5; i++) {
-            d.finished(
+            d.attemptFinished(
                     4 * SECOND,
                     job(d, 4 * SECOND, "safe", "t", null),
                     0,
-                    Outcome.RESET,
+                    AttemptOutcome.RESET,
                     true,
-                    Load.NONE);
+                    LoadReport.NONE);
         }
         String excess = job(d, 4 * SECOND, "safe", "t", null);
         assertEquals(excessGoes, !out.sentTo(excess).isEmpty());
@@ -657,15 +673,15 @@
     @Test
     void drainingGoneAndUnlistedWorkersGetNothing() {
         Decide d = start(settings().build(), "s1", "s2", "s3", "s4");
-        d.list(
+        d.workersUpdated(
                 1,
-                ListForm.CHANGES,
-                List.of(worker("s1", Phase.DRAINING, 0), worker("s2", Phase.GONE, 0)));
+                WorkerListForm.DELTA,
+                List.of(worker("s1", WorkerPhase.DRAINING, 0), worker("s2", WorkerPhase.GONE, 0)));
         for (int i = 0; i < 8; i++) {
             String to = out.sentTo(job(d, 2, "safe"));
             assertTrue(to.equals("s3") || to.equals("s4"), to);
         }
-        d.list(3, ListForm.FULL, List.of(worker("s3", Phase.READY, 0)));
+        d.workersUpdated(3, WorkerListForm.FULL, List.of(worker("s3", WorkerPhase.READY, 0)));
         for (int i = 0; i < 8; i++) {
             assertEquals("s3", out.sentTo(job(d, 4, "safe")));
         }
@@ -677,22 +693,22 @@
      */
     @Test
     void whereOnlyDrainingBindsDroppedWorkersStayOpenAndDrainedOnesShut() {
-        Decide d = start(settings().droppedStayOpen(true).build(), "s1", "s2", "s3");
-        d.list(1, ListForm.CHANGES, List.of(worker("s1", Phase.DRAINING, 0)));
-        d.list(
+        Decide d = start(settings().keepsUnlistedWorkers(true).build(), "s1", "s2", "s3");
+        d.workersUpdated(1, WorkerListForm.DELTA, List.of(worker("s1", WorkerPhase.DRAINING, 0)));
+        d.workersUpdated(
                 2,
-                ListForm.CHANGES,
-                List.of(worker("s2", Phase.GONE, 0), worker("s9", Phase.GONE, 0)));
-        d.list(3, ListForm.FULL, List.of());
+                WorkerListForm.DELTA,
+                List.of(worker("s2", WorkerPhase.GONE, 0), worker("s9", WorkerPhase.GONE, 0)));
+        d.workersUpdated(3, WorkerListForm.FULL, List.of());
         Set<String> to = new TreeSet<>();
         for (int i = 0; i < 8; i++) {
             to.add(out.sentTo(job(d, 4, "safe")));
         }
         assertEquals(Set.of("s2", "s3"), to, "named once and not drained");
-        d.list(5, ListForm.FULL, List.of(worker("s1", Phase.READY, 0)));
+        d.workersUpdated(5, WorkerListForm.FULL, List.of(worker("s1", WorkerPhase.READY, 0)));
         assertNotEquals(
                 "s1", out.sentTo(job(d, 6, "safe")), "an older list does not undo the drain");
-        d.list(7, ListForm.FULL, List.of(worker("s1", Phase.READY, 6)));
+        d.workersUpdated(7, WorkerListForm.FULL, List.of(worker("s1", WorkerPhase.READY, 6)));
         assertEquals("s1", out.sentTo(job(d, 8, "safe")), "a new start does");
     }
 
@@ -702,26 +718,26 @@
      */
     @Test
     void droppedWorkerThatCannotBeReachedIsForgotten() {
-        Decide d = start(settings().droppedStayOpen(true).build(), "s1", "s2", "s3");
-        d.list(
+        Decide d = start(settings().keepsUnlistedWorkers(true).build(), "s1", "s2", "s3");
+        d.workersUpdated(
                 1,
-                ListForm.FULL,
-                List.of(worker("s2", Phase.READY, 0), worker("s3", Phase.READY, 0)));
+                WorkerListForm.FULL,
+                List.of(worker("s2", WorkerPhase.READY, 0), worker("s3", WorkerPhase.READY, 0)));
         for (int round = 1; round <= 40; round++) {
             long nowNs = round * 2 * SECOND;
             for (int i = 0; i < 4; i++) {
                 String id = job(d, nowNs, "safe");
                 boolean dead = out.sentTo(id).equals("s1");
-                d.finished(
+                d.attemptFinished(
                         nowNs,
                         id,
                         0,
-                        dead ? Outcome.UNREACHABLE : Outcome.SERVED,
+                        dead ? AttemptOutcome.UNREACHABLE : AttemptOutcome.SERVED,
                         !dead,
-                        Load.NONE);
+                        LoadReport.NONE);
             }
         }
-        d.list(100 * SECOND, ListForm.CHANGES, List.of());
+        d.workersUpdated(100 * SECOND, WorkerListForm.DELTA, List.of());
         long before = out.sendsTo("s1"::equals);
         for (int i = 0; i < 30; i++) {
             job(d, 200 * SECOND, "safe");
@@ -733,18 +749,19 @@
 
     @Test
     void newSettingsBindAtOnceAndFillNoBucket() {
-        Settings.Builder b = settings().tenants(List.of(new Tenant("t", 4)));
+        PolicySettings.Builder b = settings().tenants(List.of(new Tenant("t", 4)));
         Decide d = start(b.build(), "s1");
-        d.finished(0, job(d, 0, "safe"), 0, Outcome.SERVED, true, FULL_UP);
+        d.attemptFinished(0, job(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, FULL_UP);
         for (int i = 0; i < 8; i++) {
             job(d, 0, "unsafe", "t", null);
         }
         long refused = out.count("refuse");
-        d.settings(0, b.classes(List.of(JobClass.of("fresh", Effect.SAFE))).build());
+        d.settingsChanged(
+                0, b.classes(List.of(JobClass.of("fresh", Idempotency.IDEMPOTENT))).build());
         job(d, 0, "fresh", "t", null);
         assertEquals(refused + 1, out.count("refuse"), "no fresh burst");
         assertThrows(IllegalArgumentException.class, () -> job(d, 0, "safe"));
-        d.settings(0, b.tenants(List.of()).build());
+        d.settingsChanged(0, b.tenants(List.of()).build());
         job(d, MS, "fresh", "t", null);
         assertFalse(out.last("send").isEmpty());
     }
@@ -754,29 +771,29 @@
         Decide d = start(settings().build(), "s1", "s2", "s3");
         String id = job(d, 0, "safe");
         String kept = job(d, 0, "safe");
-        d.settings(
+        d.settingsChanged(
                 0,
                 settings()
-                        .classes(List.of(JobClass.of("safe", Effect.UNSAFE)))
+                        .classes(List.of(JobClass.of("safe", Idempotency.NOT_IDEMPOTENT)))
                         .maxAttempts(1)
                         .build());
-        d.finished(MS, id, 0, Outcome.ERROR, false, Load.NONE);
+        d.attemptFinished(MS, id, 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
         assertEquals(
                 "refuse " + id,
                 out.last("refuse").substring(0, 7 + id.length()),
                 "no second attempt");
-        d.settings(
+        d.settingsChanged(
                 0,
                 settings()
-                        .classes(List.of(JobClass.of("safe", Effect.UNSAFE)))
+                        .classes(List.of(JobClass.of("safe", Idempotency.NOT_IDEMPOTENT)))
                         .maxAttempts(6)
                         .build());
         for (int i = 0; i < 5; i++) {
-            d.finished(2 * MS, kept, i, Outcome.FULL, false, Load.NONE);
-            d.timer(2 * SECOND + 60 * MS * i, "sweep");
+            d.attemptFinished(2 * MS, kept, i, AttemptOutcome.FULL, false, LoadReport.NONE);
+            d.timerFired(2 * SECOND + 60 * MS * i, "sweep");
         }
         String once = job(d, 3 * SECOND, "safe");
-        d.finished(3 * SECOND, once, 0, Outcome.ERROR, false, Load.NONE);
+        d.attemptFinished(3 * SECOND, once, 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
         assertEquals("fail " + once, out.last("fail"));
     }
 
@@ -795,11 +812,11 @@
         assertEquals(40, admitted(oneTenant(20, 1), 80));
         Decide old = oneTenant(20, 1);
         assertEquals(10, admitted(old, 10));
-        List<Learnt> told = old.learnt(0);
-        old.share(0, 0.5);
+        List<TransferredFigures> told = old.exportFigures(0);
+        old.shareChanged(0, 0.5);
         Decide fresh = oneTenant(20, 1);
-        fresh.share(0, 0.5);
-        fresh.learn(0, told);
+        fresh.shareChanged(0, 0.5);
+        fresh.importFigures(0, told);
         long both = admitted(old, 80) + admitted(fresh, 80);
         assertTrue(both <= 30 && both >= 20, both + " after 10 of 40");
     }
@@ -807,33 +824,39 @@
     @Test
     void aNewProcessKnowsWhoIsSickWhoIsSlowAndWhoOwesATrial() {
         Decide old =
-                start(settings().cold(0.2, 20 * SECOND).fall(3, SECOND).build(), "s1", "s2", "s3");
+                start(
+                        settings().slowStart(0.2, 20 * SECOND).overload(3, SECOND).build(),
+                        "s1",
+                        "s2",
+                        "s3");
         for (int i = 0; i < 60; i++) {
             String id = job(old, i, "safe");
-            old.finished(
+            old.attemptFinished(
                     i,
                     id,
                     0,
-                    out.sentTo(id).equals("s2") ? Outcome.ERROR : Outcome.SERVED,
+                    out.sentTo(id).equals("s2") ? AttemptOutcome.ERROR : AttemptOutcome.SERVED,
                     true,
                     FREE);
         }
-        old.list(SECOND, ListForm.CHANGES, List.of(worker("s3", Phase.READY, SECOND)));
-        old.recalled(SECOND, "s3");
-        List<Learnt> told = new ArrayList<>(old.learnt(SECOND));
-        told.add(new Learnt("worker", "unheard of", new double[9]));
-        told.add(new Learnt("of a later version", "x", new double[0]));
+        old.workersUpdated(
+                SECOND, WorkerListForm.DELTA, List.of(worker("s3", WorkerPhase.READY, SECOND)));
+        old.workerReenabled(SECOND, "s3");
+        List<TransferredFigures> told = new ArrayList<>(old.exportFigures(SECOND));
+        told.add(new TransferredFigures("worker", "unheard of", new double[9]));
+        told.add(new TransferredFigures("of a later version", "x", new double[0]));
         Decide fresh =
-                new Decide(settings().cold(0.2, 20 * SECOND).fall(3, SECOND).build(), 3, out);
+                new Decide(
+                        settings().slowStart(0.2, 20 * SECOND).overload(3, SECOND).build(), 3, out);
         long now = 100 * SECOND; // Its clock is another.
-        fresh.list(
+        fresh.workersUpdated(
                 now,
-                ListForm.STORED,
+                WorkerListForm.CACHED,
                 List.of(
-                        worker("s1", Phase.READY, 0),
-                        worker("s2", Phase.READY, 0),
-                        worker("s3", Phase.READY, now)));
-        fresh.learn(now, told);
+                        worker("s1", WorkerPhase.READY, 0),
+                        worker("s2", WorkerPhase.READY, 0),
+                        worker("s3", WorkerPhase.READY, now)));
+        fresh.importFigures(now, told);
         assertEquals(
                 "s3",
                 out.sentTo(job(fresh, now, "safe")),
@@ -852,18 +875,20 @@
         for (boolean ended : new boolean[] {true, false}) {
             Decide old = gatewaysWithColdWorker(1, 10 * SECOND).get(0);
             long sent = sentToS2(List.of(old), 30, 10 * SECOND);
-            List<Learnt> told =
-                    old.learnt(10 * SECOND + 100 * MS).stream()
-                            .filter(l -> ended || !l.of().equals("up"))
+            List<TransferredFigures> told =
+                    old.exportFigures(10 * SECOND + 100 * MS).stream()
+                            .filter(l -> ended || !l.category().equals("up"))
                             .toList();
             Decide fresh =
                     new Decide(
-                            settings().cold(0.12, 24 * SECOND).fall(3, 1500 * MS).build(), 0, out);
-            fresh.list(
+                            settings().slowStart(0.12, 24 * SECOND).overload(3, 1500 * MS).build(),
+                            0,
+                            out);
+            fresh.workersUpdated(
                     20 * SECOND,
-                    ListForm.FULL,
-                    List.of(worker("s2", Phase.READY, 19 * SECOND + 900 * MS)));
-            fresh.learn(20 * SECOND, told);
+                    WorkerListForm.FULL,
+                    List.of(worker("s2", WorkerPhase.READY, 19 * SECOND + 900 * MS)));
+            fresh.importFigures(20 * SECOND, told);
             assertTrue(
                     sent > 0 && sentToS2(List.of(fresh), 30, 20 * SECOND) == 0, sent + " before");
             long later = sentToS2(List.of(fresh), 30, 21_450 * MS);
@@ -875,28 +900,28 @@
 
     @Test
     void aNewProcessKnowsHowMuchOfTheFleetOthersHoldAndWhichKindWaits() {
-        Settings s = settings().gateways(10).tellsStart(true).build();
+        PolicySettings s = settings().dispatcherCount(10).workersReportStart(true).build();
         Decide old = start(s, "s1", "b1");
         for (int i = 0; i < 40; i++) {
             String id = job(old, i * MS, "safe");
             long waitNs = out.sentTo(id).equals("b1") ? 900 * MS : 50 * MS;
-            old.started(i * MS + waitNs, id, 0);
-            old.finished(2 * SECOND, id, 0, Outcome.SERVED, true, Load.NONE);
+            old.attemptStarted(i * MS + waitNs, id, 0);
+            old.attemptFinished(2 * SECOND, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
-        List<Learnt> told = old.learnt(3 * SECOND);
+        List<TransferredFigures> told = old.exportFigures(3 * SECOND);
         Decide fresh = start(s, "s1", "b1");
-        fresh.learn(0, told);
+        fresh.importFigures(0, told);
         for (String of : List.of("fleet", "kind")) {
-            assertEquals(figures(told, of), figures(fresh.learnt(0), of));
-            assertNotEquals(figures(start(s, "s1", "b1").learnt(0), of), figures(told, of));
+            assertEquals(figures(told, of), figures(fresh.exportFigures(0), of));
+            assertNotEquals(figures(start(s, "s1", "b1").exportFigures(0), of), figures(told, of));
         }
     }
 
-    private static List<List<Double>> figures(List<Learnt> all, String of) {
+    private static List<List<Double>> figures(List<TransferredFigures> all, String of) {
         return all.stream()
-                .filter(l -> l.of().equals(of))
-                .sorted(Comparator.comparing(Learnt::name))
-                .map(l -> DoubleStream.of(l.figures()).boxed().toList())
+                .filter(l -> l.category().equals(of))
+                .sorted(Comparator.comparing(TransferredFigures::name))
+                .map(l -> DoubleStream.of(l.values()).boxed().toList())
                 .toList();
     }
 
@@ -910,22 +935,30 @@
                             Decide d =
                                     new Decide(
                                             settings()
-                                                    .gateways(count)
-                                                    .gateway(i)
-                                                    .cold(0.12, 24 * SECOND)
-                                                    .fall(3, 1500 * MS)
+                                                    .dispatcherCount(count)
+                                                    .dispatcherIndex(i)
+                                                    .slowStart(0.12, 24 * SECOND)
+                                                    .overload(3, 1500 * MS)
                                                     .build(),
                                             i,
                                             out);
-                            d.list(0, ListForm.FULL, List.of(worker("s1", Phase.READY, 0)));
+                            d.workersUpdated(
+                                    0,
+                                    WorkerListForm.FULL,
+                                    List.of(worker("s1", WorkerPhase.READY, 0)));
                             for (int k = 0; k < 30; k++) {
-                                d.finished(
-                                        300 * MS, job(d, 0, "safe"), 0, Outcome.SERVED, true, FREE);
+                                d.attemptFinished(
+                                        300 * MS,
+                                        job(d, 0, "safe"),
+                                        0,
+                                        AttemptOutcome.SERVED,
+                                        true,
+                                        FREE);
                             }
-                            d.list(
+                            d.workersUpdated(
                                     coldNs,
-                                    ListForm.FULL,
-                                    List.of(worker("s2", Phase.READY, coldNs)));
+                                    WorkerListForm.FULL,
+                                    List.of(worker("s2", WorkerPhase.READY, coldNs)));
                             return d;
                         })
                 .toList();
@@ -968,9 +1001,14 @@
      */
     @Test
     void restartedGatewayLeavesColdWorkersAloneForOneWindow() {
-        Decide d = new Decide(settings().cold(0.5, 24 * SECOND).fall(3, 1500 * MS).build(), 1, out);
-        d.list(0, ListForm.STORED, List.of(worker("s1", Phase.READY, 0)));
-        d.list(SECOND, ListForm.FULL, List.of(worker("s2", Phase.READY, SECOND)));
+        Decide d =
+                new Decide(
+                        settings().slowStart(0.5, 24 * SECOND).overload(3, 1500 * MS).build(),
+                        1,
+                        out);
+        d.workersUpdated(0, WorkerListForm.CACHED, List.of(worker("s1", WorkerPhase.READY, 0)));
+        d.workersUpdated(
+                SECOND, WorkerListForm.FULL, List.of(worker("s2", WorkerPhase.READY, SECOND)));
         job(d, 1400 * MS, "safe");
         assertEquals(0, out.count("send"));
         job(d, 1600 * MS, "safe");
@@ -983,18 +1021,19 @@
      */
     @Test
     void jobThatAColdWorkerWouldRunTooLongGoesToABusyWarmOne() {
-        Decide d = start(settings().cold(0.2, 20 * SECOND).fall(30, SECOND).build(), "s1");
+        Decide d = start(settings().slowStart(0.2, 20 * SECOND).overload(30, SECOND).build(), "s1");
         for (int i = 0; i < 20; i++) {
-            d.finished(
+            d.attemptFinished(
                     i * SECOND + 500 * MS,
                     job(d, i * SECOND, "safe"),
                     0,
-                    Outcome.SERVED,
+                    AttemptOutcome.SERVED,
                     true,
                     FREE);
         }
         long nowNs = 30 * SECOND;
-        d.list(nowNs, ListForm.CHANGES, List.of(worker("s2", Phase.READY, nowNs)));
+        d.workersUpdated(
+                nowNs, WorkerListForm.DELTA, List.of(worker("s2", WorkerPhase.READY, nowNs)));
         for (int i = 0; i < 6; i++) {
             assertEquals(
                     "s1",
@@ -1004,16 +1043,16 @@
         double before = meanNs(d);
         String later = job(d, nowNs + 8 * SECOND, "safe");
         assertEquals("s2", out.sentTo(later), "0.7 s on a worker with none of ours");
-        d.finished(nowNs + 8_650 * MS, later, 0, Outcome.SERVED, true, FREE);
+        d.attemptFinished(nowNs + 8_650 * MS, later, 0, AttemptOutcome.SERVED, true, FREE);
         assertTrue(meanNs(d) <= before, "half a second, warm: nothing new of the class");
     }
 
     private static double meanNs(Decide d) {
-        return d.learnt(0).stream()
+        return d.exportFigures(0).stream()
                 .filter(l -> l.name().equals("safe"))
                 .findFirst()
                 .orElseThrow()
-                .figures()[0];
+                .values()[0];
     }
 
     /**
@@ -1022,17 +1061,23 @@
     @Test
     void workerPutBackIsForgivenAndTriedByTheNextRepeatableJobWithinItsColdBudget() {
         Decide d = gatewaysWithColdWorker(1, 0).get(0);
-        d.list(
+        d.workersUpdated(
                 50 * SECOND,
-                ListForm.FULL,
-                List.of(worker("s1", Phase.READY, 0), worker("s2", Phase.READY, 50 * SECOND)));
+                WorkerListForm.FULL,
+                List.of(
+                        worker("s1", WorkerPhase.READY, 0),
+                        worker("s2", WorkerPhase.READY, 50 * SECOND)));
         for (int i = 0; i < 40; i++) {
             String id = job(d, 50 * SECOND + i, "safe");
-            Outcome end = out.sentTo(id).equals("s2") ? Outcome.ERROR : Outcome.SERVED;
-            d.finished(50 * SECOND + i, id, 0, end, true, FREE);
-        }
-        d.list(60 * SECOND, ListForm.CHANGES, List.of(worker("s2", Phase.READY, 60 * SECOND)));
-        d.recalled(60 * SECOND, "s2");
+            AttemptOutcome end =
+                    out.sentTo(id).equals("s2") ? AttemptOutcome.ERROR : AttemptOutcome.SERVED;
+            d.attemptFinished(50 * SECOND + i, id, 0, end, true, FREE);
+        }
+        d.workersUpdated(
+                60 * SECOND,
+                WorkerListForm.DELTA,
+                List.of(worker("s2", WorkerPhase.READY, 60 * SECOND)));
+        d.workerReenabled(60 * SECOND, "s2");
         assertEquals("s1", out.sentTo(job(d, 60 * SECOND, "unsafe")));
         assertEquals("s2", out.sentTo(job(d, 60 * SECOND, "safe")));
         long before = out.count("send");
@@ -1055,7 +1100,7 @@
         warmUp(d, 20, FREE);
         String id = job(d, 0, "safe", null, "k");
         String full = out.sentTo(id);
-        d.finished(1, id, 0, Outcome.FULL, false, Load.NONE);
+        d.attemptFinished(1, id, 0, AttemptOutcome.FULL, false, LoadReport.NONE);
         for (int i = 0; i < 4; i++) {
             assertNotEquals(full, out.sentTo(job(d, 2, "safe", null, "k")));
         }
@@ -1070,9 +1115,9 @@
         Decide d = start(settings().build(), "s1", "s2", "s3", "s4");
         for (int i = 0; i < 200; i++) {
             String id = job(d, i * 50 * MS, "safe");
-            d.finished(i * 50 * MS + 1, id, 0, Outcome.RESET, false, FREE);
-            d.abandoned(i * 50 * MS + 2, id);
-            d.finished(i * 50 * MS + 3, id, 1, Outcome.CANCELLED, true, FREE);
+            d.attemptFinished(i * 50 * MS + 1, id, 0, AttemptOutcome.RESET, false, FREE);
+            d.clientLeft(i * 50 * MS + 2, id);
+            d.attemptFinished(i * 50 * MS + 3, id, 1, AttemptOutcome.CANCELLED, true, FREE);
         }
         assertEquals(
                 208, out.count("send"), "the whole budget, and no more while nothing is served");
@@ -1086,17 +1131,18 @@
     void costlyJobWithinItsShareLeavesATenthOfTheFleetFree() {
         Decide d = start(settings().build(), "s1", "s2");
         for (int i = 0; i < 10; i++) {
-            d.finished(200 * MS, job(d, 0, "safe"), 0, Outcome.SERVED, true, FREE);
-            d.finished(2 * SECOND, job(d, 0, "unsafe"), 0, Outcome.SERVED, true, FREE);
+            d.attemptFinished(200 * MS, job(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, FREE);
+            d.attemptFinished(
+                    2 * SECOND, job(d, 0, "unsafe"), 0, AttemptOutcome.SERVED, true, FREE);
         }
         long now = 9 * SECOND;
-        d.probed(now, "s1", true, FULL_UP);
-        d.probed(now, "s2", true, new Load(1, 0, 0, 0));
+        d.workerProbed(now, "s1", true, FULL_UP);
+        d.workerProbed(now, "s2", true, new LoadReport(1, 0, 0, 0));
         String costly = job(d, now, "unsafe");
         assertEquals(0, out.count("send " + costly), "one of sixteen slots is free");
         assertEquals(1, out.count("send " + job(d, now, "safe")));
-        d.probed(now, "s1", true, FREE);
-        d.timer(now + 50 * MS, "sweep");
+        d.workerProbed(now, "s1", true, FREE);
+        d.timerFired(now + 50 * MS, "sweep");
         assertEquals(1, out.count("send " + costly));
     }
 
@@ -1107,7 +1153,7 @@
     @Test
     void jobThatRanForNoTimeDoesNotUpsetTheClass() {
         Decide d = start(settings().build(), "s1");
-        d.finished(0, job(d, 0, "safe"), 0, Outcome.SERVED, true, FREE);
+        d.attemptFinished(0, job(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, FREE);
         for (int i = 0; i < 5; i++) {
             assertEquals(1, out.count("send " + job(d, SECOND, "safe")));
         }
@@ -1121,9 +1167,9 @@
     void idStillInHandIsNotTakenTwice() {
         Decide d = start(settings().build(), "s1", "s2");
         String id = job(d, 0, "unsafe");
-        d.job(1, new Job(id, "safe", null, null, SECOND, 1, 0));
-        d.finished(2, id, 0, Outcome.RESET, false, Load.NONE);
-        d.timer(2 * SECOND, "sweep");
+        d.jobArrived(1, new Job(id, "safe", null, null, SECOND, 1, 0));
+        d.attemptFinished(2, id, 0, AttemptOutcome.RESET, false, LoadReport.NONE);
+        d.timerFired(2 * SECOND, "sweep");
         assertEquals(1, out.count("send " + id));
         assertEquals(
                 1,
@@ -1136,17 +1182,18 @@
     void costlyJobWaitsForVisibleRoomAndCheapOnesDoNot() {
         Decide d = start(settings().build(), "s1");
         for (int i = 0; i < 3; i++) {
-            d.finished(100 * MS, job(d, 0, "safe"), 0, Outcome.SERVED, true, FULL_UP);
-            d.finished(3 * SECOND, job(d, 0, "unsafe"), 0, Outcome.SERVED, true, FULL_UP);
+            d.attemptFinished(100 * MS, job(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, FULL_UP);
+            d.attemptFinished(
+                    3 * SECOND, job(d, 0, "unsafe"), 0, AttemptOutcome.SERVED, true, FULL_UP);
         }
         long now = 13 * SECOND;
-        d.probed(now, "s1", true, FULL_UP);
+        d.workerProbed(now, "s1", true, FULL_UP);
         String costly = job(d, now, "unsafe");
         assertEquals(0, out.count("send " + costly));
         String cheap = job(d, now, "safe");
         assertEquals(1, out.count("send " + cheap));
-        d.finished(now + MS, cheap, 0, Outcome.SERVED, true, FREE);
-        d.timer(now + 50 * MS, "sweep");
+        d.attemptFinished(now + MS, cheap, 0, AttemptOutcome.SERVED, true, FREE);
+        d.timerFired(now + 50 * MS, "sweep");
         assertEquals(1, out.count("send " + costly));
     }
 
@@ -1167,12 +1214,12 @@
         for (int i = 0; i < 400; i++) {
             String good = job(d, i * 100 * MS, "safe", "good", null);
             String bad = job(d, i * 100 * MS, "safe", "bad", null);
-            d.finished(i * 100 * MS, bad, 0, Outcome.ERROR, true, Load.NONE);
-            d.finished(i * 100 * MS, good, 0, Outcome.SERVED, true, Load.NONE);
+            d.attemptFinished(i * 100 * MS, bad, 0, AttemptOutcome.ERROR, true, LoadReport.NONE);
+            d.attemptFinished(i * 100 * MS, good, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
         long before = out.count("send");
         String bad = job(d, 40 * SECOND, "safe", "bad", null);
-        d.finished(40 * SECOND, bad, 0, Outcome.ERROR, false, Load.NONE);
+        d.attemptFinished(40 * SECOND, bad, 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
         assertEquals(before + 1, out.count("send"), "no further attempt for what fails everywhere");
         Set<String> open = new TreeSet<>();
         for (int i = 0; i < 4; i++) {
@@ -1189,9 +1236,9 @@
     void jobWhoseWorkersBrokeOffTwiceIsNotSentAThirdTime() {
         Decide d = start(settings().build(), "s1", "s2", "s3");
         String id = job(d, 0, "safe");
-        d.finished(1, id, 0, Outcome.RESET, false, Load.NONE);
+        d.attemptFinished(1, id, 0, AttemptOutcome.RESET, false, LoadReport.NONE);
         assertEquals(2, out.count("send " + id), "the first may be an innocent one");
-        d.finished(2, id, 1, Outcome.RESET, false, Load.NONE);
+        d.attemptFinished(2, id, 1, AttemptOutcome.RESET, false, LoadReport.NONE);
         assertEquals(2, out.count("send " + id));
         assertEquals(1, out.count("refuse " + id));
     }
@@ -1202,24 +1249,35 @@
      */
     @Test
     void jobThatNeverStartsIsNotHeldForLong() {
-        Decide d = start(settings().tellsStart(true).mayCancel(false).build(), "s1", "s2");
+        Decide d =
+                start(
+                        settings().workersReportStart(true).allowsCancellation(false).build(),
+                        "s1",
+                        "s2");
         for (int i = 0; i < 9; i++) {
             String id = job(d, i * 3 * SECOND, "unsafe");
-            d.started(i * 3 * SECOND + MS, id, 0);
-            d.timer(i * 3 * SECOND + 2 * SECOND, "sweep");
-            d.finished(i * 3 * SECOND + 2 * SECOND, id, 0, Outcome.SERVED, true, Load.NONE);
+            d.attemptStarted(i * 3 * SECOND + MS, id, 0);
+            d.timerFired(i * 3 * SECOND + 2 * SECOND, "sweep");
+            d.attemptFinished(
+                    i * 3 * SECOND + 2 * SECOND,
+                    id,
+                    0,
+                    AttemptOutcome.SERVED,
+                    true,
+                    LoadReport.NONE);
         }
         long nowNs = 40 * SECOND;
         String lost = job(d, nowNs, "unsafe");
         String other = job(d, nowNs, "unsafe");
-        d.started(nowNs, other, 0);
-        d.timer(nowNs + 5 * SECOND, "sweep");
+        d.attemptStarted(nowNs, other, 0);
+        d.timerFired(nowNs + 5 * SECOND, "sweep");
         assertEquals(
                 out.sentTo(lost),
                 out.sentTo(job(d, nowNs + 5 * SECOND, "safe")),
                 "it holds none now");
-        d.started(nowNs + 6 * SECOND, lost, 0);
-        d.finished(nowNs + 6 * SECOND, other, 0, Outcome.SERVED, true, Load.NONE);
+        d.attemptStarted(nowNs + 6 * SECOND, lost, 0);
+        d.attemptFinished(
+                nowNs + 6 * SECOND, other, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         assertEquals(
                 out.sentTo(other), out.sentTo(job(d, nowNs + 6 * SECOND, "safe")), "it does again");
     }
@@ -1233,7 +1291,7 @@
         Decide d = start(settings().build(), "s1", "s2");
         String id = job(d, 0, "safe");
         String full = out.sentTo(id);
-        d.finished(MS, id, 0, Outcome.FULL, false, Load.NONE);
+        d.attemptFinished(MS, id, 0, AttemptOutcome.FULL, false, LoadReport.NONE);
         for (int i = 0; i < 3; i++) {
             assertNotEquals(full, out.sentTo(job(d, 2 * MS, "safe")));
         }
@@ -1246,10 +1304,10 @@
     @Test
     void jobThatMayNotStartYetIsRefusedAtOnceAndCostsNoToken() {
         Decide d = oneTenant(4, 1);
-        d.ability(
-                new Ability() {
+        d.constraintsChanged(
+                new JobConstraints() {
                     @Override
-                    public long opensInNs(long nowNs, Job job) {
+                    public long startsInNs(long nowNs, Job job) {
                         return 3600 * SECOND - nowNs;
                     }
                 });
@@ -1258,17 +1316,17 @@
                     "refuse " + job(d, SECOND, "safe", "t", null) + " " + 3599 * SECOND,
                     out.last("refuse"));
         }
-        d.ability(Ability.ALL);
+        d.constraintsChanged(JobConstraints.NONE);
         assertEquals("s1", out.sentTo(job(d, SECOND, "safe", "t", null)));
     }
 
     @Test
     void workerGetsJobsByThePartOfItThatIsThereForThem() {
         Decide d = start(settings().build(), "s1", "s2", "s3");
-        d.ability(
-                new Ability() {
+        d.constraintsChanged(
+                new JobConstraints() {
                     @Override
-                    public double part(long nowNs, Job job, Worker worker) {
+                    public double usableShare(long nowNs, Job job, WorkerInfo worker) {
                         return switch (worker.id()) {
                             case "s1" -> job.tenant() == null ? 0 : 1;
                             case "s2" -> 0.25;
@@ -1295,21 +1353,22 @@
      */
     @Test
     void queuedJobThatCannotBeInTimeIsCalledOffAndRefused() {
-        Settings s = settings().tellsStart(true).gateways(100).build();
+        PolicySettings s = settings().workersReportStart(true).dispatcherCount(100).build();
         Decide d = start(s, "s1", "s2");
         for (int i = 0; i < 40; i++) {
-            d.finished(100 * MS, job(d, 0, "safe"), 0, Outcome.SERVED, true, Load.NONE);
+            d.attemptFinished(
+                    100 * MS, job(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
         String safe = job(d, SECOND, "safe");
         String once = job(d, SECOND, "unsafe");
         String runs = job(d, SECOND, "safe");
-        d.started(SECOND, runs, 0);
-        d.timer(1400 * MS, "sweep");
+        d.attemptStarted(SECOND, runs, 0);
+        d.timerFired(1400 * MS, "sweep");
         assertEquals(0, out.count("cancel"), "the aim is a second");
-        d.timer(1900 * MS, "sweep");
+        d.timerFired(1900 * MS, "sweep");
         assertEquals("cancel " + safe + " 0", out.last("cancel"));
         assertEquals(0, out.count("cancel " + once) + out.count("cancel " + runs));
-        d.finished(1910 * MS, safe, 0, Outcome.CANCELLED, false, Load.NONE);
+        d.attemptFinished(1910 * MS, safe, 0, AttemptOutcome.CANCELLED, false, LoadReport.NONE);
         assertEquals(1, out.count("refuse " + safe));
         assertEquals(1, out.count("send " + safe));
     }
@@ -1321,30 +1380,40 @@
     void queuedRepeatableJobMovesAfterHalfItsAimWhereThereIsRoom() {
         Decide d =
                 start(
-                        settings().tellsStart(true).mayDuplicate(false).gateways(100).build(),
+                        settings()
+                                .workersReportStart(true)
+                                .allowsConcurrentAttempts(false)
+                                .dispatcherCount(100)
+                                .build(),
                         "s1",
                         "s2");
         warmUp(d, 20, FREE);
         String id = job(d, 0, "safe");
-        d.timer(450 * MS, "sweep");
+        d.timerFired(450 * MS, "sweep");
         assertEquals(0, out.count("cancel " + id), "the class's aim is a second");
         String first = out.sentTo(id);
-        d.timer(500 * MS, "sweep");
+        d.timerFired(500 * MS, "sweep");
         assertEquals(1, out.count("cancel " + id));
-        d.finished(501 * MS, id, 0, Outcome.CANCELLED, false, Load.NONE);
+        d.attemptFinished(501 * MS, id, 0, AttemptOutcome.CANCELLED, false, LoadReport.NONE);
         assertNotEquals(first, out.sentTo(id));
         String once = job(d, 600 * MS, "unsafe");
-        d.timer(2 * SECOND, "sweep");
+        d.timerFired(2 * SECOND, "sweep");
         assertEquals(0, out.count("cancel " + once));
     }
 
     @Test
     void queuedJobStaysWithALoneWorker() {
         Decide d =
-                start(settings().tellsStart(true).mayDuplicate(false).gateways(100).build(), "s1");
+                start(
+                        settings()
+                                .workersReportStart(true)
+                                .allowsConcurrentAttempts(false)
+                                .dispatcherCount(100)
+                                .build(),
+                        "s1");
         warmUp(d, 20, FREE);
         String id = job(d, 0, "safe");
-        d.timer(500 * MS, "sweep");
+        d.timerFired(500 * MS, "sweep");
         assertEquals(0, out.count("cancel " + id));
     }
 
@@ -1357,7 +1426,11 @@
     void fewGatewaysMoveLittleAsTheyPlaceWell(int gateways, int moves) {
         Decide d =
                 start(
-                        settings().tellsStart(true).mayDuplicate(false).gateways(gateways).build(),
+                        settings()
+                                .workersReportStart(true)
+                                .allowsConcurrentAttempts(false)
+                                .dispatcherCount(gateways)
+                                .build(),
                         "s1",
                         "s2",
                         "s3",
@@ -1369,7 +1442,7 @@
         for (int i = 0; i < 6; i++) {
             job(d, 0, "safe");
         }
-        d.timer(500 * MS, "sweep");
+        d.timerFired(500 * MS, "sweep");
         assertEquals(moves, out.count("cancel"));
     }
 
@@ -1379,7 +1452,13 @@
         List<String> held = IntStream.range(0, 20).mapToObj(i -> job(d, 0, "unsafe")).toList();
         for (String id : held) {
             boolean bad = out.sentTo(id).equals("s1");
-            d.finished(100 * MS, id, 0, bad ? Outcome.ERROR : Outcome.SERVED, !bad, Load.NONE);
+            d.attemptFinished(
+                    100 * MS,
+                    id,
+                    0,
+                    bad ? AttemptOutcome.ERROR : AttemptOutcome.SERVED,
+                    !bad,
+                    LoadReport.NONE);
         }
         for (int i = 0; i < 10; i++) {
             assertNotEquals("s1", out.sentTo(job(d, 150 * MS, "safe")));
@@ -1389,7 +1468,7 @@
             trial = job(d, 10 * SECOND, "safe");
         }
         assertEquals("s1", out.sentTo(trial), "tried again");
-        d.finished(10 * SECOND, trial, 0, Outcome.ERROR, false, Load.NONE);
+        d.attemptFinished(10 * SECOND, trial, 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
         for (int i = 0; i < 10; i++) {
             assertNotEquals(
                     "s1", out.sentTo(job(d, 10 * SECOND, "safe")), "one more failure is enough");
@@ -1397,7 +1476,8 @@
 
         Decide all = start(settings().build(), "s1", "s2", "s3", "s4", "s5");
         for (int i = 0; i < 100; i++) {
-            all.finished(i, job(all, i, "unsafe"), 0, Outcome.ERROR, false, Load.NONE);
+            all.attemptFinished(
+                    i, job(all, i, "unsafe"), 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
         }
         assertFalse(
                 out.sentTo(job(all, 101, "unsafe")).isEmpty(), "somewhere to send is always left");
@@ -1409,15 +1489,18 @@
         Set<String> chosen = new TreeSet<>();
         for (int seed = 0; seed < 20; seed++) {
             Decide d = new Decide(settings().build(), seed, out);
-            d.list(
+            d.workersUpdated(
                     0,
-                    ListForm.FULL,
-                    List.of(worker("b1", Phase.READY, 0), worker("s2", Phase.READY, 0)));
+                    WorkerListForm.FULL,
+                    List.of(
+                            worker("b1", WorkerPhase.READY, 0),
+                            worker("s2", WorkerPhase.READY, 0)));
             String a = job(d, 0, "safe");
             String b = job(d, 0, "safe");
             long fast = out.sentTo(a).equals("b1") ? 1 : 10;
-            d.finished(fast * 100 * MS, a, 0, Outcome.SERVED, true, Load.NONE);
-            d.finished((11 - fast) * 100 * MS, b, 0, Outcome.SERVED, true, Load.NONE);
+            d.attemptFinished(fast * 100 * MS, a, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
+            d.attemptFinished(
+                    (11 - fast) * 100 * MS, b, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
             chosen.add(out.sentTo(job(d, 2 * SECOND, "safe")));
         }
         assertEquals(Set.of("b1", "s2"), chosen);
@@ -1430,12 +1513,12 @@
     void oneFailureKeepsJobsThatMayNotBeRepeatedAway() {
         Decide d = start(settings().build(), "s1", "s2");
         String failed = job(d, 0, "safe");
-        d.finished(MS, failed, 0, Outcome.ERROR, true, Load.NONE);
+        d.attemptFinished(MS, failed, 0, AttemptOutcome.ERROR, true, LoadReport.NONE);
         long there = 0;
         for (int i = 0; i < 20; i++) {
             String id = job(d, (2 + i) * MS, "unsafe");
             there += out.sentTo(id).equals(out.sentTo(failed)) ? 1 : 0;
-            d.finished((2 + i) * MS, id, 0, Outcome.NOT_SENT, true, Load.NONE);
+            d.attemptFinished((2 + i) * MS, id, 0, AttemptOutcome.NOT_SENT, true, LoadReport.NONE);
         }
         assertTrue(there <= 3, "sent there nevertheless: " + there);
     }
@@ -1443,18 +1526,18 @@
     /** Queues that other gateways filled: what waited there is the one sign of them. */
     @Test
     void workerWhereJobsWaitToStartIsLeftAloneForAWhile() {
-        Decide d = start(settings().tellsStart(true).build(), "s1", "s2");
+        Decide d = start(settings().workersReportStart(true).build(), "s1", "s2");
         String first = job(d, 0, "safe");
-        d.started(MS, job(d, 0, "safe"), 0);
-        d.started(600 * MS, first, 0);
+        d.attemptStarted(MS, job(d, 0, "safe"), 0);
+        d.attemptStarted(600 * MS, first, 0);
         for (int i = 0; i < 2; i++) {
-            d.finished(700 * MS, "j" + i, 0, Outcome.SERVED, true, Load.NONE);
+            d.attemptFinished(700 * MS, "j" + i, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
         for (int i = 0; i < 40; i++) {
             long nowNs = 700 * MS + i * 10 * MS;
             String id = job(d, nowNs, "safe");
-            d.started(nowNs + MS, id, 0);
-            d.finished(nowNs + 2 * MS, id, 0, Outcome.SERVED, true, Load.NONE);
+            d.attemptStarted(nowNs + MS, id, 0);
+            d.attemptFinished(nowNs + 2 * MS, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
         String slow = out.sentTo(first);
         long there =
@@ -1471,8 +1554,8 @@
         Decide d =
                 start(
                         settings()
-                                .tellsStart(true)
-                                .gateways(2)
+                                .workersReportStart(true)
+                                .dispatcherCount(2)
                                 .tenants(List.of(new Tenant("t", 1)))
                                 .build(),
                         "s1",
@@ -1481,14 +1564,16 @@
         for (int i = 0; i < 400; i++) {
             nowNs += 100 * MS;
             String id = job(d, nowNs, "safe");
-            d.started(nowNs + MS, id, 0);
-            d.finished(nowNs + 900 * MS, id, 0, Outcome.SERVED, true, Load.NONE);
+            d.attemptStarted(nowNs + MS, id, 0);
+            d.attemptFinished(
+                    nowNs + 900 * MS, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
         long before = out.count("refuse");
         for (int i = 0; i < 12; i++) {
             String id = job(d, nowNs + 950 * MS, "safe", "t", null);
-            d.started(nowNs + 951 * MS, id, 0);
-            d.finished(nowNs + 951 * MS, id, 0, Outcome.SERVED, true, Load.NONE);
+            d.attemptStarted(nowNs + 951 * MS, id, 0);
+            d.attemptFinished(
+                    nowNs + 951 * MS, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
         assertEquals(before, out.count("refuse"), "beyond its share, and there is room");
     }
@@ -1502,7 +1587,7 @@
             nowNs += 3 * SECOND;
             String id = job(d, nowNs, "safe");
             long ran = out.sentTo(id).equals("s1") ? SECOND : SECOND / 4;
-            d.finished(nowNs + ran, id, 0, Outcome.SERVED, true, Load.NONE);
+            d.attemptFinished(nowNs + ran, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
         nowNs += 10 * SECOND;
         long before = out.sendsTo("s2"::equals);
@@ -1515,17 +1600,17 @@
 
     @Test
     void absurdReportsDoNotDrawWork() {
-        for (Load absurd :
+        for (LoadReport absurd :
                 List.of(
-                        new Load(-5, 0, 0, 0),
-                        new Load(1e12, 0, 0, 0),
-                        Load.NONE,
-                        new Load(Double.POSITIVE_INFINITY, 0, 0, 0))) {
+                        new LoadReport(-5, 0, 0, 0),
+                        new LoadReport(1e12, 0, 0, 0),
+                        LoadReport.NONE,
+                        new LoadReport(Double.POSITIVE_INFINITY, 0, 0, 0))) {
             out.said.clear();
             Decide d = start(settings().build(), "s1", "s2");
             String id = job(d, 0, "safe");
             String liar = out.sentTo(id);
-            d.finished(1, id, 0, Outcome.SERVED, true, absurd);
+            d.attemptFinished(1, id, 0, AttemptOutcome.SERVED, true, absurd);
             for (int i = 0; i < 8; i++) {
                 job(d, 2, "safe");
             }
@@ -1539,12 +1624,12 @@
 
     @Test
     void listIsAskedForAtTheStartAndAgainAfterAnError() {
-        Decide d = new Decide(settings().asksForList(true).build(), 1, out);
-        d.list(0, ListForm.STORED, List.of(worker("s1", Phase.READY, 0)));
+        Decide d = new Decide(settings().pollsWorkerList(true).build(), 1, out);
+        d.workersUpdated(0, WorkerListForm.CACHED, List.of(worker("s1", WorkerPhase.READY, 0)));
         assertEquals(1, out.count("watch"));
-        d.list(1, ListForm.ERROR, List.of());
+        d.workersUpdated(1, WorkerListForm.FAILED, List.of());
         assertEquals(1, out.count("timer ask"));
-        d.timer(SECOND, "ask");
+        d.timerFired(SECOND, "ask");
         assertEquals(2, out.count("watch"));
         assertEquals("s1", out.sentTo(job(d, SECOND, "safe")), "the old list stays in force");
     }
@@ -1555,15 +1640,15 @@
      */
     @Test
     void restartedGatewayFollowsTheFirstFreshList() {
-        Decide d = new Decide(settings().asksForList(true).build(), 1, out);
-        d.list(
+        Decide d = new Decide(settings().pollsWorkerList(true).build(), 1, out);
+        d.workersUpdated(
                 0,
-                ListForm.STORED,
-                List.of(worker("s1", Phase.READY, 0), worker("s2", Phase.READY, 0)));
-        d.list(
+                WorkerListForm.CACHED,
+                List.of(worker("s1", WorkerPhase.READY, 0), worker("s2", WorkerPhase.READY, 0)));
+        d.workersUpdated(
                 SECOND,
-                ListForm.FULL,
-                List.of(worker("s2", Phase.DRAINING, 0), worker("s3", Phase.READY, 0)));
+                WorkerListForm.FULL,
+                List.of(worker("s2", WorkerPhase.DRAINING, 0), worker("s3", WorkerPhase.READY, 0)));
         for (int i = 0; i < 6; i++) {
             assertEquals("s3", out.sentTo(job(d, SECOND, "safe")));
         }
@@ -1572,12 +1657,12 @@
     /** A cut-off zone or a full connection table must not shut the workers for a whole warm-up. */
     @Test
     void workerThatWasUnreachableIsEjectedButNotTakenAsCold() {
-        Settings s = settings().cold(0.1, 20 * SECOND).fall(2, SECOND).build();
+        PolicySettings s = settings().slowStart(0.1, 20 * SECOND).overload(2, SECOND).build();
         Decide d = start(s, "s1", "s2", "s3");
         warmUp(d, 20, FREE);
         String id = job(d, SECOND, "safe");
         String cut = out.sentTo(id);
-        d.finished(SECOND, id, 0, Outcome.UNREACHABLE, false, Load.NONE);
+        d.attemptFinished(SECOND, id, 0, AttemptOutcome.UNREACHABLE, false, LoadReport.NONE);
         for (int i = 0; i < 6; i++) {
             assertNotEquals(cut, out.sentTo(job(d, SECOND, "safe")));
         }
@@ -1585,7 +1670,7 @@
         for (int i = 0; i < 9 && !out.sentTo(trial).equals(cut); i++) {
             trial = job(d, 4 * SECOND, "safe");
         }
-        d.finished(4 * SECOND, trial, 0, Outcome.SERVED, true, FREE);
+        d.attemptFinished(4 * SECOND, trial, 0, AttemptOutcome.SERVED, true, FREE);
         int before = out.said.size();
         for (int i = 0; i < 24; i++) {
             job(d, 4 * SECOND, "safe");
@@ -1608,22 +1693,24 @@
     private List<String> busyHour(long seed) {
         Recorder mine = new Recorder();
         Decide d = new Decide(settings().tenants(List.of(new Tenant("t", 3))).build(), seed, mine);
-        d.list(
+        d.workersUpdated(
                 0,
-                ListForm.FULL,
-                IntStream.range(0, 7).mapToObj(i -> worker("s" + i, Phase.READY, 0)).toList());
+                WorkerListForm.FULL,
+                IntStream.range(0, 7)
+                        .mapToObj(i -> worker("s" + i, WorkerPhase.READY, 0))
+                        .toList());
         for (int i = 0; i < 200; i++) {
-            d.job(
+            d.jobArrived(
                     i * 50 * MS,
                     new Job("x" + i, i % 3 == 0 ? "unsafe" : "safe", "t", null, 5 * SECOND, 1, 0));
-            d.finished(
+            d.attemptFinished(
                     i * 50 * MS + 1,
                     "x" + i / 2,
                     0,
-                    i % 5 == 0 ? Outcome.ERROR : Outcome.SERVED,
+                    i % 5 == 0 ? AttemptOutcome.ERROR : AttemptOutcome.SERVED,
                     i % 5 != 0,
                     FREE);
-            d.timer(i * 50 * MS + 2, "sweep");
+            d.timerFired(i * 50 * MS + 2, "sweep");
         }
         return mine.said;
     }
@@ -1633,19 +1720,21 @@
     @Test
     void invalidSettingsAreNamed() {
         assertNamed("ratePerS", () -> new Tenant("t", 0));
-        assertNamed("tableSize", () -> Settings.builder().tableSize(-1));
-        assertNamed("gateways", () -> Settings.builder().gateways(0));
-        assertNamed("classes", () -> Settings.builder().build());
-        assertNamed("gateway must", () -> settings().gateways(3).gateway(3).build());
-        assertNamed("gateway must", () -> settings().gateway(-1).build());
-        assertNamed("probeFee", () -> Settings.builder().probes(true, -1));
-        assertNamed("coldShare", () -> Settings.builder().cold(0, 1));
-        assertNamed("maxAttempts", () -> Settings.builder().maxAttempts(0));
+        assertNamed("tableSize", () -> PolicySettings.builder().mostBuckets(-1));
+        assertNamed("gateways", () -> PolicySettings.builder().dispatcherCount(0));
+        assertNamed("classes", () -> PolicySettings.builder().build());
+        assertNamed("gateway must", () -> settings().dispatcherCount(3).dispatcherIndex(3).build());
+        assertNamed("gateway must", () -> settings().dispatcherIndex(-1).build());
+        assertNamed("probeFee", () -> PolicySettings.builder().probes(true, -1));
+        assertNamed("coldShare", () -> PolicySettings.builder().slowStart(0, 1));
+        assertNamed("maxAttempts", () -> PolicySettings.builder().maxAttempts(0));
         assertNamed(
                 "no-such-class",
                 () ->
                         start(settings().build(), "s1")
-                                .job(0, new Job("x", "no-such-class", null, null, SECOND, 1, 0)));
+                                .jobArrived(
+                                        0,
+                                        new Job("x", "no-such-class", null, null, SECOND, 1, 0)));
     }
 
     private static void assertNamed(String setting, Runnable call) {
--- a/core/src/test/java/postgrade/policy/FleetSimulation.java
+++ b/core/src/test/java/postgrade/policy/FleetSimulation.java
@@ -7,15 +7,15 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import postgrade.Dispatcher.Actions;
-import postgrade.Dispatcher.Job;
-import postgrade.Dispatcher.JobClass;
-import postgrade.Dispatcher.ListForm;
-import postgrade.Dispatcher.Load;
-import postgrade.Dispatcher.Outcome;
-import postgrade.Dispatcher.Phase;
-import postgrade.Dispatcher.Settings;
-import postgrade.Dispatcher.Worker;
+import postgrade.policy.api.AttemptOutcome;
+import postgrade.policy.api.Job;
+import postgrade.policy.api.JobClass;
+import postgrade.policy.api.LoadReport;
+import postgrade.policy.api.PolicyActions;
+import postgrade.policy.api.PolicySettings;
+import postgrade.policy.api.WorkerInfo;
+import postgrade.policy.api.WorkerListForm;
+import postgrade.policy.api.WorkerPhase;
 
 /**
  * Many gateways that know nothing of each other over workers with queues, on virtual time, by a
@@ -55,10 +55,10 @@
                     ? 1
                     : Math.min(
                             1,
-                            set.coldShare
-                                    + (1 - set.coldShare)
+                            set.slowStartInitialShare
+                                    + (1 - set.slowStartInitialShare)
                                             * Math.max(0, nowNs - bornNs)
-                                            / set.warmWithinNs);
+                                            / set.slowStartNs);
         }
 
         void restart() {
@@ -68,31 +68,32 @@
             calls.clear();
         }
 
-        Worker listed() {
-            return new Worker(id, "z", "k", 0, Phase.READY, 1, bornNs);
+        WorkerInfo listed() {
+            return new WorkerInfo(id, "z", "k", 0, WorkerPhase.READY, 1, bornNs);
         }
     }
 
-    private final class Gateway implements Actions {
+    private final class Gateway implements PolicyActions {
         final int index;
         Decide module;
 
         Gateway(int index) {
             this.index = index;
-            begin(ListForm.FULL);
+            begin(WorkerListForm.FULL);
         }
 
-        void begin(ListForm form) {
+        void begin(WorkerListForm form) {
             module = new Decide(settings(index), random.nextLong(), this);
             list(form);
         }
 
-        void list(ListForm form) {
-            module.list(now, form, machines.values().stream().map(Machine::listed).toList());
+        void list(WorkerListForm form) {
+            module.workersUpdated(
+                    now, form, machines.values().stream().map(Machine::listed).toList());
         }
 
         @Override
-        public void send(String jobId, String workerId, long limitNs) {
+        public void startAttempt(String jobId, String workerId, long limitNs) {
             Decide by = module;
             int attempt = attempts.merge(jobId, 1, Integer::sum) - 1;
             Machine m = machines.get(workerId);
@@ -102,19 +103,19 @@
             Runnable runs =
                     () -> {
                         m.running++;
-                        by.started(now, jobId, attempt);
+                        by.attemptStarted(now, jobId, attempt);
                         at(
                                 now + (long) (work / m.warmth(now)),
                                 () -> {
                                     if (m.bornNs == born) {
                                         m.running--;
-                                        by.finished(
+                                        by.attemptFinished(
                                                 now,
                                                 jobId,
                                                 attempt,
-                                                Outcome.SERVED,
+                                                AttemptOutcome.SERVED,
                                                 true,
-                                                Load.NONE);
+                                                LoadReport.NONE);
                                         if (!m.queue.isEmpty()) {
                                             m.queue.poll().run();
                                         }
@@ -134,16 +135,23 @@
         }
 
         @Override
-        public void cancel(String jobId, int attempt) {
+        public void cancelAttempt(String jobId, int attempt) {
             // Workers run what was called off all the same, in the worst case.
             Decide by = module;
             at(
                     now + MS,
-                    () -> by.finished(now, jobId, attempt, Outcome.CANCELLED, false, Load.NONE));
+                    () ->
+                            by.attemptFinished(
+                                    now,
+                                    jobId,
+                                    attempt,
+                                    AttemptOutcome.CANCELLED,
+                                    false,
+                                    LoadReport.NONE));
         }
 
         @Override
-        public void refuse(String jobId, long retryAfterNs) {
+        public void reject(String jobId, long retryAfterNs) {
             refused++;
         }
 
@@ -156,19 +164,19 @@
         public void probe(String workerId) {}
 
         @Override
-        public void timer(String token, long inNs) {
+        public void startTimer(String token, long inNs) {
             Decide by = module;
-            at(now + inNs, () -> by.timer(now, token));
+            at(now + inNs, () -> by.timerFired(now, token));
         }
 
         @Override
-        public void watch() {}
+        public void watchWorkers() {}
     }
 
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final SplittableRandom random;
-    private final Settings set;
-    private final java.util.function.IntFunction<Settings> settings;
+    private final PolicySettings set;
+    private final java.util.function.IntFunction<PolicySettings> settings;
     private final Map<String, Double> meansNs;
     private final double cv;
     final Map<String, Machine> machines = new HashMap<>();
@@ -187,7 +195,7 @@
      */
     FleetSimulation(
             long seed,
-            java.util.function.IntFunction<Settings> settings,
+            java.util.function.IntFunction<PolicySettings> settings,
             int workers,
             int slots,
             Map<String, Double> meansNs,
@@ -200,12 +208,12 @@
         for (int i = 0; i < workers; i++) {
             machines.put("w" + i, new Machine("w" + i, slots));
         }
-        for (int i = 0; i < set.gateways; i++) {
+        for (int i = 0; i < set.dispatcherCount; i++) {
             gateways.add(new Gateway(i));
         }
     }
 
-    private Settings settings(int index) {
+    private PolicySettings settings(int index) {
         return settings.apply(index);
     }
 
@@ -237,7 +245,7 @@
         works.put(id, meansNs.get(c.name()) * Math.exp(Math.sqrt(sigma2) * gauss() - sigma2 / 2));
         double at = random.nextDouble();
         Gateway g = gateways.get((int) (at * at * gateways.size()));
-        g.module.job(now, new Job(id, c.name(), "t", null, 5 * SECOND, 1, 0));
+        g.module.jobArrived(now, new Job(id, c.name(), "t", null, 5 * SECOND, 1, 0));
     }
 
     private double gauss() {
@@ -249,7 +257,7 @@
     void restart(String worker, long toldWithinNs) {
         machines.get(worker).restart();
         for (Gateway g : gateways) {
-            at(now + random.nextLong(toldWithinNs), () -> g.list(ListForm.CHANGES));
+            at(now + random.nextLong(toldWithinNs), () -> g.list(WorkerListForm.DELTA));
         }
     }
 
@@ -257,7 +265,7 @@
     void restartGateways(double part) {
         gateways.stream()
                 .filter(g -> random.nextDouble() < part)
-                .forEach(g -> g.begin(ListForm.STORED));
+                .forEach(g -> g.begin(WorkerListForm.CACHED));
     }
 
     void run(long untilNs) {
--- a/core/src/test/java/postgrade/policy/OtherDeploymentTest.java
+++ b/core/src/test/java/postgrade/policy/OtherDeploymentTest.java
@@ -17,19 +17,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import postgrade.Deployment;
-import postgrade.Dispatcher.Effect;
-import postgrade.Dispatcher.Group;
-import postgrade.Dispatcher.Job;
-import postgrade.Dispatcher.JobClass;
-import postgrade.Dispatcher.Learnt;
-import postgrade.Dispatcher.ListForm;
-import postgrade.Dispatcher.Load;
-import postgrade.Dispatcher.Outcome;
-import postgrade.Dispatcher.Phase;
-import postgrade.Dispatcher.Settings;
-import postgrade.Dispatcher.Tenant;
-import postgrade.Dispatcher.Worker;
+import postgrade.policy.api.AttemptOutcome;
+import postgrade.policy.api.DeduplicationScope;
+import postgrade.policy.api.Deployment;
+import postgrade.policy.api.Idempotency;
+import postgrade.policy.api.Job;
+import postgrade.policy.api.JobClass;
+import postgrade.policy.api.LoadReport;
+import postgrade.policy.api.PolicySettings;
+import postgrade.policy.api.Tenant;
+import postgrade.policy.api.TransferredFigures;
+import postgrade.policy.api.WorkerInfo;
+import postgrade.policy.api.WorkerListForm;
+import postgrade.policy.api.WorkerPhase;
 
 /**
  * Settings of another customer, read under way or by the process that takes over: nothing of the
@@ -43,9 +43,9 @@
     /** The first customer's jobs and troubles fall into this time. */
     private static final long LATER = 30 * SECOND;
 
-    private static final List<Worker> WORKERS =
+    private static final List<WorkerInfo> WORKERS =
             Stream.of("w1", "w2", "w3")
-                    .map(id -> new Worker(id, "z", "k", 0, Phase.READY, 1, 0))
+                    .map(id -> new WorkerInfo(id, "z", "k", 0, WorkerPhase.READY, 1, 0))
                     .toList();
 
     /**
@@ -71,35 +71,35 @@
     private int jobs;
 
     /** Both call a class, a tenant, a machine kind and a zone the same. */
-    private static Settings.Builder first() {
-        return Settings.builder()
+    private static PolicySettings.Builder first() {
+        return PolicySettings.builder()
                 .named(Deployment.Sort.TIER, List.of("shops"))
                 .named(Deployment.Sort.KIND, List.of("k", "k1"))
                 .named(Deployment.Sort.ZONE, List.of("z"))
                 .classes(
                         List.of(
-                                JobClass.of("both", Effect.SAFE),
-                                JobClass.of("first", Effect.SAFE)))
+                                JobClass.of("both", Idempotency.IDEMPOTENT),
+                                JobClass.of("first", Idempotency.IDEMPOTENT)))
                 .tenants(List.of(new Tenant("t", 4), new Tenant("t1", 4)))
-                .tellsStart(true)
+                .workersReportStart(true)
                 .maxAttempts(4)
                 .maxRetryAfterNs(2 * SECOND)
-                .cold(0.2, 10 * SECOND)
-                .fall(3, SECOND);
+                .slowStart(0.2, 10 * SECOND)
+                .overload(3, SECOND);
     }
 
-    private static Settings.Builder second() {
-        return Settings.builder()
+    private static PolicySettings.Builder second() {
+        return PolicySettings.builder()
                 .named(Deployment.Sort.TIER, List.of("yards"))
                 .named(Deployment.Sort.KIND, List.of("k", "k2"))
                 .named(Deployment.Sort.ZONE, List.of("z"))
                 .classes(
                         List.of(
-                                JobClass.of("second", Effect.SAFE),
+                                JobClass.of("second", Idempotency.IDEMPOTENT),
                                 new JobClass(
                                         "both",
-                                        Effect.UNSAFE,
-                                        Group.ALL,
+                                        Idempotency.NOT_IDEMPOTENT,
+                                        DeduplicationScope.ALL,
                                         0,
                                         SECOND / 2,
                                         0,
@@ -108,22 +108,22 @@
                                         null,
                                         false)))
                 .tenants(List.of(new Tenant("t2", 8), new Tenant("t", 40)))
-                .tellsStart(true)
+                .workersReportStart(true)
                 .maxAttempts(2)
                 .maxRetryAfterNs(SECOND)
-                .cold(0.1, 20 * SECOND)
-                .fall(2, 2 * SECOND);
+                .slowStart(0.1, 20 * SECOND)
+                .overload(2, 2 * SECOND);
     }
 
     private String job(Decide d, long nowNs, String jobClass, String tenant) {
         String id = "j" + jobs++;
-        d.job(nowNs, new Job(id, jobClass, tenant, "user", 5 * SECOND, 1, 0));
+        d.jobArrived(nowNs, new Job(id, jobClass, tenant, "user", 5 * SECOND, 1, 0));
         return id;
     }
 
-    private Decide started(Settings settings, long nowNs) {
+    private Decide started(PolicySettings settings, long nowNs) {
         Decide d = new Decide(settings, 7, out);
-        d.list(nowNs, ListForm.FULL, WORKERS);
+        d.workersUpdated(nowNs, WorkerListForm.FULL, WORKERS);
         return d;
     }
 
@@ -131,7 +131,7 @@
      * Under the first customer: long waits and runs, failures, an ejection, reports, buckets that
      * are empty.
      */
-    private Decide troubled(Settings settings) {
+    private Decide troubled(PolicySettings settings) {
         Decide d = started(settings, 0);
         for (int i = 0; i < 60; i++) {
             long now = i * 100 * MS;
@@ -139,15 +139,15 @@
             if (out.sentTo(id).isEmpty()) {
                 continue;
             }
-            d.started(now + 700 * MS, id, 0);
+            d.attemptStarted(now + 700 * MS, id, 0);
             boolean fails = out.sentTo(id).equals("w1");
-            d.finished(
+            d.attemptFinished(
                     now + 800 * MS,
                     id,
                     0,
-                    fails ? Outcome.ERROR : Outcome.SERVED,
+                    fails ? AttemptOutcome.ERROR : AttemptOutcome.SERVED,
                     true,
-                    new Load(i % 7, 0, 0, 0));
+                    new LoadReport(i % 7, 0, 0, 0));
         }
         return d;
     }
@@ -156,8 +156,8 @@
     void nothingLearntUnderTheFirstIsLeftUnderTheSecond() throws Exception {
         Decide d = troubled(first().build());
         assertNotEquals(memory(started(first().build(), 0)), memory(d), "it had learnt something");
-        d.settings(LATER, second().build());
-        d.list(LATER, ListForm.FULL, WORKERS);
+        d.settingsChanged(LATER, second().build());
+        d.workersUpdated(LATER, WorkerListForm.FULL, WORKERS);
         assertEquals(memory(started(second().build(), LATER)), memory(d));
     }
 
@@ -165,11 +165,11 @@
     void underTheSameDeploymentItStaysButForWhatTheSettingsNoLongerName() throws Exception {
         Decide d = troubled(first().build());
         Object before = memory(d);
-        d.settings(LATER, first().build());
+        d.settingsChanged(LATER, first().build());
         assertEquals(before, memory(d));
-        d.settings(
+        d.settingsChanged(
                 LATER,
-                first().classes(List.of(JobClass.of("first", Effect.SAFE)))
+                first().classes(List.of(JobClass.of("first", Idempotency.IDEMPOTENT)))
                         .tenants(List.of(new Tenant("t1", 4)))
                         .build());
         Memory my = (Memory) field(d, "my");
@@ -183,23 +183,25 @@
     @Test
     void theDearestClassIsOneThatThereIs() throws Exception {
         Decide d = troubled(first().build());
-        d.settings(LATER, first().classes(List.of(JobClass.of("fresh", Effect.SAFE))).build());
+        d.settingsChanged(
+                LATER,
+                first().classes(List.of(JobClass.of("fresh", Idempotency.IDEMPOTENT))).build());
         assertEquals(State.UNKNOWN_NS, ((Memory) field(d, "my")).dearestNs);
     }
 
     @Test
     void aNewProcessOfTheSecondTakesNothingThatTheFirstHasLearnt() throws Exception {
-        Decide old = troubled(first().cold(1, 0).build());
-        List<Learnt> told = old.learnt(LATER);
+        Decide old = troubled(first().slowStart(1, 0).build());
+        List<TransferredFigures> told = old.exportFigures(LATER);
         Decide fresh = started(second().build(), LATER);
-        fresh.learn(LATER, told);
+        fresh.importFigures(LATER, told);
         assertEquals(memory(started(second().build(), LATER)), memory(fresh));
         Decide same = started(first().build(), LATER);
-        same.learn(LATER, told);
+        same.importFigures(LATER, told);
         assertNotEquals(
                 memory(started(first().build(), LATER)), memory(same), "one of the first does");
         Decide fewer = started(first().tenants(List.of(new Tenant("t1", 4))).build(), LATER);
-        fewer.learn(LATER, told);
+        fewer.importFigures(LATER, told);
         assertEquals(Set.of("t1"), ((Memory) field(fewer, "my")).tenantBuckets.keySet());
     }
 
@@ -208,12 +210,12 @@
     void theSecondsLimitsAndEffectsHoldAtOnceAndJobsUnderWayKeepTheirClass() {
         Decide d = started(first().build(), 0);
         String underWay = job(d, 0, "both", null);
-        d.settings(MS, second().build());
+        d.settingsChanged(MS, second().build());
         String once = job(d, MS, "both", null);
-        d.finished(MS, once, 0, Outcome.ERROR, false, Load.NONE);
+        d.attemptFinished(MS, once, 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
         assertEquals("fail " + once, out.last("fail"), "it may have run, and must not run twice");
         long sent = out.count("send " + underWay);
-        d.finished(MS, underWay, 0, Outcome.ERROR, false, Load.NONE);
+        d.attemptFinished(MS, underWay, 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
         assertTrue(
                 out.count("send " + underWay) > sent || out.last("refuse").contains(underWay),
                 "taken as one that may be repeated");
@@ -223,7 +225,7 @@
             long before = out.count("send");
             String id = job(d, MS, "second", "t2");
             admitted += out.count("send") - before;
-            d.finished(MS, id, 0, Outcome.SERVED, true, Load.NONE);
+            d.attemptFinished(MS, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
         assertTrue(admitted >= 16, admitted + " of a burst of two seconds of 8");
     }
@@ -236,11 +238,14 @@
     void underStricterRulesOnColdWorkersOneWindowPassesFirst() {
         for (boolean stricter : new boolean[] {false, true}) {
             Decide d = new Decide(first().build(), 7, out);
-            d.list(
+            d.workersUpdated(
                     0,
-                    ListForm.FULL,
-                    List.of(new Worker("w1", "z", "k", 0, Phase.READY, 1, LATER - 5 * SECOND)));
-            d.settings(LATER, stricter ? first().fall(3, 2 * SECOND).build() : first().build());
+                    WorkerListForm.FULL,
+                    List.of(
+                            new WorkerInfo(
+                                    "w1", "z", "k", 0, WorkerPhase.READY, 1, LATER - 5 * SECOND)));
+            d.settingsChanged(
+                    LATER, stricter ? first().overload(3, 2 * SECOND).build() : first().build());
             long before = out.count("send");
             job(d, LATER + MS, "both", null);
             assertEquals(stricter ? before : before + 1, out.count("send"));
@@ -286,9 +291,9 @@
             return list.size();
         }
         if (o == null
-                || o instanceof Settings
+                || o instanceof PolicySettings
                 || !o.getClass().getName().startsWith("postgrade.policy.")) {
-            return o instanceof Settings ? "" : String.valueOf(o);
+            return o instanceof PolicySettings ? "" : String.valueOf(o);
         }
         Map<String, Object> all = new TreeMap<>();
         for (Field f : o.getClass().getDeclaredFields()) {
--- a/core/src/test/java/postgrade/policy/Recorder.java
+++ b/core/src/test/java/postgrade/policy/Recorder.java
@@ -3,33 +3,33 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Predicate;
-import postgrade.Dispatcher.Actions;
+import postgrade.policy.api.PolicyActions;
 
 /** Writes actions down as words, oldest first. */
-final class Recorder implements Actions {
+final class Recorder implements PolicyActions {
     final List<String> said = new ArrayList<>();
 
     /** Within which the last attempt's request has to go out. */
     long windowNs;
 
     @Override
-    public void send(String jobId, String workerId, long limitNs) {
+    public void startAttempt(String jobId, String workerId, long limitNs) {
         said.add("send " + jobId + " " + workerId);
     }
 
     @Override
-    public void send(String jobId, String workerId, long limitNs, long within) {
+    public void startAttempt(String jobId, String workerId, long limitNs, long within) {
         windowNs = within;
-        send(jobId, workerId, limitNs);
+        startAttempt(jobId, workerId, limitNs);
     }
 
     @Override
-    public void cancel(String jobId, int attempt) {
+    public void cancelAttempt(String jobId, int attempt) {
         said.add("cancel " + jobId + " " + attempt);
     }
 
     @Override
-    public void refuse(String jobId, long retryAfterNs) {
+    public void reject(String jobId, long retryAfterNs) {
         said.add("refuse " + jobId + " " + retryAfterNs);
     }
 
@@ -44,12 +44,12 @@
     }
 
     @Override
-    public void timer(String token, long inNs) {
+    public void startTimer(String token, long inNs) {
         said.add("timer " + token);
     }
 
     @Override
-    public void watch() {
+    public void watchWorkers() {
         said.add("watch");
     }
 
--- a/core/src/test/java/postgrade/policy/SlowStartStudy.java
+++ b/core/src/test/java/postgrade/policy/SlowStartStudy.java
@@ -7,13 +7,13 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import postgrade.Dispatcher.Effect;
-import postgrade.Dispatcher.Group;
-import postgrade.Dispatcher.JobClass;
-import postgrade.Dispatcher.Settings;
-import postgrade.Dispatcher.Tenant;
 import postgrade.policy.FleetSimulation.Call;
 import postgrade.policy.FleetSimulation.Machine;
+import postgrade.policy.api.DeduplicationScope;
+import postgrade.policy.api.Idempotency;
+import postgrade.policy.api.JobClass;
+import postgrade.policy.api.PolicySettings;
+import postgrade.policy.api.Tenant;
 
 /**
  * Prints how often a worker in slow start gets more than its budget, by its slots and the number of
@@ -31,16 +31,16 @@
 
     private SlowStartStudy() {}
 
-    private static Settings settings(int dispatchers, int index, double capacity) {
-        return Settings.builder()
-                .gateways(dispatchers)
-                .gateway(index)
+    private static PolicySettings settings(int dispatchers, int index, double capacity) {
+        return PolicySettings.builder()
+                .dispatcherCount(dispatchers)
+                .dispatcherIndex(index)
                 .classes(
                         List.of(
                                 new JobClass(
                                         "short",
-                                        Effect.SAFE,
-                                        Group.ALL,
+                                        Idempotency.IDEMPOTENT,
+                                        DeduplicationScope.ALL,
                                         0,
                                         200 * MS,
                                         2,
@@ -50,8 +50,8 @@
                                         false),
                                 new JobClass(
                                         "long",
-                                        Effect.UNSAFE,
-                                        Group.ALL,
+                                        Idempotency.NOT_IDEMPOTENT,
+                                        DeduplicationScope.ALL,
                                         0,
                                         500 * MS,
                                         2,
@@ -60,11 +60,11 @@
                                         null,
                                         false)))
                 .tenants(List.of(new Tenant("t", 0.8 * capacity)))
-                .tellsStart(true)
+                .workersReportStart(true)
                 .maxAttempts(4)
-                .mayDuplicate(false)
-                .cold(0.15, 20 * SECOND)
-                .fall(MULTIPLE, WINDOW)
+                .allowsConcurrentAttempts(false)
+                .slowStart(0.15, 20 * SECOND)
+                .overload(MULTIPLE, WINDOW)
                 .build();
     }
 
--- a/core/src/test/java/postgrade/roster/RosterTest.java
+++ b/core/src/test/java/postgrade/roster/RosterTest.java
@@ -7,58 +7,58 @@
 
 import java.util.List;
 import org.junit.Test;
-import postgrade.Dispatcher.Phase;
-import postgrade.Dispatcher.Worker;
+import postgrade.policy.api.WorkerInfo;
+import postgrade.policy.api.WorkerPhase;
 
 public class RosterTest {
 
     private final Roster roster = new Roster();
 
-    private static Worker worker(String id, Phase phase, long born) {
-        return new Worker(id, "a", "m", 0, phase, 1, born);
+    private static WorkerInfo worker(String id, WorkerPhase phase, long born) {
+        return new WorkerInfo(id, "a", "m", 0, phase, 1, born);
     }
 
-    private Phase told(boolean whole, Phase phase, long born) {
+    private WorkerPhase told(boolean whole, WorkerPhase phase, long born) {
         return roster.list(whole, List.of(worker("w", phase, born))).get(0).phase();
     }
 
     @Test
     public void outHoldsThroughWhateverIsListed() {
-        assertEquals(Phase.READY, told(true, Phase.READY, 0));
+        assertEquals(WorkerPhase.READY, told(true, WorkerPhase.READY, 0));
         assertTrue(roster.takeOut(10, "w"));
         assertFalse("twice is as once", roster.takeOut(20, "w"));
-        assertEquals(Phase.DRAINING, roster.worker("w").phase());
-        assertEquals(Phase.DRAINING, told(true, Phase.READY, 0));
-        assertEquals(Phase.GONE, told(false, Phase.GONE, 0));
+        assertEquals(WorkerPhase.DRAINING, roster.worker("w").phase());
+        assertEquals(WorkerPhase.DRAINING, told(true, WorkerPhase.READY, 0));
+        assertEquals(WorkerPhase.GONE, told(false, WorkerPhase.GONE, 0));
         assertNull(roster.worker("w"));
         assertTrue("still known, though no list names it", roster.knows("w"));
-        assertEquals(Phase.DRAINING, told(false, Phase.READY, 15));
+        assertEquals(WorkerPhase.DRAINING, told(false, WorkerPhase.READY, 15));
         assertTrue(roster.putBack(30, "w"));
-        assertEquals(Phase.READY, roster.worker("w").phase());
+        assertEquals(WorkerPhase.READY, roster.worker("w").phase());
         assertFalse(roster.putBack(40, "w"));
         assertFalse(roster.knows("x"));
     }
 
     @Test
     public void discoverysOwnDrainHoldsToo() {
-        told(true, Phase.DRAINING, 0);
+        told(true, WorkerPhase.DRAINING, 0);
         roster.takeOut(10, "w");
         roster.putBack(20, "w");
-        assertEquals(Phase.DRAINING, roster.worker("w").phase());
+        assertEquals(WorkerPhase.DRAINING, roster.worker("w").phase());
     }
 
     @Test
     public void oneThatIsBackIsColdFromThenOnUnlessItsStartWasTold() {
-        told(true, Phase.READY, 5);
+        told(true, WorkerPhase.READY, 5);
         roster.takeOut(10, "w");
         roster.putBack(30, "w");
-        assertEquals("its start is not told yet", 30, roster.worker("w").bornNs());
-        told(true, Phase.READY, 5);
-        assertEquals("an old list does not make it warm", 30, roster.worker("w").bornNs());
-        told(true, Phase.READY, 22);
-        assertEquals("the true start", 22, roster.worker("w").bornNs());
+        assertEquals("its start is not told yet", 30, roster.worker("w").startedNs());
+        told(true, WorkerPhase.READY, 5);
+        assertEquals("an old list does not make it warm", 30, roster.worker("w").startedNs());
+        told(true, WorkerPhase.READY, 22);
+        assertEquals("the true start", 22, roster.worker("w").startedNs());
         roster.takeOut(40, "w");
         roster.putBack(50, "w");
-        assertEquals(50, roster.worker("w").bornNs());
+        assertEquals(50, roster.worker("w").startedNs());
     }
 }
--- a/core/src/test/java/postgrade/window/CalendarPartTest.java
+++ b/core/src/test/java/postgrade/window/CalendarPartTest.java
@@ -11,7 +11,7 @@
 import java.util.Random;
 import java.util.stream.Stream;
 import org.junit.Test;
-import postgrade.Dispatcher.Job;
+import postgrade.policy.api.Job;
 import postgrade.shared.Answer;
 import postgrade.shared.Answer.Status;
 import postgrade.shared.Command;
@@ -172,8 +172,8 @@
                         0,
                         1);
         Job job = new Job("j", "c", null, null, 1, 1, 0);
-        assertEquals(0, ability.opensInNs(1_000_000_000L, job));
-        assertTrue(ability.opensInNs(1_000_001_000L, job) > 0);
+        assertEquals(0, ability.startsInNs(1_000_000_000L, job));
+        assertTrue(ability.startsInNs(1_000_001_000L, job) > 0);
     }
 
     @Test
