--- a/core/src/test/java/postgrade/window/WindowAbilityTest.java
+++ b/core/src/test/java/postgrade/window/WindowAbilityTest.java
@@ -12,9 +12,9 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.Test;
-import postgrade.Dispatcher.Job;
-import postgrade.Dispatcher.Phase;
-import postgrade.Dispatcher.Worker;
+import postgrade.policy.api.Job;
+import postgrade.policy.api.WorkerInfo;
+import postgrade.policy.api.WorkerPhase;
 import postgrade.window.Event.Length;
 import postgrade.window.WindowAbility.Sites;
 
@@ -61,8 +61,8 @@
         return new Job(id, jobClass, null, null, 30_000_000_000L, 1, 0);
     }
 
-    private static Worker worker(String zone, String kind) {
-        return new Worker("w", zone, kind, 0, Phase.READY, 1, 0);
+    private static WorkerInfo worker(String zone, String kind) {
+        return new WorkerInfo("w", zone, kind, 0, WorkerPhase.READY, 1, 0);
     }
 
     private static long ns(double hours) {
@@ -72,37 +72,44 @@
     @Test
     public void aClassWithoutWindowsIsUntouched() {
         known = Map.of();
-        assertEquals(0, ability.opensInNs(0, job("price", "1")));
-        assertEquals(1, ability.part(0, job("price", "1"), worker("elsewhere", "x")), 0);
+        assertEquals(0, ability.startsInNs(0, job("price", "1")));
+        assertEquals(1, ability.usableShare(0, job("price", "1"), worker("elsewhere", "x")), 0);
     }
 
     @Test
     public void outsideItsWindowsAJobIsToldATimeWithinTheNextOpening() {
         for (int i = 0; i < 100; i++) {
-            long in = ability.opensInNs(0, job("route-plan", "j" + i));
+            long in = ability.startsInNs(0, job("route-plan", "j" + i));
             // Site b opens at 05:00 and must be left by 05:30; half of the opening is spread over,
             // ten minutes at most.
             assertTrue("in " + in, in >= ns(5) && in < ns(5) + 600_000_000_000L);
         }
-        assertEquals(0, ability.opensInNs(ns(5), job("route-plan", "j")));
+        assertEquals(0, ability.startsInNs(ns(5), job("route-plan", "j")));
     }
 
     @Test
     public void aSiteThatClosesBeforeTheJobWouldEndIsNotAble() {
         Job job = job("route-plan", "j");
-        assertEquals(0, ability.part(ns(5) - 1, job, worker("hall-b", "x")), 0);
-        assertEquals(1, ability.part(ns(5), job, worker("hall-b", "x")), 0);
-        assertEquals("by its kind", 1, ability.part(ns(5), job, worker("hall-a", "gpu")), 0);
+        assertEquals(0, ability.usableShare(ns(5) - 1, job, worker("hall-b", "x")), 0);
+        assertEquals(1, ability.usableShare(ns(5), job, worker("hall-b", "x")), 0);
+        assertEquals("by its kind", 1, ability.usableShare(ns(5), job, worker("hall-a", "gpu")), 0);
         assertEquals(
-                "this one is closed still", 0, ability.part(ns(5), job, worker("hall-a", "x")), 0);
+                "this one is closed still",
+                0,
+                ability.usableShare(ns(5), job, worker("hall-a", "x")),
+                0);
         assertEquals(
                 "it just ends in time",
                 1,
-                ability.part(ns(5.5) - 60_000_000_000L, job, worker("hall-b", "x")),
+                ability.usableShare(ns(5.5) - 60_000_000_000L, job, worker("hall-b", "x")),
                 0);
-        assertEquals(0, ability.part(ns(5.5) - 59_000_000_000L, job, worker("hall-b", "x")), 0);
         assertEquals(
-                "no site of the class", 0, ability.part(ns(7), job, worker("elsewhere", "x")), 0);
+                0, ability.usableShare(ns(5.5) - 59_000_000_000L, job, worker("hall-b", "x")), 0);
+        assertEquals(
+                "no site of the class",
+                0,
+                ability.usableShare(ns(7), job, worker("elsewhere", "x")),
+                0);
     }
 
     @Test
@@ -114,7 +121,7 @@
         assertTrue("" + tenMinutes, tenMinutes >= 600_000 && tenMinutes < 675_000);
         assertEquals(
                 0,
-                ability.part(
+                ability.usableShare(
                         ns(5.5) - 599_000_000_000L, job("route-plan", "j"), worker("hall-b", "x")),
                 0);
     }
@@ -122,9 +129,10 @@
     @Test
     public void whereCalendarsAreNotKnownNothingThatNeedsAWindowStarts() {
         known = Map.of();
-        long in = ability.opensInNs(ns(8), job("route-plan", "1"));
+        long in = ability.startsInNs(ns(8), job("route-plan", "1"));
         assertTrue("" + in, in >= 1_000_000_000L && in < 9_000_000_000L);
-        assertEquals(0, ability.part(ns(8), job("route-plan", "1"), worker("hall-a", "x")), 0);
+        assertEquals(
+                0, ability.usableShare(ns(8), job("route-plan", "1"), worker("hall-a", "x")), 0);
     }
 
     @Test
@@ -141,18 +149,21 @@
                                 60_000));
         Job early = job("route-plan", "early");
         // 18:00 in Zagreb is 16:00 UTC.
-        assertEquals(0, daily.opensInNs(ns(15.9), early));
-        assertEquals(1, daily.part(ns(15.9), early, worker("hall-a", "x")), 0);
+        assertEquals(0, daily.startsInNs(ns(15.9), early));
+        assertEquals(1, daily.usableShare(ns(15.9), early, worker("hall-a", "x")), 0);
         assertEquals(
                 "too late to end in time",
                 0,
-                daily.part(ns(15.99), early, worker("hall-a", "x")),
+                daily.usableShare(ns(15.99), early, worker("hall-a", "x")),
                 0);
         assertEquals(
-                "nor once the day is over", 0, daily.part(ns(32), early, worker("hall-a", "x")), 0);
-        long in = daily.opensInNs(ns(15.99), job("route-plan", "late"));
+                "nor once the day is over",
+                0,
+                daily.usableShare(ns(32), early, worker("hall-a", "x")),
+                0);
+        long in = daily.startsInNs(ns(15.99), job("route-plan", "late"));
         assertTrue("from 10:00 the next day", in >= ns(32 - 15.99) && in < ns(32.2 - 15.99));
         assertEquals(
-                "its next day has come", 0, daily.opensInNs(ns(32), job("route-plan", "late")));
+                "its next day has come", 0, daily.startsInNs(ns(32), job("route-plan", "late")));
     }
 }
--- a/daemon/src/main/java/postgrade/benchlink/Wire.java
+++ b/daemon/src/main/java/postgrade/benchlink/Wire.java
@@ -5,17 +5,17 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import postgrade.Dispatcher;
-import postgrade.Dispatcher.Actions;
-import postgrade.Dispatcher.Job;
-import postgrade.Dispatcher.JobClass;
-import postgrade.Dispatcher.ListForm;
-import postgrade.Dispatcher.Load;
-import postgrade.Dispatcher.Outcome;
-import postgrade.Dispatcher.Phase;
-import postgrade.Dispatcher.Settings;
-import postgrade.Dispatcher.Worker;
 import postgrade.policy.Decide;
+import postgrade.policy.api.AttemptOutcome;
+import postgrade.policy.api.DispatchPolicy;
+import postgrade.policy.api.Job;
+import postgrade.policy.api.JobClass;
+import postgrade.policy.api.LoadReport;
+import postgrade.policy.api.PolicyActions;
+import postgrade.policy.api.PolicySettings;
+import postgrade.policy.api.WorkerInfo;
+import postgrade.policy.api.WorkerListForm;
+import postgrade.policy.api.WorkerPhase;
 import postgrade.settings.SettingsReader;
 
 /** Turns lines of the wire into events and actions into lines. Decides nothing. */
@@ -37,9 +37,9 @@
     private String line = "";
     private long nowNs;
     private Instance listFor;
-    private ListForm listForm;
+    private WorkerListForm listForm;
     private int listLeft;
-    private List<Worker> listRows = List.of();
+    private List<WorkerInfo> listRows = List.of();
 
     Wire(StringBuilder reply) {
         this.reply = reply;
@@ -65,7 +65,7 @@
             }
             case "DEMAND" -> {
                 Instance in = instance();
-                in.dispatcher.job(
+                in.dispatcher.jobArrived(
                         nowNs,
                         new Job(
                                 text(2, "tid"),
@@ -78,7 +78,7 @@
             }
             case "FINISHED" -> {
                 Instance in = instance();
-                in.dispatcher.finished(
+                in.dispatcher.attemptFinished(
                         nowNs,
                         text(2, "tid"),
                         (int) integer(3, "trial"),
@@ -87,32 +87,32 @@
                         in.load(optional(9)));
             }
             case "HEARTBEAT" -> {
-                Dispatcher to = instance().dispatcher;
+                DispatchPolicy to = instance().dispatcher;
                 long sort = integer(3, "sort");
                 if (sort == 1) {
-                    to.started(nowNs, text(2, "tid"), (int) integer(4, "trial"));
+                    to.attemptStarted(nowNs, text(2, "tid"), (int) integer(4, "trial"));
                 } else if (sort == 2) {
-                    to.progress(
+                    to.attemptProgressed(
                             nowNs,
                             text(2, "tid"),
                             (int) integer(4, "trial"),
                             decimal(6, 0, "level"));
                 }
             }
-            case "TIMER" -> instance().dispatcher.timer(nowNs, text(2, "nonce"));
+            case "TIMER" -> instance().dispatcher.timerFired(nowNs, text(2, "nonce"));
             case "TOPOLOGY" -> topology();
             case "ATTACH" -> attach();
             case "KILLED" -> instances.remove(text(1, "i"));
-            case "ABANDONED" -> instance().dispatcher.abandoned(nowNs, text(2, "tid"));
+            case "ABANDONED" -> instance().dispatcher.clientLeft(nowNs, text(2, "tid"));
             case "CHECKED" -> {
                 Instance in = instance();
-                in.dispatcher.probed(
+                in.dispatcher.workerProbed(
                         nowNs, text(2, "runner"), integer(3, "code") == 0, in.load(optional(5)));
             }
             case "ESTABLISHED" ->
                     instance()
                             .dispatcher
-                            .streaming(nowNs, text(2, "tid"), (int) integer(4, "trial"));
+                            .attemptStreaming(nowNs, text(2, "tid"), (int) integer(4, "trial"));
             case "MEMO" -> instance();
             default -> throw new Malformed(word + ": unknown message");
         }
@@ -137,16 +137,16 @@
         String form = text(2, "form");
         listForm =
                 switch (form) {
-                    case "diff" -> ListForm.CHANGES;
-                    case "snapshot" -> ListForm.FULL;
-                    case "disk" -> ListForm.STORED;
-                    case "error" -> ListForm.ERROR;
+                    case "diff" -> WorkerListForm.DELTA;
+                    case "snapshot" -> WorkerListForm.FULL;
+                    case "disk" -> WorkerListForm.CACHED;
+                    case "error" -> WorkerListForm.FAILED;
                     default -> throw bad("form", form);
                 };
         listLeft = partCount > 4 && !parts[4].equals("-") ? (int) integer(4, "rows") : 0;
         listRows = new ArrayList<>(listLeft);
         if (listLeft == 0) {
-            listFor.dispatcher.list(nowNs, listForm, listRows);
+            listFor.dispatcher.workersUpdated(nowNs, listForm, listRows);
         }
     }
 
@@ -156,15 +156,15 @@
                     "TOPOLOGY: rows: " + listLeft + " more ENTRY lines announced, got " + word);
         }
         String phase = text(5, "phase");
-        Phase as =
+        WorkerPhase as =
                 switch (phase) {
-                    case "Ready" -> Phase.READY;
-                    case "Terminating" -> Phase.DRAINING;
-                    case "Gone" -> Phase.GONE;
+                    case "Ready" -> WorkerPhase.READY;
+                    case "Terminating" -> WorkerPhase.DRAINING;
+                    case "Gone" -> WorkerPhase.GONE;
                     default -> throw bad("phase", phase);
                 };
         listRows.add(
-                new Worker(
+                new WorkerInfo(
                         text(1, "runner"),
                         orEmpty(2),
                         orEmpty(3),
@@ -173,20 +173,20 @@
                         decimal(6, 1, "heft"),
                         (long) decimal(7, 0, "bornNs")));
         if (--listLeft == 0) {
-            listFor.dispatcher.list(nowNs, listForm, listRows);
+            listFor.dispatcher.workersUpdated(nowNs, listForm, listRows);
         }
     }
 
-    private Outcome outcome(int at) {
+    private AttemptOutcome outcome(int at) {
         return switch (text(at, "code")) {
-            case "0" -> Outcome.SERVED;
-            case "13" -> Outcome.ERROR;
-            case "8" -> Outcome.FULL;
-            case "4" -> Outcome.TIMEOUT;
-            case "14" -> Outcome.UNREACHABLE;
-            case "10" -> Outcome.RESET;
-            case "1" -> Outcome.CANCELLED;
-            case "9" -> Outcome.NOT_SENT;
+            case "0" -> AttemptOutcome.SERVED;
+            case "13" -> AttemptOutcome.ERROR;
+            case "8" -> AttemptOutcome.FULL;
+            case "4" -> AttemptOutcome.TIMEOUT;
+            case "14" -> AttemptOutcome.UNREACHABLE;
+            case "10" -> AttemptOutcome.RESET;
+            case "1" -> AttemptOutcome.CANCELLED;
+            case "9" -> AttemptOutcome.NOT_SENT;
             default -> throw bad("code", parts[at]);
         };
     }
@@ -262,9 +262,9 @@
     }
 
     /** One gateway of the bench: its decision maker, and where its actions are written. */
-    private final class Instance implements Actions {
+    private final class Instance implements PolicyActions {
         private final String name;
-        private final Dispatcher dispatcher;
+        private final DispatchPolicy dispatcher;
         private final Map<String, String> classNames = new HashMap<>();
         private final int freeAt;
         private final int queuedAt;
@@ -274,7 +274,7 @@
         Instance(String name, long seed, Map<String, String> pairs) {
             this.name = name;
             SettingsReader read = SettingsReader.ofPairs(pairs);
-            Settings settings;
+            PolicySettings settings;
             try {
                 settings = read.settings();
             } catch (IllegalArgumentException e) {
@@ -302,9 +302,9 @@
             return known;
         }
 
-        Load load(String report) {
+        LoadReport load(String report) {
             if (report == null) {
-                return Load.NONE;
+                return LoadReport.NONE;
             }
             double free = Double.NaN;
             double queued = Double.NaN;
@@ -323,7 +323,7 @@
                 }
                 from = to + 1;
             }
-            return new Load(free, queued, inFlight, busy);
+            return new LoadReport(free, queued, inFlight, busy);
         }
 
         private double figure(String report, int from, int to) {
@@ -342,7 +342,7 @@
         }
 
         @Override
-        public void send(String jobId, String workerId, long limitNs) {
+        public void startAttempt(String jobId, String workerId, long limitNs) {
             begin("SEND")
                     .append(jobId)
                     .append('\t')
@@ -353,12 +353,12 @@
         }
 
         @Override
-        public void cancel(String jobId, int attempt) {
+        public void cancelAttempt(String jobId, int attempt) {
             begin("CALL_OFF").append(jobId).append('\t').append(attempt).append('\n');
         }
 
         @Override
-        public void refuse(String jobId, long retryAfterNs) {
+        public void reject(String jobId, long retryAfterNs) {
             begin("REFUSE").append(jobId).append('\t').append(retryAfterNs).append('\n');
         }
 
@@ -373,12 +373,12 @@
         }
 
         @Override
-        public void timer(String token, long inNs) {
+        public void startTimer(String token, long inNs) {
             begin("AFTER").append(token).append('\t').append(inNs).append('\n');
         }
 
         @Override
-        public void watch() {
+        public void watchWorkers() {
             begin("TRACK").append("1\n");
         }
     }
--- a/daemon/src/main/java/postgrade/companion/Companion.java
+++ b/daemon/src/main/java/postgrade/companion/Companion.java
@@ -2,10 +2,10 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
-import postgrade.Ability;
 import postgrade.gateway.Claims;
 import postgrade.gateway.Witness;
 import postgrade.operator.Further;
+import postgrade.policy.api.JobConstraints;
 
 /**
  * What may stand beside a dispatcher: it is told what goes on and has a say in what the module
@@ -15,7 +15,7 @@
 public interface Companion {
 
     /** Consulted by the module for each job and worker. */
-    Ability ability();
+    JobConstraints ability();
 
     /**
      * What goes to a worker beside a job, in a header of ours that proves the job's claim; null for
--- a/daemon/src/main/java/postgrade/companion/Host.java
+++ b/daemon/src/main/java/postgrade/companion/Host.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.concurrent.Executor;
 import java.util.function.LongSupplier;
-import postgrade.Dispatcher.Learnt;
-import postgrade.Dispatcher.Settings;
 import postgrade.gateway.Timers;
+import postgrade.policy.api.PolicySettings;
+import postgrade.policy.api.TransferredFigures;
 
 /**
  * The dispatcher as its companion sees it. For the loop's thread, but for the three clocks and
@@ -16,7 +16,7 @@
     String name();
 
     /** In force now; a reload may bring others. */
-    Settings settings();
+    PolicySettings settings();
 
     /** The loop's clock, which stands during a turn, and its timers. */
     Timers timers();
@@ -33,12 +33,12 @@
     // ---- What was learnt.
 
     /** What the module knows now, as a copy. */
-    List<Learnt> learnt();
+    List<TransferredFigures> learnt();
 
     /**
      * Tells the module what was learnt elsewhere; it passes over workers that it does not know yet.
      */
-    void learn(List<Learnt> all);
+    void learn(List<TransferredFigures> all);
 
     /** This process has begun with what a running one told it, which is newer than any file. */
     boolean tookOver();
--- a/daemon/src/main/java/postgrade/daemon/Beside.java
+++ b/daemon/src/main/java/postgrade/daemon/Beside.java
@@ -5,11 +5,11 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
-import postgrade.Dispatcher.Learnt;
-import postgrade.Dispatcher.Settings;
 import postgrade.companion.Host;
 import postgrade.gateway.Gateway;
 import postgrade.gateway.Timers;
+import postgrade.policy.api.PolicySettings;
+import postgrade.policy.api.TransferredFigures;
 import postgrade.upgrade.Upgrade;
 
 /**
@@ -66,7 +66,7 @@
     }
 
     @Override
-    public Settings settings() {
+    public PolicySettings settings() {
         return config.get().settings;
     }
 
@@ -91,12 +91,12 @@
     }
 
     @Override
-    public List<Learnt> learnt() {
+    public List<TransferredFigures> learnt() {
         return gateway.learnt();
     }
 
     @Override
-    public void learn(List<Learnt> all) {
+    public void learn(List<TransferredFigures> all) {
         gateway.learn(all);
     }
 
--- a/daemon/src/main/java/postgrade/daemon/Config.java
+++ b/daemon/src/main/java/postgrade/daemon/Config.java
@@ -14,12 +14,12 @@
 import java.util.Objects;
 import java.util.Set;
 import java.util.stream.Collectors;
-import postgrade.Dispatcher.JobClass;
-import postgrade.Dispatcher.Settings;
-import postgrade.Dispatcher.Tenant;
 import postgrade.benchlink.JsonPairs;
 import postgrade.discovery.TargetList;
 import postgrade.operator.OperatorListener;
+import postgrade.policy.api.JobClass;
+import postgrade.policy.api.PolicySettings;
+import postgrade.policy.api.Tenant;
 import postgrade.settings.SettingsReader;
 
 /**
@@ -73,7 +73,7 @@
     /** Sockets of all peers together, the operators' apart. */
     final int sockets;
 
-    final Settings settings;
+    final PolicySettings settings;
     final int mostHeld;
     final long connectTimeoutMicros;
     final long idleMicros;
--- a/daemon/src/main/java/postgrade/daemon/Daemon.java
+++ b/daemon/src/main/java/postgrade/daemon/Daemon.java
@@ -6,9 +6,6 @@
 import java.util.function.Function;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import postgrade.Dispatcher;
-import postgrade.Dispatcher.Actions;
-import postgrade.Dispatcher.ListForm;
 import postgrade.companion.Companion;
 import postgrade.consumer.Listener;
 import postgrade.consumer.Relay;
@@ -24,6 +21,9 @@
 import postgrade.operator.Operations;
 import postgrade.operator.OperatorListener;
 import postgrade.policy.Decide;
+import postgrade.policy.api.DispatchPolicy;
+import postgrade.policy.api.PolicyActions;
+import postgrade.policy.api.WorkerListForm;
 import postgrade.provider.ProviderPools;
 import postgrade.upgrade.Upgrade;
 
@@ -78,7 +78,7 @@
     Daemon(
             Config config,
             Companion.Plan plan,
-            Function<Actions, Dispatcher> module,
+            Function<PolicyActions, DispatchPolicy> module,
             Patience patience)
             throws IOException, Config.Faulty {
         this(config, plan, module, patience, SystemCalls.REAL);
@@ -91,7 +91,7 @@
     Daemon(
             Config config,
             Companion.Plan plan,
-            Function<Actions, Dispatcher> module,
+            Function<PolicyActions, DispatchPolicy> module,
             Patience patience,
             SystemCalls systemCalls)
             throws IOException, Config.Faulty {
@@ -101,7 +101,7 @@
         gateway =
                 new Gateway(
                         module,
-                        config.settings.mayDuplicate,
+                        config.settings.allowsConcurrentAttempts,
                         config.mostHeld,
                         loop,
                         (event, message, thrown) ->
@@ -125,7 +125,8 @@
             before.tell(workers.roster(), loop.nowMicros() * NANOS);
         }
         if (known != null) {
-            workers.list(ListForm.STORED, known, loop.nowMicros(), WorkerStartTimes.NEVER_HEARD);
+            workers.list(
+                    WorkerListForm.CACHED, known, loop.nowMicros(), WorkerStartTimes.NEVER_HEARD);
         }
         beside = new Beside(() -> this.config, loop, gateway, workers, upgrade, told, this::serves);
         if (before != null) {
@@ -266,9 +267,9 @@
 
     private void told(TargetList list) {
         if (list.whole()) {
-            workers.list(ListForm.FULL, list, loop.nowMicros(), WorkerStartTimes.NEVER_HEARD);
+            workers.list(WorkerListForm.FULL, list, loop.nowMicros(), WorkerStartTimes.NEVER_HEARD);
         } else {
-            workers.list(ListForm.CHANGES, list, loop.nowMicros(), watch.heardBeforeMicros());
+            workers.list(WorkerListForm.DELTA, list, loop.nowMicros(), watch.heardBeforeMicros());
         }
         if (companion != null) {
             companion.listed();
--- a/daemon/src/main/java/postgrade/daemon/Effective.java
+++ b/daemon/src/main/java/postgrade/daemon/Effective.java
@@ -4,8 +4,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import postgrade.Dispatcher.JobClass;
 import postgrade.discovery.TargetList;
+import postgrade.policy.api.JobClass;
 
 /** One setting as it is in force, and where it came from. */
 record Effective(String key, Object value, String origin) {
@@ -66,9 +66,9 @@
             String at = "classes." + i + ".";
             all.add(effective(pairs, at + "name", k.name()));
             all.add(effective(pairs, at + "idempotency", pairs.get(at + "idempotency")));
-            all.add(effective(pairs, at + "onTimeNs", k.aimNs()));
+            all.add(effective(pairs, at + "onTimeNs", k.latencyObjectiveNs()));
             all.add(effective(pairs, at + "deadlineNs", c.deadlineMicros.get(k.name()) * 1000));
-            all.add(effective(pairs, at + "importance", k.worth()));
+            all.add(effective(pairs, at + "importance", k.priorityWeight()));
         }
         for (int i = 0; i < c.settings.tenants.size(); i++) {
             all.add(effective(pairs, "tenants." + i + ".name", c.settings.tenants.get(i).name()));
@@ -79,7 +79,7 @@
                             c.settings.tenants.get(i).ratePerS()));
         }
         all.add(effective(pairs, "limits.maxAttempts", c.settings.maxAttempts));
-        all.add(effective(pairs, "limits.mayDuplicate", c.settings.mayDuplicate));
+        all.add(effective(pairs, "limits.mayDuplicate", c.settings.allowsConcurrentAttempts));
         return all;
     }
 
--- a/daemon/src/main/java/postgrade/daemon/Takeover.java
+++ b/daemon/src/main/java/postgrade/daemon/Takeover.java
@@ -11,10 +11,10 @@
 import java.util.Locale;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import postgrade.Dispatcher.Learnt;
 import postgrade.discovery.TargetList;
 import postgrade.discovery.TargetList.Entry;
 import postgrade.log.Events;
+import postgrade.policy.api.TransferredFigures;
 import postgrade.roster.Roster;
 
 /**
@@ -32,7 +32,7 @@
         TargetList list,
         String discovery,
         List<Roster.Record> said,
-        List<Learnt> learnt,
+        List<TransferredFigures> learnt,
         long standbyAgeMicros,
         String beside) {
 
@@ -64,15 +64,15 @@
         }
     }
 
-    private static List<Learnt> learnt(JsonArray figures) {
-        List<Learnt> all = new ArrayList<>();
+    private static List<TransferredFigures> learnt(JsonArray figures) {
+        List<TransferredFigures> all = new ArrayList<>();
         for (JsonValue v : figures) {
             JsonArray one = v.asArray();
             double[] values = new double[one.size() - 2];
             for (int i = 0; i < values.length; i++) {
                 values[i] = one.get(i + 2).asDouble();
             }
-            all.add(new Learnt(one.get(0).asString(), one.get(1).asString(), values));
+            all.add(new TransferredFigures(one.get(0).asString(), one.get(1).asString(), values));
         }
         return all;
     }
@@ -151,7 +151,7 @@
             Collection<Entry> told,
             InetSocketAddress discovery,
             long standbyAgeMicros,
-            List<Learnt> learnt,
+            List<TransferredFigures> learnt,
             String beside) {
         JsonArray servers = Json.array();
         for (Entry e : told) {
@@ -167,9 +167,9 @@
                             .add("started_ms", e.startedMillis()));
         }
         JsonArray figures = Json.array();
-        for (Learnt l : learnt) {
-            JsonArray one = Json.array().add(l.of()).add(l.name());
-            for (double d : l.figures()) {
+        for (TransferredFigures l : learnt) {
+            JsonArray one = Json.array().add(l.category()).add(l.name());
+            for (double d : l.values()) {
                 one.add(Double.isFinite(d) ? d : 0);
             }
             figures.add(one);
--- a/daemon/src/main/java/postgrade/daemon/Workers.java
+++ b/daemon/src/main/java/postgrade/daemon/Workers.java
@@ -7,15 +7,15 @@
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import postgrade.Dispatcher.ListForm;
-import postgrade.Dispatcher.Phase;
-import postgrade.Dispatcher.Worker;
 import postgrade.companion.Host;
 import postgrade.discovery.TargetList;
 import postgrade.discovery.TargetList.Entry;
 import postgrade.discovery.TargetList.State;
 import postgrade.gateway.Gateway;
 import postgrade.log.Events;
+import postgrade.policy.api.WorkerInfo;
+import postgrade.policy.api.WorkerListForm;
+import postgrade.policy.api.WorkerPhase;
 import postgrade.provider.ProviderPools;
 import postgrade.provider.Target;
 import postgrade.roster.Roster;
@@ -61,33 +61,33 @@
      * @param heardBeforeMicros when discovery was last heard before it told this, or {@link
      *     WorkerStartTimes#NEVER_HEARD}
      */
-    void list(ListForm form, TargetList list, long nowMicros, long heardBeforeMicros) {
+    void list(WorkerListForm form, TargetList list, long nowMicros, long heardBeforeMicros) {
         list.warnOfFaulty();
-        List<Worker> workers = new ArrayList<>();
-        if (form != ListForm.CHANGES) {
+        List<WorkerInfo> workers = new ArrayList<>();
+        if (form != WorkerListForm.DELTA) {
             told.clear();
         }
         for (Entry e : list.entries()) {
             told.put(e.id(), e);
-            Phase phase =
+            WorkerPhase phase =
                     switch (e.state()) {
-                        case READY -> Phase.READY;
-                        case DRAINING -> Phase.DRAINING;
-                        case GONE -> Phase.GONE;
+                        case READY -> WorkerPhase.READY;
+                        case DRAINING -> WorkerPhase.DRAINING;
+                        case GONE -> WorkerPhase.GONE;
                     };
             long born = startTimes.micros(e.id(), e.startedMillis(), nowMicros, heardBeforeMicros);
             workers.add(
-                    new Worker(
+                    new WorkerInfo(
                             e.id(), e.zone(), e.kind(), e.cell(), phase, e.weight(), born * NANOS));
         }
-        List<Worker> counted = roster.list(form != ListForm.CHANGES, workers);
-        providers.list(form != ListForm.CHANGES, counted.stream().map(this::target).toList());
+        List<WorkerInfo> counted = roster.list(form != WorkerListForm.DELTA, workers);
+        providers.list(form != WorkerListForm.DELTA, counted.stream().map(this::target).toList());
         told.values().removeIf(e -> e.state() == State.GONE);
         gateway.list(form, counted);
     }
 
-    private Target target(Worker w) {
-        return new Target(w.id(), told.get(w.id()).address(), w.phase() == Phase.READY);
+    private Target target(WorkerInfo w) {
+        return new Target(w.id(), told.get(w.id()).address(), w.phase() == WorkerPhase.READY);
     }
 
     boolean takeOut(long nowMicros, String id) {
@@ -118,10 +118,10 @@
      * anyone is answered.
      */
     private void recount(String id) {
-        Worker w = roster.worker(id);
+        WorkerInfo w = roster.worker(id);
         if (w != null) {
             providers.list(false, List.of(target(w)));
-            gateway.list(ListForm.CHANGES, List.of(w));
+            gateway.list(WorkerListForm.DELTA, List.of(w));
         }
     }
 
--- a/daemon/src/main/java/postgrade/provider/Call.java
+++ b/daemon/src/main/java/postgrade/provider/Call.java
@@ -4,7 +4,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.IntConsumer;
-import postgrade.Dispatcher.Outcome;
 import postgrade.gateway.Gateway;
 import postgrade.gateway.InvokerCall;
 import postgrade.gateway.Payload;
@@ -12,6 +11,7 @@
 import postgrade.gateway.Timers;
 import postgrade.http.Message;
 import postgrade.http.MessageWriter;
+import postgrade.policy.api.AttemptOutcome;
 
 /** One call to a provider, and how far it has come on the wire. */
 final class Call extends Request implements Providers.Handle {
@@ -124,7 +124,7 @@
         return true;
     }
 
-    private void end(Outcome outcome) {
+    private void end(AttemptOutcome outcome) {
         if (over()) {
             gateway.ended(call, outcome);
             stopGivingUp();
@@ -146,14 +146,16 @@
                     true; // Its end comes by a call-back, or by the answer to a DELETE under way.
             to(State.TAKEN);
         } else if (status == 500 || status == 503 || status == 504) {
-            end(neverRan && status != 500 ? Outcome.FULL : Outcome.ERROR);
+            end(neverRan && status != 500 ? AttemptOutcome.FULL : AttemptOutcome.ERROR);
         } else if (status / 100 == 4 && status != 408 && status != 429) {
             if (over()) {
                 gateway.unusable(call);
                 stopGivingUp();
             }
         } else {
-            spoilt(Outcome.ERROR); // No answer that the protocol knows: the job may run, or may
+            spoilt(
+                    AttemptOutcome
+                            .ERROR); // No answer that the protocol knows: the job may run, or may
             // yet.
         }
     }
@@ -161,19 +163,19 @@
     @Override
     void broken(Break how) {
         switch (how) {
-            case NO_SOCKET -> end(Outcome.NO_SOCKET);
-            case NEVER_WRITTEN -> end(Outcome.UNREACHABLE);
-            case DRAINED, TOO_LATE -> end(Outcome.NOT_SENT);
+            case NO_SOCKET -> end(AttemptOutcome.NO_SOCKET);
+            case NEVER_WRITTEN -> end(AttemptOutcome.UNREACHABLE);
+            case DRAINED, TOO_LATE -> end(AttemptOutcome.NOT_SENT);
             case AFTER_LAST_BYTE -> {
                 reached = true;
                 if (state == State.GIVING_UP) {
                     giveUp.finish(); // The connection ended before any 202.
                 } else {
-                    end(Outcome.RESET);
+                    end(AttemptOutcome.RESET);
                 }
             }
             // What came may have been a 202, after which a broken connection ends nothing.
-            case IN_ANSWER -> spoilt(Outcome.RESET);
+            case IN_ANSWER -> spoilt(AttemptOutcome.RESET);
         }
     }
 
@@ -182,7 +184,7 @@
      * second call beside one that runs: it is given up on the wire before the module hears. One
      * that is being given up goes on with that.
      */
-    private void spoilt(Outcome as) {
+    private void spoilt(AttemptOutcome as) {
         reached = true;
         if (to(State.GIVING_UP)) {
             dropBy(() -> gateway.ended(call, as));
--- a/daemon/src/main/java/postgrade/provider/ProviderPools.java
+++ b/daemon/src/main/java/postgrade/provider/ProviderPools.java
@@ -7,7 +7,6 @@
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import postgrade.Dispatcher.Outcome;
 import postgrade.gateway.Gateway;
 import postgrade.gateway.InvokerCall;
 import postgrade.gateway.Providers;
@@ -16,6 +15,7 @@
 import postgrade.http.MessageWriter;
 import postgrade.http.Reactor;
 import postgrade.log.Events;
+import postgrade.policy.api.AttemptOutcome;
 
 /** Speaks to the providers: sends calls, gives them up, probes. */
 public final class ProviderPools implements Providers {
@@ -178,7 +178,7 @@
     public Handle send(InvokerCall call) {
         Pool pool = pools.get(call.providerId());
         if (pool == null || !pool.ready) {
-            gateway.ended(call, Outcome.NOT_SENT);
+            gateway.ended(call, AttemptOutcome.NOT_SENT);
             return NOT_SENT;
         }
         Call sent =
--- a/daemon/src/test/java/postgrade/benchlink/SettingsReaderTest.java
+++ b/daemon/src/test/java/postgrade/benchlink/SettingsReaderTest.java
@@ -8,8 +8,8 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import org.junit.Test;
-import postgrade.Dispatcher.Effect;
-import postgrade.Dispatcher.Settings;
+import postgrade.policy.api.Idempotency;
+import postgrade.policy.api.PolicySettings;
 import postgrade.settings.SettingsReader;
 
 public class SettingsReaderTest {
@@ -22,7 +22,7 @@
                     + " tenants.0.quotaPerS=33.0 limits.mayProbe=true fees.probe=0.0034 limits.retryAfter=false"
                     + " limits.maxRetryAfterNs=2000000000 telemetry.source=silent";
 
-    private static Settings ofPairs(String text) {
+    private static PolicySettings ofPairs(String text) {
         Map<String, String> pairs = new LinkedHashMap<>();
         for (String pair : text.split(" ")) {
             pairs.put(pair.substring(0, pair.indexOf('=')), pair.substring(pair.indexOf('=') + 1));
@@ -32,7 +32,7 @@
 
     @Test
     public void pairsAndNestedJsonGiveTheModuleTheSame() {
-        Settings nested =
+        PolicySettings nested =
                 SettingsReader.ofPairs(
                                 JsonPairs.of(
                                         Json.parse(
@@ -45,13 +45,13 @@
                                                                 .replace('\'', '"'))
                                                 .asObject()))
                         .settings();
-        Settings pairs = ofPairs(PAIRS);
+        PolicySettings pairs = ofPairs(PAIRS);
         assertEquals(pairs.classes, nested.classes);
-        assertEquals(Effect.UNSAFE, nested.classes.get(1).effect());
-        assertEquals("small", nested.classes.get(1).kind());
+        assertEquals(Idempotency.NOT_IDEMPOTENT, nested.classes.get(1).idempotency());
+        assertEquals("small", nested.classes.get(1).requiredWorkerKind());
         assertEquals(pairs.tenants, nested.tenants);
-        assertEquals(5, nested.gateways);
-        assertEquals(1, nested.gateway);
+        assertEquals(5, nested.dispatcherCount);
+        assertEquals(1, nested.dispatcherIndex);
         assertEquals("hall-b", nested.zone);
         assertEquals(pairs.maxRetryAfterNs, nested.maxRetryAfterNs);
     }
@@ -63,7 +63,7 @@
 
     @Test
     public void probesAreMadeOnlyWhereTheirAnswersBringReports() {
-        assertFalse(ofPairs(PAIRS).mayProbe);
-        assertTrue(ofPairs(PAIRS.replace("silent", "pull")).mayProbe);
+        assertFalse(ofPairs(PAIRS).allowsProbes);
+        assertTrue(ofPairs(PAIRS.replace("silent", "pull")).allowsProbes);
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/AttemptStage.java
+++ b/daemon/src/test/java/postgrade/daemon/AttemptStage.java
@@ -64,7 +64,7 @@
         pools = new ProviderPools(gateway, hand, hand, 2_000 * MILLI, 10_000 * MILLI);
         gateway.connect(pools);
         list(target("w1", one, true), target("w2", two, true));
-        script.onJob = job -> script.out.send(job.id(), "w1", 0);
+        script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
     }
 
     @After
--- a/daemon/src/test/java/postgrade/daemon/BadInputTest.java
+++ b/daemon/src/test/java/postgrade/daemon/BadInputTest.java
@@ -66,7 +66,7 @@
         script.onJob =
                 job -> {
                     if (job.id().startsWith("usual")) {
-                        script.out.send(job.id(), "w1", 0);
+                        script.out.startAttempt(job.id(), "w1", 0);
                     }
                 };
     }
--- a/daemon/src/test/java/postgrade/daemon/ClaimsTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ClaimsTest.java
@@ -10,11 +10,11 @@
 import java.util.function.UnaryOperator;
 import org.junit.Before;
 import org.junit.Test;
-import postgrade.Ability;
 import postgrade.companion.Companion;
 import postgrade.daemon.Peer.Arrived;
 import postgrade.gateway.Claims;
 import postgrade.operator.Further;
+import postgrade.policy.api.JobConstraints;
 
 /** What jobs claim in headers that somebody beside the dispatcher reads. */
 public class ClaimsTest extends Stage implements Companion, Claims {
@@ -25,8 +25,8 @@
     }
 
     @Override
-    public Ability ability() {
-        return Ability.ALL;
+    public JobConstraints ability() {
+        return JobConstraints.NONE;
     }
 
     @Override
@@ -78,7 +78,7 @@
     public void aClaimIsKnownBeforeTheModuleHearsOfTheJobAndABadOneNeverReachesIt()
             throws Exception {
         serveScripted(server("w1", one.address(), "ready"));
-        script.onJob = job -> script.out.refuse(job.id(), 0);
+        script.onJob = job -> script.out.reject(job.id(), 0);
         turnedAway("c1", "X-Window-Lasts: soon\r\n", "x-window-lasts has to be");
         turnedAway(
                 "c1", "X-Window-Lasts: 1m\r\nX-Window-Lasts: 1m\r\n", "x-window-lasts is repeated");
@@ -108,7 +108,7 @@
     public void whereNobodyReadsThemTheyArePassedOver() throws Exception {
         plan = null;
         serveScripted(server("w1", one.address(), "ready"));
-        script.onJob = job -> script.out.refuse(job.id(), 0);
+        script.onJob = job -> script.out.reject(job.id(), 0);
         assertEquals(
                 429,
                 Peer.read(submit("e1", "X-Window-Lasts: soon\r\nX-Window-Lasts: now\r\n"))
--- a/daemon/src/test/java/postgrade/daemon/CompanionTest.java
+++ b/daemon/src/test/java/postgrade/daemon/CompanionTest.java
@@ -17,11 +17,11 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.Before;
 import org.junit.Test;
-import postgrade.Ability;
 import postgrade.companion.Companion;
 import postgrade.companion.Host;
 import postgrade.daemon.Peer.Arrived;
 import postgrade.operator.Further;
+import postgrade.policy.api.JobConstraints;
 
 /**
  * What stands beside a dispatcher hears what goes on, has its say, and is asked what operators want
@@ -63,8 +63,8 @@
     }
 
     @Override
-    public Ability ability() {
-        return Ability.ALL;
+    public JobConstraints ability() {
+        return JobConstraints.NONE;
     }
 
     @Override
@@ -140,7 +140,7 @@
     public void itHearsOfListsOperatorsAndTheEndAndItsShareAndAbilityReachTheModule()
             throws Exception {
         serveScripted(server("w1", one.address(), "ready"));
-        assertSame(Ability.ALL, script.ability);
+        assertSame(JobConstraints.NONE, script.ability);
         watched(
                 json(
                         42,
@@ -151,7 +151,7 @@
         script.hears("list FULL [w1 READY, w2 READY]");
         assertEquals(200, call(daemon, "PUT /maintenance/enter", "{\"id\":\"w1\"}").status());
         hears("w1 true");
-        script.hears("list CHANGES [w1 DRAINING]");
+        script.hears("list DELTA [w1 DRAINING]");
         host.loop().execute(() -> host.share(1.5));
         script.hears("share 1.5");
         host.loop()
@@ -164,7 +164,7 @@
                                                 + " "
                                                 + host.alone()));
         hears("true true true");
-        script.hears("list CHANGES [w1 READY]");
+        script.hears("list DELTA [w1 READY]");
         ended(stopping(daemon));
         hears("stopping");
         hears("close");
@@ -175,11 +175,11 @@
         knows = false;
         patienceMicros = Peer.PATIENCE_S * 1_000_000L;
         serveScripted(server("w1", one.address(), "ready"));
-        script.onJob = job -> script.out.refuse(job.id(), 0);
+        script.onJob = job -> script.out.reject(job.id(), 0);
         assertThrows("they turn to others at once", ConnectException.class, this::connect);
         assertEquals("it takes no consumers yet", 503, call(daemon, "GET /status", "").status());
         host.loop().execute(() -> host.takeOut("w1"));
-        script.hears("list CHANGES [w1 DRAINING]");
+        script.hears("list DELTA [w1 DRAINING]");
         assertThrows(ConnectException.class, this::connect);
         knows = true;
         Socket consumer = postOnceItListens("a1");
@@ -193,7 +193,7 @@
         script.onJob =
                 job -> {
                     heard.add("turn " + (turnMicros == host.timers().nowMicros()));
-                    script.out.refuse(job.id(), 0);
+                    script.out.reject(job.id(), 0);
                 };
         Socket consumer = post("t1", "price", "15000m");
         hears("turn true");
@@ -204,7 +204,7 @@
     public void itPacesConnectionsAndARequestThatWaitsForOneHasItAllTheSame() throws Exception {
         paces = true;
         serveScripted(server("w1", one.address(), "ready"));
-        script.onJob = job -> script.out.send(job.id(), "w1", 0);
+        script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
         post("p1", "price", "15000m");
         hears("connect w1 true");
         Arrived first = one.next("POST");
@@ -220,7 +220,7 @@
         knows = false;
         patienceMicros = 50_000;
         serveScripted(server("w1", one.address(), "ready"));
-        script.onJob = job -> script.out.refuse(job.id(), 0);
+        script.onJob = job -> script.out.reject(job.id(), 0);
         Socket consumer = postOnceItListens("b1");
         script.hears("job b1");
         assertEquals(429, Peer.read(consumer).status());
--- a/daemon/src/test/java/postgrade/daemon/CopiesTest.java
+++ b/daemon/src/test/java/postgrade/daemon/CopiesTest.java
@@ -20,8 +20,8 @@
         open("c1");
         turn();
         request(one);
-        script.out.send("c1", "w1", 0);
-        script.out.send("c1", "w2", 0);
+        script.out.startAttempt("c1", "w1", 0);
+        script.out.startAttempt("c1", "w2", 0);
         turn();
         assertEquals("c1", request(two).header("X-Request-Id"));
         turn();
--- a/daemon/src/test/java/postgrade/daemon/FloodTest.java
+++ b/daemon/src/test/java/postgrade/daemon/FloodTest.java
@@ -34,7 +34,7 @@
         turns.script.onJob =
                 job -> {
                     if (job.id().startsWith("usual")) {
-                        turns.script.out.send(job.id(), "w1", 0);
+                        turns.script.out.startAttempt(job.id(), "w1", 0);
                     }
                 };
     }
--- a/daemon/src/test/java/postgrade/daemon/FullHouseTest.java
+++ b/daemon/src/test/java/postgrade/daemon/FullHouseTest.java
@@ -27,20 +27,20 @@
                 job -> {
                     if (job.id().equals(last)) { // Now all connections to workers at once.
                         for (int i = 1; i < ACCEPTED; i++) {
-                            script.out.send("busy" + i, "w1", 0);
+                            script.out.startAttempt("busy" + i, "w1", 0);
                         }
                     }
                 };
         script.onFinished =
                 (id, outcome) -> {
                     if (id.equals(last) && wants++ < MOST_WANTS) {
-                        script.out.send(id, "w1", 0); // In each turn it wants a connection.
+                        script.out.startAttempt(id, "w1", 0); // In each turn it wants a connection.
                     }
                 };
         Arrived watch = discovery.next("GET /api/targets?watch=1&from=41 ");
         Peer.write(watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         chunk(watch, json(42, false, server("w2", two.address(), "ready")));
-        script.hearsAmongOthers("list CHANGES [w2 READY]");
+        script.hearsAmongOthers("list DELTA [w2 READY]");
         for (int i = 1; i < ACCEPTED; i++) { // The watch has one of them.
             post("busy" + i, "price", "600000m");
             script.hearsAmongOthers("job busy" + i);
@@ -57,7 +57,7 @@
         watch = discovery.next("GET /api/targets?watch=1&from=42 ");
         Peer.write(watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         chunk(watch, json(43, false, server("w1", one.address(), "draining")));
-        script.hearsAmongOthers("list CHANGES [w1 DRAINING]");
+        script.hearsAmongOthers("list DELTA [w1 DRAINING]");
         assertTrue("wanted to the end", wants < MOST_WANTS);
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/GiveUpCrossingTest.java
+++ b/daemon/src/test/java/postgrade/daemon/GiveUpCrossingTest.java
@@ -25,7 +25,7 @@
     }
 
     private void cancel(String id) {
-        script.out.cancel(id, 0);
+        script.out.cancelAttempt(id, 0);
         turn();
     }
 
@@ -175,7 +175,7 @@
     /** It was taken as given up when its own time was over, with most of its consumer's left. */
     @Test
     public void anAttemptWithALimitOfItsOwnIsGivenUpLikeAnyOther() throws Exception {
-        script.onJob = job -> script.out.send(job.id(), "w1", 300 * MILLI * 1000);
+        script.onJob = job -> script.out.startAttempt(job.id(), "w1", 300 * MILLI * 1000);
         Arrived job = sent("t1");
         says(job.socket(), TAKEN);
         pass(300 * MILLI);
@@ -196,7 +196,7 @@
         reports("r1", "w1", JobState.RETURNED);
         turn();
         hasHeard("finished r1 0 FULL false");
-        script.out.send("r1", "w1", 0);
+        script.out.startAttempt("r1", "w1", 0);
         turn();
         assertEquals("POST /api HTTP/1.1", request(one).head().split("\r\n")[0]);
         pass(400 * MILLI);
--- a/daemon/src/test/java/postgrade/daemon/HandOverTest.java
+++ b/daemon/src/test/java/postgrade/daemon/HandOverTest.java
@@ -22,11 +22,11 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.Before;
 import org.junit.Test;
-import postgrade.Ability;
-import postgrade.Dispatcher.Learnt;
 import postgrade.companion.Companion;
 import postgrade.daemon.Peer.Arrived;
 import postgrade.operator.Further;
+import postgrade.policy.api.JobConstraints;
+import postgrade.policy.api.TransferredFigures;
 
 /**
  * What goes from the old process of a dispatcher to the new one, and what does not where either
@@ -61,16 +61,16 @@
         Script first = script;
         first.learnt =
                 List.of(
-                        new Learnt("tenant", "t", new double[] {2.5, 40, 0, 1e9}),
-                        new Learnt("cold", "w1", new double[] {5e8, 1.5, 2e8, 0.5}),
-                        new Learnt("class", "price", new double[] {4e6, 120, 0.25}));
+                        new TransferredFigures("tenant", "t", new double[] {2.5, 40, 0, 1e9}),
+                        new TransferredFigures("cold", "w1", new double[] {5e8, 1.5, 2e8, 0.5}),
+                        new TransferredFigures("class", "price", new double[] {4e6, 120, 0.25}));
         daemon.start();
-        first.hears("list STORED [w1 READY, w2 READY]");
+        first.hears("list CACHED [w1 READY, w2 READY]");
         Daemon second =
                 new Daemon(
                         Config.read(environment), null, out -> script = new Script(out), PATIENCE);
         second.start();
-        script.hears("list STORED [w1 READY, w2 READY]");
+        script.hears("list CACHED [w1 READY, w2 READY]");
         script.hears("share 0.5");
         script.hears(
                 "learn [tenant t [2.5, 40.0, 0.0, 1.0E9], cold w1 [5.0E8, 1.5, 2.0E8, 0.5], "
@@ -124,8 +124,8 @@
                     told.add(host.told() + " " + host.tookOver() + " " + host.alone());
                     return new Companion() {
                         @Override
-                        public Ability ability() {
-                            return Ability.ALL;
+                        public JobConstraints ability() {
+                            return JobConstraints.NONE;
                         }
 
                         @Override
@@ -157,7 +157,7 @@
                 new Daemon(
                         Config.read(environment), null, out -> script = new Script(out), PATIENCE);
         daemon.start();
-        script.hears("list STORED [w1 READY, w2 READY]");
+        script.hears("list CACHED [w1 READY, w2 READY]");
         Map<String, String> clash = new HashMap<>(environment);
         Path file = folder.newFile().toPath();
         Files.writeString(
@@ -200,7 +200,7 @@
         CountDownLatch goesOn = new CountDownLatch(1);
         script.onJob =
                 job -> {
-                    script.out.send(job.id(), "w1", 0);
+                    script.out.startAttempt(job.id(), "w1", 0);
                     if (job.id().equals("holds")) {
                         held.countDown();
                         hold(goesOn);
--- a/daemon/src/test/java/postgrade/daemon/LateDialTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LateDialTest.java
@@ -70,7 +70,7 @@
         open("l3");
         turn();
         Socket worker = accept(one);
-        script.out.refuse("l3", 0);
+        script.out.reject("l3", 0);
         turn();
         hand.heard(() -> {});
         turn();
@@ -131,7 +131,7 @@
         first.setSoLinger(true, 0);
         hand.heard(first::close);
         turn();
-        script.out.send("k1", "w2", 0, 100 * MILLI * 1000);
+        script.out.startAttempt("k1", "w2", 0, 100 * MILLI * 1000);
         turn();
         Socket second = accept(two);
         pass(101 * MILLI);
@@ -139,7 +139,7 @@
         turn();
         turn();
         hasHeard("finished k1 0 RESET false", "finished k1 1 NOT_SENT false");
-        script.onJob = job -> script.out.send(job.id(), "w2", 0);
+        script.onJob = job -> script.out.startAttempt(job.id(), "w2", 0);
         nothingWasWrittenTo(second);
     }
 
--- a/daemon/src/test/java/postgrade/daemon/LateWordTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LateWordTest.java
@@ -31,7 +31,7 @@
     @Test
     public void doneInTheTurnInWhichItIsGivenUpIsTheAnswerAndNoDeleteFollows() throws Exception {
         Socket worker = taken("a");
-        script.out.cancel("a", 0);
+        script.out.cancelAttempt("a", 0);
         reports("a", "w1", JobState.DONE);
         turn();
         isServed("a");
@@ -44,7 +44,7 @@
     @Test
     public void a202BehindTheAnsweredDeleteFindsItsConnectionClosed() throws Exception {
         Socket worker = untaken("b");
-        script.out.cancel("b", 0);
+        script.out.cancelAttempt("b", 0);
         turn();
         Arrived delete = request(one);
         assertTrue(delete.head(), delete.head().startsWith("DELETE /jobs/b "));
@@ -54,7 +54,7 @@
         assertEquals("the one of the DELETE is left", 1, hand.open());
         assertEquals(-1, worker.getInputStream().read());
         pass(20 * MILLI);
-        script.out.send("b", "w1", 0);
+        script.out.startAttempt("b", "w1", 0);
         turn();
         assertEquals("b", request(delete.socket()).header("X-Request-Id"));
         assertEquals(1, ends().size());
--- a/daemon/src/test/java/postgrade/daemon/LeavingTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LeavingTest.java
@@ -12,7 +12,7 @@
 import org.junit.After;
 import org.junit.Before;
 import org.junit.Test;
-import postgrade.Dispatcher.Outcome;
+import postgrade.policy.api.AttemptOutcome;
 
 /** A client that has left gets no attempt, in whatever moment and manner it goes. */
 public class LeavingTest extends Stage {
@@ -59,7 +59,7 @@
 
     /** All that was written has arrived when a later attempt has. */
     private void nothingWasSent() throws Exception {
-        turns.script.onJob = job -> turns.script.out.send(job.id(), "w1", 0);
+        turns.script.onJob = job -> turns.script.out.startAttempt(job.id(), "w1", 0);
         turns.post("last");
         assertEquals("last", one.next(ATTEMPT).header("X-Request-Id"));
         assertTrue(two.nothingArrived());
@@ -73,7 +73,7 @@
             turns.script.onJob =
                     job -> {
                         leave(way, client[0]);
-                        turns.script.out.send(job.id(), "w1", 0);
+                        turns.script.out.startAttempt(job.id(), "w1", 0);
                     };
             Turns.post(client[0], "a1");
             turns.script.hears("job a1");
@@ -87,12 +87,12 @@
     public void whoLeavesInTheTurnOfARepeatGetsNoFurtherAttempt() throws Exception {
         for (Way way : WAYS) {
             Socket client = turns.connect();
-            turns.script.onJob = job -> turns.script.out.send(job.id(), "w1", 0);
+            turns.script.onJob = job -> turns.script.out.startAttempt(job.id(), "w1", 0);
             turns.script.onFinished =
                     (id, outcome) -> {
-                        if (outcome == Outcome.FULL) {
+                        if (outcome == AttemptOutcome.FULL) {
                             leave(way, client);
-                            turns.script.out.send(id, "w2", 0);
+                            turns.script.out.startAttempt(id, "w2", 0);
                         }
                     };
             Turns.post(client, "r1");
@@ -107,7 +107,7 @@
 
     @Test
     public void anEndBehindMoreThanOneReadIsSeenBeforeTheAttempt() throws Exception {
-        turns.script.onJob = job -> turns.script.out.send(job.id(), "w1", 0);
+        turns.script.onJob = job -> turns.script.out.startAttempt(job.id(), "w1", 0);
         StringBuilder many = new StringBuilder();
         for (int i = 0; many.length() < 100_000; i++) { // A turn reads 64 KiB of it.
             many.append("POST /api HTTP/1.1\r\nX-Request-Id: m")
@@ -139,7 +139,7 @@
         turns.script.onJob =
                 job -> {
                     leave(Socket::close, client);
-                    turns.script.out.timer("next turn", 0);
+                    turns.script.out.startTimer("next turn", 0);
                 };
         turns.crossing(
                 SWEEPS_MILLIS,
@@ -162,7 +162,7 @@
                 sockets.add(new Socket(deaf.getInetAddress(), deaf.getLocalPort()));
             }
             turns.provider("w3", deaf.getInetAddress().getHostAddress(), deaf.getLocalPort());
-            turns.script.onJob = job -> turns.script.out.send(job.id(), "w3", 0);
+            turns.script.onJob = job -> turns.script.out.startAttempt(job.id(), "w3", 0);
             Socket client = turns.post("d1");
             turns.script.hears("job d1");
             turns.turn();
@@ -185,7 +185,7 @@
 
     @Test
     public void aBurstThatLeavesInOneTurnGetsNoAttempt() throws Exception {
-        turns.script.onJob = job -> turns.script.out.send(job.id(), "w1", 0);
+        turns.script.onJob = job -> turns.script.out.startAttempt(job.id(), "w1", 0);
         turns.post("warm");
         turns.script.hears("job warm");
         one.next(ATTEMPT).accept();
@@ -202,7 +202,7 @@
         turns.script.onJob =
                 job -> {
                     for (int i = 0; i < many; i++) {
-                        turns.script.out.send("b" + i, "w1", 0);
+                        turns.script.out.startAttempt("b" + i, "w1", 0);
                     }
                 };
         turns.crossing(
--- a/daemon/src/test/java/postgrade/daemon/OperatorTest.java
+++ b/daemon/src/test/java/postgrade/daemon/OperatorTest.java
@@ -69,11 +69,11 @@
         serveScripted(server("w1", one.address(), "ready"), server("w2", two.address(), "ready"));
         assertEquals(200, out("w1"));
         assertEquals(200, out("w1"));
-        script.hears("list CHANGES [w1 DRAINING]");
+        script.hears("list DELTA [w1 DRAINING]");
         Arrived watch = discovery.next("GET /api/targets?watch=1&from=41 ");
         Peer.write(watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         chunk(watch, json(42, false, server("w1", one.address(), "gone")));
-        script.hears("list CHANGES [w1 GONE]");
+        script.hears("list DELTA [w1 GONE]");
         chunk(
                 watch,
                 json(
@@ -82,13 +82,13 @@
                         server("w1", one.address(), "ready"),
                         server("w2", two.address(), "ready")));
         script.hears("list FULL [w1 DRAINING, w2 READY]");
-        script.onJob = job -> script.out.send(job.id(), "w1", 0);
+        script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
         post("m1", "price", "15000m");
         script.hears("job m1");
         script.hears("finished m1 0 NOT_SENT false");
         assertTrue(call("GET /status", "").body().contains("\"out\":[\"w1\"]"));
         assertEquals(200, back("w1"));
-        script.hears("list CHANGES [w1 READY]");
+        script.hears("list DELTA [w1 READY]");
         script.hears("recalled w1");
         assertEquals("not out, and no harm", 200, back("w1"));
         post("m2", "price", "15000m");
--- a/daemon/src/test/java/postgrade/daemon/ReloadTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ReloadTest.java
@@ -94,7 +94,7 @@
                         new Patience(20_000_000, 20_000_000, 0));
         daemon.start();
         script.heard.take();
-        script.onJob = job -> script.out.send(job.id(), "w1", 0);
+        script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
         Socket underWay = post("r1", "price", "15000m");
         script.hears("job r1");
         one.next("POST").accept();
@@ -144,14 +144,14 @@
             daemon.start();
             script.onJob =
                     job ->
-                            script.out.send(
+                            script.out.startAttempt(
                                     job.id(), job.id().startsWith("late") ? "late" : "w1", 0);
             Socket held = post("held", "price", "15000m");
             one.next("POST").accept();
             Socket waits = post("late1", "price", "15000m");
             script.hearsAmongOthers("job late1");
             watched(json(42, false, server("w1", one.address(), "draining")));
-            script.hears("list CHANGES [w1 DRAINING]");
+            script.hears("list DELTA [w1 DRAINING]");
             Files.writeString(
                     file,
                     Files.readString(file)
@@ -159,7 +159,7 @@
                             .replace("\"connIdleNs\":" + idleNs, "\"connIdleNs\":1000000000"));
             daemon.reload();
             script.hears("settings [quote, confirm]");
-            script.onFinished = (id, outcome) -> script.out.refuse(id, 0);
+            script.onFinished = (id, outcome) -> script.out.reject(id, 0);
             Socket next = post("next", "quote", "15000m");
             script.hears("job next");
             script.hears("finished next 0 NOT_SENT false");
--- a/daemon/src/test/java/postgrade/daemon/RestingTest.java
+++ b/daemon/src/test/java/postgrade/daemon/RestingTest.java
@@ -45,7 +45,7 @@
     @Test
     public void norForADeletes() throws Exception {
         Socket resting = taken("b1");
-        script.out.cancel("b1", 0);
+        script.out.cancelAttempt("b1", 0);
         turn();
         pass(20 * MILLI - 1);
         says(resting, TAKEN);
@@ -108,7 +108,7 @@
         turn();
         gateway.abandon(left);
         turn();
-        script.onJob = job -> script.out.send(job.id(), "w1", 0, 10 * MILLI * 1000);
+        script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0, 10 * MILLI * 1000);
         open("f3"); // May be written for 10 ms.
         turn();
         pass(20 * MILLI);
--- a/daemon/src/test/java/postgrade/daemon/Script.java
+++ b/daemon/src/test/java/postgrade/daemon/Script.java
@@ -9,24 +9,33 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import postgrade.Ability;
-import postgrade.Dispatcher;
+import postgrade.policy.api.AttemptOutcome;
+import postgrade.policy.api.DispatchPolicy;
+import postgrade.policy.api.Job;
+import postgrade.policy.api.JobClass;
+import postgrade.policy.api.JobConstraints;
+import postgrade.policy.api.LoadReport;
+import postgrade.policy.api.PolicyActions;
+import postgrade.policy.api.PolicySettings;
+import postgrade.policy.api.TransferredFigures;
+import postgrade.policy.api.WorkerInfo;
+import postgrade.policy.api.WorkerListForm;
 
 /**
  * A decision module that writes down what it hears and does what the test says. Runs on the loop's
  * thread.
  */
-final class Script implements Dispatcher {
-    final Actions out;
-    Ability ability;
+final class Script implements DispatchPolicy {
+    final PolicyActions out;
+    JobConstraints ability;
     volatile double lastShare = 1;
-    volatile List<Learnt> learnt = List.of();
+    volatile List<TransferredFigures> learnt = List.of();
     final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
     volatile Consumer<Job> onJob = job -> {};
     volatile BiConsumer<String, Integer> onStarted = (id, attempt) -> {};
-    volatile BiConsumer<String, Outcome> onFinished = (id, outcome) -> {};
+    volatile BiConsumer<String, AttemptOutcome> onFinished = (id, outcome) -> {};
 
-    Script(Actions out) {
+    Script(PolicyActions out) {
         this.out = out;
     }
 
@@ -46,7 +55,7 @@
     }
 
     @Override
-    public void list(long nowNs, ListForm form, List<Worker> workers) {
+    public void workersUpdated(long nowNs, WorkerListForm form, List<WorkerInfo> workers) {
         heard.add(
                 "list "
                         + form
@@ -55,39 +64,39 @@
     }
 
     @Override
-    public void recalled(long nowNs, String workerId) {
+    public void workerReenabled(long nowNs, String workerId) {
         heard.add("recalled " + workerId);
     }
 
     @Override
-    public List<Learnt> learnt(long nowNs) {
+    public List<TransferredFigures> exportFigures(long nowNs) {
         return learnt;
     }
 
     @Override
-    public void learn(long nowNs, List<Learnt> all) {
+    public void importFigures(long nowNs, List<TransferredFigures> all) {
         if (!all.isEmpty()) {
             heard.add(
                     "learn "
                             + all.stream()
                                     .map(
                                             l ->
-                                                    l.of()
+                                                    l.category()
                                                             + " "
                                                             + l.name()
                                                             + " "
-                                                            + Arrays.toString(l.figures()))
+                                                            + Arrays.toString(l.values()))
                                     .toList());
         }
     }
 
     @Override
-    public void ability(Ability a) {
+    public void constraintsChanged(JobConstraints a) {
         ability = a;
     }
 
     @Override
-    public void share(long nowNs, double part) {
+    public void shareChanged(long nowNs, double part) {
         lastShare = part;
         if (part != 1) { // Each start says that.
             heard.add("share " + part);
@@ -95,44 +104,49 @@
     }
 
     @Override
-    public void settings(long nowNs, Settings settings) {
+    public void settingsChanged(long nowNs, PolicySettings settings) {
         heard.add("settings " + settings.classes.stream().map(JobClass::name).toList());
     }
 
     @Override
-    public void job(long nowNs, Job job) {
+    public void jobArrived(long nowNs, Job job) {
         heard.add("job " + job.id());
         onJob.accept(job);
     }
 
     @Override
-    public void started(long nowNs, String jobId, int attempt) {
+    public void attemptStarted(long nowNs, String jobId, int attempt) {
         heard.add("started " + jobId + " " + attempt);
         onStarted.accept(jobId, attempt);
     }
 
     @Override
-    public void streaming(long nowNs, String jobId, int attempt) {}
+    public void attemptStreaming(long nowNs, String jobId, int attempt) {}
 
     @Override
-    public void finished(
-            long nowNs, String jobId, int attempt, Outcome outcome, boolean last, Load load) {
+    public void attemptFinished(
+            long nowNs,
+            String jobId,
+            int attempt,
+            AttemptOutcome outcome,
+            boolean last,
+            LoadReport load) {
         heard.add("finished " + jobId + " " + attempt + " " + outcome + " " + last);
         onFinished.accept(jobId, outcome);
     }
 
     @Override
-    public void probed(long nowNs, String workerId, boolean answered, Load load) {
+    public void workerProbed(long nowNs, String workerId, boolean answered, LoadReport load) {
         heard.add("probed " + workerId + " " + answered);
     }
 
     @Override
-    public void abandoned(long nowNs, String jobId) {
+    public void clientLeft(long nowNs, String jobId) {
         heard.add("abandoned " + jobId);
     }
 
     @Override
-    public void timer(long nowNs, String token) {
+    public void timerFired(long nowNs, String token) {
         heard.add("timer " + token);
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/ShutdownStage.java
+++ b/daemon/src/test/java/postgrade/daemon/ShutdownStage.java
@@ -36,7 +36,7 @@
         Path file = Path.of(configuration().get("ROUTER_CONFIG"));
         Files.writeString(file, Files.readString(file).replace("20000000000", "" + DEADLINE_NS));
         turns = new Turns(Config.read(Map.of("ROUTER_CONFIG", file.toString())), 64);
-        turns.script.onJob = job -> turns.script.out.refuse(job.id(), 0);
+        turns.script.onJob = job -> turns.script.out.reject(job.id(), 0);
     }
 
     @After
--- a/daemon/src/test/java/postgrade/daemon/ShutdownStagesTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ShutdownStagesTest.java
@@ -17,7 +17,7 @@
 
     private Socket sentOn(String id) throws Exception {
         turns.provider("w1", one);
-        turns.script.onJob = job -> turns.script.out.send(job.id(), "w1", 0);
+        turns.script.onJob = job -> turns.script.out.startAttempt(job.id(), "w1", 0);
         Socket client = turns.post(id);
         turns.script.hears("job " + id);
         return client;
@@ -43,7 +43,7 @@
         Socket client = turns.post("q1");
         turns.script.hears("job q1");
         stop(() -> {}, () -> {});
-        turns.on(() -> turns.script.out.send("q1", "w1", 0));
+        turns.on(() -> turns.script.out.startAttempt("q1", "w1", 0));
         one.next("POST").accept();
         answeredOnce(client, "q1");
     }
@@ -57,7 +57,7 @@
                         new Socket(deaf.getInetAddress(), deaf.getLocalPort())); // A full backlog.
             }
             turns.provider("w1", deaf.getInetAddress().getHostAddress(), deaf.getLocalPort());
-            turns.script.onJob = job -> turns.script.out.send(job.id(), "w1", 0);
+            turns.script.onJob = job -> turns.script.out.startAttempt(job.id(), "w1", 0);
             Socket client = turns.post("c1");
             turns.script.hears("job c1");
             stop(() -> {}, () -> {});
@@ -112,7 +112,7 @@
     @Test
     public void whatAClientReadsLateIsWrittenToTheLastByte() throws Exception {
         turns.provider("w1", one);
-        turns.script.onJob = job -> turns.script.out.send(job.id(), "w1", 0);
+        turns.script.onJob = job -> turns.script.out.startAttempt(job.id(), "w1", 0);
         String result = "x".repeat(60_000);
         Socket late = new Socket();
         late.setReceiveBufferSize(4096);
--- a/daemon/src/test/java/postgrade/daemon/StartTest.java
+++ b/daemon/src/test/java/postgrade/daemon/StartTest.java
@@ -22,20 +22,20 @@
                         out -> script = new Script(out),
                         new Patience(20_000_000, 20_000_000, startMicros));
         daemon.start();
-        script.hears("list STORED [w1 READY]");
-        script.onJob = job -> script.out.send(job.id(), "w1", 0);
+        script.hears("list CACHED [w1 READY]");
+        script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
     }
 
     @Test
     public void consumersWaitUntilDiscoveryHasSpoken() throws Exception {
         serve(20_000_000);
-        script.onFinished = (id, outcome) -> script.out.refuse(id, 0);
+        script.onFinished = (id, outcome) -> script.out.reject(id, 0);
         Socket consumer = post("b1", "price", "15000m");
         Arrived watch = discovery.next("GET /api/targets?watch=1&from=41 ");
         assertTrue("it waits in the backlog", script.heard.isEmpty());
         Peer.write(watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         chunk(watch, json(43, false, server("w1", one.address(), "draining")));
-        script.hears("list CHANGES [w1 DRAINING]");
+        script.hears("list DELTA [w1 DRAINING]");
         script.hears("job b1");
         script.hears("finished b1 0 NOT_SENT false");
         assertTrue(
--- a/daemon/src/test/java/postgrade/daemon/StoriesTest.java
+++ b/daemon/src/test/java/postgrade/daemon/StoriesTest.java
@@ -115,8 +115,8 @@
     @Test
     public void outcomesFollowTheProtocol() throws Exception {
         serveScripted(server("w1", one.address(), "ready"));
-        script.onJob = job -> script.out.send(job.id(), "w1", 0);
-        script.onFinished = (id, outcome) -> script.out.refuse(id, 1_500_000_000L);
+        script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
+        script.onFinished = (id, outcome) -> script.out.reject(id, 1_500_000_000L);
         String[][] stories = {
             {"500 Error", "ERROR"},
             {"503 Full\r\nX-Not-Run: 1", "FULL"},
@@ -163,7 +163,7 @@
     @Test
     public void whatAProviderCannotUseIsFailedAtOnceAndTriedNowhereElse() throws Exception {
         serveScripted(server("w1", one.address(), "ready"), server("w2", two.address(), "ready"));
-        script.onJob = job -> script.out.send(job.id(), "w1", 0);
+        script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
         Socket consumer = post("b1", "price", "15000m");
         one.next("POST").reply("400 Bad Request", "");
         assertEquals(502, Peer.read(consumer).status());
@@ -193,9 +193,9 @@
     @Test
     public void aCallIsEndedForTheModuleOnlyOnceItsDeleteIsAnswered() throws Exception {
         serveScripted(server("w1", one.address(), "ready"), server("w2", two.address(), "ready"));
-        script.onJob = job -> script.out.send(job.id(), "w1", 0);
-        script.onStarted = (id, attempt) -> script.out.cancel(id, attempt);
-        script.onFinished = (id, outcome) -> script.out.send(id, "w2", 0);
+        script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
+        script.onStarted = (id, attempt) -> script.out.cancelAttempt(id, attempt);
+        script.onFinished = (id, outcome) -> script.out.startAttempt(id, "w2", 0);
         Socket consumer = post("x1", "price", "15000m");
         one.next("POST").accept();
         callBack("x1", "w1", "started");
@@ -214,8 +214,8 @@
     @Test
     public void aCallThatIsNotYetTakenIsGivenUpByClosingAndADelete() throws Exception {
         serveScripted(server("w1", one.address(), "ready"));
-        script.onJob = job -> script.out.send(job.id(), "w1", 0);
-        script.onStarted = (id, attempt) -> script.out.cancel(id, attempt);
+        script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
+        script.onStarted = (id, attempt) -> script.out.cancelAttempt(id, attempt);
         post("x2", "price", "15000m");
         Arrived job = one.next("POST");
         callBack("x2", "w1", "started");
@@ -229,8 +229,8 @@
     @Test
     public void aDeleteThatIsCutOffIsSentAgainBeforeTheModuleHears() throws Exception {
         serveScripted(server("w1", one.address(), "ready"));
-        script.onJob = job -> script.out.send(job.id(), "w1", 0);
-        script.onStarted = (id, attempt) -> script.out.cancel(id, attempt);
+        script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
+        script.onStarted = (id, attempt) -> script.out.cancelAttempt(id, attempt);
         post("y1", "price", "15000m");
         one.next("POST").accept();
         callBack("y1", "w1", "started");
@@ -248,8 +248,8 @@
         serveScripted(server("w1", one.address(), "ready"), server("w2", two.address(), "ready"));
         script.onJob =
                 job -> {
-                    script.out.send(job.id(), "w1", 0);
-                    script.out.send(job.id(), "w2", 0);
+                    script.out.startAttempt(job.id(), "w1", 0);
+                    script.out.startAttempt(job.id(), "w2", 0);
                 };
         post("d1", "price", "15000m");
         one.next("POST").accept();
@@ -261,11 +261,11 @@
     @Test
     public void aLateCallBackOfAnEarlierCallToTheSameProviderDoesNotFreeTheNext() throws Exception {
         serveScripted(server("w1", one.address(), "ready"));
-        script.onJob = job -> script.out.send(job.id(), "w1", 0);
+        script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
         post("e1", "price", "15000m");
         one.next("POST").accept();
         script.hears("job e1");
-        script.onFinished = (id, outcome) -> script.out.send(id, "w1", 0);
+        script.onFinished = (id, outcome) -> script.out.startAttempt(id, "w1", 0);
         callBack("e1", "w1", "returned");
         script.hears("finished e1 0 FULL false");
         one.next("POST").accept();
@@ -286,11 +286,11 @@
             }
             String address = "127.0.0.1:" + deaf.getLocalPort();
             serveScripted(server("w1", address, "ready"));
-            script.onJob = job -> script.out.send(job.id(), "w1", 0);
+            script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
             post("w1", "price", "15000m");
             script.hears("job w1");
             watched(json(42, false, server("w1", address, "draining")));
-            script.hears("list CHANGES [w1 DRAINING]");
+            script.hears("list DELTA [w1 DRAINING]");
             script.hears("finished w1 0 NOT_SENT false");
             assertEquals("no provider is left", 503, ready());
         }
@@ -300,7 +300,7 @@
     public void aWatchThatEndsOrFallsSilentIsOpenedAgainFromTheLastVersion() throws Exception {
         serveScripted(server("w1", one.address(), "ready"));
         watched(json(43, false, server("w2", two.address(), "ready")));
-        script.hears("list CHANGES [w2 READY]");
+        script.hears("list DELTA [w2 READY]");
         Arrived again =
                 discovery.next("GET /api/targets?watch=1&from=43 "); // Silent after its line.
         again.breakOff();
@@ -320,7 +320,7 @@
                         server("w4", one.address(), "never heard of")));
         script.hears(
                 "list FULL [w2 READY, w4 DRAINING]"); // Entries that cannot be read hide no others.
-        script.onJob = job -> script.out.send(job.id(), "w1", 0);
+        script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
         post("l1", "price", "15000m");
         script.hears("job l1");
         script.hears("finished l1 0 NOT_SENT false"); // The whole list lacks w1.
@@ -346,7 +346,7 @@
                         out -> script = new Script(out),
                         new Patience(20_000_000, 20_000_000, 0));
         daemon.start();
-        script.hears("list STORED [w1 READY]");
+        script.hears("list CACHED [w1 READY]");
         Arrived former = discovery.next("GET /api/targets?watch=1&from=41 ");
         Peer.write(former.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         try (Peer next = new Peer()) {
@@ -355,7 +355,7 @@
             daemon.reload();
             Arrived whole = next.next("GET /api/targets ");
             chunk(former, json(42, false, server("w2", two.address(), "ready")));
-            script.hears("list CHANGES [w2 READY]");
+            script.hears("list DELTA [w2 READY]");
             assertEquals("served from the known list", 200, ready());
             whole.reply("200 OK", json(7, true, server("w2", two.address(), "draining")));
             script.hears("list FULL [w2 DRAINING]");
@@ -364,7 +364,7 @@
             assertSame(whole.socket(), watch.socket());
             Peer.write(watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             chunk(watch, json(8, false, server("w2", two.address(), "ready")));
-            script.hears("list CHANGES [w2 READY]");
+            script.hears("list DELTA [w2 READY]");
             watch.breakOff();
             next.next("GET /api/targets?watch=1&from=8 ");
             assertTrue(discovery.nothingArrived());
@@ -734,7 +734,7 @@
     @Test
     public void aStopServesOnAndInTheEndAnswersWhatCameTooLateToBeServed() throws Exception {
         serveScripted(server("w1", one.address(), "ready"));
-        script.onJob = job -> script.out.send(job.id(), "w1", 0);
+        script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
         Socket kept = post("z1", "price", "15000m");
         one.next("POST").accept();
         callBack("z1", "w1", "done");
--- a/daemon/src/test/java/postgrade/daemon/SystemCallsTest.java
+++ b/daemon/src/test/java/postgrade/daemon/SystemCallsTest.java
@@ -12,11 +12,11 @@
 import org.junit.After;
 import org.junit.Before;
 import org.junit.Test;
-import postgrade.Dispatcher.Outcome;
 import postgrade.daemon.Peer.Arrived;
 import postgrade.http.FailingCalls;
 import postgrade.http.FailingCalls.Call;
 import postgrade.http.FailingCalls.Failure;
+import postgrade.policy.api.AttemptOutcome;
 
 /** System calls that fail for a moment, are short or return early, at each point of a job's way. */
 public class SystemCallsTest extends Stage {
@@ -35,7 +35,7 @@
         turns = new Turns(Config.read(configuration()), 512, calls);
         turns.provider("w1", one);
         turns.provider("w2", two);
-        turns.script.onJob = job -> turns.script.out.send(job.id(), "w1", 0);
+        turns.script.onJob = job -> turns.script.out.startAttempt(job.id(), "w1", 0);
     }
 
     @After
@@ -76,8 +76,8 @@
             throws Exception {
         turns.script.onFinished =
                 (id, outcome) -> {
-                    if (outcome == Outcome.NO_SOCKET) {
-                        turns.script.out.send(id, "w2", 0);
+                    if (outcome == AttemptOutcome.NO_SOCKET) {
+                        turns.script.out.startAttempt(id, "w2", 0);
                     }
                 };
         int number = 0;
--- a/daemon/src/test/java/postgrade/daemon/UnsentTest.java
+++ b/daemon/src/test/java/postgrade/daemon/UnsentTest.java
@@ -38,7 +38,7 @@
                 sockets.add(new Socket(deaf.getInetAddress(), deaf.getLocalPort()));
             }
             serveScripted(server("w1", "127.0.0.1:" + deaf.getLocalPort(), "ready"));
-            script.onJob = job -> script.out.send(job.id(), "w1", 0);
+            script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
             script.onFinished = (id, outcome) -> script.out.fail(id);
             Socket consumer = post("d1", "confirm", "300m");
             script.hearsAmongOthers("job d1");
@@ -51,7 +51,7 @@
             refused(consumer);
             script.onJob =
                     job -> {
-                        script.out.send(job.id(), "w1", 0);
+                        script.out.startAttempt(job.id(), "w1", 0);
                         script.out.fail(job.id()); // Sooner.
                     };
             refused(post("d3", "confirm", "15000m"));
@@ -67,13 +67,14 @@
         serveScripted(server("w1", one.address(), "ready"));
         script.onJob =
                 job ->
-                        script.out.send(
+                        script.out.startAttempt(
                                 job.id(), "w1", 0, 0); // A connection comes up in a later turn.
         script.onFinished = (id, outcome) -> script.out.fail(id);
         Socket consumer = post("k1", "price", "15000m");
         script.hearsAmongOthers("finished k1 0 NOT_SENT false");
         refused(consumer);
-        script.onJob = job -> script.out.send(job.id(), "w1", 0, TimeUnit.MINUTES.toNanos(1));
+        script.onJob =
+                job -> script.out.startAttempt(job.id(), "w1", 0, TimeUnit.MINUTES.toNanos(1));
         post("k2", "price", "15000m");
         assertEquals(
                 "the first one left nothing behind", "k2", one.next("POST").header("X-Request-Id"));
@@ -82,7 +83,7 @@
     @Test
     public void whatAWorkerHasHadMayHaveRunAndIsFailed() throws Exception {
         serveScripted(server("w1", one.address(), "ready"));
-        script.onJob = job -> script.out.send(job.id(), "w1", 0);
+        script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
         script.onFinished = (id, outcome) -> script.out.fail(id);
         Socket consumer = post("s1", "confirm", "300m");
         one.next("POST"); // Silent on it.
@@ -113,12 +114,12 @@
         Peer.write(watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         for (int turn = 0; turn < 2; turn++) { // By the second one the listener has come to it.
             chunk(watch, json(42 + turn, false, server("w2", two.address(), "ready")));
-            script.hearsAmongOthers("list CHANGES [w2 READY]");
+            script.hearsAmongOthers("list DELTA [w2 READY]");
         }
         script.onJob =
                 job -> {
-                    script.out.refuse(job.id(), 0);
-                    script.out.refuse("busy0", 0);
+                    script.out.reject(job.id(), 0);
+                    script.out.reject("busy0", 0);
                 };
         sockets.get(1).close(); // Its place is free.
         script.hearsAmongOthers("abandoned busy1");
--- a/sharing/src/main/java/postgrade/sharing/All.java
+++ b/sharing/src/main/java/postgrade/sharing/All.java
@@ -1,36 +1,36 @@
 package postgrade.sharing;
 
 import java.util.List;
-import postgrade.Ability;
-import postgrade.Dispatcher.Job;
-import postgrade.Dispatcher.Worker;
+import postgrade.policy.api.Job;
+import postgrade.policy.api.JobConstraints;
+import postgrade.policy.api.WorkerInfo;
 
 /**
  * Several that have a say: a job starts when all let it, and a worker is as small as all of them
  * make it together.
  */
-final class All implements Ability {
+final class All implements JobConstraints {
 
-    private final List<Ability> abilities;
+    private final List<JobConstraints> abilities;
 
-    All(List<Ability> abilities) {
+    All(List<JobConstraints> abilities) {
         this.abilities = List.copyOf(abilities);
     }
 
     @Override
-    public long opensInNs(long nowNs, Job job) {
+    public long startsInNs(long nowNs, Job job) {
         long latest = 0;
-        for (Ability a : abilities) {
-            latest = Math.max(latest, a.opensInNs(nowNs, job));
+        for (JobConstraints a : abilities) {
+            latest = Math.max(latest, a.startsInNs(nowNs, job));
         }
         return latest;
     }
 
     @Override
-    public double part(long nowNs, Job job, Worker worker) {
+    public double usableShare(long nowNs, Job job, WorkerInfo worker) {
         double part = 1;
         for (int i = 0; i < abilities.size() && part > 0; i++) {
-            part *= abilities.get(i).part(nowNs, job, worker);
+            part *= abilities.get(i).usableShare(nowNs, job, worker);
         }
         return part;
     }
--- a/sharing/src/main/java/postgrade/sharing/Shared.java
+++ b/sharing/src/main/java/postgrade/sharing/Shared.java
@@ -7,10 +7,6 @@
 import java.util.concurrent.Executor;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import postgrade.Ability;
-import postgrade.Dispatcher.Outcome;
-import postgrade.Dispatcher.Settings;
-import postgrade.Dispatcher.Tenant;
 import postgrade.comeback.Memory;
 import postgrade.comeback.Recovery;
 import postgrade.companion.Companion;
@@ -26,6 +22,10 @@
 import postgrade.member.OutPart;
 import postgrade.member.Terms;
 import postgrade.operator.Further;
+import postgrade.policy.api.AttemptOutcome;
+import postgrade.policy.api.JobConstraints;
+import postgrade.policy.api.PolicySettings;
+import postgrade.policy.api.Tenant;
 import postgrade.shared.Part;
 import postgrade.shared.View;
 import postgrade.sharing.calls.CalendarCalls;
@@ -72,7 +72,7 @@
     private final Calls calls;
     private final Reserving reserving;
     private final Opening opening;
-    private final Ability ability;
+    private final JobConstraints ability;
     private final Connecting connecting;
     private final boolean remembers;
     private final List<Runnable> ticking;
@@ -169,9 +169,9 @@
         tick();
     }
 
-    private static Terms terms(SharingSettings s, Settings dispatchers) {
+    private static Terms terms(SharingSettings s, PolicySettings dispatchers) {
         return new Terms(
-                s.places() == 0 ? dispatchers.gateways : s.places(),
+                s.places() == 0 ? dispatchers.dispatcherCount : s.places(),
                 s.leaseMicros(),
                 s.lingerMicros(),
                 s.floorShare());
@@ -240,12 +240,12 @@
 
     /** Of jobs within the tenants' shares, at this process. */
     private double ratePerS() {
-        Settings s = host.settings();
+        PolicySettings s = host.settings();
         double all = 0;
         for (Tenant t : s.tenants) {
             all += t.ratePerS();
         }
-        return all / s.gateways * session.factor();
+        return all / s.dispatcherCount * session.factor();
     }
 
     private void look() {
@@ -273,7 +273,7 @@
     }
 
     @Override
-    public Ability ability() {
+    public JobConstraints ability() {
         return ability;
     }
 
@@ -297,9 +297,9 @@
             }
 
             @Override
-            public void ended(String jobClass, Outcome outcome, long ranMicros) {
+            public void ended(String jobClass, AttemptOutcome outcome, long ranMicros) {
                 progress.ended(jobClass, outcome, ranMicros);
-                if (outcome == Outcome.SERVED) {
+                if (outcome == AttemptOutcome.SERVED) {
                     opening.ran(jobClass, ranMicros);
                 }
             }
@@ -320,15 +320,18 @@
 
     /** What the workers can do now, as a part of what they can once all are warm. */
     private double able() {
-        Settings s = host.settings();
-        long warmMillis = s.warmWithinNs / 1_000_000;
+        PolicySettings s = host.settings();
+        long warmMillis = s.slowStartNs / 1_000_000;
         double able = 0;
         double all = 0;
         for (Host.Known w : host.workers()) {
             double size = w.weight() > 0 ? w.weight() : 1;
             long upMillis = host.unixMillis().getAsLong() - w.startedMillis();
             all += size;
-            able += w.startedMillis() == 0 || upMillis >= warmMillis ? size : size * s.coldShare;
+            able +=
+                    w.startedMillis() == 0 || upMillis >= warmMillis
+                            ? size
+                            : size * s.slowStartInitialShare;
         }
         return able / all;
     }
--- a/sharing/src/main/java/postgrade/sharing/lease/Reserving.java
+++ b/sharing/src/main/java/postgrade/sharing/lease/Reserving.java
@@ -6,14 +6,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import postgrade.Ability;
-import postgrade.Dispatcher.Effect;
-import postgrade.Dispatcher.Phase;
-import postgrade.Dispatcher.Worker;
 import postgrade.companion.Host;
 import postgrade.lease.Fleet;
 import postgrade.lease.LeaseAbility;
 import postgrade.lease.Times;
+import postgrade.policy.api.Idempotency;
+import postgrade.policy.api.JobConstraints;
+import postgrade.policy.api.WorkerInfo;
+import postgrade.policy.api.WorkerPhase;
 import postgrade.shared.Command;
 import postgrade.shared.Sharing;
 import postgrade.shared.View;
@@ -52,8 +52,8 @@
         this.host = host;
         this.sharing = sharing;
         this.accelerators = accelerators;
-        Map<String, Effect> effects = new HashMap<>();
-        host.settings().classes.forEach(c -> effects.put(c.name(), c.effect()));
+        Map<String, Idempotency> effects = new HashMap<>();
+        host.settings().classes.forEach(c -> effects.put(c.name(), c.idempotency()));
         ability =
                 new LeaseAbility(
                         sharing::view,
@@ -61,7 +61,7 @@
                         new LeaseAbility.Rules(reserving, effects, lends));
     }
 
-    public Ability ability() {
+    public JobConstraints ability() {
         return ability;
     }
 
@@ -83,16 +83,16 @@
             return;
         }
         dueMicros = now + EVERY_MICROS;
-        List<Worker> workers = new ArrayList<>();
+        List<WorkerInfo> workers = new ArrayList<>();
         Set<String> out = new HashSet<>();
         for (Host.Known w : host.workers()) {
             workers.add(
-                    new Worker(
+                    new WorkerInfo(
                             w.id(),
                             w.zone(),
                             w.kind(),
                             0,
-                            w.ready() ? Phase.READY : Phase.DRAINING,
+                            w.ready() ? WorkerPhase.READY : WorkerPhase.DRAINING,
                             w.weight(),
                             w.startedMillis() * 1_000_000));
             if (w.out()) {
--- a/sharing/src/main/java/postgrade/sharing/memory/Keeper.java
+++ b/sharing/src/main/java/postgrade/sharing/memory/Keeper.java
@@ -14,10 +14,10 @@
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import postgrade.Dispatcher.Learnt;
 import postgrade.comeback.Memory;
 import postgrade.companion.Host;
 import postgrade.log.Events;
+import postgrade.policy.api.TransferredFigures;
 
 /**
  * Keeps what this process learns, and tells the module at its start what a former one had learnt.
@@ -85,7 +85,7 @@
         if (memory == null || host.tookOver()) {
             return null;
         }
-        boolean ended = memory.figures().stream().anyMatch(f -> f.learnt().of().equals(UP));
+        boolean ended = memory.figures().stream().anyMatch(f -> f.learnt().category().equals(UP));
         if (ended && !unmark(memory)) {
             memory = with(memory, unmarked(memory));
         }
@@ -93,7 +93,7 @@
         List<Memory.Figure> workers = new ArrayList<>();
         for (Memory.Figure f : memory.figures()) {
             // That the sends are all there counts no sooner than the sends.
-            (ofWorker(f.learnt()) || f.learnt().of().equals(UP) ? workers : others).add(f);
+            (ofWorker(f.learnt()) || f.learnt().category().equals(UP) ? workers : others).add(f);
         }
         host.learn(with(memory, others).trusted(unixMicros(), Map.of()));
         ofWorkers = workers.isEmpty() ? null : with(memory, workers);
@@ -110,7 +110,7 @@
     }
 
     private static List<Memory.Figure> unmarked(Memory m) {
-        return m.figures().stream().filter(f -> !f.learnt().of().equals(UP)).toList();
+        return m.figures().stream().filter(f -> !f.learnt().category().equals(UP)).toList();
     }
 
     /**
@@ -130,13 +130,13 @@
     public static Set<String> out(Memory memory) {
         Set<String> all = new HashSet<>();
         memory.figures().stream()
-                .filter(f -> f.learnt().of().equals(OUT))
+                .filter(f -> f.learnt().category().equals(OUT))
                 .forEach(f -> all.add(f.learnt().name()));
         return all;
     }
 
-    private static boolean ofWorker(Learnt l) {
-        return l.of().equals(WORKER) || l.of().equals(COLD);
+    private static boolean ofWorker(TransferredFigures l) {
+        return l.category().equals(WORKER) || l.category().equals(COLD);
     }
 
     private static Memory with(Memory m, List<Memory.Figure> figures) {
@@ -183,7 +183,13 @@
                         host.name(), unixMicros(), served.getAsDouble(), host.learnt(), started());
         List<Memory.Figure> all = new ArrayList<>();
         // First, so that no bound cuts them off.
-        out.get().forEach(w -> all.add(new Memory.Figure(new Learnt(OUT, w, new double[] {0}), 0)));
+        out.get()
+                .forEach(
+                        w ->
+                                all.add(
+                                        new Memory.Figure(
+                                                new TransferredFigures(OUT, w, new double[] {0}),
+                                                0)));
         all.addAll(m.figures());
         return with(m, all);
     }
--- a/sharing/src/main/java/postgrade/sharing/pace/Connecting.java
+++ b/sharing/src/main/java/postgrade/sharing/pace/Connecting.java
@@ -3,18 +3,18 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Set;
-import postgrade.Ability;
-import postgrade.Dispatcher.Job;
-import postgrade.Dispatcher.Worker;
 import postgrade.comeback.Openings;
 import postgrade.companion.Host;
+import postgrade.policy.api.Job;
+import postgrade.policy.api.JobConstraints;
+import postgrade.policy.api.WorkerInfo;
 
 /**
  * Paces new connections to workers. A worker without one is passed over until its gate opens, as
  * long as another that has one can take the job; a job waits for that once, to the module's next
  * look, and never longer.
  */
-public final class Connecting implements Ability {
+public final class Connecting implements JobConstraints {
 
     /** A worker that holds fewer of our calls can take one more. */
     private static final int FEW = 2;
@@ -46,7 +46,7 @@
     public Connecting(Host host, double multiple, Set<String> bound) {
         this.host = host;
         this.bound = Set.copyOf(bound);
-        int places = Math.max(1, host.settings().gateways);
+        int places = Math.max(1, host.settings().dispatcherCount);
         openings =
                 new Openings(
                         places,
@@ -68,7 +68,7 @@
     }
 
     @Override
-    public double part(long nowNs, Job job, Worker worker) {
+    public double usableShare(long nowNs, Job job, WorkerInfo worker) {
         return bound.contains(job.jobClass())
                         || host.connected(worker.id())
                         || openings.open(host.timers().nowMicros(), worker.id())
--- a/sharing/src/main/java/postgrade/sharing/progress/Admission.java
+++ b/sharing/src/main/java/postgrade/sharing/progress/Admission.java
@@ -2,17 +2,17 @@
 
 import java.util.function.DoubleSupplier;
 import java.util.function.LongSupplier;
-import postgrade.Ability;
-import postgrade.Dispatcher.Job;
 import postgrade.comeback.Crowd;
 import postgrade.comeback.Ramp;
 import postgrade.comeback.Returning;
+import postgrade.policy.api.Job;
+import postgrade.policy.api.JobConstraints;
 
 /**
  * While workers are cold after a return, takes in what they can do; the rest is told to come later,
  * spread out.
  */
-public final class Admission implements Ability {
+public final class Admission implements JobConstraints {
 
     private static final double NANOS = 1e3;
     private static final long LEAST_MICROS = 300_000;
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public long opensInNs(long nowNs, Job job) {
+    public long startsInNs(long nowNs, Job job) {
         Ramp ramp = progress.ramp();
         long now = nowMicros.getAsLong();
         if (ramp == null || ramp.part(now) >= 1) {
--- a/sharing/src/main/java/postgrade/sharing/progress/Progress.java
+++ b/sharing/src/main/java/postgrade/sharing/progress/Progress.java
@@ -7,9 +7,6 @@
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import postgrade.Dispatcher.JobClass;
-import postgrade.Dispatcher.Learnt;
-import postgrade.Dispatcher.Outcome;
 import postgrade.comeback.Phase;
 import postgrade.comeback.Ramp;
 import postgrade.comeback.Recovery;
@@ -19,6 +16,9 @@
 import postgrade.companion.Host;
 import postgrade.gateway.Witness;
 import postgrade.log.Events;
+import postgrade.policy.api.AttemptOutcome;
+import postgrade.policy.api.JobClass;
+import postgrade.policy.api.TransferredFigures;
 
 /**
  * Measures how far this process has come back, by what is served, and says so in the log and to
@@ -126,10 +126,10 @@
         Map<String, JobClass> byName = new HashMap<>();
         host.settings().classes.forEach(c -> byName.put(c.name(), c));
         classes = byName;
-        if (classes.values().stream().anyMatch(c -> c.aimStretch() > 0)) {
-            for (Learnt l : host.learnt()) {
-                if (l.of().equals("class") && l.figures().length > 0) {
-                    meanMicros.put(l.name(), l.figures()[0] / NANOS);
+        if (classes.values().stream().anyMatch(c -> c.objectivePerServiceTime() > 0)) {
+            for (TransferredFigures l : host.learnt()) {
+                if (l.category().equals("class") && l.values().length > 0) {
+                    meanMicros.put(l.name(), l.values()[0] / NANOS);
                 }
             }
         }
@@ -140,15 +140,16 @@
         JobClass c = classes.get(jobClass);
         if (c != null) {
             double aim =
-                    c.aimNs() / NANOS + c.aimStretch() * meanMicros.getOrDefault(jobClass, 0.0);
-            worth.add(host.timers().nowMicros(), c.worth(), served && afterMicros <= aim);
+                    c.latencyObjectiveNs() / NANOS
+                            + c.objectivePerServiceTime() * meanMicros.getOrDefault(jobClass, 0.0);
+            worth.add(host.timers().nowMicros(), c.priorityWeight(), served && afterMicros <= aim);
         }
     }
 
     @Override
-    public void ended(String jobClass, Outcome outcome, long ranMicros) {
-        if (ramp != null && (outcome == Outcome.FULL || outcome == Outcome.SERVED)) {
-            ramp.answered(outcome == Outcome.FULL);
+    public void ended(String jobClass, AttemptOutcome outcome, long ranMicros) {
+        if (ramp != null && (outcome == AttemptOutcome.FULL || outcome == AttemptOutcome.SERVED)) {
+            ramp.answered(outcome == AttemptOutcome.FULL);
         }
     }
 
--- a/sharing/src/main/java/postgrade/sharing/window/Opening.java
+++ b/sharing/src/main/java/postgrade/sharing/window/Opening.java
@@ -6,11 +6,11 @@
 import java.util.concurrent.Executor;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import postgrade.Ability;
 import postgrade.calendar.CalendarCheck;
 import postgrade.companion.Host;
 import postgrade.gateway.Claims;
 import postgrade.log.Events;
+import postgrade.policy.api.JobConstraints;
 import postgrade.shared.Sharing;
 import postgrade.window.Calendars;
 import postgrade.window.FaultyCalendar;
@@ -63,7 +63,7 @@
         tick();
     }
 
-    public Ability ability() {
+    public JobConstraints ability() {
         return ability;
     }
 
--- a/sharing/src/test/java/postgrade/sharing/ConnectingTest.java
+++ b/sharing/src/test/java/postgrade/sharing/ConnectingTest.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.Set;
 import org.junit.Test;
-import postgrade.Dispatcher.Job;
-import postgrade.Dispatcher.Phase;
-import postgrade.Dispatcher.Worker;
+import postgrade.policy.api.Job;
+import postgrade.policy.api.WorkerInfo;
+import postgrade.policy.api.WorkerPhase;
 import postgrade.sharing.pace.Connecting;
 
 /** New connections to workers are paced, and no job waits for one longer than to the next look. */
@@ -28,8 +28,8 @@
     private final Connecting connecting = new Connecting(host, 2, Set.of("confirm"));
     private int jobs;
 
-    private static Worker worker(int i) {
-        return new Worker("w" + i, "a", "m", 0, Phase.READY, 1, 0);
+    private static WorkerInfo worker(int i) {
+        return new WorkerInfo("w" + i, "a", "m", 0, WorkerPhase.READY, 1, 0);
     }
 
     private Job job(String jobClass) {
@@ -37,7 +37,7 @@
     }
 
     private double part(Job job, int w) {
-        return connecting.part(host.nowMicros() * 1000, job, worker(w));
+        return connecting.usableShare(host.nowMicros() * 1000, job, worker(w));
     }
 
     /** A job every 10 ms goes to some worker that is able for it, as the module would send it. */
--- a/sharing/src/test/java/postgrade/sharing/FakeHost.java
+++ b/sharing/src/test/java/postgrade/sharing/FakeHost.java
@@ -9,13 +9,13 @@
 import java.util.TreeSet;
 import java.util.concurrent.Executor;
 import java.util.function.LongSupplier;
-import postgrade.Dispatcher.Effect;
-import postgrade.Dispatcher.JobClass;
-import postgrade.Dispatcher.Learnt;
-import postgrade.Dispatcher.Settings;
-import postgrade.Dispatcher.Tenant;
 import postgrade.companion.Host;
 import postgrade.gateway.Timers;
+import postgrade.policy.api.Idempotency;
+import postgrade.policy.api.JobClass;
+import postgrade.policy.api.PolicySettings;
+import postgrade.policy.api.Tenant;
+import postgrade.policy.api.TransferredFigures;
 
 /** A dispatcher on virtual time, of which only what its companion sees is there. */
 final class FakeHost implements Host, Timers {
@@ -37,8 +37,8 @@
     boolean alone = true;
     boolean tookOver;
     String former = "";
-    List<Learnt> learnt = List.of();
-    final List<Learnt> told = new ArrayList<>();
+    List<TransferredFigures> learnt = List.of();
+    final List<TransferredFigures> told = new ArrayList<>();
     final Map<String, Known> workers = new LinkedHashMap<>();
     final Set<String> out = new TreeSet<>();
     final Set<String> connected = new TreeSet<>();
@@ -76,13 +76,13 @@
     }
 
     @Override
-    public Settings settings() {
-        return Settings.builder()
-                .gateways(2)
+    public PolicySettings settings() {
+        return PolicySettings.builder()
+                .dispatcherCount(2)
                 .classes(
                         List.of(
-                                JobClass.of("price", Effect.SAFE),
-                                JobClass.of("confirm", Effect.UNSAFE)))
+                                JobClass.of("price", Idempotency.IDEMPOTENT),
+                                JobClass.of("confirm", Idempotency.NOT_IDEMPOTENT)))
                 .tenants(List.of(new Tenant("t", 100)))
                 .build();
     }
@@ -120,12 +120,12 @@
     }
 
     @Override
-    public List<Learnt> learnt() {
+    public List<TransferredFigures> learnt() {
         return learnt;
     }
 
     @Override
-    public void learn(List<Learnt> all) {
+    public void learn(List<TransferredFigures> all) {
         told.addAll(all);
     }
 
--- a/sharing/src/test/java/postgrade/sharing/MemoryTest.java
+++ b/sharing/src/test/java/postgrade/sharing/MemoryTest.java
@@ -19,9 +19,9 @@
 import org.junit.Rule;
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
-import postgrade.Dispatcher.Learnt;
 import postgrade.comeback.Memory;
 import postgrade.log.EventLogs;
+import postgrade.policy.api.TransferredFigures;
 import postgrade.sharing.memory.Keeper;
 import postgrade.sharing.memory.MemoryFile;
 
@@ -53,10 +53,12 @@
         host.worker("w2", 2000);
         host.learnt =
                 List.of(
-                        new Learnt("class", "price", new double[] {5e6, 100, 1}),
-                        new Learnt("worker", "w1", new double[] {1, 0, 0, 1.5, 9, 0, 0, 0, 0}),
-                        new Learnt("worker", "w2", new double[] {2, 0, 0, 1.5, 9, 0, 0, 0, 0}),
-                        new Learnt("tenant", "t", new double[] {3, 50, 0, 0}));
+                        new TransferredFigures("class", "price", new double[] {5e6, 100, 1}),
+                        new TransferredFigures(
+                                "worker", "w1", new double[] {1, 0, 0, 1.5, 9, 0, 0, 0, 0}),
+                        new TransferredFigures(
+                                "worker", "w2", new double[] {2, 0, 0, 1.5, 9, 0, 0, 0, 0}),
+                        new TransferredFigures("tenant", "t", new double[] {3, 50, 0, 0}));
         return host;
     }
 
@@ -81,8 +83,8 @@
         assertNull(keeper.fault());
     }
 
-    private static List<String> names(List<Learnt> all) {
-        return all.stream().map(l -> l.of() + " " + l.name()).toList();
+    private static List<String> names(List<TransferredFigures> all) {
+        return all.stream().map(l -> l.category() + " " + l.name()).toList();
     }
 
     @Test
@@ -97,11 +99,10 @@
         assertEquals(0.9, memory.served(), 0);
         assertEquals(Set.of("w9"), Keeper.out(memory));
         assertEquals(List.of("class price", "tenant t"), names(later.told));
-        assertEquals("as they were", 3, later.told.get(1).figures()[0], 0);
+        assertEquals("as they were", 3, later.told.get(1).values()[0], 0);
+        assertEquals("and the time since for the refill", 60e9, later.told.get(1).values()[3], 1e9);
         assertEquals(
-                "and the time since for the refill", 60e9, later.told.get(1).figures()[3], 1e9);
-        assertEquals(
-                "half of what was seen a minute ago counts", 50, later.told.get(0).figures()[1], 1);
+                "half of what was seen a minute ago counts", 50, later.told.get(0).values()[1], 1);
         later.worker("w1", 1000);
         later.worker("w2", 9000);
         keeper.listed();
@@ -118,8 +119,8 @@
         FakeHost host = host();
         host.learnt =
                 List.of(
-                        new Learnt("cold", "w1", new double[] {1e8, 2e8}),
-                        new Learnt("up", "", new double[] {5e9}));
+                        new TransferredFigures("cold", "w1", new double[] {1e8, 2e8}),
+                        new TransferredFigures("up", "", new double[] {5e9}));
         Keeper first = keeper(host);
         first.close();
         for (List<String> told : List.of(List.of("cold w1", "up "), List.of("cold w1"))) {
@@ -141,7 +142,7 @@
         assertEquals(
                 List.of("cold", "out"),
                 file().read(host.unixMillis * 1000).figures().stream()
-                        .map(f -> f.learnt().of())
+                        .map(f -> f.learnt().category())
                         .sorted()
                         .toList());
     }
--- a/sharing/src/test/java/postgrade/sharing/PlanHeadersTest.java
+++ b/sharing/src/test/java/postgrade/sharing/PlanHeadersTest.java
@@ -11,12 +11,12 @@
 import java.util.Set;
 import org.junit.Before;
 import org.junit.Test;
-import postgrade.Ability;
-import postgrade.Dispatcher.Job;
-import postgrade.Dispatcher.Phase;
-import postgrade.Dispatcher.Worker;
 import postgrade.gateway.Claims;
 import postgrade.member.Terms;
+import postgrade.policy.api.Job;
+import postgrade.policy.api.JobConstraints;
+import postgrade.policy.api.WorkerInfo;
+import postgrade.policy.api.WorkerPhase;
 import postgrade.sharing.settings.SharingSettings;
 import postgrade.sharing.window.WindowSettings;
 import postgrade.window.Deadline;
@@ -103,7 +103,7 @@
     /** When a job with these headers opens, in seconds from now. */
     private double opens(String id, String jobClass, String... namesAndValues) {
         shared.claims().read(jobClass, headers(namesAndValues)::get).accept(id);
-        return shared.ability().opensInNs(host.nowMicros() * 1000, job(id, jobClass))
+        return shared.ability().startsInNs(host.nowMicros() * 1000, job(id, jobClass))
                 / (double) SECOND_NS;
     }
 
@@ -113,10 +113,10 @@
 
     private double part(String id, String jobClass, String zone) {
         return shared.ability()
-                .part(
+                .usableShare(
                         host.nowMicros() * 1000,
                         job(id, jobClass),
-                        new Worker("w" + zone, zone, "m", 0, Phase.READY, 1, 0));
+                        new WorkerInfo("w" + zone, zone, "m", 0, WorkerPhase.READY, 1, 0));
     }
 
     @Test
@@ -256,6 +256,10 @@
                         "x-window-lasts",
                         "x-window-sites"),
                 read.names());
-        assertEquals("and no claim, no plan", 0, Ability.ALL.opensInNs(0, job("x", "price")), 0);
+        assertEquals(
+                "and no claim, no plan",
+                0,
+                JobConstraints.NONE.startsInNs(0, job("x", "price")),
+                0);
     }
 }
--- a/sharing/src/test/java/postgrade/sharing/SharedTest.java
+++ b/sharing/src/test/java/postgrade/sharing/SharedTest.java
@@ -12,11 +12,11 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.Test;
-import postgrade.Ability;
-import postgrade.Dispatcher.Job;
-import postgrade.Dispatcher.Phase;
-import postgrade.Dispatcher.Worker;
 import postgrade.member.Terms;
+import postgrade.policy.api.Job;
+import postgrade.policy.api.JobConstraints;
+import postgrade.policy.api.WorkerInfo;
+import postgrade.policy.api.WorkerPhase;
 import postgrade.sharing.settings.SharingSettings;
 import postgrade.sharing.window.WindowSettings;
 import postgrade.window.Deadline;
@@ -241,15 +241,18 @@
         run(SECOND);
         assertEquals(
                 1, call(a, "GET", "/reservations", "").json.get("reservations").asArray().size());
-        Worker w1 = new Worker("w1", "a", "m", 0, Phase.READY, 1, 0);
+        WorkerInfo w1 = new WorkerInfo("w1", "a", "m", 0, WorkerPhase.READY, 1, 0);
         Job own = new Job("1", "price", "shop", null, 1, 1, 0);
         Job other = new Job("2", "price", "t", null, 1, 1, 0);
         Job confirm = new Job("3", "confirm", "t", null, 1, 1, 0);
-        Ability ability = all.get(a).ability();
-        assertEquals(1, ability.part(a.nowMicros() * 1000, own, w1), 0);
-        assertEquals(0.25, ability.part(a.nowMicros() * 1000, other, w1), 0);
+        JobConstraints ability = all.get(a).ability();
+        assertEquals(1, ability.usableShare(a.nowMicros() * 1000, own, w1), 0);
+        assertEquals(0.25, ability.usableShare(a.nowMicros() * 1000, other, w1), 0);
         assertEquals(
-                "never depends on sharing", 1, ability.part(a.nowMicros() * 1000, confirm, w1), 0);
+                "never depends on sharing",
+                1,
+                ability.usableShare(a.nowMicros() * 1000, confirm, w1),
+                0);
         assertEquals("7=" + got.json.get("fence"), all.get(a).fence("price", "shop", "w1"));
         assertEquals(null, all.get(a).fence("price", "t", "w1"));
         quorum.cutOff.add("a");
@@ -305,11 +308,11 @@
                 start("a", settings(windows)); // It is 2027-01-15 08:00 UTC, 9 o'clock in Zagreb.
         FakeHost b = start("b", settings(windows));
         run(2 * SECOND);
-        Ability ability = all.get(a).ability();
+        JobConstraints ability = all.get(a).ability();
         Job job = new Job("1", "price", "t", null, 1, 1, 0);
         Job free = new Job("2", "confirm", "t", null, 1, 1, 0);
-        assertTrue(ability.opensInNs(a.nowMicros() * 1000, job) > 0);
-        assertEquals(0, ability.opensInNs(a.nowMicros() * 1000, free));
+        assertTrue(ability.startsInNs(a.nowMicros() * 1000, job) > 0);
+        assertEquals(0, ability.startsInNs(a.nowMicros() * 1000, free));
         assertEquals(503, call(b, "POST", "/windows", "{'class':'price'}").status);
         Answered bad =
                 call(
@@ -326,35 +329,39 @@
                 call(b, "PUT", "/calendar", calendar("20270115T090200", "20270115T093000", ""))
                         .status);
         run(SECOND);
-        assertEquals(0, ability.opensInNs(a.nowMicros() * 1000, job));
+        assertEquals(0, ability.startsInNs(a.nowMicros() * 1000, job));
         assertEquals(
                 1,
-                ability.part(
-                        a.nowMicros() * 1000, job, new Worker("w", "a", "m", 0, Phase.READY, 1, 0)),
+                ability.usableShare(
+                        a.nowMicros() * 1000,
+                        job,
+                        new WorkerInfo("w", "a", "m", 0, WorkerPhase.READY, 1, 0)),
                 0);
         assertEquals(
                 0,
-                ability.part(
-                        a.nowMicros() * 1000, job, new Worker("w", "b", "m", 0, Phase.READY, 1, 0)),
+                ability.usableShare(
+                        a.nowMicros() * 1000,
+                        job,
+                        new WorkerInfo("w", "b", "m", 0, WorkerPhase.READY, 1, 0)),
                 0);
         JsonObject open = call(a, "POST", "/windows", "{'class':'price'}").json;
         assertEquals("2027-01-15T08:00:59.001Z", open.getString("closes", ""));
         run(60 * SECOND);
         assertTrue(
                 "it would run into the maintenance",
-                ability.opensInNs(a.nowMicros() * 1000, job) > 0);
+                ability.startsInNs(a.nowMicros() * 1000, job) > 0);
         JsonObject closed = call(a, "POST", "/windows", "{'class':'price'}").json;
         assertEquals("2027-01-15T08:30:01Z", closed.getString("opens", ""));
         assertEquals(
                 "maintenance",
                 closed.get("exclusions").asArray().get(0).asObject().getString("reason", ""));
         run(1800 * SECOND);
-        assertEquals(0, ability.opensInNs(a.nowMicros() * 1000, job));
+        assertEquals(0, ability.startsInNs(a.nowMicros() * 1000, job));
         quorum.cutOff.add("a");
         run(6 * SECOND);
         assertTrue(
                 "another calendar may count by now",
-                ability.opensInNs(a.nowMicros() * 1000, job) > 0);
+                ability.startsInNs(a.nowMicros() * 1000, job) > 0);
         assertEquals(404, call(b, "POST", "/windows", "{'class':'confirm'}").status);
         assertEquals(
                 200,
--- a/simulation/src/main/java/postgrade/simulation/model/Disk.java
+++ b/simulation/src/main/java/postgrade/simulation/model/Disk.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import postgrade.Dispatcher.Learnt;
 import postgrade.comeback.Memory;
 import postgrade.comeback.MemoryFormat;
 import postgrade.comeback.Unusable;
+import postgrade.policy.api.TransferredFigures;
 import postgrade.simulation.check.Checks;
 
 /**
@@ -54,8 +54,9 @@
                         wall + local,
                         0.9,
                         List.of(
-                                new Learnt("tenant", "shop", new double[] {tokens, 10, 1, 0}),
-                                new Learnt(
+                                new TransferredFigures(
+                                        "tenant", "shop", new double[] {tokens, 10, 1, 0}),
+                                new TransferredFigures(
                                         "worker",
                                         "w1",
                                         new double[] {3, 1e9, 1, 1.2, 4, 1e6, 1e9, 1e9, 0})),
@@ -92,7 +93,7 @@
                 checks.violation("%s went by a snapshot that was never written so", owner);
             }
             long started = world.now() / 20_000_000;
-            for (Learnt l : memory.trusted(wall + local, Map.of("w1", started))) {
+            for (TransferredFigures l : memory.trusted(wall + local, Map.of("w1", started))) {
                 judge(memory, l, started);
             }
             checks.count("snapshots gone by");
@@ -103,18 +104,18 @@
         }
     }
 
-    private void judge(Memory memory, Learnt now, long started) {
+    private void judge(Memory memory, TransferredFigures now, long started) {
         Memory.Figure was =
                 memory.figures().stream()
-                        .filter(f -> f.learnt().of().equals(now.of()))
+                        .filter(f -> f.learnt().category().equals(now.category()))
                         .findFirst()
                         .orElseThrow();
-        if (now.of().equals("tenant") && now.figures()[0] != was.learnt().figures()[0]) {
+        if (now.category().equals("tenant") && now.values()[0] != was.learnt().values()[0]) {
             checks.violation(
                     "%s came back with %.3f tokens, not %.3f",
-                    owner, now.figures()[0], was.learnt().figures()[0]);
+                    owner, now.values()[0], was.learnt().values()[0]);
         }
-        if (now.of().equals("worker") && started > was.startedMillis()) {
+        if (now.category().equals("worker") && started > was.startedMillis()) {
             checks.violation("%s went by figures of a worker that was restarted since", owner);
         }
     }
