--- /dev/null
+++ b/core/src/main/java/postgrade/policy/AttemptRecord.java
@@ -0,0 +1,88 @@
+package postgrade.policy;
+
+/** One attempt of a job at a worker. Times are in nanoseconds. */
+final class AttemptRecord {
+
+    private static final long NOT_STARTED = -1;
+
+    private final InFlightJob job;
+    private final WorkerState worker;
+    private final long sentNs;
+    private long startedNs = NOT_STARTED;
+    private boolean ended;
+    private boolean neverRan;
+    private boolean cancelled;
+    private boolean presumedLost;
+
+    AttemptRecord(InFlightJob job, WorkerState worker, long sentNs) {
+        this.job = job;
+        this.worker = worker;
+        this.sentNs = sentNs;
+    }
+
+    InFlightJob job() {
+        return job;
+    }
+
+    WorkerState worker() {
+        return worker;
+    }
+
+    long sentNs() {
+        return sentNs;
+    }
+
+    boolean hasStarted() {
+        return startedNs >= 0;
+    }
+
+    /** When the worker reported its start, or, if it has not, when it was sent. */
+    long startedOrSentNs() {
+        return hasStarted() ? startedNs : sentNs;
+    }
+
+    void started(long nowNs) {
+        if (presumedLost) {
+            worker.occupy(job.job());
+        }
+        startedNs = nowNs;
+    }
+
+    boolean hasEnded() {
+        return ended;
+    }
+
+    /** Whether its outcome has proved that the job did not run. */
+    boolean neverRan() {
+        return neverRan;
+    }
+
+    void ended(boolean provedNotRun) {
+        ended = true;
+        neverRan = provedNotRun;
+        if (!presumedLost || hasStarted()) {
+            worker.vacate(job.job());
+        }
+    }
+
+    boolean isCancelled() {
+        return cancelled;
+    }
+
+    void cancelled() {
+        cancelled = true;
+    }
+
+    boolean isPresumedLost() {
+        return presumedLost;
+    }
+
+    /**
+     * It is not expected to start: it counts among what its worker holds only if it starts after
+     * all.
+     */
+    void presumeLost() {
+        presumedLost = true;
+        worker.vacate(job.job());
+    }
+}
--- /dev/null
+++ b/core/src/main/java/postgrade/policy/PolicyState.java
@@ -0,0 +1,109 @@
+package postgrade.policy;
+
+import java.util.LinkedHashMap;
+import java.util.Map;
+import postgrade.policy.api.PolicyActions;
+import postgrade.policy.api.PolicySettings;
+
+/**
+ * All that the policy remembers, in parts that each own their own state, and what a change of
+ * settings does to them. Parts that decide are given just the parts that they need.
+ */
+final class PolicyState {
+
+    private final PolicyContext context;
+    private final JobClassTable classes = new JobClassTable();
+    private final RateLimiter rateLimiter;
+    private final WorkerTable workers = new WorkerTable();
+    private final Map<String, InFlightJob> jobs = new LinkedHashMap<>();
+    private final FleetLoadEstimator fleetLoad;
+    private final CapacityEstimator capacity;
+    private final QueueingDelayEstimator queueingDelay;
+    private final ServiceTimeEstimator serviceTime;
+    private final OutlierDetector outliers;
+    private final SlowStartLimiter slowStart;
+    private final RetryBudget retryBudget = new RetryBudget();
+
+    PolicyState(PolicySettings settings, long seed, PolicyActions actions) {
+        context = new PolicyContext(settings, seed, actions);
+        rateLimiter = new RateLimiter(settings.mostBuckets);
+        fleetLoad = new FleetLoadEstimator(context, classes, rateLimiter);
+        capacity = new CapacityEstimator(context, workers, classes, fleetLoad);
+        queueingDelay = new QueueingDelayEstimator(capacity, fleetLoad);
+        serviceTime = new ServiceTimeEstimator(capacity, classes, fleetLoad);
+        outliers = new OutlierDetector(workers, rateLimiter);
+        slowStart =
+                new SlowStartLimiter(context, workers, classes, rateLimiter, capacity, fleetLoad);
+        classes.replace(settings.classes, false);
+        rateLimiter.settingsChanged(settings, false);
+    }
+
+    /**
+     * Under the same deployment's settings all that was learnt stays, but for what the settings no
+     * longer name; under another's everything begins anew. Either way jobs in flight keep the class
+     * that they came with.
+     */
+    void settingsChanged(long nowNs, PolicySettings next) {
+        PolicySettings former = context.settings();
+        context.settings(next);
+        boolean sameDeployment = former.deployment.same(next.deployment);
+        classes.replace(next.classes, sameDeployment);
+        rateLimiter.settingsChanged(next, sameDeployment);
+        if (!sameDeployment) {
+            workers.resetLearnt();
+            fleetLoad.reset();
+            outliers.reset();
+            retryBudget.reset();
+        }
+        slowStart.settingsChanged(nowNs, former, next);
+    }
+
+    PolicyContext context() {
+        return context;
+    }
+
+    JobClassTable classes() {
+        return classes;
+    }
+
+    RateLimiter rateLimiter() {
+        return rateLimiter;
+    }
+
+    WorkerTable workers() {
+        return workers;
+    }
+
+    /** Jobs in flight by id, in the order of their arrival. */
+    Map<String, InFlightJob> jobs() {
+        return jobs;
+    }
+
+    FleetLoadEstimator fleetLoad() {
+        return fleetLoad;
+    }
+
+    CapacityEstimator capacity() {
+        return capacity;
+    }
+
+    QueueingDelayEstimator queueingDelay() {
+        return queueingDelay;
+    }
+
+    ServiceTimeEstimator serviceTime() {
+        return serviceTime;
+    }
+
+    OutlierDetector outliers() {
+        return outliers;
+    }
+
+    SlowStartLimiter slowStart() {
+        return slowStart;
+    }
+
+    RetryBudget retryBudget() {
+        return retryBudget;
+    }
+}
--- /dev/null
+++ b/core/src/main/java/postgrade/policy/RetryController.java
@@ -0,0 +1,200 @@
+package postgrade.policy;
+
+import postgrade.policy.api.AttemptOutcome;
+import postgrade.policy.api.Idempotency;
+
+/**
+ * Decides when a job is sent, waits, is sent again or moves to another worker, and when it is given
+ * up.
+ */
+final class RetryController {
+
+    /** Waiting jobs are looked at this often; also the margin kept before a client's deadline. */
+    static final long SWEEP_NS = 50_000_000L;
+
+    /**
+     * No further attempt for a job whose failures are its own by more than this, nor after so many
+     * resets.
+     */
+    private static final double MOST_OWN_FAULT = 0.5;
+
+    private static final int MOST_RESETS = 2;
+
+    /**
+     * What moving a queued job costs a lone dispatcher of the retry budget beyond 1; many share it.
+     */
+    private static final double MOVE_COST = 50;
+
+    /**
+     * Jobs differ in length: one that would end after this part of its target is cancelled before
+     * it starts.
+     */
+    private static final double HOPELESS_SHARE = 0.85;
+
+    /**
+     * Without a start report for so many service times of the longest class the job will not start.
+     */
+    private static final double LOST_AFTER = 2;
+
+    private final PolicyContext context;
+    private final JobClassTable classes;
+    private final QueueingDelayEstimator queueingDelay;
+    private final ServiceTimeEstimator serviceTime;
+    private final AdmissionController admission;
+    private final LeastLoadedSelector selector;
+    private final AttemptGuard guard;
+    private final OutlierDetector outliers;
+    private final RetryBudget budget;
+
+    RetryController(
+            PolicyState state,
+            AdmissionController admission,
+            LeastLoadedSelector selector,
+            AttemptGuard guard) {
+        context = state.context();
+        classes = state.classes();
+        queueingDelay = state.queueingDelay();
+        serviceTime = state.serviceTime();
+        outliers = state.outliers();
+        budget = state.retryBudget();
+        this.admission = admission;
+        this.selector = selector;
+        this.guard = guard;
+    }
+
+    /**
+     * Sends the job where there is room; within its quota also where there may be. Else it waits
+     * for the next sweep, as long as it may yet be in time; a job beyond its quota does not wait.
+     */
+    void place(long nowNs, InFlightJob job) {
+        boolean admitted = job.attemptCount() > 0 || admission.admits(nowNs, job);
+        WorkerState worker = admitted ? selector.select(nowNs, job, !job.withinQuota()) : null;
+        if (worker != null) {
+            guard.send(nowNs, job, worker);
+        } else if (!mayWait(nowNs, job)) {
+            guard.conclude(nowNs, job);
+        }
+    }
+
+    private boolean mayWait(long nowNs, InFlightJob job) {
+        return job.attemptCount() < context.settings().maxAttempts
+                && (job.withinQuota() || !guard.mayReject(job))
+                && nowNs - job.arrivedNs() < job.jobClass().jobClass().latencyObjectiveNs()
+                // The next sweep may come too late for an answer: a client's last try can start
+                // near its end.
+                && job.deadlineNs() - nowNs > 2 * SWEEP_NS;
+    }
+
+    /**
+     * Whether the job would be late there, could it start now; no job of a class that is unknown or
+     * always late is.
+     */
+    private boolean isHopeless(long nowNs, InFlightJob job, WorkerState worker) {
+        JobClassStats jobClass = job.jobClass();
+        double leftNs =
+                HOPELESS_SHARE * jobClass.latencyTargetNs()
+                        - serviceTime.serviceTimeNs(nowNs, jobClass, worker);
+        return jobClass.served() > 0 && leftNs > 0 && nowNs - job.arrivedNs() > leftNs;
+    }
+
+    /**
+     * An attempt has ended, no other is out and the client still waits: another attempt, or the
+     * final answer.
+     */
+    void retry(long nowNs, InFlightJob job, AttemptRecord ended, AttemptOutcome outcome) {
+        if (isOver(nowNs, job, ended, outcome)) {
+            guard.conclude(nowNs, job);
+            return;
+        }
+        boolean free =
+                ended.neverRan() || ended.isCancelled() && outcome == AttemptOutcome.CANCELLED;
+        if (free || budget.spend(1)) {
+            place(nowNs, job);
+        } else {
+            guard.conclude(nowNs, job);
+        }
+    }
+
+    private boolean isOver(
+            long nowNs, InFlightJob job, AttemptRecord ended, AttemptOutcome outcome) {
+        // Not sent to a worker that is draining says nothing of the job: another worker may take
+        // it.
+        boolean unwanted = outcome == AttemptOutcome.NOT_SENT && ended.worker().isReady();
+        return job.deadlineNs() - nowNs <= SWEEP_NS
+                || unwanted
+                || job.isStreaming()
+                || !ended.neverRan() && mustNotRepeat(job)
+                || outcome == AttemptOutcome.RESET && job.countReset() == MOST_RESETS
+                || ended.isCancelled() && isHopeless(nowNs, job, ended.worker());
+    }
+
+    private boolean mustNotRepeat(InFlightJob job) {
+        return job.idempotency() == Idempotency.NOT_IDEMPOTENT
+                || outliers.ownFault(job) > MOST_OWN_FAULT;
+    }
+
+    /** Looks after a job at regular times. */
+    void sweep(long nowNs, InFlightJob job) {
+        boolean waits = !job.isAnswered();
+        if (job.attemptsOut() == 1
+                && context.settings().workersReportStart
+                && nowNs < job.deadlineNs()) {
+            checkUnstarted(nowNs, job);
+        } else if (waits && !job.isStreaming() && nowNs >= job.deadlineNs()) {
+            guard.conclude(nowNs, job);
+        } else if (waits && job.attemptsOut() == 0) {
+            place(nowNs, job);
+        }
+    }
+
+    /**
+     * Looks after an attempt that has not started. A job that may be repeated is cancelled once it
+     * cannot be in time, and moves after half its objective if another worker shows room: sooner,
+     * and it would leave queues that are in time. Some workers run what was cancelled all the same
+     * without saying so; few dispatchers place well, as each sees much of what a worker holds, and
+     * so may hardly move.
+     *
+     * <p>An attempt that has not started when those before it must have ended is presumed lost. It
+     * no longer counts as held there, or its worker would stand idle, and counts as a failure, so
+     * that a worker that loses all is ejected long before time-outs tell.
+     */
+    private void checkUnstarted(long nowNs, InFlightJob job) {
+        AttemptRecord attempt = job.latestAttempt();
+        if (attempt.hasEnded() || attempt.hasStarted()) {
+            return;
+        }
+        if (!attempt.isPresumedLost()) {
+            queueingDelay.stillWaits(nowNs, attempt);
+        }
+        int number = job.attemptCount() - 1;
+        boolean movable =
+                !attempt.isCancelled()
+                        && context.settings().allowsCancellation
+                        && job.idempotency() != Idempotency.NOT_IDEMPOTENT;
+        if (movable && isHopeless(nowNs, job, attempt.worker())) {
+            guard.cancel(job, number);
+        } else if (movable && shouldMove(nowNs, job, attempt)) {
+            budget.spend(moveCost());
+            guard.cancel(job, number);
+        } else if (!attempt.isPresumedLost()
+                && nowNs - attempt.sentNs() > LOST_AFTER * classes.longestServiceTimeNs()) {
+            attempt.presumeLost();
+            attempt.worker().recordQueueingDelay(nowNs, 0); // It stands in no queue.
+            outliers.workerFailed(nowNs, attempt.worker(), 1);
+        }
+    }
+
+    private boolean shouldMove(long nowNs, InFlightJob job, AttemptRecord attempt) {
+        long patienceNs =
+                Math.max(
+                        FleetLoadEstimator.ROUND_TRIP_NS,
+                        job.jobClass().jobClass().latencyObjectiveNs() / 2);
+        return nowNs - attempt.sentNs() >= patienceNs
+                && budget.has(moveCost())
+                && selector.select(nowNs, job, true) != null;
+    }
+
+    private double moveCost() {
+        return 1 + MOVE_COST / context.settings().dispatcherCount;
+    }
+}
--- /dev/null
+++ b/core/src/main/java/postgrade/policy/TokenBucketDispatchPolicy.java
@@ -0,0 +1,201 @@
+package postgrade.policy;
+
+import java.util.ArrayList;
+import java.util.List;
+import postgrade.policy.api.AttemptOutcome;
+import postgrade.policy.api.DispatchPolicy;
+import postgrade.policy.api.Job;
+import postgrade.policy.api.JobConstraints;
+import postgrade.policy.api.LoadReport;
+import postgrade.policy.api.PolicyActions;
+import postgrade.policy.api.PolicySettings;
+import postgrade.policy.api.TransferredFigures;
+import postgrade.policy.api.WorkerInfo;
+import postgrade.policy.api.WorkerListForm;
+
+/**
+ * The decision policy of one dispatcher: admission by token buckets, selection of the least loaded
+ * worker, bounded retries. This is the front that hands each event to the parts that decide;
+ * docs/design.md says what is kept of the design and when each departure from it acts.
+ */
+public final class TokenBucketDispatchPolicy implements DispatchPolicy {
+
+    private static final String SWEEP_TIMER = "sweep";
+
+    private final PolicyState state;
+    private final PolicyStateTransfer transfer;
+    private final AttemptGuard guard;
+    private final RetryController retries;
+    private final WorkerListUpdater listUpdater;
+    private boolean sweepScheduled;
+
+    /**
+     * @param seed of its random choices
+     */
+    public TokenBucketDispatchPolicy(PolicySettings settings, long seed, PolicyActions actions) {
+        state = new PolicyState(settings, seed, actions);
+        transfer = new PolicyStateTransfer(state);
+        guard = new AttemptGuard(state.context(), state.slowStart(), state.jobs());
+        AdmissionController admission =
+                new AdmissionController(
+                        state.rateLimiter(),
+                        state.classes(),
+                        state.workers(),
+                        state.capacity(),
+                        state.fleetLoad());
+        LeastLoadedSelector selector = new LeastLoadedSelector(state, state.slowStart(), guard);
+        retries = new RetryController(state, admission, selector, guard);
+        listUpdater = new WorkerListUpdater(state.context(), state.workers(), state.slowStart());
+    }
+
+    @Override
+    public void settingsChanged(long nowNs, PolicySettings settings) {
+        state.settingsChanged(nowNs, settings);
+    }
+
+    @Override
+    public void constraintsChanged(JobConstraints constraints) {
+        state.context().constraints(constraints);
+    }
+
+    @Override
+    public void shareChanged(long nowNs, double share) {
+        state.rateLimiter().shareChanged(share);
+    }
+
+    @Override
+    public List<TransferredFigures> exportFigures(long nowNs) {
+        return transfer.export(nowNs);
+    }
+
+    @Override
+    public void importFigures(long nowNs, List<TransferredFigures> figures) {
+        transfer.importAll(nowNs, figures);
+    }
+
+    @Override
+    public void workersUpdated(long nowNs, WorkerListForm form, List<WorkerInfo> workers) {
+        listUpdater.update(nowNs, form, workers);
+    }
+
+    @Override
+    public void workerReenabled(long nowNs, String workerId) {
+        WorkerState worker = state.workers().get(workerId);
+        if (worker != null) {
+            worker.reenabled();
+        }
+    }
+
+    @Override
+    public void jobArrived(long nowNs, Job job) {
+        JobClassStats jobClass = state.classes().get(job.jobClass());
+        if (jobClass == null) {
+            throw new IllegalArgumentException("unknown class " + job.jobClass());
+        }
+        if (state.jobs().containsKey(job.id())) {
+            return; // The first job under an id is still owed its answer.
+        }
+        long startsInNs = state.context().constraints().startsInNs(nowNs, job);
+        if (startsInNs > 0) {
+            // Perhaps hours: the longest usual pause does not bound it.
+            state.context().actions().reject(job.id(), startsInNs);
+            return;
+        }
+        long limitedForNs = state.rateLimiter().charge(nowNs, job);
+        boolean withinQuota = limitedForNs == 0;
+        long retryAfterNs = withinQuota ? WorkerListUpdater.FIRST_RETRY_NS : limitedForNs;
+        InFlightJob inFlight = new InFlightJob(job, jobClass, nowNs, withinQuota, retryAfterNs);
+        state.jobs().put(job.id(), inFlight);
+        retries.place(nowNs, inFlight);
+        scheduleSweep();
+    }
+
+    @Override
+    public void clientLeft(long nowNs, String jobId) {
+        InFlightJob job = state.jobs().get(jobId);
+        if (job != null) {
+            job.answered();
+            guard.release(job);
+        }
+    }
+
+    @Override
+    public void attemptStarted(long nowNs, String jobId, int attempt) {
+        AttemptRecord out = attemptOut(jobId, attempt);
+        if (out != null) {
+            state.queueingDelay().started(nowNs, out);
+        }
+    }
+
+    @Override
+    public void attemptStreaming(long nowNs, String jobId, int attempt) {
+        attemptStarted(nowNs, jobId, attempt);
+        AttemptRecord out = attemptOut(jobId, attempt);
+        if (out != null) {
+            out.job().streaming();
+        }
+    }
+
+    @Override
+    public void attemptFinished(
+            long nowNs,
+            String jobId,
+            int number,
+            AttemptOutcome outcome,
+            boolean last,
+            LoadReport load) {
+        AttemptRecord attempt = attemptOut(jobId, number);
+        if (attempt == null) {
+            return;
+        }
+        InFlightJob job = attempt.job();
+        attempt.worker().averageUsedSlots(nowNs);
+        job.end(attempt, outcome.provesNotRun());
+        state.capacity().reported(nowNs, attempt.worker(), load);
+        state.outliers().attemptEnded(nowNs, attempt, outcome);
+        if (outcome == AttemptOutcome.SERVED) {
+            state.retryBudget().earn();
+            state.serviceTime().served(nowNs, attempt);
+        }
+        if (last) {
+            job.answered();
+        }
+        if (job.isAnswered()) {
+            guard.release(job);
+        } else if (job.attemptsOut() == 0) {
+            retries.retry(nowNs, job, attempt, outcome);
+        }
+    }
+
+    /** The attempt of this number if the job is known and the attempt has not ended, else null. */
+    private AttemptRecord attemptOut(String jobId, int number) {
+        InFlightJob job = state.jobs().get(jobId);
+        return job == null ? null : job.attemptOut(number);
+    }
+
+    @Override
+    public void workerProbed(long nowNs, String workerId, boolean answered, LoadReport load) {
+        WorkerState worker = state.workers().get(workerId);
+        if (worker != null && answered) {
+            state.capacity().reported(nowNs, worker, load);
+        }
+    }
+
+    @Override
+    public void timerFired(long nowNs, String token) {
+        if (token.equals(WorkerListUpdater.RETRY_TIMER)) {
+            state.context().actions().watchWorkers();
+        } else if (token.equals(SWEEP_TIMER)) {
+            sweepScheduled = false;
+            new ArrayList<>(state.jobs().values()).forEach(job -> retries.sweep(nowNs, job));
+            scheduleSweep();
+        }
+    }
+
+    private void scheduleSweep() {
+        if (!sweepScheduled && !state.jobs().isEmpty()) {
+            sweepScheduled = true;
+            state.context().actions().startTimer(SWEEP_TIMER, RetryController.SWEEP_NS);
+        }
+    }
+}
--- /dev/null
+++ b/core/src/main/java/postgrade/policy/WorkerListUpdater.java
@@ -0,0 +1,71 @@
+package postgrade.policy;
+
+import java.util.List;
+import postgrade.policy.api.WorkerInfo;
+import postgrade.policy.api.WorkerListForm;
+import postgrade.policy.api.WorkerPhase;
+
+/**
+ * Takes in the list of workers and asks for it again after a failure.
+ *
+ * <p>A list may be wrong: empty, old, or calling a worker gone that serves. Where the settings say
+ * that only draining takes a worker out, one that is no longer listed stays in use until failed
+ * connections eject it, and is forgotten after several ejections in a row. Its drain is remembered
+ * too, or an old list would undo it.
+ */
+final class WorkerListUpdater {
+
+    /** The token of the timer after which the list is asked for again. */
+    static final String RETRY_TIMER = "ask";
+
+    /** The first pause before the list is asked for again. */
+    static final long FIRST_RETRY_NS = 500_000_000L;
+
+    private final PolicyContext context;
+    private final WorkerTable workers;
+    private final SlowStartLimiter slowStart;
+    private long retryNs = FIRST_RETRY_NS;
+
+    WorkerListUpdater(PolicyContext context, WorkerTable workers, SlowStartLimiter slowStart) {
+        this.context = context;
+        this.workers = workers;
+        this.slowStart = slowStart;
+    }
+
+    void update(long nowNs, WorkerListForm form, List<WorkerInfo> list) {
+        slowStart.listKnown(nowNs);
+        if (form == WorkerListForm.FAILED) {
+            retryLater();
+            return;
+        }
+        if (form == WorkerListForm.CACHED && context.settings().pollsWorkerList) {
+            context.actions().watchWorkers();
+        } else {
+            retryNs = FIRST_RETRY_NS;
+        }
+        boolean keepsUnlisted = context.settings().keepsUnlistedWorkers;
+        if (form != WorkerListForm.DELTA) {
+            workers.all().forEach(worker -> worker.unlisted(keepsUnlisted));
+        }
+        list.forEach(info -> update(nowNs, info, keepsUnlisted));
+        workers.refresh(nowNs, keepsUnlisted);
+    }
+
+    private void update(long nowNs, WorkerInfo info, boolean keepsUnlisted) {
+        if (info.phase() != WorkerPhase.GONE) {
+            workers.getOrAdd(info).listed(nowNs, info, keepsUnlisted);
+            return;
+        }
+        WorkerState known = workers.get(info.id());
+        if (known != null) {
+            known.unlisted(keepsUnlisted);
+        }
+    }
+
+    /** After a pause that doubles with each failure, spread at random. */
+    private void retryLater() {
+        long pauseNs = retryNs / 2 + context.random().nextLong(retryNs);
+        context.actions().startTimer(RETRY_TIMER, pauseNs);
+        retryNs = Math.min(FIRST_RETRY_NS << OutlierDetector.MOST_DOUBLINGS, retryNs * 2);
+    }
+}
--- /dev/null
+++ b/core/src/main/java/postgrade/policy/WorkerTable.java
@@ -0,0 +1,108 @@
+package postgrade.policy;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import postgrade.policy.api.WorkerInfo;
+
+/** The workers and their kinds. */
+final class WorkerTable {
+
+    private final Map<String, WorkerKindStats> kinds = new HashMap<>();
+    private final Map<String, WorkerState> workers = new TreeMap<>();
+    private final List<WorkerState> ready = new ArrayList<>();
+    private double meanWeight = 1;
+
+    /** Null if it is not known. */
+    WorkerState get(String id) {
+        return workers.get(id);
+    }
+
+    Collection<WorkerState> all() {
+        return workers.values();
+    }
+
+    /** Those that may be sent to, in the order of their names. */
+    List<WorkerState> ready() {
+        return ready;
+    }
+
+    /** The mean weight of the ready workers that announce one, 1 if none does. */
+    double meanWeight() {
+        return meanWeight;
+    }
+
+    WorkerState getOrAdd(WorkerInfo info) {
+        WorkerKindStats kind = kinds.computeIfAbsent(info.kind(), unused -> new WorkerKindStats());
+        return workers.computeIfAbsent(info.id(), id -> new WorkerState(id, kind));
+    }
+
+    /**
+     * Forgets those that are of no more use and finds those that are ready. To be called after each
+     * change of the list.
+     */
+    void refresh(long nowNs, boolean keepsUnlisted) {
+        workers.values().removeIf(worker -> worker.canBeForgotten(nowNs, keepsUnlisted));
+        ready.clear();
+        workers.values().stream().filter(WorkerState::isReady).forEach(ready::add);
+        meanWeight =
+                ready.stream()
+                        .mapToDouble(worker -> worker.info().weight())
+                        .filter(weight -> weight > 0)
+                        .average()
+                        .orElse(1);
+    }
+
+    /**
+     * What was learnt is forgotten; which workers there are, and what they hold of our jobs, is
+     * not.
+     */
+    void resetLearnt() {
+        kinds.values().forEach(WorkerKindStats::reset);
+        workers.values().forEach(WorkerState::deploymentChanged);
+    }
+
+    void exportKinds(FiguresConsumer consumer) {
+        kinds.forEach((name, kind) -> consumer.accept(name, kind.export()));
+    }
+
+    void restoreKind(String name, double[] values) {
+        WorkerKindStats kind = kinds.get(name);
+        if (kind != null) {
+            kind.restore(values);
+        }
+    }
+
+    void exportWorkers(long nowNs, FiguresConsumer consumer) {
+        workers.forEach((id, worker) -> consumer.accept(id, worker.export(nowNs)));
+    }
+
+    void restoreWorker(long nowNs, String id, double[] values) {
+        WorkerState worker = workers.get(id);
+        if (worker != null) {
+            worker.restore(values, nowNs);
+        }
+    }
+
+    /** Exports the work sent to workers in slow start; those without any are left out. */
+    void exportSlowStarts(long nowNs, FiguresConsumer consumer) {
+        workers.forEach(
+                (id, worker) -> {
+                    double[] sent = worker.slowStartLedger().export(nowNs);
+                    if (sent.length > 0) {
+                        consumer.accept(id, sent);
+                    }
+                });
+    }
+
+    /** All of it counts here too: a part of a worker's budget is used, and none of it twice. */
+    void restoreSlowStart(long nowNs, String id, double[] values) {
+        WorkerState worker = workers.get(id);
+        if (worker != null) {
+            worker.slowStartLedger().restore(values, nowNs);
+        }
+    }
+}
--- a/core/src/test/java/postgrade/policy/DecideTest.java
+++ b/core/src/test/java/postgrade/policy/DecideTest.java
@@ -118,8 +118,8 @@
                 bornNs);
     }
 
-    private Decide start(PolicySettings settings, String... workers) {
-        Decide d = new Decide(settings, 7, out);
+    private TokenBucketDispatchPolicy start(PolicySettings settings, String... workers) {
+        TokenBucketDispatchPolicy d = new TokenBucketDispatchPolicy(settings, 7, out);
         List<WorkerInfo> list = new ArrayList<>();
         for (String id : workers) {
             list.add(worker(id, WorkerPhase.READY, 0));
@@ -128,18 +128,19 @@
         return d;
     }
 
-    private String job(Decide d, long nowNs, String jobClass, String tenant, String key) {
+    private String job(
+            TokenBucketDispatchPolicy d, long nowNs, String jobClass, String tenant, String key) {
         String id = "j" + jobNumber++;
         d.jobArrived(nowNs, new Job(id, jobClass, tenant, key, 20 * SECOND, 1, 0));
         return id;
     }
 
-    private String job(Decide d, long nowNs, String jobClass) {
+    private String job(TokenBucketDispatchPolicy d, long nowNs, String jobClass) {
         return job(d, nowNs, jobClass, null, null);
     }
 
     /** Serves one job on each worker, with this report. */
-    private void warmUp(Decide d, int workers, LoadReport load) {
+    private void warmUp(TokenBucketDispatchPolicy d, int workers, LoadReport load) {
         for (int i = 0; i < workers; i++) {
             String id = job(d, i, "safe");
             d.attemptFinished(i, id, 0, AttemptOutcome.SERVED, true, load);
@@ -148,8 +149,8 @@
 
     // ---- Buckets.
 
-    private Decide oneTenant(double ratePerS, int gateways) {
-        Decide d =
+    private TokenBucketDispatchPolicy oneTenant(double ratePerS, int gateways) {
+        TokenBucketDispatchPolicy d =
                 start(
                         settings()
                                 .tenants(List.of(new Tenant("t", ratePerS)))
@@ -163,7 +164,7 @@
 
     @Test
     void emptyBucketRefusesAtOnceWithRetryAfterAndRefills() {
-        Decide d = oneTenant(4, 1);
+        TokenBucketDispatchPolicy d = oneTenant(4, 1);
         for (int i = 0; i < 12; i++) {
             job(d, 0, "unsafe", "t", null);
         }
@@ -182,7 +183,7 @@
      */
     @Test
     void gatewaysShareRateAndBurstEvenlyButABurstIsSomeJobsAtLeast() {
-        Decide d = oneTenant(20, 100);
+        TokenBucketDispatchPolicy d = oneTenant(20, 100);
         for (int i = 0; i < 5; i++) {
             assertFalse(out.sentTo(job(d, 0, "safe", "t", null)).isEmpty());
         }
@@ -197,7 +198,7 @@
     void refusedJobIsChargedToItsOtherBuckets() {
         PolicySettings s =
                 settings().tenants(List.of(new Tenant("a", 1), new Tenant("b", 100))).build();
-        Decide d = start(s, "s1");
+        TokenBucketDispatchPolicy d = start(s, "s1");
         d.attemptFinished(0, job(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, FULL_UP);
         for (int i = 0; i < 300; i++) {
             job(d, 0, "unsafe", "a", "k");
@@ -219,7 +220,7 @@
                         .tenants(List.of(new Tenant("a", 0.1), new Tenant("b", 0.1)))
                         .mostBuckets(1)
                         .build();
-        Decide d = start(s, "s1");
+        TokenBucketDispatchPolicy d = start(s, "s1");
         d.attemptFinished(0, job(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, FULL_UP);
         for (int i = 0; i < 6; i++) {
             job(d, 0, "safe", "a", null);
@@ -233,7 +234,7 @@
     @Test
     void tenantBeyondItsRateOverdrawsOnlyVisibleRoom() {
         PolicySettings s = settings().tenants(List.of(new Tenant("t", 0.1))).build();
-        Decide d = start(s, "s1", "s2", "s3", "s4");
+        TokenBucketDispatchPolicy d = start(s, "s1", "s2", "s3", "s4");
         warmUp(d, 8, FREE);
         for (int i = 0; i < 30; i++) {
             job(d, SECOND, "safe", "t", null);
@@ -249,7 +250,8 @@
     @Test
     void oldReportsOfABusyFleetShowNoRoomForExcess() {
         PolicySettings s = settings().tenants(List.of(new Tenant("t", 1))).build();
-        Decide d = start(s, IntStream.range(0, 20).mapToObj(i -> "s" + i).toArray(String[]::new));
+        TokenBucketDispatchPolicy d =
+                start(s, IntStream.range(0, 20).mapToObj(i -> "s" + i).toArray(String[]::new));
         warmUp(d, 5, FREE);
         warmUp(d, 100, FULL_UP);
         for (int i = 0; i < 30; i++) {
@@ -260,7 +262,8 @@
 
     @Test
     void jobWithoutTenantOrKeyMeetsNoBucket() {
-        Decide d = start(settings().tenants(List.of(new Tenant("t", 0.1))).build(), "s1", "s2");
+        TokenBucketDispatchPolicy d =
+                start(settings().tenants(List.of(new Tenant("t", 0.1))).build(), "s1", "s2");
         for (int i = 0; i < 20; i++) {
             job(d, 0, "safe", null, null);
         }
@@ -271,7 +274,7 @@
 
     @Test
     void fewestOwnJobsSpreadsEvenly() {
-        Decide d = start(settings().build(), "s1", "s2", "s3");
+        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2", "s3");
         for (int i = 0; i < 6; i++) {
             job(d, 0, "safe");
         }
@@ -284,9 +287,9 @@
 
     @Test
     void classBoundToAKindRunsOnlyThere() {
-        Decide d = start(settings().build(), "s1", "b1", "s2");
+        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "b1", "s2");
         assertEquals("b1", out.sentTo(job(d, 0, "big-only")));
-        Decide none = start(settings().build(), "s1");
+        TokenBucketDispatchPolicy none = start(settings().build(), "s1");
         String id = job(none, 0, "big-only");
         none.timerFired(2 * SECOND, "sweep");
         assertEquals(1, out.count("refuse " + id), "no able worker: refused when hope is gone");
@@ -294,7 +297,7 @@
 
     @Test
     void emptyListRefusesWithRetryAfterWhenHopeIsGone() {
-        Decide d = start(settings().build());
+        TokenBucketDispatchPolicy d = start(settings().build());
         String id = job(d, 0, "unsafe");
         d.timerFired(50 * MS, "sweep");
         assertEquals(0, out.count("refuse"));
@@ -306,7 +309,7 @@
 
     @Test
     void jobUnansweredAtItsDeadlineFailsOnceAndIsNotSentAgain() {
-        Decide d = start(settings().build(), "s1", "s2");
+        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2");
         String id = job(d, 0, "unsafe");
         d.attemptFinished(20 * SECOND, id, 0, AttemptOutcome.TIMEOUT, false, LoadReport.NONE);
         d.timerFired(21 * SECOND, "sweep");
@@ -318,7 +321,7 @@
 
     @Test
     void lateRepeatedAndUnknownEventsAreIgnored() {
-        Decide d = start(settings().build(), "s1", "s2");
+        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2");
         String id = job(d, 0, "safe");
         d.attemptFinished(1, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         int said = out.said.size();
@@ -335,7 +338,7 @@
 
     @Test
     void streamThatHasBegunHasNoDeadline() {
-        Decide d = start(settings().build(), "s1");
+        TokenBucketDispatchPolicy d = start(settings().build(), "s1");
         String id = job(d, 0, "stream");
         d.attemptStreaming(SECOND, id, 0);
         d.timerFired(30 * SECOND, "sweep");
@@ -351,7 +354,7 @@
     @Test
     void aConnectionThatCouldNotBeBegunSendsTheJobElsewhereAndEjectsNobody() {
         String[] workers = {"s1", "s2", "s3", "s4", "s5"};
-        Decide d = start(settings().build(), workers);
+        TokenBucketDispatchPolicy d = start(settings().build(), workers);
         String unsent = job(d, 0, "unsafe");
         String first = out.sentTo(unsent);
         d.attemptFinished(1, unsent, 0, AttemptOutcome.NO_SOCKET, false, LoadReport.NONE);
@@ -370,7 +373,7 @@
             names = {"FULL", "UNREACHABLE"})
     void provenNotRunIsTriedElsewhere(AttemptOutcome outcome) {
         for (String c : List.of("safe", "keyed", "zoned", "celled", "unsafe")) {
-            Decide d = start(settings().build(), "s1", "s2", "s3");
+            TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2", "s3");
             String id = job(d, 0, c);
             String first = out.sentTo(id);
             d.attemptFinished(1, id, 0, outcome, false, LoadReport.NONE);
@@ -388,7 +391,7 @@
     })
     void mayHaveRunIsRepeatedOnlyAsTheClassAllows(
             AttemptOutcome outcome, String jobClass, String expected) {
-        Decide d = start(settings().build(), "s1", "s2", "s3");
+        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2", "s3");
         String id = job(d, 0, jobClass);
         int before = out.said.size();
         d.attemptFinished(1, id, 0, outcome, false, LoadReport.NONE);
@@ -399,7 +402,7 @@
 
     @Test
     void notSentToAWorkerThatLeavesGoesToAnother() {
-        Decide d = start(settings().build(), "s1", "s2");
+        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2");
         String id = job(d, 0, "unsafe");
         String leaving = out.sentTo(id);
         d.workersUpdated(
@@ -413,7 +416,7 @@
     @ParameterizedTest
     @CsvSource({"zoned,s1,t1", "celled,s1,t1"})
     void keyedJobThatMayHaveRunStaysInItsGroup(String jobClass, String one, String same) {
-        Decide d = start(settings().build(), one, "s2", "s3", same, "s4", "s5");
+        TokenBucketDispatchPolicy d = start(settings().build(), one, "s2", "s3", same, "s4", "s5");
         for (int i = 0; i < 20; i++) {
             String id = job(d, 0, jobClass);
             char zone = out.sentTo(id).charAt(1);
@@ -442,7 +445,7 @@
                                                 null,
                                                 false)))
                         .build();
-        Decide d = start(s, "s1", "s2");
+        TokenBucketDispatchPolicy d = start(s, "s1", "s2");
         String id = job(d, 0, "keyed");
         d.attemptFinished(2 * SECOND, id, 0, AttemptOutcome.RESET, false, LoadReport.NONE);
         assertEquals(1, out.count("send " + id));
@@ -458,7 +461,7 @@
      */
     @Test
     void keyedRepeatGoesOutWithinItsWindowOrNotAtAllAndOthersWhenever() {
-        Decide d = start(settings().build(), "s1", "s2", "s3");
+        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2", "s3");
         String id = job(d, 0, "keyed");
         assertEquals(Long.MAX_VALUE, out.windowNs, "it has not run");
         d.attemptFinished(SECOND, id, 0, AttemptOutcome.UNREACHABLE, false, LoadReport.NONE);
@@ -477,7 +480,8 @@
 
     @Test
     void attemptsAreBounded() {
-        Decide d = start(settings().build(), "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8");
+        TokenBucketDispatchPolicy d =
+                start(settings().build(), "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8");
         String id = job(d, 0, "unsafe");
         for (int i = 0; i < 4; i++) {
             d.timerFired(i * SECOND / 10, "sweep");
@@ -496,7 +500,7 @@
      */
     @Test
     void withoutReportsJobsFollowTheSizesThatTheListAnnounces() {
-        Decide d = new Decide(settings().build(), 7, out);
+        TokenBucketDispatchPolicy d = new TokenBucketDispatchPolicy(settings().build(), 7, out);
         d.workersUpdated(
                 0,
                 WorkerListForm.FULL,
@@ -517,7 +521,8 @@
      */
     @Test
     void withNoneOfOursAnywhereJobsGoInProportionToSize() {
-        Decide d = new Decide(settings().dispatcherCount(14).build(), 7, out);
+        TokenBucketDispatchPolicy d =
+                new TokenBucketDispatchPolicy(settings().dispatcherCount(14).build(), 7, out);
         d.workersUpdated(
                 0,
                 WorkerListForm.FULL,
@@ -542,8 +547,9 @@
      */
     @Test
     void jobsGoLessToAKindWhoseJobsWaitBeforeTheyStart() {
-        Decide d =
-                new Decide(settings().dispatcherCount(14).workersReportStart(true).build(), 7, out);
+        TokenBucketDispatchPolicy d =
+                new TokenBucketDispatchPolicy(
+                        settings().dispatcherCount(14).workersReportStart(true).build(), 7, out);
         List<WorkerInfo> fleet = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             fleet.add(
@@ -577,8 +583,8 @@
      */
     @Test
     void aColdWorkerIsNotTakenToWaitAsLongAsItsKind() {
-        Decide d =
-                new Decide(
+        TokenBucketDispatchPolicy d =
+                new TokenBucketDispatchPolicy(
                         settings()
                                 .workersReportStart(true)
                                 .slowStart(0.5, 100 * SECOND)
@@ -618,7 +624,7 @@
      */
     @Test
     void workerWithoutWeightCountsAsOneOfMeanSize() {
-        Decide d = new Decide(settings().build(), 7, out);
+        TokenBucketDispatchPolicy d = new TokenBucketDispatchPolicy(settings().build(), 7, out);
         d.workersUpdated(
                 0,
                 WorkerListForm.FULL,
@@ -638,7 +644,7 @@
     @ParameterizedTest
     @CsvSource({"1, true", "20, false"})
     void withoutReportsOtherGatewaysAreTakenToHoldAsMuch(int gateways, boolean excessGoes) {
-        Decide d =
+        TokenBucketDispatchPolicy d =
                 start(
                         settings()
                                 .dispatcherCount(gateways)
@@ -672,7 +678,7 @@
 
     @Test
     void drainingGoneAndUnlistedWorkersGetNothing() {
-        Decide d = start(settings().build(), "s1", "s2", "s3", "s4");
+        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2", "s3", "s4");
         d.workersUpdated(
                 1,
                 WorkerListForm.DELTA,
@@ -693,7 +699,8 @@
      */
     @Test
     void whereOnlyDrainingBindsDroppedWorkersStayOpenAndDrainedOnesShut() {
-        Decide d = start(settings().keepsUnlistedWorkers(true).build(), "s1", "s2", "s3");
+        TokenBucketDispatchPolicy d =
+                start(settings().keepsUnlistedWorkers(true).build(), "s1", "s2", "s3");
         d.workersUpdated(1, WorkerListForm.DELTA, List.of(worker("s1", WorkerPhase.DRAINING, 0)));
         d.workersUpdated(
                 2,
@@ -718,7 +725,8 @@
      */
     @Test
     void droppedWorkerThatCannotBeReachedIsForgotten() {
-        Decide d = start(settings().keepsUnlistedWorkers(true).build(), "s1", "s2", "s3");
+        TokenBucketDispatchPolicy d =
+                start(settings().keepsUnlistedWorkers(true).build(), "s1", "s2", "s3");
         d.workersUpdated(
                 1,
                 WorkerListForm.FULL,
@@ -750,7 +758,7 @@
     @Test
     void newSettingsBindAtOnceAndFillNoBucket() {
         PolicySettings.Builder b = settings().tenants(List.of(new Tenant("t", 4)));
-        Decide d = start(b.build(), "s1");
+        TokenBucketDispatchPolicy d = start(b.build(), "s1");
         d.attemptFinished(0, job(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, FULL_UP);
         for (int i = 0; i < 8; i++) {
             job(d, 0, "unsafe", "t", null);
@@ -768,7 +776,7 @@
 
     @Test
     void fewerAttemptsBindJobsUnderWayMoreDoToo_andAClassThatTurnsUnsafeKeepsItsOldJobs() {
-        Decide d = start(settings().build(), "s1", "s2", "s3");
+        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2", "s3");
         String id = job(d, 0, "safe");
         String kept = job(d, 0, "safe");
         d.settingsChanged(
@@ -799,7 +807,7 @@
 
     // ---- Two processes of one gateway.
 
-    private long admitted(Decide d, int jobs) {
+    private long admitted(TokenBucketDispatchPolicy d, int jobs) {
         long refused = out.count("refuse");
         for (int i = 0; i < jobs; i++) {
             job(d, 0, "unsafe", "t", null);
@@ -810,11 +818,11 @@
     @Test
     void twoProcessesHaveOneBurstBetweenThem() {
         assertEquals(40, admitted(oneTenant(20, 1), 80));
-        Decide old = oneTenant(20, 1);
+        TokenBucketDispatchPolicy old = oneTenant(20, 1);
         assertEquals(10, admitted(old, 10));
         List<TransferredFigures> told = old.exportFigures(0);
         old.shareChanged(0, 0.5);
-        Decide fresh = oneTenant(20, 1);
+        TokenBucketDispatchPolicy fresh = oneTenant(20, 1);
         fresh.shareChanged(0, 0.5);
         fresh.importFigures(0, told);
         long both = admitted(old, 80) + admitted(fresh, 80);
@@ -823,7 +831,7 @@
 
     @Test
     void aNewProcessKnowsWhoIsSickWhoIsSlowAndWhoOwesATrial() {
-        Decide old =
+        TokenBucketDispatchPolicy old =
                 start(
                         settings().slowStart(0.2, 20 * SECOND).overload(3, SECOND).build(),
                         "s1",
@@ -845,8 +853,8 @@
         List<TransferredFigures> told = new ArrayList<>(old.exportFigures(SECOND));
         told.add(new TransferredFigures("worker", "unheard of", new double[9]));
         told.add(new TransferredFigures("of a later version", "x", new double[0]));
-        Decide fresh =
-                new Decide(
+        TokenBucketDispatchPolicy fresh =
+                new TokenBucketDispatchPolicy(
                         settings().slowStart(0.2, 20 * SECOND).overload(3, SECOND).build(), 3, out);
         long now = 100 * SECOND; // Its clock is another.
         fresh.workersUpdated(
@@ -873,14 +881,14 @@
     @Test
     void whatWasSentToAColdWorkerBeforeARestartCountsInItsWindow() {
         for (boolean ended : new boolean[] {true, false}) {
-            Decide old = gatewaysWithColdWorker(1, 10 * SECOND).get(0);
+            TokenBucketDispatchPolicy old = gatewaysWithColdWorker(1, 10 * SECOND).get(0);
             long sent = sentToS2(List.of(old), 30, 10 * SECOND);
             List<TransferredFigures> told =
                     old.exportFigures(10 * SECOND + 100 * MS).stream()
                             .filter(l -> ended || !l.category().equals("up"))
                             .toList();
-            Decide fresh =
-                    new Decide(
+            TokenBucketDispatchPolicy fresh =
+                    new TokenBucketDispatchPolicy(
                             settings().slowStart(0.12, 24 * SECOND).overload(3, 1500 * MS).build(),
                             0,
                             out);
@@ -901,7 +909,7 @@
     @Test
     void aNewProcessKnowsHowMuchOfTheFleetOthersHoldAndWhichKindWaits() {
         PolicySettings s = settings().dispatcherCount(10).workersReportStart(true).build();
-        Decide old = start(s, "s1", "b1");
+        TokenBucketDispatchPolicy old = start(s, "s1", "b1");
         for (int i = 0; i < 40; i++) {
             String id = job(old, i * MS, "safe");
             long waitNs = out.sentTo(id).equals("b1") ? 900 * MS : 50 * MS;
@@ -909,7 +917,7 @@
             old.attemptFinished(2 * SECOND, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
         List<TransferredFigures> told = old.exportFigures(3 * SECOND);
-        Decide fresh = start(s, "s1", "b1");
+        TokenBucketDispatchPolicy fresh = start(s, "s1", "b1");
         fresh.importFigures(0, told);
         for (String of : List.of("fleet", "kind")) {
             assertEquals(figures(told, of), figures(fresh.exportFigures(0), of));
@@ -928,12 +936,12 @@
     // ---- Rule 4: cold workers.
 
     /** Gateways that know s1 (8 slots, jobs of 300 ms) and hear that s2 has just started cold. */
-    private List<Decide> gatewaysWithColdWorker(int count, long coldNs) {
+    private List<TokenBucketDispatchPolicy> gatewaysWithColdWorker(int count, long coldNs) {
         return IntStream.range(0, count)
                 .mapToObj(
                         i -> {
-                            Decide d =
-                                    new Decide(
+                            TokenBucketDispatchPolicy d =
+                                    new TokenBucketDispatchPolicy(
                                             settings()
                                                     .dispatcherCount(count)
                                                     .dispatcherIndex(i)
@@ -964,9 +972,9 @@
                 .toList();
     }
 
-    private long sentToS2(List<Decide> gateways, int jobsEach, long nowNs) {
+    private long sentToS2(List<TokenBucketDispatchPolicy> gateways, int jobsEach, long nowNs) {
         int before = out.said.size();
-        for (Decide d : gateways) {
+        for (TokenBucketDispatchPolicy d : gateways) {
             for (int i = 0; i < jobsEach; i++) {
                 job(d, nowNs, "safe");
             }
@@ -984,7 +992,7 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 4, 200})
     void allGatewaysTogetherUseAColdWorkersBudgetAndNoMore(int count) {
-        List<Decide> gateways = gatewaysWithColdWorker(count, 10 * SECOND);
+        List<TokenBucketDispatchPolicy> gateways = gatewaysWithColdWorker(count, 10 * SECOND);
         double budget = 3 * 0.12 * 8 * 1.5;
         long sent = sentToS2(gateways, 30, 10 * SECOND);
         assertTrue(
@@ -1001,8 +1009,8 @@
      */
     @Test
     void restartedGatewayLeavesColdWorkersAloneForOneWindow() {
-        Decide d =
-                new Decide(
+        TokenBucketDispatchPolicy d =
+                new TokenBucketDispatchPolicy(
                         settings().slowStart(0.5, 24 * SECOND).overload(3, 1500 * MS).build(),
                         1,
                         out);
@@ -1021,7 +1029,8 @@
      */
     @Test
     void jobThatAColdWorkerWouldRunTooLongGoesToABusyWarmOne() {
-        Decide d = start(settings().slowStart(0.2, 20 * SECOND).overload(30, SECOND).build(), "s1");
+        TokenBucketDispatchPolicy d =
+                start(settings().slowStart(0.2, 20 * SECOND).overload(30, SECOND).build(), "s1");
         for (int i = 0; i < 20; i++) {
             d.attemptFinished(
                     i * SECOND + 500 * MS,
@@ -1047,7 +1056,7 @@
         assertTrue(meanNs(d) <= before, "half a second, warm: nothing new of the class");
     }
 
-    private static double meanNs(Decide d) {
+    private static double meanNs(TokenBucketDispatchPolicy d) {
         return d.exportFigures(0).stream()
                 .filter(l -> l.name().equals("safe"))
                 .findFirst()
@@ -1060,7 +1069,7 @@
      */
     @Test
     void workerPutBackIsForgivenAndTriedByTheNextRepeatableJobWithinItsColdBudget() {
-        Decide d = gatewaysWithColdWorker(1, 0).get(0);
+        TokenBucketDispatchPolicy d = gatewaysWithColdWorker(1, 0).get(0);
         d.workersUpdated(
                 50 * SECOND,
                 WorkerListForm.FULL,
@@ -1096,7 +1105,7 @@
     /** Incident i3632c1: a full worker holds few of ours, so fewest in flight fed it. */
     @Test
     void workerThatAnsweredFullShowsNoRoom() {
-        Decide d = start(settings().build(), "s1", "s2");
+        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2");
         warmUp(d, 20, FREE);
         String id = job(d, 0, "safe", null, "k");
         String full = out.sentTo(id);
@@ -1112,7 +1121,7 @@
      */
     @Test
     void repeatsAreBoundedByTheRetryBudget() {
-        Decide d = start(settings().build(), "s1", "s2", "s3", "s4");
+        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2", "s3", "s4");
         for (int i = 0; i < 200; i++) {
             String id = job(d, i * 50 * MS, "safe");
             d.attemptFinished(i * 50 * MS + 1, id, 0, AttemptOutcome.RESET, false, FREE);
@@ -1129,7 +1138,7 @@
      */
     @Test
     void costlyJobWithinItsShareLeavesATenthOfTheFleetFree() {
-        Decide d = start(settings().build(), "s1", "s2");
+        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2");
         for (int i = 0; i < 10; i++) {
             d.attemptFinished(200 * MS, job(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, FREE);
             d.attemptFinished(
@@ -1152,7 +1161,7 @@
      */
     @Test
     void jobThatRanForNoTimeDoesNotUpsetTheClass() {
-        Decide d = start(settings().build(), "s1");
+        TokenBucketDispatchPolicy d = start(settings().build(), "s1");
         d.attemptFinished(0, job(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, FREE);
         for (int i = 0; i < 5; i++) {
             assertEquals(1, out.count("send " + job(d, SECOND, "safe")));
@@ -1165,7 +1174,7 @@
      */
     @Test
     void idStillInHandIsNotTakenTwice() {
-        Decide d = start(settings().build(), "s1", "s2");
+        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2");
         String id = job(d, 0, "unsafe");
         d.jobArrived(1, new Job(id, "safe", null, null, SECOND, 1, 0));
         d.attemptFinished(2, id, 0, AttemptOutcome.RESET, false, LoadReport.NONE);
@@ -1180,7 +1189,7 @@
     /** Day cnx-scooter-core overload: long jobs filled the queues while short ones waited. */
     @Test
     void costlyJobWaitsForVisibleRoomAndCheapOnesDoNot() {
-        Decide d = start(settings().build(), "s1");
+        TokenBucketDispatchPolicy d = start(settings().build(), "s1");
         for (int i = 0; i < 3; i++) {
             d.attemptFinished(100 * MS, job(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, FULL_UP);
             d.attemptFinished(
@@ -1202,7 +1211,7 @@
      */
     @Test
     void failuresOfOneTenantsJobsDoNotCountAtTheWorkers() {
-        Decide d =
+        TokenBucketDispatchPolicy d =
                 start(
                         settings()
                                 .tenants(List.of(new Tenant("bad", 1000), new Tenant("good", 1000)))
@@ -1234,7 +1243,7 @@
      */
     @Test
     void jobWhoseWorkersBrokeOffTwiceIsNotSentAThirdTime() {
-        Decide d = start(settings().build(), "s1", "s2", "s3");
+        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2", "s3");
         String id = job(d, 0, "safe");
         d.attemptFinished(1, id, 0, AttemptOutcome.RESET, false, LoadReport.NONE);
         assertEquals(2, out.count("send " + id), "the first may be an innocent one");
@@ -1249,7 +1258,7 @@
      */
     @Test
     void jobThatNeverStartsIsNotHeldForLong() {
-        Decide d =
+        TokenBucketDispatchPolicy d =
                 start(
                         settings().workersReportStart(true).allowsCancellation(false).build(),
                         "s1",
@@ -1288,7 +1297,7 @@
      */
     @Test
     void workerThatAnsweredFullDoesNotDrawJobsAsItHoldsFewest() {
-        Decide d = start(settings().build(), "s1", "s2");
+        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2");
         String id = job(d, 0, "safe");
         String full = out.sentTo(id);
         d.attemptFinished(MS, id, 0, AttemptOutcome.FULL, false, LoadReport.NONE);
@@ -1303,7 +1312,7 @@
 
     @Test
     void jobThatMayNotStartYetIsRefusedAtOnceAndCostsNoToken() {
-        Decide d = oneTenant(4, 1);
+        TokenBucketDispatchPolicy d = oneTenant(4, 1);
         d.constraintsChanged(
                 new JobConstraints() {
                     @Override
@@ -1322,7 +1331,7 @@
 
     @Test
     void workerGetsJobsByThePartOfItThatIsThereForThem() {
-        Decide d = start(settings().build(), "s1", "s2", "s3");
+        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2", "s3");
         d.constraintsChanged(
                 new JobConstraints() {
                     @Override
@@ -1354,7 +1363,7 @@
     @Test
     void queuedJobThatCannotBeInTimeIsCalledOffAndRefused() {
         PolicySettings s = settings().workersReportStart(true).dispatcherCount(100).build();
-        Decide d = start(s, "s1", "s2");
+        TokenBucketDispatchPolicy d = start(s, "s1", "s2");
         for (int i = 0; i < 40; i++) {
             d.attemptFinished(
                     100 * MS, job(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
@@ -1378,7 +1387,7 @@
      */
     @Test
     void queuedRepeatableJobMovesAfterHalfItsAimWhereThereIsRoom() {
-        Decide d =
+        TokenBucketDispatchPolicy d =
                 start(
                         settings()
                                 .workersReportStart(true)
@@ -1403,7 +1412,7 @@
 
     @Test
     void queuedJobStaysWithALoneWorker() {
-        Decide d =
+        TokenBucketDispatchPolicy d =
                 start(
                         settings()
                                 .workersReportStart(true)
@@ -1424,7 +1433,7 @@
     @ParameterizedTest
     @CsvSource({"2, 0", "20, 2", "200, 6"})
     void fewGatewaysMoveLittleAsTheyPlaceWell(int gateways, int moves) {
-        Decide d =
+        TokenBucketDispatchPolicy d =
                 start(
                         settings()
                                 .workersReportStart(true)
@@ -1448,7 +1457,7 @@
 
     @Test
     void failingWorkersAreEjectedButNeverMostOfThemAndTriedAgain() {
-        Decide d = start(settings().build(), "s1", "s2", "s3", "s4", "s5");
+        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2", "s3", "s4", "s5");
         List<String> held = IntStream.range(0, 20).mapToObj(i -> job(d, 0, "unsafe")).toList();
         for (String id : held) {
             boolean bad = out.sentTo(id).equals("s1");
@@ -1474,7 +1483,7 @@
                     "s1", out.sentTo(job(d, 10 * SECOND, "safe")), "one more failure is enough");
         }
 
-        Decide all = start(settings().build(), "s1", "s2", "s3", "s4", "s5");
+        TokenBucketDispatchPolicy all = start(settings().build(), "s1", "s2", "s3", "s4", "s5");
         for (int i = 0; i < 100; i++) {
             all.attemptFinished(
                     i, job(all, i, "unsafe"), 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
@@ -1488,7 +1497,8 @@
     void idleWorkersAreChosenAtRandomNotTheFastestByAll() {
         Set<String> chosen = new TreeSet<>();
         for (int seed = 0; seed < 20; seed++) {
-            Decide d = new Decide(settings().build(), seed, out);
+            TokenBucketDispatchPolicy d =
+                    new TokenBucketDispatchPolicy(settings().build(), seed, out);
             d.workersUpdated(
                     0,
                     WorkerListForm.FULL,
@@ -1511,7 +1521,7 @@
      */
     @Test
     void oneFailureKeepsJobsThatMayNotBeRepeatedAway() {
-        Decide d = start(settings().build(), "s1", "s2");
+        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2");
         String failed = job(d, 0, "safe");
         d.attemptFinished(MS, failed, 0, AttemptOutcome.ERROR, true, LoadReport.NONE);
         long there = 0;
@@ -1526,7 +1536,8 @@
     /** Queues that other gateways filled: what waited there is the one sign of them. */
     @Test
     void workerWhereJobsWaitToStartIsLeftAloneForAWhile() {
-        Decide d = start(settings().workersReportStart(true).build(), "s1", "s2");
+        TokenBucketDispatchPolicy d =
+                start(settings().workersReportStart(true).build(), "s1", "s2");
         String first = job(d, 0, "safe");
         d.attemptStarted(MS, job(d, 0, "safe"), 0);
         d.attemptStarted(600 * MS, first, 0);
@@ -1551,7 +1562,7 @@
      */
     @Test
     void whereNoJobWaitsOtherGatewaysAreTakenToHoldLess() {
-        Decide d =
+        TokenBucketDispatchPolicy d =
                 start(
                         settings()
                                 .workersReportStart(true)
@@ -1581,7 +1592,7 @@
     /** Workers of one kind differed by a factor of four, and each got as many jobs as the next. */
     @Test
     void fastWorkerOfAKindGetsMoreJobsThanASlowOne() {
-        Decide d = start(settings().build(), "s1", "s2");
+        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2");
         long nowNs = 0;
         for (int i = 0; i < 60; i++) {
             nowNs += 3 * SECOND;
@@ -1607,7 +1618,7 @@
                         LoadReport.NONE,
                         new LoadReport(Double.POSITIVE_INFINITY, 0, 0, 0))) {
             out.said.clear();
-            Decide d = start(settings().build(), "s1", "s2");
+            TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2");
             String id = job(d, 0, "safe");
             String liar = out.sentTo(id);
             d.attemptFinished(1, id, 0, AttemptOutcome.SERVED, true, absurd);
@@ -1624,7 +1635,8 @@
 
     @Test
     void listIsAskedForAtTheStartAndAgainAfterAnError() {
-        Decide d = new Decide(settings().pollsWorkerList(true).build(), 1, out);
+        TokenBucketDispatchPolicy d =
+                new TokenBucketDispatchPolicy(settings().pollsWorkerList(true).build(), 1, out);
         d.workersUpdated(0, WorkerListForm.CACHED, List.of(worker("s1", WorkerPhase.READY, 0)));
         assertEquals(1, out.count("watch"));
         d.workersUpdated(1, WorkerListForm.FAILED, List.of());
@@ -1640,7 +1652,8 @@
      */
     @Test
     void restartedGatewayFollowsTheFirstFreshList() {
-        Decide d = new Decide(settings().pollsWorkerList(true).build(), 1, out);
+        TokenBucketDispatchPolicy d =
+                new TokenBucketDispatchPolicy(settings().pollsWorkerList(true).build(), 1, out);
         d.workersUpdated(
                 0,
                 WorkerListForm.CACHED,
@@ -1658,7 +1671,7 @@
     @Test
     void workerThatWasUnreachableIsEjectedButNotTakenAsCold() {
         PolicySettings s = settings().slowStart(0.1, 20 * SECOND).overload(2, SECOND).build();
-        Decide d = start(s, "s1", "s2", "s3");
+        TokenBucketDispatchPolicy d = start(s, "s1", "s2", "s3");
         warmUp(d, 20, FREE);
         String id = job(d, SECOND, "safe");
         String cut = out.sentTo(id);
@@ -1692,7 +1705,9 @@
 
     private List<String> busyHour(long seed) {
         Recorder mine = new Recorder();
-        Decide d = new Decide(settings().tenants(List.of(new Tenant("t", 3))).build(), seed, mine);
+        TokenBucketDispatchPolicy d =
+                new TokenBucketDispatchPolicy(
+                        settings().tenants(List.of(new Tenant("t", 3))).build(), seed, mine);
         d.workersUpdated(
                 0,
                 WorkerListForm.FULL,
--- a/core/src/test/java/postgrade/policy/FleetSimulation.java
+++ b/core/src/test/java/postgrade/policy/FleetSimulation.java
@@ -75,7 +75,7 @@
 
     private final class Gateway implements PolicyActions {
         final int index;
-        Decide module;
+        TokenBucketDispatchPolicy module;
 
         Gateway(int index) {
             this.index = index;
@@ -83,7 +83,7 @@
         }
 
         void begin(WorkerListForm form) {
-            module = new Decide(settings(index), random.nextLong(), this);
+            module = new TokenBucketDispatchPolicy(settings(index), random.nextLong(), this);
             list(form);
         }
 
@@ -94,7 +94,7 @@
 
         @Override
         public void startAttempt(String jobId, String workerId, long limitNs) {
-            Decide by = module;
+            TokenBucketDispatchPolicy by = module;
             int attempt = attempts.merge(jobId, 1, Integer::sum) - 1;
             Machine m = machines.get(workerId);
             double work = work(jobId);
@@ -137,7 +137,7 @@
         @Override
         public void cancelAttempt(String jobId, int attempt) {
             // Workers run what was called off all the same, in the worst case.
-            Decide by = module;
+            TokenBucketDispatchPolicy by = module;
             at(
                     now + MS,
                     () ->
@@ -165,7 +165,7 @@
 
         @Override
         public void startTimer(String token, long inNs) {
-            Decide by = module;
+            TokenBucketDispatchPolicy by = module;
             at(now + inNs, () -> by.timerFired(now, token));
         }
 
--- a/core/src/test/java/postgrade/policy/OtherDeploymentTest.java
+++ b/core/src/test/java/postgrade/policy/OtherDeploymentTest.java
@@ -13,6 +13,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import java.util.TreeSet;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -55,14 +56,12 @@
     private static final Set<String> FACTS =
             Set.of(
                     "random",
-                    "out",
-                    "ability",
+                    "actions",
+                    "constraints",
                     "jobs",
-                    "askAgainNs",
-                    "usedAverage",
-                    "usedAtNs",
-                    "coldSends",
-                    "coldSpent",
+                    "averageUsedSlots",
+                    "averagedNs",
+                    "slowStartLedger",
                     "id",
                     "hash",
                     "info");
@@ -115,14 +114,14 @@
                 .overload(2, 2 * SECOND);
     }
 
-    private String job(Decide d, long nowNs, String jobClass, String tenant) {
+    private String job(TokenBucketDispatchPolicy d, long nowNs, String jobClass, String tenant) {
         String id = "j" + jobs++;
         d.jobArrived(nowNs, new Job(id, jobClass, tenant, "user", 5 * SECOND, 1, 0));
         return id;
     }
 
-    private Decide started(PolicySettings settings, long nowNs) {
-        Decide d = new Decide(settings, 7, out);
+    private TokenBucketDispatchPolicy started(PolicySettings settings, long nowNs) {
+        TokenBucketDispatchPolicy d = new TokenBucketDispatchPolicy(settings, 7, out);
         d.workersUpdated(nowNs, WorkerListForm.FULL, WORKERS);
         return d;
     }
@@ -131,8 +130,8 @@
      * Under the first customer: long waits and runs, failures, an ejection, reports, buckets that
      * are empty.
      */
-    private Decide troubled(PolicySettings settings) {
-        Decide d = started(settings, 0);
+    private TokenBucketDispatchPolicy troubled(PolicySettings settings) {
+        TokenBucketDispatchPolicy d = started(settings, 0);
         for (int i = 0; i < 60; i++) {
             long now = i * 100 * MS;
             String id = job(d, now, i % 5 < 3 ? "both" : "first", i % 3 == 0 ? "t1" : "t");
@@ -154,7 +153,7 @@
 
     @Test
     void nothingLearntUnderTheFirstIsLeftUnderTheSecond() throws Exception {
-        Decide d = troubled(first().build());
+        TokenBucketDispatchPolicy d = troubled(first().build());
         assertNotEquals(memory(started(first().build(), 0)), memory(d), "it had learnt something");
         d.settingsChanged(LATER, second().build());
         d.workersUpdated(LATER, WorkerListForm.FULL, WORKERS);
@@ -163,7 +162,7 @@
 
     @Test
     void underTheSameDeploymentItStaysButForWhatTheSettingsNoLongerName() throws Exception {
-        Decide d = troubled(first().build());
+        TokenBucketDispatchPolicy d = troubled(first().build());
         Object before = memory(d);
         d.settingsChanged(LATER, first().build());
         assertEquals(before, memory(d));
@@ -172,43 +171,46 @@
                 first().classes(List.of(JobClass.of("first", Idempotency.IDEMPOTENT)))
                         .tenants(List.of(new Tenant("t1", 4)))
                         .build());
-        Memory my = (Memory) field(d, "my");
-        assertEquals(Set.of("first"), my.classes.keySet());
-        assertTrue(my.classes.get("first").served > 0, "what it knew of that one it knows");
-        assertEquals(Set.of("t1"), my.tenantBuckets.keySet());
-        assertFalse(my.keyBuckets.isEmpty());
+        PolicyState state = state(d);
+        assertEquals(1, state.classes().all().size());
+        assertTrue(
+                state.classes().get("first").served() > 0, "what it knew of that one it knows");
+        assertEquals(Set.of("t1"), exportedTenants(state));
+        assertFalse(exportedKeys(state).isEmpty());
     }
 
     /** What a class's dearest job costs bounds how many gateways may send to a cold worker. */
     @Test
     void theDearestClassIsOneThatThereIs() throws Exception {
-        Decide d = troubled(first().build());
+        TokenBucketDispatchPolicy d = troubled(first().build());
         d.settingsChanged(
                 LATER,
                 first().classes(List.of(JobClass.of("fresh", Idempotency.IDEMPOTENT))).build());
-        assertEquals(State.UNKNOWN_NS, ((Memory) field(d, "my")).dearestNs);
+        assertEquals(
+                JobClassStats.UNKNOWN_SERVICE_TIME_NS, state(d).classes().longestServiceTimeNs());
     }
 
     @Test
     void aNewProcessOfTheSecondTakesNothingThatTheFirstHasLearnt() throws Exception {
-        Decide old = troubled(first().slowStart(1, 0).build());
+        TokenBucketDispatchPolicy old = troubled(first().slowStart(1, 0).build());
         List<TransferredFigures> told = old.exportFigures(LATER);
-        Decide fresh = started(second().build(), LATER);
+        TokenBucketDispatchPolicy fresh = started(second().build(), LATER);
         fresh.importFigures(LATER, told);
         assertEquals(memory(started(second().build(), LATER)), memory(fresh));
-        Decide same = started(first().build(), LATER);
+        TokenBucketDispatchPolicy same = started(first().build(), LATER);
         same.importFigures(LATER, told);
         assertNotEquals(
                 memory(started(first().build(), LATER)), memory(same), "one of the first does");
-        Decide fewer = started(first().tenants(List.of(new Tenant("t1", 4))).build(), LATER);
+        TokenBucketDispatchPolicy fewer =
+                started(first().tenants(List.of(new Tenant("t1", 4))).build(), LATER);
         fewer.importFigures(LATER, told);
-        assertEquals(Set.of("t1"), ((Memory) field(fewer, "my")).tenantBuckets.keySet());
+        assertEquals(Set.of("t1"), exportedTenants(state(fewer)));
     }
 
     /** The limits, the effect and the names of the second, for jobs that come after it. */
     @Test
     void theSecondsLimitsAndEffectsHoldAtOnceAndJobsUnderWayKeepTheirClass() {
-        Decide d = started(first().build(), 0);
+        TokenBucketDispatchPolicy d = started(first().build(), 0);
         String underWay = job(d, 0, "both", null);
         d.settingsChanged(MS, second().build());
         String once = job(d, MS, "both", null);
@@ -237,7 +239,7 @@
     @Test
     void underStricterRulesOnColdWorkersOneWindowPassesFirst() {
         for (boolean stricter : new boolean[] {false, true}) {
-            Decide d = new Decide(first().build(), 7, out);
+            TokenBucketDispatchPolicy d = new TokenBucketDispatchPolicy(first().build(), 7, out);
             d.workersUpdated(
                     0,
                     WorkerListForm.FULL,
@@ -269,8 +271,24 @@
 
     // ---- All fields of the memory, so that one added later is either begun anew or named a fact.
 
-    private static Object memory(Decide d) throws Exception {
-        return plain(field(d, "my"));
+    private static Object memory(TokenBucketDispatchPolicy d) throws Exception {
+        return plain(state(d));
+    }
+
+    private static PolicyState state(TokenBucketDispatchPolicy policy) throws Exception {
+        return (PolicyState) field(policy, "state");
+    }
+
+    private static Set<String> exportedTenants(PolicyState state) {
+        Set<String> names = new TreeSet<>();
+        state.rateLimiter().exportTenants(LATER, (name, values) -> names.add(name));
+        return names;
+    }
+
+    private static Set<String> exportedKeys(PolicyState state) {
+        Set<String> names = new TreeSet<>();
+        state.rateLimiter().exportKeys(LATER, (name, values) -> names.add(name));
+        return names;
     }
 
     private static Object field(Object of, String name) throws Exception {
@@ -291,6 +309,7 @@
             return list.size();
         }
         if (o == null
+                || o instanceof Enum<?>
                 || o instanceof PolicySettings
                 || !o.getClass().getName().startsWith("postgrade.policy.")) {
             return o instanceof PolicySettings ? "" : String.valueOf(o);
--- a/daemon/src/main/java/postgrade/benchlink/Wire.java
+++ b/daemon/src/main/java/postgrade/benchlink/Wire.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import postgrade.policy.Decide;
+import postgrade.policy.TokenBucketDispatchPolicy;
 import postgrade.policy.api.AttemptOutcome;
 import postgrade.policy.api.DispatchPolicy;
 import postgrade.policy.api.Job;
@@ -291,7 +291,7 @@
             queuedAt = fields.indexOf("backlog");
             inFlightAt = fields.indexOf("outstanding");
             busyAt = fields.indexOf("utilization");
-            dispatcher = new Decide(settings, seed, this);
+            dispatcher = new TokenBucketDispatchPolicy(settings, seed, this);
         }
 
         String className(String given) {
--- a/daemon/src/main/java/postgrade/daemon/Daemon.java
+++ b/daemon/src/main/java/postgrade/daemon/Daemon.java
@@ -20,7 +20,7 @@
 import postgrade.operator.Further;
 import postgrade.operator.Operations;
 import postgrade.operator.OperatorListener;
-import postgrade.policy.Decide;
+import postgrade.policy.TokenBucketDispatchPolicy;
 import postgrade.policy.api.DispatchPolicy;
 import postgrade.policy.api.PolicyActions;
 import postgrade.policy.api.WorkerListForm;
@@ -71,7 +71,7 @@
         this(
                 config,
                 plan,
-                actions -> new Decide(config.settings, config.seed, actions),
+                actions -> new TokenBucketDispatchPolicy(config.settings, config.seed, actions),
                 Patience.USUAL);
     }
 
