--- /dev/null
+++ b/core/src/main/java/postgrade/dispatch/ActionQueue.java
@@ -0,0 +1,148 @@
+package postgrade.dispatch;
+
+import java.util.Map;
+import java.util.function.Supplier;
+import postgrade.policy.api.AttemptOutcome;
+import postgrade.policy.api.DispatchPolicy;
+import postgrade.policy.api.PolicyActions;
+
+/**
+ * Queues what the policy decides until it has heard all events of the turn, and carries it out.
+ * Used on the loop's thread.
+ */
+final class ActionQueue implements PolicyActions {
+
+    private static final long NANOS_PER_MICRO = 1_000;
+
+    private final Timers timers;
+    private final InternalErrorListener errors;
+    private final EventBatch batch;
+    private final AttemptLifecycle lifecycle;
+    private final Map<String, PendingRequest> requests;
+    private final Supplier<WorkerTransport> transport;
+    private final Supplier<DispatchPolicy> policy;
+
+    /**
+     * @param requests by id
+     */
+    ActionQueue(
+            Timers timers,
+            InternalErrorListener errors,
+            EventBatch batch,
+            AttemptLifecycle lifecycle,
+            Map<String, PendingRequest> requests,
+            Supplier<WorkerTransport> transport,
+            Supplier<DispatchPolicy> policy) {
+        this.timers = timers;
+        this.errors = errors;
+        this.batch = batch;
+        this.lifecycle = lifecycle;
+        this.requests = requests;
+        this.transport = transport;
+        this.policy = policy;
+    }
+
+    @Override
+    public void startAttempt(String jobId, String workerId, long limitNs) {
+        startAttempt(jobId, workerId, limitNs, Long.MAX_VALUE);
+    }
+
+    @Override
+    public void startAttempt(String jobId, String workerId, long limitNs, long windowNs) {
+        batch.addAction(() -> start(jobId, workerId, limitNs, windowNs));
+    }
+
+    @Override
+    public void cancelAttempt(String jobId, int attempt) {
+        batch.addAction(
+                () -> {
+                    PendingRequest request = requests.get(jobId);
+                    if (request != null && attempt < request.attempts().size()) {
+                        lifecycle.cancel(request.attempts().get(attempt), AttemptOutcome.CANCELLED);
+                    }
+                });
+    }
+
+    @Override
+    public void reject(String jobId, long retryAfterNs) {
+        batch.addAction(
+                () -> {
+                    PendingRequest request = requests.get(jobId);
+                    if (request != null && !request.isAnswered()) {
+                        lifecycle.markAnswered(request, false);
+                        lifecycle.withdrawUnsent(request);
+                        request.client().reject(retryAfterNs / NANOS_PER_MICRO);
+                    }
+                });
+    }
+
+    @Override
+    public void fail(String jobId) {
+        batch.addAction(
+                () -> {
+                    PendingRequest request = requests.get(jobId);
+                    if (request != null && !request.isAnswered()) {
+                        boolean timedOut = timers.nowMicros() >= request.deadlineMicros();
+                        lifecycle.failRequest(request, timedOut);
+                    }
+                });
+    }
+
+    @Override
+    public void probe(String workerId) {
+        batch.addAction(() -> transport.get().probe(workerId));
+    }
+
+    @Override
+    public void startTimer(String token, long inNs) {
+        batch.addAction(
+                () -> {
+                    long whenMicros =
+                            timers.nowMicros() + (inNs + NANOS_PER_MICRO - 1) / NANOS_PER_MICRO;
+                    timers.at(
+                            whenMicros,
+                            () -> batch.addEvent(nowNs -> policy.get().timerFired(nowNs, token)));
+                });
+    }
+
+    @Override
+    public void watchWorkers() {
+        // The daemon watches the list from its start on, whether asked to or not.
+    }
+
+    private void start(String jobId, String workerId, long limitNs, long windowNs) {
+        PendingRequest request = requests.get(jobId);
+        if (request == null) {
+            return;
+        }
+        long nowMicros = timers.nowMicros();
+        long deadlineMicros = request.deadlineMicros();
+        long untilMicros =
+                limitNs == 0
+                        ? deadlineMicros
+                        : Math.min(deadlineMicros, nowMicros + limitNs / NANOS_PER_MICRO);
+        boolean second = !request.mayAddAttempt(workerId);
+        Attempt attempt =
+                new Attempt(
+                        request,
+                        request.attempts().size(),
+                        workerId,
+                        untilMicros,
+                        nowMicros + windowNs / NANOS_PER_MICRO,
+                        nowMicros);
+        request.add(attempt);
+        if (second) {
+            errors.internalError(
+                    InternalErrorListener.SECOND_CALL,
+                    "the module asked for a second call of a job that has one out; not sent",
+                    null);
+        }
+        // The client may have left since the loop last looked.
+        if (second || untilMicros <= nowMicros || attempt.isUnwanted()) {
+            lifecycle.end(attempt, AttemptOutcome.NOT_SENT, null);
+            return;
+        }
+        attempt.limitTimer(timers.at(untilMicros, () -> lifecycle.expire(attempt)));
+        attempt.handle(transport.get().start(attempt));
+    }
+}
--- /dev/null
+++ b/core/src/main/java/postgrade/dispatch/Attempt.java
@@ -0,0 +1,195 @@
+package postgrade.dispatch;
+
+import java.util.EnumSet;
+import java.util.Map;
+import java.util.Set;
+import postgrade.dispatch.WorkerTransport.AttemptHandle;
+import postgrade.policy.api.AttemptOutcome;
+
+/**
+ * One attempt of a request at one worker. Used on the loop's thread. Times are microseconds of the
+ * loop's clock.
+ */
+public final class Attempt {
+
+    /** Which state follows which is told by {@link #NEXT} alone. */
+    enum State {
+        /** Queued, sent or running. */
+        OUT,
+        /** The worker is being told to drop it, and the policy has not heard of its end. */
+        CANCELLING,
+        /** Its outcome is known. */
+        ENDED
+    }
+
+    static final Map<State, Set<State>> NEXT =
+            Map.of(
+                    State.OUT, EnumSet.of(State.CANCELLING, State.ENDED),
+                    State.CANCELLING, EnumSet.of(State.ENDED),
+                    State.ENDED, EnumSet.noneOf(State.class));
+
+    private final PendingRequest request;
+    private final int number;
+    private final String workerId;
+    private final long untilMicros;
+    private final long writeByMicros;
+    private State state = State.OUT;
+    private AttemptHandle handle;
+    private Timers.Timer limitTimer;
+    private long startedMicros;
+    private AttemptOutcome outcome;
+
+    /**
+     * @param number of the request's attempts, from 0
+     * @param untilMicros when it is no longer waited for
+     * @param writeByMicros after this it may not be written
+     */
+    Attempt(
+            PendingRequest request,
+            int number,
+            String workerId,
+            long untilMicros,
+            long writeByMicros,
+            long nowMicros) {
+        this.request = request;
+        this.number = number;
+        this.workerId = workerId;
+        this.untilMicros = untilMicros;
+        this.writeByMicros = writeByMicros;
+        startedMicros = nowMicros;
+    }
+
+    // ---- What the transport asks.
+
+    /** The id of the request. */
+    public String id() {
+        return request.id();
+    }
+
+    /** The worker that it goes to. */
+    public String workerId() {
+        return workerId;
+    }
+
+    /** The class of the job. */
+    public String jobClass() {
+        return request.jobClass();
+    }
+
+    /** The tenant of the request, or null. */
+    public String tenant() {
+        return request.tenant();
+    }
+
+    /** What is forwarded. */
+    public RequestPayload payload() {
+        return request.payload();
+    }
+
+    /** When the attempt is no longer waited for. */
+    public long untilMicros() {
+        return untilMicros;
+    }
+
+    /** When the client stops waiting: until then the request may be sent again. */
+    public long deadlineMicros() {
+        return request.deadlineMicros();
+    }
+
+    /**
+     * After this it may not be written: a repeat that comes to its worker later would run again.
+     */
+    public long writeByMicros() {
+        return writeByMicros;
+    }
+
+    /**
+     * Whether the client has its answer or has left by now, noticed or not, so that nothing may be
+     * written for it.
+     */
+    public boolean isUnwanted() {
+        return request.isAnswered() || request.client().hasLeft();
+    }
+
+    // ---- Its life.
+
+    PendingRequest request() {
+        return request;
+    }
+
+    int number() {
+        return number;
+    }
+
+    boolean isOut() {
+        return state != State.ENDED;
+    }
+
+    /** Whether it has been handed to the transport. */
+    boolean isOnWire() {
+        return handle != null;
+    }
+
+    /** Null before it is handed to the transport. */
+    AttemptHandle handle() {
+        return handle;
+    }
+
+    void handle(AttemptHandle onWire) {
+        handle = onWire;
+    }
+
+    /** The timer of {@link #untilMicros}, cancelled with the attempt's end. */
+    void limitTimer(Timers.Timer timer) {
+        limitTimer = timer;
+    }
+
+    /** The worker reports that it has started the job. */
+    void started(long nowMicros) {
+        startedMicros = nowMicros;
+    }
+
+    /** How long it has run since the worker reported its start, or since it was sent. */
+    long ranMicros(long nowMicros) {
+        return nowMicros - startedMicros;
+    }
+
+    /** Returns false, and changes nothing, if it is being cancelled or has ended. */
+    boolean cancelling() {
+        return advance(State.CANCELLING);
+    }
+
+    /** Returns false, and changes nothing, if it has ended. */
+    boolean end(AttemptOutcome as) {
+        if (!advance(State.ENDED)) {
+            return false;
+        }
+        outcome = as;
+        if (limitTimer != null) {
+            limitTimer.cancel();
+        }
+        return true;
+    }
+
+    private boolean advance(State next) {
+        boolean follows = NEXT.get(state).contains(next);
+        if (follows) {
+            state = next;
+        }
+        return follows;
+    }
+
+    /** Whether no worker has had it, so that trying again is harmless. */
+    boolean wasNeverSent() {
+        return outcome == AttemptOutcome.NOT_SENT
+                || outcome == AttemptOutcome.UNREACHABLE
+                || outcome == AttemptOutcome.NO_SOCKET;
+    }
+
+    /** Whether a report from its worker may be of an earlier attempt at the same worker. */
+    boolean mayReceiveStaleReports() {
+        return request.attempts().stream()
+                .filter(other -> other.number < number && other.workerId.equals(workerId))
+                .anyMatch(other -> other.isOnWire() && other.handle.mayReport());
+    }
+}
--- /dev/null
+++ b/core/src/main/java/postgrade/dispatch/RequestTracker.java
@@ -0,0 +1,304 @@
+package postgrade.dispatch;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Function;
+import postgrade.policy.api.AttemptOutcome;
+import postgrade.policy.api.DispatchPolicy;
+import postgrade.policy.api.Job;
+import postgrade.policy.api.JobConstraints;
+import postgrade.policy.api.LoadReport;
+import postgrade.policy.api.PolicyActions;
+import postgrade.policy.api.PolicySettings;
+import postgrade.policy.api.TransferredFigures;
+import postgrade.policy.api.WorkerInfo;
+import postgrade.policy.api.WorkerListForm;
+
+/**
+ * The core of the dispatcher. It tracks the requests in flight and their attempts, delivers events
+ * to the policy and carries out what the policy decides. It knows no protocol: the clients' side
+ * submits and abandons requests, the workers' side starts attempts and tells how they end.
+ *
+ * <p>What comes in during a turn of the loop is queued. {@link #runBatch} delivers it to the policy
+ * in one go and then carries out the actions in their order; what those bring about waits for the
+ * next turn. Used on the loop's thread alone. Times are microseconds of the loop's clock.
+ */
+public final class RequestTracker {
+
+    /** When a client that finds every place taken may come back. */
+    static final long FULL_RETRY_MICROS = 500_000;
+
+    private static final long NANOS_PER_MICRO = 1_000;
+
+    /**
+     * The policy answers by the deadline; what it has not answered so long after is failed here.
+     */
+    private static final long OVERDUE_MICROS = 20_000;
+
+    private final Timers timers;
+    private final InternalErrorListener errors;
+    private final DispatchPolicy policy;
+    private final Map<String, PendingRequest> requests = new HashMap<>();
+    private final EventBatch batch;
+    private final AttemptLifecycle lifecycle;
+    private WorkerTransport transport;
+    private int mostRequests;
+    private boolean allowsConcurrentAttempts;
+
+    /**
+     * @param policyFactory makes the policy, given where its actions go
+     * @param allowsConcurrentAttempts whether two attempts of one request may be out at once
+     * @param mostRequests how many requests may be in flight; further ones are rejected at once
+     * @param errors is told what went wrong in the policy
+     */
+    public RequestTracker(
+            Function<PolicyActions, DispatchPolicy> policyFactory,
+            boolean allowsConcurrentAttempts,
+            int mostRequests,
+            Timers timers,
+            InternalErrorListener errors) {
+        this.timers = timers;
+        this.errors = errors;
+        this.mostRequests = mostRequests;
+        this.allowsConcurrentAttempts = allowsConcurrentAttempts;
+        batch = new EventBatch(timers, errors);
+        lifecycle = new AttemptLifecycle(timers, errors, batch, this::policy);
+        policy =
+                policyFactory.apply(
+                        new ActionQueue(
+                                timers,
+                                errors,
+                                batch,
+                                lifecycle,
+                                requests,
+                                this::transport,
+                                this::policy));
+    }
+
+    private DispatchPolicy policy() {
+        return policy;
+    }
+
+    private WorkerTransport transport() {
+        return transport;
+    }
+
+    /** Sets the side that speaks to workers. To be called once, before the first turn. */
+    public void connectTransport(WorkerTransport workers) {
+        transport = workers;
+    }
+
+    /** Sets who observes requests from now on, in place of any former one. */
+    public void observer(RequestObserver next) {
+        lifecycle.observer(next);
+    }
+
+    // ---- From the clients' side. Nothing here calls the policy at once.
+
+    /**
+     * Accepts a request, which is owed one answer from now on. Returns false, and does nothing, if
+     * a request with its id is in flight.
+     */
+    public boolean submit(PendingRequest request) {
+        if (requests.containsKey(request.id())) {
+            return false; // The policy would ignore the second and never answer it.
+        }
+        if (lifecycle.unanswered() >= mostRequests) {
+            // Bounds the memory: beyond this a request is rejected before the policy hears of it.
+            request.client().reject(FULL_RETRY_MICROS);
+            lifecycle.observer().requestAnswered(request.id(), request.jobClass(), 0, false);
+            return true;
+        }
+        requests.put(request.id(), request);
+        lifecycle.accepted();
+        long overdueMicros = request.deadlineMicros() + OVERDUE_MICROS;
+        request.accepted(
+                timers.nowMicros(),
+                allowsConcurrentAttempts,
+                timers.at(overdueMicros, () -> lifecycle.failOverdue(request)));
+        batch.addEvent(nowNs -> deliver(nowNs, request));
+        return true;
+    }
+
+    /**
+     * Delivers a new request to the policy. One that the policy throws on is still owed its answer.
+     */
+    private void deliver(long nowNs, PendingRequest request) {
+        try {
+            policy.jobArrived(nowNs, job(nowNs, request));
+        } catch (RuntimeException thrown) {
+            errors.internalError(
+                    InternalErrorListener.JOB_NOT_TAKEN,
+                    "the module could not take a job of class " + request.jobClass(),
+                    thrown);
+            lifecycle.failRequest(request, false);
+        }
+    }
+
+    private static Job job(long nowNs, PendingRequest request) {
+        return new Job(
+                request.id(),
+                request.jobClass(),
+                request.tenant(),
+                request.key(),
+                request.deadlineMicros() * NANOS_PER_MICRO - nowNs,
+                request.slots(),
+                request.memory());
+    }
+
+    /** The client has left, and nothing more is owed to it. */
+    public void clientLeft(PendingRequest request) {
+        if (!request.isAnswered()) {
+            lifecycle.conclude(request);
+            notifyClientLeft(request);
+            lifecycle.withdrawUnsent(request);
+        }
+    }
+
+    /**
+     * Answers the unanswered requests that have arrived since then, as there is no time left to
+     * serve them.
+     */
+    public void concludeArrivedSince(long sinceMicros) {
+        for (PendingRequest request : new ArrayList<>(requests.values())) {
+            if (!request.isAnswered() && request.arrivedMicros() >= sinceMicros) {
+                lifecycle.failRequest(request, false);
+                notifyClientLeft(request);
+            }
+        }
+    }
+
+    private void notifyClientLeft(PendingRequest request) {
+        lifecycle.notifyPolicy(request, nowNs -> policy.clientLeft(nowNs, request.id()));
+    }
+
+    // ---- From the workers' side.
+
+    /**
+     * A worker's call-back has come. Reports of unknown jobs, from other workers and of ended
+     * attempts are ignored.
+     *
+     * @param shareDone for {@link ReportedState#RUNNING}
+     * @param result for {@link ReportedState#DONE}, else null
+     * @return false if no request with this id is in flight here
+     */
+    public boolean workerReported(
+            String id, String workerId, ReportedState state, double shareDone, byte[] result) {
+        PendingRequest request = requests.get(id);
+        Attempt attempt = request == null ? null : request.attemptOutAt(workerId);
+        if (attempt == null) {
+            return request != null;
+        }
+        int number = attempt.number();
+        switch (state) {
+            case STARTED -> {
+                attempt.started(timers.nowMicros());
+                lifecycle.notifyPolicy(request, nowNs -> policy.attemptStarted(nowNs, id, number));
+            }
+            case RUNNING ->
+                    lifecycle.notifyPolicy(
+                            request,
+                            nowNs -> policy.attemptProgressed(nowNs, id, number, shareDone));
+            case DONE, FAILED, RETURNED, LOST -> endByReport(attempt, state, result);
+        }
+        return true;
+    }
+
+    private void endByReport(Attempt attempt, ReportedState state, byte[] result) {
+        if (state != ReportedState.DONE && attempt.mayReceiveStaleReports()) {
+            // A late report of an earlier attempt at the same worker would free this one while it
+            // runs. So it is cancelled before the policy hears,
+            // and may have run.
+            lifecycle.cancel(attempt, AttemptOutcome.RESET);
+        } else {
+            attempt.handle().endedByReport();
+            lifecycle.end(attempt, state.outcome().orElseThrow(), result);
+        }
+    }
+
+    /** An attempt has ended, as the transport saw it. */
+    public void attemptEnded(Attempt attempt, AttemptOutcome outcome) {
+        lifecycle.end(attempt, outcome, null);
+    }
+
+    /**
+     * The worker cannot use what the client sent, and neither will another. It is no failure of the
+     * worker's, so for the policy the attempt was cancelled.
+     */
+    public void requestUnusable(Attempt attempt) {
+        PendingRequest request = attempt.request();
+        if (attempt.isOut() && !request.isAnswered()) {
+            lifecycle.markAnswered(request, false);
+            request.client().fail(false);
+        }
+        lifecycle.end(attempt, AttemptOutcome.CANCELLED, null);
+    }
+
+    /** A probe of a worker has ended. */
+    public void workerProbed(String workerId, boolean answered) {
+        batch.addEvent(nowNs -> policy.workerProbed(nowNs, workerId, answered, LoadReport.NONE));
+    }
+
+    // ---- Settings, workers and what other processes have learnt; delivered before all else of the
+    // turn.
+
+    /**
+     * Other settings are in force. Requests in flight keep their deadline and whether their
+     * attempts may be concurrent.
+     */
+    public void settingsChanged(PolicySettings settings, int nextMostRequests) {
+        mostRequests = nextMostRequests;
+        allowsConcurrentAttempts = settings.allowsConcurrentAttempts;
+        batch.addFirst(nowNs -> policy.settingsChanged(nowNs, settings));
+    }
+
+    /** This process has so large a share of the dispatcher's quotas. */
+    public void shareChanged(double share) {
+        batch.addFirst(nowNs -> policy.shareChanged(nowNs, share));
+    }
+
+    /** These constraints are asked from now on. */
+    public void constraintsChanged(JobConstraints constraints) {
+        policy.constraintsChanged(constraints);
+    }
+
+    /** What the policy has learnt, for the next process of this dispatcher. */
+    public List<TransferredFigures> exportFigures() {
+        return policy.exportFigures(timers.nowMicros() * NANOS_PER_MICRO);
+    }
+
+    /** Imports what another process has exported. The list of workers has been queued before. */
+    public void importFigures(List<TransferredFigures> figures) {
+        batch.addFirst(nowNs -> policy.importFigures(nowNs, figures));
+    }
+
+    /** The list of workers has come. */
+    public void workersUpdated(WorkerListForm form, List<WorkerInfo> workers) {
+        batch.addFirst(nowNs -> policy.workersUpdated(nowNs, form, workers));
+    }
+
+    /** An operator has put this worker back. The list that says so has been queued before. */
+    public void workerReenabled(String workerId) {
+        batch.addFirst(nowNs -> policy.workerReenabled(nowNs, workerId));
+    }
+
+    // ---- The turn.
+
+    /** Whether nothing is owed, out or to be delivered. */
+    public boolean isIdle() {
+        return requests.isEmpty() && !hasPendingEvents();
+    }
+
+    /** Whether events wait for a turn. */
+    public boolean hasPendingEvents() {
+        return batch.hasEvents();
+    }
+
+    /** Delivers what has come in and carries out what the policy decides. */
+    public void runBatch() {
+        batch.run();
+        lifecycle.forgetSettled(request -> requests.remove(request.id(), request));
+    }
+}
--- a/core/src/main/java/postgrade/gateway/Timers.java
+++ b/core/src/main/java/postgrade/dispatch/Timers.java
@@ -1,4 +1,4 @@
-package postgrade.gateway;
+package postgrade.dispatch;
 
 /**
  * The loop's clock and timers. All times are microseconds of a monotonic clock that is read once a
@@ -6,13 +6,16 @@
  */
 public interface Timers {
 
+    /** The time of the current turn. */
     long nowMicros();
 
     /** Runs the task in the first turn at or after this time. */
     Timer at(long whenMicros, Runnable task);
 
-    /** One task that waits for its time. */
+    /** A task that waits for its time. */
     interface Timer {
+
+        /** The task will not run; after it has run, or twice, this has no effect. */
         void cancel();
     }
 }
--- /dev/null
+++ b/core/src/main/java/postgrade/dispatch/WorkerTransport.java
@@ -0,0 +1,36 @@
+package postgrade.dispatch;
+
+/** The side that speaks to workers, as the dispatcher needs it. Called on the loop's thread. */
+public interface WorkerTransport {
+
+    /**
+     * Starts the attempt. How it ends without a call-back is told to {@link
+     * RequestTracker#attemptEnded}.
+     */
+    AttemptHandle start(Attempt attempt);
+
+    /** Asks a worker whether it is well; the answer goes to {@link RequestTracker#workerProbed}. */
+    void probe(String workerId);
+
+    /** An attempt on the wire. */
+    interface AttemptHandle {
+
+        /**
+         * Cancels the attempt on the wire. Runs {@code done} as soon as the worker is sure not to
+         * start it or to continue it as ours: within this method, later, or never if the worker is
+         * silent.
+         */
+        void cancel(Runnable done);
+
+        /** The attempt has ended by a call-back, and nothing is to be cancelled. */
+        void endedByReport();
+
+        /** Whether its last byte has been given to the system, so that the worker may run it. */
+        boolean isWritten();
+
+        /**
+         * Whether a call-back may yet come: the worker has accepted the job, or has not answered.
+         */
+        boolean mayReport();
+    }
+}
--- a/core/src/main/java/postgrade/settings/SettingsReader.java
+++ b/core/src/main/java/postgrade/settings/SettingsReader.java
@@ -11,12 +11,19 @@
 import postgrade.policy.api.Tenant;
 
 /**
- * Reads the settings of a deployment, so that the adapter and the daemon give the module the same.
- * They come as the pairs of ATTACH; who has nested JSON turns it into such pairs first. Unknown
- * ones are left alone.
+ * Reads the settings of a deployment, so that the simulator's adapter and the daemon give the
+ * policy the same. They come as the key-value pairs of the simulator's ATTACH message; a reader of
+ * nested JSON flattens it to such pairs first. Unknown keys are ignored. Immutable.
  */
 public final class SettingsReader {
 
+    private static final int DEFAULT_MOST_ATTEMPTS = 3;
+    private static final double DEFAULT_OVERLOAD_WINDOW_NS = 1e9;
+    private static final double DEFAULT_TICK_NS = 1e6;
+
+    /** Stands for an absent value. */
+    private static final String ABSENT = "-";
+
     private final Map<String, String> pairs;
 
     private SettingsReader(Map<String, String> pairs) {
@@ -24,143 +31,179 @@
     }
 
     /**
-     * @param pairs paths and plain values, in the form of ATTACH
+     * @param pairs dotted paths and plain values
      */
     public static SettingsReader ofPairs(Map<String, String> pairs) {
         return new SettingsReader(pairs);
     }
 
-    /** The text under this key, or what stands for it where it is absent. */
-    public String text(String key, String absent) {
-        return pairs.getOrDefault(key, absent);
-    }
-
-    /** Exceptions name the faulty key. */
+    /** Reads all settings. @throws InvalidSettingException that names the faulty key */
     public PolicySettings settings() {
-        List<String> kinds = list("skus");
-        List<String> classKinds = list("specifics.classKind");
-        List<String> stretches = list("specifics.classStretch");
-        List<JobClass> classes = new ArrayList<>();
-        int count = (int) number("classes.count");
-        for (int i = 0; i < count; i++) {
-            String at = "classes." + i + ".";
-            int kind =
-                    i < classKinds.size()
-                            ? (int) parse("specifics.classKind", classKinds.get(i))
-                            : -1;
-            double stretch =
-                    i < stretches.size()
-                            ? parse("specifics.classStretch", stretches.get(i))
-                            : number(at + "aimStretch", 0);
-            classes.add(
-                    new JobClass(
-                            must(at + "name"),
-                            effect(at),
-                            group(at),
-                            (long) number(at + "windowNs", 0),
-                            (long) number(at + "onTimeNs"),
-                            stretch,
-                            number(at + "importance", 1),
-                            number(at + "lateShare", 0),
-                            kind >= 0 && kind < kinds.size() ? kinds.get(kind) : null,
-                            yes(at + "stream", false)));
-        }
-        List<Tenant> tenants = new ArrayList<>();
-        int tenantCount = (int) number("tenants.count", 0);
-        for (int i = 0; i < tenantCount; i++) {
-            String at = "tenants." + i + ".";
-            tenants.add(new Tenant(must(at + "name"), number(at + "quotaPerS")));
-        }
+        List<String> workerKinds = list("skus");
         return PolicySettings.builder()
                 .dispatcherCount((int) number("balancers", 1))
                 .dispatcherIndex((int) number("index", 0))
                 .zone(text("zone", ""))
                 .named(Deployment.Sort.TIER, list("tiers"))
-                .named(Deployment.Sort.KIND, kinds)
+                .named(Deployment.Sort.KIND, workerKinds)
                 .named(Deployment.Sort.ZONE, list("dcs"))
-                .classes(classes)
-                .tenants(tenants)
+                .classes(jobClasses(workerKinds))
+                .tenants(tenants())
                 .pollsWorkerList("ask".equals(pairs.get("discovery")))
-                .keepsUnlistedWorkers(yes("obligations.droppedStayOpen", false))
-                .maxAttempts((int) number("limits.maxAttempts", 3))
-                .allowsConcurrentAttempts(yes("limits.mayDuplicate", false))
-                .allowsCancellation(yes("limits.cancel", false))
-                // Where no report comes with its answer, a probe tells less than it costs the
-                // worker and the job.
-                .probes(
-                        yes("limits.mayProbe", false)
-                                && !text("telemetry.source", "").equals("silent"),
-                        number("fees.probe", 0))
-                // limits.retryAfter tells whether the site's clients count on a retry-after. A
-                // refused one is always
-                // told when to come back: some observe it, and the others lose nothing.
+                .keepsUnlistedWorkers(flag("obligations.droppedStayOpen"))
+                .maxAttempts((int) number("limits.maxAttempts", DEFAULT_MOST_ATTEMPTS))
+                .allowsConcurrentAttempts(flag("limits.mayDuplicate"))
+                .allowsCancellation(flag("limits.cancel"))
+                .probes(usesProbes(), number("fees.probe", 0))
+                // limits.retryAfter tells whether clients usually observe a Retry-After. A rejected
+                // one is told when to come back either way: some observe it,
+                // and the others lose nothing.
                 .maxRetryAfterNs((long) number("limits.maxRetryAfterNs", 0))
-                .workersReportStart(yes("specifics.tellsStart", false))
+                .workersReportStart(flag("specifics.tellsStart"))
                 .slowStart(
                         number("obligations.coldShare", 1),
                         (long) number("obligations.warmWithinNs", 0))
                 .overload(
                         number("obligations.fallMultiple", 1),
-                        (long) number("obligations.fallNs", 1e9))
-                .tickNs((long) number("tickNs", 1e6))
+                        (long) number("obligations.fallNs", DEFAULT_OVERLOAD_WINDOW_NS))
+                .tickNs((long) number("tickNs", DEFAULT_TICK_NS))
                 .build();
     }
 
-    private Idempotency effect(String at) {
-        String value = must(at + "idempotency");
+    /**
+     * Where no load report comes with its answer, a probe tells less than it costs the worker and
+     * the job.
+     */
+    private boolean usesProbes() {
+        return flag("limits.mayProbe") && !text("telemetry.source", "").equals("silent");
+    }
+
+    private List<JobClass> jobClasses(List<String> workerKinds) {
+        List<JobClass> classes = new ArrayList<>();
+        int count = (int) number("classes.count");
+        for (int i = 0; i < count; i++) {
+            classes.add(jobClass(i, workerKinds));
+        }
+        return classes;
+    }
+
+    private JobClass jobClass(int index, List<String> workerKinds) {
+        String prefix = "classes." + index + ".";
+        return new JobClass(
+                required(prefix + "name"),
+                idempotency(prefix + "idempotency"),
+                deduplicationScope(prefix + "group"),
+                (long) number(prefix + "windowNs", 0),
+                (long) number(prefix + "onTimeNs"),
+                objectivePerServiceTime(index, prefix),
+                number(prefix + "importance", 1),
+                number(prefix + "lateShare", 0),
+                requiredWorkerKind(index, workerKinds),
+                flag(prefix + "stream"));
+    }
+
+    /**
+     * The simulator lists it for all classes together; the daemon's file gives it with each class.
+     */
+    private double objectivePerServiceTime(int index, String prefix) {
+        String key = "specifics.classStretch";
+        List<String> perClass = list(key);
+        return index < perClass.size()
+                ? parse(key, perClass.get(index))
+                : number(prefix + "aimStretch", 0);
+    }
+
+    /** Null where any kind of worker runs the class. */
+    private String requiredWorkerKind(int index, List<String> workerKinds) {
+        String key = "specifics.classKind";
+        List<String> perClass = list(key);
+        int kind = index < perClass.size() ? (int) parse(key, perClass.get(index)) : -1;
+        return kind >= 0 && kind < workerKinds.size() ? workerKinds.get(kind) : null;
+    }
+
+    private List<Tenant> tenants() {
+        List<Tenant> tenants = new ArrayList<>();
+        int count = (int) number("tenants.count", 0);
+        for (int i = 0; i < count; i++) {
+            String prefix = "tenants." + i + ".";
+            tenants.add(new Tenant(required(prefix + "name"), number(prefix + "quotaPerS")));
+        }
+        return tenants;
+    }
+
+    private Idempotency idempotency(String key) {
+        String value = required(key);
         return switch (value) {
             case "read_like" -> Idempotency.IDEMPOTENT;
             case "idempotency_key" -> Idempotency.DEDUPLICATED;
             case "non_idempotent" -> Idempotency.NOT_IDEMPOTENT;
-            default -> throw new IllegalArgumentException(at + "idempotency cannot be " + value);
+            default -> throw cannotBe(key, value, null);
         };
     }
 
-    private DeduplicationScope group(String at) {
-        String value = pairs.getOrDefault(at + "group", "all");
+    private DeduplicationScope deduplicationScope(String key) {
+        String value = text(key, "all");
         return switch (value) {
             case "all" -> DeduplicationScope.ALL;
             case "zone" -> DeduplicationScope.ZONE;
             case "cell" -> DeduplicationScope.CELL;
-            default -> throw new IllegalArgumentException(at + "group cannot be " + value);
+            default -> throw cannotBe(key, value, null);
         };
     }
 
-    public List<String> list(String key) {
-        String value = pairs.getOrDefault(key, "");
-        return value.isEmpty() || value.equals("-") ? List.of() : List.of(value.split(","));
+    // ---- Single values.
+
+    /** The text under this key, or {@code absent} where there is none. */
+    public String text(String key, String absent) {
+        return pairs.getOrDefault(key, absent);
     }
 
-    private String must(String key) {
-        String value = pairs.get(key);
-        if (value == null || value.isEmpty()) {
-            throw new IllegalArgumentException(key + " is missing");
-        }
-        return value;
+    /** The comma-separated values under this key; none where it is absent. */
+    public List<String> list(String key) {
+        String value = text(key, "");
+        return isAbsent(value) ? List.of() : List.of(value.split(","));
     }
 
+    /** The number under this key. @throws InvalidSettingException if there is none */
     public double number(String key) {
-        return parse(key, must(key));
+        return parse(key, required(key));
     }
 
+    /**
+     * The number under this key, or {@code absent} where there is none. @throws
+     * InvalidSettingException if it is no number
+     */
     public double number(String key, double absent) {
-        String value = pairs.get(key);
-        return value == null || value.isEmpty() || value.equals("-") ? absent : parse(key, value);
+        String value = text(key, "");
+        return isAbsent(value) ? absent : parse(key, value);
     }
 
-    private double parse(String key, String value) {
+    private static boolean isAbsent(String value) {
+        return value.isEmpty() || value.equals(ABSENT);
+    }
+
+    private String required(String key) {
+        String value = text(key, "");
+        if (value.isEmpty()) {
+            throw new InvalidSettingException(key, "is missing");
+        }
+        return value;
+    }
+
+    private static double parse(String key, String value) {
         try {
             return Double.parseDouble(value);
-        } catch (NumberFormatException e) {
-            throw new IllegalArgumentException(key + " cannot be " + value);
+        } catch (NumberFormatException cause) {
+            throw cannotBe(key, value, cause);
         }
     }
 
-    private boolean yes(String key, boolean absent) {
-        String value = pairs.get(key);
-        if (value == null) {
-            return absent;
-        }
+    private static InvalidSettingException cannotBe(String key, String value, Throwable cause) {
+        return new InvalidSettingException(key, "cannot be " + value, cause);
+    }
+
+    private boolean flag(String key) {
+        String value = text(key, "false");
         return value.equals("true") || value.equals("1");
     }
 }
--- a/core/src/test/java/postgrade/WallsTest.java
+++ b/core/src/test/java/postgrade/WallsTest.java
@@ -82,7 +82,7 @@
                 .resideInAnyPackage("postgrade", "postgrade.policy..")
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage("postgrade.gateway..", "postgrade.settings..")
+                .resideInAnyPackage("postgrade.dispatch..", "postgrade.settings..")
                 .check(CORE);
     }
 }
--- a/core/src/test/java/postgrade/roster/RosterTest.java
+++ b/core/src/test/java/postgrade/endpoints/EndpointRegistryTest.java
@@ -1,4 +1,4 @@
-package postgrade.roster;
+package postgrade.endpoints;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
@@ -10,55 +10,55 @@
 import postgrade.policy.api.WorkerInfo;
 import postgrade.policy.api.WorkerPhase;
 
-public class RosterTest {
+public class EndpointRegistryTest {
 
-    private final Roster roster = new Roster();
+    private final EndpointRegistry roster = new EndpointRegistry();
 
     private static WorkerInfo worker(String id, WorkerPhase phase, long born) {
         return new WorkerInfo(id, "a", "m", 0, phase, 1, born);
     }
 
     private WorkerPhase told(boolean whole, WorkerPhase phase, long born) {
-        return roster.list(whole, List.of(worker("w", phase, born))).get(0).phase();
+        return roster.update(whole, List.of(worker("w", phase, born))).get(0).phase();
     }
 
     @Test
     public void outHoldsThroughWhateverIsListed() {
         assertEquals(WorkerPhase.READY, told(true, WorkerPhase.READY, 0));
-        assertTrue(roster.takeOut(10, "w"));
-        assertFalse("twice is as once", roster.takeOut(20, "w"));
+        assertTrue(roster.disable(10, "w"));
+        assertFalse("twice is as once", roster.disable(20, "w"));
         assertEquals(WorkerPhase.DRAINING, roster.worker("w").phase());
         assertEquals(WorkerPhase.DRAINING, told(true, WorkerPhase.READY, 0));
         assertEquals(WorkerPhase.GONE, told(false, WorkerPhase.GONE, 0));
         assertNull(roster.worker("w"));
         assertTrue("still known, though no list names it", roster.knows("w"));
         assertEquals(WorkerPhase.DRAINING, told(false, WorkerPhase.READY, 15));
-        assertTrue(roster.putBack(30, "w"));
+        assertTrue(roster.enable(30, "w"));
         assertEquals(WorkerPhase.READY, roster.worker("w").phase());
-        assertFalse(roster.putBack(40, "w"));
+        assertFalse(roster.enable(40, "w"));
         assertFalse(roster.knows("x"));
     }
 
     @Test
     public void discoverysOwnDrainHoldsToo() {
         told(true, WorkerPhase.DRAINING, 0);
-        roster.takeOut(10, "w");
-        roster.putBack(20, "w");
+        roster.disable(10, "w");
+        roster.enable(20, "w");
         assertEquals(WorkerPhase.DRAINING, roster.worker("w").phase());
     }
 
     @Test
     public void oneThatIsBackIsColdFromThenOnUnlessItsStartWasTold() {
         told(true, WorkerPhase.READY, 5);
-        roster.takeOut(10, "w");
-        roster.putBack(30, "w");
+        roster.disable(10, "w");
+        roster.enable(30, "w");
         assertEquals("its start is not told yet", 30, roster.worker("w").startedNs());
         told(true, WorkerPhase.READY, 5);
         assertEquals("an old list does not make it warm", 30, roster.worker("w").startedNs());
         told(true, WorkerPhase.READY, 22);
         assertEquals("the true start", 22, roster.worker("w").startedNs());
-        roster.takeOut(40, "w");
-        roster.putBack(50, "w");
+        roster.disable(40, "w");
+        roster.enable(50, "w");
         assertEquals(50, roster.worker("w").startedNs());
     }
 }
--- a/core/src/test/java/postgrade/policy/OtherDeploymentTest.java
+++ b/core/src/test/java/postgrade/policy/OtherDeploymentTest.java
@@ -173,8 +173,7 @@
                         .build());
         PolicyState state = state(d);
         assertEquals(1, state.classes().all().size());
-        assertTrue(
-                state.classes().get("first").served() > 0, "what it knew of that one it knows");
+        assertTrue(state.classes().get("first").served() > 0, "what it knew of that one it knows");
         assertEquals(Set.of("t1"), exportedTenants(state));
         assertFalse(exportedKeys(state).isEmpty());
     }
--- a/daemon/src/main/java/postgrade/companion/Companion.java
+++ b/daemon/src/main/java/postgrade/companion/Companion.java
@@ -2,8 +2,8 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
-import postgrade.gateway.Claims;
-import postgrade.gateway.Witness;
+import postgrade.dispatch.ExtensionHeaders;
+import postgrade.dispatch.RequestObserver;
 import postgrade.operator.Further;
 import postgrade.policy.api.JobConstraints;
 
@@ -64,13 +64,13 @@
     }
 
     /** What jobs may claim in headers of ours; null for nothing, then none is looked at. */
-    default Claims claims() {
+    default ExtensionHeaders claims() {
         return null;
     }
 
     /** Sees what becomes of invocations. */
-    default Witness witness() {
-        return Witness.NONE;
+    default RequestObserver witness() {
+        return RequestObserver.NONE;
     }
 
     /** Calls that operators may make of it. */
--- a/daemon/src/main/java/postgrade/companion/Host.java
+++ b/daemon/src/main/java/postgrade/companion/Host.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.concurrent.Executor;
 import java.util.function.LongSupplier;
-import postgrade.gateway.Timers;
+import postgrade.dispatch.Timers;
 import postgrade.policy.api.PolicySettings;
 import postgrade.policy.api.TransferredFigures;
 
--- a/daemon/src/main/java/postgrade/consumer/ConsumerConnection.java
+++ b/daemon/src/main/java/postgrade/consumer/ConsumerConnection.java
@@ -100,7 +100,9 @@
 
     /** What was sent ahead has waited since its own arrival, also if more has come behind it. */
     private void noteArrival(ByteBuffer bytes) {
-        long sinceMicros = arrivals.beforeRead(listener.reactor.lastWaitMicros());
+        long sinceMicros =
+                arrivals.beforeRead(
+                        listener.reactor.lastWaitMicros(), listener.reactor.readySinceMicros());
         arrivals.afterRead(listener.timers.nowMicros(), bytes.limit() < bytes.capacity());
         if (!ahead.hasRemaining()) {
             arrivedMicros = sinceMicros;
@@ -353,7 +355,7 @@
             Exchange left = exchange;
             exchange = null;
             if (left.invocation != null) {
-                listener.gateway.abandon(left.invocation);
+                listener.gateway.clientLeft(left.invocation);
             }
         }
     }
--- a/daemon/src/main/java/postgrade/consumer/Exchange.java
+++ b/daemon/src/main/java/postgrade/consumer/Exchange.java
@@ -1,10 +1,10 @@
 package postgrade.consumer;
 
-import postgrade.gateway.Consumer;
-import postgrade.gateway.Invocation;
+import postgrade.dispatch.PendingRequest;
+import postgrade.dispatch.ResponseHandler;
 
 /** One request that waits for its answer, which goes to its connection unless the peer has left. */
-final class Exchange implements Consumer {
+final class Exchange implements ResponseHandler {
 
     private static final byte[] NONE = {};
 
@@ -12,7 +12,7 @@
     final boolean keepsAlive;
 
     /** Null for a call-back. */
-    Invocation invocation;
+    PendingRequest invocation;
 
     int size;
 
@@ -22,7 +22,7 @@
     }
 
     @Override
-    public void serve(byte[] result) {
+    public void complete(byte[] result) {
         connection.answer(this, 200, result, 0);
     }
 
--- a/daemon/src/main/java/postgrade/consumer/JobEvent.java
+++ b/daemon/src/main/java/postgrade/consumer/JobEvent.java
@@ -5,11 +5,11 @@
 import com.eclipsesource.json.JsonValue;
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
-import postgrade.gateway.Gateway;
-import postgrade.gateway.JobState;
+import postgrade.dispatch.ReportedState;
+import postgrade.dispatch.RequestTracker;
 
 /** A call-back by which a provider tells the fate of a job it has taken. */
-record JobEvent(String id, String from, JobState state, double share, byte[] result) {
+record JobEvent(String id, String from, ReportedState state, double share, byte[] result) {
 
     static final String PATH = "/v1/job-events";
 
@@ -37,12 +37,12 @@
      * Passes it on. False if its job is not known here; it would be repeated for nothing if that
      * were an error.
      */
-    boolean tell(Gateway gateway) {
-        return state == null || gateway.report(id, from, state, share, result);
+    boolean tell(RequestTracker gateway) {
+        return state == null || gateway.workerReported(id, from, state, share, result);
     }
 
-    private static JobState state(String name) {
-        for (JobState s : JobState.values()) {
+    private static ReportedState state(String name) {
+        for (ReportedState s : ReportedState.values()) {
             if (s.name().toLowerCase(Locale.ROOT).equals(name)) {
                 return s;
             }
--- a/daemon/src/main/java/postgrade/consumer/Listener.java
+++ b/daemon/src/main/java/postgrade/consumer/Listener.java
@@ -14,9 +14,9 @@
 import java.util.function.BooleanSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import postgrade.gateway.Claims;
-import postgrade.gateway.Gateway;
-import postgrade.gateway.Timers;
+import postgrade.dispatch.ExtensionHeaders;
+import postgrade.dispatch.RequestTracker;
+import postgrade.dispatch.Timers;
 import postgrade.http.ArrivalTimes;
 import postgrade.http.Reactor;
 import postgrade.lifecycle.Lifecycle;
@@ -41,7 +41,7 @@
 
     final Reactor reactor;
     final Timers timers;
-    final Gateway gateway;
+    final RequestTracker gateway;
 
     /** The deadline of each class, for requests that state none. */
     Map<String, Long> deadlineMicros;
@@ -54,7 +54,7 @@
     final Relay relay;
 
     /** Null where nobody reads them. */
-    Claims claims;
+    ExtensionHeaders claims;
 
     /** Null while nothing is accepted here. */
     private ServerSocketChannel channel;
@@ -95,7 +95,7 @@
             BooleanSupplier able,
             Lifecycle lifecycle,
             Relay relay,
-            Gateway gateway,
+            RequestTracker gateway,
             Reactor reactor,
             Timers timers)
             throws IOException {
@@ -188,7 +188,7 @@
     }
 
     /** Read from now on in each job's headers; null for none. */
-    public void claims(Claims read) {
+    public void claims(ExtensionHeaders read) {
         claims = read;
     }
 
@@ -224,7 +224,8 @@
             pause(true);
             return false;
         }
-        long sinceMicros = arrivals.beforeRead(reactor.lastWaitMicros());
+        long sinceMicros =
+                arrivals.beforeRead(reactor.lastWaitMicros(), reactor.readySinceMicros());
         for (int i = 0; i < most; i++) {
             // Guards the connections that usual peers keep: those that have just come and may be of
             // no use are
--- a/daemon/src/main/java/postgrade/consumer/Requests.java
+++ b/daemon/src/main/java/postgrade/consumer/Requests.java
@@ -1,7 +1,7 @@
 package postgrade.consumer;
 
-import postgrade.gateway.Invocation;
-import postgrade.gateway.Payload;
+import postgrade.dispatch.PendingRequest;
+import postgrade.dispatch.RequestPayload;
 import postgrade.http.BadMessage;
 import postgrade.http.Message;
 
@@ -67,7 +67,7 @@
         }
         opened.size = request.body().length;
         opened.invocation =
-                new Invocation(
+                new PendingRequest(
                         job.id(),
                         job.jobClass(),
                         job.tenant(),
@@ -75,14 +75,14 @@
                         job.slots(),
                         job.memory(),
                         on.arrivedMicros() + job.deadlineMicros(),
-                        new Payload(
+                        new RequestPayload(
                                 request.method(),
                                 request.target(),
                                 request.header("content-type"),
                                 request.header("idempotency-key"),
                                 request.body()),
                         opened);
-        if (listener.gateway.open(opened.invocation)) {
+        if (listener.gateway.submit(opened.invocation)) {
             on.wasOfUse();
             if (job.claim() != null && on.awaits(opened)) {
                 job.claim().accept(job.id()); // Not of one turned away at once: a later job may
--- a/daemon/src/main/java/postgrade/consumer/Submission.java
+++ b/daemon/src/main/java/postgrade/consumer/Submission.java
@@ -1,7 +1,7 @@
 package postgrade.consumer;
 
 import java.util.function.Consumer;
-import postgrade.gateway.Claims;
+import postgrade.dispatch.ExtensionHeaders;
 import postgrade.http.BadMessage;
 import postgrade.http.Message;
 
@@ -77,7 +77,8 @@
         }
     }
 
-    private static Consumer<String> claim(Message request, String jobClass, Claims claims) {
+    private static Consumer<String> claim(
+            Message request, String jobClass, ExtensionHeaders claims) {
         if (claims == null) {
             return null;
         }
--- a/daemon/src/main/java/postgrade/daemon/Beside.java
+++ b/daemon/src/main/java/postgrade/daemon/Beside.java
@@ -6,8 +6,8 @@
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 import postgrade.companion.Host;
-import postgrade.gateway.Gateway;
-import postgrade.gateway.Timers;
+import postgrade.dispatch.RequestTracker;
+import postgrade.dispatch.Timers;
 import postgrade.policy.api.PolicySettings;
 import postgrade.policy.api.TransferredFigures;
 import postgrade.upgrade.Upgrade;
@@ -20,7 +20,7 @@
 
     private final Supplier<Config> config;
     private final Loop loop;
-    private final Gateway gateway;
+    private final RequestTracker gateway;
     private final Workers workers;
     private final Upgrade upgrade;
     private final Takeover told;
@@ -33,7 +33,7 @@
     Beside(
             Supplier<Config> config,
             Loop loop,
-            Gateway gateway,
+            RequestTracker gateway,
             Workers workers,
             Upgrade upgrade,
             Takeover told,
@@ -49,7 +49,7 @@
 
     /** Tells the module its part anew: that of the dispatcher, split over its processes. */
     void shareOut() {
-        gateway.share(factor / (1 + upgrade.count()));
+        gateway.shareChanged(factor / (1 + upgrade.count()));
     }
 
     @Override
@@ -92,12 +92,12 @@
 
     @Override
     public List<TransferredFigures> learnt() {
-        return gateway.learnt();
+        return gateway.exportFigures();
     }
 
     @Override
     public void learn(List<TransferredFigures> all) {
-        gateway.learn(all);
+        gateway.importFigures(all);
     }
 
     @Override
--- a/daemon/src/main/java/postgrade/daemon/Daemon.java
+++ b/daemon/src/main/java/postgrade/daemon/Daemon.java
@@ -12,7 +12,7 @@
 import postgrade.discovery.Patience;
 import postgrade.discovery.TargetList;
 import postgrade.discovery.Watch;
-import postgrade.gateway.Gateway;
+import postgrade.dispatch.RequestTracker;
 import postgrade.http.SocketBudget;
 import postgrade.http.SystemCalls;
 import postgrade.lifecycle.Lifecycle;
@@ -41,7 +41,7 @@
 
     private final Config started;
     private final Loop loop;
-    private final Gateway gateway;
+    private final RequestTracker gateway;
     private final ProviderPools providers;
     private final Listener listener;
     private final Watch watch;
@@ -99,7 +99,7 @@
         started = config;
         loop = new Loop(new SocketBudget(config.sockets), config.clock, systemCalls);
         gateway =
-                new Gateway(
+                new RequestTracker(
                         module,
                         config.settings.allowsConcurrentAttempts,
                         config.mostHeld,
@@ -109,7 +109,7 @@
         providers =
                 new ProviderPools(
                         gateway, loop, loop, config.connectTimeoutMicros, config.idleMicros);
-        gateway.connect(providers);
+        gateway.connectTransport(providers);
         workers = new Workers(providers, gateway, config.clock);
         upgrade =
                 new Upgrade(
@@ -131,7 +131,7 @@
         beside = new Beside(() -> this.config, loop, gateway, workers, upgrade, told, this::serves);
         if (before != null) {
             beside.shareOut();
-            gateway.learn(before.learnt());
+            gateway.importFigures(before.learnt());
         }
         try {
             if (upgrade.count() == 0) {
@@ -163,8 +163,8 @@
         if (companion != null) {
             providers.fences(companion::fence);
             providers.pacing(companion::mayConnect);
-            gateway.ability(companion.ability());
-            gateway.witness(companion.witness());
+            gateway.constraintsChanged(companion.ability());
+            gateway.observer(companion.witness());
             listener.claims(companion.claims());
         }
         ending =
@@ -249,12 +249,12 @@
 
                         @Override
                         public void take() {
-                            gateway.turn();
+                            gateway.runBatch();
                         }
 
                         @Override
                         public boolean pending() {
-                            return gateway.pending();
+                            return gateway.hasPendingEvents();
                         }
                     });
         } catch (IOException | RuntimeException | Error e) {
@@ -345,7 +345,7 @@
                     workers.told(),
                     watch.address(),
                     lifecycle.standbyAgeMicros(loop.nowMicros()),
-                    gateway.learnt(),
+                    gateway.exportFigures(),
                     companion == null ? "" : companion.tells());
         }
 
--- a/daemon/src/main/java/postgrade/daemon/Ending.java
+++ b/daemon/src/main/java/postgrade/daemon/Ending.java
@@ -6,7 +6,7 @@
 import org.slf4j.LoggerFactory;
 import postgrade.companion.Companion;
 import postgrade.consumer.Listener;
-import postgrade.gateway.Gateway;
+import postgrade.dispatch.RequestTracker;
 import postgrade.lifecycle.Lifecycle;
 import postgrade.log.Events;
 import postgrade.provider.ProviderPools;
@@ -23,7 +23,7 @@
 
     private final Loop loop;
     private final Lifecycle lifecycle;
-    private final Gateway gateway;
+    private final RequestTracker gateway;
     private final ProviderPools providers;
     private final Listener listener;
     private final Upgrade upgrade;
@@ -39,7 +39,7 @@
     Ending(
             Loop loop,
             Lifecycle lifecycle,
-            Gateway gateway,
+            RequestTracker gateway,
             ProviderPools providers,
             Listener listener,
             Upgrade upgrade,
@@ -91,13 +91,13 @@
         OptionalLong late = lifecycle.concludesSince(now);
         if (late.isPresent()) {
             // Guards the one answer: what SIGKILL finds unanswered of these is lost.
-            gateway.concludeSince(late.getAsLong());
+            gateway.concludeArrivedSince(late.getAsLong());
             if (lifecycle.mayEnd(now)) {
                 listener.refuseUnfinished();
             }
         }
         boolean answered =
-                lifecycle.mayEnd(now) && gateway.idle() && providers.quiet() && listener.quiet();
+                lifecycle.mayEnd(now) && gateway.isIdle() && providers.quiet() && listener.quiet();
         // Guards the last requests and answers: with the process go what lies unread in its sockets
         // and backlog, and by a
         // reset what peers have not read yet.
--- a/daemon/src/main/java/postgrade/daemon/Loop.java
+++ b/daemon/src/main/java/postgrade/daemon/Loop.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import postgrade.gateway.Timers;
+import postgrade.dispatch.Timers;
 import postgrade.http.LookBuffers;
 import postgrade.http.Reactor;
 import postgrade.http.SocketBudget;
@@ -33,6 +33,12 @@
      */
     private static final int MOST_FAILED_WAITS = 100;
 
+    /** A turn that took longer was late: what came meanwhile has waited for a time that counts. */
+    private static final long LATE_TURN_MICROS = 10_000;
+
+    /** A wait that took longer has waited: nothing was ready when it began. */
+    private static final long WAITED_MICROS = 1_000;
+
     /** What takes its turn when all that was ready has been gathered. */
     interface Turn {
         /** The clock has been read, and nothing has been looked at by it. */
@@ -53,6 +59,7 @@
     private final SystemCalls systemCalls;
     private long nowMicros;
     private long lastWaitMicros;
+    private long readySinceMicros;
     private int failedWaits;
     private long timerCount;
     private volatile boolean stopped;
@@ -64,6 +71,7 @@
         this.systemCalls = systemCalls;
         nowMicros = clock.micros();
         lastWaitMicros = nowMicros;
+        readySinceMicros = nowMicros;
         selector = Selector.open();
     }
 
@@ -75,9 +83,9 @@
     void run(Turn turn) throws IOException {
         Runnable begin = turn::begin;
         while (!stopped) {
+            long waitBeganMicros = clock.micros();
             await(turn.pending());
-            lastWaitMicros = nowMicros;
-            nowMicros = clock.micros();
+            readClock(waitBeganMicros);
             guarded(begin);
             for (Runnable task = asked.poll(); task != null; task = asked.poll()) {
                 guarded(task);
@@ -95,6 +103,18 @@
         selector.close();
     }
 
+    /**
+     * What is ready after a turn that was late may have been so since that turn began; else it is
+     * what has ended the wait.
+     */
+    private void readClock(long waitBeganMicros) {
+        boolean wasLate = waitBeganMicros - nowMicros > LATE_TURN_MICROS;
+        lastWaitMicros = nowMicros;
+        nowMicros = clock.micros();
+        boolean waited = nowMicros - waitBeganMicros > WAITED_MICROS;
+        readySinceMicros = wasLate && !waited ? lastWaitMicros : nowMicros;
+    }
+
     /**
      * Waits for channels and timers. A wait that fails ends early, and what is due is done all the
      * same.
@@ -219,6 +239,11 @@
         return lastWaitMicros;
     }
 
+    @Override
+    public long readySinceMicros() {
+        return readySinceMicros;
+    }
+
     @Override
     public SocketBudget sockets() {
         return sockets;
--- a/daemon/src/main/java/postgrade/daemon/Operating.java
+++ b/daemon/src/main/java/postgrade/daemon/Operating.java
@@ -5,7 +5,7 @@
 import java.util.function.BiConsumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import postgrade.gateway.Timers;
+import postgrade.dispatch.Timers;
 import postgrade.lifecycle.Lifecycle;
 import postgrade.log.Events;
 import postgrade.operator.Operations;
@@ -104,7 +104,7 @@
 
     private String status() {
         JsonArray out = Json.array();
-        workers.roster().out().forEach(out::add);
+        workers.roster().disabledIds().forEach(out::add);
         return Json.object()
                 .add("state", lifecycle.state().word())
                 .add("workers", providers.readyCount())
--- a/daemon/src/main/java/postgrade/daemon/Reload.java
+++ b/daemon/src/main/java/postgrade/daemon/Reload.java
@@ -4,7 +4,7 @@
 import org.slf4j.LoggerFactory;
 import postgrade.consumer.Listener;
 import postgrade.discovery.Watch;
-import postgrade.gateway.Gateway;
+import postgrade.dispatch.RequestTracker;
 import postgrade.log.Events;
 import postgrade.provider.ProviderPools;
 
@@ -12,7 +12,7 @@
  * Reads the configuration again and takes over what can change under way. A faulty one changes
  * nothing. On the loop.
  */
-record Reload(Gateway gateway, Listener listener, ProviderPools providers, Watch watch) {
+record Reload(RequestTracker gateway, Listener listener, ProviderPools providers, Watch watch) {
 
     private static final Logger LOG = LoggerFactory.getLogger(Reload.class);
 
@@ -29,7 +29,7 @@
                                             ? ""
                                             : "; only at the next start: " + later));
             if (!config.sameSettings(next)) {
-                gateway.settings(next.settings, next.mostHeld);
+                gateway.settingsChanged(next.settings, next.mostHeld);
                 listener.settings(next.deadlineMicros, next.tenantNames());
                 providers.settings(
                         next.connectTimeoutMicros,
--- a/daemon/src/main/java/postgrade/daemon/Takeover.java
+++ b/daemon/src/main/java/postgrade/daemon/Takeover.java
@@ -13,9 +13,9 @@
 import org.slf4j.LoggerFactory;
 import postgrade.discovery.TargetList;
 import postgrade.discovery.TargetList.Entry;
+import postgrade.endpoints.EndpointRegistry;
 import postgrade.log.Events;
 import postgrade.policy.api.TransferredFigures;
-import postgrade.roster.Roster;
 
 /**
  * What a new process of this dispatcher is told by the one that serves. Times go as ages, since the
@@ -31,7 +31,7 @@
 record Takeover(
         TargetList list,
         String discovery,
-        List<Roster.Record> said,
+        List<EndpointRegistry.WorkerOverride> said,
         List<TransferredFigures> learnt,
         long standbyAgeMicros,
         String beside) {
@@ -84,13 +84,13 @@
         }
         try {
             long passedNs = passedNs(json, nowMillis, machineNanos);
-            List<Roster.Record> said = new ArrayList<>();
-            for (Roster.Record r : said(json.get("roster").asArray())) {
+            List<EndpointRegistry.WorkerOverride> said = new ArrayList<>();
+            for (EndpointRegistry.WorkerOverride r : said(json.get("roster").asArray())) {
                 said.add(
-                        new Roster.Record(
+                        new EndpointRegistry.WorkerOverride(
                                 r.id(),
-                                r.outNs() + passedNs,
-                                r.backNs() < 0 ? -1 : r.backNs() + passedNs));
+                                r.disabledNs() + passedNs,
+                                r.enabledNs() < 0 ? -1 : r.enabledNs() + passedNs));
             }
             return new Takeover(null, "", said, List.of(), -1, "");
         } catch (RuntimeException e) {
@@ -114,38 +114,43 @@
         return Math.max(0, passedNs);
     }
 
-    static JsonObject leave(Roster roster, long nowNs, long nowMillis, long machineNanos) {
+    static JsonObject leave(
+            EndpointRegistry roster, long nowNs, long nowMillis, long machineNanos) {
         return Json.object()
                 .add("atMs", nowMillis)
                 .add(AT_MACHINE_NS, machineNanos)
                 .add("roster", ages(roster, nowNs));
     }
 
-    private static JsonArray ages(Roster roster, long nowNs) {
+    private static JsonArray ages(EndpointRegistry roster, long nowNs) {
         JsonArray ages = Json.array();
-        for (Roster.Record r : roster.records()) {
+        for (EndpointRegistry.WorkerOverride r : roster.overrides()) {
             ages.add(
                     Json.object()
                             .add("id", r.id())
-                            .add("out", nowNs - r.outNs())
-                            .add("back", r.backNs() == Roster.STILL_OUT ? -1 : nowNs - r.backNs()));
+                            .add("out", nowNs - r.disabledNs())
+                            .add(
+                                    "back",
+                                    r.enabledNs() == EndpointRegistry.STILL_DISABLED
+                                            ? -1
+                                            : nowNs - r.enabledNs()));
         }
         return ages;
     }
 
-    private static List<Roster.Record> said(JsonArray ages) {
-        List<Roster.Record> said = new ArrayList<>();
+    private static List<EndpointRegistry.WorkerOverride> said(JsonArray ages) {
+        List<EndpointRegistry.WorkerOverride> said = new ArrayList<>();
         for (JsonValue v : ages) {
             JsonObject r = v.asObject();
             said.add(
-                    new Roster.Record(
+                    new EndpointRegistry.WorkerOverride(
                             r.get("id").asString(), r.get("out").asLong(), r.get("back").asLong()));
         }
         return said;
     }
 
     static JsonObject snapshot(
-            Roster roster,
+            EndpointRegistry roster,
             long nowNs,
             long version,
             Collection<Entry> told,
@@ -193,11 +198,11 @@
     }
 
     /** Tells the roster what operators have said. */
-    void tell(Roster roster, long nowNs) {
-        for (Roster.Record r : said) {
-            roster.takeOut(nowNs - r.outNs(), r.id());
-            if (r.backNs() >= 0) {
-                roster.putBack(nowNs - r.backNs(), r.id());
+    void tell(EndpointRegistry roster, long nowNs) {
+        for (EndpointRegistry.WorkerOverride r : said) {
+            roster.disable(nowNs - r.disabledNs(), r.id());
+            if (r.enabledNs() >= 0) {
+                roster.enable(nowNs - r.enabledNs(), r.id());
             }
         }
     }
--- a/daemon/src/main/java/postgrade/daemon/Workers.java
+++ b/daemon/src/main/java/postgrade/daemon/Workers.java
@@ -11,14 +11,14 @@
 import postgrade.discovery.TargetList;
 import postgrade.discovery.TargetList.Entry;
 import postgrade.discovery.TargetList.State;
-import postgrade.gateway.Gateway;
+import postgrade.dispatch.RequestTracker;
+import postgrade.endpoints.EndpointRegistry;
 import postgrade.log.Events;
 import postgrade.policy.api.WorkerInfo;
 import postgrade.policy.api.WorkerListForm;
 import postgrade.policy.api.WorkerPhase;
 import postgrade.provider.ProviderPools;
 import postgrade.provider.Target;
-import postgrade.roster.Roster;
 
 /**
  * Takes in what discovery and operators say of the workers, and tells the pools and the module how
@@ -29,16 +29,16 @@
     private static final Logger LOG = LoggerFactory.getLogger(Workers.class);
     private static final long NANOS = 1_000;
 
-    private final Roster roster = new Roster();
+    private final EndpointRegistry roster = new EndpointRegistry();
 
     /** What discovery has last said of each provider. */
     private final Map<String, Entry> told = new LinkedHashMap<>();
 
     private final ProviderPools providers;
-    private final Gateway gateway;
+    private final RequestTracker gateway;
     private final WorkerStartTimes startTimes;
 
-    Workers(ProviderPools providers, Gateway gateway, Clock clock) {
+    Workers(ProviderPools providers, RequestTracker gateway, Clock clock) {
         this.providers = providers;
         this.gateway = gateway;
         startTimes = new WorkerStartTimes(clock);
@@ -48,7 +48,7 @@
         return providers;
     }
 
-    Roster roster() {
+    EndpointRegistry roster() {
         return roster;
     }
 
@@ -80,10 +80,10 @@
                     new WorkerInfo(
                             e.id(), e.zone(), e.kind(), e.cell(), phase, e.weight(), born * NANOS));
         }
-        List<WorkerInfo> counted = roster.list(form != WorkerListForm.DELTA, workers);
+        List<WorkerInfo> counted = roster.update(form != WorkerListForm.DELTA, workers);
         providers.list(form != WorkerListForm.DELTA, counted.stream().map(this::target).toList());
         told.values().removeIf(e -> e.state() == State.GONE);
-        gateway.list(form, counted);
+        gateway.workersUpdated(form, counted);
     }
 
     private Target target(WorkerInfo w) {
@@ -91,7 +91,7 @@
     }
 
     boolean takeOut(long nowMicros, String id) {
-        if (!roster.takeOut(nowMicros * NANOS, id)) {
+        if (!roster.disable(nowMicros * NANOS, id)) {
             return false;
         }
         Events.info(LOG, "worker.out")
@@ -102,14 +102,14 @@
     }
 
     boolean putBack(long nowMicros, String id) {
-        if (!roster.putBack(nowMicros * NANOS, id)) {
+        if (!roster.enable(nowMicros * NANOS, id)) {
             return false;
         }
         Events.info(LOG, "worker.back")
                 .addKeyValue("provider", id)
                 .log("provider " + id + " put back by an operator");
         recount(id);
-        gateway.recalled(id);
+        gateway.workerReenabled(id);
         return true;
     }
 
@@ -121,13 +121,13 @@
         WorkerInfo w = roster.worker(id);
         if (w != null) {
             providers.list(false, List.of(target(w)));
-            gateway.list(WorkerListForm.DELTA, List.of(w));
+            gateway.workersUpdated(WorkerListForm.DELTA, List.of(w));
         }
     }
 
     /** As the companion sees them. */
     List<Host.Known> known() {
-        List<String> out = roster.out();
+        List<String> out = roster.disabledIds();
         return told.values().stream()
                 .map(
                         e ->
--- a/daemon/src/main/java/postgrade/discovery/Watch.java
+++ b/daemon/src/main/java/postgrade/discovery/Watch.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import postgrade.gateway.Timers;
+import postgrade.dispatch.Timers;
 import postgrade.http.BadMessage;
 import postgrade.http.Connection;
 import postgrade.http.Message;
--- a/daemon/src/main/java/postgrade/http/ArrivalTimes.java
+++ b/daemon/src/main/java/postgrade/http/ArrivalTimes.java
@@ -39,12 +39,13 @@
      * What lies there is about to be read.
      *
      * @param lastWaitMicros when the loop's wait before the one that has just ended had ended: what
-     *     was watched during that wait and has not been read since had nothing unread
+     *     was watched during that wait and has not been read since had nothing unread then
+     * @param readySinceMicros since when what the latest wait has shown may have been ready
      * @return the last moment at which it is known not to have been there
      */
-    public long beforeRead(long lastWaitMicros) {
+    public long beforeRead(long lastWaitMicros, long readySinceMicros) {
         if (watchedMicros < lastWaitMicros) {
-            emptyMicros = Math.max(emptyMicros, lastWaitMicros);
+            emptyMicros = Math.max(emptyMicros, readySinceMicros);
         }
         return emptyMicros;
     }
--- a/daemon/src/main/java/postgrade/http/Reactor.java
+++ b/daemon/src/main/java/postgrade/http/Reactor.java
@@ -37,6 +37,11 @@
         return 0;
     }
 
+    /** Since when what the latest wait has shown may have been ready; see {@link ArrivalTimes}. */
+    default long readySinceMicros() {
+        return 0;
+    }
+
     /** Whose channel is ready. */
     interface Handler {
         /** The order in which the ready channels of a turn are served. */
--- a/daemon/src/main/java/postgrade/operator/OperatorConnection.java
+++ b/daemon/src/main/java/postgrade/operator/OperatorConnection.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import java.util.Set;
-import postgrade.gateway.Timers;
+import postgrade.dispatch.Timers;
 import postgrade.http.BadMessage;
 import postgrade.http.Connection;
 import postgrade.http.Message;
--- a/daemon/src/main/java/postgrade/operator/OperatorListener.java
+++ b/daemon/src/main/java/postgrade/operator/OperatorListener.java
@@ -10,7 +10,7 @@
 import java.nio.channels.SocketChannel;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import postgrade.gateway.Timers;
+import postgrade.dispatch.Timers;
 import postgrade.http.Reactor;
 import postgrade.http.SocketBudget;
 import postgrade.log.Events;
--- a/daemon/src/main/java/postgrade/provider/Call.java
+++ b/daemon/src/main/java/postgrade/provider/Call.java
@@ -4,17 +4,17 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.IntConsumer;
-import postgrade.gateway.Gateway;
-import postgrade.gateway.InvokerCall;
-import postgrade.gateway.Payload;
-import postgrade.gateway.Providers;
-import postgrade.gateway.Timers;
+import postgrade.dispatch.Attempt;
+import postgrade.dispatch.RequestPayload;
+import postgrade.dispatch.RequestTracker;
+import postgrade.dispatch.Timers;
+import postgrade.dispatch.WorkerTransport;
 import postgrade.http.Message;
 import postgrade.http.MessageWriter;
 import postgrade.policy.api.AttemptOutcome;
 
 /** One call to a provider, and how far it has come on the wire. */
-final class Call extends Request implements Providers.Handle {
+final class Call extends Request implements WorkerTransport.AttemptHandle {
 
     /** How far it has come. What follows what stands in {@link #NEXT} alone. */
     enum State {
@@ -45,10 +45,10 @@
     /** A 202 that was on its way when the call was given up has come by then. */
     private static final long CROSSING_MICROS = 100_000;
 
-    private final Gateway gateway;
+    private final RequestTracker gateway;
     private final Timers timers;
     private final Pool pool;
-    private final InvokerCall call;
+    private final Attempt call;
     private final String fence;
     private final IntConsumer givingUp;
     private State state = State.OUT;
@@ -63,10 +63,10 @@
      * @param givingUp counts those that are being given up
      */
     Call(
-            Gateway gateway,
+            RequestTracker gateway,
             Timers timers,
             Pool pool,
-            InvokerCall call,
+            Attempt call,
             String fence,
             IntConsumer givingUp) {
         super(call.payload().body());
@@ -89,7 +89,7 @@
 
     @Override
     byte[] head() {
-        Payload p = call.payload();
+        RequestPayload p = call.payload();
         return MessageWriter.request(p.method(), p.target())
                 .header("Host", pool.host())
                 .header("X-Request-Id", call.id())
@@ -107,7 +107,7 @@
 
     @Override
     boolean isLate(long nowMicros) {
-        return nowMicros > call.writtenByMicros() || call.unwanted();
+        return nowMicros > call.writeByMicros() || call.isUnwanted();
     }
 
     /**
@@ -126,7 +126,7 @@
 
     private void end(AttemptOutcome outcome) {
         if (over()) {
-            gateway.ended(call, outcome);
+            gateway.attemptEnded(call, outcome);
             stopGivingUp();
         }
     }
@@ -149,7 +149,7 @@
             end(neverRan && status != 500 ? AttemptOutcome.FULL : AttemptOutcome.ERROR);
         } else if (status / 100 == 4 && status != 408 && status != 429) {
             if (over()) {
-                gateway.unusable(call);
+                gateway.requestUnusable(call);
                 stopGivingUp();
             }
         } else {
@@ -187,12 +187,12 @@
     private void spoilt(AttemptOutcome as) {
         reached = true;
         if (to(State.GIVING_UP)) {
-            dropBy(() -> gateway.ended(call, as));
+            dropBy(() -> gateway.attemptEnded(call, as));
         }
     }
 
     @Override
-    public boolean written() {
+    public boolean isWritten() {
         return accepted || reached || super.written();
     }
 
@@ -202,7 +202,7 @@
     }
 
     @Override
-    public void ended() {
+    public void endedByReport() {
         if (over()) {
             stopGivingUp();
             leave();
@@ -225,11 +225,11 @@
     }
 
     @Override
-    public void giveUp(Runnable done) {
+    public void cancel(Runnable done) {
         if (state == State.GIVING_UP || state == State.ENDED) {
             return;
         }
-        if (!written()) {
+        if (!isWritten()) {
             if (link == null) {
                 pool.withdraw(this);
             } else {
--- a/daemon/src/main/java/postgrade/provider/FreeLinks.java
+++ b/daemon/src/main/java/postgrade/provider/FreeLinks.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import postgrade.gateway.Timers;
+import postgrade.dispatch.Timers;
 
 /** The connections of a pool that carry nothing: those that rest, and the idle ones. */
 final class FreeLinks {
--- a/daemon/src/main/java/postgrade/provider/GiveUp.java
+++ b/daemon/src/main/java/postgrade/provider/GiveUp.java
@@ -1,8 +1,8 @@
 package postgrade.provider;
 
 import java.util.function.IntConsumer;
-import postgrade.gateway.InvokerCall;
-import postgrade.gateway.Timers;
+import postgrade.dispatch.Attempt;
+import postgrade.dispatch.Timers;
 import postgrade.http.Message;
 import postgrade.http.MessageWriter;
 
@@ -24,7 +24,7 @@
 
     private final Timers timers;
     private final Pool pool;
-    private final InvokerCall call;
+    private final Attempt call;
     private final IntConsumer underWay;
     private final Runnable done;
     private Delete delete;
@@ -34,7 +34,7 @@
     /**
      * @param underWay counts those that are under way
      */
-    GiveUp(Timers timers, Pool pool, InvokerCall call, IntConsumer underWay, Runnable done) {
+    GiveUp(Timers timers, Pool pool, Attempt call, IntConsumer underWay, Runnable done) {
         this.timers = timers;
         this.pool = pool;
         this.call = call;
--- a/daemon/src/main/java/postgrade/provider/Link.java
+++ b/daemon/src/main/java/postgrade/provider/Link.java
@@ -5,7 +5,7 @@
 import java.util.EnumSet;
 import java.util.Map;
 import java.util.Set;
-import postgrade.gateway.Timers;
+import postgrade.dispatch.Timers;
 import postgrade.http.BadMessage;
 import postgrade.http.Connection;
 import postgrade.http.Message;
--- a/daemon/src/main/java/postgrade/provider/Pool.java
+++ b/daemon/src/main/java/postgrade/provider/Pool.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
-import postgrade.gateway.Timers;
+import postgrade.dispatch.Timers;
 import postgrade.http.Connection;
 import postgrade.http.NoSocketException;
 import postgrade.http.Reactor;
--- a/daemon/src/main/java/postgrade/provider/ProviderPools.java
+++ b/daemon/src/main/java/postgrade/provider/ProviderPools.java
@@ -7,10 +7,10 @@
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import postgrade.gateway.Gateway;
-import postgrade.gateway.InvokerCall;
-import postgrade.gateway.Providers;
-import postgrade.gateway.Timers;
+import postgrade.dispatch.Attempt;
+import postgrade.dispatch.RequestTracker;
+import postgrade.dispatch.Timers;
+import postgrade.dispatch.WorkerTransport;
 import postgrade.http.Message;
 import postgrade.http.MessageWriter;
 import postgrade.http.Reactor;
@@ -18,7 +18,7 @@
 import postgrade.policy.api.AttemptOutcome;
 
 /** Speaks to the providers: sends calls, gives them up, probes. */
-public final class ProviderPools implements Providers {
+public final class ProviderPools implements WorkerTransport {
 
     private static final Logger LOG = LoggerFactory.getLogger(ProviderPools.class);
 
@@ -30,16 +30,16 @@
     private static final long PROBE_MICROS = 300_000;
 
     /** Has ended already. */
-    private static final Handle NOT_SENT =
-            new Handle() {
+    private static final AttemptHandle NOT_SENT =
+            new AttemptHandle() {
                 @Override
-                public void giveUp(Runnable done) {}
+                public void cancel(Runnable done) {}
 
                 @Override
-                public void ended() {}
+                public void endedByReport() {}
 
                 @Override
-                public boolean written() {
+                public boolean isWritten() {
                     return false;
                 }
 
@@ -51,7 +51,7 @@
 
     private final Reactor reactor;
     private final Timers timers;
-    private final Gateway gateway;
+    private final RequestTracker gateway;
     private long connectTimeoutMicros;
     private final KeepAlive keepAlive;
     private final Map<String, Pool> pools = new HashMap<>();
@@ -63,7 +63,7 @@
     private int givingUp;
 
     public ProviderPools(
-            Gateway gateway,
+            RequestTracker gateway,
             Reactor reactor,
             Timers timers,
             long connectTimeoutMicros,
@@ -175,10 +175,10 @@
     // ---- Calls.
 
     @Override
-    public Handle send(InvokerCall call) {
-        Pool pool = pools.get(call.providerId());
+    public AttemptHandle start(Attempt call) {
+        Pool pool = pools.get(call.workerId());
         if (pool == null || !pool.ready) {
-            gateway.ended(call, AttemptOutcome.NOT_SENT);
+            gateway.attemptEnded(call, AttemptOutcome.NOT_SENT);
             return NOT_SENT;
         }
         Call sent =
@@ -187,7 +187,7 @@
                         timers,
                         pool,
                         call,
-                        fences.of(call.jobClass(), call.tenant(), call.providerId()),
+                        fences.of(call.jobClass(), call.tenant(), call.workerId()),
                         count -> givingUp += count);
         pool.users++;
         pool.send(sent);
@@ -205,7 +205,7 @@
     public void probe(String providerId) {
         Pool pool = pools.get(providerId);
         if (pool == null || !pool.ready) {
-            gateway.probed(providerId, false);
+            gateway.workerProbed(providerId, false);
             return;
         }
         Probe probe = new Probe(pool);
@@ -233,12 +233,12 @@
 
         @Override
         void answered(Message response) {
-            gateway.probed(pool.id, response.status() == 200);
+            gateway.workerProbed(pool.id, response.status() == 200);
         }
 
         @Override
         void broken(Break how) {
-            gateway.probed(pool.id, false);
+            gateway.workerProbed(pool.id, false);
         }
 
         void expire() {
@@ -248,7 +248,7 @@
                 } else {
                     link.abort();
                 }
-                gateway.probed(pool.id, false);
+                gateway.workerProbed(pool.id, false);
             }
         }
     }
--- a/daemon/src/main/java/postgrade/upgrade/Upgrade.java
+++ b/daemon/src/main/java/postgrade/upgrade/Upgrade.java
@@ -18,7 +18,7 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import postgrade.gateway.Timers;
+import postgrade.dispatch.Timers;
 import postgrade.http.Reactor;
 import postgrade.log.Events;
 
--- a/daemon/src/test/java/postgrade/daemon/AttemptStage.java
+++ b/daemon/src/test/java/postgrade/daemon/AttemptStage.java
@@ -13,11 +13,11 @@
 import org.junit.After;
 import org.junit.Before;
 import postgrade.discovery.Hand;
-import postgrade.gateway.Consumer;
-import postgrade.gateway.Gateway;
-import postgrade.gateway.Invocation;
-import postgrade.gateway.JobState;
-import postgrade.gateway.Payload;
+import postgrade.dispatch.PendingRequest;
+import postgrade.dispatch.ReportedState;
+import postgrade.dispatch.RequestPayload;
+import postgrade.dispatch.RequestTracker;
+import postgrade.dispatch.ResponseHandler;
 import postgrade.provider.ProviderPools;
 import postgrade.provider.Target;
 
@@ -37,7 +37,7 @@
     ServerSocket one;
     ServerSocket two;
     Script script;
-    Gateway gateway;
+    RequestTracker gateway;
     ProviderPools pools;
 
     AttemptStage() throws IOException {
@@ -55,14 +55,14 @@
     @Before
     public void begin() {
         gateway =
-                new Gateway(
+                new RequestTracker(
                         out -> script = new Script(out),
                         mayDuplicate(),
                         100,
                         hand,
                         (event, message, thrown) -> {});
         pools = new ProviderPools(gateway, hand, hand, 2_000 * MILLI, 10_000 * MILLI);
-        gateway.connect(pools);
+        gateway.connectTransport(pools);
         list(target("w1", one, true), target("w2", two, true));
         script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
     }
@@ -85,9 +85,9 @@
     }
 
     /** A consumer's job, taken over but not yet decided on. */
-    Invocation open(String id, String jobClass) {
-        Invocation in =
-                new Invocation(
+    PendingRequest open(String id, String jobClass) {
+        PendingRequest in =
+                new PendingRequest(
                         id,
                         jobClass,
                         null,
@@ -95,15 +95,15 @@
                         1,
                         0,
                         hand.nowMicros() + DEADLINE,
-                        new Payload(
+                        new RequestPayload(
                                 "POST",
                                 "/api",
                                 null,
                                 null,
                                 "job".getBytes(StandardCharsets.US_ASCII)),
-                        new Consumer() {
+                        new ResponseHandler() {
                             @Override
-                            public void serve(byte[] result) {
+                            public void complete(byte[] result) {
                                 answers.add(id + " served");
                             }
 
@@ -117,24 +117,24 @@
                                 answers.add(id + " failed");
                             }
                         });
-        gateway.open(in);
+        gateway.submit(in);
         return in;
     }
 
-    Invocation open(String id) {
+    PendingRequest open(String id) {
         return open(id, "price");
     }
 
     /** The rest of a turn whose channels have been served. */
     void turn() {
         hand.passes(0, () -> false);
-        gateway.turn();
+        gateway.runBatch();
     }
 
     /** Time passes, with a turn at its end. */
     void pass(long micros) {
         hand.passes(micros, () -> false);
-        gateway.turn();
+        gateway.runBatch();
     }
 
     /** Turns, none of which lets time pass, until something has come on the connection. */
@@ -184,8 +184,8 @@
         hand.heard(() -> Peer.write(worker, text));
     }
 
-    void reports(String id, String from, JobState state) {
-        gateway.report(id, from, state, 0, new byte[0]);
+    void reports(String id, String from, ReportedState state) {
+        gateway.workerReported(id, from, state, 0, new byte[0]);
     }
 
     /** Ends of attempts that the module has heard of. */
--- a/daemon/src/test/java/postgrade/daemon/ClaimsTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ClaimsTest.java
@@ -12,12 +12,12 @@
 import org.junit.Test;
 import postgrade.companion.Companion;
 import postgrade.daemon.Peer.Arrived;
-import postgrade.gateway.Claims;
+import postgrade.dispatch.ExtensionHeaders;
 import postgrade.operator.Further;
 import postgrade.policy.api.JobConstraints;
 
 /** What jobs claim in headers that somebody beside the dispatcher reads. */
-public class ClaimsTest extends Stage implements Companion, Claims {
+public class ClaimsTest extends Stage implements Companion, ExtensionHeaders {
 
     @Before
     public void besideTheDaemon() {
@@ -38,7 +38,7 @@
     public void close() {}
 
     @Override
-    public Claims claims() {
+    public ExtensionHeaders claims() {
         return this;
     }
 
--- a/daemon/src/test/java/postgrade/daemon/GiveUpCrossingTest.java
+++ b/daemon/src/test/java/postgrade/daemon/GiveUpCrossingTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.Test;
 import postgrade.daemon.Peer.Arrived;
-import postgrade.gateway.JobState;
+import postgrade.dispatch.ReportedState;
 
 /**
  * What a worker says in the moment in which an attempt is given up, or so that nobody can tell what
@@ -122,8 +122,8 @@
         Arrived job = sent("s2");
         says(job.socket(), "HTTP/1.1 2x2 Accepted\r\n\r\n");
         turn();
-        reports("s2", "w1", JobState.STARTED);
-        reports("s2", "w1", JobState.DONE);
+        reports("s2", "w1", ReportedState.STARTED);
+        reports("s2", "w1", ReportedState.DONE);
         turn();
         hasHeard("finished s2 0 SERVED true");
         assertEquals(List.of("s2 served"), answers);
@@ -193,7 +193,7 @@
         cancel("r1");
         pass(20 * MILLI); // Its connection rests.
         delete(job.socket());
-        reports("r1", "w1", JobState.RETURNED);
+        reports("r1", "w1", ReportedState.RETURNED);
         turn();
         hasHeard("finished r1 0 FULL false");
         script.out.startAttempt("r1", "w1", 0);
@@ -256,7 +256,7 @@
         runsButRefuses("b2");
         turn();
         hasHeard();
-        reports("b2", "w1", JobState.DONE);
+        reports("b2", "w1", ReportedState.DONE);
         turn();
         hasHeard("finished b2 0 SERVED true");
         assertEquals(List.of("b2 served"), answers);
--- a/daemon/src/test/java/postgrade/daemon/LateDialTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LateDialTest.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import java.net.Socket;
 import org.junit.Test;
-import postgrade.gateway.Invocation;
+import postgrade.dispatch.PendingRequest;
 
 /**
  * Connections to workers that come up after an attempt was decided on, and what may have happened
@@ -41,11 +41,11 @@
     @Test
     public void aConsumerWhoseLeavingIsReadAfterTheConnectionCameUpHasNothingWritten()
             throws Exception {
-        Invocation in = open("l1");
+        PendingRequest in = open("l1");
         turn();
         Socket worker = accept(one);
         hand.heard(() -> {}); // It has come up.
-        gateway.abandon(in);
+        gateway.clientLeft(in);
         turn();
         nothingWasWrittenTo(worker);
     }
@@ -54,10 +54,10 @@
     @Test
     public void aConsumerThatLeftWhileItCameUpHasNothingWrittenAlsoWhereNothingMayBeCalledOff()
             throws Exception {
-        Invocation in = open("l2");
+        PendingRequest in = open("l2");
         turn();
         Socket worker = accept(one);
-        gateway.abandon(in);
+        gateway.clientLeft(in);
         turn();
         hasHeard("finished l2 0 NOT_SENT true");
         hand.heard(() -> {});
--- a/daemon/src/test/java/postgrade/daemon/LateWordTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LateWordTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.Test;
 import postgrade.daemon.Peer.Arrived;
-import postgrade.gateway.JobState;
+import postgrade.dispatch.ReportedState;
 
 /**
  * What a worker says of an attempt when it is all but over, and what comes of its connection long
@@ -32,7 +32,7 @@
     public void doneInTheTurnInWhichItIsGivenUpIsTheAnswerAndNoDeleteFollows() throws Exception {
         Socket worker = taken("a");
         script.out.cancelAttempt("a", 0);
-        reports("a", "w1", JobState.DONE);
+        reports("a", "w1", ReportedState.DONE);
         turn();
         isServed("a");
         pass(100 * MILLI);
@@ -67,7 +67,7 @@
     @Test
     public void aResetLongAfterThe202EndsNothing() throws Exception {
         Socket worker = taken("c");
-        reports("c", "w1", JobState.STARTED);
+        reports("c", "w1", ReportedState.STARTED);
         pass(2_000 * MILLI);
         hand.heard(
                 () -> {
@@ -78,7 +78,7 @@
         pass(100 * MILLI);
         hasHeard();
         assertEquals("and nothing is asked of the worker", 0, hand.open());
-        reports("c", "w1", JobState.DONE);
+        reports("c", "w1", ReportedState.DONE);
         turn();
         isServed("c");
     }
--- a/daemon/src/test/java/postgrade/daemon/LearntIdleTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LearntIdleTest.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import java.net.Socket;
 import org.junit.Test;
-import postgrade.gateway.JobState;
+import postgrade.dispatch.ReportedState;
 
 /**
  * How long an idle connection is trusted with a request, learnt of one that broke, and other
@@ -33,7 +33,7 @@
     /** Its connection is left idle. */
     private Socket served(String id) throws IOException {
         Socket worker = taken(id);
-        reports(id, "w1", JobState.DONE);
+        reports(id, "w1", ReportedState.DONE);
         turn();
         return worker;
     }
--- a/daemon/src/test/java/postgrade/daemon/RestingTest.java
+++ b/daemon/src/test/java/postgrade/daemon/RestingTest.java
@@ -7,7 +7,7 @@
 import java.net.Socket;
 import org.junit.Test;
 import postgrade.daemon.Peer.Arrived;
-import postgrade.gateway.Invocation;
+import postgrade.dispatch.PendingRequest;
 
 /**
  * A connection that has just been answered, and a second answer on it that comes some milliseconds
@@ -104,9 +104,9 @@
     @Test
     public void whatIsNoLongerWantedMeanwhileIsNotWritten() throws Exception {
         Socket resting = taken("f1");
-        Invocation left = open("f2");
+        PendingRequest left = open("f2");
         turn();
-        gateway.abandon(left);
+        gateway.clientLeft(left);
         turn();
         script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0, 10 * MILLI * 1000);
         open("f3"); // May be written for 10 ms.
--- a/daemon/src/test/java/postgrade/daemon/Turns.java
+++ b/daemon/src/test/java/postgrade/daemon/Turns.java
@@ -16,7 +16,7 @@
 import java.util.function.Consumer;
 import postgrade.consumer.Listener;
 import postgrade.consumer.Relay;
-import postgrade.gateway.Gateway;
+import postgrade.dispatch.RequestTracker;
 import postgrade.http.SocketBudget;
 import postgrade.http.SystemCalls;
 import postgrade.lifecycle.Lifecycle;
@@ -39,7 +39,7 @@
     final Lifecycle lifecycle = new Lifecycle();
     final Loop loop;
     final Script script;
-    final Gateway gateway;
+    final RequestTracker gateway;
     final ProviderPools providers;
     final Listener listener;
     final Ending ending;
@@ -60,7 +60,7 @@
         loop = new Loop(new SocketBudget(places), config.clock, systemCalls);
         Script[] made = new Script[1];
         gateway =
-                new Gateway(
+                new RequestTracker(
                         out -> made[0] = new Script(out),
                         false,
                         1000,
@@ -70,7 +70,7 @@
         providers =
                 new ProviderPools(
                         gateway, loop, loop, config.connectTimeoutMicros, config.idleMicros);
-        gateway.connect(providers);
+        gateway.connectTransport(providers);
         Upgrade alone = new Upgrade(null, config.name, loop, loop, null);
         listener =
                 new Listener(
@@ -112,7 +112,7 @@
                     new Loop.Turn() {
                         @Override
                         public void take() {
-                            gateway.turn();
+                            gateway.runBatch();
                             if (noted != null) {
                                 noted.countDown();
                                 noted = null;
@@ -121,7 +121,7 @@
 
                         @Override
                         public boolean pending() {
-                            return gateway.pending();
+                            return gateway.hasPendingEvents();
                         }
                     });
         } catch (IOException e) {
--- a/daemon/src/test/java/postgrade/daemon/WallsTest.java
+++ b/daemon/src/test/java/postgrade/daemon/WallsTest.java
@@ -42,7 +42,7 @@
                 "postgrade.consumer..",
                 "postgrade.provider..",
                 "postgrade.daemon..",
-                "postgrade.gateway.Gateway");
+                "postgrade.dispatch.RequestTracker");
     }
 
     @Test
@@ -50,7 +50,7 @@
         apart(
                 "postgrade.http..",
                 "postgrade",
-                "postgrade.gateway..",
+                "postgrade.dispatch..",
                 "postgrade.consumer..",
                 "postgrade.provider..",
                 "postgrade.discovery..",
--- a/daemon/src/test/java/postgrade/discovery/Hand.java
+++ b/daemon/src/test/java/postgrade/discovery/Hand.java
@@ -12,7 +12,7 @@
 import java.util.PriorityQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import postgrade.gateway.Timers;
+import postgrade.dispatch.Timers;
 import postgrade.http.Reactor;
 import postgrade.http.SocketBudget;
 import postgrade.http.SystemCalls;
--- a/daemon/src/test/java/postgrade/http/ArrivalTimesTest.java
+++ b/daemon/src/test/java/postgrade/http/ArrivalTimesTest.java
@@ -15,26 +15,32 @@
     /** The wait that ended at 200 was the first that watched it. */
     @Test
     public void whatIsReadAtOnceMayHaveComeBeforeTheLoopWatchedIt() {
-        assertEquals(50, times.beforeRead(100));
+        assertEquals(50, times.beforeRead(100, 100));
     }
 
     @Test
     public void whatAWaitDidNotShowHasComeSince() {
-        assertEquals(200, times.beforeRead(200));
-        assertEquals(300, times.beforeRead(300));
+        assertEquals(200, times.beforeRead(200, 200));
+        assertEquals(300, times.beforeRead(300, 300));
+    }
+
+    /** The wait has ended with what it shows, however long nothing had been ready before. */
+    @Test
+    public void whatHasEndedALongWaitHasJustCome() {
+        assertEquals(290, times.beforeRead(200, 290));
     }
 
     @Test
     public void afterAReadThatTookAllItWasEmptyThen() {
         times.afterRead(300, true);
-        assertEquals(300, times.beforeRead(200));
+        assertEquals(300, times.beforeRead(200, 200));
     }
 
     @Test
     public void whatARemainderHidWasThereAtTheNextWait() {
-        assertEquals(200, times.beforeRead(200));
+        assertEquals(200, times.beforeRead(200, 200));
         times.afterRead(300, false);
-        assertEquals(200, times.beforeRead(300));
+        assertEquals(200, times.beforeRead(300, 300));
     }
 
     @Test
@@ -42,7 +48,7 @@
         times.afterRead(300, true);
         times.watch(300, false);
         times.watch(900, true);
-        assertEquals(300, times.beforeRead(900));
-        assertEquals(1000, times.beforeRead(1000));
+        assertEquals(300, times.beforeRead(900, 900));
+        assertEquals(1000, times.beforeRead(1000, 1000));
     }
 }
--- a/daemon/src/test/java/postgrade/upgrade/HelloTest.java
+++ b/daemon/src/test/java/postgrade/upgrade/HelloTest.java
@@ -25,7 +25,7 @@
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
 import org.junit.rules.Timeout;
-import postgrade.gateway.Timers;
+import postgrade.dispatch.Timers;
 import postgrade.http.Reactor;
 import postgrade.http.SocketBudget;
 
--- a/sharing/src/main/java/postgrade/sharing/Shared.java
+++ b/sharing/src/main/java/postgrade/sharing/Shared.java
@@ -11,8 +11,8 @@
 import postgrade.comeback.Recovery;
 import postgrade.companion.Companion;
 import postgrade.companion.Host;
-import postgrade.gateway.Claims;
-import postgrade.gateway.Witness;
+import postgrade.dispatch.ExtensionHeaders;
+import postgrade.dispatch.RequestObserver;
 import postgrade.lease.Fleet;
 import postgrade.lease.LeasePart;
 import postgrade.lease.Times;
@@ -283,22 +283,23 @@
     }
 
     @Override
-    public Claims claims() {
+    public ExtensionHeaders claims() {
         return opening.claims();
     }
 
     @Override
-    public Witness witness() {
-        return new Witness() {
+    public RequestObserver witness() {
+        return new RequestObserver() {
             @Override
-            public void answered(String id, String jobClass, long afterMicros, boolean served) {
-                progress.answered(id, jobClass, afterMicros, served);
+            public void requestAnswered(
+                    String id, String jobClass, long afterMicros, boolean served) {
+                progress.requestAnswered(id, jobClass, afterMicros, served);
                 opening.answered(id);
             }
 
             @Override
-            public void ended(String jobClass, AttemptOutcome outcome, long ranMicros) {
-                progress.ended(jobClass, outcome, ranMicros);
+            public void attemptEnded(String jobClass, AttemptOutcome outcome, long ranMicros) {
+                progress.attemptEnded(jobClass, outcome, ranMicros);
                 if (outcome == AttemptOutcome.SERVED) {
                     opening.ran(jobClass, ranMicros);
                 }
--- a/sharing/src/main/java/postgrade/sharing/progress/Progress.java
+++ b/sharing/src/main/java/postgrade/sharing/progress/Progress.java
@@ -14,7 +14,7 @@
 import postgrade.comeback.Recovery.Step;
 import postgrade.comeback.Worth;
 import postgrade.companion.Host;
-import postgrade.gateway.Witness;
+import postgrade.dispatch.RequestObserver;
 import postgrade.log.Events;
 import postgrade.policy.api.AttemptOutcome;
 import postgrade.policy.api.JobClass;
@@ -24,7 +24,7 @@
  * Measures how far this process has come back, by what is served, and says so in the log and to
  * operators.
  */
-public final class Progress implements Witness {
+public final class Progress implements RequestObserver {
 
     private static final Logger LOG = LoggerFactory.getLogger(Progress.class);
     private static final double NANOS = 1e3;
@@ -136,7 +136,7 @@
     }
 
     @Override
-    public void answered(String id, String jobClass, long afterMicros, boolean served) {
+    public void requestAnswered(String id, String jobClass, long afterMicros, boolean served) {
         JobClass c = classes.get(jobClass);
         if (c != null) {
             double aim =
@@ -147,7 +147,7 @@
     }
 
     @Override
-    public void ended(String jobClass, AttemptOutcome outcome, long ranMicros) {
+    public void attemptEnded(String jobClass, AttemptOutcome outcome, long ranMicros) {
         if (ramp != null && (outcome == AttemptOutcome.FULL || outcome == AttemptOutcome.SERVED)) {
             ramp.answered(outcome == AttemptOutcome.FULL);
         }
--- a/sharing/src/main/java/postgrade/sharing/window/Opening.java
+++ b/sharing/src/main/java/postgrade/sharing/window/Opening.java
@@ -8,7 +8,7 @@
 import org.slf4j.LoggerFactory;
 import postgrade.calendar.CalendarCheck;
 import postgrade.companion.Host;
-import postgrade.gateway.Claims;
+import postgrade.dispatch.ExtensionHeaders;
 import postgrade.log.Events;
 import postgrade.policy.api.JobConstraints;
 import postgrade.shared.Sharing;
@@ -68,7 +68,7 @@
     }
 
     /** The headers by which a job brings a plan of its own; null where no windows are set. */
-    public Claims claims() {
+    public ExtensionHeaders claims() {
         return settings.any() ? new PlanHeaders(settings, ability, host.unixMillis()) : null;
     }
 
--- a/sharing/src/main/java/postgrade/sharing/window/PlanHeaders.java
+++ b/sharing/src/main/java/postgrade/sharing/window/PlanHeaders.java
@@ -12,7 +12,7 @@
 import java.util.function.UnaryOperator;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import postgrade.gateway.Claims;
+import postgrade.dispatch.ExtensionHeaders;
 import postgrade.window.Deadline;
 import postgrade.window.Plan;
 import postgrade.window.WindowAbility;
@@ -20,7 +20,7 @@
 /**
  * Reads a job's own plan from its headers. What operators set for its class binds it all the same.
  */
-final class PlanHeaders implements Claims {
+final class PlanHeaders implements ExtensionHeaders {
 
     private static final String EARLIEST = "X-Window-Earliest";
     private static final String DEADLINE = "X-Window-Deadline";
--- a/sharing/src/test/java/postgrade/sharing/FakeHost.java
+++ b/sharing/src/test/java/postgrade/sharing/FakeHost.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.Executor;
 import java.util.function.LongSupplier;
 import postgrade.companion.Host;
-import postgrade.gateway.Timers;
+import postgrade.dispatch.Timers;
 import postgrade.policy.api.Idempotency;
 import postgrade.policy.api.JobClass;
 import postgrade.policy.api.PolicySettings;
--- a/sharing/src/test/java/postgrade/sharing/PlanHeadersTest.java
+++ b/sharing/src/test/java/postgrade/sharing/PlanHeadersTest.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import org.junit.Before;
 import org.junit.Test;
-import postgrade.gateway.Claims;
+import postgrade.dispatch.ExtensionHeaders;
 import postgrade.member.Terms;
 import postgrade.policy.api.Job;
 import postgrade.policy.api.JobConstraints;
@@ -248,7 +248,7 @@
                                 quorum.as(host),
                                 Runnable::run)
                         .claims());
-        Claims read = shared.claims();
+        ExtensionHeaders read = shared.claims();
         assertEquals(
                 Set.of(
                         "x-window-earliest",
