--- a/core/src/main/java/postgrade/dispatch/AttemptLifecycle.java
+++ b/core/src/main/java/postgrade/dispatch/AttemptLifecycle.java
@@ -75,8 +75,9 @@
     }
 
     /**
-     * An attempt has ended. One that has ended before is left as it is. @param result of a served
-     * job, else null
+     * An attempt has ended. One that has ended before is left as it is.
+     *
+     * @param result of a served job, else null
      */
     void end(Attempt attempt, AttemptOutcome outcome, byte[] result) {
         if (!attempt.end(outcome)) {
--- a/core/src/main/java/postgrade/dispatch/InternalErrorListener.java
+++ b/core/src/main/java/postgrade/dispatch/InternalErrorListener.java
@@ -19,6 +19,8 @@
     String SECOND_CALL = "module.second-call";
 
     /**
+     * An error has been caught.
+     *
      * @param event one of the stable names above
      * @param message one sentence
      * @param thrown the cause, or null
--- a/core/src/main/java/postgrade/dispatch/PendingRequest.java
+++ b/core/src/main/java/postgrade/dispatch/PendingRequest.java
@@ -4,6 +4,7 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.Objects;
+import postgrade.policy.api.Job;
 
 /**
  * A client's request from its arrival until its answer is given and each attempt for it has ended.
@@ -11,6 +12,8 @@
  */
 public final class PendingRequest {
 
+    private static final long NANOS_PER_MICRO = 1_000;
+
     private final String id;
     private final String jobClass;
     private final String tenant;
@@ -29,6 +32,8 @@
     private Timers.Timer overdueTimer;
 
     /**
+     * A request that has come and is not tracked yet.
+     *
      * @param tenant null where there is none
      * @param key null where there is none
      * @param slots how many of a worker's slots the job occupies
@@ -68,16 +73,10 @@
         return tenant;
     }
 
-    String key() {
-        return key;
-    }
-
-    double slots() {
-        return slots;
-    }
-
-    double memory() {
-        return memory;
+    /** The job that the policy decides on. */
+    Job toJob(long nowNs) {
+        long timeLeftNs = deadlineMicros * NANOS_PER_MICRO - nowNs;
+        return new Job(id, jobClass, tenant, key, timeLeftNs, slots, memory);
     }
 
     long deadlineMicros() {
@@ -138,7 +137,7 @@
      * worker.
      */
     boolean mayAddAttempt(String workerId) {
-        return attemptsOut == 0 || allowsConcurrentAttempts && attemptOutAt(workerId) == null;
+        return attemptsOut == 0 || (allowsConcurrentAttempts && attemptOutAt(workerId) == null);
     }
 
     // ---- Events that the policy has not heard of.
--- a/core/src/main/java/postgrade/dispatch/RequestTracker.java
+++ b/core/src/main/java/postgrade/dispatch/RequestTracker.java
@@ -7,7 +7,6 @@
 import java.util.function.Function;
 import postgrade.policy.api.AttemptOutcome;
 import postgrade.policy.api.DispatchPolicy;
-import postgrade.policy.api.Job;
 import postgrade.policy.api.JobConstraints;
 import postgrade.policy.api.LoadReport;
 import postgrade.policy.api.PolicyActions;
@@ -48,6 +47,8 @@
     private boolean allowsConcurrentAttempts;
 
     /**
+     * A tracker with no requests, whose policy is made here.
+     *
      * @param policyFactory makes the policy, given where its actions go
      * @param allowsConcurrentAttempts whether two attempts of one request may be out at once
      * @param mostRequests how many requests may be in flight; further ones are rejected at once
@@ -127,7 +128,7 @@
      */
     private void deliver(long nowNs, PendingRequest request) {
         try {
-            policy.jobArrived(nowNs, job(nowNs, request));
+            policy.jobArrived(nowNs, request.toJob(nowNs));
         } catch (RuntimeException thrown) {
             errors.internalError(
                     InternalErrorListener.JOB_NOT_TAKEN,
@@ -137,17 +138,6 @@
         }
     }
 
-    private static Job job(long nowNs, PendingRequest request) {
-        return new Job(
-                request.id(),
-                request.jobClass(),
-                request.tenant(),
-                request.key(),
-                request.deadlineMicros() * NANOS_PER_MICRO - nowNs,
-                request.slots(),
-                request.memory());
-    }
-
     /** The client has left, and nothing more is owed to it. */
     public void clientLeft(PendingRequest request) {
         if (!request.isAnswered()) {
--- a/core/src/main/java/postgrade/policy/AttemptGuard.java
+++ b/core/src/main/java/postgrade/policy/AttemptGuard.java
@@ -74,8 +74,8 @@
     /** Sends the job there if the rules allow it. */
     void send(long nowNs, InFlightJob job, WorkerState worker) {
         boolean another = job.attemptsOut() > 0;
-        if (another && !context.settings().allowsConcurrentAttempts
-                || !maySend(nowNs, job, worker)) {
+        boolean forbidden = another && !context.settings().allowsConcurrentAttempts;
+        if (forbidden || !maySend(nowNs, job, worker)) {
             return;
         }
         AttemptRecord binding = job.bindingAttempt();
--- a/core/src/main/java/postgrade/policy/CapacityEstimator.java
+++ b/core/src/main/java/postgrade/policy/CapacityEstimator.java
@@ -80,10 +80,10 @@
         double usual = slots(worker) * slowStartShare(nowNs, worker) * usualFreeShare;
         double fadeNs = fleetLoad.workersReport() ? REPORT_FADE_NS : classes.longestServiceTimeNs();
         double age =
-                worker.hasCapacityReport()
-                        ? Math.min(1, (nowNs - worker.reportedNs()) / fadeNs)
+                worker.capacityReport().isPresent()
+                        ? Math.min(1, (nowNs - worker.capacityReport().reportedNs()) / fadeNs)
                         : 1;
-        double reported = worker.reportedCapacity();
+        double reported = worker.capacityReport().capacity();
         double capacity = age == 1 ? usual : reported + (usual - reported) * age;
         return capacity - worker.usedSlots();
     }
@@ -94,7 +94,7 @@
         boolean given = free >= 0 && free < MOST_SLOTS; // False for NaN.
         if (given) {
             worker.reportFreeSlots(nowNs, free);
-            fleetLoad.reported(worker.reportedCapacity() / slots(worker));
+            fleetLoad.reported(worker.capacityReport().capacity() / slots(worker));
             worker.kind().reportFreeSlots(free);
         }
     }
--- a/core/src/main/java/postgrade/policy/FiguresConsumer.java
+++ b/core/src/main/java/postgrade/policy/FiguresConsumer.java
@@ -4,7 +4,9 @@
 interface FiguresConsumer {
 
     /**
-     * @param name which thing of its category
+     * Takes the figures of the thing of this name.
+     *
+     * @param name unique in its category
      */
     void accept(String name, double[] values);
 }
--- a/core/src/main/java/postgrade/policy/FleetLoadEstimator.java
+++ b/core/src/main/java/postgrade/policy/FleetLoadEstimator.java
@@ -66,8 +66,9 @@
     }
 
     /**
-     * Reckons the usual free share anew where no worker reports. @param fleetSlots the slots of all
-     * ready workers
+     * Reckons the usual free share anew where no worker reports.
+     *
+     * @param fleetSlots the slots of all ready workers
      */
     void updateWithoutReports(long nowNs, double fleetSlots) {
         if (!workersReport && fleetSlots > 0) {
--- a/core/src/main/java/postgrade/policy/LeastLoadedSelector.java
+++ b/core/src/main/java/postgrade/policy/LeastLoadedSelector.java
@@ -71,8 +71,8 @@
             }
             boolean wins =
                     load < leastLoad
-                            || load == leastLoad
-                                    && context.random().nextDouble() * tieWeight < weight;
+                            || (load == leastLoad
+                                    && context.random().nextDouble() * tieWeight < weight);
             if (wins) {
                 selected = worker;
                 leastLoad = load;
@@ -99,11 +99,12 @@
         // A worker that is full answers at once and holds none of our jobs: the fewest alone would
         // feed it more.
         double whileFull =
-                capacity.slots(worker) * worker.fullness(nowNs, classes.longestServiceTimeNs());
+                capacity.slots(worker)
+                        * worker.capacityReport().fullness(nowNs, classes.longestServiceTimeNs());
         double delay = queueingDelay.delayNs(nowNs, worker) / job.jobClass().serviceTimeNs();
         boolean suspect =
                 job.idempotency() == Idempotency.NOT_IDEMPOTENT
-                        && worker.failureRate() > SUSPECT_FAILURE_RATE;
+                        && worker.health().failureRate() > SUSPECT_FAILURE_RATE;
         return Math.max(worker.inFlight(), whileFull) / size
                 + delay / size
                 + (isTooLate(nowNs, job, worker) ? PENALTY : 0)
--- a/core/src/main/java/postgrade/policy/OutlierDetector.java
+++ b/core/src/main/java/postgrade/policy/OutlierDetector.java
@@ -39,7 +39,7 @@
         switch (outcome) {
             case SERVED -> {
                 recordResult(attempt.job(), 0);
-                worker.recordSuccess();
+                worker.health().recordSuccess();
             }
             case FULL -> worker.reportFull(nowNs);
             case CANCELLED, NOT_SENT, NO_SOCKET -> {
@@ -58,8 +58,8 @@
      * @param fault how far the failure is the worker's, from 0 to 1
      */
     void workerFailed(long nowNs, WorkerState worker, double fault) {
-        worker.recordFailure(fault);
-        if (worker.failureRate() > EJECTION_RATE) {
+        worker.health().recordFailure(fault);
+        if (worker.health().failureRate() > EJECTION_RATE) {
             eject(nowNs, worker);
         }
     }
@@ -88,7 +88,7 @@
         long ejected = workers.ready().stream().filter(other -> other.isEjected(nowNs)).count();
         boolean leavesEnough = ejected + 1 <= workers.ready().size() * MOST_EJECTED;
         if (!worker.isEjected(nowNs) && leavesEnough) {
-            worker.eject(nowNs, EJECTION_NS, MOST_DOUBLINGS);
+            worker.health().eject(nowNs, EJECTION_NS, MOST_DOUBLINGS);
         }
     }
 
--- a/core/src/main/java/postgrade/policy/QueueingDelayEstimator.java
+++ b/core/src/main/java/postgrade/policy/QueueingDelayEstimator.java
@@ -34,14 +34,15 @@
         }
         attempt.started(nowNs);
         long delayNs = nowNs - attempt.sentNs();
-        attempt.worker().recordQueueingDelay(nowNs, delayNs);
+        attempt.worker().recordQueueingDelay(nowNs, (double) delayNs);
         attempt.worker().kind().recordQueueingDelay(delayNs);
         fleetLoad.jobStarted(delayNs);
     }
 
     /** An attempt has not started yet: its worker's delay is as long at least. */
     void stillWaits(long nowNs, AttemptRecord attempt) {
-        double delayNs = Math.max(delayNs(nowNs, attempt.worker()), nowNs - attempt.sentNs());
+        double delayNs =
+                Math.max(delayNs(nowNs, attempt.worker()), (double) (nowNs - attempt.sentNs()));
         attempt.worker().recordQueueingDelay(nowNs, delayNs);
     }
 }
--- a/core/src/main/java/postgrade/policy/RetryController.java
+++ b/core/src/main/java/postgrade/policy/RetryController.java
@@ -107,7 +107,7 @@
             return;
         }
         boolean free =
-                ended.neverRan() || ended.isCancelled() && outcome == AttemptOutcome.CANCELLED;
+                ended.neverRan() || (ended.isCancelled() && outcome == AttemptOutcome.CANCELLED);
         if (free || budget.spend(1)) {
             place(nowNs, job);
         } else {
@@ -123,9 +123,9 @@
         return job.deadlineNs() - nowNs <= SWEEP_NS
                 || unwanted
                 || job.isStreaming()
-                || !ended.neverRan() && mustNotRepeat(job)
-                || outcome == AttemptOutcome.RESET && job.countReset() == MOST_RESETS
-                || ended.isCancelled() && isHopeless(nowNs, job, ended.worker());
+                || (!ended.neverRan() && mustNotRepeat(job))
+                || (outcome == AttemptOutcome.RESET && job.countReset() == MOST_RESETS)
+                || (ended.isCancelled() && isHopeless(nowNs, job, ended.worker()));
     }
 
     private boolean mustNotRepeat(InFlightJob job) {
--- a/core/src/main/java/postgrade/policy/SlowStartLedger.java
+++ b/core/src/main/java/postgrade/policy/SlowStartLedger.java
@@ -31,7 +31,8 @@
     /** Ages and costs in turn, oldest first. */
     double[] export(long nowNs) {
         return entries.stream()
-                .flatMapToDouble(entry -> DoubleStream.of(nowNs - entry.atNs(), entry.costNs()))
+                .flatMapToDouble(
+                        entry -> DoubleStream.of((double) (nowNs - entry.atNs()), entry.costNs()))
                 .toArray();
     }
 
--- a/core/src/main/java/postgrade/policy/TokenBucketDispatchPolicy.java
+++ b/core/src/main/java/postgrade/policy/TokenBucketDispatchPolicy.java
@@ -30,6 +30,8 @@
     private boolean sweepScheduled;
 
     /**
+     * A policy that knows no workers yet.
+     *
      * @param seed of its random choices
      */
     public TokenBucketDispatchPolicy(PolicySettings settings, long seed, PolicyActions actions) {
--- a/core/src/main/java/postgrade/policy/WorkerKindStats.java
+++ b/core/src/main/java/postgrade/policy/WorkerKindStats.java
@@ -38,7 +38,7 @@
     }
 
     void recordQueueingDelay(long delayNs) {
-        queueingDelayNs = Smoothing.next(queueingDelayNs, delayNs);
+        queueingDelayNs = Smoothing.next(queueingDelayNs, (double) delayNs);
     }
 
     void reset() {
--- a/core/src/main/java/postgrade/policy/WorkerState.java
+++ b/core/src/main/java/postgrade/policy/WorkerState.java
@@ -13,19 +13,15 @@
     /** Where unlisted workers are kept, an older list may name a drained one again for so long. */
     private static final long DRAIN_MEMORY_NS = 60_000_000_000L;
 
-    /** How fast the failure rate moves. */
-    private static final double FAILURE_RATE = 0.2;
-
     /** Of its own pace the latest so many jobs count. */
     private static final double MOST_PACE_SAMPLES = 20;
 
-    /** Exported as the age of what has never been. */
-    private static final double NEVER_AGE_NS = Long.MAX_VALUE / 4;
-
     private final String id;
     private final long hash;
     private final WorkerKindStats kind;
     private final SlowStartLedger slowStartLedger = new SlowStartLedger();
+    private final CapacityReport capacityReport = new CapacityReport();
+    private final WorkerHealth health = new WorkerHealth();
     private WorkerInfo info;
     private boolean ready;
     private boolean listed;
@@ -36,14 +32,6 @@
     private double usedMemory;
     private double averageUsedSlots;
     private long averagedNs;
-    private boolean hasCapacityReport;
-    private double reportedCapacity;
-    private long reportedNs;
-    private boolean everFull;
-    private long fullNs;
-    private double failureRate;
-    private int ejections;
-    private long ejectedUntilNs;
     private double queueingDelayNs;
     private long queueingDelaySeenNs;
     private double pace = 1;
@@ -107,7 +95,7 @@
         listed = ready;
         if (restarted) {
             startedNs = latest.startedNs();
-            clearCapacityReport();
+            capacityReport.clear();
         }
     }
 
@@ -126,7 +114,7 @@
             return false;
         }
         if (ready) {
-            return !listed && ejections > OutlierDetector.MOST_DOUBLINGS;
+            return !listed && health.ejections() > OutlierDetector.MOST_DOUBLINGS;
         }
         return !keepsUnlisted || drainedNs == 0 || nowNs - drainedNs > DRAIN_MEMORY_NS;
     }
@@ -167,78 +155,29 @@
         averagedNs = nowNs;
     }
 
-    // ---- Its capacity: the slots that are free or used by our jobs.
-
-    boolean hasCapacityReport() {
-        return hasCapacityReport;
-    }
-
-    double reportedCapacity() {
-        return reportedCapacity;
-    }
+    // ---- Its capacity and its failures.
 
-    long reportedNs() {
-        return reportedNs;
+    CapacityReport capacityReport() {
+        return capacityReport;
     }
 
+    /** Its load report shows so many free slots, in which our jobs count with some lag. */
     void reportFreeSlots(long nowNs, double freeSlots) {
         averageUsedSlots(nowNs);
-        setCapacity(nowNs, freeSlots + averageUsedSlots);
+        capacityReport.set(nowNs, freeSlots + averageUsedSlots);
     }
 
     /** It has rejected a job for want of capacity. */
     void reportFull(long nowNs) {
-        setCapacity(nowNs, usedSlots);
-        everFull = true;
-        fullNs = nowNs;
+        capacityReport.setFull(nowNs, usedSlots);
     }
 
-    private void setCapacity(long nowNs, double capacity) {
-        hasCapacityReport = true;
-        reportedCapacity = capacity;
-        reportedNs = nowNs;
-    }
-
-    private void clearCapacityReport() {
-        hasCapacityReport = false;
-        reportedCapacity = 0;
-    }
-
-    /**
-     * How far it still counts as full: 1 right after it was, 0 after {@code fadeNs} or if it never
-     * was.
-     */
-    double fullness(long nowNs, double fadeNs) {
-        return everFull ? 1 - Math.min(1, (nowNs - fullNs) / fadeNs) : 0;
-    }
-
-    // ---- Its failures.
-
-    /** The moving average of its failures, from 0 to 1. */
-    double failureRate() {
-        return failureRate;
-    }
-
-    void recordSuccess() {
-        failureRate *= 1 - FAILURE_RATE;
-        ejections = 0;
-    }
-
-    /**
-     * @param fault how far the failure is the worker's, from 0 to 1
-     */
-    void recordFailure(double fault) {
-        failureRate += FAILURE_RATE * Math.max(0, fault - failureRate);
+    WorkerHealth health() {
+        return health;
     }
 
     boolean isEjected(long nowNs) {
-        return ejectedUntilNs > nowNs;
-    }
-
-    /** Ejects it for a time that doubles with each ejection that no success has followed. */
-    void eject(long nowNs, long baseNs, int mostDoublings) {
-        ejectedUntilNs = nowNs + (baseNs << Math.min(ejections, mostDoublings));
-        ejections++;
+        return health.isEjected(nowNs);
     }
 
     // ---- Its queueing delay and its pace.
@@ -297,46 +236,39 @@
     void deploymentChanged() {
         resetLearnt();
         queueingDelaySeenNs = 0;
-        reportedNs = 0;
+        capacityReport.resetTime();
     }
 
     private void resetLearnt() {
-        failureRate = 0;
-        ejections = 0;
-        ejectedUntilNs = 0;
+        health.reset();
         queueingDelayNs = 0;
         pace = 1;
         paceSamples = 0;
-        clearCapacityReport();
-        everFull = false;
-        fullNs = 0;
+        capacityReport.reset();
     }
 
     /** What was learnt of it, in the order that {@link #restore} reads. */
     double[] export(long nowNs) {
         return new double[] {
-            failureRate,
-            Math.max(0, ejectedUntilNs - nowNs),
-            ejections,
+            health.failureRate(),
+            health.ejectedForNs(nowNs),
+            health.ejections(),
             pace,
             paceSamples,
             queueingDelayNs,
             nowNs - queueingDelaySeenNs,
-            everFull ? nowNs - fullNs : NEVER_AGE_NS,
+            capacityReport.fullAgeNs(nowNs),
             needsTrial ? 1 : 0
         };
     }
 
     void restore(double[] values, long nowNs) {
-        failureRate = values[0];
-        ejectedUntilNs = nowNs + (long) values[1];
-        ejections = (int) values[2];
+        health.restore(values[0], nowNs + (long) values[1], (int) values[2]);
         pace = values[3];
         paceSamples = values[4];
         queueingDelayNs = values[5];
         queueingDelaySeenNs = nowNs - (long) values[6];
-        everFull = values[7] < NEVER_AGE_NS;
-        fullNs = everFull ? nowNs - (long) values[7] : 0;
+        capacityReport.restoreFullAge(values[7], nowNs);
         needsTrial = values[8] == 1;
     }
 }
--- a/core/src/main/java/postgrade/policy/api/Job.java
+++ b/core/src/main/java/postgrade/policy/api/Job.java
@@ -21,6 +21,7 @@
         long timeLeftNs,
         double slots,
         double memory) {
+    /** Requires the id and the class. */
     public Job {
         Objects.requireNonNull(id, "id");
         Objects.requireNonNull(jobClass, "jobClass");
--- a/core/src/main/java/postgrade/policy/api/JobClass.java
+++ b/core/src/main/java/postgrade/policy/api/JobClass.java
@@ -31,6 +31,7 @@
 
     private static final long DEFAULT_OBJECTIVE_NS = 1_000_000_000L;
 
+    /** Checks the name, the times and the weight. */
     public JobClass {
         Objects.requireNonNull(name, "class name");
         Requirements.require(
--- a/core/src/main/java/postgrade/policy/api/PolicySettings.java
+++ b/core/src/main/java/postgrade/policy/api/PolicySettings.java
@@ -8,26 +8,70 @@
  * made by {@link #builder()}. Durations are in nanoseconds.
  */
 public final class PolicySettings {
+    /** How many dispatchers the deployment has. */
     public final int dispatcherCount;
+
+    /** This dispatcher's number among them, from 0. */
     public final int dispatcherIndex;
+
+    /** Where this dispatcher runs. */
     public final String zone;
+
+    /** The deployment that the settings belong to. */
     public final Deployment deployment;
+
+    /** The job classes. */
     public final List<JobClass> classes;
+
+    /** The tenants; empty where jobs name none. */
     public final List<Tenant> tenants;
+
+    /** How many token buckets are kept of tenants, and as many of keys. */
     public final int mostBuckets;
+
+    /** Whether the list of workers is told only when asked for. */
     public final boolean pollsWorkerList;
+
+    /**
+     * Whether only draining takes a worker out, so that one that is no longer listed may still be
+     * sent to.
+     */
     public final boolean keepsUnlistedWorkers;
+
+    /** How many attempts a job may have. */
     public final int maxAttempts;
+
+    /** Whether two attempts of a job may be out at once. */
     public final boolean allowsConcurrentAttempts;
+
+    /** Whether attempts may be cancelled. */
     public final boolean allowsCancellation;
+
+    /** Whether workers may be probed. */
     public final boolean allowsProbes;
+
+    /** What one probe for each job would take off the result. */
     public final double probeFee;
+
+    /** The longest Retry-After that clients observe; 0 where they are given none. */
     public final long maxRetryAfterNs;
+
+    /** Whether workers report that a job has started. */
     public final boolean workersReportStart;
+
+    /** The part of its work that a worker can do right after its start. */
     public final double slowStartInitialShare;
+
+    /** How long a worker takes from its start until it can do all of its work. */
     public final long slowStartNs;
+
+    /** How many times what it can do a worker in slow start may be sent. */
     public final double overloadMultiple;
+
+    /** Over which time that is counted. */
     public final long overloadWindowNs;
+
+    /** The shortest time between two events. */
     public final long tickNs;
 
     private PolicySettings(Builder builder) {
@@ -56,11 +100,18 @@
                         Deployment.Sort.TENANT, tenants.stream().map(Tenant::name).toList());
     }
 
+    /**
+     * Starts from the settings of a lone dispatcher that may do everything and is told nothing
+     * extra.
+     */
     public static Builder builder() {
         return new Builder();
     }
 
-    /** Starts from settings of a lone gateway that may do everything and is told nothing extra. */
+    /**
+     * Collects settings and checks each. Setters throw an {@link IllegalArgumentException} that
+     * names a value that cannot be.
+     */
     public static final class Builder {
         private int dispatcherCount = 1;
         private int dispatcherIndex;
@@ -84,18 +135,20 @@
         private long overloadWindowNs = 1_000_000_000L;
         private long tickNs = 1_000_000L;
 
+        /** How many dispatchers the deployment has. */
         public Builder dispatcherCount(int value) {
             Requirements.require(value > 0, "gateways must be positive");
             dispatcherCount = value;
             return this;
         }
 
-        /** This gateway's number among them, from 0; each has its own. */
+        /** This dispatcher's number among them, from 0; each has its own. */
         public Builder dispatcherIndex(int value) {
             dispatcherIndex = value;
             return this;
         }
 
+        /** The zone where this dispatcher runs. */
         public Builder zone(String value) {
             zone = Objects.requireNonNull(value, "zone");
             return this;
@@ -107,12 +160,14 @@
             return this;
         }
 
+        /** The job classes; at least one. */
         public Builder classes(List<JobClass> value) {
             Requirements.require(!value.isEmpty(), "classes must not be empty");
             classes = value;
             return this;
         }
 
+        /** The tenants; none where jobs name none. */
         public Builder tenants(List<Tenant> value) {
             tenants = value;
             return this;
@@ -137,6 +192,7 @@
             return this;
         }
 
+        /** How many attempts a job may have. */
         public Builder maxAttempts(int value) {
             Requirements.require(value > 0, "maxAttempts must be positive");
             maxAttempts = value;
@@ -149,6 +205,7 @@
             return this;
         }
 
+        /** Whether attempts may be cancelled. */
         public Builder allowsCancellation(boolean value) {
             allowsCancellation = value;
             return this;
@@ -206,6 +263,7 @@
             return this;
         }
 
+        /** The settings as given so far. */
         public PolicySettings build() {
             Requirements.require(!classes.isEmpty(), "classes must not be empty");
             Requirements.require(
--- a/core/src/main/java/postgrade/policy/api/Tenant.java
+++ b/core/src/main/java/postgrade/policy/api/Tenant.java
@@ -7,6 +7,7 @@
  * @param ratePerS jobs a second within the tenant's quota, over all dispatchers
  */
 public record Tenant(String name, double ratePerS) {
+    /** Checks the rate. */
     public Tenant {
         Requirements.require(ratePerS > 0, "ratePerS of tenant " + name + " must be positive");
     }
--- a/core/src/main/java/postgrade/settings/SettingsReader.java
+++ b/core/src/main/java/postgrade/settings/SettingsReader.java
@@ -31,13 +31,19 @@
     }
 
     /**
+     * A reader of these pairs.
+     *
      * @param pairs dotted paths and plain values
      */
     public static SettingsReader ofPairs(Map<String, String> pairs) {
         return new SettingsReader(pairs);
     }
 
-    /** Reads all settings. @throws InvalidSettingException that names the faulty key */
+    /**
+     * Reads all settings.
+     *
+     * @throws InvalidSettingException that names the faulty key
+     */
     public PolicySettings settings() {
         List<String> workerKinds = list("skus");
         return PolicySettings.builder()
@@ -164,7 +170,11 @@
         return isAbsent(value) ? List.of() : List.of(value.split(","));
     }
 
-    /** The number under this key. @throws InvalidSettingException if there is none */
+    /**
+     * The number under this key.
+     *
+     * @throws InvalidSettingException if there is none
+     */
     public double number(String key) {
         return parse(key, required(key));
     }
