--- a/core/src/test/java/postgrade/WallsTest.java
+++ b/core/src/test/java/postgrade/LayeringTest.java
@@ -8,8 +8,11 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.Test;
 
-/** The walls of the core: it decides and remembers, and reaches for nothing outside. */
-public class WallsTest {
+/**
+ * The layers of core, as docs/architecture.md has them: it decides and remembers, and does no input
+ * or output.
+ */
+public class LayeringTest {
 
     private static final JavaClasses CORE =
             new ClassFileImporter()
@@ -75,14 +78,65 @@
                 .check(CORE);
     }
 
-    @Test
-    public void theDecisionModuleKnowsNothingOfTheGatewayRoundIt() {
+    private static void doesNotDependOn(String layer, String... others) {
         noClasses()
                 .that()
-                .resideInAnyPackage("postgrade", "postgrade.policy..")
+                .resideInAPackage(layer)
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage("postgrade.dispatch..", "postgrade.settings..")
+                .resideInAnyPackage(others)
                 .check(CORE);
     }
+
+    @Test
+    public void thePolicysInterfaceDependsOnNothingElse() {
+        doesNotDependOn(
+                "postgrade.policy.api..",
+                "postgrade.policy",
+                "postgrade.dispatch..",
+                "postgrade.endpoints..",
+                "postgrade.settings..");
+    }
+
+    @Test
+    public void thePolicyDependsOnItsInterfaceAlone() {
+        doesNotDependOn(
+                "postgrade.policy..",
+                "postgrade.dispatch..",
+                "postgrade.endpoints..",
+                "postgrade.settings..",
+                "postgrade.shared..",
+                "postgrade.member..",
+                "postgrade.comeback..",
+                "postgrade.lease..",
+                "postgrade.window..");
+    }
+
+    @Test
+    public void theDispatcherKnowsThePolicyByItsInterface() {
+        doesNotDependOn(
+                "postgrade.dispatch..",
+                "postgrade.policy",
+                "postgrade.endpoints..",
+                "postgrade.settings..",
+                "postgrade.shared..",
+                "postgrade.member..",
+                "postgrade.comeback..",
+                "postgrade.lease..",
+                "postgrade.window..");
+    }
+
+    @Test
+    public void endpointsAndSettingsKnowThePolicysInterfaceAlone() {
+        doesNotDependOn(
+                "postgrade.endpoints..",
+                "postgrade.policy",
+                "postgrade.dispatch..",
+                "postgrade.settings..");
+        doesNotDependOn(
+                "postgrade.settings..",
+                "postgrade.policy",
+                "postgrade.dispatch..",
+                "postgrade.endpoints..");
+    }
 }
--- a/core/src/test/java/postgrade/policy/OtherDeploymentTest.java
+++ b/core/src/test/java/postgrade/policy/DeploymentChangeTest.java
@@ -36,7 +36,7 @@
  * Settings of another customer, read under way or by the process that takes over: nothing of the
  * first is left.
  */
-class OtherDeploymentTest {
+class DeploymentChangeTest {
 
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1_000 * MS;
--- /dev/null
+++ b/core/src/test/java/postgrade/policy/FinalAnswerTest.java
@@ -0,0 +1,49 @@
+package postgrade.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.api.Test;
+import postgrade.policy.api.AttemptOutcome;
+import postgrade.policy.api.LoadReport;
+
+/** Each job has one final answer in time, and nothing after it. */
+class FinalAnswerTest extends PolicyFixture {
+
+    @Test
+    void jobUnansweredAtItsDeadlineFailsOnceAndIsNotSentAgain() {
+        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2");
+        String id = job(d, 0, "unsafe");
+        d.attemptFinished(20 * SECOND, id, 0, AttemptOutcome.TIMEOUT, false, LoadReport.NONE);
+        d.timerFired(21 * SECOND, "sweep");
+        d.clientLeft(21 * SECOND, id);
+        assertEquals(1, out.count("fail " + id));
+        assertEquals(1, out.count("send " + id));
+        assertEquals(0, out.count("refuse " + id));
+    }
+
+    @Test
+    void lateRepeatedAndUnknownEventsAreIgnored() {
+        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2");
+        String id = job(d, 0, "safe");
+        d.attemptFinished(1, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
+        int said = out.said.size();
+        d.attemptFinished(2, id, 0, AttemptOutcome.RESET, false, LoadReport.NONE);
+        d.attemptFinished(2, "nobody", 3, AttemptOutcome.FULL, false, LoadReport.NONE);
+        d.attemptStarted(2, id, 0);
+        d.attemptProgressed(2, "nobody", -1, 0.5);
+        d.attemptStreaming(2, "nobody", 0);
+        d.clientLeft(2, id);
+        d.workerProbed(2, "nobody", true, FREE);
+        d.timerFired(2, "unheard of");
+        assertEquals(said, out.said.size());
+    }
+
+    @Test
+    void streamThatHasBegunHasNoDeadline() {
+        TokenBucketDispatchPolicy d = start(settings().build(), "s1");
+        String id = job(d, 0, "stream");
+        d.attemptStreaming(SECOND, id, 0);
+        d.timerFired(30 * SECOND, "sweep");
+        assertEquals(0, out.count("fail") + out.count("refuse"));
+    }
+}
--- /dev/null
+++ b/core/src/test/java/postgrade/policy/JobConstraintsTest.java
@@ -0,0 +1,58 @@
+package postgrade.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.stream.IntStream;
+import org.junit.jupiter.api.Test;
+import postgrade.policy.api.Job;
+import postgrade.policy.api.JobConstraints;
+import postgrade.policy.api.WorkerInfo;
+
+/** Constraints beyond the rules of the policy. */
+class JobConstraintsTest extends PolicyFixture {
+
+    @Test
+    void jobThatMayNotStartYetIsRefusedAtOnceAndCostsNoToken() {
+        TokenBucketDispatchPolicy d = oneTenant(4, 1);
+        d.constraintsChanged(
+                new JobConstraints() {
+                    @Override
+                    public long startsInNs(long nowNs, Job job) {
+                        return 3600 * SECOND - nowNs;
+                    }
+                });
+        for (int i = 0; i < 20; i++) {
+            assertEquals(
+                    "refuse " + job(d, SECOND, "safe", "t", null) + " " + 3599 * SECOND,
+                    out.last("refuse"));
+        }
+        d.constraintsChanged(JobConstraints.NONE);
+        assertEquals("s1", out.sentTo(job(d, SECOND, "safe", "t", null)));
+    }
+
+    @Test
+    void workerGetsJobsByThePartOfItThatIsThereForThem() {
+        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2", "s3");
+        d.constraintsChanged(
+                new JobConstraints() {
+                    @Override
+                    public double usableShare(long nowNs, Job job, WorkerInfo worker) {
+                        return switch (worker.id()) {
+                            case "s1" -> job.tenant() == null ? 0 : 1;
+                            case "s2" -> 0.25;
+                            default -> 1;
+                        };
+                    }
+                });
+        for (int i = 0; i < 100; i++) {
+            job(d, 0, "safe");
+        }
+        assertEquals(0, out.sendsTo("s1"::equals));
+        assertEquals(20, out.sendsTo("s2"::equals), 4);
+        assertTrue(
+                IntStream.range(0, 10)
+                        .mapToObj(i -> out.sentTo(job(d, 0, "safe", "t", null)))
+                        .anyMatch("s1"::equals));
+    }
+}
--- /dev/null
+++ b/core/src/test/java/postgrade/policy/RateLimitTest.java
@@ -0,0 +1,124 @@
+package postgrade.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.stream.IntStream;
+import org.junit.jupiter.api.Test;
+import postgrade.policy.api.AttemptOutcome;
+import postgrade.policy.api.PolicySettings;
+import postgrade.policy.api.Tenant;
+
+/** Token buckets of tenants and keys, and jobs beyond a quota. */
+class RateLimitTest extends PolicyFixture {
+
+    @Test
+    void emptyBucketRefusesAtOnceWithRetryAfterAndRefills() {
+        TokenBucketDispatchPolicy d = oneTenant(4, 1);
+        for (int i = 0; i < 12; i++) {
+            job(d, 0, "unsafe", "t", null);
+        }
+        assertEquals(4, out.count("refuse"), "a burst of two seconds of the rate is admitted");
+        assertEquals("refuse j12 250000000", out.last("refuse"));
+        d.attemptFinished(0, "j1", 0, AttemptOutcome.SERVED, true, FULL_UP);
+        job(d, SECOND / 8, "safe", "t", null);
+        assertEquals(5, out.count("refuse"));
+        job(d, SECOND / 4, "safe", "t", null);
+        assertEquals(5, out.count("refuse"), "one token after a quarter of a second");
+    }
+
+    /**
+     * A part of 0.2 jobs a second with one token refused a third of the jobs of tenants within
+     * their share.
+     */
+    @Test
+    void gatewaysShareRateAndBurstEvenlyButABurstIsSomeJobsAtLeast() {
+        TokenBucketDispatchPolicy d = oneTenant(20, 100);
+        for (int i = 0; i < 5; i++) {
+            assertFalse(out.sentTo(job(d, 0, "safe", "t", null)).isEmpty());
+        }
+        job(d, 0, "safe", "t", null);
+        assertEquals(
+                "refuse j6 2000000000",
+                out.last("refuse"),
+                "the next token of a hundredth of the rate");
+    }
+
+    @Test
+    void refusedJobIsChargedToItsOtherBuckets() {
+        PolicySettings s =
+                settings().tenants(List.of(new Tenant("a", 1), new Tenant("b", 100))).build();
+        TokenBucketDispatchPolicy d = start(s, "s1");
+        d.attemptFinished(0, job(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, FULL_UP);
+        for (int i = 0; i < 300; i++) {
+            job(d, 0, "unsafe", "a", "k");
+        }
+        long before = out.count("refuse");
+        job(d, 0, "safe", "b", "k");
+        assertEquals(
+                before + 1,
+                out.count("refuse"),
+                "tenant a's refused jobs emptied the key's bucket");
+        job(d, 0, "safe", "b", "other");
+        assertEquals(before + 1, out.count("refuse"));
+    }
+
+    @Test
+    void evictedBucketReturnsFull() {
+        PolicySettings s =
+                settings()
+                        .tenants(List.of(new Tenant("a", 0.1), new Tenant("b", 0.1)))
+                        .mostBuckets(1)
+                        .build();
+        TokenBucketDispatchPolicy d = start(s, "s1");
+        d.attemptFinished(0, job(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, FULL_UP);
+        for (int i = 0; i < 6; i++) {
+            job(d, 0, "safe", "a", null);
+        }
+        assertEquals(1, out.count("refuse"));
+        job(d, 0, "safe", "b", null);
+        job(d, 0, "safe", "a", null);
+        assertEquals(1, out.count("refuse"), "a was evicted by b");
+    }
+
+    @Test
+    void tenantBeyondItsRateOverdrawsOnlyVisibleRoom() {
+        PolicySettings s = settings().tenants(List.of(new Tenant("t", 0.1))).build();
+        TokenBucketDispatchPolicy d = start(s, "s1", "s2", "s3", "s4");
+        warmUp(d, 8, FREE);
+        for (int i = 0; i < 30; i++) {
+            job(d, SECOND, "safe", "t", null);
+        }
+        assertTrue(out.count("refuse") > 0, "the reserve is kept");
+        assertTrue(out.count("send") > 12, "room beyond it is used");
+    }
+
+    /**
+     * Days cnx- and caerdydd-main-later big-1: reports faded to half free, so at size all excess
+     * was admitted.
+     */
+    @Test
+    void oldReportsOfABusyFleetShowNoRoomForExcess() {
+        PolicySettings s = settings().tenants(List.of(new Tenant("t", 1))).build();
+        TokenBucketDispatchPolicy d =
+                start(s, IntStream.range(0, 20).mapToObj(i -> "s" + i).toArray(String[]::new));
+        warmUp(d, 5, FREE);
+        warmUp(d, 100, FULL_UP);
+        for (int i = 0; i < 30; i++) {
+            job(d, 20 * SECOND, "safe", "t", null);
+        }
+        assertEquals(25, out.count("refuse"), "all beyond the burst");
+    }
+
+    @Test
+    void jobWithoutTenantOrKeyMeetsNoBucket() {
+        TokenBucketDispatchPolicy d =
+                start(settings().tenants(List.of(new Tenant("t", 0.1))).build(), "s1", "s2");
+        for (int i = 0; i < 20; i++) {
+            job(d, 0, "safe", null, null);
+        }
+        assertEquals(0, out.count("refuse"));
+    }
+}
--- a/core/src/test/java/postgrade/policy/ColdRampTest.java
+++ b/core/src/test/java/postgrade/policy/SlowStartBudgetTest.java
@@ -22,7 +22,7 @@
  * may get N requests of mean work, and 2 roots of N and 2 more are put down to chance;
  * docs/measurements/cold-ramp.md has the calculation.
  */
-class ColdRampTest {
+class SlowStartBudgetTest {
 
     private static final double MULTIPLE = 3;
     private static final long WINDOW = 2 * SECOND;
--- /dev/null
+++ b/core/src/test/java/postgrade/policy/SlowStartTest.java
@@ -0,0 +1,131 @@
+package postgrade.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import postgrade.policy.api.AttemptOutcome;
+import postgrade.policy.api.WorkerListForm;
+import postgrade.policy.api.WorkerPhase;
+
+/** What workers in slow start are sent. */
+class SlowStartTest extends PolicyFixture {
+
+    /**
+     * Days caerdydd-main-later: an even part of a cold worker's budget was under one job for each
+     * of 200.
+     */
+    @ParameterizedTest
+    @ValueSource(ints = {1, 4, 200})
+    void allGatewaysTogetherUseAColdWorkersBudgetAndNoMore(int count) {
+        List<TokenBucketDispatchPolicy> gateways = gatewaysWithColdWorker(count, 10 * SECOND);
+        double budget = 3 * 0.12 * 8 * 1.5;
+        long sent = sentToS2(gateways, 30, 10 * SECOND);
+        assertTrue(
+                sent * 0.3 <= budget && sent * 0.3 >= budget / 4, sent + " jobs of 0.3 s at once");
+        sent += sentToS2(gateways, 30, 11 * SECOND);
+        double warmer = 0.12 + 0.88 / 24;
+        assertTrue(sent * 0.3 <= budget * warmer / 0.12, sent + " jobs within one window");
+        assertTrue(sentToS2(gateways, 60, 24 * SECOND) >= 2 * sent, "more as it warms");
+    }
+
+    /**
+     * What a gateway sent before its restart is forgotten, so it sends nothing to cold workers for
+     * a window.
+     */
+    @Test
+    void restartedGatewayLeavesColdWorkersAloneForOneWindow() {
+        TokenBucketDispatchPolicy d =
+                new TokenBucketDispatchPolicy(
+                        settings().slowStart(0.5, 24 * SECOND).overload(3, 1500 * MS).build(),
+                        1,
+                        out);
+        d.workersUpdated(0, WorkerListForm.CACHED, List.of(worker("s1", WorkerPhase.READY, 0)));
+        d.workersUpdated(
+                SECOND, WorkerListForm.FULL, List.of(worker("s2", WorkerPhase.READY, SECOND)));
+        job(d, 1400 * MS, "safe");
+        assertEquals(0, out.count("send"));
+        job(d, 1600 * MS, "safe");
+        assertEquals(1, out.count("send"));
+    }
+
+    /**
+     * Day join+mass: cold workers ran jobs two to four times as long, and slot-check was late at
+     * most of them.
+     */
+    @Test
+    void jobThatAColdWorkerWouldRunTooLongGoesToABusyWarmOne() {
+        TokenBucketDispatchPolicy d =
+                start(settings().slowStart(0.2, 20 * SECOND).overload(30, SECOND).build(), "s1");
+        for (int i = 0; i < 20; i++) {
+            d.attemptFinished(
+                    i * SECOND + 500 * MS,
+                    job(d, i * SECOND, "safe"),
+                    0,
+                    AttemptOutcome.SERVED,
+                    true,
+                    FREE);
+        }
+        long nowNs = 30 * SECOND;
+        d.workersUpdated(
+                nowNs, WorkerListForm.DELTA, List.of(worker("s2", WorkerPhase.READY, nowNs)));
+        for (int i = 0; i < 6; i++) {
+            assertEquals(
+                    "s1",
+                    out.sentTo(job(d, nowNs + i, "safe")),
+                    "half a second, 1.8 s cold, wanted within one");
+        }
+        double before = meanNs(d);
+        String later = job(d, nowNs + 8 * SECOND, "safe");
+        assertEquals("s2", out.sentTo(later), "0.7 s on a worker with none of ours");
+        d.attemptFinished(nowNs + 8_650 * MS, later, 0, AttemptOutcome.SERVED, true, FREE);
+        assertTrue(meanNs(d) <= before, "half a second, warm: nothing new of the class");
+    }
+
+    private static double meanNs(TokenBucketDispatchPolicy d) {
+        return d.exportFigures(0).stream()
+                .filter(l -> l.name().equals("safe"))
+                .findFirst()
+                .orElseThrow()
+                .values()[0];
+    }
+
+    /**
+     * Cold it looks worse than all others, and a worker put back by an operator was left unused.
+     */
+    @Test
+    void workerPutBackIsForgivenAndTriedByTheNextRepeatableJobWithinItsColdBudget() {
+        TokenBucketDispatchPolicy d = gatewaysWithColdWorker(1, 0).get(0);
+        d.workersUpdated(
+                50 * SECOND,
+                WorkerListForm.FULL,
+                List.of(
+                        worker("s1", WorkerPhase.READY, 0),
+                        worker("s2", WorkerPhase.READY, 50 * SECOND)));
+        for (int i = 0; i < 40; i++) {
+            String id = job(d, 50 * SECOND + i, "safe");
+            AttemptOutcome end =
+                    out.sentTo(id).equals("s2") ? AttemptOutcome.ERROR : AttemptOutcome.SERVED;
+            d.attemptFinished(50 * SECOND + i, id, 0, end, true, FREE);
+        }
+        d.workersUpdated(
+                60 * SECOND,
+                WorkerListForm.DELTA,
+                List.of(worker("s2", WorkerPhase.READY, 60 * SECOND)));
+        d.workerReenabled(60 * SECOND, "s2");
+        assertEquals("s1", out.sentTo(job(d, 60 * SECOND, "unsafe")));
+        assertEquals("s2", out.sentTo(job(d, 60 * SECOND, "safe")));
+        long before = out.count("send");
+        for (int i = 0; i < 5; i++) {
+            job(d, 60 * SECOND, "safe");
+        }
+        assertTrue(
+                out.said.stream()
+                        .filter(l -> l.startsWith("send"))
+                        .skip(before)
+                        .anyMatch(l -> l.endsWith("s1")));
+    }
+}
--- /dev/null
+++ b/core/src/test/java/postgrade/policy/StateTransferTest.java
@@ -0,0 +1,139 @@
+package postgrade.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.stream.DoubleStream;
+import org.junit.jupiter.api.Test;
+import postgrade.policy.api.AttemptOutcome;
+import postgrade.policy.api.LoadReport;
+import postgrade.policy.api.PolicySettings;
+import postgrade.policy.api.TransferredFigures;
+import postgrade.policy.api.WorkerListForm;
+import postgrade.policy.api.WorkerPhase;
+
+/** What two processes of one dispatcher hand over. */
+class StateTransferTest extends PolicyFixture {
+
+    @Test
+    void twoProcessesHaveOneBurstBetweenThem() {
+        assertEquals(40, admitted(oneTenant(20, 1), 80));
+        TokenBucketDispatchPolicy old = oneTenant(20, 1);
+        assertEquals(10, admitted(old, 10));
+        List<TransferredFigures> told = old.exportFigures(0);
+        old.shareChanged(0, 0.5);
+        TokenBucketDispatchPolicy fresh = oneTenant(20, 1);
+        fresh.shareChanged(0, 0.5);
+        fresh.importFigures(0, told);
+        long both = admitted(old, 80) + admitted(fresh, 80);
+        assertTrue(both <= 30 && both >= 20, both + " after 10 of 40");
+    }
+
+    @Test
+    void aNewProcessKnowsWhoIsSickWhoIsSlowAndWhoOwesATrial() {
+        TokenBucketDispatchPolicy old =
+                start(
+                        settings().slowStart(0.2, 20 * SECOND).overload(3, SECOND).build(),
+                        "s1",
+                        "s2",
+                        "s3");
+        for (int i = 0; i < 60; i++) {
+            String id = job(old, i, "safe");
+            old.attemptFinished(
+                    i,
+                    id,
+                    0,
+                    out.sentTo(id).equals("s2") ? AttemptOutcome.ERROR : AttemptOutcome.SERVED,
+                    true,
+                    FREE);
+        }
+        old.workersUpdated(
+                SECOND, WorkerListForm.DELTA, List.of(worker("s3", WorkerPhase.READY, SECOND)));
+        old.workerReenabled(SECOND, "s3");
+        List<TransferredFigures> told = new ArrayList<>(old.exportFigures(SECOND));
+        told.add(new TransferredFigures("worker", "unheard of", new double[9]));
+        told.add(new TransferredFigures("of a later version", "x", new double[0]));
+        TokenBucketDispatchPolicy fresh =
+                new TokenBucketDispatchPolicy(
+                        settings().slowStart(0.2, 20 * SECOND).overload(3, SECOND).build(), 3, out);
+        long now = 100 * SECOND; // Its clock is another.
+        fresh.workersUpdated(
+                now,
+                WorkerListForm.CACHED,
+                List.of(
+                        worker("s1", WorkerPhase.READY, 0),
+                        worker("s2", WorkerPhase.READY, 0),
+                        worker("s3", WorkerPhase.READY, now)));
+        fresh.importFigures(now, told);
+        assertEquals(
+                "s3",
+                out.sentTo(job(fresh, now, "safe")),
+                "the trial is owed, and all sends there are told");
+        for (int i = 0; i < 20; i++) {
+            assertNotEquals("s2", out.sentTo(job(fresh, now + i, "safe")), "it is ejected");
+        }
+    }
+
+    /**
+     * One that ended in order, or hands over, tells all it sent to a cold worker; it counts on in
+     * its window.
+     */
+    @Test
+    void whatWasSentToAColdWorkerBeforeARestartCountsInItsWindow() {
+        for (boolean ended : new boolean[] {true, false}) {
+            TokenBucketDispatchPolicy old = gatewaysWithColdWorker(1, 10 * SECOND).get(0);
+            long sent = sentToS2(List.of(old), 30, 10 * SECOND);
+            List<TransferredFigures> told =
+                    old.exportFigures(10 * SECOND + 100 * MS).stream()
+                            .filter(l -> ended || !l.category().equals("up"))
+                            .toList();
+            TokenBucketDispatchPolicy fresh =
+                    new TokenBucketDispatchPolicy(
+                            settings().slowStart(0.12, 24 * SECOND).overload(3, 1500 * MS).build(),
+                            0,
+                            out);
+            fresh.workersUpdated(
+                    20 * SECOND,
+                    WorkerListForm.FULL,
+                    List.of(worker("s2", WorkerPhase.READY, 19 * SECOND + 900 * MS)));
+            fresh.importFigures(20 * SECOND, told);
+            assertTrue(
+                    sent > 0 && sentToS2(List.of(fresh), 30, 20 * SECOND) == 0, sent + " before");
+            long later = sentToS2(List.of(fresh), 30, 21_450 * MS);
+            assertTrue(
+                    later > 0 == ended,
+                    later + " once its window is over; after a crash, one window after the start");
+        }
+    }
+
+    @Test
+    void aNewProcessKnowsHowMuchOfTheFleetOthersHoldAndWhichKindWaits() {
+        PolicySettings s = settings().dispatcherCount(10).workersReportStart(true).build();
+        TokenBucketDispatchPolicy old = start(s, "s1", "b1");
+        for (int i = 0; i < 40; i++) {
+            String id = job(old, i * MS, "safe");
+            long waitNs = out.sentTo(id).equals("b1") ? 900 * MS : 50 * MS;
+            old.attemptStarted(i * MS + waitNs, id, 0);
+            old.attemptFinished(2 * SECOND, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
+        }
+        List<TransferredFigures> told = old.exportFigures(3 * SECOND);
+        TokenBucketDispatchPolicy fresh = start(s, "s1", "b1");
+        fresh.importFigures(0, told);
+        for (String of : List.of("fleet", "kind")) {
+            assertEquals(figures(told, of), figures(fresh.exportFigures(0), of));
+            assertNotEquals(figures(start(s, "s1", "b1").exportFigures(0), of), figures(told, of));
+        }
+    }
+
+    private static List<List<Double>> figures(List<TransferredFigures> all, String of) {
+        return all.stream()
+                .filter(l -> l.category().equals(of))
+                .sorted(Comparator.comparing(TransferredFigures::name))
+                .map(l -> DoubleStream.of(l.values()).boxed().toList())
+                .toList();
+    }
+}
--- /dev/null
+++ b/core/src/test/java/postgrade/policy/WorkerListTest.java
@@ -0,0 +1,117 @@
+package postgrade.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.stream.IntStream;
+import org.junit.jupiter.api.Test;
+import postgrade.policy.api.AttemptOutcome;
+import postgrade.policy.api.Job;
+import postgrade.policy.api.LoadReport;
+import postgrade.policy.api.PolicySettings;
+import postgrade.policy.api.Tenant;
+import postgrade.policy.api.WorkerListForm;
+import postgrade.policy.api.WorkerPhase;
+
+/** Lists of workers that are old, empty or missing. */
+class WorkerListTest extends PolicyFixture {
+
+    @Test
+    void listIsAskedForAtTheStartAndAgainAfterAnError() {
+        TokenBucketDispatchPolicy d =
+                new TokenBucketDispatchPolicy(settings().pollsWorkerList(true).build(), 1, out);
+        d.workersUpdated(0, WorkerListForm.CACHED, List.of(worker("s1", WorkerPhase.READY, 0)));
+        assertEquals(1, out.count("watch"));
+        d.workersUpdated(1, WorkerListForm.FAILED, List.of());
+        assertEquals(1, out.count("timer ask"));
+        d.timerFired(SECOND, "ask");
+        assertEquals(2, out.count("watch"));
+        assertEquals("s1", out.sentTo(job(d, SECOND, "safe")), "the old list stays in force");
+    }
+
+    /**
+     * A restarted gateway knows only its last list: what the new one no longer holds is not sent
+     * to.
+     */
+    @Test
+    void restartedGatewayFollowsTheFirstFreshList() {
+        TokenBucketDispatchPolicy d =
+                new TokenBucketDispatchPolicy(settings().pollsWorkerList(true).build(), 1, out);
+        d.workersUpdated(
+                0,
+                WorkerListForm.CACHED,
+                List.of(worker("s1", WorkerPhase.READY, 0), worker("s2", WorkerPhase.READY, 0)));
+        d.workersUpdated(
+                SECOND,
+                WorkerListForm.FULL,
+                List.of(worker("s2", WorkerPhase.DRAINING, 0), worker("s3", WorkerPhase.READY, 0)));
+        for (int i = 0; i < 6; i++) {
+            assertEquals("s3", out.sentTo(job(d, SECOND, "safe")));
+        }
+    }
+
+    /** A cut-off zone or a full connection table must not shut the workers for a whole warm-up. */
+    @Test
+    void workerThatWasUnreachableIsEjectedButNotTakenAsCold() {
+        PolicySettings s = settings().slowStart(0.1, 20 * SECOND).overload(2, SECOND).build();
+        TokenBucketDispatchPolicy d = start(s, "s1", "s2", "s3");
+        warmUp(d, 20, FREE);
+        String id = job(d, SECOND, "safe");
+        String cut = out.sentTo(id);
+        d.attemptFinished(SECOND, id, 0, AttemptOutcome.UNREACHABLE, false, LoadReport.NONE);
+        for (int i = 0; i < 6; i++) {
+            assertNotEquals(cut, out.sentTo(job(d, SECOND, "safe")));
+        }
+        String trial = "";
+        for (int i = 0; i < 9 && !out.sentTo(trial).equals(cut); i++) {
+            trial = job(d, 4 * SECOND, "safe");
+        }
+        d.attemptFinished(4 * SECOND, trial, 0, AttemptOutcome.SERVED, true, FREE);
+        int before = out.said.size();
+        for (int i = 0; i < 24; i++) {
+            job(d, 4 * SECOND, "safe");
+        }
+        long sent =
+                out.said.stream()
+                        .skip(before)
+                        .filter(l -> l.startsWith("send") && l.endsWith(cut))
+                        .count();
+        assertTrue(sent >= 8, "its full part again: " + sent);
+    }
+
+    @Test
+    void sameSeedAndEventsGiveTheSameActions() {
+        List<String> first = busyHour(5);
+        assertEquals(first, busyHour(5));
+        assertNotEquals(first, busyHour(6));
+    }
+
+    private List<String> busyHour(long seed) {
+        Recorder mine = new Recorder();
+        TokenBucketDispatchPolicy d =
+                new TokenBucketDispatchPolicy(
+                        settings().tenants(List.of(new Tenant("t", 3))).build(), seed, mine);
+        d.workersUpdated(
+                0,
+                WorkerListForm.FULL,
+                IntStream.range(0, 7)
+                        .mapToObj(i -> worker("s" + i, WorkerPhase.READY, 0))
+                        .toList());
+        for (int i = 0; i < 200; i++) {
+            d.jobArrived(
+                    i * 50 * MS,
+                    new Job("x" + i, i % 3 == 0 ? "unsafe" : "safe", "t", null, 5 * SECOND, 1, 0));
+            d.attemptFinished(
+                    i * 50 * MS + 1,
+                    "x" + i / 2,
+                    0,
+                    i % 5 == 0 ? AttemptOutcome.ERROR : AttemptOutcome.SERVED,
+                    i % 5 != 0,
+                    FREE);
+            d.timerFired(i * 50 * MS + 2, "sweep");
+        }
+        return mine.said;
+    }
+}
--- a/daemon/src/test/java/postgrade/daemon/ClaimsTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ExtensionHeadersTest.java
@@ -17,7 +17,7 @@
 import postgrade.policy.api.JobConstraints;
 
 /** What jobs claim in headers that somebody beside the dispatcher reads. */
-public class ClaimsTest extends Stage implements Companion, ExtensionHeaders {
+public class ExtensionHeadersTest extends Stage implements Companion, ExtensionHeaders {
 
     @Before
     public void besideTheDaemon() {
--- a/daemon/src/test/java/postgrade/daemon/WallsTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LayeringTest.java
@@ -7,8 +7,8 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.Test;
 
-/** The walls between the daemon's sides. */
-public class WallsTest {
+/** The layers of the daemon, as docs/architecture.md has them: its sides do not know each other. */
+public class LayeringTest {
 
     private static final JavaClasses DAEMON =
             new ClassFileImporter()
@@ -49,7 +49,8 @@
     public void theCodecKnowsNobody() {
         apart(
                 "postgrade.http..",
-                "postgrade",
+                "postgrade.policy..",
+                "postgrade.endpoints..",
                 "postgrade.dispatch..",
                 "postgrade.consumer..",
                 "postgrade.provider..",
