--- /dev/null
+++ b/core/src/test/java/postgrade/policy/EarlierVersionTest.java
@@ -0,0 +1,94 @@
+package postgrade.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import postgrade.policy.api.Deployment;
+import postgrade.policy.api.Idempotency;
+import postgrade.policy.api.JobClass;
+import postgrade.policy.api.PolicySettings;
+import postgrade.policy.api.Tenant;
+import postgrade.policy.api.TransferredFigures;
+import postgrade.policy.api.WorkerInfo;
+import postgrade.policy.api.WorkerListForm;
+import postgrade.policy.api.WorkerPhase;
+
+/**
+ * Figures that the version before the policy's parts exported, kept as a file, are taken over
+ * whole.
+ */
+class EarlierVersionTest {
+
+    private static final long SECOND = 1_000_000_000L;
+    private static final long NOW = 40 * SECOND;
+    private static final double NEVER_AGE_NS = Long.MAX_VALUE / 4.0;
+
+    private static PolicySettings settings() {
+        return PolicySettings.builder()
+                .dispatcherCount(4)
+                .dispatcherIndex(1)
+                .named(Deployment.Sort.KIND, List.of("k1", "k2"))
+                .named(Deployment.Sort.ZONE, List.of("z"))
+                .classes(
+                        List.of(
+                                JobClass.of("price", Idempotency.IDEMPOTENT),
+                                JobClass.of("confirm", Idempotency.NOT_IDEMPOTENT)))
+                .tenants(List.of(new Tenant("t1", 40), new Tenant("t2", 8)))
+                .build();
+    }
+
+    private static List<TransferredFigures> exported() throws IOException {
+        try (InputStream file =
+                EarlierVersionTest.class.getResourceAsStream("figures-of-0.2.0.txt")) {
+            List<TransferredFigures> rows = new ArrayList<>();
+            for (String line :
+                    new String(file.readAllBytes(), StandardCharsets.UTF_8).split("\n")) {
+                String[] parts = line.split("\\|", -1);
+                double[] values =
+                        Stream.of(parts[2].split(" "))
+                                .filter(value -> !value.isEmpty())
+                                .mapToDouble(Double::parseDouble)
+                                .toArray();
+                rows.add(new TransferredFigures(parts[0], parts[1], values));
+            }
+            return rows;
+        }
+    }
+
+    /** By category and name. What has never been has no certain age. */
+    private static Map<String, String> plain(List<TransferredFigures> rows) {
+        Map<String, String> plain = new TreeMap<>();
+        for (TransferredFigures row : rows) {
+            double[] values =
+                    Arrays.stream(row.values()).map(v -> Math.min(v, NEVER_AGE_NS)).toArray();
+            plain.put(row.category() + " " + row.name(), Arrays.toString(values));
+        }
+        return plain;
+    }
+
+    @Test
+    void whatTheEarlierVersionExportedIsExportedAgainUnchanged() throws IOException {
+        TokenBucketDispatchPolicy policy =
+                new TokenBucketDispatchPolicy(settings(), 7, new Recorder());
+        List<WorkerInfo> workers = new ArrayList<>();
+        for (int i = 1; i <= 4; i++) {
+            workers.add(
+                    new WorkerInfo("w" + i, "z", i < 3 ? "k1" : "k2", 0, WorkerPhase.READY, i, 0));
+        }
+        policy.workersUpdated(NOW, WorkerListForm.FULL, workers);
+        List<TransferredFigures> exported = exported();
+        assertTrue(exported.size() > 15, "the file has rows of every category");
+        policy.importFigures(NOW, exported);
+        assertEquals(plain(exported), plain(policy.exportFigures(NOW)));
+    }
+}
--- /dev/null
+++ b/daemon/src/test/java/postgrade/daemon/TakeoverTest.java
@@ -0,0 +1,54 @@
+package postgrade.daemon;
+
+import static org.junit.Assert.assertEquals;
+
+import com.eclipsesource.json.Json;
+import com.eclipsesource.json.JsonObject;
+import java.util.List;
+import org.junit.Test;
+import postgrade.endpoints.EndpointRegistry;
+import postgrade.endpoints.EndpointRegistry.WorkerOverride;
+
+/**
+ * The file that a process leaves for the next one: read whichever version wrote it, its ages by the
+ * clock it had.
+ */
+public class TakeoverTest {
+
+    private static final long SECOND_NS = 1_000_000_000L;
+    private static final long HOUR_MS = 3_600_000;
+    private static final long WRITTEN_MS = 1_790_000_000_000L;
+
+    private static List<WorkerOverride> said(JsonObject file, long nowMillis, long machineNanos) {
+        return Takeover.left(file, nowMillis, machineNanos).said();
+    }
+
+    @Test
+    public void aFileOfTheEarlierVersionIsReadByTheWallClock() {
+        JsonObject file =
+                Json.parse(
+                                "{\"atMs\":"
+                                        + WRITTEN_MS
+                                        + ",\"roster\":[{\"id\":\"w1\",\"out\":2000000000,\"back\":-1},"
+                                        + "{\"id\":\"w2\",\"out\":5000000000,\"back\":1000000000}]}")
+                        .asObject();
+        assertEquals(
+                List.of(
+                        new WorkerOverride("w1", 5 * SECOND_NS, -1),
+                        new WorkerOverride("w2", 8 * SECOND_NS, 4 * SECOND_NS)),
+                said(file, WRITTEN_MS + 3_000, 77));
+    }
+
+    /** By an hour, either way, between the writing and the reading. */
+    @Test
+    public void aStepOfTheWallClockChangesNoAge() {
+        EndpointRegistry registry = new EndpointRegistry();
+        registry.disable(10 * SECOND_NS, "w1");
+        JsonObject file = Takeover.leave(registry, 12 * SECOND_NS, WRITTEN_MS, 100 * SECOND_NS);
+        for (long step : new long[] {HOUR_MS, -HOUR_MS}) {
+            assertEquals(
+                    List.of(new WorkerOverride("w1", 5 * SECOND_NS, -1)),
+                    said(file, WRITTEN_MS + step, 103 * SECOND_NS));
+        }
+    }
+}
