--- a/daemon/src/main/java/postgrade/daemon/Config.java
+++ b/daemon/src/main/java/postgrade/daemon/Config.java
@@ -15,7 +15,8 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import postgrade.benchlink.JsonPairs;
-import postgrade.discovery.TargetList;
+import postgrade.discovery.AddressFormat;
+import postgrade.discovery.WorkerList;
 import postgrade.operator.OperatorListener;
 import postgrade.policy.api.JobClass;
 import postgrade.policy.api.PolicySettings;
@@ -80,7 +81,7 @@
     final Map<String, Long> deadlineMicros = new HashMap<>();
 
     /** The list as it was last known, or null. */
-    final TargetList known;
+    final WorkerList known;
 
     private final Map<String, String> environment;
     private final JsonObject json;
@@ -209,7 +210,7 @@
 
     private InetSocketAddress address(String key, String variable) throws Faulty {
         try {
-            return TargetList.address(text(key, variable));
+            return AddressFormat.parse(text(key, variable));
         } catch (IllegalArgumentException e) {
             throw new Faulty(key, e.getMessage());
         }
@@ -252,13 +253,13 @@
         return value;
     }
 
-    private TargetList known() throws Faulty {
+    private WorkerList known() throws Faulty {
         JsonValue value = json.get("known");
         if (value == null || value.isNull()) {
             return null;
         }
         try {
-            return TargetList.of(value.asObject());
+            return WorkerList.of(value.asObject());
         } catch (RuntimeException e) {
             throw new Faulty("known", e.getMessage());
         }
--- a/daemon/src/main/java/postgrade/daemon/Daemon.java
+++ b/daemon/src/main/java/postgrade/daemon/Daemon.java
@@ -9,9 +9,9 @@
 import postgrade.companion.Companion;
 import postgrade.consumer.Listener;
 import postgrade.consumer.Relay;
-import postgrade.discovery.Patience;
-import postgrade.discovery.TargetList;
-import postgrade.discovery.Watch;
+import postgrade.discovery.DiscoveryWatch;
+import postgrade.discovery.WatchTimeouts;
+import postgrade.discovery.WorkerList;
 import postgrade.dispatch.RequestTracker;
 import postgrade.http.SocketBudget;
 import postgrade.http.SystemCalls;
@@ -44,7 +44,7 @@
     private final RequestTracker gateway;
     private final ProviderPools providers;
     private final Listener listener;
-    private final Watch watch;
+    private final DiscoveryWatch watch;
     private final Thread thread;
     private final Lifecycle lifecycle = new Lifecycle();
     private final Workers workers;
@@ -72,14 +72,14 @@
                 config,
                 plan,
                 actions -> new TokenBucketDispatchPolicy(config.settings, config.seed, actions),
-                Patience.USUAL);
+                WatchTimeouts.DEFAULT);
     }
 
     Daemon(
             Config config,
             Companion.Plan plan,
             Function<PolicyActions, DispatchPolicy> module,
-            Patience patience)
+            WatchTimeouts patience)
             throws IOException, Config.Faulty {
         this(config, plan, module, patience, SystemCalls.REAL);
     }
@@ -92,7 +92,7 @@
             Config config,
             Companion.Plan plan,
             Function<PolicyActions, DispatchPolicy> module,
-            Patience patience,
+            WatchTimeouts patience,
             SystemCalls systemCalls)
             throws IOException, Config.Faulty {
         this.config = config;
@@ -120,7 +120,7 @@
                         ? told
                         : Takeover.left(
                                 upgrade.left(), config.clock.unixMillis(), System.nanoTime());
-        TargetList known = before == null || before.list() == null ? config.known : before.list();
+        WorkerList known = before == null || before.list() == null ? config.known : before.list();
         if (before != null) {
             before.tell(workers.roster(), loop.nowMicros() * NANOS);
         }
@@ -158,7 +158,9 @@
                 known == null || before != null && !before.follows(config.discovery)
                         ? 0
                         : known.version();
-        watch = new Watch(config.discovery, config.name, version, patience, loop, loop, this::told);
+        watch =
+                new DiscoveryWatch(
+                        config.discovery, config.name, version, patience, loop, loop, this::told);
         companion = plan == null ? null : Companions.open(plan, beside);
         if (companion != null) {
             providers.fences(companion::fence);
@@ -189,7 +191,7 @@
                         listener,
                         companion,
                         tookOver,
-                        patience.startMicros(),
+                        patience.startupMicros(),
                         this::sayListening);
         if (before != null && before.standbyAgeMicros() >= 0) {
             lifecycle.standby(loop.nowMicros() - before.standbyAgeMicros());
@@ -265,8 +267,8 @@
         }
     }
 
-    private void told(TargetList list) {
-        if (list.whole()) {
+    private void told(WorkerList list) {
+        if (list.complete()) {
             workers.list(WorkerListForm.FULL, list, loop.nowMicros(), WorkerStartTimes.NEVER_HEARD);
         } else {
             workers.list(WorkerListForm.DELTA, list, loop.nowMicros(), watch.heardBeforeMicros());
--- a/daemon/src/main/java/postgrade/daemon/Effective.java
+++ b/daemon/src/main/java/postgrade/daemon/Effective.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import postgrade.discovery.TargetList;
+import postgrade.discovery.AddressFormat;
 import postgrade.policy.api.JobClass;
 
 /** One setting as it is in force, and where it came from. */
@@ -21,17 +21,17 @@
         all.add(
                 new Effective(
                         "listen",
-                        TargetList.text(c.listen),
+                        AddressFormat.format(c.listen),
                         origin(json, "listen", "ROUTER_LISTEN")));
         all.add(
                 new Effective(
                         "discovery",
-                        TargetList.text(c.discovery),
+                        AddressFormat.format(c.discovery),
                         origin(json, "discovery", "ROUTER_DISCOVERY")));
         all.add(
                 new Effective(
                         "operator",
-                        c.operator == null ? "none" : TargetList.text(c.operator),
+                        c.operator == null ? "none" : AddressFormat.format(c.operator),
                         c.operator == null
                                 ? "default"
                                 : origin(json, "operator", "ROUTER_OPERATOR")));
@@ -56,7 +56,7 @@
         all.add(
                 new Effective(
                         "known",
-                        c.known == null ? "none" : c.known.entries().size() + " workers",
+                        c.known == null ? "none" : c.known.workers().size() + " workers",
                         c.known == null ? "default" : "file"));
         all.add(effective(pairs, "limits.mostHeld", c.mostHeld));
         all.add(effective(pairs, "limits.connectTimeoutNs", c.connectTimeoutMicros * 1000));
--- a/daemon/src/main/java/postgrade/daemon/Reload.java
+++ b/daemon/src/main/java/postgrade/daemon/Reload.java
@@ -3,7 +3,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import postgrade.consumer.Listener;
-import postgrade.discovery.Watch;
+import postgrade.discovery.DiscoveryWatch;
 import postgrade.dispatch.RequestTracker;
 import postgrade.log.Events;
 import postgrade.provider.ProviderPools;
@@ -12,7 +12,8 @@
  * Reads the configuration again and takes over what can change under way. A faulty one changes
  * nothing. On the loop.
  */
-record Reload(RequestTracker gateway, Listener listener, ProviderPools providers, Watch watch) {
+record Reload(
+        RequestTracker gateway, Listener listener, ProviderPools providers, DiscoveryWatch watch) {
 
     private static final Logger LOG = LoggerFactory.getLogger(Reload.class);
 
@@ -36,7 +37,7 @@
                         next.idleMicros,
                         config.settings.deployment.same(next.settings.deployment));
             }
-            watch.move(next.discovery);
+            watch.moveTo(next.discovery);
             return next;
         } catch (Config.Faulty e) {
             Events.warn(LOG, "configuration.not-taken")
--- a/daemon/src/main/java/postgrade/daemon/Takeover.java
+++ b/daemon/src/main/java/postgrade/daemon/Takeover.java
@@ -11,8 +11,9 @@
 import java.util.Locale;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import postgrade.discovery.TargetList;
-import postgrade.discovery.TargetList.Entry;
+import postgrade.discovery.AddressFormat;
+import postgrade.discovery.WorkerList;
+import postgrade.discovery.WorkerList.ListedWorker;
 import postgrade.endpoints.EndpointRegistry;
 import postgrade.log.Events;
 import postgrade.policy.api.TransferredFigures;
@@ -29,7 +30,7 @@
  * @param beside what its companion told, empty where there was none
  */
 record Takeover(
-        TargetList list,
+        WorkerList list,
         String discovery,
         List<EndpointRegistry.WorkerOverride> said,
         List<TransferredFigures> learnt,
@@ -48,9 +49,9 @@
             return null;
         }
         try {
-            TargetList list = TargetList.of(json.get("list").asObject());
+            WorkerList list = WorkerList.of(json.get("list").asObject());
             return new Takeover(
-                    list.entries().isEmpty() ? null : list,
+                    list.workers().isEmpty() ? null : list,
                     json.get("discovery").asString(),
                     said(json.get("roster").asArray()),
                     learnt(json.get("learnt").asArray()),
@@ -153,17 +154,17 @@
             EndpointRegistry roster,
             long nowNs,
             long version,
-            Collection<Entry> told,
+            Collection<ListedWorker> told,
             InetSocketAddress discovery,
             long standbyAgeMicros,
             List<TransferredFigures> learnt,
             String beside) {
         JsonArray servers = Json.array();
-        for (Entry e : told) {
+        for (ListedWorker e : told) {
             servers.add(
                     Json.object()
                             .add("id", e.id())
-                            .add("addr", TargetList.text(e.address()))
+                            .add("addr", AddressFormat.format(e.address()))
                             .add("zone", e.zone())
                             .add("kind", e.kind())
                             .add("cell", e.cell())
@@ -186,7 +187,7 @@
                                 .add("version", version)
                                 .add("full", true)
                                 .add("servers", servers))
-                .add("discovery", TargetList.text(discovery))
+                .add("discovery", AddressFormat.format(discovery))
                 .add("roster", ages(roster, nowNs))
                 .add("standby", standbyAgeMicros)
                 .add("learnt", figures)
@@ -194,7 +195,7 @@
     }
 
     boolean follows(InetSocketAddress address) {
-        return TargetList.text(address).equals(discovery);
+        return AddressFormat.format(address).equals(discovery);
     }
 
     /** Tells the roster what operators have said. */
--- a/daemon/src/main/java/postgrade/daemon/Workers.java
+++ b/daemon/src/main/java/postgrade/daemon/Workers.java
@@ -8,9 +8,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import postgrade.companion.Host;
-import postgrade.discovery.TargetList;
-import postgrade.discovery.TargetList.Entry;
-import postgrade.discovery.TargetList.State;
+import postgrade.discovery.WorkerList;
+import postgrade.discovery.WorkerList.ListedWorker;
+import postgrade.discovery.WorkerList.State;
 import postgrade.dispatch.RequestTracker;
 import postgrade.endpoints.EndpointRegistry;
 import postgrade.log.Events;
@@ -32,7 +32,7 @@
     private final EndpointRegistry roster = new EndpointRegistry();
 
     /** What discovery has last said of each provider. */
-    private final Map<String, Entry> told = new LinkedHashMap<>();
+    private final Map<String, ListedWorker> told = new LinkedHashMap<>();
 
     private final ProviderPools providers;
     private final RequestTracker gateway;
@@ -52,7 +52,7 @@
         return roster;
     }
 
-    Collection<Entry> told() {
+    Collection<ListedWorker> told() {
         return told.values();
     }
 
@@ -61,13 +61,13 @@
      * @param heardBeforeMicros when discovery was last heard before it told this, or {@link
      *     WorkerStartTimes#NEVER_HEARD}
      */
-    void list(WorkerListForm form, TargetList list, long nowMicros, long heardBeforeMicros) {
-        list.warnOfFaulty();
+    void list(WorkerListForm form, WorkerList list, long nowMicros, long heardBeforeMicros) {
+        list.logUnreadable();
         List<WorkerInfo> workers = new ArrayList<>();
         if (form != WorkerListForm.DELTA) {
             told.clear();
         }
-        for (Entry e : list.entries()) {
+        for (ListedWorker e : list.workers()) {
             told.put(e.id(), e);
             WorkerPhase phase =
                     switch (e.state()) {
--- /dev/null
+++ b/daemon/src/main/java/postgrade/discovery/WatchFrameDecoder.java
@@ -0,0 +1,68 @@
+package postgrade.discovery;
+
+import java.io.ByteArrayOutputStream;
+import java.nio.charset.StandardCharsets;
+
+/**
+ * Cuts the bytes of a watch into objects and empty lines. An object may be indented and span many
+ * lines; a line break inside it is no heartbeat. Only whole frames are handed over.
+ */
+final class WatchFrameDecoder {
+
+    /** Bounds the memory against an object that never ends. */
+    private static final int MOST_BYTES = 4 << 20;
+
+    private final FrameHandler handler;
+    private final ByteArrayOutputStream object = new ByteArrayOutputStream();
+    private int depth;
+    private boolean quoted;
+    private boolean escaped;
+
+    /** An object has ended on this line: its end is not an empty line. */
+    private boolean afterObject;
+
+    WatchFrameDecoder(FrameHandler handler) {
+        this.handler = handler;
+    }
+
+    /**
+     * Takes the next bytes and hands over the frames that they complete.
+     *
+     * @throws IllegalArgumentException if they are no frames, or an object is too long
+     */
+    void decode(byte[] bytes) {
+        for (byte next : bytes) {
+            if (depth > 0 || next == '{') {
+                insideObject(next);
+            } else if (next == '\n') {
+                boolean empty = !afterObject;
+                afterObject = false;
+                if (empty) {
+                    handler.heartbeat();
+                }
+            } else if (next != ' ' && next != '\t' && next != '\r') {
+                throw new IllegalArgumentException("neither an object nor an empty line");
+            }
+        }
+        if (object.size() > MOST_BYTES) {
+            throw new IllegalArgumentException("object too long");
+        }
+    }
+
+    private void insideObject(byte next) {
+        object.write(next);
+        if (quoted) {
+            quoted = escaped || next != '"';
+            escaped = !escaped && next == '\\';
+        } else if (next == '"') {
+            quoted = true;
+        } else if (next == '{') {
+            depth++;
+        } else if (next == '}' && --depth == 0) {
+            afterObject = true;
+            String json = object.toString(StandardCharsets.UTF_8);
+            object.reset();
+            handler.object(json);
+        }
+    }
+}
--- a/daemon/src/test/java/postgrade/daemon/ReloadTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ReloadTest.java
@@ -11,7 +11,7 @@
 import java.nio.file.Path;
 import java.util.Map;
 import org.junit.Test;
-import postgrade.discovery.Patience;
+import postgrade.discovery.WatchTimeouts;
 
 /** New settings under way: taken over whole, or not at all. */
 public class ReloadTest extends Stage {
@@ -91,7 +91,7 @@
                         Config.read(environment),
                         null,
                         out -> script = new Script(out),
-                        new Patience(20_000_000, 20_000_000, 0));
+                        new WatchTimeouts(20_000_000, 20_000_000, 0));
         daemon.start();
         script.heard.take();
         script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
@@ -140,7 +140,7 @@
                             Config.read(environment),
                             null,
                             out -> script = new Script(out),
-                            new Patience(20_000_000, 20_000_000, 0));
+                            new WatchTimeouts(20_000_000, 20_000_000, 0));
             daemon.start();
             script.onJob =
                     job ->
--- a/daemon/src/test/java/postgrade/daemon/Stage.java
+++ b/daemon/src/test/java/postgrade/daemon/Stage.java
@@ -19,7 +19,7 @@
 import org.junit.rules.TemporaryFolder;
 import postgrade.companion.Companion;
 import postgrade.daemon.Peer.Arrived;
-import postgrade.discovery.Patience;
+import postgrade.discovery.WatchTimeouts;
 
 /**
  * The stage of the stories: a daemon on loopback between scripted consumers, providers and
@@ -28,7 +28,7 @@
 public abstract class Stage {
 
     /** Nothing is silent at its opening, however slow the machine; but soon after a line. */
-    static final Patience PATIENCE = new Patience(20_000_000, 500_000, 0);
+    static final WatchTimeouts PATIENCE = new WatchTimeouts(20_000_000, 500_000, 0);
 
     static final String SETTINGS =
             "'balancers':1,'classes':["
--- a/daemon/src/test/java/postgrade/daemon/StartTest.java
+++ b/daemon/src/test/java/postgrade/daemon/StartTest.java
@@ -6,7 +6,7 @@
 import java.net.Socket;
 import org.junit.Test;
 import postgrade.daemon.Peer.Arrived;
-import postgrade.discovery.Patience;
+import postgrade.discovery.WatchTimeouts;
 
 /**
  * What the agent has counts as told from the first moment of a new process; the list known from
@@ -20,7 +20,7 @@
                         Config.read(configuration(server("w1", one.address(), "ready"))),
                         null,
                         out -> script = new Script(out),
-                        new Patience(20_000_000, 20_000_000, startMicros));
+                        new WatchTimeouts(20_000_000, 20_000_000, startMicros));
         daemon.start();
         script.hears("list CACHED [w1 READY]");
         script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
--- a/daemon/src/test/java/postgrade/daemon/StoriesTest.java
+++ b/daemon/src/test/java/postgrade/daemon/StoriesTest.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.Test;
 import postgrade.daemon.Peer.Arrived;
-import postgrade.discovery.Patience;
+import postgrade.discovery.WatchTimeouts;
 
 /**
  * Stories over loopback: the whole daemon against scripted peers, one for each thing that goes
@@ -344,7 +344,7 @@
                         Config.read(Map.of("ROUTER_CONFIG", file.toString())),
                         null,
                         out -> script = new Script(out),
-                        new Patience(20_000_000, 20_000_000, 0));
+                        new WatchTimeouts(20_000_000, 20_000_000, 0));
         daemon.start();
         script.hears("list CACHED [w1 READY]");
         Arrived former = discovery.next("GET /api/targets?watch=1&from=41 ");
--- a/daemon/src/test/java/postgrade/discovery/WatchScheduleTest.java
+++ b/daemon/src/test/java/postgrade/discovery/WatchScheduleTest.java
@@ -53,7 +53,7 @@
     private Hand hand;
     private ServerSocket discovery;
     private int port;
-    private Watch watch;
+    private DiscoveryWatch watch;
     private int taken;
     private long version;
 
@@ -80,11 +80,11 @@
         version = 41;
         listen(0);
         watch =
-                new Watch(
+                new DiscoveryWatch(
                         new InetSocketAddress(loopback, port),
                         "n" + schedule,
                         version,
-                        Patience.USUAL,
+                        WatchTimeouts.DEFAULT,
                         hand,
                         hand,
                         list -> taken++);
@@ -223,7 +223,7 @@
             long after = isInForceAfter(random);
             assertTrue(failures + ": " + after, after <= WORST_MICROS);
             worst = Math.max(worst, after);
-            watch.move(new InetSocketAddress(loopback, 1)); // Nothing more comes of it.
+            watch.moveTo(new InetSocketAddress(loopback, 1)); // Nothing more comes of it.
             discovery.close();
         }
         assertTrue("the longest waits are met: " + worst, worst > 1_500_000);
@@ -239,15 +239,15 @@
         long[] most = new long[8];
         Arrays.fill(least, Long.MAX_VALUE);
         for (int seed = 0; seed < 2_000; seed++) {
-            Pace pace = new Pace(Patience.USUAL.firstMicros(), seed);
+            WatchBackoff pace = new WatchBackoff(WatchTimeouts.DEFAULT.firstFrameMicros(), seed);
             for (int i = 0; i < 4; i++) {
-                long first = pace.firstMicros();
+                long first = pace.nextTimeoutMicros();
                 least[i] = Math.min(least[i], first);
                 most[i] = Math.max(most[i], first);
-                assertEquals("a silent one is followed at once", 0, pace.untilNextMicros(true));
+                assertEquals("a silent one is followed at once", 0, pace.nextPauseMicros(true));
             }
             for (int i = 4; i < 8; i++) {
-                long pause = pace.untilNextMicros(false);
+                long pause = pace.nextPauseMicros(false);
                 least[i] = Math.min(least[i], pause);
                 most[i] = Math.max(most[i], pause);
             }
@@ -259,7 +259,7 @@
                     i + ": " + least[i],
                     least[i] >= 0.9 * ends[i] - 1 && least[i] < 0.901 * ends[i]);
         }
-        long silent = Patience.USUAL.silentMicros() + most[0] + most[1] + most[2];
+        long silent = WatchTimeouts.DEFAULT.betweenFramesMicros() + most[0] + most[1] + most[2];
         assertTrue(
                 "three silent openings, and the fourth is heard by 6 s",
                 silent + 500_000 < 6_000_000);
--- a/daemon/src/test/java/postgrade/discovery/WatchTest.java
+++ b/daemon/src/test/java/postgrade/discovery/WatchTest.java
@@ -27,8 +27,8 @@
     private final Hand hand;
     private ServerSocket discovery = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final List<Socket> sockets = new ArrayList<>();
-    private final List<TargetList> taken = new ArrayList<>();
-    private Watch watch;
+    private final List<WorkerList> taken = new ArrayList<>();
+    private DiscoveryWatch watch;
     private String asked;
 
     public WatchTest() throws IOException {
@@ -38,11 +38,11 @@
     @Before
     public void open() {
         watch =
-                new Watch(
+                new DiscoveryWatch(
                         new InetSocketAddress(discovery.getInetAddress(), discovery.getLocalPort()),
                         "n1",
                         41,
-                        Patience.USUAL,
+                        WatchTimeouts.DEFAULT,
                         hand,
                         hand,
                         taken::add);
@@ -133,7 +133,7 @@
         int before = taken.size();
         send(at, object(43, "draining") + "\n");
         hand.until(() -> taken.size() > before);
-        assertEquals(TargetList.State.DRAINING, taken.get(before).entries().get(0).state());
+        assertEquals(WorkerList.State.DRAINING, taken.get(before).workers().get(0).state());
         long passed = hand.nowMicros() - fellMicros;
         assertTrue("after " + passed, passed < TOLD_MICROS - 500_000);
     }
@@ -185,8 +185,8 @@
                         + object(45, "gone")
                         + "\n\n");
         hand.until(() -> taken.size() == 4);
-        assertEquals(List.of(42L, 43L, 44L, 45L), taken.stream().map(TargetList::version).toList());
-        assertEquals("w{1}\"", taken.get(1).entries().get(0).id());
+        assertEquals(List.of(42L, 43L, 44L, 45L), taken.stream().map(WorkerList::version).toList());
+        assertEquals("w{1}\"", taken.get(1).workers().get(0).id());
         for (int i = 0; i < 3; i++) {
             assertFalse(hand.passes(2_000_000, () -> hand.open() == 0));
             tells(s, i == 1 ? " \r\n" : "\n");
@@ -203,7 +203,7 @@
         try (ServerSocket to = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             discovery = to;
             long moved = hand.nowMicros();
-            watch.move(new InetSocketAddress(to.getInetAddress(), to.getLocalPort()));
+            watch.moveTo(new InetSocketAddress(to.getInetAddress(), to.getLocalPort()));
             for (int i = 0; i < 3; i++) {
                 next();
                 assertEquals("GET /api/targets", asked);
