--- a/core/src/main/java/postgrade/policy/InFlightJob.java
+++ b/core/src/main/java/postgrade/policy/InFlightJob.java
@@ -114,9 +114,11 @@
         if (idempotency() == Idempotency.IDEMPOTENT) {
             return null;
         }
-        for (AttemptRecord attempt : attempts) {
-            if (!attempt.neverRan()) {
-                return attempt;
+        for (int i = 0;
+                i < attempts.size();
+                i++) { // Asked for each worker: an iterator would be garbage.
+            if (!attempts.get(i).neverRan()) {
+                return attempts.get(i);
             }
         }
         return null;
--- a/core/src/main/java/postgrade/policy/JobClassTable.java
+++ b/core/src/main/java/postgrade/policy/JobClassTable.java
@@ -12,6 +12,7 @@
 
     private final Map<String, JobClassStats> classes = new HashMap<>();
     private double longestServiceTimeNs = JobClassStats.UNKNOWN_SERVICE_TIME_NS;
+    private double meanServiceTimeNs = JobClassStats.UNKNOWN_SERVICE_TIME_NS;
 
     /** Null if the settings do not name it. */
     JobClassStats get(String name) {
@@ -34,7 +35,7 @@
                     jobClass.name(),
                     known == null ? new JobClassStats(jobClass) : known.withSettings(jobClass));
         }
-        updateLongest();
+        updateMeans();
     }
 
     /** The longest mean service time of a class. */
@@ -44,10 +45,14 @@
 
     void recordServiceTime(JobClassStats jobClass, double timeNs) {
         jobClass.recordServiceTime(timeNs);
-        updateLongest();
+        updateMeans();
     }
 
-    private void updateLongest() {
+    /**
+     * Kept up to date rather than reckoned when asked for: they are asked for each worker and job.
+     */
+    private void updateMeans() {
+        meanServiceTimeNs = meanOf(classes.values());
         longestServiceTimeNs =
                 classes.values().stream()
                         .mapToDouble(JobClassStats::serviceTimeNs)
@@ -57,12 +62,15 @@
 
     /** The mean service time over all jobs served. */
     double meanServiceTimeNs() {
-        double served = classes.values().stream().mapToLong(JobClassStats::served).sum();
+        return meanServiceTimeNs;
+    }
+
+    private static double meanOf(Collection<JobClassStats> all) {
+        double served = all.stream().mapToLong(JobClassStats::served).sum();
         if (served == 0) {
             return JobClassStats.UNKNOWN_SERVICE_TIME_NS;
         }
-        return classes.values().stream().mapToDouble(c -> c.served() * c.serviceTimeNs()).sum()
-                / served;
+        return all.stream().mapToDouble(c -> c.served() * c.serviceTimeNs()).sum() / served;
     }
 
     /**
@@ -87,7 +95,7 @@
         JobClassStats known = classes.get(name);
         if (known != null) {
             known.restore(values);
-            updateLongest();
+            updateMeans();
         }
     }
 
--- a/core/src/main/java/postgrade/policy/LeastLoadedSelector.java
+++ b/core/src/main/java/postgrade/policy/LeastLoadedSelector.java
@@ -60,7 +60,8 @@
                 continue;
             }
             double size = effectiveSize(nowNs, job, worker);
-            double load = load(nowNs, job, worker, size);
+            double delayNs = queueingDelay.delayNs(nowNs, worker);
+            double load = load(nowNs, job, worker, size, delayNs);
             // What only few dispatchers may send to a worker in slow start must come from these
             // few.
             double weight = size * slowStart.dispatchersPerSender(nowNs, worker);
@@ -95,19 +96,20 @@
      * Our jobs there and the expected wait, both for its size; workers that come last have a
      * penalty.
      */
-    private double load(long nowNs, InFlightJob job, WorkerState worker, double size) {
+    private double load(
+            long nowNs, InFlightJob job, WorkerState worker, double size, double delayNs) {
         // A worker that is full answers at once and holds none of our jobs: the fewest alone would
         // feed it more.
         double whileFull =
                 capacity.slots(worker)
                         * worker.capacityReport().fullness(nowNs, classes.longestServiceTimeNs());
-        double delay = queueingDelay.delayNs(nowNs, worker) / job.jobClass().serviceTimeNs();
+        double delay = delayNs / job.jobClass().serviceTimeNs();
         boolean suspect =
                 job.idempotency() == Idempotency.NOT_IDEMPOTENT
                         && worker.health().failureRate() > SUSPECT_FAILURE_RATE;
         return Math.max(worker.inFlight(), whileFull) / size
                 + delay / size
-                + (isTooLate(nowNs, job, worker) ? PENALTY : 0)
+                + (isTooLate(nowNs, job, worker, delayNs) ? PENALTY : 0)
                 + (suspect ? PENALTY : 0);
     }
 
@@ -115,11 +117,11 @@
      * An idle worker that is slow, or one whose queue is long, may hold the fewest jobs and yet be
      * of no use.
      */
-    private boolean isTooLate(long nowNs, InFlightJob job, WorkerState worker) {
+    private boolean isTooLate(long nowNs, InFlightJob job, WorkerState worker, double delayNs) {
         double expectedNs =
                 nowNs
                         - job.arrivedNs()
-                        + queueingDelay.delayNs(nowNs, worker)
+                        + delayNs
                         + serviceTime.serviceTimeNs(nowNs, job.jobClass(), worker);
         return expectedNs > TARGET_MARGIN * job.jobClass().latencyTargetNs();
     }
--- a/core/src/main/java/postgrade/policy/SlowStartLimiter.java
+++ b/core/src/main/java/postgrade/policy/SlowStartLimiter.java
@@ -56,11 +56,11 @@
      * current window. What was sent before a restart is forgotten, so one window passes first.
      */
     boolean permits(long nowNs, InFlightJob job, WorkerState worker) {
-        PolicySettings settings = context.settings();
-        int senders = senders(nowNs, worker);
         if (!capacity.isInSlowStart(nowNs, worker)) {
-            return true;
+            return true; // First, as it is asked for each worker and job.
         }
+        PolicySettings settings = context.settings();
+        int senders = senders(nowNs, worker);
         boolean isSender =
                 Math.floorMod(settings.dispatcherIndex + worker.hash(), settings.dispatcherCount)
                         < senders;
