--- a/core/src/main/java/postgrade/dispatch/Attempt.java
+++ b/core/src/main/java/postgrade/dispatch/Attempt.java
@@ -91,6 +91,11 @@
         return untilMicros;
     }
 
+    /** What is left of the client's time for this attempt, at least a microsecond. */
+    public long timeLeftMicros(long nowMicros) {
+        return Math.max(1, untilMicros - nowMicros - request.unreadMicros());
+    }
+
     /** When the client stops waiting: until then the request may be sent again. */
     public long deadlineMicros() {
         return request.deadlineMicros();
--- a/core/src/main/java/postgrade/dispatch/PendingRequest.java
+++ b/core/src/main/java/postgrade/dispatch/PendingRequest.java
@@ -29,6 +29,7 @@
     private boolean answered;
     private boolean allowsConcurrentAttempts;
     private long arrivedMicros;
+    private long unreadMicros;
     private Timers.Timer overdueTimer;
 
     /**
@@ -91,6 +92,18 @@
         return client;
     }
 
+    /**
+     * It may have lain unread for so long before it was read, while its client's time ran. What its
+     * worker is told of the time left is less by that.
+     */
+    public void unreadFor(long micros) {
+        unreadMicros = micros;
+    }
+
+    long unreadMicros() {
+        return unreadMicros;
+    }
+
     /**
      * It is being tracked.
      *
--- a/daemon/src/main/java/postgrade/consumer/Listener.java
+++ b/daemon/src/main/java/postgrade/consumer/Listener.java
@@ -220,12 +220,12 @@
 
     /** Accepts what waits. True if nothing is left. */
     private boolean acceptAll(int most) throws IOException {
+        long sinceMicros =
+                arrivals.beforeRead(reactor.lastWaitMicros(), reactor.readySinceMicros());
         if (!lifecycle.hasStarted()) {
             pause(true);
             return false;
         }
-        long sinceMicros =
-                arrivals.beforeRead(reactor.lastWaitMicros(), reactor.readySinceMicros());
         for (int i = 0; i < most; i++) {
             // Guards the connections that usual peers keep: those that have just come and may be of
             // no use are
--- a/daemon/src/main/java/postgrade/consumer/Requests.java
+++ b/daemon/src/main/java/postgrade/consumer/Requests.java
@@ -74,7 +74,7 @@
                         job.key(),
                         job.slots(),
                         job.memory(),
-                        on.arrivedMicros() + job.deadlineMicros(),
+                        listener.timers.nowMicros() + job.deadlineMicros(),
                         new RequestPayload(
                                 request.method(),
                                 request.target(),
@@ -82,6 +82,7 @@
                                 request.header("idempotency-key"),
                                 request.body()),
                         opened);
+        opened.invocation.unreadFor(listener.timers.nowMicros() - on.arrivedMicros());
         if (listener.gateway.submit(opened.invocation)) {
             on.wasOfUse();
             if (job.claim() != null && on.awaits(opened)) {
--- a/daemon/src/main/java/postgrade/daemon/Loop.java
+++ b/daemon/src/main/java/postgrade/daemon/Loop.java
@@ -33,12 +33,8 @@
      */
     private static final int MOST_FAILED_WAITS = 100;
 
-    /**
-     * A turn that took longer was late: what came meanwhile has waited for a time that counts. Well
-     * within the slack of 0.15 s on the time that a worker is told; less would have requests that
-     * have just come answered before their deadline whenever a turn takes a little long.
-     */
-    private static final long LATE_TURN_MICROS = 100_000;
+    /** A turn that took longer was late: what came meanwhile has waited for a time that counts. */
+    private static final long LATE_TURN_MICROS = 10_000;
 
     /** A wait that took longer has waited: nothing was ready when it began. */
     private static final long WAITED_MICROS = 1_000;
@@ -86,6 +82,7 @@
 
     void run(Turn turn) throws IOException {
         Runnable begin = turn::begin;
+        nowMicros = clock.micros(); // What came before is as good as just come.
         while (!stopped) {
             long waitBeganMicros = clock.micros();
             await(turn.pending());
--- a/daemon/src/main/java/postgrade/provider/Call.java
+++ b/daemon/src/main/java/postgrade/provider/Call.java
@@ -94,7 +94,7 @@
                 .header("Host", pool.host())
                 .header("X-Request-Id", call.id())
                 .header("X-Fence", fence)
-                .header("X-Deadline", Math.max(1, call.untilMicros() - timers.nowMicros()) + "u")
+                .header("X-Deadline", call.timeLeftMicros(timers.nowMicros()) + "u")
                 .header("Idempotency-Key", p.idempotencyKey())
                 .header("Content-Type", p.contentType())
                 .headFor(p.body());
