--- a/cli/src/main/java/postgrade/cli/CheckCommand.java
+++ b/cli/src/main/java/postgrade/cli/CheckCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import postgrade.daemon.Check;
+import postgrade.daemon.ConfigCheck;
 
 @Command(
         name = "check",
@@ -32,19 +32,19 @@
         return 0;
     }
 
-    private static List<Check.Setting> dispatcher(Path file) {
+    private static List<ConfigCheck.Setting> dispatcher(Path file) {
         try {
-            return Check.daemon(file, System.getenv());
+            return ConfigCheck.effectiveSettings(file, System.getenv());
         } catch (IllegalArgumentException e) {
             throw new Faulty(e.getMessage());
         }
     }
 
-    private void print(List<Check.Setting> settings) {
+    private void print(List<ConfigCheck.Setting> settings) {
         PrintWriter out = spec.commandLine().getOut();
         int key = settings.stream().mapToInt(s -> s.key().length()).max().orElse(0);
         int value = settings.stream().mapToInt(s -> s.value().length()).max().orElse(0);
-        for (Check.Setting s : settings) {
+        for (ConfigCheck.Setting s : settings) {
             out.printf("%-" + key + "s  %-" + value + "s  %s%n", s.key(), s.value(), s.origin());
         }
     }
--- a/cli/src/main/java/postgrade/cli/SettingsFiles.java
+++ b/cli/src/main/java/postgrade/cli/SettingsFiles.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import postgrade.daemon.Check.Setting;
+import postgrade.daemon.ConfigCheck.Setting;
 import postgrade.fleet.plan.FleetPlan;
 import postgrade.load.plan.Plan;
 import postgrade.load.source.Cause;
--- a/daemon/src/main/java/postgrade/daemon/Beginning.java
+++ b/daemon/src/main/java/postgrade/daemon/Beginning.java
@@ -10,7 +10,7 @@
  */
 final class Beginning {
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Lifecycle lifecycle;
     private final Listener listener;
 
@@ -29,7 +29,7 @@
      * @param tookOver a running process has told what there is to know; then nobody waits
      */
     Beginning(
-            Loop loop,
+            EventLoop loop,
             Lifecycle lifecycle,
             Listener listener,
             Companion companion,
--- a/daemon/src/main/java/postgrade/daemon/Beside.java
+++ b/daemon/src/main/java/postgrade/daemon/Beside.java
@@ -10,7 +10,7 @@
 import postgrade.dispatch.Timers;
 import postgrade.policy.api.PolicySettings;
 import postgrade.policy.api.TransferredFigures;
-import postgrade.upgrade.Upgrade;
+import postgrade.upgrade.UpgradeCoordinator;
 
 /**
  * What the companion gets to see, and the one place where its part of the rates meets that of an
@@ -19,10 +19,10 @@
 final class Beside implements Host {
 
     private final Supplier<Config> config;
-    private final Loop loop;
+    private final EventLoop loop;
     private final RequestTracker gateway;
     private final Workers workers;
-    private final Upgrade upgrade;
+    private final UpgradeCoordinator upgrade;
     private final Takeover told;
     private final BooleanSupplier ready;
     private double factor = 1;
@@ -32,10 +32,10 @@
      */
     Beside(
             Supplier<Config> config,
-            Loop loop,
+            EventLoop loop,
             RequestTracker gateway,
             Workers workers,
-            Upgrade upgrade,
+            UpgradeCoordinator upgrade,
             Takeover told,
             BooleanSupplier ready) {
         this.config = config;
@@ -87,7 +87,7 @@
 
     @Override
     public Executor loop() {
-        return loop::ask;
+        return loop::execute;
     }
 
     @Override
--- a/daemon/src/main/java/postgrade/daemon/Clock.java
+++ b/daemon/src/main/java/postgrade/daemon/Clock.java
@@ -32,7 +32,7 @@
         startUnixMillis = unixMillis();
     }
 
-    static Clock of(String setting) throws Config.Faulty {
+    static Clock of(String setting) throws Config.InvalidConfigException {
         if (setting == null || setting.isEmpty()) {
             return new Clock(0, 0);
         }
@@ -45,7 +45,7 @@
         } catch (NumberFormatException e) {
             // Falls through to the one sentence.
         }
-        throw new Config.Faulty(
+        throw new Config.InvalidConfigException(
                 VARIABLE,
                 "has to be OFFSET_MICROS,RATE_PPM with a rate within 100000, not " + setting);
     }
--- a/daemon/src/main/java/postgrade/daemon/Companions.java
+++ b/daemon/src/main/java/postgrade/daemon/CompanionLoader.java
@@ -6,12 +6,12 @@
 import postgrade.companion.Host;
 
 /** Finds what is to stand beside the dispatcher, if its configuration names any. */
-final class Companions {
+final class CompanionLoader {
 
-    private Companions() {}
+    private CompanionLoader() {}
 
     /** Null where nothing is named: then nothing is looked for either. */
-    static Companion.Plan of(Config config) throws Config.Faulty {
+    static Companion.Plan loadPlan(Config config) throws Config.InvalidConfigException {
         if (config.sharing == null) {
             return null;
         }
@@ -20,21 +20,22 @@
                         .findFirst()
                         .orElseThrow(
                                 () ->
-                                        new Config.Faulty(
+                                        new Config.InvalidConfigException(
                                                 "sharing",
                                                 "this program has no sharing in it; start it by ./postgrade serve"));
         try {
             return finder.read(config.sharing, config.name);
         } catch (IllegalArgumentException e) {
-            throw new Config.Faulty("sharing", e.getMessage());
+            throw new Config.InvalidConfigException("sharing", e.getMessage());
         }
     }
 
-    static Companion open(Companion.Plan plan, Host host) throws IOException, Config.Faulty {
+    static Companion open(Companion.Plan plan, Host host)
+            throws IOException, Config.InvalidConfigException {
         try {
             return plan.open(host);
         } catch (IllegalArgumentException e) {
-            throw new Config.Faulty("sharing", e.getMessage());
+            throw new Config.InvalidConfigException("sharing", e.getMessage());
         }
     }
 }
--- a/daemon/src/main/java/postgrade/daemon/Config.java
+++ b/daemon/src/main/java/postgrade/daemon/Config.java
@@ -29,10 +29,10 @@
 final class Config {
 
     /** What cannot be started with; the message begins with the faulty key. */
-    static final class Faulty extends Exception {
+    static final class InvalidConfigException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Faulty(String key, String what) {
+        InvalidConfigException(String key, String what) {
             super(key + ": " + what);
         }
     }
@@ -77,7 +77,7 @@
     final PolicySettings settings;
     final int mostHeld;
     final long connectTimeoutMicros;
-    final long idleMicros;
+    final long idleTimeoutMicros;
     final Map<String, Long> deadlineMicros = new HashMap<>();
 
     /** The list as it was last known, or null. */
@@ -87,7 +87,7 @@
     private final JsonObject json;
     private final Map<String, String> pairs;
 
-    private Config(Map<String, String> environment, JsonObject json) throws Faulty {
+    private Config(Map<String, String> environment, JsonObject json) throws InvalidConfigException {
         this.environment = environment;
         this.json = json;
         file = environment.get("ROUTER_CONFIG");
@@ -107,7 +107,7 @@
         sockets = sockets();
         JsonValue given = json.get("settings");
         if (given == null || !given.isObject()) {
-            throw new Faulty("settings", "an object is needed");
+            throw new InvalidConfigException("settings", "an object is needed");
         }
         Required.requireWholeNumbers(given.asObject());
         pairs = JsonPairs.of(given.asObject());
@@ -117,7 +117,8 @@
             mostHeld = (int) positive(read, "limits.mostHeld", DEFAULT_MOST_HELD);
             connectTimeoutMicros =
                     (long) (positive(read, "limits.connectTimeoutNs", DEFAULT_CONNECT_NS) / 1000);
-            idleMicros = (long) (positive(read, "limits.connIdleNs", DEFAULT_IDLE_NS) / 1000);
+            idleTimeoutMicros =
+                    (long) (positive(read, "limits.connIdleNs", DEFAULT_IDLE_NS) / 1000);
             List<JobClass> classes = settings.classes;
             for (int i = 0; i < classes.size(); i++) {
                 deadlineMicros.put(
@@ -127,22 +128,23 @@
                                         / 1000));
             }
         } catch (IllegalArgumentException e) {
-            throw new Faulty("settings", e.getMessage());
+            throw new InvalidConfigException("settings", e.getMessage());
         }
         known = known();
     }
 
-    static Config read(Map<String, String> environment) throws Faulty {
+    static Config read(Map<String, String> environment) throws InvalidConfigException {
         String file = environment.get("ROUTER_CONFIG");
         if (file == null || file.isEmpty()) {
-            throw new Faulty("ROUTER_CONFIG", "not set");
+            throw new InvalidConfigException("ROUTER_CONFIG", "not set");
         }
         try {
             return new Config(environment, Json.parse(Files.readString(Path.of(file))).asObject());
         } catch (IOException e) {
-            throw new Faulty("ROUTER_CONFIG", "cannot be read: " + e);
+            throw new InvalidConfigException("ROUTER_CONFIG", "cannot be read: " + e);
         } catch (RuntimeException e) {
-            throw new Faulty("ROUTER_CONFIG", "not a JSON object: " + e.getMessage());
+            throw new InvalidConfigException(
+                    "ROUTER_CONFIG", "not a JSON object: " + e.getMessage());
         }
     }
 
@@ -166,7 +168,7 @@
      * that it had: one that is missing would fall back to a default that nobody chose, as in a file
      * that somebody is still writing.
      */
-    Config readAgain() throws Faulty {
+    Config readAgain() throws InvalidConfigException {
         Config next = read(environment);
         Required.requireKeys(json, next.json, "");
         return next;
@@ -192,14 +194,14 @@
         return Math.max(LEAST_SOCKETS, descriptors / processes - (descriptors - sockets));
     }
 
-    private String text(String key, String variable) throws Faulty {
+    private String text(String key, String variable) throws InvalidConfigException {
         JsonValue value = json.get(key);
         String text =
                 value != null && value.isString()
                         ? value.asString()
                         : environment.getOrDefault(variable, "");
         if (text.isEmpty()) {
-            throw new Faulty(key, "missing, and " + variable + " is not set");
+            throw new InvalidConfigException(key, "missing, and " + variable + " is not set");
         }
         return text;
     }
@@ -208,15 +210,15 @@
         return json.get(key) != null || !environment.getOrDefault(variable, "").isEmpty();
     }
 
-    private InetSocketAddress address(String key, String variable) throws Faulty {
+    private InetSocketAddress address(String key, String variable) throws InvalidConfigException {
         try {
             return AddressFormat.parse(text(key, variable));
         } catch (IllegalArgumentException e) {
-            throw new Faulty(key, e.getMessage());
+            throw new InvalidConfigException(key, e.getMessage());
         }
     }
 
-    private long seed() throws Faulty {
+    private long seed() throws InvalidConfigException {
         JsonValue value = json.get("seed");
         if (value == null) {
             return System.nanoTime();
@@ -226,21 +228,22 @@
                     ? (long) value.asDouble()
                     : Long.parseUnsignedLong(value.asString(), 16);
         } catch (RuntimeException e) {
-            throw new Faulty("seed", "not a number of up to 16 hex digits");
+            throw new InvalidConfigException("seed", "not a number of up to 16 hex digits");
         }
     }
 
-    private int sockets() throws Faulty {
+    private int sockets() throws InvalidConfigException {
         JsonValue limits = json.get("limits");
         JsonValue value =
                 limits != null && limits.isObject() ? limits.asObject().get("sockets") : null;
         if (value != null && !value.isNumber()) {
-            throw new Faulty("limits.sockets", "not a number");
+            throw new InvalidConfigException("limits.sockets", "not a number");
         }
         descriptors = value == null ? DEFAULT_SOCKETS : (int) value.asDouble();
         int apart = OWN_DESCRIPTORS + (operator == null ? 0 : OperatorListener.PLACES);
         if (descriptors < 2 * OWN_DESCRIPTORS) {
-            throw new Faulty("limits.sockets", "at least " + 2 * OWN_DESCRIPTORS + " are needed");
+            throw new InvalidConfigException(
+                    "limits.sockets", "at least " + 2 * OWN_DESCRIPTORS + " are needed");
         }
         return descriptors - apart;
     }
@@ -253,7 +256,7 @@
         return value;
     }
 
-    private WorkerList known() throws Faulty {
+    private WorkerList known() throws InvalidConfigException {
         JsonValue value = json.get("known");
         if (value == null || value.isNull()) {
             return null;
@@ -261,7 +264,7 @@
         try {
             return WorkerList.of(value.asObject());
         } catch (RuntimeException e) {
-            throw new Faulty("known", e.getMessage());
+            throw new InvalidConfigException("known", e.getMessage());
         }
     }
 }
--- a/daemon/src/main/java/postgrade/daemon/Check.java
+++ b/daemon/src/main/java/postgrade/daemon/ConfigCheck.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /** Reads a dispatcher's configuration as a start would, without starting. */
-public final class Check {
+public final class ConfigCheck {
 
     /**
      * One setting in force: its key, its value and where that came from (the file, a variable, a
@@ -14,21 +14,21 @@
      */
     public record Setting(String key, String value, String origin) {}
 
-    private Check() {}
+    private ConfigCheck() {}
 
     /**
      * @param environment what {@code ROUTER_NAME} and the like would be
      * @throws IllegalArgumentException for a configuration that cannot be started with; names the
      *     key
      */
-    public static List<Setting> daemon(Path file, Map<String, String> environment) {
+    public static List<Setting> effectiveSettings(Path file, Map<String, String> environment) {
         Map<String, String> seen = new HashMap<>(environment);
         seen.put("ROUTER_CONFIG", file.toString());
         try {
             return Config.read(seen).effective().stream()
                     .map(e -> new Setting(e.key(), String.valueOf(e.value()), e.origin()))
                     .toList();
-        } catch (Config.Faulty e) {
+        } catch (Config.InvalidConfigException e) {
             throw new IllegalArgumentException(file + ": " + e.getMessage(), e);
         }
     }
--- a/daemon/src/main/java/postgrade/daemon/Daemon.java
+++ b/daemon/src/main/java/postgrade/daemon/Daemon.java
@@ -27,7 +27,7 @@
 import postgrade.policy.api.WorkerListForm;
 import postgrade.provider.ProviderPools;
 import postgrade.telemetry.AttemptLog;
-import postgrade.upgrade.Upgrade;
+import postgrade.upgrade.UpgradeCoordinator;
 
 /** One dispatcher: puts the parts together, passes the list on, and stops in order. */
 final class Daemon {
@@ -42,7 +42,7 @@
     private Config config;
 
     private final Config started;
-    private final Loop loop;
+    private final EventLoop loop;
     private final RequestTracker gateway;
     private final ProviderPools providers;
     private final AttemptLog attemptLog;
@@ -53,9 +53,9 @@
     private final Workers workers;
     private final OperatorListener operators;
     private final Operating operating;
-    private final Upgrade upgrade;
+    private final UpgradeCoordinator upgrade;
     private final Beside beside;
-    private final Ending ending;
+    private final ShutdownSequence ending;
     private final Reload reload;
 
     /** Null where nothing stands beside this dispatcher. */
@@ -63,14 +63,14 @@
 
     private final Beginning beginning;
 
-    Daemon(Config config) throws IOException, Config.Faulty {
+    Daemon(Config config) throws IOException, Config.InvalidConfigException {
         this(config, null);
     }
 
     /**
      * @param plan what is to stand beside it, or null
      */
-    Daemon(Config config, Companion.Plan plan) throws IOException, Config.Faulty {
+    Daemon(Config config, Companion.Plan plan) throws IOException, Config.InvalidConfigException {
         this(
                 config,
                 plan,
@@ -83,7 +83,7 @@
             Companion.Plan plan,
             Function<PolicyActions, DispatchPolicy> module,
             WatchTimeouts patience)
-            throws IOException, Config.Faulty {
+            throws IOException, Config.InvalidConfigException {
         this(config, plan, module, patience, SystemCalls.REAL);
     }
 
@@ -97,10 +97,10 @@
             Function<PolicyActions, DispatchPolicy> module,
             WatchTimeouts patience,
             SystemCalls systemCalls)
-            throws IOException, Config.Faulty {
+            throws IOException, Config.InvalidConfigException {
         this.config = config;
         started = config;
-        loop = new Loop(new SocketBudget(config.sockets), config.clock, systemCalls);
+        loop = new EventLoop(new SocketBudget(config.sockets), config.clock, systemCalls);
         gateway =
                 new RequestTracker(
                         module,
@@ -111,13 +111,13 @@
                                 Events.error(LOG, event).setCause(thrown).log(message));
         providers =
                 new ProviderPools(
-                        gateway, loop, loop, config.connectTimeoutMicros, config.idleMicros);
+                        gateway, loop, loop, config.connectTimeoutMicros, config.idleTimeoutMicros);
         gateway.connectTransport(providers);
         attemptLog = new AttemptLog(loop);
         gateway.observer(attemptLog);
         workers = new Workers(providers, gateway, config.clock);
         upgrade =
-                new Upgrade(
+                new UpgradeCoordinator(
                         config.shared, config.name + " " + config.listen, loop, loop, new Link());
         Takeover told = Takeover.of(upgrade.join());
         Takeover before =
@@ -131,7 +131,10 @@
         }
         if (known != null) {
             workers.list(
-                    WorkerListForm.CACHED, known, loop.nowMicros(), WorkerStartTimes.NEVER_HEARD);
+                    WorkerListForm.CACHED,
+                    known,
+                    loop.nowMicros(),
+                    WorkerStartTimes.NO_EARLIER_CONTACT);
         }
         beside = new Beside(() -> this.config, loop, gateway, workers, upgrade, told, this::serves);
         if (before != null) {
@@ -166,7 +169,7 @@
         watch =
                 new DiscoveryWatch(
                         config.discovery, config.name, version, patience, loop, loop, this::told);
-        companion = plan == null ? null : Companions.open(plan, beside);
+        companion = plan == null ? null : CompanionLoader.open(plan, beside);
         if (companion != null) {
             providers.fences(companion::fence);
             providers.pacing(companion::mayConnect);
@@ -175,7 +178,7 @@
             listener.claims(companion.claims());
         }
         ending =
-                new Ending(
+                new ShutdownSequence(
                         loop,
                         lifecycle,
                         gateway,
@@ -239,28 +242,28 @@
 
     private void run() {
         try {
-            loop.ask(
+            loop.execute(
                     () -> { // In the first turn: before it the clock stands where the loop was
                         // made.
                         watch.open();
                         beginning.await();
                     });
             loop.run(
-                    new Loop.Turn() {
+                    new EventLoop.IterationHandler() {
                         @Override
-                        public void begin() {
+                        public void iterationStarted() {
                             if (companion != null) {
                                 companion.turn();
                             }
                         }
 
                         @Override
-                        public void take() {
+                        public void runBatch() {
                             gateway.runBatch();
                         }
 
                         @Override
-                        public boolean pending() {
+                        public boolean hasPendingWork() {
                             return gateway.hasPendingEvents();
                         }
                     });
@@ -275,7 +278,11 @@
 
     private void told(WorkerList list) {
         if (list.complete()) {
-            workers.list(WorkerListForm.FULL, list, loop.nowMicros(), WorkerStartTimes.NEVER_HEARD);
+            workers.list(
+                    WorkerListForm.FULL,
+                    list,
+                    loop.nowMicros(),
+                    WorkerStartTimes.NO_EARLIER_CONTACT);
         } else {
             workers.list(WorkerListForm.DELTA, list, loop.nowMicros(), watch.heardBeforeMicros());
         }
@@ -343,7 +350,7 @@
         }
     }
 
-    private final class Link implements Upgrade.Owner {
+    private final class Link implements UpgradeCoordinator.Owner {
         @Override
         public JsonObject snapshot() {
             return Takeover.snapshot(
@@ -380,7 +387,7 @@
      * any thread.
      */
     void reload() {
-        loop.ask(() -> config = reload.after(config));
+        loop.execute(() -> config = reload.after(config));
     }
 
     /**
@@ -388,7 +395,7 @@
      * thread.
      */
     void stop() {
-        loop.ask(ending::begin);
+        loop.execute(ending::begin);
         try {
             // Guards against an exit in mid-answer: the virtual machine ends once its shutdown
             // hooks have returned.
--- a/daemon/src/main/java/postgrade/daemon/Effective.java
+++ b/daemon/src/main/java/postgrade/daemon/Effective.java
@@ -60,7 +60,7 @@
                         c.known == null ? "default" : "file"));
         all.add(effective(pairs, "limits.mostHeld", c.mostHeld));
         all.add(effective(pairs, "limits.connectTimeoutNs", c.connectTimeoutMicros * 1000));
-        all.add(effective(pairs, "limits.connIdleNs", c.idleMicros * 1000));
+        all.add(effective(pairs, "limits.connIdleNs", c.idleTimeoutMicros * 1000));
         for (int i = 0; i < c.settings.classes.size(); i++) {
             JobClass k = c.settings.classes.get(i);
             String at = "classes." + i + ".";
--- a/daemon/src/main/java/postgrade/daemon/Loop.java
+++ b/daemon/src/main/java/postgrade/daemon/EventLoop.java
@@ -23,9 +23,9 @@
 /**
  * The one thread of the daemon: waits for channels and timers, then lets the gateway take its turn.
  */
-final class Loop implements Reactor, Timers {
+final class EventLoop implements Reactor, Timers {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Loop.class);
+    private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
     private static final int READ_BYTES = 64 << 10;
 
     /**
@@ -40,14 +40,14 @@
     private static final long WAITED_MICROS = 1_000;
 
     /** What takes its turn when all that was ready has been gathered. */
-    interface Turn {
+    interface IterationHandler {
         /** The clock has been read, and nothing has been looked at by it. */
-        default void begin() {}
+        default void iterationStarted() {}
 
-        void take();
+        void runBatch();
 
         /** More waits, so that the next turn is due at once. */
-        boolean pending();
+        boolean hasPendingWork();
     }
 
     private final Selector selector;
@@ -65,7 +65,7 @@
     private volatile boolean stopped;
     private final Queue<Runnable> asked = new ConcurrentLinkedQueue<>();
 
-    Loop(SocketBudget sockets, Clock clock, SystemCalls systemCalls) throws IOException {
+    EventLoop(SocketBudget sockets, Clock clock, SystemCalls systemCalls) throws IOException {
         this.sockets = sockets;
         this.clock = clock;
         this.systemCalls = systemCalls;
@@ -80,12 +80,12 @@
         return clock;
     }
 
-    void run(Turn turn) throws IOException {
-        Runnable begin = turn::begin;
+    void run(IterationHandler turn) throws IOException {
+        Runnable begin = turn::iterationStarted;
         nowMicros = clock.micros(); // What came before is as good as just come.
         while (!stopped) {
             long waitBeganMicros = clock.micros();
-            await(turn.pending());
+            await(turn.hasPendingWork());
             readClock(waitBeganMicros);
             guarded(begin);
             for (Runnable task = asked.poll(); task != null; task = asked.poll()) {
@@ -99,7 +99,7 @@
                     guarded(due.task);
                 }
             }
-            turn.take();
+            turn.runBatch();
         }
         selector.close();
     }
@@ -188,7 +188,7 @@
     }
 
     /** Runs a task on the loop's thread; may be called from any other. */
-    void ask(Runnable task) {
+    void execute(Runnable task) {
         asked.add(task);
         selector.wakeup();
     }
--- a/daemon/src/main/java/postgrade/daemon/Main.java
+++ b/daemon/src/main/java/postgrade/daemon/Main.java
@@ -69,10 +69,10 @@
         int fault = 0;
         try {
             Config config = Config.read(System.getenv());
-            Daemon daemon = new Daemon(config, Companions.of(config));
+            Daemon daemon = new Daemon(config, CompanionLoader.loadPlan(config));
             daemon.start();
             made.complete(daemon);
-        } catch (Config.Faulty e) {
+        } catch (Config.InvalidConfigException e) {
             System.err.println("postgrade: " + e.getMessage());
             fault = USAGE;
         } catch (IOException e) {
--- a/daemon/src/main/java/postgrade/daemon/Operating.java
+++ b/daemon/src/main/java/postgrade/daemon/Operating.java
@@ -10,7 +10,7 @@
 import postgrade.log.Events;
 import postgrade.operator.Operations;
 import postgrade.provider.ProviderPools;
-import postgrade.upgrade.Upgrade;
+import postgrade.upgrade.UpgradeCoordinator;
 
 /** Carries out what operators ask for, here and in the other processes of this dispatcher. */
 final class Operating implements Operations {
@@ -21,7 +21,7 @@
     private final Lifecycle lifecycle;
     private final ProviderPools providers;
     private final Workers workers;
-    private final Upgrade upgrade;
+    private final UpgradeCoordinator upgrade;
     private final Runnable check;
     private final BiConsumer<String, Boolean> said;
 
@@ -34,7 +34,7 @@
             Lifecycle lifecycle,
             ProviderPools providers,
             Workers workers,
-            Upgrade upgrade,
+            UpgradeCoordinator upgrade,
             Runnable check,
             BiConsumer<String, Boolean> said) {
         this.timers = timers;
--- a/daemon/src/main/java/postgrade/daemon/Rehearsal.java
+++ b/daemon/src/main/java/postgrade/daemon/Rehearsal.java
@@ -47,7 +47,7 @@
                 play(daemon, worker, discovery);
                 daemon.reload();
                 daemon.stop();
-            } catch (Config.Faulty e) {
+            } catch (Config.InvalidConfigException e) {
                 throw new IOException(e);
             } finally {
                 Files.delete(file);
--- a/daemon/src/main/java/postgrade/daemon/Reload.java
+++ b/daemon/src/main/java/postgrade/daemon/Reload.java
@@ -34,12 +34,12 @@
                 listener.settings(next.deadlineMicros, next.tenantNames());
                 providers.settings(
                         next.connectTimeoutMicros,
-                        next.idleMicros,
+                        next.idleTimeoutMicros,
                         config.settings.deployment.same(next.settings.deployment));
             }
             watch.moveTo(next.discovery);
             return next;
-        } catch (Config.Faulty e) {
+        } catch (Config.InvalidConfigException e) {
             Events.warn(LOG, "configuration.not-taken")
                     .addKeyValue("why", e.getMessage())
                     .log(
--- a/daemon/src/main/java/postgrade/daemon/Required.java
+++ b/daemon/src/main/java/postgrade/daemon/Required.java
@@ -16,13 +16,15 @@
     private Required() {}
 
     /** Each key that a list or object in force has, the new one has too. */
-    static void requireKeys(JsonValue had, JsonValue has, String at) throws Config.Faulty {
+    static void requireKeys(JsonValue had, JsonValue has, String at)
+            throws Config.InvalidConfigException {
         if (had.isObject()) {
             for (JsonObject.Member m : had.asObject()) {
                 String key = at.isEmpty() ? m.getName() : at + "." + m.getName();
                 JsonValue value = has.isObject() ? has.asObject().get(m.getName()) : null;
                 if (value == null || value.isNull() && !m.getValue().isNull()) {
-                    throw new Config.Faulty(key, "missing, though the file in force has it");
+                    throw new Config.InvalidConfigException(
+                            key, "missing, though the file in force has it");
                 }
                 if (!key.equals(
                         "known")) { // A list of workers may be any, and concerns a start alone.
@@ -35,7 +37,7 @@
                 requireKeys(common, has.asArray().get(i), at + "." + i);
             }
         } else if (had.isArray()) {
-            throw new Config.Faulty(at, "a list is needed");
+            throw new Config.InvalidConfigException(at, "a list is needed");
         }
     }
 
@@ -63,31 +65,35 @@
      * Guards what is counted with them: a deadline or a number of attempts is a number of JSON,
      * whole and above 0.
      */
-    private static void requireWhole(JsonObject in, String key, String at) throws Config.Faulty {
+    private static void requireWhole(JsonObject in, String key, String at)
+            throws Config.InvalidConfigException {
         JsonValue value = in.get(key);
         if (value != null
                 && !(value.isNumber()
                         && value.asDouble() >= 1
                         && value.asDouble() <= MOST_WHOLE
                         && value.asDouble() == Math.rint(value.asDouble()))) {
-            throw new Config.Faulty(at + key, "has to be a whole number above 0, not " + value);
+            throw new Config.InvalidConfigException(
+                    at + key, "has to be a whole number above 0, not " + value);
         }
     }
 
-    static void requireWholeNumbers(JsonObject given) throws Config.Faulty {
+    static void requireWholeNumbers(JsonObject given) throws Config.InvalidConfigException {
         if (given.get("classes") == null || !given.get("classes").isArray()) {
-            throw new Config.Faulty("settings.classes", "a list is needed");
+            throw new Config.InvalidConfigException("settings.classes", "a list is needed");
         }
         List<String> names = new ArrayList<>();
         for (JsonValue v : given.get("classes").asArray()) {
             String at = "settings.classes." + names.size() + ".";
             if (!v.isObject()) {
-                throw new Config.Faulty("settings.classes." + names.size(), "an object is needed");
+                throw new Config.InvalidConfigException(
+                        "settings.classes." + names.size(), "an object is needed");
             }
             requireWhole(v.asObject(), "deadlineNs", at);
             String name = String.valueOf(v.asObject().get("name"));
             if (names.contains(name)) {
-                throw new Config.Faulty(at + "name", "two classes have the name " + name);
+                throw new Config.InvalidConfigException(
+                        at + "name", "two classes have the name " + name);
             }
             names.add(name);
         }
--- a/daemon/src/main/java/postgrade/daemon/Ending.java
+++ b/daemon/src/main/java/postgrade/daemon/ShutdownSequence.java
@@ -10,15 +10,15 @@
 import postgrade.lifecycle.Lifecycle;
 import postgrade.log.Events;
 import postgrade.provider.ProviderPools;
-import postgrade.upgrade.Upgrade;
+import postgrade.upgrade.UpgradeCoordinator;
 
 /**
  * Carries out what the lifecycle asks for in standby and on the way to the end, which it finds. On
  * the loop.
  */
-final class Ending {
+final class ShutdownSequence {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Ending.class);
+    private static final Logger LOG = LoggerFactory.getLogger(ShutdownSequence.class);
     private static final long MICROS_PER_MILLI = 1_000;
 
     /**
@@ -27,12 +27,12 @@
      */
     private static final long HEARD_LATE_MICROS = 150_000;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Lifecycle lifecycle;
     private final RequestTracker gateway;
     private final ProviderPools providers;
     private final Listener listener;
-    private final Upgrade upgrade;
+    private final UpgradeCoordinator upgrade;
 
     /** Null where nothing stands beside this dispatcher. */
     private final Companion companion;
@@ -42,13 +42,13 @@
     /** A check of what the lifecycle asks for is due. */
     private boolean checking;
 
-    Ending(
-            Loop loop,
+    ShutdownSequence(
+            EventLoop loop,
             Lifecycle lifecycle,
             RequestTracker gateway,
             ProviderPools providers,
             Listener listener,
-            Upgrade upgrade,
+            UpgradeCoordinator upgrade,
             Companion companion,
             Supplier<Config> config) {
         this.loop = loop;
--- a/daemon/src/main/java/postgrade/daemon/WorkerStartTimes.java
+++ b/daemon/src/main/java/postgrade/daemon/WorkerStartTimes.java
@@ -21,10 +21,10 @@
     /**
      * A change is told this long after discovery had it at the latest, while discovery is heard.
      */
-    static final long LATEST_NOTICE_MICROS = 6_000_000;
+    static final long MAX_NOTICE_DELAY_MICROS = 6_000_000;
 
     /** {@code heardBeforeMicros} where nothing was heard before. */
-    static final long NEVER_HEARD = -1;
+    static final long NO_EARLIER_CONTACT = -1;
 
     /** Guards the memory against a discovery that names ever new workers. */
     private static final int MOST_REMEMBERED = 10_000;
@@ -50,7 +50,7 @@
      * @param unixMillis as discovery tells it, 0 for long ago
      * @param nowMicros on the monotonic clock
      * @param heardBeforeMicros when discovery was last heard before the change that tells this, or
-     *     {@link #NEVER_HEARD}
+     *     {@link #NO_EARLIER_CONTACT}
      * @return microseconds of the monotonic clock, 0 for long ago
      */
     long micros(String workerId, long unixMillis, long nowMicros, long heardBeforeMicros) {
@@ -67,7 +67,9 @@
 
     private long bounded(long unixMillis, long nowMicros, long heardBeforeMicros) {
         long earliestMicros =
-                heardBeforeMicros == NEVER_HEARD ? 0 : heardBeforeMicros - LATEST_NOTICE_MICROS;
+                heardBeforeMicros == NO_EARLIER_CONTACT
+                        ? 0
+                        : heardBeforeMicros - MAX_NOTICE_DELAY_MICROS;
         long byWallClock = clock.fromUnixMillis(unixMillis);
         return Math.min(nowMicros, Math.max(earliestMicros, byWallClock));
     }
--- a/daemon/src/main/java/postgrade/upgrade/Asks.java
+++ b/daemon/src/main/java/postgrade/upgrade/Asks.java
@@ -12,11 +12,11 @@
     /** An ask that is not answered in this time counts as not heard. */
     static final long ASK_MICROS = 400_000;
 
-    private final Upgrade up;
+    private final UpgradeCoordinator up;
     private final Map<Long, Consumer<Boolean>> asked = new HashMap<>();
     private long count;
 
-    Asks(Upgrade up) {
+    Asks(UpgradeCoordinator up) {
         this.up = up;
     }
 
--- a/daemon/src/main/java/postgrade/upgrade/Meeting.java
+++ b/daemon/src/main/java/postgrade/upgrade/Meeting.java
@@ -32,9 +32,9 @@
     /** A link that broke before the peer had told is made again so often, while there is time. */
     private static final long AGAIN_MILLIS = 50;
 
-    private final Upgrade up;
+    private final UpgradeCoordinator up;
 
-    Meeting(Upgrade up) {
+    Meeting(UpgradeCoordinator up) {
         this.up = up;
     }
 
@@ -42,7 +42,7 @@
     void connect(Path file) {
         JsonObject hello =
                 Json.object()
-                        .add("hello", Upgrade.FORM)
+                        .add("hello", UpgradeCoordinator.FORM)
                         .add("id", up.id)
                         .add("dispatcher", up.dispatcher);
         SocketChannel channel = null;
--- a/daemon/src/main/java/postgrade/upgrade/Peer.java
+++ b/daemon/src/main/java/postgrade/upgrade/Peer.java
@@ -20,7 +20,7 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(Peer.class);
 
-    private final Upgrade up;
+    private final UpgradeCoordinator up;
     final SocketChannel channel;
 
     /** Where it listens, if it was this process that made the link; else null. */
@@ -35,7 +35,7 @@
     boolean stopping;
     boolean open = true;
 
-    Peer(Upgrade up, SocketChannel channel, Path file) {
+    Peer(UpgradeCoordinator up, SocketChannel channel, Path file) {
         this.up = up;
         this.channel = channel;
         this.file = file;
@@ -110,7 +110,7 @@
 
     private void take(JsonObject m) {
         if (m.get("hello") != null) {
-            if (m.getInt("hello", 0) != Upgrade.FORM
+            if (m.getInt("hello", 0) != UpgradeCoordinator.FORM
                     || !up.dispatcher.equals(m.getString("dispatcher", ""))) {
                 throw new IllegalArgumentException("another dispatcher's, or of another form");
             }
--- a/daemon/src/main/java/postgrade/upgrade/Upgrade.java
+++ b/daemon/src/main/java/postgrade/upgrade/UpgradeCoordinator.java
@@ -31,9 +31,9 @@
  * <p>Without such a folder, or where the platform refuses such sockets, there is no link and
  * nothing else is lost.
  */
-public final class Upgrade implements Reactor.Handler {
+public final class UpgradeCoordinator implements Reactor.Handler {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Upgrade.class);
+    private static final Logger LOG = LoggerFactory.getLogger(UpgradeCoordinator.class);
     static final int FORM = 1;
     private static final String SUFFIX = ".link";
     private static final long AFTER_UNIX_MILLIS = 500_000_000_000_000L;
@@ -76,7 +76,8 @@
      * @param folder that the processes of one dispatcher share, or null for no link
      * @param dispatcher whose processes belong together: its name and address
      */
-    public Upgrade(Path folder, String dispatcher, Reactor reactor, Timers timers, Owner owner) {
+    public UpgradeCoordinator(
+            Path folder, String dispatcher, Reactor reactor, Timers timers, Owner owner) {
         this.folder = folder;
         this.dispatcher = dispatcher;
         this.reactor = reactor;
--- a/daemon/src/test/java/postgrade/daemon/CompanionTest.java
+++ b/daemon/src/test/java/postgrade/daemon/CompanionTest.java
@@ -27,7 +27,7 @@
  * What stands beside a dispatcher hears what goes on, has its say, and is asked what operators want
  * of it.
  */
-public class CompanionTest extends Stage implements Companion, Further {
+public class CompanionTest extends DaemonTestBase implements Companion, Further {
 
     private final LinkedBlockingQueue<String> heard = new LinkedBlockingQueue<>();
     private Host host;
@@ -38,8 +38,8 @@
 
     @Before
     public void besideTheDaemon() {
-        operators = true;
-        plan =
+        withOperatorPort = true;
+        companionPlan =
                 h -> {
                     host = h;
                     return this;
@@ -139,17 +139,18 @@
     @Test
     public void itHearsOfListsOperatorsAndTheEndAndItsShareAndAbilityReachTheModule()
             throws Exception {
-        serveScripted(server("w1", one.address(), "ready"));
+        startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         assertSame(JobConstraints.NONE, script.ability);
-        watched(
-                json(
+        answerWatch(
+                workerListJson(
                         42,
                         true,
-                        server("w1", one.address(), "ready"),
-                        server("w2", two.address(), "ready")));
+                        workerEntry("w1", workerOne.address(), "ready"),
+                        workerEntry("w2", workerTwo.address(), "ready")));
         hears("listed [w1, w2]");
         script.hears("list FULL [w1 READY, w2 READY]");
-        assertEquals(200, call(daemon, "PUT /maintenance/enter", "{\"id\":\"w1\"}").status());
+        assertEquals(
+                200, operatorCall(daemon, "PUT /maintenance/enter", "{\"id\":\"w1\"}").status());
         hears("w1 true");
         script.hears("list DELTA [w1 DRAINING]");
         host.loop().execute(() -> host.share(1.5));
@@ -165,7 +166,7 @@
                                                 + host.alone()));
         hears("true true true");
         script.hears("list DELTA [w1 READY]");
-        ended(stopping(daemon));
+        awaitStopped(stopInBackground(daemon));
         hears("stopping");
         hears("close");
     }
@@ -174,10 +175,11 @@
     public void consumersWaitUntilItKnowsWhichWorkersAreOut() throws Exception {
         knows = false;
         patienceMicros = Peer.PATIENCE_S * 1_000_000L;
-        serveScripted(server("w1", one.address(), "ready"));
+        startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> script.out.reject(job.id(), 0);
         assertThrows("they turn to others at once", ConnectException.class, this::connect);
-        assertEquals("it takes no consumers yet", 503, call(daemon, "GET /status", "").status());
+        assertEquals(
+                "it takes no consumers yet", 503, operatorCall(daemon, "GET /status", "").status());
         host.loop().execute(() -> host.takeOut("w1"));
         script.hears("list DELTA [w1 DRAINING]");
         assertThrows(ConnectException.class, this::connect);
@@ -189,7 +191,7 @@
 
     @Test
     public void itIsAskedWhenATurnBeginsBeforeAnythingIsTakenIn() throws Exception {
-        serveScripted(server("w1", one.address(), "ready"));
+        startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob =
                 job -> {
                     heard.add("turn " + (turnMicros == host.timers().nowMicros()));
@@ -203,15 +205,15 @@
     @Test
     public void itPacesConnectionsAndARequestThatWaitsForOneHasItAllTheSame() throws Exception {
         paces = true;
-        serveScripted(server("w1", one.address(), "ready"));
+        startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
         post("p1", "price", "15000m");
         hears("connect w1 true");
-        Arrived first = one.next("POST");
+        Arrived first = workerOne.next("POST");
         post("p2", "price", "15000m"); // The first is not answered, so its connection stays in use.
         hears("connect w1 false");
         hears("connect w1 true");
-        Arrived second = one.next("POST");
+        Arrived second = workerOne.next("POST");
         assertNotSame(first.socket(), second.socket());
     }
 
@@ -219,7 +221,7 @@
     public void butOnlySoLong() throws Exception {
         knows = false;
         patienceMicros = 50_000;
-        serveScripted(server("w1", one.address(), "ready"));
+        startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> script.out.reject(job.id(), 0);
         Socket consumer = postOnceItListens("b1");
         script.hears("job b1");
@@ -228,29 +230,30 @@
 
     @Test
     public void operatorsCallsBeyondTheDailyOnesAreItsOwnEachWithItsBound() throws Exception {
-        serveScripted(server("w1", one.address(), "ready"));
-        Arrived answer = call(daemon, "PUT /calendar", "x".repeat(100_000));
+        startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
+        Arrived answer = operatorCall(daemon, "PUT /calendar", "x".repeat(100_000));
         assertEquals("{\"length\":100000}\n", answer.body());
         assertEquals(503, answer.status());
         assertEquals("in whole seconds, never too early", "2", answer.header("Retry-After"));
-        assertEquals(413, call(daemon, "PUT /calendar/x", "x".repeat(70_000)).status());
-        assertEquals(413, call(daemon, "PUT /maintenance/enter", "x".repeat(70_000)).status());
-        assertEquals(405, call(daemon, "GET /calendar", "").status());
-        assertEquals(404, call(daemon, "GET /nowhere", "").status());
-        assertEquals(200, call(daemon, "GET /status", "").status());
+        assertEquals(413, operatorCall(daemon, "PUT /calendar/x", "x".repeat(70_000)).status());
+        assertEquals(
+                413, operatorCall(daemon, "PUT /maintenance/enter", "x".repeat(70_000)).status());
+        assertEquals(405, operatorCall(daemon, "GET /calendar", "").status());
+        assertEquals(404, operatorCall(daemon, "GET /nowhere", "").status());
+        assertEquals(200, operatorCall(daemon, "GET /status", "").status());
     }
 
     @Test
     public void withoutAFileNothingIsLookedForAndAFileWithoutSharingInTheProgramIsAFault()
             throws Exception {
         Map<String, String> environment =
-                new HashMap<>(configuration(server("w1", one.address(), "ready")));
-        assertEquals(null, Companions.of(Config.read(environment)));
+                new HashMap<>(configuration(workerEntry("w1", workerOne.address(), "ready")));
+        assertEquals(null, CompanionLoader.loadPlan(Config.read(environment)));
         environment.put("ROUTER_SHARING", "sharing.star");
         try {
-            Companions.of(Config.read(environment));
+            CompanionLoader.loadPlan(Config.read(environment));
             fail("started without what was asked for");
-        } catch (Config.Faulty e) {
+        } catch (Config.InvalidConfigException e) {
             assertTrue(e.getMessage(), e.getMessage().startsWith("sharing: "));
         }
     }
@@ -272,7 +275,7 @@
             try {
                 Clock.of(faulty);
                 fail(faulty);
-            } catch (Config.Faulty e) {
+            } catch (Config.InvalidConfigException e) {
                 assertTrue(e.getMessage(), e.getMessage().startsWith("POSTGRADE_TEST_CLOCK: "));
             }
         }
--- a/daemon/src/test/java/postgrade/daemon/Stage.java
+++ b/daemon/src/test/java/postgrade/daemon/DaemonTestBase.java
@@ -26,7 +26,7 @@
  * The stage of the stories: a daemon on loopback between scripted consumers, providers and
  * discovery.
  */
-public abstract class Stage {
+public abstract class DaemonTestBase {
 
     private static final List<String> HEEDS_SIGHUP = List.of("env", "--default-signal=HUP");
     private static final long MOST_PROGRAM_SECONDS = 180;
@@ -44,35 +44,35 @@
 
     @Rule public final TemporaryFolder folder = new TemporaryFolder();
     Peer discovery;
-    Peer one;
-    Peer two;
+    Peer workerOne;
+    Peer workerTwo;
     Daemon daemon;
     Script script;
     final List<Socket> sockets = new ArrayList<>();
-    int held = 100;
+    int maxHeldJobs = 100;
     long idleNs = 10_000_000_000L;
-    int descriptors = 1024;
-    boolean operators;
+    int descriptorLimit = 1024;
+    boolean withOperatorPort;
     String listen = "127.0.0.1:0";
 
     /** What stands beside the daemon, if anything is to. */
-    Companion.Plan plan;
+    Companion.Plan companionPlan;
 
     /** The folder that the processes of one dispatcher share, if there is to be one. */
     Path shared;
 
     @Before
-    public void begin() throws IOException {
+    public void startPeers() throws IOException {
         discovery = new Peer();
-        one = new Peer();
-        two = new Peer();
+        workerOne = new Peer();
+        workerTwo = new Peer();
     }
 
     /**
      * A port for processes of one dispatcher that listen one after another, held by a socket that
      * is bound and never listens: nobody else is given it while none of them does.
      */
-    String held(String host) throws IOException {
+    String reserveAddress(String host) throws IOException {
         Socket holder = new Socket();
         sockets.add(holder);
         holder.setReuseAddress(false);
@@ -82,7 +82,7 @@
     }
 
     @After
-    public void end() throws IOException {
+    public void closePeers() throws IOException {
         if (script != null) {
             // Guards the tests that follow: a script that sends again whatever fails would do so
             // for ever, and fill the heap,
@@ -94,14 +94,14 @@
         for (Socket s : sockets) {
             s.close();
         }
-        for (Peer p : List.of(discovery, one, two)) {
+        for (Peer p : List.of(discovery, workerOne, workerTwo)) {
             p.close();
         }
     }
 
     // ---- Setting the stage.
 
-    static String server(String id, String address, String state) {
+    static String workerEntry(String id, String address, String state) {
         return "{'id':'"
                 + id
                 + "','addr':'"
@@ -111,7 +111,7 @@
                 + "','weight':1.0,'started_ms':0}";
     }
 
-    static String json(long version, boolean full, String... servers) {
+    static String workerListJson(long version, boolean full, String... servers) {
         return ("{'version':"
                         + version
                         + ",'full':"
@@ -130,32 +130,32 @@
                                         + listen
                                         + "','discovery':'"
                                         + discovery.address()
-                                        + (operators ? "','operator':'127.0.0.1:0" : "")
+                                        + (withOperatorPort ? "','operator':'127.0.0.1:0" : "")
                                         + "','seed':'8c1f30d27a5be964','limits':{'sockets':"
-                                        + descriptors
+                                        + descriptorLimit
                                         + "},'settings':{"
-                                        + SETTINGS.replace("HELD", "" + held)
+                                        + SETTINGS.replace("HELD", "" + maxHeldJobs)
                                                 .replace("IDLE", "" + idleNs)
                                         + "},'known':")
                                 .replace('\'', '"')
-                        + json(41, true, servers)
+                        + workerListJson(41, true, servers)
                         + "}");
         return shared == null
                 ? Map.of("ROUTER_CONFIG", file.toString())
                 : Map.of("ROUTER_CONFIG", file.toString(), "TMPDIR", shared.toString());
     }
 
-    void serve(String... servers) throws Exception {
-        daemon = new Daemon(Config.read(configuration(servers)), plan);
+    void startDaemon(String... servers) throws Exception {
+        daemon = new Daemon(Config.read(configuration(servers)), companionPlan);
         daemon.start();
     }
 
     /** With a module that does what the test says. */
-    void serveScripted(String... servers) throws Exception {
+    void startWithScriptedPolicy(String... servers) throws Exception {
         daemon =
                 new Daemon(
                         Config.read(configuration(servers)),
-                        plan,
+                        companionPlan,
                         out -> script = new Script(out),
                         PATIENCE);
         daemon.start();
@@ -193,7 +193,7 @@
         return Peer.read(s);
     }
 
-    int ready() throws IOException {
+    int readinessStatus() throws IOException {
         return exchange("GET /-/ready HTTP/1.1\r\n\r\n").status();
     }
 
@@ -216,14 +216,14 @@
                         + "\"}");
     }
 
-    void watched(String line) throws InterruptedException {
+    void answerWatch(String line) throws InterruptedException {
         Arrived watch = discovery.next("GET /api/targets?watch=1&from=41 ");
         Peer.write(watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        chunk(watch, line);
+        writeChunk(watch, line);
     }
 
     /** One operator's call, and its answer; one call a connection. */
-    Arrived call(Daemon of, String line, String body) throws IOException {
+    Arrived operatorCall(Daemon of, String line, String body) throws IOException {
         Socket s = new Socket(InetAddress.getLoopbackAddress(), of.operatorPort());
         s.setSoTimeout(Peer.PATIENCE_S * 1000);
         sockets.add(s);
@@ -234,19 +234,19 @@
         return answer;
     }
 
-    /** Tells it to end in order; {@link #ended} waits until it has. */
-    static Thread stopping(Daemon d) {
+    /** Tells it to end in order; {@link #awaitStopped} waits until it has. */
+    static Thread stopInBackground(Daemon d) {
         Thread stop = new Thread(d::stop);
         stop.start();
         return stop;
     }
 
-    static void ended(Thread stop) throws InterruptedException {
+    static void awaitStopped(Thread stop) throws InterruptedException {
         TimeUnit.SECONDS.timedJoin(stop, Peer.PATIENCE_S);
         assertFalse("stopped", stop.isAlive());
     }
 
-    static void chunk(Arrived watch, String line) {
+    static void writeChunk(Arrived watch, String line) {
         Peer.write(
                 watch.socket(), Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
     }
--- a/daemon/src/test/java/postgrade/daemon/ExtensionHeadersTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ExtensionHeadersTest.java
@@ -17,11 +17,11 @@
 import postgrade.policy.api.JobConstraints;
 
 /** What jobs claim in headers that somebody beside the dispatcher reads. */
-public class ExtensionHeadersTest extends Stage implements Companion, ExtensionHeaders {
+public class ExtensionHeadersTest extends DaemonTestBase implements Companion, ExtensionHeaders {
 
     @Before
     public void besideTheDaemon() {
-        plan = h -> this;
+        companionPlan = h -> this;
     }
 
     @Override
@@ -77,7 +77,7 @@
     @Test
     public void aClaimIsKnownBeforeTheModuleHearsOfTheJobAndABadOneNeverReachesIt()
             throws Exception {
-        serveScripted(server("w1", one.address(), "ready"));
+        startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> script.out.reject(job.id(), 0);
         turnedAway("c1", "X-Window-Lasts: soon\r\n", "x-window-lasts has to be");
         turnedAway(
@@ -93,8 +93,8 @@
 
     @Test
     public void aJobThatIsNotTakenOverClaimsNothing() throws Exception {
-        held = 1;
-        serveScripted(server("w1", one.address(), "ready"));
+        maxHeldJobs = 1;
+        startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         submit("d1", "X-Window-Lasts: 1m\r\n");
         script.hears("claim d1 price 1m");
         script.hears("job d1");
@@ -106,8 +106,8 @@
 
     @Test
     public void whereNobodyReadsThemTheyArePassedOver() throws Exception {
-        plan = null;
-        serveScripted(server("w1", one.address(), "ready"));
+        companionPlan = null;
+        startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> script.out.reject(job.id(), 0);
         assertEquals(
                 429,
--- a/daemon/src/test/java/postgrade/daemon/FloodTest.java
+++ b/daemon/src/test/java/postgrade/daemon/FloodTest.java
@@ -16,7 +16,7 @@
  * Clients that send as much as is kept, and go: others' jobs and call-backs are served meanwhile,
  * and nothing of it stays.
  */
-public class FloodTest extends Stage {
+public class FloodTest extends DaemonTestBase {
 
     private static final int BODY = 65_536;
     private static final int FILLS = (24 << 20) / BODY;
@@ -30,7 +30,7 @@
     @Before
     public void turn() throws Exception {
         turns = new Turns(Config.read(configuration()), 1024);
-        turns.provider("w1", one);
+        turns.provider("w1", workerOne);
         turns.script.onJob =
                 job -> {
                     if (job.id().startsWith("usual")) {
@@ -51,7 +51,7 @@
 
     private void usualIsServed(String id) throws Exception {
         Socket client = turns.post(id);
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         assertEquals(204, callBack(id, "w1", "done"));
         assertEquals(200, Peer.read(client).status());
     }
@@ -89,6 +89,6 @@
         Socket large = turns.connect();
         Peer.write(large, LARGE + "large\r\n\r\n" + "x".repeat(BODY));
         turns.script.hearsAmongOthers("job large");
-        assertTrue("of the flood nothing was sent on", one.nothingArrived());
+        assertTrue("of the flood nothing was sent on", workerOne.nothingArrived());
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/FullHouseTest.java
+++ b/daemon/src/test/java/postgrade/daemon/FullHouseTest.java
@@ -6,7 +6,7 @@
 import postgrade.daemon.Peer.Arrived;
 
 /** Every descriptor is taken, and each one that comes free is wanted. */
-public class FullHouseTest extends Stage {
+public class FullHouseTest extends DaemonTestBase {
 
     private static final int PLACES = 64;
     private static final int ACCEPTED = PLACES * 3 / 4;
@@ -20,8 +20,8 @@
     /** A list that cannot be followed lets jobs go to workers that drain. */
     @Test
     public void discoveryIsStillOpenedAgainAndHeard() throws Exception {
-        descriptors = PLACES + 32;
-        serveScripted(server("w1", one.address(), "ready"));
+        descriptorLimit = PLACES + 32;
+        startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         String last = "busy" + (ACCEPTED - 1);
         script.onJob =
                 job -> {
@@ -39,14 +39,15 @@
                 };
         Arrived watch = discovery.next("GET /api/targets?watch=1&from=41 ");
         Peer.write(watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        chunk(watch, json(42, false, server("w2", two.address(), "ready")));
+        writeChunk(
+                watch, workerListJson(42, false, workerEntry("w2", workerTwo.address(), "ready")));
         script.hearsAmongOthers("list DELTA [w2 READY]");
         for (int i = 1; i < ACCEPTED; i++) { // The watch has one of them.
             post("busy" + i, "price", "600000m");
             script.hearsAmongOthers("job busy" + i);
         }
         for (int i = 0; i < PLACES - OF_DISCOVERY - ACCEPTED; i++) {
-            one.next("POST"); // Which says nothing to it, and keeps its connection.
+            workerOne.next("POST"); // Which says nothing to it, and keeps its connection.
         }
         for (int i = 0; i < 10; i++) {
             connect(); // And more wait to be accepted.
@@ -56,7 +57,9 @@
         watch.socket().close();
         watch = discovery.next("GET /api/targets?watch=1&from=42 ");
         Peer.write(watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        chunk(watch, json(43, false, server("w1", one.address(), "draining")));
+        writeChunk(
+                watch,
+                workerListJson(43, false, workerEntry("w1", workerOne.address(), "draining")));
         script.hearsAmongOthers("list DELTA [w1 DRAINING]");
         assertTrue("wanted to the end", wants < MOST_WANTS);
     }
--- a/daemon/src/test/java/postgrade/daemon/HandOverTest.java
+++ b/daemon/src/test/java/postgrade/daemon/HandOverTest.java
@@ -32,19 +32,20 @@
  * What goes from the old process of a dispatcher to the new one, and what does not where either
  * fails early.
  */
-public class HandOverTest extends Stage {
+public class HandOverTest extends DaemonTestBase {
 
     private static final String HOST = "127.0.0.78";
     private Map<String, String> environment;
 
     @Before
     public void share() throws IOException {
-        operators = true;
-        listen = held(HOST);
+        withOperatorPort = true;
+        listen = reserveAddress(HOST);
         shared = Files.createDirectory(folder.getRoot().toPath().resolve("t"));
         environment =
                 configuration(
-                        server("w1", one.address(), "ready"), server("w2", two.address(), "ready"));
+                        workerEntry("w1", workerOne.address(), "ready"),
+                        workerEntry("w2", workerTwo.address(), "ready"));
     }
 
     private Path link() throws IOException {
@@ -76,19 +77,20 @@
                 "learn [tenant t [2.5, 40.0, 0.0, 1.0E9], cold w1 [5.0E8, 1.5, 2.0E8, 0.5], "
                         + "class price [4000000.0, 120.0, 0.25]]");
         first.hears("share 0.5");
-        ended(stopping(daemon));
-        ended(stopping(second));
+        awaitStopped(stopInBackground(daemon));
+        awaitStopped(stopInBackground(second));
     }
 
     @Test
     public void aWorkerOutStaysOutWhereTheOldProcessDiesBeforeItHasTold() throws Exception {
         daemon = new Daemon(Config.read(environment));
         daemon.start();
-        assertEquals(200, call(daemon, "PUT /maintenance/enter", "{\"id\":\"w1\"}").status());
+        assertEquals(
+                200, operatorCall(daemon, "PUT /maintenance/enter", "{\"id\":\"w1\"}").status());
         Path link = link();
         Path left = Path.of(link.toString().replaceFirst("[0-9]{15}-[0-9]{10}[.]link", "left"));
         byte[] said = Files.readAllBytes(left);
-        ended(stopping(daemon));
+        awaitStopped(stopInBackground(daemon));
         assertTrue("an end in order leaves nothing", !Files.exists(left));
         Files.write(left, said);
         try (ServerSocketChannel old = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
@@ -98,9 +100,9 @@
             old.accept().close();
         }
         daemon.start();
-        String status = call(daemon, "GET /status", "").body();
+        String status = operatorCall(daemon, "GET /status", "").body();
         assertTrue(status, status.contains("\"out\":[\"w1\"]"));
-        ended(stopping(daemon));
+        awaitStopped(stopInBackground(daemon));
         Files.write(left, said);
         Process plain =
                 program(environment); // Its address is free: the others here have ended in order.
@@ -147,8 +149,8 @@
         Daemon second = new Daemon(Config.read(environment), beside);
         second.start();
         assertEquals(List.of(" false true", "{\"word\":\"as \u010dvor\"} true false"), told);
-        ended(stopping(daemon));
-        ended(stopping(second));
+        awaitStopped(stopInBackground(daemon));
+        awaitStopped(stopInBackground(second));
     }
 
     @Test
@@ -177,12 +179,12 @@
             failing.destroyForcibly();
         }
         script.hears("share 0.5");
-        while (call(daemon, "GET /status", "").status() != 200 || links() != 1) {
+        while (operatorCall(daemon, "GET /status", "").status() != 200 || links() != 1) {
             Thread.onSpinWait();
         }
-        assertEquals(200, ready());
+        assertEquals(200, readinessStatus());
         assertEquals("whole again", 1, script.lastShare, 0);
-        ended(stopping(daemon));
+        awaitStopped(stopInBackground(daemon));
     }
 
     /**
@@ -217,7 +219,7 @@
             script.hearsAmongOthers("share 0.5");
             Map<String, Socket> clients = new HashMap<>();
             clients.put("sent", post("sent", "price", "15000m"));
-            Arrived sent = one.next("POST");
+            Arrived sent = workerOne.next("POST");
             Socket half = connect();
             clients.put("half", half);
             Peer.write(
@@ -226,7 +228,7 @@
             clients.put("holds", post("holds", "price", "15000m"));
             assertTrue(held.await(Peer.PATIENCE_S, TimeUnit.SECONDS));
             clients.put("backlog", post("backlog", "price", "15000m"));
-            Thread stop = stopping(daemon);
+            Thread stop = stopInBackground(daemon);
             while (stop.getState()
                     != Thread.State.WAITING) { // For the loop, which has been told by then.
                 Thread.onSpinWait();
@@ -234,7 +236,7 @@
             goesOn.countDown();
             Peer.write(half, "job");
             for (int i = 0; i < clients.size(); i++) {
-                Arrived job = i == 0 ? sent : one.next("POST");
+                Arrived job = i == 0 ? sent : workerOne.next("POST");
                 job.accept();
                 String id = job.header("X-Request-Id");
                 // The workers' call-backs come to the successor, which passes them on.
@@ -250,7 +252,7 @@
                 assertEquals(-1, client.getInputStream().read());
                 client.close();
             }
-            ended(stop);
+            awaitStopped(stop);
         }
     }
 
--- a/daemon/src/test/java/postgrade/daemon/LeavingTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LeavingTest.java
@@ -15,7 +15,7 @@
 import postgrade.policy.api.AttemptOutcome;
 
 /** A client that has left gets no attempt, in whatever moment and manner it goes. */
-public class LeavingTest extends Stage {
+public class LeavingTest extends DaemonTestBase {
 
     private static final String ATTEMPT = "POST";
 
@@ -40,8 +40,8 @@
     @Before
     public void turn() throws Exception {
         turns = new Turns(Config.read(configuration()), 512);
-        turns.provider("w1", one);
-        turns.provider("w2", two);
+        turns.provider("w1", workerOne);
+        turns.provider("w2", workerTwo);
     }
 
     @After
@@ -61,8 +61,8 @@
     private void nothingWasSent() throws Exception {
         turns.script.onJob = job -> turns.script.out.startAttempt(job.id(), "w1", 0);
         turns.post("last");
-        assertEquals("last", one.next(ATTEMPT).header("X-Request-Id"));
-        assertTrue(two.nothingArrived());
+        assertEquals("last", workerOne.next(ATTEMPT).header("X-Request-Id"));
+        assertTrue(workerTwo.nothingArrived());
     }
 
     @Test
@@ -96,11 +96,11 @@
                         }
                     };
             Turns.post(client, "r1");
-            Peer.Arrived attempt = one.next(ATTEMPT);
+            Peer.Arrived attempt = workerOne.next(ATTEMPT);
             attempt.reply("503 Full\r\nX-Not-Run: 1", "");
             if (way != WAYS.get(0)) {
                 // The connection has carried others, whose late answer this may be.
-                one.next("DELETE /jobs/r1 ").reply("200 OK", "");
+                workerOne.next("DELETE /jobs/r1 ").reply("200 OK", "");
             }
             turns.script.hears("job r1");
             turns.script.hears("finished r1 0 FULL false");
@@ -193,7 +193,7 @@
         turns.script.onJob = job -> turns.script.out.startAttempt(job.id(), "w1", 0);
         turns.post("warm");
         turns.script.hears("job warm");
-        one.next(ATTEMPT).accept();
+        workerOne.next(ATTEMPT).accept();
         turns.turn(); // The first attempt of all has a connection at once.
         turns.script.onJob = job -> {};
         int many = 100;
--- a/daemon/src/test/java/postgrade/daemon/LinkCrossingTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LinkCrossingTest.java
@@ -30,7 +30,7 @@
  * A process that serves, by script, beside which a new one starts: it holds the address whatever
  * becomes of the link.
  */
-public class LinkCrossingTest extends Stage {
+public class LinkCrossingTest extends DaemonTestBase {
 
     private static final String HOST = "127.0.0.79";
     @Rule public final Timeout timeout = Timeout.seconds(60);
@@ -41,10 +41,10 @@
 
     @Before
     public void oneServes() throws Exception {
-        operators = true;
-        listen = held(HOST);
+        withOperatorPort = true;
+        listen = reserveAddress(HOST);
         shared = Files.createDirectory(folder.getRoot().toPath().resolve("t"));
-        environment = configuration(server("w1", one.address(), "ready"));
+        environment = configuration(workerEntry("w1", workerOne.address(), "ready"));
         Config c = Config.read(environment);
         Path link =
                 shared.resolve(
@@ -130,10 +130,10 @@
             tells(third);
             started(start);
             assertTrue(line(third).contains("\"serving\":true"));
-            String status = call(daemon, "GET /status", "").body();
+            String status = operatorCall(daemon, "GET /status", "").body();
             assertTrue("and what it told is known: " + status, status.contains("\"out\":[\"w1\"]"));
         }
-        ended(stopping(daemon));
+        awaitStopped(stopInBackground(daemon));
     }
 
     /** Guards against a new process that ends as the address is in use by the one it follows. */
@@ -150,7 +150,7 @@
         }
         links.configureBlocking(true);
         started(start);
-        ended(stopping(daemon));
+        awaitStopped(stopInBackground(daemon));
     }
 
     /**
@@ -163,10 +163,12 @@
         try (SocketChannel silent = greeted(start)) {
             started(start);
             assertTrue(line(silent).contains("\"serving\":true"));
-            assertEquals(200, call(daemon, "PUT /maintenance/enter", "{\"id\":\"w1\"}").status());
+            assertEquals(
+                    200,
+                    operatorCall(daemon, "PUT /maintenance/enter", "{\"id\":\"w1\"}").status());
             assertTrue("it hears of calls", line(silent).contains("\"worker\":\"w1\""));
         }
-        ended(stopping(daemon));
+        awaitStopped(stopInBackground(daemon));
     }
 
     /** What is left by one that died is in nobody's way. */
@@ -178,7 +180,7 @@
         links.close();
         dies.close();
         started(start);
-        assertEquals(200, ready());
-        ended(stopping(daemon));
+        assertEquals(200, readinessStatus());
+        awaitStopped(stopInBackground(daemon));
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/OperatorTest.java
+++ b/daemon/src/test/java/postgrade/daemon/OperatorTest.java
@@ -12,11 +12,11 @@
 import postgrade.daemon.Peer.Arrived;
 
 /** What operators call for, and what the dispatcher does then. */
-public class OperatorTest extends Stage {
+public class OperatorTest extends DaemonTestBase {
 
     @Before
     public void withOperators() {
-        operators = true;
+        withOperatorPort = true;
     }
 
     private Socket operator() throws IOException {
@@ -27,7 +27,7 @@
     }
 
     private Arrived call(String line, String body) throws IOException {
-        return call(daemon, line, body);
+        return operatorCall(daemon, line, body);
     }
 
     private int out(String id) throws IOException {
@@ -45,7 +45,7 @@
 
     @Test
     public void aNoSaysWhatWasWrongAndChangesNothing() throws Exception {
-        serve(server("w1", one.address(), "ready"));
+        startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         refused(call("GET /nowhere", ""), 404, "no call /nowhere");
         Arrived wrong = call("POST /standby", "");
         refused(wrong, 405, "PUT, not POST");
@@ -56,31 +56,34 @@
         refused(call("PUT /maintenance/exit", "[]"), 400, "id as a string");
         refused(call("PUT /maintenance/enter", "{\"id\":\"w9\"}"), 404, "no worker w9");
         refused(call("nonsense", ""), 400, "start line");
-        assertEquals("it has started by this answer", 200, ready());
+        assertEquals("it has started by this answer", 200, readinessStatus());
         Arrived status = call("GET /status", "");
         assertEquals(200, status.status());
         assertEquals("{\"state\":\"active\",\"workers\":1,\"out\":[]}\n", status.body());
-        assertEquals(200, ready());
+        assertEquals(200, readinessStatus());
     }
 
     @Test
     public void aWorkerTakenOutGetsNothingWhateverIsListedUntilItIsPutBackAndThenIsTried()
             throws Exception {
-        serveScripted(server("w1", one.address(), "ready"), server("w2", two.address(), "ready"));
+        startWithScriptedPolicy(
+                workerEntry("w1", workerOne.address(), "ready"),
+                workerEntry("w2", workerTwo.address(), "ready"));
         assertEquals(200, out("w1"));
         assertEquals(200, out("w1"));
         script.hears("list DELTA [w1 DRAINING]");
         Arrived watch = discovery.next("GET /api/targets?watch=1&from=41 ");
         Peer.write(watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        chunk(watch, json(42, false, server("w1", one.address(), "gone")));
+        writeChunk(
+                watch, workerListJson(42, false, workerEntry("w1", workerOne.address(), "gone")));
         script.hears("list DELTA [w1 GONE]");
-        chunk(
+        writeChunk(
                 watch,
-                json(
+                workerListJson(
                         43,
                         true,
-                        server("w1", one.address(), "ready"),
-                        server("w2", two.address(), "ready")));
+                        workerEntry("w1", workerOne.address(), "ready"),
+                        workerEntry("w2", workerTwo.address(), "ready")));
         script.hears("list FULL [w1 DRAINING, w2 READY]");
         script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
         post("m1", "price", "15000m");
@@ -92,12 +95,12 @@
         script.hears("recalled w1");
         assertEquals("not out, and no harm", 200, back("w1"));
         post("m2", "price", "15000m");
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
     }
 
     @Test
     public void callsAndJobsCutAtAnyByteAreTaken() throws Exception {
-        serve(server("w1", one.address(), "ready"));
+        startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         String text =
                 "PUT /maintenance/enter HTTP/1.1\r\nContent-Length: 11\r\n\r\n{\"id\":\"w9\"}";
         for (int cut = 1; cut < text.length(); cut++) {
@@ -116,7 +119,7 @@
             String mine = job.replace("ID", id);
             Peer.write(s, mine.substring(0, cut));
             Peer.write(s, mine.substring(cut));
-            one.next("POST").accept();
+            workerOne.next("POST").accept();
             callBack(id, "w1", "done");
             assertEquals("cut at " + cut, 200, Peer.read(s).status());
         }
@@ -124,33 +127,33 @@
 
     @Test
     public void callersWhoSitThereWithNothingOrHalfACallKeepNobodyWaiting() throws Exception {
-        serve(server("w1", one.address(), "ready"));
+        startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket first = operator();
         for (int i = 0; i < 40; i++) {
             Peer.write(operator(), i % 2 == 0 ? "" : "PUT /standby HTTP/1.1\r\nContent-Le");
         }
-        assertEquals("it has started by this answer", 200, ready());
+        assertEquals("it has started by this answer", 200, readinessStatus());
         assertEquals(200, call("GET /status", "").status());
         assertEquals("who came first goes first", -1, first.getInputStream().read());
-        assertEquals(200, ready());
+        assertEquals(200, readinessStatus());
     }
 
     @Test
     public void inStandbyConsumersAreTurnedAwayCallBacksAreTakenAndActiveTakesConsumersAgain()
             throws Exception {
-        serve(server("w1", one.address(), "ready"));
+        startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket idle = post("d1", "price", "15000m");
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         callBack("d1", "w1", "done");
         Arrived kept = Peer.read(idle);
         assertNull(kept.header("Connection"));
         Socket busy = post("d2", "confirm", "15000m");
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         assertEquals(200, call("PUT /standby", "").status());
-        assertEquals(503, ready());
+        assertEquals(503, readinessStatus());
         assertEquals(503, call("GET /status", "").status());
         Socket late = post("d3", "price", "15000m"); // The front does not know yet.
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         assertEquals("closed, as nobody may be held idle", -1, idle.getInputStream().read());
         assertEquals(200, call("PUT /standby", "").status());
         assertEquals(204, callBack("d2", "w1", "done"));
@@ -160,27 +163,27 @@
         assertEquals("close", answer.header("Connection"));
         assertEquals("close", Peer.read(busy).header("Connection"));
         assertEquals(200, call("PUT /active", "").status());
-        assertEquals(200, ready());
+        assertEquals(200, readinessStatus());
         assertEquals(200, call("GET /status", "").status());
         Socket again = post("d4", "price", "15000m");
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         callBack("d4", "w1", "done");
         assertNull(Peer.read(again).header("Connection"));
     }
 
     @Test
     public void aStopInStandbyEndsTheProcessAndNoCallUndoesIt() throws Exception {
-        serve(server("w1", one.address(), "ready"));
+        startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket open = post("e1", "price", "15000m");
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         assertEquals(200, call("PUT /standby", "").status());
-        Thread stop = stopping(daemon);
+        Thread stop = stopInBackground(daemon);
         while (!call("GET /status", "").body().contains("stopping")) {
             Thread.onSpinWait();
         }
         refused(call("PUT /active", ""), 503, "stopping");
         callBack("e1", "w1", "done");
         assertEquals(200, Peer.read(open).status());
-        ended(stop);
+        awaitStopped(stop);
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/OtherCustomerTest.java
+++ b/daemon/src/test/java/postgrade/daemon/OtherCustomerTest.java
@@ -16,7 +16,7 @@
  * Customers whose settings share some names and nothing else: one alone, and one after the other in
  * one process.
  */
-public class OtherCustomerTest extends Stage {
+public class OtherCustomerTest extends DaemonTestBase {
 
     /**
      * Six classes, digits and hyphens in names, eight zones. Two workers of one kind, which is not
@@ -87,7 +87,8 @@
     private void serve(String text) throws Exception {
         Map<String, String> environment =
                 configuration(
-                        server("w1", one.address(), "ready"), server("w2", two.address(), "ready"));
+                        workerEntry("w1", workerOne.address(), "ready"),
+                        workerEntry("w2", workerTwo.address(), "ready"));
         file = Path.of(environment.get("ROUTER_CONFIG"));
         settings(text);
         daemon = new Daemon(Config.read(environment));
@@ -110,11 +111,11 @@
 
     /** The next job is taken by the worker that this returns. */
     private String taken() throws Exception {
-        while (one.nothingArrived() && two.nothingArrived()) {
+        while (workerOne.nothingArrived() && workerTwo.nothingArrived()) {
             Thread.onSpinWait();
         }
-        String at = one.nothingArrived() ? "w2" : "w1";
-        (at.equals("w1") ? one : two).next("POST").accept();
+        String at = workerOne.nothingArrived() ? "w2" : "w1";
+        (at.equals("w1") ? workerOne : workerTwo).next("POST").accept();
         return at;
     }
 
@@ -162,7 +163,7 @@
         String at = taken();
         settings(MANY);
         daemon.reload();
-        assertEquals("and by this answer it has been read", 200, ready());
+        assertEquals("and by this answer it has been read", 200, readinessStatus());
         assertEquals("a class of the first alone", 400, refused("c0", "x", "t"));
         assertEquals(204, callBack("u", at, "done"));
         assertEquals("one that came before goes on", 200, Peer.read(underWay).status());
@@ -170,10 +171,10 @@
         served("c2", "both", "t");
         Socket once = failed("c3", "t");
         assertEquals("what kept its name must not run twice now", 502, Peer.read(once).status());
-        assertTrue(one.nothingArrived() && two.nothingArrived());
+        assertTrue(workerOne.nothingArrived() && workerTwo.nothingArrived());
         settings(PLAIN);
         daemon.reload();
-        assertEquals(200, ready());
+        assertEquals(200, readinessStatus());
         assertEquals(400, refused("d0", "scan-2d", "t"));
         assertEquals(400, refused("d1", "both", "8-ball"));
         served("d2", "x", "t");
--- a/daemon/src/test/java/postgrade/daemon/ReloadTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ReloadTest.java
@@ -14,13 +14,14 @@
 import postgrade.discovery.WatchTimeouts;
 
 /** New settings under way: taken over whole, or not at all. */
-public class ReloadTest extends Stage {
+public class ReloadTest extends DaemonTestBase {
 
     private Path file;
     private String text;
 
     private Config config() throws Exception {
-        Map<String, String> environment = configuration(server("w1", one.address(), "ready"));
+        Map<String, String> environment =
+                configuration(workerEntry("w1", workerOne.address(), "ready"));
         file = Path.of(environment.get("ROUTER_CONFIG"));
         text = Files.readString(file);
         return Config.read(environment);
@@ -32,7 +33,7 @@
         try {
             inForce.readAgain();
             fail("taken over: " + to);
-        } catch (Config.Faulty e) {
+        } catch (Config.InvalidConfigException e) {
             assertTrue(e.getMessage(), e.getMessage().startsWith(why));
         }
     }
@@ -83,7 +84,8 @@
      */
     @Test
     public void newClassesAreServedVanishedOnesNoLongerAndJobsUnderWayGoOn() throws Exception {
-        Map<String, String> environment = configuration(server("w1", one.address(), "ready"));
+        Map<String, String> environment =
+                configuration(workerEntry("w1", workerOne.address(), "ready"));
         file = Path.of(environment.get("ROUTER_CONFIG"));
         text = Files.readString(file);
         daemon =
@@ -97,21 +99,22 @@
         script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
         Socket underWay = post("r1", "price", "15000m");
         script.hears("job r1");
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         discovery.next("GET /api/targets?watch=1&from=41 ");
         Files.writeString(
                 file,
-                text.replace(discovery.address(), two.address()).replace("\"maxAttempts\":4,", ""));
+                text.replace(discovery.address(), workerTwo.address())
+                        .replace("\"maxAttempts\":4,", ""));
         daemon.reload();
-        assertEquals("and by this answer it has been read", 200, ready());
+        assertEquals("and by this answer it has been read", 200, readinessStatus());
         Files.writeString(file, text.replace("\"price\"", "\"quote\""));
         daemon.reload();
         script.hears("settings [quote, confirm]");
-        assertTrue("a faulty file moves nothing", two.nothingArrived());
+        assertTrue("a faulty file moves nothing", workerTwo.nothingArrived());
         assertEquals(400, Peer.read(post("r2", "price", "15000m")).status());
         Socket fresh = post("r3", "quote", "15000m");
         script.hears("job r3");
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         callBack("r1", "w1", "done");
         assertEquals(200, Peer.read(underWay).status());
         callBack("r3", "w1", "done");
@@ -132,8 +135,8 @@
             }
             Map<String, String> environment =
                     configuration(
-                            server("w1", one.address(), "ready"),
-                            server("late", "127.0.0.1:" + deaf.getLocalPort(), "ready"));
+                            workerEntry("w1", workerOne.address(), "ready"),
+                            workerEntry("late", "127.0.0.1:" + deaf.getLocalPort(), "ready"));
             file = Path.of(environment.get("ROUTER_CONFIG"));
             daemon =
                     new Daemon(
@@ -147,10 +150,11 @@
                             script.out.startAttempt(
                                     job.id(), job.id().startsWith("late") ? "late" : "w1", 0);
             Socket held = post("held", "price", "15000m");
-            one.next("POST").accept();
+            workerOne.next("POST").accept();
             Socket waits = post("late1", "price", "15000m");
             script.hearsAmongOthers("job late1");
-            watched(json(42, false, server("w1", one.address(), "draining")));
+            answerWatch(
+                    workerListJson(42, false, workerEntry("w1", workerOne.address(), "draining")));
             script.hears("list DELTA [w1 DRAINING]");
             Files.writeString(
                     file,
@@ -177,7 +181,7 @@
                 assertEquals(200, answer.status());
                 assertEquals("made by " + done[1], answer.body());
             }
-            assertTrue("nothing more came to the one that drains", one.nothingArrived());
+            assertTrue("nothing more came to the one that drains", workerOne.nothingArrived());
         }
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/ShutdownStage.java
+++ b/daemon/src/test/java/postgrade/daemon/ShutdownStage.java
@@ -15,7 +15,7 @@
  * The stage of what SIGTERM crosses: the loop with all that serves clients and ends, and a hook
  * into its turns.
  */
-public abstract class ShutdownStage extends Stage {
+public abstract class ShutdownStage extends DaemonTestBase {
 
     /**
      * SIGKILL comes 1.5 s after SIGTERM at the earliest, resting connections are closed from 0.5 s
--- a/daemon/src/test/java/postgrade/daemon/ShutdownStagesTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ShutdownStagesTest.java
@@ -19,7 +19,7 @@
 public class ShutdownStagesTest extends ShutdownStage {
 
     private Socket sentOn(String id) throws Exception {
-        turns.provider("w1", one);
+        turns.provider("w1", workerOne);
         turns.script.onJob = job -> turns.script.out.startAttempt(job.id(), "w1", 0);
         Socket client = turns.post(id);
         turns.script.hears("job " + id);
@@ -41,13 +41,13 @@
 
     @Test
     public void aJobThatIsQueuedWithoutAnAttemptIsSentAndAnswered() throws Exception {
-        turns.provider("w1", one);
+        turns.provider("w1", workerOne);
         turns.script.onJob = job -> {};
         Socket client = turns.post("q1");
         turns.script.hears("job q1");
         stop(() -> {}, () -> {});
         turns.on(() -> turns.script.out.startAttempt("q1", "w1", 0));
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         answeredOnce(client, "q1");
     }
 
@@ -78,7 +78,7 @@
     @Test
     public void aJobThatHasBeenSentAndNotTakenYetIsAnswered() throws Exception {
         Socket client = sentOn("n1");
-        Arrived job = one.next("POST");
+        Arrived job = workerOne.next("POST");
         stop(() -> {}, () -> {});
         job.accept();
         answeredOnce(client, "n1");
@@ -87,7 +87,7 @@
     @Test
     public void aJobThatHasStartedIsAnswered() throws Exception {
         Socket client = sentOn("s1");
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         assertEquals(204, callBack("s1", "w1", "started"));
         turns.script.hears("started s1 0");
         stop(() -> {}, () -> {});
@@ -97,22 +97,22 @@
     /** Its client has its answer, and its worker does not say that it has dropped it. */
     private void isBeingGivenUp(String id) throws Exception {
         Socket client = sentOn(id);
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         turns.on(
                 () -> {
                     turns.script.out.cancelAttempt(id, 0);
                     turns.script.out.reject(id, 0);
                 });
-        one.next("DELETE /jobs/" + id + " ");
+        workerOne.next("DELETE /jobs/" + id + " ");
         assertEquals(429, Peer.read(client).status());
         client.close();
     }
 
     /** What comes next, but for repeated words that this one is to be dropped. */
     private Arrived arrivesBesides(String id, String start) throws InterruptedException {
-        Arrived next = one.next();
+        Arrived next = workerOne.next();
         while (next.head().startsWith("DELETE /jobs/" + id + " ")) {
-            next = one.next();
+            next = workerOne.next();
         }
         assertTrue(next.head(), next.head().startsWith(start));
         return next;
@@ -184,7 +184,7 @@
      */
     @Test
     public void whatAClientReadsLateIsWrittenToTheLastByte() throws Exception {
-        turns.provider("w1", one);
+        turns.provider("w1", workerOne);
         turns.script.onJob = job -> turns.script.out.startAttempt(job.id(), "w1", 0);
         String result = "x".repeat(60_000);
         Socket late = new Socket();
@@ -197,7 +197,7 @@
         int answers = 0;
         for (; allSent[0]; answers++) {
             Turns.post(late, "l" + answers);
-            one.next("POST").accept();
+            workerOne.next("POST").accept();
             assertEquals(
                     204,
                     callBack(
--- a/daemon/src/test/java/postgrade/daemon/SignalTest.java
+++ b/daemon/src/test/java/postgrade/daemon/SignalTest.java
@@ -13,7 +13,7 @@
 import org.junit.Test;
 
 /** Signals to the program in moments in which it is busy with something else. */
-public class SignalTest extends Stage {
+public class SignalTest extends DaemonTestBase {
 
     private Process program;
 
@@ -37,7 +37,7 @@
 
     @Test
     public void sigtermTwiceAndSighupBeforeAndBehindItEndTheProgramInOrder() throws Exception {
-        program = program(configuration(server("w1", one.address(), "ready")));
+        program = program(configuration(workerEntry("w1", workerOne.address(), "ready")));
         discovery.next("GET /api/targets?watch=1&from=41 ");
         for (String signal : new String[] {"HUP", "TERM", "HUP", "TERM"}) {
             send(signal);
@@ -50,7 +50,8 @@
     /** It is held at the start by its configuration, a pipe that the test fills when it likes. */
     @Test(timeout = 60_000) // A pipe that nobody reads from is waited for without end.
     public void signalsThatComeBeforeThereIsADispatcherWaitForIt() throws Exception {
-        Map<String, String> environment = configuration(server("w1", one.address(), "ready"));
+        Map<String, String> environment =
+                configuration(workerEntry("w1", workerOne.address(), "ready"));
         Path file = Path.of(environment.get("ROUTER_CONFIG"));
         String text = Files.readString(file);
         Files.delete(file);
@@ -67,8 +68,9 @@
         }
         assertTrue("it has outlived the signal", line != null);
         Files.writeString(
-                file, text.replace(discovery.address(), two.address())); // The reload reads again.
-        two.next("GET /api/targets ");
+                file,
+                text.replace(discovery.address(), workerTwo.address())); // The reload reads again.
+        workerTwo.next("GET /api/targets ");
         send("KILL");
         program.waitFor();
         program = program(environment);
--- a/daemon/src/test/java/postgrade/daemon/StartTest.java
+++ b/daemon/src/test/java/postgrade/daemon/StartTest.java
@@ -12,12 +12,12 @@
  * What the agent has counts as told from the first moment of a new process; the list known from
  * before may be old.
  */
-public class StartTest extends Stage {
+public class StartTest extends DaemonTestBase {
 
     private void serve(long startMicros) throws Exception {
         daemon =
                 new Daemon(
-                        Config.read(configuration(server("w1", one.address(), "ready"))),
+                        Config.read(configuration(workerEntry("w1", workerOne.address(), "ready"))),
                         null,
                         out -> script = new Script(out),
                         new WatchTimeouts(20_000_000, 20_000_000, startMicros));
@@ -34,14 +34,16 @@
         Arrived watch = discovery.next("GET /api/targets?watch=1&from=41 ");
         assertTrue("it waits in the backlog", script.heard.isEmpty());
         Peer.write(watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        chunk(watch, json(43, false, server("w1", one.address(), "draining")));
+        writeChunk(
+                watch,
+                workerListJson(43, false, workerEntry("w1", workerOne.address(), "draining")));
         script.hears("list DELTA [w1 DRAINING]");
         script.hears("job b1");
         script.hears("finished b1 0 NOT_SENT false");
         assertTrue(
                 "nothing has gone to a worker that was drained before the start",
-                one.nothingArrived());
-        assertEquals("and by now it has no worker", 503, ready());
+                workerOne.nothingArrived());
+        assertEquals("and by now it has no worker", 503, readinessStatus());
         assertEquals(429, Peer.read(consumer).status());
     }
 
@@ -50,7 +52,7 @@
         serve(100_000);
         Socket consumer = post("c1", "price", "15000m");
         script.hears("job c1");
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         callBack("c1", "w1", "done");
         assertEquals(200, Peer.read(consumer).status());
     }
--- a/daemon/src/test/java/postgrade/daemon/StoriesTest.java
+++ b/daemon/src/test/java/postgrade/daemon/StoriesTest.java
@@ -27,16 +27,16 @@
  * Stories over loopback: the whole daemon against scripted peers, one for each thing that goes
  * wrong.
  */
-public class StoriesTest extends Stage {
+public class StoriesTest extends DaemonTestBase {
 
     // ---- The life of a job.
 
     @Test
     public void callBacksMayComeBeforeThe202AndTwiceAndFromStrangers() throws Exception {
-        serve(server("w1", one.address(), "ready"));
-        assertEquals(200, ready());
+        startDaemon(workerEntry("w1", workerOne.address(), "ready"));
+        assertEquals(200, readinessStatus());
         Socket consumer = post("ab12", "price", "15000m");
-        Arrived job = one.next("POST /api?a=b HTTP/1.1\r\n");
+        Arrived job = workerOne.next("POST /api?a=b HTTP/1.1\r\n");
         assertEquals("job", job.body());
         assertEquals("ab12", job.header("X-Request-Id"));
         assertEquals("a stranger's", 204, callBack("ab12", "w9", "done"));
@@ -49,7 +49,8 @@
         assertEquals("made by w1", answer.body());
         job.accept();
         post(consumer, "ab13", "price", "15000m");
-        assertSame("the late 202 frees its connection", job.socket(), one.next("POST").socket());
+        assertSame(
+                "the late 202 frees its connection", job.socket(), workerOne.next("POST").socket());
         assertEquals("late, of an ended call", 204, callBack("ab12", "w1", "failed"));
         callBack("ab13", "w1", "done");
         assertEquals(200, Peer.read(consumer).status());
@@ -61,15 +62,17 @@
      */
     @Test
     public void theConsumersIdempotencyKeyGoesWithEachAttempt() throws Exception {
-        serve(server("w1", one.address(), "ready"), server("w2", one.address(), "ready"));
+        startDaemon(
+                workerEntry("w1", workerOne.address(), "ready"),
+                workerEntry("w2", workerOne.address(), "ready"));
         String head =
                 "POST /api HTTP/1.1\r\nX-Request-Id: i1\r\nX-Class: price\r\nContent-Length: 0\r\n";
         Socket consumer = connect();
         Peer.write(consumer, head + "Idempotency-Key: \"8e03 978e\"\r\n\r\n");
-        Arrived first = one.next("POST");
+        Arrived first = workerOne.next("POST");
         assertEquals("\"8e03 978e\"", first.header("Idempotency-Key"));
         first.reply("503 Full\r\nX-Not-Run: 1", "");
-        assertEquals("\"8e03 978e\"", one.next("POST").header("Idempotency-Key"));
+        assertEquals("\"8e03 978e\"", workerOne.next("POST").header("Idempotency-Key"));
         assertEquals(
                 "two readings",
                 400,
@@ -78,37 +81,41 @@
                                         + "Idempotency-Key: a\r\nIdempotency-Key: b\r\n\r\n")
                         .status());
         post("i3", "price", "15000m");
-        assertNull("where there is none", one.next("POST").header("Idempotency-Key"));
+        assertNull("where there is none", workerOne.next("POST").header("Idempotency-Key"));
     }
 
     @Test
     public void whatIsNotAJobEventIsToldSoAndNothingElseHappens() throws Exception {
-        serve(server("w1", one.address(), "ready"));
+        startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         for (String bad : List.of("", "{", "[]", "{\"id\":1}", "[".repeat(60_000))) {
             assertEquals(bad.length() > 20 ? "deep" : bad, 400, callBack(bad));
         }
-        assertEquals(200, ready());
+        assertEquals(200, readinessStatus());
     }
 
     @Test
     public void aConfirmThatBrokeAfterItsLastByteIsNeverSentAgain() throws Exception {
-        serve(server("w1", one.address(), "ready"), server("w2", one.address(), "ready"));
+        startDaemon(
+                workerEntry("w1", workerOne.address(), "ready"),
+                workerEntry("w2", workerOne.address(), "ready"));
         Socket consumer = post("c1", "confirm", "15000m");
-        one.next("POST").breakOff();
+        workerOne.next("POST").breakOff();
         // Its worker may have taken it all the same, and is asked to drop it first.
-        one.next("DELETE /jobs/c1 ").reply("200 OK", "");
+        workerOne.next("DELETE /jobs/c1 ").reply("200 OK", "");
         assertEquals(502, Peer.read(consumer).status());
-        assertTrue(one.nothingArrived());
+        assertTrue(workerOne.nothingArrived());
     }
 
     @Test
     public void aRefusedConnectionProvesThatNothingRanAndAnotherProviderServes() throws Exception {
-        String closed = two.address();
-        two.close();
-        serve(server("w1", closed, "ready"), server("w2", one.address(), "ready"));
+        String closed = workerTwo.address();
+        workerTwo.close();
+        startDaemon(
+                workerEntry("w1", closed, "ready"),
+                workerEntry("w2", workerOne.address(), "ready"));
         for (int i = 0; i < 6; i++) {
             Socket consumer = post("c" + i, "confirm", "15000m");
-            one.next("POST").accept();
+            workerOne.next("POST").accept();
             callBack("c" + i, "w2", "done");
             assertEquals(200, Peer.read(consumer).status());
         }
@@ -116,7 +123,7 @@
 
     @Test
     public void outcomesFollowTheProtocol() throws Exception {
-        serveScripted(server("w1", one.address(), "ready"));
+        startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
         script.onFinished = (id, outcome) -> script.out.reject(id, 1_500_000_000L);
         String[][] stories = {
@@ -129,13 +136,13 @@
         };
         for (int i = 0; i < stories.length; i++) {
             Socket consumer = post("j" + i, "price", "15000m");
-            Arrived job = one.next("POST");
+            Arrived job = workerOne.next("POST");
             job.reply(stories[i][0], "");
             if (stories[i].length == 3) {
                 callBack("j" + i, "w1", stories[i][1]);
             } else if (i > 0) {
                 // The connection has carried others, whose late answer this may be.
-                one.next("DELETE /jobs/j" + i + " ").reply("200 OK", "");
+                workerOne.next("DELETE /jobs/j" + i + " ").reply("200 OK", "");
             }
             script.hears("job j" + i);
             script.hears("finished j" + i + " 0 " + stories[i][stories[i].length - 1] + " false");
@@ -147,31 +154,33 @@
 
     @Test
     public void withoutAnAnswerTheConsumerHearsAtTheDeadlineAndTheJobIsGivenUp() throws Exception {
-        serve(server("w1", one.address(), "ready"));
+        startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         long start = System.nanoTime();
         Socket consumer = post("t1", "price", "400m");
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         assertEquals(504, Peer.read(consumer).status());
         assertTrue("not before it", System.nanoTime() - start >= 400_000_000L);
-        one.next("DELETE /jobs/t1 ");
+        workerOne.next("DELETE /jobs/t1 ");
     }
 
     @Test
     public void aConsumerThatLeavesHasItsJobGivenUp() throws Exception {
-        serve(server("w1", one.address(), "ready"));
+        startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket consumer = post("g1", "price", "15000m");
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         consumer.close();
-        one.next("DELETE /jobs/g1 ").reply("200 OK", "");
-        assertEquals(200, ready());
+        workerOne.next("DELETE /jobs/g1 ").reply("200 OK", "");
+        assertEquals(200, readinessStatus());
     }
 
     @Test
     public void whatAProviderCannotUseIsFailedAtOnceAndTriedNowhereElse() throws Exception {
-        serveScripted(server("w1", one.address(), "ready"), server("w2", two.address(), "ready"));
+        startWithScriptedPolicy(
+                workerEntry("w1", workerOne.address(), "ready"),
+                workerEntry("w2", workerTwo.address(), "ready"));
         script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
         Socket consumer = post("b1", "price", "15000m");
-        one.next("POST").reply("400 Bad Request", "");
+        workerOne.next("POST").reply("400 Bad Request", "");
         assertEquals(502, Peer.read(consumer).status());
         script.hears("job b1");
         script.hears("finished b1 0 CANCELLED true");
@@ -179,7 +188,7 @@
 
     @Test
     public void whoRepeatsWhatWasTurnedAwayIsReadFromAgainAtTheNextSweepOnly() throws Exception {
-        serve(server("w1", one.address(), "ready"));
+        startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket s = post("m1", "no class", "1m");
         assertEquals(400, Peer.read(s).status());
         long start = System.nanoTime();
@@ -189,7 +198,7 @@
         }
         assertTrue("4 sweeps, the first under way", System.nanoTime() - start > 3 * 40_000_000L);
         post(s, "m2", "price", "15000m");
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         callBack("m2", "w1", "done");
         assertEquals(200, Peer.read(s).status());
     }
@@ -198,35 +207,37 @@
 
     @Test
     public void aCallIsEndedForTheModuleOnlyOnceItsDeleteIsAnswered() throws Exception {
-        serveScripted(server("w1", one.address(), "ready"), server("w2", two.address(), "ready"));
+        startWithScriptedPolicy(
+                workerEntry("w1", workerOne.address(), "ready"),
+                workerEntry("w2", workerTwo.address(), "ready"));
         script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
         script.onStarted = (id, attempt) -> script.out.cancelAttempt(id, attempt);
         script.onFinished = (id, outcome) -> script.out.startAttempt(id, "w2", 0);
         Socket consumer = post("x1", "price", "15000m");
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         callBack("x1", "w1", "started");
-        Arrived delete = one.next("DELETE /jobs/x1 ");
+        Arrived delete = workerOne.next("DELETE /jobs/x1 ");
         script.hears("job x1");
         script.hears("started x1 0");
-        ready(); // Turns of the loop pass.
-        assertTrue(script.heard.isEmpty() && two.nothingArrived());
+        readinessStatus(); // Turns of the loop pass.
+        assertTrue(script.heard.isEmpty() && workerTwo.nothingArrived());
         delete.reply("200 OK", "");
         script.hears("finished x1 0 CANCELLED false");
-        two.next("POST").accept();
+        workerTwo.next("POST").accept();
         callBack("x1", "w2", "done");
         assertEquals("made by w2", Peer.read(consumer).body());
     }
 
     @Test
     public void aCallThatIsNotYetTakenIsGivenUpByClosingAndADelete() throws Exception {
-        serveScripted(server("w1", one.address(), "ready"));
+        startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
         script.onStarted = (id, attempt) -> script.out.cancelAttempt(id, attempt);
         post("x2", "price", "15000m");
-        Arrived job = one.next("POST");
+        Arrived job = workerOne.next("POST");
         callBack("x2", "w1", "started");
-        assertSame(job.socket(), one.nextEnd());
-        one.next("DELETE /jobs/x2 ").reply("404 Not Found", "");
+        assertSame(job.socket(), workerOne.nextEnd());
+        workerOne.next("DELETE /jobs/x2 ").reply("404 Not Found", "");
         script.hears("job x2");
         script.hears("started x2 0");
         script.hears("finished x2 0 CANCELLED false");
@@ -234,14 +245,14 @@
 
     @Test
     public void aDeleteThatIsCutOffIsSentAgainBeforeTheModuleHears() throws Exception {
-        serveScripted(server("w1", one.address(), "ready"));
+        startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
         script.onStarted = (id, attempt) -> script.out.cancelAttempt(id, attempt);
         post("y1", "price", "15000m");
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         callBack("y1", "w1", "started");
-        one.next("DELETE /jobs/y1 ").breakOff();
-        Arrived again = one.next("DELETE /jobs/y1 ");
+        workerOne.next("DELETE /jobs/y1 ").breakOff();
+        Arrived again = workerOne.next("DELETE /jobs/y1 ");
         script.hears("job y1");
         script.hears("started y1 0");
         assertTrue(script.heard.isEmpty());
@@ -251,33 +262,35 @@
 
     @Test
     public void aSecondCallBesideOneThatIsOutIsNotSent() throws Exception {
-        serveScripted(server("w1", one.address(), "ready"), server("w2", two.address(), "ready"));
+        startWithScriptedPolicy(
+                workerEntry("w1", workerOne.address(), "ready"),
+                workerEntry("w2", workerTwo.address(), "ready"));
         script.onJob =
                 job -> {
                     script.out.startAttempt(job.id(), "w1", 0);
                     script.out.startAttempt(job.id(), "w2", 0);
                 };
         post("d1", "price", "15000m");
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         script.hears("job d1");
         script.hears("finished d1 1 NOT_SENT false");
-        assertTrue(two.nothingArrived());
+        assertTrue(workerTwo.nothingArrived());
     }
 
     @Test
     public void aLateCallBackOfAnEarlierCallToTheSameProviderDoesNotFreeTheNext() throws Exception {
-        serveScripted(server("w1", one.address(), "ready"));
+        startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
         post("e1", "price", "15000m");
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         script.hears("job e1");
         script.onFinished = (id, outcome) -> script.out.startAttempt(id, "w1", 0);
         callBack("e1", "w1", "returned");
         script.hears("finished e1 0 FULL false");
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         script.onFinished = (id, outcome) -> {};
         callBack("e1", "w1", "returned");
-        one.next("DELETE /jobs/e1 ").reply("200 OK", "");
+        workerOne.next("DELETE /jobs/e1 ").reply("200 OK", "");
         script.hears("finished e1 1 RESET false");
     }
 
@@ -291,39 +304,39 @@
                 sockets.add(new Socket(deaf.getInetAddress(), deaf.getLocalPort()));
             }
             String address = "127.0.0.1:" + deaf.getLocalPort();
-            serveScripted(server("w1", address, "ready"));
+            startWithScriptedPolicy(workerEntry("w1", address, "ready"));
             script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
             post("w1", "price", "15000m");
             script.hears("job w1");
-            watched(json(42, false, server("w1", address, "draining")));
+            answerWatch(workerListJson(42, false, workerEntry("w1", address, "draining")));
             script.hears("list DELTA [w1 DRAINING]");
             script.hears("finished w1 0 NOT_SENT false");
-            assertEquals("no provider is left", 503, ready());
+            assertEquals("no provider is left", 503, readinessStatus());
         }
     }
 
     @Test
     public void aWatchThatEndsOrFallsSilentIsOpenedAgainFromTheLastVersion() throws Exception {
-        serveScripted(server("w1", one.address(), "ready"));
-        watched(json(43, false, server("w2", two.address(), "ready")));
+        startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
+        answerWatch(workerListJson(43, false, workerEntry("w2", workerTwo.address(), "ready")));
         script.hears("list DELTA [w2 READY]");
         Arrived again =
                 discovery.next("GET /api/targets?watch=1&from=43 "); // Silent after its line.
         again.breakOff();
         again = discovery.next("GET /api/targets?watch=1&from=43 ");
         Peer.write(again.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        chunk(again, "no JSON");
+        writeChunk(again, "no JSON");
         again = discovery.next("GET /api/targets?watch=1&from=43 ");
         Peer.write(again.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        chunk(
+        writeChunk(
                 again,
-                json(
+                workerListJson(
                         50,
                         true,
-                        server("", two.address(), "ready"),
-                        server("w2", two.address(), "ready"),
-                        server("w3", "nowhere", "ready"),
-                        server("w4", one.address(), "never heard of")));
+                        workerEntry("", workerTwo.address(), "ready"),
+                        workerEntry("w2", workerTwo.address(), "ready"),
+                        workerEntry("w3", "nowhere", "ready"),
+                        workerEntry("w4", workerOne.address(), "never heard of")));
         script.hears(
                 "list FULL [w2 READY, w4 DRAINING]"); // Entries that cannot be read hide no others.
         script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
@@ -334,17 +347,19 @@
 
     @Test
     public void withoutAnyKnownProviderItIsNotReadyUntilDiscoveryHasNamedOne() throws Exception {
-        serveScripted();
-        assertEquals(503, ready());
-        watched(json(42, true, server("w1", one.address(), "ready")));
+        startWithScriptedPolicy();
+        assertEquals(503, readinessStatus());
+        answerWatch(workerListJson(42, true, workerEntry("w1", workerOne.address(), "ready")));
         script.hears("list FULL [w1 READY]");
-        assertEquals(200, ready());
+        assertEquals(200, readinessStatus());
     }
 
     @Test
     public void aMovedWatchTakesTheWholeListAndHearsTheFormerAddressUntilThen() throws Exception {
         Path file =
-                Path.of(configuration(server("w1", one.address(), "ready")).get("ROUTER_CONFIG"));
+                Path.of(
+                        configuration(workerEntry("w1", workerOne.address(), "ready"))
+                                .get("ROUTER_CONFIG"));
         daemon =
                 new Daemon(
                         Config.read(Map.of("ROUTER_CONFIG", file.toString())),
@@ -360,16 +375,22 @@
                     file, Files.readString(file).replace(discovery.address(), next.address()));
             daemon.reload();
             Arrived whole = next.next("GET /api/targets ");
-            chunk(former, json(42, false, server("w2", two.address(), "ready")));
+            writeChunk(
+                    former,
+                    workerListJson(42, false, workerEntry("w2", workerTwo.address(), "ready")));
             script.hears("list DELTA [w2 READY]");
-            assertEquals("served from the known list", 200, ready());
-            whole.reply("200 OK", json(7, true, server("w2", two.address(), "draining")));
+            assertEquals("served from the known list", 200, readinessStatus());
+            whole.reply(
+                    "200 OK",
+                    workerListJson(7, true, workerEntry("w2", workerTwo.address(), "draining")));
             script.hears("list FULL [w2 DRAINING]");
             assertSame("the former watch is ended", former.socket(), discovery.nextEnd());
             Arrived watch = next.next("GET /api/targets?watch=1&from=7 ");
             assertSame(whole.socket(), watch.socket());
             Peer.write(watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            chunk(watch, json(8, false, server("w2", two.address(), "ready")));
+            writeChunk(
+                    watch,
+                    workerListJson(8, false, workerEntry("w2", workerTwo.address(), "ready")));
             script.hears("list DELTA [w2 READY]");
             watch.breakOff();
             next.next("GET /api/targets?watch=1&from=8 ");
@@ -381,7 +402,7 @@
 
     @Test
     public void badInputIsAnsweredAndEndsItsConnectionAlone() throws Exception {
-        serve(server("w1", one.address(), "ready"));
+        startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         String post = "POST /api HTTP/1.1\r\n";
         String[][] stories = {
             {"NONSENSE\r\n\r\n", "400"},
@@ -439,16 +460,16 @@
                 Peer.read(post("i1\r\nX-Extras: slots=-4", "price", "15000m")).status());
         assertEquals(404, exchange("GET /other HTTP/1.1\r\n\r\n").status());
         assertEquals(405, exchange("GET /api HTTP/1.1\r\n\r\n").status());
-        assertEquals(200, ready());
-        assertTrue("nothing of it went further", one.nothingArrived());
+        assertEquals(200, readinessStatus());
+        assertTrue("nothing of it went further", workerOne.nothingArrived());
     }
 
     @Test
     public void whoSaysNothingOrNeverEndsIsTurnedAwayWithin3sOfConnectingAndKeptConnectionsStay()
             throws Exception {
-        serve(server("w1", one.address(), "ready"));
+        startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket kept = post("o1", "price", "15000m");
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         callBack("o1", "w1", "done");
         Peer.read(kept);
         long start = System.nanoTime();
@@ -460,7 +481,7 @@
         assertEquals(-1, silent.getInputStream().read());
         assertTrue("within 3 s", System.nanoTime() - start < 3_000_000_000L);
         post(kept, "o2", "price", "15000m");
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         callBack("o2", "w1", "done");
         assertEquals(200, Peer.read(kept).status());
     }
@@ -472,7 +493,7 @@
     @Test
     public void aJobThatComesOnInPiecesIsTakenHoweverSlowlyAndOneThatNeverEndsIsNot()
             throws Exception {
-        serve(server("w1", one.address(), "ready"));
+        startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket trickles = connect();
         Socket slow = connect();
         slow.setTcpNoDelay(true);
@@ -494,14 +515,14 @@
                 assertTrue("still open", System.nanoTime() - start < 15_000_000_000L);
             }
         }
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         callBack("s1", "w1", "done");
         assertEquals(200, Peer.read(slow).status());
     }
 
     @Test
     public void anErrorOverBytesThatNobodyReadsIsNotLost() throws Exception {
-        serve(server("w1", one.address(), "ready"));
+        startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket s = connect();
         Peer.write(
                 s, "POST /api HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n" + "x".repeat(4 << 20));
@@ -511,28 +532,28 @@
 
     @Test
     public void anIdOpenElsewhereAndBytesBeyondARequestDisturbNobodyElse() throws Exception {
-        serve(server("w1", one.address(), "ready"));
+        startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket owner = post("ab", "price", "15000m");
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         Socket thief = post("ab", "price", "15000m");
         assertEquals(409, Peer.read(thief).status());
         thief.close();
         Socket longer = post("ac", "price", "15000m");
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         Peer.write(longer, "and more than its length");
         assertEquals(400, Peer.read(longer).status());
-        one.next("DELETE /jobs/ac ").reply("200 OK", "");
+        workerOne.next("DELETE /jobs/ac ").reply("200 OK", "");
         callBack("ab", "w1", "done");
         assertEquals("made by w1", Peer.read(owner).body());
     }
 
     @Test
     public void hundredsThatSayNothingOrAskOnceAndStayCostNoUsualConnection() throws Exception {
-        descriptors = 96; // 64 for sockets, 48 of them for accepted ones.
-        serve(server("w1", one.address(), "ready"));
+        descriptorLimit = 96; // 64 for sockets, 48 of them for accepted ones.
+        startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket usual = post("u0", "price", "15000m");
         for (int i = 0; i < 4; i++) {
-            one.next("POST").accept();
+            workerOne.next("POST").accept();
             callBack("u" + i, "w1", "done");
             assertEquals(200, Peer.read(usual).status());
             for (int j = 0; i > 0 && j < 60; j++) { // Once the usual one is past its probation.
@@ -543,16 +564,16 @@
             }
             post(usual, "u" + (i + 1), "price", "15000m");
         }
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         Socket fresh = post("n0", "price", "15000m");
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         callBack("n0", "w1", "done");
         assertEquals(200, Peer.read(fresh).status());
     }
 
     @Test
     public void aConsumerThatAsksBeforeItsBodyIsToldToGoOn() throws Exception {
-        serve(server("w1", one.address(), "ready"));
+        startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket consumer = connect();
         Peer.write(
                 consumer,
@@ -560,23 +581,23 @@
                         + "Expect: 100-continue\r\n\r\n");
         assertEquals(100, Peer.read(consumer).status());
         Peer.write(consumer, "job");
-        assertEquals("job", one.next("POST").body());
+        assertEquals("job", workerOne.next("POST").body());
         callBack("q1", "w1", "done");
         assertEquals(200, Peer.read(consumer).status());
     }
 
     @Test
     public void bytesOfAProviderThatNobodyAskedForAreNotTheNextAnswer() throws Exception {
-        serve(server("w1", one.address(), "ready"));
+        startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket consumer = post("u1", "price", "15000m");
-        Arrived first = one.next("POST");
+        Arrived first = workerOne.next("POST");
         Peer.write(first.socket(), "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
         callBack("u1", "w1", "done");
         Peer.read(consumer);
         Peer.write(first.socket(), "HTTP/1.1 500 ");
-        assertSame("its connection ends", first.socket(), one.nextEnd());
+        assertSame("its connection ends", first.socket(), workerOne.nextEnd());
         post(consumer, "u2", "price", "15000m");
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         callBack("u2", "w1", "done");
         assertEquals(200, Peer.read(consumer).status());
     }
@@ -584,8 +605,8 @@
     @Test
     public void beyondTheMostHeldAJobIsRejectedAtOnceAndAnIdHeldAlreadyIsAConflict()
             throws Exception {
-        held = 1;
-        serveScripted(server("w1", one.address(), "ready"));
+        maxHeldJobs = 1;
+        startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         post("h1", "price", "15000m");
         script.hears("job h1");
         assertEquals(409, Peer.read(post("h1", "price", "15000m")).status());
@@ -595,8 +616,8 @@
     @Test
     public void beyondTheBytesThatTheHeapCanHoldLargeJobsAreRejectedAndSmallOnesTaken()
             throws Exception {
-        held = 1000;
-        serveScripted(server("w1", one.address(), "ready"));
+        maxHeldJobs = 1000;
+        startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         String large =
                 "POST /api HTTP/1.1\r\nX-Class: price\r\nContent-Length: 65536\r\nX-Request-Id: ";
         int most = (24 << 20) / 65536;
@@ -617,7 +638,7 @@
 
     @Test
     public void aJobThatTheModuleStumblesOverOrForgetsIsAnswered() throws Exception {
-        serveScripted(server("w1", one.address(), "ready"));
+        startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         post("f0", "price", "300m");
         assertEquals("forgotten", 429, Peer.read(sockets.get(0)).status());
         script.onJob =
@@ -625,31 +646,31 @@
                     throw new IllegalStateException("scripted");
                 };
         assertEquals(429, Peer.read(post("f1", "price", "15000m")).status());
-        assertEquals(200, ready());
+        assertEquals(200, readinessStatus());
     }
 
     @Test
     public void idleConnectionsAreRetiredBeforeTheirProviderClosesThem() throws Exception {
         idleNs = 300_000_000L;
-        serve(server("w1", one.address(), "ready"));
+        startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket consumer = post("r1", "price", "15000m");
-        Arrived first = one.next("POST");
+        Arrived first = workerOne.next("POST");
         first.accept();
         callBack("r1", "w1", "done");
         Peer.read(consumer);
-        assertSame(first.socket(), one.nextEnd());
+        assertSame(first.socket(), workerOne.nextEnd());
         post(consumer, "r2", "price", "15000m");
-        Arrived second = one.next("POST");
+        Arrived second = workerOne.next("POST");
         assertNotSame(first.socket(), second.socket());
     }
 
     @Test
     public void aConnectionThatBrokeAfterIdlenessShortensHowLongOthersAreKept() throws Exception {
-        serve(server("w1", one.address(), "ready"));
+        startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket consumer = post("v1", "price", "15000m");
-        Arrived first = one.next("POST");
+        Arrived first = workerOne.next("POST");
         Socket other = post("v2", "price", "15000m");
-        Arrived second = one.next("POST");
+        Arrived second = workerOne.next("POST");
         first.accept();
         second.accept();
         callBack("v1", "w1", "done");
@@ -660,12 +681,12 @@
                 400); // The idleness itself: without the guard the other connection is kept for 6
         // s.
         post(consumer, "v3", "confirm", "15000m");
-        Arrived broken = one.next("POST");
+        Arrived broken = workerOne.next("POST");
         broken.breakOff();
-        one.next("DELETE /jobs/v3 ").reply("200 OK", "");
+        workerOne.next("DELETE /jobs/v3 ").reply("200 OK", "");
         assertEquals("it may have run", 502, Peer.read(consumer).status());
         post(other, "v4", "confirm", "15000m");
-        Arrived fresh = one.next("POST");
+        Arrived fresh = workerOne.next("POST");
         assertNotSame(first.socket(), fresh.socket());
         assertNotSame(second.socket(), fresh.socket());
         fresh.accept();
@@ -675,29 +696,29 @@
 
     @Test
     public void aConnectionThatEndedWhileIdleCostsTheNextJobNothing() throws Exception {
-        serve(server("w1", one.address(), "ready"));
+        startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket consumer = post("k1", "confirm", "15000m");
-        Arrived first = one.next("POST");
+        Arrived first = workerOne.next("POST");
         first.accept();
         callBack("k1", "w1", "done");
         Peer.read(consumer);
         first.socket()
                 .shutdownOutput(); // Arrives at once; a close waits for the thread that reads.
         post(consumer, "k2", "confirm", "15000m");
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         callBack("k2", "w1", "done");
         assertEquals(200, Peer.read(consumer).status());
     }
 
     @Test
     public void whenSocketsAreShortIdleConnectionsMakeRoom() throws Exception {
-        descriptors = 96; // 64 for sockets, 48 of them for accepted ones.
-        serve(server("w1", one.address(), "ready"));
+        descriptorLimit = 96; // 64 for sockets, 48 of them for accepted ones.
+        startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         for (int i = 0; i < 80; i++) {
             connect();
         }
         Socket consumer = post("s1", "price", "15000m");
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         callBack("s1", "w1", "done");
         assertEquals(200, Peer.read(consumer).status());
         assertEquals("the oldest was closed", -1, sockets.get(0).getInputStream().read());
@@ -707,21 +728,21 @@
 
     @Test
     public void anOrderlyStopServesWhatStillComesAndAnswersAllThatWasTaken() throws Exception {
-        serve(server("w1", one.address(), "ready"));
+        startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket before = post("p1", "price", "15000m");
-        one.next("POST").accept();
-        Thread stop = stopping(daemon);
-        while (ready() == 200) {
+        workerOne.next("POST").accept();
+        Thread stop = stopInBackground(daemon);
+        while (readinessStatus() == 200) {
             Thread.onSpinWait();
         }
         Socket after = post("p2", "price", "15000m");
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         assertEquals(204, callBack("p2", "w1", "done"));
         assertEquals(200, Peer.read(after).status());
         TimeUnit.SECONDS.timedJoin(stop, 1);
         assertTrue("one is still owed", stop.isAlive());
         Socket early = connect(); // A call-back whose connection is there before its bytes are.
-        assertEquals(503, ready());
+        assertEquals(503, readinessStatus());
         Thread.sleep(
                 3
                         * Daemon.STOP_CHECK_MICROS
@@ -735,26 +756,26 @@
                         + done);
         assertEquals(204, Peer.read(early).status());
         assertEquals(200, Peer.read(before).status());
-        ended(stop);
+        awaitStopped(stop);
     }
 
     @Test
     public void aStopServesOnAndInTheEndAnswersWhatCameTooLateToBeServed() throws Exception {
-        serveScripted(server("w1", one.address(), "ready"));
+        startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
         Socket kept = post("z1", "price", "15000m");
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         callBack("z1", "w1", "done");
         Peer.read(kept);
         long start = System.nanoTime();
-        Thread stop = stopping(daemon);
-        while (ready() == 200) {
+        Thread stop = stopInBackground(daemon);
+        while (readinessStatus() == 200) {
             Thread.onSpinWait();
         }
         while (System.nanoTime() - start
                 < 1_000_000_000L) { // Later than what SIGKILL may find unanswered.
             post(kept, "z2" + System.nanoTime(), "price", "15000m");
-            Arrived job = one.next("POST");
+            Arrived job = workerOne.next("POST");
             job.accept();
             callBack(job.header("X-Request-Id"), "w1", "done");
             Arrived answer = Peer.read(kept);
@@ -762,23 +783,25 @@
             assertNull("on a connection that stays", answer.header("Connection"));
         }
         post(kept, "z3", "confirm", "6000m");
-        one.next("POST").accept();
+        workerOne.next("POST").accept();
         assertEquals(502, Peer.read(kept).status());
-        one.next("DELETE /jobs/z3 ").reply("200 OK", "");
-        ended(stop);
+        workerOne.next("DELETE /jobs/z3 ").reply("200 OK", "");
+        awaitStopped(stop);
     }
 
     @Test
     public void theProgramReloadsOnSighupEndsInOrderOnSigtermAndNamesAFaultyKey() throws Exception {
-        Map<String, String> good = configuration(server("w1", one.address(), "ready"));
+        Map<String, String> good = configuration(workerEntry("w1", workerOne.address(), "ready"));
         Process p = program(good);
         discovery.next("GET /api/targets?watch=1&from=41 ");
-        hangUp(p, good, discovery.address(), two.address());
-        Arrived asked = two.next("GET /api/targets ");
+        hangUp(p, good, discovery.address(), workerTwo.address());
+        Arrived asked = workerTwo.next("GET /api/targets ");
         hangUp(p, good, "discovery", "nowhere"); // Faulty.
         while (!asked.head().startsWith("GET /api/targets?watch=1&from=1 ")) {
-            asked.reply("200 OK", json(1, true, server("w1", one.address(), "ready")));
-            asked = two.next("GET /api/targets"); // Again where the reply was late on a slow
+            asked.reply(
+                    "200 OK",
+                    workerListJson(1, true, workerEntry("w1", workerOne.address(), "ready")));
+            asked = workerTwo.next("GET /api/targets"); // Again where the reply was late on a slow
             // machine.
         }
         p.toHandle().destroy(); // SIGTERM; the process object itself would close its log too.
@@ -800,7 +823,7 @@
         try {
             Config.read(Map.of());
             fail("nothing was configured");
-        } catch (Config.Faulty e) {
+        } catch (Config.InvalidConfigException e) {
             assertEquals("ROUTER_CONFIG: not set", e.getMessage());
         }
     }
@@ -811,7 +834,7 @@
      */
     @Test
     public void aProgramThatIsStartedWithSighupIgnoredSaysThatItCannotReadAgain() throws Exception {
-        Map<String, String> good = configuration(server("w1", one.address(), "ready"));
+        Map<String, String> good = configuration(workerEntry("w1", workerOne.address(), "ready"));
         Process p = program(good, "sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
         try (BufferedReader log = new BufferedReader(new InputStreamReader(p.getErrorStream()))) {
             String line = log.readLine();
--- a/daemon/src/test/java/postgrade/daemon/SystemCallsTest.java
+++ b/daemon/src/test/java/postgrade/daemon/SystemCallsTest.java
@@ -19,7 +19,7 @@
 import postgrade.policy.api.AttemptOutcome;
 
 /** System calls that fail for a moment, are short or return early, at each point of a job's way. */
-public class SystemCallsTest extends Stage {
+public class SystemCallsTest extends DaemonTestBase {
 
     private static final List<Failure> OUR_OWN_WANTS =
             List.of(
@@ -33,8 +33,8 @@
     @Before
     public void startTurns() throws Exception {
         turns = new Turns(Config.read(configuration()), 512, calls);
-        turns.provider("w1", one);
-        turns.provider("w2", two);
+        turns.provider("w1", workerOne);
+        turns.provider("w2", workerTwo);
         turns.script.onJob = job -> turns.script.out.startAttempt(job.id(), "w1", 0);
     }
 
@@ -88,7 +88,7 @@
                 Socket client = turns.post(id);
                 turns.script.hears("job " + id);
                 turns.script.hears("finished " + id + " 0 NO_SOCKET false");
-                isServed(id, client, two, "w2");
+                isServed(id, client, workerTwo, "w2");
                 turns.script.hears("finished " + id + " 1 SERVED true");
             }
         }
@@ -111,7 +111,7 @@
         Socket client = turns.post("s1");
         turns.script.hears("job s1");
         calls.fail(Call.SELECT, 3, () -> new IOException("Interrupted system call"));
-        isServed("s1", client, one, "w1");
+        isServed("s1", client, workerOne, "w1");
         assertEquals(0, calls.left(Call.SELECT));
     }
 
@@ -122,9 +122,9 @@
         calls.fail(Call.ACCEPT, 3, () -> new IOException("Too many open files in system"));
         Socket waits = turns.post("a2");
         isServed(
-                "a1", before, one,
+                "a1", before, workerOne,
                 "w1"); // Its call-back comes on a connection that waits behind the other.
-        isServed("a2", waits, one, "w1");
+        isServed("a2", waits, workerOne, "w1");
         assertEquals(0, calls.left(Call.ACCEPT));
     }
 
@@ -135,15 +135,15 @@
         calls.fail(Call.ACCEPT, 3, () -> new IOException("Too many open files"));
         Socket second = turns.post("d2");
         turns.on(turns.ending::begin);
-        isServed("d1", first, one, "w1");
-        isServed("d2", second, one, "w1");
+        isServed("d1", first, workerOne, "w1");
+        isServed("d2", second, workerOne, "w1");
     }
 
     @Test
     public void readsAndWritesOfOneByteEachCarryAJobWhole() throws Exception {
         calls.moveOneByteAtATime();
         Socket client = turns.post("b1");
-        isServed("b1", client, one, "w1");
+        isServed("b1", client, workerOne, "w1");
     }
 
     /** Its time runs from when it was sent. */
@@ -152,13 +152,13 @@
         Socket client = turns.connect();
         turns.turn(); // It is accepted and watched.
         turns.crossing(300, () -> Turns.post(client, "u1"), () -> {});
-        assertTellsAtMost(14_700_000, one.next("POST"));
+        assertTellsAtMost(14_700_000, workerOne.next("POST"));
     }
 
     @Test
     public void neitherDoesOneThatWaitedInTheBacklogTellMore() throws Exception {
         turns.crossing(300, () -> turns.post("u2"), () -> {});
-        assertTellsAtMost(14_700_000, one.next("POST"));
+        assertTellsAtMost(14_700_000, workerOne.next("POST"));
     }
 
     private static void assertTellsAtMost(long micros, Arrived attempt) {
--- a/daemon/src/test/java/postgrade/daemon/Turns.java
+++ b/daemon/src/test/java/postgrade/daemon/Turns.java
@@ -22,7 +22,7 @@
 import postgrade.lifecycle.Lifecycle;
 import postgrade.provider.ProviderPools;
 import postgrade.provider.Target;
-import postgrade.upgrade.Upgrade;
+import postgrade.upgrade.UpgradeCoordinator;
 
 /**
  * The loop with all that serves clients, and a hook into one of its turns: while the loop is held,
@@ -37,12 +37,12 @@
     }
 
     final Lifecycle lifecycle = new Lifecycle();
-    final Loop loop;
+    final EventLoop loop;
     final Script script;
     final RequestTracker gateway;
     final ProviderPools providers;
     final Listener listener;
-    final Ending ending;
+    final ShutdownSequence ending;
     private final List<Socket> sockets = new ArrayList<>();
     private final Thread thread;
 
@@ -57,7 +57,7 @@
     }
 
     Turns(Config config, int places, SystemCalls systemCalls) throws IOException {
-        loop = new Loop(new SocketBudget(places), config.clock, systemCalls);
+        loop = new EventLoop(new SocketBudget(places), config.clock, systemCalls);
         Script[] made = new Script[1];
         gateway =
                 new RequestTracker(
@@ -69,9 +69,9 @@
         script = made[0];
         providers =
                 new ProviderPools(
-                        gateway, loop, loop, config.connectTimeoutMicros, config.idleMicros);
+                        gateway, loop, loop, config.connectTimeoutMicros, config.idleTimeoutMicros);
         gateway.connectTransport(providers);
-        Upgrade alone = new Upgrade(null, config.name, loop, loop, null);
+        UpgradeCoordinator alone = new UpgradeCoordinator(null, config.name, loop, loop, null);
         listener =
                 new Listener(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
@@ -85,7 +85,7 @@
                         loop,
                         loop);
         ending =
-                new Ending(
+                new ShutdownSequence(
                         loop, lifecycle, gateway, providers, listener, alone, null, () -> config);
         lifecycle.started();
         thread = new Thread(this::run, "loop");
@@ -109,9 +109,9 @@
     private void run() {
         try {
             loop.run(
-                    new Loop.Turn() {
+                    new EventLoop.IterationHandler() {
                         @Override
-                        public void take() {
+                        public void runBatch() {
                             gateway.runBatch();
                             if (noted != null) {
                                 noted.countDown();
@@ -120,7 +120,7 @@
                         }
 
                         @Override
-                        public boolean pending() {
+                        public boolean hasPendingWork() {
                             return gateway.hasPendingEvents();
                         }
                     });
@@ -146,7 +146,7 @@
     /** Runs something on the loop and waits for it. */
     void on(Runnable task) throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
-        loop.ask(
+        loop.execute(
                 () -> {
                     task.run();
                     done.countDown();
@@ -162,13 +162,13 @@
     void crossing(long holdMillis, Io whileHeld, Io afterSelect) throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
         Throwable[] failed = new Throwable[1];
-        loop.ask(
+        loop.execute(
                 () ->
                         loop.at(
                                 loop.nowMicros(),
                                 () -> {
                                     held(holdMillis, whileHeld, failed);
-                                    loop.ask(
+                                    loop.execute(
                                             () -> {
                                                 held(0, afterSelect, failed);
                                                 noted = done;
@@ -197,7 +197,7 @@
     void turn() throws InterruptedException {
         for (int i = 0; i < 2; i++) { // The first may be under way.
             CountDownLatch done = new CountDownLatch(1);
-            loop.ask(() -> noted = done);
+            loop.execute(() -> noted = done);
             assertTrue(done.await(Peer.PATIENCE_S, TimeUnit.SECONDS));
         }
     }
@@ -221,12 +221,12 @@
     }
 
     static void post(Socket s, String id) {
-        Stage.post(s, id, "price", "15000m");
+        DaemonTestBase.post(s, id, "price", "15000m");
     }
 
     @Override
     public void close() throws IOException {
-        loop.ask(loop::stop);
+        loop.execute(loop::stop);
         for (Socket s : sockets) {
             s.close();
         }
--- a/daemon/src/test/java/postgrade/daemon/UnsentTest.java
+++ b/daemon/src/test/java/postgrade/daemon/UnsentTest.java
@@ -9,7 +9,7 @@
 import org.junit.Test;
 
 /** A request that was never sent on is refused, however it ends: trying again is harmless. */
-public class UnsentTest extends Stage {
+public class UnsentTest extends DaemonTestBase {
 
     private void refused(Socket consumer) throws Exception {
         assertEquals(429, Peer.read(consumer).status());
@@ -17,7 +17,7 @@
 
     @Test
     public void whatTheModuleFailsOrStumblesOverWithoutASendIsRefused() throws Exception {
-        serveScripted(server("w1", one.address(), "ready"));
+        startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob =
                 job -> {
                     if (job.id().equals("f1")) {
@@ -37,7 +37,7 @@
             for (int i = 0; i < 2; i++) {
                 sockets.add(new Socket(deaf.getInetAddress(), deaf.getLocalPort()));
             }
-            serveScripted(server("w1", "127.0.0.1:" + deaf.getLocalPort(), "ready"));
+            startWithScriptedPolicy(workerEntry("w1", "127.0.0.1:" + deaf.getLocalPort(), "ready"));
             script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
             script.onFinished = (id, outcome) -> script.out.fail(id);
             Socket consumer = post("d1", "confirm", "300m");
@@ -64,7 +64,7 @@
      */
     @Test
     public void aCallWhoseConnectionComesUpBehindItsWindowIsNotWritten() throws Exception {
-        serveScripted(server("w1", one.address(), "ready"));
+        startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob =
                 job ->
                         script.out.startAttempt(
@@ -77,21 +77,23 @@
                 job -> script.out.startAttempt(job.id(), "w1", 0, TimeUnit.MINUTES.toNanos(1));
         post("k2", "price", "15000m");
         assertEquals(
-                "the first one left nothing behind", "k2", one.next("POST").header("X-Request-Id"));
+                "the first one left nothing behind",
+                "k2",
+                workerOne.next("POST").header("X-Request-Id"));
     }
 
     @Test
     public void whatAWorkerHasHadMayHaveRunAndIsFailed() throws Exception {
-        serveScripted(server("w1", one.address(), "ready"));
+        startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
         script.onFinished = (id, outcome) -> script.out.fail(id);
         Socket consumer = post("s1", "confirm", "300m");
-        one.next("POST"); // Silent on it.
+        workerOne.next("POST"); // Silent on it.
         assertEquals(504, Peer.read(consumer).status());
-        one.next("DELETE /jobs/s1 ").reply("200 OK", "");
+        workerOne.next("DELETE /jobs/s1 ").reply("200 OK", "");
         consumer = post("s2", "confirm", "15000m");
-        one.next("POST").breakOff();
-        one.next("DELETE /jobs/s2 ").reply("200 OK", "");
+        workerOne.next("POST").breakOff();
+        workerOne.next("DELETE /jobs/s2 ").reply("200 OK", "");
         script.hearsAmongOthers("job s1");
         script.hearsAmongOthers("finished s1 0 TIMEOUT false");
         script.hearsAmongOthers("job s2");
@@ -103,8 +105,8 @@
     @Test
     public void aConnectionThatFindsNoPlaceWaitsUnharmedAndIsServedOnceThereIsOne()
             throws Exception {
-        descriptors = 96; // 64 for sockets, 48 of them for accepted ones and the watch.
-        serveScripted(server("w1", one.address(), "ready"));
+        descriptorLimit = 96; // 64 for sockets, 48 of them for accepted ones and the watch.
+        startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> {};
         for (int i = 0; i < 47; i++) {
             post("busy" + i, "price", "15000m");
@@ -114,7 +116,10 @@
         Peer.Arrived watch = discovery.next("GET /api/targets?watch=1&from=41 ");
         Peer.write(watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         for (int turn = 0; turn < 2; turn++) { // By the second one the listener has come to it.
-            chunk(watch, json(42 + turn, false, server("w2", two.address(), "ready")));
+            writeChunk(
+                    watch,
+                    workerListJson(
+                            42 + turn, false, workerEntry("w2", workerTwo.address(), "ready")));
             script.hearsAmongOthers("list DELTA [w2 READY]");
         }
         script.onJob =
--- a/daemon/src/test/java/postgrade/daemon/UpgradeTest.java
+++ b/daemon/src/test/java/postgrade/daemon/UpgradeTest.java
@@ -25,7 +25,7 @@
 import postgrade.daemon.Peer.Arrived;
 
 /** A new version starts beside the running one and takes its place. */
-public class UpgradeTest extends Stage {
+public class UpgradeTest extends DaemonTestBase {
 
     /** An address of its own, so that no other test's connection has the port. */
     private static final String HOST = "127.0.0.77";
@@ -35,12 +35,13 @@
 
     @Before
     public void share() throws IOException {
-        operators = true;
-        listen = held(HOST);
+        withOperatorPort = true;
+        listen = reserveAddress(HOST);
         shared = Files.createDirectory(folder.getRoot().toPath().resolve("t"));
         environment =
                 configuration(
-                        server("w1", one.address(), "ready"), server("w2", two.address(), "ready"));
+                        workerEntry("w1", workerOne.address(), "ready"),
+                        workerEntry("w2", workerTwo.address(), "ready"));
     }
 
     private Daemon started() throws Exception {
@@ -50,7 +51,7 @@
     }
 
     private String status(Daemon of) throws IOException {
-        return call(of, "GET /status", "").body();
+        return operatorCall(of, "GET /status", "").body();
     }
 
     private List<Path> links() throws IOException {
@@ -61,7 +62,7 @@
 
     /** Ends in order; returns once it has. */
     private static void stop(Daemon d) throws InterruptedException {
-        ended(stopping(d));
+        awaitStopped(stopInBackground(d));
     }
 
     /**
@@ -79,7 +80,7 @@
         for (int arrived = 0;
                 arrived < 24;
                 Thread.onSpinWait()) { // Sent on, so that each has a call to end.
-            for (Peer p : List.of(one, two)) {
+            for (Peer p : List.of(workerOne, workerTwo)) {
                 if (!p.nothingArrived()) {
                     p.next("POST");
                     arrived++;
@@ -102,19 +103,20 @@
     @Test
     public void theNewProcessKnowsWhoIsOutAndCallsToEitherReachBoth() throws Exception {
         old = started();
-        assertEquals(200, call(old, "PUT /maintenance/enter", "{\"id\":\"w1\"}").status());
+        assertEquals(200, operatorCall(old, "PUT /maintenance/enter", "{\"id\":\"w1\"}").status());
         started();
         assertTrue(status(daemon), status(daemon).contains("\"out\":[\"w1\"]"));
         for (int i = 0; i < 10; i++) {
             post("o" + i, "price", "15000m");
-            two.next("POST").accept();
+            workerTwo.next("POST").accept();
         }
-        assertTrue(one.nothingArrived());
-        assertEquals(200, call(daemon, "PUT /maintenance/exit", "{\"id\":\"w1\"}").status());
+        assertTrue(workerOne.nothingArrived());
+        assertEquals(
+                200, operatorCall(daemon, "PUT /maintenance/exit", "{\"id\":\"w1\"}").status());
         assertTrue(status(old), status(old).contains("\"out\":[]"));
-        assertEquals(200, call(old, "PUT /maintenance/enter", "{\"id\":\"w2\"}").status());
+        assertEquals(200, operatorCall(old, "PUT /maintenance/enter", "{\"id\":\"w2\"}").status());
         assertTrue(status(daemon), status(daemon).contains("\"out\":[\"w2\"]"));
-        assertEquals(200, call(old, "PUT /standby", "").status());
+        assertEquals(200, operatorCall(old, "PUT /standby", "").status());
         assertTrue(status(daemon), status(daemon).contains("standby"));
         Daemon third = new Daemon(Config.read(environment));
         third.start();
@@ -122,7 +124,7 @@
                 "an upgrade in standby stays there: " + status(third),
                 status(third).contains("standby"));
         assertTrue(status(third), status(third).contains("\"out\":[\"w2\"]"));
-        assertEquals(200, call(daemon, "PUT /active", "").status());
+        assertEquals(200, operatorCall(daemon, "PUT /active", "").status());
         assertTrue(status(third), status(third).contains("active"));
         stop(old);
         stop(daemon);
@@ -135,22 +137,22 @@
         old = started();
         Socket before = post("h1", "price", "15000m");
         started();
-        Thread stop = stopping(old);
+        Thread stop = stopInBackground(old);
         while (!status(old).contains("handing over")) {
             Thread.onSpinWait();
         }
         for (int i = 0; i < 16; i++) {
-            assertEquals("the pair is ready", 200, ready());
+            assertEquals("the pair is ready", 200, readinessStatus());
         }
-        assertEquals(503, call(old, "GET /status", "").status());
-        assertEquals(200, call(daemon, "GET /status", "").status());
+        assertEquals(503, operatorCall(old, "GET /status", "").status());
+        assertEquals(200, operatorCall(daemon, "GET /status", "").status());
         callBack("h1", "w1", "done");
         callBack("h1", "w2", "done");
         Arrived answer = Peer.read(before);
         assertEquals(200, answer.status());
         assertEquals("close", answer.header("Connection"));
-        ended(stop);
-        assertEquals(200, ready());
+        awaitStopped(stop);
+        assertEquals(200, readinessStatus());
         stop(daemon);
     }
 
@@ -158,15 +160,15 @@
     public void anUpgradeIsUndoneByEndingTheNewProcess() throws Exception {
         old = started();
         started();
-        Thread stop = stopping(daemon);
+        Thread stop = stopInBackground(daemon);
         while (!status(daemon).contains("handing over")) {
             Thread.onSpinWait();
         }
         for (int i = 0; i < 16; i++) {
-            assertEquals("the pair is ready", 200, ready());
+            assertEquals("the pair is ready", 200, readinessStatus());
         }
-        ended(stop);
-        assertEquals(200, ready());
+        awaitStopped(stop);
+        assertEquals(200, readinessStatus());
         stop(old);
     }
 
@@ -199,7 +201,7 @@
         started();
         assertFalse(Files.exists(dead) || Files.exists(file));
         assertEquals(2, links().size());
-        assertEquals(200, call(old, "PUT /maintenance/enter", "{\"id\":\"w1\"}").status());
+        assertEquals(200, operatorCall(old, "PUT /maintenance/enter", "{\"id\":\"w1\"}").status());
         assertTrue(status(daemon).contains("\"out\":[\"w1\"]"));
         stop(old);
         stop(daemon);
--- a/daemon/src/test/java/postgrade/daemon/WorkerStartTimesTest.java
+++ b/daemon/src/test/java/postgrade/daemon/WorkerStartTimesTest.java
@@ -18,7 +18,7 @@
     private final long trueUnixMillis = System.currentTimeMillis();
     private long nowMicros;
 
-    private WorkerStartTimes withWallClockOffBy(long micros) throws Config.Faulty {
+    private WorkerStartTimes withWallClockOffBy(long micros) throws Config.InvalidConfigException {
         Clock clock = Clock.of(micros + ",0");
         nowMicros = clock.micros();
         return new WorkerStartTimes(clock);
@@ -37,7 +37,7 @@
                 TOLERANCE);
         assertEquals(
                 nowMicros - HOUR,
-                times.micros("v", startedAgo(HOUR), nowMicros, WorkerStartTimes.NEVER_HEARD),
+                times.micros("v", startedAgo(HOUR), nowMicros, WorkerStartTimes.NO_EARLIER_CONTACT),
                 TOLERANCE);
         assertEquals(0, times.micros("u", 0, nowMicros, nowMicros));
     }
@@ -49,7 +49,7 @@
         WorkerStartTimes times = withWallClockOffBy(HOUR);
         long heardBefore = nowMicros - 2 * SECOND;
         long started = times.micros("w", startedAgo(SECOND), nowMicros, heardBefore);
-        assertTrue(nowMicros - started <= 2 * SECOND + WorkerStartTimes.LATEST_NOTICE_MICROS);
+        assertTrue(nowMicros - started <= 2 * SECOND + WorkerStartTimes.MAX_NOTICE_DELAY_MICROS);
     }
 
     /** Else a warm worker would pass as cold for an hour. */
@@ -59,7 +59,8 @@
         WorkerStartTimes times = withWallClockOffBy(-HOUR);
         assertEquals(
                 nowMicros,
-                times.micros("w", startedAgo(SECOND), nowMicros, WorkerStartTimes.NEVER_HEARD));
+                times.micros(
+                        "w", startedAgo(SECOND), nowMicros, WorkerStartTimes.NO_EARLIER_CONTACT));
         assertEquals(
                 "told again",
                 nowMicros,
@@ -70,7 +71,7 @@
     @Test
     public void aRestartUnderTheSameNameIsAStartOfItsOwn() throws Exception {
         WorkerStartTimes times = withWallClockOffBy(0);
-        times.micros("w", startedAgo(HOUR), nowMicros, WorkerStartTimes.NEVER_HEARD);
+        times.micros("w", startedAgo(HOUR), nowMicros, WorkerStartTimes.NO_EARLIER_CONTACT);
         long again = times.micros("w", startedAgo(SECOND), nowMicros, nowMicros - SECOND);
         assertEquals(nowMicros - SECOND, again, TOLERANCE);
     }
--- a/daemon/src/test/java/postgrade/upgrade/HelloTest.java
+++ b/daemon/src/test/java/postgrade/upgrade/HelloTest.java
@@ -32,7 +32,7 @@
 /**
  * Who connects to a process and is held up before it says who it is, on time that the test turns.
  */
-public class HelloTest implements Reactor, Timers, Upgrade.Owner {
+public class HelloTest implements Reactor, Timers, UpgradeCoordinator.Owner {
 
     private record Task(long atMicros, Runnable does) {}
 
@@ -44,13 +44,13 @@
     private final List<Task> tasks = new ArrayList<>();
     private Selector selector;
     private long nowMicros;
-    private Upgrade old;
+    private UpgradeCoordinator old;
     private SocketChannel held;
 
     @Before
     public void anOldProcessListensAndANewOneConnects() throws IOException {
         selector = Selector.open();
-        old = new Upgrade(folder.getRoot().toPath(), "n1 here", this, this, this);
+        old = new UpgradeCoordinator(folder.getRoot().toPath(), "n1 here", this, this, this);
         old.serving();
         try (var files = Files.list(folder.getRoot().toPath())) {
             Path link = files.filter(f -> f.toString().endsWith(".link")).findFirst().orElseThrow();
--- a/daemon/src/test/java/postgrade/upgrade/ProcessIdTest.java
+++ b/daemon/src/test/java/postgrade/upgrade/ProcessIdTest.java
@@ -12,16 +12,19 @@
     @Test
     public void theLaterProcessComesLaterWhateverTheWallClockSaysMeanwhile() {
         assertTrue(
-                Upgrade.processId(HOUR_NS, 900).compareTo(Upgrade.processId(HOUR_NS + 1_000_000, 5))
+                UpgradeCoordinator.processId(HOUR_NS, 900)
+                                .compareTo(UpgradeCoordinator.processId(HOUR_NS + 1_000_000, 5))
                         < 0);
         assertTrue(
                 "of one millisecond",
-                Upgrade.processId(HOUR_NS, 5).compareTo(Upgrade.processId(HOUR_NS, 900)) < 0);
+                UpgradeCoordinator.processId(HOUR_NS, 5)
+                                .compareTo(UpgradeCoordinator.processId(HOUR_NS, 900))
+                        < 0);
     }
 
     @Test
     public void aProcessOfAnEarlierVersionComesBeforeOneOfOurs() {
         String earlier = String.format("%015d-%010d", System.currentTimeMillis(), 7);
-        assertTrue(earlier.compareTo(Upgrade.processId(1_000_000, 5)) < 0);
+        assertTrue(earlier.compareTo(UpgradeCoordinator.processId(1_000_000, 5)) < 0);
     }
 }
