--- a/cli/src/main/java/postgrade/cli/Postgrade.java
+++ b/cli/src/main/java/postgrade/cli/Postgrade.java
@@ -46,7 +46,7 @@
             description = "How log lines are written on standard error (default: text).")
     void logFormat(String name) {
         try {
-            EventLogs.use(EventLogs.formatNamed(name));
+            EventLogs.configure(EventLogs.parseFormat(name));
         } catch (IllegalArgumentException e) {
             throw new ParameterException(spec.commandLine(), e.getMessage());
         }
@@ -59,7 +59,7 @@
 
     /** Runs one command and returns its exit code. */
     static int execute(PrintWriter out, PrintWriter err, String... args) {
-        EventLogs.use(EventLogs.Format.TEXT);
+        EventLogs.configure(EventLogs.Format.TEXT);
         CommandLine line = new CommandLine(new Postgrade()).setOut(out).setErr(err);
         line.setCaseInsensitiveEnumValuesAllowed(true);
         line.setExecutionExceptionHandler(
--- a/core/src/main/java/postgrade/dispatch/Attempt.java
+++ b/core/src/main/java/postgrade/dispatch/Attempt.java
@@ -88,7 +88,7 @@
     }
 
     /** When the attempt is no longer waited for. */
-    public long untilMicros() {
+    public long expiresAtMicros() {
         return untilMicros;
     }
 
@@ -105,7 +105,7 @@
     /**
      * After this it may not be written: a repeat that comes to its worker later would run again.
      */
-    public long writeByMicros() {
+    public long writeDeadlineMicros() {
         return writeByMicros;
     }
 
@@ -114,7 +114,7 @@
      * written for it.
      */
     public boolean isUnwanted() {
-        return request.isAnswered() || request.client().hasLeft();
+        return request.isAnswered() || request.client().hasDisconnected();
     }
 
     // ---- Its life.
@@ -145,7 +145,7 @@
         handle = onWire;
     }
 
-    /** The timer of {@link #untilMicros}, cancelled with the attempt's end. */
+    /** The timer of {@link #expiresAtMicros}, cancelled with the attempt's end. */
     void limitTimer(Timers.Timer timer) {
         limitTimer = timer;
     }
--- a/core/src/main/java/postgrade/dispatch/PendingRequest.java
+++ b/core/src/main/java/postgrade/dispatch/PendingRequest.java
@@ -96,7 +96,7 @@
      * It may have lain unread for so long before it was read, while its client's time ran. What its
      * worker is told of the time left is less by that.
      */
-    public void unreadFor(long micros) {
+    public void setReadDelay(long micros) {
         unreadMicros = micros;
     }
 
--- a/core/src/main/java/postgrade/dispatch/RequestTracker.java
+++ b/core/src/main/java/postgrade/dispatch/RequestTracker.java
@@ -132,7 +132,7 @@
     }
 
     /** The client has left, and nothing more is owed to it. */
-    public void clientLeft(PendingRequest request) {
+    public void clientDisconnected(PendingRequest request) {
         if (!request.isAnswered()) {
             lifecycle.conclude(request);
             notifyClientLeft(request);
@@ -144,7 +144,7 @@
      * Answers the unanswered requests that have arrived since then, as there is no time left to
      * serve them.
      */
-    public void concludeArrivedSince(long sinceMicros) {
+    public void failArrivedSince(long sinceMicros) {
         for (PendingRequest request : new ArrayList<>(requests.values())) {
             if (!request.isAnswered() && request.arrivedMicros() >= sinceMicros) {
                 lifecycle.failRequest(request, false, DecisionReason.UNSTATED);
--- a/core/src/main/java/postgrade/dispatch/ResponseHandler.java
+++ b/core/src/main/java/postgrade/dispatch/ResponseHandler.java
@@ -27,7 +27,7 @@
      * Whether the client has left by now, noticed or not. Asked before anything is sent for it, as
      * the loop may be late.
      */
-    default boolean hasLeft() {
+    default boolean hasDisconnected() {
         return false;
     }
 }
--- a/daemon/src/main/java/postgrade/consumer/ConsumerConnection.java
+++ b/daemon/src/main/java/postgrade/consumer/ConsumerConnection.java
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 import postgrade.http.ArrivalTimes;
-import postgrade.http.BadMessage;
+import postgrade.http.BadMessageException;
 import postgrade.http.Connection;
 import postgrade.http.Message;
 import postgrade.http.MessageParser;
@@ -27,13 +27,13 @@
     private static final long MOST_UNSENT = 256 << 10;
 
     /** Bytes kept of requests that come before the one ahead of them is answered. */
-    private static final int MOST_AHEAD = MessageParser.MOST_BODY * 2;
+    private static final int MOST_AHEAD = MessageParser.MAX_BODY_BYTES * 2;
 
     final Listener listener;
     private final Connection connection;
     private final Expiry expiry;
     private ConnectionState state = ConnectionState.READING;
-    private MessageParser parser = MessageParser.ofRequests();
+    private MessageParser parser = MessageParser.forRequests();
 
     /** What has come behind the request that waits. */
     private ByteBuffer ahead = NOTHING;
@@ -68,15 +68,15 @@
     }
 
     @Override
-    public void received(Connection c, ByteBuffer bytes) throws BadMessage {
-        connection.idle(false, false);
+    public void received(Connection c, ByteBuffer bytes) throws BadMessageException {
+        connection.setIdle(false, false);
         noteArrival(bytes);
-        expiry.came(listener.timers.nowMicros(), !state.owes() && parser.atStart());
+        expiry.came(listener.timers.nowMicros(), !state.owes() && parser.isAtMessageStart());
         if (ahead.hasRemaining()) {
             if (ahead.remaining() + bytes.remaining() > MOST_AHEAD) {
                 // Guards the one answer: a close over unread bytes would reset the connection, and
                 // the client hear nothing.
-                throw new BadMessage(400, "more sent ahead of its answer than is kept");
+                throw new BadMessageException(400, "more sent ahead of its answer than is kept");
             }
             bytes =
                     ByteBuffer.allocate(ahead.remaining() + bytes.remaining())
@@ -85,10 +85,10 @@
                             .flip();
         }
         if (state.owes() && !MessageParser.mayBeRequest(bytes)) {
-            throw new BadMessage(400, "more bytes than the request has");
+            throw new BadMessageException(400, "more bytes than the request has");
         }
         take(bytes);
-        if (parser.bodySoFar() > SMALL && listener.holdsTooMuch()) {
+        if (parser.bodyBytesReceived() > SMALL && listener.holdsTooMuch()) {
             refuseUnfinished();
         }
         // Guards the loop's time: who sends the same rubbish as soon as it is turned away is read
@@ -102,7 +102,8 @@
     private void noteArrival(ByteBuffer bytes) {
         long sinceMicros =
                 arrivals.beforeRead(
-                        listener.reactor.lastWaitMicros(), listener.reactor.readySinceMicros());
+                        listener.reactor.previousWaitEndMicros(),
+                        listener.reactor.readySinceMicros());
         arrivals.afterRead(listener.timers.nowMicros(), bytes.limit() < bytes.capacity());
         if (!ahead.hasRemaining()) {
             arrivedMicros = sinceMicros;
@@ -118,25 +119,25 @@
     }
 
     private void pause(boolean now) {
-        connection.pause(now);
+        connection.setPaused(now);
         arrivals.watch(listener.timers.nowMicros(), !now);
     }
 
     /** Takes requests one after another, as long as each is answered at once. */
-    private void take(ByteBuffer bytes) throws BadMessage {
+    private void take(ByteBuffer bytes) throws BadMessageException {
         if (state == ConnectionState.READING) {
             to(ConnectionState.TAKING);
         }
         while (state == ConnectionState.TAKING && bytes.hasRemaining()) {
             Message request = parser.parse(bytes);
-            boolean waits = parser.takeExpectation();
+            boolean waits = parser.consumeExpectContinue();
             if (request != null && bytes.hasRemaining() && !MessageParser.mayBeRequest(bytes)) {
                 // Guards the providers: a length that is too small has cut the job's body short.
-                throw new BadMessage(400, "more bytes than the request has");
+                throw new BadMessageException(400, "more bytes than the request has");
             } else if (request != null) {
                 expiry.requestCame();
                 Requests.handle(this, request);
-                if (connection.bytesUnsent() > MOST_UNSENT) {
+                if (connection.unsentBytes() > MOST_UNSENT) {
                     drop();
                 }
             } else if (waits) {
@@ -160,9 +161,9 @@
     private void account() {
         long held =
                 connection.isOpen()
-                        ? parser.bodySoFar()
+                        ? parser.bodyBytesReceived()
                                 + ahead.remaining()
-                                + connection.bytesUnsent()
+                                + connection.unsentBytes()
                                 + (exchange == null ? 0 : exchange.size)
                         : 0;
         listener.holds(held - accounted);
@@ -210,8 +211,8 @@
         if (!atOnce) {
             try {
                 take(ahead); // A consumer may have sent its next request already.
-            } catch (BadMessage e) {
-                bad(connection, e);
+            } catch (BadMessageException e) {
+                badMessage(connection, e);
             }
         }
     }
@@ -244,7 +245,10 @@
     }
 
     boolean busy() {
-        return state.owes() || !parser.atStart() || ahead.hasRemaining() || !connection.allSent();
+        return state.owes()
+                || !parser.isAtMessageStart()
+                || ahead.hasRemaining()
+                || !connection.isAllSent();
     }
 
     void sweep(long nowMicros) {
@@ -253,8 +257,8 @@
         if (state.owes() || state == ConnectionState.CLOSED) {
             return;
         }
-        boolean allSent = connection.allSent();
-        boolean inPart = !parser.atStart();
+        boolean allSent = connection.isAllSent();
+        boolean inPart = !parser.isAtMessageStart();
         if (state == ConnectionState.ANSWERING && allSent) {
             to(ConnectionState.LINGERING);
             expiry.ended(nowMicros);
@@ -262,7 +266,7 @@
         if (expiry.isOver(nowMicros, state, allSent, inPart)) {
             expire();
         } else if (allSent && expiry.idle(nowMicros, state, inPart)) {
-            connection.idle(true, expiry.onProbation(nowMicros, inPart));
+            connection.setIdle(true, expiry.onProbation(nowMicros, inPart));
         }
         account();
     }
@@ -272,10 +276,10 @@
      * so is closed.
      */
     private void expire() {
-        if (state != ConnectionState.READING || !connection.allSent()) {
+        if (state != ConnectionState.READING || !connection.isAllSent()) {
             drop();
-        } else if (!parser.atStart()) {
-            parser = MessageParser.ofRequests();
+        } else if (!parser.isAtMessageStart()) {
+            parser = MessageParser.forRequests();
             answer(408, "the request has not come whole\n", false);
         } else {
             leaveIfResting(true);
@@ -284,13 +288,13 @@
 
     /** Takes what has come, the peer's end too, though the loop has not come to it yet. */
     void look() {
-        connection.look();
+        connection.readPending();
     }
 
     /** A request that has come in part is rejected, and what comes of it is passed over. */
     void refuseUnfinished() {
-        if (state == ConnectionState.READING && !parser.atStart()) {
-            parser = MessageParser.ofRequests(); // With it goes what was held.
+        if (state == ConnectionState.READING && !parser.isAtMessageStart()) {
+            parser = MessageParser.forRequests(); // With it goes what was held.
             write(429, NO_BODY, FULL_RETRY_MICROS, false);
             account();
         }
@@ -319,8 +323,8 @@
     }
 
     @Override
-    public void bad(Connection c, BadMessage e) {
-        parser = MessageParser.ofRequests();
+    public void badMessage(Connection c, BadMessageException e) {
+        parser = MessageParser.forRequests();
         ahead = NOTHING;
         leave();
         answer(e.status(), e.getMessage() + "\n", false);
@@ -355,7 +359,7 @@
             Exchange left = exchange;
             exchange = null;
             if (left.invocation != null) {
-                listener.gateway.clientLeft(left.invocation);
+                listener.gateway.clientDisconnected(left.invocation);
             }
         }
     }
--- a/daemon/src/main/java/postgrade/consumer/Exchange.java
+++ b/daemon/src/main/java/postgrade/consumer/Exchange.java
@@ -37,7 +37,7 @@
     }
 
     @Override
-    public boolean hasLeft() {
+    public boolean hasDisconnected() {
         if (connection.awaits(this)) {
             connection.look(); // The end may lie in the socket, behind other bytes or while nothing
             // is read from it.
--- a/daemon/src/main/java/postgrade/consumer/Listener.java
+++ b/daemon/src/main/java/postgrade/consumer/Listener.java
@@ -240,7 +240,7 @@
     /** Accepts what waits. True if nothing is left. */
     private boolean acceptAll(int most) throws IOException {
         long sinceMicros =
-                arrivals.beforeRead(reactor.lastWaitMicros(), reactor.readySinceMicros());
+                arrivals.beforeRead(reactor.previousWaitEndMicros(), reactor.readySinceMicros());
         if (!lifecycle.hasStarted()) {
             pause(true);
             return false;
@@ -250,7 +250,7 @@
             // no use are
             // waited for, a moment, before one of the others has to go.
             boolean anyIdle = connections.stream().noneMatch(c -> c.fresh(timers.nowMicros()));
-            if (!reactor.sockets().hasToAccept(anyIdle)) {
+            if (!reactor.sockets().canAcquireForAccept(anyIdle)) {
                 // Guards what waits in the backlog: it is left there, not accepted and closed,
                 // until there is a place.
                 pause(true);
@@ -264,7 +264,7 @@
             }
             boolean kept = false;
             // Only now: guards the connections that would be closed for one that has not come.
-            reactor.sockets().takeToAccept(anyIdle);
+            reactor.sockets().acquireForAccept(anyIdle);
             try {
                 connections.add(new ConsumerConnection(this, accepted, sinceMicros));
                 kept = true;
@@ -273,7 +273,7 @@
                 accepted.close();
             } finally {
                 if (!kept) {
-                    reactor.sockets().giveBack();
+                    reactor.sockets().release();
                 }
             }
         }
--- a/daemon/src/main/java/postgrade/consumer/Requests.java
+++ b/daemon/src/main/java/postgrade/consumer/Requests.java
@@ -2,7 +2,7 @@
 
 import postgrade.dispatch.PendingRequest;
 import postgrade.dispatch.RequestPayload;
-import postgrade.http.BadMessage;
+import postgrade.http.BadMessageException;
 import postgrade.http.Message;
 
 /** What a whole request asks for: a job, readiness, or the hearing of a call-back. */
@@ -17,16 +17,16 @@
             if (request.method().equals("POST")) {
                 invoke(on, request);
             } else {
-                on.turnAway(405, "only POST is taken here", request.keepsAlive());
+                on.turnAway(405, "only POST is taken here", request.isKeepAlive());
             }
         } else if (path.equals("/-/ready")) {
             on.wasOfUse();
             boolean ready = on.listener.readyToServe();
-            on.answer(ready ? 200 : 503, ready ? "ready\n" : "not ready\n", request.keepsAlive());
+            on.answer(ready ? 200 : 503, ready ? "ready\n" : "not ready\n", request.isKeepAlive());
         } else if (path.equals(JobEvent.PATH) && request.method().equals("POST")) {
             callBack(on, request);
         } else {
-            on.turnAway(404, "no such page", request.keepsAlive());
+            on.turnAway(404, "no such page", request.isKeepAlive());
         }
     }
 
@@ -39,15 +39,15 @@
         try {
             event = JobEvent.of(request.body());
         } catch (IllegalArgumentException e) {
-            on.turnAway(400, e.getMessage(), request.keepsAlive());
+            on.turnAway(400, e.getMessage(), request.isKeepAlive());
             return;
         }
         on.wasOfUse();
         if (event.tell(on.listener.gateway) || !on.listener.relay.any()) {
-            on.answer(204, "", request.keepsAlive());
+            on.answer(204, "", request.isKeepAlive());
             return;
         }
-        Exchange waits = on.open(request.keepsAlive());
+        Exchange waits = on.open(request.isKeepAlive());
         on.listener.relay.callBack(request.body(), waits::relayed);
     }
 
@@ -56,11 +56,11 @@
         Submission job;
         try {
             job = Submission.of(request, listener);
-        } catch (BadMessage e) {
-            on.turnAway(e.status(), e.getMessage(), request.keepsAlive());
+        } catch (BadMessageException e) {
+            on.turnAway(e.status(), e.getMessage(), request.isKeepAlive());
             return;
         }
-        Exchange opened = on.open(request.keepsAlive());
+        Exchange opened = on.open(request.isKeepAlive());
         if (request.body().length > ConsumerConnection.SMALL && listener.holdsTooMuch()) {
             opened.reject(ConsumerConnection.FULL_RETRY_MICROS);
             return;
@@ -82,7 +82,7 @@
                                 request.header("idempotency-key"),
                                 request.body()),
                         opened);
-        opened.invocation.unreadFor(listener.timers.nowMicros() - on.arrivedMicros());
+        opened.invocation.setReadDelay(listener.timers.nowMicros() - on.arrivedMicros());
         if (listener.gateway.submit(opened.invocation)) {
             on.wasOfUse();
             if (job.claim() != null && on.awaits(opened)) {
@@ -91,7 +91,7 @@
             }
         } else {
             on.takeBack();
-            on.turnAway(409, "a job with this id is open", request.keepsAlive());
+            on.turnAway(409, "a job with this id is open", request.isKeepAlive());
         }
     }
 }
--- a/daemon/src/main/java/postgrade/consumer/Submission.java
+++ b/daemon/src/main/java/postgrade/consumer/Submission.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Consumer;
 import postgrade.dispatch.ExtensionHeaders;
-import postgrade.http.BadMessage;
+import postgrade.http.BadMessageException;
 import postgrade.http.Message;
 
 /**
@@ -22,11 +22,11 @@
         Consumer<String> claim) {
 
     /**
-     * @throws BadMessage with the status and the sentence for its consumer
+     * @throws BadMessageException with the status and the sentence for its consumer
      */
-    static Submission of(Message request, Listener listener) throws BadMessage {
-        if (!request.statesLength()) {
-            throw new BadMessage(411, "a job needs a body with a stated length");
+    static Submission of(Message request, Listener listener) throws BadMessageException {
+        if (!request.declaresLength()) {
+            throw new BadMessageException(411, "a job needs a body with a stated length");
         }
         String jobClass = request.header("x-class");
         String id = request.header("x-request-id");
@@ -48,13 +48,13 @@
                                                                         .anyMatch(
                                                                                 name ->
                                                                                         request
-                                                                                                        .count(
+                                                                                                        .headerCount(
                                                                                                                 name)
                                                                                                 > 1)
                                                                 ? "a header is repeated"
                                                                 : null;
         if (wrong != null) {
-            throw new BadMessage(400, wrong);
+            throw new BadMessageException(400, wrong);
         }
         try {
             long deadline = Fields.deadlineMicros(request.header("x-deadline"), classDeadline);
@@ -73,7 +73,7 @@
                     memory,
                     claim(request, jobClass, listener.claims));
         } catch (IllegalArgumentException e) {
-            throw new BadMessage(400, e.getMessage());
+            throw new BadMessageException(400, e.getMessage());
         }
     }
 
@@ -83,7 +83,7 @@
             return null;
         }
         for (String name : claims.names()) {
-            if (request.count(name) > 1) {
+            if (request.headerCount(name) > 1) {
                 throw new IllegalArgumentException(name + " is repeated");
             }
         }
--- a/daemon/src/main/java/postgrade/daemon/Daemon.java
+++ b/daemon/src/main/java/postgrade/daemon/Daemon.java
@@ -284,7 +284,8 @@
                     loop.nowMicros(),
                     WorkerStartTimes.NO_EARLIER_CONTACT);
         } else {
-            workers.list(WorkerListForm.DELTA, list, loop.nowMicros(), watch.heardBeforeMicros());
+            workers.list(
+                    WorkerListForm.DELTA, list, loop.nowMicros(), watch.previousContactMicros());
         }
         if (companion != null) {
             companion.listed();
@@ -309,7 +310,7 @@
     }
 
     private void peersChanged() {
-        loop.sockets().limit(started.sockets(1 + upgrade.count()));
+        loop.sockets().setLimit(started.sockets(1 + upgrade.count()));
         beside.shareOut();
         lifecycle.successor(upgrade.hasSuccessor());
         listener.followLifecycle();
--- a/daemon/src/main/java/postgrade/daemon/EventLoop.java
+++ b/daemon/src/main/java/postgrade/daemon/EventLoop.java
@@ -14,8 +14,8 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import postgrade.dispatch.Timers;
-import postgrade.http.LookBuffers;
 import postgrade.http.Reactor;
+import postgrade.http.ReadBufferPool;
 import postgrade.http.SocketBudget;
 import postgrade.http.SystemCalls;
 import postgrade.log.Events;
@@ -53,7 +53,7 @@
     private final Selector selector;
     private final SocketBudget sockets;
     private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BYTES);
-    private final LookBuffers looks = new LookBuffers();
+    private final ReadBufferPool looks = new ReadBufferPool();
     private final PriorityQueue<Due> timers = new PriorityQueue<>();
     private final Clock clock;
     private final SystemCalls systemCalls;
@@ -221,13 +221,13 @@
     }
 
     @Override
-    public ByteBuffer lend() {
-        return looks.lend();
+    public ByteBuffer acquireBuffer() {
+        return looks.acquire();
     }
 
     @Override
-    public void giveBack(ByteBuffer lent) {
-        looks.giveBack(lent);
+    public void releaseBuffer(ByteBuffer lent) {
+        looks.release(lent);
     }
 
     @Override
@@ -236,7 +236,7 @@
     }
 
     @Override
-    public long lastWaitMicros() {
+    public long previousWaitEndMicros() {
         return lastWaitMicros;
     }
 
--- a/daemon/src/main/java/postgrade/daemon/Main.java
+++ b/daemon/src/main/java/postgrade/daemon/Main.java
@@ -22,7 +22,7 @@
     public static void main(String[] args) throws IOException {
         String command = args.length == 0 ? "" : args[0];
         try {
-            EventLogs.use(logFormat(args));
+            EventLogs.configure(logFormat(args));
         } catch (IllegalArgumentException e) {
             System.err.println("postgrade: " + e.getMessage());
             System.exit(USAGE);
@@ -56,7 +56,7 @@
         if (args.length > 2 || !args[1].startsWith(LOG_FORMAT)) {
             throw new IllegalArgumentException("not understood: " + args[args.length - 1]);
         }
-        return EventLogs.formatNamed(args[1].substring(LOG_FORMAT.length()));
+        return EventLogs.parseFormat(args[1].substring(LOG_FORMAT.length()));
     }
 
     /** Starts one dispatcher and returns while it serves; ends the process if it cannot start. */
--- a/daemon/src/main/java/postgrade/daemon/ShutdownSequence.java
+++ b/daemon/src/main/java/postgrade/daemon/ShutdownSequence.java
@@ -110,7 +110,7 @@
         OptionalLong late = lifecycle.concludesSince(now);
         if (late.isPresent()) {
             // Guards the one answer: what SIGKILL finds unanswered of these is lost.
-            gateway.concludeArrivedSince(late.getAsLong() - HEARD_LATE_MICROS);
+            gateway.failArrivedSince(late.getAsLong() - HEARD_LATE_MICROS);
             if (lifecycle.mayEnd(now)) {
                 listener.refuseUnfinished();
             }
--- a/daemon/src/main/java/postgrade/discovery/DiscoveryWatch.java
+++ b/daemon/src/main/java/postgrade/discovery/DiscoveryWatch.java
@@ -98,7 +98,7 @@
      * When discovery was last heard before the list that is being taken in, in microseconds, or -1
      * if it never was.
      */
-    public long heardBeforeMicros() {
+    public long previousContactMicros() {
         return heardBeforeMicros;
     }
 
--- a/daemon/src/main/java/postgrade/discovery/WatchConnection.java
+++ b/daemon/src/main/java/postgrade/discovery/WatchConnection.java
@@ -7,7 +7,7 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import postgrade.dispatch.Timers;
-import postgrade.http.BadMessage;
+import postgrade.http.BadMessageException;
 import postgrade.http.Connection;
 import postgrade.http.Message;
 import postgrade.http.MessageParser;
@@ -65,7 +65,7 @@
     private final String host;
     private final WatchTimeouts timeouts;
     private final Timers timers;
-    private final MessageParser parser = MessageParser.ofStream(this::piece);
+    private final MessageParser parser = MessageParser.forStreamingResponse(this::piece);
     private final ByteArrayOutputStream list = new ByteArrayOutputStream();
     private final WatchFrameDecoder decoder = new WatchFrameDecoder(this);
     private boolean fetchesList;
@@ -155,12 +155,12 @@
     }
 
     @Override
-    public void received(Connection source, ByteBuffer bytes) throws BadMessage {
+    public void received(Connection source, ByteBuffer bytes) throws BadMessageException {
         receivedMicros = timers.nowMicros();
         try {
             Message end = parser.parse(bytes);
             if (end != null && fetchesList && end.status() == OK) {
-                listReceived(end.keepsAlive());
+                listReceived(end.isKeepAlive());
             } else if (end != null) {
                 fail("answered " + end.status());
             }
@@ -222,8 +222,8 @@
     }
 
     @Override
-    public void ended(Connection source) {
-        Message end = parser.atEnd();
+    public void inputEnded(Connection source) {
+        Message end = parser.endOfInput();
         if (end != null && fetchesList && end.status() == OK) {
             try {
                 listReceived(false);
@@ -234,7 +234,7 @@
     }
 
     @Override
-    public void bad(Connection source, BadMessage thrown) {
+    public void badMessage(Connection source, BadMessageException thrown) {
         fail("not HTTP: " + thrown.getMessage());
     }
 
--- a/daemon/src/main/java/postgrade/http/Connection.java
+++ b/daemon/src/main/java/postgrade/http/Connection.java
@@ -25,19 +25,19 @@
         default void connected(Connection c) {}
 
         /** Bytes have come; what the owner leaves in the buffer is lost. */
-        void received(Connection c, ByteBuffer bytes) throws BadMessage;
+        void received(Connection c, ByteBuffer bytes) throws BadMessageException;
 
         /**
          * The peer has ended its side. The connection is closed right after, and {@link #closed}
          * follows.
          */
-        default void ended(Connection c) {}
+        default void inputEnded(Connection c) {}
 
         /**
          * What came is not a message. The owner may answer, and must see to it that the connection
          * is closed.
          */
-        void bad(Connection c, BadMessage e);
+        void badMessage(Connection c, BadMessageException e);
 
         /** The connection is gone, unless the owner closed it itself. */
         void closed(Connection c);
@@ -101,7 +101,7 @@
             return c;
         } catch (IOException | RuntimeException e) {
             if (c == null) {
-                reactor.sockets().giveBack();
+                reactor.sockets().release();
             } else {
                 c.close();
             }
@@ -120,7 +120,7 @@
 
     @Override
     public Order order() {
-        return urgent ? Order.FIRST : Order.USUAL;
+        return urgent ? Order.FIRST : Order.NORMAL;
     }
 
     @Override
@@ -148,16 +148,16 @@
         in.clear();
         int count = reactor.systemCalls().read(channel, in);
         if (count < 0) {
-            owner.ended(this);
+            owner.inputEnded(this);
             gone();
         } else if (count > 0 && !closing) {
             in.flip();
             try {
                 owner.received(this, in);
-            } catch (BadMessage e) {
+            } catch (BadMessageException e) {
                 // Guards the loop and the peer's next bytes: nothing after a bad message can be
                 // made sense of.
-                owner.bad(this, e);
+                owner.badMessage(this, e);
             }
         }
         return count > 0 && !closed;
@@ -168,11 +168,11 @@
      * paused: the owner hears of it, and of the end behind it. Guards what is about to be done on
      * the word of an older look.
      */
-    public void look() {
+    public void readPending() {
         if (closed || connecting) {
             return;
         }
-        ByteBuffer own = reactor.lend(); // The loop's buffer may be in use.
+        ByteBuffer own = reactor.acquireBuffer(); // The loop's buffer may be in use.
         try {
             for (int i = 0; i < MOST_LOOKS && read(own); i++) {
                 // What has been read is the owner's.
@@ -180,22 +180,22 @@
         } catch (IOException | RuntimeException e) {
             failed(e);
         } finally {
-            reactor.giveBack(own);
+            reactor.releaseBuffer(own);
         }
     }
 
     /** False if the peer has closed an idle connection, though the loop has not come to it yet. */
-    public boolean stillOpen() {
+    public boolean isStillOpen() {
         if (closed) {
             return false;
         }
-        ByteBuffer own = reactor.lend(); // The loop's buffer may be in use.
+        ByteBuffer own = reactor.acquireBuffer(); // The loop's buffer may be in use.
         try {
             return reactor.systemCalls().read(channel, own) == 0;
         } catch (IOException e) {
             return false;
         } finally {
-            reactor.giveBack(own);
+            reactor.releaseBuffer(own);
         }
     }
 
@@ -245,7 +245,7 @@
     }
 
     /** While paused nothing more is read; the peer's own system holds it back. */
-    public void pause(boolean now) {
+    public void setPaused(boolean now) {
         if (paused != now && !closed && !connecting) {
             paused = now;
             interest();
@@ -253,11 +253,11 @@
     }
 
     /** All that was to be written has been given to the system, the last byte too. */
-    public boolean allSent() {
+    public boolean isAllSent() {
         return !connecting && unsent.isEmpty();
     }
 
-    public long bytesUnsent() {
+    public long unsentBytes() {
         long sum = 0;
         for (ByteBuffer b : unsent) {
             sum += b.remaining();
@@ -273,7 +273,7 @@
      * An idle connection may be closed for a new one when sockets are short, one on probation
      * before all others.
      */
-    public void idle(boolean isIdle, boolean onProbation) {
+    public void setIdle(boolean isIdle, boolean onProbation) {
         if (!closed) {
             reactor.sockets().idle(this, isIdle, onProbation);
         }
@@ -311,7 +311,7 @@
      * bytes resets the connection.
      */
     void evict() {
-        look();
+        readPending();
         if (reactor.sockets().isIdle(this)) {
             gone();
         }
@@ -331,7 +331,7 @@
         }
         closed = true;
         reactor.sockets().idle(this, false, false);
-        reactor.sockets().giveBack();
+        reactor.sockets().release();
         try {
             channel.close();
         } catch (IOException e) {
--- a/daemon/src/main/java/postgrade/http/Message.java
+++ b/daemon/src/main/java/postgrade/http/Message.java
@@ -44,12 +44,12 @@
     }
 
     /** How many headers there are of this name (in lower case). */
-    public int count(String name) {
+    public int headerCount(String name) {
         return Collections.frequency(names, name);
     }
 
     /** The message says how long its body is, be it empty. */
-    public boolean statesLength() {
+    public boolean declaresLength() {
         return header("content-length") != null || header("transfer-encoding") != null;
     }
 
@@ -68,7 +68,7 @@
     }
 
     /** The connection stays open after this message. */
-    public boolean keepsAlive() {
+    public boolean isKeepAlive() {
         return http10 ? lists("connection", "keep-alive") : !lists("connection", "close");
     }
 }
--- a/daemon/src/main/java/postgrade/http/MessageParser.java
+++ b/daemon/src/main/java/postgrade/http/MessageParser.java
@@ -14,9 +14,9 @@
  */
 public final class MessageParser {
 
-    public static final int MOST_BODY = 64 << 10;
-    static final int MOST_HEAD = 16 << 10;
-    static final int MOST_HEADERS = 64;
+    public static final int MAX_BODY_BYTES = 64 << 10;
+    static final int MAX_HEAD_BYTES = 16 << 10;
+    static final int MAX_HEADERS = 64;
     private static final int SMALL = 256;
     private static final int MOST_STREAM_PIECE = 16 << 20;
 
@@ -52,51 +52,51 @@
         this.mostBody = mostBody;
     }
 
-    public static MessageParser ofRequests() {
-        return ofRequests(MOST_BODY);
+    public static MessageParser forRequests() {
+        return forRequests(MAX_BODY_BYTES);
     }
 
     /** With another bound for bodies. */
-    public static MessageParser ofRequests(int mostBody) {
+    public static MessageParser forRequests(int mostBody) {
         return new MessageParser(true, null, mostBody);
     }
 
-    public static MessageParser ofResponses() {
-        return new MessageParser(false, null, MOST_BODY);
+    public static MessageParser forResponses() {
+        return new MessageParser(false, null, MAX_BODY_BYTES);
     }
 
     /** Reads one response whose body has no bound; its pieces go to the consumer as they come. */
-    public static MessageParser ofStream(Consumer<byte[]> pieces) {
+    public static MessageParser forStreamingResponse(Consumer<byte[]> pieces) {
         return new MessageParser(false, pieces, MOST_STREAM_PIECE);
     }
 
     /** Whether the bytes may be the beginning of a request, as far as they go. They stay unread. */
     public static boolean mayBeRequest(ByteBuffer bytes) {
         try {
-            MessageParser parser = ofRequests();
+            MessageParser parser = forRequests();
             parser.parse(bytes.duplicate());
             String line =
                     new String(parser.line, 0, parser.lineLength, StandardCharsets.ISO_8859_1);
             return parser.part != Part.START_LINE || BEGINNING.matcher(line).matches();
-        } catch (BadMessage e) {
+        } catch (BadMessageException e) {
             return false;
         }
     }
 
     /** Nothing of a next message has been read. */
-    public boolean atStart() {
+    public boolean isAtMessageStart() {
         return part == Part.START_LINE && lineLength == 0;
     }
 
     /** True once, where a request's sender waits for our word before it sends the body. */
-    public boolean takeExpectation() {
+    public boolean consumeExpectContinue() {
         boolean expects = expectsContinue;
         expectsContinue = false;
         return expects;
     }
 
     /** Bytes of the body that has come in part. */
-    public int bodySoFar() {
+    public int bodyBytesReceived() {
         return body.size();
     }
 
@@ -104,7 +104,7 @@
      * Takes bytes up to the end of one message at most; returns it once it is whole, null until
      * then.
      */
-    public Message parse(ByteBuffer in) throws BadMessage {
+    public Message parse(ByteBuffer in) throws BadMessageException {
         while (in.hasRemaining()) {
             boolean whole =
                     switch (part) {
@@ -122,7 +122,7 @@
      * The peer has ended its side: a response without a length ends here. Null if this cuts a
      * message short.
      */
-    public Message atEnd() {
+    public Message endOfInput() {
         return part == Part.TO_THE_END ? finish() : null;
     }
 
@@ -141,7 +141,7 @@
         return whole;
     }
 
-    private boolean takeLine(ByteBuffer in) throws BadMessage {
+    private boolean takeLine(ByteBuffer in) throws BadMessageException {
         while (in.hasRemaining()) {
             byte b = in.get();
             if (b == '\n') {
@@ -150,8 +150,8 @@
                 }
                 return true;
             }
-            if (++headLength > MOST_HEAD) {
-                throw new BadMessage(431, "head too large");
+            if (++headLength > MAX_HEAD_BYTES) {
+                throw new BadMessageException(431, "head too large");
             }
             if (lineLength == line.length) {
                 line = Arrays.copyOf(line, 2 * line.length);
@@ -162,7 +162,7 @@
     }
 
     /** True if the message is whole with this line. */
-    private boolean endLine() throws BadMessage {
+    private boolean endLine() throws BadMessageException {
         String text = new String(line, 0, lineLength, StandardCharsets.ISO_8859_1);
         lineLength = 0;
         switch (part) {
@@ -187,7 +187,7 @@
             }
             case CHUNK_END -> {
                 if (!text.isEmpty()) {
-                    throw new BadMessage(400, "chunk longer than its size");
+                    throw new BadMessageException(400, "chunk longer than its size");
                 }
                 part = Part.CHUNK_SIZE;
                 headLength = 0;
@@ -199,58 +199,58 @@
         }
     }
 
-    private void startLine(String text) throws BadMessage {
+    private void startLine(String text) throws BadMessageException {
         String[] words = text.split(" ", 3);
         String version = requests ? words[words.length - 1] : words[0];
         if (words.length < (requests ? 3 : 2)
                 || !version.equals("HTTP/1.1") && !version.equals("HTTP/1.0")) {
-            throw new BadMessage(400, "not a start line of HTTP/1.1");
+            throw new BadMessageException(400, "not a start line of HTTP/1.1");
         }
         message.http10 = version.equals("HTTP/1.0");
         if (requests) {
             if (!token(words[0])
                     || words[1].isEmpty()
                     || words[1].chars().anyMatch(c -> c <= ' ' || c > '~')) {
-                throw new BadMessage(400, "bad method or target");
+                throw new BadMessageException(400, "bad method or target");
             }
             message.method = words[0];
             message.target = words[1];
         } else {
             message.status = (int) number(words[1], 10, 999, 400);
             if (message.status < 100) {
-                throw new BadMessage(400, "bad status");
+                throw new BadMessageException(400, "bad status");
             }
         }
     }
 
-    private void header(String text) throws BadMessage {
+    private void header(String text) throws BadMessageException {
         int colon = text.indexOf(':');
         if (colon < 0 || !token(text.substring(0, colon))) {
-            throw new BadMessage(400, "bad header line"); // Folded lines among them.
+            throw new BadMessageException(400, "bad header line"); // Folded lines among them.
         }
-        if (message.names.size() == MOST_HEADERS) {
-            throw new BadMessage(431, "too many headers");
+        if (message.names.size() == MAX_HEADERS) {
+            throw new BadMessageException(431, "too many headers");
         }
         String value = text.substring(colon + 1).strip();
         if (value.chars().anyMatch(c -> c < ' ' && c != '\t')) {
             // Guards what is passed on: a stray control character could split the head we write.
-            throw new BadMessage(400, "control character in a header");
+            throw new BadMessageException(400, "control character in a header");
         }
         message.names.add(text.substring(0, colon).toLowerCase(Locale.ROOT));
         message.values.add(value);
     }
 
     /** True if the message has no body. */
-    private boolean endHead() throws BadMessage {
+    private boolean endHead() throws BadMessageException {
         boolean chunked = message.header("transfer-encoding") != null;
         if (chunked
                 && (message.http10
                         || !message.header("transfer-encoding").equalsIgnoreCase("chunked"))) {
-            throw new BadMessage(400, "transfer encoding not known");
+            throw new BadMessageException(400, "transfer encoding not known");
         }
         // Guards against smuggling: whatever leaves two readings of where the message ends.
-        if (message.count("content-length") + message.count("transfer-encoding") > 1) {
-            throw new BadMessage(400, "more than one length or transfer encoding");
+        if (message.headerCount("content-length") + message.headerCount("transfer-encoding") > 1) {
+            throw new BadMessageException(400, "more than one length or transfer encoding");
         }
         String stated = message.header("content-length");
         long length = stated == null ? -1 : number(stated, 10, mostBody, 413);
@@ -276,7 +276,7 @@
         return part == Part.HEADERS;
     }
 
-    private void chunkSize(String text) throws BadMessage {
+    private void chunkSize(String text) throws BadMessageException {
         int end = text.indexOf(';');
         left = number(end < 0 ? text : text.substring(0, end), 16, mostBody, 413);
         part = left == 0 ? Part.TRAILERS : Part.CHUNK;
@@ -284,14 +284,14 @@
     }
 
     /** True if the message is whole with these bytes. */
-    private boolean takeBody(ByteBuffer in) throws BadMessage {
+    private boolean takeBody(ByteBuffer in) throws BadMessageException {
         byte[] piece = new byte[(int) Math.min(left, in.remaining())];
         in.get(piece);
         left -= part == Part.TO_THE_END ? 0 : piece.length;
         if (stream != null) {
             stream.accept(piece);
         } else if (body.size() + piece.length > mostBody) {
-            throw new BadMessage(413, "body too large");
+            throw new BadMessageException(413, "body too large");
         } else {
             body.write(piece, 0, piece.length);
         }
@@ -301,16 +301,17 @@
         return left == 0 && part == Part.BODY;
     }
 
-    private long number(String text, int radix, long most, int statusAbove) throws BadMessage {
+    private long number(String text, int radix, long most, int statusAbove)
+            throws BadMessageException {
         if (text.isEmpty()
                 || text.chars().anyMatch(c -> Character.digit(c, radix) < 0 || c > 'f')) {
-            throw new BadMessage(400, "not a number where one is due");
+            throw new BadMessageException(400, "not a number where one is due");
         }
         long value = 0;
         for (int i = 0; i < text.length(); i++) {
             value = value * radix + Character.digit(text.charAt(i), radix);
             if (value > most) {
-                throw new BadMessage(statusAbove, "too large a number");
+                throw new BadMessageException(statusAbove, "too large a number");
             }
         }
         return value;
--- a/daemon/src/main/java/postgrade/http/Reactor.java
+++ b/daemon/src/main/java/postgrade/http/Reactor.java
@@ -16,14 +16,14 @@
 
     /**
      * Lends a buffer, empty, for a look out of turn. Looks may nest (one tells an owner of an end,
-     * who has another connection looked at), so each has its own until {@link #giveBack}. Who
+     * who has another connection looked at), so each has its own until {@link #releaseBuffer}. Who
      * seldom looks may leave it at a new one each time.
      */
-    default ByteBuffer lend() {
-        return LookBuffers.another();
+    default ByteBuffer acquireBuffer() {
+        return ReadBufferPool.another();
     }
 
-    default void giveBack(ByteBuffer lent) {}
+    default void releaseBuffer(ByteBuffer lent) {}
 
     SocketBudget sockets();
 
@@ -33,7 +33,7 @@
     }
 
     /** When the wait before the one that has just ended had ended; see {@link ArrivalTimes}. */
-    default long lastWaitMicros() {
+    default long previousWaitEndMicros() {
         return 0;
     }
 
@@ -47,7 +47,7 @@
         /** The order in which the ready channels of a turn are served. */
         enum Order {
             FIRST,
-            USUAL,
+            NORMAL,
             LAST
         }
 
@@ -58,7 +58,7 @@
 
         /** When in a turn it is served. */
         default Order order() {
-            return Order.USUAL;
+            return Order.NORMAL;
         }
     }
 }
--- a/daemon/src/main/java/postgrade/http/LookBuffers.java
+++ b/daemon/src/main/java/postgrade/http/ReadBufferPool.java
@@ -7,7 +7,7 @@
  * Buffers that are lent for looks out of turn, and used again. Guards the loop's time: a look comes
  * before every send.
  */
-public final class LookBuffers {
+public final class ReadBufferPool {
 
     private static final int BYTES = 8 << 10;
 
@@ -25,7 +25,7 @@
     }
 
     /** An empty buffer that nobody else has until it is given back. */
-    public ByteBuffer lend() {
+    public ByteBuffer acquire() {
         ByteBuffer one = free.poll();
         if (one != null) {
             return one.clear();
@@ -33,7 +33,7 @@
         return kept++ < MOST_KEPT ? ByteBuffer.allocateDirect(BYTES) : another();
     }
 
-    public void giveBack(ByteBuffer lent) {
+    public void release(ByteBuffer lent) {
         if (lent.isDirect()) {
             free.push(lent);
         }
--- a/daemon/src/main/java/postgrade/http/SocketBudget.java
+++ b/daemon/src/main/java/postgrade/http/SocketBudget.java
@@ -33,7 +33,7 @@
     }
 
     /** From now on so many places, which closes idle connections beyond them. */
-    public void limit(int places) {
+    public void setLimit(int places) {
         most = places;
         for (LinkedHashSet<Connection> of : List.of(onProbation, idle)) {
             while (open > most && !of.isEmpty()) {
@@ -48,17 +48,17 @@
      *
      * @param anyIdle also one that is past its probation may be closed
      */
-    public void takeToAccept(boolean anyIdle) {
+    public void acquireForAccept(boolean anyIdle) {
         if (!take((int) (most * MOST_ACCEPTED), anyIdle)) {
             open++;
         }
     }
 
     /**
-     * Whether {@link #takeToAccept} would find a place; nothing is closed for one that may not
+     * Whether {@link #acquireForAccept} would find a place; nothing is closed for one that may not
      * come.
      */
-    public boolean hasToAccept(boolean anyIdle) {
+    public boolean canAcquireForAccept(boolean anyIdle) {
         return open < (int) (most * MOST_ACCEPTED)
                 || !onProbation.isEmpty()
                 || anyIdle && !idle.isEmpty();
@@ -82,7 +82,7 @@
         return true;
     }
 
-    public void giveBack() {
+    public void release() {
         open--;
     }
 
--- a/daemon/src/main/java/postgrade/operator/OperatorConnection.java
+++ b/daemon/src/main/java/postgrade/operator/OperatorConnection.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 import postgrade.dispatch.Timers;
-import postgrade.http.BadMessage;
+import postgrade.http.BadMessageException;
 import postgrade.http.Connection;
 import postgrade.http.Message;
 import postgrade.http.MessageParser;
@@ -46,23 +46,23 @@
 
     OperatorConnection(OperatorListener listener, SocketChannel channel) throws IOException {
         this.listener = listener;
-        parser = MessageParser.ofRequests(listener.further.mostBody());
+        parser = MessageParser.forRequests(listener.further.mostBody());
         connection = Connection.accepted(listener, channel, this, true);
-        connection.idle(true, true);
+        connection.setIdle(true, true);
         end = listener.timers.at(listener.timers.nowMicros() + PATIENCE_MICROS, this::expire);
     }
 
     @Override
-    public void received(Connection c, ByteBuffer bytes) throws BadMessage {
+    public void received(Connection c, ByteBuffer bytes) throws BadMessageException {
         if (asked) {
             return; // One call a connection: what follows is not read as another.
         }
         Message call = parser.parse(bytes);
         if (call != null) {
             asked = true;
-            connection.idle(false, false);
+            connection.setIdle(false, false);
             take(call);
-        } else if (parser.takeExpectation()) {
+        } else if (parser.consumeExpectContinue()) {
             connection.write(MessageWriter.response(100).noBody());
         }
     }
@@ -74,7 +74,7 @@
             further(path, message);
             return;
         }
-        if (message.body().length > MessageParser.MOST_BODY) {
+        if (message.body().length > MessageParser.MAX_BODY_BYTES) {
             answer(413, null, "body too large");
             return;
         }
@@ -152,7 +152,7 @@
 
     private void answer(int status, String allow, long retryAfterMicros, String text) {
         asked = true;
-        connection.idle(false, false);
+        connection.setIdle(false, false);
         connection.write(
                 MessageWriter.response(status)
                         .header("Allow", allow)
@@ -169,7 +169,7 @@
                         .header("Connection", "close")
                         .body((text + "\n").getBytes(StandardCharsets.UTF_8)));
         connection.closeWhenSent();
-        connection.idle(
+        connection.setIdle(
                 true, false); // It may go for another caller, after those who have not called.
     }
 
@@ -184,7 +184,7 @@
     }
 
     @Override
-    public void bad(Connection c, BadMessage e) {
+    public void badMessage(Connection c, BadMessageException e) {
         if (!asked) {
             answer(e.status(), null, e.getMessage());
         }
--- a/daemon/src/main/java/postgrade/operator/OperatorListener.java
+++ b/daemon/src/main/java/postgrade/operator/OperatorListener.java
@@ -76,17 +76,17 @@
     public void ready(SelectionKey ready) throws IOException {
         // Guards those who call: one who sits there and has sent no whole call goes for the next
         // who comes.
-        while (places.hasToAccept(true)) {
+        while (places.canAcquireForAccept(true)) {
             SocketChannel accepted = channel.accept();
             if (accepted == null) {
                 return;
             }
-            places.takeToAccept(true);
+            places.acquireForAccept(true);
             try {
                 new OperatorConnection(this, accepted);
             } catch (IOException e) {
                 accepted.close(); // It broke while it was accepted; the next one need not.
-                places.giveBack();
+                places.release();
             }
         }
         key.interestOps(
--- a/daemon/src/main/java/postgrade/provider/Call.java
+++ b/daemon/src/main/java/postgrade/provider/Call.java
@@ -90,7 +90,7 @@
 
     @Override
     boolean isLate(long nowMicros) {
-        return nowMicros > attempt.writeByMicros() || attempt.isUnwanted();
+        return nowMicros > attempt.writeDeadlineMicros() || attempt.isUnwanted();
     }
 
     /**
--- a/daemon/src/main/java/postgrade/provider/FreeLinks.java
+++ b/daemon/src/main/java/postgrade/provider/FreeLinks.java
@@ -45,7 +45,7 @@
             // has been idle for too long by what has been learnt since.
             link.idleMicros = timers.nowMicros() - link.freeMicros;
             if (link.idleMicros < keepAlive.limitMicros(timers.nowMicros())
-                    && link.connection.stillOpen()) {
+                    && link.connection.isStillOpen()) {
                 return link;
             }
             link.fail();
@@ -60,7 +60,7 @@
         link.to(as);
         link.freeMicros = timers.nowMicros();
         (as == Link.State.IDLE ? idle : resting).add(link);
-        link.connection.idle(true, false);
+        link.connection.setIdle(true, false);
         // Guards against the provider's own closing of idle connections: what is written then is
         // reset.
         link.timer =
--- a/daemon/src/main/java/postgrade/provider/Link.java
+++ b/daemon/src/main/java/postgrade/provider/Link.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 import postgrade.dispatch.Timers;
-import postgrade.http.BadMessage;
+import postgrade.http.BadMessageException;
 import postgrade.http.Connection;
 import postgrade.http.Message;
 import postgrade.http.MessageParser;
@@ -41,7 +41,7 @@
 
     final Pool pool;
     final InetSocketAddress to;
-    final MessageParser parser = MessageParser.ofResponses();
+    final MessageParser parser = MessageParser.forResponses();
     Connection connection;
     Request request;
 
@@ -90,7 +90,7 @@
         r.link = this;
         r.carriedBy(this);
         carried++;
-        connection.idle(false, false);
+        connection.setIdle(false, false);
         r.writeTo(connection);
     }
 
@@ -100,7 +100,7 @@
     }
 
     @Override
-    public void received(Connection c, ByteBuffer bytes) throws BadMessage {
+    public void received(Connection c, ByteBuffer bytes) throws BadMessageException {
         pool.heard();
         if (request == null) {
             unaskedFor();
@@ -132,7 +132,7 @@
         Request done = request;
         request = null;
         answered = done;
-        if (ends || more || !response.keepsAlive() || !connection.allSent()) {
+        if (ends || more || !response.isKeepAlive() || !connection.isAllSent()) {
             close();
         } else {
             pool.answered(this);
@@ -147,15 +147,15 @@
     }
 
     @Override
-    public void ended(Connection c) {
-        Message response = parser.atEnd();
+    public void inputEnded(Connection c) {
+        Message response = parser.endOfInput();
         if (response != null && request != null) {
             finish(response, true, false);
         }
     }
 
     @Override
-    public void bad(Connection c, BadMessage e) {
+    public void badMessage(Connection c, BadMessageException e) {
         spoilt = true;
         fail();
     }
@@ -170,7 +170,7 @@
         if (state == State.CLOSED) {
             return;
         }
-        boolean written = connection.allSent();
+        boolean written = connection.isAllSent();
         close();
         Request next = reservedFor;
         reservedFor = null;
@@ -196,7 +196,7 @@
 
     /** Some of an answer to what it carries has come, or something that is none. */
     boolean answerBegan() {
-        return spoilt || !parser.atStart();
+        return spoilt || !parser.isAtMessageStart();
     }
 
     /** Closes the connection under a request that has been given up; the request hears nothing. */
--- a/daemon/src/main/java/postgrade/provider/Request.java
+++ b/daemon/src/main/java/postgrade/provider/Request.java
@@ -73,6 +73,6 @@
 
     /** Its last byte has been given to the system. */
     boolean written() {
-        return link != null && link.connection.allSent();
+        return link != null && link.connection.isAllSent();
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/AttemptStage.java
+++ b/daemon/src/test/java/postgrade/daemon/AttemptStage.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import org.junit.After;
 import org.junit.Before;
-import postgrade.discovery.Hand;
+import postgrade.discovery.ManualEventLoop;
 import postgrade.dispatch.PendingRequest;
 import postgrade.dispatch.ReportedState;
 import postgrade.dispatch.RequestPayload;
@@ -32,7 +32,7 @@
     static final long DEADLINE = 15_000 * MILLI;
     static final String TAKEN = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
 
-    final Hand hand;
+    final ManualEventLoop hand;
     final List<String> answers = new ArrayList<>();
     final List<Socket> sockets = new ArrayList<>();
     ServerSocket one;
@@ -42,7 +42,7 @@
     ProviderPools pools;
 
     AttemptStage() throws IOException {
-        hand = new Hand();
+        hand = new ManualEventLoop();
         one = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         two = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         one.setSoTimeout(Peer.PATIENCE_S * 1000);
@@ -128,19 +128,19 @@
 
     /** The rest of a turn whose channels have been served. */
     void turn() {
-        hand.passes(0, () -> false);
+        hand.advanceTime(0, () -> false);
         gateway.runBatch();
     }
 
     /** Time passes, with a turn at its end. */
     void pass(long micros) {
-        hand.passes(micros, () -> false);
+        hand.advanceTime(micros, () -> false);
         gateway.runBatch();
     }
 
     /** Turns, none of which lets time pass, until something has come on the connection. */
     void arrives(Socket s) throws IOException {
-        hand.until(
+        hand.serveUntil(
                 () -> {
                     turn();
                     return available(s) > 0;
@@ -187,13 +187,13 @@
     void confirmsCancellation(String id) throws IOException {
         Peer.Arrived delete = request(one);
         assertTrue(delete.head(), delete.head().startsWith("DELETE /jobs/" + id + " "));
-        hand.heard(() -> delete.reply("200 OK\r\nConnection: close", ""));
+        hand.runAndServe(() -> delete.reply("200 OK\r\nConnection: close", ""));
         turn();
     }
 
     /** The worker says this, and it is read before the turn goes on. */
     void says(Socket worker, String text) throws IOException {
-        hand.heard(() -> Peer.write(worker, text));
+        hand.runAndServe(() -> Peer.write(worker, text));
     }
 
     void reports(String id, String from, ReportedState state) {
--- a/daemon/src/test/java/postgrade/daemon/BadInputTest.java
+++ b/daemon/src/test/java/postgrade/daemon/BadInputTest.java
@@ -75,7 +75,7 @@
         Socket s = new Socket();
         sockets.add(s);
         s.setSoTimeout(Peer.PATIENCE_S * 1000);
-        hand.heard(
+        hand.runAndServe(
                 () ->
                         s.connect(
                                 new InetSocketAddress(
@@ -90,12 +90,12 @@
     /** Another client's job, the worker's word that it is done, and the answers to both. */
     private void served(String id, Socket client, Socket callBacks, Socket worker)
             throws IOException {
-        hand.heard(() -> Peer.write(client, JOB + id + "\r\nContent-Length: 0\r\n\r\n"));
+        hand.runAndServe(() -> Peer.write(client, JOB + id + "\r\nContent-Length: 0\r\n\r\n"));
         turn();
         Arrived attempt = worker == null ? request(one) : request(worker);
         says(attempt.socket(), "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
         String done = "{\"id\":\"" + id + "\",\"from\":\"w1\",\"state\":\"done\"}";
-        hand.heard(
+        hand.runAndServe(
                 () ->
                         Peer.write(
                                 callBacks,
@@ -116,17 +116,17 @@
         Socket callBacks = connect();
         served("usual", usual, callBacks, null);
         Socket worker = sockets.get(2);
-        long before = hand.open();
+        long before = hand.openChannels();
         Socket[] bad = new Socket[CLIENTS.length];
         for (int i = 0; i < bad.length; i++) {
             Socket s = connect();
             bad[i] = s;
             String text = (String) CLIENTS[i][0];
             if (!text.isEmpty()) {
-                hand.heard(() -> Peer.write(s, text));
+                hand.runAndServe(() -> Peer.write(s, text));
             }
             if ((boolean) CLIENTS[i][2]) {
-                hand.until(() -> available(s) > 0);
+                hand.serveUntil(() -> available(s) > 0);
             }
         }
         for (int i = 0; i < 6; i++) {
@@ -143,10 +143,10 @@
                     bad[i].getInputStream().read());
         }
         pass(STEP);
-        hand.until(() -> true);
+        hand.serveUntil(() -> true);
         assertEquals(
                 "none of them holds a place though it has not ended its own side",
                 before,
-                hand.open());
+                hand.openChannels());
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/EndProofTest.java
+++ b/daemon/src/test/java/postgrade/daemon/EndProofTest.java
@@ -35,12 +35,12 @@
     }
 
     private void confirms(Arrived delete) throws IOException {
-        hand.heard(() -> delete.reply("204 No Content", ""));
+        hand.runAndServe(() -> delete.reply("204 No Content", ""));
         turn();
     }
 
     private void breaks(Socket worker) throws IOException {
-        hand.heard(
+        hand.runAndServe(
                 () -> {
                     worker.setSoLinger(true, 0);
                     worker.close();
@@ -88,7 +88,7 @@
     @Test
     public void soIsAnOrderlyEndBeforeAnyAnswer() throws Exception {
         Socket worker = untaken("a2");
-        hand.heard(worker::close);
+        hand.runAndServe(worker::close);
         turn();
         hasHeard();
         confirmsCancellation("a2");
@@ -202,7 +202,7 @@
         gateway.runBatch(); // Its connection comes up only at the end of a turn.
         says(worker, FULL);
         int[] selections = {0};
-        hand.until(() -> ++selections[0] > 5); // Both the answer and the connection are there.
+        hand.serveUntil(() -> ++selections[0] > 5); // Both the answer and the connection are there.
         reports("r1", "w1", ReportedState.DONE);
         turn();
         pass(20 * MILLI);
@@ -217,7 +217,7 @@
         script.out.cancelAttempt("s1", 0);
         turn();
         Arrived early = delete(accept(one), "s1");
-        hand.heard(() -> early.reply("503 Busy", ""));
+        hand.runAndServe(() -> early.reply("503 Busy", ""));
         turn();
         pass(45 * MILLI);
         says(worker, FULL);
@@ -292,7 +292,7 @@
             Socket worker = untaken(id);
             breaks(worker);
             Arrived refused = delete(accept(one), id);
-            hand.heard(() -> refused.reply(status, ""));
+            hand.runAndServe(() -> refused.reply(status, ""));
             turn();
             pass(50 * MILLI);
             hasHeard();
@@ -309,7 +309,7 @@
         Socket worker = untaken("h1");
         breaks(worker);
         Arrived delete = delete(accept(one), "h1");
-        hand.heard(() -> delete.reply("404 Unknown", ""));
+        hand.runAndServe(() -> delete.reply("404 Unknown", ""));
         turn();
         hasHeard("finished h1 0 RESET false");
     }
@@ -398,7 +398,7 @@
         one.close();
         open("n1");
         turn();
-        hand.heard(() -> {});
+        hand.runAndServe(() -> {});
         turn();
         hasHeard("finished n1 0 UNREACHABLE false");
     }
--- a/daemon/src/test/java/postgrade/daemon/GiveUpCrossingTest.java
+++ b/daemon/src/test/java/postgrade/daemon/GiveUpCrossingTest.java
@@ -37,14 +37,14 @@
 
     private void isGivenUpBy(Arrived delete, String end) throws IOException {
         hasHeard();
-        hand.heard(() -> delete.reply("200 OK", ""));
+        hand.runAndServe(() -> delete.reply("200 OK", ""));
         turn();
         hasHeard(end);
     }
 
     /** It came before the job, or its connection's end, was known: the worker may have it since. */
     private void provesNothing(Arrived delete) throws IOException {
-        hand.heard(() -> delete.reply("200 OK", ""));
+        hand.runAndServe(() -> delete.reply("200 OK", ""));
         turn();
         hasHeard();
     }
@@ -94,7 +94,7 @@
         Arrived job = sent("x4");
         cancel("x4");
         Arrived delete = delete(accept(one));
-        hand.heard(() -> job.socket().close());
+        hand.runAndServe(() -> job.socket().close());
         turn();
         hasHeard();
         provesNothing(delete);
@@ -126,7 +126,7 @@
     public void soIsOneWhoseAnswerIsCutShort() throws Exception {
         Arrived job = sent("s1");
         says(job.socket(), "HTTP/1.1 202 Accepted\r\nContent-Length: 9\r\n\r\nhalf");
-        hand.heard(() -> job.socket().close());
+        hand.runAndServe(() -> job.socket().close());
         turn();
         isGivenUpBy(delete(accept(one)), "finished s1 0 RESET false");
     }
@@ -227,15 +227,15 @@
         Arrived job = sent(id);
         says(job.socket(), TAKEN);
         one.close();
-        hand.heard(job.socket()::close);
+        hand.runAndServe(job.socket()::close);
         cancel(id);
         isRefused();
     }
 
     private void isRefused() throws IOException {
-        assertEquals("a DELETE asks for a connection", 1, hand.open());
-        hand.heard(() -> {});
-        assertEquals(0, hand.open());
+        assertEquals("a DELETE asks for a connection", 1, hand.openChannels());
+        hand.runAndServe(() -> {});
+        assertEquals(0, hand.openChannels());
     }
 
     /** Each was a new connection, 20 a second up to the deadline. */
@@ -246,7 +246,7 @@
         long since = 0;
         for (long pause : new long[] {50, 100, 200, 400, 400}) {
             pass(pause * MILLI - 1);
-            assertEquals("not before " + pause + " ms", 0, hand.open());
+            assertEquals("not before " + pause + " ms", 0, hand.openChannels());
             pass(1);
             isRefused();
             since += pause * MILLI;
--- a/daemon/src/test/java/postgrade/daemon/LateDialTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LateDialTest.java
@@ -44,8 +44,8 @@
         PendingRequest in = open("l1");
         turn();
         Socket worker = accept(one);
-        hand.heard(() -> {}); // It has come up.
-        gateway.clientLeft(in);
+        hand.runAndServe(() -> {}); // It has come up.
+        gateway.clientDisconnected(in);
         turn();
         nothingWasWrittenTo(worker);
     }
@@ -57,10 +57,10 @@
         PendingRequest in = open("l2");
         turn();
         Socket worker = accept(one);
-        gateway.clientLeft(in);
+        gateway.clientDisconnected(in);
         turn();
         hasHeard("finished l2 0 NOT_SENT true");
-        hand.heard(() -> {});
+        hand.runAndServe(() -> {});
         turn();
         nothingWasWrittenTo(worker);
     }
@@ -72,7 +72,7 @@
         Socket worker = accept(one);
         script.out.reject("l3", 0);
         turn();
-        hand.heard(() -> {});
+        hand.runAndServe(() -> {});
         turn();
         nothingWasWrittenTo(worker);
     }
@@ -83,7 +83,7 @@
         open("l4");
         turn();
         Socket worker = accept(one);
-        hand.heard(() -> {});
+        hand.runAndServe(() -> {});
         list(target("w1", one, false));
         turn();
         turn();
@@ -107,10 +107,11 @@
         turn();
         Socket late = accept(one);
         list(target("w1", two, true));
-        hand.heard(() -> {});
+        hand.runAndServe(() -> {});
         turn();
         assertEquals("m2", request(two).header("X-Request-Id"));
-        hand.heard(() -> Peer.write(former, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"));
+        hand.runAndServe(
+                () -> Peer.write(former, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"));
         turn();
         open("m3");
         turn();
@@ -129,14 +130,14 @@
         turn();
         Socket first = request(one).socket();
         first.setSoLinger(true, 0);
-        hand.heard(first::close);
+        hand.runAndServe(first::close);
         turn();
         confirmsCancellation("k1");
         script.out.startAttempt("k1", "w2", 0, 100 * MILLI * 1000);
         turn();
         Socket second = accept(two);
         pass(101 * MILLI);
-        hand.heard(() -> {});
+        hand.runAndServe(() -> {});
         turn();
         turn();
         hasHeard("finished k1 0 RESET false", "finished k1 1 NOT_SENT false");
@@ -162,10 +163,10 @@
         mayOpen[0] = true;
         open("p2");
         turn();
-        hand.heard(() -> {}); // Refused.
+        hand.runAndServe(() -> {}); // Refused.
         turn();
         pass(40 * MILLI);
-        hand.heard(() -> {});
+        hand.runAndServe(() -> {});
         turn();
         hasHeard("finished p1 0 UNREACHABLE false", "finished p2 0 UNREACHABLE false");
     }
--- a/daemon/src/test/java/postgrade/daemon/LateWordTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LateWordTest.java
@@ -37,7 +37,7 @@
         isServed("a");
         pass(100 * MILLI);
         assertEquals("nothing is asked of it", 0, available(worker));
-        assertEquals("nor on a connection of its own", 1, hand.open());
+        assertEquals("nor on a connection of its own", 1, hand.openChannels());
     }
 
     private Arrived delete(Socket on, String id) throws IOException {
@@ -51,7 +51,7 @@
         script.out.cancelAttempt(id, 0);
         turn();
         Arrived delete = delete(accept(one), id);
-        hand.heard(() -> delete.reply("200 OK", ""));
+        hand.runAndServe(() -> delete.reply("200 OK", ""));
         turn();
         hasHeard();
         return delete;
@@ -65,11 +65,11 @@
         pass(99 * MILLI);
         hasHeard();
         pass(1 * MILLI);
-        assertEquals("the one of the DELETE is left", 1, hand.open());
+        assertEquals("the one of the DELETE is left", 1, hand.openChannels());
         assertEquals(-1, worker.getInputStream().read());
         hasHeard();
         Arrived second = delete(first.socket(), "b");
-        hand.heard(() -> second.reply("200 OK", ""));
+        hand.runAndServe(() -> second.reply("200 OK", ""));
         turn();
         hasHeard("finished b 0 CANCELLED false");
         pass(20 * MILLI);
@@ -88,7 +88,7 @@
         pass(20 * MILLI);
         hasHeard();
         Arrived second = delete(worker, "d");
-        hand.heard(() -> second.reply("200 OK", ""));
+        hand.runAndServe(() -> second.reply("200 OK", ""));
         turn();
         hasHeard("finished d 0 CANCELLED false");
     }
@@ -102,7 +102,7 @@
         Socket worker = taken("c");
         reports("c", "w1", ReportedState.STARTED);
         pass(2_000 * MILLI);
-        hand.heard(
+        hand.runAndServe(
                 () -> {
                     worker.setSoLinger(true, 0);
                     worker.close();
@@ -110,7 +110,7 @@
         turn();
         pass(100 * MILLI);
         hasHeard();
-        assertEquals("and nothing is asked of the worker", 0, hand.open());
+        assertEquals("and nothing is asked of the worker", 0, hand.openChannels());
         reports("c", "w1", ReportedState.DONE);
         turn();
         isServed("c");
--- a/daemon/src/test/java/postgrade/daemon/LearntIdleTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LearntIdleTest.java
@@ -25,7 +25,7 @@
         open("b");
         turn();
         assertEquals("b", request(former).header("X-Request-Id"));
-        hand.heard(former::close);
+        hand.runAndServe(former::close);
         turn();
         confirmsCancellation("b");
         assertEquals("finished b 0 RESET false", ends().get(1));
--- a/daemon/src/test/java/postgrade/daemon/RestingTest.java
+++ b/daemon/src/test/java/postgrade/daemon/RestingTest.java
@@ -23,7 +23,7 @@
     private void waits(Socket resting, int connections, long micros) {
         pass(micros);
         assertEquals("nothing is written yet", 0, available(resting));
-        assertEquals("nor another one opened", connections, hand.open());
+        assertEquals("nor another one opened", connections, hand.openChannels());
     }
 
     /**
@@ -52,7 +52,7 @@
         turn();
         hasHeard();
         Arrived delete = request(one);
-        hand.heard(() -> delete.reply("200 OK", ""));
+        hand.runAndServe(() -> delete.reply("200 OK", ""));
         turn();
         hasHeard("finished b1 0 CANCELLED false");
     }
@@ -77,7 +77,7 @@
         open("d3");
         turn();
         Socket other = accept(one);
-        hand.heard(() -> {});
+        hand.runAndServe(() -> {});
         turn();
         assertEquals("d2", request(other).header("X-Request-Id"));
         waits(resting, 2, 20 * MILLI - 1);
@@ -106,7 +106,7 @@
         Socket resting = taken("f1");
         PendingRequest left = open("f2");
         turn();
-        gateway.clientLeft(left);
+        gateway.clientDisconnected(left);
         turn();
         script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0, 10 * MILLI * 1000);
         open("f3"); // May be written for 10 ms.
@@ -125,7 +125,7 @@
         turn();
         hasHeard("finished g2 0 NOT_SENT false");
         assertEquals("closed", -1, resting.getInputStream().read());
-        assertEquals("none is opened for it", 0, hand.open());
+        assertEquals("none is opened for it", 0, hand.openChannels());
     }
 
     @Test
--- a/daemon/src/test/java/postgrade/daemon/SystemCallsTest.java
+++ b/daemon/src/test/java/postgrade/daemon/SystemCallsTest.java
@@ -13,9 +13,9 @@
 import org.junit.Before;
 import org.junit.Test;
 import postgrade.daemon.Peer.Arrived;
-import postgrade.http.FailingCalls;
-import postgrade.http.FailingCalls.Call;
-import postgrade.http.FailingCalls.Failure;
+import postgrade.http.FaultInjectingCalls;
+import postgrade.http.FaultInjectingCalls.Call;
+import postgrade.http.FaultInjectingCalls.Failure;
 import postgrade.policy.api.AttemptOutcome;
 
 /** System calls that fail for a moment, are short or return early, at each point of a job's way. */
@@ -27,7 +27,7 @@
                     () -> new SocketException("No buffer space available"),
                     () -> new SocketException("Network is unreachable"));
 
-    private final FailingCalls calls = new FailingCalls();
+    private final FaultInjectingCalls calls = new FaultInjectingCalls();
     private Turns turns;
 
     @Before
@@ -112,7 +112,7 @@
         turns.script.hears("job s1");
         calls.fail(Call.SELECT, 3, () -> new IOException("Interrupted system call"));
         isServed("s1", client, workerOne, "w1");
-        assertEquals(0, calls.left(Call.SELECT));
+        assertEquals(0, calls.failuresLeft(Call.SELECT));
     }
 
     @Test
@@ -125,7 +125,7 @@
                 "a1", before, workerOne,
                 "w1"); // Its call-back comes on a connection that waits behind the other.
         isServed("a2", waits, workerOne, "w1");
-        assertEquals(0, calls.left(Call.ACCEPT));
+        assertEquals(0, calls.failuresLeft(Call.ACCEPT));
     }
 
     @Test
--- a/daemon/src/test/java/postgrade/discovery/Hand.java
+++ b/daemon/src/test/java/postgrade/discovery/ManualEventLoop.java
@@ -18,7 +18,7 @@
 import postgrade.http.SystemCalls;
 
 /** A loop turned by hand: sockets are real, time passes only when the test says so. */
-public final class Hand implements Reactor, Timers {
+public final class ManualEventLoop implements Reactor, Timers {
 
     private final Selector selector;
     private final SocketBudget sockets = new SocketBudget(100);
@@ -45,7 +45,7 @@
         }
     }
 
-    public Hand() throws IOException {
+    public ManualEventLoop() throws IOException {
         selector = Selector.open();
     }
 
@@ -60,7 +60,7 @@
     }
 
     /** Serves sockets until it is so; time stands still. */
-    public void until(BooleanSupplier isSo) throws IOException {
+    public void serveUntil(BooleanSupplier isSo) throws IOException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (!isSo.getAsBoolean()) {
             assertTrue("in time", System.nanoTime() < end);
@@ -85,24 +85,24 @@
     }
 
     /** Connections that are open or coming up. */
-    public long open() {
+    public long openChannels() {
         return channels.stream().filter(SelectableChannel::isOpen).count();
     }
 
     /** Does something that a socket hears of, and serves that. */
-    public void heard(Io something) throws IOException {
+    public void runAndServe(IoAction something) throws IOException {
         int before = served;
         something.run();
-        until(() -> served > before);
+        serveUntil(() -> served > before);
     }
 
     /** What a peer does. */
-    public interface Io {
+    public interface IoAction {
         void run() throws IOException;
     }
 
     /** Time passes; returns early, at its time, once a task has made it so. */
-    public boolean passes(long micros, BooleanSupplier isSo) {
+    public boolean advanceTime(long micros, BooleanSupplier isSo) {
         long end = nowMicros + micros;
         while (!due.isEmpty() && due.peek().whenMicros <= end) {
             Due next = due.poll();
--- a/daemon/src/test/java/postgrade/discovery/WatchScheduleTest.java
+++ b/daemon/src/test/java/postgrade/discovery/WatchScheduleTest.java
@@ -50,7 +50,7 @@
 
     private final InetAddress loopback = InetAddress.getLoopbackAddress();
     private final List<Socket> sockets = new ArrayList<>();
-    private Hand hand;
+    private ManualEventLoop hand;
     private ServerSocket discovery;
     private int port;
     private DiscoveryWatch watch;
@@ -75,7 +75,7 @@
     }
 
     private void begin(int schedule) throws IOException {
-        hand = new Hand();
+        hand = new ManualEventLoop();
         taken = 0;
         version = 41;
         listen(0);
@@ -94,7 +94,7 @@
     private Socket accept() throws IOException {
         Socket s = discovery.accept();
         sockets.add(s);
-        hand.until(
+        hand.serveUntil(
                 () -> {
                     try {
                         return s.getInputStream().available() > 0;
@@ -132,7 +132,7 @@
                         ? "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body
                         : HEAD + chunk(body + "\n"));
         int before = taken;
-        hand.until(() -> taken > before);
+        hand.serveUntil(() -> taken > before);
         assertEquals(version, watch.version());
     }
 
@@ -158,15 +158,15 @@
                 answer(s);
                 s.close();
             }
-            case SILENT_BEHIND_ITS_HEAD -> hand.heard(() -> send(s, HEAD));
+            case SILENT_BEHIND_ITS_HEAD -> hand.runAndServe(() -> send(s, HEAD));
             case HALF_AN_OBJECT ->
-                    hand.heard(
+                    hand.runAndServe(
                             () -> send(s, HEAD + chunk(list(version + 1, false).substring(0, 9))));
             case SILENT_BEHIND_ITS_LIST -> answer(s);
             default -> {}
         }
         if (!how.lasts()) {
-            hand.until(() -> hand.open() == 0);
+            hand.serveUntil(() -> hand.openChannels() == 0);
         }
     }
 
@@ -175,14 +175,15 @@
         if (next == Failure.REFUSED) {
             discovery.close();
         }
-        if (hand.open() == 1) {
-            assertTrue("found out", hand.passes(WORST_MICROS, () -> hand.open() == 0));
+        if (hand.openChannels() == 1) {
+            assertTrue("found out", hand.advanceTime(WORST_MICROS, () -> hand.openChannels() == 0));
         }
-        if (hand.open() == 0) {
-            assertTrue("opened again", hand.passes(WORST_MICROS, () -> hand.open() == 1));
+        if (hand.openChannels() == 0) {
+            assertTrue(
+                    "opened again", hand.advanceTime(WORST_MICROS, () -> hand.openChannels() == 1));
         }
         if (next == Failure.REFUSED) {
-            hand.until(() -> hand.open() == 0);
+            hand.serveUntil(() -> hand.openChannels() == 0);
             listen(port);
         }
     }
@@ -192,11 +193,12 @@
      * answered.
      */
     private long isInForceAfter(SplittableRandom random) throws IOException {
-        boolean waits = hand.open() == 1;
-        hand.passes(
-                random.nextLong(waits ? 2_000_000 : 300_000), () -> (hand.open() == 1) != waits);
+        boolean waits = hand.openChannels() == 1;
+        hand.advanceTime(
+                random.nextLong(waits ? 2_000_000 : 300_000),
+                () -> (hand.openChannels() == 1) != waits);
         long from = hand.nowMicros();
-        boolean opening = !waits && hand.open() == 1;
+        boolean opening = !waits && hand.openChannels() == 1;
         if (!opening) {
             opensAgain(null);
         }
--- a/daemon/src/test/java/postgrade/discovery/WatchTest.java
+++ b/daemon/src/test/java/postgrade/discovery/WatchTest.java
@@ -24,7 +24,7 @@
 
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    private final Hand hand;
+    private final ManualEventLoop hand;
     private ServerSocket discovery = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final List<Socket> sockets = new ArrayList<>();
     private final List<WorkerList> taken = new ArrayList<>();
@@ -32,7 +32,7 @@
     private String asked;
 
     public WatchTest() throws IOException {
-        hand = new Hand();
+        hand = new ManualEventLoop();
     }
 
     @Before
@@ -61,7 +61,7 @@
     private Socket next() throws IOException {
         Socket s = discovery.accept();
         sockets.add(s);
-        hand.until(() -> available(s) > 0);
+        hand.serveUntil(() -> available(s) > 0);
         asked =
                 new String(s.getInputStream().readNBytes(available(s)), StandardCharsets.US_ASCII)
                         .split(" HTTP")[0];
@@ -91,7 +91,7 @@
     }
 
     private void tells(Socket s, String text) throws IOException {
-        hand.heard(() -> send(s, text));
+        hand.runAndServe(() -> send(s, text));
     }
 
     /** A watch that is up and has its first object. */
@@ -99,21 +99,21 @@
         Socket s = next();
         s.getOutputStream().write(HEAD.getBytes());
         send(s, object(42, "ready") + "\n");
-        hand.until(() -> watch.version() == 42);
+        hand.serveUntil(() -> watch.version() == 42);
         return s;
     }
 
     /** Lets time pass until the watch has ended its connection, and says how long that took. */
     private long ends(Socket s) throws IOException {
         long from = hand.nowMicros();
-        assertTrue("found out", hand.passes(TOLD_MICROS, () -> hand.open() == 0));
+        assertTrue("found out", hand.advanceTime(TOLD_MICROS, () -> hand.openChannels() == 0));
         s.setSoTimeout(20_000);
         assertEquals("closed", -1, s.getInputStream().read());
         return hand.nowMicros() - from;
     }
 
     private Socket opensAgain() throws IOException {
-        assertTrue("opened again", hand.passes(TOLD_MICROS, () -> hand.open() == 1));
+        assertTrue("opened again", hand.advanceTime(TOLD_MICROS, () -> hand.openChannels() == 1));
         return next();
     }
 
@@ -123,7 +123,7 @@
             Socket again = opensAgain();
             assertEquals("GET /api/targets?watch=1&from=" + watch.version(), asked);
             if (i > 0) {
-                hand.heard(() -> again.getOutputStream().write(HEAD.getBytes()));
+                hand.runAndServe(() -> again.getOutputStream().write(HEAD.getBytes()));
                 tells(again, object(43, "draining").substring(0, 20 * i));
             }
             ends(again);
@@ -132,7 +132,7 @@
         at.getOutputStream().write(HEAD.getBytes());
         int before = taken.size();
         send(at, object(43, "draining") + "\n");
-        hand.until(() -> taken.size() > before);
+        hand.serveUntil(() -> taken.size() > before);
         assertEquals(WorkerList.State.DRAINING, taken.get(before).workers().get(0).state());
         long passed = hand.nowMicros() - fellMicros;
         assertTrue("after " + passed, passed < TOLD_MICROS - 500_000);
@@ -150,7 +150,7 @@
     public void oneThatFallsSilentLaterIsOpenedAgainAndWhatItMissedIsInForceBefore6s()
             throws IOException {
         Socket s = first();
-        hand.passes(2_000_000, () -> false);
+        hand.advanceTime(2_000_000, () -> false);
         tells(s, "\n");
         long fell = hand.nowMicros();
         assertTrue("an empty line that is a little late is no alarm", ends(s) > 2_100_000);
@@ -163,7 +163,7 @@
         long fell = hand.nowMicros();
         String half = object(43, "draining");
         for (int i = 0; i < 22; i++) {
-            assertFalse(hand.passes(100_000, () -> hand.open() == 0));
+            assertFalse(hand.advanceTime(100_000, () -> hand.openChannels() == 0));
             tells(s, half.substring(i, i + 1) + (i == 0 ? "\n\n" : ""));
         }
         ends(s);
@@ -184,15 +184,15 @@
                         + " "
                         + object(45, "gone")
                         + "\n\n");
-        hand.until(() -> taken.size() == 4);
+        hand.serveUntil(() -> taken.size() == 4);
         assertEquals(List.of(42L, 43L, 44L, 45L), taken.stream().map(WorkerList::version).toList());
         assertEquals("w{1}\"", taken.get(1).workers().get(0).id());
         for (int i = 0; i < 3; i++) {
-            assertFalse(hand.passes(2_000_000, () -> hand.open() == 0));
+            assertFalse(hand.advanceTime(2_000_000, () -> hand.openChannels() == 0));
             tells(s, i == 1 ? " \r\n" : "\n");
         }
         tells(s, "}\n");
-        assertEquals("what is no object ends it", 0, hand.open());
+        assertEquals("what is no object ends it", 0, hand.openChannels());
     }
 
     /** After a move all counts as told within 4 s. */
@@ -208,10 +208,10 @@
                 next();
                 assertEquals("GET /api/targets", asked);
                 assertTrue(
-                        hand.passes(
+                        hand.advanceTime(
                                 TOLD_MICROS,
-                                () -> hand.open() == 1)); // The former one is heard still.
-                assertTrue(hand.passes(TOLD_MICROS, () -> hand.open() == 2));
+                                () -> hand.openChannels() == 1)); // The former one is heard still.
+                assertTrue(hand.advanceTime(TOLD_MICROS, () -> hand.openChannels() == 2));
                 tells(former, "\n");
             }
             Socket s = next();
@@ -224,9 +224,9 @@
                                             + "\r\n\r\n"
                                             + list)
                                     .getBytes());
-            hand.until(() -> taken.size() == 2);
-            assertEquals("the former one is ended", 1, hand.open());
-            hand.until(() -> available(s) > 0);
+            hand.serveUntil(() -> taken.size() == 2);
+            assertEquals("the former one is ended", 1, hand.openChannels());
+            hand.serveUntil(() -> available(s) > 0);
             s.getInputStream().skipNBytes(available(s));
             assertTrue("silent behind its list", ends(s) < 450_000);
             opensAgain();
@@ -250,9 +250,9 @@
             s.getOutputStream().write(HEAD.getBytes());
             int before = taken.size();
             send(s, object(43, "ready") + "\n");
-            hand.until(() -> taken.size() > before);
+            hand.serveUntil(() -> taken.size() > before);
             s.close();
-            hand.until(() -> hand.open() == 0);
+            hand.serveUntil(() -> hand.openChannels() == 0);
         }
         long each = (hand.nowMicros() - ended) / 10;
         assertTrue(
--- a/daemon/src/test/java/postgrade/http/ConnectionTest.java
+++ b/daemon/src/test/java/postgrade/http/ConnectionTest.java
@@ -31,7 +31,7 @@
     private final SocketBudget sockets = new SocketBudget(10);
     private final ByteBuffer inUse = ByteBuffer.allocate(16);
     private final StringBuilder heard = new StringBuilder();
-    private final LookBuffers looks = new LookBuffers();
+    private final ReadBufferPool looks = new ReadBufferPool();
     private ByteBuffer last;
     private Selector selector;
     private ServerSocketChannel server;
@@ -47,7 +47,7 @@
                         .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         peer = SocketChannel.open(server.getLocalAddress());
         ours = server.accept();
-        sockets.takeToAccept(true);
+        sockets.acquireForAccept(true);
         connection = Connection.accepted(this, ours, this);
     }
 
@@ -72,11 +72,11 @@
     @Test
     public void aLookTakesAllThatHasComeAndTheEndBehindItThoughNothingIsReadOtherwise()
             throws IOException {
-        connection.pause(true);
+        connection.setPaused(true);
         inUse.put((byte) 7);
         send("x".repeat(20_000));
         peer.close();
-        connection.look();
+        connection.readPending();
         assertEquals("x".repeat(20_000) + " ended closed", heard.toString());
         assertFalse(connection.isOpen());
         assertEquals("the loop's buffer is as it was", 1, inUse.position());
@@ -86,7 +86,7 @@
     public void aLookAtAConnectionThatHasBeenResetTellsOfItsEnd() throws IOException {
         peer.setOption(StandardSocketOptions.SO_LINGER, 0);
         peer.close();
-        connection.look();
+        connection.readPending();
         assertEquals(" closed", heard.toString());
     }
 
@@ -94,21 +94,21 @@
     public void whatComesBehindOurEndIsPassedOverAndThePeersEndIsSeen() throws IOException {
         connection.closeWhenSent();
         send("late");
-        connection.look();
+        connection.readPending();
         assertEquals("", heard.toString());
         assertTrue(connection.isOpen());
         peer.close();
-        connection.look();
+        connection.readPending();
         assertEquals(" ended closed", heard.toString());
     }
 
     @Test
     public void oneThatIsNoLongerIdleOnALookIsNotEvicted() throws IOException {
-        connection.idle(true, false);
+        connection.setIdle(true, false);
         send("x");
         connection.evict();
         assertTrue(connection.isOpen());
-        connection.idle(true, false);
+        connection.setIdle(true, false);
         connection.evict();
         assertFalse(connection.isOpen());
     }
@@ -125,7 +125,7 @@
         for (int i = 0; i < chain.length; i++) {
             int next = i + 1;
             peers[i] = SocketChannel.open(server.getLocalAddress());
-            sockets.takeToAccept(true);
+            sockets.acquireForAccept(true);
             chain[i] =
                     Connection.accepted(
                             this,
@@ -135,15 +135,15 @@
                                 public void received(Connection c, ByteBuffer bytes) {
                                     buffers.add(bytes);
                                     if (next < chain.length) {
-                                        chain[next].look();
-                                        assertTrue(chain[next].stillOpen());
+                                        chain[next].readPending();
+                                        assertTrue(chain[next].isStillOpen());
                                     }
                                     inner.append(StandardCharsets.ISO_8859_1.decode(bytes))
                                             .append(' ');
                                 }
 
                                 @Override
-                                public void bad(Connection c, BadMessage e) {
+                                public void badMessage(Connection c, BadMessageException e) {
                                     throw new AssertionError(e);
                                 }
 
@@ -159,12 +159,12 @@
             }
             buffers.clear();
             inner.setLength(0);
-            chain[0].look();
+            chain[0].readPending();
             assertEquals("of 5 of 4 of 3 of 2 of 1 of 0 ", inner.toString());
             assertEquals("each had its own", chain.length, buffers.size());
         }
         send("one look after another");
-        connection.look();
+        connection.readPending();
         assertEquals("one look after another", heard.toString());
         assertTrue("has a buffer that was used before", buffers.contains(last));
         for (SocketChannel p : peers) {
@@ -176,18 +176,18 @@
 
     @Override
     public void received(Connection c, ByteBuffer bytes) {
-        c.idle(false, false);
+        c.setIdle(false, false);
         last = bytes;
         heard.append(StandardCharsets.ISO_8859_1.decode(bytes));
     }
 
     @Override
-    public void ended(Connection c) {
+    public void inputEnded(Connection c) {
         heard.append(" ended");
     }
 
     @Override
-    public void bad(Connection c, BadMessage e) {
+    public void badMessage(Connection c, BadMessageException e) {
         throw new AssertionError(e);
     }
 
@@ -210,13 +210,13 @@
     }
 
     @Override
-    public ByteBuffer lend() {
-        return looks.lend();
+    public ByteBuffer acquireBuffer() {
+        return looks.acquire();
     }
 
     @Override
-    public void giveBack(ByteBuffer lent) {
-        looks.giveBack(lent);
+    public void releaseBuffer(ByteBuffer lent) {
+        looks.release(lent);
     }
 
     @Override
--- a/daemon/src/test/java/postgrade/http/FailingCalls.java
+++ b/daemon/src/test/java/postgrade/http/FaultInjectingCalls.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 
 /** System calls that fail, are short or return early as often as a test says. */
-public final class FailingCalls implements SystemCalls {
+public final class FaultInjectingCalls implements SystemCalls {
 
     public enum Call {
         SELECT,
@@ -43,12 +43,12 @@
     }
 
     /** How many of the failures that were asked for are still to come. */
-    public synchronized int left(Call call) {
+    public synchronized int failuresLeft(Call call) {
         return failuresLeft.getOrDefault(call, 0);
     }
 
     private synchronized void perhapsFail(Call call) throws IOException {
-        int left = left(call);
+        int left = failuresLeft(call);
         if (left > 0) {
             failuresLeft.put(call, left - 1);
             throw failures.get(call).make();
--- a/daemon/src/test/java/postgrade/http/PiecesTest.java
+++ b/daemon/src/test/java/postgrade/http/PiecesTest.java
@@ -34,7 +34,7 @@
 
     /** Each cut into two, and into single bytes. */
     private static void atEveryPoint(String text, Supplier<MessageParser> parsers)
-            throws BadMessage {
+            throws BadMessageException {
         byte[] all = bytes(text);
         String whole = told(parsers.get().parse(ByteBuffer.wrap(all)));
         MessageParser drop = parsers.get();
@@ -56,28 +56,28 @@
     }
 
     @Test
-    public void requestsAndResponsesAreReadAlikeWhereverTheyAreCut() throws BadMessage {
+    public void requestsAndResponsesAreReadAlikeWhereverTheyAreCut() throws BadMessageException {
         for (String rest : new String[] {BODY, CHUNKED}) {
             atEveryPoint(
                     "POST /api?a=b HTTP/1.1\r\nHost: x\r\nX-Class: price\r\n" + rest,
-                    MessageParser::ofRequests);
+                    MessageParser::forRequests);
             atEveryPoint(
-                    "\r\nPUT /standby HTTP/1.1\nX-Class: p\n" + rest, MessageParser::ofRequests);
+                    "\r\nPUT /standby HTTP/1.1\nX-Class: p\n" + rest, MessageParser::forRequests);
             atEveryPoint(
                     "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 202 Accepted\r\n" + rest,
-                    MessageParser::ofResponses);
+                    MessageParser::forResponses);
         }
-        atEveryPoint("GET /-/ready HTTP/1.1\r\n\r\n", MessageParser::ofRequests);
-        atEveryPoint("HTTP/1.1 204 No Content\r\n\r\n", MessageParser::ofResponses);
+        atEveryPoint("GET /-/ready HTTP/1.1\r\n\r\n", MessageParser::forRequests);
+        atEveryPoint("HTTP/1.1 204 No Content\r\n\r\n", MessageParser::forResponses);
     }
 
     @Test
-    public void aStreamGivesTheSameBytesWhereverItIsCut() throws BadMessage {
+    public void aStreamGivesTheSameBytesWhereverItIsCut() throws BadMessageException {
         byte[] all = bytes("HTTP/1.1 200 OK\r\n" + CHUNKED);
         for (int cut = 0; cut <= all.length; cut++) {
             StringBuilder got = new StringBuilder();
             MessageParser p =
-                    MessageParser.ofStream(
+                    MessageParser.forStreamingResponse(
                             piece -> got.append(new String(piece, StandardCharsets.US_ASCII)));
             p.parse(ByteBuffer.wrap(all, 0, cut));
             p.parse(ByteBuffer.wrap(all, cut, all.length - cut));
--- a/daemon/src/test/java/postgrade/telemetry/AttemptLogTest.java
+++ b/daemon/src/test/java/postgrade/telemetry/AttemptLogTest.java
@@ -11,7 +11,7 @@
 import org.junit.After;
 import org.junit.Before;
 import org.junit.Test;
-import postgrade.discovery.Hand;
+import postgrade.discovery.ManualEventLoop;
 import postgrade.dispatch.AnsweredRequest;
 import postgrade.dispatch.ConnectionUse;
 import postgrade.dispatch.EndEvidence;
@@ -28,20 +28,20 @@
     private static final long BEGAN = 1_000;
 
     private final ByteArrayOutputStream written = new ByteArrayOutputStream();
-    private final Hand hand = new Hand();
+    private final ManualEventLoop hand = new ManualEventLoop();
     private AttemptLog log;
 
     public AttemptLogTest() throws IOException {}
 
     @Before
     public void begin() {
-        EventLogs.to(new PrintStream(written, true, StandardCharsets.UTF_8));
+        EventLogs.setOutput(new PrintStream(written, true, StandardCharsets.UTF_8));
         log = new AttemptLog(hand);
     }
 
     @After
     public void end() {
-        EventLogs.to(System.err);
+        EventLogs.setOutput(System.err);
     }
 
     private List<String> lines() {
--- a/log/src/main/java/postgrade/log/EventLogs.java
+++ b/log/src/main/java/postgrade/log/EventLogs.java
@@ -40,7 +40,7 @@
      * Names this backend to SLF4J, which then looks for no other: a search costs the start of a
      * process time.
      */
-    public static void use(Format as) {
+    public static void configure(Format as) {
         System.setProperty("slf4j.provider", EventLogs.class.getName());
         System.setProperty(
                 "slf4j.internal.verbosity",
@@ -49,7 +49,7 @@
     }
 
     /** Reads {@code text} or {@code json}; another word is an {@link IllegalArgumentException}. */
-    public static Format formatNamed(String name) {
+    public static Format parseFormat(String name) {
         for (Format f : Format.values()) {
             if (f.name().toLowerCase(Locale.ROOT).equals(name)) {
                 return f;
@@ -59,7 +59,7 @@
     }
 
     /** Lines below this level are not written. */
-    public static void least(Level level) {
+    public static void setMinimumLevel(Level level) {
         least = level;
     }
 
@@ -67,12 +67,12 @@
      * A library that tells much: of its loggers, whose names begin so, only lines from this level
      * on are written.
      */
-    public static void quiet(String prefix, Level from) {
+    public static void setLoggerLevel(String prefix, Level from) {
         QUIET.put(prefix, from);
     }
 
     /** Where lines go; for tests. */
-    public static void to(PrintStream stream) {
+    public static void setOutput(PrintStream stream) {
         out = stream;
     }
 
--- a/log/src/test/java/postgrade/log/EventLogsTest.java
+++ b/log/src/test/java/postgrade/log/EventLogsTest.java
@@ -22,15 +22,15 @@
 
     @BeforeEach
     void begin() {
-        EventLogs.use(EventLogs.Format.TEXT);
+        EventLogs.configure(EventLogs.Format.TEXT);
         log = LoggerFactory.getLogger(EventLogsTest.class);
-        EventLogs.to(new PrintStream(bytes, true, StandardCharsets.UTF_8));
+        EventLogs.setOutput(new PrintStream(bytes, true, StandardCharsets.UTF_8));
     }
 
     @AfterEach
     void end() {
-        EventLogs.use(EventLogs.Format.TEXT);
-        EventLogs.to(System.err);
+        EventLogs.configure(EventLogs.Format.TEXT);
+        EventLogs.setOutput(System.err);
     }
 
     private String written() {
@@ -45,7 +45,7 @@
 
     @Test
     void aJsonLineHasTheEventsNameAndItsFieldsWithTheirTypes() {
-        EventLogs.use(EventLogs.Format.JSON);
+        EventLogs.configure(EventLogs.Format.JSON);
         Events.error(log, "loop.ended")
                 .addKeyValue("version", 41L)
                 .addKeyValue("share", 0.5)
@@ -72,7 +72,7 @@
     void anUnknownFormatIsNamed() {
         assertEquals(
                 "--log-format is text or json, not xml",
-                assertThrows(IllegalArgumentException.class, () -> EventLogs.formatNamed("xml"))
+                assertThrows(IllegalArgumentException.class, () -> EventLogs.parseFormat("xml"))
                         .getMessage());
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/Quorum.java
+++ b/quorum/src/main/java/postgrade/quorum/Quorum.java
@@ -93,9 +93,9 @@
     }
 
     private static void quiet() {
-        EventLogs.quiet(
+        EventLogs.setLoggerLevel(
                 "io.microraft.", Level.ERROR); // It tells each vote; what counts is told here.
-        EventLogs.quiet("io.grpc.", Level.ERROR);
+        EventLogs.setLoggerLevel("io.grpc.", Level.ERROR);
         GRPC.setLevel(
                 java.util.logging.Level.SEVERE); // A peer that went away is no event of its own.
     }
--- a/sharing/src/main/java/postgrade/sharing/settings/SharingPlan.java
+++ b/sharing/src/main/java/postgrade/sharing/settings/SharingPlan.java
@@ -67,7 +67,7 @@
     }
 
     static {
-        EventLogs.quiet("net.fortuna", Level.WARN);
+        EventLogs.setLoggerLevel("net.fortuna", Level.WARN);
     }
 
     private final Module script;
--- a/sharing/src/test/java/postgrade/sharing/MemoryTest.java
+++ b/sharing/src/test/java/postgrade/sharing/MemoryTest.java
@@ -38,13 +38,13 @@
 
     @Before
     public void hear() {
-        EventLogs.use(EventLogs.Format.TEXT);
-        EventLogs.to(new PrintStream(log, true));
+        EventLogs.configure(EventLogs.Format.TEXT);
+        EventLogs.setOutput(new PrintStream(log, true));
     }
 
     @After
     public void unhear() {
-        EventLogs.to(System.err);
+        EventLogs.setOutput(System.err);
     }
 
     private FakeHost host() {
