--- a/core/src/main/java/postgrade/dispatch/AttemptLifecycle.java
+++ b/core/src/main/java/postgrade/dispatch/AttemptLifecycle.java
@@ -190,7 +190,7 @@
                             + " unanswered at its deadline; failed here",
                     null);
             failRequest(request, true, DecisionReason.UNSTATED);
-            notifyPolicy(request, nowNs -> policy.get().clientLeft(nowNs, request.id()));
+            notifyPolicy(request, nowNs -> policy.get().jobAbandoned(nowNs, request.id()));
         }
     }
 
--- a/core/src/main/java/postgrade/dispatch/RequestTracker.java
+++ b/core/src/main/java/postgrade/dispatch/RequestTracker.java
@@ -13,9 +13,9 @@
 import postgrade.policy.api.LoadReport;
 import postgrade.policy.api.PolicyActions;
 import postgrade.policy.api.PolicySettings;
-import postgrade.policy.api.TransferredFigures;
+import postgrade.policy.api.PolicyStateEntry;
 import postgrade.policy.api.WorkerInfo;
-import postgrade.policy.api.WorkerListForm;
+import postgrade.policy.api.WorkerListUpdateType;
 
 /**
  * The core of the dispatcher. It tracks the requests in flight and their attempts, delivers events
@@ -154,7 +154,7 @@
     }
 
     private void notifyClientLeft(PendingRequest request) {
-        lifecycle.notifyPolicy(request, nowNs -> policy.clientLeft(nowNs, request.id()));
+        lifecycle.notifyPolicy(request, nowNs -> policy.jobAbandoned(nowNs, request.id()));
     }
 
     // ---- From the workers' side.
@@ -242,7 +242,7 @@
 
     /** This process has so large a share of the dispatcher's quotas. */
     public void shareChanged(double share) {
-        batch.addFirst(nowNs -> policy.shareChanged(nowNs, share));
+        batch.addFirst(nowNs -> policy.quotaShareChanged(nowNs, share));
     }
 
     /** These constraints are asked from now on. */
@@ -251,17 +251,17 @@
     }
 
     /** What the policy has learnt, for the next process of this dispatcher. */
-    public List<TransferredFigures> exportFigures() {
-        return policy.exportFigures(timers.nowMicros() * NANOS_PER_MICRO);
+    public List<PolicyStateEntry> exportFigures() {
+        return policy.exportState(timers.nowMicros() * NANOS_PER_MICRO);
     }
 
     /** Imports what another process has exported. The list of workers has been queued before. */
-    public void importFigures(List<TransferredFigures> figures) {
-        batch.addFirst(nowNs -> policy.importFigures(nowNs, figures));
+    public void importFigures(List<PolicyStateEntry> figures) {
+        batch.addFirst(nowNs -> policy.importState(nowNs, figures));
     }
 
     /** The list of workers has come. */
-    public void workersUpdated(WorkerListForm form, List<WorkerInfo> workers) {
+    public void workersUpdated(WorkerListUpdateType form, List<WorkerInfo> workers) {
         batch.addFirst(nowNs -> policy.workersUpdated(nowNs, form, workers));
     }
 
