--- a/daemon/src/main/java/postgrade/client/ConsumerConnection.java
+++ b/daemon/src/main/java/postgrade/client/ClientConnection.java
@@ -13,41 +13,41 @@
 import postgrade.http.MessageWriter;
 
 /** One accepted connection: a consumer's or a provider's. It carries one request at a time. */
-final class ConsumerConnection implements Connection.Owner {
+final class ClientConnection implements Connection.Owner {
 
     private static final byte[] NO_BODY = {};
-    private static final ByteBuffer NOTHING = ByteBuffer.allocate(0);
+    private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
 
     /** Bodies up to this length are taken whatever is held; call-backs are such. */
-    static final int SMALL = 4 << 10;
+    static final int SMALL_BODY_BYTES = 4 << 10;
 
-    static final long FULL_RETRY_MICROS = 500_000;
+    static final long OVERLOAD_RETRY_MICROS = 500_000;
 
     /** Guards the memory against a peer that asks and asks and does not read. */
-    private static final long MOST_UNSENT = 256 << 10;
+    private static final long MAX_UNSENT_BYTES = 256 << 10;
 
     /** Bytes kept of requests that come before the one ahead of them is answered. */
-    private static final int MOST_AHEAD = MessageParser.MAX_BODY_BYTES * 2;
+    private static final int MAX_PIPELINED_BYTES = MessageParser.MAX_BODY_BYTES * 2;
 
     final ClientListener listener;
     private final Connection connection;
-    private final Expiry expiry;
+    private final ConnectionTimeouts timeouts;
     private ConnectionState state = ConnectionState.READING;
     private MessageParser parser = MessageParser.forRequests();
 
     /** What has come behind the request that waits. */
-    private ByteBuffer ahead = NOTHING;
+    private ByteBuffer pipelined = EMPTY;
 
     /** The request that waits; none where no answer is owed. */
     private Exchange exchange;
 
-    private boolean ofConsumer;
+    private boolean carriedJob;
 
     /** A request has been turned away since the last sweep. */
-    private boolean turnedAway;
+    private boolean rejectedSinceSweep;
 
-    private long accounted;
-    private final ArrivalTimes arrivals;
+    private long accountedBytes;
+    private final ArrivalTimes arrivalTimes;
 
     /** When what is being taken came, at the earliest. */
     private long arrivedMicros;
@@ -55,57 +55,58 @@
     /**
      * @param sinceMicros it has waited in the backlog since then at the earliest
      */
-    ConsumerConnection(ClientListener listener, SocketChannel channel, long sinceMicros)
+    ClientConnection(ClientListener listener, SocketChannel channel, long sinceMicros)
             throws IOException {
         this.listener = listener;
-        arrivals = new ArrivalTimes(sinceMicros, listener.timers.nowMicros());
-        expiry = new Expiry(listener.timers.nowMicros());
+        arrivalTimes = new ArrivalTimes(sinceMicros, listener.timers.nowMicros());
+        timeouts = new ConnectionTimeouts(listener.timers.nowMicros());
         connection = Connection.accepted(listener.reactor, channel, this);
     }
 
-    private void to(ConnectionState next) {
-        state = state.to(next);
+    private void transitionTo(ConnectionState nextState) {
+        state = state.transitionTo(nextState);
     }
 
     @Override
-    public void received(Connection c, ByteBuffer bytes) throws BadMessageException {
+    public void received(Connection source, ByteBuffer bytes) throws BadMessageException {
         connection.setIdle(false, false);
-        noteArrival(bytes);
-        expiry.came(listener.timers.nowMicros(), !state.owes() && parser.isAtMessageStart());
-        if (ahead.hasRemaining()) {
-            if (ahead.remaining() + bytes.remaining() > MOST_AHEAD) {
+        recordArrival(bytes);
+        timeouts.bytesReceived(
+                listener.timers.nowMicros(), !state.awaitsAnswer() && parser.isAtMessageStart());
+        if (pipelined.hasRemaining()) {
+            if (pipelined.remaining() + bytes.remaining() > MAX_PIPELINED_BYTES) {
                 // Guards the one answer: a close over unread bytes would reset the connection, and
                 // the client hear nothing.
                 throw new BadMessageException(400, "more sent ahead of its answer than is kept");
             }
             bytes =
-                    ByteBuffer.allocate(ahead.remaining() + bytes.remaining())
-                            .put(ahead)
+                    ByteBuffer.allocate(pipelined.remaining() + bytes.remaining())
+                            .put(pipelined)
                             .put(bytes)
                             .flip();
         }
-        if (state.owes() && !MessageParser.mayBeRequest(bytes)) {
+        if (state.awaitsAnswer() && !MessageParser.mayBeRequest(bytes)) {
             throw new BadMessageException(400, "more bytes than the request has");
         }
-        take(bytes);
-        if (parser.bodyBytesReceived() > SMALL && listener.holdsTooMuch()) {
-            refuseUnfinished();
+        parseRequests(bytes);
+        if (parser.bodyBytesReceived() > SMALL_BODY_BYTES && listener.exceedsMemoryLimit()) {
+            rejectIncompleteRequest();
         }
         // Guards the loop's time: who sends the same rubbish as soon as it is turned away is read
         // from again at the
         // next sweep only. But whoever waits for a job's answer may leave, and that must be seen at
         // once.
-        pause(turnedAway && state == ConnectionState.READING);
+        setReadingPaused(rejectedSinceSweep && state == ConnectionState.READING);
     }
 
     /** What was sent ahead has waited since its own arrival, also if more has come behind it. */
-    private void noteArrival(ByteBuffer bytes) {
+    private void recordArrival(ByteBuffer bytes) {
         long sinceMicros =
-                arrivals.beforeRead(
+                arrivalTimes.beforeRead(
                         listener.reactor.previousWaitEndMicros(),
                         listener.reactor.readySinceMicros());
-        arrivals.afterRead(listener.timers.nowMicros(), bytes.limit() < bytes.capacity());
-        if (!ahead.hasRemaining()) {
+        arrivalTimes.afterRead(listener.timers.nowMicros(), bytes.limit() < bytes.capacity());
+        if (!pipelined.hasRemaining()) {
             arrivedMicros = sinceMicros;
         }
     }
@@ -118,157 +119,157 @@
         return arrivedMicros;
     }
 
-    private void pause(boolean now) {
-        connection.setPaused(now);
-        arrivals.watch(listener.timers.nowMicros(), !now);
+    private void setReadingPaused(boolean paused) {
+        connection.setPaused(paused);
+        arrivalTimes.watch(listener.timers.nowMicros(), !paused);
     }
 
     /** Takes requests one after another, as long as each is answered at once. */
-    private void take(ByteBuffer bytes) throws BadMessageException {
+    private void parseRequests(ByteBuffer bytes) throws BadMessageException {
         if (state == ConnectionState.READING) {
-            to(ConnectionState.TAKING);
+            transitionTo(ConnectionState.TAKING);
         }
         while (state == ConnectionState.TAKING && bytes.hasRemaining()) {
             Message request = parser.parse(bytes);
-            boolean waits = parser.consumeExpectContinue();
+            boolean expectsContinue = parser.consumeExpectContinue();
             if (request != null && bytes.hasRemaining() && !MessageParser.mayBeRequest(bytes)) {
                 // Guards the providers: a length that is too small has cut the job's body short.
                 throw new BadMessageException(400, "more bytes than the request has");
             } else if (request != null) {
-                expiry.requestCame();
-                Requests.handle(this, request);
-                if (connection.unsentBytes() > MOST_UNSENT) {
-                    drop();
+                timeouts.requestReceived();
+                RequestRouter.route(this, request);
+                if (connection.unsentBytes() > MAX_UNSENT_BYTES) {
+                    closeNow();
                 }
-            } else if (waits) {
+            } else if (expectsContinue) {
                 connection.write(MessageWriter.response(100).noBody());
             }
         }
         if (state == ConnectionState.TAKING) {
-            to(ConnectionState.READING);
+            transitionTo(ConnectionState.READING);
         } else if (state == ConnectionState.OPENING) {
-            to(ConnectionState.WAITING);
+            transitionTo(ConnectionState.WAITING);
         }
         // What comes behind the last answer is never sent on.
-        ahead =
-                state.owes() && bytes.hasRemaining()
+        pipelined =
+                state.awaitsAnswer() && bytes.hasRemaining()
                         ? ByteBuffer.allocate(bytes.remaining()).put(bytes).flip()
-                        : NOTHING;
-        account();
+                        : EMPTY;
+        updateHeldBytes();
     }
 
     /** Keeps the listener's count of the bytes held for this connection. */
-    private void account() {
-        long held =
+    private void updateHeldBytes() {
+        long heldNow =
                 connection.isOpen()
                         ? parser.bodyBytesReceived()
-                                + ahead.remaining()
+                                + pipelined.remaining()
                                 + connection.unsentBytes()
-                                + (exchange == null ? 0 : exchange.size)
+                                + (exchange == null ? 0 : exchange.bodyBytes)
                         : 0;
-        listener.holds(held - accounted);
-        accounted = held;
+        listener.addHeldBytes(heldNow - accountedBytes);
+        accountedBytes = heldNow;
     }
 
     // ---- Requests that have come whole, and their answers.
 
     /** It has carried a job, not call-backs. */
-    void ofConsumer() {
-        ofConsumer = true;
+    void markCarriedJob() {
+        carriedJob = true;
     }
 
     /** The request that has come was of use, whatever its answer. */
-    void wasOfUse() {
-        expiry.wasOfUse();
+    void markUseful() {
+        timeouts.requestUseful();
     }
 
     /** The request that has come waits for its answer from now on. */
-    Exchange open(boolean keepsAlive) {
-        to(ConnectionState.OPENING);
+    Exchange awaitAnswer(boolean keepsAlive) {
+        transitionTo(ConnectionState.OPENING);
         exchange = new Exchange(this, keepsAlive);
         return exchange;
     }
 
     /** It does not, as nobody has taken it over. */
-    void takeBack() {
-        to(ConnectionState.TAKING);
+    void cancelAwait() {
+        transitionTo(ConnectionState.TAKING);
         exchange = null;
     }
 
     /** The request still waits: it has no answer, and its peer has not been seen to leave. */
-    boolean awaits(Exchange e) {
-        return exchange == e;
+    boolean isAwaiting(Exchange candidate) {
+        return exchange == candidate;
     }
 
     /** The answer to the request that waits; none to one that does so no longer. */
-    void answer(Exchange waits, int status, byte[] body, long retryAfterMicros) {
-        if (!awaits(waits)) {
+    void answer(Exchange pending, int status, byte[] body, long retryAfterMicros) {
+        if (!isAwaiting(pending)) {
             return; // The consumer has left.
         }
-        boolean atOnce = state == ConnectionState.OPENING;
-        takeBack();
-        write(status, body, retryAfterMicros, waits.keepsAlive);
-        if (!atOnce) {
+        boolean synchronous = state == ConnectionState.OPENING;
+        cancelAwait();
+        writeResponse(status, body, retryAfterMicros, pending.keepsAlive);
+        if (!synchronous) {
             try {
-                take(ahead); // A consumer may have sent its next request already.
+                parseRequests(pipelined); // A consumer may have sent its next request already.
             } catch (BadMessageException e) {
                 badMessage(connection, e);
             }
         }
     }
 
-    void turnAway(int status, String why, boolean keepsAlive) {
-        turnedAway = true;
-        answer(status, why + "\n", keepsAlive);
+    void reject(int status, String reason, boolean keepsAlive) {
+        rejectedSinceSweep = true;
+        answer(status, reason + "\n", keepsAlive);
     }
 
     void answer(int status, String text, boolean keepsAlive) {
-        write(status, text.getBytes(StandardCharsets.UTF_8), 0, keepsAlive);
+        writeResponse(status, text.getBytes(StandardCharsets.UTF_8), 0, keepsAlive);
     }
 
-    private void write(int status, byte[] body, long retryAfterMicros, boolean keepsAlive) {
-        expiry.answered(listener.timers.nowMicros());
-        boolean keep = keepsAlive && !(listener.endsConnections() && ofConsumer);
+    private void writeResponse(int status, byte[] body, long retryAfterMicros, boolean keepsAlive) {
+        timeouts.answerWritten(listener.timers.nowMicros());
+        boolean keep = keepsAlive && !(listener.closesAfterAnswer() && carriedJob);
         connection.write(
                 MessageWriter.response(status)
-                        .header("Retry-After", seconds(retryAfterMicros))
+                        .header("Retry-After", formatSeconds(retryAfterMicros))
                         .header("Connection", keep ? null : "close")
                         .body(body));
         if (!keep) {
-            end();
+            shutDownOutput();
         }
     }
 
-    private void end() {
-        to(ConnectionState.ANSWERING);
+    private void shutDownOutput() {
+        transitionTo(ConnectionState.ANSWERING);
         connection.closeWhenSent();
     }
 
-    boolean busy() {
-        return state.owes()
+    boolean isBusy() {
+        return state.awaitsAnswer()
                 || !parser.isAtMessageStart()
-                || ahead.hasRemaining()
+                || pipelined.hasRemaining()
                 || !connection.isAllSent();
     }
 
     void sweep(long nowMicros) {
-        turnedAway = false;
-        pause(false);
-        if (state.owes() || state == ConnectionState.CLOSED) {
+        rejectedSinceSweep = false;
+        setReadingPaused(false);
+        if (state.awaitsAnswer() || state == ConnectionState.CLOSED) {
             return;
         }
         boolean allSent = connection.isAllSent();
-        boolean inPart = !parser.isAtMessageStart();
+        boolean partial = !parser.isAtMessageStart();
         if (state == ConnectionState.ANSWERING && allSent) {
-            to(ConnectionState.LINGERING);
-            expiry.ended(nowMicros);
+            transitionTo(ConnectionState.LINGERING);
+            timeouts.outputEnded(nowMicros);
         }
-        if (expiry.isOver(nowMicros, state, allSent, inPart)) {
+        if (timeouts.isExpired(nowMicros, state, allSent, partial)) {
             expire();
-        } else if (allSent && expiry.idle(nowMicros, state, inPart)) {
-            connection.setIdle(true, expiry.onProbation(nowMicros, inPart));
+        } else if (allSent && timeouts.isEvictable(nowMicros, state, partial)) {
+            connection.setIdle(true, timeouts.isOnProbation(nowMicros, partial));
         }
-        account();
+        updateHeldBytes();
     }
 
     /**
@@ -277,32 +278,32 @@
      */
     private void expire() {
         if (state != ConnectionState.READING || !connection.isAllSent()) {
-            drop();
+            closeNow();
         } else if (!parser.isAtMessageStart()) {
             parser = MessageParser.forRequests();
             answer(408, "the request has not come whole\n", false);
         } else {
-            leaveIfResting(true);
+            closeIfIdle(true);
         }
     }
 
     /** Takes what has come, the peer's end too, though the loop has not come to it yet. */
-    void look() {
+    void readPending() {
         connection.readPending();
     }
 
     /** A request that has come in part is rejected, and what comes of it is passed over. */
-    void refuseUnfinished() {
+    void rejectIncompleteRequest() {
         if (state == ConnectionState.READING && !parser.isAtMessageStart()) {
             parser = MessageParser.forRequests(); // With it goes what was held.
-            write(429, NO_BODY, FULL_RETRY_MICROS, false);
-            account();
+            writeResponse(429, NO_BODY, OVERLOAD_RETRY_MICROS, false);
+            updateHeldBytes();
         }
     }
 
     /** Has carried nothing of use yet and has hardly had the time to. */
-    boolean fresh(long nowMicros) {
-        return expiry.fresh(nowMicros);
+    boolean isFresh(long nowMicros) {
+        return timeouts.isFresh(nowMicros);
     }
 
     /**
@@ -313,53 +314,53 @@
      * @param all also one that has carried no job yet; a provider's call-back, which we still wait
      *     for, may be on its way
      */
-    void leaveIfResting(boolean all) {
-        if ((all || ofConsumer) && state == ConnectionState.READING && !busy()) {
-            look();
-            if (state == ConnectionState.READING && !busy()) {
-                end();
+    void closeIfIdle(boolean all) {
+        if ((all || carriedJob) && state == ConnectionState.READING && !isBusy()) {
+            readPending();
+            if (state == ConnectionState.READING && !isBusy()) {
+                shutDownOutput();
             }
         }
     }
 
     @Override
-    public void badMessage(Connection c, BadMessageException e) {
+    public void badMessage(Connection source, BadMessageException e) {
         parser = MessageParser.forRequests();
-        ahead = NOTHING;
-        leave();
+        pipelined = EMPTY;
+        reportDisconnect();
         answer(e.status(), e.getMessage() + "\n", false);
-        account();
+        updateHeldBytes();
     }
 
     @Override
-    public void closed(Connection c) {
-        to(ConnectionState.CLOSED);
+    public void closed(Connection source) {
+        transitionTo(ConnectionState.CLOSED);
         listener.closed(this);
-        account();
-        leave();
+        updateHeldBytes();
+        reportDisconnect();
     }
 
     /** Closes at once. */
-    void drop() {
+    void closeNow() {
         if (state != ConnectionState.CLOSED) {
             connection.close();
             closed(connection);
         }
     }
 
-    private static String seconds(long micros) {
+    private static String formatSeconds(long micros) {
         long millis = (micros + 999) / 1000;
         return millis == 0
                 ? null
                 : String.format(Locale.ROOT, "%d.%03d", millis / 1000, millis % 1000);
     }
 
-    private void leave() {
+    private void reportDisconnect() {
         if (exchange != null) {
-            Exchange left = exchange;
+            Exchange abandoned = exchange;
             exchange = null;
-            if (left.invocation != null) {
-                listener.gateway.clientDisconnected(left.invocation);
+            if (abandoned.request != null) {
+                listener.tracker.clientDisconnected(abandoned.request);
             }
         }
     }
--- a/daemon/src/main/java/postgrade/client/ClientListener.java
+++ b/daemon/src/main/java/postgrade/client/ClientListener.java
@@ -30,32 +30,32 @@
     private static final int BACKLOG = 1024;
 
     /** The most bytes of bodies held, in part or whole; well within the heap. */
-    private static final long MOST_BYTES = 24 << 20;
+    private static final long MAX_HELD_BYTES = 24 << 20;
 
     private static final long SWEEP_MICROS = 50_000;
 
     /** Guards the turn: a flood of connections is accepted in parts. */
-    private static final int MOST_ACCEPTS = 64;
+    private static final int MAX_ACCEPTS_PER_ITERATION = 64;
 
     /** Consumers that wait in the backlog for longer than a moment are worth a line in the log. */
-    private static final long SHORT_MICROS = 1_000_000;
+    private static final long SHORTAGE_LOG_MICROS = 1_000_000;
 
     final Reactor reactor;
     final Timers timers;
-    final RequestTracker gateway;
+    final RequestTracker tracker;
 
     /** The deadline of each class, for requests that state none. */
     Map<String, Long> deadlineMicros;
 
     private Set<String> tenants;
-    private final BooleanSupplier able;
+    private final BooleanSupplier canServe;
     private final Lifecycle lifecycle;
-    private final Set<ConsumerConnection> connections = new LinkedHashSet<>();
+    private final Set<ClientConnection> connections = new LinkedHashSet<>();
     private final InetSocketAddress address;
     final CallBackRelay relay;
 
     /** Null where nobody reads them. */
-    ExtensionHeaders claims;
+    ExtensionHeaders extensionHeaders;
 
     /** Null while nothing is accepted here. */
     private ServerSocketChannel channel;
@@ -64,21 +64,21 @@
      * Bound and not listening, so that the address is ours and consumers are turned away at once;
      * null once it listens.
      */
-    private SocketChannel held;
+    private SocketChannel reservedSocket;
 
     private SelectionKey key;
     private long bytesHeld;
     private boolean paused;
 
     /** Of the backlog. */
-    private ArrivalTimes arrivals;
+    private ArrivalTimes backlogArrivals;
 
     /**
      * Since when every place has been taken, 0 if there are places; and whether the log says so.
      */
-    private long shortMicros;
+    private long shortageSinceMicros;
 
-    private boolean told;
+    private boolean shortageLogged;
 
     /**
      * @param tenants who may submit jobs; empty where there are none
@@ -90,30 +90,30 @@
      */
     public ClientListener(
             InetSocketAddress address,
-            boolean holds,
+            boolean reserves,
             Map<String, Long> deadlineMicros,
             Set<String> tenants,
-            BooleanSupplier able,
+            BooleanSupplier canServe,
             Lifecycle lifecycle,
             CallBackRelay relay,
-            RequestTracker gateway,
+            RequestTracker tracker,
             Reactor reactor,
             Timers timers)
             throws IOException {
         this.reactor = reactor;
         this.timers = timers;
-        this.gateway = gateway;
+        this.tracker = tracker;
         this.deadlineMicros = deadlineMicros;
         this.tenants = tenants;
-        this.able = able;
+        this.canServe = canServe;
         this.lifecycle = lifecycle;
         this.relay = relay;
-        if (holds) {
-            held = SocketChannel.open();
-            held.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            shared(held);
-            bind(held, address);
-            this.address = (InetSocketAddress) held.getLocalAddress();
+        if (reserves) {
+            reservedSocket = SocketChannel.open();
+            reservedSocket.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+            enablePortReuse(reservedSocket);
+            bind(reservedSocket, address);
+            this.address = (InetSocketAddress) reservedSocket.getLocalAddress();
         } else {
             listen(address);
             this.address = (InetSocketAddress) channel.getLocalAddress();
@@ -141,10 +141,10 @@
         channel = ServerSocketChannel.open();
         try {
             channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            shared(channel);
+            enablePortReuse(channel);
             bind(channel, at);
             channel.configureBlocking(false);
-            arrivals = new ArrivalTimes(timers.nowMicros(), timers.nowMicros());
+            backlogArrivals = new ArrivalTimes(timers.nowMicros(), timers.nowMicros());
             key = reactor.register(channel, SelectionKey.OP_ACCEPT, this);
         } catch (IOException e) {
             channel.close();
@@ -170,9 +170,9 @@
     }
 
     /** From the first start on, or a new version could not listen beside this one. */
-    private static void shared(NetworkChannel c) throws IOException {
-        if (c.supportedOptions().contains(StandardSocketOptions.SO_REUSEPORT)) {
-            c.setOption(StandardSocketOptions.SO_REUSEPORT, true);
+    private static void enablePortReuse(NetworkChannel socket) throws IOException {
+        if (socket.supportedOptions().contains(StandardSocketOptions.SO_REUSEPORT)) {
+            socket.setOption(StandardSocketOptions.SO_REUSEPORT, true);
         }
     }
 
@@ -185,21 +185,21 @@
         try {
             if (lifecycle.acceptsConnections()
                     && channel == null
-                    && (held == null || lifecycle.hasStarted())) {
-                if (held != null && !relay.hasPeers()) {
+                    && (reservedSocket == null || lifecycle.hasStarted())) {
+                if (reservedSocket != null && !relay.hasPeers()) {
                     requireAddressFree(
                             address); // Another may have come to listen since this one was started.
                 }
                 listen(address);
-                if (held != null) {
-                    held.close();
-                    held = null;
+                if (reservedSocket != null) {
+                    reservedSocket.close();
+                    reservedSocket = null;
                 }
             }
-            pause(false);
+            setAcceptingPaused(false);
             if (!lifecycle.acceptsConnections()
                     && channel != null
-                    && acceptAll(Integer.MAX_VALUE)) {
+                    && acceptPending(Integer.MAX_VALUE)) {
                 channel.close();
                 channel = null;
             }
@@ -209,8 +209,8 @@
     }
 
     /** Read from now on in each job's headers; null for none. */
-    public void setExtensionHeaders(ExtensionHeaders read) {
-        claims = read;
+    public void setExtensionHeaders(ExtensionHeaders headers) {
+        extensionHeaders = headers;
     }
 
     /** Other classes and tenants hold for jobs that come from now on. */
@@ -221,7 +221,7 @@
 
     /** The address is held, and nothing listens there yet. */
     public boolean reservesAddress() {
-        return held != null;
+        return reservedSocket != null;
     }
 
     /** The port listened on, which the system chose where the address gave 0. */
@@ -236,68 +236,72 @@
 
     @Override
     public void ready(SelectionKey ready) throws IOException {
-        acceptAll(MOST_ACCEPTS);
+        acceptPending(MAX_ACCEPTS_PER_ITERATION);
     }
 
     /** Accepts what waits. True if nothing is left. */
-    private boolean acceptAll(int most) throws IOException {
+    private boolean acceptPending(int limit) throws IOException {
         long sinceMicros =
-                arrivals.beforeRead(reactor.previousWaitEndMicros(), reactor.readySinceMicros());
+                backlogArrivals.beforeRead(
+                        reactor.previousWaitEndMicros(), reactor.readySinceMicros());
         if (!lifecycle.hasStarted()) {
-            pause(true);
+            setAcceptingPaused(true);
             return false;
         }
-        for (int i = 0; i < most; i++) {
+        for (int i = 0; i < limit; i++) {
             // Guards the connections that usual peers keep: those that have just come and may be of
             // no use are
             // waited for, a moment, before one of the others has to go.
-            boolean anyIdle = connections.stream().noneMatch(c -> c.fresh(timers.nowMicros()));
-            if (!reactor.sockets().canAcquireForAccept(anyIdle)) {
+            boolean mayEvictEstablished =
+                    connections.stream().noneMatch(c -> c.isFresh(timers.nowMicros()));
+            if (!reactor.sockets().canAcquireForAccept(mayEvictEstablished)) {
                 // Guards what waits in the backlog: it is left there, not accepted and closed,
                 // until there is a place.
-                pause(true);
-                shortMicros = shortMicros == 0 ? timers.nowMicros() : shortMicros;
+                setAcceptingPaused(true);
+                shortageSinceMicros =
+                        shortageSinceMicros == 0 ? timers.nowMicros() : shortageSinceMicros;
                 return false;
             }
             SocketChannel accepted = reactor.systemCalls().accept(channel);
             if (accepted == null) {
-                arrivals.afterRead(timers.nowMicros(), true);
+                backlogArrivals.afterRead(timers.nowMicros(), true);
                 return true;
             }
-            boolean kept = false;
+            boolean registered = false;
             // Only now: guards the connections that would be closed for one that has not come.
-            reactor.sockets().acquireForAccept(anyIdle);
+            reactor.sockets().acquireForAccept(mayEvictEstablished);
             try {
-                connections.add(new ConsumerConnection(this, accepted, sinceMicros));
-                kept = true;
+                connections.add(new ClientConnection(this, accepted, sinceMicros));
+                registered = true;
             } catch (IOException e) {
                 LOG.debug("a connection broke while it was accepted", e);
                 accepted.close();
             } finally {
-                if (!kept) {
+                if (!registered) {
                     reactor.sockets().release();
                 }
             }
         }
-        arrivals.afterRead(timers.nowMicros(), false);
+        backlogArrivals.afterRead(timers.nowMicros(), false);
         return false;
     }
 
-    private void pause(boolean now) {
-        if (now != paused && channel != null) {
-            paused = now;
-            arrivals.watch(timers.nowMicros(), !paused);
+    private void setAcceptingPaused(boolean pause) {
+        if (pause != paused && channel != null) {
+            paused = pause;
+            backlogArrivals.watch(timers.nowMicros(), !paused);
             key.interestOps(paused ? 0 : SelectionKey.OP_ACCEPT);
         }
     }
 
-    private void tellOfShortage(long nowMicros) {
+    private void logShortage(long nowMicros) {
         if (!paused) {
-            shortMicros = 0;
+            shortageSinceMicros = 0;
         }
-        boolean isShort = shortMicros != 0 && nowMicros - shortMicros >= SHORT_MICROS;
-        if (isShort != told) {
-            told = isShort;
+        boolean isShort =
+                shortageSinceMicros != 0 && nowMicros - shortageSinceMicros >= SHORTAGE_LOG_MICROS;
+        if (isShort != shortageLogged) {
+            shortageLogged = isShort;
             Events.warn(LOG, isShort ? "sockets.used-up" : "sockets.free")
                     .log(
                             isShort
@@ -306,61 +310,63 @@
         }
     }
 
-    void holds(long moreBytes) {
-        bytesHeld += moreBytes;
+    void addHeldBytes(long change) {
+        bytesHeld += change;
     }
 
     /**
      * Guards the memory: a body on each of the sockets, all of the greatest length, would not fit.
      */
-    boolean holdsTooMuch() {
-        return bytesHeld > MOST_BYTES;
+    boolean exceedsMemoryLimit() {
+        return bytesHeld > MAX_HELD_BYTES;
     }
 
-    void closed(ConsumerConnection c) {
-        connections.remove(c);
-        pause(false);
+    void closed(ClientConnection connection) {
+        connections.remove(connection);
+        setAcceptingPaused(false);
     }
 
     private void sweep() {
-        boolean leaves = lifecycle.closesIdleConnections(timers.nowMicros());
-        for (ConsumerConnection c : new ArrayList<>(connections)) {
-            c.sweep(timers.nowMicros());
-            if (leaves) {
-                c.leaveIfResting(false); // So that its consumer turns elsewhere.
+        boolean closesIdle = lifecycle.closesIdleConnections(timers.nowMicros());
+        for (ClientConnection connection : new ArrayList<>(connections)) {
+            connection.sweep(timers.nowMicros());
+            if (closesIdle) {
+                connection.closeIfIdle(false); // So that its consumer turns elsewhere.
             }
         }
-        tellOfShortage(timers.nowMicros());
-        pause(false); // A provider's connection may have been closed, or one become idle.
+        logShortage(timers.nowMicros());
+        setAcceptingPaused(
+                false); // A provider's connection may have been closed, or one become idle.
         timers.at(timers.nowMicros() + SWEEP_MICROS, this::sweep);
     }
 
     /** A call-back that came to another process of this dispatcher and was found right there. */
     public void handleRelayedCallBack(byte[] body) {
-        JobEvent.of(body).tell(gateway);
+        JobEvent.parse(body).deliver(tracker);
     }
 
     boolean knowsTenant(String name) {
-        return name == null || (tenants.isEmpty() ? Fields.isName(name) : tenants.contains(name));
+        return name == null
+                || (tenants.isEmpty() ? JobHeaders.isValidName(name) : tenants.contains(name));
     }
 
-    boolean readyToServe() {
-        return lifecycle.isReady() && able.getAsBoolean();
+    boolean isReadyToServe() {
+        return lifecycle.isReady() && canServe.getAsBoolean();
     }
 
     /** Answers to consumers end their connections now. */
-    boolean endsConnections() {
+    boolean closesAfterAnswer() {
         return lifecycle.closesAfterAnswer(timers.nowMicros());
     }
 
     /** Nothing has come in part and no answer is still being written. */
     public boolean isIdle() {
-        return connections.stream().noneMatch(ConsumerConnection::busy);
+        return connections.stream().noneMatch(ClientConnection::isBusy);
     }
 
     /** SIGKILL is near: requests that have come in part would be whole too late. */
     public void rejectIncompleteRequests() {
-        new ArrayList<>(connections).forEach(ConsumerConnection::refuseUnfinished);
+        new ArrayList<>(connections).forEach(ClientConnection::rejectIncompleteRequest);
     }
 
     /**
@@ -371,11 +377,11 @@
      */
     public boolean tryCloseAll() {
         try {
-            if (channel != null && !acceptAll(Integer.MAX_VALUE)) {
+            if (channel != null && !acceptPending(Integer.MAX_VALUE)) {
                 return false;
             }
-            new ArrayList<>(connections).forEach(ConsumerConnection::look);
-            if (!isIdle() || connections.stream().anyMatch(c -> c.fresh(timers.nowMicros()))) {
+            new ArrayList<>(connections).forEach(ClientConnection::readPending);
+            if (!isIdle() || connections.stream().anyMatch(c -> c.isFresh(timers.nowMicros()))) {
                 return false;
             }
             lifecycle.beginClosing();
@@ -387,7 +393,7 @@
             failed(e);
             return false;
         }
-        new ArrayList<>(connections).forEach(c -> c.leaveIfResting(true));
+        new ArrayList<>(connections).forEach(c -> c.closeIfIdle(true));
         return connections.isEmpty();
     }
 
@@ -396,6 +402,6 @@
         // Guards the loop: an accept may fail for want of descriptors, and the listener must
         // outlive it.
         Events.warn(LOG, "accept.failed").setCause(e).log("accept failed");
-        pause(true);
+        setAcceptingPaused(true);
     }
 }
--- a/daemon/src/main/java/postgrade/client/ConnectionState.java
+++ b/daemon/src/main/java/postgrade/client/ConnectionState.java
@@ -24,7 +24,7 @@
     LINGERING,
     CLOSED;
 
-    private static final Map<ConnectionState, Set<ConnectionState>> NEXT =
+    private static final Map<ConnectionState, Set<ConnectionState>> TRANSITIONS =
             new EnumMap<>(
                     Map.of(
                             READING, EnumSet.of(TAKING, ANSWERING, CLOSED),
@@ -39,15 +39,15 @@
      * The next state. Guards against an answer or an end in a state that allows none: what is wrong
      * ends this connection alone.
      */
-    ConnectionState to(ConnectionState next) {
-        if (!NEXT.get(this).contains(next)) {
+    ConnectionState transitionTo(ConnectionState next) {
+        if (!TRANSITIONS.get(this).contains(next)) {
             throw new IllegalStateException(this + " to " + next);
         }
         return next;
     }
 
     /** One request is owed its answer. */
-    boolean owes() {
+    boolean awaitsAnswer() {
         return this == OPENING || this == WAITING;
     }
 }
--- a/daemon/src/main/java/postgrade/client/Exchange.java
+++ b/daemon/src/main/java/postgrade/client/Exchange.java
@@ -6,17 +6,17 @@
 /** One request that waits for its answer, which goes to its connection unless the peer has left. */
 final class Exchange implements ResponseHandler {
 
-    private static final byte[] NONE = {};
+    private static final byte[] EMPTY_BODY = {};
 
-    private final ConsumerConnection connection;
+    private final ClientConnection connection;
     final boolean keepsAlive;
 
     /** Null for a call-back. */
-    PendingRequest invocation;
+    PendingRequest request;
 
-    int size;
+    int bodyBytes;
 
-    Exchange(ConsumerConnection connection, boolean keepsAlive) {
+    Exchange(ClientConnection connection, boolean keepsAlive) {
         this.connection = connection;
         this.keepsAlive = keepsAlive;
     }
@@ -28,29 +28,31 @@
 
     @Override
     public void reject(long retryAfterMicros) {
-        connection.answer(this, 429, NONE, retryAfterMicros);
+        connection.answer(this, 429, EMPTY_BODY, retryAfterMicros);
     }
 
     @Override
     public void fail(boolean timedOut) {
-        connection.answer(this, timedOut ? 504 : 502, NONE, 0);
+        connection.answer(this, timedOut ? 504 : 502, EMPTY_BODY, 0);
     }
 
     @Override
     public boolean hasDisconnected() {
-        if (connection.awaits(this)) {
-            connection.look(); // The end may lie in the socket, behind other bytes or while nothing
+        if (connection.isAwaiting(this)) {
+            connection
+                    .readPending(); // The end may lie in the socket, behind other bytes or while
+                                    // nothing
             // is read from it.
         }
-        return !connection.awaits(this);
+        return !connection.isAwaiting(this);
     }
 
     /** Unanswered the provider repeats it, and finds the process that has the job. */
-    void relayed(boolean heard) {
-        if (heard) {
-            connection.answer(this, 204, NONE, 0);
-        } else if (connection.awaits(this)) {
-            connection.drop();
+    void callBackRelayed(boolean confirmed) {
+        if (confirmed) {
+            connection.answer(this, 204, EMPTY_BODY, 0);
+        } else if (connection.isAwaiting(this)) {
+            connection.closeNow();
         }
     }
 }
--- a/daemon/src/main/java/postgrade/client/JobEvent.java
+++ b/daemon/src/main/java/postgrade/client/JobEvent.java
@@ -17,15 +17,15 @@
      * Reads one; an exception says what is wrong with it. A state we do not know is null, and
      * right.
      */
-    static JobEvent of(byte[] body) {
+    static JobEvent parse(byte[] body) {
         try {
             JsonObject event = Json.parse(new String(body, StandardCharsets.UTF_8)).asObject();
             return new JobEvent(
                     event.get("id").asString(),
                     event.get("from").asString(),
-                    state(event.get("state").asString()),
+                    parseState(event.get("state").asString()),
                     event.getDouble("share", 0),
-                    bytes(event.get("result")));
+                    resultBytes(event.get("result")));
         } catch (RuntimeException e) {
             // Guards against call-backs that are not JSON or lack a field: told to the sender,
             // never a crash.
@@ -37,11 +37,11 @@
      * Passes it on. False if its job is not known here; it would be repeated for nothing if that
      * were an error.
      */
-    boolean tell(RequestTracker gateway) {
-        return state == null || gateway.workerReported(id, from, state, share, result);
+    boolean deliver(RequestTracker tracker) {
+        return state == null || tracker.workerReported(id, from, state, share, result);
     }
 
-    private static ReportedState state(String name) {
+    private static ReportedState parseState(String name) {
         for (ReportedState s : ReportedState.values()) {
             if (s.name().toLowerCase(Locale.ROOT).equals(name)) {
                 return s;
@@ -50,7 +50,7 @@
         return null;
     }
 
-    private static byte[] bytes(JsonValue result) {
+    private static byte[] resultBytes(JsonValue result) {
         String text =
                 result == null || result.isNull()
                         ? ""
--- a/daemon/src/main/java/postgrade/client/Submission.java
+++ b/daemon/src/main/java/postgrade/client/JobSubmission.java
@@ -11,7 +11,7 @@
  * @param deadlineMicros how long its consumer waits
  * @param claim to be told its id once it is taken over; null where nobody reads claims
  */
-record Submission(
+record JobSubmission(
         String id,
         String jobClass,
         String tenant,
@@ -19,12 +19,13 @@
         long deadlineMicros,
         double slots,
         double memory,
-        Consumer<String> claim) {
+        Consumer<String> onAccepted) {
 
     /**
      * @throws BadMessageException with the status and the sentence for its consumer
      */
-    static Submission of(Message request, ClientListener listener) throws BadMessageException {
+    static JobSubmission parse(Message request, ClientListener listener)
+            throws BadMessageException {
         if (!request.declaresLength()) {
             throw new BadMessageException(411, "a job needs a body with a stated length");
         }
@@ -33,18 +34,19 @@
         String tenant = request.header("x-tenant");
         String key = request.header("x-key");
         Long classDeadline = jobClass == null ? null : listener.deadlineMicros.get(jobClass);
-        String wrong =
-                !Fields.isId(id)
+        String problem =
+                !JobHeaders.isValidId(id)
                         ? "X-Request-Id is missing or no id"
                         : classDeadline == null
                                 ? "X-Class is not known"
                                 : !listener.knowsTenant(tenant)
                                         ? "X-Tenant is not known"
-                                        : !Fields.isName(key)
+                                        : !JobHeaders.isValidName(key)
                                                 ? "X-Key is no name"
-                                                : !Fields.isName(request.header("content-type"))
+                                                : !JobHeaders.isValidName(
+                                                                request.header("content-type"))
                                                         ? "Content-Type is no name"
-                                                        : Fields.ONCE.stream()
+                                                        : JobHeaders.SINGLE_HEADERS.stream()
                                                                         .anyMatch(
                                                                                 name ->
                                                                                         request
@@ -53,17 +55,17 @@
                                                                                                 > 1)
                                                                 ? "a header is repeated"
                                                                 : null;
-        if (wrong != null) {
-            throw new BadMessageException(400, wrong);
+        if (problem != null) {
+            throw new BadMessageException(400, problem);
         }
         try {
-            long deadline = Fields.deadlineMicros(request.header("x-deadline"), classDeadline);
-            double slots = Fields.extra(request.header("x-extras"), "slots", 1);
-            double memory = Fields.extra(request.header("x-extras"), "memory", 0);
+            long deadline = JobHeaders.deadlineMicros(request.header("x-deadline"), classDeadline);
+            double slots = JobHeaders.extra(request.header("x-extras"), "slots", 1);
+            double memory = JobHeaders.extra(request.header("x-extras"), "memory", 0);
             if (slots == 0) {
                 throw new IllegalArgumentException("X-Extras has no slots");
             }
-            return new Submission(
+            return new JobSubmission(
                     id,
                     jobClass,
                     tenant,
@@ -71,22 +73,22 @@
                     deadline,
                     slots,
                     memory,
-                    claim(request, jobClass, listener.claims));
+                    readExtensionHeaders(request, jobClass, listener.extensionHeaders));
         } catch (IllegalArgumentException e) {
             throw new BadMessageException(400, e.getMessage());
         }
     }
 
-    private static Consumer<String> claim(
-            Message request, String jobClass, ExtensionHeaders claims) {
-        if (claims == null) {
+    private static Consumer<String> readExtensionHeaders(
+            Message request, String jobClass, ExtensionHeaders headers) {
+        if (headers == null) {
             return null;
         }
-        for (String name : claims.names()) {
+        for (String name : headers.names()) {
             if (request.headerCount(name) > 1) {
                 throw new IllegalArgumentException(name + " is repeated");
             }
         }
-        return claims.read(jobClass, request::header);
+        return headers.read(jobClass, request::header);
     }
 }
--- a/daemon/src/main/java/postgrade/lifecycle/Lifecycle.java
+++ b/daemon/src/main/java/postgrade/lifecycle/Lifecycle.java
@@ -33,50 +33,50 @@
     private static final long NEVER = Long.MAX_VALUE;
 
     /** The front asks for readiness every 0.1 s and sends new connections for 0.2 s more. */
-    private static final long FRONT_KNOWS_MICROS = 350_000;
+    private static final long READINESS_PROPAGATION_MICROS = 350_000;
 
     /**
      * From then on nobody's connection is kept idle: all are gone, or closing, well before 4 s have
      * passed.
      */
-    private static final long STANDBY_LEAVE_MICROS = 500_000;
+    private static final long STANDBY_CLOSE_IDLE_MICROS = 500_000;
 
     /** 4 s after the call no job of the last 2 s may be held. */
-    private static final long STANDBY_LATE_MICROS = 1_900_000;
+    private static final long STANDBY_CUTOFF_MICROS = 1_900_000;
 
-    private static final long STANDBY_CONCLUDE_MICROS = 3_400_000;
+    private static final long STANDBY_FORCE_ANSWER_MICROS = 3_400_000;
 
     /** What comes up to so long after SIGTERM may be left to SIGKILL; what comes later may not. */
-    private static final long TAKEN_MICROS = 700_000;
+    private static final long STOP_CUTOFF_MICROS = 700_000;
 
     /**
-     * SIGKILL follows the longest deadline, or this if that is longer, and {@link #TAKEN_MICROS} at
-     * the earliest.
+     * SIGKILL follows the longest deadline, or this if that is longer, and {@link
+     * #STOP_CUTOFF_MICROS} at the earliest.
      */
-    private static final long MOST_GRACE_MICROS = 3_000_000;
+    private static final long MAX_GRACE_MICROS = 3_000_000;
 
     /**
      * So long before SIGKILL consumers are turned away, and then answered whatever their jobs have
      * come to.
      */
-    private static final long LEAVE_MICROS = 1_400_000;
+    private static final long KILL_CLOSE_IDLE_MICROS = 1_400_000;
 
-    private static final long CONCLUDE_MICROS = 300_000;
+    private static final long KILL_FORCE_ANSWER_MICROS = 300_000;
 
     /** New connections come for up to 0.4 s after SIGTERM, however short the deadlines. */
-    private static final long STILL_SENT_MICROS = 500_000;
+    private static final long STOP_CONNECTIONS_ARRIVE_MICROS = 500_000;
 
     /** Peers that have not ended their connections by then are not waited for. */
-    private static final long END_MICROS = 50_000;
+    private static final long KILL_EXIT_MICROS = 50_000;
 
     /**
      * A successor takes the consumers at once; most connections end with their next answer before
      * they would idle.
      */
-    private static final long HAND_OVER_LEAVE_MICROS = 1_000_000;
+    private static final long HAND_OVER_CLOSE_IDLE_MICROS = 1_000_000;
 
     private boolean started;
-    private boolean successor;
+    private boolean hasSuccessor;
     private boolean closing;
     private long standbyMicros = NEVER;
     private long stopMicros = NEVER;
@@ -86,7 +86,7 @@
         return closing
                 ? State.CLOSING
                 : stopMicros != NEVER
-                        ? successor ? State.HANDING_OVER : State.STOPPING
+                        ? hasSuccessor ? State.HANDING_OVER : State.STOPPING
                         : standbyMicros != NEVER
                                 ? State.STANDBY
                                 : started ? State.ACTIVE : State.STARTING;
@@ -121,12 +121,14 @@
      * @param longestDeadlineMicros of the classes in force
      * @param hasSuccessor another process of this dispatcher takes the consumers
      */
-    public void stop(long nowMicros, long longestDeadlineMicros, boolean hasSuccessor) {
+    public void stop(long nowMicros, long longestDeadlineMicros, boolean successorPresent) {
         if (stopMicros == NEVER) {
             stopMicros = nowMicros;
-            successor = hasSuccessor;
+            hasSuccessor = successorPresent;
             killMicros =
-                    nowMicros + Math.min(longestDeadlineMicros, MOST_GRACE_MICROS) + TAKEN_MICROS;
+                    nowMicros
+                            + Math.min(longestDeadlineMicros, MAX_GRACE_MICROS)
+                            + STOP_CUTOFF_MICROS;
         }
     }
 
@@ -134,8 +136,8 @@
      * A successor has come; or it has died, and what it was to take is ours again for as long as we
      * may live.
      */
-    public void setSuccessor(boolean isThere) {
-        successor = isThere;
+    public void setSuccessor(boolean present) {
+        hasSuccessor = present;
     }
 
     /** Nothing more is taken: the last connections end. There is no way back. */
@@ -172,27 +174,27 @@
     /** An answer to a consumer ends its connection. */
     public boolean closesAfterAnswer(long nowMicros) {
         return state() == State.HANDING_OVER
-                || past(standbyMicros, FRONT_KNOWS_MICROS, nowMicros)
+                || hasPassed(standbyMicros, READINESS_PROPAGATION_MICROS, nowMicros)
                 || closesIdleConnections(nowMicros);
     }
 
     /** Consumers' connections that await nothing are closed. */
     public boolean closesIdleConnections(long nowMicros) {
-        return past(standbyMicros, STANDBY_LEAVE_MICROS, nowMicros)
-                || past(killMicros, -LEAVE_MICROS, nowMicros)
-                        && past(stopMicros, STILL_SENT_MICROS, nowMicros)
+        return hasPassed(standbyMicros, STANDBY_CLOSE_IDLE_MICROS, nowMicros)
+                || hasPassed(killMicros, -KILL_CLOSE_IDLE_MICROS, nowMicros)
+                        && hasPassed(stopMicros, STOP_CONNECTIONS_ARRIVE_MICROS, nowMicros)
                 || state() == State.HANDING_OVER
-                        && past(stopMicros, HAND_OVER_LEAVE_MICROS, nowMicros);
+                        && hasPassed(stopMicros, HAND_OVER_CLOSE_IDLE_MICROS, nowMicros);
     }
 
     /** Jobs that came since then are answered now as they stand; none if empty. */
     public OptionalLong forcedAnswerCutoff(long nowMicros) {
         long since = NEVER;
-        if (past(standbyMicros, STANDBY_CONCLUDE_MICROS, nowMicros)) {
-            since = standbyMicros + STANDBY_LATE_MICROS;
+        if (hasPassed(standbyMicros, STANDBY_FORCE_ANSWER_MICROS, nowMicros)) {
+            since = standbyMicros + STANDBY_CUTOFF_MICROS;
         }
-        if (past(killMicros, -CONCLUDE_MICROS, nowMicros)) {
-            since = Math.min(since, stopMicros + TAKEN_MICROS);
+        if (hasPassed(killMicros, -KILL_FORCE_ANSWER_MICROS, nowMicros)) {
+            since = Math.min(since, stopMicros + STOP_CUTOFF_MICROS);
         }
         return since == NEVER ? OptionalLong.empty() : OptionalLong.of(since);
     }
@@ -207,14 +209,14 @@
 
     /** SIGKILL is so near that who has not ended its connection is waited for no longer. */
     public boolean mustExit(long nowMicros) {
-        return past(killMicros, -END_MICROS, nowMicros);
+        return hasPassed(killMicros, -KILL_EXIT_MICROS, nowMicros);
     }
 
     public long stoppingForMicros(long nowMicros) {
         return stopMicros == NEVER ? 0 : nowMicros - stopMicros;
     }
 
-    private static boolean past(long fromMicros, long byMicros, long nowMicros) {
-        return fromMicros != NEVER && nowMicros - fromMicros >= byMicros;
+    private static boolean hasPassed(long fromMicros, long offsetMicros, long nowMicros) {
+        return fromMicros != NEVER && nowMicros - fromMicros >= offsetMicros;
     }
 }
--- a/daemon/src/main/java/postgrade/operator/Operations.java
+++ b/daemon/src/main/java/postgrade/operator/Operations.java
@@ -18,7 +18,7 @@
     interface Reply {
         void succeeded(String text);
 
-        void refused(Refusal why, String text);
+        void refused(Refusal reason, String text);
     }
 
     /** Why not: there is no such worker, or the dispatcher is not in a state for it. */
--- a/daemon/src/main/java/postgrade/operator/OperatorConnection.java
+++ b/daemon/src/main/java/postgrade/operator/OperatorConnection.java
@@ -23,7 +23,7 @@
     /**
      * So long a caller may take over its call, or over the answer and the end of the connection.
      */
-    private static final long PATIENCE_MICROS = 5_000_000;
+    private static final long TIMEOUT_MICROS = 5_000_000;
 
     private static final Map<String, Call> CALLS =
             Map.of(
@@ -41,37 +41,38 @@
     private final OperatorListener listener;
     private final Connection connection;
     private final MessageParser parser;
-    private final Timers.Timer end;
-    private boolean asked;
+    private final Timers.Timer expiryTimer;
+    private boolean callReceived;
 
     OperatorConnection(OperatorListener listener, SocketChannel channel) throws IOException {
         this.listener = listener;
-        parser = MessageParser.forRequests(listener.further.maxBodyBytes());
+        parser = MessageParser.forRequests(listener.additionalEndpoints.maxBodyBytes());
         connection = Connection.accepted(listener, channel, this, true);
         connection.setIdle(true, true);
-        end = listener.timers.at(listener.timers.nowMicros() + PATIENCE_MICROS, this::expire);
+        expiryTimer =
+                listener.timers.at(listener.timers.nowMicros() + TIMEOUT_MICROS, this::expire);
     }
 
     @Override
     public void received(Connection c, ByteBuffer bytes) throws BadMessageException {
-        if (asked) {
+        if (callReceived) {
             return; // One call a connection: what follows is not read as another.
         }
         Message call = parser.parse(bytes);
         if (call != null) {
-            asked = true;
+            callReceived = true;
             connection.setIdle(false, false);
-            take(call);
+            dispatch(call);
         } else if (parser.consumeExpectContinue()) {
             connection.write(MessageWriter.response(100).noBody());
         }
     }
 
-    private void take(Message message) {
+    private void dispatch(Message message) {
         String path = message.target().split("\\?", 2)[0];
         Call call = CALLS.get(path);
         if (call == null) {
-            further(path, message);
+            dispatchAdditional(path, message);
             return;
         }
         if (message.body().length > MessageParser.MAX_BODY_BYTES) {
@@ -86,7 +87,7 @@
         String id = null;
         if (call == Call.ENTER || call == Call.EXIT) {
             try {
-                id = id(message.body());
+                id = parseWorkerId(message.body());
             } catch (IllegalArgumentException e) {
                 answer(400, null, e.getMessage());
                 return;
@@ -95,8 +96,8 @@
         listener.operations.call(call, id, this);
     }
 
-    private void further(String path, Message message) {
-        Set<String> methods = listener.further.allowedMethods(path);
+    private void dispatchAdditional(String path, Message message) {
+        Set<String> methods = listener.additionalEndpoints.allowedMethods(path);
         if (methods.isEmpty()) {
             answer(404, null, "there is no call " + path);
         } else if (!methods.contains(message.method())) {
@@ -108,10 +109,10 @@
                             + String.join(" or ", methods)
                             + ", not "
                             + message.method());
-        } else if (message.body().length > listener.further.maxBodyBytes(path)) {
+        } else if (message.body().length > listener.additionalEndpoints.maxBodyBytes(path)) {
             answer(413, null, "body too large");
         } else {
-            listener.further.handle(
+            listener.additionalEndpoints.handle(
                     message.method(),
                     path,
                     message.body(),
@@ -120,7 +121,7 @@
         }
     }
 
-    private static String id(byte[] body) {
+    private static String parseWorkerId(byte[] body) {
         JsonValue json;
         try {
             json = Json.parse(new String(body, StandardCharsets.UTF_8));
@@ -142,8 +143,8 @@
     }
 
     @Override
-    public void refused(Refusal why, String text) {
-        answer(why == Refusal.UNKNOWN ? 404 : 503, null, text);
+    public void refused(Refusal reason, String text) {
+        answer(reason == Refusal.UNKNOWN ? 404 : 503, null, text);
     }
 
     private void answer(int status, String allow, String text) {
@@ -151,7 +152,7 @@
     }
 
     private void answer(int status, String allow, long retryAfterMicros, String text) {
-        asked = true;
+        callReceived = true;
         connection.setIdle(false, false);
         connection.write(
                 MessageWriter.response(status)
@@ -174,9 +175,9 @@
     }
 
     private void expire() {
-        if (!asked) {
+        if (!callReceived) {
             answer(408, null, "no whole call has come");
-            listener.timers.at(listener.timers.nowMicros() + PATIENCE_MICROS, this::expire);
+            listener.timers.at(listener.timers.nowMicros() + TIMEOUT_MICROS, this::expire);
         } else {
             connection.close();
             listener.closed();
@@ -185,14 +186,14 @@
 
     @Override
     public void badMessage(Connection c, BadMessageException e) {
-        if (!asked) {
+        if (!callReceived) {
             answer(e.status(), null, e.getMessage());
         }
     }
 
     @Override
     public void closed(Connection c) {
-        end.cancel();
+        expiryTimer.cancel();
         listener.closed();
     }
 }
--- a/daemon/src/main/java/postgrade/operator/OperatorListener.java
+++ b/daemon/src/main/java/postgrade/operator/OperatorListener.java
@@ -34,21 +34,21 @@
 
     final Timers timers;
     final Operations operations;
-    final AdditionalEndpoints further;
+    final AdditionalEndpoints additionalEndpoints;
     private final Reactor loop;
-    private final SocketBudget places = new SocketBudget(MAX_SOCKETS);
+    private final SocketBudget socketBudget = new SocketBudget(MAX_SOCKETS);
     private final ServerSocketChannel channel;
     private final SelectionKey key;
 
     public OperatorListener(
             InetSocketAddress address,
             Operations operations,
-            AdditionalEndpoints further,
+            AdditionalEndpoints additionalEndpoints,
             Reactor loop,
             Timers timers)
             throws IOException {
         this.operations = operations;
-        this.further = further;
+        this.additionalEndpoints = additionalEndpoints;
         this.loop = loop;
         this.timers = timers;
         channel = ServerSocketChannel.open();
@@ -76,17 +76,17 @@
     public void ready(SelectionKey ready) throws IOException {
         // Guards those who call: one who sits there and has sent no whole call goes for the next
         // who comes.
-        while (places.canAcquireForAccept(true)) {
+        while (socketBudget.canAcquireForAccept(true)) {
             SocketChannel accepted = channel.accept();
             if (accepted == null) {
                 return;
             }
-            places.acquireForAccept(true);
+            socketBudget.acquireForAccept(true);
             try {
                 new OperatorConnection(this, accepted);
             } catch (IOException e) {
                 accepted.close(); // It broke while it was accepted; the next one need not.
-                places.release();
+                socketBudget.release();
             }
         }
         key.interestOps(
@@ -121,6 +121,6 @@
 
     @Override
     public SocketBudget sockets() {
-        return places;
+        return socketBudget;
     }
 }
--- a/daemon/src/main/java/postgrade/simadapter/JsonPairs.java
+++ b/daemon/src/main/java/postgrade/simadapter/JsonPairs.java
@@ -25,31 +25,31 @@
      */
     private static void flatten(String path, JsonValue value, Map<String, String> pairs) {
         if (value.isObject()) {
-            for (JsonObject.Member m : value.asObject()) {
+            for (JsonObject.Member member : value.asObject()) {
                 flatten(
-                        path.isEmpty() ? m.getName() : path + "." + m.getName(),
-                        m.getValue(),
+                        path.isEmpty() ? member.getName() : path + "." + member.getName(),
+                        member.getValue(),
                         pairs);
             }
-        } else if (value.isArray() && holdsObjects(value.asArray())) {
+        } else if (value.isArray() && containsObjects(value.asArray())) {
             pairs.put(path + ".count", Integer.toString(value.asArray().size()));
             for (int i = 0; i < value.asArray().size(); i++) {
                 flatten(path + "." + i, value.asArray().get(i), pairs);
             }
         } else if (value.isArray()) {
             StringJoiner joined = new StringJoiner(",");
-            value.asArray().forEach(v -> joined.add(plain(v)));
+            value.asArray().forEach(v -> joined.add(plainText(v)));
             pairs.put(path, joined.toString());
         } else if (!value.isNull()) {
-            pairs.put(path, plain(value));
+            pairs.put(path, plainText(value));
         }
     }
 
-    private static boolean holdsObjects(JsonArray array) {
+    private static boolean containsObjects(JsonArray array) {
         return !array.isEmpty() && array.get(0).isObject();
     }
 
-    private static String plain(JsonValue value) {
+    private static String plainText(JsonValue value) {
         return value.isString() ? value.asString() : value.toString();
     }
 }
--- a/daemon/src/main/java/postgrade/simadapter/SimulatorAdapter.java
+++ b/daemon/src/main/java/postgrade/simadapter/SimulatorAdapter.java
@@ -19,19 +19,19 @@
      */
     public static int serve(InputStream in, OutputStream out, Appendable err) throws IOException {
         StringBuilder reply = new StringBuilder(READ_BYTES);
-        Wire wire = new Wire(reply);
+        WireProtocol protocol = new WireProtocol(reply);
         BufferedReader lines =
                 new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), READ_BYTES);
         try {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                if (wire.line(line)) {
+                if (protocol.processLine(line)) {
                     out.write(reply.toString().getBytes(StandardCharsets.UTF_8));
                     out.flush();
                     reply.setLength(0);
                 }
             }
             return 0;
-        } catch (Wire.Malformed | IllegalArgumentException e) {
+        } catch (WireProtocol.MalformedLineException | IllegalArgumentException e) {
             err.append("benchlink: ").append(e.getMessage()).append('\n');
             return 1;
         }
--- a/daemon/src/main/java/postgrade/simadapter/Wire.java
+++ b/daemon/src/main/java/postgrade/simadapter/WireProtocol.java
@@ -19,42 +19,42 @@
 import postgrade.settings.SettingsReader;
 
 /** Turns lines of the wire into events and actions into lines. Decides nothing. */
-final class Wire {
+final class WireProtocol {
 
     /** A line that cannot be understood; the message names the line's first word and the field. */
-    static final class Malformed extends RuntimeException {
+    static final class MalformedLineException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
-        Malformed(String message) {
+        MalformedLineException(String message) {
             super(message);
         }
     }
 
-    private final Map<String, Instance> instances = new HashMap<>();
+    private final Map<String, SimulatedDispatcher> instances = new HashMap<>();
     private final StringBuilder reply;
-    private final String[] parts = new String[16];
-    private int partCount;
+    private final String[] fields = new String[16];
+    private int fieldCount;
     private String line = "";
     private long nowNs;
-    private Instance listFor;
+    private SimulatedDispatcher listInstance;
     private WorkerListUpdateType listForm;
-    private int listLeft;
+    private int rowsLeft;
     private List<WorkerInfo> listRows = List.of();
 
-    Wire(StringBuilder reply) {
+    WireProtocol(StringBuilder reply) {
         this.reply = reply;
     }
 
     /** Takes one line; true when the batch is complete and the reply stands ready. */
-    boolean line(String text) {
+    boolean processLine(String text) {
         line = text;
         if (text.isEmpty()) {
             return false;
         }
-        split();
-        String word = parts[0];
-        if (listLeft > 0) {
-            entry(word);
+        splitFields();
+        String word = fields[0];
+        if (rowsLeft > 0) {
+            readWorkerEntry(word);
             return false;
         }
         switch (word) {
@@ -64,12 +64,12 @@
                 return true;
             }
             case "DEMAND" -> {
-                Instance in = instance();
-                in.dispatcher.jobArrived(
+                SimulatedDispatcher instance = instance();
+                instance.policy.jobArrived(
                         nowNs,
                         new Job(
                                 text(2, "tid"),
-                                in.className(text(3, "class")),
+                                instance.knownClass(text(3, "class")),
                                 optional(4),
                                 optional(5),
                                 integer(6, "expiresInNs"),
@@ -77,54 +77,57 @@
                                 decimal(9, 0, "memory")));
             }
             case "FINISHED" -> {
-                Instance in = instance();
-                in.dispatcher.attemptFinished(
+                SimulatedDispatcher instance = instance();
+                instance.policy.attemptFinished(
                         nowNs,
                         text(2, "tid"),
                         (int) integer(3, "trial"),
                         outcome(5),
                         flag(7, "last"),
-                        in.load(optional(9)));
+                        instance.parseLoadReport(optional(9)));
             }
             case "HEARTBEAT" -> {
-                DispatchPolicy to = instance().dispatcher;
+                DispatchPolicy policy = instance().policy;
                 long sort = integer(3, "sort");
                 if (sort == 1) {
-                    to.attemptStarted(nowNs, text(2, "tid"), (int) integer(4, "trial"));
+                    policy.attemptStarted(nowNs, text(2, "tid"), (int) integer(4, "trial"));
                 } else if (sort == 2) {
-                    to.attemptProgressed(
+                    policy.attemptProgressed(
                             nowNs,
                             text(2, "tid"),
                             (int) integer(4, "trial"),
                             decimal(6, 0, "level"));
                 }
             }
-            case "TIMER" -> instance().dispatcher.timerFired(nowNs, text(2, "nonce"));
-            case "TOPOLOGY" -> topology();
-            case "ATTACH" -> attach();
+            case "TIMER" -> instance().policy.timerFired(nowNs, text(2, "nonce"));
+            case "TOPOLOGY" -> beginWorkerList();
+            case "ATTACH" -> attachInstance();
             case "KILLED" -> instances.remove(text(1, "i"));
-            case "ABANDONED" -> instance().dispatcher.jobAbandoned(nowNs, text(2, "tid"));
+            case "ABANDONED" -> instance().policy.jobAbandoned(nowNs, text(2, "tid"));
             case "CHECKED" -> {
-                Instance in = instance();
-                in.dispatcher.workerProbed(
-                        nowNs, text(2, "runner"), integer(3, "code") == 0, in.load(optional(5)));
+                SimulatedDispatcher instance = instance();
+                instance.policy.workerProbed(
+                        nowNs,
+                        text(2, "runner"),
+                        integer(3, "code") == 0,
+                        instance.parseLoadReport(optional(5)));
             }
             case "ESTABLISHED" ->
                     instance()
-                            .dispatcher
+                            .policy
                             .attemptStreaming(nowNs, text(2, "tid"), (int) integer(4, "trial"));
             case "MEMO" -> instance();
-            default -> throw new Malformed(word + ": unknown message");
+            default -> throw new MalformedLineException(word + ": unknown message");
         }
         return false;
     }
 
-    private void split() {
-        partCount = 0;
+    private void splitFields() {
+        fieldCount = 0;
         int from = 0;
-        while (partCount < parts.length) {
+        while (fieldCount < fields.length) {
             int tab = line.indexOf('\t', from);
-            parts[partCount++] = tab < 0 ? line.substring(from) : line.substring(from, tab);
+            fields[fieldCount++] = tab < 0 ? line.substring(from) : line.substring(from, tab);
             if (tab < 0) {
                 return;
             }
@@ -132,8 +135,8 @@
         }
     }
 
-    private void topology() {
-        listFor = instance();
+    private void beginWorkerList() {
+        listInstance = instance();
         String form = text(2, "form");
         listForm =
                 switch (form) {
@@ -141,27 +144,27 @@
                     case "snapshot" -> WorkerListUpdateType.FULL;
                     case "disk" -> WorkerListUpdateType.CACHED;
                     case "error" -> WorkerListUpdateType.FAILED;
-                    default -> throw bad("form", form);
+                    default -> throw malformed("form", form);
                 };
-        listLeft = partCount > 4 && !parts[4].equals("-") ? (int) integer(4, "rows") : 0;
-        listRows = new ArrayList<>(listLeft);
-        if (listLeft == 0) {
-            listFor.dispatcher.workersUpdated(nowNs, listForm, listRows);
+        rowsLeft = fieldCount > 4 && !fields[4].equals("-") ? (int) integer(4, "rows") : 0;
+        listRows = new ArrayList<>(rowsLeft);
+        if (rowsLeft == 0) {
+            listInstance.policy.workersUpdated(nowNs, listForm, listRows);
         }
     }
 
-    private void entry(String word) {
+    private void readWorkerEntry(String word) {
         if (!word.equals("ENTRY")) {
-            throw new Malformed(
-                    "TOPOLOGY: rows: " + listLeft + " more ENTRY lines announced, got " + word);
+            throw new MalformedLineException(
+                    "TOPOLOGY: rows: " + rowsLeft + " more ENTRY lines announced, got " + word);
         }
         String phase = text(5, "phase");
-        WorkerPhase as =
+        WorkerPhase workerPhase =
                 switch (phase) {
                     case "Ready" -> WorkerPhase.READY;
                     case "Terminating" -> WorkerPhase.DRAINING;
                     case "Gone" -> WorkerPhase.GONE;
-                    default -> throw bad("phase", phase);
+                    default -> throw malformed("phase", phase);
                 };
         listRows.add(
                 new WorkerInfo(
@@ -169,16 +172,16 @@
                         orEmpty(2),
                         orEmpty(3),
                         (int) decimal(4, 0, "cell"),
-                        as,
+                        workerPhase,
                         decimal(6, 1, "heft"),
                         (long) decimal(7, 0, "bornNs")));
-        if (--listLeft == 0) {
-            listFor.dispatcher.workersUpdated(nowNs, listForm, listRows);
+        if (--rowsLeft == 0) {
+            listInstance.policy.workersUpdated(nowNs, listForm, listRows);
         }
     }
 
-    private AttemptOutcome outcome(int at) {
-        return switch (text(at, "code")) {
+    private AttemptOutcome outcome(int index) {
+        return switch (text(index, "code")) {
             case "0" -> AttemptOutcome.SERVED;
             case "13" -> AttemptOutcome.ERROR;
             case "8" -> AttemptOutcome.FULL;
@@ -187,122 +190,124 @@
             case "10" -> AttemptOutcome.RESET;
             case "1" -> AttemptOutcome.CANCELLED;
             case "9" -> AttemptOutcome.NOT_SENT;
-            default -> throw bad("code", parts[at]);
+            default -> throw malformed("code", fields[index]);
         };
     }
 
-    private void attach() {
+    private void attachInstance() {
         String name = text(1, "i");
         long seed = integer(2, "prng");
         Map<String, String> pairs = new LinkedHashMap<>();
         for (String pair : line.split("\t")) {
-            int eq = pair.indexOf('=');
-            if (eq > 0) {
-                pairs.put(pair.substring(0, eq), pair.substring(eq + 1));
+            int equalsAt = pair.indexOf('=');
+            if (equalsAt > 0) {
+                pairs.put(pair.substring(0, equalsAt), pair.substring(equalsAt + 1));
             }
         }
-        instances.put(name, new Instance(name, seed, pairs));
+        instances.put(name, new SimulatedDispatcher(name, seed, pairs));
     }
 
-    private Instance instance() {
-        Instance in = instances.get(text(1, "i"));
-        if (in == null) {
-            throw bad("i", parts[1]);
+    private SimulatedDispatcher instance() {
+        SimulatedDispatcher instance = instances.get(text(1, "i"));
+        if (instance == null) {
+            throw malformed("i", fields[1]);
         }
-        return in;
+        return instance;
     }
 
-    private String text(int at, String field) {
-        if (at >= partCount || parts[at].isEmpty() || parts[at].equals("-")) {
-            throw new Malformed(parts[0] + ": " + field + " is missing");
+    private String text(int index, String field) {
+        if (index >= fieldCount || fields[index].isEmpty() || fields[index].equals("-")) {
+            throw new MalformedLineException(fields[0] + ": " + field + " is missing");
         }
-        return parts[at];
+        return fields[index];
     }
 
-    private String optional(int at) {
-        return at >= partCount || parts[at].isEmpty() || parts[at].equals("-") ? null : parts[at];
+    private String optional(int index) {
+        return index >= fieldCount || fields[index].isEmpty() || fields[index].equals("-")
+                ? null
+                : fields[index];
     }
 
-    private String orEmpty(int at) {
-        String value = optional(at);
+    private String orEmpty(int index) {
+        String value = optional(index);
         return value == null ? "" : value;
     }
 
-    private long integer(int at, String field) {
-        String value = text(at, field);
+    private long integer(int index, String field) {
+        String value = text(index, field);
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw bad(field, value);
+            throw malformed(field, value);
         }
     }
 
-    private double decimal(int at, double absent, String field) {
-        String value = optional(at);
+    private double decimal(int index, double defaultValue, String field) {
+        String value = optional(index);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         try {
             return value.length() == 1 ? Integer.parseInt(value) : Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw bad(field, value);
+            throw malformed(field, value);
         }
     }
 
-    private boolean flag(int at, String field) {
-        String value = text(at, field);
+    private boolean flag(int index, String field) {
+        String value = text(index, field);
         if (value.equals("1") || value.equals("0")) {
             return value.equals("1");
         }
-        throw bad(field, value);
+        throw malformed(field, value);
     }
 
-    private Malformed bad(String field, String value) {
-        return new Malformed(parts[0] + ": " + field + " cannot be " + value);
+    private MalformedLineException malformed(String field, String value) {
+        return new MalformedLineException(fields[0] + ": " + field + " cannot be " + value);
     }
 
     /** One gateway of the bench: its decision maker, and where its actions are written. */
-    private final class Instance implements PolicyActions {
+    private final class SimulatedDispatcher implements PolicyActions {
         private final String name;
-        private final DispatchPolicy dispatcher;
+        private final DispatchPolicy policy;
         private final Map<String, String> classNames = new HashMap<>();
-        private final int freeAt;
-        private final int queuedAt;
-        private final int inFlightAt;
-        private final int busyAt;
+        private final int freeIndex;
+        private final int queuedIndex;
+        private final int inFlightIndex;
+        private final int busyIndex;
 
-        Instance(String name, long seed, Map<String, String> pairs) {
+        SimulatedDispatcher(String name, long seed, Map<String, String> pairs) {
             this.name = name;
-            SettingsReader read = SettingsReader.ofPairs(pairs);
+            SettingsReader reader = SettingsReader.ofPairs(pairs);
             PolicySettings settings;
             try {
-                settings = read.settings();
+                settings = reader.settings();
             } catch (IllegalArgumentException e) {
-                throw new Malformed("ATTACH: " + e.getMessage());
+                throw new MalformedLineException("ATTACH: " + e.getMessage());
             }
-            for (JobClass c : settings.classes) {
-                classNames.put(c.name(), c.name());
+            for (JobClass jobClass : settings.classes) {
+                classNames.put(jobClass.name(), jobClass.name());
             }
-            List<String> fields = read.list("telemetry.fields");
-            freeAt =
-                    "free_slots".equals(read.text("specifics.reportX0", ""))
+            List<String> fields = reader.list("telemetry.fields");
+            freeIndex =
+                    "free_slots".equals(reader.text("specifics.reportX0", ""))
                             ? fields.indexOf("x0")
                             : -1;
-            queuedAt = fields.indexOf("backlog");
-            inFlightAt = fields.indexOf("outstanding");
-            busyAt = fields.indexOf("utilization");
-            dispatcher = new TokenBucketDispatchPolicy(settings, seed, this);
+            queuedIndex = fields.indexOf("backlog");
+            inFlightIndex = fields.indexOf("outstanding");
+            busyIndex = fields.indexOf("utilization");
+            policy = new TokenBucketDispatchPolicy(settings, seed, this);
         }
 
-        String className(String given) {
-            String known = classNames.get(given);
+        String knownClass(String name) {
+            String known = classNames.get(name);
             if (known == null) {
-                throw bad("class", given);
+                throw malformed("class", name);
             }
             return known;
         }
 
-        LoadReport load(String report) {
+        LoadReport parseLoadReport(String report) {
             if (report == null) {
                 return LoadReport.NONE;
             }
@@ -314,36 +319,36 @@
             for (int i = 0; from <= report.length(); i++) {
                 int comma = report.indexOf(',', from);
                 int to = comma < 0 ? report.length() : comma;
-                if (i == freeAt || i == queuedAt || i == inFlightAt || i == busyAt) {
-                    double v = figure(report, from, to);
-                    free = i == freeAt ? v : free;
-                    queued = i == queuedAt ? v : queued;
-                    inFlight = i == inFlightAt ? v : inFlight;
-                    busy = i == busyAt ? v : busy;
+                if (i == freeIndex || i == queuedIndex || i == inFlightIndex || i == busyIndex) {
+                    double value = parseMetric(report, from, to);
+                    free = i == freeIndex ? value : free;
+                    queued = i == queuedIndex ? value : queued;
+                    inFlight = i == inFlightIndex ? value : inFlight;
+                    busy = i == busyIndex ? value : busy;
                 }
                 from = to + 1;
             }
             return new LoadReport(free, queued, inFlight, busy);
         }
 
-        private double figure(String report, int from, int to) {
+        private double parseMetric(String report, int from, int to) {
             if (to == from || (to == from + 1 && report.charAt(from) == '-')) {
                 return Double.NaN;
             }
             try {
                 return Double.parseDouble(report.substring(from, to));
             } catch (NumberFormatException e) {
-                throw bad("metrics", report);
+                throw malformed("metrics", report);
             }
         }
 
-        private StringBuilder begin(String word) {
+        private StringBuilder beginAction(String word) {
             return reply.append(word).append('\t').append(name).append('\t');
         }
 
         @Override
         public void startAttempt(String jobId, String workerId, long limitNs) {
-            begin("SEND")
+            beginAction("SEND")
                     .append(jobId)
                     .append('\t')
                     .append(workerId)
@@ -354,32 +359,32 @@
 
         @Override
         public void cancelAttempt(String jobId, int attempt) {
-            begin("CALL_OFF").append(jobId).append('\t').append(attempt).append('\n');
+            beginAction("CALL_OFF").append(jobId).append('\t').append(attempt).append('\n');
         }
 
         @Override
         public void reject(String jobId, long retryAfterNs) {
-            begin("REFUSE").append(jobId).append('\t').append(retryAfterNs).append('\n');
+            beginAction("REFUSE").append(jobId).append('\t').append(retryAfterNs).append('\n');
         }
 
         @Override
         public void fail(String jobId) {
-            begin("GIVE_UP").append(jobId).append('\n');
+            beginAction("GIVE_UP").append(jobId).append('\n');
         }
 
         @Override
         public void probe(String workerId) {
-            begin("PROBE").append(workerId).append('\n');
+            beginAction("PROBE").append(workerId).append('\n');
         }
 
         @Override
         public void startTimer(String token, long inNs) {
-            begin("AFTER").append(token).append('\t').append(inNs).append('\n');
+            beginAction("AFTER").append(token).append('\t').append(inNs).append('\n');
         }
 
         @Override
         public void watchWorkers() {
-            begin("TRACK").append("1\n");
+            beginAction("TRACK").append("1\n");
         }
     }
 }
--- a/daemon/src/test/java/postgrade/client/ConnectionStateTest.java
+++ b/daemon/src/test/java/postgrade/client/ConnectionStateTest.java
@@ -10,7 +10,7 @@
 
     private static boolean leads(ConnectionState from, ConnectionState to) {
         try {
-            return from.to(to) == to;
+            return from.transitionTo(to) == to;
         } catch (IllegalStateException e) {
             return false;
         }
@@ -38,7 +38,7 @@
     @Test
     public void noRequestIsTakenOverBesideOneThatIsOwedItsAnswer() {
         for (ConnectionState from : ConnectionState.values()) {
-            if (from.owes()) {
+            if (from.awaitsAnswer()) {
                 assertFalse(from + " to READING", leads(from, ConnectionState.READING));
                 assertFalse(from + " to OPENING", leads(from, ConnectionState.OPENING));
             }
