--- a/daemon/src/test/java/postgrade/client/ConnectionStateTest.java
+++ b/daemon/src/test/java/postgrade/client/ConnectionStateTest.java
@@ -8,7 +8,7 @@
 
 public class ConnectionStateTest {
 
-    private static boolean leads(ConnectionState from, ConnectionState to) {
+    private static boolean isAllowed(ConnectionState from, ConnectionState to) {
         try {
             return from.transitionTo(to) == to;
         } catch (IllegalStateException e) {
@@ -18,7 +18,7 @@
 
     /** What is read behind our end is never sent on, and no answer follows the last one. */
     @Test
-    public void onceTheLastAnswerIsGivenNothingIsTakenAgain() {
+    public void noRequestIsReadAfterTheLastAnswer() {
         Set<ConnectionState> ending =
                 EnumSet.of(
                         ConnectionState.ANSWERING,
@@ -26,21 +26,21 @@
                         ConnectionState.CLOSED);
         for (ConnectionState from : ending) {
             for (ConnectionState to : EnumSet.complementOf(EnumSet.copyOf(ending))) {
-                assertFalse(from + " to " + to, leads(from, to));
+                assertFalse(from + " to " + to, isAllowed(from, to));
             }
         }
         assertFalse(
                 "the last one is given once",
-                leads(ConnectionState.LINGERING, ConnectionState.ANSWERING));
+                isAllowed(ConnectionState.LINGERING, ConnectionState.ANSWERING));
     }
 
     /** One request at a time: the next is taken only once the one that waits has its answer. */
     @Test
-    public void noRequestIsTakenOverBesideOneThatIsOwedItsAnswer() {
+    public void noRequestIsOpenedWhileAnotherAwaitsItsAnswer() {
         for (ConnectionState from : ConnectionState.values()) {
             if (from.awaitsAnswer()) {
-                assertFalse(from + " to READING", leads(from, ConnectionState.READING));
-                assertFalse(from + " to OPENING", leads(from, ConnectionState.OPENING));
+                assertFalse(from + " to READING", isAllowed(from, ConnectionState.READING));
+                assertFalse(from + " to OPENING", isAllowed(from, ConnectionState.OPENING));
             }
         }
     }
--- a/daemon/src/test/java/postgrade/daemon/BadInputTest.java
+++ b/daemon/src/test/java/postgrade/daemon/BadInputTest.java
@@ -20,7 +20,7 @@
  */
 public class BadInputTest extends AttemptTestBase {
 
-    private static final long STEP = 500 * MILLI_MICROS;
+    private static final long STEP_MICROS = 500 * MILLI_MICROS;
     private static final String JOB = "POST /api HTTP/1.1\r\nX-Class: price\r\nX-Request-Id: ";
 
     /**
@@ -88,7 +88,7 @@
     }
 
     /** Another client's job, the worker's word that it is done, and the answers to both. */
-    private void served(String id, Socket client, Socket callBacks, Socket worker)
+    private void assertServed(String id, Socket client, Socket callBacks, Socket worker)
             throws IOException {
         loop.runAndServe(
                 () -> ScriptedPeer.write(client, JOB + id + "\r\nContent-Length: 0\r\n\r\n"));
@@ -111,17 +111,16 @@
     }
 
     @Test
-    public void eachIsAnsweredAndEndedWithin3sOfConnectingAndGoneSoonAfterWhileOthersAreServed()
-            throws Exception {
-        Socket usual = connect();
+    public void invalidClientsAreAnsweredAndClosedWithin3sWhileOthersAreServed() throws Exception {
+        Socket validClient = connect();
         Socket callBacks = connect();
-        served("usual", usual, callBacks, null);
+        assertServed("usual", validClient, callBacks, null);
         Socket worker = sockets.get(2);
-        long before = loop.openChannels();
-        Socket[] bad = new Socket[CLIENTS.length];
-        for (int i = 0; i < bad.length; i++) {
+        long openBefore = loop.openChannels();
+        Socket[] invalidClients = new Socket[CLIENTS.length];
+        for (int i = 0; i < invalidClients.length; i++) {
             Socket s = connect();
-            bad[i] = s;
+            invalidClients[i] = s;
             String text = (String) CLIENTS[i][0];
             if (!text.isEmpty()) {
                 loop.runAndServe(() -> ScriptedPeer.write(s, text));
@@ -131,23 +130,23 @@
             }
         }
         for (int i = 0; i < 6; i++) {
-            advance(STEP);
-            served("usual" + i, usual, callBacks, worker);
+            advance(STEP_MICROS);
+            assertServed("usual" + i, validClient, callBacks, worker);
         }
-        for (int i = 0; i < bad.length; i++) { // By now, 3 s on.
+        for (int i = 0; i < invalidClients.length; i++) { // By now, 3 s on.
             if (CLIENTS[i][1] != null) {
-                assertEquals("client " + i, CLIENTS[i][1], status(bad[i]));
+                assertEquals("client " + i, CLIENTS[i][1], status(invalidClients[i]));
             }
             assertEquals(
                     "client " + i + " has been ended, not reset",
                     -1,
-                    bad[i].getInputStream().read());
+                    invalidClients[i].getInputStream().read());
         }
-        advance(STEP);
+        advance(STEP_MICROS);
         loop.serveUntil(() -> true);
         assertEquals(
                 "none of them holds a place though it has not ended its own side",
-                before,
+                openBefore,
                 loop.openChannels());
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/FullHouseTest.java
+++ b/daemon/src/test/java/postgrade/daemon/DescriptorExhaustionTest.java
@@ -6,21 +6,21 @@
 import postgrade.daemon.ScriptedPeer.ReceivedMessage;
 
 /** Every descriptor is taken, and each one that comes free is wanted. */
-public class FullHouseTest extends DaemonTestBase {
+public class DescriptorExhaustionTest extends DaemonTestBase {
 
-    private static final int PLACES = 64;
-    private static final int ACCEPTED = PLACES * 3 / 4;
-    private static final int OF_DISCOVERY = 2;
+    private static final int SOCKET_LIMIT = 64;
+    private static final int ACCEPTED = SOCKET_LIMIT * 3 / 4;
+    private static final int DISCOVERY_SOCKETS = 2;
 
     /** Far more turns than the watch's pause has, and few enough to remember each. */
-    private static final int MOST_WANTS = 200_000;
+    private static final int MAX_CONNECTION_REQUESTS = 200_000;
 
-    private volatile int wants;
+    private volatile int connectionRequests;
 
     /** A list that cannot be followed lets jobs go to workers that drain. */
     @Test
-    public void discoveryIsStillOpenedAgainAndHeard() throws Exception {
-        descriptorLimit = PLACES + 32;
+    public void discoveryWatchIsReopenedAndRead() throws Exception {
+        descriptorLimit = SOCKET_LIMIT + 32;
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         String last = "busy" + (ACCEPTED - 1);
         script.onJob =
@@ -33,7 +33,7 @@
                 };
         script.onFinished =
                 (id, outcome) -> {
-                    if (id.equals(last) && wants++ < MOST_WANTS) {
+                    if (id.equals(last) && connectionRequests++ < MAX_CONNECTION_REQUESTS) {
                         script.actions.startAttempt(
                                 id, "w1", 0); // In each turn it wants a connection.
                     }
@@ -47,14 +47,14 @@
             post("busy" + i, "price", "600000m");
             script.expectEventAmongOthers("job busy" + i);
         }
-        for (int i = 0; i < PLACES - OF_DISCOVERY - ACCEPTED; i++) {
+        for (int i = 0; i < SOCKET_LIMIT - DISCOVERY_SOCKETS - ACCEPTED; i++) {
             workerOne.awaitMessage("POST"); // Which says nothing to it, and keeps its connection.
         }
         for (int i = 0; i < 10; i++) {
             connect(); // And more wait to be accepted.
         }
         script.expectEventAmongOthers("finished " + last + " 0 NO_SOCKET false");
-        assertTrue("still wanted", wants < MOST_WANTS);
+        assertTrue("still wanted", connectionRequests < MAX_CONNECTION_REQUESTS);
         watch.socket().close();
         watch = discovery.awaitMessage("GET /api/targets?watch=1&from=42 ");
         ScriptedPeer.write(watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -62,6 +62,6 @@
                 watch,
                 workerListJson(43, false, workerEntry("w1", workerOne.address(), "draining")));
         script.expectEventAmongOthers("list DELTA [w1 DRAINING]");
-        assertTrue("wanted to the end", wants < MOST_WANTS);
+        assertTrue("wanted to the end", connectionRequests < MAX_CONNECTION_REQUESTS);
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/CompanionTest.java
+++ b/daemon/src/test/java/postgrade/daemon/DispatcherExtensionTest.java
@@ -27,18 +27,18 @@
  * What stands beside a dispatcher hears what goes on, has its say, and is asked what operators want
  * of it.
  */
-public class CompanionTest extends DaemonTestBase
+public class DispatcherExtensionTest extends DaemonTestBase
         implements DispatcherExtension, AdditionalEndpoints {
 
-    private final LinkedBlockingQueue<String> heard = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<String> events = new LinkedBlockingQueue<>();
     private Host host;
-    private volatile boolean knows = true;
-    private volatile long patienceMicros = 1_000_000;
-    private volatile boolean paces;
-    private volatile long turnMicros = -1;
+    private volatile boolean initialized = true;
+    private volatile long initTimeoutMicros = 1_000_000;
+    private volatile boolean refusesConnections;
+    private volatile long iterationMicros = -1;
 
     @Before
-    public void besideTheDaemon() {
+    public void installExtension() {
         withOperatorPort = true;
         companionPlan =
                 h -> {
@@ -47,7 +47,7 @@
                 };
     }
 
-    private Socket postOnceItListens(String id) throws Exception {
+    private Socket postOnceListening(String id) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(ScriptedPeer.TIMEOUT_S);
         while (true) {
             try {
@@ -59,8 +59,8 @@
         }
     }
 
-    private void hears(String what) throws InterruptedException {
-        assertEquals(what, heard.poll(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
+    private void expectEvent(String what) throws InterruptedException {
+        assertEquals(what, events.poll(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
     }
 
     @Override
@@ -70,25 +70,25 @@
 
     @Override
     public boolean isInitialized() {
-        return knows;
+        return initialized;
     }
 
     @Override
     public long initTimeoutMicros() {
-        return patienceMicros;
+        return initTimeoutMicros;
     }
 
     @Override
     public boolean mayConnect(String worker, boolean must) {
-        if (paces) {
-            heard.add("connect " + worker + " " + must);
+        if (refusesConnections) {
+            events.add("connect " + worker + " " + must);
         }
-        return !paces;
+        return !refusesConnections;
     }
 
     @Override
     public void iterationStarted() {
-        turnMicros = host.timers().nowMicros();
+        iterationMicros = host.timers().nowMicros();
     }
 
     @Override
@@ -98,22 +98,22 @@
 
     @Override
     public void workerListChanged() {
-        heard.add("listed " + host.workers().stream().map(Host.WorkerStatus::id).toList());
+        events.add("listed " + host.workers().stream().map(Host.WorkerStatus::id).toList());
     }
 
     @Override
     public void workerMaintenanceChanged(String worker, boolean out) {
-        heard.add(worker + " " + out);
+        events.add(worker + " " + out);
     }
 
     @Override
     public void stopping() {
-        heard.add("stopping");
+        events.add("stopping");
     }
 
     @Override
     public void close() {
-        heard.add("close");
+        events.add("close");
     }
 
     @Override
@@ -139,7 +139,7 @@
     }
 
     @Test
-    public void itHearsOfListsOperatorsAndTheEndAndItsShareAndAbilityReachTheModule()
+    public void isNotifiedOfListsMaintenanceAndShutdownAndItsConstraintsReachThePolicy()
             throws Exception {
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         assertSame(JobConstraints.NONE, script.constraints);
@@ -149,34 +149,34 @@
                         true,
                         workerEntry("w1", workerOne.address(), "ready"),
                         workerEntry("w2", workerTwo.address(), "ready")));
-        hears("listed [w1, w2]");
+        expectEvent("listed [w1, w2]");
         script.expectEvent("list FULL [w1 READY, w2 READY]");
         assertEquals(
                 200, operatorCall(daemon, "PUT /maintenance/enter", "{\"id\":\"w1\"}").status());
-        hears("w1 true");
+        expectEvent("w1 true");
         script.expectEvent("list DELTA [w1 DRAINING]");
         host.loopExecutor().execute(() -> host.setRateFactor(1.5));
         script.expectEvent("share 1.5");
         host.loopExecutor()
                 .execute(
                         () ->
-                                heard.add(
+                                events.add(
                                         host.exitMaintenance("w1")
                                                 + " "
                                                 + host.isReady()
                                                 + " "
                                                 + host.isOnlyProcess()));
-        hears("true true true");
+        expectEvent("true true true");
         script.expectEvent("list DELTA [w1 READY]");
         awaitStopped(stopInBackground(daemon));
-        hears("stopping");
-        hears("close");
+        expectEvent("stopping");
+        expectEvent("close");
     }
 
     @Test
-    public void consumersWaitUntilItKnowsWhichWorkersAreOut() throws Exception {
-        knows = false;
-        patienceMicros = ScriptedPeer.TIMEOUT_S * 1_000_000L;
+    public void clientsAreNotAcceptedBeforeItIsInitialized() throws Exception {
+        initialized = false;
+        initTimeoutMicros = ScriptedPeer.TIMEOUT_S * 1_000_000L;
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> script.actions.reject(job.id(), 0);
         assertThrows("they turn to others at once", ConnectException.class, this::connect);
@@ -185,53 +185,53 @@
         host.loopExecutor().execute(() -> host.enterMaintenance("w1"));
         script.expectEvent("list DELTA [w1 DRAINING]");
         assertThrows(ConnectException.class, this::connect);
-        knows = true;
-        Socket consumer = postOnceItListens("a1");
+        initialized = true;
+        Socket consumer = postOnceListening("a1");
         script.expectEvent("job a1");
         assertEquals(429, ScriptedPeer.read(consumer).status());
     }
 
     @Test
-    public void itIsAskedWhenATurnBeginsBeforeAnythingIsTakenIn() throws Exception {
+    public void isCalledAtTheStartOfAnIterationBeforeInputIsProcessed() throws Exception {
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob =
                 job -> {
-                    heard.add("turn " + (turnMicros == host.timers().nowMicros()));
+                    events.add("turn " + (iterationMicros == host.timers().nowMicros()));
                     script.actions.reject(job.id(), 0);
                 };
         Socket consumer = post("t1", "price", "15000m");
-        hears("turn true");
+        expectEvent("turn true");
         assertEquals(429, ScriptedPeer.read(consumer).status());
     }
 
     @Test
-    public void itPacesConnectionsAndARequestThatWaitsForOneHasItAllTheSame() throws Exception {
-        paces = true;
+    public void limitsConnectionsExceptWhereARequestNeedsOne() throws Exception {
+        refusesConnections = true;
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> script.actions.startAttempt(job.id(), "w1", 0);
         post("p1", "price", "15000m");
-        hears("connect w1 true");
+        expectEvent("connect w1 true");
         ReceivedMessage first = workerOne.awaitMessage("POST");
         post("p2", "price", "15000m"); // The first is not answered, so its connection stays in use.
-        hears("connect w1 false");
-        hears("connect w1 true");
+        expectEvent("connect w1 false");
+        expectEvent("connect w1 true");
         ReceivedMessage second = workerOne.awaitMessage("POST");
         assertNotSame(first.socket(), second.socket());
     }
 
     @Test
-    public void butOnlySoLong() throws Exception {
-        knows = false;
-        patienceMicros = 50_000;
+    public void initializationIsWaitedForOnlyUntilItsTimeout() throws Exception {
+        initialized = false;
+        initTimeoutMicros = 50_000;
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> script.actions.reject(job.id(), 0);
-        Socket consumer = postOnceItListens("b1");
+        Socket consumer = postOnceListening("b1");
         script.expectEvent("job b1");
         assertEquals(429, ScriptedPeer.read(consumer).status());
     }
 
     @Test
-    public void operatorsCallsBeyondTheDailyOnesAreItsOwnEachWithItsBound() throws Exception {
+    public void additionalEndpointsAreHandledWithTheirOwnBodyLimits() throws Exception {
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         ReceivedMessage answer = operatorCall(daemon, "PUT /calendar", "x".repeat(100_000));
         assertEquals("{\"length\":100000}\n", answer.body());
@@ -246,8 +246,7 @@
     }
 
     @Test
-    public void withoutAFileNothingIsLookedForAndAFileWithoutSharingInTheProgramIsAFault()
-            throws Exception {
+    public void noFileLoadsNoExtensionAndAFileWithoutOneOnTheClassPathIsAnError() throws Exception {
         Map<String, String> environment =
                 new HashMap<>(configuration(workerEntry("w1", workerOne.address(), "ready")));
         assertEquals(null, CompanionLoader.loadPlan(Config.read(environment)));
@@ -261,7 +260,7 @@
     }
 
     @Test
-    public void aTestsClockRunsFastAndIsOffAndAFaultyOneIsNamed() throws Exception {
+    public void testClockAppliesDriftAndOffsetAndInvalidOnesAreReported() throws Exception {
         Clock fast = Clock.of("-60000000,20000");
         Clock plain = Clock.of("");
         long fastBefore = fast.micros();
--- a/daemon/src/test/java/postgrade/daemon/ExtensionHeadersTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ExtensionHeadersTest.java
@@ -21,7 +21,7 @@
         implements DispatcherExtension, ExtensionHeaders {
 
     @Before
-    public void besideTheDaemon() {
+    public void installExtension() {
         companionPlan = h -> this;
     }
 
@@ -69,19 +69,19 @@
         return s;
     }
 
-    private void turnedAway(String id, String headers, String sentence) throws IOException {
+    private void assertRejected(String id, String headers, String message) throws IOException {
         ReceivedMessage answer = ScriptedPeer.read(submit(id, headers));
         assertEquals(400, answer.status());
-        assertTrue(answer.body(), answer.body().toLowerCase().startsWith(sentence));
+        assertTrue(answer.body(), answer.body().toLowerCase().startsWith(message));
     }
 
     @Test
-    public void aClaimIsKnownBeforeTheModuleHearsOfTheJobAndABadOneNeverReachesIt()
+    public void headersAreDeliveredBeforeThePolicySeesTheJobAndInvalidOnesAreRejected()
             throws Exception {
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> script.actions.reject(job.id(), 0);
-        turnedAway("c1", "X-Window-Lasts: soon\r\n", "x-window-lasts has to be");
-        turnedAway(
+        assertRejected("c1", "X-Window-Lasts: soon\r\n", "x-window-lasts has to be");
+        assertRejected(
                 "c1", "X-Window-Lasts: 1m\r\nX-Window-Lasts: 1m\r\n", "x-window-lasts is repeated");
         assertEquals(429, ScriptedPeer.read(submit("c1", "X-Window-Lasts: 90m\r\n")).status());
         script.expectEvent("claim c1 price 90m");
@@ -95,7 +95,7 @@
     }
 
     @Test
-    public void aJobThatIsNotTakenOverClaimsNothing() throws Exception {
+    public void headersOfARejectedJobAreNotDelivered() throws Exception {
         maxHeldJobs = 1;
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         submit("d1", "X-Window-Lasts: 1m\r\n");
@@ -113,7 +113,7 @@
     }
 
     @Test
-    public void whereNobodyReadsThemTheyArePassedOver() throws Exception {
+    public void headersAreIgnoredWithoutAnExtension() throws Exception {
         companionPlan = null;
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> script.actions.reject(job.id(), 0);
--- a/daemon/src/test/java/postgrade/daemon/LoopHarness.java
+++ b/daemon/src/test/java/postgrade/daemon/LoopHarness.java
@@ -47,7 +47,7 @@
     private final Thread thread;
 
     /** Told at the end of this turn. */
-    private CountDownLatch noted;
+    private CountDownLatch iterationEnd;
 
     /**
      * @param places for sockets
@@ -58,20 +58,20 @@
 
     LoopHarness(Config config, int places, SystemCalls systemCalls) throws IOException {
         loop = new EventLoop(new SocketBudget(places), config.clock, systemCalls);
-        ScriptedPolicy[] made = new ScriptedPolicy[1];
+        ScriptedPolicy[] policies = new ScriptedPolicy[1];
         tracker =
                 new RequestTracker(
-                        out -> made[0] = new ScriptedPolicy(out),
+                        out -> policies[0] = new ScriptedPolicy(out),
                         false,
                         1000,
                         loop,
                         (event, message, thrown) -> {});
-        script = made[0];
+        script = policies[0];
         workerPools =
                 new WorkerConnectionPools(
                         tracker, loop, loop, config.connectTimeoutMicros, config.idleTimeoutMicros);
         tracker.connectTransport(workerPools);
-        UpgradeCoordinator alone = new UpgradeCoordinator(null, config.name, loop, loop, null);
+        UpgradeCoordinator upgrade = new UpgradeCoordinator(null, config.name, loop, loop, null);
         listener =
                 new ClientListener(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
@@ -86,7 +86,14 @@
                         loop);
         shutdown =
                 new ShutdownSequence(
-                        loop, lifecycle, tracker, workerPools, listener, alone, null, () -> config);
+                        loop,
+                        lifecycle,
+                        tracker,
+                        workerPools,
+                        listener,
+                        upgrade,
+                        null,
+                        () -> config);
         lifecycle.markStarted();
         thread = new Thread(this::run, "loop");
         thread.setDaemon(true);
@@ -113,9 +120,9 @@
                         @Override
                         public void runBatch() {
                             tracker.runBatch();
-                            if (noted != null) {
-                                noted.countDown();
-                                noted = null;
+                            if (iterationEnd != null) {
+                                iterationEnd.countDown();
+                                iterationEnd = null;
                             }
                         }
 
@@ -170,11 +177,11 @@
                         loop.at(
                                 loop.nowMicros(),
                                 () -> {
-                                    held(holdMillis, whileHeld, failed);
+                                    runAndHold(holdMillis, whileHeld, failed);
                                     loop.execute(
                                             () -> {
-                                                held(0, afterSelect, failed);
-                                                noted = done;
+                                                runAndHold(0, afterSelect, failed);
+                                                iterationEnd = done;
                                             });
                                 }));
         assertTrue(done.await(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
@@ -183,9 +190,9 @@
         }
     }
 
-    private static void held(long millis, IoAction what, Throwable[] failed) {
+    private static void runAndHold(long millis, IoAction action, Throwable[] failed) {
         try {
-            what.run();
+            action.run();
             TimeUnit.MILLISECONDS.sleep(millis);
         } catch (IOException | InterruptedException | RuntimeException e) {
             failed[0] = e;
@@ -200,7 +207,7 @@
     void awaitIteration() throws InterruptedException {
         for (int i = 0; i < 2; i++) { // The first may be under way.
             CountDownLatch done = new CountDownLatch(1);
-            loop.execute(() -> noted = done);
+            loop.execute(() -> iterationEnd = done);
             assertTrue(done.await(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
         }
     }
--- /dev/null
+++ b/daemon/src/test/java/postgrade/daemon/MemoryFloodTest.java
@@ -0,0 +1,105 @@
+package postgrade.daemon;
+
+import static org.junit.Assert.assertEquals;
+import static org.junit.Assert.assertTrue;
+
+import java.io.IOException;
+import java.net.Socket;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.After;
+import org.junit.Before;
+import org.junit.Test;
+import postgrade.daemon.ScriptedPeer.ReceivedMessage;
+
+/**
+ * Clients that send as much as is kept, and go: others' jobs and call-backs are served meanwhile,
+ * and nothing of it stays.
+ */
+public class MemoryFloodTest extends DaemonTestBase {
+
+    private static final int BODY_BYTES = 65_536;
+    private static final int REQUESTS_TO_FILL = (24 << 20) / BODY_BYTES;
+    private static final String LARGE_REQUEST_HEAD =
+            "POST /api HTTP/1.1\r\nX-Class: price\r\nContent-Length: "
+                    + BODY_BYTES
+                    + "\r\nX-Request-Id: ";
+
+    private LoopHarness harness;
+
+    @Before
+    public void startHarness() throws Exception {
+        harness = new LoopHarness(Config.read(configuration()), 1024);
+        harness.addWorker("w1", workerOne);
+        harness.script.onJob =
+                job -> {
+                    if (job.id().startsWith("usual")) {
+                        harness.script.actions.startAttempt(job.id(), "w1", 0);
+                    }
+                };
+    }
+
+    @After
+    public void close() throws IOException {
+        harness.close();
+    }
+
+    @Override
+    Socket connect() throws IOException {
+        return harness.connect();
+    }
+
+    private void assertUsualJobServed(String id) throws Exception {
+        Socket client = harness.post(id);
+        workerOne.awaitMessage("POST").accept();
+        assertEquals(204, callBack(id, "w1", "done"));
+        assertEquals(200, ScriptedPeer.read(client).status());
+    }
+
+    @Test
+    public void heldBytesAreBoundedAndReleasedOnDisconnect() throws Exception {
+        List<Socket> flood = new ArrayList<>();
+        for (int i = 0; i < REQUESTS_TO_FILL; i++) {
+            flood.add(harness.connect());
+            ScriptedPeer.write(
+                    flood.get(i),
+                    LARGE_REQUEST_HEAD + "flood" + i + "\r\n\r\n" + "x".repeat(BODY_BYTES));
+            harness.script.expectEvent("job flood" + i);
+        }
+        Socket over = harness.connect();
+        ScriptedPeer.write(
+                over,
+                LARGE_REQUEST_HEAD
+                        + "over\r\n\r\n"
+                        + "x".repeat(BODY_BYTES - 1)); // Not whole, and never to be.
+        ReceivedMessage answer = ScriptedPeer.read(over);
+        assertEquals(429, answer.status());
+        assertEquals("ended, not reset", -1, over.getInputStream().read());
+        assertUsualJobServed("usual0");
+        harness.interleave(
+                0,
+                () -> {
+                    for (int i = 0; i < flood.size(); i++) {
+                        Socket s = flood.get(i);
+                        ScriptedPeer.write(
+                                s,
+                                LARGE_REQUEST_HEAD
+                                        + "more"
+                                        + i
+                                        + "\r\n\r\n"
+                                        + "x".repeat(BODY_BYTES / 2));
+                        if (i % 2 == 0) {
+                            s.setSoLinger(true, 0); // With a reset.
+                        }
+                        s.close();
+                    }
+                },
+                () -> {});
+        assertUsualJobServed("usual1");
+        harness.script.events.clear();
+        Socket large = harness.connect();
+        ScriptedPeer.write(large, LARGE_REQUEST_HEAD + "large\r\n\r\n" + "x".repeat(BODY_BYTES));
+        harness.script.expectEventAmongOthers("job large");
+        assertTrue("of the flood nothing was sent on", workerOne.hasNoMessage());
+    }
+}
--- a/daemon/src/test/java/postgrade/daemon/OperatorTest.java
+++ b/daemon/src/test/java/postgrade/daemon/OperatorTest.java
@@ -15,11 +15,11 @@
 public class OperatorTest extends DaemonTestBase {
 
     @Before
-    public void withOperators() {
+    public void enableOperators() {
         withOperatorPort = true;
     }
 
-    private Socket operator() throws IOException {
+    private Socket connectOperator() throws IOException {
         Socket s = new Socket(InetAddress.getLoopbackAddress(), daemon.operatorPort());
         s.setSoTimeout(ScriptedPeer.TIMEOUT_S * 1000);
         sockets.add(s);
@@ -30,32 +30,32 @@
         return operatorCall(daemon, line, body);
     }
 
-    private int out(String id) throws IOException {
+    private int enterMaintenance(String id) throws IOException {
         return call("PUT /maintenance/enter", "{\"id\":\"" + id + "\"}").status();
     }
 
-    private int back(String id) throws IOException {
+    private int exitMaintenance(String id) throws IOException {
         return call("PUT /maintenance/exit", "{\"id\":\"" + id + "\"}").status();
     }
 
-    private static void refused(ReceivedMessage answer, int status, String text) {
+    private static void assertRefused(ReceivedMessage answer, int status, String fragment) {
         assertEquals(answer.body(), status, answer.status());
-        assertTrue(answer.body(), answer.body().contains(text));
+        assertTrue(answer.body(), answer.body().contains(fragment));
     }
 
     @Test
-    public void aNoSaysWhatWasWrongAndChangesNothing() throws Exception {
+    public void refusalNamesTheProblemAndChangesNothing() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
-        refused(call("GET /nowhere", ""), 404, "no call /nowhere");
+        assertRefused(call("GET /nowhere", ""), 404, "no call /nowhere");
         ReceivedMessage wrong = call("POST /standby", "");
-        refused(wrong, 405, "PUT, not POST");
+        assertRefused(wrong, 405, "PUT, not POST");
         assertEquals("PUT", wrong.header("Allow"));
-        refused(call("PUT /maintenance/enter", "{\"id\":"), 400, "not JSON");
-        refused(call("PUT /maintenance/enter", "{\"name\":\"w1\"}"), 400, "id as a string");
-        refused(call("PUT /maintenance/enter", "{\"id\":7}"), 400, "id as a string");
-        refused(call("PUT /maintenance/exit", "[]"), 400, "id as a string");
-        refused(call("PUT /maintenance/enter", "{\"id\":\"w9\"}"), 404, "no worker w9");
-        refused(call("nonsense", ""), 400, "start line");
+        assertRefused(call("PUT /maintenance/enter", "{\"id\":"), 400, "not JSON");
+        assertRefused(call("PUT /maintenance/enter", "{\"name\":\"w1\"}"), 400, "id as a string");
+        assertRefused(call("PUT /maintenance/enter", "{\"id\":7}"), 400, "id as a string");
+        assertRefused(call("PUT /maintenance/exit", "[]"), 400, "id as a string");
+        assertRefused(call("PUT /maintenance/enter", "{\"id\":\"w9\"}"), 404, "no worker w9");
+        assertRefused(call("nonsense", ""), 400, "start line");
         assertEquals("it has started by this answer", 200, readinessStatus());
         ReceivedMessage status = call("GET /status", "");
         assertEquals(200, status.status());
@@ -64,13 +64,13 @@
     }
 
     @Test
-    public void aWorkerTakenOutGetsNothingWhateverIsListedUntilItIsPutBackAndThenIsTried()
+    public void workerInMaintenanceGetsNoJobsWhateverIsListedUntilItIsTakenOutOfIt()
             throws Exception {
         startWithScriptedPolicy(
                 workerEntry("w1", workerOne.address(), "ready"),
                 workerEntry("w2", workerTwo.address(), "ready"));
-        assertEquals(200, out("w1"));
-        assertEquals(200, out("w1"));
+        assertEquals(200, enterMaintenance("w1"));
+        assertEquals(200, enterMaintenance("w1"));
         script.expectEvent("list DELTA [w1 DRAINING]");
         ReceivedMessage watch = discovery.awaitMessage("GET /api/targets?watch=1&from=41 ");
         ScriptedPeer.write(watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -90,21 +90,21 @@
         script.expectEvent("job m1");
         script.expectEvent("finished m1 0 NOT_SENT false");
         assertTrue(call("GET /status", "").body().contains("\"out\":[\"w1\"]"));
-        assertEquals(200, back("w1"));
+        assertEquals(200, exitMaintenance("w1"));
         script.expectEvent("list DELTA [w1 READY]");
         script.expectEvent("recalled w1");
-        assertEquals("not out, and no harm", 200, back("w1"));
+        assertEquals("not out, and no harm", 200, exitMaintenance("w1"));
         post("m2", "price", "15000m");
         workerOne.awaitMessage("POST").accept();
     }
 
     @Test
-    public void callsAndJobsCutAtAnyByteAreTaken() throws Exception {
+    public void callsAndJobsSplitAtAnyByteAreParsed() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         String text =
                 "PUT /maintenance/enter HTTP/1.1\r\nContent-Length: 11\r\n\r\n{\"id\":\"w9\"}";
         for (int cut = 1; cut < text.length(); cut++) {
-            Socket s = operator();
+            Socket s = connectOperator();
             s.setTcpNoDelay(true);
             ScriptedPeer.write(s, text.substring(0, cut));
             ScriptedPeer.write(s, text.substring(cut));
@@ -126,11 +126,12 @@
     }
 
     @Test
-    public void callersWhoSitThereWithNothingOrHalfACallKeepNobodyWaiting() throws Exception {
+    public void idleAndPartialCallersDoNotBlockOthers() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
-        Socket first = operator();
+        Socket first = connectOperator();
         for (int i = 0; i < 40; i++) {
-            ScriptedPeer.write(operator(), i % 2 == 0 ? "" : "PUT /standby HTTP/1.1\r\nContent-Le");
+            ScriptedPeer.write(
+                    connectOperator(), i % 2 == 0 ? "" : "PUT /standby HTTP/1.1\r\nContent-Le");
         }
         assertEquals("it has started by this answer", 200, readinessStatus());
         assertEquals(200, call("GET /status", "").status());
@@ -139,7 +140,7 @@
     }
 
     @Test
-    public void inStandbyConsumersAreTurnedAwayCallBacksAreTakenAndActiveTakesConsumersAgain()
+    public void standbyClosesClientConnectionsButTakesCallBacksAndActiveServesClientsAgain()
             throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket idle = post("d1", "price", "15000m");
@@ -172,7 +173,7 @@
     }
 
     @Test
-    public void aStopInStandbyEndsTheProcessAndNoCallUndoesIt() throws Exception {
+    public void stopInStandbyEndsTheProcessAndCannotBeUndone() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket open = post("e1", "price", "15000m");
         workerOne.awaitMessage("POST").accept();
@@ -181,7 +182,7 @@
         while (!call("GET /status", "").body().contains("stopping")) {
             Thread.onSpinWait();
         }
-        refused(call("PUT /active", ""), 503, "stopping");
+        assertRefused(call("PUT /active", ""), 503, "stopping");
         callBack("e1", "w1", "done");
         assertEquals(200, ScriptedPeer.read(open).status());
         awaitStopped(stop);
--- a/daemon/src/test/java/postgrade/lifecycle/LifecycleTest.java
+++ b/daemon/src/test/java/postgrade/lifecycle/LifecycleTest.java
@@ -11,98 +11,113 @@
 
 public class LifecycleTest {
 
-    private static final long S = 1_000_000;
-    private static final long T = 100 * S;
-    private final Lifecycle life = new Lifecycle();
+    private static final long SECOND = 1_000_000;
+    private static final long BEGIN = 100 * SECOND;
+    private final Lifecycle lifecycle = new Lifecycle();
 
     @Before
     public void start() {
-        assertFalse("not before it listens", life.isReady());
-        life.markStarted();
-        assertTrue(life.isReady());
-        assertFalse(life.closesIdleConnections(T) || life.closesAfterAnswer(T) || life.mayExit(T));
+        assertFalse("not before it listens", lifecycle.isReady());
+        lifecycle.markStarted();
+        assertTrue(lifecycle.isReady());
+        assertFalse(
+                lifecycle.closesIdleConnections(BEGIN)
+                        || lifecycle.closesAfterAnswer(BEGIN)
+                        || lifecycle.mayExit(BEGIN));
     }
 
     @Test
-    public void standbyLetsTheFrontFindOutThenTurnsConsumersAwayAndIsEmptyBefore4s() {
-        life.enterStandby(T);
-        assertFalse(life.isReady());
-        assertTrue("call-backs come there", life.acceptsConnections());
-        assertFalse("the front sends for 0.3 s more", life.closesAfterAnswer(T + 3 * S / 10));
-        assertTrue(life.closesAfterAnswer(T + 4 * S / 10));
-        assertTrue(life.closesIdleConnections(T + S));
-        assertEquals(OptionalLong.empty(), life.forcedAnswerCutoff(T + 3 * S));
+    public void standbyClosesConnectionsAfterReadinessHasPropagatedAndIsEmptyBefore4s() {
+        lifecycle.enterStandby(BEGIN);
+        assertFalse(lifecycle.isReady());
+        assertTrue("call-backs come there", lifecycle.acceptsConnections());
+        assertFalse(
+                "the front sends for 0.3 s more",
+                lifecycle.closesAfterAnswer(BEGIN + 3 * SECOND / 10));
+        assertTrue(lifecycle.closesAfterAnswer(BEGIN + 4 * SECOND / 10));
+        assertTrue(lifecycle.closesIdleConnections(BEGIN + SECOND));
+        assertEquals(OptionalLong.empty(), lifecycle.forcedAnswerCutoff(BEGIN + 3 * SECOND));
         assertTrue(
                 "4 s after the call none of the last 2 s is held",
-                life.forcedAnswerCutoff(T + 39 * S / 10).getAsLong() <= T + 2 * S);
-        assertFalse("it does not exit", life.mayExit(T + 60 * S));
-        life.enterStandby(T + 3 * S);
+                lifecycle.forcedAnswerCutoff(BEGIN + 39 * SECOND / 10).getAsLong()
+                        <= BEGIN + 2 * SECOND);
+        assertFalse("it does not exit", lifecycle.mayExit(BEGIN + 60 * SECOND));
+        lifecycle.enterStandby(BEGIN + 3 * SECOND);
         assertTrue(
-                "told again, the first call's time counts", life.closesIdleConnections(T + 3 * S));
-        assertTrue(life.leaveStandby());
-        assertTrue(life.isReady());
-        assertFalse(life.closesIdleConnections(T + 60 * S));
+                "told again, the first call's time counts",
+                lifecycle.closesIdleConnections(BEGIN + 3 * SECOND));
+        assertTrue(lifecycle.leaveStandby());
+        assertTrue(lifecycle.isReady());
+        assertFalse(lifecycle.closesIdleConnections(BEGIN + 60 * SECOND));
     }
 
     @Test
-    public void aStopServesOnUntilSigkillIsNear() {
-        life.stop(T, 10 * S, false);
-        assertEquals(State.STOPPING, life.state());
-        assertFalse(life.isReady());
-        assertFalse(life.leaveStandby());
-        assertFalse(life.closesIdleConnections(T + 2 * S));
-        assertTrue(life.closesIdleConnections(T + 24 * S / 10) && life.mayExit(T + 24 * S / 10));
-        assertEquals(T + 7 * S / 10, life.forcedAnswerCutoff(T + 35 * S / 10).getAsLong());
-        Lifecycle brief = new Lifecycle();
-        brief.stop(T, 2 * S, false);
+    public void stopKeepsServingUntilShortlyBeforeSigkill() {
+        lifecycle.stop(BEGIN, 10 * SECOND, false);
+        assertEquals(State.STOPPING, lifecycle.state());
+        assertFalse(lifecycle.isReady());
+        assertFalse(lifecycle.leaveStandby());
+        assertFalse(lifecycle.closesIdleConnections(BEGIN + 2 * SECOND));
+        assertTrue(
+                lifecycle.closesIdleConnections(BEGIN + 24 * SECOND / 10)
+                        && lifecycle.mayExit(BEGIN + 24 * SECOND / 10));
+        assertEquals(
+                BEGIN + 7 * SECOND / 10,
+                lifecycle.forcedAnswerCutoff(BEGIN + 35 * SECOND / 10).getAsLong());
+        Lifecycle shortDeadline = new Lifecycle();
+        shortDeadline.stop(BEGIN, 2 * SECOND, false);
         assertTrue(
                 "SIGKILL follows a shorter deadline sooner",
-                brief.closesIdleConnections(T + 14 * S / 10));
-        Lifecycle briefest = new Lifecycle();
-        briefest.stop(T, 3 * S / 10, false);
+                shortDeadline.closesIdleConnections(BEGIN + 14 * SECOND / 10));
+        Lifecycle veryShortDeadline = new Lifecycle();
+        veryShortDeadline.stop(BEGIN, 3 * SECOND / 10, false);
         assertFalse(
                 "new connections still come",
-                briefest.closesIdleConnections(T + 4 * S / 10) || briefest.mayExit(T + 4 * S / 10));
-        assertTrue(briefest.mayExit(T + 5 * S / 10));
+                veryShortDeadline.closesIdleConnections(BEGIN + 4 * SECOND / 10)
+                        || veryShortDeadline.mayExit(BEGIN + 4 * SECOND / 10));
+        assertTrue(veryShortDeadline.mayExit(BEGIN + 5 * SECOND / 10));
         assertEquals(
                 "in time before SIGKILL",
-                T + 7 * S / 10,
-                briefest.forcedAnswerCutoff(T + 7 * S / 10).getAsLong());
+                BEGIN + 7 * SECOND / 10,
+                veryShortDeadline.forcedAnswerCutoff(BEGIN + 7 * SECOND / 10).getAsLong());
     }
 
     @Test
-    public void onceItClosesNothingBringsItBackAndSigkillIsNotWaitedFor() {
-        life.stop(T, 10 * S, true);
-        life.beginClosing();
-        life.setSuccessor(false);
-        assertEquals(State.CLOSING, life.state());
-        assertFalse(life.acceptsConnections() || life.isReady() || life.leaveStandby());
-        assertFalse(life.mustExit(T + 36 * S / 10));
-        assertTrue(life.mustExit(T + 37 * S / 10));
+    public void closingCannotBeUndoneAndExitsBeforeSigkill() {
+        lifecycle.stop(BEGIN, 10 * SECOND, true);
+        lifecycle.beginClosing();
+        lifecycle.setSuccessor(false);
+        assertEquals(State.CLOSING, lifecycle.state());
+        assertFalse(
+                lifecycle.acceptsConnections() || lifecycle.isReady() || lifecycle.leaveStandby());
+        assertFalse(lifecycle.mustExit(BEGIN + 36 * SECOND / 10));
+        assertTrue(lifecycle.mustExit(BEGIN + 37 * SECOND / 10));
     }
 
     @Test
-    public void inStandbyAStopKeepsBothTimetables() {
-        life.enterStandby(T);
-        life.stop(T + S, 10 * S, false);
-        assertEquals(State.STOPPING, life.state());
-        assertTrue(life.closesIdleConnections(T + S));
-        assertTrue(life.mayExit(T + S));
-        assertEquals(T + 17 * S / 10, life.forcedAnswerCutoff(T + S + 35 * S / 10).getAsLong());
+    public void stopInStandbyAppliesBothSchedules() {
+        lifecycle.enterStandby(BEGIN);
+        lifecycle.stop(BEGIN + SECOND, 10 * SECOND, false);
+        assertEquals(State.STOPPING, lifecycle.state());
+        assertTrue(lifecycle.closesIdleConnections(BEGIN + SECOND));
+        assertTrue(lifecycle.mayExit(BEGIN + SECOND));
+        assertEquals(
+                BEGIN + 17 * SECOND / 10,
+                lifecycle.forcedAnswerCutoff(BEGIN + SECOND + 35 * SECOND / 10).getAsLong());
     }
 
     @Test
-    public void withASuccessorThePairStaysReadyAndThisProcessAcceptsNoMore() {
-        life.stop(T, 10 * S, true);
-        assertEquals(State.HANDING_OVER, life.state());
-        assertTrue(life.isReady());
-        assertFalse(life.acceptsConnections());
-        assertTrue(life.closesAfterAnswer(T));
-        assertFalse(life.closesIdleConnections(T + S / 2));
-        assertTrue(life.mayExit(T + S));
-        life.setSuccessor(false);
-        assertEquals(State.STOPPING, life.state());
-        assertTrue(life.acceptsConnections());
-        assertFalse(life.isReady());
+    public void withSuccessorThePairStaysReadyAndThisProcessStopsAccepting() {
+        lifecycle.stop(BEGIN, 10 * SECOND, true);
+        assertEquals(State.HANDING_OVER, lifecycle.state());
+        assertTrue(lifecycle.isReady());
+        assertFalse(lifecycle.acceptsConnections());
+        assertTrue(lifecycle.closesAfterAnswer(BEGIN));
+        assertFalse(lifecycle.closesIdleConnections(BEGIN + SECOND / 2));
+        assertTrue(lifecycle.mayExit(BEGIN + SECOND));
+        lifecycle.setSuccessor(false);
+        assertEquals(State.STOPPING, lifecycle.state());
+        assertTrue(lifecycle.acceptsConnections());
+        assertFalse(lifecycle.isReady());
     }
 }
--- a/daemon/src/test/java/postgrade/simadapter/SettingsReaderTest.java
+++ b/daemon/src/test/java/postgrade/simadapter/SettingsReaderTest.java
@@ -22,7 +22,7 @@
                     + " tenants.0.quotaPerS=33.0 limits.mayProbe=true fees.probe=0.0034 limits.retryAfter=false"
                     + " limits.maxRetryAfterNs=2000000000 telemetry.source=silent";
 
-    private static PolicySettings ofPairs(String text) {
+    private static PolicySettings parsePairs(String text) {
         Map<String, String> pairs = new LinkedHashMap<>();
         for (String pair : text.split(" ")) {
             pairs.put(pair.substring(0, pair.indexOf('=')), pair.substring(pair.indexOf('=') + 1));
@@ -31,7 +31,7 @@
     }
 
     @Test
-    public void pairsAndNestedJsonGiveTheModuleTheSame() {
+    public void pairsAndNestedJsonGiveEqualSettings() {
         PolicySettings nested =
                 SettingsReader.ofPairs(
                                 JsonPairs.of(
@@ -45,7 +45,7 @@
                                                                 .replace('\'', '"'))
                                                 .asObject()))
                         .settings();
-        PolicySettings pairs = ofPairs(PAIRS);
+        PolicySettings pairs = parsePairs(PAIRS);
         assertEquals(pairs.classes, nested.classes);
         assertEquals(Idempotency.NOT_IDEMPOTENT, nested.classes.get(1).idempotency());
         assertEquals("small", nested.classes.get(1).requiredWorkerKind());
@@ -57,13 +57,13 @@
     }
 
     @Test
-    public void aRefusedClientIsToldWhenToComeBackEvenWhereNoneCountsOnIt() {
-        assertEquals(2_000_000_000L, ofPairs(PAIRS).maxRetryAfterNs);
+    public void retryAfterIsReadEvenWhereClientsDoNotUseIt() {
+        assertEquals(2_000_000_000L, parsePairs(PAIRS).maxRetryAfterNs);
     }
 
     @Test
-    public void probesAreMadeOnlyWhereTheirAnswersBringReports() {
-        assertFalse(ofPairs(PAIRS).allowsProbes);
-        assertTrue(ofPairs(PAIRS.replace("silent", "pull")).allowsProbes);
+    public void probesAreAllowedOnlyWhereAnswersCarryLoadReports() {
+        assertFalse(parsePairs(PAIRS).allowsProbes);
+        assertTrue(parsePairs(PAIRS.replace("silent", "pull")).allowsProbes);
     }
 }
--- a/daemon/src/test/java/postgrade/simadapter/MainTest.java
+++ b/daemon/src/test/java/postgrade/simadapter/SimulatorAdapterTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class MainTest {
+class SimulatorAdapterTest {
 
     private static final String ATTACH =
             "ATTACH\tdispatcher-0\t5\tbalancers=1\tclasses.count=1\tclasses.0.name=view"
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void aJobGoesAllTheWayRound() throws IOException {
+    void jobEventsProduceActionsAndReplies() throws IOException {
         int code =
                 serve(
                         batch(ATTACH)
@@ -54,7 +54,7 @@
 
     @ParameterizedTest
     @CsvSource({"true, SEND", "false, AFTER"})
-    void adapterTellsWhetherDroppedWorkersStayOpen(String value, String firstAction)
+    void settingDecidesWhetherDroppedWorkersStayOpen(String value, String firstAction)
             throws IOException {
         serve(
                 batch(
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void instancesShareNothing() throws IOException {
+    void instancesShareNoState() throws IOException {
         String both = ATTACH + ATTACH.replace("dispatcher-0", "dispatcher-1");
         serve(
                 batch(both)
@@ -96,7 +96,7 @@
                 "ATTACH,dispatcher-3,5,balancers=2 | classes.count",
                 "TOPOLOGY,dispatcher-0,weird,1,0 | form"
             })
-    void whatCannotBeUnderstoodEndsWithOnePlainLine(String line, String named) throws IOException {
+    void malformedLineEndsTheAdapterWithOneErrorLine(String line, String named) throws IOException {
         String bad = line.strip().replace(',', '\t') + "\n";
         assertEquals(1, serve(batch(ATTACH) + batch(bad)));
         assertTrue(err.toString().contains(named), err.toString());
