--- a/daemon/src/main/java/postgrade/client/CallBackRelay.java
+++ b/daemon/src/main/java/postgrade/client/CallBackRelay.java
@@ -3,7 +3,7 @@
 import java.util.function.Consumer;
 
 /**
- * Hands call-backs of jobs that are not known here to the other processes of this dispatcher, where
+ * Relays call-backs for jobs that are not known here to the other processes of this dispatcher, if
  * there are any.
  */
 public interface CallBackRelay {
@@ -11,7 +11,10 @@
     boolean hasPeers();
 
     /**
-     * @param done told once, true when all others have looked at it, false when that is not known
+     * Relays one call-back.
+     *
+     * @param done called once: with true when all other processes have processed it, with false
+     *     when that is not known
      */
     void relay(byte[] body, Consumer<Boolean> done);
 }
--- a/daemon/src/main/java/postgrade/client/ClientConnection.java
+++ b/daemon/src/main/java/postgrade/client/ClientConnection.java
@@ -12,21 +12,30 @@
 import postgrade.http.MessageParser;
 import postgrade.http.MessageWriter;
 
-/** One accepted connection: a consumer's or a provider's. It carries one request at a time. */
+/**
+ * An accepted connection, from a client or from a worker that sends call-backs. It handles one
+ * request at a time.
+ */
 final class ClientConnection implements Connection.Owner {
 
     private static final byte[] NO_BODY = {};
     private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
 
-    /** Bodies up to this length are taken whatever is held; call-backs are such. */
+    /**
+     * Bodies up to this length are accepted regardless of how much memory is held. Call-backs fit
+     * into this limit.
+     */
     static final int SMALL_BODY_BYTES = 4 << 10;
 
     static final long OVERLOAD_RETRY_MICROS = 500_000;
 
-    /** Guards the memory against a peer that asks and asks and does not read. */
+    /** Bounds the memory for answers to a peer that keeps sending requests and does not read. */
     private static final long MAX_UNSENT_BYTES = 256 << 10;
 
-    /** Bytes kept of requests that come before the one ahead of them is answered. */
+    /**
+     * The most bytes buffered of pipelined requests, which arrive before the current one is
+     * answered.
+     */
     private static final int MAX_PIPELINED_BYTES = MessageParser.MAX_BODY_BYTES * 2;
 
     final ClientListener listener;
@@ -35,25 +44,27 @@
     private ConnectionState state = ConnectionState.READING;
     private MessageParser parser = MessageParser.forRequests();
 
-    /** What has come behind the request that waits. */
+    /** Input received after the request that awaits its answer. */
     private ByteBuffer pipelined = EMPTY;
 
-    /** The request that waits; none where no answer is owed. */
+    /** The request that awaits its answer, or null if no answer is due. */
     private Exchange exchange;
 
     private boolean carriedJob;
 
-    /** A request has been turned away since the last sweep. */
+    /** Whether a request has been rejected since the last sweep. */
     private boolean rejectedSinceSweep;
 
     private long accountedBytes;
     private final ArrivalTimes arrivalTimes;
 
-    /** When what is being taken came, at the earliest. */
+    /** The earliest time at which the bytes being parsed can have arrived. */
     private long arrivedMicros;
 
     /**
-     * @param sinceMicros it has waited in the backlog since then at the earliest
+     * Wraps a connection that has just been accepted.
+     *
+     * @param sinceMicros the earliest time at which it can have entered the backlog
      */
     ClientConnection(ClientListener listener, SocketChannel channel, long sinceMicros)
             throws IOException {
@@ -75,9 +86,10 @@
                 listener.timers.nowMicros(), !state.awaitsAnswer() && parser.isAtMessageStart());
         if (pipelined.hasRemaining()) {
             if (pipelined.remaining() + bytes.remaining() > MAX_PIPELINED_BYTES) {
-                // Guards the one answer: a close over unread bytes would reset the connection, and
-                // the client hear nothing.
-                throw new BadMessageException(400, "more sent ahead of its answer than is kept");
+                // Rejected with an answer: closing a socket that holds unread bytes would reset the
+                // connection, and the client would not receive its answer.
+                throw new BadMessageException(
+                        400, "more pipelined bytes sent before the answer than are kept");
             }
             bytes =
                     ByteBuffer.allocate(pipelined.remaining() + bytes.remaining())
@@ -86,20 +98,22 @@
                             .flip();
         }
         if (state.awaitsAnswer() && !MessageParser.mayBeRequest(bytes)) {
-            throw new BadMessageException(400, "more bytes than the request has");
+            throw new BadMessageException(400, "more bytes sent than the request declares");
         }
         parseRequests(bytes);
         if (parser.bodyBytesReceived() > SMALL_BODY_BYTES && listener.exceedsMemoryLimit()) {
             rejectIncompleteRequest();
         }
-        // Guards the loop's time: who sends the same rubbish as soon as it is turned away is read
-        // from again at the
-        // next sweep only. But whoever waits for a job's answer may leave, and that must be seen at
-        // once.
+        // Limits the loop's time for a peer that sends the same invalid request again as soon as it
+        // is rejected: it is read again at the next sweep only. A client that awaits a job's answer
+        // is always read, as its disconnect must be seen at once.
         setReadingPaused(rejectedSinceSweep && state == ConnectionState.READING);
     }
 
-    /** What was sent ahead has waited since its own arrival, also if more has come behind it. */
+    /**
+     * Records the arrival time. Buffered input keeps its own arrival time even if more has arrived
+     * behind it.
+     */
     private void recordArrival(ByteBuffer bytes) {
         long sinceMicros =
                 arrivalTimes.beforeRead(
@@ -112,8 +126,8 @@
     }
 
     /**
-     * The request that is being taken came then at the earliest, in microseconds of the loop's
-     * clock.
+     * Returns the earliest time at which the current request can have arrived, in microseconds of
+     * the loop's clock.
      */
     long arrivedMicros() {
         return arrivedMicros;
@@ -124,7 +138,7 @@
         arrivalTimes.watch(listener.timers.nowMicros(), !paused);
     }
 
-    /** Takes requests one after another, as long as each is answered at once. */
+    /** Parses and handles requests one after another, as long as each is answered synchronously. */
     private void parseRequests(ByteBuffer bytes) throws BadMessageException {
         if (state == ConnectionState.READING) {
             transitionTo(ConnectionState.TAKING);
@@ -133,8 +147,9 @@
             Message request = parser.parse(bytes);
             boolean expectsContinue = parser.consumeExpectContinue();
             if (request != null && bytes.hasRemaining() && !MessageParser.mayBeRequest(bytes)) {
-                // Guards the providers: a length that is too small has cut the job's body short.
-                throw new BadMessageException(400, "more bytes than the request has");
+                // Protects the workers: a Content-Length that is too small has truncated the job's
+                // body.
+                throw new BadMessageException(400, "more bytes sent than the request declares");
             } else if (request != null) {
                 timeouts.requestReceived();
                 RequestRouter.route(this, request);
@@ -150,7 +165,7 @@
         } else if (state == ConnectionState.OPENING) {
             transitionTo(ConnectionState.WAITING);
         }
-        // What comes behind the last answer is never sent on.
+        // Input after the last answer is discarded.
         pipelined =
                 state.awaitsAnswer() && bytes.hasRemaining()
                         ? ByteBuffer.allocate(bytes.remaining()).put(bytes).flip()
@@ -158,7 +173,7 @@
         updateHeldBytes();
     }
 
-    /** Keeps the listener's count of the bytes held for this connection. */
+    /** Updates the listener's count of the bytes held for this connection. */
     private void updateHeldBytes() {
         long heldNow =
                 connection.isOpen()
@@ -171,47 +186,50 @@
         accountedBytes = heldNow;
     }
 
-    // ---- Requests that have come whole, and their answers.
+    // ---- Complete requests and their answers.
 
-    /** It has carried a job, not call-backs. */
+    /** Records that the connection has carried a job rather than call-backs. */
     void markCarriedJob() {
         carriedJob = true;
     }
 
-    /** The request that has come was of use, whatever its answer. */
+    /** Records that the current request was valid, whatever its answer. */
     void markUseful() {
         timeouts.requestUseful();
     }
 
-    /** The request that has come waits for its answer from now on. */
+    /** Marks the current request as awaiting its answer. */
     Exchange awaitAnswer(boolean keepsAlive) {
         transitionTo(ConnectionState.OPENING);
         exchange = new Exchange(this, keepsAlive);
         return exchange;
     }
 
-    /** It does not, as nobody has taken it over. */
+    /** Reverts {@link #awaitAnswer}: the request was not accepted. */
     void cancelAwait() {
         transitionTo(ConnectionState.TAKING);
         exchange = null;
     }
 
-    /** The request still waits: it has no answer, and its peer has not been seen to leave. */
+    /**
+     * Returns whether the request still awaits its answer: it has none, and its peer has not been
+     * seen to disconnect.
+     */
     boolean isAwaiting(Exchange candidate) {
         return exchange == candidate;
     }
 
-    /** The answer to the request that waits; none to one that does so no longer. */
+    /** Writes the answer to the pending request. Does nothing if it is no longer pending. */
     void answer(Exchange pending, int status, byte[] body, long retryAfterMicros) {
         if (!isAwaiting(pending)) {
-            return; // The consumer has left.
+            return; // The client has disconnected.
         }
         boolean synchronous = state == ConnectionState.OPENING;
         cancelAwait();
         writeResponse(status, body, retryAfterMicros, pending.keepsAlive);
         if (!synchronous) {
             try {
-                parseRequests(pipelined); // A consumer may have sent its next request already.
+                parseRequests(pipelined); // The client may have pipelined its next request.
             } catch (BadMessageException e) {
                 badMessage(connection, e);
             }
@@ -273,46 +291,52 @@
     }
 
     /**
-     * A request begun is answered; a connection that says nothing is ended; one that has been told
-     * so is closed.
+     * Answers an incomplete request with 408, shuts down the output of an idle connection, and
+     * closes one whose output is shut down already.
      */
     private void expire() {
         if (state != ConnectionState.READING || !connection.isAllSent()) {
             closeNow();
         } else if (!parser.isAtMessageStart()) {
             parser = MessageParser.forRequests();
-            answer(408, "the request has not come whole\n", false);
+            answer(408, "the request was not received whole in time\n", false);
         } else {
             closeIfIdle(true);
         }
     }
 
-    /** Takes what has come, the peer's end too, though the loop has not come to it yet. */
+    /**
+     * Reads pending input, including the peer's end of stream, before the loop reports it as ready.
+     */
     void readPending() {
         connection.readPending();
     }
 
-    /** A request that has come in part is rejected, and what comes of it is passed over. */
+    /** Rejects a partially received request; the rest of it is discarded. */
     void rejectIncompleteRequest() {
         if (state == ConnectionState.READING && !parser.isAtMessageStart()) {
-            parser = MessageParser.forRequests(); // With it goes what was held.
+            parser = MessageParser.forRequests(); // Releases the buffered body.
             writeResponse(429, NO_BODY, OVERLOAD_RETRY_MICROS, false);
             updateHeldBytes();
         }
     }
 
-    /** Has carried nothing of use yet and has hardly had the time to. */
+    /**
+     * Returns whether the connection has carried no valid request yet and is only a few
+     * milliseconds old.
+     */
     boolean isFresh(long nowMicros) {
         return timeouts.isFresh(nowMicros);
     }
 
     /**
-     * Ends our side if nothing is under way; the peer ends its own, or is given the time to. Guards
-     * the request that comes in this moment, which is served, and the last answer: a close over
-     * unread bytes resets the connection.
+     * Shuts down the output if no request is in progress; the peer closes its side, or is dropped
+     * after a time-out. Input is read first, so that a request that arrives at this moment is
+     * served, and the last answer is not lost to a reset, which closing a socket with unread bytes
+     * would cause.
      *
-     * @param all also one that has carried no job yet; a provider's call-back, which we still wait
-     *     for, may be on its way
+     * @param all whether to include a connection that has carried no job yet; a worker's call-back
+     *     that is still expected may be on its way on it
      */
     void closeIfIdle(boolean all) {
         if ((all || carriedJob) && state == ConnectionState.READING && !isBusy()) {
@@ -340,7 +364,7 @@
         reportDisconnect();
     }
 
-    /** Closes at once. */
+    /** Closes the connection immediately. */
     void closeNow() {
         if (state != ConnectionState.CLOSED) {
             connection.close();
--- a/daemon/src/main/java/postgrade/client/ClientListener.java
+++ b/daemon/src/main/java/postgrade/client/ClientListener.java
@@ -23,28 +23,31 @@
 import postgrade.lifecycle.Lifecycle;
 import postgrade.log.Events;
 
-/** The address where consumers and the providers' call-backs connect. */
+/** The listening socket for clients and for the workers' call-backs. */
 public final class ClientListener implements Reactor.Handler {
 
     private static final Logger LOG = LoggerFactory.getLogger(ClientListener.class);
     private static final int BACKLOG = 1024;
 
-    /** The most bytes of bodies held, in part or whole; well within the heap. */
+    /** The most bytes of complete and partial bodies held; well below the heap size. */
     private static final long MAX_HELD_BYTES = 24 << 20;
 
     private static final long SWEEP_MICROS = 50_000;
 
-    /** Guards the turn: a flood of connections is accepted in parts. */
+    /**
+     * The most connections accepted per loop iteration, so that a flood of connections does not
+     * stall the loop.
+     */
     private static final int MAX_ACCEPTS_PER_ITERATION = 64;
 
-    /** Consumers that wait in the backlog for longer than a moment are worth a line in the log. */
+    /** Clients that wait in the backlog for longer than this are reported in the log. */
     private static final long SHORTAGE_LOG_MICROS = 1_000_000;
 
     final Reactor reactor;
     final Timers timers;
     final RequestTracker tracker;
 
-    /** The deadline of each class, for requests that state none. */
+    /** The deadline of each job class, for requests that state none. */
     Map<String, Long> deadlineMicros;
 
     private Set<String> tenants;
@@ -54,15 +57,15 @@
     private final InetSocketAddress address;
     final CallBackRelay relay;
 
-    /** Null where nobody reads them. */
+    /** Null if no extension reads headers. */
     ExtensionHeaders extensionHeaders;
 
-    /** Null while nothing is accepted here. */
+    /** Null while the socket does not listen. */
     private ServerSocketChannel channel;
 
     /**
-     * Bound and not listening, so that the address is ours and consumers are turned away at once;
-     * null once it listens.
+     * Bound but not listening, which reserves the address while connection attempts are refused at
+     * once. Null once the channel listens.
      */
     private SocketChannel reservedSocket;
 
@@ -70,23 +73,23 @@
     private long bytesHeld;
     private boolean paused;
 
-    /** Of the backlog. */
+    /** Arrival times of the backlog. */
     private ArrivalTimes backlogArrivals;
 
-    /**
-     * Since when every place has been taken, 0 if there are places; and whether the log says so.
-     */
+    /** Since when all sockets have been in use, 0 while some are free. */
     private long shortageSinceMicros;
 
     private boolean shortageLogged;
 
     /**
-     * @param tenants who may submit jobs; empty where there are none
-     * @param able whether an invocation could be served now
-     * @param relay to the other processes of this dispatcher
-     * @param lifecycle decides readiness and when connections end
-     * @param holds it does not listen before consumers are taken: they turn elsewhere, as if
-     *     nothing had started here
+     * Opens the listener.
+     *
+     * @param tenants the tenants that may submit jobs; empty if none are configured
+     * @param canServe whether a request could be served now
+     * @param relay the relay to the other processes of this dispatcher
+     * @param lifecycle decides readiness and when connections close
+     * @param reserves whether to bind only and not listen until clients are accepted: until then
+     *     their connection attempts are refused, and they try other dispatchers
      */
     public ClientListener(
             InetSocketAddress address,
@@ -122,9 +125,9 @@
     }
 
     /**
-     * Throws where any other program listens at the address already. Guards against a second
-     * dispatcher that is started by mistake: with SO_REUSEPORT the two would share the consumers
-     * and lose each other's call-backs.
+     * Throws if another program already listens at the address. Prevents a second dispatcher
+     * started by mistake: with SO_REUSEPORT the two would split the clients between them and lose
+     * each other's call-backs.
      */
     public static void requireAddressFree(InetSocketAddress address) throws IOException {
         if (address.getPort() != 0) {
@@ -169,7 +172,10 @@
         }
     }
 
-    /** From the first start on, or a new version could not listen beside this one. */
+    /**
+     * Must be set from the first start on; otherwise a new version could not listen beside this
+     * one.
+     */
     private static void enablePortReuse(NetworkChannel socket) throws IOException {
         if (socket.supportedOptions().contains(StandardSocketOptions.SO_REUSEPORT)) {
             socket.setOption(StandardSocketOptions.SO_REUSEPORT, true);
@@ -177,9 +183,9 @@
     }
 
     /**
-     * Ends or begins to listen, as the lifecycle says. Guards the connections that wait: closing
-     * the socket resets them, so all are accepted first, and the socket goes in the same moment.
-     * What does not find a place keeps it open.
+     * Starts or stops listening as the lifecycle requires. Closing the socket resets the
+     * connections in the backlog, so all of them are accepted first and the socket is closed in the
+     * same step. If there are not enough sockets to accept them, it stays open.
      */
     public void applyLifecycle() {
         try {
@@ -187,8 +193,8 @@
                     && channel == null
                     && (reservedSocket == null || lifecycle.hasStarted())) {
                 if (reservedSocket != null && !relay.hasPeers()) {
-                    requireAddressFree(
-                            address); // Another may have come to listen since this one was started.
+                    // Another process may have started to listen since this one started.
+                    requireAddressFree(address);
                 }
                 listen(address);
                 if (reservedSocket != null) {
@@ -208,23 +214,23 @@
         }
     }
 
-    /** Read from now on in each job's headers; null for none. */
+    /** Sets the reader of extension headers for jobs from now on; null for none. */
     public void setExtensionHeaders(ExtensionHeaders headers) {
         extensionHeaders = headers;
     }
 
-    /** Other classes and tenants hold for jobs that come from now on. */
+    /** Replaces the classes and tenants for jobs that arrive from now on. */
     public void updateSettings(Map<String, Long> deadlines, Set<String> knownTenants) {
         deadlineMicros = deadlines;
         tenants = knownTenants;
     }
 
-    /** The address is held, and nothing listens there yet. */
+    /** Returns whether the address is bound but not yet listening. */
     public boolean reservesAddress() {
         return reservedSocket != null;
     }
 
-    /** The port listened on, which the system chose where the address gave 0. */
+    /** Returns the port, which the system chose if the address gave 0. */
     public int port() throws IOException {
         return address.getPort();
     }
@@ -239,7 +245,7 @@
         acceptPending(MAX_ACCEPTS_PER_ITERATION);
     }
 
-    /** Accepts what waits. True if nothing is left. */
+    /** Accepts pending connections. Returns true if none is left. */
     private boolean acceptPending(int limit) throws IOException {
         long sinceMicros =
                 backlogArrivals.beforeRead(
@@ -249,14 +255,13 @@
             return false;
         }
         for (int i = 0; i < limit; i++) {
-            // Guards the connections that usual peers keep: those that have just come and may be of
-            // no use are
-            // waited for, a moment, before one of the others has to go.
+            // Gives new connections a short time to send a valid request before a connection of an
+            // established peer is evicted for them.
             boolean mayEvictEstablished =
                     connections.stream().noneMatch(c -> c.isFresh(timers.nowMicros()));
             if (!reactor.sockets().canAcquireForAccept(mayEvictEstablished)) {
-                // Guards what waits in the backlog: it is left there, not accepted and closed,
-                // until there is a place.
+                // Without a free socket, connections stay in the backlog instead of being accepted
+                // and closed.
                 setAcceptingPaused(true);
                 shortageSinceMicros =
                         shortageSinceMicros == 0 ? timers.nowMicros() : shortageSinceMicros;
@@ -268,13 +273,14 @@
                 return true;
             }
             boolean registered = false;
-            // Only now: guards the connections that would be closed for one that has not come.
+            // Acquired only after accept has returned a connection, so that none is evicted for one
+            // that has not arrived.
             reactor.sockets().acquireForAccept(mayEvictEstablished);
             try {
                 connections.add(new ClientConnection(this, accepted, sinceMicros));
                 registered = true;
             } catch (IOException e) {
-                LOG.debug("a connection broke while it was accepted", e);
+                LOG.debug("a connection failed while it was accepted", e);
                 accepted.close();
             } finally {
                 if (!registered) {
@@ -315,7 +321,8 @@
     }
 
     /**
-     * Guards the memory: a body on each of the sockets, all of the greatest length, would not fit.
+     * Returns whether the memory limit is exceeded: bodies of the greatest length on every socket
+     * would not fit.
      */
     boolean exceedsMemoryLimit() {
         return bytesHeld > MAX_HELD_BYTES;
@@ -331,16 +338,18 @@
         for (ClientConnection connection : new ArrayList<>(connections)) {
             connection.sweep(timers.nowMicros());
             if (closesIdle) {
-                connection.closeIfIdle(false); // So that its consumer turns elsewhere.
+                connection.closeIfIdle(false); // So that its client turns to another dispatcher.
             }
         }
         logShortage(timers.nowMicros());
-        setAcceptingPaused(
-                false); // A provider's connection may have been closed, or one become idle.
+        // A worker's connection may have closed, or another one become idle.
+        setAcceptingPaused(false);
         timers.at(timers.nowMicros() + SWEEP_MICROS, this::sweep);
     }
 
-    /** A call-back that came to another process of this dispatcher and was found right there. */
+    /**
+     * Handles a call-back that another process of this dispatcher received and parsed successfully.
+     */
     public void handleRelayedCallBack(byte[] body) {
         JobEvent.parse(body).deliver(tracker);
     }
@@ -354,26 +363,26 @@
         return lifecycle.isReady() && canServe.getAsBoolean();
     }
 
-    /** Answers to consumers end their connections now. */
+    /** Returns whether answers to clients close their connections now. */
     boolean closesAfterAnswer() {
         return lifecycle.closesAfterAnswer(timers.nowMicros());
     }
 
-    /** Nothing has come in part and no answer is still being written. */
+    /** Returns whether no request is partially received and no answer is still being written. */
     public boolean isIdle() {
         return connections.stream().noneMatch(ClientConnection::isBusy);
     }
 
-    /** SIGKILL is near: requests that have come in part would be whole too late. */
+    /** Rejects partially received requests, which would be complete too late before SIGKILL. */
     public void rejectIncompleteRequests() {
         new ArrayList<>(connections).forEach(ClientConnection::rejectIncompleteRequest);
     }
 
     /**
-     * Ends the connections that are left, once all is answered and none is busy. What waits in the
-     * backlog, or has come and has not been read, is served first: this is to be asked again. True
-     * when no connection is left: each peer has ended its own side, which it does once it has read
-     * all, or has been given the time to.
+     * Closes the remaining connections once all requests are answered and no connection is busy.
+     * Requests that wait in the backlog or unread in a socket are served first; the caller then has
+     * to call again. Returns true when no connection is left: each peer has closed its side, which
+     * it does once it has read everything, or has timed out.
      */
     public boolean tryCloseAll() {
         try {
@@ -399,8 +408,7 @@
 
     @Override
     public void failed(Exception e) {
-        // Guards the loop: an accept may fail for want of descriptors, and the listener must
-        // outlive it.
+        // Accept may fail for lack of file descriptors; the listener pauses and stays open.
         Events.warn(LOG, "accept.failed").setCause(e).log("accept failed");
         setAcceptingPaused(true);
     }
--- a/daemon/src/main/java/postgrade/client/ConnectionState.java
+++ b/daemon/src/main/java/postgrade/client/ConnectionState.java
@@ -5,22 +5,22 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Where an accepted connection stands, and in one table what may follow. */
+/** The states of an accepted connection and the transitions allowed between them. */
 enum ConnectionState {
-    /** Nothing is owed; what comes is read as requests, of which the last may have come in part. */
+    /** No answer is due. Input is parsed as requests, of which the last may be incomplete. */
     READING,
-    /** Bytes that have come are being taken apart, request by request. */
+    /** Received bytes are being parsed, request by request. */
     TAKING,
-    /** A request from among them is being handed over, and may be answered at once. */
+    /** A parsed request is being submitted and may be answered synchronously. */
     OPENING,
-    /** A request waits for its answer; what comes behind it is kept ahead. */
+    /** A request awaits its answer; further input is buffered. */
     WAITING,
     /**
-     * The last answer is given, or none is owed: our side ends with its last byte, and what comes
-     * is passed over.
+     * The last answer has been written, or none is due: output ends with its last byte, and further
+     * input is discarded.
      */
     ANSWERING,
-    /** Our side has ended; the peer has a moment to end its own. */
+    /** Output is shut down; the peer has a short time to close its own side. */
     LINGERING,
     CLOSED;
 
@@ -36,8 +36,8 @@
                             CLOSED, EnumSet.noneOf(ConnectionState.class)));
 
     /**
-     * The next state. Guards against an answer or an end in a state that allows none: what is wrong
-     * ends this connection alone.
+     * Returns the next state. An answer or an end in a state that does not allow it throws, and the
+     * fault closes this connection only.
      */
     ConnectionState transitionTo(ConnectionState next) {
         if (!TRANSITIONS.get(this).contains(next)) {
@@ -46,7 +46,7 @@
         return next;
     }
 
-    /** One request is owed its answer. */
+    /** Returns whether a request is awaiting its answer. */
     boolean awaitsAnswer() {
         return this == OPENING || this == WAITING;
     }
--- a/daemon/src/main/java/postgrade/client/ConnectionTimeouts.java
+++ b/daemon/src/main/java/postgrade/client/ConnectionTimeouts.java
@@ -1,57 +1,58 @@
 package postgrade.client;
 
 /**
- * How long an accepted connection is waited for, by when it came and what has come on it. It knows
- * times alone.
+ * The time-outs of an accepted connection, computed from its age and from when it last received
+ * data. Holds times only; the connection acts on them.
  */
 final class ConnectionTimeouts {
 
     /**
-     * A request must be whole so long after the connection came, or after its first byte on a
-     * connection that has carried one. Guards against peers that say nothing or stop half-way: who
-     * sends rubbish is owed an error or a close within 3 s of connecting. One that comes on in
-     * pieces is given as long again after each, up to the most.
+     * A request must be complete within this time after the connection was accepted, or after its
+     * first byte on a connection that has carried a request before. Limits peers that send nothing
+     * or stop half-way: invalid input must be answered or the connection closed within 3 s of
+     * connecting. A request that arrives in fragments gets this time again after each, up to the
+     * maximum below.
      */
     private static final long REQUEST_TIMEOUT_MICROS = 2_000_000;
 
     private static final long MAX_REQUEST_MICROS = 10_000_000;
 
     /**
-     * A request whose latest piece is no older is moving: its connection goes after those of others
-     * that wait.
+     * A request whose latest fragment is no older than this is making progress: its connection is
+     * evicted after others that wait for a request.
      */
     private static final long PROGRESS_MICROS = 1_000_000;
 
-    /** An answer must be taken within this time. */
+    /** The peer must read an answer within this time. */
     private static final long WRITE_STALL_MICROS = 5_000_000;
 
     private static final long IDLE_MICROS = 300_000_000;
 
     /**
-     * A new connection, or one with a request begun, is not idle for so long: the rest may be on
-     * the way.
+     * A new connection, or one with a partial request, is not evicted for this long: the rest may
+     * be on its way.
      */
     private static final long FRESH_MICROS = 50_000;
 
-    /** A peer that was told of the connection's end has this time to end its own side. */
+    /** Time that a peer has to close its side after our output was shut down. */
     private static final long LINGER_MICROS = 1_000_000;
 
-    /** A connection that has carried so many requests of use is past its probation. */
+    /** A connection that has carried this many valid requests is no longer on probation. */
     private static final int PROBATION_REQUESTS = 2;
 
-    /** When something last came or was answered. */
+    /** When data was last received or an answer written. */
     private long lastActivityMicros;
 
-    /** When the request that is coming in began; the first one begins with the connection. */
+    /** When the current request began; the first one begins with the connection. */
     private long requestStartMicros;
 
-    /** In how many parts it has come so far. */
+    /** The number of fragments received of the current request. */
     private int fragments;
 
-    /** Requests that were of use, whatever their answer. */
+    /** The number of valid requests, whatever their answers. */
     private int usefulRequests;
 
-    /** When our side was found ended. */
+    /** When the output was found to be shut down. */
     private long outputEndedMicros;
 
     ConnectionTimeouts(long nowMicros) {
@@ -60,7 +61,9 @@
     }
 
     /**
-     * @param begins nothing is owed, and nothing of a next request had come
+     * Records received data.
+     *
+     * @param begins whether no answer was due and no part of the next request had been received
      */
     void bytesReceived(long nowMicros, boolean begins) {
         lastActivityMicros = nowMicros;
@@ -70,7 +73,7 @@
         fragments++;
     }
 
-    /** A request has come whole; the next one may have begun with it. */
+    /** Records a complete request; the next one may have begun with the same bytes. */
     void requestReceived() {
         requestStartMicros = lastActivityMicros;
         fragments = 0;
@@ -88,16 +91,19 @@
         outputEndedMicros = nowMicros;
     }
 
-    /** Has carried nothing of use yet and has hardly had the time to. */
+    /**
+     * Returns whether the connection has carried no valid request yet and is younger than {@link
+     * #FRESH_MICROS}.
+     */
     boolean isFresh(long nowMicros) {
         return usefulRequests == 0 && nowMicros - requestStartMicros < FRESH_MICROS;
     }
 
     /**
-     * Its time is over, while it is owed no answer.
+     * Returns whether the connection has timed out, while no answer is due to it.
      *
-     * @param allSent the system has taken all that was written
-     * @param inPart some of a request has come
+     * @param allSent whether the operating system has accepted everything written
+     * @param partial whether a request has been received in part
      */
     boolean isExpired(long nowMicros, ConnectionState state, boolean allSent, boolean partial) {
         long expiresAtMicros =
@@ -111,7 +117,9 @@
         return nowMicros >= expiresAtMicros;
     }
 
-    /** It may be closed for another one, all having been sent. */
+    /**
+     * Returns whether the connection, with all output sent, may be closed in favour of another one.
+     */
     boolean isEvictable(long nowMicros, ConnectionState state, boolean partial) {
         return state == ConnectionState.LINGERING
                 || !expectsRequest(partial)
@@ -123,12 +131,15 @@
                 && !(isFragmented(partial) && nowMicros - lastActivityMicros < PROGRESS_MICROS);
     }
 
-    /** A request is due: its rest, or the first one. */
+    /** Returns whether a request is expected: the first one, or the rest of a partial one. */
     private boolean expectsRequest(boolean partial) {
         return usefulRequests == 0 || partial;
     }
 
-    /** Comes on in pieces, as an honest request does over a slow line. */
+    /**
+     * Returns whether the request arrives in several fragments, as a valid request does over a slow
+     * link.
+     */
     private boolean isFragmented(boolean partial) {
         return fragments > 1 && partial;
     }
--- a/daemon/src/main/java/postgrade/client/Exchange.java
+++ b/daemon/src/main/java/postgrade/client/Exchange.java
@@ -3,7 +3,10 @@
 import postgrade.dispatch.PendingRequest;
 import postgrade.dispatch.ResponseHandler;
 
-/** One request that waits for its answer, which goes to its connection unless the peer has left. */
+/**
+ * A request that awaits its answer. The answer goes to its connection unless the peer has
+ * disconnected.
+ */
 final class Exchange implements ResponseHandler {
 
     private static final byte[] EMPTY_BODY = {};
@@ -39,15 +42,17 @@
     @Override
     public boolean hasDisconnected() {
         if (connection.isAwaiting(this)) {
-            connection
-                    .readPending(); // The end may lie in the socket, behind other bytes or while
-                                    // nothing
-            // is read from it.
+            // The end of stream may lie in the socket behind other bytes, or while reading is
+            // paused.
+            connection.readPending();
         }
         return !connection.isAwaiting(this);
     }
 
-    /** Unanswered the provider repeats it, and finds the process that has the job. */
+    /**
+     * Answers a relayed call-back. If no process has confirmed it, the connection is closed
+     * unanswered: the worker then repeats the call-back and reaches the process that holds the job.
+     */
     void callBackRelayed(boolean confirmed) {
         if (confirmed) {
             connection.answer(this, 204, EMPTY_BODY, 0);
--- a/daemon/src/main/java/postgrade/client/JobEvent.java
+++ b/daemon/src/main/java/postgrade/client/JobEvent.java
@@ -8,14 +8,14 @@
 import postgrade.dispatch.ReportedState;
 import postgrade.dispatch.RequestTracker;
 
-/** A call-back by which a provider tells the fate of a job it has taken. */
+/** A call-back by which a worker reports the state of a job it has accepted. */
 record JobEvent(String id, String from, ReportedState state, double share, byte[] result) {
 
     static final String PATH = "/v1/job-events";
 
     /**
-     * Reads one; an exception says what is wrong with it. A state we do not know is null, and
-     * right.
+     * Parses a call-back; the exception says what is wrong with it. An unknown state is valid and
+     * becomes null.
      */
     static JobEvent parse(byte[] body) {
         try {
@@ -27,15 +27,15 @@
                     event.getDouble("share", 0),
                     resultBytes(event.get("result")));
         } catch (RuntimeException e) {
-            // Guards against call-backs that are not JSON or lack a field: told to the sender,
-            // never a crash.
+            // A call-back that is not JSON or lacks a field is answered with an error to the
+            // sender.
             throw new IllegalArgumentException("not a job event: id, from and state are needed", e);
         }
     }
 
     /**
-     * Passes it on. False if its job is not known here; it would be repeated for nothing if that
-     * were an error.
+     * Delivers the report. Returns false if its job is not known here, which is no error: an error
+     * would make the worker repeat the call-back in vain.
      */
     boolean deliver(RequestTracker tracker) {
         return state == null || tracker.workerReported(id, from, state, share, result);
--- a/daemon/src/main/java/postgrade/client/JobHeaders.java
+++ b/daemon/src/main/java/postgrade/client/JobHeaders.java
@@ -3,24 +3,26 @@
 import java.util.List;
 import java.util.regex.Pattern;
 
-/** Reads the headers that describe a job. Messages of exceptions name the header. */
+/** Parses the headers that describe a job. Exception messages name the header. */
 final class JobHeaders {
 
-    /** Guards the module's tables against names as long as a head. */
+    /** Keeps names as long as a whole request head out of the policy's tables. */
     static final int MAX_NAME_LENGTH = 128;
 
-    /** No deadline or figure is larger; guards what is counted with them. */
+    /** The upper bounds of deadlines and figures, which keep arithmetic on them in range. */
     private static final double MAX_DEADLINE_MICROS = 3_600_000_000.0;
 
     private static final double MAX_EXTRA = 1e6;
 
     /**
-     * Guards against what Java takes for a number besides: signs, NaN, exponents, hex, a closing d
-     * or f.
+     * Excludes what Java also parses as a number: signs, NaN, exponents, hex, a trailing d or f.
      */
     private static final Pattern NUMBER = Pattern.compile("[0-9]{1,18}(\\.[0-9]{1,18})?");
 
-    /** Headers that describe the job. Guards against two readings of it, ours and a provider's. */
+    /**
+     * Headers that describe the job and may be given once only, so that dispatcher and worker
+     * cannot read different values.
+     */
     static final List<String> SINGLE_HEADERS =
             List.of(
                     "x-request-id",
@@ -35,8 +37,8 @@
     private JobHeaders() {}
 
     /**
-     * Whether the id can stand in a path. Guards the DELETE that gives its job up, whose head it
-     * becomes part of.
+     * Returns whether the id can be part of a path. It becomes part of the request line of the
+     * DELETE that cancels its job.
      */
     static boolean isValidId(String value) {
         return value != null
@@ -45,7 +47,7 @@
                 && value.chars().allMatch(c -> c > ' ' && c <= '~' && "/?#%".indexOf(c) < 0);
     }
 
-    /** A number and a unit: {@code m} for milliseconds, {@code u} for microseconds. */
+    /** Parses a number with a unit: {@code m} for milliseconds, {@code u} for microseconds. */
     static long deadlineMicros(String value, long defaultMicros) {
         if (value == null || value.isEmpty()) {
             return defaultMicros;
@@ -59,7 +61,7 @@
         return (long) micros;
     }
 
-    /** One figure of {@code name=value,name=value}. */
+    /** Returns one figure of {@code name=value,name=value}. */
     static double extra(String extras, String name, double defaultValue) {
         if (extras != null) {
             for (String pair : extras.split(",")) {
@@ -67,7 +69,8 @@
                 if (equalsAt > 0 && pair.substring(0, equalsAt).strip().equals(name)) {
                     double value = parseNumber("X-Extras", pair.substring(equalsAt + 1).strip());
                     if (value > MAX_EXTRA) {
-                        throw new IllegalArgumentException("X-Extras has too large a figure");
+                        throw new IllegalArgumentException(
+                                "X-Extras has a figure that is too large");
                     }
                     return value;
                 }
@@ -76,7 +79,7 @@
         return defaultValue;
     }
 
-    /** Whether it may be a tenant's or a key's name; there may be none. */
+    /** Returns whether the value is valid as the name of a tenant or key; null is valid. */
     static boolean isValidName(String value) {
         return value == null
                 || value.length() <= MAX_NAME_LENGTH
--- a/daemon/src/main/java/postgrade/client/JobSubmission.java
+++ b/daemon/src/main/java/postgrade/client/JobSubmission.java
@@ -6,10 +6,11 @@
 import postgrade.http.Message;
 
 /**
- * A request for a job, its headers read and checked.
+ * A job request whose headers have been parsed and validated.
  *
- * @param deadlineMicros how long its consumer waits
- * @param claim to be told its id once it is taken over; null where nobody reads claims
+ * @param deadlineMicros how long the client waits
+ * @param onAccepted to be called with the id once the job is accepted; null if no extension reads
+ *     headers
  */
 record JobSubmission(
         String id,
@@ -22,7 +23,9 @@
         Consumer<String> onAccepted) {
 
     /**
-     * @throws BadMessageException with the status and the sentence for its consumer
+     * Parses a request.
+     *
+     * @throws BadMessageException with the status and message for the client
      */
     static JobSubmission parse(Message request, ClientListener listener)
             throws BadMessageException {
@@ -36,16 +39,16 @@
         Long classDeadline = jobClass == null ? null : listener.deadlineMicros.get(jobClass);
         String problem =
                 !JobHeaders.isValidId(id)
-                        ? "X-Request-Id is missing or no id"
+                        ? "X-Request-Id is missing or not a valid id"
                         : classDeadline == null
                                 ? "X-Class is not known"
                                 : !listener.knowsTenant(tenant)
                                         ? "X-Tenant is not known"
                                         : !JobHeaders.isValidName(key)
-                                                ? "X-Key is no name"
+                                                ? "X-Key is not a valid name"
                                                 : !JobHeaders.isValidName(
                                                                 request.header("content-type"))
-                                                        ? "Content-Type is no name"
+                                                        ? "Content-Type is not a valid name"
                                                         : JobHeaders.SINGLE_HEADERS.stream()
                                                                         .anyMatch(
                                                                                 name ->
@@ -63,7 +66,7 @@
             double slots = JobHeaders.extra(request.header("x-extras"), "slots", 1);
             double memory = JobHeaders.extra(request.header("x-extras"), "memory", 0);
             if (slots == 0) {
-                throw new IllegalArgumentException("X-Extras has no slots");
+                throw new IllegalArgumentException("X-Extras asks for 0 slots");
             }
             return new JobSubmission(
                     id,
--- a/daemon/src/main/java/postgrade/client/RequestRouter.java
+++ b/daemon/src/main/java/postgrade/client/RequestRouter.java
@@ -5,7 +5,7 @@
 import postgrade.http.BadMessageException;
 import postgrade.http.Message;
 
-/** What a whole request asks for: a job, readiness, or the hearing of a call-back. */
+/** Routes complete requests: job submissions, readiness checks and call-backs. */
 final class RequestRouter {
 
     private RequestRouter() {}
@@ -17,7 +17,7 @@
             if (request.method().equals("POST")) {
                 submitJob(connection, request);
             } else {
-                connection.reject(405, "only POST is taken here", request.isKeepAlive());
+                connection.reject(405, "only POST is allowed here", request.isKeepAlive());
             }
         } else if (path.equals("/-/ready")) {
             connection.markUseful();
@@ -27,13 +27,13 @@
         } else if (path.equals(JobEvent.PATH) && request.method().equals("POST")) {
             handleCallBack(connection, request);
         } else {
-            connection.reject(404, "no such page", request.isKeepAlive());
+            connection.reject(404, "no such path", request.isKeepAlive());
         }
     }
 
     /**
-     * A provider takes an answer for the end of its duty: it leaves only once whoever holds the job
-     * has the news.
+     * Handles a worker's call-back. The worker takes an answer as permission to shut down, so it is
+     * answered only once the process that holds the job has the report.
      */
     private static void handleCallBack(ClientConnection connection, Message request) {
         JobEvent event;
@@ -88,13 +88,12 @@
         if (listener.tracker.submit(exchange.request)) {
             connection.markUseful();
             if (job.onAccepted() != null && connection.isAwaiting(exchange)) {
-                job.onAccepted()
-                        .accept(job.id()); // Not of one turned away at once: a later job may
-                // have its id.
+                // Not for a job that was rejected at once: a later job may have the same id.
+                job.onAccepted().accept(job.id());
             }
         } else {
             connection.cancelAwait();
-            connection.reject(409, "a job with this id is open", request.isKeepAlive());
+            connection.reject(409, "a job with this id is already open", request.isKeepAlive());
         }
     }
 }
--- a/daemon/src/main/java/postgrade/extension/DispatcherExtension.java
+++ b/daemon/src/main/java/postgrade/extension/DispatcherExtension.java
@@ -8,108 +8,120 @@
 import postgrade.policy.api.JobConstraints;
 
 /**
- * What may stand beside a dispatcher: it is told what goes on and has a say in what the module
- * decides, and the dispatcher does all without it as well. All is called on the loop's thread, and
- * nothing here may wait.
+ * An optional extension of a dispatcher. It is notified of events and can constrain the policy's
+ * decisions; the dispatcher works without it. All methods are called on the loop's thread and must
+ * not block.
  */
 public interface DispatcherExtension {
 
-    /** Consulted by the module for each job and worker. */
+    /** Returns the constraints that the policy checks for each job and worker. */
     JobConstraints jobConstraints();
 
     /**
-     * What goes to a worker beside a job, in a header of ours that proves the job's claim; null for
-     * most.
+     * Returns the fencing token sent to a worker with a job, in a header of its own, which proves
+     * the job's claim; null for most jobs.
      */
     default String fence(String jobClass, String tenant, String workerId) {
         return null;
     }
 
     /**
-     * Whether a connection to a worker may be opened now; asked right before, and then it is
-     * opened.
+     * Returns whether a connection to a worker may be opened now. Called right before the
+     * connection is opened.
      *
-     * @param must it is opened whatever the answer, as nothing else can carry what is to be sent
+     * @param forced the connection is opened whatever the answer, as nothing else can carry the
+     *     request
      */
-    default boolean mayConnect(String workerId, boolean must) {
+    default boolean mayConnect(String workerId, boolean forced) {
         return true;
     }
 
     /**
-     * A turn of the loop begins, and nothing of it has been taken in: what hangs on the time is
-     * looked at here.
+     * Called at the start of a loop iteration, before any input is processed. Time-dependent state
+     * is updated here.
      */
     default void iterationStarted() {}
 
     /**
-     * It has heard what a new process has to know, such as which workers are out. Until then, and
-     * for so long at most, the process does not listen: consumers turn to others, as before it had
-     * started.
+     * Returns whether the extension has received the state that a new process needs, such as which
+     * workers are in maintenance. Until then, but no longer than {@link #initTimeoutMicros}, the
+     * process does not listen, and clients use other dispatchers as they did before it started.
      */
     default boolean isInitialized() {
         return true;
     }
 
     /**
-     * How long it may be waited for: what stands beside a dispatcher may cost features, and no
-     * consumer its answer.
+     * Returns how long to wait for {@link #isInitialized} at most: a failing extension may disable
+     * features but must not cost a client its answer.
      */
     default long initTimeoutMicros() {
         return 1_000_000;
     }
 
-    /** What the companion of a new process of this dispatcher is to know, in a form of its own. */
+    /**
+     * Returns the state for the extension in a new process of this dispatcher, in a format of the
+     * extension's own.
+     */
     default String handOverState() {
         return "";
     }
 
-    /** What jobs may claim in headers of ours; null for nothing, then none is looked at. */
+    /** Returns the reader of additional job headers; null if there is none. */
     default ExtensionHeaders extensionHeaders() {
         return null;
     }
 
-    /** Sees what becomes of invocations. */
+    /** Returns an observer of requests. */
     default RequestObserver requestObserver() {
         return RequestObserver.NONE;
     }
 
-    /** Calls that operators may make of it. */
+    /** Returns the extension's operator endpoints. */
     AdditionalEndpoints operatorEndpoints();
 
-    /** The list of workers has changed, in whole or in part; the module has not heard of it yet. */
+    /**
+     * The list of workers has changed, in full or in part. Called before the policy is notified.
+     */
     default void workerListChanged() {}
 
-    /** An operator has taken this worker out here, or put it back. */
-    default void workerMaintenanceChanged(String workerId, boolean out) {}
+    /**
+     * An operator has put this worker into maintenance at this dispatcher, or taken it out.
+     *
+     * @param inMaintenance whether the worker is now in maintenance
+     */
+    default void workerMaintenanceChanged(String workerId, boolean inMaintenance) {}
 
-    /** A process of the same dispatcher has come or gone. */
+    /** A process of the same dispatcher has started or ended. */
     default void peersChanged() {}
 
-    /** The process is to end, once all is answered. */
+    /** The process begins to shut down; it exits once everything is answered. */
     default void stopping() {}
 
     /**
-     * Everything is answered and the process ends: the last call. It may take some milliseconds.
+     * Everything is answered and the process exits. This is the last call and may take some
+     * milliseconds.
      */
     void close();
 
-    /** Finds companions, by {@link java.util.ServiceLoader}. */
+    /** Creates extensions; found by {@link java.util.ServiceLoader}. */
     interface Factory {
         /**
-         * Reads what is to stand there.
+         * Reads a configuration file.
          *
-         * @param dispatcher its name
-         * @throws IllegalArgumentException for a faulty file; the message names the place
+         * @param dispatcher the name of the dispatcher
+         * @throws IllegalArgumentException if the file is invalid; the message names the place
          */
         Configuration read(Path file, String dispatcher);
     }
 
-    /** A file that was found good. */
+    /** A validated configuration. */
     interface Configuration {
         /**
-         * Called once, before the loop runs.
+         * Creates the extension. Called once, before the loop runs.
          *
-         * @throws IllegalArgumentException where it does not go with the dispatcher's settings
+         * @throws IllegalArgumentException if the configuration conflicts with the dispatcher's
+         *     settings
          */
         DispatcherExtension open(Host host) throws IOException;
     }
--- a/daemon/src/main/java/postgrade/extension/Host.java
+++ b/daemon/src/main/java/postgrade/extension/Host.java
@@ -8,57 +8,66 @@
 import postgrade.policy.api.PolicyStateEntry;
 
 /**
- * The dispatcher as its companion sees it. For the loop's thread, but for the three clocks and
- * {@link #loopExecutor}.
+ * The dispatcher as seen by its extension. To be used on the loop's thread, except for the clocks
+ * {@link #monotonicMicros} and {@link #unixMillis}, and {@link #loopExecutor}.
  */
 public interface Host {
 
     String name();
 
-    /** In force now; a reload may bring others. */
+    /** Returns the settings in force; a reload may replace them. */
     PolicySettings settings();
 
-    /** The loop's clock, which stands during a turn, and its timers. */
+    /** Returns the loop's timers and its clock, which is constant during an iteration. */
     Timers timers();
 
-    /** The same clock, running on, for any thread. */
+    /** Returns the loop's clock, read anew at each call; for any thread. */
     LongSupplier monotonicMicros();
 
-    /** The wall clock, for any thread. It may jump. */
+    /** Returns the wall clock, which may jump; for any thread. */
     LongSupplier unixMillis();
 
-    /** Runs a task on the loop; may be called from any thread. */
+    /** Returns an executor that runs tasks on the loop; may be called from any thread. */
     Executor loopExecutor();
 
-    // ---- What was learnt.
+    // ---- Learnt state of the policy.
 
-    /** What the module knows now, as a copy. */
+    /** Returns a copy of the figures that the policy has learnt. */
     List<PolicyStateEntry> exportPolicyState();
 
     /**
-     * Tells the module what was learnt elsewhere; it passes over workers that it does not know yet.
+     * Gives the policy figures learnt elsewhere; those of workers it does not know yet are skipped.
      */
     void importPolicyState(List<PolicyStateEntry> all);
 
-    /** This process has begun with what a running one told it, which is newer than any file. */
+    /**
+     * Returns whether this process started with state handed over by a running one, which is newer
+     * than any file.
+     */
     boolean startedByHandOver();
 
-    /** What the companion of that process told; empty where there was none, or nothing came. */
+    /**
+     * Returns the state that the extension of the previous process handed over; empty if there was
+     * none or it did not arrive.
+     */
     String predecessorState();
 
-    // ---- Who is there.
+    // ---- Processes and workers.
 
-    /** No other process of this dispatcher lives. */
+    /** Returns whether no other process of this dispatcher is running. */
     boolean isOnlyProcess();
 
-    /** It serves consumers, and some worker is there. */
+    /** Returns whether it serves clients and at least one worker is available. */
     boolean isReady();
 
     List<WorkerStatus> workers();
 
     /**
-     * @param startedMillis of the wall clock as discovery told it, 0 for long ago @param out by an
-     *     operator
+     * A worker as known to the dispatcher.
+     *
+     * @param startedMillis the start time by the wall clock as reported by discovery, 0 for long
+     *     ago
+     * @param inMaintenance whether an operator has put it into maintenance
      */
     record WorkerStatus(
             String id,
@@ -69,22 +78,30 @@
             boolean ready,
             boolean inMaintenance) {}
 
-    /** A connection to the worker is up, or on its way. */
+    /** Returns whether a connection to the worker is open or being opened. */
     boolean isConnected(String workerId);
 
-    /** Some worker that takes jobs has a connection, and fewer calls of this process than that. */
+    /**
+     * Returns whether some worker that accepts jobs has a connection and fewer calls in flight from
+     * this process than given.
+     */
     boolean anyConnectedWithCallsBelow(int fewerThan);
 
-    /** For how long an idle connection to a worker is kept at most. */
+    /** Returns how long an idle connection to a worker is kept at most. */
     long maxIdleMicros();
 
-    /** Takes a worker out as an operator's call would; false if it is out already. */
+    /**
+     * Puts a worker into maintenance as an operator's call would. Returns false if it already is.
+     */
     boolean enterMaintenance(String workerId);
 
     boolean exitMaintenance(String workerId);
 
-    // ---- What it has a say in.
+    // ---- Limits that the extension sets.
 
-    /** This process may use so many times the even part of each rate; 1 until this is called. */
+    /**
+     * Sets this process's share of each rate limit, as a multiple of an even share; 1 until this is
+     * called.
+     */
     void setRateFactor(double factor);
 }
--- a/daemon/src/main/java/postgrade/lifecycle/Lifecycle.java
+++ b/daemon/src/main/java/postgrade/lifecycle/Lifecycle.java
@@ -3,16 +3,16 @@
 import java.util.OptionalLong;
 
 /**
- * Where a dispatcher stands between start and end, and what follows from it at a given time. The
- * one place that decides whether it is ready, whether it accepts, and when connections and jobs
- * come to their end. It does nothing itself.
+ * The lifecycle of a dispatcher from start to exit. The one place that decides, for a given time,
+ * whether it is ready, whether it accepts connections, and when connections are closed and jobs
+ * answered early. It only decides; its callers act.
  *
- * <p>Standby and stopping are two timetables for the same questions; a dispatcher in standby may be
- * told to stop, and then both bind.
+ * <p>Standby and stopping each have a schedule for these decisions. A dispatcher in standby may be
+ * stopped, and then both schedules apply.
  */
 public final class Lifecycle {
 
-    /** What the dispatcher is about. */
+    /** The states of the dispatcher. */
     public enum State {
         STARTING,
         ACTIVE,
@@ -20,8 +20,8 @@
         STOPPING,
         HANDING_OVER,
         /**
-         * All that was taken is answered; what is left are connections that their peers have to
-         * end.
+         * Everything accepted has been answered; what remains are connections that their peers have
+         * to close.
          */
         CLOSING;
 
@@ -32,46 +32,54 @@
 
     private static final long NEVER = Long.MAX_VALUE;
 
-    /** The front asks for readiness every 0.1 s and sends new connections for 0.2 s more. */
+    /**
+     * The load balancer polls readiness every 0.1 s and sends new connections for another 0.2 s.
+     */
     private static final long READINESS_PROPAGATION_MICROS = 350_000;
 
     /**
-     * From then on nobody's connection is kept idle: all are gone, or closing, well before 4 s have
-     * passed.
+     * From this time after standby on, idle connections are closed, so that all are closed or
+     * closing well before 4 s have passed.
      */
     private static final long STANDBY_CLOSE_IDLE_MICROS = 500_000;
 
-    /** 4 s after the call no job of the last 2 s may be held. */
+    /** 4 s after the standby call, no job of the last 2 s may be pending. */
     private static final long STANDBY_CUTOFF_MICROS = 1_900_000;
 
     private static final long STANDBY_FORCE_ANSWER_MICROS = 3_400_000;
 
-    /** What comes up to so long after SIGTERM may be left to SIGKILL; what comes later may not. */
+    /**
+     * Jobs that arrive up to this long after SIGTERM may be lost to SIGKILL; later ones may not.
+     */
     private static final long STOP_CUTOFF_MICROS = 700_000;
 
     /**
-     * SIGKILL follows the longest deadline, or this if that is longer, and {@link
-     * #STOP_CUTOFF_MICROS} at the earliest.
+     * SIGKILL follows SIGTERM after the longest deadline, limited to this value, plus {@link
+     * #STOP_CUTOFF_MICROS}.
      */
     private static final long MAX_GRACE_MICROS = 3_000_000;
 
     /**
-     * So long before SIGKILL consumers are turned away, and then answered whatever their jobs have
-     * come to.
+     * This long before SIGKILL connections of clients are closed, and {@link
+     * #KILL_FORCE_ANSWER_MICROS} before it pending jobs are answered with whatever state they have
+     * reached.
      */
     private static final long KILL_CLOSE_IDLE_MICROS = 1_400_000;
 
     private static final long KILL_FORCE_ANSWER_MICROS = 300_000;
 
-    /** New connections come for up to 0.4 s after SIGTERM, however short the deadlines. */
+    /** New connections arrive for up to 0.4 s after SIGTERM, even if all deadlines are short. */
     private static final long STOP_CONNECTIONS_ARRIVE_MICROS = 500_000;
 
-    /** Peers that have not ended their connections by then are not waited for. */
+    /**
+     * From this long before SIGKILL on, the process no longer waits for peers to close their
+     * connections.
+     */
     private static final long KILL_EXIT_MICROS = 50_000;
 
     /**
-     * A successor takes the consumers at once; most connections end with their next answer before
-     * they would idle.
+     * A successor accepts clients at once; most connections close with their next answer before
+     * they would be idle.
      */
     private static final long HAND_OVER_CLOSE_IDLE_MICROS = 1_000_000;
 
@@ -92,7 +100,7 @@
                                 : started ? State.ACTIVE : State.STARTING;
     }
 
-    /** It takes consumers from now on; until then they wait in the backlog. */
+    /** Starts serving clients; until then they wait in the backlog. */
     public void markStarted() {
         started = true;
     }
@@ -101,12 +109,15 @@
         return started;
     }
 
-    /** Drain. Called again it changes nothing: the front has been told by the first call. */
+    /**
+     * Enters standby, which drains the dispatcher. Further calls change nothing: the load balancer
+     * has been notified by the first one.
+     */
     public void enterStandby(long nowMicros) {
         standbyMicros = Math.min(standbyMicros, nowMicros);
     }
 
-    /** Takes consumers again. False where it is to end, which no call undoes. */
+    /** Serves clients again. Returns false if the process is stopping, which cannot be undone. */
     public boolean leaveStandby() {
         if (stopMicros != NEVER) {
             return false;
@@ -116,10 +127,10 @@
     }
 
     /**
-     * The process is to end.
+     * Starts to stop the process.
      *
-     * @param longestDeadlineMicros of the classes in force
-     * @param hasSuccessor another process of this dispatcher takes the consumers
+     * @param longestDeadlineMicros the longest deadline of the classes in force
+     * @param successorPresent whether another process of this dispatcher takes over the clients
      */
     public void stop(long nowMicros, long longestDeadlineMicros, boolean successorPresent) {
         if (stopMicros == NEVER) {
@@ -133,52 +144,52 @@
     }
 
     /**
-     * A successor has come; or it has died, and what it was to take is ours again for as long as we
-     * may live.
+     * Notes that a successor has started, or that it has died; in that case this process serves the
+     * clients again until it exits.
      */
     public void setSuccessor(boolean present) {
         hasSuccessor = present;
     }
 
-    /** Nothing more is taken: the last connections end. There is no way back. */
+    /** Closes the last connections; nothing more is accepted. This cannot be undone. */
     public void beginClosing() {
         closing = true;
     }
 
     /**
-     * The front may send consumers. In an upgrade the pair is one dispatcher, ready as its
-     * successor is.
+     * Returns whether the load balancer may send clients. In an upgrade both processes count as one
+     * dispatcher, which is ready as the successor is.
      */
     public boolean isReady() {
         return state() == State.ACTIVE || state() == State.HANDING_OVER && standbyMicros == NEVER;
     }
 
-    /** This process, not the pair, takes clients. */
+    /** Returns whether this process itself, and not only its successor, serves clients. */
     public boolean servesClients() {
         return state() == State.ACTIVE;
     }
 
-    /** How long it has been in standby, negative if it is not. */
+    /** Returns how long it has been in standby, or a negative value if it is not. */
     public long standbyAgeMicros(long nowMicros) {
         return standbyMicros == NEVER ? -1 : nowMicros - standbyMicros;
     }
 
     /**
-     * New connections are accepted: the consumers', and always the providers' call-backs, but for a
-     * successor's.
+     * Returns whether new connections are accepted. That includes the workers' call-backs at all
+     * times, except when a successor accepts them.
      */
     public boolean acceptsConnections() {
         return state() != State.HANDING_OVER && state() != State.CLOSING;
     }
 
-    /** An answer to a consumer ends its connection. */
+    /** Returns whether an answer to a client closes its connection. */
     public boolean closesAfterAnswer(long nowMicros) {
         return state() == State.HANDING_OVER
                 || hasPassed(standbyMicros, READINESS_PROPAGATION_MICROS, nowMicros)
                 || closesIdleConnections(nowMicros);
     }
 
-    /** Consumers' connections that await nothing are closed. */
+    /** Returns whether idle connections of clients are closed. */
     public boolean closesIdleConnections(long nowMicros) {
         return hasPassed(standbyMicros, STANDBY_CLOSE_IDLE_MICROS, nowMicros)
                 || hasPassed(killMicros, -KILL_CLOSE_IDLE_MICROS, nowMicros)
@@ -187,7 +198,10 @@
                         && hasPassed(stopMicros, HAND_OVER_CLOSE_IDLE_MICROS, nowMicros);
     }
 
-    /** Jobs that came since then are answered now as they stand; none if empty. */
+    /**
+     * Returns the arrival time from which on jobs are answered now, whatever state they have
+     * reached; empty if there is none.
+     */
     public OptionalLong forcedAnswerCutoff(long nowMicros) {
         long since = NEVER;
         if (hasPassed(standbyMicros, STANDBY_FORCE_ANSWER_MICROS, nowMicros)) {
@@ -200,14 +214,14 @@
     }
 
     /**
-     * The process may end once all is answered; not before, as consumers use what connections they
-     * hold.
+     * Returns whether the process may exit once everything is answered. Before that, clients go on
+     * using the connections they hold.
      */
     public boolean mayExit(long nowMicros) {
         return stopMicros != NEVER && closesIdleConnections(nowMicros);
     }
 
-    /** SIGKILL is so near that who has not ended its connection is waited for no longer. */
+    /** Returns whether SIGKILL is so close that open connections are no longer waited for. */
     public boolean mustExit(long nowMicros) {
         return hasPassed(killMicros, -KILL_EXIT_MICROS, nowMicros);
     }
--- a/daemon/src/main/java/postgrade/operator/AdditionalEndpoints.java
+++ b/daemon/src/main/java/postgrade/operator/AdditionalEndpoints.java
@@ -3,21 +3,23 @@
 import java.util.Set;
 
 /**
- * Operators' calls beyond {@link Operations}, by their paths. Who takes them knows nothing of how
- * they came.
+ * Operator endpoints beyond {@link Operations}, by path. Implementations do not depend on the
+ * transport.
  */
 public interface AdditionalEndpoints {
 
-    /** Exactly one answer is given to each call. */
+    /** Receives the answer to a call. Exactly one answer is given to each call. */
     interface Reply {
         /**
-         * @param retryAfterMicros when to come again, 0 where that does not help @param json one
-         *     object
+         * Sends the answer.
+         *
+         * @param retryAfterMicros when to retry, 0 if a retry does not help
+         * @param json a JSON object
          */
         void answer(int status, long retryAfterMicros, String json);
     }
 
-    /** None there. */
+    /** No additional endpoints. */
     AdditionalEndpoints NONE =
             new AdditionalEndpoints() {
                 @Override
@@ -31,19 +33,19 @@
                 }
             };
 
-    /** How a path may be called; none for a path that is not known. */
+    /** Returns the HTTP methods allowed for a path; empty for an unknown path. */
     Set<String> allowedMethods(String path);
 
-    /** The longest body that a call of this path may bring. */
+    /** Returns the greatest body length, in bytes, of a call to this path. */
     default int maxBodyBytes(String path) {
         return 64 << 10;
     }
 
-    /** The longest body of any path. */
+    /** Returns the greatest body length, in bytes, of any path. */
     default int maxBodyBytes() {
         return 64 << 10;
     }
 
-    /** Answers within 2 s. */
+    /** Handles a call and answers it within 2 s. */
     void handle(String method, String path, byte[] body, Reply reply);
 }
--- a/daemon/src/main/java/postgrade/operator/Operations.java
+++ b/daemon/src/main/java/postgrade/operator/Operations.java
@@ -1,9 +1,12 @@
 package postgrade.operator;
 
-/** What operators may ask of a dispatcher. Who carries it out knows nothing of how it was asked. */
+/**
+ * The calls that operators can make to a dispatcher. Implementations do not depend on the
+ * transport.
+ */
 public interface Operations {
 
-    /** One thing to ask for. */
+    /** The calls. */
     enum Call {
         STATUS,
         ENTER,
@@ -13,7 +16,8 @@
     }
 
     /**
-     * Exactly one of these is called, once, at latest when {@link #MAX_REPLY_MICROS} have passed.
+     * Receives the outcome. Exactly one of the methods is called, once, within {@link
+     * #MAX_REPLY_MICROS}.
      */
     interface Reply {
         void succeeded(String text);
@@ -21,19 +25,22 @@
         void refused(Refusal reason, String text);
     }
 
-    /** Why not: there is no such worker, or the dispatcher is not in a state for it. */
+    /**
+     * The reason for a refusal: the worker is unknown, or the dispatcher is in a state that does
+     * not allow the call.
+     */
     enum Refusal {
         UNKNOWN,
         UNAVAILABLE
     }
 
-    /** Half of what the caller has, who waits for 1 s. */
+    /** Half of the time-out of the caller, which is 1 s. */
     long MAX_REPLY_MICROS = 500_000;
 
     /**
-     * Carries a call out before it replies. A no has changed nothing.
+     * Carries out a call and then replies. A refused call has changed nothing.
      *
-     * @param id the worker's, for those calls that concern one
+     * @param id the worker's id, for calls that concern a worker
      */
     void call(Call call, String id, Reply reply);
 }
--- a/daemon/src/main/java/postgrade/operator/OperatorConnection.java
+++ b/daemon/src/main/java/postgrade/operator/OperatorConnection.java
@@ -17,11 +17,12 @@
 import postgrade.operator.Operations.Call;
 import postgrade.operator.Operations.Refusal;
 
-/** One connection of an operator's, for one call. */
+/** A connection from an operator, which serves a single call. */
 final class OperatorConnection implements Connection.Owner, Operations.Reply {
 
     /**
-     * So long a caller may take over its call, or over the answer and the end of the connection.
+     * Time-out for receiving the call, and for the caller to read the answer and close the
+     * connection.
      */
     private static final long TIMEOUT_MICROS = 5_000_000;
 
@@ -56,7 +57,7 @@
     @Override
     public void received(Connection c, ByteBuffer bytes) throws BadMessageException {
         if (callReceived) {
-            return; // One call a connection: what follows is not read as another.
+            return; // One call per connection: further input is not parsed.
         }
         Message call = parser.parse(bytes);
         if (call != null) {
@@ -170,13 +171,13 @@
                         .header("Connection", "close")
                         .body((text + "\n").getBytes(StandardCharsets.UTF_8)));
         connection.closeWhenSent();
-        connection.setIdle(
-                true, false); // It may go for another caller, after those who have not called.
+        // It may be evicted for another caller, after connections that have not sent a call.
+        connection.setIdle(true, false);
     }
 
     private void expire() {
         if (!callReceived) {
-            answer(408, null, "no whole call has come");
+            answer(408, null, "no whole call was received in time");
             listener.timers.at(listener.timers.nowMicros() + TIMEOUT_MICROS, this::expire);
         } else {
             connection.close();
--- a/daemon/src/main/java/postgrade/operator/OperatorListener.java
+++ b/daemon/src/main/java/postgrade/operator/OperatorListener.java
@@ -17,16 +17,16 @@
 import postgrade.log.Events;
 
 /**
- * The address where operators call. Its sockets are its own, and it is served ahead of the
- * consumers, so that no load of theirs keeps an operator waiting.
+ * The listening socket for operators. It has its own sockets and is served before the clients, so
+ * that load from clients cannot delay an operator.
  */
 public final class OperatorListener implements Reactor.Handler, Reactor {
 
     private static final Logger LOG = LoggerFactory.getLogger(OperatorListener.class);
 
     /**
-     * Descriptors to set aside: of them three quarters are for callers, of whom some sit and say
-     * nothing.
+     * File descriptors to reserve. Three quarters of them are for callers, some of which may
+     * connect and send nothing.
      */
     public static final int MAX_SOCKETS = 16;
 
@@ -74,8 +74,8 @@
 
     @Override
     public void ready(SelectionKey ready) throws IOException {
-        // Guards those who call: one who sits there and has sent no whole call goes for the next
-        // who comes.
+        // A connection that has not sent a complete call is evicted for a new one, so that idle
+        // callers do not block others.
         while (socketBudget.canAcquireForAccept(true)) {
             SocketChannel accepted = channel.accept();
             if (accepted == null) {
@@ -85,12 +85,12 @@
             try {
                 new OperatorConnection(this, accepted);
             } catch (IOException e) {
-                accepted.close(); // It broke while it was accepted; the next one need not.
+                accepted.close(); // It failed during accept; the next one may succeed.
                 socketBudget.release();
             }
         }
-        key.interestOps(
-                0); // Every place is taken by a call that waits for its answer, which is due soon.
+        // Every socket is in use by a call that awaits its answer, which is due soon.
+        key.interestOps(0);
     }
 
     void closed() {
@@ -106,7 +106,7 @@
         timers.at(timers.nowMicros() + Operations.MAX_REPLY_MICROS / 2, this::closed);
     }
 
-    // ---- The loop, but for the budget.
+    // ---- The event loop, with a socket budget of its own.
 
     @Override
     public SelectionKey register(SelectableChannel to, int interest, Handler handler)
--- a/daemon/src/main/java/postgrade/simadapter/JsonPairs.java
+++ b/daemon/src/main/java/postgrade/simadapter/JsonPairs.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 import java.util.StringJoiner;
 
-/** Turns nested JSON settings into the flat pairs that the simulator's wire carries. */
+/** Flattens nested JSON settings into the key-value pairs used by the simulator's protocol. */
 public final class JsonPairs {
 
     private JsonPairs() {}
 
-    /** Pairs of paths and plain values, in the form that the settings' reader takes. */
+    /** Returns pairs of paths and scalar values, as the settings reader accepts them. */
     public static Map<String, String> of(JsonObject json) {
         Map<String, String> pairs = new HashMap<>();
         flatten("", json, pairs);
@@ -20,8 +20,8 @@
     }
 
     /**
-     * Objects become paths, lists of objects a count and numbered paths, plain lists comma-joined
-     * text.
+     * Objects become paths, lists of objects a count and numbered paths, and lists of scalars
+     * comma-separated text.
      */
     private static void flatten(String path, JsonValue value, Map<String, String> pairs) {
         if (value.isObject()) {
--- a/daemon/src/main/java/postgrade/simadapter/SimulatorAdapter.java
+++ b/daemon/src/main/java/postgrade/simadapter/SimulatorAdapter.java
@@ -7,16 +7,14 @@
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Speaks the bench's wire on standard input and output until the input ends. */
+/** Serves the simulator's protocol on standard input and output until the input ends. */
 public final class SimulatorAdapter {
 
     private static final int READ_BYTES = 1 << 16;
 
     private SimulatorAdapter() {}
 
-    /**
-     * Returns the exit code: 0 at the end of the input, 1 after a line that cannot be understood.
-     */
+    /** Returns the exit code: 0 at the end of the input, 1 after a malformed line. */
     public static int serve(InputStream in, OutputStream out, Appendable err) throws IOException {
         StringBuilder reply = new StringBuilder(READ_BYTES);
         WireProtocol protocol = new WireProtocol(reply);
--- a/daemon/src/main/java/postgrade/simadapter/WireProtocol.java
+++ b/daemon/src/main/java/postgrade/simadapter/WireProtocol.java
@@ -18,10 +18,13 @@
 import postgrade.policy.api.WorkerPhase;
 import postgrade.settings.SettingsReader;
 
-/** Turns lines of the wire into events and actions into lines. Decides nothing. */
+/**
+ * Translates lines of the simulator's protocol into policy events, and policy actions into lines.
+ * Makes no decisions.
+ */
 final class WireProtocol {
 
-    /** A line that cannot be understood; the message names the line's first word and the field. */
+    /** A malformed line; the message names the line's first word and the field. */
     static final class MalformedLineException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
@@ -37,7 +40,7 @@
     private String line = "";
     private long nowNs;
     private SimulatedDispatcher listInstance;
-    private WorkerListUpdateType listForm;
+    private WorkerListUpdateType listUpdateType;
     private int rowsLeft;
     private List<WorkerInfo> listRows = List.of();
 
@@ -45,19 +48,19 @@
         this.reply = reply;
     }
 
-    /** Takes one line; true when the batch is complete and the reply stands ready. */
+    /** Processes one line. Returns true when a batch is complete and its reply is ready. */
     boolean processLine(String text) {
         line = text;
         if (text.isEmpty()) {
             return false;
         }
         splitFields();
-        String word = fields[0];
+        String messageType = fields[0];
         if (rowsLeft > 0) {
-            readWorkerEntry(word);
+            readWorkerEntry(messageType);
             return false;
         }
-        switch (word) {
+        switch (messageType) {
             case "FRAME" -> nowNs = integer(1, "clock");
             case "YOUR_TURN" -> {
                 reply.append("READY\n");
@@ -117,7 +120,7 @@
                             .policy
                             .attemptStreaming(nowNs, text(2, "tid"), (int) integer(4, "trial"));
             case "MEMO" -> instance();
-            default -> throw new MalformedLineException(word + ": unknown message");
+            default -> throw new MalformedLineException(messageType + ": unknown message");
         }
         return false;
     }
@@ -138,7 +141,7 @@
     private void beginWorkerList() {
         listInstance = instance();
         String form = text(2, "form");
-        listForm =
+        listUpdateType =
                 switch (form) {
                     case "diff" -> WorkerListUpdateType.DELTA;
                     case "snapshot" -> WorkerListUpdateType.FULL;
@@ -149,14 +152,17 @@
         rowsLeft = fieldCount > 4 && !fields[4].equals("-") ? (int) integer(4, "rows") : 0;
         listRows = new ArrayList<>(rowsLeft);
         if (rowsLeft == 0) {
-            listInstance.policy.workersUpdated(nowNs, listForm, listRows);
+            listInstance.policy.workersUpdated(nowNs, listUpdateType, listRows);
         }
     }
 
-    private void readWorkerEntry(String word) {
-        if (!word.equals("ENTRY")) {
+    private void readWorkerEntry(String messageType) {
+        if (!messageType.equals("ENTRY")) {
             throw new MalformedLineException(
-                    "TOPOLOGY: rows: " + rowsLeft + " more ENTRY lines announced, got " + word);
+                    "TOPOLOGY: rows: "
+                            + rowsLeft
+                            + " more ENTRY lines announced, got "
+                            + messageType);
         }
         String phase = text(5, "phase");
         WorkerPhase workerPhase =
@@ -176,7 +182,7 @@
                         decimal(6, 1, "heft"),
                         (long) decimal(7, 0, "bornNs")));
         if (--rowsLeft == 0) {
-            listInstance.policy.workersUpdated(nowNs, listForm, listRows);
+            listInstance.policy.workersUpdated(nowNs, listUpdateType, listRows);
         }
     }
 
@@ -266,7 +272,7 @@
         return new MalformedLineException(fields[0] + ": " + field + " cannot be " + value);
     }
 
-    /** One gateway of the bench: its decision maker, and where its actions are written. */
+    /** One simulated dispatcher: its policy, whose actions are written to the reply. */
     private final class SimulatedDispatcher implements PolicyActions {
         private final String name;
         private final DispatchPolicy policy;
@@ -288,21 +294,21 @@
             for (JobClass jobClass : settings.classes) {
                 classNames.put(jobClass.name(), jobClass.name());
             }
-            List<String> fields = reader.list("telemetry.fields");
+            List<String> metricNames = reader.list("telemetry.fields");
             freeIndex =
                     "free_slots".equals(reader.text("specifics.reportX0", ""))
-                            ? fields.indexOf("x0")
+                            ? metricNames.indexOf("x0")
                             : -1;
-            queuedIndex = fields.indexOf("backlog");
-            inFlightIndex = fields.indexOf("outstanding");
-            busyIndex = fields.indexOf("utilization");
+            queuedIndex = metricNames.indexOf("backlog");
+            inFlightIndex = metricNames.indexOf("outstanding");
+            busyIndex = metricNames.indexOf("utilization");
             policy = new TokenBucketDispatchPolicy(settings, seed, this);
         }
 
-        String knownClass(String name) {
-            String known = classNames.get(name);
+        String knownClass(String className) {
+            String known = classNames.get(className);
             if (known == null) {
-                throw malformed("class", name);
+                throw malformed("class", className);
             }
             return known;
         }
@@ -342,8 +348,8 @@
             }
         }
 
-        private StringBuilder beginAction(String word) {
-            return reply.append(word).append('\t').append(name).append('\t');
+        private StringBuilder beginAction(String messageType) {
+            return reply.append(messageType).append('\t').append(name).append('\t');
         }
 
         @Override
--- a/daemon/src/test/java/postgrade/client/ConnectionStateTest.java
+++ b/daemon/src/test/java/postgrade/client/ConnectionStateTest.java
@@ -16,7 +16,10 @@
         }
     }
 
-    /** What is read behind our end is never sent on, and no answer follows the last one. */
+    /**
+     * Input after the end of our output must never reach a worker, and no answer may follow the
+     * last one.
+     */
     @Test
     public void noRequestIsReadAfterTheLastAnswer() {
         Set<ConnectionState> ending =
@@ -30,11 +33,13 @@
             }
         }
         assertFalse(
-                "the last one is given once",
+                "the last answer is given once",
                 isAllowed(ConnectionState.LINGERING, ConnectionState.ANSWERING));
     }
 
-    /** One request at a time: the next is taken only once the one that waits has its answer. */
+    /**
+     * One request at a time: the next one is accepted only after the pending one has been answered.
+     */
     @Test
     public void noRequestIsOpenedWhileAnotherAwaitsItsAnswer() {
         for (ConnectionState from : ConnectionState.values()) {
--- a/daemon/src/test/java/postgrade/daemon/BadInputTest.java
+++ b/daemon/src/test/java/postgrade/daemon/BadInputTest.java
@@ -15,8 +15,8 @@
 import postgrade.lifecycle.Lifecycle;
 
 /**
- * Clients that send what they should not, on time that the test turns: each is answered and ended,
- * others are served.
+ * Clients that send invalid or incomplete requests, with time under the test's control: each must
+ * be answered and its connection closed, while other clients are served.
  */
 public class BadInputTest extends AttemptTestBase {
 
@@ -24,12 +24,13 @@
     private static final String JOB = "POST /api HTTP/1.1\r\nX-Class: price\r\nX-Request-Id: ";
 
     /**
-     * What each sends, the status it is given, null where it sent nothing, and whether that is due
-     * at once.
+     * Per client: the text it sends, the expected status (null if it sends nothing), and whether
+     * the answer is due at once.
      */
     private static final Object[][] CLIENTS = {
         {"NONSENSE\r\n\r\n", 400, true},
         {"POST /api HTTP/1.1\r\nContent-Length: 70000\r\n\r\n" + "x".repeat(70_000), 413, true},
+        // Pipelined before the first one is answered.
         {
             JOB
                     + "many\r\nContent-Length: 0\r\n\r\n"
@@ -37,7 +38,7 @@
                             .repeat(3),
             400,
             true
-        }, // Ahead of the first one's answer.
+        },
         {JOB + "half\r\nContent-Length: 9\r\n\r\nhalf", 408, false},
         {"POST /api HT", 408, false},
         {"", null, false}
@@ -87,7 +88,10 @@
         return ScriptedPeer.read(s).status();
     }
 
-    /** Another client's job, the worker's word that it is done, and the answers to both. */
+    /**
+     * Submits another client's job, reports it as done for the worker, and checks the answers to
+     * both.
+     */
     private void assertServed(String id, Socket client, Socket callBacks, Socket worker)
             throws IOException {
         loop.runAndServe(
@@ -133,7 +137,7 @@
             advance(STEP_MICROS);
             assertServed("usual" + i, validClient, callBacks, worker);
         }
-        for (int i = 0; i < invalidClients.length; i++) { // By now, 3 s on.
+        for (int i = 0; i < invalidClients.length; i++) { // 3 s have passed by now.
             if (CLIENTS[i][1] != null) {
                 assertEquals("client " + i, CLIENTS[i][1], status(invalidClients[i]));
             }
@@ -145,7 +149,7 @@
         advance(STEP_MICROS);
         loop.serveUntil(() -> true);
         assertEquals(
-                "none of them holds a place though it has not ended its own side",
+                "none of them takes a place in the socket budget though it has not ended its own side",
                 openBefore,
                 loop.openChannels());
     }
--- a/daemon/src/test/java/postgrade/daemon/ClientDisconnectTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ClientDisconnectTest.java
@@ -14,7 +14,7 @@
 import org.junit.Test;
 import postgrade.policy.api.AttemptOutcome;
 
-/** A client that has left gets no attempt, in whatever moment and manner it goes. */
+/** No attempt is sent for a client that has disconnected, whenever and however it does so. */
 public class ClientDisconnectTest extends DaemonTestBase {
 
     private static final String ATTEMPT_METHOD = "POST";
@@ -31,7 +31,7 @@
                     Socket::close,
                     Socket::shutdownOutput,
                     s -> {
-                        s.setSoLinger(true, 0); // With a reset.
+                        s.setSoLinger(true, 0); // Closes with a reset.
                         s.close();
                     });
 
@@ -57,7 +57,7 @@
         }
     }
 
-    /** All that was written has arrived when a later attempt has. */
+    /** Sends a later attempt: once that has arrived, anything sent before it has arrived too. */
     private void assertNothingSent() throws Exception {
         harness.script.onJob = job -> harness.script.actions.startAttempt(job.id(), "w1", 0);
         harness.post("last");
@@ -99,7 +99,7 @@
             ScriptedPeer.ReceivedMessage attempt = workerOne.awaitMessage(ATTEMPT_METHOD);
             attempt.reply("503 Full\r\nX-Not-Run: 1", "");
             if (how != DISCONNECTS.get(0)) {
-                // The connection has carried others, whose late answer this may be.
+                // The connection has carried other jobs, and the answer may be a late one to them.
                 workerOne.awaitMessage("DELETE /jobs/r1 ").reply("200 OK", "");
             }
             harness.script.expectEvent("job r1");
@@ -114,7 +114,7 @@
     public void endOfStreamBehindSeveralReadsIsSeenBeforeTheAttempt() throws Exception {
         harness.script.onJob = job -> harness.script.actions.startAttempt(job.id(), "w1", 0);
         StringBuilder many = new StringBuilder();
-        for (int i = 0; many.length() < 100_000; i++) { // A turn reads 64 KiB of it.
+        for (int i = 0; many.length() < 100_000; i++) { // An iteration reads 64 KiB of it.
             many.append("POST /api HTTP/1.1\r\nX-Request-Id: m")
                     .append(i)
                     .append("\r\nX-Class: price\r\nContent-Length: 1000\r\n\r\n")
@@ -135,8 +135,8 @@
     }
 
     /**
-     * What was turned away is read from again at the next sweep only, but a job that waits behind
-     * it is another matter.
+     * After a rejected request the connection is read again only at the next sweep, but not while a
+     * job behind it is pending.
      */
     @Test
     public void disconnectAfterARejectedRequestIsSeenInTheSameIteration() throws Exception {
@@ -144,11 +144,11 @@
         harness.script.onJob =
                 job -> {
                     disconnect(Socket::close, client);
-                    harness.script.actions.startTimer("next turn", 0);
+                    harness.script.actions.startTimer("next iteration", 0);
                 };
         harness.interleave(
                 TWO_SWEEPS_MILLIS,
-                () -> {}, // The next sweep is far.
+                () -> {}, // The next sweep is not due yet.
                 () ->
                         ScriptedPeer.write(
                                 client,
@@ -156,7 +156,7 @@
                                         + "X-Class: price\r\nContent-Length: 0\r\n\r\n"));
         harness.script.expectEvent("job p1");
         harness.script.expectEvent("abandoned p1");
-        harness.script.expectEvent("timer next turn");
+        harness.script.expectEvent("timer next iteration");
     }
 
     @Test
@@ -179,10 +179,9 @@
                     0,
                     () -> {
                         for (int i = 0; i < 3; i++) {
-                            accepted[0] =
-                                    unresponsive
-                                            .accept(); // The third is ours: it comes up with the
-                            // system's next try.
+                            // The third connection is the dispatcher's: it is established when
+                            // the system retries the connect.
+                            accepted[0] = unresponsive.accept();
                             sockets.add(accepted[0]);
                         }
                     },
@@ -199,7 +198,7 @@
         harness.post("warm");
         harness.script.expectEvent("job warm");
         workerOne.awaitMessage(ATTEMPT_METHOD).accept();
-        harness.awaitIteration(); // The first attempt of all has a connection at once.
+        harness.awaitIteration(); // The very first attempt gets its connection immediately.
         harness.script.onJob = job -> {};
         int many = 100;
         Socket[] clients = new Socket[many];
@@ -207,7 +206,7 @@
             clients[i] = harness.post("b" + i);
             harness.script.expectEvent("job b" + i);
         }
-        Socket go = harness.connect();
+        Socket trigger = harness.connect();
         harness.awaitIteration();
         harness.script.onJob =
                 job -> {
@@ -221,7 +220,7 @@
                     for (Socket c : clients) {
                         c.close();
                     }
-                    LoopHarness.post(go, "go");
+                    LoopHarness.post(trigger, "go");
                 },
                 () -> {});
         assertNothingSent();
--- a/daemon/src/test/java/postgrade/daemon/DiscoveryDownTest.java
+++ b/daemon/src/test/java/postgrade/daemon/DiscoveryDownTest.java
@@ -9,14 +9,14 @@
 import postgrade.daemon.ScriptedPeer.ReceivedMessage;
 
 /**
- * While discovery is down, only the workers' own answers tell that one of them drains. Discovery
- * never speaks here.
+ * While discovery is down, only the answers of the workers show that one of them is draining.
+ * Discovery never answers in these tests.
  */
 public class DiscoveryDownTest extends DaemonTestBase {
 
     private ScriptedPeer otherWorker;
 
-    /** The worker that was chosen has the job. */
+    /** Returns the job as received by the worker that was chosen. */
     private ReceivedMessage firstAttempt() throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(ScriptedPeer.TIMEOUT_S);
         while (workerOne.hasNoMessage() && workerTwo.hasNoMessage()) {
@@ -27,10 +27,10 @@
         return (otherWorker == workerOne ? workerTwo : workerOne).awaitMessage("POST");
     }
 
-    private void assertServedByOther(Socket consumer, String id) throws Exception {
+    private void assertServedByOther(Socket client, String id) throws Exception {
         otherWorker.awaitMessage("POST").accept();
         callBack(id, otherWorker == workerOne ? "w1" : "w2", "done");
-        assertEquals(200, ScriptedPeer.read(consumer).status());
+        assertEquals(200, ScriptedPeer.read(client).status());
     }
 
     @Test
@@ -38,11 +38,11 @@
         startDaemon(
                 workerEntry("w1", workerOne.address(), "ready"),
                 workerEntry("w2", workerTwo.address(), "ready"));
-        Socket consumer = post("h1", "confirm", "15000m");
+        Socket client = post("h1", "confirm", "15000m");
         ScriptedPeer.write(
                 firstAttempt().socket(),
                 "HTTP/1.1 503 Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
-        assertServedByOther(consumer, "h1");
+        assertServedByOther(client, "h1");
     }
 
     @Test
@@ -50,13 +50,13 @@
         startDaemon(
                 workerEntry("w1", workerOne.address(), "ready"),
                 workerEntry("w2", workerTwo.address(), "ready"));
-        Socket consumer = post("h2", "confirm", "15000m");
+        Socket client = post("h2", "confirm", "15000m");
         firstAttempt().accept();
         callBack("h2", otherWorker == workerOne ? "w2" : "w1", "returned");
-        assertServedByOther(consumer, "h2");
+        assertServedByOther(client, "h2");
     }
 
-    /** The process has ended with its release, of which nobody has told us. */
+    /** The process ended when it was replaced, and no list has reported that. */
     @Test
     public void workerThatRefusesConnectionsIsSkipped() throws Exception {
         workerOne.close();
@@ -64,10 +64,10 @@
                 workerEntry("w1", workerOne.address(), "ready"),
                 workerEntry("w2", workerTwo.address(), "ready"));
         for (int i = 0; i < 10; i++) {
-            Socket consumer = post("u" + i, "confirm", "15000m");
+            Socket client = post("u" + i, "confirm", "15000m");
             workerTwo.awaitMessage("POST").accept();
             callBack("u" + i, "w2", "done");
-            assertEquals(200, ScriptedPeer.read(consumer).status());
+            assertEquals(200, ScriptedPeer.read(client).status());
         }
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/DispatcherExtensionTest.java
+++ b/daemon/src/test/java/postgrade/daemon/DispatcherExtensionTest.java
@@ -23,10 +23,7 @@
 import postgrade.operator.AdditionalEndpoints;
 import postgrade.policy.api.JobConstraints;
 
-/**
- * What stands beside a dispatcher hears what goes on, has its say, and is asked what operators want
- * of it.
- */
+/** An extension is notified of events, constrains the policy and receives operators' calls. */
 public class DispatcherExtensionTest extends DaemonTestBase
         implements DispatcherExtension, AdditionalEndpoints {
 
@@ -59,8 +56,8 @@
         }
     }
 
-    private void expectEvent(String what) throws InterruptedException {
-        assertEquals(what, events.poll(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
+    private void expectEvent(String expected) throws InterruptedException {
+        assertEquals(expected, events.poll(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
     }
 
     @Override
@@ -79,9 +76,9 @@
     }
 
     @Override
-    public boolean mayConnect(String worker, boolean must) {
+    public boolean mayConnect(String worker, boolean forced) {
         if (refusesConnections) {
-            events.add("connect " + worker + " " + must);
+            events.add("connect " + worker + " " + forced);
         }
         return !refusesConnections;
     }
@@ -102,8 +99,8 @@
     }
 
     @Override
-    public void workerMaintenanceChanged(String worker, boolean out) {
-        events.add(worker + " " + out);
+    public void workerMaintenanceChanged(String worker, boolean inMaintenance) {
+        events.add(worker + " " + inMaintenance);
     }
 
     @Override
@@ -133,7 +130,7 @@
 
     @Override
     public void handle(String method, String path, byte[] body, Reply reply) {
-        // Answered in a later turn, as an answer from elsewhere would be.
+        // Answered in a later iteration, as an answer from another thread would be.
         host.loopExecutor()
                 .execute(() -> reply.answer(503, 1_200_000, "{\"length\":" + body.length + "}"));
     }
@@ -179,16 +176,17 @@
         initTimeoutMicros = ScriptedPeer.TIMEOUT_S * 1_000_000L;
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> script.actions.reject(job.id(), 0);
-        assertThrows("they turn to others at once", ConnectException.class, this::connect);
+        assertThrows(
+                "clients turn to other dispatchers at once", ConnectException.class, this::connect);
         assertEquals(
-                "it takes no consumers yet", 503, operatorCall(daemon, "GET /status", "").status());
+                "it serves no clients yet", 503, operatorCall(daemon, "GET /status", "").status());
         host.loopExecutor().execute(() -> host.enterMaintenance("w1"));
         script.expectEvent("list DELTA [w1 DRAINING]");
         assertThrows(ConnectException.class, this::connect);
         initialized = true;
-        Socket consumer = postOnceListening("a1");
+        Socket client = postOnceListening("a1");
         script.expectEvent("job a1");
-        assertEquals(429, ScriptedPeer.read(consumer).status());
+        assertEquals(429, ScriptedPeer.read(client).status());
     }
 
     @Test
@@ -196,12 +194,12 @@
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob =
                 job -> {
-                    events.add("turn " + (iterationMicros == host.timers().nowMicros()));
+                    events.add("iteration " + (iterationMicros == host.timers().nowMicros()));
                     script.actions.reject(job.id(), 0);
                 };
-        Socket consumer = post("t1", "price", "15000m");
-        expectEvent("turn true");
-        assertEquals(429, ScriptedPeer.read(consumer).status());
+        Socket client = post("t1", "price", "15000m");
+        expectEvent("iteration true");
+        assertEquals(429, ScriptedPeer.read(client).status());
     }
 
     @Test
@@ -212,7 +210,8 @@
         post("p1", "price", "15000m");
         expectEvent("connect w1 true");
         ReceivedMessage first = workerOne.awaitMessage("POST");
-        post("p2", "price", "15000m"); // The first is not answered, so its connection stays in use.
+        // The first request is not answered, so its connection stays in use.
+        post("p2", "price", "15000m");
         expectEvent("connect w1 false");
         expectEvent("connect w1 true");
         ReceivedMessage second = workerOne.awaitMessage("POST");
@@ -225,9 +224,9 @@
         initTimeoutMicros = 50_000;
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> script.actions.reject(job.id(), 0);
-        Socket consumer = postOnceListening("b1");
+        Socket client = postOnceListening("b1");
         script.expectEvent("job b1");
-        assertEquals(429, ScriptedPeer.read(consumer).status());
+        assertEquals(429, ScriptedPeer.read(client).status());
     }
 
     @Test
@@ -253,7 +252,7 @@
         environment.put("ROUTER_SHARING", "sharing.star");
         try {
             CompanionLoader.loadPlan(Config.read(environment));
-            fail("started without what was asked for");
+            fail("started without the extension that was asked for");
         } catch (Config.InvalidConfigException e) {
             assertTrue(e.getMessage(), e.getMessage().startsWith("sharing: "));
         }
@@ -270,12 +269,14 @@
             Thread.onSpinWait();
         }
         long plainPassed = plain.micros() - plainBefore;
-        assertTrue("2% in 200 ms are 4 ms", fast.micros() - fastBefore > plainPassed + 1_000);
+        assertTrue(
+                "a drift of 2% is 4 ms in 200 ms",
+                fast.micros() - fastBefore > plainPassed + 1_000);
         assertEquals(System.currentTimeMillis() - 60_000, fast.unixMillis(), 1_000);
-        for (String faulty : List.of("7", "a,b", "0,200000", "1,2,3")) {
+        for (String invalid : List.of("7", "a,b", "0,200000", "1,2,3")) {
             try {
-                Clock.of(faulty);
-                fail(faulty);
+                Clock.of(invalid);
+                fail(invalid);
             } catch (Config.InvalidConfigException e) {
                 assertTrue(e.getMessage(), e.getMessage().startsWith("POSTGRADE_TEST_CLOCK: "));
             }
--- a/daemon/src/test/java/postgrade/daemon/ExtensionHeadersTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ExtensionHeadersTest.java
@@ -16,7 +16,7 @@
 import postgrade.operator.AdditionalEndpoints;
 import postgrade.policy.api.JobConstraints;
 
-/** What jobs claim in headers that somebody beside the dispatcher reads. */
+/** Job headers that are read by an extension of the dispatcher. */
 public class ExtensionHeadersTest extends DaemonTestBase
         implements DispatcherExtension, ExtensionHeaders {
 
@@ -54,7 +54,7 @@
         if ("soon".equals(lasts)) {
             throw new IllegalArgumentException("X-Window-Lasts has to be a length");
         }
-        return id -> script.events.add("claim " + id + " " + jobClass + " " + lasts);
+        return id -> script.events.add("headers " + id + " " + jobClass + " " + lasts);
     }
 
     private Socket submit(String id, String headers) throws IOException {
@@ -84,13 +84,13 @@
         assertRejected(
                 "c1", "X-Window-Lasts: 1m\r\nX-Window-Lasts: 1m\r\n", "x-window-lasts is repeated");
         assertEquals(429, ScriptedPeer.read(submit("c1", "X-Window-Lasts: 90m\r\n")).status());
-        script.expectEvent("claim c1 price 90m");
+        script.expectEvent("headers c1 price 90m");
         script.expectEvent("job c1");
         assertEquals(
-                "told too, so that nothing older holds",
+                "told too if absent, so that no older value stays in force",
                 429,
                 ScriptedPeer.read(submit("c1", "")).status());
-        script.expectEvent("claim c1 price null");
+        script.expectEvent("headers c1 price null");
         script.expectEvent("job c1");
     }
 
@@ -99,17 +99,17 @@
         maxHeldJobs = 1;
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         submit("d1", "X-Window-Lasts: 1m\r\n");
-        script.expectEvent("claim d1 price 1m");
+        script.expectEvent("headers d1 price 1m");
         script.expectEvent("job d1");
         assertEquals(
-                "its id is open",
+                "a job with its id is open",
                 409,
                 ScriptedPeer.read(submit("d1", "X-Window-Lasts: 2m\r\n")).status());
         assertEquals(
-                "no place",
+                "no place for another held job",
                 429,
                 ScriptedPeer.read(submit("d2", "X-Window-Lasts: 3m\r\n")).status());
-        assertTrue("heard of neither", script.events.isEmpty());
+        assertTrue("neither was delivered", script.events.isEmpty());
     }
 
     @Test
--- a/daemon/src/test/java/postgrade/daemon/LoopHarness.java
+++ b/daemon/src/test/java/postgrade/daemon/LoopHarness.java
@@ -25,13 +25,13 @@
 import postgrade.worker.WorkerEndpoint;
 
 /**
- * The loop with all that serves clients, and a hook into one of its turns: while the loop is held,
- * and after the turn's select, peers may do what the loop has not seen when it comes to what is
- * due.
+ * The event loop with everything that serves clients, and a hook into one of its iterations. While
+ * the loop is held, and after the iteration's select, peers can act in ways that the loop has not
+ * seen when it runs the tasks that are due.
  */
 final class LoopHarness implements AutoCloseable {
 
-    /** What a peer does. */
+    /** An action of a peer. */
     interface IoAction {
         void run() throws IOException;
     }
@@ -46,22 +46,24 @@
     private final List<Socket> sockets = new ArrayList<>();
     private final Thread thread;
 
-    /** Told at the end of this turn. */
+    /** Counted down at the end of the current iteration. */
     private CountDownLatch iterationEnd;
 
     /**
-     * @param places for sockets
+     * Starts the loop with the system's own socket calls.
+     *
+     * @param socketLimit the most sockets that may be open
      */
-    LoopHarness(Config config, int places) throws IOException {
-        this(config, places, SystemCalls.REAL);
+    LoopHarness(Config config, int socketLimit) throws IOException {
+        this(config, socketLimit, SystemCalls.REAL);
     }
 
-    LoopHarness(Config config, int places, SystemCalls systemCalls) throws IOException {
-        loop = new EventLoop(new SocketBudget(places), config.clock, systemCalls);
+    LoopHarness(Config config, int socketLimit, SystemCalls systemCalls) throws IOException {
+        loop = new EventLoop(new SocketBudget(socketLimit), config.clock, systemCalls);
         ScriptedPolicy[] policies = new ScriptedPolicy[1];
         tracker =
                 new RequestTracker(
-                        out -> policies[0] = new ScriptedPolicy(out),
+                        actions -> policies[0] = new ScriptedPolicy(actions),
                         false,
                         1000,
                         loop,
@@ -100,7 +102,7 @@
         thread.start();
     }
 
-    /** No other process of this dispatcher runs. */
+    /** A relay for a dispatcher without other processes. */
     static final class NoPeers implements CallBackRelay {
         @Override
         public boolean hasPeers() {
@@ -109,7 +111,7 @@
 
         @Override
         public void relay(byte[] body, Consumer<Boolean> done) {
-            throw new AssertionError("nobody is there");
+            throw new AssertionError("there are no other processes");
         }
     }
 
@@ -136,7 +138,7 @@
         }
     }
 
-    /** A provider, ready from the start. */
+    /** Adds a worker that is ready from the start. */
     void addWorker(String id, String host, int port) throws InterruptedException {
         runOnLoop(
                 () ->
@@ -152,7 +154,7 @@
         addWorker(id, address[0], Integer.parseInt(address[1]));
     }
 
-    /** Runs something on the loop and waits for it. */
+    /** Runs a task on the loop and waits for it. */
     void runOnLoop(Runnable task) throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
         loop.execute(
@@ -164,9 +166,9 @@
     }
 
     /**
-     * Holds the loop for so long at least that what is due by then is due in its next turn; what
-     * peers do meanwhile is ready in that turn. What they do after its select is not. Returns when
-     * that turn is over.
+     * Holds the loop for at least this long, so that tasks due by then run in its next iteration.
+     * What peers do while it is held is ready in that iteration; what they do after its select is
+     * not. Returns when that iteration is over.
      */
     void interleave(long holdMillis, IoAction whileHeld, IoAction afterSelect)
             throws InterruptedException {
@@ -203,9 +205,9 @@
         return !thread.isAlive();
     }
 
-    /** Waits for the end of a turn that has begun since this call. */
+    /** Waits for the end of an iteration that began after this call. */
     void awaitIteration() throws InterruptedException {
-        for (int i = 0; i < 2; i++) { // The first may be under way.
+        for (int i = 0; i < 2; i++) { // The first one may already be running.
             CountDownLatch done = new CountDownLatch(1);
             loop.execute(() -> iterationEnd = done);
             assertTrue(done.await(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
@@ -214,7 +216,7 @@
 
     void awaitEnd() throws InterruptedException {
         thread.join(TimeUnit.SECONDS.toMillis(ScriptedPeer.TIMEOUT_S));
-        assertFalse("ended", thread.isAlive());
+        assertFalse("the loop has not ended", thread.isAlive());
     }
 
     Socket connect() throws IOException {
--- a/daemon/src/test/java/postgrade/daemon/MemoryFloodTest.java
+++ b/daemon/src/test/java/postgrade/daemon/MemoryFloodTest.java
@@ -13,8 +13,8 @@
 import postgrade.daemon.ScriptedPeer.ReceivedMessage;
 
 /**
- * Clients that send as much as is kept, and go: others' jobs and call-backs are served meanwhile,
- * and nothing of it stays.
+ * Clients fill the memory limit for bodies and disconnect: other clients' jobs and call-backs must
+ * be served meanwhile, and all of the memory must be released.
  */
 public class MemoryFloodTest extends DaemonTestBase {
 
@@ -67,11 +67,8 @@
             harness.script.expectEvent("job flood" + i);
         }
         Socket over = harness.connect();
-        ScriptedPeer.write(
-                over,
-                LARGE_REQUEST_HEAD
-                        + "over\r\n\r\n"
-                        + "x".repeat(BODY_BYTES - 1)); // Not whole, and never to be.
+        // Incomplete, and never completed.
+        ScriptedPeer.write(over, LARGE_REQUEST_HEAD + "over\r\n\r\n" + "x".repeat(BODY_BYTES - 1));
         ReceivedMessage answer = ScriptedPeer.read(over);
         assertEquals(429, answer.status());
         assertEquals("ended, not reset", -1, over.getInputStream().read());
@@ -89,7 +86,7 @@
                                         + "\r\n\r\n"
                                         + "x".repeat(BODY_BYTES / 2));
                         if (i % 2 == 0) {
-                            s.setSoLinger(true, 0); // With a reset.
+                            s.setSoLinger(true, 0); // Closes with a reset.
                         }
                         s.close();
                     }
@@ -100,6 +97,6 @@
         Socket large = harness.connect();
         ScriptedPeer.write(large, LARGE_REQUEST_HEAD + "large\r\n\r\n" + "x".repeat(BODY_BYTES));
         harness.script.expectEventAmongOthers("job large");
-        assertTrue("of the flood nothing was sent on", workerOne.hasNoMessage());
+        assertTrue("nothing of the flood was sent on to the worker", workerOne.hasNoMessage());
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/OperatorTest.java
+++ b/daemon/src/test/java/postgrade/daemon/OperatorTest.java
@@ -11,7 +11,7 @@
 import org.junit.Test;
 import postgrade.daemon.ScriptedPeer.ReceivedMessage;
 
-/** What operators call for, and what the dispatcher does then. */
+/** The operators' calls and their effect on the dispatcher. */
 public class OperatorTest extends DaemonTestBase {
 
     @Before
@@ -56,7 +56,7 @@
         assertRefused(call("PUT /maintenance/exit", "[]"), 400, "id as a string");
         assertRefused(call("PUT /maintenance/enter", "{\"id\":\"w9\"}"), 404, "no worker w9");
         assertRefused(call("nonsense", ""), 400, "start line");
-        assertEquals("it has started by this answer", 200, readinessStatus());
+        assertEquals("the dispatcher has started by this answer", 200, readinessStatus());
         ReceivedMessage status = call("GET /status", "");
         assertEquals(200, status.status());
         assertEquals("{\"state\":\"active\",\"workers\":1,\"out\":[]}\n", status.body());
@@ -93,7 +93,7 @@
         assertEquals(200, exitMaintenance("w1"));
         script.expectEvent("list DELTA [w1 READY]");
         script.expectEvent("recalled w1");
-        assertEquals("not out, and no harm", 200, exitMaintenance("w1"));
+        assertEquals("not out, and no error", 200, exitMaintenance("w1"));
         post("m2", "price", "15000m");
         workerOne.awaitMessage("POST").accept();
     }
@@ -103,25 +103,25 @@
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         String text =
                 "PUT /maintenance/enter HTTP/1.1\r\nContent-Length: 11\r\n\r\n{\"id\":\"w9\"}";
-        for (int cut = 1; cut < text.length(); cut++) {
+        for (int splitAt = 1; splitAt < text.length(); splitAt++) {
             Socket s = connectOperator();
             s.setTcpNoDelay(true);
-            ScriptedPeer.write(s, text.substring(0, cut));
-            ScriptedPeer.write(s, text.substring(cut));
-            assertEquals("cut at " + cut, 404, ScriptedPeer.read(s).status());
+            ScriptedPeer.write(s, text.substring(0, splitAt));
+            ScriptedPeer.write(s, text.substring(splitAt));
+            assertEquals("cut at " + splitAt, 404, ScriptedPeer.read(s).status());
         }
         String job =
                 "POST /api HTTP/1.1\r\nX-Request-Id: ID\r\nX-Class: price\r\nContent-Length: 3\r\n\r\njob";
         Socket s = connect();
         s.setTcpNoDelay(true);
-        for (int cut = 1; cut < job.length(); cut++) {
-            String id = "" + (100 + cut);
-            String mine = job.replace("ID", id);
-            ScriptedPeer.write(s, mine.substring(0, cut));
-            ScriptedPeer.write(s, mine.substring(cut));
+        for (int splitAt = 1; splitAt < job.length(); splitAt++) {
+            String id = "" + (100 + splitAt);
+            String request = job.replace("ID", id);
+            ScriptedPeer.write(s, request.substring(0, splitAt));
+            ScriptedPeer.write(s, request.substring(splitAt));
             workerOne.awaitMessage("POST").accept();
             callBack(id, "w1", "done");
-            assertEquals("cut at " + cut, 200, ScriptedPeer.read(s).status());
+            assertEquals("cut at " + splitAt, 200, ScriptedPeer.read(s).status());
         }
     }
 
@@ -133,9 +133,10 @@
             ScriptedPeer.write(
                     connectOperator(), i % 2 == 0 ? "" : "PUT /standby HTTP/1.1\r\nContent-Le");
         }
-        assertEquals("it has started by this answer", 200, readinessStatus());
+        assertEquals("the dispatcher has started by this answer", 200, readinessStatus());
         assertEquals(200, call("GET /status", "").status());
-        assertEquals("who came first goes first", -1, first.getInputStream().read());
+        assertEquals(
+                "the caller who came first is evicted first", -1, first.getInputStream().read());
         assertEquals(200, readinessStatus());
     }
 
@@ -153,9 +154,9 @@
         assertEquals(200, call("PUT /standby", "").status());
         assertEquals(503, readinessStatus());
         assertEquals(503, call("GET /status", "").status());
-        Socket late = post("d3", "price", "15000m"); // The front does not know yet.
+        Socket late = post("d3", "price", "15000m"); // The load balancer has not noticed yet.
         workerOne.awaitMessage("POST").accept();
-        assertEquals("closed, as nobody may be held idle", -1, idle.getInputStream().read());
+        assertEquals("closed, as no idle connection may be held", -1, idle.getInputStream().read());
         assertEquals(200, call("PUT /standby", "").status());
         assertEquals(204, callBack("d2", "w1", "done"));
         assertEquals(204, callBack("d3", "w1", "done"));
--- a/daemon/src/test/java/postgrade/daemon/ShutdownDuringJobTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ShutdownDuringJobTest.java
@@ -13,8 +13,8 @@
 import postgrade.daemon.ScriptedPeer.ReceivedMessage;
 
 /**
- * SIGTERM meets a job at a stage of its life, and it goes on once resting connections are ended: it
- * gets its one answer.
+ * SIGTERM arrives at various stages of a job, which continues after idle connections have been
+ * closed and must get exactly one answer.
  */
 public class ShutdownDuringJobTest extends ShutdownTestBase {
 
@@ -26,10 +26,10 @@
         return client;
     }
 
-    /** The worker reports it done, also once more, and the client hears of it once. */
+    /** The worker reports the job as done, twice; the client gets one answer. */
     private void assertAnsweredOnce(Socket client, String id) throws Exception {
         assertEquals(204, callBack(id, "w1", "done"));
-        assertEquals("late", 204, callBack(id, "w1", "done"));
+        assertEquals("a late, repeated report", 204, callBack(id, "w1", "done"));
         ReceivedMessage answer = ScriptedPeer.read(client);
         assertEquals(200, answer.status());
         assertEquals("made by w1", answer.body());
@@ -56,10 +56,8 @@
         try (ServerSocket unresponsive = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             unresponsive.setSoTimeout(ScriptedPeer.TIMEOUT_S * 1000);
             for (int i = 0; i < 2; i++) {
-                sockets.add(
-                        new Socket(
-                                unresponsive.getInetAddress(),
-                                unresponsive.getLocalPort())); // A full backlog.
+                // Fills the backlog.
+                sockets.add(new Socket(unresponsive.getInetAddress(), unresponsive.getLocalPort()));
             }
             harness.addWorker(
                     "w1",
@@ -70,10 +68,9 @@
             harness.script.expectEvent("job c1");
             stopAndHold(() -> {}, () -> {});
             for (int i = 0; i < 3; i++) {
-                sockets.add(
-                        unresponsive
-                                .accept()); // The third is ours: it comes up with the system's next
-                // try.
+                // The third connection is the dispatcher's: it is established when the system
+                // retries the connect.
+                sockets.add(unresponsive.accept());
             }
             ReceivedMessage job = ScriptedPeer.read(sockets.get(sockets.size() - 1));
             assertEquals("c1", job.header("X-Request-Id"));
@@ -101,7 +98,7 @@
         assertAnsweredOnce(client, "s1");
     }
 
-    /** Its client has its answer, and its worker does not say that it has dropped it. */
+    /** Its client has been answered, and its worker does not confirm the cancellation. */
     private void answerWithPendingCancellation(String id) throws Exception {
         Socket client = submitAndStart(id);
         workerOne.awaitMessage("POST").accept();
@@ -115,7 +112,7 @@
         client.close();
     }
 
-    /** What comes next, but for repeated words that this one is to be dropped. */
+    /** Returns the next message, skipping repeated cancellations of this job. */
     private ReceivedMessage nextMessageExceptCancellations(String id, String start)
             throws InterruptedException {
         ReceivedMessage next = workerOne.awaitMessage();
@@ -126,27 +123,28 @@
         return next;
     }
 
-    /** A worker that is silent kept the listener open into SIGKILL. */
+    /** A silent worker used to keep the listener open until SIGKILL. */
     @Test
     public void pendingCancellationIsNotWaitedForBeyondSigkill() throws Exception {
         answerWithPendingCancellation("g1");
         stopAndHold(() -> {}, () -> {});
-        assertFalse("it is waited for until then", harness.hasEnded());
+        assertFalse("the process waits for it until then", harness.hasEnded());
         CountDownLatch later = new CountDownLatch(1);
         harness.interleave(
                 KILL_MILLIS - CLOSE_IDLE_MILLIS,
                 () -> {},
                 () -> harness.loop.at(harness.loop.nowMicros() + 1, later::countDown));
         harness.awaitEnd();
-        assertEquals("ended in that turn", 1, later.getCount());
+        assertEquals("ended in that iteration", 1, later.getCount());
     }
 
-    /** In one late turn its job is answered as it stands and the process is to end. */
+    /** In a single late iteration the job is answered early and the process is due to exit. */
     @Test
     public void jobAnsweredEarlyAtExitIsStillCancelledAtItsWorker() throws Exception {
         answerWithPendingCancellation("h1");
         stopAndHold(() -> {}, () -> {});
-        harness.interleave(150, () -> {}, () -> {}); // Later than what SIGKILL may find unanswered.
+        // Later than the jobs that SIGKILL may leave unanswered.
+        harness.interleave(150, () -> {}, () -> {});
         Socket late = harness.post("h2");
         harness.script.expectEvent("job h2");
         nextMessageExceptCancellations("h1", "POST").accept();
@@ -157,12 +155,13 @@
         harness.awaitEnd();
     }
 
-    /** Guards against one that SIGKILL finds unanswered where SIGTERM was heard of late. */
+    /** Guards against a job left unanswered at SIGKILL because the process handled SIGTERM late. */
     @Test
     public void jobThatMayOutliveSigkillIsAnsweredBefore() throws Exception {
         answerWithPendingCancellation("i0");
         stopAndHold(() -> {}, () -> {});
-        Socket late = harness.post("i1"); // 0.6 s after it was heard, so 0.7 s after it was sent.
+        // 0.6 s after SIGTERM was handled, which may be 0.7 s after it was sent.
+        Socket late = harness.post("i1");
         harness.script.expectEvent("job i1");
         nextMessageExceptCancellations("i0", "POST").accept();
         harness.interleave(KILL_MILLIS - CLOSE_IDLE_MILLIS - 200, () -> {}, () -> {});
@@ -187,8 +186,8 @@
     }
 
     /**
-     * Answers fill what the system holds for a client that does not read: the last ones are still
-     * with us.
+     * The answers fill the socket buffers of a client that does not read, so that the last ones are
+     * still held by the dispatcher.
      */
     @Test
     public void answersThatAClientReadsLateAreWrittenCompletely() throws Exception {
@@ -218,10 +217,8 @@
         }
         harness.runOnLoop(harness.shutdown::begin);
         harness.interleave(KILL_MILLIS, () -> {}, () -> {});
-        harness.interleave(
-                TWO_SWEEPS_MILLIS,
-                () -> {},
-                () -> {}); // Its peers are waited for no longer, but for what they are owed.
+        // Peers are no longer waited for, except to read the answers due to them.
+        harness.interleave(TWO_SWEEPS_MILLIS, () -> {}, () -> {});
         for (int i = 0; i < answers; i++) {
             ReceivedMessage answer = ScriptedPeer.read(late);
             assertEquals(200, answer.status());
--- a/daemon/src/test/java/postgrade/daemon/ShutdownRaceTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ShutdownRaceTest.java
@@ -8,7 +8,10 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.Test;
 
-/** What comes in the very moment in which connections are closed or the process ends. */
+/**
+ * Requests and connections that arrive at the very moment at which connections are closed or the
+ * process exits.
+ */
 public class ShutdownRaceTest extends ShutdownTestBase {
 
     @Test
@@ -35,9 +38,9 @@
         stopAndHold(
                 () -> late[0] = harness.connect(),
                 () ->
+                        // After everything that is due.
                         harness.loop.at(
-                                harness.loop.nowMicros(),
-                                () -> LoopHarness.post(late[0], "m1"))); // Behind all that is due.
+                                harness.loop.nowMicros(), () -> LoopHarness.post(late[0], "m1")));
         assertRejectedAndClosed(late[0]);
     }
 
@@ -48,12 +51,12 @@
         stopAndHold(
                 () -> {},
                 () ->
-                        harness.loop.at(
-                                harness.loop.nowMicros() + 25_000,
-                                later::countDown)); // Behind the next check.
-        assertEquals("told to leave", -1, kept.getInputStream().read());
+                        // After the next check.
+                        harness.loop.at(harness.loop.nowMicros() + 25_000, later::countDown));
+        assertEquals("told to leave by the end of output", -1, kept.getInputStream().read());
         assertTrue(
-                "it may not have read all", later.await(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
+                "the process waits, as the peer may not have read all",
+                later.await(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
         kept.close();
         harness.awaitEnd();
     }
@@ -63,13 +66,13 @@
         Socket kept = idleConnection("n1");
         stopAndHold(() -> {}, () -> {});
         CountDownLatch later = new CountDownLatch(1);
-        // It is waited for until 0.6 s and one more have passed; SIGKILL may come at 1.5 s.
+        // It is waited for until 0.6 s and this interval have passed; SIGKILL may come at 1.5 s.
         harness.interleave(
                 KILL_MILLIS - CLOSE_IDLE_MILLIS,
                 () -> {},
                 () -> harness.loop.at(harness.loop.nowMicros() + 1, later::countDown));
         harness.awaitEnd();
-        assertEquals("ended in that turn", 1, later.getCount());
+        assertEquals("ended in that iteration", 1, later.getCount());
         assertEquals(-1, kept.getInputStream().read());
     }
 
@@ -92,7 +95,8 @@
                 () -> {},
                 () ->
                         ScriptedPeer.write(
-                                kept, job + "p2\r\n\r\n" + job + "p3\r\n\r\n")); // In one packet.
+                                // In one packet.
+                                kept, job + "p2\r\n\r\n" + job + "p3\r\n\r\n"));
         harness.script.expectEvent("job p2");
         assertRejectedAndClosed(kept);
         kept.close();
@@ -113,25 +117,25 @@
         ScriptedPeer.write(half, "job");
         half.close();
         harness.awaitEnd();
-        assertTrue("passed over", harness.script.events.isEmpty());
+        assertTrue("dropped", harness.script.events.isEmpty());
     }
 
     @Test
     public void silentConnectionIsClosedWithoutLosingARequestThatArrivesThen() throws Exception {
         Socket silent = harness.connect();
         harness.awaitIteration();
-        harness.interleave(
-                2_100, () -> {}, () -> LoopHarness.post(silent, "w1")); // It is given 2 s.
+        // The time-out is 2 s.
+        harness.interleave(2_100, () -> {}, () -> LoopHarness.post(silent, "w1"));
         harness.script.expectEvent("job w1");
         assertEquals(429, ScriptedPeer.read(silent).status());
     }
 
     @Test
     public void idleConnectionWithAnUnreadRequestIsNotEvictedForANewOne() throws Exception {
-        Socket[] idle = new Socket[48]; // All that may be accepted of 64.
+        Socket[] idle = new Socket[48]; // The accepted share of 64 sockets.
         for (int i = 0; i < idle.length; i++) {
             idle[i] = idleConnection("i" + i);
-            LoopHarness.post(idle[i], "j" + i); // Past its probation.
+            LoopHarness.post(idle[i], "j" + i); // The second valid request ends the probation.
             harness.script.expectEvent("job j" + i);
             assertEquals(429, ScriptedPeer.read(idle[i]).status());
         }
@@ -141,8 +145,9 @@
                 TWO_SWEEPS_MILLIS,
                 () -> fresh[0] = harness.post("f1"),
                 () -> LoopHarness.post(idle[0], "f2"));
-        assertEquals("the one that was idle longest", 429, ScriptedPeer.read(idle[0]).status());
+        assertEquals(
+                "the connection that was idle longest", 429, ScriptedPeer.read(idle[0]).status());
         assertEquals(429, ScriptedPeer.read(fresh[0]).status());
-        assertEquals("another has gone", -1, idle[1].getInputStream().read());
+        assertEquals("another one is gone, evicted", -1, idle[1].getInputStream().read());
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/ShutdownTestBase.java
+++ b/daemon/src/test/java/postgrade/daemon/ShutdownTestBase.java
@@ -12,14 +12,14 @@
 import postgrade.daemon.ScriptedPeer.ReceivedMessage;
 
 /**
- * The stage of what SIGTERM crosses: the loop with all that serves clients and ends, and a hook
- * into its turns.
+ * Base of tests of requests that race with SIGTERM: the loop with everything that serves clients
+ * and shuts down, with a hook into its iterations.
  */
 public abstract class ShutdownTestBase extends DaemonTestBase {
 
     /**
-     * SIGKILL comes 1.5 s after SIGTERM at the earliest, resting connections are closed from 0.5 s
-     * on.
+     * With this deadline SIGKILL comes 1.5 s after SIGTERM at the earliest, and idle connections
+     * are closed from 0.5 s on.
      */
     static final long DEADLINE_NS = 800_000_000L;
 
@@ -56,7 +56,7 @@
         return s;
     }
 
-    /** SIGTERM, with the loop held until connections are to be closed. */
+    /** Simulates SIGTERM and holds the loop until idle connections are due to be closed. */
     void stopAndHold(LoopHarness.IoAction whileHeld, LoopHarness.IoAction afterSelect)
             throws Exception {
         harness.runOnLoop(harness.shutdown::begin);
--- a/daemon/src/test/java/postgrade/lifecycle/LifecycleTest.java
+++ b/daemon/src/test/java/postgrade/lifecycle/LifecycleTest.java
@@ -17,7 +17,7 @@
 
     @Before
     public void start() {
-        assertFalse("not before it listens", lifecycle.isReady());
+        assertFalse("not ready before it listens", lifecycle.isReady());
         lifecycle.markStarted();
         assertTrue(lifecycle.isReady());
         assertFalse(
@@ -30,18 +30,18 @@
     public void standbyClosesConnectionsAfterReadinessHasPropagatedAndIsEmptyBefore4s() {
         lifecycle.enterStandby(BEGIN);
         assertFalse(lifecycle.isReady());
-        assertTrue("call-backs come there", lifecycle.acceptsConnections());
+        assertTrue("call-backs still arrive", lifecycle.acceptsConnections());
         assertFalse(
-                "the front sends for 0.3 s more",
+                "the load balancer sends clients for 0.3 s more",
                 lifecycle.closesAfterAnswer(BEGIN + 3 * SECOND / 10));
         assertTrue(lifecycle.closesAfterAnswer(BEGIN + 4 * SECOND / 10));
         assertTrue(lifecycle.closesIdleConnections(BEGIN + SECOND));
         assertEquals(OptionalLong.empty(), lifecycle.forcedAnswerCutoff(BEGIN + 3 * SECOND));
         assertTrue(
-                "4 s after the call none of the last 2 s is held",
+                "4 s after the call none of the jobs of the last 2 s is held",
                 lifecycle.forcedAnswerCutoff(BEGIN + 39 * SECOND / 10).getAsLong()
                         <= BEGIN + 2 * SECOND);
-        assertFalse("it does not exit", lifecycle.mayExit(BEGIN + 60 * SECOND));
+        assertFalse("standby does not exit", lifecycle.mayExit(BEGIN + 60 * SECOND));
         lifecycle.enterStandby(BEGIN + 3 * SECOND);
         assertTrue(
                 "told again, the first call's time counts",
@@ -72,7 +72,7 @@
         Lifecycle veryShortDeadline = new Lifecycle();
         veryShortDeadline.stop(BEGIN, 3 * SECOND / 10, false);
         assertFalse(
-                "new connections still come",
+                "new connections still arrive",
                 veryShortDeadline.closesIdleConnections(BEGIN + 4 * SECOND / 10)
                         || veryShortDeadline.mayExit(BEGIN + 4 * SECOND / 10));
         assertTrue(veryShortDeadline.mayExit(BEGIN + 5 * SECOND / 10));
