--- a/load/src/main/java/postgrade/load/source/Entry.java
+++ b/load/src/main/java/postgrade/load/source/Entry.java
@@ -28,7 +28,7 @@
     private Object param;
     private Object extra;
 
-    /** A field by its name of {@link JobHeaders}, or null where the source has none. */
+    /** A field by its name of {@link Fields}, or null where the source has none. */
     public abstract String field(String name);
 
     public abstract int status();
--- a/load/src/main/java/postgrade/load/source/LogFormat.java
+++ b/load/src/main/java/postgrade/load/source/LogFormat.java
@@ -28,7 +28,7 @@
     }
 
     /**
-     * @param name of {@link JobHeaders}, or the format's own; null for one that is passed over
+     * @param name of {@link Fields}, or the format's own; null for one that is passed over
      * @param stamp reads it, where it is the time
      * @param unitMicros of a duration, else 0
      */
