--- a/core/src/main/java/postgrade/dispatch/ActionQueue.java
+++ b/core/src/main/java/postgrade/dispatch/ActionQueue.java
@@ -72,7 +72,7 @@
     }
 
     private void cancel(Attempt attempt, DecisionReason reason) {
-        if (attempt.isOut()) {
+        if (attempt.isInFlight()) {
             lifecycle
                     .observer()
                     .attemptCancelled(attempt.id(), attempt.workerId(), attempt.number(), reason);
@@ -121,11 +121,11 @@
     }
 
     @Override
-    public void startTimer(String token, long inNs) {
+    public void startTimer(String token, long delayNs) {
         batch.addAction(
                 () -> {
                     long whenMicros =
-                            timers.nowMicros() + (inNs + NANOS_PER_MICRO - 1) / NANOS_PER_MICRO;
+                            timers.nowMicros() + (delayNs + NANOS_PER_MICRO - 1) / NANOS_PER_MICRO;
                     timers.at(
                             whenMicros,
                             () -> batch.addEvent(nowNs -> policy.get().timerFired(nowNs, token)));
@@ -144,36 +144,36 @@
         }
         long nowMicros = timers.nowMicros();
         long deadlineMicros = request.deadlineMicros();
-        long untilMicros =
+        long expiresAtMicros =
                 limitNs == 0
                         ? deadlineMicros
                         : Math.min(deadlineMicros, nowMicros + limitNs / NANOS_PER_MICRO);
-        boolean second = !request.mayAddAttempt(workerId);
+        boolean conflicts = !request.mayAddAttempt(workerId);
         Attempt attempt =
                 new Attempt(
                         request,
                         request.attempts().size(),
                         workerId,
-                        untilMicros,
+                        expiresAtMicros,
                         nowMicros + windowNs / NANOS_PER_MICRO,
                         nowMicros);
         request.add(attempt);
-        if (second) {
+        if (conflicts) {
             errors.internalError(
-                    InternalErrorListener.SECOND_CALL,
+                    InternalErrorListener.CONFLICTING_ATTEMPT,
                     "the module asked for a second call of a job that has one out; not sent",
                     null);
         }
         // The client may have left since the loop last looked.
-        if (second || untilMicros <= nowMicros || attempt.isUnwanted()) {
-            Kind why = second ? Kind.OTHER_ATTEMPT_OUT : Kind.UNWANTED;
-            lifecycle.end(attempt, AttemptOutcome.NOT_SENT, EndEvidence.of(why), null);
+        if (conflicts || expiresAtMicros <= nowMicros || attempt.isUnwanted()) {
+            Kind kind = conflicts ? Kind.OTHER_ATTEMPT_OUT : Kind.UNWANTED;
+            lifecycle.end(attempt, AttemptOutcome.NOT_SENT, EndEvidence.of(kind), null);
             return;
         }
         if (attempt.number() > 0) {
             lifecycle.observer().attemptRepeated(jobId, workerId, attempt.number());
         }
-        attempt.limitTimer(timers.at(untilMicros, () -> lifecycle.expire(attempt)));
+        attempt.setExpiryTimer(timers.at(expiresAtMicros, () -> lifecycle.expire(attempt)));
         attempt.handle(transport.get().start(attempt));
     }
 }
--- a/core/src/main/java/postgrade/dispatch/Attempt.java
+++ b/core/src/main/java/postgrade/dispatch/Attempt.java
@@ -12,30 +12,30 @@
  */
 public final class Attempt {
 
-    /** Which state follows which is told by {@link #NEXT} alone. */
+    /** Which state follows which is told by {@link #TRANSITIONS} alone. */
     enum State {
         /** Queued, sent or running. */
-        OUT,
+        IN_FLIGHT,
         /** The worker is being told to drop it, and the policy has not heard of its end. */
         CANCELLING,
         /** Its outcome is known. */
         ENDED
     }
 
-    static final Map<State, Set<State>> NEXT =
+    static final Map<State, Set<State>> TRANSITIONS =
             Map.of(
-                    State.OUT, EnumSet.of(State.CANCELLING, State.ENDED),
+                    State.IN_FLIGHT, EnumSet.of(State.CANCELLING, State.ENDED),
                     State.CANCELLING, EnumSet.of(State.ENDED),
                     State.ENDED, EnumSet.noneOf(State.class));
 
     private final PendingRequest request;
     private final int number;
     private final String workerId;
-    private final long untilMicros;
-    private final long writeByMicros;
-    private State state = State.OUT;
+    private final long expiresAtMicros;
+    private final long writeDeadlineMicros;
+    private State state = State.IN_FLIGHT;
     private AttemptHandle handle;
-    private Timers.Timer limitTimer;
+    private Timers.Timer expiryTimer;
     private final long beganMicros;
     private long reportedStartMicros = WireRecord.NEVER;
     private AttemptOutcome outcome;
@@ -49,14 +49,14 @@
             PendingRequest request,
             int number,
             String workerId,
-            long untilMicros,
-            long writeByMicros,
+            long expiresAtMicros,
+            long writeDeadlineMicros,
             long nowMicros) {
         this.request = request;
         this.number = number;
         this.workerId = workerId;
-        this.untilMicros = untilMicros;
-        this.writeByMicros = writeByMicros;
+        this.expiresAtMicros = expiresAtMicros;
+        this.writeDeadlineMicros = writeDeadlineMicros;
         beganMicros = nowMicros;
     }
 
@@ -89,12 +89,12 @@
 
     /** When the attempt is no longer waited for. */
     public long expiresAtMicros() {
-        return untilMicros;
+        return expiresAtMicros;
     }
 
     /** What is left of the client's time for this attempt, at least a microsecond. */
     public long timeLeftMicros(long nowMicros) {
-        return Math.max(1, untilMicros - nowMicros - request.unreadMicros());
+        return Math.max(1, expiresAtMicros - nowMicros - request.readDelayMicros());
     }
 
     /** When the client stops waiting: until then the request may be sent again. */
@@ -106,7 +106,7 @@
      * After this it may not be written: a repeat that comes to its worker later would run again.
      */
     public long writeDeadlineMicros() {
-        return writeByMicros;
+        return writeDeadlineMicros;
     }
 
     /**
@@ -127,7 +127,7 @@
         return number;
     }
 
-    boolean isOut() {
+    boolean isInFlight() {
         return state != State.ENDED;
     }
 
@@ -141,17 +141,17 @@
         return handle;
     }
 
-    void handle(AttemptHandle onWire) {
-        handle = onWire;
+    void handle(AttemptHandle newHandle) {
+        handle = newHandle;
     }
 
     /** The timer of {@link #expiresAtMicros}, cancelled with the attempt's end. */
-    void limitTimer(Timers.Timer timer) {
-        limitTimer = timer;
+    void setExpiryTimer(Timers.Timer timer) {
+        expiryTimer = timer;
     }
 
     /** The worker reports that it has started the job. */
-    void started(long nowMicros) {
+    void recordStart(long nowMicros) {
         reportedStartMicros = nowMicros;
     }
 
@@ -171,28 +171,28 @@
     }
 
     /** Returns false, and changes nothing, if it is being cancelled or has ended. */
-    boolean cancelling() {
+    boolean beginCancel() {
         return advance(State.CANCELLING);
     }
 
     /** Returns false, and changes nothing, if it has ended. */
-    boolean end(AttemptOutcome as) {
+    boolean end(AttemptOutcome finalOutcome) {
         if (!advance(State.ENDED)) {
             return false;
         }
-        outcome = as;
-        if (limitTimer != null) {
-            limitTimer.cancel();
+        outcome = finalOutcome;
+        if (expiryTimer != null) {
+            expiryTimer.cancel();
         }
         return true;
     }
 
     private boolean advance(State next) {
-        boolean follows = NEXT.get(state).contains(next);
-        if (follows) {
+        boolean isAllowed = TRANSITIONS.get(state).contains(next);
+        if (isAllowed) {
             state = next;
         }
-        return follows;
+        return isAllowed;
     }
 
     /** Whether no worker has had it, so that trying again is harmless. */
--- a/core/src/main/java/postgrade/dispatch/AttemptLifecycle.java
+++ b/core/src/main/java/postgrade/dispatch/AttemptLifecycle.java
@@ -22,7 +22,7 @@
     private final InternalErrorListener errors;
     private final EventBatch batch;
     private final Supplier<DispatchPolicy> policy;
-    private final ArrayDeque<PendingRequest> touched = new ArrayDeque<>();
+    private final ArrayDeque<PendingRequest> settlementCandidates = new ArrayDeque<>();
     private RequestObserver observer = RequestObserver.NONE;
     private int unanswered;
 
@@ -41,8 +41,8 @@
         return observer;
     }
 
-    void observer(RequestObserver next) {
-        observer = next;
+    void observer(RequestObserver newObserver) {
+        observer = newObserver;
     }
 
     /** How many accepted requests have no answer yet. */
@@ -51,13 +51,15 @@
     }
 
     /** A request has been accepted, which is owed an answer from now on. */
-    void accepted() {
+    void requestAccepted() {
         unanswered++;
     }
 
     /** Hands over the requests that may be forgotten: nothing is owed, out or to be delivered. */
     void forgetSettled(Consumer<PendingRequest> forget) {
-        for (PendingRequest request = touched.poll(); request != null; request = touched.poll()) {
+        for (PendingRequest request = settlementCandidates.poll();
+                request != null;
+                request = settlementCandidates.poll()) {
             if (request.isSettled()) {
                 forget.accept(request);
             }
@@ -73,7 +75,7 @@
         batch.addEvent(
                 nowNs -> {
                     request.eventDelivered();
-                    touched.add(request);
+                    settlementCandidates.add(request);
                     event.accept(nowNs);
                 });
     }
@@ -95,7 +97,7 @@
             markAnswered(request, Answer.SERVED, DecisionReason.UNSTATED);
             request.client().complete(result);
         }
-        boolean last = request.isAnswered();
+        boolean requestAnswered = request.isAnswered();
         notifyPolicy(
                 request,
                 nowNs ->
@@ -105,27 +107,27 @@
                                         request.id(),
                                         attempt.number(),
                                         outcome,
-                                        last,
+                                        requestAnswered,
                                         LoadReport.NONE));
     }
 
     /** Marks the one final answer, which the caller gives. */
     void markAnswered(PendingRequest request, Answer answer, DecisionReason reason) {
-        observeAnswer(request, answer, reason, sinceArrival(request));
+        notifyAnswered(request, answer, reason, microsSinceArrival(request));
         conclude(request);
     }
 
     /** Rejects a request that is not tracked. */
     void rejectUntracked(PendingRequest request, long retryAfterMicros) {
         request.client().reject(retryAfterMicros);
-        observeAnswer(request, Answer.REJECTED, DecisionReason.NO_ROOM, 0);
+        notifyAnswered(request, Answer.REJECTED, DecisionReason.NO_ROOM, 0);
     }
 
-    private long sinceArrival(PendingRequest request) {
+    private long microsSinceArrival(PendingRequest request) {
         return timers.nowMicros() - request.arrivedMicros();
     }
 
-    private void observeAnswer(
+    private void notifyAnswered(
             PendingRequest request, Answer answer, DecisionReason reason, long afterMicros) {
         observer.requestAnswered(
                 new AnsweredRequest(
@@ -139,9 +141,9 @@
 
     /** Nothing more is owed. */
     void conclude(PendingRequest request) {
-        request.answered();
+        request.markAnswered();
         unanswered--;
-        touched.add(request);
+        settlementCandidates.add(request);
     }
 
     /**
@@ -154,9 +156,9 @@
         withdrawUnsent(request);
         boolean neverSent = request.attempts().stream().allMatch(Attempt::wasNeverSent);
         Answer answer = neverSent ? Answer.REJECTED : Answer.FAILED;
-        observeAnswer(request, answer, reason, sinceArrival(request));
+        notifyAnswered(request, answer, reason, microsSinceArrival(request));
         if (neverSent) {
-            request.client().reject(RequestTracker.FULL_RETRY_MICROS);
+            request.client().reject(RequestTracker.FULL_RETRY_AFTER_MICROS);
         } else {
             request.client().fail(timedOut);
         }
@@ -169,7 +171,7 @@
      */
     void withdrawUnsent(PendingRequest request) {
         for (Attempt attempt : request.attempts()) {
-            if (attempt.isOut() && attempt.isOnWire() && !attempt.handle().isWritten()) {
+            if (attempt.isInFlight() && attempt.isOnWire() && !attempt.handle().isWritten()) {
                 attempt.handle().cancel(evidence -> {});
                 end(
                         attempt,
@@ -184,7 +186,7 @@
     void failOverdue(PendingRequest request) {
         if (!request.isAnswered()) {
             errors.internalError(
-                    InternalErrorListener.LEFT_UNANSWERED,
+                    InternalErrorListener.UNANSWERED_AT_DEADLINE,
                     "the module left a job of class "
                             + request.jobClass()
                             + " unanswered at its deadline; failed here",
@@ -197,7 +199,7 @@
     /** An attempt is no longer waited for. */
     void expire(Attempt attempt) {
         long deadlineMicros = attempt.deadlineMicros();
-        if (attempt.isOut() && timers.nowMicros() >= deadlineMicros) {
+        if (attempt.isInFlight() && timers.nowMicros() >= deadlineMicros) {
             // The policy owes the answer now and can send no more, so it need not wait for the
             // worker.
             AttemptOutcome outcome =
@@ -205,7 +207,7 @@
             attempt.handle().cancel(evidence -> {});
             end(attempt, outcome, EndEvidence.of(EndEvidence.Kind.DEADLINE), null);
         } else {
-            attempt.limitTimer(timers.at(deadlineMicros, () -> expire(attempt)));
+            attempt.setExpiryTimer(timers.at(deadlineMicros, () -> expire(attempt)));
             cancel(attempt, AttemptOutcome.TIMEOUT);
         }
     }
@@ -215,7 +217,7 @@
      * not to run it.
      */
     void cancel(Attempt attempt, AttemptOutcome outcome) {
-        if (attempt.cancelling()) {
+        if (attempt.beginCancel()) {
             attempt.handle().cancel(evidence -> end(attempt, outcome, evidence, null));
         }
     }
@@ -225,7 +227,7 @@
         for (PendingRequest request : List.copyOf(requests)) {
             if (request.isAnswered()) {
                 request.attempts().stream()
-                        .filter(attempt -> attempt.isOut() && attempt.isOnWire())
+                        .filter(attempt -> attempt.isInFlight() && attempt.isOnWire())
                         .forEach(attempt -> cancel(attempt, AttemptOutcome.CANCELLED));
             }
         }
--- a/core/src/main/java/postgrade/dispatch/EventBatch.java
+++ b/core/src/main/java/postgrade/dispatch/EventBatch.java
@@ -14,7 +14,7 @@
 
     private final Timers timers;
     private final InternalErrorListener errors;
-    private final ArrayDeque<LongConsumer> firstEvents = new ArrayDeque<>();
+    private final ArrayDeque<LongConsumer> priorityEvents = new ArrayDeque<>();
     private final ArrayDeque<LongConsumer> events = new ArrayDeque<>();
     private final ArrayDeque<Runnable> actions = new ArrayDeque<>();
 
@@ -24,8 +24,8 @@
     }
 
     /** Adds an event that holds for all others of the turn. It is given the time in nanoseconds. */
-    void addFirst(LongConsumer event) {
-        firstEvents.add(event);
+    void addPriorityEvent(LongConsumer event) {
+        priorityEvents.add(event);
     }
 
     /** Adds an event. It is given the time in nanoseconds. */
@@ -39,7 +39,7 @@
     }
 
     boolean hasEvents() {
-        return !events.isEmpty() || !firstEvents.isEmpty();
+        return !events.isEmpty() || !priorityEvents.isEmpty();
     }
 
     /**
@@ -48,7 +48,7 @@
      */
     void run() {
         // A drain that the list tells is known before anything is sent in this turn.
-        deliver(firstEvents);
+        deliver(priorityEvents);
         deliver(events);
         for (Runnable action = actions.poll(); action != null; action = actions.poll()) {
             action.run();
--- a/core/src/main/java/postgrade/dispatch/InternalErrorListener.java
+++ b/core/src/main/java/postgrade/dispatch/InternalErrorListener.java
@@ -7,16 +7,16 @@
 public interface InternalErrorListener {
 
     /** The policy threw on a job; the request is failed. */
-    String JOB_NOT_TAKEN = "module.job-not-taken";
+    String JOB_ARRIVAL_FAILED = "module.job-not-taken";
 
     /** The policy threw on another event. */
     String EVENT_FAILED = "module.event-failed";
 
     /** The policy gave no answer by the deadline; the request is failed. */
-    String LEFT_UNANSWERED = "module.left-unanswered";
+    String UNANSWERED_AT_DEADLINE = "module.left-unanswered";
 
     /** The policy asked for a second attempt beside one that is out; it is not sent. */
-    String SECOND_CALL = "module.second-call";
+    String CONFLICTING_ATTEMPT = "module.second-call";
 
     /**
      * An error has been caught.
--- a/core/src/main/java/postgrade/dispatch/PendingRequest.java
+++ b/core/src/main/java/postgrade/dispatch/PendingRequest.java
@@ -24,12 +24,12 @@
     private final RequestPayload payload;
     private final ResponseHandler client;
     private final List<Attempt> attempts = new ArrayList<>(2);
-    private int attemptsOut;
+    private int attemptsInFlight;
     private int undeliveredEvents;
     private boolean answered;
     private boolean allowsConcurrentAttempts;
     private long arrivedMicros;
-    private long unreadMicros;
+    private long readDelayMicros;
     private Timers.Timer overdueTimer;
 
     /**
@@ -96,12 +96,12 @@
      * It may have lain unread for so long before it was read, while its client's time ran. What its
      * worker is told of the time left is less by that.
      */
-    public void setReadDelay(long micros) {
-        unreadMicros = micros;
+    public void setReadDelay(long delayMicros) {
+        readDelayMicros = delayMicros;
     }
 
-    long unreadMicros() {
-        return unreadMicros;
+    long readDelayMicros() {
+        return readDelayMicros;
     }
 
     /**
@@ -110,10 +110,10 @@
      * @param concurrentAttempts whether two of its attempts may be out at once
      * @param overdue runs when it is left unanswered
      */
-    void accepted(long nowMicros, boolean concurrentAttempts, Timers.Timer overdue) {
+    void startTracking(long nowMicros, boolean concurrentAttempts, Timers.Timer timer) {
         arrivedMicros = nowMicros;
         allowsConcurrentAttempts = concurrentAttempts;
-        overdueTimer = overdue;
+        overdueTimer = timer;
     }
 
     long arrivedMicros() {
@@ -128,17 +128,17 @@
 
     void add(Attempt attempt) {
         attempts.add(attempt);
-        attemptsOut++;
+        attemptsInFlight++;
     }
 
     void attemptEnded() {
-        attemptsOut--;
+        attemptsInFlight--;
     }
 
     /** Its attempt at this worker that is on the wire and has not ended, or null. */
-    Attempt attemptOutAt(String workerId) {
+    Attempt inFlightAttemptAt(String workerId) {
         for (Attempt attempt : attempts) {
-            if (attempt.isOut() && attempt.isOnWire() && attempt.workerId().equals(workerId)) {
+            if (attempt.isInFlight() && attempt.isOnWire() && attempt.workerId().equals(workerId)) {
                 return attempt;
             }
         }
@@ -150,7 +150,8 @@
      * worker.
      */
     boolean mayAddAttempt(String workerId) {
-        return attemptsOut == 0 || (allowsConcurrentAttempts && attemptOutAt(workerId) == null);
+        return attemptsInFlight == 0
+                || (allowsConcurrentAttempts && inFlightAttemptAt(workerId) == null);
     }
 
     // ---- Events that the policy has not heard of.
@@ -170,13 +171,13 @@
         return answered;
     }
 
-    void answered() {
+    void markAnswered() {
         answered = true;
         overdueTimer.cancel();
     }
 
     /** Whether nothing is owed, out or to be delivered, so that it may be forgotten. */
     boolean isSettled() {
-        return answered && attemptsOut == 0 && undeliveredEvents == 0;
+        return answered && attemptsInFlight == 0 && undeliveredEvents == 0;
     }
 }
--- a/core/src/main/java/postgrade/dispatch/RequestTracker.java
+++ b/core/src/main/java/postgrade/dispatch/RequestTracker.java
@@ -29,14 +29,14 @@
 public final class RequestTracker {
 
     /** When a client that finds every place taken may come back. */
-    static final long FULL_RETRY_MICROS = 500_000;
+    static final long FULL_RETRY_AFTER_MICROS = 500_000;
 
     private static final long NANOS_PER_MICRO = 1_000;
 
     /**
      * The policy answers by the deadline; what it has not answered so long after is failed here.
      */
-    private static final long OVERDUE_MICROS = 20_000;
+    private static final long OVERDUE_GRACE_MICROS = 20_000;
 
     private final Timers timers;
     private final InternalErrorListener errors;
@@ -45,7 +45,7 @@
     private final EventBatch batch;
     private final AttemptLifecycle lifecycle;
     private WorkerTransport transport;
-    private int mostRequests;
+    private int maxRequests;
     private boolean allowsConcurrentAttempts;
 
     /**
@@ -59,12 +59,12 @@
     public RequestTracker(
             Function<PolicyActions, DispatchPolicy> policyFactory,
             boolean allowsConcurrentAttempts,
-            int mostRequests,
+            int maxRequests,
             Timers timers,
             InternalErrorListener errors) {
         this.timers = timers;
         this.errors = errors;
-        this.mostRequests = mostRequests;
+        this.maxRequests = maxRequests;
         this.allowsConcurrentAttempts = allowsConcurrentAttempts;
         batch = new EventBatch(timers, errors);
         lifecycle = new AttemptLifecycle(timers, errors, batch, this::policy);
@@ -83,13 +83,13 @@
     }
 
     /** Sets the side that speaks to workers. To be called once, before the first turn. */
-    public void connectTransport(WorkerTransport workers) {
-        transport = workers;
+    public void connectTransport(WorkerTransport newTransport) {
+        transport = newTransport;
     }
 
     /** Sets who observes requests from now on, in place of any former one. */
-    public void observer(RequestObserver next) {
-        lifecycle.observer(next);
+    public void observer(RequestObserver newObserver) {
+        lifecycle.observer(newObserver);
     }
 
     /**
@@ -100,31 +100,31 @@
         if (requests.containsKey(request.id())) {
             return false; // The policy would ignore the second and never answer it.
         }
-        if (lifecycle.unanswered() >= mostRequests) {
+        if (lifecycle.unanswered() >= maxRequests) {
             // Bounds the memory: beyond this a request is rejected before the policy hears of it.
-            lifecycle.rejectUntracked(request, FULL_RETRY_MICROS);
+            lifecycle.rejectUntracked(request, FULL_RETRY_AFTER_MICROS);
             return true;
         }
         requests.put(request.id(), request);
-        lifecycle.accepted();
-        long overdueMicros = request.deadlineMicros() + OVERDUE_MICROS;
-        request.accepted(
+        lifecycle.requestAccepted();
+        long overdueMicros = request.deadlineMicros() + OVERDUE_GRACE_MICROS;
+        request.startTracking(
                 timers.nowMicros(),
                 allowsConcurrentAttempts,
                 timers.at(overdueMicros, () -> lifecycle.failOverdue(request)));
-        batch.addEvent(nowNs -> deliver(nowNs, request));
+        batch.addEvent(nowNs -> deliverJob(nowNs, request));
         return true;
     }
 
     /**
      * Delivers a new request to the policy. One that the policy throws on is still owed its answer.
      */
-    private void deliver(long nowNs, PendingRequest request) {
+    private void deliverJob(long nowNs, PendingRequest request) {
         try {
             policy.jobArrived(nowNs, request.toJob(nowNs));
         } catch (RuntimeException thrown) {
             errors.internalError(
-                    InternalErrorListener.JOB_NOT_TAKEN,
+                    InternalErrorListener.JOB_ARRIVAL_FAILED,
                     "the module could not take a job of class " + request.jobClass(),
                     thrown);
             lifecycle.failRequest(request, false, DecisionReason.UNSTATED);
@@ -168,9 +168,9 @@
      * @return false if no request with this id is in flight here
      */
     public boolean workerReported(
-            String id, String workerId, ReportedState state, double shareDone, byte[] result) {
+            String id, String workerId, ReportedState state, double fractionDone, byte[] result) {
         PendingRequest request = requests.get(id);
-        Attempt attempt = request == null ? null : request.attemptOutAt(workerId);
+        Attempt attempt = request == null ? null : request.inFlightAttemptAt(workerId);
         if (attempt == null) {
             lifecycle.observer().reportUnmatched(id, workerId, state);
             return request != null;
@@ -178,14 +178,15 @@
         int number = attempt.number();
         switch (state) {
             case STARTED -> {
-                attempt.started(timers.nowMicros());
+                attempt.recordStart(timers.nowMicros());
                 attempt.handle().startedByReport();
                 lifecycle.notifyPolicy(request, nowNs -> policy.attemptStarted(nowNs, id, number));
             }
             case RUNNING -> {
                 attempt.handle().startedByReport();
                 lifecycle.notifyPolicy(
-                        request, nowNs -> policy.attemptProgressed(nowNs, id, number, shareDone));
+                        request,
+                        nowNs -> policy.attemptProgressed(nowNs, id, number, fractionDone));
             }
             case DONE, FAILED, RETURNED, LOST -> endByReport(attempt, state, result);
         }
@@ -215,7 +216,7 @@
      */
     public void requestUnusable(Attempt attempt, EndEvidence evidence) {
         PendingRequest request = attempt.request();
-        if (attempt.isOut() && !request.isAnswered()) {
+        if (attempt.isInFlight() && !request.isAnswered()) {
             lifecycle.markAnswered(request, Answer.FAILED, DecisionReason.UNUSABLE);
             request.client().fail(false);
         }
@@ -234,15 +235,15 @@
      * Other settings are in force. Requests in flight keep their deadline and whether their
      * attempts may be concurrent.
      */
-    public void settingsChanged(PolicySettings settings, int nextMostRequests) {
-        mostRequests = nextMostRequests;
+    public void settingsChanged(PolicySettings settings, int newMaxRequests) {
+        maxRequests = newMaxRequests;
         allowsConcurrentAttempts = settings.allowsConcurrentAttempts;
-        batch.addFirst(nowNs -> policy.settingsChanged(nowNs, settings));
+        batch.addPriorityEvent(nowNs -> policy.settingsChanged(nowNs, settings));
     }
 
     /** This process has so large a share of the dispatcher's quotas. */
     public void shareChanged(double share) {
-        batch.addFirst(nowNs -> policy.shareChanged(nowNs, share));
+        batch.addPriorityEvent(nowNs -> policy.shareChanged(nowNs, share));
     }
 
     /** These constraints are asked from now on. */
@@ -257,17 +258,17 @@
 
     /** Imports what another process has exported. The list of workers has been queued before. */
     public void importFigures(List<TransferredFigures> figures) {
-        batch.addFirst(nowNs -> policy.importFigures(nowNs, figures));
+        batch.addPriorityEvent(nowNs -> policy.importFigures(nowNs, figures));
     }
 
     /** The list of workers has come. */
     public void workersUpdated(WorkerListForm form, List<WorkerInfo> workers) {
-        batch.addFirst(nowNs -> policy.workersUpdated(nowNs, form, workers));
+        batch.addPriorityEvent(nowNs -> policy.workersUpdated(nowNs, form, workers));
     }
 
     /** An operator has put this worker back. The list that says so has been queued before. */
     public void workerReenabled(String workerId) {
-        batch.addFirst(nowNs -> policy.workerReenabled(nowNs, workerId));
+        batch.addPriorityEvent(nowNs -> policy.workerReenabled(nowNs, workerId));
     }
 
     // ---- The turn.
--- a/core/src/main/java/postgrade/endpoints/EndpointRegistry.java
+++ b/core/src/main/java/postgrade/endpoints/EndpointRegistry.java
@@ -26,12 +26,12 @@
     public static final long STILL_DISABLED = Long.MAX_VALUE;
 
     /** Bounds the memory against a discovery that names ever new workers. */
-    private static final int MOST_SEEN = 10_000;
+    private static final int MAX_KNOWN_IDS = 10_000;
 
     private final Map<String, WorkerInfo> listed = new TreeMap<>();
-    private final Set<String> seen = new HashSet<>();
+    private final Set<String> knownIds = new HashSet<>();
     private final Map<String, Long> disabledSinceNs = new TreeMap<>();
-    private final Map<String, WorkerOverride> enabledAgain = new HashMap<>();
+    private final Map<String, WorkerOverride> reenabled = new HashMap<>();
 
     /**
      * What operators have said of a worker. A start that the list tells after {@code disabledNs} is
@@ -51,22 +51,22 @@
         if (complete) {
             listed.clear();
         }
-        List<WorkerInfo> inForce = new ArrayList<>();
+        List<WorkerInfo> effective = new ArrayList<>();
         for (WorkerInfo worker : workers) {
             if (worker.phase() == WorkerPhase.GONE) {
                 listed.remove(worker.id());
             } else {
                 listed.put(worker.id(), worker);
             }
-            if (seen.size() < MOST_SEEN) {
-                seen.add(worker.id());
+            if (knownIds.size() < MAX_KNOWN_IDS) {
+                knownIds.add(worker.id());
             }
-            inForce.add(inForce(worker));
+            effective.add(withOverride(worker));
         }
-        return inForce;
+        return effective;
     }
 
-    private WorkerInfo inForce(WorkerInfo worker) {
+    private WorkerInfo withOverride(WorkerInfo worker) {
         boolean disabled =
                 worker.phase() == WorkerPhase.READY && disabledSinceNs.containsKey(worker.id());
         return new WorkerInfo(
@@ -76,13 +76,14 @@
                 worker.cell(),
                 disabled ? WorkerPhase.DRAINING : worker.phase(),
                 worker.weight(),
-                startedNs(worker));
+                effectiveStartNs(worker));
     }
 
-    private long startedNs(WorkerInfo worker) {
-        WorkerOverride override = enabledAgain.get(worker.id());
-        boolean listIsRight = override == null || worker.startedNs() > override.disabledNs();
-        return listIsRight ? worker.startedNs() : override.enabledNs();
+    private long effectiveStartNs(WorkerInfo worker) {
+        WorkerOverride override = reenabled.get(worker.id());
+        boolean listedStartIsCurrent =
+                override == null || worker.startedNs() > override.disabledNs();
+        return listedStartIsCurrent ? worker.startedNs() : override.enabledNs();
     }
 
     /** The workers that are disabled, in the order of their names. */
@@ -95,24 +96,24 @@
         List<WorkerOverride> all = new ArrayList<>();
         disabledSinceNs.forEach(
                 (id, sinceNs) -> all.add(new WorkerOverride(id, sinceNs, STILL_DISABLED)));
-        all.addAll(enabledAgain.values());
+        all.addAll(reenabled.values());
         return all;
     }
 
     /** Whether the list has ever named this worker, or an operator has. */
     public boolean knows(String id) {
-        return seen.contains(id) || disabledSinceNs.containsKey(id);
+        return knownIds.contains(id) || disabledSinceNs.containsKey(id);
     }
 
     /** A worker as it is in force, or null if it is not listed. */
     public WorkerInfo worker(String id) {
         WorkerInfo worker = listed.get(id);
-        return worker == null ? null : inForce(worker);
+        return worker == null ? null : withOverride(worker);
     }
 
     /** Disables a worker. Returns false if it is disabled already. */
     public boolean disable(long nowNs, String id) {
-        enabledAgain.remove(id);
+        reenabled.remove(id);
         return disabledSinceNs.putIfAbsent(id, nowNs) == null;
     }
 
@@ -122,7 +123,7 @@
         if (sinceNs == null) {
             return false;
         }
-        enabledAgain.put(id, new WorkerOverride(id, sinceNs, nowNs));
+        reenabled.put(id, new WorkerOverride(id, sinceNs, nowNs));
         return true;
     }
 }
--- a/core/src/test/java/postgrade/endpoints/EndpointRegistryTest.java
+++ b/core/src/test/java/postgrade/endpoints/EndpointRegistryTest.java
@@ -12,53 +12,53 @@
 
 public class EndpointRegistryTest {
 
-    private final EndpointRegistry roster = new EndpointRegistry();
+    private final EndpointRegistry registry = new EndpointRegistry();
 
-    private static WorkerInfo worker(String id, WorkerPhase phase, long born) {
-        return new WorkerInfo(id, "a", "m", 0, phase, 1, born);
+    private static WorkerInfo worker(String id, WorkerPhase phase, long startedNs) {
+        return new WorkerInfo(id, "a", "m", 0, phase, 1, startedNs);
     }
 
-    private WorkerPhase told(boolean whole, WorkerPhase phase, long born) {
-        return roster.update(whole, List.of(worker("w", phase, born))).get(0).phase();
+    private WorkerPhase updateAndGetPhase(boolean complete, WorkerPhase phase, long startedNs) {
+        return registry.update(complete, List.of(worker("w", phase, startedNs))).get(0).phase();
     }
 
     @Test
-    public void outHoldsThroughWhateverIsListed() {
-        assertEquals(WorkerPhase.READY, told(true, WorkerPhase.READY, 0));
-        assertTrue(roster.disable(10, "w"));
-        assertFalse("twice is as once", roster.disable(20, "w"));
-        assertEquals(WorkerPhase.DRAINING, roster.worker("w").phase());
-        assertEquals(WorkerPhase.DRAINING, told(true, WorkerPhase.READY, 0));
-        assertEquals(WorkerPhase.GONE, told(false, WorkerPhase.GONE, 0));
-        assertNull(roster.worker("w"));
-        assertTrue("still known, though no list names it", roster.knows("w"));
-        assertEquals(WorkerPhase.DRAINING, told(false, WorkerPhase.READY, 15));
-        assertTrue(roster.enable(30, "w"));
-        assertEquals(WorkerPhase.READY, roster.worker("w").phase());
-        assertFalse(roster.enable(40, "w"));
-        assertFalse(roster.knows("x"));
+    public void disabledWorkerDrainsWhateverDiscoveryLists() {
+        assertEquals(WorkerPhase.READY, updateAndGetPhase(true, WorkerPhase.READY, 0));
+        assertTrue(registry.disable(10, "w"));
+        assertFalse("twice is as once", registry.disable(20, "w"));
+        assertEquals(WorkerPhase.DRAINING, registry.worker("w").phase());
+        assertEquals(WorkerPhase.DRAINING, updateAndGetPhase(true, WorkerPhase.READY, 0));
+        assertEquals(WorkerPhase.GONE, updateAndGetPhase(false, WorkerPhase.GONE, 0));
+        assertNull(registry.worker("w"));
+        assertTrue("still known, though no list names it", registry.knows("w"));
+        assertEquals(WorkerPhase.DRAINING, updateAndGetPhase(false, WorkerPhase.READY, 15));
+        assertTrue(registry.enable(30, "w"));
+        assertEquals(WorkerPhase.READY, registry.worker("w").phase());
+        assertFalse(registry.enable(40, "w"));
+        assertFalse(registry.knows("x"));
     }
 
     @Test
-    public void discoverysOwnDrainHoldsToo() {
-        told(true, WorkerPhase.DRAINING, 0);
-        roster.disable(10, "w");
-        roster.enable(20, "w");
-        assertEquals(WorkerPhase.DRAINING, roster.worker("w").phase());
+    public void enablingDoesNotOverrideDrainFromDiscovery() {
+        updateAndGetPhase(true, WorkerPhase.DRAINING, 0);
+        registry.disable(10, "w");
+        registry.enable(20, "w");
+        assertEquals(WorkerPhase.DRAINING, registry.worker("w").phase());
     }
 
     @Test
-    public void oneThatIsBackIsColdFromThenOnUnlessItsStartWasTold() {
-        told(true, WorkerPhase.READY, 5);
-        roster.disable(10, "w");
-        roster.enable(30, "w");
-        assertEquals("its start is not told yet", 30, roster.worker("w").startedNs());
-        told(true, WorkerPhase.READY, 5);
-        assertEquals("an old list does not make it warm", 30, roster.worker("w").startedNs());
-        told(true, WorkerPhase.READY, 22);
-        assertEquals("the true start", 22, roster.worker("w").startedNs());
-        roster.disable(40, "w");
-        roster.enable(50, "w");
-        assertEquals(50, roster.worker("w").startedNs());
+    public void reenabledWorkerStartsAtEnablingUnlessListHasLaterStart() {
+        updateAndGetPhase(true, WorkerPhase.READY, 5);
+        registry.disable(10, "w");
+        registry.enable(30, "w");
+        assertEquals("its start is not told yet", 30, registry.worker("w").startedNs());
+        updateAndGetPhase(true, WorkerPhase.READY, 5);
+        assertEquals("an old list does not make it warm", 30, registry.worker("w").startedNs());
+        updateAndGetPhase(true, WorkerPhase.READY, 22);
+        assertEquals("the true start", 22, registry.worker("w").startedNs());
+        registry.disable(40, "w");
+        registry.enable(50, "w");
+        assertEquals(50, registry.worker("w").startedNs());
     }
 }
--- a/daemon/src/main/java/postgrade/discovery/DiscoveryWatch.java
+++ b/daemon/src/main/java/postgrade/discovery/DiscoveryWatch.java
@@ -26,7 +26,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(DiscoveryWatch.class);
     private static final long NEVER = -1;
 
-    private final String host;
+    private final String dispatcherName;
     private final Reactor reactor;
     private final Timers timers;
     private final Consumer<WorkerList> listener;
@@ -39,19 +39,19 @@
     private WatchConnection current;
 
     /** At the address before the last move, until the new one has told its list; else null. */
-    private WatchConnection former;
+    private WatchConnection previous;
 
     /** Whether the complete list of this address is still to be had. */
-    private boolean moved;
+    private boolean awaitsCompleteList;
 
     /** Whether the log says that the watch is lost. */
     private boolean lost;
 
-    private long heardMicros = NEVER;
-    private long heardBeforeMicros = NEVER;
+    private long lastContactMicros = NEVER;
+    private long previousContactMicros = NEVER;
 
     /** Ends the pause that lasts; else null. */
-    private Timers.Timer reopening;
+    private Timers.Timer reopenTimer;
 
     /**
      * A watch that is not open yet.
@@ -62,20 +62,20 @@
      */
     public DiscoveryWatch(
             InetSocketAddress address,
-            String host,
+            String dispatcherName,
             long version,
             WatchTimeouts timeouts,
             Reactor reactor,
             Timers timers,
             Consumer<WorkerList> listener) {
         this.address = address;
-        this.host = host;
+        this.dispatcherName = dispatcherName;
         this.version = version;
         this.timeouts = timeouts;
         this.reactor = reactor;
         this.timers = timers;
         this.listener = listener;
-        backoff = new WatchBackoff(timeouts.firstFrameMicros(), host.hashCode());
+        backoff = new WatchBackoff(timeouts.firstFrameMicros(), dispatcherName.hashCode());
     }
 
     /**
@@ -84,7 +84,12 @@
     public void open() {
         current =
                 new WatchConnection(
-                        this, host, moved, backoff.nextTimeoutMicros(), timeouts, timers);
+                        this,
+                        dispatcherName,
+                        awaitsCompleteList,
+                        backoff.nextTimeoutMicros(),
+                        timeouts,
+                        timers);
         current.open(reactor, address);
     }
 
@@ -99,7 +104,7 @@
      * if it never was.
      */
     public long previousContactMicros() {
-        return heardBeforeMicros;
+        return previousContactMicros;
     }
 
     /** Where the list in force came from; after a move, where it is to come from. */
@@ -108,42 +113,42 @@
     }
 
     /** Discovery is at this address from now on. */
-    public void moveTo(InetSocketAddress next) {
-        if (next.equals(address)) {
+    public void moveTo(InetSocketAddress newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
         Events.info(LOG, "watch.moving")
                 .addKeyValue("from", address)
-                .addKeyValue("to", next)
-                .log("watch of the provider list moves from " + address + " to " + next);
-        if (reopening != null) {
-            reopening.cancel(); // No connection is open.
-        } else if (moved) {
-            current.drop(); // It has told nothing yet; the one before it is still the best.
+                .addKeyValue("to", newAddress)
+                .log("watch of the provider list moves from " + address + " to " + newAddress);
+        if (reopenTimer != null) {
+            reopenTimer.cancel(); // No connection is open.
+        } else if (awaitsCompleteList) {
+            current.close(); // It has told nothing yet; the one before it is still the best.
         } else {
-            former = current;
+            previous = current;
         }
         current = null;
-        address = next;
-        moved = true;
+        address = newAddress;
+        awaitsCompleteList = true;
         backoff.reset();
-        reopening = null;
+        reopenTimer = null;
         open();
     }
 
     // ---- What its connections tell.
 
     @Override
-    public void frameReceived(WatchConnection from, int frames) {
-        if (from == current) {
-            heard(frames);
+    public void frameReceived(WatchConnection source, int frames) {
+        if (source == current) {
+            recordContact(frames);
         }
     }
 
-    private void heard(int frames) {
-        backoff.heard(frames);
-        heardBeforeMicros = heardMicros;
-        heardMicros = timers.nowMicros();
+    private void recordContact(int frames) {
+        backoff.frameReceived(frames);
+        previousContactMicros = lastContactMicros;
+        lastContactMicros = timers.nowMicros();
         if (lost) {
             lost = false;
             Events.info(LOG, "watch.back")
@@ -153,8 +158,8 @@
     }
 
     @Override
-    public void changes(WatchConnection from, WorkerList list) {
-        if (from == current) {
+    public void changes(WatchConnection source, WorkerList list) {
+        if (source == current) {
             version = list.version();
         }
         listener.accept(list);
@@ -165,8 +170,8 @@
         if (!list.complete()) {
             throw new IllegalArgumentException("not a whole list");
         }
-        heard(1);
-        moved = false;
+        recordContact(1);
+        awaitsCompleteList = false;
         version = list.version();
         Events.info(LOG, "watch.moved")
                 .addKeyValue("to", address)
@@ -176,48 +181,48 @@
                                 + address
                                 + " at version "
                                 + version);
-        if (former != null) {
-            former.drop();
-            former = null;
+        if (previous != null) {
+            previous.close();
+            previous = null;
         }
         listener.accept(list);
     }
 
     @Override
-    public void listEnded(WatchConnection which) {
+    public void closedAfterList(WatchConnection source) {
         open();
     }
 
     @Override
-    public void ended(WatchConnection which, String why, boolean wasSilent) {
-        if (which == current) {
-            reopenAfterPause(why, wasSilent);
-        } else if (which == former) {
-            former = null; // Discovery has moved, and its former address ends what is open: no
+    public void ended(WatchConnection source, String reason, boolean wasSilent) {
+        if (source == current) {
+            reopenAfterPause(reason, wasSilent);
+        } else if (source == previous) {
+            previous = null; // Discovery has moved, and its former address ends what is open: no
             // alarm.
         }
     }
 
-    private void reopenAfterPause(String why, boolean wasSilent) {
+    private void reopenAfterPause(String reason, boolean wasSilent) {
         if (!lost) {
             lost = true;
             Events.warn(LOG, "watch.lost")
-                    .addKeyValue("why", why)
+                    .addKeyValue("why", reason)
                     .addKeyValue("version", version)
                     .log(
                             "watch of the provider list lost ("
-                                    + why
+                                    + reason
                                     + "); kept at version "
                                     + version
                                     + " and opened again");
         }
         current = null;
         long whenMicros = timers.nowMicros() + backoff.nextPauseMicros(wasSilent);
-        reopening =
+        reopenTimer =
                 timers.at(
                         whenMicros,
                         () -> {
-                            reopening = null;
+                            reopenTimer = null;
                             open();
                         });
     }
--- a/daemon/src/main/java/postgrade/discovery/WatchBackoff.java
+++ b/daemon/src/main/java/postgrade/discovery/WatchBackoff.java
@@ -14,24 +14,24 @@
      */
     private static final long FIRST_PAUSE_MICROS = 100_000;
 
-    private static final long MOST_PAUSE_MICROS = 300_000;
+    private static final long MAX_PAUSE_MICROS = 300_000;
 
     /**
      * The longest time that a silent opening is given. Discovery that was down answers, on its
      * return, what has been asked meanwhile: the question that waits is answered at once, so no
      * pause follows a silent opening.
      */
-    private static final long MOST_TIMEOUT_MICROS = 2_000_000;
+    private static final long MAX_TIMEOUT_MICROS = 2_000_000;
 
-    private static final int MOST_DOUBLINGS = 10;
-    private static final double LEAST_FACTOR = 0.9;
+    private static final int MAX_DOUBLINGS = 10;
+    private static final double MIN_JITTER_FACTOR = 0.9;
 
     private final long firstTimeoutMicros;
     private final SplittableRandom random;
     private long pauseMicros = FIRST_PAUSE_MICROS;
 
     /** Silent openings since the last frame. */
-    private int silentOpenings;
+    private int silentConnections;
 
     WatchBackoff(long firstTimeoutMicros, int seed) {
         this.firstTimeoutMicros = firstTimeoutMicros;
@@ -41,7 +41,7 @@
     /** Discovery has moved: what is known of its former address does not count. */
     void reset() {
         pauseMicros = FIRST_PAUSE_MICROS;
-        silentOpenings = 0;
+        silentConnections = 0;
     }
 
     /**
@@ -50,8 +50,8 @@
      * @param frames how many have come on this connection: one that ends right after its first is
      *     not opened ever faster
      */
-    void heard(int frames) {
-        silentOpenings = 0;
+    void frameReceived(int frames) {
+        silentConnections = 0;
         if (frames > 1) {
             pauseMicros = FIRST_PAUSE_MICROS;
         }
@@ -59,9 +59,9 @@
 
     /** How long the next opening is given; doubles with each that is silent. */
     long nextTimeoutMicros() {
-        long most = Math.max(firstTimeoutMicros, MOST_TIMEOUT_MICROS);
-        long doubled = firstTimeoutMicros << Math.min(silentOpenings, MOST_DOUBLINGS);
-        return spread(Math.min(most, doubled));
+        long maxTimeoutMicros = Math.max(firstTimeoutMicros, MAX_TIMEOUT_MICROS);
+        long doubled = firstTimeoutMicros << Math.min(silentConnections, MAX_DOUBLINGS);
+        return withJitter(Math.min(maxTimeoutMicros, doubled));
     }
 
     /**
@@ -70,15 +70,15 @@
      */
     long nextPauseMicros(boolean wasSilent) {
         if (wasSilent) {
-            silentOpenings++;
+            silentConnections++;
             return 0;
         }
-        long pause = spread(pauseMicros);
-        pauseMicros = Math.min(MOST_PAUSE_MICROS, pauseMicros * 2);
+        long pause = withJitter(pauseMicros);
+        pauseMicros = Math.min(MAX_PAUSE_MICROS, pauseMicros * 2);
         return pause;
     }
 
-    private long spread(long micros) {
-        return (long) (micros * (LEAST_FACTOR + random.nextDouble() / 10));
+    private long withJitter(long micros) {
+        return (long) (micros * (MIN_JITTER_FACTOR + random.nextDouble() / 10));
     }
 }
--- a/daemon/src/main/java/postgrade/discovery/WatchConnection.java
+++ b/daemon/src/main/java/postgrade/discovery/WatchConnection.java
@@ -25,17 +25,17 @@
      * Bytes that were read in the very turn in which the time ends may be a whole frame with the
      * next read.
      */
-    private static final long MORE_MICROS = 50_000;
+    private static final long EXTRA_WAIT_MICROS = 50_000;
 
     /** Bounds the memory against a list that never ends. */
-    private static final int MOST_LIST_BYTES = 4 << 20;
+    private static final int MAX_LIST_BYTES = 4 << 20;
 
     private static final int OK = 200;
 
     /** Who follows the connection. Exactly one of its last two methods is called, at most once. */
     interface Owner {
         /** A frame has come, the n-th of this connection. */
-        void frameReceived(WatchConnection from, int frames);
+        void frameReceived(WatchConnection source, int frames);
 
         /**
          * The complete list has come.
@@ -45,7 +45,7 @@
         void completeList(WorkerList list);
 
         /** Changes have come. */
-        void changes(WatchConnection from, WorkerList list);
+        void changes(WatchConnection source, WorkerList list);
 
         /** The version to ask changes from. */
         long version();
@@ -55,25 +55,25 @@
          *
          * @param wasSilent whether it has brought nothing at all in its time
          */
-        void ended(WatchConnection which, String why, boolean wasSilent);
+        void ended(WatchConnection source, String reason, boolean wasSilent);
 
         /** The complete list has come on a connection that does not stay open. */
-        void listEnded(WatchConnection which);
+        void closedAfterList(WatchConnection source);
     }
 
     private final Owner owner;
-    private final String host;
+    private final String dispatcherName;
     private final WatchTimeouts timeouts;
     private final Timers timers;
-    private final MessageParser parser = MessageParser.forStreamingResponse(this::piece);
+    private final MessageParser parser = MessageParser.forStreamingResponse(this::bodyReceived);
     private final ByteArrayOutputStream list = new ByteArrayOutputStream();
     private final WatchFrameDecoder decoder = new WatchFrameDecoder(this);
     private boolean fetchesList;
     private Connection connection;
-    private Timers.Timer silence;
+    private Timers.Timer silenceTimer;
     private int frames;
-    private long receivedMicros = -1;
-    private boolean hasWaitedOn;
+    private long lastReadMicros = -1;
+    private boolean extendedWait;
 
     /**
      * @param fetchesList whether the complete list is to be had first
@@ -81,13 +81,13 @@
      */
     WatchConnection(
             Owner owner,
-            String host,
+            String dispatcherName,
             boolean fetchesList,
             long firstFrameMicros,
             WatchTimeouts timeouts,
             Timers timers) {
         this.owner = owner;
-        this.host = host;
+        this.dispatcherName = dispatcherName;
         this.fetchesList = fetchesList;
         this.timeouts = timeouts;
         this.timers = timers;
@@ -104,8 +104,8 @@
     }
 
     /** Ends it; the owner is not told. */
-    void drop() {
-        silence.cancel();
+    void close() {
+        silenceTimer.cancel();
         if (connection != null) {
             connection.close();
         }
@@ -114,23 +114,23 @@
     // ---- Silence.
 
     private void awaitFrame(long micros) {
-        silence = timers.at(timers.nowMicros() + micros, this::silent);
+        silenceTimer = timers.at(timers.nowMicros() + micros, this::silenceTimerFired);
     }
 
-    private void silent() {
-        if (receivedMicros == timers.nowMicros() && !hasWaitedOn) {
-            hasWaitedOn = true;
-            awaitFrame(MORE_MICROS);
+    private void silenceTimerFired() {
+        if (lastReadMicros == timers.nowMicros() && !extendedWait) {
+            extendedWait = true;
+            awaitFrame(EXTRA_WAIT_MICROS);
         } else {
-            drop();
+            close();
             owner.ended(this, "silent", frames == 0);
         }
     }
 
     private void frameReceived() {
         frames++;
-        hasWaitedOn = false;
-        silence.cancel();
+        extendedWait = false;
+        silenceTimer.cancel();
         awaitFrame(timeouts.betweenFramesMicros());
         owner.frameReceived(this, frames);
     }
@@ -140,29 +140,30 @@
     @Override
     public void connected(Connection source) {
         if (fetchesList) {
-            ask("/api/targets");
+            sendRequest("/api/targets");
         } else {
-            askForChanges();
+            requestChanges();
         }
     }
 
-    private void askForChanges() {
-        ask("/api/targets?watch=1&from=" + owner.version());
+    private void requestChanges() {
+        sendRequest("/api/targets?watch=1&from=" + owner.version());
     }
 
-    private void ask(String target) {
-        connection.write(MessageWriter.request("GET", target).header("Host", host).noBody());
+    private void sendRequest(String target) {
+        connection.write(
+                MessageWriter.request("GET", target).header("Host", dispatcherName).noBody());
     }
 
     @Override
     public void received(Connection source, ByteBuffer bytes) throws BadMessageException {
-        receivedMicros = timers.nowMicros();
+        lastReadMicros = timers.nowMicros();
         try {
-            Message end = parser.parse(bytes);
-            if (end != null && fetchesList && end.status() == OK) {
-                listReceived(end.isKeepAlive());
-            } else if (end != null) {
-                fail("answered " + end.status());
+            Message response = parser.parse(bytes);
+            if (response != null && fetchesList && response.status() == OK) {
+                listReceived(response.isKeepAlive());
+            } else if (response != null) {
+                fail("answered " + response.status());
             }
         } catch (RuntimeException thrown) {
             // A list that is not JSON or not in the protocol's form must not end the loop.
@@ -174,31 +175,31 @@
      * The complete list has come. The watch follows it on the same connection if that stays open.
      */
     private void listReceived(boolean staysOpen) {
-        owner.completeList(read(list.toString(StandardCharsets.UTF_8)));
+        owner.completeList(parseList(list.toString(StandardCharsets.UTF_8)));
         list.reset();
         fetchesList = false;
-        silence.cancel();
+        silenceTimer.cancel();
         if (staysOpen) {
             awaitFrame(timeouts.firstFrameMicros());
-            askForChanges();
+            requestChanges();
         } else {
-            drop();
-            owner.listEnded(this);
+            close();
+            owner.closedAfterList(this);
         }
     }
 
-    private void piece(byte[] bytes) {
+    private void bodyReceived(byte[] bytes) {
         if (!fetchesList) {
             decoder.decode(bytes);
             return;
         }
         list.writeBytes(bytes);
-        if (list.size() > MOST_LIST_BYTES) {
+        if (list.size() > MAX_LIST_BYTES) {
             throw new IllegalArgumentException("list too long");
         }
     }
 
-    private static WorkerList read(String text) {
+    private static WorkerList parseList(String text) {
         return WorkerList.of(Json.parse(text).asObject());
     }
 
@@ -209,22 +210,22 @@
 
     @Override
     public void object(String json) {
-        WorkerList changes = read(json);
+        WorkerList list = parseList(json);
         frameReceived();
-        owner.changes(this, changes);
+        owner.changes(this, list);
     }
 
     // ---- Its end.
 
-    private void fail(String why) {
-        drop();
-        owner.ended(this, why, false);
+    private void fail(String reason) {
+        close();
+        owner.ended(this, reason, false);
     }
 
     @Override
     public void inputEnded(Connection source) {
-        Message end = parser.endOfInput();
-        if (end != null && fetchesList && end.status() == OK) {
+        Message response = parser.endOfInput();
+        if (response != null && fetchesList && response.status() == OK) {
             try {
                 listReceived(false);
             } catch (RuntimeException thrown) {
--- a/daemon/src/main/java/postgrade/discovery/WatchFrameDecoder.java
+++ b/daemon/src/main/java/postgrade/discovery/WatchFrameDecoder.java
@@ -10,12 +10,12 @@
 final class WatchFrameDecoder {
 
     /** Bounds the memory against an object that never ends. */
-    private static final int MOST_BYTES = 4 << 20;
+    private static final int MAX_OBJECT_BYTES = 4 << 20;
 
     private final FrameHandler handler;
     private final ByteArrayOutputStream object = new ByteArrayOutputStream();
     private int depth;
-    private boolean quoted;
+    private boolean inString;
     private boolean escaped;
 
     /** An object has ended on this line: its end is not an empty line. */
@@ -33,7 +33,7 @@
     void decode(byte[] bytes) {
         for (byte next : bytes) {
             if (depth > 0 || next == '{') {
-                insideObject(next);
+                decodeInObject(next);
             } else if (next == '\n') {
                 boolean empty = !afterObject;
                 afterObject = false;
@@ -44,18 +44,18 @@
                 throw new IllegalArgumentException("neither an object nor an empty line");
             }
         }
-        if (object.size() > MOST_BYTES) {
+        if (object.size() > MAX_OBJECT_BYTES) {
             throw new IllegalArgumentException("object too long");
         }
     }
 
-    private void insideObject(byte next) {
+    private void decodeInObject(byte next) {
         object.write(next);
-        if (quoted) {
-            quoted = escaped || next != '"';
+        if (inString) {
+            inString = escaped || next != '"';
             escaped = !escaped && next == '\\';
         } else if (next == '"') {
-            quoted = true;
+            inString = true;
         } else if (next == '{') {
             depth++;
         } else if (next == '}' && --depth == 0) {
--- a/daemon/src/main/java/postgrade/discovery/WorkerList.java
+++ b/daemon/src/main/java/postgrade/discovery/WorkerList.java
@@ -59,7 +59,7 @@
         if (servers != null) {
             for (JsonValue server : servers.asArray()) {
                 try {
-                    workers.add(worker(server.asObject()));
+                    workers.add(parseWorker(server.asObject()));
                 } catch (RuntimeException thrown) {
                     unreadable.add(thrown.getMessage() + " in " + server);
                 }
@@ -73,7 +73,7 @@
                 version.asLong(), json.getBoolean("full", false), workers, unreadable);
     }
 
-    private static ListedWorker worker(JsonObject json) {
+    private static ListedWorker parseWorker(JsonObject json) {
         String id = json.getString("id", "");
         String address = json.getString("addr", "");
         State state =
--- a/daemon/src/main/java/postgrade/http/ArrivalTimes.java
+++ b/daemon/src/main/java/postgrade/http/ArrivalTimes.java
@@ -12,26 +12,26 @@
     private static final long NOT_WATCHED = Long.MAX_VALUE;
 
     /** The socket is last known to have held nothing unread. */
-    private long emptyMicros;
+    private long lastEmptyMicros;
 
     /** The loop has waited for it without a break since then. */
-    private long watchedMicros;
+    private long watchedSinceMicros;
 
     /**
      * @param emptyMicros when it is known to have held nothing; @param nowMicros from when on the
      *     loop waits for it
      */
-    public ArrivalTimes(long emptyMicros, long nowMicros) {
-        this.emptyMicros = emptyMicros;
-        watchedMicros = nowMicros;
+    public ArrivalTimes(long lastEmptyMicros, long nowMicros) {
+        this.lastEmptyMicros = lastEmptyMicros;
+        watchedSinceMicros = nowMicros;
     }
 
     /**
      * The loop waits for it from now on, or no longer. A call that changes nothing has no effect.
      */
     public void watch(long nowMicros, boolean watched) {
-        if (watched != (watchedMicros != NOT_WATCHED)) {
-            watchedMicros = watched ? nowMicros : NOT_WATCHED;
+        if (watched != (watchedSinceMicros != NOT_WATCHED)) {
+            watchedSinceMicros = watched ? nowMicros : NOT_WATCHED;
         }
     }
 
@@ -43,19 +43,19 @@
      * @param readySinceMicros since when what the latest wait has shown may have been ready
      * @return the last moment at which it is known not to have been there
      */
-    public long beforeRead(long lastWaitMicros, long readySinceMicros) {
-        if (watchedMicros < lastWaitMicros) {
-            emptyMicros = Math.max(emptyMicros, readySinceMicros);
+    public long beforeRead(long previousWaitEndMicros, long readySinceMicros) {
+        if (watchedSinceMicros < previousWaitEndMicros) {
+            lastEmptyMicros = Math.max(lastEmptyMicros, readySinceMicros);
         }
-        return emptyMicros;
+        return lastEmptyMicros;
     }
 
     /** Some has been read. @param emptied nothing is left */
     public void afterRead(long nowMicros, boolean emptied) {
         if (emptied) {
-            emptyMicros = nowMicros;
-        } else if (watchedMicros != NOT_WATCHED) {
-            watchedMicros = nowMicros; // It was not empty at the loop's last wait.
+            lastEmptyMicros = nowMicros;
+        } else if (watchedSinceMicros != NOT_WATCHED) {
+            watchedSinceMicros = nowMicros; // It was not empty at the loop's last wait.
         }
     }
 }
--- a/daemon/src/main/java/postgrade/http/BindFailure.java
+++ b/daemon/src/main/java/postgrade/http/BindFailure.java
@@ -23,8 +23,8 @@
                         + address.getPort()
                         + ": "
                         + cause.getMessage();
-        BindException named = new BindException(text);
-        named.initCause(cause);
-        return named;
+        BindException withAddress = new BindException(text);
+        withAddress.initCause(cause);
+        return withAddress;
     }
 }
--- a/daemon/src/main/java/postgrade/http/Connection.java
+++ b/daemon/src/main/java/postgrade/http/Connection.java
@@ -17,7 +17,7 @@
 public final class Connection implements Reactor.Handler {
 
     /** So often at most a look reads on: an end may lie behind all that a peer may send ahead. */
-    private static final int MOST_LOOKS = 32;
+    private static final int MAX_PENDING_READS = 32;
 
     /** Who owns the connection. */
     public interface Owner {
@@ -46,7 +46,7 @@
     private final Reactor reactor;
     private final SocketChannel channel;
     private final Owner owner;
-    private final boolean urgent;
+    private final boolean highPriority;
     private final ArrayDeque<ByteBuffer> unsent = new ArrayDeque<>();
     private SelectionKey key;
     private boolean connecting;
@@ -54,11 +54,11 @@
     private boolean closed;
     private boolean paused;
 
-    private Connection(Reactor reactor, SocketChannel channel, Owner owner, boolean urgent) {
+    private Connection(Reactor reactor, SocketChannel channel, Owner owner, boolean highPriority) {
         this.reactor = reactor;
         this.channel = channel;
         this.owner = owner;
-        this.urgent = urgent;
+        this.highPriority = highPriority;
     }
 
     /** Wraps an accepted channel, whose place in the budget is taken already. */
@@ -71,11 +71,11 @@
      * @param urgent served first in a turn
      */
     public static Connection accepted(
-            Reactor reactor, SocketChannel channel, Owner owner, boolean urgent)
+            Reactor reactor, SocketChannel channel, Owner owner, boolean highPriority)
             throws IOException {
-        Connection c = new Connection(reactor, channel, owner, urgent);
-        c.begin(SelectionKey.OP_READ);
-        return c;
+        Connection connection = new Connection(reactor, channel, owner, highPriority);
+        connection.register(SelectionKey.OP_READ);
+        return connection;
     }
 
     /**
@@ -85,34 +85,35 @@
      * @throws IOException if the peer's system refuses at once
      */
     public static Connection open(
-            Reactor reactor, InetSocketAddress to, Owner owner, boolean urgent) throws IOException {
-        if (!reactor.sockets().takeToConnect(urgent)) {
+            Reactor reactor, InetSocketAddress address, Owner owner, boolean highPriority)
+            throws IOException {
+        if (!reactor.sockets().acquireForConnect(highPriority)) {
             throw new NoSocketException("every socket is in use", null);
         }
-        Connection c = null;
+        Connection connection = null;
         try {
-            c = new Connection(reactor, reactor.systemCalls().open(), owner, urgent);
-            c.connecting = true;
-            c.begin(SelectionKey.OP_CONNECT);
+            connection = new Connection(reactor, reactor.systemCalls().open(), owner, highPriority);
+            connection.connecting = true;
+            connection.register(SelectionKey.OP_CONNECT);
             reactor.systemCalls()
                     .connect(
-                            c.channel,
-                            to); // Also one that comes up at once is told of in the next turn.
-            return c;
+                            connection.channel,
+                            address); // Also one that comes up at once is told of in the next turn.
+            return connection;
         } catch (IOException | RuntimeException e) {
-            if (c == null) {
+            if (connection == null) {
                 reactor.sockets().release();
             } else {
-                c.close();
+                connection.close();
             }
             if (e instanceof ConnectException || e instanceof NoRouteToHostException) {
                 throw (IOException) e;
             }
-            throw new NoSocketException("no connection to " + to + " could be begun", e);
+            throw new NoSocketException("no connection to " + address + " could be begun", e);
         }
     }
 
-    private void begin(int interest) throws IOException {
+    private void register(int interest) throws IOException {
         channel.configureBlocking(false);
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         key = reactor.register(channel, interest, this);
@@ -120,7 +121,7 @@
 
     @Override
     public Order order() {
-        return urgent ? Order.FIRST : Order.NORMAL;
+        return highPriority ? Order.FIRST : Order.NORMAL;
     }
 
     @Override
@@ -144,16 +145,16 @@
     }
 
     /** False if nothing is left to read. */
-    private boolean read(ByteBuffer in) throws IOException {
-        in.clear();
-        int count = reactor.systemCalls().read(channel, in);
+    private boolean read(ByteBuffer buffer) throws IOException {
+        buffer.clear();
+        int count = reactor.systemCalls().read(channel, buffer);
         if (count < 0) {
             owner.inputEnded(this);
-            gone();
+            closeAndNotify();
         } else if (count > 0 && !closing) {
-            in.flip();
+            buffer.flip();
             try {
-                owner.received(this, in);
+                owner.received(this, buffer);
             } catch (BadMessageException e) {
                 // Guards the loop and the peer's next bytes: nothing after a bad message can be
                 // made sense of.
@@ -172,15 +173,15 @@
         if (closed || connecting) {
             return;
         }
-        ByteBuffer own = reactor.acquireBuffer(); // The loop's buffer may be in use.
+        ByteBuffer buffer = reactor.acquireBuffer(); // The loop's buffer may be in use.
         try {
-            for (int i = 0; i < MOST_LOOKS && read(own); i++) {
+            for (int i = 0; i < MAX_PENDING_READS && read(buffer); i++) {
                 // What has been read is the owner's.
             }
         } catch (IOException | RuntimeException e) {
             failed(e);
         } finally {
-            reactor.releaseBuffer(own);
+            reactor.releaseBuffer(buffer);
         }
     }
 
@@ -189,13 +190,13 @@
         if (closed) {
             return false;
         }
-        ByteBuffer own = reactor.acquireBuffer(); // The loop's buffer may be in use.
+        ByteBuffer buffer = reactor.acquireBuffer(); // The loop's buffer may be in use.
         try {
-            return reactor.systemCalls().read(channel, own) == 0;
+            return reactor.systemCalls().read(channel, buffer) == 0;
         } catch (IOException e) {
             return false;
         } finally {
-            reactor.releaseBuffer(own);
+            reactor.releaseBuffer(buffer);
         }
     }
 
@@ -206,11 +207,11 @@
         if (closed) {
             return;
         }
-        boolean first = unsent.isEmpty();
+        boolean wasEmpty = unsent.isEmpty();
         for (byte[] part : parts) {
             unsent.add(ByteBuffer.wrap(part));
         }
-        if (first && !connecting) {
+        if (wasEmpty && !connecting) {
             try {
                 flush();
             } catch (IOException e) {
@@ -232,23 +233,23 @@
         while (!unsent.isEmpty() && !unsent.peek().hasRemaining()) {
             unsent.poll();
         }
-        interest();
+        updateInterest();
         if (unsent.isEmpty() && closing) {
             channel.shutdownOutput();
         }
     }
 
-    private void interest() {
+    private void updateInterest() {
         key.interestOps(
                 (paused ? 0 : SelectionKey.OP_READ)
                         | (unsent.isEmpty() ? 0 : SelectionKey.OP_WRITE));
     }
 
     /** While paused nothing more is read; the peer's own system holds it back. */
-    public void setPaused(boolean now) {
-        if (paused != now && !closed && !connecting) {
-            paused = now;
-            interest();
+    public void setPaused(boolean newPaused) {
+        if (paused != newPaused && !closed && !connecting) {
+            paused = newPaused;
+            updateInterest();
         }
     }
 
@@ -275,7 +276,7 @@
      */
     public void setIdle(boolean isIdle, boolean onProbation) {
         if (!closed) {
-            reactor.sockets().idle(this, isIdle, onProbation);
+            reactor.sockets().updateIdle(this, isIdle, onProbation);
         }
     }
 
@@ -302,7 +303,7 @@
 
     @Override
     public void failed(Exception e) {
-        gone();
+        closeAndNotify();
     }
 
     /**
@@ -313,11 +314,11 @@
     void evict() {
         readPending();
         if (reactor.sockets().isIdle(this)) {
-            gone();
+            closeAndNotify();
         }
     }
 
-    private void gone() {
+    private void closeAndNotify() {
         if (!closed) {
             close();
             owner.closed(this);
@@ -330,7 +331,7 @@
             return;
         }
         closed = true;
-        reactor.sockets().idle(this, false, false);
+        reactor.sockets().updateIdle(this, false, false);
         reactor.sockets().release();
         try {
             channel.close();
--- a/daemon/src/main/java/postgrade/http/Message.java
+++ b/daemon/src/main/java/postgrade/http/Message.java
@@ -54,11 +54,11 @@
     }
 
     /** Whether one of a header's comma-separated values is this word, in any case. */
-    boolean lists(String name, String word) {
+    boolean hasToken(String name, String token) {
         for (int i = 0; i < names.size(); i++) {
             if (names.get(i).equals(name)) {
                 for (String part : values.get(i).split(",")) {
-                    if (part.strip().equalsIgnoreCase(word)) {
+                    if (part.strip().equalsIgnoreCase(token)) {
                         return true;
                     }
                 }
@@ -69,6 +69,6 @@
 
     /** The connection stays open after this message. */
     public boolean isKeepAlive() {
-        return http10 ? lists("connection", "keep-alive") : !lists("connection", "close");
+        return http10 ? hasToken("connection", "keep-alive") : !hasToken("connection", "close");
     }
 }
--- a/daemon/src/main/java/postgrade/http/MessageParser.java
+++ b/daemon/src/main/java/postgrade/http/MessageParser.java
@@ -17,39 +17,41 @@
     public static final int MAX_BODY_BYTES = 64 << 10;
     static final int MAX_HEAD_BYTES = 16 << 10;
     static final int MAX_HEADERS = 64;
-    private static final int SMALL = 256;
-    private static final int MOST_STREAM_PIECE = 16 << 20;
+    private static final int SMALL_BODY_BYTES = 256;
+    private static final int MAX_STREAMED_CHUNK_BYTES = 16 << 20;
 
     /** As much of a start line as may have come. */
-    private static final Pattern BEGINNING = Pattern.compile("\\r?|[A-Z]{0,16}|[A-Z]{1,16} (/.*)?");
+    private static final Pattern START_LINE_PREFIX =
+            Pattern.compile("\\r?|[A-Z]{0,16}|[A-Z]{1,16} (/.*)?");
 
-    private enum Part {
+    private enum State {
         START_LINE,
         HEADERS,
         BODY,
-        TO_THE_END,
+        BODY_UNTIL_CLOSE,
         CHUNK_SIZE,
         CHUNK,
         CHUNK_END,
         TRAILERS
     }
 
-    private final boolean requests;
-    private final Consumer<byte[]> stream;
-    private final int mostBody;
-    private Part part = Part.START_LINE;
+    private final boolean parsesRequests;
+    private final Consumer<byte[]> pieceConsumer;
+    private final int maxBodyBytes;
+    private State state = State.START_LINE;
     private Message message = new Message();
     private byte[] line = new byte[256];
     private int lineLength;
     private int headLength;
-    private long left;
+    private long remaining;
     private boolean expectsContinue;
-    private ByteArrayOutputStream body = new ByteArrayOutputStream(SMALL);
+    private ByteArrayOutputStream body = new ByteArrayOutputStream(SMALL_BODY_BYTES);
 
-    private MessageParser(boolean requests, Consumer<byte[]> stream, int mostBody) {
-        this.requests = requests;
-        this.stream = stream;
-        this.mostBody = mostBody;
+    private MessageParser(
+            boolean parsesRequests, Consumer<byte[]> pieceConsumer, int maxBodyBytes) {
+        this.parsesRequests = parsesRequests;
+        this.pieceConsumer = pieceConsumer;
+        this.maxBodyBytes = maxBodyBytes;
     }
 
     public static MessageParser forRequests() {
@@ -57,8 +59,8 @@
     }
 
     /** With another bound for bodies. */
-    public static MessageParser forRequests(int mostBody) {
-        return new MessageParser(true, null, mostBody);
+    public static MessageParser forRequests(int maxBodyBytes) {
+        return new MessageParser(true, null, maxBodyBytes);
     }
 
     public static MessageParser forResponses() {
@@ -66,8 +68,8 @@
     }
 
     /** Reads one response whose body has no bound; its pieces go to the consumer as they come. */
-    public static MessageParser forStreamingResponse(Consumer<byte[]> pieces) {
-        return new MessageParser(false, pieces, MOST_STREAM_PIECE);
+    public static MessageParser forStreamingResponse(Consumer<byte[]> pieceConsumer) {
+        return new MessageParser(false, pieceConsumer, MAX_STREAMED_CHUNK_BYTES);
     }
 
     /** Whether the bytes may be the beginning of a request, as far as they go. They stay unread. */
@@ -77,7 +79,7 @@
             parser.parse(bytes.duplicate());
             String line =
                     new String(parser.line, 0, parser.lineLength, StandardCharsets.ISO_8859_1);
-            return parser.part != Part.START_LINE || BEGINNING.matcher(line).matches();
+            return parser.state != State.START_LINE || START_LINE_PREFIX.matcher(line).matches();
         } catch (BadMessageException e) {
             return false;
         }
@@ -85,7 +87,7 @@
 
     /** Nothing of a next message has been read. */
     public boolean isAtMessageStart() {
-        return part == Part.START_LINE && lineLength == 0;
+        return state == State.START_LINE && lineLength == 0;
     }
 
     /** True once, where a request's sender waits for our word before it sends the body. */
@@ -106,12 +108,12 @@
      */
     public Message parse(ByteBuffer in) throws BadMessageException {
         while (in.hasRemaining()) {
-            boolean whole =
-                    switch (part) {
-                        case BODY, TO_THE_END, CHUNK -> takeBody(in);
-                        default -> takeLine(in) && endLine();
+            boolean complete =
+                    switch (state) {
+                        case BODY, BODY_UNTIL_CLOSE, CHUNK -> readBody(in);
+                        default -> readLine(in) && parseLine();
                     };
-            if (whole) {
+            if (complete) {
                 return finish();
             }
         }
@@ -123,25 +125,26 @@
      * message short.
      */
     public Message endOfInput() {
-        return part == Part.TO_THE_END ? finish() : null;
+        return state == State.BODY_UNTIL_CLOSE ? finish() : null;
     }
 
     private Message finish() {
-        Message whole = message;
-        whole.body = body.toByteArray();
+        Message finished = message;
+        finished.body = body.toByteArray();
         message = new Message();
-        if (whole.body.length > SMALL) {
+        if (finished.body.length > SMALL_BODY_BYTES) {
             body =
                     new ByteArrayOutputStream(
-                            SMALL); // Guards the memory: an idle connection keeps no large buffer.
+                            SMALL_BODY_BYTES); // Guards the memory: an idle connection keeps no
+                                               // large buffer.
         }
         body.reset();
-        part = Part.START_LINE;
+        state = State.START_LINE;
         headLength = 0;
-        return whole;
+        return finished;
     }
 
-    private boolean takeLine(ByteBuffer in) throws BadMessageException {
+    private boolean readLine(ByteBuffer in) throws BadMessageException {
         while (in.hasRemaining()) {
             byte b = in.get();
             if (b == '\n') {
@@ -162,34 +165,34 @@
     }
 
     /** True if the message is whole with this line. */
-    private boolean endLine() throws BadMessageException {
+    private boolean parseLine() throws BadMessageException {
         String text = new String(line, 0, lineLength, StandardCharsets.ISO_8859_1);
         lineLength = 0;
-        switch (part) {
+        switch (state) {
             case START_LINE -> {
                 if (!text.isEmpty()) { // Blank lines before a message are allowed, and count to its
                     // head.
-                    startLine(text);
-                    part = Part.HEADERS;
+                    parseStartLine(text);
+                    state = State.HEADERS;
                 }
                 return false;
             }
             case HEADERS -> {
                 if (text.isEmpty()) {
-                    return endHead();
+                    return endOfHead();
                 }
-                header(text);
+                parseHeader(text);
                 return false;
             }
             case CHUNK_SIZE -> {
-                chunkSize(text);
+                parseChunkSize(text);
                 return false;
             }
             case CHUNK_END -> {
                 if (!text.isEmpty()) {
                     throw new BadMessageException(400, "chunk longer than its size");
                 }
-                part = Part.CHUNK_SIZE;
+                state = State.CHUNK_SIZE;
                 headLength = 0;
                 return false;
             }
@@ -199,16 +202,16 @@
         }
     }
 
-    private void startLine(String text) throws BadMessageException {
+    private void parseStartLine(String text) throws BadMessageException {
         String[] words = text.split(" ", 3);
-        String version = requests ? words[words.length - 1] : words[0];
-        if (words.length < (requests ? 3 : 2)
+        String version = parsesRequests ? words[words.length - 1] : words[0];
+        if (words.length < (parsesRequests ? 3 : 2)
                 || !version.equals("HTTP/1.1") && !version.equals("HTTP/1.0")) {
             throw new BadMessageException(400, "not a start line of HTTP/1.1");
         }
         message.http10 = version.equals("HTTP/1.0");
-        if (requests) {
-            if (!token(words[0])
+        if (parsesRequests) {
+            if (!isToken(words[0])
                     || words[1].isEmpty()
                     || words[1].chars().anyMatch(c -> c <= ' ' || c > '~')) {
                 throw new BadMessageException(400, "bad method or target");
@@ -216,16 +219,16 @@
             message.method = words[0];
             message.target = words[1];
         } else {
-            message.status = (int) number(words[1], 10, 999, 400);
+            message.status = (int) parseNumber(words[1], 10, 999, 400);
             if (message.status < 100) {
                 throw new BadMessageException(400, "bad status");
             }
         }
     }
 
-    private void header(String text) throws BadMessageException {
+    private void parseHeader(String text) throws BadMessageException {
         int colon = text.indexOf(':');
-        if (colon < 0 || !token(text.substring(0, colon))) {
+        if (colon < 0 || !isToken(text.substring(0, colon))) {
             throw new BadMessageException(400, "bad header line"); // Folded lines among them.
         }
         if (message.names.size() == MAX_HEADERS) {
@@ -241,7 +244,7 @@
     }
 
     /** True if the message has no body. */
-    private boolean endHead() throws BadMessageException {
+    private boolean endOfHead() throws BadMessageException {
         boolean chunked = message.header("transfer-encoding") != null;
         if (chunked
                 && (message.http10
@@ -252,9 +255,11 @@
         if (message.headerCount("content-length") + message.headerCount("transfer-encoding") > 1) {
             throw new BadMessageException(400, "more than one length or transfer encoding");
         }
-        String stated = message.header("content-length");
-        long length = stated == null ? -1 : number(stated, 10, mostBody, 413);
-        if (!requests && (message.status < 200 || message.status == 204 || message.status == 304)) {
+        String contentLength = message.header("content-length");
+        long length =
+                contentLength == null ? -1 : parseNumber(contentLength, 10, maxBodyBytes, 413);
+        if (!parsesRequests
+                && (message.status < 200 || message.status == 204 || message.status == 304)) {
             if (message.status < 200) { // An interim response: the real one follows.
                 finish();
                 return false;
@@ -262,46 +267,48 @@
             return true;
         }
         if (chunked) {
-            part = Part.CHUNK_SIZE;
+            state = State.CHUNK_SIZE;
             headLength = 0;
         } else if (length > 0) {
-            part = Part.BODY;
-            left = length;
-        } else if (length < 0 && !requests) {
-            part = Part.TO_THE_END;
-            left = Long.MAX_VALUE;
+            state = State.BODY;
+            remaining = length;
+        } else if (length < 0 && !parsesRequests) {
+            state = State.BODY_UNTIL_CLOSE;
+            remaining = Long.MAX_VALUE;
         }
         expectsContinue =
-                requests && part != Part.HEADERS && message.lists("expect", "100-continue");
-        return part == Part.HEADERS;
+                parsesRequests
+                        && state != State.HEADERS
+                        && message.hasToken("expect", "100-continue");
+        return state == State.HEADERS;
     }
 
-    private void chunkSize(String text) throws BadMessageException {
+    private void parseChunkSize(String text) throws BadMessageException {
         int end = text.indexOf(';');
-        left = number(end < 0 ? text : text.substring(0, end), 16, mostBody, 413);
-        part = left == 0 ? Part.TRAILERS : Part.CHUNK;
-        headLength = left == 0 ? headLength : 0;
+        remaining = parseNumber(end < 0 ? text : text.substring(0, end), 16, maxBodyBytes, 413);
+        state = remaining == 0 ? State.TRAILERS : State.CHUNK;
+        headLength = remaining == 0 ? headLength : 0;
     }
 
     /** True if the message is whole with these bytes. */
-    private boolean takeBody(ByteBuffer in) throws BadMessageException {
-        byte[] piece = new byte[(int) Math.min(left, in.remaining())];
+    private boolean readBody(ByteBuffer in) throws BadMessageException {
+        byte[] piece = new byte[(int) Math.min(remaining, in.remaining())];
         in.get(piece);
-        left -= part == Part.TO_THE_END ? 0 : piece.length;
-        if (stream != null) {
-            stream.accept(piece);
-        } else if (body.size() + piece.length > mostBody) {
+        remaining -= state == State.BODY_UNTIL_CLOSE ? 0 : piece.length;
+        if (pieceConsumer != null) {
+            pieceConsumer.accept(piece);
+        } else if (body.size() + piece.length > maxBodyBytes) {
             throw new BadMessageException(413, "body too large");
         } else {
             body.write(piece, 0, piece.length);
         }
-        if (left == 0 && part == Part.CHUNK) {
-            part = Part.CHUNK_END;
+        if (remaining == 0 && state == State.CHUNK) {
+            state = State.CHUNK_END;
         }
-        return left == 0 && part == Part.BODY;
+        return remaining == 0 && state == State.BODY;
     }
 
-    private long number(String text, int radix, long most, int statusAbove)
+    private long parseNumber(String text, int radix, long max, int statusIfTooLarge)
             throws BadMessageException {
         if (text.isEmpty()
                 || text.chars().anyMatch(c -> Character.digit(c, radix) < 0 || c > 'f')) {
@@ -310,14 +317,14 @@
         long value = 0;
         for (int i = 0; i < text.length(); i++) {
             value = value * radix + Character.digit(text.charAt(i), radix);
-            if (value > most) {
-                throw new BadMessageException(statusAbove, "too large a number");
+            if (value > max) {
+                throw new BadMessageException(statusIfTooLarge, "too large a number");
             }
         }
         return value;
     }
 
-    private static boolean token(String text) {
+    private static boolean isToken(String text) {
         return !text.isEmpty()
                 && text.chars()
                         .allMatch(c -> c > ' ' && c < 127 && "()<>@,;:\\\"/[]?={}".indexOf(c) < 0);
--- a/daemon/src/main/java/postgrade/http/MessageWriter.java
+++ b/daemon/src/main/java/postgrade/http/MessageWriter.java
@@ -6,7 +6,7 @@
 /** Writes one message into bytes. */
 public final class MessageWriter {
 
-    private static final Map<Integer, String> REASONS =
+    private static final Map<Integer, String> REASON_PHRASES =
             Map.ofEntries(
                     Map.entry(100, "Continue"),
                     Map.entry(200, "OK"),
@@ -29,19 +29,20 @@
     private MessageWriter() {}
 
     public static MessageWriter request(String method, String target) {
-        MessageWriter w = new MessageWriter();
-        w.head.append(method).append(' ').append(target).append(" HTTP/1.1\r\n");
-        return w;
+        MessageWriter writer = new MessageWriter();
+        writer.head.append(method).append(' ').append(target).append(" HTTP/1.1\r\n");
+        return writer;
     }
 
     public static MessageWriter response(int status) {
-        MessageWriter w = new MessageWriter();
-        w.head.append("HTTP/1.1 ")
+        MessageWriter writer = new MessageWriter();
+        writer.head
+                .append("HTTP/1.1 ")
                 .append(status)
                 .append(' ')
-                .append(REASONS.getOrDefault(status, "Status"))
+                .append(REASON_PHRASES.getOrDefault(status, "Status"))
                 .append("\r\n");
-        return w;
+        return writer;
     }
 
     /** A null value leaves the header out. */
@@ -57,10 +58,10 @@
         if (!head.substring(0, 12).endsWith(" 204")) {
             header("Content-Length", body.length);
         }
-        byte[] start = head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
-        byte[] whole = java.util.Arrays.copyOf(start, start.length + body.length);
-        System.arraycopy(body, 0, whole, start.length, body.length);
-        return whole;
+        byte[] headBytes = head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
+        byte[] message = java.util.Arrays.copyOf(headBytes, headBytes.length + body.length);
+        System.arraycopy(body, 0, message, headBytes.length, body.length);
+        return message;
     }
 
     /** The head of a message whose body is sent behind it. */
--- a/daemon/src/main/java/postgrade/http/Reactor.java
+++ b/daemon/src/main/java/postgrade/http/Reactor.java
@@ -20,10 +20,10 @@
      * seldom looks may leave it at a new one each time.
      */
     default ByteBuffer acquireBuffer() {
-        return ReadBufferPool.another();
+        return ReadBufferPool.allocate();
     }
 
-    default void releaseBuffer(ByteBuffer lent) {}
+    default void releaseBuffer(ByteBuffer buffer) {}
 
     SocketBudget sockets();
 
--- a/daemon/src/main/java/postgrade/http/ReadBufferPool.java
+++ b/daemon/src/main/java/postgrade/http/ReadBufferPool.java
@@ -9,33 +9,33 @@
  */
 public final class ReadBufferPool {
 
-    private static final int BYTES = 8 << 10;
+    private static final int BUFFER_BYTES = 8 << 10;
 
     /**
      * Guards the memory outside the heap: where looks nest deeper the further ones get a buffer
      * that is not kept.
      */
-    private static final int MOST_KEPT = 4;
+    private static final int MAX_POOLED = 4;
 
-    private final ArrayDeque<ByteBuffer> free = new ArrayDeque<>(MOST_KEPT);
-    private int kept;
+    private final ArrayDeque<ByteBuffer> free = new ArrayDeque<>(MAX_POOLED);
+    private int pooled;
 
-    static ByteBuffer another() {
-        return ByteBuffer.allocate(BYTES);
+    static ByteBuffer allocate() {
+        return ByteBuffer.allocate(BUFFER_BYTES);
     }
 
     /** An empty buffer that nobody else has until it is given back. */
     public ByteBuffer acquire() {
-        ByteBuffer one = free.poll();
-        if (one != null) {
-            return one.clear();
+        ByteBuffer buffer = free.poll();
+        if (buffer != null) {
+            return buffer.clear();
         }
-        return kept++ < MOST_KEPT ? ByteBuffer.allocateDirect(BYTES) : another();
+        return pooled++ < MAX_POOLED ? ByteBuffer.allocateDirect(BUFFER_BYTES) : allocate();
     }
 
-    public void release(ByteBuffer lent) {
-        if (lent.isDirect()) {
-            free.push(lent);
+    public void release(ByteBuffer buffer) {
+        if (buffer.isDirect()) {
+            free.push(buffer);
         }
     }
 }
--- a/daemon/src/main/java/postgrade/http/SocketBudget.java
+++ b/daemon/src/main/java/postgrade/http/SocketBudget.java
@@ -18,26 +18,26 @@
      * Accepted connections take this part at most, or busy consumers could leave none to reach a
      * provider.
      */
-    private static final double MOST_ACCEPTED = 0.75;
+    private static final double MAX_ACCEPTED_FRACTION = 0.75;
 
     /** Places that only discovery may take: without it every decision ages. */
-    private static final int FOR_DISCOVERY = 2;
+    private static final int RESERVED_FOR_DISCOVERY = 2;
 
-    private int most;
+    private int capacity;
     private int open;
-    private final LinkedHashSet<Connection> onProbation = new LinkedHashSet<>();
-    private final LinkedHashSet<Connection> idle = new LinkedHashSet<>();
+    private final LinkedHashSet<Connection> probationary = new LinkedHashSet<>();
+    private final LinkedHashSet<Connection> protectedIdle = new LinkedHashSet<>();
 
-    public SocketBudget(int most) {
-        this.most = most;
+    public SocketBudget(int capacity) {
+        this.capacity = capacity;
     }
 
     /** From now on so many places, which closes idle connections beyond them. */
-    public void setLimit(int places) {
-        most = places;
-        for (LinkedHashSet<Connection> of : List.of(onProbation, idle)) {
-            while (open > most && !of.isEmpty()) {
-                of.iterator().next().evict();
+    public void setLimit(int newCapacity) {
+        capacity = newCapacity;
+        for (LinkedHashSet<Connection> segment : List.of(probationary, protectedIdle)) {
+            while (open > capacity && !segment.isEmpty()) {
+                segment.iterator().next().evict();
             }
         }
     }
@@ -48,8 +48,8 @@
      *
      * @param anyIdle also one that is past its probation may be closed
      */
-    public void acquireForAccept(boolean anyIdle) {
-        if (!take((int) (most * MOST_ACCEPTED), anyIdle)) {
+    public void acquireForAccept(boolean mayEvictProtected) {
+        if (!tryAcquire((int) (capacity * MAX_ACCEPTED_FRACTION), mayEvictProtected)) {
             open++;
         }
     }
@@ -58,21 +58,22 @@
      * Whether {@link #acquireForAccept} would find a place; nothing is closed for one that may not
      * come.
      */
-    public boolean canAcquireForAccept(boolean anyIdle) {
-        return open < (int) (most * MOST_ACCEPTED)
-                || !onProbation.isEmpty()
-                || anyIdle && !idle.isEmpty();
+    public boolean canAcquireForAccept(boolean mayEvictProtected) {
+        return open < (int) (capacity * MAX_ACCEPTED_FRACTION)
+                || !probationary.isEmpty()
+                || mayEvictProtected && !protectedIdle.isEmpty();
     }
 
     /** Takes a place for a connection of ours. */
-    boolean takeToConnect(boolean toDiscovery) {
-        return take(toDiscovery ? most : most - FOR_DISCOVERY, true);
+    boolean acquireForConnect(boolean toDiscovery) {
+        return tryAcquire(toDiscovery ? capacity : capacity - RESERVED_FOR_DISCOVERY, true);
     }
 
-    private boolean take(int limit, boolean anyIdle) {
+    private boolean tryAcquire(int limit, boolean mayEvictProtected) {
         while (open >= limit) {
             Iterator<Connection> oldest =
-                    (onProbation.isEmpty() && anyIdle ? idle : onProbation).iterator();
+                    (probationary.isEmpty() && mayEvictProtected ? protectedIdle : probationary)
+                            .iterator();
             if (!oldest.hasNext()) {
                 return false;
             }
@@ -86,21 +87,21 @@
         open--;
     }
 
-    boolean isIdle(Connection c) {
-        return idle.contains(c) || onProbation.contains(c);
+    boolean isIdle(Connection connection) {
+        return protectedIdle.contains(connection) || probationary.contains(connection);
     }
 
-    void idle(Connection c, boolean isIdle, boolean isOnProbation) {
+    void updateIdle(Connection connection, boolean isIdle, boolean isOnProbation) {
         // One that is idle already keeps its place.
         if (isIdle && isOnProbation) {
-            idle.remove(c);
-            onProbation.add(c);
+            protectedIdle.remove(connection);
+            probationary.add(connection);
         } else if (isIdle) {
-            onProbation.remove(c);
-            idle.add(c);
+            probationary.remove(connection);
+            protectedIdle.add(connection);
         } else {
-            onProbation.remove(c);
-            idle.remove(c);
+            probationary.remove(connection);
+            protectedIdle.remove(connection);
         }
     }
 }
--- a/daemon/src/main/java/postgrade/telemetry/EndCounters.java
+++ b/daemon/src/main/java/postgrade/telemetry/AttemptCounters.java
@@ -10,7 +10,7 @@
 import postgrade.policy.api.DecisionReason;
 
 /** Counts ends of attempts by outcome and evidence, and answers by kind and reason. */
-final class EndCounters {
+final class AttemptCounters {
 
     private static final int OUTCOMES = AttemptOutcome.values().length;
     private static final int EVIDENCE = EndEvidence.Kind.values().length;
@@ -68,7 +68,7 @@
         StringJoiner text = new StringJoiner(" ");
         for (DecisionReason reason : DecisionReason.values()) {
             if (cancels[reason.ordinal()] > 0) {
-                text.add(word(reason) + "=" + cancels[reason.ordinal()]);
+                text.add(lowerCaseName(reason) + "=" + cancels[reason.ordinal()]);
             }
         }
         return text.toString();
@@ -92,14 +92,14 @@
             for (Enum<?> column : columns) {
                 long count = counts[row.ordinal() * columns.length + column.ordinal()];
                 if (count > 0) {
-                    text.add(word(row) + "/" + word(column) + "=" + count);
+                    text.add(lowerCaseName(row) + "/" + lowerCaseName(column) + "=" + count);
                 }
             }
         }
         return text.toString();
     }
 
-    private static String word(Enum<?> value) {
+    private static String lowerCaseName(Enum<?> value) {
         return value.name().toLowerCase(Locale.ROOT);
     }
 }
--- a/daemon/src/main/java/postgrade/telemetry/AttemptLog.java
+++ b/daemon/src/main/java/postgrade/telemetry/AttemptLog.java
@@ -26,9 +26,9 @@
     private static final long COUNTS_MICROS = 10_000_000;
 
     private final Timers timers;
-    private final EndCounters counters = new EndCounters();
-    private final RecentEnds recentEnds = new RecentEnds();
-    private final LineBudget lines = new LineBudget();
+    private final AttemptCounters counters = new AttemptCounters();
+    private final RecentlyEndedAttempts recentlyEnded = new RecentlyEndedAttempts();
+    private final LogRateLimiter rateLimiter = new LogRateLimiter();
     private long loggedTotal;
 
     /** Begins to log the counters at times. */
@@ -59,7 +59,7 @@
                 .addKeyValue("repeated", counters.repeatedAttempts())
                 .addKeyValue("unmatched_reports", counters.unmatchedReports())
                 .addKeyValue("contradicted_ends", counters.contradictedEnds())
-                .addKeyValue("lines_suppressed", lines.suppressed())
+                .addKeyValue("lines_suppressed", rateLimiter.suppressed())
                 .log(
                         "attempts ended: "
                                 + counters.endsText()
@@ -74,29 +74,30 @@
                                 + ", contradicted ends "
                                 + counters.contradictedEnds()
                                 + ", lines left out "
-                                + lines.suppressed());
+                                + rateLimiter.suppressed());
     }
 
     @Override
     public void attemptEnded(EndedAttempt ended) {
         counters.ended(ended);
-        recentEnds.add(ended);
-        if (ended.outcome() != AttemptOutcome.SERVED && lines.spend(timers.nowMicros())) {
-            Course course = Course.of(ended);
-            course.addTo(Events.info(LOG, "attempt.ended"))
-                    .log(name(ended) + " ended " + course.text());
+        recentlyEnded.add(ended);
+        if (ended.outcome() != AttemptOutcome.SERVED
+                && rateLimiter.tryAcquire(timers.nowMicros())) {
+            Timeline timeline = Timeline.of(ended);
+            timeline.addTo(Events.info(LOG, "attempt.ended"))
+                    .log(describe(ended) + " ended " + timeline.toText());
         }
     }
 
     @Override
     public void attemptRepeated(String requestId, String workerId, int number) {
         counters.repeated();
-        if (lines.spend(timers.nowMicros())) {
+        if (rateLimiter.tryAcquire(timers.nowMicros())) {
             Events.info(LOG, "attempt.repeated")
                     .addKeyValue("request", requestId)
                     .addKeyValue("attempt", number)
                     .addKeyValue("worker", workerId)
-                    .log(name(requestId, number, workerId) + " begins");
+                    .log(describe(requestId, number, workerId) + " begins");
         }
     }
 
@@ -104,21 +105,21 @@
     public void attemptCancelled(
             String requestId, String workerId, int number, DecisionReason reason) {
         counters.cancelled(reason);
-        if (lines.spend(timers.nowMicros())) {
+        if (rateLimiter.tryAcquire(timers.nowMicros())) {
             Events.info(LOG, "attempt.cancelled")
                     .addKeyValue("request", requestId)
                     .addKeyValue("attempt", number)
                     .addKeyValue("worker", workerId)
                     .addKeyValue("reason", reason)
-                    .log(name(requestId, number, workerId) + " is cancelled: " + reason);
+                    .log(describe(requestId, number, workerId) + " is cancelled: " + reason);
         }
     }
 
     @Override
     public void requestAnswered(AnsweredRequest answered) {
         counters.answered(answered);
-        boolean unusual = !answered.isServed() && answered.attempts() > 0;
-        if (unusual && lines.spend(timers.nowMicros())) {
+        boolean hasNoResult = !answered.isServed() && answered.attempts() > 0;
+        if (hasNoResult && rateLimiter.tryAcquire(timers.nowMicros())) {
             Events.info(LOG, "request.answered")
                     .addKeyValue("request", answered.requestId())
                     .addKeyValue("answer", answered.answer())
@@ -143,46 +144,46 @@
     @Override
     public void reportUnmatched(String requestId, String workerId, ReportedState state) {
         counters.reportUnmatched();
-        EndedAttempt ended = recentEnds.find(requestId, workerId);
+        EndedAttempt ended = recentlyEnded.find(requestId, workerId);
         if (ended == null) {
             return;
         }
         counters.endContradicted();
-        if (lines.spend(timers.nowMicros())) {
+        if (rateLimiter.tryAcquire(timers.nowMicros())) {
             long afterMicros = timers.nowMicros() - ended.endedMicros();
-            Course course = Course.of(ended);
+            Timeline timeline = Timeline.of(ended);
             LoggingEventBuilder line =
                     Events.warn(LOG, "attempt.reported-after-end")
                             .addKeyValue("state", state)
                             .addKeyValue("after_us", afterMicros);
-            course.addTo(line)
+            timeline.addTo(line)
                     .log(
-                            name(ended)
+                            describe(ended)
                                     + " is reported "
                                     + state
                                     + " by its worker "
                                     + afterMicros
                                     + " us after it was taken for ended "
-                                    + course.text());
+                                    + timeline.toText());
         }
     }
 
-    private static String name(EndedAttempt ended) {
-        return name(ended.requestId(), ended.number(), ended.workerId());
+    private static String describe(EndedAttempt ended) {
+        return describe(ended.requestId(), ended.number(), ended.workerId());
     }
 
-    private static String name(String requestId, int number, String workerId) {
+    private static String describe(String requestId, int number, String workerId) {
         return "attempt " + number + " of " + requestId + " at " + workerId;
     }
 
     /** How an attempt went, as fields and as text. Times count from its beginning. */
-    private record Course(EndedAttempt ended, WireRecord wire) {
+    private record Timeline(EndedAttempt ended, WireRecord wire) {
 
-        static Course of(EndedAttempt ended) {
-            return new Course(ended, ended.wire());
+        static Timeline of(EndedAttempt ended) {
+            return new Timeline(ended, ended.wire());
         }
 
-        private long since(long micros) {
+        private long microsSinceBegin(long micros) {
             return micros == WireRecord.NEVER ? WireRecord.NEVER : micros - ended.beganMicros();
         }
 
@@ -194,11 +195,12 @@
                             .addKeyValue("outcome", ended.outcome())
                             .addKeyValue("evidence", ended.evidence().kind())
                             .addKeyValue("status", ended.evidence().status())
-                            .addKeyValue("written_us", since(wire.writtenMicros()))
-                            .addKeyValue("accepted_us", since(wire.acceptedMicros()))
-                            .addKeyValue("started_us", since(ended.reportedStartMicros()))
-                            .addKeyValue("cancelled_us", since(wire.cancelledMicros()))
-                            .addKeyValue("ended_us", since(ended.endedMicros()));
+                            .addKeyValue("written_us", microsSinceBegin(wire.writtenMicros()))
+                            .addKeyValue("accepted_us", microsSinceBegin(wire.acceptedMicros()))
+                            .addKeyValue(
+                                    "started_us", microsSinceBegin(ended.reportedStartMicros()))
+                            .addKeyValue("cancelled_us", microsSinceBegin(wire.cancelledMicros()))
+                            .addKeyValue("ended_us", microsSinceBegin(ended.endedMicros()));
             if (wire.connection() != null) {
                 line =
                         line.addKeyValue("connection_age_us", wire.connection().ageMicros())
@@ -210,17 +212,17 @@
             return line;
         }
 
-        String text() {
+        String toText() {
             StringBuilder text = new StringBuilder(160);
             text.append(ended.outcome()).append(" by ").append(ended.evidence().kind());
             if (ended.evidence().status() != 0) {
                 text.append(' ').append(ended.evidence().status());
             }
-            time(text, "written", wire.writtenMicros());
-            time(text, "accepted", wire.acceptedMicros());
-            time(text, "started", ended.reportedStartMicros());
-            time(text, "cancelled", wire.cancelledMicros());
-            time(text, "ended", ended.endedMicros());
+            appendTime(text, "written", wire.writtenMicros());
+            appendTime(text, "accepted", wire.acceptedMicros());
+            appendTime(text, "started", ended.reportedStartMicros());
+            appendTime(text, "cancelled", wire.cancelledMicros());
+            appendTime(text, "ended", ended.endedMicros());
             if (wire.connection() != null) {
                 text.append(", connection ")
                         .append(wire.connection().ageMicros())
@@ -232,9 +234,13 @@
             return text.toString();
         }
 
-        private void time(StringBuilder text, String what, long micros) {
+        private void appendTime(StringBuilder text, String label, long micros) {
             if (micros != WireRecord.NEVER) {
-                text.append(", ").append(what).append(" +").append(since(micros)).append(" us");
+                text.append(", ")
+                        .append(label)
+                        .append(" +")
+                        .append(microsSinceBegin(micros))
+                        .append(" us");
             }
         }
     }
--- a/daemon/src/main/java/postgrade/telemetry/LineBudget.java
+++ b/daemon/src/main/java/postgrade/telemetry/LogRateLimiter.java
@@ -3,20 +3,20 @@
 /**
  * Bounds the log lines of a time by a token bucket, so that a flood of unusual ends costs little.
  */
-final class LineBudget {
+final class LogRateLimiter {
 
     private static final double BURST = 400;
     private static final double LINES_PER_MICRO = 50e-6;
 
     private double available = BURST;
-    private long filledMicros;
+    private long refilledMicros;
     private long suppressed;
 
     /** Whether a line may be written now; one that may not is counted. */
-    boolean spend(long nowMicros) {
-        double earned = (nowMicros - filledMicros) * LINES_PER_MICRO;
+    boolean tryAcquire(long nowMicros) {
+        double earned = (nowMicros - refilledMicros) * LINES_PER_MICRO;
         available = Math.min(BURST, available + Math.max(0, earned));
-        filledMicros = nowMicros;
+        refilledMicros = nowMicros;
         if (available < 1) {
             suppressed++;
             return false;
--- a/daemon/src/main/java/postgrade/telemetry/RecentEnds.java
+++ b/daemon/src/main/java/postgrade/telemetry/RecentlyEndedAttempts.java
@@ -8,25 +8,25 @@
  * The latest attempts that ended without a call-back of their worker. A call-back that comes for
  * one of them later shows that its end was concluded wrongly, or crossed the worker's word.
  */
-final class RecentEnds {
+final class RecentlyEndedAttempts {
 
-    private static final int MOST = 256;
+    private static final int CAPACITY = 256;
 
-    private final EndedAttempt[] ends = new EndedAttempt[MOST];
+    private final EndedAttempt[] attempts = new EndedAttempt[CAPACITY];
     private int next;
 
     void add(EndedAttempt ended) {
         boolean reported = ended.evidence().kind() == EndEvidence.Kind.REPORTED;
         if (!reported && ended.outcome() != AttemptOutcome.NOT_SENT) {
-            ends[next] = ended;
-            next = (next + 1) % MOST;
+            attempts[next] = ended;
+            next = (next + 1) % CAPACITY;
         }
     }
 
     /** The latest such end of this request at this worker, or null. */
     EndedAttempt find(String requestId, String workerId) {
-        for (int back = 1; back <= MOST; back++) {
-            EndedAttempt ended = ends[(next - back + MOST) % MOST];
+        for (int back = 1; back <= CAPACITY; back++) {
+            EndedAttempt ended = attempts[(next - back + CAPACITY) % CAPACITY];
             if (ended == null) {
                 return null;
             }
--- a/daemon/src/test/java/postgrade/discovery/ManualEventLoop.java
+++ b/daemon/src/test/java/postgrade/discovery/ManualEventLoop.java
@@ -23,22 +23,22 @@
     private final Selector selector;
     private final SocketBudget sockets = new SocketBudget(100);
     private final ByteBuffer buffer = ByteBuffer.allocate(64 << 10);
-    private final PriorityQueue<Due> due = new PriorityQueue<>();
+    private final PriorityQueue<ScheduledTask> scheduledTasks = new PriorityQueue<>();
     private long nowMicros;
     private SystemCalls systemCalls = SystemCalls.REAL;
-    private long count;
+    private long scheduledCount;
     private final List<SelectableChannel> channels = new ArrayList<>();
-    private int served;
+    private int servedEvents;
 
-    private record Due(long whenMicros, long number, Runnable[] task)
-            implements Timer, Comparable<Due> {
+    private record ScheduledTask(long whenMicros, long number, Runnable[] task)
+            implements Timer, Comparable<ScheduledTask> {
         @Override
         public void cancel() {
             task[0] = null;
         }
 
         @Override
-        public int compareTo(Due o) {
+        public int compareTo(ScheduledTask o) {
             return whenMicros != o.whenMicros
                     ? Long.compare(whenMicros, o.whenMicros)
                     : Long.compare(number, o.number);
@@ -60,24 +60,24 @@
     }
 
     /** Serves sockets until it is so; time stands still. */
-    public void serveUntil(BooleanSupplier isSo) throws IOException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (!isSo.getAsBoolean()) {
-            assertTrue("in time", System.nanoTime() < end);
-            turn(20);
+    public void serveUntil(BooleanSupplier condition) throws IOException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+        while (!condition.getAsBoolean()) {
+            assertTrue("in time", System.nanoTime() < deadlineNanos);
+            pollOnce(20);
         }
     }
 
-    private void turn(long waitMillis) throws IOException {
+    private void pollOnce(long waitMillis) throws IOException {
         selector.select(waitMillis);
         for (SelectionKey key : selector.selectedKeys()) {
             if (key.isValid()) {
-                served++;
-                Handler h = (Handler) key.attachment();
+                servedEvents++;
+                Handler handler = (Handler) key.attachment();
                 try {
-                    h.ready(key);
+                    handler.ready(key);
                 } catch (IOException e) {
-                    h.failed(e);
+                    handler.failed(e);
                 }
             }
         }
@@ -90,10 +90,10 @@
     }
 
     /** Does something that a socket hears of, and serves that. */
-    public void runAndServe(IoAction something) throws IOException {
-        int before = served;
-        something.run();
-        serveUntil(() -> served > before);
+    public void runAndServe(IoAction action) throws IOException {
+        int servedBefore = servedEvents;
+        action.run();
+        serveUntil(() -> servedEvents > servedBefore);
     }
 
     /** What a peer does. */
@@ -102,19 +102,19 @@
     }
 
     /** Time passes; returns early, at its time, once a task has made it so. */
-    public boolean advanceTime(long micros, BooleanSupplier isSo) {
-        long end = nowMicros + micros;
-        while (!due.isEmpty() && due.peek().whenMicros <= end) {
-            Due next = due.poll();
+    public boolean advanceTime(long micros, BooleanSupplier condition) {
+        long endMicros = nowMicros + micros;
+        while (!scheduledTasks.isEmpty() && scheduledTasks.peek().whenMicros <= endMicros) {
+            ScheduledTask next = scheduledTasks.poll();
             nowMicros = Math.max(nowMicros, next.whenMicros);
             if (next.task[0] != null) {
                 next.task[0].run();
-                if (isSo.getAsBoolean()) {
+                if (condition.getAsBoolean()) {
                     return true;
                 }
             }
         }
-        nowMicros = end;
+        nowMicros = endMicros;
         return false;
     }
 
@@ -125,9 +125,10 @@
 
     @Override
     public Timer at(long whenMicros, Runnable task) {
-        Due d = new Due(whenMicros, count++, new Runnable[] {task});
-        due.add(d);
-        return d;
+        ScheduledTask scheduled =
+                new ScheduledTask(whenMicros, scheduledCount++, new Runnable[] {task});
+        scheduledTasks.add(scheduled);
+        return scheduled;
     }
 
     @Override
--- a/daemon/src/test/java/postgrade/http/ArrivalTimesTest.java
+++ b/daemon/src/test/java/postgrade/http/ArrivalTimesTest.java
@@ -14,37 +14,37 @@
 
     /** The wait that ended at 200 was the first that watched it. */
     @Test
-    public void whatIsReadAtOnceMayHaveComeBeforeTheLoopWatchedIt() {
+    public void firstReadMayReturnBytesFromBeforeWatchBegan() {
         assertEquals(50, times.beforeRead(100, 100));
     }
 
     @Test
-    public void whatAWaitDidNotShowHasComeSince() {
+    public void bytesNotReportedByAWaitArrivedAfterIt() {
         assertEquals(200, times.beforeRead(200, 200));
         assertEquals(300, times.beforeRead(300, 300));
     }
 
     /** The wait has ended with what it shows, however long nothing had been ready before. */
     @Test
-    public void whatHasEndedALongWaitHasJustCome() {
+    public void bytesThatEndALongWaitArrivedAtItsEnd() {
         assertEquals(290, times.beforeRead(200, 290));
     }
 
     @Test
-    public void afterAReadThatTookAllItWasEmptyThen() {
+    public void fullReadMarksTheSocketEmpty() {
         times.afterRead(300, true);
         assertEquals(300, times.beforeRead(200, 200));
     }
 
     @Test
-    public void whatARemainderHidWasThereAtTheNextWait() {
+    public void partialReadLeavesTheSocketNotEmptyAtTheNextWait() {
         assertEquals(200, times.beforeRead(200, 200));
         times.afterRead(300, false);
         assertEquals(200, times.beforeRead(300, 300));
     }
 
     @Test
-    public void whileItIsNotWatchedNoWaitShowsThatItIsEmpty() {
+    public void unwatchedSocketIsNotKnownToBeEmpty() {
         times.afterRead(300, true);
         times.watch(300, false);
         times.watch(900, true);
--- a/daemon/src/test/java/postgrade/http/ConnectionTest.java
+++ b/daemon/src/test/java/postgrade/http/ConnectionTest.java
@@ -29,14 +29,14 @@
 public class ConnectionTest implements Reactor, Connection.Owner {
 
     private final SocketBudget sockets = new SocketBudget(10);
-    private final ByteBuffer inUse = ByteBuffer.allocate(16);
-    private final StringBuilder heard = new StringBuilder();
-    private final ReadBufferPool looks = new ReadBufferPool();
-    private ByteBuffer last;
+    private final ByteBuffer loopBuffer = ByteBuffer.allocate(16);
+    private final StringBuilder events = new StringBuilder();
+    private final ReadBufferPool bufferPool = new ReadBufferPool();
+    private ByteBuffer lastBuffer;
     private Selector selector;
     private ServerSocketChannel server;
     private SocketChannel peer;
-    private SocketChannel ours;
+    private SocketChannel accepted;
     private Connection connection;
 
     @Before
@@ -46,15 +46,15 @@
                 ServerSocketChannel.open()
                         .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         peer = SocketChannel.open(server.getLocalAddress());
-        ours = server.accept();
+        accepted = server.accept();
         sockets.acquireForAccept(true);
-        connection = Connection.accepted(this, ours, this);
+        connection = Connection.accepted(this, accepted, this);
     }
 
     @After
     public void close() throws IOException {
         peer.close();
-        ours.close();
+        accepted.close();
         server.close();
         selector.close();
     }
@@ -65,45 +65,44 @@
 
     /** Small writes that the system holds back would go with a reset. */
     @Test
-    public void whatIsWrittenIsNotHeldBack() throws IOException {
-        assertTrue(ours.getOption(StandardSocketOptions.TCP_NODELAY));
+    public void tcpNoDelayIsSet() throws IOException {
+        assertTrue(accepted.getOption(StandardSocketOptions.TCP_NODELAY));
     }
 
     @Test
-    public void aLookTakesAllThatHasComeAndTheEndBehindItThoughNothingIsReadOtherwise()
-            throws IOException {
+    public void readPendingReadsAllBytesAndTheEndWhilePaused() throws IOException {
         connection.setPaused(true);
-        inUse.put((byte) 7);
+        loopBuffer.put((byte) 7);
         send("x".repeat(20_000));
         peer.close();
         connection.readPending();
-        assertEquals("x".repeat(20_000) + " ended closed", heard.toString());
+        assertEquals("x".repeat(20_000) + " ended closed", events.toString());
         assertFalse(connection.isOpen());
-        assertEquals("the loop's buffer is as it was", 1, inUse.position());
+        assertEquals("the loop's buffer is as it was", 1, loopBuffer.position());
     }
 
     @Test
-    public void aLookAtAConnectionThatHasBeenResetTellsOfItsEnd() throws IOException {
+    public void readPendingReportsReset() throws IOException {
         peer.setOption(StandardSocketOptions.SO_LINGER, 0);
         peer.close();
         connection.readPending();
-        assertEquals(" closed", heard.toString());
+        assertEquals(" closed", events.toString());
     }
 
     @Test
-    public void whatComesBehindOurEndIsPassedOverAndThePeersEndIsSeen() throws IOException {
+    public void bytesAfterOurEndAreDiscardedAndThePeersEndIsReported() throws IOException {
         connection.closeWhenSent();
         send("late");
         connection.readPending();
-        assertEquals("", heard.toString());
+        assertEquals("", events.toString());
         assertTrue(connection.isOpen());
         peer.close();
         connection.readPending();
-        assertEquals(" ended closed", heard.toString());
+        assertEquals(" ended closed", events.toString());
     }
 
     @Test
-    public void oneThatIsNoLongerIdleOnALookIsNotEvicted() throws IOException {
+    public void connectionWithUnreadBytesIsNotEvicted() throws IOException {
         connection.setIdle(true, false);
         send("x");
         connection.evict();
@@ -117,7 +116,7 @@
      * A look tells an owner of bytes, who has another connection looked at before they are taken.
      */
     @Test
-    public void looksWithinLooksSpoilNeitherEachOthersBytesNorTheLoops() throws IOException {
+    public void nestedPendingReadsDoNotShareBuffers() throws IOException {
         Set<ByteBuffer> buffers = Collections.newSetFromMap(new IdentityHashMap<>());
         StringBuilder inner = new StringBuilder();
         Connection[] chain = new Connection[6]; // Deeper than buffers are kept for.
@@ -165,8 +164,8 @@
         }
         send("one look after another");
         connection.readPending();
-        assertEquals("one look after another", heard.toString());
-        assertTrue("has a buffer that was used before", buffers.contains(last));
+        assertEquals("one look after another", events.toString());
+        assertTrue("has a buffer that was used before", buffers.contains(lastBuffer));
         for (SocketChannel p : peers) {
             p.close();
         }
@@ -177,13 +176,13 @@
     @Override
     public void received(Connection c, ByteBuffer bytes) {
         c.setIdle(false, false);
-        last = bytes;
-        heard.append(StandardCharsets.ISO_8859_1.decode(bytes));
+        lastBuffer = bytes;
+        events.append(StandardCharsets.ISO_8859_1.decode(bytes));
     }
 
     @Override
     public void inputEnded(Connection c) {
-        heard.append(" ended");
+        events.append(" ended");
     }
 
     @Override
@@ -193,7 +192,7 @@
 
     @Override
     public void closed(Connection c) {
-        heard.append(" closed");
+        events.append(" closed");
     }
 
     // ---- The loop.
@@ -206,17 +205,17 @@
 
     @Override
     public ByteBuffer readBuffer() {
-        return inUse;
+        return loopBuffer;
     }
 
     @Override
     public ByteBuffer acquireBuffer() {
-        return looks.acquire();
+        return bufferPool.acquire();
     }
 
     @Override
     public void releaseBuffer(ByteBuffer lent) {
-        looks.release(lent);
+        bufferPool.release(lent);
     }
 
     @Override
--- a/daemon/src/test/java/postgrade/http/FaultInjectingCalls.java
+++ b/daemon/src/test/java/postgrade/http/FaultInjectingCalls.java
@@ -27,14 +27,14 @@
         IOException make();
     }
 
-    private final Map<Call, Integer> failuresLeft = new EnumMap<>(Call.class);
-    private final Map<Call, Failure> failures = new EnumMap<>(Call.class);
+    private final Map<Call, Integer> remainingFailures = new EnumMap<>(Call.class);
+    private final Map<Call, Failure> failureFactories = new EnumMap<>(Call.class);
     private boolean oneByteAtATime;
 
     /** The next calls of this kind fail, so many of them. */
-    public synchronized void fail(Call call, int times, Failure as) {
-        failuresLeft.put(call, times);
-        failures.put(call, as);
+    public synchronized void fail(Call call, int times, Failure failure) {
+        remainingFailures.put(call, times);
+        failureFactories.put(call, failure);
     }
 
     /** Reads and writes move one byte each from now on. */
@@ -44,14 +44,14 @@
 
     /** How many of the failures that were asked for are still to come. */
     public synchronized int failuresLeft(Call call) {
-        return failuresLeft.getOrDefault(call, 0);
+        return remainingFailures.getOrDefault(call, 0);
     }
 
-    private synchronized void perhapsFail(Call call) throws IOException {
+    private synchronized void failIfScheduled(Call call) throws IOException {
         int left = failuresLeft(call);
         if (left > 0) {
-            failuresLeft.put(call, left - 1);
-            throw failures.get(call).make();
+            remainingFailures.put(call, left - 1);
+            throw failureFactories.get(call).make();
         }
     }
 
@@ -61,37 +61,37 @@
 
     @Override
     public void select(Selector selector, long millis) throws IOException {
-        perhapsFail(Call.SELECT);
+        failIfScheduled(Call.SELECT);
         SystemCalls.super.select(selector, millis);
     }
 
     @Override
     public SocketChannel accept(ServerSocketChannel server) throws IOException {
-        perhapsFail(Call.ACCEPT);
+        failIfScheduled(Call.ACCEPT);
         return SystemCalls.super.accept(server);
     }
 
     @Override
     public SocketChannel open() throws IOException {
-        perhapsFail(Call.OPEN);
+        failIfScheduled(Call.OPEN);
         return SystemCalls.super.open();
     }
 
     @Override
     public void connect(SocketChannel channel, InetSocketAddress to) throws IOException {
-        perhapsFail(Call.CONNECT);
+        failIfScheduled(Call.CONNECT);
         SystemCalls.super.connect(channel, to);
     }
 
     @Override
     public void finishConnect(SocketChannel channel) throws IOException {
-        perhapsFail(Call.FINISH_CONNECT);
+        failIfScheduled(Call.FINISH_CONNECT);
         SystemCalls.super.finishConnect(channel);
     }
 
     @Override
     public int read(SocketChannel channel, ByteBuffer into) throws IOException {
-        perhapsFail(Call.READ);
+        failIfScheduled(Call.READ);
         if (!isShort()) {
             return SystemCalls.super.read(channel, into);
         }
@@ -103,7 +103,7 @@
 
     @Override
     public void write(SocketChannel channel, ByteBuffer[] parts) throws IOException {
-        perhapsFail(Call.WRITE);
+        failIfScheduled(Call.WRITE);
         if (!isShort()) {
             SystemCalls.super.write(channel, parts);
             return;
--- /dev/null
+++ b/daemon/src/test/java/postgrade/http/MessageParserSplitInputTest.java
@@ -0,0 +1,91 @@
+package postgrade.http;
+
+import static org.junit.Assert.assertEquals;
+import static org.junit.Assert.assertNotNull;
+import static org.junit.Assert.assertNull;
+
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.function.Supplier;
+import org.junit.Test;
+
+/** Messages come cut at any byte: at every point where one may be cut, the same is read. */
+public class MessageParserSplitInputTest {
+
+    private static final String BODY = "Content-Length: 5\r\n\r\nh\u00e4 \r\n";
+    private static final String CHUNKED =
+            "Transfer-Encoding: chunked\r\n\r\n3;x=y\r\na\r\n\r\n2\r\nbc\r\n0\r\nTrailer: t\r\n\r\n";
+
+    private static byte[] bytes(String text) {
+        return text.getBytes(StandardCharsets.ISO_8859_1);
+    }
+
+    private static String describe(Message m) {
+        return m.method()
+                + " "
+                + m.target()
+                + " "
+                + m.status()
+                + " "
+                + m.header("x-class")
+                + " "
+                + new String(m.body(), StandardCharsets.ISO_8859_1);
+    }
+
+    /** Each cut into two, and into single bytes. */
+    private static void assertSameAtEverySplit(String text, Supplier<MessageParser> parserFactory)
+            throws BadMessageException {
+        byte[] bytes = bytes(text);
+        String expected = describe(parserFactory.get().parse(ByteBuffer.wrap(bytes)));
+        MessageParser byteByByte = parserFactory.get();
+        for (int split = 0; split < bytes.length; split++) {
+            MessageParser inTwoParts = parserFactory.get();
+            assertNull(
+                    "not whole yet at " + split,
+                    inTwoParts.parse(ByteBuffer.wrap(bytes, 0, split)));
+            assertEquals(
+                    "cut at " + split,
+                    expected,
+                    describe(
+                            inTwoParts.parse(ByteBuffer.wrap(bytes, split, bytes.length - split))));
+            Message end = byteByByte.parse(ByteBuffer.wrap(bytes, split, 1));
+            if (split < bytes.length - 1) {
+                assertNull(end);
+            } else {
+                assertNotNull(end);
+                assertEquals(expected, describe(end));
+            }
+        }
+    }
+
+    @Test
+    public void messagesParseTheSameAtEverySplit() throws BadMessageException {
+        for (String headersAndBody : new String[] {BODY, CHUNKED}) {
+            assertSameAtEverySplit(
+                    "POST /api?a=b HTTP/1.1\r\nHost: x\r\nX-Class: price\r\n" + headersAndBody,
+                    MessageParser::forRequests);
+            assertSameAtEverySplit(
+                    "\r\nPUT /standby HTTP/1.1\nX-Class: p\n" + headersAndBody,
+                    MessageParser::forRequests);
+            assertSameAtEverySplit(
+                    "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 202 Accepted\r\n" + headersAndBody,
+                    MessageParser::forResponses);
+        }
+        assertSameAtEverySplit("GET /-/ready HTTP/1.1\r\n\r\n", MessageParser::forRequests);
+        assertSameAtEverySplit("HTTP/1.1 204 No Content\r\n\r\n", MessageParser::forResponses);
+    }
+
+    @Test
+    public void streamedBodyIsTheSameAtEverySplit() throws BadMessageException {
+        byte[] all = bytes("HTTP/1.1 200 OK\r\n" + CHUNKED);
+        for (int split = 0; split <= all.length; split++) {
+            StringBuilder body = new StringBuilder();
+            MessageParser parser =
+                    MessageParser.forStreamingResponse(
+                            piece -> body.append(new String(piece, StandardCharsets.US_ASCII)));
+            parser.parse(ByteBuffer.wrap(all, 0, split));
+            parser.parse(ByteBuffer.wrap(all, split, all.length - split));
+            assertEquals("cut at " + split, "a\r\nbc", body.toString());
+        }
+    }
+}
--- a/daemon/src/test/java/postgrade/telemetry/AttemptLogTest.java
+++ b/daemon/src/test/java/postgrade/telemetry/AttemptLogTest.java
@@ -25,22 +25,22 @@
 /** What is written of attempts, and what is only counted. */
 public class AttemptLogTest {
 
-    private static final long BEGAN = 1_000;
+    private static final long BEGAN_MICROS = 1_000;
 
     private final ByteArrayOutputStream written = new ByteArrayOutputStream();
-    private final ManualEventLoop hand = new ManualEventLoop();
+    private final ManualEventLoop loop = new ManualEventLoop();
     private AttemptLog log;
 
     public AttemptLogTest() throws IOException {}
 
     @Before
-    public void begin() {
+    public void captureLog() {
         EventLogs.setOutput(new PrintStream(written, true, StandardCharsets.UTF_8));
-        log = new AttemptLog(hand);
+        log = new AttemptLog(loop);
     }
 
     @After
-    public void end() {
+    public void restoreLog() {
         EventLogs.setOutput(System.err);
     }
 
@@ -48,10 +48,10 @@
         return written.toString(StandardCharsets.UTF_8).lines().toList();
     }
 
-    private static EndedAttempt ended(AttemptOutcome outcome, EndEvidence evidence) {
+    private static EndedAttempt endedAttempt(AttemptOutcome outcome, EndEvidence evidence) {
         WireRecord wire =
                 new WireRecord(
-                        BEGAN + 40,
+                        BEGAN_MICROS + 40,
                         WireRecord.NEVER,
                         WireRecord.NEVER,
                         new ConnectionUse(900, 30, 2));
@@ -62,15 +62,15 @@
                 "w1",
                 outcome,
                 evidence,
-                BEGAN,
+                BEGAN_MICROS,
                 WireRecord.NEVER,
-                BEGAN + 70,
+                BEGAN_MICROS + 70,
                 wire);
     }
 
     @Test
-    public void aJobServedAtOnceHasNoLine() {
-        log.attemptEnded(ended(AttemptOutcome.SERVED, EndEvidence.REPORTED));
+    public void jobServedAtFirstAttemptIsNotLogged() {
+        log.attemptEnded(endedAttempt(AttemptOutcome.SERVED, EndEvidence.REPORTED));
         log.requestAnswered(
                 new AnsweredRequest(
                         "job-1",
@@ -85,8 +85,8 @@
     }
 
     @Test
-    public void anotherEndIsToldWithItsCourseAndItsConnection() {
-        log.attemptEnded(ended(AttemptOutcome.ERROR, EndEvidence.answered(500)));
+    public void otherEndsAreLoggedWithTimesAndConnection() {
+        log.attemptEnded(endedAttempt(AttemptOutcome.ERROR, EndEvidence.answered(500)));
         String line = lines().get(0);
         assertTrue(
                 line,
@@ -96,8 +96,9 @@
     }
 
     @Test
-    public void aCallBackForAnAttemptTakenForEndedIsToldAndCounted() {
-        log.attemptEnded(ended(AttemptOutcome.RESET, EndEvidence.of(EndEvidence.Kind.BROKEN)));
+    public void callBackAfterAConcludedEndIsLoggedAndCounted() {
+        log.attemptEnded(
+                endedAttempt(AttemptOutcome.RESET, EndEvidence.of(EndEvidence.Kind.BROKEN)));
         log.reportUnmatched("job-1", "w1", ReportedState.DONE);
         log.reportUnmatched("job-1", "w2", ReportedState.DONE);
         assertEquals(2, lines().size());
@@ -108,16 +109,16 @@
 
     /** A call-back that is repeated is no contradiction. */
     @Test
-    public void oneThatRepeatsTheEndIsOnlyCounted() {
-        log.attemptEnded(ended(AttemptOutcome.ERROR, EndEvidence.REPORTED));
+    public void repeatedCallBackIsOnlyCounted() {
+        log.attemptEnded(endedAttempt(AttemptOutcome.ERROR, EndEvidence.REPORTED));
         log.reportUnmatched("job-1", "w1", ReportedState.FAILED);
         assertEquals(1, lines().size());
     }
 
     @Test
-    public void aFloodIsCountedAndNotWritten() {
+    public void linesAboveTheRateLimitAreCountedAndNotWritten() {
         for (int i = 0; i < 1_000; i++) {
-            log.attemptEnded(ended(AttemptOutcome.FULL, EndEvidence.answered(503)));
+            log.attemptEnded(endedAttempt(AttemptOutcome.FULL, EndEvidence.answered(503)));
         }
         assertEquals(400, lines().size());
         log.logCounts();
--- a/log/src/main/java/postgrade/log/EventLine.java
+++ b/log/src/main/java/postgrade/log/EventLine.java
@@ -20,7 +20,7 @@
     /**
      * Names in the text that on-call staff search for; they are older than the structured lines.
      */
-    private static String name(Level level) {
+    private static String levelName(Level level) {
         return switch (level) {
             case ERROR -> "SEVERE";
             case WARN -> "WARNING";
@@ -30,12 +30,12 @@
     }
 
     String text() {
-        String cause = thrown == null ? "" : " (" + thrown + " at " + place() + ")";
+        String cause = thrown == null ? "" : " (" + thrown + " at " + firstStackFrame() + ")";
         return Instant.ofEpochMilli(unixMillis)
                 + " "
-                + name(level)
+                + levelName(level)
                 + " "
-                + oneLine(message + cause)
+                + escapeLineBreaks(message + cause)
                 + "\n";
     }
 
@@ -44,22 +44,22 @@
         JsonObject line =
                 Json.object()
                         .add("time", Instant.ofEpochMilli(unixMillis).toString())
-                        .add("level", name(level));
+                        .add("level", levelName(level));
         if (fields != null) {
             for (KeyValuePair field : fields) {
-                line.set(field.key, value(field.value));
+                line.set(field.key, toJsonValue(field.value));
             }
         }
         line.set("message", message);
         line.set("logger", logger);
         if (thrown != null) {
             line.set("thrown", thrown.toString());
-            line.set("at", place());
+            line.set("at", firstStackFrame());
         }
         return line + "\n";
     }
 
-    private static JsonValue value(Object value) {
+    private static JsonValue toJsonValue(Object value) {
         if (value instanceof Integer || value instanceof Long) {
             return Json.value(((Number) value).longValue());
         }
@@ -69,12 +69,12 @@
         return value instanceof Boolean b ? Json.value(b) : Json.value(String.valueOf(value));
     }
 
-    private String place() {
+    private String firstStackFrame() {
         return thrown.getStackTrace().length == 0 ? "?" : thrown.getStackTrace()[0].toString();
     }
 
     /** Guards whoever reads by the line: a message from outside may hold line ends. */
-    private static String oneLine(String text) {
+    private static String escapeLineBreaks(String text) {
         return text.indexOf('\n') < 0 && text.indexOf('\r') < 0
                 ? text
                 : text.replace("\r", "\\r").replace("\n", "\\n");
--- a/log/src/main/java/postgrade/log/EventLogger.java
+++ b/log/src/main/java/postgrade/log/EventLogger.java
@@ -50,26 +50,26 @@
 
     @Override
     public boolean isTraceEnabled() {
-        return EventLogs.writes(name, Level.TRACE);
+        return EventLogs.isEnabled(name, Level.TRACE);
     }
 
     @Override
     public boolean isDebugEnabled() {
-        return EventLogs.writes(name, Level.DEBUG);
+        return EventLogs.isEnabled(name, Level.DEBUG);
     }
 
     @Override
     public boolean isInfoEnabled() {
-        return EventLogs.writes(name, Level.INFO);
+        return EventLogs.isEnabled(name, Level.INFO);
     }
 
     @Override
     public boolean isWarnEnabled() {
-        return EventLogs.writes(name, Level.WARN);
+        return EventLogs.isEnabled(name, Level.WARN);
     }
 
     @Override
     public boolean isErrorEnabled() {
-        return EventLogs.writes(name, Level.ERROR);
+        return EventLogs.isEnabled(name, Level.ERROR);
     }
 }
--- a/log/src/main/java/postgrade/log/EventLogs.java
+++ b/log/src/main/java/postgrade/log/EventLogs.java
@@ -27,9 +27,9 @@
     }
 
     private static final String SLF4J_API = "2.0.99";
-    private static final Map<String, Level> QUIET = new ConcurrentHashMap<>();
+    private static final Map<String, Level> MINIMUM_LEVELS = new ConcurrentHashMap<>();
     private static volatile Format format = Format.TEXT;
-    private static volatile Level least = Level.INFO;
+    private static volatile Level minimumLevel = Level.INFO;
     private static volatile PrintStream out = System.err;
 
     private final Map<String, Logger> loggers = new ConcurrentHashMap<>();
@@ -40,19 +40,19 @@
      * Names this backend to SLF4J, which then looks for no other: a search costs the start of a
      * process time.
      */
-    public static void configure(Format as) {
+    public static void configure(Format newFormat) {
         System.setProperty("slf4j.provider", EventLogs.class.getName());
         System.setProperty(
                 "slf4j.internal.verbosity",
                 "WARN"); // Else SLF4J writes a line of its own about it.
-        format = as;
+        format = newFormat;
     }
 
     /** Reads {@code text} or {@code json}; another word is an {@link IllegalArgumentException}. */
     public static Format parseFormat(String name) {
-        for (Format f : Format.values()) {
-            if (f.name().toLowerCase(Locale.ROOT).equals(name)) {
-                return f;
+        for (Format format : Format.values()) {
+            if (format.name().toLowerCase(Locale.ROOT).equals(name)) {
+                return format;
             }
         }
         throw new IllegalArgumentException("--log-format is text or json, not " + name);
@@ -60,15 +60,15 @@
 
     /** Lines below this level are not written. */
     public static void setMinimumLevel(Level level) {
-        least = level;
+        minimumLevel = level;
     }
 
     /**
      * A library that tells much: of its loggers, whose names begin so, only lines from this level
      * on are written.
      */
-    public static void setLoggerLevel(String prefix, Level from) {
-        QUIET.put(prefix, from);
+    public static void setLoggerLevel(String prefix, Level level) {
+        MINIMUM_LEVELS.put(prefix, level);
     }
 
     /** Where lines go; for tests. */
@@ -76,9 +76,9 @@
         out = stream;
     }
 
-    static boolean writes(String logger, Level level) {
-        return level.toInt() >= least.toInt()
-                && QUIET.entrySet().stream()
+    static boolean isEnabled(String logger, Level level) {
+        return level.toInt() >= minimumLevel.toInt()
+                && MINIMUM_LEVELS.entrySet().stream()
                         .noneMatch(
                                 q ->
                                         level.toInt() < q.getValue().toInt()
--- a/log/src/test/java/postgrade/log/EventLogsTest.java
+++ b/log/src/test/java/postgrade/log/EventLogsTest.java
@@ -17,34 +17,34 @@
 
 class EventLogsTest {
 
-    private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream output = new ByteArrayOutputStream();
     private Logger log;
 
     @BeforeEach
-    void begin() {
+    void captureLog() {
         EventLogs.configure(EventLogs.Format.TEXT);
         log = LoggerFactory.getLogger(EventLogsTest.class);
-        EventLogs.setOutput(new PrintStream(bytes, true, StandardCharsets.UTF_8));
+        EventLogs.setOutput(new PrintStream(output, true, StandardCharsets.UTF_8));
     }
 
     @AfterEach
-    void end() {
+    void restoreLog() {
         EventLogs.configure(EventLogs.Format.TEXT);
         EventLogs.setOutput(System.err);
     }
 
     private String written() {
-        return bytes.toString(StandardCharsets.UTF_8);
+        return output.toString(StandardCharsets.UTF_8);
     }
 
     @Test
-    void aTextLineHasTimeLevelAndTextAndKeepsToOneLine() {
+    void textLineHasTimeLevelAndTextOnOneLine() {
         Events.warn(log, "watch.lost").addKeyValue("why", "x").log("lost\nagain");
         assertTrue(written().matches("[0-9TZ:.-]+ WARNING lost\\\\nagain\n"), written());
     }
 
     @Test
-    void aJsonLineHasTheEventsNameAndItsFieldsWithTheirTypes() {
+    void jsonLineHasEventNameAndTypedFields() {
         EventLogs.configure(EventLogs.Format.JSON);
         Events.error(log, "loop.ended")
                 .addKeyValue("version", 41L)
@@ -62,14 +62,14 @@
     }
 
     @Test
-    void plainLinesOfLibrariesAreWrittenTooAndThoseBelowTheLevelAreNot() {
+    void plainLinesAtOrAboveTheLevelAreWritten() {
         log.debug("not this");
         log.info("{} of {}", 1, 2);
         assertTrue(written().endsWith(" INFO 1 of 2\n"), written());
     }
 
     @Test
-    void anUnknownFormatIsNamed() {
+    void unknownFormatIsNamedInTheError() {
         assertEquals(
                 "--log-format is text or json, not xml",
                 assertThrows(IllegalArgumentException.class, () -> EventLogs.parseFormat("xml"))
