--- a/core/src/main/java/postgrade/dispatch/ActionQueue.java
+++ b/core/src/main/java/postgrade/dispatch/ActionQueue.java
@@ -10,8 +10,8 @@
 import postgrade.policy.api.PolicyActions;
 
 /**
- * Queues what the policy decides until it has heard all events of the turn, and carries it out.
- * Used on the loop's thread.
+ * Queues the policy's decisions until all events of the current event loop iteration have been
+ * delivered, then executes them. Must be used on the event loop thread only.
  */
 final class ActionQueue implements PolicyActions {
 
@@ -26,7 +26,9 @@
     private final Supplier<DispatchPolicy> policy;
 
     /**
-     * @param requests by id
+     * Creates a queue that acts on the given requests.
+     *
+     * @param requests the requests in flight, by request id
      */
     ActionQueue(
             Timers timers,
@@ -134,7 +136,7 @@
 
     @Override
     public void watchWorkers() {
-        // The daemon watches the list from its start on, whether asked to or not.
+        // No action needed: the daemon always watches the worker list.
     }
 
     private void start(String jobId, String workerId, long limitNs, long windowNs) {
@@ -161,10 +163,10 @@
         if (conflicts) {
             errors.internalError(
                     InternalErrorListener.CONFLICTING_ATTEMPT,
-                    "the module asked for a second call of a job that has one out; not sent",
+                    "the policy requested a second attempt of a job that has one in flight; not sent",
                     null);
         }
-        // The client may have left since the loop last looked.
+        // The client may have disconnected since the event loop last polled its socket.
         if (conflicts || expiresAtMicros <= nowMicros || attempt.isUnwanted()) {
             Kind kind = conflicts ? Kind.OTHER_ATTEMPT_OUT : Kind.UNWANTED;
             lifecycle.end(attempt, AttemptOutcome.NOT_SENT, EndEvidence.of(kind), null);
--- a/core/src/main/java/postgrade/dispatch/AnsweredRequest.java
+++ b/core/src/main/java/postgrade/dispatch/AnsweredRequest.java
@@ -3,11 +3,11 @@
 import postgrade.policy.api.DecisionReason;
 
 /**
- * A request that has its final answer.
+ * A request that has received its final answer.
  *
- * @param afterMicros since it arrived
- * @param attempts how many were made for it
- * @param reason of an answer that is not a result
+ * @param afterMicros the time from the request's arrival to its answer
+ * @param attempts the number of attempts that were made
+ * @param reason why the answer is not a result
  */
 public record AnsweredRequest(
         String requestId,
@@ -21,9 +21,9 @@
     public enum Answer {
         /** A worker's result. */
         SERVED,
-        /** Trying again is harmless. */
+        /** The job was not run, so the client may safely retry. */
         REJECTED,
-        /** Nothing is promised of its effect. */
+        /** The job may or may not have taken effect. */
         FAILED
     }
 
--- a/core/src/main/java/postgrade/dispatch/Attempt.java
+++ b/core/src/main/java/postgrade/dispatch/Attempt.java
@@ -7,16 +7,16 @@
 import postgrade.policy.api.AttemptOutcome;
 
 /**
- * One attempt of a request at one worker. Used on the loop's thread. Times are microseconds of the
- * loop's clock.
+ * One attempt of a request at one worker. Must be used on the event loop thread only. Times are
+ * microseconds of the event loop's clock.
  */
 public final class Attempt {
 
-    /** Which state follows which is told by {@link #TRANSITIONS} alone. */
+    /** The state of an attempt; the permitted transitions are listed in {@link #TRANSITIONS}. */
     enum State {
         /** Queued, sent or running. */
         IN_FLIGHT,
-        /** The worker is being told to drop it, and the policy has not heard of its end. */
+        /** Its cancellation has been requested, and the policy has not been notified of its end. */
         CANCELLING,
         /** Its outcome is known. */
         ENDED
@@ -41,9 +41,11 @@
     private AttemptOutcome outcome;
 
     /**
-     * @param number of the request's attempts, from 0
-     * @param untilMicros when it is no longer waited for
-     * @param writeByMicros after this it may not be written
+     * Creates an attempt that has not been handed to the transport.
+     *
+     * @param number the index among the request's attempts, from 0
+     * @param expiresAtMicros when the dispatcher stops waiting for this attempt
+     * @param writeDeadlineMicros the latest time at which the attempt may be written
      */
     Attempt(
             PendingRequest request,
@@ -60,64 +62,65 @@
         beganMicros = nowMicros;
     }
 
-    // ---- What the transport asks.
+    // ---- Used by the transport.
 
-    /** The id of the request. */
+    /** Returns the id of the request. */
     public String id() {
         return request.id();
     }
 
-    /** The worker that it goes to. */
+    /** Returns the id of the worker that the attempt is sent to. */
     public String workerId() {
         return workerId;
     }
 
-    /** The class of the job. */
+    /** Returns the class of the job. */
     public String jobClass() {
         return request.jobClass();
     }
 
-    /** The tenant of the request, or null. */
+    /** Returns the tenant of the request, or null. */
     public String tenant() {
         return request.tenant();
     }
 
-    /** What is forwarded. */
+    /** Returns the payload to forward to the worker. */
     public RequestPayload payload() {
         return request.payload();
     }
 
-    /** When the attempt is no longer waited for. */
+    /** Returns when the dispatcher stops waiting for this attempt. */
     public long expiresAtMicros() {
         return expiresAtMicros;
     }
 
-    /** What is left of the client's time for this attempt, at least a microsecond. */
+    /** Returns the client's remaining time for this attempt, at least one microsecond. */
     public long timeLeftMicros(long nowMicros) {
         return Math.max(1, expiresAtMicros - nowMicros - request.readDelayMicros());
     }
 
-    /** When the client stops waiting: until then the request may be sent again. */
+    /** Returns when the client stops waiting; the request may be retried until then. */
     public long deadlineMicros() {
         return request.deadlineMicros();
     }
 
     /**
-     * After this it may not be written: a repeat that comes to its worker later would run again.
+     * Returns the latest time at which the attempt may be written. A repeat that reaches its worker
+     * after this time would run the job again.
      */
     public long writeDeadlineMicros() {
         return writeDeadlineMicros;
     }
 
     /**
-     * Whether the client has its answer or has left by now, noticed or not, so that nothing may be
-     * written for it.
+     * Whether the client has been answered or has disconnected, even if the event loop has not
+     * processed the disconnect yet. Nothing may be written for such an attempt.
      */
     public boolean isUnwanted() {
         return request.isAnswered() || request.client().hasDisconnected();
     }
 
-    // ---- Its life.
+    // ---- Life cycle.
 
     PendingRequest request() {
         return request;
@@ -131,12 +134,12 @@
         return state != State.ENDED;
     }
 
-    /** Whether it has been handed to the transport. */
+    /** Whether the attempt has been handed to the transport. */
     boolean isOnWire() {
         return handle != null;
     }
 
-    /** Null before it is handed to the transport. */
+    /** Returns the transport's handle, or null before the attempt is handed to the transport. */
     AttemptHandle handle() {
         return handle;
     }
@@ -145,17 +148,17 @@
         handle = newHandle;
     }
 
-    /** The timer of {@link #expiresAtMicros}, cancelled with the attempt's end. */
+    /** Sets the timer of {@link #expiresAtMicros}, which is cancelled when the attempt ends. */
     void setExpiryTimer(Timers.Timer timer) {
         expiryTimer = timer;
     }
 
-    /** The worker reports that it has started the job. */
+    /** Records that the worker has reported the start of the job. */
     void recordStart(long nowMicros) {
         reportedStartMicros = nowMicros;
     }
 
-    /** What is known of its course, once it has ended. */
+    /** Returns the record of the attempt once it has ended. */
     EndedAttempt summary(EndEvidence evidence, long nowMicros) {
         return new EndedAttempt(
                 request.id(),
@@ -170,12 +173,12 @@
                 handle == null ? WireRecord.NONE : handle.wireRecord());
     }
 
-    /** Returns false, and changes nothing, if it is being cancelled or has ended. */
+    /** Returns false, and changes nothing, if the attempt is being cancelled or has ended. */
     boolean beginCancel() {
         return advance(State.CANCELLING);
     }
 
-    /** Returns false, and changes nothing, if it has ended. */
+    /** Returns false, and changes nothing, if the attempt has already ended. */
     boolean end(AttemptOutcome finalOutcome) {
         if (!advance(State.ENDED)) {
             return false;
@@ -195,14 +198,14 @@
         return isAllowed;
     }
 
-    /** Whether no worker has had it, so that trying again is harmless. */
+    /** Whether the attempt never reached a worker, so that the client may safely retry. */
     boolean wasNeverSent() {
         return outcome == AttemptOutcome.NOT_SENT
                 || outcome == AttemptOutcome.UNREACHABLE
                 || outcome == AttemptOutcome.NO_SOCKET;
     }
 
-    /** Whether a report from its worker may be of an earlier attempt at the same worker. */
+    /** Whether a report from this worker may belong to an earlier attempt at the same worker. */
     boolean mayReceiveStaleReports() {
         return request.attempts().stream()
                 .filter(other -> other.number < number && other.workerId.equals(workerId))
--- a/core/src/main/java/postgrade/dispatch/AttemptLifecycle.java
+++ b/core/src/main/java/postgrade/dispatch/AttemptLifecycle.java
@@ -13,8 +13,8 @@
 import postgrade.policy.api.LoadReport;
 
 /**
- * How attempts and requests end: each attempt once, each request with one final answer, and the
- * policy is notified of both. Used on the loop's thread.
+ * Ends attempts and requests. Each attempt ends once, each request gets one final answer, and the
+ * policy is notified of both. Must be used on the event loop thread only.
  */
 final class AttemptLifecycle {
 
@@ -45,17 +45,20 @@
         observer = newObserver;
     }
 
-    /** How many accepted requests have no answer yet. */
+    /** Returns the number of accepted requests that have no answer yet. */
     int unanswered() {
         return unanswered;
     }
 
-    /** A request has been accepted, which is owed an answer from now on. */
+    /** Counts a request that has been accepted and must be answered. */
     void requestAccepted() {
         unanswered++;
     }
 
-    /** Hands over the requests that may be forgotten: nothing is owed, out or to be delivered. */
+    /**
+     * Passes the settled requests to {@code forget}: those that are answered and have no attempt in
+     * flight and no undelivered event.
+     */
     void forgetSettled(Consumer<PendingRequest> forget) {
         for (PendingRequest request = settlementCandidates.poll();
                 request != null;
@@ -67,8 +70,8 @@
     }
 
     /**
-     * Queues an event of this request for the policy. The request is remembered until it has been
-     * delivered.
+     * Queues an event of this request for the policy. The request stays tracked until the event has
+     * been delivered.
      */
     void notifyPolicy(PendingRequest request, LongConsumer event) {
         request.eventQueued();
@@ -81,10 +84,10 @@
     }
 
     /**
-     * An attempt has ended. One that has ended before is left as it is.
+     * Ends an attempt. Has no effect on an attempt that has already ended.
      *
-     * @param evidence what showed it
-     * @param result of a served job, else null
+     * @param evidence what showed that the attempt had ended
+     * @param result the result of a served job, else null
      */
     void end(Attempt attempt, AttemptOutcome outcome, EndEvidence evidence, byte[] result) {
         if (!attempt.end(outcome)) {
@@ -111,7 +114,7 @@
                                         LoadReport.NONE));
     }
 
-    /** Marks the one final answer, which the caller gives. */
+    /** Marks a request as answered; the caller sends the answer. */
     void markAnswered(PendingRequest request, Answer answer, DecisionReason reason) {
         notifyAnswered(request, answer, reason, microsSinceArrival(request));
         conclude(request);
@@ -139,7 +142,7 @@
                         reason));
     }
 
-    /** Nothing more is owed. */
+    /** Marks that the client needs no further answer. */
     void conclude(PendingRequest request) {
         request.markAnswered();
         unanswered--;
@@ -147,8 +150,8 @@
     }
 
     /**
-     * Gives the final answer to a request that is not served. A client whose job no worker has had
-     * is told that trying again is harmless. An attempt that still waits for its connection is
+     * Sends the final answer to a request that was not served. If no worker has received the job,
+     * the client is told that it may safely retry. Attempts that still wait for a connection are
      * withdrawn first.
      */
     void failRequest(PendingRequest request, boolean timedOut, DecisionReason reason) {
@@ -165,9 +168,10 @@
     }
 
     /**
-     * Withdraws the attempts of an answered or abandoned request that have not been written whole,
-     * in the moment in which nobody waits any more. The policy's own cancellation comes later in
-     * the turn, or never where the settings forbid it, and a connection may come up before it.
+     * Withdraws the attempts of an answered or abandoned request that have not been completely
+     * written. This happens at once because the policy's own cancellation comes later in the
+     * iteration, or never where the settings forbid it, and a connection may be established before
+     * then.
      */
     void withdrawUnsent(PendingRequest request) {
         for (Attempt attempt : request.attempts()) {
@@ -182,26 +186,26 @@
         }
     }
 
-    /** The policy has left a request unanswered past its deadline. */
+    /** Fails a request that the policy has not answered by its deadline. */
     void failOverdue(PendingRequest request) {
         if (!request.isAnswered()) {
             errors.internalError(
                     InternalErrorListener.UNANSWERED_AT_DEADLINE,
-                    "the module left a job of class "
+                    "the policy did not answer a job of class "
                             + request.jobClass()
-                            + " unanswered at its deadline; failed here",
+                            + " by its deadline; the request was failed",
                     null);
             failRequest(request, true, DecisionReason.UNSTATED);
             notifyPolicy(request, nowNs -> policy.get().clientLeft(nowNs, request.id()));
         }
     }
 
-    /** An attempt is no longer waited for. */
+    /** Ends or cancels an attempt whose time has run out. */
     void expire(Attempt attempt) {
         long deadlineMicros = attempt.deadlineMicros();
         if (attempt.isInFlight() && timers.nowMicros() >= deadlineMicros) {
-            // The policy owes the answer now and can send no more, so it need not wait for the
-            // worker.
+            // At the deadline the answer is due and no retry is possible, so the policy need not
+            // wait for the worker to confirm.
             AttemptOutcome outcome =
                     attempt.handle().isWritten() ? AttemptOutcome.TIMEOUT : AttemptOutcome.NOT_SENT;
             attempt.handle().cancel(evidence -> {});
@@ -213,8 +217,8 @@
     }
 
     /**
-     * Cancels an attempt. The policy is notified, and may send again, only once the worker is sure
-     * not to run it.
+     * Cancels an attempt. The policy is notified, and may retry, only after it is certain that the
+     * worker will not run the attempt.
      */
     void cancel(Attempt attempt, AttemptOutcome outcome) {
         if (attempt.beginCancel()) {
@@ -222,7 +226,7 @@
         }
     }
 
-    /** Cancels the attempts of answered requests that have not ended, once each. */
+    /** Cancels the attempts in flight of answered requests, once each. */
     void cancelUnwanted(Collection<PendingRequest> requests) {
         for (PendingRequest request : List.copyOf(requests)) {
             if (request.isAnswered()) {
--- a/core/src/main/java/postgrade/dispatch/EndEvidence.java
+++ b/core/src/main/java/postgrade/dispatch/EndEvidence.java
@@ -1,51 +1,55 @@
 package postgrade.dispatch;
 
 /**
- * What showed that an attempt had ended.
+ * The evidence that an attempt has ended.
  *
- * @param status of the answer, for {@link Kind#ANSWERED} and {@link Kind#CANCEL_CONFIRMED}; else 0
+ * @param status the status of the response, for {@link Kind#ANSWERED} and {@link
+ *     Kind#CANCEL_CONFIRMED}; else 0
  */
 public record EndEvidence(Kind kind, int status) {
 
-    /** The ways in which an attempt can be seen to have ended. */
+    /** The ways in which the end of an attempt is detected. */
     public enum Kind {
         /** A call-back of its worker, with its id. */
         REPORTED,
-        /** An answer to its request. */
+        /** The response to its request. */
         ANSWERED,
-        /** The answer to the request that cancels it. */
+        /** The response to the request that cancels it. */
         CANCEL_CONFIRMED,
-        /** We closed its connection before any answer, which cancels it. */
+        /** The dispatcher closed its connection before any response, which cancels it. */
         CLOSED,
-        /** Its connection broke or was ended after its last byte and before any answer. */
+        /**
+         * Its connection was reset or closed after the last byte was written and before any
+         * response.
+         */
         BROKEN,
-        /** Its last byte was never given to the system. */
+        /** The last byte was never passed to the operating system. */
         NOT_WRITTEN,
-        /** No connection came up. */
+        /** No connection was established. */
         NOT_CONNECTED,
-        /** No connection could be begun for want of something of ours. */
+        /** No connection could be opened because a local resource was missing or exhausted. */
         NO_SOCKET,
-        /** Its worker takes no new work, so it was not written. */
+        /** Its worker accepts no new work, so it was not written. */
         WORKER_NOT_READY,
         /** The time within which it could be written was over. */
         WRITE_WINDOW_OVER,
-        /** Nobody waited for it any more when it was to be sent. */
+        /** It was no longer needed when it was to be sent. */
         UNWANTED,
-        /** The client stopped waiting; its fate at the worker is not known. */
+        /** The client stopped waiting; whether the worker ran the job is not known. */
         DEADLINE,
-        /** Another attempt was out, so it was not sent. */
+        /** Another attempt was in flight, so it was not sent. */
         OTHER_ATTEMPT_OUT
     }
 
     /** A call-back of its worker. */
     public static final EndEvidence REPORTED = of(Kind.REPORTED);
 
-    /** Evidence that comes with no status. */
+    /** Returns evidence that has no status. */
     public static EndEvidence of(Kind kind) {
         return new EndEvidence(kind, 0);
     }
 
-    /** An answer to the attempt's request. */
+    /** Returns the evidence of a response to the attempt's request. */
     public static EndEvidence answered(int status) {
         return new EndEvidence(Kind.ANSWERED, status);
     }
--- a/core/src/main/java/postgrade/dispatch/EndedAttempt.java
+++ b/core/src/main/java/postgrade/dispatch/EndedAttempt.java
@@ -3,13 +3,13 @@
 import postgrade.policy.api.AttemptOutcome;
 
 /**
- * An attempt that has ended, and what is known of its course. Times are microseconds of the loop's
- * clock.
+ * The record of an attempt that has ended. Times are microseconds of the event loop's clock.
  *
- * @param number of the request's attempts, from 0
- * @param evidence what showed its end
- * @param beganMicros when the policy asked for it
- * @param reportedStartMicros when its worker reported its start, or {@link WireRecord#NEVER}
+ * @param number the index among the request's attempts, from 0
+ * @param evidence what showed that it had ended
+ * @param beganMicros when the policy requested it
+ * @param reportedStartMicros when its worker reported the start of the job, or {@link
+ *     WireRecord#NEVER}
  */
 public record EndedAttempt(
         String requestId,
@@ -23,7 +23,10 @@
         long endedMicros,
         WireRecord wire) {
 
-    /** How long it ran since its worker reported its start, or since it began where it did not. */
+    /**
+     * Returns how long it ran: from the start that its worker reported or, without such a report,
+     * from when the policy requested it.
+     */
     public long ranMicros() {
         long since = reportedStartMicros == WireRecord.NEVER ? beganMicros : reportedStartMicros;
         return endedMicros - since;
--- a/core/src/main/java/postgrade/dispatch/EventBatch.java
+++ b/core/src/main/java/postgrade/dispatch/EventBatch.java
@@ -4,9 +4,9 @@
 import java.util.function.LongConsumer;
 
 /**
- * The events that one turn of the loop delivers to the policy, and the actions that the policy
- * decides on. Events are delivered in one go, those of the worker list and the settings first; only
- * then are the actions carried out, each in its order.
+ * The events that one event loop iteration delivers to the policy, and the actions that the policy
+ * decides on. All events are delivered first, those of the worker list and the settings before the
+ * others; then the actions are executed in order.
  */
 final class EventBatch {
 
@@ -23,17 +23,20 @@
         this.errors = errors;
     }
 
-    /** Adds an event that holds for all others of the turn. It is given the time in nanoseconds. */
+    /**
+     * Adds an event that is delivered before the other events of the iteration. Its argument is the
+     * time in nanoseconds.
+     */
     void addPriorityEvent(LongConsumer event) {
         priorityEvents.add(event);
     }
 
-    /** Adds an event. It is given the time in nanoseconds. */
+    /** Adds an event. Its argument is the time in nanoseconds. */
     void addEvent(LongConsumer event) {
         events.add(event);
     }
 
-    /** Adds an action, to be carried out once all events of the turn have been delivered. */
+    /** Adds an action, which is executed once all events of the iteration have been delivered. */
     void addAction(Runnable action) {
         actions.add(action);
     }
@@ -43,11 +46,12 @@
     }
 
     /**
-     * Delivers the events and carries out the actions. What an action brings about is an event of
-     * the next turn.
+     * Delivers the events and executes the actions. Events that an action causes are delivered in
+     * the next iteration.
      */
     void run() {
-        // A drain that the list tells is known before anything is sent in this turn.
+        // The policy must know of a drain in the worker list before it sends anything in this
+        // iteration.
         deliver(priorityEvents);
         deliver(events);
         for (Runnable action = actions.poll(); action != null; action = actions.poll()) {
@@ -63,7 +67,7 @@
             } catch (RuntimeException thrown) {
                 errors.internalError(
                         InternalErrorListener.EVENT_FAILED,
-                        "the module failed on an event",
+                        "the policy threw an exception on an event",
                         thrown);
             }
         }
--- a/core/src/main/java/postgrade/dispatch/InternalErrorListener.java
+++ b/core/src/main/java/postgrade/dispatch/InternalErrorListener.java
@@ -1,25 +1,25 @@
 package postgrade.dispatch;
 
 /**
- * Is told of errors of the dispatcher's own that it has caught and survived, so that whoever runs
- * it can log them.
+ * Notified of internal errors that the dispatcher has caught and recovered from, so that they can
+ * be logged.
  */
 public interface InternalErrorListener {
 
-    /** The policy threw on a job; the request is failed. */
+    /** The policy threw an exception on a new job; the request is failed. */
     String JOB_ARRIVAL_FAILED = "module.job-not-taken";
 
-    /** The policy threw on another event. */
+    /** The policy threw an exception on another event. */
     String EVENT_FAILED = "module.event-failed";
 
     /** The policy gave no answer by the deadline; the request is failed. */
     String UNANSWERED_AT_DEADLINE = "module.left-unanswered";
 
-    /** The policy asked for a second attempt beside one that is out; it is not sent. */
+    /** The policy requested a second attempt while one is in flight; it is not sent. */
     String CONFLICTING_ATTEMPT = "module.second-call";
 
     /**
-     * An error has been caught.
+     * Called when an error has been caught.
      *
      * @param event one of the stable names above
      * @param message one sentence
--- a/core/src/main/java/postgrade/dispatch/PendingRequest.java
+++ b/core/src/main/java/postgrade/dispatch/PendingRequest.java
@@ -7,8 +7,8 @@
 import postgrade.policy.api.Job;
 
 /**
- * A client's request from its arrival until its answer is given and each attempt for it has ended.
- * Used on the loop's thread. Times are microseconds of the loop's clock.
+ * A client's request, from its arrival until it has been answered and all its attempts have ended.
+ * Must be used on the event loop thread only. Times are microseconds of the event loop's clock.
  */
 public final class PendingRequest {
 
@@ -33,10 +33,10 @@
     private Timers.Timer overdueTimer;
 
     /**
-     * A request that has come and is not tracked yet.
+     * Creates a request that has been received and is not tracked yet.
      *
-     * @param tenant null where there is none
-     * @param key null where there is none
+     * @param tenant the tenant, or null if there is none
+     * @param key the key, or null if there is none
      * @param slots how many of a worker's slots the job occupies
      * @param memory how much of a worker's memory it occupies
      * @param deadlineMicros when the client stops waiting
@@ -74,7 +74,7 @@
         return tenant;
     }
 
-    /** The job that the policy decides on. */
+    /** Returns the job as the policy sees it. */
     Job toJob(long nowNs) {
         long timeLeftNs = deadlineMicros * NANOS_PER_MICRO - nowNs;
         return new Job(id, jobClass, tenant, key, timeLeftNs, slots, memory);
@@ -93,8 +93,9 @@
     }
 
     /**
-     * It may have lain unread for so long before it was read, while its client's time ran. What its
-     * worker is told of the time left is less by that.
+     * Sets how long the request may have been waiting in the socket buffer before it was read. The
+     * client's time ran meanwhile, so the remaining time sent to the worker is reduced by this
+     * delay.
      */
     public void setReadDelay(long delayMicros) {
         readDelayMicros = delayMicros;
@@ -105,10 +106,10 @@
     }
 
     /**
-     * It is being tracked.
+     * Starts tracking the request.
      *
-     * @param concurrentAttempts whether two of its attempts may be out at once
-     * @param overdue runs when it is left unanswered
+     * @param concurrentAttempts whether two of its attempts may be in flight at once
+     * @param timer runs if the request is not answered by its deadline
      */
     void startTracking(long nowMicros, boolean concurrentAttempts, Timers.Timer timer) {
         arrivedMicros = nowMicros;
@@ -120,7 +121,7 @@
         return arrivedMicros;
     }
 
-    // ---- Its attempts.
+    // ---- Attempts.
 
     List<Attempt> attempts() {
         return Collections.unmodifiableList(attempts);
@@ -135,7 +136,7 @@
         attemptsInFlight--;
     }
 
-    /** Its attempt at this worker that is on the wire and has not ended, or null. */
+    /** Returns the attempt that is on the wire to this worker and has not ended, or null. */
     Attempt inFlightAttemptAt(String workerId) {
         for (Attempt attempt : attempts) {
             if (attempt.isInFlight() && attempt.isOnWire() && attempt.workerId().equals(workerId)) {
@@ -146,15 +147,15 @@
     }
 
     /**
-     * Whether an attempt at this worker may start beside those that are out: never two at one
-     * worker.
+     * Whether an attempt at this worker may start beside those in flight. Two attempts are never in
+     * flight at the same worker.
      */
     boolean mayAddAttempt(String workerId) {
         return attemptsInFlight == 0
                 || (allowsConcurrentAttempts && inFlightAttemptAt(workerId) == null);
     }
 
-    // ---- Events that the policy has not heard of.
+    // ---- Undelivered policy events.
 
     void eventQueued() {
         undeliveredEvents++;
@@ -164,9 +165,11 @@
         undeliveredEvents--;
     }
 
-    // ---- Its answer.
+    // ---- The answer.
 
-    /** Whether nothing is owed: it has its final answer, or its client has left. */
+    /**
+     * Whether no answer is due: the request has its final answer, or its client has disconnected.
+     */
     boolean isAnswered() {
         return answered;
     }
@@ -176,7 +179,10 @@
         overdueTimer.cancel();
     }
 
-    /** Whether nothing is owed, out or to be delivered, so that it may be forgotten. */
+    /**
+     * Whether the request can be removed: it needs no answer, no attempt is in flight and no event
+     * is undelivered.
+     */
     boolean isSettled() {
         return answered && attemptsInFlight == 0 && undeliveredEvents == 0;
     }
--- a/core/src/main/java/postgrade/dispatch/ReportedState.java
+++ b/core/src/main/java/postgrade/dispatch/ReportedState.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import postgrade.policy.api.AttemptOutcome;
 
-/** What a worker's call-back reports of a job that it has accepted. */
+/** The state of an accepted job, as a worker's call-back reports it. */
 public enum ReportedState {
     STARTED(null),
     RUNNING(null),
@@ -18,7 +18,7 @@
         this.outcome = outcome;
     }
 
-    /** How the attempt has ended; empty if it goes on. */
+    /** Returns the outcome of the attempt; empty if it continues. */
     Optional<AttemptOutcome> outcome() {
         return Optional.ofNullable(outcome);
     }
--- a/core/src/main/java/postgrade/dispatch/RequestObserver.java
+++ b/core/src/main/java/postgrade/dispatch/RequestObserver.java
@@ -2,32 +2,29 @@
 
 import postgrade.policy.api.DecisionReason;
 
-/**
- * Observes what becomes of requests and attempts, and changes nothing of it. Called on the loop's
- * thread.
- */
+/** Observes requests and attempts without affecting them. Called on the event loop thread. */
 public interface RequestObserver {
 
-    /** Observes nothing. */
+    /** An observer that does nothing. */
     RequestObserver NONE = new RequestObserver() {};
 
-    /** A request has its final answer. One whose client has left has none. */
+    /** A request has its final answer. Not called for a request whose client has disconnected. */
     default void requestAnswered(AnsweredRequest answered) {}
 
-    /** A further attempt of a request begins, after one that has ended or beside one. */
+    /** A further attempt of a request begins, after one that has ended or concurrently with one. */
     default void attemptRepeated(String requestId, String workerId, int number) {}
 
-    /** The policy cancels an attempt that has not ended. */
+    /** The policy cancels an attempt in flight. */
     default void attemptCancelled(
             String requestId, String workerId, int number, DecisionReason reason) {}
 
     /** An attempt has ended. */
     default void attemptEnded(EndedAttempt ended) {}
 
-    /** A worker has reported on a request of which no attempt is out there. */
+    /** A worker has reported on a request that has no attempt in flight at that worker. */
     default void reportUnmatched(String requestId, String workerId, ReportedState state) {}
 
-    /** Tells both, the first one first. */
+    /** Returns an observer that notifies both, in the given order. */
     static RequestObserver both(RequestObserver first, RequestObserver second) {
         return new RequestObserver() {
             @Override
--- a/core/src/main/java/postgrade/dispatch/RequestPayload.java
+++ b/core/src/main/java/postgrade/dispatch/RequestPayload.java
@@ -10,13 +10,13 @@
     private final byte[] body;
 
     /**
-     * A payload that shares the body with its caller, who may not change it any more.
+     * Creates a payload that shares the body with its caller, who must not modify it afterwards.
      *
-     * @param method of the request line
-     * @param target of the request line
-     * @param contentType null where there is none
-     * @param idempotencyKey by which workers recognise a repeat, also one that the client makes
-     *     elsewhere; null where there is none
+     * @param method the method of the request line
+     * @param target the target of the request line
+     * @param contentType the content type, or null if there is none
+     * @param idempotencyKey the key by which workers recognise a repeated request, including one
+     *     that the client sends through another dispatcher; null if there is none
      */
     public RequestPayload(
             String method, String target, String contentType, String idempotencyKey, byte[] body) {
@@ -27,29 +27,29 @@
         this.body = body;
     }
 
-    /** The method of the request line. */
+    /** Returns the method of the request line. */
     public String method() {
         return method;
     }
 
-    /** The target of the request line. */
+    /** Returns the target of the request line. */
     public String target() {
         return target;
     }
 
-    /** Null where there is none. */
+    /** Returns the content type, or null if there is none. */
     public String contentType() {
         return contentType;
     }
 
-    /** Null where there is none. */
+    /** Returns the idempotency key, or null if there is none. */
     public String idempotencyKey() {
         return idempotencyKey;
     }
 
     /**
-     * The body itself, not to be changed: a copy for each attempt would cost as much as the
-     * request.
+     * Returns the body itself, which must not be modified. A copy for each attempt would cost as
+     * much as the request.
      */
     public byte[] body() {
         return body;
--- a/core/src/main/java/postgrade/dispatch/RequestTracker.java
+++ b/core/src/main/java/postgrade/dispatch/RequestTracker.java
@@ -19,23 +19,22 @@
 
 /**
  * The core of the dispatcher. It tracks the requests in flight and their attempts, delivers events
- * to the policy and carries out what the policy decides. It knows no protocol: the clients' side
- * submits and abandons requests, the workers' side starts attempts and tells how they end.
+ * to the policy and executes the policy's decisions. It is independent of protocols: the client
+ * side submits and abandons requests, the worker side starts attempts and reports how they end.
  *
- * <p>What comes in during a turn of the loop is queued. {@link #runBatch} delivers it to the policy
- * in one go and then carries out the actions in their order; what those bring about waits for the
- * next turn. Used on the loop's thread alone. Times are microseconds of the loop's clock.
+ * <p>Events that occur during an event loop iteration are queued. {@link #runBatch} delivers them
+ * to the policy together and then executes the actions in order; events that these cause wait for
+ * the next iteration. Must be used on the event loop thread only. Times are microseconds of the
+ * event loop's clock.
  */
 public final class RequestTracker {
 
-    /** When a client that finds every place taken may come back. */
+    /** The retry-after time for a request that is rejected because too many are in flight. */
     static final long FULL_RETRY_AFTER_MICROS = 500_000;
 
     private static final long NANOS_PER_MICRO = 1_000;
 
-    /**
-     * The policy answers by the deadline; what it has not answered so long after is failed here.
-     */
+    /** A request that the policy has not answered this long after its deadline is failed here. */
     private static final long OVERDUE_GRACE_MICROS = 20_000;
 
     private final Timers timers;
@@ -49,12 +48,12 @@
     private boolean allowsConcurrentAttempts;
 
     /**
-     * A tracker with no requests, whose policy is made here.
+     * Creates a tracker with no requests, and its policy.
      *
-     * @param policyFactory makes the policy, given where its actions go
-     * @param allowsConcurrentAttempts whether two attempts of one request may be out at once
-     * @param mostRequests how many requests may be in flight; further ones are rejected at once
-     * @param errors is told what went wrong in the policy
+     * @param policyFactory creates the policy, given the receiver of its actions
+     * @param allowsConcurrentAttempts whether two attempts of one request may be in flight at once
+     * @param maxRequests how many requests may be in flight; further ones are rejected at once
+     * @param errors notified of exceptions and errors of the policy
      */
     public RequestTracker(
             Function<PolicyActions, DispatchPolicy> policyFactory,
@@ -82,26 +81,28 @@
         return transport;
     }
 
-    /** Sets the side that speaks to workers. To be called once, before the first turn. */
+    /** Sets the transport to the workers. Must be called once, before the first iteration. */
     public void connectTransport(WorkerTransport newTransport) {
         transport = newTransport;
     }
 
-    /** Sets who observes requests from now on, in place of any former one. */
+    /** Replaces the observer of requests and attempts. */
     public void observer(RequestObserver newObserver) {
         lifecycle.observer(newObserver);
     }
 
     /**
-     * Accepts a request, which is owed one answer from now on. Returns false, and does nothing, if
-     * a request with its id is in flight.
+     * Accepts a request, which must be answered once from now on. Returns false, and does nothing,
+     * if a request with the same id is in flight.
      */
     public boolean submit(PendingRequest request) {
         if (requests.containsKey(request.id())) {
-            return false; // The policy would ignore the second and never answer it.
+            // The policy would ignore a second request with the same id and never answer it.
+            return false;
         }
         if (lifecycle.unanswered() >= maxRequests) {
-            // Bounds the memory: beyond this a request is rejected before the policy hears of it.
+            // Bounds memory: above this limit a request is rejected without consulting the
+            // policy.
             lifecycle.rejectUntracked(request, FULL_RETRY_AFTER_MICROS);
             return true;
         }
@@ -117,7 +118,8 @@
     }
 
     /**
-     * Delivers a new request to the policy. One that the policy throws on is still owed its answer.
+     * Delivers a new request to the policy. If the policy throws an exception, the request is
+     * failed so that it still gets its answer.
      */
     private void deliverJob(long nowNs, PendingRequest request) {
         try {
@@ -125,13 +127,13 @@
         } catch (RuntimeException thrown) {
             errors.internalError(
                     InternalErrorListener.JOB_ARRIVAL_FAILED,
-                    "the module could not take a job of class " + request.jobClass(),
+                    "the policy threw an exception on a job of class " + request.jobClass(),
                     thrown);
             lifecycle.failRequest(request, false, DecisionReason.UNSTATED);
         }
     }
 
-    /** The client has left, and nothing more is owed to it. */
+    /** The client has disconnected and needs no answer. */
     public void clientDisconnected(PendingRequest request) {
         if (!request.isAnswered()) {
             lifecycle.conclude(request);
@@ -141,8 +143,8 @@
     }
 
     /**
-     * Answers the unanswered requests that have arrived since then, as there is no time left to
-     * serve them.
+     * Fails the unanswered requests that arrived at or after the given time, because no time is
+     * left to serve them.
      */
     public void failArrivedSince(long sinceMicros) {
         for (PendingRequest request : new ArrayList<>(requests.values())) {
@@ -157,14 +159,14 @@
         lifecycle.notifyPolicy(request, nowNs -> policy.clientLeft(nowNs, request.id()));
     }
 
-    // ---- From the workers' side.
+    // ---- Called by the worker side.
 
     /**
-     * A worker's call-back has come. Reports of unknown jobs, from other workers and of ended
+     * Processes a worker's call-back. Reports about unknown jobs, from other workers or about ended
      * attempts are ignored.
      *
-     * @param shareDone for {@link ReportedState#RUNNING}
-     * @param result for {@link ReportedState#DONE}, else null
+     * @param fractionDone the progress, for {@link ReportedState#RUNNING}
+     * @param result the result for {@link ReportedState#DONE}, else null
      * @return false if no request with this id is in flight here
      */
     public boolean workerReported(
@@ -195,9 +197,9 @@
 
     private void endByReport(Attempt attempt, ReportedState state, byte[] result) {
         if (state != ReportedState.DONE && attempt.mayReceiveStaleReports()) {
-            // A late report of an earlier attempt at the same worker would free this one while it
-            // runs. So it is cancelled before the policy hears,
-            // and may have run.
+            // A late report about an earlier attempt at the same worker would end this attempt
+            // while it still runs. So it is cancelled before the policy is notified, and it
+            // counts as possibly run.
             lifecycle.cancel(attempt, AttemptOutcome.RESET);
         } else {
             attempt.handle().endedByReport();
@@ -205,14 +207,14 @@
         }
     }
 
-    /** An attempt has ended, as the transport saw it by this evidence. */
+    /** The transport has found that an attempt has ended, by the given evidence. */
     public void attemptEnded(Attempt attempt, AttemptOutcome outcome, EndEvidence evidence) {
         lifecycle.end(attempt, outcome, evidence, null);
     }
 
     /**
-     * The worker cannot use what the client sent, and neither will another. It is no failure of the
-     * worker's, so for the policy the attempt was cancelled.
+     * The worker cannot process the client's request, and no other worker can. The worker is not at
+     * fault, so the policy is notified of a cancelled attempt.
      */
     public void requestUnusable(Attempt attempt, EndEvidence evidence) {
         PendingRequest request = attempt.request();
@@ -228,12 +230,12 @@
         batch.addEvent(nowNs -> policy.workerProbed(nowNs, workerId, answered, LoadReport.NONE));
     }
 
-    // ---- Settings, workers and what other processes have learnt; delivered before all else of the
-    // turn.
+    // ---- Settings, workers and state from other processes; delivered before all other events
+    // of the iteration.
 
     /**
-     * Other settings are in force. Requests in flight keep their deadline and whether their
-     * attempts may be concurrent.
+     * Applies new settings. Requests in flight keep their deadline and whether they allow
+     * concurrent attempts.
      */
     public void settingsChanged(PolicySettings settings, int newMaxRequests) {
         maxRequests = newMaxRequests;
@@ -241,59 +243,71 @@
         batch.addPriorityEvent(nowNs -> policy.settingsChanged(nowNs, settings));
     }
 
-    /** This process has so large a share of the dispatcher's quotas. */
+    /** Sets this process's share of the dispatcher's quotas. */
     public void shareChanged(double share) {
         batch.addPriorityEvent(nowNs -> policy.shareChanged(nowNs, share));
     }
 
-    /** These constraints are asked from now on. */
+    /** Replaces the job constraints that the policy consults. */
     public void constraintsChanged(JobConstraints constraints) {
         policy.constraintsChanged(constraints);
     }
 
-    /** What the policy has learnt, for the next process of this dispatcher. */
+    /** Returns the state that the policy has learnt, for the next process of this dispatcher. */
     public List<TransferredFigures> exportFigures() {
         return policy.exportFigures(timers.nowMicros() * NANOS_PER_MICRO);
     }
 
-    /** Imports what another process has exported. The list of workers has been queued before. */
+    /**
+     * Imports the state that another process has exported. The worker list must have been queued
+     * before.
+     */
     public void importFigures(List<TransferredFigures> figures) {
         batch.addPriorityEvent(nowNs -> policy.importFigures(nowNs, figures));
     }
 
-    /** The list of workers has come. */
+    /** Queues a new worker list. */
     public void workersUpdated(WorkerListForm form, List<WorkerInfo> workers) {
         batch.addPriorityEvent(nowNs -> policy.workersUpdated(nowNs, form, workers));
     }
 
-    /** An operator has put this worker back. The list that says so has been queued before. */
+    /**
+     * An operator has enabled this worker again. The list that says so must have been queued
+     * before.
+     */
     public void workerReenabled(String workerId) {
         batch.addPriorityEvent(nowNs -> policy.workerReenabled(nowNs, workerId));
     }
 
-    // ---- The turn.
+    // ---- The event loop iteration.
 
-    /** Whether nothing is owed, out or to be delivered. */
+    /** Whether no answer is due, no attempt is in flight and no event is undelivered. */
     public boolean isIdle() {
         return requests.isEmpty() && !hasPendingEvents();
     }
 
-    /** Whether no request waits for its answer; attempts of answered ones may be out. */
+    /**
+     * Whether no request waits for its answer; attempts of answered requests may still be in
+     * flight.
+     */
     public boolean allAnswered() {
         return lifecycle.unanswered() == 0;
     }
 
-    /** Has what is out for answered requests cancelled on the wire: nobody will hear of it. */
+    /**
+     * Cancels the attempts in flight of answered requests on the wire, as nobody needs their
+     * results.
+     */
     public void cancelUnwanted() {
         lifecycle.cancelUnwanted(requests.values());
     }
 
-    /** Whether events wait for a turn. */
+    /** Whether events are queued for an iteration. */
     public boolean hasPendingEvents() {
         return batch.hasEvents();
     }
 
-    /** Delivers what has come in and carries out what the policy decides. */
+    /** Delivers the queued events and executes the policy's decisions. */
     public void runBatch() {
         batch.run();
         lifecycle.forgetSettled(request -> requests.remove(request.id(), request));
--- a/core/src/main/java/postgrade/dispatch/ResponseHandler.java
+++ b/core/src/main/java/postgrade/dispatch/ResponseHandler.java
@@ -1,8 +1,8 @@
 package postgrade.dispatch;
 
 /**
- * The client of a request, who waits for its final answer. Exactly one of {@link #complete}, {@link
- * #reject} and {@link #fail} is called, once, on the loop's thread.
+ * The client side of a request that waits for its final answer. Exactly one of {@link #complete},
+ * {@link #reject} and {@link #fail} is called, once, on the event loop thread.
  */
 public interface ResponseHandler {
 
@@ -10,22 +10,22 @@
     void complete(byte[] result);
 
     /**
-     * The job has not run, and trying again is harmless.
+     * The job has not run, so the client may safely retry.
      *
-     * @param retryAfterMicros when to try again; 0 for no advice
+     * @param retryAfterMicros when to retry; 0 for no advice
      */
     void reject(long retryAfterMicros);
 
     /**
-     * The job has failed, and nothing is promised of its effect.
+     * The job has failed, and may or may not have taken effect.
      *
      * @param timedOut whether the deadline has passed
      */
     void fail(boolean timedOut);
 
     /**
-     * Whether the client has left by now, noticed or not. Asked before anything is sent for it, as
-     * the loop may be late.
+     * Whether the client has disconnected, even if the event loop has not processed the disconnect
+     * yet. Checked before anything is sent for the request, because the event loop may be late.
      */
     default boolean hasDisconnected() {
         return false;
--- a/core/src/main/java/postgrade/dispatch/Timers.java
+++ b/core/src/main/java/postgrade/dispatch/Timers.java
@@ -1,21 +1,21 @@
 package postgrade.dispatch;
 
 /**
- * The loop's clock and timers. All times are microseconds of a monotonic clock that is read once a
- * turn.
+ * The event loop's clock and timers. All times are microseconds of a monotonic clock that is read
+ * once per iteration.
  */
 public interface Timers {
 
-    /** The time of the current turn. */
+    /** Returns the time of the current iteration. */
     long nowMicros();
 
-    /** Runs the task in the first turn at or after this time. */
+    /** Runs the task in the first iteration at or after the given time. */
     Timer at(long whenMicros, Runnable task);
 
-    /** A task that waits for its time. */
+    /** A scheduled task. */
     interface Timer {
 
-        /** The task will not run; after it has run, or twice, this has no effect. */
+        /** Cancels the task. Has no effect after the task has run or been cancelled. */
         void cancel();
     }
 }
--- a/core/src/main/java/postgrade/dispatch/WireRecord.java
+++ b/core/src/main/java/postgrade/dispatch/WireRecord.java
@@ -1,20 +1,20 @@
 package postgrade.dispatch;
 
 /**
- * How an attempt went on the wire. Times are microseconds of the loop's clock, {@link #NEVER} for
- * what did not happen.
+ * The times of an attempt on the wire, in microseconds of the event loop's clock, with {@link
+ * #NEVER} for what did not happen.
  *
- * @param writtenMicros its request was given to a connection
- * @param acceptedMicros its worker answered that it had taken the job
- * @param cancelledMicros its worker began to be told to drop it
- * @param connection null if it was not written
+ * @param writtenMicros when its request was passed to a connection
+ * @param acceptedMicros when its worker responded that it had accepted the job
+ * @param cancelledMicros when its cancellation at the worker began
+ * @param connection the connection it was written to, null if it was not written
  */
 public record WireRecord(
         long writtenMicros, long acceptedMicros, long cancelledMicros, ConnectionUse connection) {
 
-    /** The time of what did not happen. */
+    /** The time of an event that did not happen. */
     public static final long NEVER = -1;
 
-    /** Of an attempt that never came to a connection. */
+    /** The record of an attempt that never got a connection. */
     public static final WireRecord NONE = new WireRecord(NEVER, NEVER, NEVER, null);
 }
--- a/core/src/main/java/postgrade/dispatch/WorkerTransport.java
+++ b/core/src/main/java/postgrade/dispatch/WorkerTransport.java
@@ -2,43 +2,51 @@
 
 import java.util.function.Consumer;
 
-/** The side that speaks to workers, as the dispatcher needs it. Called on the loop's thread. */
+/**
+ * The transport to the workers, as the dispatcher core uses it. Called on the event loop thread.
+ */
 public interface WorkerTransport {
 
     /**
-     * Starts the attempt. How it ends without a call-back is told to {@link
+     * Starts the attempt. An end without a call-back is reported to {@link
      * RequestTracker#attemptEnded}.
      */
     AttemptHandle start(Attempt attempt);
 
-    /** Asks a worker whether it is well; the answer goes to {@link RequestTracker#workerProbed}. */
+    /** Probes a worker; the result goes to {@link RequestTracker#workerProbed}. */
     void probe(String workerId);
 
     /** An attempt on the wire. */
     interface AttemptHandle {
 
         /**
-         * Cancels the attempt on the wire. Tells {@code done} what shows it as soon as the worker
-         * is sure not to start it or to continue it as ours: within this method, later, or never if
-         * the worker is silent.
+         * Cancels the attempt on the wire. Calls {@code done} with the evidence as soon as the
+         * worker is certain not to start the attempt, and not to continue it for this dispatcher:
+         * within this method, later, or never if the worker does not respond.
          */
         void cancel(Consumer<EndEvidence> done);
 
-        /** The attempt has ended by a call-back, and nothing is to be cancelled. */
+        /** The attempt has ended by a call-back, so there is nothing to cancel. */
         void endedByReport();
 
-        /** A call-back has told that the job has started: it cannot be said to have never run. */
+        /**
+         * A call-back has reported the start of the job, so it can no longer count as never run.
+         */
         void startedByReport();
 
-        /** Whether its last byte has been given to the system, so that the worker may run it. */
+        /**
+         * Whether its last byte has been passed to the operating system, so that the worker may run
+         * it.
+         */
         boolean isWritten();
 
         /**
-         * Whether a call-back may yet come: the worker has accepted the job, or has not answered.
+         * Whether a call-back may still arrive: the worker has accepted the job, or has not
+         * responded.
          */
         boolean mayReport();
 
-        /** How it has gone on the wire so far. */
+        /** Returns the times on the wire so far. */
         WireRecord wireRecord();
     }
 }
--- a/core/src/main/java/postgrade/endpoints/EndpointRegistry.java
+++ b/core/src/main/java/postgrade/endpoints/EndpointRegistry.java
@@ -12,20 +12,19 @@
 import postgrade.policy.api.WorkerPhase;
 
 /**
- * The workers as they are in force: what discovery lists, overridden by what operators have said. A
- * worker that an operator has disabled drains until it is enabled again, whatever lists come
- * meanwhile.
+ * The effective worker list: discovery's list with the operators' overrides applied. A worker that
+ * an operator has disabled drains until it is enabled again, whatever lists arrive meanwhile.
  *
- * <p>While disabled a worker is restarted, and the list may be late with its start. So one that is
- * enabled is taken to have started at that moment, unless the list tells a start since it was
- * disabled. Times are nanoseconds of one monotonic clock. Not thread-safe.
+ * <p>A worker is restarted while it is disabled, and the list may be late to report its start. So
+ * an enabled worker counts as started when it was enabled, unless the list reports a start after it
+ * was disabled. Times are nanoseconds of one monotonic clock. Not thread-safe.
  */
 public final class EndpointRegistry {
 
-    /** {@link WorkerOverride#enabledNs} of a worker that is disabled. */
+    /** The {@link WorkerOverride#enabledNs} of a worker that is disabled. */
     public static final long STILL_DISABLED = Long.MAX_VALUE;
 
-    /** Bounds the memory against a discovery that names ever new workers. */
+    /** Bounds memory if discovery keeps listing new workers. */
     private static final int MAX_KNOWN_IDS = 10_000;
 
     private final Map<String, WorkerInfo> listed = new TreeMap<>();
@@ -34,8 +33,8 @@
     private final Map<String, WorkerOverride> reenabled = new HashMap<>();
 
     /**
-     * What operators have said of a worker. A start that the list tells after {@code disabledNs} is
-     * true; any earlier one is replaced by {@code enabledNs}.
+     * An operator's override of a worker. A listed start after {@code disabledNs} is used as it is;
+     * any earlier one is replaced by {@code enabledNs}.
      *
      * @param disabledNs when it was disabled
      * @param enabledNs when it was enabled again, or {@link #STILL_DISABLED}
@@ -43,9 +42,9 @@
     public record WorkerOverride(String id, long disabledNs, long enabledNs) {}
 
     /**
-     * Takes in a list of discovery and returns its workers as they are in force.
+     * Applies a list from discovery and returns its workers with the overrides applied.
      *
-     * @param complete whether workers that it does not name are no longer listed
+     * @param complete whether workers that are not in the list are no longer listed
      */
     public List<WorkerInfo> update(boolean complete, Collection<WorkerInfo> workers) {
         if (complete) {
@@ -86,12 +85,12 @@
         return listedStartIsCurrent ? worker.startedNs() : override.enabledNs();
     }
 
-    /** The workers that are disabled, in the order of their names. */
+    /** Returns the ids of the disabled workers, in lexicographic order. */
     public List<String> disabledIds() {
         return List.copyOf(disabledSinceNs.keySet());
     }
 
-    /** All that operators have said, for another process of this dispatcher. */
+    /** Returns all operators' overrides, for another process of this dispatcher. */
     public List<WorkerOverride> overrides() {
         List<WorkerOverride> all = new ArrayList<>();
         disabledSinceNs.forEach(
@@ -100,12 +99,12 @@
         return all;
     }
 
-    /** Whether the list has ever named this worker, or an operator has. */
+    /** Whether discovery or an operator has ever named this worker. */
     public boolean knows(String id) {
         return knownIds.contains(id) || disabledSinceNs.containsKey(id);
     }
 
-    /** A worker as it is in force, or null if it is not listed. */
+    /** Returns a worker with its override applied, or null if it is not listed. */
     public WorkerInfo worker(String id) {
         WorkerInfo worker = listed.get(id);
         return worker == null ? null : withOverride(worker);
--- a/core/src/main/java/postgrade/endpoints/package-info.java
+++ b/core/src/main/java/postgrade/endpoints/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The list of workers in force: discovery's list with the operators' overrides. It does no input or
- * output.
+ * The effective worker list: discovery's list with the operators' overrides applied. It performs no
+ * input or output.
  */
 package postgrade.endpoints;
--- a/core/src/test/java/postgrade/endpoints/EndpointRegistryTest.java
+++ b/core/src/test/java/postgrade/endpoints/EndpointRegistryTest.java
@@ -26,12 +26,12 @@
     public void disabledWorkerDrainsWhateverDiscoveryLists() {
         assertEquals(WorkerPhase.READY, updateAndGetPhase(true, WorkerPhase.READY, 0));
         assertTrue(registry.disable(10, "w"));
-        assertFalse("twice is as once", registry.disable(20, "w"));
+        assertFalse("disabling twice has no further effect", registry.disable(20, "w"));
         assertEquals(WorkerPhase.DRAINING, registry.worker("w").phase());
         assertEquals(WorkerPhase.DRAINING, updateAndGetPhase(true, WorkerPhase.READY, 0));
         assertEquals(WorkerPhase.GONE, updateAndGetPhase(false, WorkerPhase.GONE, 0));
         assertNull(registry.worker("w"));
-        assertTrue("still known, though no list names it", registry.knows("w"));
+        assertTrue("known although not listed", registry.knows("w"));
         assertEquals(WorkerPhase.DRAINING, updateAndGetPhase(false, WorkerPhase.READY, 15));
         assertTrue(registry.enable(30, "w"));
         assertEquals(WorkerPhase.READY, registry.worker("w").phase());
@@ -52,11 +52,15 @@
         updateAndGetPhase(true, WorkerPhase.READY, 5);
         registry.disable(10, "w");
         registry.enable(30, "w");
-        assertEquals("its start is not told yet", 30, registry.worker("w").startedNs());
+        assertEquals(
+                "the list has not reported its start yet", 30, registry.worker("w").startedNs());
         updateAndGetPhase(true, WorkerPhase.READY, 5);
-        assertEquals("an old list does not make it warm", 30, registry.worker("w").startedNs());
+        assertEquals(
+                "an old list does not restore the earlier start",
+                30,
+                registry.worker("w").startedNs());
         updateAndGetPhase(true, WorkerPhase.READY, 22);
-        assertEquals("the true start", 22, registry.worker("w").startedNs());
+        assertEquals("the listed start", 22, registry.worker("w").startedNs());
         registry.disable(40, "w");
         registry.enable(50, "w");
         assertEquals(50, registry.worker("w").startedNs());
--- a/daemon/src/main/java/postgrade/discovery/AddressFormat.java
+++ b/daemon/src/main/java/postgrade/discovery/AddressFormat.java
@@ -2,18 +2,21 @@
 
 import java.net.InetSocketAddress;
 
-/** Addresses as {@code address:port}, the form of the list and of the configuration. */
+/**
+ * Formats and parses addresses as {@code address:port}, the form of the worker list and of the
+ * configuration.
+ */
 public final class AddressFormat {
 
     private AddressFormat() {}
 
-    /** Writes an address so that {@link #parse} reads it. */
+    /** Formats an address so that {@link #parse} reads it. */
     public static String format(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
     /**
-     * Reads an address.
+     * Parses an address.
      *
      * @throws IllegalArgumentException if the text is not of that form
      */
--- a/daemon/src/main/java/postgrade/discovery/DiscoveryWatch.java
+++ b/daemon/src/main/java/postgrade/discovery/DiscoveryWatch.java
@@ -9,17 +9,17 @@
 import postgrade.log.Events;
 
 /**
- * Watches the list of workers. A watch that ends, or is silent for longer than {@link
- * WatchTimeouts} allows, is opened again from the last version after a pause. Without any version
- * it starts from 0, which brings the complete list.
+ * Watches the worker list. A watch that ends, or is silent for longer than {@link WatchTimeouts}
+ * allows, is reopened from the last version after a pause. Without a version it starts from 0,
+ * which returns the complete list.
  *
- * <p>The first object of a watch is due at once, also when nothing has changed, and brings what the
- * former one missed: a call for the complete list beside it would add to the load and find nothing
- * more.
+ * <p>The first object of a watch is sent at once, even if nothing has changed, and contains what
+ * the previous watch missed. A request for the complete list in addition would add load and return
+ * nothing more.
  *
- * <p>Discovery may move. Versions of two addresses need not agree, so the new one is asked for its
- * complete list first; until that has come the watch at the former address is still heard, and its
- * end is no alarm.
+ * <p>Discovery may move to another address. The versions at two addresses need not agree, so the
+ * complete list is requested from the new address first. Until it has been received, the watch at
+ * the previous address is still used, and its end is not logged as a loss.
  */
 public final class DiscoveryWatch implements WatchConnection.Owner {
 
@@ -35,30 +35,34 @@
     private InetSocketAddress address;
     private long version;
 
-    /** Null while a pause lasts. */
+    /** Null during a pause. */
     private WatchConnection current;
 
-    /** At the address before the last move, until the new one has told its list; else null. */
+    /**
+     * The watch at the address before the last move, until the new address has sent its list; else
+     * null.
+     */
     private WatchConnection previous;
 
-    /** Whether the complete list of this address is still to be had. */
+    /** Whether the complete list of the current address has not been received yet. */
     private boolean awaitsCompleteList;
 
-    /** Whether the log says that the watch is lost. */
+    /** Whether the loss of the watch has been logged. */
     private boolean lost;
 
     private long lastContactMicros = NEVER;
     private long previousContactMicros = NEVER;
 
-    /** Ends the pause that lasts; else null. */
+    /** The timer that ends the current pause; else null. */
     private Timers.Timer reopenTimer;
 
     /**
-     * A watch that is not open yet.
+     * Creates a watch that is not open yet.
      *
-     * @param host this dispatcher's name, by which its pauses differ from those of others
-     * @param version of the list known already, 0 for none
-     * @param listener takes the lists in
+     * @param dispatcherName the name of this dispatcher, by which its jitter differs from that of
+     *     others
+     * @param version the version of the list that is known already, 0 for none
+     * @param listener receives the lists
      */
     public DiscoveryWatch(
             InetSocketAddress address,
@@ -79,7 +83,7 @@
     }
 
     /**
-     * Opens the watch; from then on it opens itself again. To be called once, on the loop's thread.
+     * Opens the watch, which then reopens itself. Must be called once, on the event loop thread.
      */
     public void open() {
         current =
@@ -93,26 +97,29 @@
         current.open(reactor, address);
     }
 
-    /** The version of the list that is in force. */
+    /** Returns the version of the current list. */
     @Override
     public long version() {
         return version;
     }
 
     /**
-     * When discovery was last heard before the list that is being taken in, in microseconds, or -1
-     * if it never was.
+     * Returns when discovery was last heard from before the list that is being processed, in
+     * microseconds, or -1 if never.
      */
     public long previousContactMicros() {
         return previousContactMicros;
     }
 
-    /** Where the list in force came from; after a move, where it is to come from. */
+    /**
+     * Returns the address that the current list came from; after a move, the address it will come
+     * from.
+     */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Discovery is at this address from now on. */
+    /** Moves the watch to another address of discovery. */
     public void moveTo(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
             return;
@@ -120,11 +127,13 @@
         Events.info(LOG, "watch.moving")
                 .addKeyValue("from", address)
                 .addKeyValue("to", newAddress)
-                .log("watch of the provider list moves from " + address + " to " + newAddress);
+                .log("worker list watch moves from " + address + " to " + newAddress);
         if (reopenTimer != null) {
             reopenTimer.cancel(); // No connection is open.
         } else if (awaitsCompleteList) {
-            current.close(); // It has told nothing yet; the one before it is still the best.
+            // The new address has sent nothing yet, so the watch at the previous address stays
+            // in use.
+            current.close();
         } else {
             previous = current;
         }
@@ -136,7 +145,7 @@
         open();
     }
 
-    // ---- What its connections tell.
+    // ---- Called by the connections.
 
     @Override
     public void frameReceived(WatchConnection source, int frames) {
@@ -153,7 +162,7 @@
             lost = false;
             Events.info(LOG, "watch.back")
                     .addKeyValue("version", version)
-                    .log("watch of the provider list is back at version " + version);
+                    .log("worker list watch is restored at version " + version);
         }
     }
 
@@ -168,7 +177,7 @@
     @Override
     public void completeList(WorkerList list) {
         if (!list.complete()) {
-            throw new IllegalArgumentException("not a whole list");
+            throw new IllegalArgumentException("list is not complete");
         }
         recordContact(1);
         awaitsCompleteList = false;
@@ -176,11 +185,7 @@
         Events.info(LOG, "watch.moved")
                 .addKeyValue("to", address)
                 .addKeyValue("version", version)
-                .log(
-                        "watch of the provider list has moved to "
-                                + address
-                                + " at version "
-                                + version);
+                .log("worker list watch has moved to " + address + " at version " + version);
         if (previous != null) {
             previous.close();
             previous = null;
@@ -198,8 +203,9 @@
         if (source == current) {
             reopenAfterPause(reason, wasSilent);
         } else if (source == previous) {
-            previous = null; // Discovery has moved, and its former address ends what is open: no
-            // alarm.
+            // Discovery has moved, so its previous address closes open connections; this is not
+            // logged.
+            previous = null;
         }
     }
 
@@ -210,11 +216,11 @@
                     .addKeyValue("why", reason)
                     .addKeyValue("version", version)
                     .log(
-                            "watch of the provider list lost ("
+                            "worker list watch lost ("
                                     + reason
-                                    + "); kept at version "
+                                    + "); keeping version "
                                     + version
-                                    + " and opened again");
+                                    + " and reopening");
         }
         current = null;
         long whenMicros = timers.nowMicros() + backoff.nextPauseMicros(wasSilent);
--- a/daemon/src/main/java/postgrade/discovery/FrameHandler.java
+++ b/daemon/src/main/java/postgrade/discovery/FrameHandler.java
@@ -1,11 +1,11 @@
 package postgrade.discovery;
 
-/** Takes the frames of a watch, as {@link WatchFrameDecoder} finds them. */
+/** Receives the frames of a watch from {@link WatchFrameDecoder}. */
 interface FrameHandler {
 
-    /** An object has come whole. */
+    /** A complete object has been received. */
     void object(String json);
 
-    /** An empty line has come: nothing has changed. */
+    /** An empty line has been received: nothing has changed. */
     void heartbeat();
 }
--- a/daemon/src/main/java/postgrade/discovery/WatchBackoff.java
+++ b/daemon/src/main/java/postgrade/discovery/WatchBackoff.java
@@ -3,23 +3,25 @@
 import java.util.SplittableRandom;
 
 /**
- * How often the watch is opened while openings bring nothing, and how long each is given. All times
- * are shortened by up to a tenth at random, so that dispatchers do not call in step.
+ * The backoff of a watch that receives nothing: the pauses between connections and the time each
+ * connection is given for its first frame. All times are shortened at random by up to a tenth, so
+ * that dispatchers do not reconnect in step.
  */
 final class WatchBackoff {
 
     /**
-     * The first pause after an opening that ends or is refused. What discovery has counts as told
-     * whether or not a watch is open, and 0.5 s are given for a change, so pauses stay short.
+     * The first pause after a connection that is closed or refused. A change in discovery counts as
+     * known to the dispatcher whether or not a watch is open, with a grace of 0.5 s, so pauses stay
+     * short.
      */
     private static final long FIRST_PAUSE_MICROS = 100_000;
 
     private static final long MAX_PAUSE_MICROS = 300_000;
 
     /**
-     * The longest time that a silent opening is given. Discovery that was down answers, on its
-     * return, what has been asked meanwhile: the question that waits is answered at once, so no
-     * pause follows a silent opening.
+     * The longest time that a silent connection is given. Discovery that was down answers pending
+     * requests on its return, so the request that waits is answered at once. Hence no pause follows
+     * a silent connection.
      */
     private static final long MAX_TIMEOUT_MICROS = 2_000_000;
 
@@ -30,7 +32,7 @@
     private final SplittableRandom random;
     private long pauseMicros = FIRST_PAUSE_MICROS;
 
-    /** Silent openings since the last frame. */
+    /** The number of silent connections since the last frame. */
     private int silentConnections;
 
     WatchBackoff(long firstTimeoutMicros, int seed) {
@@ -38,17 +40,21 @@
         random = new SplittableRandom(seed);
     }
 
-    /** Discovery has moved: what is known of its former address does not count. */
+    /**
+     * Resets the backoff after discovery has moved, as the failures at its previous address do not
+     * count.
+     */
     void reset() {
         pauseMicros = FIRST_PAUSE_MICROS;
         silentConnections = 0;
     }
 
     /**
-     * A frame has come.
+     * A frame has been received.
      *
-     * @param frames how many have come on this connection: one that ends right after its first is
-     *     not opened ever faster
+     * @param frames the number of frames on this connection. The pause is reset from the second
+     *     frame on, so that a connection that closes right after its first frame is not reopened at
+     *     the shortest pause each time
      */
     void frameReceived(int frames) {
         silentConnections = 0;
@@ -57,7 +63,7 @@
         }
     }
 
-    /** How long the next opening is given; doubles with each that is silent. */
+    /** Returns how long the next connection is given; doubles with each silent connection. */
     long nextTimeoutMicros() {
         long maxTimeoutMicros = Math.max(firstTimeoutMicros, MAX_TIMEOUT_MICROS);
         long doubled = firstTimeoutMicros << Math.min(silentConnections, MAX_DOUBLINGS);
@@ -65,8 +71,8 @@
     }
 
     /**
-     * An opening has ended. Returns how long until the next; doubles with each that ends or is
-     * refused.
+     * A connection has ended. Returns the pause before the next; doubles with each connection that
+     * is closed or refused.
      */
     long nextPauseMicros(boolean wasSilent) {
         if (wasSilent) {
--- a/daemon/src/main/java/postgrade/discovery/WatchConnection.java
+++ b/daemon/src/main/java/postgrade/discovery/WatchConnection.java
@@ -15,49 +15,49 @@
 import postgrade.http.Reactor;
 
 /**
- * One connection to discovery: it asks for the complete list, if that is still to be had, and then
- * for changes. A connection that brings no whole frame in its time is dropped; half a frame that
- * drips on is silence.
+ * One connection to discovery. It requests the complete list, if this has not been received yet,
+ * and then the changes. A connection that receives no complete frame in time is dropped; a partial
+ * frame that trickles in counts as silence.
  */
 final class WatchConnection implements Connection.Owner, FrameHandler {
 
     /**
-     * Bytes that were read in the very turn in which the time ends may be a whole frame with the
-     * next read.
+     * Bytes that were read in the same iteration in which the time ran out may become a complete
+     * frame with the next read.
      */
     private static final long EXTRA_WAIT_MICROS = 50_000;
 
-    /** Bounds the memory against a list that never ends. */
+    /** Bounds memory against a list that never ends. */
     private static final int MAX_LIST_BYTES = 4 << 20;
 
     private static final int OK = 200;
 
-    /** Who follows the connection. Exactly one of its last two methods is called, at most once. */
+    /** The owner of the connection. Exactly one of its last two methods is called, at most once. */
     interface Owner {
-        /** A frame has come, the n-th of this connection. */
+        /** A frame has been received; {@code frames} counts those of this connection. */
         void frameReceived(WatchConnection source, int frames);
 
         /**
-         * The complete list has come.
+         * The complete list has been received.
          *
-         * @throws IllegalArgumentException if it is none
+         * @throws IllegalArgumentException if the list is not complete
          */
         void completeList(WorkerList list);
 
-        /** Changes have come. */
+        /** Changes have been received. */
         void changes(WatchConnection source, WorkerList list);
 
-        /** The version to ask changes from. */
+        /** Returns the version from which changes are requested. */
         long version();
 
         /**
-         * It has ended, or cannot be used.
+         * The connection has ended, or cannot be used.
          *
-         * @param wasSilent whether it has brought nothing at all in its time
+         * @param wasSilent whether no frame was received before the time ran out
          */
         void ended(WatchConnection source, String reason, boolean wasSilent);
 
-        /** The complete list has come on a connection that does not stay open. */
+        /** The complete list has been received on a connection that does not stay open. */
         void closedAfterList(WatchConnection source);
     }
 
@@ -76,8 +76,10 @@
     private boolean extendedWait;
 
     /**
-     * @param fetchesList whether the complete list is to be had first
-     * @param firstFrameMicros how long the first frame is waited for
+     * Creates a connection that is not open yet and starts its timeout.
+     *
+     * @param fetchesList whether the complete list is requested first
+     * @param firstFrameMicros how long to wait for the first frame
      */
     WatchConnection(
             Owner owner,
@@ -94,16 +96,16 @@
         awaitFrame(firstFrameMicros);
     }
 
-    /** Begins to connect. If that fails at once, the owner is told so. */
+    /** Starts to connect. The owner is notified if this fails at once. */
     void open(Reactor reactor, InetSocketAddress address) {
         try {
             connection = Connection.open(reactor, address, this, true);
         } catch (IOException e) {
-            fail("no connection: " + e.getMessage());
+            fail("connect failed: " + e.getMessage());
         }
     }
 
-    /** Ends it; the owner is not told. */
+    /** Closes the connection without notifying the owner. */
     void close() {
         silenceTimer.cancel();
         if (connection != null) {
@@ -111,7 +113,7 @@
         }
     }
 
-    // ---- Silence.
+    // ---- Timeout.
 
     private void awaitFrame(long micros) {
         silenceTimer = timers.at(timers.nowMicros() + micros, this::silenceTimerFired);
@@ -135,7 +137,7 @@
         owner.frameReceived(this, frames);
     }
 
-    // ---- What it asks, and what comes.
+    // ---- Requests and responses.
 
     @Override
     public void connected(Connection source) {
@@ -163,16 +165,18 @@
             if (response != null && fetchesList && response.status() == OK) {
                 listReceived(response.isKeepAlive());
             } else if (response != null) {
-                fail("answered " + response.status());
+                fail("response status " + response.status());
             }
         } catch (RuntimeException thrown) {
-            // A list that is not JSON or not in the protocol's form must not end the loop.
-            fail("not understood: " + thrown.getMessage());
+            // A list that is not JSON or does not follow the protocol must not end the event
+            // loop.
+            fail("invalid response: " + thrown.getMessage());
         }
     }
 
     /**
-     * The complete list has come. The watch follows it on the same connection if that stays open.
+     * The complete list has been received. Changes are requested on the same connection if it stays
+     * open.
      */
     private void listReceived(boolean staysOpen) {
         owner.completeList(parseList(list.toString(StandardCharsets.UTF_8)));
@@ -195,7 +199,7 @@
         }
         list.writeBytes(bytes);
         if (list.size() > MAX_LIST_BYTES) {
-            throw new IllegalArgumentException("list too long");
+            throw new IllegalArgumentException("list exceeds the size limit");
         }
     }
 
@@ -215,7 +219,7 @@
         owner.changes(this, list);
     }
 
-    // ---- Its end.
+    // ---- End of the connection.
 
     private void fail(String reason) {
         close();
@@ -229,14 +233,14 @@
             try {
                 listReceived(false);
             } catch (RuntimeException thrown) {
-                fail("not understood: " + thrown.getMessage());
+                fail("invalid response: " + thrown.getMessage());
             }
         }
     }
 
     @Override
     public void badMessage(Connection source, BadMessageException thrown) {
-        fail("not HTTP: " + thrown.getMessage());
+        fail("invalid HTTP: " + thrown.getMessage());
     }
 
     @Override
--- a/daemon/src/main/java/postgrade/discovery/WatchFrameDecoder.java
+++ b/daemon/src/main/java/postgrade/discovery/WatchFrameDecoder.java
@@ -4,12 +4,12 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Cuts the bytes of a watch into objects and empty lines. An object may be indented and span many
- * lines; a line break inside it is no heartbeat. Only whole frames are handed over.
+ * Splits the bytes of a watch into objects and empty lines. An object may be indented and span
+ * several lines; a line break inside it is not a heartbeat. Only complete frames are passed on.
  */
 final class WatchFrameDecoder {
 
-    /** Bounds the memory against an object that never ends. */
+    /** Bounds memory against an object that never ends. */
     private static final int MAX_OBJECT_BYTES = 4 << 20;
 
     private final FrameHandler handler;
@@ -18,7 +18,7 @@
     private boolean inString;
     private boolean escaped;
 
-    /** An object has ended on this line: its end is not an empty line. */
+    /** Whether an object has ended on this line, so that its line end is not an empty line. */
     private boolean afterObject;
 
     WatchFrameDecoder(FrameHandler handler) {
@@ -26,9 +26,9 @@
     }
 
     /**
-     * Takes the next bytes and hands over the frames that they complete.
+     * Decodes the next bytes and passes on the frames that they complete.
      *
-     * @throws IllegalArgumentException if they are no frames, or an object is too long
+     * @throws IllegalArgumentException if the bytes are not frames, or an object is too long
      */
     void decode(byte[] bytes) {
         for (byte next : bytes) {
@@ -41,11 +41,11 @@
                     handler.heartbeat();
                 }
             } else if (next != ' ' && next != '\t' && next != '\r') {
-                throw new IllegalArgumentException("neither an object nor an empty line");
+                throw new IllegalArgumentException("expected an object or an empty line");
             }
         }
         if (object.size() > MAX_OBJECT_BYTES) {
-            throw new IllegalArgumentException("object too long");
+            throw new IllegalArgumentException("object exceeds the size limit");
         }
     }
 
--- a/daemon/src/main/java/postgrade/discovery/WatchTimeouts.java
+++ b/daemon/src/main/java/postgrade/discovery/WatchTimeouts.java
@@ -1,22 +1,22 @@
 package postgrade.discovery;
 
 /**
- * How long the watch waits for a whole frame before it takes its connection for dead. A frame is an
- * object, an empty line or a whole list.
+ * How long the watch waits for a complete frame before it considers its connection dead. A frame is
+ * an object, an empty line or a complete list.
  *
- * @param firstFrameMicros from the opening of a connection, or from a question on it, to the first
- *     frame: discovery has it at hand
+ * @param firstFrameMicros from opening a connection, or from a request on it, to the first frame,
+ *     which discovery sends at once
  * @param betweenFramesMicros from one frame to the next
- * @param startupMicros a new process takes no clients for so long at most, until it has the first
- *     frame
+ * @param startupMicros the longest time for which a new process admits no clients while it waits
+ *     for the first frame
  */
 public record WatchTimeouts(long firstFrameMicros, long betweenFramesMicros, long startupMicros) {
 
     /**
-     * A heartbeat is due every 2 s. What a watch misses counts as told 6 s after its last frame,
-     * and four openings fit before that, of which three may be silent too. A new process is bound
-     * by what discovery's agent has from its first moment, with 0.5 s of grace: a silent first
-     * opening has to be found out within them.
+     * A heartbeat is sent every 2 s. A change that a watch misses counts as known to the dispatcher
+     * 6 s after the last frame. Four connections fit before that, of which three may be silent too.
+     * A new process must follow what discovery's agent knows from the start, with a grace of 0.5 s,
+     * so a silent first connection has to be detected within that grace.
      */
     public static final WatchTimeouts DEFAULT = new WatchTimeouts(400_000, 2_300_000, 200_000);
 }
--- a/daemon/src/main/java/postgrade/discovery/WorkerList.java
+++ b/daemon/src/main/java/postgrade/discovery/WorkerList.java
@@ -10,20 +10,20 @@
 import postgrade.log.Events;
 
 /**
- * One object of discovery: the complete list, or the workers that have changed since the one before
- * it.
+ * One object from discovery: the complete list, or the workers that have changed since the previous
+ * object.
  *
- * @param version of the list
- * @param complete whether workers that it does not name are gone
- * @param workers those that could be read
- * @param unreadable what was wrong with the others, a sentence each
+ * @param version the version of the list
+ * @param complete whether workers that are not in it are gone
+ * @param workers the workers that could be parsed
+ * @param unreadable why the other workers could not be parsed, one sentence each
  */
 public record WorkerList(
         long version, boolean complete, List<ListedWorker> workers, List<String> unreadable) {
 
     private static final Logger LOG = LoggerFactory.getLogger(WorkerList.class);
 
-    /** Where a worker stands in its life. */
+    /** The state of a listed worker. */
     public enum State {
         READY,
         DRAINING,
@@ -33,9 +33,9 @@
     /**
      * A worker as discovery lists it.
      *
-     * @param address null where a worker is gone and has none
+     * @param address its address, null for a worker that is gone and has none
      * @param weight its relative size
-     * @param startedMillis its latest start in Unix time, 0 for long ago
+     * @param startedMillis its latest start in Unix time, 0 if long ago
      */
     public record ListedWorker(
             String id,
@@ -48,9 +48,9 @@
             long startedMillis) {}
 
     /**
-     * Reads the protocol's form. One worker that cannot be read does not hide the others.
+     * Parses a list of the protocol. A worker that cannot be parsed does not affect the others.
      *
-     * @throws IllegalArgumentException that names what is wrong with the list itself
+     * @throws IllegalArgumentException that names the fault in the list itself
      */
     public static WorkerList of(JsonObject json) {
         List<ListedWorker> workers = new ArrayList<>();
@@ -80,7 +80,7 @@
                 switch (json.getString("state", "")) {
                     case "ready" -> State.READY;
                     case "gone" -> State.GONE;
-                    // So is any state that is not known: nothing new goes there.
+                    // An unknown state counts as draining, so that the worker gets no new work.
                     default -> State.DRAINING;
                 };
         if (id.isEmpty()) {
@@ -97,7 +97,7 @@
                 (long) json.getDouble("started_ms", 0));
     }
 
-    /** Logs that some workers could not be read, with the first of them. */
+    /** Logs how many workers could not be parsed, with the first of them. */
     public void logUnreadable() {
         if (!unreadable.isEmpty()) {
             Events.warn(LOG, "list.entries-not-understood")
@@ -105,11 +105,11 @@
                     .addKeyValue("entries", unreadable.size())
                     .addKeyValue("first", unreadable.get(0))
                     .log(
-                            "list version "
+                            "worker list version "
                                     + version
                                     + ": "
                                     + unreadable.size()
-                                    + " entries not understood and passed over, first: "
+                                    + " invalid entries skipped, first: "
                                     + unreadable.get(0));
         }
     }
--- a/daemon/src/main/java/postgrade/http/ArrivalTimes.java
+++ b/daemon/src/main/java/postgrade/http/ArrivalTimes.java
@@ -1,25 +1,28 @@
 package postgrade.http;
 
 /**
- * Tells since when what is read from a socket may have lain there unread. A client's time runs from
- * when it sent its request, so what a late turn, a pause or a full backlog held up has less time
- * left than one that has just come.
+ * Tracks how long bytes may have been waiting unread in a socket buffer. A client's time runs from
+ * when it sent its request, so a request that was delayed by a late event loop iteration, a paused
+ * read or a full backlog has less time left than one that has just arrived.
  *
- * <p>It knows times alone, in microseconds of the loop's clock, and is used on the loop's thread.
+ * <p>It works on times alone, in microseconds of the event loop's clock, and must be used on the
+ * event loop thread only.
  */
 public final class ArrivalTimes {
 
     private static final long NOT_WATCHED = Long.MAX_VALUE;
 
-    /** The socket is last known to have held nothing unread. */
+    /** The last time at which the socket buffer is known to have been empty. */
     private long lastEmptyMicros;
 
-    /** The loop has waited for it without a break since then. */
+    /** The event loop has polled the socket without interruption since this time. */
     private long watchedSinceMicros;
 
     /**
-     * @param emptyMicros when it is known to have held nothing; @param nowMicros from when on the
-     *     loop waits for it
+     * Creates a tracker for one socket.
+     *
+     * @param lastEmptyMicros when the socket buffer is known to have been empty
+     * @param nowMicros when the event loop starts polling the socket
      */
     public ArrivalTimes(long lastEmptyMicros, long nowMicros) {
         this.lastEmptyMicros = lastEmptyMicros;
@@ -27,7 +30,8 @@
     }
 
     /**
-     * The loop waits for it from now on, or no longer. A call that changes nothing has no effect.
+     * Records whether the event loop polls the socket from now on. Has no effect if this is
+     * unchanged.
      */
     public void watch(long nowMicros, boolean watched) {
         if (watched != (watchedSinceMicros != NOT_WATCHED)) {
@@ -36,12 +40,13 @@
     }
 
     /**
-     * What lies there is about to be read.
+     * Must be called before each read.
      *
-     * @param lastWaitMicros when the loop's wait before the one that has just ended had ended: what
-     *     was watched during that wait and has not been read since had nothing unread then
-     * @param readySinceMicros since when what the latest wait has shown may have been ready
-     * @return the last moment at which it is known not to have been there
+     * @param previousWaitEndMicros when the wait before the latest one ended. A socket that was
+     *     polled during that earlier wait and has not been read since was empty when it ended
+     * @param readySinceMicros the earliest time at which the sockets reported by the latest wait
+     *     may have become ready
+     * @return the last time at which the bytes are known not to have been in the buffer
      */
     public long beforeRead(long previousWaitEndMicros, long readySinceMicros) {
         if (watchedSinceMicros < previousWaitEndMicros) {
@@ -50,12 +55,16 @@
         return lastEmptyMicros;
     }
 
-    /** Some has been read. @param emptied nothing is left */
+    /**
+     * Must be called after each read.
+     *
+     * @param emptied whether the read left nothing in the buffer
+     */
     public void afterRead(long nowMicros, boolean emptied) {
         if (emptied) {
             lastEmptyMicros = nowMicros;
         } else if (watchedSinceMicros != NOT_WATCHED) {
-            watchedSinceMicros = nowMicros; // It was not empty at the loop's last wait.
+            watchedSinceMicros = nowMicros; // The buffer was not empty at the latest wait.
         }
     }
 }
--- a/daemon/src/main/java/postgrade/http/BadMessageException.java
+++ b/daemon/src/main/java/postgrade/http/BadMessageException.java
@@ -1,6 +1,9 @@
 package postgrade.http;
 
-/** A message that is not HTTP/1.1 as we take it, and the status that says so to a client. */
+/**
+ * Thrown for a message that is malformed or exceeds a limit, with the status to answer a client
+ * with.
+ */
 public final class BadMessageException extends Exception {
     private static final long serialVersionUID = 1L;
     private final int status;
--- a/daemon/src/main/java/postgrade/http/BindFailure.java
+++ b/daemon/src/main/java/postgrade/http/BindFailure.java
@@ -4,15 +4,17 @@
 import java.net.BindException;
 import java.net.InetSocketAddress;
 
-/** Tells which of a process's addresses could not be bound: the system's own message does not. */
+/**
+ * Names the address that could not be bound, because the operating system's own message does not.
+ */
 public final class BindFailure {
 
     private BindFailure() {}
 
     /**
-     * The same failure, with the address and what it is for.
+     * Returns the same failure, with the address and its purpose.
      *
-     * @param purpose of the address, in a word or a few
+     * @param purpose the purpose of the address, in a few words
      */
     public static IOException of(String purpose, InetSocketAddress address, IOException cause) {
         String text =
--- a/daemon/src/main/java/postgrade/http/Connection.java
+++ b/daemon/src/main/java/postgrade/http/Connection.java
@@ -11,35 +11,38 @@
 import java.util.ArrayDeque;
 
 /**
- * One TCP connection on the loop. Its owner hears what comes in and when it ends; writes are kept
- * until sent.
+ * One TCP connection on the event loop. Its owner is notified of received bytes and of its end;
+ * writes are buffered until they are sent.
  */
 public final class Connection implements Reactor.Handler {
 
-    /** So often at most a look reads on: an end may lie behind all that a peer may send ahead. */
+    /**
+     * The maximum number of reads in one call of {@link #readPending}. The end of the stream lies
+     * behind all the bytes that a peer may have sent ahead.
+     */
     private static final int MAX_PENDING_READS = 32;
 
-    /** Who owns the connection. */
+    /** The owner of a connection, which is notified of its events. */
     public interface Owner {
-        /** A connect of ours has come up. */
+        /** An outgoing connection has been established. */
         default void connected(Connection c) {}
 
-        /** Bytes have come; what the owner leaves in the buffer is lost. */
+        /** Bytes have been received. Bytes that the owner leaves in the buffer are discarded. */
         void received(Connection c, ByteBuffer bytes) throws BadMessageException;
 
         /**
-         * The peer has ended its side. The connection is closed right after, and {@link #closed}
-         * follows.
+         * The peer has closed its side. The connection is closed right after this call, and {@link
+         * #closed} follows.
          */
         default void inputEnded(Connection c) {}
 
         /**
-         * What came is not a message. The owner may answer, and must see to it that the connection
-         * is closed.
+         * The received bytes are not a valid message. The owner may answer, and must make sure that
+         * the connection is closed.
          */
         void badMessage(Connection c, BadMessageException e);
 
-        /** The connection is gone, unless the owner closed it itself. */
+        /** The connection has been closed, other than by the owner itself. */
         void closed(Connection c);
     }
 
@@ -61,14 +64,16 @@
         this.highPriority = highPriority;
     }
 
-    /** Wraps an accepted channel, whose place in the budget is taken already. */
+    /** Wraps an accepted channel, whose place in the budget has already been acquired. */
     public static Connection accepted(Reactor reactor, SocketChannel channel, Owner owner)
             throws IOException {
         return accepted(reactor, channel, owner, false);
     }
 
     /**
-     * @param urgent served first in a turn
+     * Wraps an accepted channel, whose place in the budget has already been acquired.
+     *
+     * @param highPriority whether it is served first in each iteration
      */
     public static Connection accepted(
             Reactor reactor, SocketChannel channel, Owner owner, boolean highPriority)
@@ -79,16 +84,16 @@
     }
 
     /**
-     * Begins to connect.
+     * Starts to connect.
      *
-     * @throws NoSocketException if it is for want of something of ours
+     * @throws NoSocketException if a local resource is missing or exhausted
      * @throws IOException if the peer's system refuses at once
      */
     public static Connection open(
             Reactor reactor, InetSocketAddress address, Owner owner, boolean highPriority)
             throws IOException {
         if (!reactor.sockets().acquireForConnect(highPriority)) {
-            throw new NoSocketException("every socket is in use", null);
+            throw new NoSocketException("no free place in the socket budget", null);
         }
         Connection connection = null;
         try {
@@ -98,7 +103,9 @@
             reactor.systemCalls()
                     .connect(
                             connection.channel,
-                            address); // Also one that comes up at once is told of in the next turn.
+                            // A connection that is established at once is still reported in the
+                            // next iteration.
+                            address);
             return connection;
         } catch (IOException | RuntimeException e) {
             if (connection == null) {
@@ -109,7 +116,7 @@
             if (e instanceof ConnectException || e instanceof NoRouteToHostException) {
                 throw (IOException) e;
             }
-            throw new NoSocketException("no connection to " + address + " could be begun", e);
+            throw new NoSocketException("connection to " + address + " could not be opened", e);
         }
     }
 
@@ -144,7 +151,7 @@
         }
     }
 
-    /** False if nothing is left to read. */
+    /** Returns false if nothing is left to read. */
     private boolean read(ByteBuffer buffer) throws IOException {
         buffer.clear();
         int count = reactor.systemCalls().read(channel, buffer);
@@ -156,8 +163,8 @@
             try {
                 owner.received(this, buffer);
             } catch (BadMessageException e) {
-                // Guards the loop and the peer's next bytes: nothing after a bad message can be
-                // made sense of.
+                // Caught here so that it does not reach the event loop. The bytes that follow a
+                // bad message cannot be interpreted.
                 owner.badMessage(this, e);
             }
         }
@@ -165,18 +172,18 @@
     }
 
     /**
-     * Reads what lies in the socket by now, though the loop has not come to it or the connection is
-     * paused: the owner hears of it, and of the end behind it. Guards what is about to be done on
-     * the word of an older look.
+     * Reads the bytes that are in the socket buffer now, without waiting for the event loop and
+     * even if the connection is paused. The owner is notified of them, and of the end of the stream
+     * after them. Used before an action that must not rely on an earlier read.
      */
     public void readPending() {
         if (closed || connecting) {
             return;
         }
-        ByteBuffer buffer = reactor.acquireBuffer(); // The loop's buffer may be in use.
+        ByteBuffer buffer = reactor.acquireBuffer(); // The event loop's buffer may be in use.
         try {
             for (int i = 0; i < MAX_PENDING_READS && read(buffer); i++) {
-                // What has been read is the owner's.
+                // The owner has been given the bytes.
             }
         } catch (IOException | RuntimeException e) {
             failed(e);
@@ -185,12 +192,15 @@
         }
     }
 
-    /** False if the peer has closed an idle connection, though the loop has not come to it yet. */
+    /**
+     * Returns false if the peer has closed an idle connection, even if the event loop has not
+     * processed this yet.
+     */
     public boolean isStillOpen() {
         if (closed) {
             return false;
         }
-        ByteBuffer buffer = reactor.acquireBuffer(); // The loop's buffer may be in use.
+        ByteBuffer buffer = reactor.acquireBuffer(); // The event loop's buffer may be in use.
         try {
             return reactor.systemCalls().read(channel, buffer) == 0;
         } catch (IOException e) {
@@ -201,7 +211,8 @@
     }
 
     /**
-     * Sends the bytes, part by part, now or as soon as the peer takes them. They are not copied.
+     * Sends the byte arrays in order, at once or as soon as the peer accepts them. They are not
+     * copied.
      */
     public void write(byte[]... parts) {
         if (closed) {
@@ -215,9 +226,8 @@
             try {
                 flush();
             } catch (IOException e) {
-                // The bytes stay unsent and the read side will tell of the break: nothing of the
-                // owner's runs
-                // inside its own call.
+                // The bytes stay unsent and the next read reports the failure, so that the owner
+                // is not notified inside its own call.
             }
         }
     }
@@ -228,7 +238,8 @@
                     .write(
                             channel,
                             unsent.toArray(
-                                    new ByteBuffer[0])); // All parts in one packet, if they fit.
+                                    // All parts are sent in one packet if they fit.
+                                    new ByteBuffer[0]));
         }
         while (!unsent.isEmpty() && !unsent.peek().hasRemaining()) {
             unsent.poll();
@@ -245,7 +256,7 @@
                         | (unsent.isEmpty() ? 0 : SelectionKey.OP_WRITE));
     }
 
-    /** While paused nothing more is read; the peer's own system holds it back. */
+    /** Pauses or resumes reading. While paused, TCP flow control stops the peer. */
     public void setPaused(boolean newPaused) {
         if (paused != newPaused && !closed && !connecting) {
             paused = newPaused;
@@ -253,7 +264,9 @@
         }
     }
 
-    /** All that was to be written has been given to the system, the last byte too. */
+    /**
+     * Whether all written bytes, including the last one, have been passed to the operating system.
+     */
     public boolean isAllSent() {
         return !connecting && unsent.isEmpty();
     }
@@ -271,8 +284,8 @@
     }
 
     /**
-     * An idle connection may be closed for a new one when sockets are short, one on probation
-     * before all others.
+     * Marks the connection as idle or not. An idle connection may be closed for a new one when
+     * sockets are short; those on probation are closed first.
      */
     public void setIdle(boolean isIdle, boolean onProbation) {
         if (!closed) {
@@ -281,9 +294,9 @@
     }
 
     /**
-     * Ends our side once all is sent, and closes when the peer ends its own. Guards the last
-     * answer: a close with unread bytes waiting resets the connection, and the peer may lose what
-     * it has not read.
+     * Closes the sending side once all bytes are sent, and the connection when the peer closes its
+     * side. A close with unread bytes in the socket buffer would reset the connection, and the peer
+     * might lose an answer that it has not read.
      */
     public void closeWhenSent() {
         if (closing || closed) {
@@ -293,7 +306,7 @@
         try {
             flush();
         } catch (IOException e) {
-            // The read side will tell of the break.
+            // The next read reports the failure.
         }
     }
 
@@ -307,9 +320,9 @@
     }
 
     /**
-     * Closed for want of sockets, unless something has come that the loop has not looked at; the
-     * owner is told. Guards a request that was under way, and the last answer: a close over unread
-     * bytes resets the connection.
+     * Closes an idle connection because sockets are short, and notifies the owner, unless unread
+     * bytes show that it is no longer idle. Such a close would lose a request that has just
+     * arrived, and would reset the connection, so that the peer might lose the last answer.
      */
     void evict() {
         readPending();
@@ -325,7 +338,7 @@
         }
     }
 
-    /** Closes at once; the owner is not told. */
+    /** Closes at once, without notifying the owner. */
     public void close() {
         if (closed) {
             return;
@@ -336,7 +349,7 @@
         try {
             channel.close();
         } catch (IOException e) {
-            // There is nothing more to be had of a channel that cannot even be closed.
+            // Nothing more can be done with a channel whose close fails.
         }
     }
 }
--- a/daemon/src/main/java/postgrade/http/Message.java
+++ b/daemon/src/main/java/postgrade/http/Message.java
@@ -4,14 +4,14 @@
 import java.util.Collections;
 import java.util.List;
 
-/** One request or response. Header names are kept in lower case. */
+/** One HTTP request or response. Header names are kept in lower case. */
 public final class Message {
-    /** Of a request; null in a response. */
+    /** Set for a request; null in a response. */
     String method;
 
     String target;
 
-    /** Of a response; 0 in a request. */
+    /** Set for a response; 0 in a request. */
     int status;
 
     boolean http10;
@@ -37,23 +37,23 @@
         return body;
     }
 
-    /** The value of the first header of this name (in lower case), or null. */
+    /** Returns the value of the first header of this name (in lower case), or null. */
     public String header(String name) {
         int at = names.indexOf(name);
         return at < 0 ? null : values.get(at);
     }
 
-    /** How many headers there are of this name (in lower case). */
+    /** Returns the number of headers of this name (in lower case). */
     public int headerCount(String name) {
         return Collections.frequency(names, name);
     }
 
-    /** The message says how long its body is, be it empty. */
+    /** Whether the message declares the length of its body, even an empty one. */
     public boolean declaresLength() {
         return header("content-length") != null || header("transfer-encoding") != null;
     }
 
-    /** Whether one of a header's comma-separated values is this word, in any case. */
+    /** Whether the comma-separated values of a header contain this token, ignoring case. */
     boolean hasToken(String name, String token) {
         for (int i = 0; i < names.size(); i++) {
             if (names.get(i).equals(name)) {
@@ -67,7 +67,7 @@
         return false;
     }
 
-    /** The connection stays open after this message. */
+    /** Whether the connection stays open after this message. */
     public boolean isKeepAlive() {
         return http10 ? hasToken("connection", "keep-alive") : !hasToken("connection", "close");
     }
--- a/daemon/src/main/java/postgrade/http/MessageParser.java
+++ b/daemon/src/main/java/postgrade/http/MessageParser.java
@@ -9,8 +9,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads messages from bytes as they come, one at a time. Every part is bounded, so that no peer can
- * make us hold more than a head and a body of the greatest length.
+ * An incremental parser for HTTP/1.1, one message at a time. Every part is bounded, so that a peer
+ * cannot make the process hold more than a head and a body of the maximum size.
  */
 public final class MessageParser {
 
@@ -20,7 +20,7 @@
     private static final int SMALL_BODY_BYTES = 256;
     private static final int MAX_STREAMED_CHUNK_BYTES = 16 << 20;
 
-    /** As much of a start line as may have come. */
+    /** Matches any prefix of a valid start line of a request. */
     private static final Pattern START_LINE_PREFIX =
             Pattern.compile("\\r?|[A-Z]{0,16}|[A-Z]{1,16} (/.*)?");
 
@@ -58,7 +58,7 @@
         return forRequests(MAX_BODY_BYTES);
     }
 
-    /** With another bound for bodies. */
+    /** Returns a parser of requests with another limit for bodies. */
     public static MessageParser forRequests(int maxBodyBytes) {
         return new MessageParser(true, null, maxBodyBytes);
     }
@@ -67,12 +67,17 @@
         return new MessageParser(false, null, MAX_BODY_BYTES);
     }
 
-    /** Reads one response whose body has no bound; its pieces go to the consumer as they come. */
+    /**
+     * Returns a parser for one response with a body of unlimited length, which is passed on in
+     * pieces as it arrives.
+     */
     public static MessageParser forStreamingResponse(Consumer<byte[]> pieceConsumer) {
         return new MessageParser(false, pieceConsumer, MAX_STREAMED_CHUNK_BYTES);
     }
 
-    /** Whether the bytes may be the beginning of a request, as far as they go. They stay unread. */
+    /**
+     * Whether the bytes may be the beginning of a request. The buffer's position does not change.
+     */
     public static boolean mayBeRequest(ByteBuffer bytes) {
         try {
             MessageParser parser = forRequests();
@@ -85,26 +90,29 @@
         }
     }
 
-    /** Nothing of a next message has been read. */
+    /** Whether no byte of the next message has been read. */
     public boolean isAtMessageStart() {
         return state == State.START_LINE && lineLength == 0;
     }
 
-    /** True once, where a request's sender waits for our word before it sends the body. */
+    /**
+     * Returns true once if the sender of the request waits for {@code 100 Continue} before it sends
+     * the body.
+     */
     public boolean consumeExpectContinue() {
         boolean expects = expectsContinue;
         expectsContinue = false;
         return expects;
     }
 
-    /** Bytes of the body that has come in part. */
+    /** Returns the number of bytes received of an incomplete body. */
     public int bodyBytesReceived() {
         return body.size();
     }
 
     /**
-     * Takes bytes up to the end of one message at most; returns it once it is whole, null until
-     * then.
+     * Consumes bytes up to the end of one message at most. Returns the message once it is complete,
+     * null until then.
      */
     public Message parse(ByteBuffer in) throws BadMessageException {
         while (in.hasRemaining()) {
@@ -121,8 +129,8 @@
     }
 
     /**
-     * The peer has ended its side: a response without a length ends here. Null if this cuts a
-     * message short.
+     * The peer has closed its side, which ends a response without a declared length. Returns null
+     * if a message is cut short by it.
      */
     public Message endOfInput() {
         return state == State.BODY_UNTIL_CLOSE ? finish() : null;
@@ -135,8 +143,8 @@
         if (finished.body.length > SMALL_BODY_BYTES) {
             body =
                     new ByteArrayOutputStream(
-                            SMALL_BODY_BYTES); // Guards the memory: an idle connection keeps no
-                                               // large buffer.
+                            // Bounds memory: an idle connection keeps no large buffer.
+                            SMALL_BODY_BYTES);
         }
         body.reset();
         state = State.START_LINE;
@@ -164,14 +172,15 @@
         return false;
     }
 
-    /** True if the message is whole with this line. */
+    /** Returns true if the message is complete with this line. */
     private boolean parseLine() throws BadMessageException {
         String text = new String(line, 0, lineLength, StandardCharsets.ISO_8859_1);
         lineLength = 0;
         switch (state) {
             case START_LINE -> {
-                if (!text.isEmpty()) { // Blank lines before a message are allowed, and count to its
-                    // head.
+                // Blank lines before a message are allowed, and count towards the head's size
+                // limit.
+                if (!text.isEmpty()) {
                     parseStartLine(text);
                     state = State.HEADERS;
                 }
@@ -197,7 +206,7 @@
                 return false;
             }
             default -> {
-                return text.isEmpty(); // The end of the trailers, which are passed over.
+                return text.isEmpty(); // The end of the trailers, which are ignored.
             }
         }
     }
@@ -207,7 +216,7 @@
         String version = parsesRequests ? words[words.length - 1] : words[0];
         if (words.length < (parsesRequests ? 3 : 2)
                 || !version.equals("HTTP/1.1") && !version.equals("HTTP/1.0")) {
-            throw new BadMessageException(400, "not a start line of HTTP/1.1");
+            throw new BadMessageException(400, "invalid HTTP/1.1 start line");
         }
         message.http10 = version.equals("HTTP/1.0");
         if (parsesRequests) {
@@ -229,29 +238,30 @@
     private void parseHeader(String text) throws BadMessageException {
         int colon = text.indexOf(':');
         if (colon < 0 || !isToken(text.substring(0, colon))) {
-            throw new BadMessageException(400, "bad header line"); // Folded lines among them.
+            throw new BadMessageException(400, "bad header line"); // This includes folded lines.
         }
         if (message.names.size() == MAX_HEADERS) {
             throw new BadMessageException(431, "too many headers");
         }
         String value = text.substring(colon + 1).strip();
         if (value.chars().anyMatch(c -> c < ' ' && c != '\t')) {
-            // Guards what is passed on: a stray control character could split the head we write.
+            // A control character could split the head that is forwarded.
             throw new BadMessageException(400, "control character in a header");
         }
         message.names.add(text.substring(0, colon).toLowerCase(Locale.ROOT));
         message.values.add(value);
     }
 
-    /** True if the message has no body. */
+    /** Returns true if the message has no body. */
     private boolean endOfHead() throws BadMessageException {
         boolean chunked = message.header("transfer-encoding") != null;
         if (chunked
                 && (message.http10
                         || !message.header("transfer-encoding").equalsIgnoreCase("chunked"))) {
-            throw new BadMessageException(400, "transfer encoding not known");
+            throw new BadMessageException(400, "unsupported transfer encoding");
         }
-        // Guards against smuggling: whatever leaves two readings of where the message ends.
+        // Prevents request smuggling: rejects whatever allows two interpretations of the
+        // message's end.
         if (message.headerCount("content-length") + message.headerCount("transfer-encoding") > 1) {
             throw new BadMessageException(400, "more than one length or transfer encoding");
         }
@@ -260,7 +270,7 @@
                 contentLength == null ? -1 : parseNumber(contentLength, 10, maxBodyBytes, 413);
         if (!parsesRequests
                 && (message.status < 200 || message.status == 204 || message.status == 304)) {
-            if (message.status < 200) { // An interim response: the real one follows.
+            if (message.status < 200) { // An interim response: the final one follows.
                 finish();
                 return false;
             }
@@ -290,7 +300,7 @@
         headLength = remaining == 0 ? headLength : 0;
     }
 
-    /** True if the message is whole with these bytes. */
+    /** Returns true if the message is complete with these bytes. */
     private boolean readBody(ByteBuffer in) throws BadMessageException {
         byte[] piece = new byte[(int) Math.min(remaining, in.remaining())];
         in.get(piece);
@@ -312,13 +322,13 @@
             throws BadMessageException {
         if (text.isEmpty()
                 || text.chars().anyMatch(c -> Character.digit(c, radix) < 0 || c > 'f')) {
-            throw new BadMessageException(400, "not a number where one is due");
+            throw new BadMessageException(400, "invalid number");
         }
         long value = 0;
         for (int i = 0; i < text.length(); i++) {
             value = value * radix + Character.digit(text.charAt(i), radix);
             if (value > max) {
-                throw new BadMessageException(statusIfTooLarge, "too large a number");
+                throw new BadMessageException(statusIfTooLarge, "number too large");
             }
         }
         return value;
--- a/daemon/src/main/java/postgrade/http/MessageWriter.java
+++ b/daemon/src/main/java/postgrade/http/MessageWriter.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** Writes one message into bytes. */
+/** Serialises one HTTP message. */
 public final class MessageWriter {
 
     private static final Map<Integer, String> REASON_PHRASES =
@@ -45,7 +45,7 @@
         return writer;
     }
 
-    /** A null value leaves the header out. */
+    /** Adds a header; a null value omits it. */
     public MessageWriter header(String name, Object value) {
         if (value != null) {
             head.append(name).append(": ").append(value).append("\r\n");
@@ -53,7 +53,7 @@
         return this;
     }
 
-    /** The whole message with its length; a 204 has no body and no length. */
+    /** Returns the complete message with its length; a 204 response has no body and no length. */
     public byte[] body(byte[] body) {
         if (!head.substring(0, 12).endsWith(" 204")) {
             header("Content-Length", body.length);
@@ -64,7 +64,7 @@
         return message;
     }
 
-    /** The head of a message whose body is sent behind it. */
+    /** Returns the head of a message whose body is sent after it. */
     public byte[] headFor(byte[] body) {
         return header("Content-Length", body.length).noBody();
     }
--- a/daemon/src/main/java/postgrade/http/NoSocketException.java
+++ b/daemon/src/main/java/postgrade/http/NoSocketException.java
@@ -3,8 +3,9 @@
 import java.io.IOException;
 
 /**
- * No connection could be begun for want of something of this process or machine: a place in its
- * budget, a descriptor, a port, memory or a route. It says nothing of the peer.
+ * Thrown when no connection could be opened because this process or machine lacks a resource: a
+ * place in the socket budget, a descriptor, a port, memory or a route. It says nothing about the
+ * peer.
  */
 public final class NoSocketException extends IOException {
 
--- a/daemon/src/main/java/postgrade/http/Reactor.java
+++ b/daemon/src/main/java/postgrade/http/Reactor.java
@@ -5,19 +5,23 @@
 import java.nio.channels.SelectableChannel;
 import java.nio.channels.SelectionKey;
 
-/** The loop as channels see it. */
+/** The event loop, as seen by the channels. */
 public interface Reactor {
 
     SelectionKey register(SelectableChannel channel, int interest, Handler handler)
             throws IOException;
 
-    /** One buffer for all reads; what is in it must be taken before the handler returns. */
+    /**
+     * Returns the buffer shared by all reads; its content must be consumed before the handler
+     * returns.
+     */
     ByteBuffer readBuffer();
 
     /**
-     * Lends a buffer, empty, for a look out of turn. Looks may nest (one tells an owner of an end,
-     * who has another connection looked at), so each has its own until {@link #releaseBuffer}. Who
-     * seldom looks may leave it at a new one each time.
+     * Returns an empty buffer for a read outside the regular iteration. Such reads may nest: one
+     * notifies an owner, which may read from another connection. So each has its own buffer until
+     * {@link #releaseBuffer}. Implementations for which such reads are rare may keep this default,
+     * which allocates a new buffer each time.
      */
     default ByteBuffer acquireBuffer() {
         return ReadBufferPool.allocate();
@@ -27,24 +31,27 @@
 
     SocketBudget sockets();
 
-    /** The calls by which channels are read, written, accepted and connected. */
+    /** Returns the system calls by which channels are read, written, accepted and connected. */
     default SystemCalls systemCalls() {
         return SystemCalls.REAL;
     }
 
-    /** When the wait before the one that has just ended had ended; see {@link ArrivalTimes}. */
+    /** Returns when the wait before the latest one ended; see {@link ArrivalTimes}. */
     default long previousWaitEndMicros() {
         return 0;
     }
 
-    /** Since when what the latest wait has shown may have been ready; see {@link ArrivalTimes}. */
+    /**
+     * Returns the earliest time at which the channels reported by the latest wait may have become
+     * ready; see {@link ArrivalTimes}.
+     */
     default long readySinceMicros() {
         return 0;
     }
 
-    /** Whose channel is ready. */
+    /** The handler of a registered channel. */
     interface Handler {
-        /** The order in which the ready channels of a turn are served. */
+        /** The order in which the ready channels of an iteration are served. */
         enum Order {
             FIRST,
             NORMAL,
@@ -53,10 +60,10 @@
 
         void ready(SelectionKey key) throws IOException;
 
-        /** The handler threw; it closes its channel and tells its owner. */
+        /** The handler threw an exception; it closes its channel and notifies its owner. */
         void failed(Exception e);
 
-        /** When in a turn it is served. */
+        /** Returns when the handler is served in an iteration. */
         default Order order() {
             return Order.NORMAL;
         }
--- a/daemon/src/main/java/postgrade/http/ReadBufferPool.java
+++ b/daemon/src/main/java/postgrade/http/ReadBufferPool.java
@@ -4,16 +4,16 @@
 import java.util.ArrayDeque;
 
 /**
- * Buffers that are lent for looks out of turn, and used again. Guards the loop's time: a look comes
- * before every send.
+ * A pool of buffers for reads outside the regular event loop iteration. It saves allocations, as
+ * every send is preceded by such a read.
  */
 public final class ReadBufferPool {
 
     private static final int BUFFER_BYTES = 8 << 10;
 
     /**
-     * Guards the memory outside the heap: where looks nest deeper the further ones get a buffer
-     * that is not kept.
+     * Bounds direct memory: where reads nest deeper, further ones get a heap buffer that is not
+     * pooled.
      */
     private static final int MAX_POOLED = 4;
 
@@ -24,7 +24,7 @@
         return ByteBuffer.allocate(BUFFER_BYTES);
     }
 
-    /** An empty buffer that nobody else has until it is given back. */
+    /** Returns an empty buffer for exclusive use until it is released. */
     public ByteBuffer acquire() {
         ByteBuffer buffer = free.poll();
         if (buffer != null) {
--- a/daemon/src/main/java/postgrade/http/SocketBudget.java
+++ b/daemon/src/main/java/postgrade/http/SocketBudget.java
@@ -5,22 +5,24 @@
 import java.util.List;
 
 /**
- * One budget for the sockets of all peers. Guards against running out of descriptors, which would
- * fail accepts and connects alike: when it is used up, an idle connection is closed for a new one.
+ * A shared limit on the sockets of all peers. It prevents the process from running out of file
+ * descriptors, which would make accepts and connects fail alike: when the limit is reached, an idle
+ * connection is closed to make room for a new one.
  *
- * <p>Which one follows the segmented LRU scheme: connections are on probation until they have
- * proved useful, and the one of them that has been idle longest goes first. Guards the connections
- * that usual peers keep against hundreds of others that come and say nothing, or ask once and stay.
+ * <p>Eviction follows the segmented LRU scheme: a connection is on probation until it has proved
+ * useful, and of those on probation the one idle the longest is closed first. This protects the
+ * connections of regular peers against hundreds of others that send nothing, or send one request
+ * and stay open.
  */
 public final class SocketBudget {
 
     /**
-     * Accepted connections take this part at most, or busy consumers could leave none to reach a
-     * provider.
+     * The maximum fraction for accepted connections; otherwise busy clients could leave no socket
+     * to reach a worker.
      */
     private static final double MAX_ACCEPTED_FRACTION = 0.75;
 
-    /** Places that only discovery may take: without it every decision ages. */
+    /** Places reserved for discovery: without it all decisions rely on an ageing worker list. */
     private static final int RESERVED_FOR_DISCOVERY = 2;
 
     private int capacity;
@@ -32,7 +34,7 @@
         this.capacity = capacity;
     }
 
-    /** From now on so many places, which closes idle connections beyond them. */
+    /** Changes the capacity, closing idle connections above it. */
     public void setLimit(int newCapacity) {
         capacity = newCapacity;
         for (LinkedHashSet<Connection> segment : List.of(probationary, protectedIdle)) {
@@ -43,10 +45,10 @@
     }
 
     /**
-     * Takes a place for a connection that has been accepted, if need be by closing an idle one; one
-     * place more than there are where the idle ones turn out not to be.
+     * Acquires a place for an accepted connection, if necessary by closing an idle one. If no idle
+     * connection can be closed, the limit is exceeded by one.
      *
-     * @param anyIdle also one that is past its probation may be closed
+     * @param mayEvictProtected whether a connection past its probation may be closed too
      */
     public void acquireForAccept(boolean mayEvictProtected) {
         if (!tryAcquire((int) (capacity * MAX_ACCEPTED_FRACTION), mayEvictProtected)) {
@@ -55,8 +57,8 @@
     }
 
     /**
-     * Whether {@link #acquireForAccept} would find a place; nothing is closed for one that may not
-     * come.
+     * Whether {@link #acquireForAccept} would find a place. Closes no connection, because none may
+     * arrive.
      */
     public boolean canAcquireForAccept(boolean mayEvictProtected) {
         return open < (int) (capacity * MAX_ACCEPTED_FRACTION)
@@ -64,7 +66,7 @@
                 || mayEvictProtected && !protectedIdle.isEmpty();
     }
 
-    /** Takes a place for a connection of ours. */
+    /** Acquires a place for an outgoing connection. */
     boolean acquireForConnect(boolean toDiscovery) {
         return tryAcquire(toDiscovery ? capacity : capacity - RESERVED_FOR_DISCOVERY, true);
     }
@@ -77,7 +79,8 @@
             if (!oldest.hasNext()) {
                 return false;
             }
-            oldest.next().evict(); // Or it is idle no longer.
+            // Closes the connection, or finds that it is no longer idle.
+            oldest.next().evict();
         }
         open++;
         return true;
@@ -92,7 +95,7 @@
     }
 
     void updateIdle(Connection connection, boolean isIdle, boolean isOnProbation) {
-        // One that is idle already keeps its place.
+        // A connection that is already idle keeps its position.
         if (isIdle && isOnProbation) {
             protectedIdle.remove(connection);
             probationary.add(connection);
--- a/daemon/src/main/java/postgrade/http/SystemCalls.java
+++ b/daemon/src/main/java/postgrade/http/SystemCalls.java
@@ -8,18 +8,18 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * The system calls on which the loop and its connections depend. They stand in one place so that
- * tests can make each of them fail, be short or return early; nothing in the configuration replaces
- * them. Called on the loop's thread alone.
+ * The system calls that the event loop and its connections depend on. They are collected here so
+ * that tests can make each of them fail, transfer less than asked or return early; no setting
+ * replaces them. Called on the event loop thread only.
  */
 public interface SystemCalls {
 
-    /** The system's own. */
+    /** The real system calls. */
     SystemCalls REAL = new SystemCalls() {};
 
     /**
-     * Waits until a channel is ready, at most so long; 0 does not wait, a negative time has no
-     * bound.
+     * Waits until a channel is ready, at most for the given time; 0 does not wait, and a negative
+     * time has no limit.
      */
     default void select(Selector selector, long millis) throws IOException {
         if (millis == 0) {
@@ -32,7 +32,9 @@
     }
 
     /**
-     * @return null if no connection waits
+     * Accepts a connection.
+     *
+     * @return null if no connection is pending
      */
     default SocketChannel accept(ServerSocketChannel server) throws IOException {
         return server.accept();
@@ -42,7 +44,7 @@
         return SocketChannel.open();
     }
 
-    /** Begins to connect a channel that does not block. */
+    /** Starts to connect a non-blocking channel. */
     default void connect(SocketChannel channel, InetSocketAddress to) throws IOException {
         channel.connect(to);
     }
@@ -52,13 +54,15 @@
     }
 
     /**
-     * @return the number of bytes read, negative at the peer's end
+     * Reads into the buffer.
+     *
+     * @return the number of bytes read, negative at the end of the stream
      */
     default int read(SocketChannel channel, ByteBuffer into) throws IOException {
         return channel.read(into);
     }
 
-    /** Writes as much as the system takes. */
+    /** Writes as many bytes as the operating system accepts. */
     default void write(SocketChannel channel, ByteBuffer[] parts) throws IOException {
         channel.write(parts);
     }
--- a/daemon/src/main/java/postgrade/telemetry/AttemptCounters.java
+++ b/daemon/src/main/java/postgrade/telemetry/AttemptCounters.java
@@ -9,7 +9,7 @@
 import postgrade.policy.api.AttemptOutcome;
 import postgrade.policy.api.DecisionReason;
 
-/** Counts ends of attempts by outcome and evidence, and answers by kind and reason. */
+/** Counts the ends of attempts by outcome and evidence, and answers by kind and reason. */
 final class AttemptCounters {
 
     private static final int OUTCOMES = AttemptOutcome.values().length;
@@ -48,22 +48,22 @@
         contradictedEnds++;
     }
 
-    /** Changes whenever something has been counted. */
+    /** Returns a number that changes when an end, an answer or an unmatched report is counted. */
     long total() {
         return Arrays.stream(ends).sum() + Arrays.stream(answers).sum() + unmatchedReports;
     }
 
-    /** Ends as {@code OUTCOME/EVIDENCE=count}, those above 0. */
+    /** Returns the ends as {@code OUTCOME/EVIDENCE=count}, those above 0. */
     String endsText() {
         return pairs(ends, AttemptOutcome.values(), EndEvidence.Kind.values());
     }
 
-    /** Answers as {@code ANSWER/REASON=count}, those above 0. */
+    /** Returns the answers as {@code ANSWER/REASON=count}, those above 0. */
     String answersText() {
         return pairs(answers, AnsweredRequest.Answer.values(), DecisionReason.values());
     }
 
-    /** Cancelled attempts as {@code REASON=count}, those above 0. */
+    /** Returns the cancelled attempts as {@code REASON=count}, those above 0. */
     String cancelsText() {
         StringJoiner text = new StringJoiner(" ");
         for (DecisionReason reason : DecisionReason.values()) {
--- a/daemon/src/main/java/postgrade/telemetry/AttemptLog.java
+++ b/daemon/src/main/java/postgrade/telemetry/AttemptLog.java
@@ -14,15 +14,15 @@
 import postgrade.policy.api.DecisionReason;
 
 /**
- * Logs each attempt that does not end with its result, each further attempt and each answer that
- * follows an attempt without being its result, and counts all ends by cause. A job that is served
- * at its first attempt costs no line.
+ * Logs attempts that do not end with a result, further attempts, and answers that follow an attempt
+ * without being its result, and counts all ends by cause. A job that is served at its first attempt
+ * is not logged.
  */
 public final class AttemptLog implements RequestObserver {
 
     private static final Logger LOG = LoggerFactory.getLogger(AttemptLog.class);
 
-    /** The counters are logged this often, if something has been counted since. */
+    /** The interval at which the counters are logged, if they have changed. */
     private static final long COUNTS_MICROS = 10_000_000;
 
     private final Timers timers;
@@ -31,7 +31,7 @@
     private final LogRateLimiter rateLimiter = new LogRateLimiter();
     private long loggedTotal;
 
-    /** Begins to log the counters at times. */
+    /** Creates the log and starts the periodic logging of the counters. */
     public AttemptLog(Timers timers) {
         this.timers = timers;
         scheduleCounts();
@@ -69,11 +69,11 @@
                                 + counters.cancelsText()
                                 + "; repeated "
                                 + counters.repeatedAttempts()
-                                + ", call-backs for none out "
+                                + ", call-backs without an attempt in flight "
                                 + counters.unmatchedReports()
                                 + ", contradicted ends "
                                 + counters.contradictedEnds()
-                                + ", lines left out "
+                                + ", lines suppressed "
                                 + rateLimiter.suppressed());
     }
 
@@ -131,7 +131,7 @@
                                     + answered.requestId()
                                     + " "
                                     + answered.answer()
-                                    + " for "
+                                    + " with reason "
                                     + answered.reason()
                                     + " after "
                                     + answered.attempts()
@@ -163,7 +163,7 @@
                                     + state
                                     + " by its worker "
                                     + afterMicros
-                                    + " us after it was taken for ended "
+                                    + " us after it was considered ended as "
                                     + timeline.toText());
         }
     }
@@ -176,7 +176,7 @@
         return "attempt " + number + " of " + requestId + " at " + workerId;
     }
 
-    /** How an attempt went, as fields and as text. Times count from its beginning. */
+    /** The times of an attempt, as fields and as text, relative to its beginning. */
     private record Timeline(EndedAttempt ended, WireRecord wire) {
 
         static Timeline of(EndedAttempt ended) {
@@ -228,7 +228,7 @@
                         .append(wire.connection().ageMicros())
                         .append(" us old, idle ")
                         .append(wire.connection().idleMicros())
-                        .append(" us, exchanges before ")
+                        .append(" us, earlier exchanges ")
                         .append(wire.connection().earlierExchanges());
             }
             return text.toString();
--- a/daemon/src/main/java/postgrade/telemetry/LogRateLimiter.java
+++ b/daemon/src/main/java/postgrade/telemetry/LogRateLimiter.java
@@ -1,7 +1,8 @@
 package postgrade.telemetry;
 
 /**
- * Bounds the log lines of a time by a token bucket, so that a flood of unusual ends costs little.
+ * Limits the rate of log lines with a token bucket, so that a flood of failed attempts costs
+ * little.
  */
 final class LogRateLimiter {
 
@@ -12,7 +13,7 @@
     private long refilledMicros;
     private long suppressed;
 
-    /** Whether a line may be written now; one that may not is counted. */
+    /** Whether a line may be written now. A line that may not is counted. */
     boolean tryAcquire(long nowMicros) {
         double earned = (nowMicros - refilledMicros) * LINES_PER_MICRO;
         available = Math.min(BURST, available + Math.max(0, earned));
@@ -25,7 +26,7 @@
         return true;
     }
 
-    /** Lines that were not written since the process began. */
+    /** Returns the number of lines suppressed since the process started. */
     long suppressed() {
         return suppressed;
     }
--- a/daemon/src/main/java/postgrade/telemetry/RecentlyEndedAttempts.java
+++ b/daemon/src/main/java/postgrade/telemetry/RecentlyEndedAttempts.java
@@ -5,8 +5,9 @@
 import postgrade.policy.api.AttemptOutcome;
 
 /**
- * The latest attempts that ended without a call-back of their worker. A call-back that comes for
- * one of them later shows that its end was concluded wrongly, or crossed the worker's word.
+ * The latest attempts that ended without a call-back of their worker. A later call-back for one of
+ * them shows that its end was concluded wrongly, or that the end and the call-back crossed on the
+ * wire.
  */
 final class RecentlyEndedAttempts {
 
@@ -23,7 +24,7 @@
         }
     }
 
-    /** The latest such end of this request at this worker, or null. */
+    /** Returns the latest such attempt of this request at this worker, or null. */
     EndedAttempt find(String requestId, String workerId) {
         for (int back = 1; back <= CAPACITY; back++) {
             EndedAttempt ended = attempts[(next - back + CAPACITY) % CAPACITY];
--- a/daemon/src/main/java/postgrade/telemetry/package-info.java
+++ b/daemon/src/main/java/postgrade/telemetry/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What is logged and counted of attempts and answers, so that how each came about can be told
- * afterwards. It observes and decides nothing; all of it runs on the loop's thread.
+ * Logs and counts attempts and answers, so that the cause of each can be determined afterwards. It
+ * only observes; all of it runs on the event loop thread.
  */
 package postgrade.telemetry;
--- a/daemon/src/test/java/postgrade/discovery/DiscoveryWatchTest.java
+++ b/daemon/src/test/java/postgrade/discovery/DiscoveryWatchTest.java
@@ -16,10 +16,16 @@
 import org.junit.Before;
 import org.junit.Test;
 
-/** The one clock for silence, on time that the test turns. Discovery is on loopback. */
+/**
+ * The silence timeout of the watch, on a clock that the test advances. Discovery is a server socket
+ * on loopback.
+ */
 public class DiscoveryWatchTest {
 
-    /** What a dead watch misses counts as told so long after its last line. */
+    /**
+     * A change that a dead watch misses counts as known to the dispatcher this long after the last
+     * frame.
+     */
     private static final long PROPAGATION_LIMIT_MICROS = 6_000_000;
 
     private static final String RESPONSE_HEAD =
@@ -58,7 +64,7 @@
         discovery.close();
     }
 
-    /** The next connection of the watch, with its question read. */
+    /** Accepts the next connection of the watch and reads its request. */
     private Socket acceptNext() throws IOException {
         Socket s = discovery.accept();
         sockets.add(s);
@@ -95,7 +101,7 @@
         loop.runAndServe(() -> send(s, text));
     }
 
-    /** A watch that is up and has its first object. */
+    /** Accepts a watch and sends it its first object. */
     private Socket acceptWithFirstObject() throws IOException {
         Socket s = acceptNext();
         s.getOutputStream().write(RESPONSE_HEAD.getBytes());
@@ -104,11 +110,11 @@
         return s;
     }
 
-    /** Lets time pass until the watch has ended its connection, and says how long that took. */
+    /** Advances time until the watch has closed its connection, and returns how long that took. */
     private long awaitClose(Socket s) throws IOException {
         long from = loop.nowMicros();
         assertTrue(
-                "found out",
+                "timeout detected",
                 loop.advanceTime(PROPAGATION_LIMIT_MICROS, () -> loop.openChannels() == 0));
         s.setSoTimeout(20_000);
         assertEquals("closed", -1, s.getInputStream().read());
@@ -117,12 +123,12 @@
 
     private Socket acceptReconnect() throws IOException {
         assertTrue(
-                "opened again",
+                "reconnected",
                 loop.advanceTime(PROPAGATION_LIMIT_MICROS, () -> loop.openChannels() == 1));
         return acceptNext();
     }
 
-    /** Three more say nothing, or nothing whole; the fourth has it. */
+    /** Three more connections bring no complete frame; the fourth brings the change. */
     private void assertAppliedInTime(long silentSinceMicros) throws IOException {
         for (int i = 0; i < 3; i++) {
             Socket incomplete = acceptReconnect();
@@ -158,7 +164,7 @@
         loop.advanceTime(2_000_000, () -> false);
         sendAndServe(s, "\n");
         long silentSinceMicros = loop.nowMicros();
-        assertTrue("an empty line that is a little late is no alarm", awaitClose(s) > 2_100_000);
+        assertTrue("a slightly late heartbeat does not end the watch", awaitClose(s) > 2_100_000);
         assertAppliedInTime(silentSinceMicros);
     }
 
@@ -196,10 +202,10 @@
             sendAndServe(s, i == 1 ? " \r\n" : "\n");
         }
         sendAndServe(s, "}\n");
-        assertEquals("what is no object ends it", 0, loop.openChannels());
+        assertEquals("invalid input closes the connection", 0, loop.openChannels());
     }
 
-    /** After a move all counts as told within 4 s. */
+    /** After a move all changes count as known within 4 s. */
     @Test
     public void completeListIsRequestedUntilReceivedAndTheWatchAfterItHasTheSameTimeout()
             throws IOException {
@@ -217,7 +223,8 @@
                 assertTrue(
                         loop.advanceTime(
                                 PROPAGATION_LIMIT_MICROS,
-                                () -> loop.openChannels() == 1)); // The former one is heard still.
+                                // The watch at the previous address is still in use.
+                                () -> loop.openChannels() == 1));
                 assertTrue(
                         loop.advanceTime(PROPAGATION_LIMIT_MICROS, () -> loop.openChannels() == 2));
                 sendAndServe(previous, "\n");
@@ -235,16 +242,19 @@
                                             + list)
                                     .getBytes());
             loop.serveUntil(() -> lists.size() == 2);
-            assertEquals("the former one is ended", 1, loop.openChannels());
+            assertEquals("the previous connection is closed", 1, loop.openChannels());
             loop.serveUntil(() -> available(s) > 0);
             s.getInputStream().skipNBytes(available(s));
-            assertTrue("silent behind its list", awaitClose(s) < 450_000);
+            assertTrue("silent after its list", awaitClose(s) < 450_000);
             acceptReconnect();
             assertEquals("GET /api/targets?watch=1&from=7", lastRequest);
         }
     }
 
-    /** While discovery is down, and on its return, the calls of all dispatchers add up. */
+    /**
+     * Guards against a flood of connections: while discovery is down, and on its return, the
+     * reconnects of all dispatchers add up.
+     */
     @Test
     public void reconnectsHaveBoundedRateAndJitter() throws IOException {
         awaitClose(acceptWithFirstObject());
@@ -266,7 +276,9 @@
         }
         long averageMicros = (loop.nowMicros() - endedMicros) / 10;
         assertTrue(
-                "each after " + averageMicros + " where it ends after its first object",
+                "average interval "
+                        + averageMicros
+                        + " us when the connection closes after its first object",
                 averageMicros > 200_000 && averageMicros < 300_000);
     }
 }
--- a/daemon/src/test/java/postgrade/discovery/ManualEventLoop.java
+++ b/daemon/src/test/java/postgrade/discovery/ManualEventLoop.java
@@ -17,7 +17,10 @@
 import postgrade.http.SocketBudget;
 import postgrade.http.SystemCalls;
 
-/** A loop turned by hand: sockets are real, time passes only when the test says so. */
+/**
+ * An event loop that the test drives: sockets are real, and time advances only when the test says
+ * so.
+ */
 public final class ManualEventLoop implements Reactor, Timers {
 
     private final Selector selector;
@@ -49,7 +52,7 @@
         selector = Selector.open();
     }
 
-    /** Connections are made, read and written by these from now on. */
+    /** Sets the system calls that connect, read and write from now on. */
     public void systemCalls(SystemCalls calls) {
         systemCalls = calls;
     }
@@ -59,11 +62,11 @@
         return systemCalls;
     }
 
-    /** Serves sockets until it is so; time stands still. */
+    /** Serves sockets until the condition holds; time does not advance. */
     public void serveUntil(BooleanSupplier condition) throws IOException {
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (!condition.getAsBoolean()) {
-            assertTrue("in time", System.nanoTime() < deadlineNanos);
+            assertTrue("condition not met within 20 s", System.nanoTime() < deadlineNanos);
             pollOnce(20);
         }
     }
@@ -84,24 +87,27 @@
         selector.selectedKeys().clear();
     }
 
-    /** Connections that are open or coming up. */
+    /** Returns the number of connections that are open or being established. */
     public long openChannels() {
         return channels.stream().filter(SelectableChannel::isOpen).count();
     }
 
-    /** Does something that a socket hears of, and serves that. */
+    /** Runs an action that makes a socket ready, and serves that socket. */
     public void runAndServe(IoAction action) throws IOException {
         int servedBefore = servedEvents;
         action.run();
         serveUntil(() -> servedEvents > servedBefore);
     }
 
-    /** What a peer does. */
+    /** An action of a peer. */
     public interface IoAction {
         void run() throws IOException;
     }
 
-    /** Time passes; returns early, at its time, once a task has made it so. */
+    /**
+     * Advances time and runs the tasks that fall due. Stops early, and returns true, once a task
+     * has made the condition hold.
+     */
     public boolean advanceTime(long micros, BooleanSupplier condition) {
         long endMicros = nowMicros + micros;
         while (!scheduledTasks.isEmpty() && scheduledTasks.peek().whenMicros <= endMicros) {
--- a/daemon/src/test/java/postgrade/discovery/WatchReconnectScheduleTest.java
+++ b/daemon/src/test/java/postgrade/discovery/WatchReconnectScheduleTest.java
@@ -17,12 +17,13 @@
 import org.junit.Test;
 
 /**
- * The worst sum of the watch's patience and pauses, on time that the test turns: whatever failed
- * before, once discovery can be reached what it has is in force by then.
+ * The worst sum of timeouts and pauses of a watch, on a clock that the test advances. Whatever
+ * failed before, once discovery is reachable its list must be applied within {@link
+ * #MAX_DELAY_MICROS}.
  */
 public class WatchReconnectScheduleTest {
 
-    /** Patience with a line, which is the longest wait of all, and one read more. */
+    /** The timeout between frames, which is the longest wait, and one further read. */
     private static final long MAX_DELAY_MICROS = 2_300_000 + 50_000;
 
     private static final String RESPONSE_HEAD =
@@ -30,7 +31,7 @@
     private static final int SCHEDULES = 60;
     private static final int MAX_FAILURES = 7;
 
-    /** What becomes of an opening. */
+    /** How a connection fails. */
     private enum Failure {
         REFUSED,
         CLOSED,
@@ -119,7 +120,7 @@
     }
 
     /**
-     * Answers the opening that is under way as asked for: the whole list, or a watch's first
+     * Answers the current connection as requested: with the complete list, or with a watch's first
      * object.
      */
     private void answer(Socket s) throws IOException {
@@ -137,10 +138,10 @@
         assertEquals(version, watch.version());
     }
 
-    /** The opening that is due fails; one that lasts fails once its time has come. */
+    /** Makes the next connection fail; one that stays open fails when its timeout ends. */
     private void injectFailure(Failure failure) throws IOException {
         if (failure == Failure.REFUSED) {
-            return; // Nobody has listened.
+            return; // Nothing was listening.
         }
         Socket s = accept();
         switch (failure) {
@@ -177,19 +178,22 @@
         }
     }
 
-    /** The opening that lasts ends, or a pause. True once the next opening is under way. */
+    /**
+     * Awaits the end of a connection that stays open, or of a pause, until the next connection has
+     * been started.
+     */
     private void awaitReconnect(Failure nextFailure) throws IOException {
         if (nextFailure == Failure.REFUSED) {
             discovery.close();
         }
         if (loop.openChannels() == 1) {
             assertTrue(
-                    "found out",
+                    "timeout detected",
                     loop.advanceTime(MAX_DELAY_MICROS, () -> loop.openChannels() == 0));
         }
         if (loop.openChannels() == 0) {
             assertTrue(
-                    "opened again",
+                    "reconnected",
                     loop.advanceTime(MAX_DELAY_MICROS, () -> loop.openChannels() == 1));
         }
         if (nextFailure == Failure.REFUSED) {
@@ -199,8 +203,8 @@
     }
 
     /**
-     * From this moment on, somewhere within the wait that a failure has led to, an opening is
-     * answered.
+     * Advances to a random moment within the wait that a failure has led to, answers the next
+     * connection, and returns how long that took.
      */
     private long microsUntilApplied(SplittableRandom random) throws IOException {
         boolean waitsForFrame = loop.openChannels() == 1;
@@ -234,15 +238,16 @@
             long delayMicros = microsUntilApplied(random);
             assertTrue(failures + ": " + delayMicros, delayMicros <= MAX_DELAY_MICROS);
             worstMicros = Math.max(worstMicros, delayMicros);
-            watch.moveTo(new InetSocketAddress(loopback, 1)); // Nothing more comes of it.
+            // Ends the watch's connection; nothing listens on this port.
+            watch.moveTo(new InetSocketAddress(loopback, 1));
             discovery.close();
         }
-        assertTrue("the longest waits are met: " + worstMicros, worstMicros > 1_500_000);
+        assertTrue("the longest waits occur: " + worstMicros, worstMicros > 1_500_000);
     }
 
     /**
-     * Jitter at both ends: no opening is given more, and no pause is longer, than this, whatever
-     * came before.
+     * No connection is given more time, and no pause is longer, than the limits below, and jitter
+     * covers the whole range down to nine tenths of them.
      */
     @Test
     public void backoffStaysWithinItsJitterRange() {
@@ -255,7 +260,8 @@
                 long timeout = backoff.nextTimeoutMicros();
                 minimums[i] = Math.min(minimums[i], timeout);
                 maximums[i] = Math.max(maximums[i], timeout);
-                assertEquals("a silent one is followed at once", 0, backoff.nextPauseMicros(true));
+                assertEquals(
+                        "no pause after a silent connection", 0, backoff.nextPauseMicros(true));
             }
             for (int i = 4; i < 8; i++) {
                 long pause = backoff.nextPauseMicros(false);
@@ -280,7 +286,7 @@
                         + maximums[1]
                         + maximums[2];
         assertTrue(
-                "three silent openings, and the fourth is heard by 6 s",
+                "three silent connections, and the fourth is answered within 6 s",
                 silentMicros + 500_000 < 6_000_000);
     }
 }
--- a/daemon/src/test/java/postgrade/http/ArrivalTimesTest.java
+++ b/daemon/src/test/java/postgrade/http/ArrivalTimesTest.java
@@ -5,14 +5,14 @@
 import org.junit.Test;
 
 /**
- * Since when unread bytes may have lain in a socket. Waits of the loop end at 100, 200, 300 and so
- * on.
+ * How long unread bytes may have been in a socket buffer. The waits of the event loop end at 100,
+ * 200, 300 and so on.
  */
 public class ArrivalTimesTest {
 
     private final ArrivalTimes times = new ArrivalTimes(50, 100);
 
-    /** The wait that ended at 200 was the first that watched it. */
+    /** The wait that ended at 200 was the first during which the socket was polled. */
     @Test
     public void firstReadMayReturnBytesFromBeforeWatchBegan() {
         assertEquals(50, times.beforeRead(100, 100));
@@ -24,7 +24,7 @@
         assertEquals(300, times.beforeRead(300, 300));
     }
 
-    /** The wait has ended with what it shows, however long nothing had been ready before. */
+    /** A wait ends when it has something to report, however long nothing was ready before. */
     @Test
     public void bytesThatEndALongWaitArrivedAtItsEnd() {
         assertEquals(290, times.beforeRead(200, 290));
--- a/daemon/src/test/java/postgrade/http/ConnectionTest.java
+++ b/daemon/src/test/java/postgrade/http/ConnectionTest.java
@@ -23,8 +23,8 @@
 import org.junit.Test;
 
 /**
- * One accepted connection over loopback, looked at and ended in moments of the test's choice. No
- * loop runs.
+ * One accepted connection over loopback, which the test reads and closes at chosen moments. No
+ * event loop runs.
  */
 public class ConnectionTest implements Reactor, Connection.Owner {
 
@@ -63,7 +63,7 @@
         peer.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
     }
 
-    /** Small writes that the system holds back would go with a reset. */
+    /** Small writes that the operating system delays would be lost in a reset. */
     @Test
     public void tcpNoDelayIsSet() throws IOException {
         assertTrue(accepted.getOption(StandardSocketOptions.TCP_NODELAY));
@@ -78,7 +78,7 @@
         connection.readPending();
         assertEquals("x".repeat(20_000) + " ended closed", events.toString());
         assertFalse(connection.isOpen());
-        assertEquals("the loop's buffer is as it was", 1, loopBuffer.position());
+        assertEquals("the event loop's buffer is unchanged", 1, loopBuffer.position());
     }
 
     @Test
@@ -113,13 +113,14 @@
     }
 
     /**
-     * A look tells an owner of bytes, who has another connection looked at before they are taken.
+     * A pending read notifies an owner of bytes, and the owner reads from another connection before
+     * it consumes them.
      */
     @Test
     public void nestedPendingReadsDoNotShareBuffers() throws IOException {
         Set<ByteBuffer> buffers = Collections.newSetFromMap(new IdentityHashMap<>());
         StringBuilder inner = new StringBuilder();
-        Connection[] chain = new Connection[6]; // Deeper than buffers are kept for.
+        Connection[] chain = new Connection[6]; // Deeper than the number of pooled buffers.
         SocketChannel[] peers = new SocketChannel[chain.length];
         for (int i = 0; i < chain.length; i++) {
             int next = i + 1;
@@ -152,7 +153,7 @@
                                 }
                             });
         }
-        for (int round = 0; round < 2; round++) { // By new buffers, then by those given back.
+        for (int round = 0; round < 2; round++) { // With new buffers, then with released ones.
             for (int i = 0; i < chain.length; i++) {
                 peers[i].write(ByteBuffer.wrap(("of " + i).getBytes(StandardCharsets.ISO_8859_1)));
             }
@@ -160,12 +161,12 @@
             inner.setLength(0);
             chain[0].readPending();
             assertEquals("of 5 of 4 of 3 of 2 of 1 of 0 ", inner.toString());
-            assertEquals("each had its own", chain.length, buffers.size());
+            assertEquals("each read has its own buffer", chain.length, buffers.size());
         }
-        send("one look after another");
+        send("one read after another");
         connection.readPending();
-        assertEquals("one look after another", events.toString());
-        assertTrue("has a buffer that was used before", buffers.contains(lastBuffer));
+        assertEquals("one read after another", events.toString());
+        assertTrue("the buffer is reused", buffers.contains(lastBuffer));
         for (SocketChannel p : peers) {
             p.close();
         }
@@ -195,7 +196,7 @@
         events.append(" closed");
     }
 
-    // ---- The loop.
+    // ---- The event loop.
 
     @Override
     public SelectionKey register(SelectableChannel channel, int interest, Handler handler)
--- a/daemon/src/test/java/postgrade/http/FaultInjectingCalls.java
+++ b/daemon/src/test/java/postgrade/http/FaultInjectingCalls.java
@@ -9,7 +9,7 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** System calls that fail, are short or return early as often as a test says. */
+/** System calls that fail, transfer less than asked or return early as often as a test asks. */
 public final class FaultInjectingCalls implements SystemCalls {
 
     public enum Call {
@@ -22,7 +22,7 @@
         WRITE
     }
 
-    /** Makes the error of a call that is to fail. */
+    /** Creates the exception of a call that is to fail. */
     public interface Failure {
         IOException make();
     }
@@ -31,18 +31,18 @@
     private final Map<Call, Failure> failureFactories = new EnumMap<>(Call.class);
     private boolean oneByteAtATime;
 
-    /** The next calls of this kind fail, so many of them. */
+    /** Makes the next calls of this kind fail. */
     public synchronized void fail(Call call, int times, Failure failure) {
         remainingFailures.put(call, times);
         failureFactories.put(call, failure);
     }
 
-    /** Reads and writes move one byte each from now on. */
+    /** Makes reads and writes transfer one byte each from now on. */
     public synchronized void moveOneByteAtATime() {
         oneByteAtATime = true;
     }
 
-    /** How many of the failures that were asked for are still to come. */
+    /** Returns how many of the requested failures are still to come. */
     public synchronized int failuresLeft(Call call) {
         return remainingFailures.getOrDefault(call, 0);
     }
--- a/daemon/src/test/java/postgrade/http/MessageParserSplitInputTest.java
+++ b/daemon/src/test/java/postgrade/http/MessageParserSplitInputTest.java
@@ -9,7 +9,9 @@
 import java.util.function.Supplier;
 import org.junit.Test;
 
-/** Messages come cut at any byte: at every point where one may be cut, the same is read. */
+/**
+ * A message may arrive split at any byte; the parser must return the same message for every split.
+ */
 public class MessageParserSplitInputTest {
 
     private static final String BODY = "Content-Length: 5\r\n\r\nh\u00e4 \r\n";
@@ -32,7 +34,7 @@
                 + new String(m.body(), StandardCharsets.ISO_8859_1);
     }
 
-    /** Each cut into two, and into single bytes. */
+    /** Parses the message split in two at every byte, and byte by byte. */
     private static void assertSameAtEverySplit(String text, Supplier<MessageParser> parserFactory)
             throws BadMessageException {
         byte[] bytes = bytes(text);
@@ -41,10 +43,9 @@
         for (int split = 0; split < bytes.length; split++) {
             MessageParser inTwoParts = parserFactory.get();
             assertNull(
-                    "not whole yet at " + split,
-                    inTwoParts.parse(ByteBuffer.wrap(bytes, 0, split)));
+                    "incomplete at " + split, inTwoParts.parse(ByteBuffer.wrap(bytes, 0, split)));
             assertEquals(
-                    "cut at " + split,
+                    "split at " + split,
                     expected,
                     describe(
                             inTwoParts.parse(ByteBuffer.wrap(bytes, split, bytes.length - split))));
@@ -85,7 +86,7 @@
                             piece -> body.append(new String(piece, StandardCharsets.US_ASCII)));
             parser.parse(ByteBuffer.wrap(all, 0, split));
             parser.parse(ByteBuffer.wrap(all, split, all.length - split));
-            assertEquals("cut at " + split, "a\r\nbc", body.toString());
+            assertEquals("split at " + split, "a\r\nbc", body.toString());
         }
     }
 }
--- a/daemon/src/test/java/postgrade/telemetry/AttemptLogTest.java
+++ b/daemon/src/test/java/postgrade/telemetry/AttemptLogTest.java
@@ -22,7 +22,7 @@
 import postgrade.policy.api.AttemptOutcome;
 import postgrade.policy.api.DecisionReason;
 
-/** What is written of attempts, and what is only counted. */
+/** Which ends of attempts are logged, and which are only counted. */
 public class AttemptLogTest {
 
     private static final long BEGAN_MICROS = 1_000;
@@ -92,7 +92,7 @@
                 line,
                 line.endsWith(
                         "attempt 1 of job-1 at w1 ended ERROR by ANSWERED 500, written +40 us, ended"
-                                + " +70 us, connection 900 us old, idle 30 us, exchanges before 2"));
+                                + " +70 us, connection 900 us old, idle 30 us, earlier exchanges 2"));
     }
 
     @Test
@@ -107,7 +107,7 @@
         assertTrue(lines().get(2), lines().get(2).contains("contradicted ends 1"));
     }
 
-    /** A call-back that is repeated is no contradiction. */
+    /** A repeated call-back does not contradict the end that it repeats. */
     @Test
     public void repeatedCallBackIsOnlyCounted() {
         log.attemptEnded(endedAttempt(AttemptOutcome.ERROR, EndEvidence.REPORTED));
@@ -123,6 +123,6 @@
         assertEquals(400, lines().size());
         log.logCounts();
         assertTrue(lines().get(400), lines().get(400).contains("full/answered=1000"));
-        assertTrue(lines().get(400), lines().get(400).endsWith("lines left out 600"));
+        assertTrue(lines().get(400), lines().get(400).endsWith("lines suppressed 600"));
     }
 }
--- a/log/src/main/java/postgrade/log/EventLine.java
+++ b/log/src/main/java/postgrade/log/EventLine.java
@@ -8,7 +8,7 @@
 import org.slf4j.event.KeyValuePair;
 import org.slf4j.event.Level;
 
-/** One line of the log. Whatever the text or fields hold, it stays one line. */
+/** One log line. It stays a single line whatever its message and fields contain. */
 record EventLine(
         long unixMillis,
         Level level,
@@ -18,7 +18,8 @@
         Throwable thrown) {
 
     /**
-     * Names in the text that on-call staff search for; they are older than the structured lines.
+     * Returns the level name that operators search for; these names are older than the structured
+     * lines.
      */
     private static String levelName(Level level) {
         return switch (level) {
@@ -39,7 +40,7 @@
                 + "\n";
     }
 
-    /** {@code {"time","level","event","message","logger", and the event's own fields}}. */
+    /** Returns {@code {"time","level","event","message","logger", and the event's own fields}}. */
     String json() {
         JsonObject line =
                 Json.object()
@@ -73,7 +74,10 @@
         return thrown.getStackTrace().length == 0 ? "?" : thrown.getStackTrace()[0].toString();
     }
 
-    /** Guards whoever reads by the line: a message from outside may hold line ends. */
+    /**
+     * Escapes line breaks, which a message with external text may contain, for readers that work
+     * line by line.
+     */
     private static String escapeLineBreaks(String text) {
         return text.indexOf('\n') < 0 && text.indexOf('\r') < 0
                 ? text
--- a/log/src/main/java/postgrade/log/EventLogger.java
+++ b/log/src/main/java/postgrade/log/EventLogger.java
@@ -8,7 +8,8 @@
 import org.slf4j.spi.LoggingEventAware;
 
 /**
- * One logger. Events with fields come by {@link #log(LoggingEvent)}, plain lines by the call below.
+ * An SLF4J logger. Events with fields arrive at {@link #log(LoggingEvent)}, plain lines at {@link
+ * #handleNormalizedLoggingCall}.
  */
 final class EventLogger extends LegacyAbstractLogger implements LoggingEventAware {
 
@@ -45,7 +46,7 @@
 
     @Override
     protected String getFullyQualifiedCallerName() {
-        return null; // Lines do not tell where in the code they were written.
+        return null; // Lines do not contain the location in the code.
     }
 
     @Override
--- a/log/src/main/java/postgrade/log/EventLogs.java
+++ b/log/src/main/java/postgrade/log/EventLogs.java
@@ -14,13 +14,13 @@
 import org.slf4j.spi.SLF4JServiceProvider;
 
 /**
- * The backend of SLF4J in all our programs: one line an event on standard error, as text or as a
- * JSON object. It holds no thread, file or shutdown hook, so lines written during an orderly stop
- * are kept.
+ * The SLF4J backend of all programs: one line per event on standard error, as text or as a JSON
+ * object. It holds no thread, file or shutdown hook, so lines written during an orderly stop are
+ * kept.
  */
 public final class EventLogs implements SLF4JServiceProvider {
 
-    /** How a line is written. */
+    /** The format of the lines. */
     public enum Format {
         TEXT,
         JSON
@@ -37,18 +37,21 @@
     private final MDCAdapter contexts = new BasicMDCAdapter();
 
     /**
-     * Names this backend to SLF4J, which then looks for no other: a search costs the start of a
-     * process time.
+     * Sets the format and names this backend to SLF4J, so that SLF4J does not search for providers,
+     * which would delay the start of the process.
      */
     public static void configure(Format newFormat) {
         System.setProperty("slf4j.provider", EventLogs.class.getName());
         System.setProperty(
                 "slf4j.internal.verbosity",
-                "WARN"); // Else SLF4J writes a line of its own about it.
+                // Otherwise SLF4J writes a line about the provider.
+                "WARN");
         format = newFormat;
     }
 
-    /** Reads {@code text} or {@code json}; another word is an {@link IllegalArgumentException}. */
+    /**
+     * Parses {@code text} or {@code json}; any other name is an {@link IllegalArgumentException}.
+     */
     public static Format parseFormat(String name) {
         for (Format format : Format.values()) {
             if (format.name().toLowerCase(Locale.ROOT).equals(name)) {
@@ -58,20 +61,20 @@
         throw new IllegalArgumentException("--log-format is text or json, not " + name);
     }
 
-    /** Lines below this level are not written. */
+    /** Sets the level below which no lines are written. */
     public static void setMinimumLevel(Level level) {
         minimumLevel = level;
     }
 
     /**
-     * A library that tells much: of its loggers, whose names begin so, only lines from this level
-     * on are written.
+     * Sets the level below which no lines are written by the loggers whose names start with the
+     * prefix, for verbose libraries.
      */
     public static void setLoggerLevel(String prefix, Level level) {
         MINIMUM_LEVELS.put(prefix, level);
     }
 
-    /** Where lines go; for tests. */
+    /** Sets the stream that lines are written to, for tests. */
     public static void setOutput(PrintStream stream) {
         out = stream;
     }
@@ -87,7 +90,7 @@
 
     static void write(EventLine line) {
         String text = format == Format.JSON ? line.json() : line.text();
-        out.print(text); // One call a line: lines of several threads do not mix.
+        out.print(text); // One call per line, so that lines of several threads do not mix.
         out.flush();
     }
 
@@ -113,6 +116,6 @@
 
     @Override
     public void initialize() {
-        // Nothing to set up: the format is given by use().
+        // Nothing to set up: the format is set by configure().
     }
 }
--- a/log/src/main/java/postgrade/log/Events.java
+++ b/log/src/main/java/postgrade/log/Events.java
@@ -4,16 +4,17 @@
 import org.slf4j.event.Level;
 import org.slf4j.spi.LoggingEventBuilder;
 
-/** Writes events: lines with a stable name and fields beside the text that people read. */
+/** Creates log events: lines with a stable name and fields in addition to the text for people. */
 public final class Events {
 
-    /** The key under which a line carries its event's name. */
+    /** The key of the event's name in a line. */
     public static final String EVENT = "event";
 
     private Events() {}
 
     /**
-     * An event to be given fields and then its text, by {@link LoggingEventBuilder#log(String)}.
+     * Returns an event, to which the caller adds fields and then its text, with {@link
+     * LoggingEventBuilder#log(String)}.
      */
     public static LoggingEventBuilder info(Logger log, String event) {
         return log.atLevel(Level.INFO).addKeyValue(EVENT, event);
