--- a/core/src/main/java/postgrade/dispatch/RequestTracker.java
+++ b/core/src/main/java/postgrade/dispatch/RequestTracker.java
@@ -92,17 +92,14 @@
     }
 
     /**
-     * Accepts a request, which must be answered once from now on. Returns false, and does nothing,
-     * if a request with the same id is in flight.
+     * Accepts a request for one answer. Returns false, and does nothing, if its id is in flight.
      */
     public boolean submit(PendingRequest request) {
         if (requests.containsKey(request.id())) {
-            // The policy would ignore a second request with the same id and never answer it.
-            return false;
+            return false; // The policy would ignore the second request and never answer it.
         }
         if (lifecycle.unanswered() >= maxRequests) {
-            // Bounds memory: above this limit a request is rejected without consulting the
-            // policy.
+            // Bounds memory: further requests are rejected without consulting the policy.
             lifecycle.rejectUntracked(request, FULL_RETRY_AFTER_MICROS);
             return true;
         }
@@ -117,10 +114,7 @@
         return true;
     }
 
-    /**
-     * Delivers a new request to the policy. If the policy throws an exception, the request is
-     * failed so that it still gets its answer.
-     */
+    /** Delivers a new request to the policy; if that throws, the request is failed to answer it. */
     private void deliverJob(long nowNs, PendingRequest request) {
         try {
             policy.jobArrived(nowNs, request.toJob(nowNs));
@@ -142,10 +136,7 @@
         }
     }
 
-    /**
-     * Fails the unanswered requests that arrived at or after the given time, because no time is
-     * left to serve them.
-     */
+    /** Fails the unanswered requests that arrived since then, as no time is left to serve them. */
     public void failArrivedSince(long sinceMicros) {
         for (PendingRequest request : new ArrayList<>(requests.values())) {
             if (!request.isAnswered() && request.arrivedMicros() >= sinceMicros) {
@@ -165,12 +156,12 @@
      * Processes a worker's call-back. Reports about unknown jobs, from other workers or about ended
      * attempts are ignored.
      *
-     * @param fractionDone the progress, for {@link ReportedState#RUNNING}
+     * @param progress the fraction done, for {@link ReportedState#RUNNING}
      * @param result the result for {@link ReportedState#DONE}, else null
      * @return false if no request with this id is in flight here
      */
     public boolean workerReported(
-            String id, String workerId, ReportedState state, double fractionDone, byte[] result) {
+            String id, String workerId, ReportedState state, double progress, byte[] result) {
         PendingRequest request = requests.get(id);
         Attempt attempt = request == null ? null : request.inFlightAttemptAt(workerId);
         if (attempt == null) {
@@ -187,8 +178,7 @@
             case RUNNING -> {
                 attempt.handle().startedByReport();
                 lifecycle.notifyPolicy(
-                        request,
-                        nowNs -> policy.attemptProgressed(nowNs, id, number, fractionDone));
+                        request, nowNs -> policy.attemptProgressed(nowNs, id, number, progress));
             }
             case DONE, FAILED, RETURNED, LOST -> endByReport(attempt, state, result);
         }
@@ -197,9 +187,8 @@
 
     private void endByReport(Attempt attempt, ReportedState state, byte[] result) {
         if (state != ReportedState.DONE && attempt.mayReceiveStaleReports()) {
-            // A late report about an earlier attempt at the same worker would end this attempt
-            // while it still runs. So it is cancelled before the policy is notified, and it
-            // counts as possibly run.
+            // A late report about an earlier attempt at this worker would end this one while it
+            // runs. So it is cancelled before the policy is notified, and counts as possibly run.
             lifecycle.cancel(attempt, AttemptOutcome.RESET);
         } else {
             attempt.handle().endedByReport();
@@ -230,8 +219,7 @@
         batch.addEvent(nowNs -> policy.workerProbed(nowNs, workerId, answered, LoadReport.NONE));
     }
 
-    // ---- Settings, workers and state from other processes; delivered before all other events
-    // of the iteration.
+    // ---- Settings, workers and imported state; delivered before an iteration's other events.
 
     /**
      * Applies new settings. Requests in flight keep their deadline and whether they allow
@@ -258,10 +246,7 @@
         return policy.exportFigures(timers.nowMicros() * NANOS_PER_MICRO);
     }
 
-    /**
-     * Imports the state that another process has exported. The worker list must have been queued
-     * before.
-     */
+    /** Imports state exported by another process; the worker list must have been queued before. */
     public void importFigures(List<TransferredFigures> figures) {
         batch.addPriorityEvent(nowNs -> policy.importFigures(nowNs, figures));
     }
@@ -271,10 +256,7 @@
         batch.addPriorityEvent(nowNs -> policy.workersUpdated(nowNs, form, workers));
     }
 
-    /**
-     * An operator has enabled this worker again. The list that says so must have been queued
-     * before.
-     */
+    /** An operator has enabled this worker again; the list that says so must be queued before. */
     public void workerReenabled(String workerId) {
         batch.addPriorityEvent(nowNs -> policy.workerReenabled(nowNs, workerId));
     }
@@ -286,18 +268,12 @@
         return requests.isEmpty() && !hasPendingEvents();
     }
 
-    /**
-     * Whether no request waits for its answer; attempts of answered requests may still be in
-     * flight.
-     */
+    /** Whether no request waits for its answer; attempts of answered ones may be in flight. */
     public boolean allAnswered() {
         return lifecycle.unanswered() == 0;
     }
 
-    /**
-     * Cancels the attempts in flight of answered requests on the wire, as nobody needs their
-     * results.
-     */
+    /** Cancels on the wire the attempts of answered requests, whose results nobody needs. */
     public void cancelUnwanted() {
         lifecycle.cancelUnwanted(requests.values());
     }
--- a/daemon/src/main/java/postgrade/discovery/DiscoveryWatch.java
+++ b/daemon/src/main/java/postgrade/discovery/DiscoveryWatch.java
@@ -131,8 +131,7 @@
         if (reopenTimer != null) {
             reopenTimer.cancel(); // No connection is open.
         } else if (awaitsCompleteList) {
-            // The new address has sent nothing yet, so the watch at the previous address stays
-            // in use.
+            // This address has sent no list yet, so the watch before it stays in use.
             current.close();
         } else {
             previous = current;
--- a/daemon/src/main/java/postgrade/discovery/WatchConnection.java
+++ b/daemon/src/main/java/postgrade/discovery/WatchConnection.java
@@ -214,9 +214,9 @@
 
     @Override
     public void object(String json) {
-        WorkerList list = parseList(json);
+        WorkerList update = parseList(json);
         frameReceived();
-        owner.changes(this, list);
+        owner.changes(this, update);
     }
 
     // ---- End of the connection.
--- a/daemon/src/main/java/postgrade/http/Connection.java
+++ b/daemon/src/main/java/postgrade/http/Connection.java
@@ -100,12 +100,8 @@
             connection = new Connection(reactor, reactor.systemCalls().open(), owner, highPriority);
             connection.connecting = true;
             connection.register(SelectionKey.OP_CONNECT);
-            reactor.systemCalls()
-                    .connect(
-                            connection.channel,
-                            // A connection that is established at once is still reported in the
-                            // next iteration.
-                            address);
+            // A connection that is established at once is still reported in the next iteration.
+            reactor.systemCalls().connect(connection.channel, address);
             return connection;
         } catch (IOException | RuntimeException e) {
             if (connection == null) {
@@ -234,12 +230,8 @@
 
     private void flush() throws IOException {
         if (!unsent.isEmpty()) {
-            reactor.systemCalls()
-                    .write(
-                            channel,
-                            unsent.toArray(
-                                    // All parts are sent in one packet if they fit.
-                                    new ByteBuffer[0]));
+            // All parts are sent in one packet if they fit.
+            reactor.systemCalls().write(channel, unsent.toArray(new ByteBuffer[0]));
         }
         while (!unsent.isEmpty() && !unsent.peek().hasRemaining()) {
             unsent.poll();
--- a/daemon/src/main/java/postgrade/http/MessageParser.java
+++ b/daemon/src/main/java/postgrade/http/MessageParser.java
@@ -141,10 +141,8 @@
         finished.body = body.toByteArray();
         message = new Message();
         if (finished.body.length > SMALL_BODY_BYTES) {
-            body =
-                    new ByteArrayOutputStream(
-                            // Bounds memory: an idle connection keeps no large buffer.
-                            SMALL_BODY_BYTES);
+            // Bounds memory: an idle connection keeps no large buffer.
+            body = new ByteArrayOutputStream(SMALL_BODY_BYTES);
         }
         body.reset();
         state = State.START_LINE;
--- a/daemon/src/test/java/postgrade/discovery/DiscoveryWatchTest.java
+++ b/daemon/src/test/java/postgrade/discovery/DiscoveryWatchTest.java
@@ -112,13 +112,13 @@
 
     /** Advances time until the watch has closed its connection, and returns how long that took. */
     private long awaitClose(Socket s) throws IOException {
-        long from = loop.nowMicros();
+        long fromMicros = loop.nowMicros();
         assertTrue(
                 "timeout detected",
                 loop.advanceTime(PROPAGATION_LIMIT_MICROS, () -> loop.openChannels() == 0));
         s.setSoTimeout(20_000);
         assertEquals("closed", -1, s.getInputStream().read());
-        return loop.nowMicros() - from;
+        return loop.nowMicros() - fromMicros;
     }
 
     private Socket acceptReconnect() throws IOException {
@@ -220,11 +220,9 @@
             for (int i = 0; i < 3; i++) {
                 acceptNext();
                 assertEquals("GET /api/targets", lastRequest);
+                // The watch at the previous address is still in use.
                 assertTrue(
-                        loop.advanceTime(
-                                PROPAGATION_LIMIT_MICROS,
-                                // The watch at the previous address is still in use.
-                                () -> loop.openChannels() == 1));
+                        loop.advanceTime(PROPAGATION_LIMIT_MICROS, () -> loop.openChannels() == 1));
                 assertTrue(
                         loop.advanceTime(PROPAGATION_LIMIT_MICROS, () -> loop.openChannels() == 2));
                 sendAndServe(previous, "\n");
--- a/log/src/main/java/postgrade/log/EventLogs.java
+++ b/log/src/main/java/postgrade/log/EventLogs.java
@@ -42,10 +42,8 @@
      */
     public static void configure(Format newFormat) {
         System.setProperty("slf4j.provider", EventLogs.class.getName());
-        System.setProperty(
-                "slf4j.internal.verbosity",
-                // Otherwise SLF4J writes a line about the provider.
-                "WARN");
+        // Otherwise SLF4J writes a line about the provider.
+        System.setProperty("slf4j.internal.verbosity", "WARN");
         format = newFormat;
     }
 
