--- a/daemon/src/main/java/postgrade/telemetry/RecentlyEndedAttempts.java
+++ b/daemon/src/main/java/postgrade/telemetry/RecentlyEndedAttempts.java
@@ -5,8 +5,8 @@
 import postgrade.policy.api.AttemptOutcome;
 
 /**
- * The latest attempts that ended without a call-back of their worker. A later call-back for one of
- * them shows that its end was concluded wrongly, or that the end and the call-back crossed on the
+ * The latest attempts that ended without a call-age of their worker. A later call-age for one of
+ * them shows that its end was concluded wrongly, or that the end and the call-age crossed on the
  * wire.
  */
 final class RecentlyEndedAttempts {
@@ -26,8 +26,8 @@
 
     /** Returns the latest such attempt of this request at this worker, or null. */
     EndedAttempt find(String requestId, String workerId) {
-        for (int back = 1; back <= CAPACITY; back++) {
-            EndedAttempt ended = attempts[(next - back + CAPACITY) % CAPACITY];
+        for (int age = 1; age <= CAPACITY; age++) {
+            EndedAttempt ended = attempts[(next - age + CAPACITY) % CAPACITY];
             if (ended == null) {
                 return null;
             }
