--- a/core/src/main/java/postgrade/comeback/Memory.java
+++ b/core/src/main/java/postgrade/comeback/Memory.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Objects;
-import postgrade.policy.api.TransferredFigures;
+import postgrade.policy.api.PolicyStateEntry;
 
 /**
  * What a process had learnt when its snapshot was written.
@@ -19,7 +19,7 @@
      * @param startedMillis of the worker of which it was learnt, by discovery; 0 for anything but a
      *     worker
      */
-    public record Figure(TransferredFigures learnt, long startedMillis) {
+    public record Figure(PolicyStateEntry learnt, long startedMillis) {
         public Figure {
             Objects.requireNonNull(learnt, "learnt");
         }
@@ -36,10 +36,10 @@
             String dispatcher,
             long nowMicros,
             double served,
-            List<TransferredFigures> learnt,
+            List<PolicyStateEntry> learnt,
             Map<String, Long> startedMillis) {
         List<Figure> figures = new ArrayList<>();
-        for (TransferredFigures l : learnt) {
+        for (PolicyStateEntry l : learnt) {
             if (!Trust.ofWorker(l)) {
                 figures.add(new Figure(l, 0));
             } else if (startedMillis.containsKey(l.name())) {
@@ -59,14 +59,14 @@
      *
      * @param startedMillis of each worker now, by its id, as discovery tells
      */
-    public List<TransferredFigures> trusted(long nowMicros, Map<String, Long> startedMillis) {
-        List<TransferredFigures> trusted = new ArrayList<>();
+    public List<PolicyStateEntry> trusted(long nowMicros, Map<String, Long> startedMillis) {
+        List<PolicyStateEntry> trusted = new ArrayList<>();
         for (Figure f : figures) {
             Long started = startedMillis.get(f.learnt().name());
             // A worker that is not listed, or has started since, is not the one of which this was
             // learnt.
             if (!Trust.ofWorker(f.learnt()) || started != null && started <= f.startedMillis()) {
-                TransferredFigures faded = Trust.aged(f.learnt(), ageMicros(nowMicros));
+                PolicyStateEntry faded = Trust.aged(f.learnt(), ageMicros(nowMicros));
                 if (faded != null) {
                     trusted.add(faded);
                 }
--- a/core/src/main/java/postgrade/comeback/MemoryFormat.java
+++ b/core/src/main/java/postgrade/comeback/MemoryFormat.java
@@ -5,7 +5,7 @@
 import java.util.zip.CRC32C;
 import postgrade.comeback.Memory.Figure;
 import postgrade.comeback.Unusable.Fault;
-import postgrade.policy.api.TransferredFigures;
+import postgrade.policy.api.PolicyStateEntry;
 
 /**
  * A snapshot as bytes: a head line with version, checksum and length, then lines of words. All of
@@ -166,7 +166,7 @@
             }
         }
         return new Figure(
-                new TransferredFigures(Words.plain(words[0]), Words.plain(words[1]), figures),
+                new PolicyStateEntry(Words.plain(words[0]), Words.plain(words[1]), figures),
                 Long.parseLong(words[2]));
     }
 }
--- a/core/src/main/java/postgrade/comeback/Trust.java
+++ b/core/src/main/java/postgrade/comeback/Trust.java
@@ -1,6 +1,6 @@
 package postgrade.comeback;
 
-import postgrade.policy.api.TransferredFigures;
+import postgrade.policy.api.PolicyStateEntry;
 
 /**
  * How figures age. Counts of what was seen fade, so that what is seen from now on soon weighs more;
@@ -20,12 +20,12 @@
 
     private Trust() {}
 
-    static boolean ofWorker(TransferredFigures l) {
+    static boolean ofWorker(PolicyStateEntry l) {
         return l.category().equals("worker") || l.category().equals("cold");
     }
 
     /** As it counts so much later; null where nothing is left of it, or it is not understood. */
-    static TransferredFigures aged(TransferredFigures l, long ageMicros) {
+    static PolicyStateEntry aged(PolicyStateEntry l, long ageMicros) {
         if (ageMicros > MOST_MICROS) {
             return null;
         }
@@ -42,7 +42,7 @@
                     case "up" -> f.length == 1 && up(f, ageNs);
                     default -> false;
                 };
-        return left ? new TransferredFigures(l.category(), l.name(), f) : null;
+        return left ? new PolicyStateEntry(l.category(), l.name(), f) : null;
     }
 
     private static boolean jobClass(double[] f, double keep) {
--- a/core/src/main/java/postgrade/dispatch/AttemptLifecycle.java
+++ b/core/src/main/java/postgrade/dispatch/AttemptLifecycle.java
@@ -196,7 +196,7 @@
                             + " by its deadline; the request was failed",
                     null);
             failRequest(request, true, DecisionReason.UNSTATED);
-            notifyPolicy(request, nowNs -> policy.get().clientLeft(nowNs, request.id()));
+            notifyPolicy(request, nowNs -> policy.get().jobAbandoned(nowNs, request.id()));
         }
     }
 
--- a/core/src/main/java/postgrade/dispatch/RequestTracker.java
+++ b/core/src/main/java/postgrade/dispatch/RequestTracker.java
@@ -13,9 +13,9 @@
 import postgrade.policy.api.LoadReport;
 import postgrade.policy.api.PolicyActions;
 import postgrade.policy.api.PolicySettings;
-import postgrade.policy.api.TransferredFigures;
+import postgrade.policy.api.PolicyStateEntry;
 import postgrade.policy.api.WorkerInfo;
-import postgrade.policy.api.WorkerListForm;
+import postgrade.policy.api.WorkerListUpdateType;
 
 /**
  * The core of the dispatcher. It tracks the requests in flight and their attempts, delivers events
@@ -147,7 +147,7 @@
     }
 
     private void notifyClientLeft(PendingRequest request) {
-        lifecycle.notifyPolicy(request, nowNs -> policy.clientLeft(nowNs, request.id()));
+        lifecycle.notifyPolicy(request, nowNs -> policy.jobAbandoned(nowNs, request.id()));
     }
 
     // ---- Called by the worker side.
@@ -233,7 +233,7 @@
 
     /** Sets this process's share of the dispatcher's quotas. */
     public void shareChanged(double share) {
-        batch.addPriorityEvent(nowNs -> policy.shareChanged(nowNs, share));
+        batch.addPriorityEvent(nowNs -> policy.quotaShareChanged(nowNs, share));
     }
 
     /** Replaces the job constraints that the policy consults. */
@@ -242,17 +242,17 @@
     }
 
     /** Returns the state that the policy has learnt, for the next process of this dispatcher. */
-    public List<TransferredFigures> exportFigures() {
-        return policy.exportFigures(timers.nowMicros() * NANOS_PER_MICRO);
+    public List<PolicyStateEntry> exportFigures() {
+        return policy.exportState(timers.nowMicros() * NANOS_PER_MICRO);
     }
 
     /** Imports state exported by another process; the worker list must have been queued before. */
-    public void importFigures(List<TransferredFigures> figures) {
-        batch.addPriorityEvent(nowNs -> policy.importFigures(nowNs, figures));
+    public void importFigures(List<PolicyStateEntry> figures) {
+        batch.addPriorityEvent(nowNs -> policy.importState(nowNs, figures));
     }
 
     /** Queues a new worker list. */
-    public void workersUpdated(WorkerListForm form, List<WorkerInfo> workers) {
+    public void workersUpdated(WorkerListUpdateType form, List<WorkerInfo> workers) {
         batch.addPriorityEvent(nowNs -> policy.workersUpdated(nowNs, form, workers));
     }
 
--- a/core/src/main/java/postgrade/policy/PolicyState.java
+++ b/core/src/main/java/postgrade/policy/PolicyState.java
@@ -46,7 +46,7 @@
     void settingsChanged(long nowNs, PolicySettings next) {
         PolicySettings former = context.settings();
         context.settings(next);
-        boolean sameDeployment = former.deployment.same(next.deployment);
+        boolean sameDeployment = former.deployment.isSameAs(next.deployment);
         classes.replace(next.classes, sameDeployment);
         rateLimiter.settingsChanged(next, sameDeployment);
         if (!sameDeployment) {
--- a/core/src/main/java/postgrade/policy/PolicyStateTransfer.java
+++ b/core/src/main/java/postgrade/policy/PolicyStateTransfer.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import postgrade.policy.api.Deployment;
-import postgrade.policy.api.TransferredFigures;
+import postgrade.policy.api.PolicyStateEntry;
 
 /**
  * Exports what one process of a dispatcher has learnt and imports it in the next. Times go as ages.
@@ -31,8 +31,8 @@
         this.state = state;
     }
 
-    List<TransferredFigures> export(long nowNs) {
-        List<TransferredFigures> rows = new ArrayList<>();
+    List<PolicyStateEntry> export(long nowNs) {
+        List<PolicyStateEntry> rows = new ArrayList<>();
         state.classes().export(to(rows, CLASS));
         state.workers().exportKinds(to(rows, KIND));
         state.workers().exportWorkers(nowNs, to(rows, WORKER));
@@ -57,8 +57,8 @@
         return rows;
     }
 
-    private static FiguresConsumer to(List<TransferredFigures> rows, String category) {
-        return (name, values) -> rows.add(new TransferredFigures(category, name, values));
+    private static FiguresConsumer to(List<PolicyStateEntry> rows, String category) {
+        return (name, values) -> rows.add(new PolicyStateEntry(category, name, values));
     }
 
     /**
@@ -66,17 +66,17 @@
      * is taken. What was learnt under another deployment's settings is ignored, but for what
      * workers in slow start were sent: that they have had.
      */
-    void importAll(long nowNs, List<TransferredFigures> rows) {
+    void importAll(long nowNs, List<PolicyStateEntry> rows) {
         // An earlier version exports no names, and is taken for the same deployment.
-        boolean sameDeployment = deployment(rows).same(state.context().settings().deployment);
-        for (TransferredFigures row : rows) {
+        boolean sameDeployment = deployment(rows).isSameAs(state.context().settings().deployment);
+        for (PolicyStateEntry row : rows) {
             if (sameDeployment || row.category().equals(SLOW_START)) {
                 importRow(nowNs, row);
             }
         }
     }
 
-    private void importRow(long nowNs, TransferredFigures row) {
+    private void importRow(long nowNs, PolicyStateEntry row) {
         String name = row.name();
         double[] values = row.values();
         switch (row.category()) {
@@ -94,13 +94,13 @@
         }
     }
 
-    private static Deployment deployment(List<TransferredFigures> rows) {
+    private static Deployment deployment(List<PolicyStateEntry> rows) {
         Deployment exported = Deployment.UNNAMED;
         for (Deployment.Sort sort : Deployment.Sort.values()) {
             List<String> names =
                     rows.stream()
                             .filter(row -> row.category().equals(NAMED + sort))
-                            .map(TransferredFigures::name)
+                            .map(PolicyStateEntry::name)
                             .toList();
             exported = exported.with(sort, names);
         }
--- a/core/src/main/java/postgrade/policy/TokenBucketDispatchPolicy.java
+++ b/core/src/main/java/postgrade/policy/TokenBucketDispatchPolicy.java
@@ -10,9 +10,9 @@
 import postgrade.policy.api.LoadReport;
 import postgrade.policy.api.PolicyActions;
 import postgrade.policy.api.PolicySettings;
-import postgrade.policy.api.TransferredFigures;
+import postgrade.policy.api.PolicyStateEntry;
 import postgrade.policy.api.WorkerInfo;
-import postgrade.policy.api.WorkerListForm;
+import postgrade.policy.api.WorkerListUpdateType;
 
 /**
  * The decision policy of one dispatcher: admission by token buckets, selection of the least loaded
@@ -62,22 +62,22 @@
     }
 
     @Override
-    public void shareChanged(long nowNs, double share) {
+    public void quotaShareChanged(long nowNs, double share) {
         state.rateLimiter().shareChanged(share);
     }
 
     @Override
-    public List<TransferredFigures> exportFigures(long nowNs) {
+    public List<PolicyStateEntry> exportState(long nowNs) {
         return transfer.export(nowNs);
     }
 
     @Override
-    public void importFigures(long nowNs, List<TransferredFigures> figures) {
+    public void importState(long nowNs, List<PolicyStateEntry> figures) {
         transfer.importAll(nowNs, figures);
     }
 
     @Override
-    public void workersUpdated(long nowNs, WorkerListForm form, List<WorkerInfo> workers) {
+    public void workersUpdated(long nowNs, WorkerListUpdateType form, List<WorkerInfo> workers) {
         listUpdater.update(nowNs, form, workers);
     }
 
@@ -98,7 +98,7 @@
         if (state.jobs().containsKey(job.id())) {
             return; // The first job under an id is still owed its answer.
         }
-        long startsInNs = state.context().constraints().startsInNs(nowNs, job);
+        long startsInNs = state.context().constraints().startDelayNs(nowNs, job);
         if (startsInNs > 0) {
             // Perhaps hours: the longest usual pause does not bound it.
             state.context().actions().reject(job.id(), startsInNs, DecisionReason.NOT_ALLOWED_NOW);
@@ -114,7 +114,7 @@
     }
 
     @Override
-    public void clientLeft(long nowNs, String jobId) {
+    public void jobAbandoned(long nowNs, String jobId) {
         InFlightJob job = state.jobs().get(jobId);
         if (job != null) {
             job.answered();
--- a/core/src/main/java/postgrade/policy/WorkerListUpdater.java
+++ b/core/src/main/java/postgrade/policy/WorkerListUpdater.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import postgrade.policy.api.WorkerInfo;
-import postgrade.policy.api.WorkerListForm;
+import postgrade.policy.api.WorkerListUpdateType;
 import postgrade.policy.api.WorkerPhase;
 
 /**
@@ -32,19 +32,19 @@
         this.slowStart = slowStart;
     }
 
-    void update(long nowNs, WorkerListForm form, List<WorkerInfo> list) {
+    void update(long nowNs, WorkerListUpdateType form, List<WorkerInfo> list) {
         slowStart.listKnown(nowNs);
-        if (form == WorkerListForm.FAILED) {
+        if (form == WorkerListUpdateType.FAILED) {
             retryLater();
             return;
         }
-        if (form == WorkerListForm.CACHED && context.settings().pollsWorkerList) {
+        if (form == WorkerListUpdateType.CACHED && context.settings().pollsWorkerList) {
             context.actions().watchWorkers();
         } else {
             retryNs = FIRST_RETRY_NS;
         }
         boolean keepsUnlisted = context.settings().keepsUnlistedWorkers;
-        if (form != WorkerListForm.DELTA) {
+        if (form != WorkerListUpdateType.DELTA) {
             workers.all().forEach(worker -> worker.unlisted(keepsUnlisted));
         }
         list.forEach(info -> update(nowNs, info, keepsUnlisted));
--- a/core/src/main/java/postgrade/policy/api/Deployment.java
+++ b/core/src/main/java/postgrade/policy/api/Deployment.java
@@ -45,7 +45,7 @@
      * Whether both are one deployment. Names may come and go, so two that share a name of each sort
      * that both name are the same.
      */
-    public boolean same(Deployment other) {
+    public boolean isSameAs(Deployment other) {
         return names.entrySet().stream()
                 .allMatch(
                         e -> {
--- a/core/src/main/java/postgrade/policy/api/DispatchPolicy.java
+++ b/core/src/main/java/postgrade/policy/api/DispatchPolicy.java
@@ -14,7 +14,7 @@
 public interface DispatchPolicy {
 
     /** The list of workers has come, or could not be had. */
-    void workersUpdated(long nowNs, WorkerListForm form, List<WorkerInfo> workers);
+    void workersUpdated(long nowNs, WorkerListUpdateType form, List<WorkerInfo> workers);
 
     /**
      * An operator has put back a worker that was disabled and has been restarted since. The list
@@ -32,18 +32,18 @@
      * This process has so large a share of the dispatcher's quotas: other processes of the
      * dispatcher have come or gone.
      */
-    default void shareChanged(long nowNs, double share) {}
+    default void quotaShareChanged(long nowNs, double share) {}
 
     /** These constraints are asked from now on. */
     default void constraintsChanged(JobConstraints constraints) {}
 
     /** What the next process of this dispatcher is to know. */
-    default List<TransferredFigures> exportFigures(long nowNs) {
+    default List<PolicyStateEntry> exportState(long nowNs) {
         return List.of();
     }
 
     /** Takes over what another process of this dispatcher has exported. The workers are known. */
-    default void importFigures(long nowNs, List<TransferredFigures> figures) {}
+    default void importState(long nowNs, List<PolicyStateEntry> figures) {}
 
     /** A client has submitted a job. */
     void jobArrived(long nowNs, Job job);
@@ -77,7 +77,7 @@
     void workerProbed(long nowNs, String workerId, boolean answered, LoadReport load);
 
     /** The client no longer waits for an answer. */
-    void clientLeft(long nowNs, String jobId);
+    void jobAbandoned(long nowNs, String jobId);
 
     /** A timer of {@link PolicyActions#startTimer} is due. */
     void timerFired(long nowNs, String token);
--- a/core/src/main/java/postgrade/policy/api/JobConstraints.java
+++ b/core/src/main/java/postgrade/policy/api/JobConstraints.java
@@ -11,7 +11,7 @@
     JobConstraints NONE = new JobConstraints() {};
 
     /** How long the job may not start yet; 0 if it may start now. It is rejected until then. */
-    default long startsInNs(long nowNs, Job job) {
+    default long startDelayNs(long nowNs, Job job) {
         return 0;
     }
 
--- a/core/src/main/java/postgrade/policy/api/TransferredFigures.java
+++ b/core/src/main/java/postgrade/policy/api/PolicyStateEntry.java
@@ -7,7 +7,7 @@
  * of one thing. Rows of an unknown category are ignored, so that either process may be the newer
  * version. Immutable.
  */
-public final class TransferredFigures {
+public final class PolicyStateEntry {
 
     private final String category;
     private final String name;
@@ -20,7 +20,7 @@
      * @param name which one, unique within the category
      * @param values the figures, in the order that the category defines; copied
      */
-    public TransferredFigures(String category, String name, double[] values) {
+    public PolicyStateEntry(String category, String name, double[] values) {
         this.category = Objects.requireNonNull(category, "category");
         this.name = Objects.requireNonNull(name, "name");
         this.values = values.clone();
--- a/core/src/main/java/postgrade/policy/api/WorkerListForm.java
+++ b/core/src/main/java/postgrade/policy/api/WorkerListUpdateType.java
@@ -1,7 +1,7 @@
 package postgrade.policy.api;
 
 /** What a report of the worker list covers. */
-public enum WorkerListForm {
+public enum WorkerListUpdateType {
     /** The complete list as discovery tells it now. */
     FULL,
     /** The complete list as it was known before this process started; it may be out of date. */
--- a/core/src/main/java/postgrade/window/WindowAbility.java
+++ b/core/src/main/java/postgrade/window/WindowAbility.java
@@ -134,7 +134,7 @@
     }
 
     @Override
-    public long startsInNs(long nowNs, Job job) {
+    public long startDelayNs(long nowNs, Job job) {
         long now = now(nowNs);
         boolean own = plans.containsKey(job.id());
         Plan plan = plan(now, job);
--- a/core/src/test/java/postgrade/comeback/MemoryTest.java
+++ b/core/src/test/java/postgrade/comeback/MemoryTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.junit.Test;
 import postgrade.comeback.Unusable.Fault;
-import postgrade.policy.api.TransferredFigures;
+import postgrade.policy.api.PolicyStateEntry;
 
 /** What a snapshot holds, what of it may be trusted, and which are not gone by. */
 public class MemoryTest {
@@ -24,17 +24,16 @@
                     SAVED,
                     0.9,
                     List.of(
-                            new TransferredFigures(
+                            new PolicyStateEntry(
                                     "class", "pri ce\u00e9\\", new double[] {2e8, 100, 0.5}),
-                            new TransferredFigures("kind", "", new double[] {4, 2, 1}),
-                            new TransferredFigures("worker", "w1", WORKER),
-                            new TransferredFigures("worker", "unlisted", WORKER),
-                            new TransferredFigures("cold", "w1", new double[] {1e8, 2}),
-                            new TransferredFigures(
-                                    "tenant", "shop", new double[] {1.5, 40, 4, 1e7})),
+                            new PolicyStateEntry("kind", "", new double[] {4, 2, 1}),
+                            new PolicyStateEntry("worker", "w1", WORKER),
+                            new PolicyStateEntry("worker", "unlisted", WORKER),
+                            new PolicyStateEntry("cold", "w1", new double[] {1e8, 2}),
+                            new PolicyStateEntry("tenant", "shop", new double[] {1.5, 40, 4, 1e7})),
                     Map.of("w1", 5000L, "w2", 0L));
 
-    private TransferredFigures trusted(String of, long age, long started) {
+    private PolicyStateEntry trusted(String of, long age, long started) {
         return memory.trusted(SAVED + age, Map.of("w1", started)).stream()
                 .filter(l -> l.category().equals(of))
                 .findFirst()
--- a/core/src/test/java/postgrade/policy/DeploymentChangeTest.java
+++ b/core/src/test/java/postgrade/policy/DeploymentChangeTest.java
@@ -26,10 +26,10 @@
 import postgrade.policy.api.JobClass;
 import postgrade.policy.api.LoadReport;
 import postgrade.policy.api.PolicySettings;
+import postgrade.policy.api.PolicyStateEntry;
 import postgrade.policy.api.Tenant;
-import postgrade.policy.api.TransferredFigures;
 import postgrade.policy.api.WorkerInfo;
-import postgrade.policy.api.WorkerListForm;
+import postgrade.policy.api.WorkerListUpdateType;
 import postgrade.policy.api.WorkerPhase;
 
 /**
@@ -122,7 +122,7 @@
 
     private TokenBucketDispatchPolicy started(PolicySettings settings, long nowNs) {
         TokenBucketDispatchPolicy d = new TokenBucketDispatchPolicy(settings, 7, out);
-        d.workersUpdated(nowNs, WorkerListForm.FULL, WORKERS);
+        d.workersUpdated(nowNs, WorkerListUpdateType.FULL, WORKERS);
         return d;
     }
 
@@ -156,7 +156,7 @@
         TokenBucketDispatchPolicy d = troubled(first().build());
         assertNotEquals(memory(started(first().build(), 0)), memory(d), "it had learnt something");
         d.settingsChanged(LATER, second().build());
-        d.workersUpdated(LATER, WorkerListForm.FULL, WORKERS);
+        d.workersUpdated(LATER, WorkerListUpdateType.FULL, WORKERS);
         assertEquals(memory(started(second().build(), LATER)), memory(d));
     }
 
@@ -192,17 +192,17 @@
     @Test
     void aNewProcessOfTheSecondTakesNothingThatTheFirstHasLearnt() throws Exception {
         TokenBucketDispatchPolicy old = troubled(first().slowStart(1, 0).build());
-        List<TransferredFigures> told = old.exportFigures(LATER);
+        List<PolicyStateEntry> told = old.exportState(LATER);
         TokenBucketDispatchPolicy fresh = started(second().build(), LATER);
-        fresh.importFigures(LATER, told);
+        fresh.importState(LATER, told);
         assertEquals(memory(started(second().build(), LATER)), memory(fresh));
         TokenBucketDispatchPolicy same = started(first().build(), LATER);
-        same.importFigures(LATER, told);
+        same.importState(LATER, told);
         assertNotEquals(
                 memory(started(first().build(), LATER)), memory(same), "one of the first does");
         TokenBucketDispatchPolicy fewer =
                 started(first().tenants(List.of(new Tenant("t1", 4))).build(), LATER);
-        fewer.importFigures(LATER, told);
+        fewer.importState(LATER, told);
         assertEquals(Set.of("t1"), exportedTenants(state(fewer)));
     }
 
@@ -241,7 +241,7 @@
             TokenBucketDispatchPolicy d = new TokenBucketDispatchPolicy(first().build(), 7, out);
             d.workersUpdated(
                     0,
-                    WorkerListForm.FULL,
+                    WorkerListUpdateType.FULL,
                     List.of(
                             new WorkerInfo(
                                     "w1", "z", "k", 0, WorkerPhase.READY, 1, LATER - 5 * SECOND)));
@@ -262,10 +262,10 @@
         for (Deployment.Sort s : Deployment.Sort.values()) {
             a = a.with(s, List.of("x", "y"));
         }
-        assertTrue(a.same(a.with(sort, List.of("y", "z"))), "names come and go");
-        assertTrue(a.same(a.with(sort, List.of())), "where nothing is named nothing is told");
-        assertFalse(a.same(a.with(sort, List.of("z"))));
-        assertFalse(a.with(sort, List.of("z")).same(a));
+        assertTrue(a.isSameAs(a.with(sort, List.of("y", "z"))), "names come and go");
+        assertTrue(a.isSameAs(a.with(sort, List.of())), "where nothing is named nothing is told");
+        assertFalse(a.isSameAs(a.with(sort, List.of("z"))));
+        assertFalse(a.with(sort, List.of("z")).isSameAs(a));
     }
 
     // ---- All fields of the memory, so that one added later is either begun anew or named a fact.
--- a/core/src/test/java/postgrade/policy/DrainTest.java
+++ b/core/src/test/java/postgrade/policy/DrainTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import postgrade.policy.api.AttemptOutcome;
 import postgrade.policy.api.LoadReport;
-import postgrade.policy.api.WorkerListForm;
+import postgrade.policy.api.WorkerListUpdateType;
 import postgrade.policy.api.WorkerPhase;
 
 /** Nothing new goes to a worker that drains. */
@@ -21,13 +21,13 @@
         TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2", "s3", "s4");
         d.workersUpdated(
                 1,
-                WorkerListForm.DELTA,
+                WorkerListUpdateType.DELTA,
                 List.of(worker("s1", WorkerPhase.DRAINING, 0), worker("s2", WorkerPhase.GONE, 0)));
         for (int i = 0; i < 8; i++) {
             String to = out.sentTo(job(d, 2, "safe"));
             assertTrue(to.equals("s3") || to.equals("s4"), to);
         }
-        d.workersUpdated(3, WorkerListForm.FULL, List.of(worker("s3", WorkerPhase.READY, 0)));
+        d.workersUpdated(3, WorkerListUpdateType.FULL, List.of(worker("s3", WorkerPhase.READY, 0)));
         for (int i = 0; i < 8; i++) {
             assertEquals("s3", out.sentTo(job(d, 4, "safe")));
         }
@@ -41,21 +41,22 @@
     void whereOnlyDrainingBindsDroppedWorkersStayOpenAndDrainedOnesShut() {
         TokenBucketDispatchPolicy d =
                 start(settings().keepsUnlistedWorkers(true).build(), "s1", "s2", "s3");
-        d.workersUpdated(1, WorkerListForm.DELTA, List.of(worker("s1", WorkerPhase.DRAINING, 0)));
+        d.workersUpdated(
+                1, WorkerListUpdateType.DELTA, List.of(worker("s1", WorkerPhase.DRAINING, 0)));
         d.workersUpdated(
                 2,
-                WorkerListForm.DELTA,
+                WorkerListUpdateType.DELTA,
                 List.of(worker("s2", WorkerPhase.GONE, 0), worker("s9", WorkerPhase.GONE, 0)));
-        d.workersUpdated(3, WorkerListForm.FULL, List.of());
+        d.workersUpdated(3, WorkerListUpdateType.FULL, List.of());
         Set<String> to = new TreeSet<>();
         for (int i = 0; i < 8; i++) {
             to.add(out.sentTo(job(d, 4, "safe")));
         }
         assertEquals(Set.of("s2", "s3"), to, "named once and not drained");
-        d.workersUpdated(5, WorkerListForm.FULL, List.of(worker("s1", WorkerPhase.READY, 0)));
+        d.workersUpdated(5, WorkerListUpdateType.FULL, List.of(worker("s1", WorkerPhase.READY, 0)));
         assertNotEquals(
                 "s1", out.sentTo(job(d, 6, "safe")), "an older list does not undo the drain");
-        d.workersUpdated(7, WorkerListForm.FULL, List.of(worker("s1", WorkerPhase.READY, 6)));
+        d.workersUpdated(7, WorkerListUpdateType.FULL, List.of(worker("s1", WorkerPhase.READY, 6)));
         assertEquals("s1", out.sentTo(job(d, 8, "safe")), "a new start does");
     }
 
@@ -69,7 +70,7 @@
                 start(settings().keepsUnlistedWorkers(true).build(), "s1", "s2", "s3");
         d.workersUpdated(
                 1,
-                WorkerListForm.FULL,
+                WorkerListUpdateType.FULL,
                 List.of(worker("s2", WorkerPhase.READY, 0), worker("s3", WorkerPhase.READY, 0)));
         for (int round = 1; round <= 40; round++) {
             long nowNs = round * 2 * SECOND;
@@ -85,7 +86,7 @@
                         LoadReport.NONE);
             }
         }
-        d.workersUpdated(100 * SECOND, WorkerListForm.DELTA, List.of());
+        d.workersUpdated(100 * SECOND, WorkerListUpdateType.DELTA, List.of());
         long before = out.sendsTo("s1"::equals);
         for (int i = 0; i < 30; i++) {
             job(d, 200 * SECOND, "safe");
--- a/core/src/test/java/postgrade/policy/EarlierVersionTest.java
+++ b/core/src/test/java/postgrade/policy/EarlierVersionTest.java
@@ -17,10 +17,10 @@
 import postgrade.policy.api.Idempotency;
 import postgrade.policy.api.JobClass;
 import postgrade.policy.api.PolicySettings;
+import postgrade.policy.api.PolicyStateEntry;
 import postgrade.policy.api.Tenant;
-import postgrade.policy.api.TransferredFigures;
 import postgrade.policy.api.WorkerInfo;
-import postgrade.policy.api.WorkerListForm;
+import postgrade.policy.api.WorkerListUpdateType;
 import postgrade.policy.api.WorkerPhase;
 
 /**
@@ -47,10 +47,10 @@
                 .build();
     }
 
-    private static List<TransferredFigures> exported() throws IOException {
+    private static List<PolicyStateEntry> exported() throws IOException {
         try (InputStream file =
                 EarlierVersionTest.class.getResourceAsStream("figures-of-0.2.0.txt")) {
-            List<TransferredFigures> rows = new ArrayList<>();
+            List<PolicyStateEntry> rows = new ArrayList<>();
             for (String line :
                     new String(file.readAllBytes(), StandardCharsets.UTF_8).split("\n")) {
                 String[] parts = line.split("\\|", -1);
@@ -59,16 +59,16 @@
                                 .filter(value -> !value.isEmpty())
                                 .mapToDouble(Double::parseDouble)
                                 .toArray();
-                rows.add(new TransferredFigures(parts[0], parts[1], values));
+                rows.add(new PolicyStateEntry(parts[0], parts[1], values));
             }
             return rows;
         }
     }
 
     /** By category and name. What has never been has no certain age. */
-    private static Map<String, String> plain(List<TransferredFigures> rows) {
+    private static Map<String, String> plain(List<PolicyStateEntry> rows) {
         Map<String, String> plain = new TreeMap<>();
-        for (TransferredFigures row : rows) {
+        for (PolicyStateEntry row : rows) {
             double[] values =
                     Arrays.stream(row.values()).map(v -> Math.min(v, NEVER_AGE_NS)).toArray();
             plain.put(row.category() + " " + row.name(), Arrays.toString(values));
@@ -85,10 +85,10 @@
             workers.add(
                     new WorkerInfo("w" + i, "z", i < 3 ? "k1" : "k2", 0, WorkerPhase.READY, i, 0));
         }
-        policy.workersUpdated(NOW, WorkerListForm.FULL, workers);
-        List<TransferredFigures> exported = exported();
+        policy.workersUpdated(NOW, WorkerListUpdateType.FULL, workers);
+        List<PolicyStateEntry> exported = exported();
         assertTrue(exported.size() > 15, "the file has rows of every category");
-        policy.importFigures(NOW, exported);
-        assertEquals(plain(exported), plain(policy.exportFigures(NOW)));
+        policy.importState(NOW, exported);
+        assertEquals(plain(exported), plain(policy.exportState(NOW)));
     }
 }
--- a/core/src/test/java/postgrade/policy/FinalAnswerTest.java
+++ b/core/src/test/java/postgrade/policy/FinalAnswerTest.java
@@ -15,7 +15,7 @@
         String id = job(d, 0, "unsafe");
         d.attemptFinished(20 * SECOND, id, 0, AttemptOutcome.TIMEOUT, false, LoadReport.NONE);
         d.timerFired(21 * SECOND, "sweep");
-        d.clientLeft(21 * SECOND, id);
+        d.jobAbandoned(21 * SECOND, id);
         assertEquals(1, out.count("fail " + id));
         assertEquals(1, out.count("send " + id));
         assertEquals(0, out.count("refuse " + id));
@@ -32,7 +32,7 @@
         d.attemptStarted(2, id, 0);
         d.attemptProgressed(2, "nobody", -1, 0.5);
         d.attemptStreaming(2, "nobody", 0);
-        d.clientLeft(2, id);
+        d.jobAbandoned(2, id);
         d.workerProbed(2, "nobody", true, FREE);
         d.timerFired(2, "unheard of");
         assertEquals(said, out.said.size());
--- a/core/src/test/java/postgrade/policy/FleetSimulation.java
+++ b/core/src/test/java/postgrade/policy/FleetSimulation.java
@@ -14,7 +14,7 @@
 import postgrade.policy.api.PolicyActions;
 import postgrade.policy.api.PolicySettings;
 import postgrade.policy.api.WorkerInfo;
-import postgrade.policy.api.WorkerListForm;
+import postgrade.policy.api.WorkerListUpdateType;
 import postgrade.policy.api.WorkerPhase;
 
 /**
@@ -79,15 +79,15 @@
 
         Gateway(int index) {
             this.index = index;
-            begin(WorkerListForm.FULL);
+            begin(WorkerListUpdateType.FULL);
         }
 
-        void begin(WorkerListForm form) {
+        void begin(WorkerListUpdateType form) {
             module = new TokenBucketDispatchPolicy(settings(index), random.nextLong(), this);
             list(form);
         }
 
-        void list(WorkerListForm form) {
+        void list(WorkerListUpdateType form) {
             module.workersUpdated(
                     now, form, machines.values().stream().map(Machine::listed).toList());
         }
@@ -257,7 +257,7 @@
     void restart(String worker, long toldWithinNs) {
         machines.get(worker).restart();
         for (Gateway g : gateways) {
-            at(now + random.nextLong(toldWithinNs), () -> g.list(WorkerListForm.DELTA));
+            at(now + random.nextLong(toldWithinNs), () -> g.list(WorkerListUpdateType.DELTA));
         }
     }
 
@@ -265,7 +265,7 @@
     void restartGateways(double part) {
         gateways.stream()
                 .filter(g -> random.nextDouble() < part)
-                .forEach(g -> g.begin(WorkerListForm.CACHED));
+                .forEach(g -> g.begin(WorkerListUpdateType.CACHED));
     }
 
     void run(long untilNs) {
--- a/core/src/test/java/postgrade/policy/IdempotencyTest.java
+++ b/core/src/test/java/postgrade/policy/IdempotencyTest.java
@@ -18,7 +18,7 @@
 import postgrade.policy.api.LoadReport;
 import postgrade.policy.api.PolicySettings;
 import postgrade.policy.api.WorkerInfo;
-import postgrade.policy.api.WorkerListForm;
+import postgrade.policy.api.WorkerListUpdateType;
 import postgrade.policy.api.WorkerPhase;
 
 /** No job takes effect twice: every outcome against every kind of class. */
@@ -84,7 +84,7 @@
         String leaving = out.sentTo(id);
         d.workersUpdated(
                 1,
-                WorkerListForm.DELTA,
+                WorkerListUpdateType.DELTA,
                 List.of(new WorkerInfo(leaving, "z", "std", 0, WorkerPhase.DRAINING, 1, 0)));
         d.attemptFinished(1, id, 0, AttemptOutcome.NOT_SENT, false, LoadReport.NONE);
         assertEquals(leaving.equals("s1") ? "s2" : "s1", out.sentTo(id));
--- a/core/src/test/java/postgrade/policy/JobConstraintsTest.java
+++ b/core/src/test/java/postgrade/policy/JobConstraintsTest.java
@@ -18,7 +18,7 @@
         d.constraintsChanged(
                 new JobConstraints() {
                     @Override
-                    public long startsInNs(long nowNs, Job job) {
+                    public long startDelayNs(long nowNs, Job job) {
                         return 3600 * SECOND - nowNs;
                     }
                 });
--- a/core/src/test/java/postgrade/policy/OutlierDetectionTest.java
+++ b/core/src/test/java/postgrade/policy/OutlierDetectionTest.java
@@ -38,7 +38,7 @@
         for (int i = 0; i < 200; i++) {
             String id = job(d, i * 50 * MS, "safe");
             d.attemptFinished(i * 50 * MS + 1, id, 0, AttemptOutcome.RESET, false, FREE);
-            d.clientLeft(i * 50 * MS + 2, id);
+            d.jobAbandoned(i * 50 * MS + 2, id);
             d.attemptFinished(i * 50 * MS + 3, id, 1, AttemptOutcome.CANCELLED, true, FREE);
         }
         assertEquals(
--- a/core/src/test/java/postgrade/policy/PolicyFixture.java
+++ b/core/src/test/java/postgrade/policy/PolicyFixture.java
@@ -12,7 +12,7 @@
 import postgrade.policy.api.PolicySettings;
 import postgrade.policy.api.Tenant;
 import postgrade.policy.api.WorkerInfo;
-import postgrade.policy.api.WorkerListForm;
+import postgrade.policy.api.WorkerListUpdateType;
 import postgrade.policy.api.WorkerPhase;
 
 /**
@@ -111,7 +111,7 @@
         for (String id : workers) {
             list.add(worker(id, WorkerPhase.READY, 0));
         }
-        d.workersUpdated(0, WorkerListForm.FULL, list);
+        d.workersUpdated(0, WorkerListUpdateType.FULL, list);
         return d;
     }
 
@@ -172,7 +172,7 @@
                                             out);
                             d.workersUpdated(
                                     0,
-                                    WorkerListForm.FULL,
+                                    WorkerListUpdateType.FULL,
                                     List.of(worker("s1", WorkerPhase.READY, 0)));
                             for (int k = 0; k < 30; k++) {
                                 d.attemptFinished(
@@ -185,7 +185,7 @@
                             }
                             d.workersUpdated(
                                     coldNs,
-                                    WorkerListForm.FULL,
+                                    WorkerListUpdateType.FULL,
                                     List.of(worker("s2", WorkerPhase.READY, coldNs)));
                             return d;
                         })
--- a/core/src/test/java/postgrade/policy/QueuedJobTest.java
+++ b/core/src/test/java/postgrade/policy/QueuedJobTest.java
@@ -16,7 +16,7 @@
 import postgrade.policy.api.LoadReport;
 import postgrade.policy.api.PolicySettings;
 import postgrade.policy.api.Tenant;
-import postgrade.policy.api.WorkerListForm;
+import postgrade.policy.api.WorkerListUpdateType;
 import postgrade.policy.api.WorkerPhase;
 
 /** Jobs that wait at a worker: cancelled, moved or presumed lost. */
@@ -167,7 +167,7 @@
                     new TokenBucketDispatchPolicy(settings().build(), seed, out);
             d.workersUpdated(
                     0,
-                    WorkerListForm.FULL,
+                    WorkerListUpdateType.FULL,
                     List.of(
                             worker("b1", WorkerPhase.READY, 0),
                             worker("s2", WorkerPhase.READY, 0)));
--- a/core/src/test/java/postgrade/policy/SlowStartTest.java
+++ b/core/src/test/java/postgrade/policy/SlowStartTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import postgrade.policy.api.AttemptOutcome;
-import postgrade.policy.api.WorkerListForm;
+import postgrade.policy.api.WorkerListUpdateType;
 import postgrade.policy.api.WorkerPhase;
 
 /** What workers in slow start are sent. */
@@ -43,9 +43,12 @@
                         settings().slowStart(0.5, 24 * SECOND).overload(3, 1500 * MS).build(),
                         1,
                         out);
-        d.workersUpdated(0, WorkerListForm.CACHED, List.of(worker("s1", WorkerPhase.READY, 0)));
         d.workersUpdated(
-                SECOND, WorkerListForm.FULL, List.of(worker("s2", WorkerPhase.READY, SECOND)));
+                0, WorkerListUpdateType.CACHED, List.of(worker("s1", WorkerPhase.READY, 0)));
+        d.workersUpdated(
+                SECOND,
+                WorkerListUpdateType.FULL,
+                List.of(worker("s2", WorkerPhase.READY, SECOND)));
         job(d, 1400 * MS, "safe");
         assertEquals(0, out.count("send"));
         job(d, 1600 * MS, "safe");
@@ -71,7 +74,7 @@
         }
         long nowNs = 30 * SECOND;
         d.workersUpdated(
-                nowNs, WorkerListForm.DELTA, List.of(worker("s2", WorkerPhase.READY, nowNs)));
+                nowNs, WorkerListUpdateType.DELTA, List.of(worker("s2", WorkerPhase.READY, nowNs)));
         for (int i = 0; i < 6; i++) {
             assertEquals(
                     "s1",
@@ -86,7 +89,7 @@
     }
 
     private static double meanNs(TokenBucketDispatchPolicy d) {
-        return d.exportFigures(0).stream()
+        return d.exportState(0).stream()
                 .filter(l -> l.name().equals("safe"))
                 .findFirst()
                 .orElseThrow()
@@ -101,7 +104,7 @@
         TokenBucketDispatchPolicy d = gatewaysWithColdWorker(1, 0).get(0);
         d.workersUpdated(
                 50 * SECOND,
-                WorkerListForm.FULL,
+                WorkerListUpdateType.FULL,
                 List.of(
                         worker("s1", WorkerPhase.READY, 0),
                         worker("s2", WorkerPhase.READY, 50 * SECOND)));
@@ -113,7 +116,7 @@
         }
         d.workersUpdated(
                 60 * SECOND,
-                WorkerListForm.DELTA,
+                WorkerListUpdateType.DELTA,
                 List.of(worker("s2", WorkerPhase.READY, 60 * SECOND)));
         d.workerReenabled(60 * SECOND, "s2");
         assertEquals("s1", out.sentTo(job(d, 60 * SECOND, "unsafe")));
--- a/core/src/test/java/postgrade/policy/StateTransferTest.java
+++ b/core/src/test/java/postgrade/policy/StateTransferTest.java
@@ -12,8 +12,8 @@
 import postgrade.policy.api.AttemptOutcome;
 import postgrade.policy.api.LoadReport;
 import postgrade.policy.api.PolicySettings;
-import postgrade.policy.api.TransferredFigures;
-import postgrade.policy.api.WorkerListForm;
+import postgrade.policy.api.PolicyStateEntry;
+import postgrade.policy.api.WorkerListUpdateType;
 import postgrade.policy.api.WorkerPhase;
 
 /** What two processes of one dispatcher hand over. */
@@ -24,11 +24,11 @@
         assertEquals(40, admitted(oneTenant(20, 1), 80));
         TokenBucketDispatchPolicy old = oneTenant(20, 1);
         assertEquals(10, admitted(old, 10));
-        List<TransferredFigures> told = old.exportFigures(0);
-        old.shareChanged(0, 0.5);
+        List<PolicyStateEntry> told = old.exportState(0);
+        old.quotaShareChanged(0, 0.5);
         TokenBucketDispatchPolicy fresh = oneTenant(20, 1);
-        fresh.shareChanged(0, 0.5);
-        fresh.importFigures(0, told);
+        fresh.quotaShareChanged(0, 0.5);
+        fresh.importState(0, told);
         long both = admitted(old, 80) + admitted(fresh, 80);
         assertTrue(both <= 30 && both >= 20, both + " after 10 of 40");
     }
@@ -52,23 +52,25 @@
                     FREE);
         }
         old.workersUpdated(
-                SECOND, WorkerListForm.DELTA, List.of(worker("s3", WorkerPhase.READY, SECOND)));
+                SECOND,
+                WorkerListUpdateType.DELTA,
+                List.of(worker("s3", WorkerPhase.READY, SECOND)));
         old.workerReenabled(SECOND, "s3");
-        List<TransferredFigures> told = new ArrayList<>(old.exportFigures(SECOND));
-        told.add(new TransferredFigures("worker", "unheard of", new double[9]));
-        told.add(new TransferredFigures("of a later version", "x", new double[0]));
+        List<PolicyStateEntry> told = new ArrayList<>(old.exportState(SECOND));
+        told.add(new PolicyStateEntry("worker", "unheard of", new double[9]));
+        told.add(new PolicyStateEntry("of a later version", "x", new double[0]));
         TokenBucketDispatchPolicy fresh =
                 new TokenBucketDispatchPolicy(
                         settings().slowStart(0.2, 20 * SECOND).overload(3, SECOND).build(), 3, out);
         long now = 100 * SECOND; // Its clock is another.
         fresh.workersUpdated(
                 now,
-                WorkerListForm.CACHED,
+                WorkerListUpdateType.CACHED,
                 List.of(
                         worker("s1", WorkerPhase.READY, 0),
                         worker("s2", WorkerPhase.READY, 0),
                         worker("s3", WorkerPhase.READY, now)));
-        fresh.importFigures(now, told);
+        fresh.importState(now, told);
         assertEquals(
                 "s3",
                 out.sentTo(job(fresh, now, "safe")),
@@ -87,8 +89,8 @@
         for (boolean ended : new boolean[] {true, false}) {
             TokenBucketDispatchPolicy old = gatewaysWithColdWorker(1, 10 * SECOND).get(0);
             long sent = sentToS2(List.of(old), 30, 10 * SECOND);
-            List<TransferredFigures> told =
-                    old.exportFigures(10 * SECOND + 100 * MS).stream()
+            List<PolicyStateEntry> told =
+                    old.exportState(10 * SECOND + 100 * MS).stream()
                             .filter(l -> ended || !l.category().equals("up"))
                             .toList();
             TokenBucketDispatchPolicy fresh =
@@ -98,9 +100,9 @@
                             out);
             fresh.workersUpdated(
                     20 * SECOND,
-                    WorkerListForm.FULL,
+                    WorkerListUpdateType.FULL,
                     List.of(worker("s2", WorkerPhase.READY, 19 * SECOND + 900 * MS)));
-            fresh.importFigures(20 * SECOND, told);
+            fresh.importState(20 * SECOND, told);
             assertTrue(
                     sent > 0 && sentToS2(List.of(fresh), 30, 20 * SECOND) == 0, sent + " before");
             long later = sentToS2(List.of(fresh), 30, 21_450 * MS);
@@ -120,19 +122,19 @@
             old.attemptStarted(i * MS + waitNs, id, 0);
             old.attemptFinished(2 * SECOND, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
-        List<TransferredFigures> told = old.exportFigures(3 * SECOND);
+        List<PolicyStateEntry> told = old.exportState(3 * SECOND);
         TokenBucketDispatchPolicy fresh = start(s, "s1", "b1");
-        fresh.importFigures(0, told);
+        fresh.importState(0, told);
         for (String of : List.of("fleet", "kind")) {
-            assertEquals(figures(told, of), figures(fresh.exportFigures(0), of));
-            assertNotEquals(figures(start(s, "s1", "b1").exportFigures(0), of), figures(told, of));
+            assertEquals(figures(told, of), figures(fresh.exportState(0), of));
+            assertNotEquals(figures(start(s, "s1", "b1").exportState(0), of), figures(told, of));
         }
     }
 
-    private static List<List<Double>> figures(List<TransferredFigures> all, String of) {
+    private static List<List<Double>> figures(List<PolicyStateEntry> all, String of) {
         return all.stream()
                 .filter(l -> l.category().equals(of))
-                .sorted(Comparator.comparing(TransferredFigures::name))
+                .sorted(Comparator.comparing(PolicyStateEntry::name))
                 .map(l -> DoubleStream.of(l.values()).boxed().toList())
                 .toList();
     }
--- a/core/src/test/java/postgrade/policy/UnreportedLoadTest.java
+++ b/core/src/test/java/postgrade/policy/UnreportedLoadTest.java
@@ -12,7 +12,7 @@
 import postgrade.policy.api.LoadReport;
 import postgrade.policy.api.Tenant;
 import postgrade.policy.api.WorkerInfo;
-import postgrade.policy.api.WorkerListForm;
+import postgrade.policy.api.WorkerListUpdateType;
 import postgrade.policy.api.WorkerPhase;
 
 /** Decisions where workers report no load. */
@@ -27,7 +27,7 @@
         TokenBucketDispatchPolicy d = new TokenBucketDispatchPolicy(settings().build(), 7, out);
         d.workersUpdated(
                 0,
-                WorkerListForm.FULL,
+                WorkerListUpdateType.FULL,
                 List.of(
                         new WorkerInfo("s1", "z", "small", 0, WorkerPhase.READY, 1, 0),
                         new WorkerInfo("s2", "z", "large", 0, WorkerPhase.READY, 3, 0)));
@@ -49,7 +49,7 @@
                 new TokenBucketDispatchPolicy(settings().dispatcherCount(14).build(), 7, out);
         d.workersUpdated(
                 0,
-                WorkerListForm.FULL,
+                WorkerListUpdateType.FULL,
                 List.of(
                         new WorkerInfo("s1", "z", "small", 0, WorkerPhase.READY, 1, 0),
                         new WorkerInfo("s2", "z", "large", 0, WorkerPhase.READY, 3, 0)));
@@ -86,7 +86,7 @@
                             1,
                             0));
         }
-        d.workersUpdated(0, WorkerListForm.FULL, fleet);
+        d.workersUpdated(0, WorkerListUpdateType.FULL, fleet);
         for (int i = 0; i < 400; i++) {
             long nowNs =
                     i * 300 * MS; // Each worker hears of one job of ours in some twenty seconds.
@@ -118,7 +118,7 @@
                         out);
         d.workersUpdated(
                 0,
-                WorkerListForm.FULL,
+                WorkerListUpdateType.FULL,
                 List.of(new WorkerInfo("old", "z", "k", 0, WorkerPhase.READY, 1, 0)));
         for (int i = 0; i < 40; i++) {
             long nowNs = i * 100 * MS;
@@ -128,7 +128,7 @@
         }
         d.workersUpdated(
                 4 * SECOND,
-                WorkerListForm.DELTA,
+                WorkerListUpdateType.DELTA,
                 List.of(new WorkerInfo("new", "z", "k", 0, WorkerPhase.READY, 1, 4 * SECOND)));
         long toNew = 0;
         for (int i = 0; i < 40; i++) {
@@ -151,7 +151,7 @@
         TokenBucketDispatchPolicy d = new TokenBucketDispatchPolicy(settings().build(), 7, out);
         d.workersUpdated(
                 0,
-                WorkerListForm.FULL,
+                WorkerListUpdateType.FULL,
                 List.of(
                         new WorkerInfo("s1", "z", "std", 0, WorkerPhase.READY, 0, 0),
                         new WorkerInfo("s2", "z", "std", 0, WorkerPhase.READY, 4, 0)));
--- a/core/src/test/java/postgrade/policy/WorkerListTest.java
+++ b/core/src/test/java/postgrade/policy/WorkerListTest.java
@@ -12,7 +12,7 @@
 import postgrade.policy.api.LoadReport;
 import postgrade.policy.api.PolicySettings;
 import postgrade.policy.api.Tenant;
-import postgrade.policy.api.WorkerListForm;
+import postgrade.policy.api.WorkerListUpdateType;
 import postgrade.policy.api.WorkerPhase;
 
 /** Lists of workers that are old, empty or missing. */
@@ -22,9 +22,10 @@
     void listIsAskedForAtTheStartAndAgainAfterAnError() {
         TokenBucketDispatchPolicy d =
                 new TokenBucketDispatchPolicy(settings().pollsWorkerList(true).build(), 1, out);
-        d.workersUpdated(0, WorkerListForm.CACHED, List.of(worker("s1", WorkerPhase.READY, 0)));
+        d.workersUpdated(
+                0, WorkerListUpdateType.CACHED, List.of(worker("s1", WorkerPhase.READY, 0)));
         assertEquals(1, out.count("watch"));
-        d.workersUpdated(1, WorkerListForm.FAILED, List.of());
+        d.workersUpdated(1, WorkerListUpdateType.FAILED, List.of());
         assertEquals(1, out.count("timer ask"));
         d.timerFired(SECOND, "ask");
         assertEquals(2, out.count("watch"));
@@ -41,11 +42,11 @@
                 new TokenBucketDispatchPolicy(settings().pollsWorkerList(true).build(), 1, out);
         d.workersUpdated(
                 0,
-                WorkerListForm.CACHED,
+                WorkerListUpdateType.CACHED,
                 List.of(worker("s1", WorkerPhase.READY, 0), worker("s2", WorkerPhase.READY, 0)));
         d.workersUpdated(
                 SECOND,
-                WorkerListForm.FULL,
+                WorkerListUpdateType.FULL,
                 List.of(worker("s2", WorkerPhase.DRAINING, 0), worker("s3", WorkerPhase.READY, 0)));
         for (int i = 0; i < 6; i++) {
             assertEquals("s3", out.sentTo(job(d, SECOND, "safe")));
@@ -95,7 +96,7 @@
                         settings().tenants(List.of(new Tenant("t", 3))).build(), seed, mine);
         d.workersUpdated(
                 0,
-                WorkerListForm.FULL,
+                WorkerListUpdateType.FULL,
                 IntStream.range(0, 7)
                         .mapToObj(i -> worker("s" + i, WorkerPhase.READY, 0))
                         .toList());
--- a/core/src/test/java/postgrade/window/CalendarPartTest.java
+++ b/core/src/test/java/postgrade/window/CalendarPartTest.java
@@ -172,8 +172,8 @@
                         0,
                         1);
         Job job = new Job("j", "c", null, null, 1, 1, 0);
-        assertEquals(0, ability.startsInNs(1_000_000_000L, job));
-        assertTrue(ability.startsInNs(1_000_001_000L, job) > 0);
+        assertEquals(0, ability.startDelayNs(1_000_000_000L, job));
+        assertTrue(ability.startDelayNs(1_000_001_000L, job) > 0);
     }
 
     @Test
--- a/core/src/test/java/postgrade/window/WindowAbilityTest.java
+++ b/core/src/test/java/postgrade/window/WindowAbilityTest.java
@@ -72,19 +72,19 @@
     @Test
     public void aClassWithoutWindowsIsUntouched() {
         known = Map.of();
-        assertEquals(0, ability.startsInNs(0, job("price", "1")));
+        assertEquals(0, ability.startDelayNs(0, job("price", "1")));
         assertEquals(1, ability.usableShare(0, job("price", "1"), worker("elsewhere", "x")), 0);
     }
 
     @Test
     public void outsideItsWindowsAJobIsToldATimeWithinTheNextOpening() {
         for (int i = 0; i < 100; i++) {
-            long in = ability.startsInNs(0, job("route-plan", "j" + i));
+            long in = ability.startDelayNs(0, job("route-plan", "j" + i));
             // Site b opens at 05:00 and must be left by 05:30; half of the opening is spread over,
             // ten minutes at most.
             assertTrue("in " + in, in >= ns(5) && in < ns(5) + 600_000_000_000L);
         }
-        assertEquals(0, ability.startsInNs(ns(5), job("route-plan", "j")));
+        assertEquals(0, ability.startDelayNs(ns(5), job("route-plan", "j")));
     }
 
     @Test
@@ -129,7 +129,7 @@
     @Test
     public void whereCalendarsAreNotKnownNothingThatNeedsAWindowStarts() {
         known = Map.of();
-        long in = ability.startsInNs(ns(8), job("route-plan", "1"));
+        long in = ability.startDelayNs(ns(8), job("route-plan", "1"));
         assertTrue("" + in, in >= 1_000_000_000L && in < 9_000_000_000L);
         assertEquals(
                 0, ability.usableShare(ns(8), job("route-plan", "1"), worker("hall-a", "x")), 0);
@@ -149,7 +149,7 @@
                                 60_000));
         Job early = job("route-plan", "early");
         // 18:00 in Zagreb is 16:00 UTC.
-        assertEquals(0, daily.startsInNs(ns(15.9), early));
+        assertEquals(0, daily.startDelayNs(ns(15.9), early));
         assertEquals(1, daily.usableShare(ns(15.9), early, worker("hall-a", "x")), 0);
         assertEquals(
                 "too late to end in time",
@@ -161,9 +161,9 @@
                 0,
                 daily.usableShare(ns(32), early, worker("hall-a", "x")),
                 0);
-        long in = daily.startsInNs(ns(15.99), job("route-plan", "late"));
+        long in = daily.startDelayNs(ns(15.99), job("route-plan", "late"));
         assertTrue("from 10:00 the next day", in >= ns(32 - 15.99) && in < ns(32.2 - 15.99));
         assertEquals(
-                "its next day has come", 0, daily.startsInNs(ns(32), job("route-plan", "late")));
+                "its next day has come", 0, daily.startDelayNs(ns(32), job("route-plan", "late")));
     }
 }
--- a/daemon/src/main/java/postgrade/benchlink/Wire.java
+++ b/daemon/src/main/java/postgrade/benchlink/Wire.java
@@ -14,7 +14,7 @@
 import postgrade.policy.api.PolicyActions;
 import postgrade.policy.api.PolicySettings;
 import postgrade.policy.api.WorkerInfo;
-import postgrade.policy.api.WorkerListForm;
+import postgrade.policy.api.WorkerListUpdateType;
 import postgrade.policy.api.WorkerPhase;
 import postgrade.settings.SettingsReader;
 
@@ -37,7 +37,7 @@
     private String line = "";
     private long nowNs;
     private Instance listFor;
-    private WorkerListForm listForm;
+    private WorkerListUpdateType listForm;
     private int listLeft;
     private List<WorkerInfo> listRows = List.of();
 
@@ -103,7 +103,7 @@
             case "TOPOLOGY" -> topology();
             case "ATTACH" -> attach();
             case "KILLED" -> instances.remove(text(1, "i"));
-            case "ABANDONED" -> instance().dispatcher.clientLeft(nowNs, text(2, "tid"));
+            case "ABANDONED" -> instance().dispatcher.jobAbandoned(nowNs, text(2, "tid"));
             case "CHECKED" -> {
                 Instance in = instance();
                 in.dispatcher.workerProbed(
@@ -137,10 +137,10 @@
         String form = text(2, "form");
         listForm =
                 switch (form) {
-                    case "diff" -> WorkerListForm.DELTA;
-                    case "snapshot" -> WorkerListForm.FULL;
-                    case "disk" -> WorkerListForm.CACHED;
-                    case "error" -> WorkerListForm.FAILED;
+                    case "diff" -> WorkerListUpdateType.DELTA;
+                    case "snapshot" -> WorkerListUpdateType.FULL;
+                    case "disk" -> WorkerListUpdateType.CACHED;
+                    case "error" -> WorkerListUpdateType.FAILED;
                     default -> throw bad("form", form);
                 };
         listLeft = partCount > 4 && !parts[4].equals("-") ? (int) integer(4, "rows") : 0;
--- a/daemon/src/main/java/postgrade/companion/Host.java
+++ b/daemon/src/main/java/postgrade/companion/Host.java
@@ -5,7 +5,7 @@
 import java.util.function.LongSupplier;
 import postgrade.dispatch.Timers;
 import postgrade.policy.api.PolicySettings;
-import postgrade.policy.api.TransferredFigures;
+import postgrade.policy.api.PolicyStateEntry;
 
 /**
  * The dispatcher as its companion sees it. For the loop's thread, but for the three clocks and
@@ -33,12 +33,12 @@
     // ---- What was learnt.
 
     /** What the module knows now, as a copy. */
-    List<TransferredFigures> learnt();
+    List<PolicyStateEntry> learnt();
 
     /**
      * Tells the module what was learnt elsewhere; it passes over workers that it does not know yet.
      */
-    void learn(List<TransferredFigures> all);
+    void learn(List<PolicyStateEntry> all);
 
     /** This process has begun with what a running one told it, which is newer than any file. */
     boolean tookOver();
--- a/daemon/src/main/java/postgrade/daemon/Beside.java
+++ b/daemon/src/main/java/postgrade/daemon/Beside.java
@@ -9,7 +9,7 @@
 import postgrade.dispatch.RequestTracker;
 import postgrade.dispatch.Timers;
 import postgrade.policy.api.PolicySettings;
-import postgrade.policy.api.TransferredFigures;
+import postgrade.policy.api.PolicyStateEntry;
 import postgrade.upgrade.UpgradeCoordinator;
 
 /**
@@ -91,12 +91,12 @@
     }
 
     @Override
-    public List<TransferredFigures> learnt() {
+    public List<PolicyStateEntry> learnt() {
         return gateway.exportFigures();
     }
 
     @Override
-    public void learn(List<TransferredFigures> all) {
+    public void learn(List<PolicyStateEntry> all) {
         gateway.importFigures(all);
     }
 
--- a/daemon/src/main/java/postgrade/daemon/Daemon.java
+++ b/daemon/src/main/java/postgrade/daemon/Daemon.java
@@ -24,7 +24,7 @@
 import postgrade.policy.TokenBucketDispatchPolicy;
 import postgrade.policy.api.DispatchPolicy;
 import postgrade.policy.api.PolicyActions;
-import postgrade.policy.api.WorkerListForm;
+import postgrade.policy.api.WorkerListUpdateType;
 import postgrade.provider.ProviderPools;
 import postgrade.telemetry.AttemptLog;
 import postgrade.upgrade.UpgradeCoordinator;
@@ -131,7 +131,7 @@
         }
         if (known != null) {
             workers.list(
-                    WorkerListForm.CACHED,
+                    WorkerListUpdateType.CACHED,
                     known,
                     loop.nowMicros(),
                     WorkerStartTimes.NO_EARLIER_CONTACT);
@@ -279,13 +279,16 @@
     private void told(WorkerList list) {
         if (list.complete()) {
             workers.list(
-                    WorkerListForm.FULL,
+                    WorkerListUpdateType.FULL,
                     list,
                     loop.nowMicros(),
                     WorkerStartTimes.NO_EARLIER_CONTACT);
         } else {
             workers.list(
-                    WorkerListForm.DELTA, list, loop.nowMicros(), watch.previousContactMicros());
+                    WorkerListUpdateType.DELTA,
+                    list,
+                    loop.nowMicros(),
+                    watch.previousContactMicros());
         }
         if (companion != null) {
             companion.listed();
--- a/daemon/src/main/java/postgrade/daemon/Reload.java
+++ b/daemon/src/main/java/postgrade/daemon/Reload.java
@@ -35,7 +35,7 @@
                 providers.settings(
                         next.connectTimeoutMicros,
                         next.idleTimeoutMicros,
-                        config.settings.deployment.same(next.settings.deployment));
+                        config.settings.deployment.isSameAs(next.settings.deployment));
             }
             watch.moveTo(next.discovery);
             return next;
--- a/daemon/src/main/java/postgrade/daemon/Takeover.java
+++ b/daemon/src/main/java/postgrade/daemon/Takeover.java
@@ -16,7 +16,7 @@
 import postgrade.discovery.WorkerList.ListedWorker;
 import postgrade.endpoints.EndpointRegistry;
 import postgrade.log.Events;
-import postgrade.policy.api.TransferredFigures;
+import postgrade.policy.api.PolicyStateEntry;
 
 /**
  * What a new process of this dispatcher is told by the one that serves. Times go as ages, since the
@@ -33,7 +33,7 @@
         WorkerList list,
         String discovery,
         List<EndpointRegistry.WorkerOverride> said,
-        List<TransferredFigures> learnt,
+        List<PolicyStateEntry> learnt,
         long standbyAgeMicros,
         String beside) {
 
@@ -65,15 +65,15 @@
         }
     }
 
-    private static List<TransferredFigures> learnt(JsonArray figures) {
-        List<TransferredFigures> all = new ArrayList<>();
+    private static List<PolicyStateEntry> learnt(JsonArray figures) {
+        List<PolicyStateEntry> all = new ArrayList<>();
         for (JsonValue v : figures) {
             JsonArray one = v.asArray();
             double[] values = new double[one.size() - 2];
             for (int i = 0; i < values.length; i++) {
                 values[i] = one.get(i + 2).asDouble();
             }
-            all.add(new TransferredFigures(one.get(0).asString(), one.get(1).asString(), values));
+            all.add(new PolicyStateEntry(one.get(0).asString(), one.get(1).asString(), values));
         }
         return all;
     }
@@ -157,7 +157,7 @@
             Collection<ListedWorker> told,
             InetSocketAddress discovery,
             long standbyAgeMicros,
-            List<TransferredFigures> learnt,
+            List<PolicyStateEntry> learnt,
             String beside) {
         JsonArray servers = Json.array();
         for (ListedWorker e : told) {
@@ -173,7 +173,7 @@
                             .add("started_ms", e.startedMillis()));
         }
         JsonArray figures = Json.array();
-        for (TransferredFigures l : learnt) {
+        for (PolicyStateEntry l : learnt) {
             JsonArray one = Json.array().add(l.category()).add(l.name());
             for (double d : l.values()) {
                 one.add(Double.isFinite(d) ? d : 0);
--- a/daemon/src/main/java/postgrade/daemon/Workers.java
+++ b/daemon/src/main/java/postgrade/daemon/Workers.java
@@ -15,7 +15,7 @@
 import postgrade.endpoints.EndpointRegistry;
 import postgrade.log.Events;
 import postgrade.policy.api.WorkerInfo;
-import postgrade.policy.api.WorkerListForm;
+import postgrade.policy.api.WorkerListUpdateType;
 import postgrade.policy.api.WorkerPhase;
 import postgrade.provider.ProviderPools;
 import postgrade.provider.Target;
@@ -61,10 +61,10 @@
      * @param heardBeforeMicros when discovery was last heard before it told this, or {@link
      *     WorkerStartTimes#NEVER_HEARD}
      */
-    void list(WorkerListForm form, WorkerList list, long nowMicros, long heardBeforeMicros) {
+    void list(WorkerListUpdateType form, WorkerList list, long nowMicros, long heardBeforeMicros) {
         list.logUnreadable();
         List<WorkerInfo> workers = new ArrayList<>();
-        if (form != WorkerListForm.DELTA) {
+        if (form != WorkerListUpdateType.DELTA) {
             told.clear();
         }
         for (ListedWorker e : list.workers()) {
@@ -80,8 +80,9 @@
                     new WorkerInfo(
                             e.id(), e.zone(), e.kind(), e.cell(), phase, e.weight(), born * NANOS));
         }
-        List<WorkerInfo> counted = roster.update(form != WorkerListForm.DELTA, workers);
-        providers.list(form != WorkerListForm.DELTA, counted.stream().map(this::target).toList());
+        List<WorkerInfo> counted = roster.update(form != WorkerListUpdateType.DELTA, workers);
+        providers.list(
+                form != WorkerListUpdateType.DELTA, counted.stream().map(this::target).toList());
         told.values().removeIf(e -> e.state() == State.GONE);
         gateway.workersUpdated(form, counted);
     }
@@ -121,7 +122,7 @@
         WorkerInfo w = roster.worker(id);
         if (w != null) {
             providers.list(false, List.of(target(w)));
-            gateway.workersUpdated(WorkerListForm.DELTA, List.of(w));
+            gateway.workersUpdated(WorkerListUpdateType.DELTA, List.of(w));
         }
     }
 
--- a/daemon/src/test/java/postgrade/daemon/HandOverTest.java
+++ b/daemon/src/test/java/postgrade/daemon/HandOverTest.java
@@ -26,7 +26,7 @@
 import postgrade.daemon.Peer.Arrived;
 import postgrade.operator.Further;
 import postgrade.policy.api.JobConstraints;
-import postgrade.policy.api.TransferredFigures;
+import postgrade.policy.api.PolicyStateEntry;
 
 /**
  * What goes from the old process of a dispatcher to the new one, and what does not where either
@@ -62,9 +62,9 @@
         Script first = script;
         first.learnt =
                 List.of(
-                        new TransferredFigures("tenant", "t", new double[] {2.5, 40, 0, 1e9}),
-                        new TransferredFigures("cold", "w1", new double[] {5e8, 1.5, 2e8, 0.5}),
-                        new TransferredFigures("class", "price", new double[] {4e6, 120, 0.25}));
+                        new PolicyStateEntry("tenant", "t", new double[] {2.5, 40, 0, 1e9}),
+                        new PolicyStateEntry("cold", "w1", new double[] {5e8, 1.5, 2e8, 0.5}),
+                        new PolicyStateEntry("class", "price", new double[] {4e6, 120, 0.25}));
         daemon.start();
         first.hears("list CACHED [w1 READY, w2 READY]");
         Daemon second =
--- a/daemon/src/test/java/postgrade/daemon/Script.java
+++ b/daemon/src/test/java/postgrade/daemon/Script.java
@@ -17,9 +17,9 @@
 import postgrade.policy.api.LoadReport;
 import postgrade.policy.api.PolicyActions;
 import postgrade.policy.api.PolicySettings;
-import postgrade.policy.api.TransferredFigures;
+import postgrade.policy.api.PolicyStateEntry;
 import postgrade.policy.api.WorkerInfo;
-import postgrade.policy.api.WorkerListForm;
+import postgrade.policy.api.WorkerListUpdateType;
 
 /**
  * A decision module that writes down what it hears and does what the test says. Runs on the loop's
@@ -29,7 +29,7 @@
     final PolicyActions out;
     JobConstraints ability;
     volatile double lastShare = 1;
-    volatile List<TransferredFigures> learnt = List.of();
+    volatile List<PolicyStateEntry> learnt = List.of();
     final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
     volatile Consumer<Job> onJob = job -> {};
     volatile BiConsumer<String, Integer> onStarted = (id, attempt) -> {};
@@ -55,7 +55,7 @@
     }
 
     @Override
-    public void workersUpdated(long nowNs, WorkerListForm form, List<WorkerInfo> workers) {
+    public void workersUpdated(long nowNs, WorkerListUpdateType form, List<WorkerInfo> workers) {
         heard.add(
                 "list "
                         + form
@@ -69,12 +69,12 @@
     }
 
     @Override
-    public List<TransferredFigures> exportFigures(long nowNs) {
+    public List<PolicyStateEntry> exportState(long nowNs) {
         return learnt;
     }
 
     @Override
-    public void importFigures(long nowNs, List<TransferredFigures> all) {
+    public void importState(long nowNs, List<PolicyStateEntry> all) {
         if (!all.isEmpty()) {
             heard.add(
                     "learn "
@@ -96,7 +96,7 @@
     }
 
     @Override
-    public void shareChanged(long nowNs, double part) {
+    public void quotaShareChanged(long nowNs, double part) {
         lastShare = part;
         if (part != 1) { // Each start says that.
             heard.add("share " + part);
@@ -141,7 +141,7 @@
     }
 
     @Override
-    public void clientLeft(long nowNs, String jobId) {
+    public void jobAbandoned(long nowNs, String jobId) {
         heard.add("abandoned " + jobId);
     }
 
--- a/sharing/src/main/java/postgrade/sharing/All.java
+++ b/sharing/src/main/java/postgrade/sharing/All.java
@@ -18,10 +18,10 @@
     }
 
     @Override
-    public long startsInNs(long nowNs, Job job) {
+    public long startDelayNs(long nowNs, Job job) {
         long latest = 0;
         for (JobConstraints a : abilities) {
-            latest = Math.max(latest, a.startsInNs(nowNs, job));
+            latest = Math.max(latest, a.startDelayNs(nowNs, job));
         }
         return latest;
     }
--- a/sharing/src/main/java/postgrade/sharing/memory/Keeper.java
+++ b/sharing/src/main/java/postgrade/sharing/memory/Keeper.java
@@ -17,7 +17,7 @@
 import postgrade.comeback.Memory;
 import postgrade.companion.Host;
 import postgrade.log.Events;
-import postgrade.policy.api.TransferredFigures;
+import postgrade.policy.api.PolicyStateEntry;
 
 /**
  * Keeps what this process learns, and tells the module at its start what a former one had learnt.
@@ -135,7 +135,7 @@
         return all;
     }
 
-    private static boolean ofWorker(TransferredFigures l) {
+    private static boolean ofWorker(PolicyStateEntry l) {
         return l.category().equals(WORKER) || l.category().equals(COLD);
     }
 
@@ -188,7 +188,7 @@
                         w ->
                                 all.add(
                                         new Memory.Figure(
-                                                new TransferredFigures(OUT, w, new double[] {0}),
+                                                new PolicyStateEntry(OUT, w, new double[] {0}),
                                                 0)));
         all.addAll(m.figures());
         return with(m, all);
--- a/sharing/src/main/java/postgrade/sharing/progress/Admission.java
+++ b/sharing/src/main/java/postgrade/sharing/progress/Admission.java
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public long startsInNs(long nowNs, Job job) {
+    public long startDelayNs(long nowNs, Job job) {
         Ramp ramp = progress.ramp();
         long now = nowMicros.getAsLong();
         if (ramp == null || ramp.part(now) >= 1) {
--- a/sharing/src/main/java/postgrade/sharing/progress/Progress.java
+++ b/sharing/src/main/java/postgrade/sharing/progress/Progress.java
@@ -20,7 +20,7 @@
 import postgrade.log.Events;
 import postgrade.policy.api.AttemptOutcome;
 import postgrade.policy.api.JobClass;
-import postgrade.policy.api.TransferredFigures;
+import postgrade.policy.api.PolicyStateEntry;
 
 /**
  * Measures how far this process has come back, by what is served, and says so in the log and to
@@ -129,7 +129,7 @@
         host.settings().classes.forEach(c -> byName.put(c.name(), c));
         classes = byName;
         if (classes.values().stream().anyMatch(c -> c.objectivePerServiceTime() > 0)) {
-            for (TransferredFigures l : host.learnt()) {
+            for (PolicyStateEntry l : host.learnt()) {
                 if (l.category().equals("class") && l.values().length > 0) {
                     meanMicros.put(l.name(), l.values()[0] / NANOS);
                 }
--- a/sharing/src/test/java/postgrade/sharing/FakeHost.java
+++ b/sharing/src/test/java/postgrade/sharing/FakeHost.java
@@ -14,8 +14,8 @@
 import postgrade.policy.api.Idempotency;
 import postgrade.policy.api.JobClass;
 import postgrade.policy.api.PolicySettings;
+import postgrade.policy.api.PolicyStateEntry;
 import postgrade.policy.api.Tenant;
-import postgrade.policy.api.TransferredFigures;
 
 /** A dispatcher on virtual time, of which only what its companion sees is there. */
 final class FakeHost implements Host, Timers {
@@ -37,8 +37,8 @@
     boolean alone = true;
     boolean tookOver;
     String former = "";
-    List<TransferredFigures> learnt = List.of();
-    final List<TransferredFigures> told = new ArrayList<>();
+    List<PolicyStateEntry> learnt = List.of();
+    final List<PolicyStateEntry> told = new ArrayList<>();
     final Map<String, Known> workers = new LinkedHashMap<>();
     final Set<String> out = new TreeSet<>();
     final Set<String> connected = new TreeSet<>();
@@ -120,12 +120,12 @@
     }
 
     @Override
-    public List<TransferredFigures> learnt() {
+    public List<PolicyStateEntry> learnt() {
         return learnt;
     }
 
     @Override
-    public void learn(List<TransferredFigures> all) {
+    public void learn(List<PolicyStateEntry> all) {
         told.addAll(all);
     }
 
--- a/sharing/src/test/java/postgrade/sharing/MemoryTest.java
+++ b/sharing/src/test/java/postgrade/sharing/MemoryTest.java
@@ -21,7 +21,7 @@
 import org.junit.rules.TemporaryFolder;
 import postgrade.comeback.Memory;
 import postgrade.log.EventLogs;
-import postgrade.policy.api.TransferredFigures;
+import postgrade.policy.api.PolicyStateEntry;
 import postgrade.sharing.memory.Keeper;
 import postgrade.sharing.memory.MemoryFile;
 
@@ -53,12 +53,12 @@
         host.worker("w2", 2000);
         host.learnt =
                 List.of(
-                        new TransferredFigures("class", "price", new double[] {5e6, 100, 1}),
-                        new TransferredFigures(
+                        new PolicyStateEntry("class", "price", new double[] {5e6, 100, 1}),
+                        new PolicyStateEntry(
                                 "worker", "w1", new double[] {1, 0, 0, 1.5, 9, 0, 0, 0, 0}),
-                        new TransferredFigures(
+                        new PolicyStateEntry(
                                 "worker", "w2", new double[] {2, 0, 0, 1.5, 9, 0, 0, 0, 0}),
-                        new TransferredFigures("tenant", "t", new double[] {3, 50, 0, 0}));
+                        new PolicyStateEntry("tenant", "t", new double[] {3, 50, 0, 0}));
         return host;
     }
 
@@ -83,7 +83,7 @@
         assertNull(keeper.fault());
     }
 
-    private static List<String> names(List<TransferredFigures> all) {
+    private static List<String> names(List<PolicyStateEntry> all) {
         return all.stream().map(l -> l.category() + " " + l.name()).toList();
     }
 
@@ -119,8 +119,8 @@
         FakeHost host = host();
         host.learnt =
                 List.of(
-                        new TransferredFigures("cold", "w1", new double[] {1e8, 2e8}),
-                        new TransferredFigures("up", "", new double[] {5e9}));
+                        new PolicyStateEntry("cold", "w1", new double[] {1e8, 2e8}),
+                        new PolicyStateEntry("up", "", new double[] {5e9}));
         Keeper first = keeper(host);
         first.close();
         for (List<String> told : List.of(List.of("cold w1", "up "), List.of("cold w1"))) {
--- a/sharing/src/test/java/postgrade/sharing/PlanHeadersTest.java
+++ b/sharing/src/test/java/postgrade/sharing/PlanHeadersTest.java
@@ -103,7 +103,7 @@
     /** When a job with these headers opens, in seconds from now. */
     private double opens(String id, String jobClass, String... namesAndValues) {
         shared.claims().read(jobClass, headers(namesAndValues)::get).accept(id);
-        return shared.ability().startsInNs(host.nowMicros() * 1000, job(id, jobClass))
+        return shared.ability().startDelayNs(host.nowMicros() * 1000, job(id, jobClass))
                 / (double) SECOND_NS;
     }
 
@@ -259,7 +259,7 @@
         assertEquals(
                 "and no claim, no plan",
                 0,
-                JobConstraints.NONE.startsInNs(0, job("x", "price")),
+                JobConstraints.NONE.startDelayNs(0, job("x", "price")),
                 0);
     }
 }
--- a/sharing/src/test/java/postgrade/sharing/SharedTest.java
+++ b/sharing/src/test/java/postgrade/sharing/SharedTest.java
@@ -311,8 +311,8 @@
         JobConstraints ability = all.get(a).ability();
         Job job = new Job("1", "price", "t", null, 1, 1, 0);
         Job free = new Job("2", "confirm", "t", null, 1, 1, 0);
-        assertTrue(ability.startsInNs(a.nowMicros() * 1000, job) > 0);
-        assertEquals(0, ability.startsInNs(a.nowMicros() * 1000, free));
+        assertTrue(ability.startDelayNs(a.nowMicros() * 1000, job) > 0);
+        assertEquals(0, ability.startDelayNs(a.nowMicros() * 1000, free));
         assertEquals(503, call(b, "POST", "/windows", "{'class':'price'}").status);
         Answered bad =
                 call(
@@ -329,7 +329,7 @@
                 call(b, "PUT", "/calendar", calendar("20270115T090200", "20270115T093000", ""))
                         .status);
         run(SECOND);
-        assertEquals(0, ability.startsInNs(a.nowMicros() * 1000, job));
+        assertEquals(0, ability.startDelayNs(a.nowMicros() * 1000, job));
         assertEquals(
                 1,
                 ability.usableShare(
@@ -349,19 +349,19 @@
         run(60 * SECOND);
         assertTrue(
                 "it would run into the maintenance",
-                ability.startsInNs(a.nowMicros() * 1000, job) > 0);
+                ability.startDelayNs(a.nowMicros() * 1000, job) > 0);
         JsonObject closed = call(a, "POST", "/windows", "{'class':'price'}").json;
         assertEquals("2027-01-15T08:30:01Z", closed.getString("opens", ""));
         assertEquals(
                 "maintenance",
                 closed.get("exclusions").asArray().get(0).asObject().getString("reason", ""));
         run(1800 * SECOND);
-        assertEquals(0, ability.startsInNs(a.nowMicros() * 1000, job));
+        assertEquals(0, ability.startDelayNs(a.nowMicros() * 1000, job));
         quorum.cutOff.add("a");
         run(6 * SECOND);
         assertTrue(
                 "another calendar may count by now",
-                ability.startsInNs(a.nowMicros() * 1000, job) > 0);
+                ability.startDelayNs(a.nowMicros() * 1000, job) > 0);
         assertEquals(404, call(b, "POST", "/windows", "{'class':'confirm'}").status);
         assertEquals(
                 200,
--- a/sharing/src/test/java/postgrade/sharing/SuccessionTest.java
+++ b/sharing/src/test/java/postgrade/sharing/SuccessionTest.java
@@ -117,7 +117,8 @@
         assertEquals("each takes half of it, by the link", 1, next.share, 0.01);
         JobConstraints ability = all.get(next).ability();
         Job job = new Job("1", "price", "t", null, 1, 1, 0);
-        assertEquals("it knows the calendars", 0, ability.startsInNs(next.nowMicros() * 1000, job));
+        assertEquals(
+                "it knows the calendars", 0, ability.startDelayNs(next.nowMicros() * 1000, job));
         JsonObject told = call(next, "GET", "/sharing", "");
         assertTrue(told.toString(), told.getBoolean("joined", false));
         for (int i = 0; i < 100; i++) {
@@ -134,7 +135,7 @@
             run(SECOND / 10);
             assertTrue("no dip: " + next.leastShare, next.leastShare > 0.99);
             assertTrue(next.share + " " + other.share, next.share + other.share <= 2.0001);
-            assertEquals("at each moment", 0, ability.startsInNs(next.nowMicros() * 1000, job));
+            assertEquals("at each moment", 0, ability.startDelayNs(next.nowMicros() * 1000, job));
         }
         told = call(next, "GET", "/sharing", "");
         assertTrue(
--- a/simulation/src/main/java/postgrade/simulation/model/Disk.java
+++ b/simulation/src/main/java/postgrade/simulation/model/Disk.java
@@ -9,7 +9,7 @@
 import postgrade.comeback.Memory;
 import postgrade.comeback.MemoryFormat;
 import postgrade.comeback.Unusable;
-import postgrade.policy.api.TransferredFigures;
+import postgrade.policy.api.PolicyStateEntry;
 import postgrade.simulation.check.Checks;
 
 /**
@@ -54,9 +54,9 @@
                         wall + local,
                         0.9,
                         List.of(
-                                new TransferredFigures(
+                                new PolicyStateEntry(
                                         "tenant", "shop", new double[] {tokens, 10, 1, 0}),
-                                new TransferredFigures(
+                                new PolicyStateEntry(
                                         "worker",
                                         "w1",
                                         new double[] {3, 1e9, 1, 1.2, 4, 1e6, 1e9, 1e9, 0})),
@@ -93,7 +93,7 @@
                 checks.violation("%s went by a snapshot that was never written so", owner);
             }
             long started = world.now() / 20_000_000;
-            for (TransferredFigures l : memory.trusted(wall + local, Map.of("w1", started))) {
+            for (PolicyStateEntry l : memory.trusted(wall + local, Map.of("w1", started))) {
                 judge(memory, l, started);
             }
             checks.count("snapshots gone by");
@@ -104,7 +104,7 @@
         }
     }
 
-    private void judge(Memory memory, TransferredFigures now, long started) {
+    private void judge(Memory memory, PolicyStateEntry now, long started) {
         Memory.Figure was =
                 memory.figures().stream()
                         .filter(f -> f.learnt().category().equals(now.category()))
