--- a/core/src/main/java/postgrade/dispatch/RequestTracker.java
+++ b/core/src/main/java/postgrade/dispatch/RequestTracker.java
@@ -131,7 +131,7 @@
     public void clientDisconnected(PendingRequest request) {
         if (!request.isAnswered()) {
             lifecycle.conclude(request);
-            notifyClientLeft(request);
+            notifyJobAbandoned(request);
             lifecycle.withdrawUnsent(request);
         }
     }
@@ -141,12 +141,12 @@
         for (PendingRequest request : new ArrayList<>(requests.values())) {
             if (!request.isAnswered() && request.arrivedMicros() >= sinceMicros) {
                 lifecycle.failRequest(request, false, DecisionReason.UNSTATED);
-                notifyClientLeft(request);
+                notifyJobAbandoned(request);
             }
         }
     }
 
-    private void notifyClientLeft(PendingRequest request) {
+    private void notifyJobAbandoned(PendingRequest request) {
         lifecycle.notifyPolicy(request, nowNs -> policy.jobAbandoned(nowNs, request.id()));
     }
 
@@ -247,8 +247,8 @@
     }
 
     /** Imports state exported by another process; the worker list must have been queued before. */
-    public void importFigures(List<PolicyStateEntry> figures) {
-        batch.addPriorityEvent(nowNs -> policy.importState(nowNs, figures));
+    public void importFigures(List<PolicyStateEntry> entries) {
+        batch.addPriorityEvent(nowNs -> policy.importState(nowNs, entries));
     }
 
     /** Queues a new worker list. */
