--- a/daemon/src/main/java/postgrade/http/MessageParser.java
+++ b/daemon/src/main/java/postgrade/http/MessageParser.java
@@ -214,7 +214,7 @@
         String version = parsesRequests ? words[words.length - 1] : words[0];
         if (words.length < (parsesRequests ? 3 : 2)
                 || !version.equals("HTTP/1.1") && !version.equals("HTTP/1.0")) {
-            throw new BadMessageException(400, "invalid HTTP/1.1 start line");
+            throw new BadMessageException(400, "not a start line of HTTP/1.1");
         }
         message.http10 = version.equals("HTTP/1.0");
         if (parsesRequests) {
@@ -256,7 +256,7 @@
         if (chunked
                 && (message.http10
                         || !message.header("transfer-encoding").equalsIgnoreCase("chunked"))) {
-            throw new BadMessageException(400, "unsupported transfer encoding");
+            throw new BadMessageException(400, "transfer encoding not known");
         }
         // Prevents request smuggling: rejects whatever allows two interpretations of the
         // message's end.
@@ -320,13 +320,13 @@
             throws BadMessageException {
         if (text.isEmpty()
                 || text.chars().anyMatch(c -> Character.digit(c, radix) < 0 || c > 'f')) {
-            throw new BadMessageException(400, "invalid number");
+            throw new BadMessageException(400, "not a number where one is due");
         }
         long value = 0;
         for (int i = 0; i < text.length(); i++) {
             value = value * radix + Character.digit(text.charAt(i), radix);
             if (value > max) {
-                throw new BadMessageException(statusIfTooLarge, "number too large");
+                throw new BadMessageException(statusIfTooLarge, "too large a number");
             }
         }
         return value;
