--- a/core/src/main/java/postgrade/dispatch/ActionQueue.java
+++ b/core/src/main/java/postgrade/dispatch/ActionQueue.java
@@ -10,8 +10,8 @@
 import postgrade.policy.api.PolicyActions;
 
 /**
- * Queues what the policy decides until it has heard all events of the turn, and carries it out.
- * Used on the loop's thread.
+ * Queues the policy's decisions until all events of the current event loop iteration have been
+ * delivered, then executes them. Must be used on the event loop thread only.
  */
 final class ActionQueue implements PolicyActions {
 
@@ -26,7 +26,9 @@
     private final Supplier<DispatchPolicy> policy;
 
     /**
-     * @param requests by id
+     * Creates a queue that acts on the given requests.
+     *
+     * @param requests the requests in flight, by request id
      */
     ActionQueue(
             Timers timers,
@@ -72,7 +74,7 @@
     }
 
     private void cancel(Attempt attempt, DecisionReason reason) {
-        if (attempt.isOut()) {
+        if (attempt.isInFlight()) {
             lifecycle
                     .observer()
                     .attemptCancelled(attempt.id(), attempt.workerId(), attempt.number(), reason);
@@ -121,11 +123,11 @@
     }
 
     @Override
-    public void startTimer(String token, long inNs) {
+    public void startTimer(String token, long delayNs) {
         batch.addAction(
                 () -> {
                     long whenMicros =
-                            timers.nowMicros() + (inNs + NANOS_PER_MICRO - 1) / NANOS_PER_MICRO;
+                            timers.nowMicros() + (delayNs + NANOS_PER_MICRO - 1) / NANOS_PER_MICRO;
                     timers.at(
                             whenMicros,
                             () -> batch.addEvent(nowNs -> policy.get().timerFired(nowNs, token)));
@@ -134,7 +136,7 @@
 
     @Override
     public void watchWorkers() {
-        // The daemon watches the list from its start on, whether asked to or not.
+        // No action needed: the daemon always watches the worker list.
     }
 
     private void start(String jobId, String workerId, long limitNs, long windowNs) {
@@ -144,36 +146,36 @@
         }
         long nowMicros = timers.nowMicros();
         long deadlineMicros = request.deadlineMicros();
-        long untilMicros =
+        long expiresAtMicros =
                 limitNs == 0
                         ? deadlineMicros
                         : Math.min(deadlineMicros, nowMicros + limitNs / NANOS_PER_MICRO);
-        boolean second = !request.mayAddAttempt(workerId);
+        boolean conflicts = !request.mayAddAttempt(workerId);
         Attempt attempt =
                 new Attempt(
                         request,
                         request.attempts().size(),
                         workerId,
-                        untilMicros,
+                        expiresAtMicros,
                         nowMicros + windowNs / NANOS_PER_MICRO,
                         nowMicros);
         request.add(attempt);
-        if (second) {
+        if (conflicts) {
             errors.internalError(
-                    InternalErrorListener.SECOND_CALL,
-                    "the module asked for a second call of a job that has one out; not sent",
+                    InternalErrorListener.CONFLICTING_ATTEMPT,
+                    "the policy requested a second attempt of a job that has one in flight; not sent",
                     null);
         }
-        // The client may have left since the loop last looked.
-        if (second || untilMicros <= nowMicros || attempt.isUnwanted()) {
-            Kind why = second ? Kind.OTHER_ATTEMPT_OUT : Kind.UNWANTED;
-            lifecycle.end(attempt, AttemptOutcome.NOT_SENT, EndEvidence.of(why), null);
+        // The client may have disconnected since the event loop last polled its socket.
+        if (conflicts || expiresAtMicros <= nowMicros || attempt.isUnwanted()) {
+            Kind kind = conflicts ? Kind.OTHER_ATTEMPT_OUT : Kind.UNWANTED;
+            lifecycle.end(attempt, AttemptOutcome.NOT_SENT, EndEvidence.of(kind), null);
             return;
         }
         if (attempt.number() > 0) {
             lifecycle.observer().attemptRepeated(jobId, workerId, attempt.number());
         }
-        attempt.limitTimer(timers.at(untilMicros, () -> lifecycle.expire(attempt)));
+        attempt.setExpiryTimer(timers.at(expiresAtMicros, () -> lifecycle.expire(attempt)));
         attempt.handle(transport.get().start(attempt));
     }
 }
--- a/daemon/src/main/java/postgrade/discovery/WatchFrameDecoder.java
+++ b/daemon/src/main/java/postgrade/discovery/WatchFrameDecoder.java
@@ -4,21 +4,21 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Cuts the bytes of a watch into objects and empty lines. An object may be indented and span many
- * lines; a line break inside it is no heartbeat. Only whole frames are handed over.
+ * Splits the bytes of a watch into objects and empty lines. An object may be indented and span
+ * several lines; a line break inside it is not a heartbeat. Only complete frames are passed on.
  */
 final class WatchFrameDecoder {
 
-    /** Bounds the memory against an object that never ends. */
-    private static final int MOST_BYTES = 4 << 20;
+    /** Bounds memory against an object that never ends. */
+    private static final int MAX_OBJECT_BYTES = 4 << 20;
 
     private final FrameHandler handler;
     private final ByteArrayOutputStream object = new ByteArrayOutputStream();
     private int depth;
-    private boolean quoted;
+    private boolean inString;
     private boolean escaped;
 
-    /** An object has ended on this line: its end is not an empty line. */
+    /** Whether an object has ended on this line, so that its line end is not an empty line. */
     private boolean afterObject;
 
     WatchFrameDecoder(FrameHandler handler) {
@@ -26,14 +26,14 @@
     }
 
     /**
-     * Takes the next bytes and hands over the frames that they complete.
+     * Decodes the next bytes and passes on the frames that they complete.
      *
-     * @throws IllegalArgumentException if they are no frames, or an object is too long
+     * @throws IllegalArgumentException if the bytes are not frames, or an object is too long
      */
     void decode(byte[] bytes) {
         for (byte next : bytes) {
             if (depth > 0 || next == '{') {
-                insideObject(next);
+                decodeInObject(next);
             } else if (next == '\n') {
                 boolean empty = !afterObject;
                 afterObject = false;
@@ -41,21 +41,21 @@
                     handler.heartbeat();
                 }
             } else if (next != ' ' && next != '\t' && next != '\r') {
-                throw new IllegalArgumentException("neither an object nor an empty line");
+                throw new IllegalArgumentException("expected an object or an empty line");
             }
         }
-        if (object.size() > MOST_BYTES) {
-            throw new IllegalArgumentException("object too long");
+        if (object.size() > MAX_OBJECT_BYTES) {
+            throw new IllegalArgumentException("object exceeds the size limit");
         }
     }
 
-    private void insideObject(byte next) {
+    private void decodeInObject(byte next) {
         object.write(next);
-        if (quoted) {
-            quoted = escaped || next != '"';
+        if (inString) {
+            inString = escaped || next != '"';
             escaped = !escaped && next == '\\';
         } else if (next == '"') {
-            quoted = true;
+            inString = true;
         } else if (next == '{') {
             depth++;
         } else if (next == '}' && --depth == 0) {
--- a/daemon/src/main/java/postgrade/telemetry/RecentEnds.java
+++ b/daemon/src/main/java/postgrade/telemetry/RecentlyEndedAttempts.java
@@ -5,28 +5,29 @@
 import postgrade.policy.api.AttemptOutcome;
 
 /**
- * The latest attempts that ended without a call-back of their worker. A call-back that comes for
- * one of them later shows that its end was concluded wrongly, or crossed the worker's word.
+ * The latest attempts that ended without a call-age of their worker. A later call-age for one of
+ * them shows that its end was concluded wrongly, or that the end and the call-age crossed on the
+ * wire.
  */
-final class RecentEnds {
+final class RecentlyEndedAttempts {
 
-    private static final int MOST = 256;
+    private static final int CAPACITY = 256;
 
-    private final EndedAttempt[] ends = new EndedAttempt[MOST];
+    private final EndedAttempt[] attempts = new EndedAttempt[CAPACITY];
     private int next;
 
     void add(EndedAttempt ended) {
         boolean reported = ended.evidence().kind() == EndEvidence.Kind.REPORTED;
         if (!reported && ended.outcome() != AttemptOutcome.NOT_SENT) {
-            ends[next] = ended;
-            next = (next + 1) % MOST;
+            attempts[next] = ended;
+            next = (next + 1) % CAPACITY;
         }
     }
 
-    /** The latest such end of this request at this worker, or null. */
+    /** Returns the latest such attempt of this request at this worker, or null. */
     EndedAttempt find(String requestId, String workerId) {
-        for (int back = 1; back <= MOST; back++) {
-            EndedAttempt ended = ends[(next - back + MOST) % MOST];
+        for (int age = 1; age <= CAPACITY; age++) {
+            EndedAttempt ended = attempts[(next - age + CAPACITY) % CAPACITY];
             if (ended == null) {
                 return null;
             }
--- a/log/src/main/java/postgrade/log/EventLogger.java
+++ b/log/src/main/java/postgrade/log/EventLogger.java
@@ -8,7 +8,8 @@
 import org.slf4j.spi.LoggingEventAware;
 
 /**
- * One logger. Events with fields come by {@link #log(LoggingEvent)}, plain lines by the call below.
+ * An SLF4J logger. Events with fields arrive at {@link #log(LoggingEvent)}, plain lines at {@link
+ * #handleNormalizedLoggingCall}.
  */
 final class EventLogger extends LegacyAbstractLogger implements LoggingEventAware {
 
@@ -45,31 +46,31 @@
 
     @Override
     protected String getFullyQualifiedCallerName() {
-        return null; // Lines do not tell where in the code they were written.
+        return null; // Lines do not contain the location in the code.
     }
 
     @Override
     public boolean isTraceEnabled() {
-        return EventLogs.writes(name, Level.TRACE);
+        return EventLogs.isEnabled(name, Level.TRACE);
     }
 
     @Override
     public boolean isDebugEnabled() {
-        return EventLogs.writes(name, Level.DEBUG);
+        return EventLogs.isEnabled(name, Level.DEBUG);
     }
 
     @Override
     public boolean isInfoEnabled() {
-        return EventLogs.writes(name, Level.INFO);
+        return EventLogs.isEnabled(name, Level.INFO);
     }
 
     @Override
     public boolean isWarnEnabled() {
-        return EventLogs.writes(name, Level.WARN);
+        return EventLogs.isEnabled(name, Level.WARN);
     }
 
     @Override
     public boolean isErrorEnabled() {
-        return EventLogs.writes(name, Level.ERROR);
+        return EventLogs.isEnabled(name, Level.ERROR);
     }
 }
