--- a/daemon/src/main/java/postgrade/client/ClientConnection.java
+++ b/daemon/src/main/java/postgrade/client/ClientConnection.java
@@ -88,8 +88,7 @@
             if (pipelined.remaining() + bytes.remaining() > MAX_PIPELINED_BYTES) {
                 // Rejected with an answer: closing a socket that holds unread bytes would reset the
                 // connection, and the client would not receive its answer.
-                throw new BadMessageException(
-                        400, "more pipelined bytes sent before the answer than are kept");
+                throw new BadMessageException(400, "more sent ahead of its answer than is kept");
             }
             bytes =
                     ByteBuffer.allocate(pipelined.remaining() + bytes.remaining())
@@ -98,7 +97,7 @@
                             .flip();
         }
         if (state.awaitsAnswer() && !MessageParser.mayBeRequest(bytes)) {
-            throw new BadMessageException(400, "more bytes sent than the request declares");
+            throw new BadMessageException(400, "more bytes than the request has");
         }
         parseRequests(bytes);
         if (parser.bodyBytesReceived() > SMALL_BODY_BYTES && listener.exceedsMemoryLimit()) {
@@ -149,7 +148,7 @@
             if (request != null && bytes.hasRemaining() && !MessageParser.mayBeRequest(bytes)) {
                 // Protects the workers: a Content-Length that is too small has truncated the job's
                 // body.
-                throw new BadMessageException(400, "more bytes sent than the request declares");
+                throw new BadMessageException(400, "more bytes than the request has");
             } else if (request != null) {
                 timeouts.requestReceived();
                 RequestRouter.route(this, request);
@@ -299,7 +298,7 @@
             closeNow();
         } else if (!parser.isAtMessageStart()) {
             parser = MessageParser.forRequests();
-            answer(408, "the request was not received whole in time\n", false);
+            answer(408, "the request has not come whole\n", false);
         } else {
             closeIfIdle(true);
         }
--- a/daemon/src/main/java/postgrade/client/JobHeaders.java
+++ b/daemon/src/main/java/postgrade/client/JobHeaders.java
@@ -69,8 +69,7 @@
                 if (equalsAt > 0 && pair.substring(0, equalsAt).strip().equals(name)) {
                     double value = parseNumber("X-Extras", pair.substring(equalsAt + 1).strip());
                     if (value > MAX_EXTRA) {
-                        throw new IllegalArgumentException(
-                                "X-Extras has a figure that is too large");
+                        throw new IllegalArgumentException("X-Extras has too large a figure");
                     }
                     return value;
                 }
--- a/daemon/src/main/java/postgrade/client/JobSubmission.java
+++ b/daemon/src/main/java/postgrade/client/JobSubmission.java
@@ -39,16 +39,16 @@
         Long classDeadline = jobClass == null ? null : listener.deadlineMicros.get(jobClass);
         String problem =
                 !JobHeaders.isValidId(id)
-                        ? "X-Request-Id is missing or not a valid id"
+                        ? "X-Request-Id is missing or no id"
                         : classDeadline == null
                                 ? "X-Class is not known"
                                 : !listener.knowsTenant(tenant)
                                         ? "X-Tenant is not known"
                                         : !JobHeaders.isValidName(key)
-                                                ? "X-Key is not a valid name"
+                                                ? "X-Key is no name"
                                                 : !JobHeaders.isValidName(
                                                                 request.header("content-type"))
-                                                        ? "Content-Type is not a valid name"
+                                                        ? "Content-Type is no name"
                                                         : JobHeaders.SINGLE_HEADERS.stream()
                                                                         .anyMatch(
                                                                                 name ->
@@ -66,7 +66,7 @@
             double slots = JobHeaders.extra(request.header("x-extras"), "slots", 1);
             double memory = JobHeaders.extra(request.header("x-extras"), "memory", 0);
             if (slots == 0) {
-                throw new IllegalArgumentException("X-Extras asks for 0 slots");
+                throw new IllegalArgumentException("X-Extras has no slots");
             }
             return new JobSubmission(
                     id,
--- a/daemon/src/main/java/postgrade/client/RequestRouter.java
+++ b/daemon/src/main/java/postgrade/client/RequestRouter.java
@@ -17,7 +17,7 @@
             if (request.method().equals("POST")) {
                 submitJob(connection, request);
             } else {
-                connection.reject(405, "only POST is allowed here", request.isKeepAlive());
+                connection.reject(405, "only POST is taken here", request.isKeepAlive());
             }
         } else if (path.equals("/-/ready")) {
             connection.markUseful();
@@ -27,7 +27,7 @@
         } else if (path.equals(JobEvent.PATH) && request.method().equals("POST")) {
             handleCallBack(connection, request);
         } else {
-            connection.reject(404, "no such path", request.isKeepAlive());
+            connection.reject(404, "no such page", request.isKeepAlive());
         }
     }
 
@@ -93,7 +93,7 @@
             }
         } else {
             connection.cancelAwait();
-            connection.reject(409, "a job with this id is already open", request.isKeepAlive());
+            connection.reject(409, "a job with this id is open", request.isKeepAlive());
         }
     }
 }
--- a/daemon/src/main/java/postgrade/operator/OperatorConnection.java
+++ b/daemon/src/main/java/postgrade/operator/OperatorConnection.java
@@ -177,7 +177,7 @@
 
     private void expire() {
         if (!callReceived) {
-            answer(408, null, "no whole call was received in time");
+            answer(408, null, "no whole call has come");
             listener.timers.at(listener.timers.nowMicros() + TIMEOUT_MICROS, this::expire);
         } else {
             connection.close();
