--- a/daemon/src/main/java/postgrade/worker/KeepAlive.java
+++ b/daemon/src/main/java/postgrade/worker/AdaptiveIdleTimeout.java
@@ -7,22 +7,22 @@
  * run twice is lost with it. So each break of a connection that had been idle shortens the time,
  * and a while without any lengthens it again.
  */
-final class KeepAlive {
+final class AdaptiveIdleTimeout {
     /**
      * Sooner breaks are no sign of idleness, and to keep no connection at all would cost a
      * handshake a request.
      */
-    private static final long LEAST_MICROS = 50_000;
+    private static final long MIN_MICROS = 50_000;
 
-    private static final long QUIET_MICROS = 30_000_000;
+    private static final long RECOVERY_MICROS = 30_000_000;
 
-    private long mostMicros;
+    private long maxMicros;
     private long limitMicros;
-    private long changedMicros;
+    private long limitChangedMicros;
 
-    KeepAlive(long mostMicros) {
-        this.mostMicros = mostMicros;
-        limitMicros = mostMicros;
+    AdaptiveIdleTimeout(long maxMicros) {
+        this.maxMicros = maxMicros;
+        limitMicros = maxMicros;
     }
 
     /**
@@ -30,29 +30,29 @@
      *
      * @param learntHolds the network is the same one, and so is what was learnt of shorter times
      */
-    void most(long micros, boolean learntHolds) {
+    void setMax(long micros, boolean keepLearnt) {
         limitMicros =
-                learntHolds && limitMicros < mostMicros ? Math.min(limitMicros, micros) : micros;
-        mostMicros = micros;
+                keepLearnt && limitMicros < maxMicros ? Math.min(limitMicros, micros) : micros;
+        maxMicros = micros;
     }
 
-    long most() {
-        return mostMicros;
+    long max() {
+        return maxMicros;
     }
 
     long limitMicros(long nowMicros) {
-        if (limitMicros < mostMicros && nowMicros - changedMicros >= QUIET_MICROS) {
-            limitMicros = Math.min(mostMicros, 2 * limitMicros);
-            changedMicros = nowMicros;
+        if (limitMicros < maxMicros && nowMicros - limitChangedMicros >= RECOVERY_MICROS) {
+            limitMicros = Math.min(maxMicros, 2 * limitMicros);
+            limitChangedMicros = nowMicros;
         }
         return limitMicros;
     }
 
     /** A connection has broken under the first request after it was idle for so long. */
-    void broke(long nowMicros, long idleMicros) {
-        if (idleMicros >= LEAST_MICROS) {
-            limitMicros = Math.max(LEAST_MICROS, Math.min(limitMicros, idleMicros / 2));
-            changedMicros = nowMicros;
+    void recordBreak(long nowMicros, long idleMicros) {
+        if (idleMicros >= MIN_MICROS) {
+            limitMicros = Math.max(MIN_MICROS, Math.min(limitMicros, idleMicros / 2));
+            limitChangedMicros = nowMicros;
         }
     }
 }
--- a/daemon/src/main/java/postgrade/worker/Call.java
+++ b/daemon/src/main/java/postgrade/worker/AttemptRequest.java
@@ -14,41 +14,41 @@
 import postgrade.policy.api.AttemptOutcome;
 
 /** One attempt at a worker, and how far it has come on the wire. */
-final class Call extends Request implements WorkerTransport.AttemptHandle {
+final class AttemptRequest extends WorkerRequest implements WorkerTransport.AttemptHandle {
 
     /**
      * An attempt ended by its call-back leaves its connection once the 202 comes, which is due by
      * then.
      */
-    private static final long ANSWER_MICROS = 1_000_000;
+    private static final long RESPONSE_TIMEOUT_MICROS = 1_000_000;
 
     /** A 202 that was on its way when the attempt was given up has come by then. */
-    private static final long CROSSING_MICROS = 100_000;
+    private static final long ACCEPT_GRACE_MICROS = 100_000;
 
     private final RequestTracker tracker;
     private final Timers timers;
-    private final Pool pool;
+    private final ConnectionPool pool;
     private final Attempt attempt;
-    private final String fence;
+    private final String fencingToken;
     private final CancellationTracker cancellations;
-    private final EndProof proof = new EndProof();
-    private CallState state = CallState.OUT;
+    private final EndProof endProof = new EndProof();
+    private AttemptState state = AttemptState.PENDING;
     private boolean accepted;
-    private boolean reached;
-    private boolean reportedStart;
-    private final WireTimes wire = new WireTimes();
+    private boolean possiblyDelivered;
+    private boolean startReported;
+    private final WireTimes wireTimes = new WireTimes();
 
-    /** Not null from the state {@link CallState#GIVING_UP} on. */
+    /** Not null from the state {@link AttemptState#CANCELLING} on. */
     private Cancellation cancellation;
 
     /**
      * @param fence the claim it goes with, or null
      * @param cancellations counts those that are being given up
      */
-    Call(
+    AttemptRequest(
             RequestTracker tracker,
             Timers timers,
-            Pool pool,
+            ConnectionPool pool,
             Attempt attempt,
             String fence,
             CancellationTracker cancellations) {
@@ -57,13 +57,13 @@
         this.timers = timers;
         this.pool = pool;
         this.attempt = attempt;
-        this.fence = fence;
+        this.fencingToken = fence;
         this.cancellations = cancellations;
     }
 
     /** False, and nothing changes, where the one does not follow the other. */
-    private boolean to(CallState next) {
-        boolean follows = state.mayBecome(next);
+    private boolean transitionTo(AttemptState next) {
+        boolean follows = state.canBecome(next);
         if (follows) {
             state = next;
         }
@@ -72,15 +72,15 @@
 
     @Override
     byte[] head() {
-        RequestPayload p = attempt.payload();
-        return MessageWriter.request(p.method(), p.target())
-                .header("Host", pool.host())
+        RequestPayload payload = attempt.payload();
+        return MessageWriter.request(payload.method(), payload.target())
+                .header("Host", pool.hostHeader())
                 .header("X-Request-Id", attempt.id())
-                .header("X-Fence", fence)
+                .header("X-Fence", fencingToken)
                 .header("X-Deadline", attempt.timeLeftMicros(timers.nowMicros()) + "u")
-                .header("Idempotency-Key", p.idempotencyKey())
-                .header("Content-Type", p.contentType())
-                .headFor(p.body());
+                .header("Idempotency-Key", payload.idempotencyKey())
+                .header("Content-Type", payload.contentType())
+                .headFor(payload.body());
     }
 
     @Override
@@ -97,49 +97,50 @@
      * The wire or a call-back has told of the end: what is still asked of the worker is asked no
      * more.
      */
-    private boolean over() {
-        if (!to(CallState.ENDED)) {
+    private boolean markEnded() {
+        if (!transitionTo(AttemptState.ENDED)) {
             return false;
         }
         if (cancellation == null) {
-            pool.users--;
+            pool.activeAttempts--;
         }
         return true;
     }
 
     private void end(AttemptOutcome outcome, EndEvidence evidence) {
-        if (over()) {
+        if (markEnded()) {
             tracker.attemptEnded(attempt, outcome, evidence);
-            stopGivingUp();
+            stopCancellation();
         }
     }
 
-    private void stopGivingUp() {
+    private void stopCancellation() {
         if (cancellation != null) {
             cancellation.stop();
         }
     }
 
     @Override
-    void answered(Message response) {
-        WorkerAnswer answer = WorkerAnswer.of(response);
-        if (answer == WorkerAnswer.ACCEPTED) {
-            taken();
-        } else if (!proof.answersNameIt()) {
+    void onResponse(Message response) {
+        WorkerResponse meaning = WorkerResponse.of(response);
+        if (meaning == WorkerResponse.ACCEPTED) {
+            onAccepted();
+        } else if (!endProof.responsesAreUnambiguous()) {
             // Guards against a late answer of an earlier exchange on the same connection: it says
             // nothing of this job.
-            doubtAnswer(answer);
-        } else if (answer == WorkerAnswer.UNKNOWN) {
-            settle();
-            doubt(evidence -> tracker.attemptEnded(attempt, answer.outcome(), evidence), null);
-        } else if (over()) {
-            tellEnd(answer, answer.outcome(), EndEvidence.answered(response.status()));
-            stopGivingUp();
+            onAmbiguousResponse(meaning);
+        } else if (meaning == WorkerResponse.UNKNOWN) {
+            settleDelivery();
+            cancelBeforeReporting(
+                    evidence -> tracker.attemptEnded(attempt, meaning.outcome(), evidence), null);
+        } else if (markEnded()) {
+            reportEnd(meaning, meaning.outcome(), EndEvidence.answered(response.status()));
+            stopCancellation();
         }
     }
 
-    private void tellEnd(WorkerAnswer answer, AttemptOutcome outcome, EndEvidence evidence) {
-        if (answer == WorkerAnswer.UNUSABLE) {
+    private void reportEnd(WorkerResponse meaning, AttemptOutcome outcome, EndEvidence evidence) {
+        if (meaning == WorkerResponse.UNUSABLE) {
             tracker.requestUnusable(attempt, evidence);
         } else {
             tracker.attemptEnded(attempt, outcome, evidence);
@@ -147,14 +148,14 @@
     }
 
     /** Its end comes by a call-back, or by the answer to a DELETE written from now on. */
-    private void taken() {
+    private void onAccepted() {
         accepted = true;
-        wire.accepted(timers.nowMicros());
-        to(CallState.TAKEN);
-        if (proof.answersNameIt()) {
-            settle();
+        wireTimes.recordAccepted(timers.nowMicros());
+        transitionTo(AttemptState.ACCEPTED);
+        if (endProof.responsesAreUnambiguous()) {
+            settleDelivery();
         } else if (cancellation != null) {
-            settleOnceRested();
+            settleDeliveryAfterRest();
         }
     }
 
@@ -162,12 +163,12 @@
      * A 202 on a connection used before may be another exchange's as well: it counts if no other
      * answer comes while the connection rests.
      */
-    private void settleOnceRested() {
-        long restedMicros = wire.acceptedMicros() + FreeLinks.REST_MICROS;
+    private void settleDeliveryAfterRest() {
+        long restedMicros = wireTimes.acceptedMicros() + FreeConnections.REST_PERIOD_MICROS;
         if (timers.nowMicros() >= restedMicros) {
-            settle();
+            settleDelivery();
         } else {
-            timers.at(restedMicros, this::settle);
+            timers.at(restedMicros, this::settleDelivery);
         }
     }
 
@@ -175,14 +176,16 @@
      * An answer that may be another exchange's. The job is given up before the policy hears, by a
      * DELETE behind it on the same connection, as long as that is open.
      */
-    private void doubtAnswer(WorkerAnswer answer) {
-        if (answeredOn == null) {
-            settle();
+    private void onAmbiguousResponse(WorkerResponse meaning) {
+        if (responseConnection == null) {
+            settleDelivery();
         }
-        if (state == CallState.GIVING_UP && answeredOn != null) {
-            cancellation.sendInOrder(answeredOn);
+        if (state == AttemptState.CANCELLING && responseConnection != null) {
+            cancellation.sendInOrder(responseConnection);
         } else {
-            doubt(evidence -> tellEnd(answer, outcomeInDoubt(answer), evidence), answeredOn);
+            cancelBeforeReporting(
+                    evidence -> reportEnd(meaning, ambiguousOutcome(meaning), evidence),
+                    responseConnection);
         }
     }
 
@@ -190,38 +193,38 @@
      * Guards what must not run twice: that a job never ran is believed only where its answer was
      * shown to be its own, and nothing has said that it began.
      */
-    private AttemptOutcome outcomeInDoubt(WorkerAnswer answer) {
-        boolean believed = cancellation.wasProvedInOrder() && !reportedStart;
-        return answer == WorkerAnswer.NEVER_RAN && !believed
+    private AttemptOutcome ambiguousOutcome(WorkerResponse meaning) {
+        boolean believed = cancellation.wasProvedInOrder() && !startReported;
+        return meaning == WorkerResponse.NEVER_RAN && !believed
                 ? AttemptOutcome.RESET
-                : answer.outcome();
+                : meaning.outcome();
     }
 
     /** What came as the answer was not the only one, so it may have been another exchange's. */
     @Override
-    void contradicted() {
-        proof.contradict(); // Its connection is over with that.
+    void onContradicted() {
+        endProof.invalidate(); // Its connection is over with that.
         if (cancellation != null) {
-            cancellation.settled();
+            cancellation.deliverySettled();
         }
     }
 
     @Override
     public void startedByReport() {
-        reportedStart = true;
+        startReported = true;
     }
 
     @Override
-    void broken(Break how) {
-        switch (how) {
+    void onFailure(Failure failure) {
+        switch (failure) {
             case NO_SOCKET -> end(AttemptOutcome.NO_SOCKET, EndEvidence.of(Kind.NO_SOCKET));
-            case NEVER_WRITTEN -> end(AttemptOutcome.UNREACHABLE, EndEvidence.of(neverWritten()));
+            case NEVER_WRITTEN -> end(AttemptOutcome.UNREACHABLE, EndEvidence.of(unwrittenKind()));
             case DRAINED -> end(AttemptOutcome.NOT_SENT, EndEvidence.of(Kind.WORKER_NOT_READY));
-            case TOO_LATE -> end(AttemptOutcome.NOT_SENT, EndEvidence.of(whyLate()));
+            case TOO_LATE -> end(AttemptOutcome.NOT_SENT, EndEvidence.of(lateKind()));
             // A 202 may have come and gone with the connection, after which a break ends nothing.
-            case AFTER_LAST_BYTE, IN_ANSWER -> {
-                settle();
-                doubt(
+            case AFTER_LAST_BYTE, IN_RESPONSE -> {
+                settleDelivery();
+                cancelBeforeReporting(
                         evidence -> tracker.attemptEnded(attempt, AttemptOutcome.RESET, evidence),
                         null);
             }
@@ -229,10 +232,10 @@
     }
 
     /** The worker has the job, or cannot get it any more. */
-    private void settle() {
-        proof.settle();
+    private void settleDelivery() {
+        endProof.settleDelivery();
         if (cancellation != null) {
-            cancellation.settled();
+            cancellation.deliverySettled();
         }
     }
 
@@ -241,43 +244,44 @@
      * beside one that runs: it is given up on the wire before the policy hears. One that is being
      * given up goes on with that.
      */
-    private void doubt(Consumer<EndEvidence> ended, Link behind) {
-        reached = true;
-        if (to(CallState.GIVING_UP)) {
-            dropBy(ended, behind);
+    private void cancelBeforeReporting(
+            Consumer<EndEvidence> reportEnd, WorkerConnection followedConnection) {
+        possiblyDelivered = true;
+        if (transitionTo(AttemptState.CANCELLING)) {
+            startCancellation(reportEnd, followedConnection);
         }
     }
 
     @Override
     public boolean isWritten() {
-        return accepted || reached || super.written();
+        return accepted || possiblyDelivered || super.isFullyWritten();
     }
 
     @Override
     public boolean mayReport() {
-        return accepted || reached;
+        return accepted || possiblyDelivered;
     }
 
     @Override
     public void endedByReport() {
-        if (over()) {
-            stopGivingUp();
-            leave();
+        if (markEnded()) {
+            stopCancellation();
+            releaseConnection();
         }
     }
 
     /**
      * The attempt is over though its request may be under way: its connection is freed by the 202.
      */
-    private void leave() {
-        if (!over && link == null) {
+    private void releaseConnection() {
+        if (!finished && connection == null) {
             pool.withdraw(this);
-        } else if (link != null) {
+        } else if (connection != null) {
             timers.at(
-                    timers.nowMicros() + ANSWER_MICROS,
+                    timers.nowMicros() + RESPONSE_TIMEOUT_MICROS,
                     () -> {
-                        if (link != null) {
-                            link.abort();
+                        if (connection != null) {
+                            connection.abort();
                         }
                     });
         }
@@ -285,72 +289,73 @@
 
     @Override
     public WireRecord wireRecord() {
-        return wire.toRecord();
+        return wireTimes.toRecord();
     }
 
     @Override
-    void carriedBy(Link carrier) {
-        wire.written(timers.nowMicros(), carrier);
-        proof.written(carrier.carried);
+    void onWriting(WorkerConnection carrier) {
+        wireTimes.recordWritten(timers.nowMicros(), carrier);
+        endProof.onWriting(carrier.requestsCarried);
     }
 
-    private Kind neverWritten() {
-        return !wire.wasWritten() ? Kind.NOT_CONNECTED : Kind.NOT_WRITTEN;
+    private Kind unwrittenKind() {
+        return !wireTimes.wasWritten() ? Kind.NOT_CONNECTED : Kind.NOT_WRITTEN;
     }
 
-    private Kind whyLate() {
+    private Kind lateKind() {
         return attempt.isUnwanted() ? Kind.UNWANTED : Kind.WRITE_WINDOW_OVER;
     }
 
     @Override
-    public void cancel(Consumer<EndEvidence> done) {
-        if (state == CallState.GIVING_UP || state == CallState.ENDED) {
+    public void cancel(Consumer<EndEvidence> onProved) {
+        if (state == AttemptState.CANCELLING || state == AttemptState.ENDED) {
             return;
         }
         if (!isWritten()) {
-            if (link == null) {
+            if (connection == null) {
                 pool.withdraw(this);
             } else {
-                link.abort(); // In part: without its last byte it never begins.
+                connection.abort(); // In part: without its last byte it never begins.
             }
-            over();
-            done.accept(EndEvidence.of(Kind.NOT_WRITTEN));
+            markEnded();
+            onProved.accept(EndEvidence.of(Kind.NOT_WRITTEN));
             return;
         }
-        to(CallState.GIVING_UP);
-        reached = true;
-        dropBy(done, null);
-        if (link != null) {
+        transitionTo(AttemptState.CANCELLING);
+        possiblyDelivered = true;
+        startCancellation(onProved, null);
+        if (connection != null) {
             // Guards against a 202 that crosses: with it the job runs, and only the answer to the
             // DELETE ends that.
-            timers.at(timers.nowMicros() + CROSSING_MICROS, this::closeUntaken);
+            timers.at(timers.nowMicros() + ACCEPT_GRACE_MICROS, this::closeUnaccepted);
         }
     }
 
     /**
      * @param behind the link on which the DELETE is to follow the job, or null for any
      */
-    private void dropBy(Consumer<EndEvidence> done, Link behind) {
-        wire.cancelled(timers.nowMicros());
+    private void startCancellation(
+            Consumer<EndEvidence> onProved, WorkerConnection followedConnection) {
+        wireTimes.recordCancelled(timers.nowMicros());
         cancellation =
                 new Cancellation(
                         timers,
                         pool,
                         attempt,
-                        proof,
+                        endProof,
                         cancellations,
                         evidence -> {
-                            to(CallState.ENDED);
-                            done.accept(evidence);
-                            if (link != null) {
-                                link.abort(); // Nothing is awaited on it any more.
+                            transitionTo(AttemptState.ENDED);
+                            onProved.accept(evidence);
+                            if (connection != null) {
+                                connection.abort(); // Nothing is awaited on it any more.
                             }
                         });
-        if (accepted && !proof.isSettled()) {
-            settleOnceRested();
+        if (accepted && !endProof.isDeliverySettled()) {
+            settleDeliveryAfterRest();
         }
-        if (behind != null) {
-            cancellation.sendInOrder(behind);
+        if (followedConnection != null) {
+            cancellation.sendInOrder(followedConnection);
         } else {
             cancellation.send();
         }
@@ -361,14 +366,14 @@
      * close alone counts only at a worker that has said nothing since it was sent the job; from any
      * other its answer to a DELETE is due.
      */
-    private void closeUntaken() {
-        if (link != null && state == CallState.GIVING_UP) {
-            boolean untaken = !link.answerBegan();
-            link.abort();
-            if (untaken && !pool.heardSince(wire.writtenMicros())) {
+    private void closeUnaccepted() {
+        if (connection != null && state == AttemptState.CANCELLING) {
+            boolean noResponseBytes = !connection.responseStarted();
+            connection.abort();
+            if (noResponseBytes && !pool.hasReceivedSince(wireTimes.writtenMicros())) {
                 cancellation.finish(EndEvidence.of(Kind.CLOSED));
             } else {
-                settle();
+                settleDelivery();
             }
         }
     }
--- a/daemon/src/main/java/postgrade/worker/CallState.java
+++ b/daemon/src/main/java/postgrade/worker/AttemptState.java
@@ -5,23 +5,23 @@
 import java.util.Set;
 
 /** How far an attempt has come. What follows what stands in {@link #NEXT} alone. */
-enum CallState {
+enum AttemptState {
     /** Waits for a connection or for its answer: its link and what has been written tell which. */
-    OUT,
+    PENDING,
     /** The worker has answered 202, and its call-back is awaited. */
-    TAKEN,
+    ACCEPTED,
     /** The worker may have it, and is being told to drop it. */
-    GIVING_UP,
+    CANCELLING,
     ENDED;
 
-    private static final Map<CallState, Set<CallState>> NEXT =
+    private static final Map<AttemptState, Set<AttemptState>> NEXT =
             Map.of(
-                    OUT, EnumSet.of(TAKEN, GIVING_UP, ENDED),
-                    TAKEN, EnumSet.of(GIVING_UP, ENDED),
-                    GIVING_UP, EnumSet.of(ENDED),
-                    ENDED, EnumSet.noneOf(CallState.class));
+                    PENDING, EnumSet.of(ACCEPTED, CANCELLING, ENDED),
+                    ACCEPTED, EnumSet.of(CANCELLING, ENDED),
+                    CANCELLING, EnumSet.of(ENDED),
+                    ENDED, EnumSet.noneOf(AttemptState.class));
 
-    boolean mayBecome(CallState next) {
+    boolean canBecome(AttemptState next) {
         return NEXT.get(this).contains(next);
     }
 }
--- a/daemon/src/main/java/postgrade/worker/Cancellation.java
+++ b/daemon/src/main/java/postgrade/worker/Cancellation.java
@@ -15,32 +15,32 @@
  */
 final class Cancellation {
     /** How long one DELETE may take. */
-    private static final long ANSWER_MICROS = 400_000;
+    private static final long RESPONSE_TIMEOUT_MICROS = 400_000;
 
     /**
      * The pause before the next doubles from the one to the other. Guards the worker: one whose
      * process has ended refuses each, and each would be a new connection, up to the job's deadline.
      */
-    private static final long FIRST_PAUSE_MICROS = 50_000;
+    private static final long INITIAL_BACKOFF_MICROS = 50_000;
 
-    private static final long LONGEST_PAUSE_MICROS = 400_000;
+    private static final long MAX_BACKOFF_MICROS = 400_000;
 
     private final Timers timers;
-    private final Pool pool;
+    private final ConnectionPool pool;
     private final Attempt attempt;
-    private final EndProof proof;
+    private final EndProof endProof;
     private final CancellationTracker tracker;
-    private final Consumer<EndEvidence> done;
+    private final Consumer<EndEvidence> onProved;
 
     /** The latest. */
-    private Delete delete;
+    private DeleteRequest latestDelete;
 
     private boolean finished;
-    private boolean wasAsked;
-    private boolean answeredTooEarly;
+    private boolean wasAttempted;
+    private boolean answeredBeforeDeliverySettled;
     private boolean provedInOrder;
 
-    private long pauseMicros = FIRST_PAUSE_MICROS;
+    private long backoffMicros = INITIAL_BACKOFF_MICROS;
 
     /**
      * @param tracker counts this one
@@ -48,7 +48,7 @@
      */
     Cancellation(
             Timers timers,
-            Pool pool,
+            ConnectionPool pool,
             Attempt attempt,
             EndProof proof,
             CancellationTracker tracker,
@@ -56,17 +56,17 @@
         this.timers = timers;
         this.pool = pool;
         this.attempt = attempt;
-        this.proof = proof;
+        this.endProof = proof;
         this.tracker = tracker;
-        this.done = done;
-        tracker.begun();
+        this.onProved = done;
+        tracker.onStarted();
     }
 
     void send() {
         if (finished) {
             return;
         }
-        pool.send(next(false));
+        pool.send(nextDelete(false));
     }
 
     /**
@@ -74,19 +74,19 @@
      * exchange's. Answers come in order, so the one to the DELETE shows that the job had been
      * answered before; another first shows that it had not.
      */
-    void sendInOrder(Link link) {
+    void sendInOrder(WorkerConnection link) {
         if (!finished) {
-            pool.sendAfterRest(link, next(true));
+            pool.sendAfterRest(link, nextDelete(true));
         }
     }
 
-    private Delete next(boolean inOrder) {
+    private DeleteRequest nextDelete(boolean inOrder) {
         withdrawUnwritten();
-        answeredTooEarly = false;
-        Delete sent = new Delete(inOrder);
-        delete = sent;
-        timers.at(timers.nowMicros() + ANSWER_MICROS, sent::expire);
-        return sent;
+        answeredBeforeDeliverySettled = false;
+        DeleteRequest request = new DeleteRequest(inOrder);
+        latestDelete = request;
+        timers.at(timers.nowMicros() + RESPONSE_TIMEOUT_MICROS, request::expire);
+        return request;
     }
 
     /** Whether the end was proved by a DELETE that followed the job on its connection. */
@@ -98,8 +98,8 @@
      * The worker's word or the end of the connection is known now. A DELETE that was answered
      * before may have come to the worker before the job, so another one follows.
      */
-    void settled() {
-        if (answeredTooEarly) {
+    void deliverySettled() {
+        if (answeredBeforeDeliverySettled) {
             send();
         }
     }
@@ -116,15 +116,15 @@
 
     /** Guards a later attempt at the same worker, which a DELETE that goes out late would end. */
     private void withdrawUnwritten() {
-        if (delete != null && !delete.over && delete.link == null) {
-            pool.withdraw(delete);
+        if (latestDelete != null && !latestDelete.finished && latestDelete.connection == null) {
+            pool.withdraw(latestDelete);
         }
     }
 
     /** The attempt is given up. A DELETE under way goes on, and frees the worker in any case. */
     void finish(EndEvidence evidence) {
         if (close()) {
-            done.accept(evidence);
+            onProved.accept(evidence);
         }
     }
 
@@ -133,38 +133,38 @@
             return false;
         }
         finished = true;
-        asked();
-        tracker.ended();
-        pool.users--;
+        markAttempted();
+        tracker.onEnded();
+        pool.activeAttempts--;
         return true;
     }
 
     /** The worker has been asked once, or could not be. */
-    private void asked() {
-        if (!wasAsked) {
-            wasAsked = true;
-            tracker.asked();
+    private void markAttempted() {
+        if (!wasAttempted) {
+            wasAttempted = true;
+            tracker.onAttempted();
         }
     }
 
-    private void confirmed(Delete answered, int status) {
-        if (finished || answered != delete) {
+    private void onConfirmed(DeleteRequest answered, int status) {
+        if (finished || answered != latestDelete) {
             return;
         }
-        if (answered.inOrder && !answered.rested) {
+        if (answered.inOrder && !answered.restedAfterResponse) {
             // Guards against a worker that answers out of order: the job's own answer may follow.
-            answered.rested = true;
-            long restedMicros = timers.nowMicros() + FreeLinks.REST_MICROS;
-            timers.at(restedMicros, () -> confirmed(answered, status));
+            answered.restedAfterResponse = true;
+            long restedMicros = timers.nowMicros() + FreeConnections.REST_PERIOD_MICROS;
+            timers.at(restedMicros, () -> onConfirmed(answered, status));
             return;
         }
-        if (proof.isProvedBy(answered.stamp)) {
+        if (endProof.isProvedBy(answered.stamp)) {
             provedInOrder = answered.inOrder;
             finish(new EndEvidence(Kind.CANCEL_CONFIRMED, status));
             return;
         }
-        answeredTooEarly = true;
-        if (proof.isSettled()) {
+        answeredBeforeDeliverySettled = true;
+        if (endProof.isDeliverySettled()) {
             send();
         }
     }
@@ -175,9 +175,9 @@
      * its machine's call-back. One that another has followed is not repeated: its repeat would take
      * the place of that one.
      */
-    private void again(Delete failed) {
-        asked();
-        if (failed != delete) {
+    private void scheduleRetry(DeleteRequest failed) {
+        markAttempted();
+        if (failed != latestDelete) {
             return;
         }
         if (timers.nowMicros() >= attempt.deadlineMicros()) {
@@ -187,32 +187,32 @@
             // The last one goes out at the deadline: a longer pause would keep a process that is to
             // end waiting for it.
             timers.at(
-                    Math.min(timers.nowMicros() + pauseMicros, attempt.deadlineMicros()),
-                    () -> repeat(failed));
-            pauseMicros = Math.min(2 * pauseMicros, LONGEST_PAUSE_MICROS);
+                    Math.min(timers.nowMicros() + backoffMicros, attempt.deadlineMicros()),
+                    () -> retry(failed));
+            backoffMicros = Math.min(2 * backoffMicros, MAX_BACKOFF_MICROS);
         }
     }
 
-    private void repeat(Delete failed) {
-        if (failed == delete) {
+    private void retry(DeleteRequest failed) {
+        if (failed == latestDelete) {
             send();
         }
     }
 
-    private final class Delete extends Request {
+    private final class DeleteRequest extends WorkerRequest {
         private final boolean inOrder;
-        private EndProof.Stamp stamp;
-        private boolean rested;
+        private EndProof.DeleteStamp stamp;
+        private boolean restedAfterResponse;
 
-        Delete(boolean inOrder) {
-            super(NONE);
+        DeleteRequest(boolean inOrder) {
+            super(EMPTY_BODY);
             this.inOrder = inOrder;
         }
 
         @Override
         byte[] head() {
             return MessageWriter.request("DELETE", "/jobs/" + attempt.id())
-                    .header("Host", pool.host())
+                    .header("Host", pool.hostHeader())
                     .noBody();
         }
 
@@ -222,48 +222,48 @@
         }
 
         @Override
-        void carriedBy(Link carrier) {
-            asked();
-            stamp = inOrder ? proof.stampInOrder() : proof.stamp();
+        void onWriting(WorkerConnection carrier) {
+            markAttempted();
+            stamp = inOrder ? endProof.stampInOrder() : endProof.stamp();
         }
 
         @Override
-        void answered(Message response) {
+        void onResponse(Message response) {
             if (EndProof.confirmsCancellation(response)) {
-                confirmed(this, response.status());
+                onConfirmed(this, response.status());
             } else {
-                orderBroken();
-                again(this);
+                onOrderViolated();
+                scheduleRetry(this);
             }
         }
 
         @Override
-        void broken(Break how) {
-            orderBroken();
-            again(this);
+        void onFailure(Failure how) {
+            onOrderViolated();
+            scheduleRetry(this);
         }
 
         @Override
-        void contradicted() {
-            orderBroken();
+        void onContradicted() {
+            onOrderViolated();
         }
 
         /** The job's own answer may have been lost, or has come only now. */
-        private void orderBroken() {
+        private void onOrderViolated() {
             if (inOrder) {
-                proof.contradict();
+                endProof.invalidate();
             }
         }
 
         void expire() {
-            if (!over) {
-                if (link == null) {
+            if (!finished) {
+                if (connection == null) {
                     pool.withdraw(this);
                 } else {
-                    link.abort();
+                    connection.abort();
                 }
-                orderBroken();
-                again(this);
+                onOrderViolated();
+                scheduleRetry(this);
             }
         }
     }
--- a/daemon/src/main/java/postgrade/worker/CancellationTracker.java
+++ b/daemon/src/main/java/postgrade/worker/CancellationTracker.java
@@ -3,28 +3,28 @@
 /** Counts the cancellations under way, and those of them that no worker has been asked for yet. */
 final class CancellationTracker {
 
-    private int underWay;
-    private int unasked;
+    private int active;
+    private int unattempted;
 
-    void begun() {
-        underWay++;
-        unasked++;
+    void onStarted() {
+        active++;
+        unattempted++;
     }
 
     /** The first DELETE of one was written, or could not be. */
-    void asked() {
-        unasked--;
+    void onAttempted() {
+        unattempted--;
     }
 
-    void ended() {
-        underWay--;
+    void onEnded() {
+        active--;
     }
 
-    int underWay() {
-        return underWay;
+    int activeCount() {
+        return active;
     }
 
-    int unasked() {
-        return unasked;
+    int unattemptedCount() {
+        return unattempted;
     }
 }
--- a/daemon/src/main/java/postgrade/worker/ConnectLimiter.java
+++ b/daemon/src/main/java/postgrade/worker/ConnectLimiter.java
@@ -13,5 +13,5 @@
      *
      * @param must it is opened whatever the answer is: nothing else can carry the request
      */
-    boolean tryOpen(String providerId, boolean must);
+    boolean tryOpen(String workerId, boolean mandatory);
 }
--- a/daemon/src/main/java/postgrade/worker/EndProof.java
+++ b/daemon/src/main/java/postgrade/worker/EndProof.java
@@ -19,8 +19,8 @@
     private static final int NOT_FOUND = 404;
     private static final int GONE = 410;
 
-    private boolean soleExchange;
-    private boolean settled;
+    private boolean firstExchange;
+    private boolean deliverySettled;
 
     /** Voided whenever something shows that the order was another than it seemed. */
     private int epoch;
@@ -30,52 +30,52 @@
      *
      * @param earlierExchanges requests that the connection has carried before
      */
-    void written(int earlierExchanges) {
-        soleExchange = earlierExchanges == 0;
+    void onWriting(int previousRequests) {
+        firstExchange = previousRequests == 0;
     }
 
     /** Whether an answer on its connection can only be meant for it. */
-    boolean answersNameIt() {
-        return soleExchange;
+    boolean responsesAreUnambiguous() {
+        return firstExchange;
     }
 
     /** A DELETE written from now on comes after the job, or the job never comes. */
-    void settle() {
-        settled = true;
+    void settleDelivery() {
+        deliverySettled = true;
     }
 
     /** What was taken for its answer was another one's: DELETEs written before prove nothing. */
-    void contradict() {
+    void invalidate() {
         epoch++;
-        settle();
+        settleDelivery();
     }
 
-    boolean isSettled() {
-        return settled;
+    boolean isDeliverySettled() {
+        return deliverySettled;
     }
 
     /** What a DELETE that is written now has to show once it is answered. */
-    Stamp stamp() {
-        return new Stamp(settled, epoch);
+    DeleteStamp stamp() {
+        return new DeleteStamp(deliverySettled, epoch);
     }
 
     /** The same for one that follows the job on its own connection: it cannot come before it. */
-    Stamp stampInOrder() {
-        return new Stamp(true, epoch);
+    DeleteStamp stampInOrder() {
+        return new DeleteStamp(true, epoch);
     }
 
     /** Whether the answer to a DELETE with this stamp proves the end. */
-    boolean isProvedBy(Stamp stamp) {
-        return stamp.settled && stamp.epoch == epoch;
+    boolean isProvedBy(DeleteStamp stamp) {
+        return stamp.deliverySettled && stamp.epoch == epoch;
     }
 
     /** When a DELETE was written. */
-    record Stamp(boolean settled, int epoch) {}
+    record DeleteStamp(boolean deliverySettled, int epoch) {}
 
     /** Whether an answer can be one to a DELETE: another status is refused or meant for another. */
-    static boolean confirmsCancellation(Message answer) {
-        int status = answer.status();
-        boolean done = status / 100 == 2 && status != ACCEPTED;
-        return done || status == NOT_FOUND || status == GONE;
+    static boolean confirmsCancellation(Message response) {
+        int status = response.status();
+        boolean succeeded = status / 100 == 2 && status != ACCEPTED;
+        return succeeded || status == NOT_FOUND || status == GONE;
     }
 }
--- a/daemon/src/main/java/postgrade/worker/FencingTokens.java
+++ b/daemon/src/main/java/postgrade/worker/FencingTokens.java
@@ -7,5 +7,5 @@
     FencingTokens NONE = (jobClass, tenant, providerId) -> null;
 
     /** The header's value, or null for no header. */
-    String tokenFor(String jobClass, String tenant, String providerId);
+    String tokenFor(String jobClass, String tenant, String workerId);
 }
--- a/daemon/src/main/java/postgrade/worker/WaitingRequests.java
+++ b/daemon/src/main/java/postgrade/worker/WaitingRequests.java
@@ -6,9 +6,9 @@
 /** The requests to one worker that wait for a connection, the one that waits longest in front. */
 final class WaitingRequests {
 
-    private final ArrayDeque<Request> queue = new ArrayDeque<>();
+    private final ArrayDeque<WorkerRequest> queue = new ArrayDeque<>();
 
-    void add(Request request) {
+    void add(WorkerRequest request) {
         queue.add(request);
     }
 
@@ -20,34 +20,34 @@
         return queue.size();
     }
 
-    Request first() {
+    WorkerRequest first() {
         return queue.peek();
     }
 
-    Request takeFirst() {
+    WorkerRequest takeFirst() {
         return queue.poll();
     }
 
     /** The request waits no longer, and hears nothing. */
-    void withdraw(Request request) {
+    void withdraw(WorkerRequest request) {
         queue.remove(request);
-        request.over = true;
+        request.finished = true;
     }
 
     /** The request has waited in vain, and hears so. */
-    void fail(Request request, Request.Break how) {
+    void fail(WorkerRequest request, WorkerRequest.Failure failure) {
         withdraw(request);
-        request.broken(how);
+        request.onFailure(failure);
     }
 
     /**
      * Guards what must not run twice: a repeat whose connection has come up too late is not
      * written.
      */
-    Request firstInTime(long nowMicros) {
-        Request next = queue.peek();
+    WorkerRequest firstWritable(long nowMicros) {
+        WorkerRequest next = queue.peek();
         while (next != null && next.isLate(nowMicros)) {
-            fail(next, Request.Break.TOO_LATE);
+            fail(next, WorkerRequest.Failure.TOO_LATE);
             next = queue.peek();
         }
         return next;
@@ -55,9 +55,9 @@
 
     /** New work is not sent any more; cancellations go on. */
     void failNewWork() {
-        for (Request request : new ArrayList<>(queue)) {
+        for (WorkerRequest request : new ArrayList<>(queue)) {
             if (request.isNewWork()) {
-                fail(request, Request.Break.DRAINED);
+                fail(request, WorkerRequest.Failure.DRAINED);
             }
         }
     }
--- a/daemon/src/main/java/postgrade/worker/WireTimes.java
+++ b/daemon/src/main/java/postgrade/worker/WireTimes.java
@@ -12,16 +12,20 @@
     private ConnectionUse connection;
 
     /** It is about to be written on this link, whose counts do not include it yet. */
-    void written(long nowMicros, Link link) {
+    void recordWritten(long nowMicros, WorkerConnection used) {
         writtenMicros = nowMicros;
-        connection = new ConnectionUse(nowMicros - link.upMicros, link.idleMicros, link.carried);
+        connection =
+                new ConnectionUse(
+                        nowMicros - used.connectedAtMicros,
+                        used.idleBeforeUseMicros,
+                        used.requestsCarried);
     }
 
-    void accepted(long nowMicros) {
+    void recordAccepted(long nowMicros) {
         acceptedMicros = nowMicros;
     }
 
-    void cancelled(long nowMicros) {
+    void recordCancelled(long nowMicros) {
         cancelledMicros = nowMicros;
     }
 
--- a/daemon/src/main/java/postgrade/worker/Link.java
+++ b/daemon/src/main/java/postgrade/worker/WorkerConnection.java
@@ -12,7 +12,7 @@
 import postgrade.http.MessageParser;
 
 /** One connection to a provider. It carries one request at a time and never sends one again. */
-final class Link implements Connection.Owner {
+final class WorkerConnection implements Connection.Owner {
 
     /** What follows what stands in {@link #NEXT} alone. */
     enum State {
@@ -39,76 +39,76 @@
                     State.RESTING, EnumSet.of(State.IDLE, State.CLOSED),
                     State.CLOSED, EnumSet.noneOf(State.class));
 
-    final Pool pool;
-    final InetSocketAddress to;
+    final ConnectionPool pool;
+    final InetSocketAddress address;
     final MessageParser parser = MessageParser.forResponses();
-    Connection connection;
-    Request request;
+    Connection transport;
+    WorkerRequest request;
 
     /** The last one that was answered here, until the next is carried. */
-    private Request answered;
+    private WorkerRequest lastAnswered;
 
     /** What it is to carry next, once it has rested; null unless it is kept for one. */
-    Request reservedFor;
+    WorkerRequest reservedFor;
 
     Timers.Timer timer;
     private State state = State.CONNECTING;
-    private boolean spoilt;
+    private boolean malformedResponse;
 
     /** When it was last left idle, and how long it had been so when it was given its request. */
-    long freeMicros;
+    long freeSinceMicros;
 
-    long idleMicros;
+    long idleBeforeUseMicros;
 
     /** When it came up, and how many requests it has been given. */
-    long upMicros;
+    long connectedAtMicros;
 
-    int carried;
+    int requestsCarried;
 
-    Link(Pool pool, InetSocketAddress to) {
+    WorkerConnection(ConnectionPool pool, InetSocketAddress address) {
         this.pool = pool;
-        this.to = to;
+        this.address = address;
     }
 
     State state() {
         return state;
     }
 
-    void to(State next) {
+    void transitionTo(State next) {
         if (!NEXT.get(state).contains(next)) {
             throw new IllegalStateException(state + " to " + next);
         }
         state = next;
     }
 
-    void carry(Request r) {
-        to(State.CARRYING);
-        request = r;
-        answered = null;
+    void carry(WorkerRequest next) {
+        transitionTo(State.CARRYING);
+        request = next;
+        lastAnswered = null;
         reservedFor = null;
-        r.reservedLink = null;
-        r.link = this;
-        r.carriedBy(this);
-        carried++;
-        connection.setIdle(false, false);
-        r.writeTo(connection);
+        next.reservedConnection = null;
+        next.connection = this;
+        next.onWriting(this);
+        requestsCarried++;
+        transport.setIdle(false, false);
+        next.writeTo(transport);
     }
 
     @Override
     public void connected(Connection c) {
-        pool.cameUp(this);
+        pool.onConnected(this);
     }
 
     @Override
     public void received(Connection c, ByteBuffer bytes) throws BadMessageException {
-        pool.heard();
+        pool.onBytesReceived();
         if (request == null) {
-            unaskedFor();
+            onUnsolicitedBytes();
             return;
         }
         Message response = parser.parse(bytes);
         if (response != null) {
-            finish(response, false, bytes.hasRemaining());
+            completeRequest(response, false, bytes.hasRemaining());
         }
     }
 
@@ -116,11 +116,11 @@
      * Guards the next request: bytes that nobody asked for would be taken for its response. The
      * last one may have had another's.
      */
-    private void unaskedFor() {
-        Request last = answered;
+    private void onUnsolicitedBytes() {
+        WorkerRequest lastCompleted = lastAnswered;
         fail();
-        if (last != null) {
-            last.contradicted();
+        if (lastCompleted != null) {
+            lastCompleted.onContradicted();
         }
     }
 
@@ -128,21 +128,21 @@
      * @param ends whether the connection ends with it
      * @param more whether bytes follow that nobody asked for
      */
-    private void finish(Message response, boolean ends, boolean more) {
-        Request done = request;
+    private void completeRequest(Message response, boolean connectionEnded, boolean trailingBytes) {
+        WorkerRequest completed = request;
         request = null;
-        answered = done;
-        if (ends || more || !response.isKeepAlive() || !connection.isAllSent()) {
+        lastAnswered = completed;
+        if (connectionEnded || trailingBytes || !response.isKeepAlive() || !transport.isAllSent()) {
             close();
         } else {
-            pool.answered(this);
+            pool.onResponse(this);
         }
-        done.link = null;
-        done.over = true;
-        done.answeredOn = state == State.RESTING ? this : null;
-        done.answered(response);
-        if (more) {
-            done.contradicted();
+        completed.connection = null;
+        completed.finished = true;
+        completed.responseConnection = state == State.RESTING ? this : null;
+        completed.onResponse(response);
+        if (trailingBytes) {
+            completed.onContradicted();
         }
     }
 
@@ -150,13 +150,13 @@
     public void inputEnded(Connection c) {
         Message response = parser.endOfInput();
         if (response != null && request != null) {
-            finish(response, true, false);
+            completeRequest(response, true, false);
         }
     }
 
     @Override
     public void badMessage(Connection c, BadMessageException e) {
-        spoilt = true;
+        malformedResponse = true;
         fail();
     }
 
@@ -170,47 +170,47 @@
         if (state == State.CLOSED) {
             return;
         }
-        boolean written = connection.isAllSent();
+        boolean fullyWritten = transport.isAllSent();
         close();
-        Request next = reservedFor;
+        WorkerRequest reserved = reservedFor;
         reservedFor = null;
-        if (next != null) {
-            next.reservedLink = null;
-            next.over = true;
-            next.broken(Request.Break.NEVER_WRITTEN);
+        if (reserved != null) {
+            reserved.reservedConnection = null;
+            reserved.finished = true;
+            reserved.onFailure(WorkerRequest.Failure.NEVER_WRITTEN);
         }
-        Request lost = request;
+        WorkerRequest lost = request;
         request = null;
         if (lost != null) {
-            pool.brokeAfterIdle(idleMicros);
-            lost.link = null;
-            lost.over = true;
-            lost.broken(
-                    !written
-                            ? Request.Break.NEVER_WRITTEN
-                            : answerBegan()
-                                    ? Request.Break.IN_ANSWER
-                                    : Request.Break.AFTER_LAST_BYTE);
+            pool.recordBreakAfterIdle(idleBeforeUseMicros);
+            lost.connection = null;
+            lost.finished = true;
+            lost.onFailure(
+                    !fullyWritten
+                            ? WorkerRequest.Failure.NEVER_WRITTEN
+                            : responseStarted()
+                                    ? WorkerRequest.Failure.IN_RESPONSE
+                                    : WorkerRequest.Failure.AFTER_LAST_BYTE);
         }
     }
 
     /** Some of an answer to what it carries has come, or something that is none. */
-    boolean answerBegan() {
-        return spoilt || !parser.isAtMessageStart();
+    boolean responseStarted() {
+        return malformedResponse || !parser.isAtMessageStart();
     }
 
     /** Closes the connection under a request that has been given up; the request hears nothing. */
     void abort() {
-        request.over = true;
-        request.link = null;
+        request.finished = true;
+        request.connection = null;
         request = null;
         close();
     }
 
     private void close() {
-        State was = state;
-        to(State.CLOSED);
-        connection.close();
-        pool.dropped(this, was);
+        State previous = state;
+        transitionTo(State.CLOSED);
+        transport.close();
+        pool.onClosed(this, previous);
     }
 }
--- a/daemon/src/main/java/postgrade/worker/WorkerConnectionPools.java
+++ b/daemon/src/main/java/postgrade/worker/WorkerConnectionPools.java
@@ -28,12 +28,12 @@
     /**
      * Idle connections are retired after this part of the time after which providers close them.
      */
-    private static final double RETIRE = 0.6;
+    private static final double IDLE_FRACTION = 0.6;
 
-    private static final long PROBE_MICROS = 300_000;
+    private static final long PROBE_TIMEOUT_MICROS = 300_000;
 
     /** Has ended already. */
-    private static final AttemptHandle NOT_SENT =
+    private static final AttemptHandle ENDED_UNSENT =
             new AttemptHandle() {
                 @Override
                 public void cancel(Consumer<EndEvidence> done) {}
@@ -62,50 +62,50 @@
 
     private final Reactor reactor;
     private final Timers timers;
-    private final RequestTracker gateway;
+    private final RequestTracker tracker;
     private long connectTimeoutMicros;
-    private final KeepAlive keepAlive;
-    private final Map<String, Pool> pools = new HashMap<>();
-    private FencingTokens fences = FencingTokens.NONE;
+    private final AdaptiveIdleTimeout idleTimeout;
+    private final Map<String, ConnectionPool> pools = new HashMap<>();
+    private FencingTokens fencingTokens = FencingTokens.NONE;
 
     /** Null where nothing paces. */
-    private ConnectLimiter pacing;
+    private ConnectLimiter connectLimiter;
 
     private final CancellationTracker cancellations = new CancellationTracker();
 
     public WorkerConnectionPools(
-            RequestTracker gateway,
+            RequestTracker tracker,
             Reactor reactor,
             Timers timers,
             long connectTimeoutMicros,
             long idleMicros) {
-        this.gateway = gateway;
+        this.tracker = tracker;
         this.reactor = reactor;
         this.timers = timers;
         this.connectTimeoutMicros = connectTimeoutMicros;
-        keepAlive = new KeepAlive((long) (idleMicros * RETIRE));
+        idleTimeout = new AdaptiveIdleTimeout((long) (idleMicros * IDLE_FRACTION));
     }
 
     /** Jobs go with these claims from now on. */
-    public void setFencingTokens(FencingTokens from) {
-        fences = from;
+    public void setFencingTokens(FencingTokens tokens) {
+        fencingTokens = tokens;
     }
 
     /** Connections are opened at this pace from now on. */
-    public void setConnectLimiter(ConnectLimiter by) {
-        pacing = by;
+    public void setConnectLimiter(ConnectLimiter limiter) {
+        connectLimiter = limiter;
     }
 
     /** A connection to it is up or on its way. */
-    public boolean hasConnection(String providerId) {
-        Pool pool = pools.get(providerId);
-        return pool != null && pool.connected();
+    public boolean hasConnection(String workerId) {
+        ConnectionPool pool = pools.get(workerId);
+        return pool != null && pool.hasConnection();
     }
 
     /** Some provider with a connection has fewer calls of ours than that. */
-    public boolean hasConnectedWorkerBelow(int fewerThan) {
-        for (Pool p : pools.values()) {
-            if (p.ready && p.users < fewerThan && p.connected()) {
+    public boolean hasConnectedWorkerBelow(int maxAttempts) {
+        for (ConnectionPool pool : pools.values()) {
+            if (pool.ready && pool.activeAttempts < maxAttempts && pool.hasConnection()) {
                 return true;
             }
         }
@@ -114,7 +114,7 @@
 
     /** For how long an idle connection is kept at most. */
     public long maxIdleMicros() {
-        return keepAlive.most();
+        return idleTimeout.max();
     }
 
     /**
@@ -122,9 +122,10 @@
      *
      * @param sameDeployment what was learnt of its network holds on
      */
-    public void updateSettings(long connectMicros, long idleMicros, boolean sameDeployment) {
-        connectTimeoutMicros = connectMicros;
-        keepAlive.most((long) (idleMicros * RETIRE), sameDeployment);
+    public void updateSettings(
+            long newConnectTimeoutMicros, long idleMicros, boolean sameDeployment) {
+        connectTimeoutMicros = newConnectTimeoutMicros;
+        idleTimeout.setMax((long) (idleMicros * IDLE_FRACTION), sameDeployment);
     }
 
     // ---- The list.
@@ -133,43 +134,43 @@
      * Applies a change of the list, before the module hears of it. A whole list drops what it
      * lacks.
      */
-    public void updateWorkers(boolean whole, List<WorkerEndpoint> targets) {
-        Set<String> named = new HashSet<>();
-        for (WorkerEndpoint t : targets) {
-            named.add(t.id());
-            Pool pool =
+    public void updateWorkers(boolean complete, List<WorkerEndpoint> workers) {
+        Set<String> listedIds = new HashSet<>();
+        for (WorkerEndpoint worker : workers) {
+            listedIds.add(worker.id());
+            ConnectionPool pool =
                     pools.computeIfAbsent(
-                            t.id(),
+                            worker.id(),
                             id ->
-                                    new Pool(
+                                    new ConnectionPool(
                                             id,
                                             reactor,
                                             timers,
                                             () -> connectTimeoutMicros,
-                                            keepAlive,
-                                            () -> pacing));
-            if (pool.address != null && !pool.address.equals(t.address())) {
+                                            idleTimeout,
+                                            () -> connectLimiter));
+            if (pool.address != null && !pool.address.equals(worker.address())) {
                 pool.closeIdle();
             }
             pool.address =
-                    t.address() == null
+                    worker.address() == null
                             ? pool.address
-                            : t.address(); // One that is gone may have none.
-            state(pool, t.ready());
+                            : worker.address(); // One that is gone may have none.
+            setReady(pool, worker.ready());
         }
-        if (whole) {
+        if (complete) {
             pools.values().stream()
-                    .filter(p -> !named.contains(p.id))
-                    .forEach(p -> state(p, false));
+                    .filter(candidate -> !listedIds.contains(candidate.workerId))
+                    .forEach(candidate -> setReady(candidate, false));
         }
-        pools.values().removeIf(p -> !p.ready && p.unused());
+        pools.values().removeIf(candidate -> !candidate.ready && candidate.isUnused());
     }
 
-    private void state(Pool pool, boolean ready) {
+    private void setReady(ConnectionPool pool, boolean ready) {
         if (ready != pool.ready) {
             Events.info(LOG, ready ? "provider.ready" : "provider.leaving")
-                    .addKeyValue("provider", pool.id)
-                    .log("provider " + pool.id + (ready ? " ready" : " takes no new work"));
+                    .addKeyValue("provider", pool.workerId)
+                    .log("provider " + pool.workerId + (ready ? " ready" : " takes no new work"));
         }
         if (ready) {
             pool.ready = true;
@@ -186,63 +187,66 @@
     // ---- Calls.
 
     @Override
-    public AttemptHandle start(Attempt call) {
-        Pool pool = pools.get(call.workerId());
+    public AttemptHandle start(Attempt attempt) {
+        ConnectionPool pool = pools.get(attempt.workerId());
         if (pool == null || !pool.ready) {
-            gateway.attemptEnded(
-                    call,
+            tracker.attemptEnded(
+                    attempt,
                     AttemptOutcome.NOT_SENT,
                     EndEvidence.of(EndEvidence.Kind.WORKER_NOT_READY));
-            return NOT_SENT;
+            return ENDED_UNSENT;
         }
-        Call sent =
-                new Call(
-                        gateway,
+        AttemptRequest request =
+                new AttemptRequest(
+                        tracker,
                         timers,
                         pool,
-                        call,
-                        fences.tokenFor(call.jobClass(), call.tenant(), call.workerId()),
+                        attempt,
+                        fencingTokens.tokenFor(
+                                attempt.jobClass(), attempt.tenant(), attempt.workerId()),
                         cancellations);
-        pool.users++;
-        pool.send(sent);
-        return sent;
+        pool.activeAttempts++;
+        pool.send(request);
+        return request;
     }
 
     /** No attempt is still being given up on the wire. */
     public boolean hasNoCancellations() {
-        return cancellations.underWay() == 0;
+        return cancellations.activeCount() == 0;
     }
 
     /** Each worker has been asked once to drop what is being given up, or could not be asked. */
     public boolean allCancellationsAttempted() {
-        return cancellations.unasked() == 0;
+        return cancellations.unattemptedCount() == 0;
     }
 
     // ---- Probes.
 
     @Override
-    public void probe(String providerId) {
-        Pool pool = pools.get(providerId);
+    public void probe(String workerId) {
+        ConnectionPool pool = pools.get(workerId);
         if (pool == null || !pool.ready) {
-            gateway.workerProbed(providerId, false);
+            tracker.workerProbed(workerId, false);
             return;
         }
-        Probe probe = new Probe(pool);
-        timers.at(timers.nowMicros() + PROBE_MICROS, probe::expire);
+        ProbeRequest probe = new ProbeRequest(pool);
+        timers.at(timers.nowMicros() + PROBE_TIMEOUT_MICROS, probe::expire);
         pool.send(probe);
     }
 
-    private final class Probe extends Request {
-        private final Pool pool;
+    private final class ProbeRequest extends WorkerRequest {
+        private final ConnectionPool pool;
 
-        Probe(Pool pool) {
-            super(NONE);
+        ProbeRequest(ConnectionPool pool) {
+            super(EMPTY_BODY);
             this.pool = pool;
         }
 
         @Override
         byte[] head() {
-            return MessageWriter.request("GET", "/-/healthy").header("Host", pool.host()).noBody();
+            return MessageWriter.request("GET", "/-/healthy")
+                    .header("Host", pool.hostHeader())
+                    .noBody();
         }
 
         @Override
@@ -251,23 +255,23 @@
         }
 
         @Override
-        void answered(Message response) {
-            gateway.workerProbed(pool.id, response.status() == 200);
+        void onResponse(Message response) {
+            tracker.workerProbed(pool.workerId, response.status() == 200);
         }
 
         @Override
-        void broken(Break how) {
-            gateway.workerProbed(pool.id, false);
+        void onFailure(Failure how) {
+            tracker.workerProbed(pool.workerId, false);
         }
 
         void expire() {
-            if (!over) {
-                if (link == null) {
+            if (!finished) {
+                if (connection == null) {
                     pool.withdraw(this);
                 } else {
-                    link.abort();
+                    connection.abort();
                 }
-                gateway.workerProbed(pool.id, false);
+                tracker.workerProbed(pool.workerId, false);
             }
         }
     }
--- a/daemon/src/main/java/postgrade/worker/Request.java
+++ b/daemon/src/main/java/postgrade/worker/WorkerRequest.java
@@ -4,37 +4,37 @@
 import postgrade.http.Message;
 
 /** One request to a provider and what becomes of it. Exactly one of the three is called, once. */
-abstract class Request {
+abstract class WorkerRequest {
 
-    static final byte[] NONE = {};
+    static final byte[] EMPTY_BODY = {};
 
     /**
      * How a request has lost its connection; {@code NO_SOCKET}: none could be begun for want of
      * something of ours; {@code IN_ANSWER}: what came of an answer says nothing certain.
      */
-    enum Break {
+    enum Failure {
         NO_SOCKET,
         NEVER_WRITTEN,
         DRAINED,
         TOO_LATE,
         AFTER_LAST_BYTE,
-        IN_ANSWER
+        IN_RESPONSE
     }
 
     private byte[] body;
 
     /** The link that carries it, null while it waits for one and after its end. */
-    Link link;
+    WorkerConnection connection;
 
     /** The link on which its answer has come, if that is still open; null before. */
-    Link answeredOn;
+    WorkerConnection responseConnection;
 
     /** The link that is kept for it until it has rested, null where it waits for any. */
-    Link reservedLink;
+    WorkerConnection reservedConnection;
 
-    boolean over;
+    boolean finished;
 
-    Request(byte[] body) {
+    WorkerRequest(byte[] body) {
         this.body = body;
     }
 
@@ -44,17 +44,17 @@
      */
     abstract byte[] head();
 
-    void writeTo(Connection c) {
+    void writeTo(Connection transport) {
         if (body.length == 0) {
-            c.write(head());
+            transport.write(head());
         } else {
-            c.write(head(), body);
+            transport.write(head(), body);
         }
-        body = NONE; // A call may last for seconds after it is written.
+        body = EMPTY_BODY; // A call may last for seconds after it is written.
     }
 
     /** It is about to be written on this link, whose counts do not include it yet. */
-    void carriedBy(Link carrier) {}
+    void onWriting(WorkerConnection carrier) {}
 
     /** Only new work is kept from a provider that drains; giving up goes on. */
     abstract boolean isNewWork();
@@ -64,15 +64,15 @@
         return false;
     }
 
-    abstract void answered(Message response);
+    abstract void onResponse(Message response);
 
-    abstract void broken(Break how);
+    abstract void onFailure(Failure how);
 
     /** After its answer something more has come, before its connection carried another request. */
-    void contradicted() {}
+    void onContradicted() {}
 
     /** Its last byte has been given to the system. */
-    boolean written() {
-        return link != null && link.connection.isAllSent();
+    boolean isFullyWritten() {
+        return connection != null && connection.transport.isAllSent();
     }
 }
--- a/daemon/src/main/java/postgrade/worker/WorkerAnswer.java
+++ b/daemon/src/main/java/postgrade/worker/WorkerResponse.java
@@ -4,7 +4,7 @@
 import postgrade.policy.api.AttemptOutcome;
 
 /** What a worker's answer to a job means by the protocol, if it is meant for that job. */
-enum WorkerAnswer {
+enum WorkerResponse {
     /** It has taken the job; its end comes by a call-back. */
     ACCEPTED(null),
     /** The job has not run and will not. */
@@ -18,7 +18,7 @@
 
     private final AttemptOutcome outcome;
 
-    WorkerAnswer(AttemptOutcome outcome) {
+    WorkerResponse(AttemptOutcome outcome) {
         this.outcome = outcome;
     }
 
@@ -27,7 +27,7 @@
         return outcome;
     }
 
-    static WorkerAnswer of(Message response) {
+    static WorkerResponse of(Message response) {
         int status = response.status();
         return switch (status) {
             case 202 -> ACCEPTED;
--- a/daemon/src/test/java/postgrade/daemon/LearntIdleTest.java
+++ b/daemon/src/test/java/postgrade/daemon/AdaptiveIdleTimeoutTest.java
@@ -11,16 +11,16 @@
  * How long an idle connection is trusted with a request, learnt of one that broke, and other
  * settings after that.
  */
-public class LearntIdleTest extends AttemptTestBase {
+public class AdaptiveIdleTimeoutTest extends AttemptTestBase {
 
-    public LearntIdleTest() throws IOException {}
+    public AdaptiveIdleTimeoutTest() throws IOException {}
 
     /**
      * Idle connections are kept for 1 s from now on: one that was idle for 2 s broke under its
      * request.
      */
-    private void breaksAfterTwoSeconds() throws IOException {
-        Socket former = served("a");
+    private void breakAfterTwoSecondsIdle() throws IOException {
+        Socket former = serveAndLeaveIdle("a");
         advance(2_000 * MILLI_MICROS);
         submit("b");
         runTurn();
@@ -32,7 +32,7 @@
     }
 
     /** Its connection is left idle. */
-    private Socket served(String id) throws IOException {
+    private Socket serveAndLeaveIdle(String id) throws IOException {
         Socket worker = sendAcceptedJob(id);
         report(id, "w1", ReportedState.DONE);
         runTurn();
@@ -40,10 +40,10 @@
     }
 
     @Test
-    public void itHoldsUnderTheSameDeploymentsSettings() throws Exception {
-        breaksAfterTwoSeconds();
+    public void learntTimeoutIsKeptWithSettingsOfTheSameDeployment() throws Exception {
+        breakAfterTwoSecondsIdle();
         pools.updateSettings(2_000 * MILLI_MICROS, 20_000 * MILLI_MICROS, true);
-        Socket next = served("c");
+        Socket next = serveAndLeaveIdle("c");
         advance(1_500 * MILLI_MICROS);
         assertEquals("retired", -1, next.getInputStream().read());
     }
@@ -53,10 +53,10 @@
      * that its network never knew.
      */
     @Test
-    public void itIsForgottenUnderAnothers() throws Exception {
-        breaksAfterTwoSeconds();
+    public void learntTimeoutIsDiscardedWithSettingsOfAnotherDeployment() throws Exception {
+        breakAfterTwoSecondsIdle();
         pools.updateSettings(2_000 * MILLI_MICROS, 20_000 * MILLI_MICROS, false);
-        Socket next = served("c");
+        Socket next = serveAndLeaveIdle("c");
         advance(11_000 * MILLI_MICROS);
         submit("d");
         runTurn();
--- a/daemon/src/test/java/postgrade/daemon/AttemptTestBase.java
+++ b/daemon/src/test/java/postgrade/daemon/AttemptTestBase.java
@@ -79,18 +79,20 @@
         worker2.close();
     }
 
-    static WorkerEndpoint endpoint(String id, ServerSocket at, boolean ready) {
+    static WorkerEndpoint endpoint(String id, ServerSocket listener, boolean ready) {
         return new WorkerEndpoint(
-                id, new InetSocketAddress(at.getInetAddress(), at.getLocalPort()), ready);
+                id,
+                new InetSocketAddress(listener.getInetAddress(), listener.getLocalPort()),
+                ready);
     }
 
-    void updateWorkers(WorkerEndpoint... targets) {
-        pools.updateWorkers(false, List.of(targets));
+    void updateWorkers(WorkerEndpoint... workers) {
+        pools.updateWorkers(false, List.of(workers));
     }
 
     /** A consumer's job, taken over but not yet decided on. */
     PendingRequest submit(String id, String jobClass) {
-        PendingRequest in =
+        PendingRequest request =
                 new PendingRequest(
                         id,
                         jobClass,
@@ -121,8 +123,8 @@
                                 answers.add(id + " failed");
                             }
                         });
-        tracker.submit(in);
-        return in;
+        tracker.submit(request);
+        return request;
     }
 
     PendingRequest submit(String id) {
@@ -142,31 +144,31 @@
     }
 
     /** Turns, none of which lets time pass, until something has come on the connection. */
-    void awaitBytes(Socket s) throws IOException {
+    void awaitBytes(Socket socket) throws IOException {
         loop.serveUntil(
                 () -> {
                     runTurn();
-                    return availableBytes(s) > 0;
+                    return availableBytes(socket) > 0;
                 });
     }
 
     /** A worker's side of the next connection to it. */
-    Socket accept(ServerSocket at) throws IOException {
-        Socket s = at.accept();
-        s.setTcpNoDelay(true);
-        s.setSoTimeout(ScriptedPeer.TIMEOUT_S * 1000);
-        sockets.add(s);
-        return s;
+    Socket accept(ServerSocket listener) throws IOException {
+        Socket socket = listener.accept();
+        socket.setTcpNoDelay(true);
+        socket.setSoTimeout(ScriptedPeer.TIMEOUT_S * 1000);
+        sockets.add(socket);
+        return socket;
     }
 
     /** The next connection to it, with the request that has come on it. */
-    ScriptedPeer.ReceivedMessage awaitRequest(ServerSocket at) throws IOException {
-        return awaitRequest(accept(at));
+    ScriptedPeer.ReceivedMessage awaitRequest(ServerSocket listener) throws IOException {
+        return awaitRequest(accept(listener));
     }
 
-    ScriptedPeer.ReceivedMessage awaitRequest(Socket s) throws IOException {
-        awaitBytes(s);
-        return ScriptedPeer.read(s);
+    ScriptedPeer.ReceivedMessage awaitRequest(Socket socket) throws IOException {
+        awaitBytes(socket);
+        return ScriptedPeer.read(socket);
     }
 
     /** A worker's side of the connection on which this job has come to it. */
@@ -199,8 +201,8 @@
         loop.runAndServe(() -> ScriptedPeer.write(worker, text));
     }
 
-    void report(String id, String from, ReportedState state) {
-        tracker.workerReported(id, from, state, 0, new byte[0]);
+    void report(String id, String workerId, ReportedState state) {
+        tracker.workerReported(id, workerId, state, 0, new byte[0]);
     }
 
     /** Ends of attempts that the module has heard of. */
@@ -212,9 +214,9 @@
         assertEquals(List.of(expected), finishedEvents());
     }
 
-    static int availableBytes(Socket s) {
+    static int availableBytes(Socket socket) {
         try {
-            return s.getInputStream().available();
+            return socket.getInputStream().available();
         } catch (IOException e) {
             return 0;
         }
--- a/daemon/src/test/java/postgrade/daemon/GiveUpCrossingTest.java
+++ b/daemon/src/test/java/postgrade/daemon/CancellationRaceTest.java
@@ -14,11 +14,11 @@
  * What a worker says in the moment in which an attempt is given up, or so that nobody can tell what
  * it means.
  */
-public class GiveUpCrossingTest extends AttemptTestBase {
+public class CancellationRaceTest extends AttemptTestBase {
 
-    public GiveUpCrossingTest() throws IOException {}
+    public CancellationRaceTest() throws IOException {}
 
-    private ReceivedMessage sent(String id) throws IOException {
+    private ReceivedMessage sendAndReadJob(String id) throws IOException {
         submit(id);
         runTurn();
         return awaitRequest(worker1);
@@ -29,13 +29,13 @@
         runTurn();
     }
 
-    private ReceivedMessage delete(Socket on) throws IOException {
+    private ReceivedMessage awaitDelete(Socket on) throws IOException {
         ReceivedMessage delete = awaitRequest(on);
         assertTrue(delete.head(), delete.head().startsWith("DELETE /jobs/"));
         return delete;
     }
 
-    private void isGivenUpBy(ReceivedMessage delete, String end) throws IOException {
+    private void assertEndedBy(ReceivedMessage delete, String end) throws IOException {
         assertFinished();
         loop.runAndServe(() -> delete.reply("200 OK", ""));
         runTurn();
@@ -43,7 +43,7 @@
     }
 
     /** It came before the job, or its connection's end, was known: the worker may have it since. */
-    private void provesNothing(ReceivedMessage delete) throws IOException {
+    private void assertProvesNothing(ReceivedMessage delete) throws IOException {
         loop.runAndServe(() -> delete.reply("200 OK", ""));
         runTurn();
         assertFinished();
@@ -54,33 +54,33 @@
      * arrived.
      */
     @Test
-    public void afterA202ThatCrossesOnlyTheAnsweredDeleteEndsTheAttempt() throws Exception {
-        ReceivedMessage job = sent("x1");
+    public void acceptanceThatCrossesTheCancellationNeedsAnAnsweredDelete() throws Exception {
+        ReceivedMessage job = sendAndReadJob("x1");
         cancel("x1");
-        ReceivedMessage delete = delete(accept(worker1));
+        ReceivedMessage delete = awaitDelete(accept(worker1));
         respond(job.socket(), ACCEPTED);
         advance(200 * MILLI_MICROS);
-        provesNothing(delete);
-        isGivenUpBy(delete(job.socket()), "finished x1 0 CANCELLED false");
+        assertProvesNothing(delete);
+        assertEndedBy(awaitDelete(job.socket()), "finished x1 0 CANCELLED false");
     }
 
     @Test
-    public void soItIsAfterHalfAnAnswer() throws Exception {
-        ReceivedMessage job = sent("x2");
+    public void partialResponseDuringCancellationNeedsAnAnsweredDelete() throws Exception {
+        ReceivedMessage job = sendAndReadJob("x2");
         respond(job.socket(), ACCEPTED.substring(0, 20));
         cancel("x2");
-        ReceivedMessage delete = delete(accept(worker1));
+        ReceivedMessage delete = awaitDelete(accept(worker1));
         advance(200 * MILLI_MICROS);
-        provesNothing(delete);
+        assertProvesNothing(delete);
         advance(20 * MILLI_MICROS);
-        isGivenUpBy(delete(delete.socket()), "finished x2 0 CANCELLED false");
+        assertEndedBy(awaitDelete(delete.socket()), "finished x2 0 CANCELLED false");
     }
 
     @Test
-    public void aWorkerThatSaysNothingHasItGivenUpByTheCloseAlone() throws Exception {
-        ReceivedMessage job = sent("x3");
+    public void closeAloneCancelsAtASilentWorker() throws Exception {
+        ReceivedMessage job = sendAndReadJob("x3");
         cancel("x3");
-        delete(accept(worker1));
+        awaitDelete(accept(worker1));
         advance(99 * MILLI_MICROS);
         assertFinished();
         advance(1 * MILLI_MICROS);
@@ -90,16 +90,16 @@
 
     /** It counted as its word that it had dropped the job, though a 202 may have gone with it. */
     @Test
-    public void aConnectionThatEndsBeforeItsAnswerIsNoWordOfTheWorkers() throws Exception {
-        ReceivedMessage job = sent("x4");
+    public void connectionClosedByTheWorkerBeforeItsResponseProvesNothing() throws Exception {
+        ReceivedMessage job = sendAndReadJob("x4");
         cancel("x4");
-        ReceivedMessage delete = delete(accept(worker1));
+        ReceivedMessage delete = awaitDelete(accept(worker1));
         loop.runAndServe(() -> job.socket().close());
         runTurn();
         assertFinished();
-        provesNothing(delete);
+        assertProvesNothing(delete);
         advance(20 * MILLI_MICROS);
-        isGivenUpBy(delete(delete.socket()), "finished x4 0 CANCELLED false");
+        assertEndedBy(awaitDelete(delete.socket()), "finished x4 0 CANCELLED false");
     }
 
     /**
@@ -107,33 +107,37 @@
      * second attempt.
      */
     @Test
-    public void anAttemptWhoseAnswerIsSpoiltIsGivenUpBeforeTheModuleHears() throws Exception {
+    public void attemptWithAMalformedResponseIsCancelledBeforeThePolicyIsNotified()
+            throws Exception {
         for (String spoilt :
                 List.of(
                         "HTTP/1.1 2x2 Accepted\r\n\r\n",
                         "HTTP/1.1 202 Accepted\r\nContent-Length: x\r\n\r\n")) {
             policy.events.clear();
-            ReceivedMessage job = sent("s" + spoilt.length());
+            ReceivedMessage job = sendAndReadJob("s" + spoilt.length());
             respond(job.socket(), spoilt);
             runTurn();
-            isGivenUpBy(delete(accept(worker1)), "finished s" + spoilt.length() + " 0 RESET false");
+            assertEndedBy(
+                    awaitDelete(accept(worker1)),
+                    "finished s" + spoilt.length() + " 0 RESET false");
             pools.updateWorkers(true, List.of());
             updateWorkers(endpoint("w1", worker1, true));
         }
     }
 
     @Test
-    public void soIsOneWhoseAnswerIsCutShort() throws Exception {
-        ReceivedMessage job = sent("s1");
+    public void attemptWithATruncatedResponseIsCancelledBeforeThePolicyIsNotified()
+            throws Exception {
+        ReceivedMessage job = sendAndReadJob("s1");
         respond(job.socket(), "HTTP/1.1 202 Accepted\r\nContent-Length: 9\r\n\r\nhalf");
         loop.runAndServe(() -> job.socket().close());
         runTurn();
-        isGivenUpBy(delete(accept(worker1)), "finished s1 0 RESET false");
+        assertEndedBy(awaitDelete(accept(worker1)), "finished s1 0 RESET false");
     }
 
     @Test
-    public void aSpoiltAnswerOfAJobThatRunsDoesNotCostItsResult() throws Exception {
-        ReceivedMessage job = sent("s2");
+    public void malformedResponseDoesNotLoseTheResultOfARunningJob() throws Exception {
+        ReceivedMessage job = sendAndReadJob("s2");
         respond(job.socket(), "HTTP/1.1 2x2 Accepted\r\n\r\n");
         runTurn();
         report("s2", "w1", ReportedState.STARTED);
@@ -149,37 +153,36 @@
      * second attempt.
      */
     @Test
-    public void anAttemptWhoseAnswerTheProtocolDoesNotKnowIsGivenUpBeforeTheModuleHears()
-            throws Exception {
+    public void attemptWithAnUnknownStatusIsCancelledBeforeThePolicyIsNotified() throws Exception {
         for (int status : new int[] {200, 204, 302, 304, 408, 429, 501, 502, 599, 600}) {
             policy.events.clear();
-            ReceivedMessage job = sent("u" + status);
+            ReceivedMessage job = sendAndReadJob("u" + status);
             respond(job.socket(), "HTTP/1.1 " + status + " Unknown\r\nContent-Length: 0\r\n\r\n");
             runTurn();
             assertFinished();
             advance(20 * MILLI_MICROS);
-            isGivenUpBy(delete(job.socket()), "finished u" + status + " 0 ERROR false");
+            assertEndedBy(awaitDelete(job.socket()), "finished u" + status + " 0 ERROR false");
             pools.updateWorkers(true, List.of());
             updateWorkers(endpoint("w1", worker1, true));
         }
     }
 
     @Test
-    public void suchAnAnswerWhileItIsGivenUpLeavesThatToTheDelete() throws Exception {
-        ReceivedMessage job = sent("v1");
+    public void unknownStatusDuringCancellationLeavesTheEndToTheDelete() throws Exception {
+        ReceivedMessage job = sendAndReadJob("v1");
         cancel("v1");
-        ReceivedMessage delete = delete(accept(worker1));
+        ReceivedMessage delete = awaitDelete(accept(worker1));
         respond(job.socket(), "HTTP/1.1 502 Unknown\r\nContent-Length: 0\r\n\r\n");
         runTurn();
-        provesNothing(delete);
+        assertProvesNothing(delete);
         advance(20 * MILLI_MICROS);
-        isGivenUpBy(delete(delete.socket()), "finished v1 0 CANCELLED false");
+        assertEndedBy(awaitDelete(delete.socket()), "finished v1 0 CANCELLED false");
     }
 
     /** It is none: the real one follows, and decides. */
     @Test
-    public void anInterimAnswerIsPassedOver() throws Exception {
-        ReceivedMessage job = sent("w1");
+    public void interimResponseIsIgnored() throws Exception {
+        ReceivedMessage job = sendAndReadJob("w1");
         respond(job.socket(), "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n");
         runTurn();
         assertFinished();
@@ -190,26 +193,26 @@
 
     /** It was taken as given up when its own time was over, with most of its consumer's left. */
     @Test
-    public void anAttemptWithALimitOfItsOwnIsGivenUpLikeAnyOther() throws Exception {
+    public void attemptWithItsOwnTimeLimitIsCancelledLikeAnyOther() throws Exception {
         policy.onJob =
                 job -> policy.actions.startAttempt(job.id(), "w1", 300 * MILLI_MICROS * 1000);
-        ReceivedMessage job = sent("t1");
+        ReceivedMessage job = sendAndReadJob("t1");
         respond(job.socket(), ACCEPTED);
         advance(300 * MILLI_MICROS);
-        delete(job.socket());
+        awaitDelete(job.socket());
         advance(400 * MILLI_MICROS);
         advance(50 * MILLI_MICROS);
-        isGivenUpBy(delete(accept(worker1)), "finished t1 0 TIMEOUT false");
+        assertEndedBy(awaitDelete(accept(worker1)), "finished t1 0 TIMEOUT false");
     }
 
     /** The next DELETE ended the next attempt at the same worker, which nobody was told of. */
     @Test
-    public void whatAWorkerHandsBackMeanwhileIsAskedForNoMore() throws Exception {
-        ReceivedMessage job = sent("r1");
+    public void jobReturnedDuringCancellationGetsNoFurtherDelete() throws Exception {
+        ReceivedMessage job = sendAndReadJob("r1");
         respond(job.socket(), ACCEPTED);
         cancel("r1");
         advance(20 * MILLI_MICROS); // Its connection rests.
-        delete(job.socket());
+        awaitDelete(job.socket());
         report("r1", "w1", ReportedState.RETURNED);
         runTurn();
         assertFinished("finished r1 0 FULL false");
@@ -224,16 +227,16 @@
     }
 
     /** The worker has the job and refuses new connections from now on. */
-    private void runsButRefuses(String id) throws IOException {
-        ReceivedMessage job = sent(id);
+    private void acceptJobThenRefuseConnections(String id) throws IOException {
+        ReceivedMessage job = sendAndReadJob(id);
         respond(job.socket(), ACCEPTED);
         worker1.close();
         loop.runAndServe(job.socket()::close);
         cancel(id);
-        isRefused();
+        assertConnectRefused();
     }
 
-    private void isRefused() throws IOException {
+    private void assertConnectRefused() throws IOException {
         assertEquals("a DELETE asks for a connection", 1, loop.openChannels());
         loop.runAndServe(() -> {});
         assertEquals(0, loop.openChannels());
@@ -241,26 +244,25 @@
 
     /** Each was a new connection, 20 a second up to the deadline. */
     @Test
-    public void aDeleteThatIsRefusedIsRepeatedEverMoreSeldomAndNoLaterThanTheDeadline()
-            throws Exception {
-        runsButRefuses("b1");
+    public void refusedDeleteIsRetriedWithBackoffUntilTheDeadline() throws Exception {
+        acceptJobThenRefuseConnections("b1");
         long since = 0;
         for (long pause : new long[] {50, 100, 200, 400, 400}) {
             advance(pause * MILLI_MICROS - 1);
             assertEquals("not before " + pause + " ms", 0, loop.openChannels());
             advance(1);
-            isRefused();
+            assertConnectRefused();
             since += pause * MILLI_MICROS;
         }
         for (; since + 400 * MILLI_MICROS < DEADLINE_MICROS; since += 400 * MILLI_MICROS) {
             advance(400 * MILLI_MICROS);
-            isRefused();
+            assertConnectRefused();
         }
         assertTrue(
                 "the module hears at the deadline",
                 finishedEvents().isEmpty() && !pools.hasNoCancellations());
         advance(DEADLINE_MICROS - since);
-        isRefused();
+        assertConnectRefused();
         runTurn();
         assertTrue("that was the last", pools.hasNoCancellations());
         assertFinished("finished b1 0 TIMEOUT false");
@@ -271,8 +273,8 @@
      * more: neither has dropped it.
      */
     @Test
-    public void aWorkerThatRefusesADeleteMayRunTheJobOn() throws Exception {
-        runsButRefuses("b2");
+    public void workerThatRefusesADeleteMayStillRunTheJob() throws Exception {
+        acceptJobThenRefuseConnections("b2");
         runTurn();
         assertFinished();
         report("b2", "w1", ReportedState.DONE);
--- a/daemon/src/test/java/postgrade/daemon/CopiesTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ConcurrentAttemptsTest.java
@@ -6,9 +6,9 @@
 import org.junit.Test;
 
 /** Where two attempts of a job may be out at once. */
-public class CopiesTest extends AttemptTestBase {
+public class ConcurrentAttemptsTest extends AttemptTestBase {
 
-    public CopiesTest() throws IOException {}
+    public ConcurrentAttemptsTest() throws IOException {}
 
     @Override
     boolean allowsConcurrentAttempts() {
@@ -16,7 +16,7 @@
     }
 
     @Test
-    public void aWorkerHasOneOfThemAllTheSame() throws Exception {
+    public void workerGetsAtMostOneAttemptOfAJob() throws Exception {
         submit("c1");
         runTurn();
         awaitRequest(worker1);
--- a/daemon/src/test/java/postgrade/daemon/RestingTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ConnectionRestTest.java
@@ -13,14 +13,14 @@
  * A connection that has just been answered, and a second answer on it that comes some milliseconds
  * late.
  */
-public class RestingTest extends AttemptTestBase {
+public class ConnectionRestTest extends AttemptTestBase {
 
     private static final String NOT_RUN =
             "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
 
-    public RestingTest() throws IOException {}
+    public ConnectionRestTest() throws IOException {}
 
-    private void waits(Socket resting, int connections, long micros) {
+    private void assertNothingSentOrOpened(Socket resting, int connections, long micros) {
         advance(micros);
         assertEquals("nothing is written yet", 0, availableBytes(resting));
         assertEquals("nor another one opened", connections, loop.openChannels());
@@ -30,7 +30,7 @@
      * It was taken for the next job's, which ran on while the module was told that it never ran.
      */
     @Test
-    public void aSecondAnswerIsNotTakenForTheNextJobs() throws Exception {
+    public void secondResponseIsNotTakenForTheNextJobs() throws Exception {
         Socket resting = sendAcceptedJob("a1");
         submit("a2");
         runTurn();
@@ -43,7 +43,7 @@
     }
 
     @Test
-    public void norForADeletes() throws Exception {
+    public void secondResponseIsNotTakenForADeletes() throws Exception {
         Socket resting = sendAcceptedJob("b1");
         policy.actions.cancelAttempt("b1", 0);
         runTurn();
@@ -58,12 +58,12 @@
     }
 
     @Test
-    public void whatFindsOnlyARestingOneWaitsForItAndOpensNoOther() throws Exception {
+    public void requestWaitsForARestingConnectionInsteadOfOpeningAnother() throws Exception {
         Socket resting = sendAcceptedJob("c1");
         advance(5 * MILLI_MICROS);
         submit("c2");
         runTurn();
-        waits(resting, 1, 15 * MILLI_MICROS - 1);
+        assertNothingSentOrOpened(resting, 1, 15 * MILLI_MICROS - 1);
         advance(1);
         ReceivedMessage second = awaitRequest(resting);
         assertEquals("c2", second.header("X-Request-Id"));
@@ -74,7 +74,8 @@
     }
 
     @Test
-    public void oneMoreThanThoseThatRestOpensItsOwnAndTheyAreGivenInOrder() throws Exception {
+    public void requestsBeyondTheRestingConnectionsOpenTheirOwnAndAreServedInOrder()
+            throws Exception {
         Socket resting = sendAcceptedJob("d1");
         submit("d2");
         submit("d3");
@@ -83,13 +84,13 @@
         loop.runAndServe(() -> {});
         runTurn();
         assertEquals("d2", awaitRequest(other).header("X-Request-Id"));
-        waits(resting, 2, 20 * MILLI_MICROS - 1);
+        assertNothingSentOrOpened(resting, 2, 20 * MILLI_MICROS - 1);
         advance(1);
         assertEquals("d3", awaitRequest(resting).header("X-Request-Id"));
     }
 
     @Test
-    public void oneThatHasRestedGoesBeforeOneThatRests() throws Exception {
+    public void restedConnectionIsUsedBeforeARestingOne() throws Exception {
         submit("e1");
         submit("e2");
         runTurn();
@@ -105,7 +106,7 @@
     }
 
     @Test
-    public void whatIsNoLongerWantedMeanwhileIsNotWritten() throws Exception {
+    public void unwantedOrExpiredRequestIsNotWrittenAfterTheRest() throws Exception {
         Socket resting = sendAcceptedJob("f1");
         PendingRequest left = submit("f2");
         runTurn();
@@ -117,11 +118,11 @@
         runTurn();
         advance(20 * MILLI_MICROS);
         assertFinished("finished f2 0 NOT_SENT true", "finished f3 0 NOT_SENT false");
-        waits(resting, 1, 0);
+        assertNothingSentOrOpened(resting, 1, 0);
     }
 
     @Test
-    public void norIsAnythingToAWorkerThatDrainsMeanwhile() throws Exception {
+    public void waitingRequestIsNotWrittenToAWorkerThatStartsDraining() throws Exception {
         Socket resting = sendAcceptedJob("g1");
         submit("g2");
         runTurn();
@@ -133,7 +134,7 @@
     }
 
     @Test
-    public void whatWaitsGoesToTheAddressThatItsWorkerHasMovedTo() throws Exception {
+    public void waitingRequestGoesToTheNewAddressOfItsWorker() throws Exception {
         Socket resting = sendAcceptedJob("h1");
         submit("h2");
         runTurn();
--- a/daemon/src/test/java/postgrade/daemon/EndProofTest.java
+++ b/daemon/src/test/java/postgrade/daemon/EndProofTest.java
@@ -20,26 +20,26 @@
  */
 public class EndProofTest extends AttemptTestBase {
 
-    private static final String FULL = answer("503 Full\r\nX-Not-Run: 1");
+    private static final String FULL = response("503 Full\r\nX-Not-Run: 1");
 
     public EndProofTest() throws IOException {}
 
-    private static String answer(String status) {
+    private static String response(String status) {
         return "HTTP/1.1 " + status + "\r\nContent-Length: 0\r\n\r\n";
     }
 
-    private ReceivedMessage delete(Socket on, String id) throws IOException {
+    private ReceivedMessage awaitDelete(Socket on, String id) throws IOException {
         ReceivedMessage delete = awaitRequest(on);
         assertTrue(delete.head(), delete.head().startsWith("DELETE /jobs/" + id + " "));
         return delete;
     }
 
-    private void confirms(ReceivedMessage delete) throws IOException {
+    private void confirm(ReceivedMessage delete) throws IOException {
         loop.runAndServe(() -> delete.reply("204 No Content", ""));
         runTurn();
     }
 
-    private void breaks(Socket worker) throws IOException {
+    private void reset(Socket worker) throws IOException {
         loop.runAndServe(
                 () -> {
                     worker.setSoLinger(true, 0);
@@ -49,7 +49,7 @@
     }
 
     /** The connections of jobs that were served before, which have rested since. */
-    private List<Socket> usedBefore(String... ids) throws IOException {
+    private List<Socket> usedConnections(String... ids) throws IOException {
         List<Socket> workers = new ArrayList<>();
         for (String id : ids) {
             workers.add(sendJob(id));
@@ -65,11 +65,11 @@
         return workers;
     }
 
-    private Socket usedBefore(String id) throws IOException {
-        return usedBefore(new String[] {id}).get(0);
+    private Socket usedConnections(String id) throws IOException {
+        return usedConnections(new String[] {id}).get(0);
     }
 
-    private Socket sentOn(Socket worker, String id) throws IOException {
+    private Socket sendJobOn(Socket worker, String id) throws IOException {
         submit(id);
         runTurn();
         assertEquals(id, awaitRequest(worker).header("X-Request-Id"));
@@ -77,16 +77,16 @@
     }
 
     @Test
-    public void aResetBeforeAnyAnswerIsFollowedByADelete() throws Exception {
+    public void resetBeforeAnyResponseIsFollowedByADelete() throws Exception {
         Socket worker = sendJob("a1");
-        breaks(worker);
+        reset(worker);
         assertFinished();
         confirmCancellation("a1");
         assertFinished("finished a1 0 RESET false");
     }
 
     @Test
-    public void soIsAnOrderlyEndBeforeAnyAnswer() throws Exception {
+    public void orderlyCloseBeforeAnyResponseIsFollowedByADelete() throws Exception {
         Socket worker = sendJob("a2");
         loop.runAndServe(worker::close);
         runTurn();
@@ -97,10 +97,10 @@
 
     /** The 202 went with the connection, and the job runs. */
     @Test
-    public void aCallBackAfterAResetIsTheJobsEnd() throws Exception {
+    public void callBackAfterAResetEndsTheAttempt() throws Exception {
         Socket worker = sendJob("a3");
-        breaks(worker);
-        delete(accept(worker1), "a3");
+        reset(worker);
+        awaitDelete(accept(worker1), "a3");
         report("a3", "w1", ReportedState.STARTED);
         report("a3", "w1", ReportedState.DONE);
         runTurn();
@@ -109,7 +109,7 @@
     }
 
     @Test
-    public void anAnswerOnANewConnectionIsTheJobs() throws Exception {
+    public void responseOnANewConnectionEndsTheAttempt() throws Exception {
         Socket worker = sendJob("b1");
         respond(worker, FULL);
         runTurn();
@@ -118,17 +118,16 @@
 
     /** Answers come in order: that to the DELETE shows that the job had been answered before. */
     @Test
-    public void anAnswerOnAConnectionUsedBeforeHoldsOnceADeleteBehindItIsAnswered()
-            throws Exception {
-        List<Socket> workers = usedBefore("c0", "c1");
-        sentOn(workers.get(1), "c2");
+    public void responseOnAReusedConnectionCountsOnceADeleteBehindItIsAnswered() throws Exception {
+        List<Socket> workers = usedConnections("c0", "c1");
+        sendJobOn(workers.get(1), "c2");
         respond(workers.get(1), FULL);
         runTurn();
         advance(20 * MILLI_MICROS - 1);
         assertEquals("nothing on the other connection", 0, availableBytes(workers.get(0)));
         assertFinished();
         advance(1);
-        confirms(delete(workers.get(1), "c2"));
+        confirm(awaitDelete(workers.get(1), "c2"));
         advance(20 * MILLI_MICROS - 1);
         assertFinished();
         advance(1);
@@ -137,53 +136,53 @@
 
     /** It was the exchange before's: the worker has the job, and may have begun it. */
     @Test
-    public void anAnswerThatAnotherFollowsIsNotBelieved() throws Exception {
-        Socket worker = sentOn(usedBefore("d0"), "d1");
+    public void responseFollowedByAnotherIsNotBelieved() throws Exception {
+        Socket worker = sendJobOn(usedConnections("d0"), "d1");
         respond(worker, FULL);
         runTurn();
         respond(worker, ACCEPTED);
         runTurn();
         advance(50 * MILLI_MICROS);
         assertFinished();
-        confirms(delete(accept(worker1), "d1"));
+        confirm(awaitDelete(accept(worker1), "d1"));
         assertFinished("finished d1 0 RESET false");
     }
 
     @Test
-    public void norIsOneThatAnotherFollowsInThePlaceOfTheDeletes() throws Exception {
-        Socket worker = sentOn(usedBefore("d2"), "d3");
+    public void responseFollowedByAnotherInPlaceOfTheDeletesIsNotBelieved() throws Exception {
+        Socket worker = sendJobOn(usedConnections("d2"), "d3");
         respond(worker, FULL);
         runTurn();
         advance(20 * MILLI_MICROS);
-        delete(worker, "d3");
+        awaitDelete(worker, "d3");
         respond(worker, ACCEPTED);
         runTurn();
         assertFinished();
         advance(50 * MILLI_MICROS);
-        confirms(delete(worker, "d3"));
+        confirm(awaitDelete(worker, "d3"));
         assertFinished("finished d3 0 RESET false");
     }
 
     /** The worker has answered out of order, and has the job. */
     @Test
-    public void norIsOneThatAnotherFollowsBehindTheDeletes() throws Exception {
-        Socket worker = sentOn(usedBefore("d6"), "d7");
+    public void responseFollowedByAnotherAfterTheDeletesIsNotBelieved() throws Exception {
+        Socket worker = sendJobOn(usedConnections("d6"), "d7");
         respond(worker, FULL);
         runTurn();
         advance(20 * MILLI_MICROS);
-        confirms(delete(worker, "d7"));
+        confirm(awaitDelete(worker, "d7"));
         respond(worker, ACCEPTED);
         runTurn();
         advance(20 * MILLI_MICROS);
         assertFinished();
-        confirms(delete(accept(worker1), "d7"));
+        confirm(awaitDelete(accept(worker1), "d7"));
         assertFinished("finished d7 0 RESET false");
     }
 
     /** Guards against a DELETE that goes out after the end and ends a later attempt there. */
     @Test
-    public void aDeleteBehindTheJobIsNotWrittenOnceACallBackHasEndedTheAttempt() throws Exception {
-        Socket worker = sentOn(usedBefore("q0"), "q1");
+    public void deleteBehindTheJobIsNotWrittenOnceACallBackHasEndedTheAttempt() throws Exception {
+        Socket worker = sendJobOn(usedConnections("q0"), "q1");
         respond(worker, FULL);
         runTurn();
         report("q1", "w1", ReportedState.DONE);
@@ -191,13 +190,13 @@
         assertFinished("finished q1 0 SERVED true");
         advance(20 * MILLI_MICROS);
         assertEquals("nothing behind the job", 0, availableBytes(worker));
-        sentOn(worker, "q2");
+        sendJobOn(worker, "q2");
     }
 
     /** The same for one that waits for a connection when another is to follow the job. */
     @Test
-    public void norIsOneThatWaitedForItsConnectionBeforeThat() throws Exception {
-        Socket worker = sentOn(usedBefore("r0"), "r1");
+    public void deleteThatWaitedForItsConnectionIsNotWrittenEither() throws Exception {
+        Socket worker = sendJobOn(usedConnections("r0"), "r1");
         policy.actions.cancelAttempt("r1", 0);
         tracker.runBatch(); // Its connection comes up only at the end of a turn.
         respond(worker, FULL);
@@ -212,72 +211,72 @@
 
     /** Its repeat would take the place of the one that follows the job, whose answer counts. */
     @Test
-    public void aDeleteThatIsRefusedIsNotRepeatedOnceAnotherFollowsTheJob() throws Exception {
-        Socket worker = sentOn(usedBefore("s0"), "s1");
+    public void refusedDeleteIsNotRetriedOnceAnotherFollowsTheJob() throws Exception {
+        Socket worker = sendJobOn(usedConnections("s0"), "s1");
         policy.actions.cancelAttempt("s1", 0);
         runTurn();
-        ReceivedMessage early = delete(accept(worker1), "s1");
+        ReceivedMessage early = awaitDelete(accept(worker1), "s1");
         loop.runAndServe(() -> early.reply("503 Busy", ""));
         runTurn();
         advance(45 * MILLI_MICROS);
         respond(worker, FULL);
         runTurn();
         advance(20 * MILLI_MICROS);
-        confirms(delete(worker, "s1"));
+        confirm(awaitDelete(worker, "s1"));
         advance(20 * MILLI_MICROS);
         assertFinished("finished s1 0 CANCELLED false");
     }
 
     /** It cannot have been turned away unstarted. */
     @Test
-    public void norIsOneOfAJobThatIsReportedStarted() throws Exception {
-        Socket worker = sentOn(usedBefore("d4"), "d5");
+    public void notRunResponseOfAJobReportedStartedIsNotBelieved() throws Exception {
+        Socket worker = sendJobOn(usedConnections("d4"), "d5");
         respond(worker, FULL);
         runTurn();
         report("d5", "w1", ReportedState.STARTED);
         runTurn();
         advance(20 * MILLI_MICROS);
-        confirms(delete(worker, "d5"));
+        confirm(awaitDelete(worker, "d5"));
         advance(20 * MILLI_MICROS);
         assertFinished("finished d5 0 RESET false");
     }
 
     /** The one behind a cancelled job tells as well what became of it. */
     @Test
-    public void anAnswerWhileTheJobIsCancelledHasTheDeleteFollowItToo() throws Exception {
-        Socket worker = sentOn(usedBefore("j0"), "j1");
+    public void ambiguousResponseDuringCancellationHasADeleteFollowIt() throws Exception {
+        Socket worker = sendJobOn(usedConnections("j0"), "j1");
         policy.actions.cancelAttempt("j1", 0);
         runTurn();
-        ReceivedMessage early = delete(accept(worker1), "j1");
+        ReceivedMessage early = awaitDelete(accept(worker1), "j1");
         respond(worker, FULL);
         runTurn();
-        confirms(early);
+        confirm(early);
         assertFinished();
         advance(20 * MILLI_MICROS);
-        confirms(delete(worker, "j1"));
+        confirm(awaitDelete(worker, "j1"));
         advance(20 * MILLI_MICROS);
         assertFinished("finished j1 0 CANCELLED false");
     }
 
     @Test
-    public void norIsOneThatAnotherFollowsAtOnce() throws Exception {
-        Socket worker = sentOn(usedBefore("e0"), "e1");
+    public void responseFollowedByAnotherAtOnceIsNotBelieved() throws Exception {
+        Socket worker = sendJobOn(usedConnections("e0"), "e1");
         respond(worker, FULL + ACCEPTED);
         runTurn();
         assertFinished();
-        confirms(delete(accept(worker1), "e1"));
+        confirm(awaitDelete(accept(worker1), "e1"));
         assertFinished("finished e1 0 RESET false");
     }
 
     @Test
-    public void aRequestThatAWorkerCannotUseIsDroppedThereFirstOnAConnectionUsedBefore()
+    public void unusableRequestOnAReusedConnectionIsCancelledBeforeTheClientIsAnswered()
             throws Exception {
-        Socket worker = sentOn(usedBefore("f0"), "f1");
-        respond(worker, answer("400 Bad"));
+        Socket worker = sendJobOn(usedConnections("f0"), "f1");
+        respond(worker, response("400 Bad"));
         runTurn();
         assertEquals(List.of(), answers);
         advance(20 * MILLI_MICROS);
-        confirms(delete(worker, "f1"));
+        confirm(awaitDelete(worker, "f1"));
         advance(20 * MILLI_MICROS);
         assertFinished("finished f1 0 CANCELLED true");
         assertEquals(List.of("f1 failed"), answers);
@@ -285,18 +284,18 @@
 
     /** Another exchange's answer, or the refusal to drop the job. */
     @Test
-    public void anAnswerToADeleteThatIsNoneHasItSentAgain() throws Exception {
+    public void deleteIsSentAgainAfterAResponseThatDoesNotConfirmIt() throws Exception {
         for (String status : List.of("202 Accepted", "500 Error", "503 Busy", "409 Conflict")) {
             String id = "g" + status.substring(0, 3);
             policy.events.clear();
             Socket worker = sendJob(id);
-            breaks(worker);
-            ReceivedMessage refused = delete(accept(worker1), id);
+            reset(worker);
+            ReceivedMessage refused = awaitDelete(accept(worker1), id);
             loop.runAndServe(() -> refused.reply(status, ""));
             runTurn();
             advance(50 * MILLI_MICROS);
             assertFinished();
-            confirms(delete(refused.socket(), id));
+            confirm(awaitDelete(refused.socket(), id));
             assertFinished("finished " + id + " 0 RESET false");
             pools.updateWorkers(true, List.of());
             updateWorkers(endpoint("w1", worker1, true));
@@ -305,10 +304,10 @@
 
     /** What it does not know it does not run, and cannot get any more. */
     @Test
-    public void aWorkerThatDoesNotKnowTheJobHasDroppedIt() throws Exception {
+    public void unknownJobCountsAsCancelled() throws Exception {
         Socket worker = sendJob("h1");
-        breaks(worker);
-        ReceivedMessage delete = delete(accept(worker1), "h1");
+        reset(worker);
+        ReceivedMessage delete = awaitDelete(accept(worker1), "h1");
         loop.runAndServe(() -> delete.reply("404 Unknown", ""));
         runTurn();
         assertFinished("finished h1 0 RESET false");
@@ -316,7 +315,8 @@
 
     /** Its 202 may be on its way just then: it speaks, on other connections. */
     @Test
-    public void aCloseBeforeTheAnswerIsNotEnoughAtAWorkerThatHasSpokenSince() throws Exception {
+    public void closeBeforeTheResponseProvesNothingAtAWorkerThatHasSentSomethingSince()
+            throws Exception {
         Socket other = sendJob("i0");
         Socket worker = sendJob("i1");
         advance(1);
@@ -324,34 +324,33 @@
         policy.actions.cancelAttempt("i1", 0);
         runTurn();
         advance(20 * MILLI_MICROS);
-        confirms(delete(other, "i1"));
+        confirm(awaitDelete(other, "i1"));
         assertFinished();
         advance(80 * MILLI_MICROS);
         assertEquals("closed", -1, worker.getInputStream().read());
         assertFinished();
-        confirms(delete(other, "i1"));
+        confirm(awaitDelete(other, "i1"));
         assertFinished("finished i1 0 CANCELLED false");
     }
 
     /** Nor does a 202 there say by itself that the worker has this job. */
     @Test
-    public void a202OnAConnectionUsedBeforeCountsOnceTheConnectionHasRested() throws Exception {
-        List<Socket> workers = usedBefore("p0", "p1");
-        sentOn(workers.get(1), "p2");
+    public void acceptanceOnAReusedConnectionCountsOnceTheConnectionHasRested() throws Exception {
+        List<Socket> workers = usedConnections("p0", "p1");
+        sendJobOn(workers.get(1), "p2");
         respond(workers.get(1), ACCEPTED);
         policy.actions.cancelAttempt("p2", 0);
         runTurn();
-        confirms(delete(workers.get(0), "p2"));
+        confirm(awaitDelete(workers.get(0), "p2"));
         assertFinished();
         advance(20 * MILLI_MICROS);
-        confirms(delete(workers.get(0), "p2"));
+        confirm(awaitDelete(workers.get(0), "p2"));
         assertFinished("finished p2 0 CANCELLED false");
     }
 
     /** It names the worker and the request, and an earlier attempt of it there. */
     @Test
-    public void aRepeatedCallBackOfAnEarlierAttemptThereHasThisOneCancelledFirst()
-            throws Exception {
+    public void repeatedCallBackOfAnEarlierAttemptHasThisOneCancelledFirst() throws Exception {
         Socket worker = sendAcceptedJob("k1");
         report("k1", "w1", ReportedState.RETURNED);
         runTurn();
@@ -365,13 +364,13 @@
         report("k1", "w1", ReportedState.RETURNED);
         runTurn();
         assertFinished("finished k1 0 FULL false");
-        confirms(delete(worker, "k1"));
+        confirm(awaitDelete(worker, "k1"));
         assertFinished("finished k1 0 FULL false", "finished k1 1 RESET false");
     }
 
     /** A call-back of another worker, or of another request, names something else. */
     @Test
-    public void aStrangersCallBackEndsNothing() throws Exception {
+    public void callBackOfAnotherWorkerOrRequestEndsNothing() throws Exception {
         sendAcceptedJob("l1");
         report("l1", "w2", ReportedState.FAILED);
         report("l2", "w1", ReportedState.FAILED);
@@ -381,7 +380,7 @@
 
     /** What the new settings allow is for requests to come. */
     @Test
-    public void newSettingsLeaveARequestsAttemptsAsTheyAre() throws Exception {
+    public void newSettingsDoNotApplyToARequestUnderWay() throws Exception {
         sendAcceptedJob("m1");
         PolicySettings.Builder settings = PolicySettings.builder();
         settings.classes(List.of(JobClass.of("price", Idempotency.IDEMPOTENT)));
@@ -394,7 +393,7 @@
     }
 
     @Test
-    public void aRefusedConnectProvesThatTheJobNeverRan() throws Exception {
+    public void refusedConnectProvesThatTheJobNeverRan() throws Exception {
         worker1.close();
         submit("n1");
         runTurn();
@@ -405,7 +404,7 @@
 
     /** The client's time is over, so nothing is sent again, whatever became of the job. */
     @Test
-    public void theDeadlineEndsIt() throws Exception {
+    public void deadlineEndsTheAttempt() throws Exception {
         sendAcceptedJob("o1");
         advance(DEADLINE_MICROS);
         runTurn();
--- a/daemon/src/test/java/postgrade/daemon/LateDialTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LateConnectTest.java
@@ -11,12 +11,12 @@
  * Connections to workers that come up after an attempt was decided on, and what may have happened
  * meanwhile.
  */
-public class LateDialTest extends AttemptTestBase {
+public class LateConnectTest extends AttemptTestBase {
 
-    public LateDialTest() throws IOException {}
+    public LateConnectTest() throws IOException {}
 
     /** The next attempt is the first that the worker sees. */
-    private void nothingWasWrittenTo(Socket worker) throws IOException {
+    private void assertNothingWrittenTo(Socket worker) throws IOException {
         submit("next");
         runTurn();
         assertEquals("next", awaitRequest(worker).header("X-Request-Id"));
@@ -27,7 +27,7 @@
      * left at the send.
      */
     @Test
-    public void anAttemptTellsWhatIsLeftWhenItIsWritten() throws Exception {
+    public void deadlineHeaderIsComputedWhenTheRequestIsWritten() throws Exception {
         submit("d1");
         runTurn();
         Socket worker = accept(worker1); // Up, which the loop has not seen yet.
@@ -41,20 +41,19 @@
      * The channels of a turn are served in any order, and a late turn's may have waited for long.
      */
     @Test
-    public void aConsumerWhoseLeavingIsReadAfterTheConnectionCameUpHasNothingWritten()
-            throws Exception {
+    public void clientDisconnectReadAfterTheConnectIsSeenBeforeTheWrite() throws Exception {
         PendingRequest in = submit("l1");
         runTurn();
         Socket worker = accept(worker1);
         loop.runAndServe(() -> {}); // It has come up.
         tracker.clientDisconnected(in);
         runTurn();
-        nothingWasWrittenTo(worker);
+        assertNothingWrittenTo(worker);
     }
 
     /** The script calls nothing off, as the module does not where the settings forbid it. */
     @Test
-    public void aConsumerThatLeftWhileItCameUpHasNothingWrittenAlsoWhereNothingMayBeCalledOff()
+    public void clientDisconnectDuringTheConnectPreventsTheWriteWithoutCancellation()
             throws Exception {
         PendingRequest in = submit("l2");
         runTurn();
@@ -64,11 +63,11 @@
         assertFinished("finished l2 0 NOT_SENT true");
         loop.runAndServe(() -> {});
         runTurn();
-        nothingWasWrittenTo(worker);
+        assertNothingWrittenTo(worker);
     }
 
     @Test
-    public void neitherHasOneThatIsRefusedMeanwhile() throws Exception {
+    public void jobRejectedDuringTheConnectIsNotWritten() throws Exception {
         submit("l3");
         runTurn();
         Socket worker = accept(worker1);
@@ -76,11 +75,11 @@
         runTurn();
         loop.runAndServe(() -> {});
         runTurn();
-        nothingWasWrittenTo(worker);
+        assertNothingWrittenTo(worker);
     }
 
     @Test
-    public void noneIsWrittenToAWorkerThatDrainsInTheTurnInWhichItsConnectionComesUp()
+    public void nothingIsWrittenToAWorkerThatStartsDrainingAsItsConnectionComesUp()
             throws Exception {
         submit("l4");
         runTurn();
@@ -102,7 +101,7 @@
 
     /** A connection in use or on its way was kept, and the next jobs went to the former process. */
     @Test
-    public void oneToAnAddressThatItsWorkerHasLeftCarriesNothingMore() throws Exception {
+    public void connectionToAFormerAddressCarriesNothingMore() throws Exception {
         submit("m1");
         runTurn();
         Socket former = awaitRequest(worker1).socket();
@@ -130,7 +129,7 @@
      * time.
      */
     @Test
-    public void aRepeatIsNotWrittenOnceRepeatsAreNoLongerDropped() throws Exception {
+    public void retryIsNotWrittenAfterItsDeduplicationWindow() throws Exception {
         submit("k1");
         runTurn();
         Socket first = awaitRequest(worker1).socket();
@@ -147,7 +146,7 @@
         runTurn();
         assertFinished("finished k1 0 RESET false", "finished k1 1 NOT_SENT false");
         policy.onJob = job -> policy.actions.startAttempt(job.id(), "w2", 0);
-        nothingWasWrittenTo(second);
+        assertNothingWrittenTo(second);
     }
 
     /**
@@ -155,7 +154,7 @@
      * deadline.
      */
     @Test
-    public void whenAConnectFailsNoneThatWaitsIsForgotten() throws Exception {
+    public void failedConnectFailsEveryWaitingRequest() throws Exception {
         boolean[] mayOpen = {true};
         pools.setConnectLimiter((id, must) -> mayOpen[0]);
         submit("p0");
--- a/daemon/src/test/java/postgrade/daemon/LateWordTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LateWorkerMessageTest.java
@@ -14,11 +14,11 @@
  * What a worker says of an attempt when it is all but over, and what comes of its connection long
  * after.
  */
-public class LateWordTest extends AttemptTestBase {
+public class LateWorkerMessageTest extends AttemptTestBase {
 
-    public LateWordTest() throws IOException {}
+    public LateWorkerMessageTest() throws IOException {}
 
-    private void isServed(String id) {
+    private void assertServed(String id) {
         assertFinished("finished " + id + " 0 SERVED true");
         assertEquals(List.of(id + " served"), answers);
         assertTrue("nothing is given up", pools.hasNoCancellations());
@@ -29,28 +29,28 @@
      * may have the same id.
      */
     @Test
-    public void doneInTheTurnInWhichItIsGivenUpIsTheAnswerAndNoDeleteFollows() throws Exception {
+    public void resultInTheTurnOfTheCancellationIsDeliveredAndNoDeleteFollows() throws Exception {
         Socket worker = sendAcceptedJob("a");
         policy.actions.cancelAttempt("a", 0);
         report("a", "w1", ReportedState.DONE);
         runTurn();
-        isServed("a");
+        assertServed("a");
         advance(100 * MILLI_MICROS);
         assertEquals("nothing is asked of it", 0, availableBytes(worker));
         assertEquals("nor on a connection of its own", 1, loop.openChannels());
     }
 
-    private ReceivedMessage delete(Socket on, String id) throws IOException {
+    private ReceivedMessage awaitDelete(Socket on, String id) throws IOException {
         ReceivedMessage delete = awaitRequest(on);
         assertTrue(delete.head(), delete.head().startsWith("DELETE /jobs/" + id + " "));
         return delete;
     }
 
     /** A DELETE that comes before its job, and is answered. */
-    private ReceivedMessage overtaking(String id) throws IOException {
+    private ReceivedMessage cancelWithDeleteBeforeJob(String id) throws IOException {
         policy.actions.cancelAttempt(id, 0);
         runTurn();
-        ReceivedMessage delete = delete(accept(worker1), id);
+        ReceivedMessage delete = awaitDelete(accept(worker1), id);
         loop.runAndServe(() -> delete.reply("200 OK", ""));
         runTurn();
         assertFinished();
@@ -59,16 +59,16 @@
 
     /** Nothing reads it any more: it would be taken for that of the next attempt. */
     @Test
-    public void a202LongBehindTheAnsweredDeleteFindsItsConnectionClosed() throws Exception {
+    public void acceptanceLongAfterTheAnsweredDeleteFindsItsConnectionClosed() throws Exception {
         Socket worker = sendJob("b");
-        ReceivedMessage first = overtaking("b");
+        ReceivedMessage first = cancelWithDeleteBeforeJob("b");
         advance(99 * MILLI_MICROS);
         assertFinished();
         advance(1 * MILLI_MICROS);
         assertEquals("the one of the DELETE is left", 1, loop.openChannels());
         assertEquals(-1, worker.getInputStream().read());
         assertFinished();
-        ReceivedMessage second = delete(first.socket(), "b");
+        ReceivedMessage second = awaitDelete(first.socket(), "b");
         loop.runAndServe(() -> second.reply("200 OK", ""));
         runTurn();
         assertFinished("finished b 0 CANCELLED false");
@@ -81,13 +81,13 @@
 
     /** The first one's answer ended the attempt: the job ran, beside the next attempt. */
     @Test
-    public void a202RightBehindTheAnsweredDeleteHasAnotherDeleteFollow() throws Exception {
+    public void acceptanceRightAfterTheAnsweredDeleteCausesAnotherDelete() throws Exception {
         Socket worker = sendJob("d");
-        overtaking("d");
+        cancelWithDeleteBeforeJob("d");
         respond(worker, ACCEPTED);
         advance(20 * MILLI_MICROS);
         assertFinished();
-        ReceivedMessage second = delete(worker, "d");
+        ReceivedMessage second = awaitDelete(worker, "d");
         loop.runAndServe(() -> second.reply("200 OK", ""));
         runTurn();
         assertFinished("finished d 0 CANCELLED false");
@@ -98,7 +98,7 @@
      * tells of its end.
      */
     @Test
-    public void aResetLongAfterThe202EndsNothing() throws Exception {
+    public void resetLongAfterTheAcceptanceEndsNothing() throws Exception {
         Socket worker = sendAcceptedJob("c");
         report("c", "w1", ReportedState.STARTED);
         advance(2_000 * MILLI_MICROS);
@@ -113,6 +113,6 @@
         assertEquals("and nothing is asked of the worker", 0, loop.openChannels());
         report("c", "w1", ReportedState.DONE);
         runTurn();
-        isServed("c");
+        assertServed("c");
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/ScriptedPeer.java
+++ b/daemon/src/test/java/postgrade/daemon/ScriptedPeer.java
@@ -60,46 +60,46 @@
         }
     }
 
-    private static final AtomicInteger PEERS = new AtomicInteger();
+    private static final AtomicInteger PEER_COUNT = new AtomicInteger();
     private final ServerSocket server;
-    private final BlockingQueue<ReceivedMessage> arrived = new LinkedBlockingQueue<>();
-    private final BlockingQueue<Socket> ended = new LinkedBlockingQueue<>();
+    private final BlockingQueue<ReceivedMessage> messages = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Socket> closedConnections = new LinkedBlockingQueue<>();
 
     ScriptedPeer() throws IOException {
         // Guards against the dispatchers of earlier tests, which look for their peers for ever: no
         // address comes again.
-        int count = PEERS.incrementAndGet();
+        int count = PEER_COUNT.incrementAndGet();
         server =
                 new ServerSocket(
                         0,
                         50,
                         InetAddress.getByName(
                                 "127.0." + (1 + count / 200) + "." + (1 + count % 200)));
-        daemon(
+        runInDaemonThread(
                 () -> {
                     while (true) {
                         Socket s = server.accept();
-                        daemon(() -> receive(s));
+                        runInDaemonThread(() -> readMessages(s));
                     }
                 });
     }
 
-    private void receive(Socket s) throws IOException {
+    private void readMessages(Socket socket) throws IOException {
         try {
             while (true) {
-                arrived.add(read(s));
+                messages.add(read(socket));
             }
         } catch (EOFException e) {
-            ended.add(s);
+            closedConnections.add(socket);
         }
     }
 
-    private interface Io {
+    private interface IoTask {
         void run() throws IOException;
     }
 
-    private static void daemon(Io task) {
-        Thread t =
+    private static void runInDaemonThread(IoTask task) {
+        Thread thread =
                 new Thread(
                         () -> {
                             try {
@@ -108,8 +108,8 @@
                                 // The test is over, or has broken the connection itself.
                             }
                         });
-        t.setDaemon(true);
-        t.start();
+        thread.setDaemon(true);
+        thread.start();
     }
 
     String address() {
@@ -117,26 +117,26 @@
     }
 
     ReceivedMessage awaitMessage() throws InterruptedException {
-        ReceivedMessage a = arrived.poll(TIMEOUT_S, TimeUnit.SECONDS);
-        assertNotNull("nothing arrived", a);
-        return a;
+        ReceivedMessage message = messages.poll(TIMEOUT_S, TimeUnit.SECONDS);
+        assertNotNull("nothing arrived", message);
+        return message;
     }
 
     ReceivedMessage awaitMessage(String start) throws InterruptedException {
-        ReceivedMessage a = awaitMessage();
-        assertTrue(a.head(), a.head().startsWith(start));
-        return a;
+        ReceivedMessage message = awaitMessage();
+        assertTrue(message.head(), message.head().startsWith(start));
+        return message;
     }
 
     boolean hasNoMessage() {
-        return arrived.isEmpty();
+        return messages.isEmpty();
     }
 
     /** Waits until the other side has closed one of its connections. */
     Socket awaitClosedConnection() throws InterruptedException {
-        Socket s = ended.poll(TIMEOUT_S, TimeUnit.SECONDS);
-        assertNotNull("no connection ended", s);
-        return s;
+        Socket socket = closedConnections.poll(TIMEOUT_S, TimeUnit.SECONDS);
+        assertNotNull("no connection ended", socket);
+        return socket;
     }
 
     @Override
@@ -144,27 +144,28 @@
         server.close();
     }
 
-    static void write(Socket s, String text) {
+    static void write(Socket socket, String text) {
         try {
-            s.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+            socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
     /** Reads one message with a length. */
-    static ReceivedMessage read(Socket s) throws IOException {
-        InputStream in = s.getInputStream();
+    static ReceivedMessage read(Socket socket) throws IOException {
+        InputStream in = socket.getInputStream();
         StringBuilder head = new StringBuilder();
         while (head.length() < 4 || !head.substring(head.length() - 4).equals("\r\n\r\n")) {
-            int b = in.read();
-            if (b < 0) {
+            int next = in.read();
+            if (next < 0) {
                 throw new EOFException();
             }
-            head.append((char) b);
+            head.append((char) next);
         }
-        String length = new ReceivedMessage(s, head.toString(), "").header("Content-Length");
+        String length = new ReceivedMessage(socket, head.toString(), "").header("Content-Length");
         byte[] body = in.readNBytes(length == null ? 0 : Integer.parseInt(length));
-        return new ReceivedMessage(s, head.toString(), new String(body, StandardCharsets.UTF_8));
+        return new ReceivedMessage(
+                socket, head.toString(), new String(body, StandardCharsets.UTF_8));
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/ScriptedPolicy.java
+++ b/daemon/src/test/java/postgrade/daemon/ScriptedPolicy.java
@@ -35,8 +35,8 @@
     volatile BiConsumer<String, Integer> onStarted = (id, attempt) -> {};
     volatile BiConsumer<String, AttemptOutcome> onFinished = (id, outcome) -> {};
 
-    ScriptedPolicy(PolicyActions out) {
-        this.actions = out;
+    ScriptedPolicy(PolicyActions actions) {
+        this.actions = actions;
     }
 
     void expectEvent(String expected) throws InterruptedException {
@@ -91,8 +91,8 @@
     }
 
     @Override
-    public void constraintsChanged(JobConstraints a) {
-        constraints = a;
+    public void constraintsChanged(JobConstraints newConstraints) {
+        constraints = newConstraints;
     }
 
     @Override
--- a/daemon/src/test/java/postgrade/daemon/OtherCustomerTest.java
+++ b/daemon/src/test/java/postgrade/daemon/SettingsReplacementTest.java
@@ -16,27 +16,27 @@
  * Customers whose settings share some names and nothing else: one alone, and one after the other in
  * one process.
  */
-public class OtherCustomerTest extends DaemonTestBase {
+public class SettingsReplacementTest extends DaemonTestBase {
 
     /**
      * Six classes, digits and hyphens in names, eight zones. Two workers of one kind, which is not
      * named first.
      */
-    private static final String MANY =
+    private static final String MANY_CLASSES =
             "{'balancers':3,'index':2,'zone':'s-2','kindOfService':'jobs','tier':0,"
                     + "'tiers':['sort-workers'],'skus':['2u-48','m'],'dcs':['n-1','n-2','n-3','s-1','s-2','s-3','w-1','a'],"
                     + "'classes':["
-                    + job("scan-2d", "read_like", 150, 900, 12)
+                    + jobClass("scan-2d", "read_like", 150, 900, 12)
                     + ","
-                    + job("label-4x6", "non_idempotent", 200, 950, 1)
+                    + jobClass("label-4x6", "non_idempotent", 200, 950, 1)
                     + ","
-                    + job("eta-15", "read_like", 120, 700, 0.5)
+                    + jobClass("eta-15", "read_like", 120, 700, 0.5)
                     + ","
-                    + job("3pl-sync", "idempotency_key", 400, 3000, 2)
+                    + jobClass("3pl-sync", "idempotency_key", 400, 3000, 2)
                     + ","
-                    + job("both", "non_idempotent", 800, 8000, 4)
+                    + jobClass("both", "non_idempotent", 800, 8000, 4)
                     + ","
-                    + job("z9", "non_idempotent", 200, 2000, 3)
+                    + jobClass("z9", "non_idempotent", 200, 2000, 3)
                     + "],"
                     + "'specifics':{'tellsStart':true,'classKind':[-1,-1,1,-1,-1,-1],'classStretch':[2,2,1.5,2,1.75,2.5]},"
                     + "'limits':{'cancel':true,'maxAttempts':5,'mayDuplicate':true,'mostHeld':200,'connIdleNs':6000000000,"
@@ -48,13 +48,13 @@
      * One class, one tenant, one zone, one attempt; a class and a tenant are called as with the
      * other.
      */
-    private static final String PLAIN =
+    private static final String SMALL =
             "{'balancers':1,'index':0,'zone':'main','kindOfService':'jobs','tier':0,"
                     + "'tiers':['pool'],'skus':['m'],'dcs':['main'],"
                     + "'classes':["
-                    + job("both", "read_like", 300, 9000, 1)
+                    + jobClass("both", "read_like", 300, 9000, 1)
                     + ","
-                    + job("x", "read_like", 300, 9000, 1)
+                    + jobClass("x", "read_like", 300, 9000, 1)
                     + "],"
                     + "'specifics':{'tellsStart':true,'classKind':[-1,-1],'classStretch':[2,2]},"
                     + "'limits':{'cancel':false,'maxAttempts':2,'mayDuplicate':false,'mostHeld':100,'connIdleNs':20000000000,"
@@ -62,40 +62,41 @@
                     + "'obligations':{'coldShare':0.2,'warmWithinNs':20000000000,'fallMultiple':4.0,'fallNs':2500000000},"
                     + "'tenants':[{'name':'t','quotaPerS':10}]}";
 
-    private Path file;
+    private Path configFile;
 
-    private static String job(String name, String effect, int aimMs, int deadlineMs, double worth) {
+    private static String jobClass(
+            String name, String idempotency, int onTimeMs, int deadlineMs, double importance) {
         return "{'name':'"
                 + name
                 + "','idempotency':'"
-                + effect
+                + idempotency
                 + "','group':'all','windowNs':5000000000,'onTimeNs':"
-                + aimMs
+                + onTimeMs
                 + "000000,'deadlineNs':"
                 + deadlineMs
                 + "000000,'importance':"
-                + worth
+                + importance
                 + ",'lateShare':0.0}";
     }
 
-    private void settings(String text) throws IOException {
-        JsonObject json = Json.parse(Files.readString(file)).asObject();
+    private void writeSettings(String text) throws IOException {
+        JsonObject json = Json.parse(Files.readString(configFile)).asObject();
         Files.writeString(
-                file, json.set("settings", Json.parse(text.replace('\'', '"'))).toString());
+                configFile, json.set("settings", Json.parse(text.replace('\'', '"'))).toString());
     }
 
-    private void serve(String text) throws Exception {
+    private void startDaemonWith(String text) throws Exception {
         Map<String, String> environment =
                 configuration(
                         workerEntry("w1", workerOne.address(), "ready"),
                         workerEntry("w2", workerTwo.address(), "ready"));
-        file = Path.of(environment.get("ROUTER_CONFIG"));
-        settings(text);
+        configFile = Path.of(environment.get("ROUTER_CONFIG"));
+        writeSettings(text);
         daemon = new Daemon(Config.read(environment));
         daemon.start();
     }
 
-    private Socket submitted(String id, String jobClass, String tenant) throws IOException {
+    private Socket submit(String id, String jobClass, String tenant) throws IOException {
         Socket s = connect();
         ScriptedPeer.write(
                 s,
@@ -110,74 +111,76 @@
     }
 
     /** The next job is taken by the worker that this returns. */
-    private String taken() throws Exception {
+    private String acceptNextJob() throws Exception {
         while (workerOne.hasNoMessage() && workerTwo.hasNoMessage()) {
             Thread.onSpinWait();
         }
-        String at = workerOne.hasNoMessage() ? "w2" : "w1";
-        (at.equals("w1") ? workerOne : workerTwo).awaitMessage("POST").accept();
-        return at;
+        String workerId = workerOne.hasNoMessage() ? "w2" : "w1";
+        (workerId.equals("w1") ? workerOne : workerTwo).awaitMessage("POST").accept();
+        return workerId;
     }
 
-    private void ends(String id, String state) throws Exception {
-        assertEquals(204, callBack(id, taken(), state));
+    private void acceptAndReport(String id, String state) throws Exception {
+        assertEquals(204, callBack(id, acceptNextJob(), state));
     }
 
-    private void served(String id, String jobClass, String tenant) throws Exception {
-        Socket consumer = submitted(id, jobClass, tenant);
-        ends(id, "done");
-        assertEquals(jobClass, 200, ScriptedPeer.read(consumer).status());
+    private void assertServed(String id, String jobClass, String tenant) throws Exception {
+        Socket client = submit(id, jobClass, tenant);
+        acceptAndReport(id, "done");
+        assertEquals(jobClass, 200, ScriptedPeer.read(client).status());
     }
 
-    private int refused(String id, String jobClass, String tenant) throws IOException {
-        return ScriptedPeer.read(submitted(id, jobClass, tenant)).status();
+    private int submitForStatus(String id, String jobClass, String tenant) throws IOException {
+        return ScriptedPeer.read(submit(id, jobClass, tenant)).status();
     }
 
-    private Socket failed(String id, String tenant) throws Exception {
-        Socket consumer = submitted(id, "both", tenant);
-        ends(id, "failed");
-        return consumer;
+    private Socket submitAndFail(String id, String tenant) throws Exception {
+        Socket client = submit(id, "both", tenant);
+        acceptAndReport(id, "failed");
+        return client;
     }
 
     @Test
-    public void eachClassAndTenantOfOneWithManyIsServedAndNobodyElses() throws Exception {
-        serve(MANY);
+    public void everyConfiguredClassAndTenantIsServedAndNoOther() throws Exception {
+        startDaemonWith(MANY_CLASSES);
         int n = 0;
         for (String c : new String[] {"scan-2d", "label-4x6", "eta-15", "3pl-sync", "both", "z9"}) {
             for (String tenant : new String[] {"t-01", "8-ball"}) {
-                served("m" + n++, c, tenant);
+                assertServed("m" + n++, c, tenant);
             }
         }
-        assertEquals(400, refused("m90", "x", "t-01"));
-        assertEquals(400, refused("m91", "z9", "only"));
+        assertEquals(400, submitForStatus("m90", "x", "t-01"));
+        assertEquals(400, submitForStatus("m91", "z9", "only"));
     }
 
     @Test
-    public void nothingOfTheFirstIsLeftOnceTheSecondsSettingsAreRead() throws Exception {
-        serve(PLAIN);
-        Socket again = failed("a0", "t");
-        ends("a0", "done");
-        assertEquals("it may be repeated", 200, ScriptedPeer.read(again).status());
-        served("a1", "x", "t");
-        Socket underWay = submitted("u", "x", "t");
-        String at = taken();
-        settings(MANY);
+    public void reloadReplacesAllEarlierSettings() throws Exception {
+        startDaemonWith(SMALL);
+        Socket retried = submitAndFail("a0", "t");
+        acceptAndReport("a0", "done");
+        assertEquals("it may be repeated", 200, ScriptedPeer.read(retried).status());
+        assertServed("a1", "x", "t");
+        Socket inFlight = submit("u", "x", "t");
+        String workerId = acceptNextJob();
+        writeSettings(MANY_CLASSES);
         daemon.reload();
         assertEquals("and by this answer it has been read", 200, readinessStatus());
-        assertEquals("a class of the first alone", 400, refused("c0", "x", "t"));
-        assertEquals(204, callBack("u", at, "done"));
-        assertEquals("one that came before goes on", 200, ScriptedPeer.read(underWay).status());
-        served("c1", "scan-2d", "t-01");
-        served("c2", "both", "t");
-        Socket once = failed("c3", "t");
+        assertEquals("a class of the first alone", 400, submitForStatus("c0", "x", "t"));
+        assertEquals(204, callBack("u", workerId, "done"));
+        assertEquals("one that came before goes on", 200, ScriptedPeer.read(inFlight).status());
+        assertServed("c1", "scan-2d", "t-01");
+        assertServed("c2", "both", "t");
+        Socket notRetried = submitAndFail("c3", "t");
         assertEquals(
-                "what kept its name must not run twice now", 502, ScriptedPeer.read(once).status());
+                "what kept its name must not run twice now",
+                502,
+                ScriptedPeer.read(notRetried).status());
         assertTrue(workerOne.hasNoMessage() && workerTwo.hasNoMessage());
-        settings(PLAIN);
+        writeSettings(SMALL);
         daemon.reload();
         assertEquals(200, readinessStatus());
-        assertEquals(400, refused("d0", "scan-2d", "t"));
-        assertEquals(400, refused("d1", "both", "8-ball"));
-        served("d2", "x", "t");
+        assertEquals(400, submitForStatus("d0", "scan-2d", "t"));
+        assertEquals(400, submitForStatus("d1", "both", "8-ball"));
+        assertServed("d2", "x", "t");
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/SystemCallsTest.java
+++ b/daemon/src/test/java/postgrade/daemon/SystemCallFailureTest.java
@@ -19,9 +19,9 @@
 import postgrade.policy.api.AttemptOutcome;
 
 /** System calls that fail for a moment, are short or return early, at each point of a job's way. */
-public class SystemCallsTest extends DaemonTestBase {
+public class SystemCallFailureTest extends DaemonTestBase {
 
-    private static final List<Failure> OUR_OWN_WANTS =
+    private static final List<Failure> LOCAL_RESOURCE_FAILURES =
             List.of(
                     () -> new BindException("Cannot assign requested address"),
                     () -> new SocketException("No buffer space available"),
@@ -47,7 +47,7 @@
      * Answers the attempt, reports the job done on a connection of its own, and reads the client's
      * answer.
      */
-    private void isServed(String id, Socket client, ScriptedPeer worker, String from)
+    private void assertServed(String id, Socket client, ScriptedPeer worker, String workerId)
             throws Exception {
         ReceivedMessage attempt = worker.awaitMessage("POST");
         assertEquals(id, attempt.header("X-Request-Id"));
@@ -56,7 +56,7 @@
                 "{\"id\":\""
                         + id
                         + "\",\"from\":\""
-                        + from
+                        + workerId
                         + "\",\"state\":\"done\",\"result\":\"made\"}";
         Socket report = turns.connect();
         ScriptedPeer.write(
@@ -73,7 +73,7 @@
 
     /** The module may try another worker, and holds nothing against this one. */
     @Test
-    public void aConnectThatFailsForWantOfOursIsToldAsSuchAndTheJobGoesElsewhere()
+    public void connectFailureForLackOfLocalResourcesIsReportedAndTheJobGoesElsewhere()
             throws Exception {
         turns.script.onFinished =
                 (id, outcome) -> {
@@ -83,20 +83,20 @@
                 };
         int number = 0;
         for (Call call : List.of(Call.OPEN, Call.CONNECT)) {
-            for (Failure failure : OUR_OWN_WANTS) {
+            for (Failure failure : LOCAL_RESOURCE_FAILURES) {
                 String id = "c" + number++;
                 calls.fail(call, 1, failure);
                 Socket client = turns.post(id);
                 turns.script.expectEvent("job " + id);
                 turns.script.expectEvent("finished " + id + " 0 NO_SOCKET false");
-                isServed(id, client, workerTwo, "w2");
+                assertServed(id, client, workerTwo, "w2");
                 turns.script.expectEvent("finished " + id + " 1 SERVED true");
             }
         }
     }
 
     @Test
-    public void aConnectThatThePeerRefusesIsStillTheWorkersFailure() throws Exception {
+    public void connectRefusedByThePeerCountsAsTheWorkersFailure() throws Exception {
         calls.fail(Call.CONNECT, 1, () -> new ConnectException("Connection refused"));
         turns.post("p1");
         turns.script.expectEvent("job p1");
@@ -108,63 +108,64 @@
     }
 
     @Test
-    public void aWaitThatFailsEndsNeitherTheLoopNorWhatIsUnderWay() throws Exception {
+    public void failedSelectEndsNeitherTheLoopNorRequestsInFlight() throws Exception {
         Socket client = turns.post("s1");
         turns.script.expectEvent("job s1");
         calls.fail(Call.SELECT, 3, () -> new IOException("Interrupted system call"));
-        isServed("s1", client, workerOne, "w1");
+        assertServed("s1", client, workerOne, "w1");
         assertEquals(0, calls.failuresLeft(Call.SELECT));
     }
 
     @Test
-    public void aFailedAcceptLosesNobodyWhoWaitsAndCallBacksAreStillHeard() throws Exception {
+    public void failedAcceptLosesNoWaitingClientAndNoCallBack() throws Exception {
         Socket before = turns.post("a1");
         turns.script.expectEvent("job a1");
         calls.fail(Call.ACCEPT, 3, () -> new IOException("Too many open files in system"));
         Socket waits = turns.post("a2");
-        isServed(
+        assertServed(
                 "a1", before, workerOne,
                 "w1"); // Its call-back comes on a connection that waits behind the other.
-        isServed("a2", waits, workerOne, "w1");
+        assertServed("a2", waits, workerOne, "w1");
         assertEquals(0, calls.failuresLeft(Call.ACCEPT));
     }
 
     @Test
-    public void aShutdownWhoseAcceptFailsStillServesWhoWaits() throws Exception {
+    public void failedAcceptDuringShutdownStillServesWaitingClients() throws Exception {
         Socket first = turns.post("d1");
         turns.script.expectEvent("job d1");
         calls.fail(Call.ACCEPT, 3, () -> new IOException("Too many open files"));
         Socket second = turns.post("d2");
         turns.on(turns.ending::begin);
-        isServed("d1", first, workerOne, "w1");
-        isServed("d2", second, workerOne, "w1");
+        assertServed("d1", first, workerOne, "w1");
+        assertServed("d2", second, workerOne, "w1");
     }
 
     @Test
-    public void readsAndWritesOfOneByteEachCarryAJobWhole() throws Exception {
+    public void oneByteReadsAndWritesCarryACompleteJob() throws Exception {
         calls.moveOneByteAtATime();
         Socket client = turns.post("b1");
-        isServed("b1", client, workerOne, "w1");
+        assertServed("b1", client, workerOne, "w1");
     }
 
     /** Its time runs from when it was sent. */
     @Test
-    public void aRequestThatLayUnreadInASocketTellsItsWorkerOfTheTimeThatIsLeft() throws Exception {
+    public void timeUnreadInASocketCountsAgainstTheDeadline() throws Exception {
         Socket client = turns.connect();
         turns.turn(); // It is accepted and watched.
         turns.crossing(300, () -> Turns.post(client, "u1"), () -> {});
-        assertTellsAtMost(14_700_000, workerOne.awaitMessage("POST"));
+        assertRemainingAtMost(14_700_000, workerOne.awaitMessage("POST"));
     }
 
     @Test
-    public void neitherDoesOneThatWaitedInTheBacklogTellMore() throws Exception {
+    public void timeInTheAcceptBacklogCountsAgainstTheDeadline() throws Exception {
         turns.crossing(300, () -> turns.post("u2"), () -> {});
-        assertTellsAtMost(14_700_000, workerOne.awaitMessage("POST"));
+        assertRemainingAtMost(14_700_000, workerOne.awaitMessage("POST"));
     }
 
-    private static void assertTellsAtMost(long micros, ReceivedMessage attempt) {
-        String told = attempt.header("X-Deadline");
-        assertTrue(told, told.endsWith("u"));
-        assertTrue(told, Long.parseLong(told.substring(0, told.length() - 1)) <= micros);
+    private static void assertRemainingAtMost(long micros, ReceivedMessage attempt) {
+        String deadline = attempt.header("X-Deadline");
+        assertTrue(deadline, deadline.endsWith("u"));
+        assertTrue(
+                deadline, Long.parseLong(deadline.substring(0, deadline.length() - 1)) <= micros);
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/UnsentTest.java
+++ b/daemon/src/test/java/postgrade/daemon/UnsentRequestTest.java
@@ -9,14 +9,14 @@
 import org.junit.Test;
 
 /** A request that was never sent on is refused, however it ends: trying again is harmless. */
-public class UnsentTest extends DaemonTestBase {
+public class UnsentRequestTest extends DaemonTestBase {
 
-    private void refused(Socket consumer) throws Exception {
-        assertEquals(429, ScriptedPeer.read(consumer).status());
+    private void assertRejected(Socket client) throws Exception {
+        assertEquals(429, ScriptedPeer.read(client).status());
     }
 
     @Test
-    public void whatTheModuleFailsOrStumblesOverWithoutASendIsRefused() throws Exception {
+    public void jobFailedByThePolicyBeforeAnySendIsRejected() throws Exception {
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob =
                 job -> {
@@ -26,35 +26,36 @@
                         throw new IllegalStateException("as told");
                     }
                 };
-        refused(post("f1", "confirm", "15000m"));
-        refused(post("f2", "confirm", "15000m"));
+        assertRejected(post("f1", "confirm", "15000m"));
+        assertRejected(post("f2", "confirm", "15000m"));
     }
 
     @Test
-    public void aCallWhoseConnectionNeverCameUpIsWithdrawnAtTheDeadlineAndItsJobRefused()
+    public void attemptWithoutAConnectionIsWithdrawnAtTheDeadlineAndItsJobRejected()
             throws Exception {
-        try (ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+        try (ServerSocket unresponsive = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             for (int i = 0; i < 2; i++) {
-                sockets.add(new Socket(deaf.getInetAddress(), deaf.getLocalPort()));
+                sockets.add(new Socket(unresponsive.getInetAddress(), unresponsive.getLocalPort()));
             }
-            startWithScriptedPolicy(workerEntry("w1", "127.0.0.1:" + deaf.getLocalPort(), "ready"));
+            startWithScriptedPolicy(
+                    workerEntry("w1", "127.0.0.1:" + unresponsive.getLocalPort(), "ready"));
             script.onJob = job -> script.actions.startAttempt(job.id(), "w1", 0);
             script.onFinished = (id, outcome) -> script.actions.fail(id);
-            Socket consumer = post("d1", "confirm", "300m");
+            Socket client = post("d1", "confirm", "300m");
             script.expectEventAmongOthers("job d1");
             script.expectEventAmongOthers("finished d1 0 NOT_SENT false");
-            refused(consumer);
+            assertRejected(client);
             script.onFinished = (id, outcome) -> {};
-            consumer = post("d2", "confirm", "300m"); // The module forgets it.
+            client = post("d2", "confirm", "300m"); // The module forgets it.
             script.expectEventAmongOthers("job d2");
             script.expectEventAmongOthers("finished d2 0 NOT_SENT false");
-            refused(consumer);
+            assertRejected(client);
             script.onJob =
                     job -> {
                         script.actions.startAttempt(job.id(), "w1", 0);
                         script.actions.fail(job.id()); // Sooner.
                     };
-            refused(post("d3", "confirm", "15000m"));
+            assertRejected(post("d3", "confirm", "15000m"));
         }
     }
 
@@ -63,16 +64,16 @@
      * again.
      */
     @Test
-    public void aCallWhoseConnectionComesUpBehindItsWindowIsNotWritten() throws Exception {
+    public void attemptWhoseConnectionComesUpAfterItsWriteWindowIsNotWritten() throws Exception {
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob =
                 job ->
                         script.actions.startAttempt(
                                 job.id(), "w1", 0, 0); // A connection comes up in a later turn.
         script.onFinished = (id, outcome) -> script.actions.fail(id);
-        Socket consumer = post("k1", "price", "15000m");
+        Socket client = post("k1", "price", "15000m");
         script.expectEventAmongOthers("finished k1 0 NOT_SENT false");
-        refused(consumer);
+        assertRejected(client);
         script.onJob =
                 job -> script.actions.startAttempt(job.id(), "w1", 0, TimeUnit.MINUTES.toNanos(1));
         post("k2", "price", "15000m");
@@ -83,28 +84,27 @@
     }
 
     @Test
-    public void whatAWorkerHasHadMayHaveRunAndIsFailed() throws Exception {
+    public void jobThatReachedAWorkerIsFailedNotRejected() throws Exception {
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> script.actions.startAttempt(job.id(), "w1", 0);
         script.onFinished = (id, outcome) -> script.actions.fail(id);
-        Socket consumer = post("s1", "confirm", "300m");
+        Socket client = post("s1", "confirm", "300m");
         workerOne.awaitMessage("POST"); // Silent on it.
-        assertEquals(504, ScriptedPeer.read(consumer).status());
+        assertEquals(504, ScriptedPeer.read(client).status());
         workerOne.awaitMessage("DELETE /jobs/s1 ").reply("200 OK", "");
-        consumer = post("s2", "confirm", "15000m");
+        client = post("s2", "confirm", "15000m");
         workerOne.awaitMessage("POST").resetConnection();
         workerOne.awaitMessage("DELETE /jobs/s2 ").reply("200 OK", "");
         script.expectEventAmongOthers("job s1");
         script.expectEventAmongOthers("finished s1 0 TIMEOUT false");
         script.expectEventAmongOthers("job s2");
         script.expectEventAmongOthers("finished s2 0 RESET false");
-        assertEquals(502, ScriptedPeer.read(consumer).status());
+        assertEquals(502, ScriptedPeer.read(client).status());
     }
 
     /** A new connection that is closed without an answer counts as a request refused or lost. */
     @Test
-    public void aConnectionThatFindsNoPlaceWaitsUnharmedAndIsServedOnceThereIsOne()
-            throws Exception {
+    public void connectionBeyondTheSocketLimitWaitsUntilAnotherCloses() throws Exception {
         descriptorLimit = 96; // 64 for sockets, 48 of them for accepted ones and the watch.
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> {};
@@ -112,7 +112,7 @@
             post("busy" + i, "price", "15000m");
             script.expectEventAmongOthers("job busy" + i);
         }
-        Socket consumer = post("last", "price", "15000m");
+        Socket client = post("last", "price", "15000m");
         ScriptedPeer.ReceivedMessage watch =
                 discovery.awaitMessage("GET /api/targets?watch=1&from=41 ");
         ScriptedPeer.write(watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -131,7 +131,7 @@
         sockets.get(1).close(); // Its place is free.
         script.expectEventAmongOthers("abandoned busy1");
         script.expectEventAmongOthers("job last");
-        refused(consumer);
-        refused(sockets.get(0));
+        assertRejected(client);
+        assertRejected(sockets.get(0));
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/WorkerStartTimesTest.java
+++ b/daemon/src/test/java/postgrade/daemon/WorkerStartTimesTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    public void underATrueClockAStartIsWhereItWas() throws Exception {
+    public void accurateClockKeepsTheStartTime() throws Exception {
         WorkerStartTimes times = withWallClockOffBy(0);
         assertEquals(
                 nowMicros - 5 * SECOND,
@@ -44,18 +44,16 @@
 
     /** Else a worker in slow start would pass as warm. */
     @Test
-    public void underAClockAnHourAheadAChangeTellsAStartSinceDiscoveryWasLastHeard()
-            throws Exception {
+    public void clockAnHourAheadTreatsAChangedStartAsRecent() throws Exception {
         WorkerStartTimes times = withWallClockOffBy(HOUR);
-        long heardBefore = nowMicros - 2 * SECOND;
-        long started = times.micros("w", startedAgo(SECOND), nowMicros, heardBefore);
+        long previouslyHeard = nowMicros - 2 * SECOND;
+        long started = times.micros("w", startedAgo(SECOND), nowMicros, previouslyHeard);
         assertTrue(nowMicros - started <= 2 * SECOND + WorkerStartTimes.MAX_NOTICE_DELAY_MICROS);
     }
 
     /** Else a warm worker would pass as cold for an hour. */
     @Test
-    public void underAClockAnHourBehindAStartIsNoLaterThanTheMomentItIsFirstTold()
-            throws Exception {
+    public void clockAnHourBehindCapsTheStartAtItsFirstReport() throws Exception {
         WorkerStartTimes times = withWallClockOffBy(-HOUR);
         assertEquals(
                 nowMicros,
@@ -69,7 +67,7 @@
     }
 
     @Test
-    public void aRestartUnderTheSameNameIsAStartOfItsOwn() throws Exception {
+    public void restartUnderTheSameNameGetsItsOwnStartTime() throws Exception {
         WorkerStartTimes times = withWallClockOffBy(0);
         times.micros("w", startedAgo(HOUR), nowMicros, WorkerStartTimes.NO_EARLIER_CONTACT);
         long again = times.micros("w", startedAgo(SECOND), nowMicros, nowMicros - SECOND);
