--- a/daemon/src/main/java/postgrade/worker/AdaptiveIdleTimeout.java
+++ b/daemon/src/main/java/postgrade/worker/AdaptiveIdleTimeout.java
@@ -1,16 +1,16 @@
 package postgrade.worker;
 
 /**
- * How long a connection to a provider may stand idle and still be trusted with a request. The
- * settings say when providers close idle connections, but what lies between may forget them sooner
- * and without a word; the next request on such a connection ends as a reset, and one that must not
- * run twice is lost with it. So each break of a connection that had been idle shortens the time,
- * and a while without any lengthens it again.
+ * How long a connection to a worker may stay idle and still be given a request. The settings say
+ * when workers close idle connections, but a middlebox in between may drop them earlier without
+ * notice; the next request on such a connection ends in a reset, and a request that must not run
+ * twice is then lost. So each break of a connection that was idle shortens the limit, and a period
+ * without breaks lengthens it again.
  */
 final class AdaptiveIdleTimeout {
     /**
-     * Sooner breaks are no sign of idleness, and to keep no connection at all would cost a
-     * handshake a request.
+     * Connections that break after a shorter idle time do not point to an idle time-out, and
+     * keeping no connection at all would cost a handshake per request.
      */
     private static final long MIN_MICROS = 50_000;
 
@@ -26,9 +26,9 @@
     }
 
     /**
-     * Another time after which providers close.
+     * Sets another time after which workers close idle connections.
      *
-     * @param learntHolds the network is the same one, and so is what was learnt of shorter times
+     * @param keepLearnt whether the network is the same, so that a shorter learnt limit still holds
      */
     void setMax(long micros, boolean keepLearnt) {
         limitMicros =
@@ -48,7 +48,7 @@
         return limitMicros;
     }
 
-    /** A connection has broken under the first request after it was idle for so long. */
+    /** A connection broke under the first request after it had been idle for this long. */
     void recordBreak(long nowMicros, long idleMicros) {
         if (idleMicros >= MIN_MICROS) {
             limitMicros = Math.max(MIN_MICROS, Math.min(limitMicros, idleMicros / 2));
--- a/daemon/src/main/java/postgrade/worker/AttemptRequest.java
+++ b/daemon/src/main/java/postgrade/worker/AttemptRequest.java
@@ -13,16 +13,16 @@
 import postgrade.http.MessageWriter;
 import postgrade.policy.api.AttemptOutcome;
 
-/** One attempt at a worker, and how far it has come on the wire. */
+/** One attempt at a worker, and its progress on the wire. */
 final class AttemptRequest extends WorkerRequest implements WorkerTransport.AttemptHandle {
 
     /**
-     * An attempt ended by its call-back leaves its connection once the 202 comes, which is due by
-     * then.
+     * How long an attempt that has ended by its call-back keeps its connection for the 202, which
+     * should have arrived by then.
      */
     private static final long RESPONSE_TIMEOUT_MICROS = 1_000_000;
 
-    /** A 202 that was on its way when the attempt was given up has come by then. */
+    /** A 202 that was in flight when the attempt was cancelled has arrived after this time. */
     private static final long ACCEPT_GRACE_MICROS = 100_000;
 
     private final RequestTracker tracker;
@@ -42,26 +42,26 @@
     private Cancellation cancellation;
 
     /**
-     * @param fence the claim it goes with, or null
-     * @param cancellations counts those that are being given up
+     * @param fencingToken the token sent with the job, or null
+     * @param cancellations counts the attempts that are being cancelled
      */
     AttemptRequest(
             RequestTracker tracker,
             Timers timers,
             ConnectionPool pool,
             Attempt attempt,
-            String fence,
+            String fencingToken,
             CancellationTracker cancellations) {
         super(attempt.payload().body());
         this.tracker = tracker;
         this.timers = timers;
         this.pool = pool;
         this.attempt = attempt;
-        this.fencingToken = fence;
+        this.fencingToken = fencingToken;
         this.cancellations = cancellations;
     }
 
-    /** False, and nothing changes, where the one does not follow the other. */
+    /** Returns false and changes nothing if the transition is not allowed. */
     private boolean transitionTo(AttemptState next) {
         boolean follows = state.canBecome(next);
         if (follows) {
@@ -94,8 +94,8 @@
     }
 
     /**
-     * The wire or a call-back has told of the end: what is still asked of the worker is asked no
-     * more.
+     * Marks the attempt as ended by the wire or by a call-back. Requests to the worker that are
+     * still pending are dropped by the caller.
      */
     private boolean markEnded() {
         if (!transitionTo(AttemptState.ENDED)) {
@@ -126,8 +126,8 @@
         if (meaning == WorkerResponse.ACCEPTED) {
             onAccepted();
         } else if (!endProof.responsesAreUnambiguous()) {
-            // Guards against a late answer of an earlier exchange on the same connection: it says
-            // nothing of this job.
+            // Guards against a late response of an earlier exchange on the same connection, which
+            // says nothing about this job.
             onAmbiguousResponse(meaning);
         } else if (meaning == WorkerResponse.UNKNOWN) {
             settleDelivery();
@@ -147,7 +147,7 @@
         }
     }
 
-    /** Its end comes by a call-back, or by the answer to a DELETE written from now on. */
+    /** The attempt ends by a call-back, or by the response to a DELETE written from now on. */
     private void onAccepted() {
         accepted = true;
         wireTimes.recordAccepted(timers.nowMicros());
@@ -160,8 +160,8 @@
     }
 
     /**
-     * A 202 on a connection used before may be another exchange's as well: it counts if no other
-     * answer comes while the connection rests.
+     * A 202 on a reused connection may belong to an earlier exchange: it counts if no other
+     * response comes while the connection rests.
      */
     private void settleDeliveryAfterRest() {
         long restedMicros = wireTimes.acceptedMicros() + FreeConnections.REST_PERIOD_MICROS;
@@ -173,8 +173,8 @@
     }
 
     /**
-     * An answer that may be another exchange's. The job is given up before the policy hears, by a
-     * DELETE behind it on the same connection, as long as that is open.
+     * Handles a response that may belong to an earlier exchange. The job is cancelled before the
+     * policy is notified, by a DELETE behind it on the same connection if that is still open.
      */
     private void onAmbiguousResponse(WorkerResponse meaning) {
         if (responseConnection == null) {
@@ -190,8 +190,8 @@
     }
 
     /**
-     * Guards what must not run twice: that a job never ran is believed only where its answer was
-     * shown to be its own, and nothing has said that it began.
+     * Guards jobs that must not run twice: "never ran" is believed only if the response was shown
+     * to belong to the job and no call-back has reported that it started.
      */
     private AttemptOutcome ambiguousOutcome(WorkerResponse meaning) {
         boolean believed = cancellation.wasProvedInOrder() && !startReported;
@@ -200,10 +200,13 @@
                 : meaning.outcome();
     }
 
-    /** What came as the answer was not the only one, so it may have been another exchange's. */
+    /**
+     * Another response followed the one taken for this job's, so that one may belong to another
+     * exchange.
+     */
     @Override
     void onContradicted() {
-        endProof.invalidate(); // Its connection is over with that.
+        endProof.invalidate(); // The connection has already been closed.
         if (cancellation != null) {
             cancellation.deliverySettled();
         }
@@ -221,7 +224,7 @@
             case NEVER_WRITTEN -> end(AttemptOutcome.UNREACHABLE, EndEvidence.of(unwrittenKind()));
             case DRAINED -> end(AttemptOutcome.NOT_SENT, EndEvidence.of(Kind.WORKER_NOT_READY));
             case TOO_LATE -> end(AttemptOutcome.NOT_SENT, EndEvidence.of(lateKind()));
-            // A 202 may have come and gone with the connection, after which a break ends nothing.
+            // A 202 may have been lost with the connection, so the break does not end the attempt.
             case AFTER_LAST_BYTE, IN_RESPONSE -> {
                 settleDelivery();
                 cancelBeforeReporting(
@@ -231,7 +234,7 @@
         }
     }
 
-    /** The worker has the job, or cannot get it any more. */
+    /** The worker has the job or can no longer receive it. */
     private void settleDelivery() {
         endProof.settleDelivery();
         if (cancellation != null) {
@@ -240,9 +243,9 @@
     }
 
     /**
-     * What came does not tell whether the worker has taken the job. Guards against a second attempt
-     * beside one that runs: it is given up on the wire before the policy hears. One that is being
-     * given up goes on with that.
+     * Handles an event that does not show whether the worker has accepted the job. Guards against a
+     * second attempt beside one that runs: the attempt is cancelled on the wire before the policy
+     * is notified. A cancellation under way continues.
      */
     private void cancelBeforeReporting(
             Consumer<EndEvidence> reportEnd, WorkerConnection followedConnection) {
@@ -271,7 +274,7 @@
     }
 
     /**
-     * The attempt is over though its request may be under way: its connection is freed by the 202.
+     * The attempt has ended although its request may be in flight: the 202 frees its connection.
      */
     private void releaseConnection() {
         if (!finished && connection == null) {
@@ -315,7 +318,7 @@
             if (connection == null) {
                 pool.withdraw(this);
             } else {
-                connection.abort(); // In part: without its last byte it never begins.
+                connection.abort(); // Without its last byte the worker never starts the job.
             }
             markEnded();
             onProved.accept(EndEvidence.of(Kind.NOT_WRITTEN));
@@ -325,14 +328,15 @@
         possiblyDelivered = true;
         startCancellation(onProved, null);
         if (connection != null) {
-            // Guards against a 202 that crosses: with it the job runs, and only the answer to the
-            // DELETE ends that.
+            // Guards against a 202 that crosses the cancellation: the job then runs, and only the
+            // response to the DELETE ends the attempt.
             timers.at(timers.nowMicros() + ACCEPT_GRACE_MICROS, this::closeUnaccepted);
         }
     }
 
     /**
-     * @param behind the link on which the DELETE is to follow the job, or null for any
+     * @param followedConnection the connection on which the DELETE must follow the job, or null for
+     *     any
      */
     private void startCancellation(
             Consumer<EndEvidence> onProved, WorkerConnection followedConnection) {
@@ -348,7 +352,7 @@
                             transitionTo(AttemptState.ENDED);
                             onProved.accept(evidence);
                             if (connection != null) {
-                                connection.abort(); // Nothing is awaited on it any more.
+                                connection.abort(); // No response is awaited on it any more.
                             }
                         });
         if (accepted && !endProof.isDeliverySettled()) {
@@ -362,9 +366,9 @@
     }
 
     /**
-     * A close before the 202 gives up by itself. But the 202 may be on its way just then, so the
-     * close alone counts only at a worker that has said nothing since it was sent the job; from any
-     * other its answer to a DELETE is due.
+     * Closing the connection before the 202 cancels the job by itself. But the 202 may be in flight
+     * at that moment, so the close alone counts only at a worker that has sent nothing since the
+     * job was written; any other worker must answer a DELETE.
      */
     private void closeUnaccepted() {
         if (connection != null && state == AttemptState.CANCELLING) {
--- a/daemon/src/main/java/postgrade/worker/AttemptState.java
+++ b/daemon/src/main/java/postgrade/worker/AttemptState.java
@@ -4,13 +4,16 @@
 import java.util.Map;
 import java.util.Set;
 
-/** How far an attempt has come. What follows what stands in {@link #NEXT} alone. */
+/** The state of an attempt. {@link #NEXT} alone defines the allowed transitions. */
 enum AttemptState {
-    /** Waits for a connection or for its answer: its link and what has been written tell which. */
+    /**
+     * Waits for a connection or for its response; the connection and what has been written tell
+     * which.
+     */
     PENDING,
     /** The worker has answered 202, and its call-back is awaited. */
     ACCEPTED,
-    /** The worker may have it, and is being told to drop it. */
+    /** The worker may have the job, and is being asked to drop it. */
     CANCELLING,
     ENDED;
 
--- a/daemon/src/main/java/postgrade/worker/Cancellation.java
+++ b/daemon/src/main/java/postgrade/worker/Cancellation.java
@@ -9,17 +9,18 @@
 import postgrade.http.MessageWriter;
 
 /**
- * DELETE of one job, again until one is answered that proves the end, or the job's client gives up.
- * Guards against two attempts out: until then the worker may still run the job, or may yet take it,
- * and the policy is not told.
+ * Sends DELETE for one job, repeatedly, until a response proves the end of the attempt or the
+ * client's deadline has passed. Guards against two attempts in flight: until then the worker may
+ * still run or accept the job, and the policy is not notified.
  */
 final class Cancellation {
-    /** How long one DELETE may take. */
+    /** Time-out of one DELETE. */
     private static final long RESPONSE_TIMEOUT_MICROS = 400_000;
 
     /**
-     * The pause before the next doubles from the one to the other. Guards the worker: one whose
-     * process has ended refuses each, and each would be a new connection, up to the job's deadline.
+     * The delay before a retry doubles from this value up to {@link #MAX_BACKOFF_MICROS}. Guards
+     * the worker: one whose process has ended refuses every DELETE, and each would be a new
+     * connection, up to the job's deadline.
      */
     private static final long INITIAL_BACKOFF_MICROS = 50_000;
 
@@ -32,7 +33,6 @@
     private final CancellationTracker tracker;
     private final Consumer<EndEvidence> onProved;
 
-    /** The latest. */
     private DeleteRequest latestDelete;
 
     private boolean finished;
@@ -43,22 +43,22 @@
     private long backoffMicros = INITIAL_BACKOFF_MICROS;
 
     /**
-     * @param tracker counts this one
-     * @param done hears what proves the end, once
+     * @param tracker counts this cancellation
+     * @param onProved receives the evidence of the end, once
      */
     Cancellation(
             Timers timers,
             ConnectionPool pool,
             Attempt attempt,
-            EndProof proof,
+            EndProof endProof,
             CancellationTracker tracker,
-            Consumer<EndEvidence> done) {
+            Consumer<EndEvidence> onProved) {
         this.timers = timers;
         this.pool = pool;
         this.attempt = attempt;
-        this.endProof = proof;
+        this.endProof = endProof;
         this.tracker = tracker;
-        this.onProved = done;
+        this.onProved = onProved;
         tracker.onStarted();
     }
 
@@ -70,13 +70,13 @@
     }
 
     /**
-     * Sends one behind the job, on the connection on which an answer has come that may be another
-     * exchange's. Answers come in order, so the one to the DELETE shows that the job had been
-     * answered before; another first shows that it had not.
+     * Sends a DELETE behind the job, on the connection on which a response has come that may belong
+     * to another exchange. Responses come in order, so the one to the DELETE shows that the job had
+     * been answered before; another response first shows that it had not.
      */
-    void sendInOrder(WorkerConnection link) {
+    void sendInOrder(WorkerConnection connection) {
         if (!finished) {
-            pool.sendAfterRest(link, nextDelete(true));
+            pool.sendAfterRest(connection, nextDelete(true));
         }
     }
 
@@ -95,8 +95,8 @@
     }
 
     /**
-     * The worker's word or the end of the connection is known now. A DELETE that was answered
-     * before may have come to the worker before the job, so another one follows.
+     * The worker has answered the job, or the connection has ended. A DELETE that was answered
+     * earlier may have reached the worker before the job, so another one follows.
      */
     void deliverySettled() {
         if (answeredBeforeDeliverySettled) {
@@ -114,14 +114,17 @@
         }
     }
 
-    /** Guards a later attempt at the same worker, which a DELETE that goes out late would end. */
+    /** Guards a later attempt at the same worker, which a delayed DELETE would cancel. */
     private void withdrawUnwritten() {
         if (latestDelete != null && !latestDelete.finished && latestDelete.connection == null) {
             pool.withdraw(latestDelete);
         }
     }
 
-    /** The attempt is given up. A DELETE under way goes on, and frees the worker in any case. */
+    /**
+     * The attempt has been cancelled. A DELETE in flight continues, and frees the worker in any
+     * case.
+     */
     void finish(EndEvidence evidence) {
         if (close()) {
             onProved.accept(evidence);
@@ -139,7 +142,7 @@
         return true;
     }
 
-    /** The worker has been asked once, or could not be. */
+    /** The first DELETE has been written, or could not be. */
     private void markAttempted() {
         if (!wasAttempted) {
             wasAttempted = true;
@@ -152,7 +155,8 @@
             return;
         }
         if (answered.inOrder && !answered.restedAfterResponse) {
-            // Guards against a worker that answers out of order: the job's own answer may follow.
+            // Guards against a worker that answers out of order: the job's own response may
+            // follow.
             answered.restedAfterResponse = true;
             long restedMicros = timers.nowMicros() + FreeConnections.REST_PERIOD_MICROS;
             timers.at(restedMicros, () -> onConfirmed(answered, status));
@@ -170,10 +174,10 @@
     }
 
     /**
-     * Also after a refusal, which is no word on the job: a worker may keep no more connections, or
-     * have ended its listener and still complete what it runs. That the process has died is told by
-     * its machine's call-back. One that another has followed is not repeated: its repeat would take
-     * the place of that one.
+     * Schedules a retry, also after a refusal, which says nothing about the job: a worker may be at
+     * its connection limit, or may have closed its listener and still complete what it runs. The
+     * call-back of its machine reports that the process has died. A DELETE that has been superseded
+     * is not retried, because its retry would replace the newer one.
      */
     private void scheduleRetry(DeleteRequest failed) {
         markAttempted();
@@ -181,11 +185,11 @@
             return;
         }
         if (timers.nowMicros() >= attempt.deadlineMicros()) {
-            // The client has its answer by now and nothing will be sent again.
+            // The client has its answer by now, and no further attempt follows.
             finish(EndEvidence.of(Kind.DEADLINE));
         } else {
-            // The last one goes out at the deadline: a longer pause would keep a process that is to
-            // end waiting for it.
+            // The last retry goes out at the deadline: a longer delay would make a process that is
+            // shutting down wait for it.
             timers.at(
                     Math.min(timers.nowMicros() + backoffMicros, attempt.deadlineMicros()),
                     () -> retry(failed));
@@ -238,7 +242,7 @@
         }
 
         @Override
-        void onFailure(Failure how) {
+        void onFailure(Failure failure) {
             onOrderViolated();
             scheduleRetry(this);
         }
@@ -248,7 +252,7 @@
             onOrderViolated();
         }
 
-        /** The job's own answer may have been lost, or has come only now. */
+        /** The job's own response may have been lost, or has come only now. */
         private void onOrderViolated() {
             if (inOrder) {
                 endProof.invalidate();
--- a/daemon/src/main/java/postgrade/worker/CancellationTracker.java
+++ b/daemon/src/main/java/postgrade/worker/CancellationTracker.java
@@ -1,6 +1,8 @@
 package postgrade.worker;
 
-/** Counts the cancellations under way, and those of them that no worker has been asked for yet. */
+/**
+ * Counts the cancellations in progress, and those of them whose first DELETE is still to be tried.
+ */
 final class CancellationTracker {
 
     private int active;
@@ -11,7 +13,7 @@
         unattempted++;
     }
 
-    /** The first DELETE of one was written, or could not be. */
+    /** The first DELETE of a cancellation was written, or could not be. */
     void onAttempted() {
         unattempted--;
     }
--- a/daemon/src/main/java/postgrade/worker/ConnectLimiter.java
+++ b/daemon/src/main/java/postgrade/worker/ConnectLimiter.java
@@ -1,17 +1,18 @@
 package postgrade.worker;
 
 /**
- * How often connections to a provider may be opened, where many dispatchers may do so at once.
- * Nothing paces unless one is given; a request never waits for it longer than {@link
- * Pool#PATIENCE_MICROS}.
+ * Limits how often connections to a worker are opened when many dispatchers may do so at once.
+ * Nothing is limited unless a limiter is set; a request never waits for it longer than {@link
+ * ConnectionPool#MAX_CONNECT_DELAY_MICROS}.
  */
 @FunctionalInterface
 public interface ConnectLimiter {
 
     /**
-     * Asked right before one is opened, and counts it if so.
+     * Called right before a connection is opened; counts it if it is allowed or mandatory.
      *
-     * @param must it is opened whatever the answer is: nothing else can carry the request
+     * @param mandatory the connection is opened whatever the result, because nothing else can carry
+     *     the request
      */
     boolean tryOpen(String workerId, boolean mandatory);
 }
--- a/daemon/src/main/java/postgrade/worker/ConnectionPool.java
+++ b/daemon/src/main/java/postgrade/worker/ConnectionPool.java
@@ -10,13 +10,13 @@
 import postgrade.http.Reactor;
 
 /**
- * The connections to one worker. A request takes an idle one, else waits for one that rests or for
- * the one it has opened.
+ * The connections to one worker. A request uses an idle connection; otherwise it waits for a
+ * resting one, or for the one opened for it.
  */
 final class ConnectionPool {
     /**
-     * A request waits so long for one of the connections in use, before one more is opened against
-     * the pace.
+     * How long a request waits for one of the connections in use before another one is opened
+     * beyond the connect limit.
      */
     static final long MAX_CONNECT_DELAY_MICROS = 40_000;
 
@@ -29,8 +29,8 @@
     boolean ready;
 
     /**
-     * Calls, and requests that give up, which keep the pool although the list has dropped the
-     * provider.
+     * Attempts, including those being cancelled; they keep the pool even if the worker list has
+     * dropped the worker.
      */
     int activeAttempts;
 
@@ -41,12 +41,12 @@
     private int established;
     private long lastReceivedMicros = Long.MIN_VALUE;
 
-    /** Runs once the first of those that rest has rested; null unless something waits for it. */
+    /** Fires when the first resting connection has rested; null unless a request waits for one. */
     private Timers.Timer restTimer;
 
     /**
-     * Connections that are opened against the pace once patience ends, if something still waits for
-     * them then.
+     * Connections that will be opened beyond the connect limit after the maximum delay, if requests
+     * still wait for them.
      */
     private int delayedConnects;
 
@@ -97,24 +97,23 @@
                     timers.nowMicros() + MAX_CONNECT_DELAY_MICROS,
                     () -> {
                         delayedConnects--;
-                        openReplacement(); // Guards the request's time: what it waits for may be
-                                           // stuck.
+                        // The connection that the request waits for may be stuck.
+                        openReplacement();
                     });
         }
     }
 
     /**
-     * Sends the request on this link and no other, once that has rested: whoever answers in order
-     * has then answered all that the link has carried before.
+     * Sends the request on this connection and no other, once it has rested: a worker that answers
+     * in order has then answered everything the connection carried before.
      */
     void sendAfterRest(WorkerConnection connection, WorkerRequest request) {
         free.remove(connection);
         connection.reservedFor = request;
         request.reservedConnection = connection;
         if (needsConnection()) {
-            timers.at(
-                    timers.nowMicros(),
-                    this::openReplacement); // What has waited for it needs another.
+            // Requests that waited for this connection need another.
+            timers.at(timers.nowMicros(), this::openReplacement);
         }
         timers.at(
                 connection.freeSinceMicros + FreeConnections.REST_PERIOD_MICROS,
@@ -128,12 +127,12 @@
                 });
     }
 
-    /** A connection is up, in use or not, or on its way. */
+    /** Whether a connection is established, in use or not, or being opened. */
     boolean hasConnection() {
         return established + connecting > 0;
     }
 
-    /** More requests wait than connections will come for them. */
+    /** Whether more requests wait than connections will become available for them. */
     private boolean needsConnection() {
         return waiting.size() > connecting + fresh + delayedConnects + free.restingCount();
     }
@@ -152,7 +151,7 @@
                 timers.at(timers.nowMicros() + connectTimeoutMicros.getAsLong(), connection::fail);
     }
 
-    /** One more for what has waited, if what it has waited for is gone. */
+    /** Opens another connection if the one that a request waited for is gone. */
     private void openReplacement() {
         if (needsConnection()) {
             ConnectLimiter limiter = connectLimiter.get();
@@ -168,8 +167,8 @@
     }
 
     /**
-     * A connect failed: the request that has waited longest has lost its connection, unless another
-     * is due.
+     * A connect has failed: the request that has waited longest has lost its connection, unless
+     * another one will become available.
      */
     private void connectFailed(WorkerRequest.Failure failure) {
         if (needsConnection()) {
@@ -177,7 +176,7 @@
         }
     }
 
-    /** A link that has come up takes what waits. */
+    /** Gives a newly established connection to the next waiting request. */
     private void assignFresh(WorkerConnection connection) {
         if (!hasCurrentAddress(connection)) {
             connection.fail();
@@ -191,7 +190,7 @@
         }
     }
 
-    /** A link's request has been answered. */
+    /** The request of a connection has been answered. */
     void onResponse(WorkerConnection connection) {
         if (hasCurrentAddress(connection)) {
             free.add(connection, WorkerConnection.State.RESTING);
@@ -203,7 +202,7 @@
     }
 
     /**
-     * Guards against a former process under this id: the list may have named another address
+     * Guards against a former process under this id: the worker list may have named another address
      * meanwhile.
      */
     private boolean hasCurrentAddress(WorkerConnection connection) {
@@ -212,7 +211,7 @@
 
     private void scheduleRested() {
         if (restTimer == null && !waiting.isEmpty() && free.restingCount() > 0) {
-            // At the end of the turn: see cameUp.
+            // At the end of the turn: see onConnected.
             restTimer =
                     timers.at(
                             free.nextRestedMicros(),
@@ -220,7 +219,7 @@
         }
     }
 
-    /** Those that have rested take what waits. */
+    /** Gives the connections that have rested to the waiting requests. */
     private void assignRested() {
         restTimer = null;
         while (waiting.firstWritable(timers.nowMicros()) != null) {
@@ -234,9 +233,9 @@
     }
 
     /**
-     * Guards against a request whose consumer has left or whose time is over, of which we shall
-     * read later in this turn: nothing is written before all channels have been served and the
-     * timers that are due have run.
+     * Guards against a request whose client has disconnected or whose deadline has passed, which
+     * the loop may read only later in this turn: nothing is written before all channels have been
+     * served and the timers that are due have run.
      */
     void onConnected(WorkerConnection connection) {
         connection.transitionTo(WorkerConnection.State.FRESH);
@@ -254,7 +253,7 @@
                 });
     }
 
-    /** A link has closed; what waits for it gets another, or has waited in vain. */
+    /** A connection has closed; what waited for it gets another one or fails. */
     void onClosed(WorkerConnection connection, WorkerConnection.State previous) {
         connection.timer.cancel();
         established -= previous == WorkerConnection.State.CONNECTING ? 0 : 1;
@@ -274,8 +273,8 @@
             case IDLE, RESTING -> {
                 free.remove(connection);
                 if (needsConnection()) {
-                    // Not at once: the list may be about to name another address, or its place be
-                    // wanted for another.
+                    // Not at once: the worker list may be about to name another address, or the
+                    // socket may be needed for another connection.
                     timers.at(timers.nowMicros(), this::openReplacement);
                 }
             }
@@ -283,22 +282,22 @@
         }
     }
 
-    /** The worker has said something, on any connection. */
+    /** The worker has sent something, on any connection. */
     void onBytesReceived() {
         lastReceivedMicros = timers.nowMicros();
     }
 
-    /** Whether the worker has said anything in that turn or later. */
+    /** Whether the worker has sent anything in the turn of this time or later. */
     boolean hasReceivedSince(long micros) {
         return lastReceivedMicros >= micros;
     }
 
-    /** A link has broken under a request that the provider has not answered. */
+    /** A connection broke under a request that the worker had not answered. */
     void recordBreakAfterIdle(long idleMicros) {
         idleTimeout.recordBreak(timers.nowMicros(), idleMicros);
     }
 
-    /** The request is not written any more; a link that was kept for it may carry others. */
+    /** The request is not written any more; a connection reserved for it may carry others. */
     void withdraw(WorkerRequest request) {
         waiting.withdraw(request);
         WorkerConnection reserved = request.reservedConnection;
@@ -311,8 +310,8 @@
     }
 
     /**
-     * Guards the drain rule: new work that still waits for a connection must not leave once it is
-     * up.
+     * Guards the drain rule: new work that still waits for a connection must not be sent once the
+     * connection is established.
      */
     void drain() {
         ready = false;
--- a/daemon/src/main/java/postgrade/worker/EndProof.java
+++ b/daemon/src/main/java/postgrade/worker/EndProof.java
@@ -3,15 +3,15 @@
 import postgrade.http.Message;
 
 /**
- * Decides whether a written attempt is proved to have ended. It has ended only when something says
- * so that names it; without input, output or clock.
+ * Decides whether a written attempt is proved to have ended. Only something that names the attempt
+ * can prove that. Pure logic without I/O or clock.
  *
- * <p>A worker may still take the job as long as its bytes are on their way, so the answer to a
- * DELETE proves nothing by itself: the DELETE may have come before the job. It proves the end if it
- * was written once the job could not come any more: its worker had said that it has it, or its
- * connection was over, or if it followed the job on its own connection. An answer on a connection
- * that has carried other requests may be a late one of an earlier exchange, and a reset may have
- * destroyed a 202 that had come; both are doubt.
+ * <p>A worker may still accept the job while its bytes are in flight, so the response to a DELETE
+ * proves nothing by itself: the DELETE may have arrived before the job. It proves the end if it was
+ * written after the job could no longer arrive, because the worker had confirmed that it has the
+ * job or the job's connection had ended, or if it followed the job on the same connection. A
+ * response on a connection that has carried other requests may be a late one of an earlier
+ * exchange, and a reset may have destroyed a 202 that had arrived; neither is a proof.
  */
 final class EndProof {
 
@@ -22,29 +22,35 @@
     private boolean firstExchange;
     private boolean deliverySettled;
 
-    /** Voided whenever something shows that the order was another than it seemed. */
+    /**
+     * Incremented whenever something shows that the assumed order was wrong; DELETEs of an earlier
+     * epoch prove nothing.
+     */
     private int epoch;
 
     /**
      * The request is being written.
      *
-     * @param earlierExchanges requests that the connection has carried before
+     * @param previousRequests requests that the connection has carried before
      */
     void onWriting(int previousRequests) {
         firstExchange = previousRequests == 0;
     }
 
-    /** Whether an answer on its connection can only be meant for it. */
+    /** Whether a response on its connection can only belong to this request. */
     boolean responsesAreUnambiguous() {
         return firstExchange;
     }
 
-    /** A DELETE written from now on comes after the job, or the job never comes. */
+    /** From now on a DELETE arrives after the job, or the job never arrives. */
     void settleDelivery() {
         deliverySettled = true;
     }
 
-    /** What was taken for its answer was another one's: DELETEs written before prove nothing. */
+    /**
+     * The response taken for the job's belongs to another exchange: DELETEs written before prove
+     * nothing.
+     */
     void invalidate() {
         epoch++;
         settleDelivery();
@@ -54,25 +60,30 @@
         return deliverySettled;
     }
 
-    /** What a DELETE that is written now has to show once it is answered. */
+    /** The conditions under which a DELETE is written now, to be checked once it is answered. */
     DeleteStamp stamp() {
         return new DeleteStamp(deliverySettled, epoch);
     }
 
-    /** The same for one that follows the job on its own connection: it cannot come before it. */
+    /**
+     * The same for a DELETE that follows the job on its own connection, which it cannot overtake.
+     */
     DeleteStamp stampInOrder() {
         return new DeleteStamp(true, epoch);
     }
 
-    /** Whether the answer to a DELETE with this stamp proves the end. */
+    /** Whether the response to a DELETE with this stamp proves the end. */
     boolean isProvedBy(DeleteStamp stamp) {
         return stamp.deliverySettled && stamp.epoch == epoch;
     }
 
-    /** When a DELETE was written. */
+    /** The conditions under which a DELETE was written. */
     record DeleteStamp(boolean deliverySettled, int epoch) {}
 
-    /** Whether an answer can be one to a DELETE: another status is refused or meant for another. */
+    /**
+     * Whether a response can confirm a DELETE: any other status is a refusal or belongs to another
+     * request.
+     */
     static boolean confirmsCancellation(Message response) {
         int status = response.status();
         boolean succeeded = status / 100 == 2 && status != ACCEPTED;
--- a/daemon/src/main/java/postgrade/worker/FencingTokens.java
+++ b/daemon/src/main/java/postgrade/worker/FencingTokens.java
@@ -1,11 +1,14 @@
 package postgrade.worker;
 
-/** What goes to a worker beside a job and proves the job's claim on what is reserved there. */
+/**
+ * Supplies the fencing token that is sent to a worker with a job and proves the job's claim on what
+ * is reserved there.
+ */
 @FunctionalInterface
 public interface FencingTokens {
 
-    FencingTokens NONE = (jobClass, tenant, providerId) -> null;
+    FencingTokens NONE = (jobClass, tenant, workerId) -> null;
 
-    /** The header's value, or null for no header. */
+    /** Returns the header's value, or null for no header. */
     String tokenFor(String jobClass, String tenant, String workerId);
 }
--- a/daemon/src/main/java/postgrade/worker/FreeConnections.java
+++ b/daemon/src/main/java/postgrade/worker/FreeConnections.java
@@ -6,12 +6,12 @@
 import java.util.List;
 import postgrade.dispatch.Timers;
 
-/** The connections of a pool that carry nothing: those that rest, and the idle ones. */
+/** The connections of a pool that carry no request: the resting ones and the idle ones. */
 final class FreeConnections {
     /**
-     * So long an answered connection carries nothing. Guards the next request on it against a
-     * second answer that comes late: it would be taken for that one's, and one that tells of a job
-     * not run would let it run twice.
+     * How long a connection carries nothing after a response. Guards the next request against a
+     * late second response, which would be taken for its own; if that says that a job did not run,
+     * the job could run twice.
      */
     static final long REST_PERIOD_MICROS = 20_000;
 
@@ -20,8 +20,8 @@
     private final ArrayDeque<WorkerConnection> idle = new ArrayDeque<>();
 
     /**
-     * The one that began first in front. One whose rest is over stays among them until one is
-     * taken.
+     * In the order in which they began to rest. A connection whose rest is over stays here until
+     * one is taken.
      */
     private final ArrayDeque<WorkerConnection> resting = new ArrayDeque<>();
 
@@ -30,7 +30,7 @@
         this.idleTimeout = idleTimeout;
     }
 
-    /** The one that became idle last, or null. */
+    /** Returns the connection that became idle last, or null. */
     WorkerConnection takeIdle() {
         long restedIfFreeSince = timers.nowMicros() - REST_PERIOD_MICROS;
         while (!resting.isEmpty() && resting.peek().freeSinceMicros <= restedIfFreeSince) {
@@ -42,9 +42,8 @@
                 connection != null;
                 connection = idle.pollLast()) {
             connection.timer.cancel();
-            // Guards against a connection that its provider has closed since the loop last looked
-            // at it, and one that
-            // has been idle for too long by what has been learnt since.
+            // Guards against a connection that the worker has closed since the loop last read from
+            // it, and one that has been idle for longer than the limit learnt since.
             connection.idleBeforeUseMicros = timers.nowMicros() - connection.freeSinceMicros;
             if (connection.idleBeforeUseMicros < idleTimeout.limitMicros(timers.nowMicros())
                     && connection.transport.isStillOpen()) {
@@ -56,22 +55,21 @@
     }
 
     /**
-     * @param as {@code IDLE} or {@code RESTING}
+     * @param state {@code IDLE} or {@code RESTING}
      */
     void add(WorkerConnection connection, WorkerConnection.State state) {
         connection.transitionTo(state);
         connection.freeSinceMicros = timers.nowMicros();
         (state == WorkerConnection.State.IDLE ? idle : resting).add(connection);
         connection.transport.setIdle(true, false);
-        // Guards against the provider's own closing of idle connections: what is written then is
-        // reset.
+        // Guards against the worker closing idle connections: what is written then is reset.
         connection.timer =
                 timers.at(
                         timers.nowMicros() + idleTimeout.limitMicros(timers.nowMicros()),
                         connection::fail);
     }
 
-    /** One that rests and was removed is among the free ones again, in the order of their rest. */
+    /** Adds a resting connection that was removed, in the order of the rest. */
     void putBack(WorkerConnection connection) {
         List<WorkerConnection> ordered = new ArrayList<>(resting);
         ordered.add(connection);
@@ -89,7 +87,7 @@
         return resting.size();
     }
 
-    /** When the first of those that rest may carry a request. */
+    /** When the first resting connection may carry a request. */
     long nextRestedMicros() {
         return resting.peek().freeSinceMicros + REST_PERIOD_MICROS;
     }
--- a/daemon/src/main/java/postgrade/worker/WaitingRequests.java
+++ b/daemon/src/main/java/postgrade/worker/WaitingRequests.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 
-/** The requests to one worker that wait for a connection, the one that waits longest in front. */
+/** The requests to one worker that wait for a connection, longest-waiting first. */
 final class WaitingRequests {
 
     private final ArrayDeque<WorkerRequest> queue = new ArrayDeque<>();
@@ -28,21 +28,21 @@
         return queue.poll();
     }
 
-    /** The request waits no longer, and hears nothing. */
+    /** Removes the request without notifying it. */
     void withdraw(WorkerRequest request) {
         queue.remove(request);
         request.finished = true;
     }
 
-    /** The request has waited in vain, and hears so. */
+    /** Removes the request and notifies it of the failure. */
     void fail(WorkerRequest request, WorkerRequest.Failure failure) {
         withdraw(request);
         request.onFailure(failure);
     }
 
     /**
-     * Guards what must not run twice: a repeat whose connection has come up too late is not
-     * written.
+     * Returns the first request that may still be written, failing those that are too late. Guards
+     * jobs that must not run twice: a retry whose connection came up too late is not written.
      */
     WorkerRequest firstWritable(long nowMicros) {
         WorkerRequest next = queue.peek();
@@ -53,7 +53,7 @@
         return next;
     }
 
-    /** New work is not sent any more; cancellations go on. */
+    /** Fails new work; cancellations continue. */
     void failNewWork() {
         for (WorkerRequest request : new ArrayList<>(queue)) {
             if (request.isNewWork()) {
--- a/daemon/src/main/java/postgrade/worker/WireTimes.java
+++ b/daemon/src/main/java/postgrade/worker/WireTimes.java
@@ -3,7 +3,7 @@
 import postgrade.dispatch.ConnectionUse;
 import postgrade.dispatch.WireRecord;
 
-/** When an attempt came how far on the wire, and on which connection. */
+/** Times of an attempt's steps on the wire, and the connection it carrier. */
 final class WireTimes {
 
     private long writtenMicros = WireRecord.NEVER;
@@ -11,14 +11,16 @@
     private long cancelledMicros = WireRecord.NEVER;
     private ConnectionUse connection;
 
-    /** It is about to be written on this link, whose counts do not include it yet. */
-    void recordWritten(long nowMicros, WorkerConnection used) {
+    /**
+     * The request is about to be written on this connection, whose counts do not include it yet.
+     */
+    void recordWritten(long nowMicros, WorkerConnection carrier) {
         writtenMicros = nowMicros;
         connection =
                 new ConnectionUse(
-                        nowMicros - used.connectedAtMicros,
-                        used.idleBeforeUseMicros,
-                        used.requestsCarried);
+                        nowMicros - carrier.connectedAtMicros,
+                        carrier.idleBeforeUseMicros,
+                        carrier.requestsCarried);
     }
 
     void recordAccepted(long nowMicros) {
--- a/daemon/src/main/java/postgrade/worker/WorkerConnection.java
+++ b/daemon/src/main/java/postgrade/worker/WorkerConnection.java
@@ -11,20 +11,20 @@
 import postgrade.http.Message;
 import postgrade.http.MessageParser;
 
-/** One connection to a provider. It carries one request at a time and never sends one again. */
+/** One connection to a worker. It carries one request at a time and never resends a request. */
 final class WorkerConnection implements Connection.Owner {
 
-    /** What follows what stands in {@link #NEXT} alone. */
+    /** {@link #NEXT} alone defines the allowed transitions. */
     enum State {
         CONNECTING,
-        /** Has come up, and takes what waits at the end of the turn. */
+        /** Just established; takes a waiting request at the end of the turn. */
         FRESH,
         /** May carry a request. */
         IDLE,
         CARRYING,
         /**
-         * Has been answered a moment ago: what comes now is a second answer, and ends it as it
-         * would an idle one.
+         * Has been answered a moment ago: bytes that arrive now are a second response and close the
+         * connection, as they would an idle one.
          */
         RESTING,
         CLOSED
@@ -45,22 +45,22 @@
     Connection transport;
     WorkerRequest request;
 
-    /** The last one that was answered here, until the next is carried. */
+    /** The last request that was answered here, until the next one is sent. */
     private WorkerRequest lastAnswered;
 
-    /** What it is to carry next, once it has rested; null unless it is kept for one. */
+    /** The request it is to carry next, once it has rested; null unless it is reserved for one. */
     WorkerRequest reservedFor;
 
     Timers.Timer timer;
     private State state = State.CONNECTING;
     private boolean malformedResponse;
 
-    /** When it was last left idle, and how long it had been so when it was given its request. */
+    /** When it last became free, and how long it had been free when it was given its request. */
     long freeSinceMicros;
 
     long idleBeforeUseMicros;
 
-    /** When it came up, and how many requests it has been given. */
+    /** When it was established, and how many requests it has carried. */
     long connectedAtMicros;
 
     int requestsCarried;
@@ -113,8 +113,8 @@
     }
 
     /**
-     * Guards the next request: bytes that nobody asked for would be taken for its response. The
-     * last one may have had another's.
+     * Guards the next request: unsolicited bytes would be taken for its response. The last response
+     * may have belonged to another request.
      */
     private void onUnsolicitedBytes() {
         WorkerRequest lastCompleted = lastAnswered;
@@ -125,8 +125,8 @@
     }
 
     /**
-     * @param ends whether the connection ends with it
-     * @param more whether bytes follow that nobody asked for
+     * @param connectionEnded whether the connection ends with this response
+     * @param trailingBytes whether unsolicited bytes follow it
      */
     private void completeRequest(Message response, boolean connectionEnded, boolean trailingBytes) {
         WorkerRequest completed = request;
@@ -165,7 +165,7 @@
         fail();
     }
 
-    /** Closes the connection; what it carried is told how far it had come. */
+    /** Closes the connection and notifies its request of how far it had come. */
     void fail() {
         if (state == State.CLOSED) {
             return;
@@ -194,12 +194,17 @@
         }
     }
 
-    /** Some of an answer to what it carries has come, or something that is none. */
+    /**
+     * Whether part of a response to the current request has come, or bytes that are not a valid
+     * response.
+     */
     boolean responseStarted() {
         return malformedResponse || !parser.isAtMessageStart();
     }
 
-    /** Closes the connection under a request that has been given up; the request hears nothing. */
+    /**
+     * Closes the connection under a request that has been cancelled, without notifying the request.
+     */
     void abort() {
         request.finished = true;
         request.connection = null;
--- a/daemon/src/main/java/postgrade/worker/WorkerConnectionPools.java
+++ b/daemon/src/main/java/postgrade/worker/WorkerConnectionPools.java
@@ -20,19 +20,19 @@
 import postgrade.log.Events;
 import postgrade.policy.api.AttemptOutcome;
 
-/** Speaks to the providers: sends calls, gives them up, probes. */
+/** The transport to the workers: sends and cancels attempts, and probes workers. */
 public final class WorkerConnectionPools implements WorkerTransport {
 
     private static final Logger LOG = LoggerFactory.getLogger(WorkerConnectionPools.class);
 
     /**
-     * Idle connections are retired after this part of the time after which providers close them.
+     * Idle connections are retired after this fraction of the time after which workers close them.
      */
     private static final double IDLE_FRACTION = 0.6;
 
     private static final long PROBE_TIMEOUT_MICROS = 300_000;
 
-    /** Has ended already. */
+    /** Handle of an attempt that has already ended. */
     private static final AttemptHandle ENDED_UNSENT =
             new AttemptHandle() {
                 @Override
@@ -68,7 +68,7 @@
     private final Map<String, ConnectionPool> pools = new HashMap<>();
     private FencingTokens fencingTokens = FencingTokens.NONE;
 
-    /** Null where nothing paces. */
+    /** Null if connects are not limited. */
     private ConnectLimiter connectLimiter;
 
     private final CancellationTracker cancellations = new CancellationTracker();
@@ -86,23 +86,23 @@
         idleTimeout = new AdaptiveIdleTimeout((long) (idleMicros * IDLE_FRACTION));
     }
 
-    /** Jobs go with these claims from now on. */
+    /** Sets the source of the fencing tokens for the jobs sent from now on. */
     public void setFencingTokens(FencingTokens tokens) {
         fencingTokens = tokens;
     }
 
-    /** Connections are opened at this pace from now on. */
+    /** Sets the limiter for connections opened from now on. */
     public void setConnectLimiter(ConnectLimiter limiter) {
         connectLimiter = limiter;
     }
 
-    /** A connection to it is up or on its way. */
+    /** Whether a connection to this worker is established or being opened. */
     public boolean hasConnection(String workerId) {
         ConnectionPool pool = pools.get(workerId);
         return pool != null && pool.hasConnection();
     }
 
-    /** Some provider with a connection has fewer calls of ours than that. */
+    /** Whether some ready worker with a connection has fewer of our attempts than this. */
     public boolean hasConnectedWorkerBelow(int maxAttempts) {
         for (ConnectionPool pool : pools.values()) {
             if (pool.ready && pool.activeAttempts < maxAttempts && pool.hasConnection()) {
@@ -112,15 +112,15 @@
         return false;
     }
 
-    /** For how long an idle connection is kept at most. */
+    /** How long an idle connection is kept at most. */
     public long maxIdleMicros() {
         return idleTimeout.max();
     }
 
     /**
-     * Other times hold from now on.
+     * Applies other time-outs from now on.
      *
-     * @param sameDeployment what was learnt of its network holds on
+     * @param sameDeployment whether what was learnt of the network still holds
      */
     public void updateSettings(
             long newConnectTimeoutMicros, long idleMicros, boolean sameDeployment) {
@@ -128,11 +128,11 @@
         idleTimeout.setMax((long) (idleMicros * IDLE_FRACTION), sameDeployment);
     }
 
-    // ---- The list.
+    // ---- Worker list.
 
     /**
-     * Applies a change of the list, before the module hears of it. A whole list drops what it
-     * lacks.
+     * Applies a change of the worker list, before the policy is notified. Workers that a complete
+     * list does not name are dropped.
      */
     public void updateWorkers(boolean complete, List<WorkerEndpoint> workers) {
         Set<String> listedIds = new HashSet<>();
@@ -155,7 +155,7 @@
             pool.address =
                     worker.address() == null
                             ? pool.address
-                            : worker.address(); // One that is gone may have none.
+                            : worker.address(); // A worker that is gone may have no address.
             setReady(pool, worker.ready());
         }
         if (complete) {
@@ -170,7 +170,7 @@
         if (ready != pool.ready) {
             Events.info(LOG, ready ? "provider.ready" : "provider.leaving")
                     .addKeyValue("provider", pool.workerId)
-                    .log("provider " + pool.workerId + (ready ? " ready" : " takes no new work"));
+                    .log("worker " + pool.workerId + (ready ? " ready" : " takes no new work"));
         }
         if (ready) {
             pool.ready = true;
@@ -184,7 +184,7 @@
         return pools.values().stream().filter(p -> p.ready).count();
     }
 
-    // ---- Calls.
+    // ---- Attempts.
 
     @Override
     public AttemptHandle start(Attempt attempt) {
@@ -210,12 +210,15 @@
         return request;
     }
 
-    /** No attempt is still being given up on the wire. */
+    /** Whether no attempt is still being cancelled on the wire. */
     public boolean hasNoCancellations() {
         return cancellations.activeCount() == 0;
     }
 
-    /** Each worker has been asked once to drop what is being given up, or could not be asked. */
+    /**
+     * Whether each worker has been sent, or could not be sent, a first DELETE for every
+     * cancellation.
+     */
     public boolean allCancellationsAttempted() {
         return cancellations.unattemptedCount() == 0;
     }
@@ -260,7 +263,7 @@
         }
 
         @Override
-        void onFailure(Failure how) {
+        void onFailure(Failure failure) {
             tracker.workerProbed(pool.workerId, false);
         }
 
--- a/daemon/src/main/java/postgrade/worker/WorkerRequest.java
+++ b/daemon/src/main/java/postgrade/worker/WorkerRequest.java
@@ -3,14 +3,17 @@
 import postgrade.http.Connection;
 import postgrade.http.Message;
 
-/** One request to a provider and what becomes of it. Exactly one of the three is called, once. */
+/**
+ * One request to a worker and its result. Exactly one of response, failure and cancellation ends
+ * it, once.
+ */
 abstract class WorkerRequest {
 
     static final byte[] EMPTY_BODY = {};
 
     /**
-     * How a request has lost its connection; {@code NO_SOCKET}: none could be begun for want of
-     * something of ours; {@code IN_ANSWER}: what came of an answer says nothing certain.
+     * How a request lost its connection. {@code NO_SOCKET}: no connection could be opened for lack
+     * of local resources. {@code IN_RESPONSE}: part of a response came, which proves nothing.
      */
     enum Failure {
         NO_SOCKET,
@@ -23,13 +26,13 @@
 
     private byte[] body;
 
-    /** The link that carries it, null while it waits for one and after its end. */
+    /** The connection that carries it; null while it waits for one and after its end. */
     WorkerConnection connection;
 
-    /** The link on which its answer has come, if that is still open; null before. */
+    /** The connection on which its response came, if still open; null before. */
     WorkerConnection responseConnection;
 
-    /** The link that is kept for it until it has rested, null where it waits for any. */
+    /** The connection reserved for it until that has rested; null if it waits for any. */
     WorkerConnection reservedConnection;
 
     boolean finished;
@@ -39,8 +42,8 @@
     }
 
     /**
-     * Made as it is written: what it says of the time left must hold then, however long it has
-     * waited.
+     * Built when the request is written, however long it has waited: the remaining time it states
+     * must be right at that moment.
      */
     abstract byte[] head();
 
@@ -50,28 +53,28 @@
         } else {
             transport.write(head(), body);
         }
-        body = EMPTY_BODY; // A call may last for seconds after it is written.
+        body = EMPTY_BODY; // Frees the body: an attempt may last for seconds after it is written.
     }
 
-    /** It is about to be written on this link, whose counts do not include it yet. */
+    /** Called right before it is written on this connection, whose counts do not include it yet. */
     void onWriting(WorkerConnection carrier) {}
 
-    /** Only new work is kept from a provider that drains; giving up goes on. */
+    /** Whether it is new work, which a draining worker is not sent; cancellations continue. */
     abstract boolean isNewWork();
 
-    /** It may not be written any more. */
+    /** Whether it must not be written any more. */
     boolean isLate(long nowMicros) {
         return false;
     }
 
     abstract void onResponse(Message response);
 
-    abstract void onFailure(Failure how);
+    abstract void onFailure(Failure failure);
 
-    /** After its answer something more has come, before its connection carried another request. */
+    /** After its response more bytes have come, before its connection carried another request. */
     void onContradicted() {}
 
-    /** Its last byte has been given to the system. */
+    /** Whether its last byte has been handed to the operating system. */
     boolean isFullyWritten() {
         return connection != null && connection.transport.isAllSent();
     }
--- a/daemon/src/main/java/postgrade/worker/WorkerResponse.java
+++ b/daemon/src/main/java/postgrade/worker/WorkerResponse.java
@@ -3,9 +3,12 @@
 import postgrade.http.Message;
 import postgrade.policy.api.AttemptOutcome;
 
-/** What a worker's answer to a job means by the protocol, if it is meant for that job. */
+/**
+ * The meaning of a worker's response to a job in the protocol, provided that it belongs to that
+ * job.
+ */
 enum WorkerResponse {
-    /** It has taken the job; its end comes by a call-back. */
+    /** The worker has accepted the job; a call-back reports its end. */
     ACCEPTED(null),
     /** The job has not run and will not. */
     NEVER_RAN(AttemptOutcome.FULL),
@@ -13,7 +16,7 @@
     FAILED(AttemptOutcome.ERROR),
     /** Neither this worker nor another can use the request. */
     UNUSABLE(AttemptOutcome.CANCELLED),
-    /** None that the protocol knows: the job may run, or may yet. */
+    /** A status that the protocol does not define: the job may run now or later. */
     UNKNOWN(AttemptOutcome.ERROR);
 
     private final AttemptOutcome outcome;
@@ -22,7 +25,7 @@
         this.outcome = outcome;
     }
 
-    /** How the attempt ends by it; null if it goes on. */
+    /** The attempt's outcome, or null if it continues. */
     AttemptOutcome outcome() {
         return outcome;
     }
--- a/daemon/src/test/java/postgrade/daemon/AdaptiveIdleTimeoutTest.java
+++ b/daemon/src/test/java/postgrade/daemon/AdaptiveIdleTimeoutTest.java
@@ -7,18 +7,12 @@
 import org.junit.Test;
 import postgrade.dispatch.ReportedState;
 
-/**
- * How long an idle connection is trusted with a request, learnt of one that broke, and other
- * settings after that.
- */
+/** The idle limit learnt from a connection that broke, and new settings after that. */
 public class AdaptiveIdleTimeoutTest extends AttemptTestBase {
 
     public AdaptiveIdleTimeoutTest() throws IOException {}
 
-    /**
-     * Idle connections are kept for 1 s from now on: one that was idle for 2 s broke under its
-     * request.
-     */
+    /** Limits the idle time to 1 s: a connection that was idle for 2 s breaks under its request. */
     private void breakAfterTwoSecondsIdle() throws IOException {
         Socket former = serveAndLeaveIdle("a");
         advance(2_000 * MILLI_MICROS);
@@ -31,7 +25,7 @@
         assertEquals("finished b 0 RESET false", finishedEvents().get(1));
     }
 
-    /** Its connection is left idle. */
+    /** Serves a job, after which the connection is idle. */
     private Socket serveAndLeaveIdle(String id) throws IOException {
         Socket worker = sendAcceptedJob(id);
         report(id, "w1", ReportedState.DONE);
@@ -49,8 +43,8 @@
     }
 
     /**
-     * It was kept, and each of the new deployment's connections was closed after half of a time
-     * that its network never knew.
+     * Guards against keeping the learnt limit: each connection of the new deployment would be
+     * closed after half of an idle time that never broke in its network.
      */
     @Test
     public void learntTimeoutIsDiscardedWithSettingsOfAnotherDeployment() throws Exception {
--- a/daemon/src/test/java/postgrade/daemon/AttemptTestBase.java
+++ b/daemon/src/test/java/postgrade/daemon/AttemptTestBase.java
@@ -23,8 +23,9 @@
 import postgrade.worker.WorkerEndpoint;
 
 /**
- * The gateway and its pools on a loop that the test turns: sockets are real, time passes when the
- * test says so, and what is ready is served before the module decides, as in the daemon's own loop.
+ * Base of tests of the request tracker and the worker connection pools on a manually driven loop:
+ * sockets are real, time passes only when the test advances it, and ready channels are served
+ * before the policy decides, as in the daemon's own loop.
  */
 public abstract class AttemptTestBase {
 
@@ -90,7 +91,7 @@
         pools.updateWorkers(false, List.of(workers));
     }
 
-    /** A consumer's job, taken over but not yet decided on. */
+    /** A client's job, accepted but not yet seen by the policy. */
     PendingRequest submit(String id, String jobClass) {
         PendingRequest request =
                 new PendingRequest(
@@ -131,19 +132,19 @@
         return submit(id, "price");
     }
 
-    /** The rest of a turn whose channels have been served. */
+    /** Runs the part of a turn that follows the serving of channels. */
     void runTurn() {
         loop.advanceTime(0, () -> false);
         tracker.runBatch();
     }
 
-    /** Time passes, with a turn at its end. */
+    /** Advances the time and runs a turn at its end. */
     void advance(long micros) {
         loop.advanceTime(micros, () -> false);
         tracker.runBatch();
     }
 
-    /** Turns, none of which lets time pass, until something has come on the connection. */
+    /** Runs turns without advancing the time until bytes have arrived on the socket. */
     void awaitBytes(Socket socket) throws IOException {
         loop.serveUntil(
                 () -> {
@@ -152,7 +153,7 @@
                 });
     }
 
-    /** A worker's side of the next connection to it. */
+    /** Accepts the next connection to this worker. */
     Socket accept(ServerSocket listener) throws IOException {
         Socket socket = listener.accept();
         socket.setTcpNoDelay(true);
@@ -161,7 +162,7 @@
         return socket;
     }
 
-    /** The next connection to it, with the request that has come on it. */
+    /** Accepts the next connection to this worker and reads the request on it. */
     ScriptedPeer.ReceivedMessage awaitRequest(ServerSocket listener) throws IOException {
         return awaitRequest(accept(listener));
     }
@@ -171,14 +172,14 @@
         return ScriptedPeer.read(socket);
     }
 
-    /** A worker's side of the connection on which this job has come to it. */
+    /** Submits a job and returns the first worker's side of the connection on which it arrived. */
     Socket sendJob(String id) throws IOException {
         submit(id);
         runTurn();
         return awaitRequest(worker1).socket();
     }
 
-    /** As above, and the worker has answered 202. */
+    /** Like {@link #sendJob}, and the worker has answered 202. */
     Socket sendAcceptedJob(String id) throws IOException {
         Socket worker = sendJob(id);
         respond(worker, ACCEPTED);
@@ -186,7 +187,7 @@
     }
 
     /**
-     * The first worker is asked to drop the job on a new connection, says that it has and ends the
+     * The first worker receives the DELETE on a new connection, confirms it and closes the
      * connection.
      */
     void confirmCancellation(String id) throws IOException {
@@ -196,7 +197,7 @@
         runTurn();
     }
 
-    /** The worker says this, and it is read before the turn goes on. */
+    /** The worker sends this, and the loop reads it before the turn continues. */
     void respond(Socket worker, String text) throws IOException {
         loop.runAndServe(() -> ScriptedPeer.write(worker, text));
     }
@@ -205,7 +206,7 @@
         tracker.workerReported(id, workerId, state, 0, new byte[0]);
     }
 
-    /** Ends of attempts that the module has heard of. */
+    /** The ends of attempts that the policy has been notified of. */
     List<String> finishedEvents() {
         return policy.events.stream().filter(h -> h.startsWith("finished")).toList();
     }
--- a/daemon/src/test/java/postgrade/daemon/CancellationRaceTest.java
+++ b/daemon/src/test/java/postgrade/daemon/CancellationRaceTest.java
@@ -11,8 +11,8 @@
 import postgrade.dispatch.ReportedState;
 
 /**
- * What a worker says in the moment in which an attempt is given up, or so that nobody can tell what
- * it means.
+ * Responses that cross the cancellation of an attempt, and responses whose meaning is unclear.
+ * Guards against a second attempt beside a job that still runs.
  */
 public class CancellationRaceTest extends AttemptTestBase {
 
@@ -42,7 +42,10 @@
         assertFinished(end);
     }
 
-    /** It came before the job, or its connection's end, was known: the worker may have it since. */
+    /**
+     * The DELETE was written before the job's acceptance, or the end of its connection, was known:
+     * the worker may have received the job since.
+     */
     private void assertProvesNothing(ReceivedMessage delete) throws IOException {
         loop.runAndServe(() -> delete.reply("200 OK", ""));
         runTurn();
@@ -50,8 +53,8 @@
     }
 
     /**
-     * With it the job runs: it counted as given up 100 ms on, whether or not the DELETE had
-     * arrived.
+     * Guards against counting the attempt as cancelled after 100 ms, whether or not the DELETE had
+     * arrived: after the 202 the job runs.
      */
     @Test
     public void acceptanceThatCrossesTheCancellationNeedsAnAnsweredDelete() throws Exception {
@@ -88,7 +91,10 @@
         assertEquals("closed", -1, job.socket().getInputStream().read());
     }
 
-    /** It counted as its word that it had dropped the job, though a 202 may have gone with it. */
+    /**
+     * Guards against taking the close as the worker's confirmation that it has dropped the job: a
+     * 202 may have been lost with the connection.
+     */
     @Test
     public void connectionClosedByTheWorkerBeforeItsResponseProvesNothing() throws Exception {
         ReceivedMessage job = sendAndReadJob("x4");
@@ -103,8 +109,8 @@
     }
 
     /**
-     * It counted as a reset, though it may have been a 202 for a job that runs: what followed was a
-     * second attempt.
+     * Guards against counting the response as a reset: it may have been a 202 for a job that runs,
+     * and a second attempt would follow.
      */
     @Test
     public void attemptWithAMalformedResponseIsCancelledBeforeThePolicyIsNotified()
@@ -145,12 +151,12 @@
         runTurn();
         assertFinished("finished s2 0 SERVED true");
         assertEquals(List.of("s2 served"), answers);
-        assertTrue("nothing is still given up", pools.hasNoCancellations());
+        assertTrue("no cancellation is pending", pools.hasNoCancellations());
     }
 
     /**
-     * It counted as an error at once, though the job may run, or may yet: what followed was a
-     * second attempt.
+     * Guards against counting the response as an error at once: the job may run now or later, and a
+     * second attempt would follow.
      */
     @Test
     public void attemptWithAnUnknownStatusIsCancelledBeforeThePolicyIsNotified() throws Exception {
@@ -179,7 +185,7 @@
         assertEndedBy(awaitDelete(delete.socket()), "finished v1 0 CANCELLED false");
     }
 
-    /** It is none: the real one follows, and decides. */
+    /** An interim response is no answer: the final one follows and decides. */
     @Test
     public void interimResponseIsIgnored() throws Exception {
         ReceivedMessage job = sendAndReadJob("w1");
@@ -191,7 +197,10 @@
         assertFinished("finished w1 0 FULL false");
     }
 
-    /** It was taken as given up when its own time was over, with most of its consumer's left. */
+    /**
+     * Guards against taking the attempt as cancelled once its own time limit is over, with most of
+     * the client's deadline left.
+     */
     @Test
     public void attemptWithItsOwnTimeLimitIsCancelledLikeAnyOther() throws Exception {
         policy.onJob =
@@ -205,13 +214,15 @@
         assertEndedBy(awaitDelete(accept(worker1)), "finished t1 0 TIMEOUT false");
     }
 
-    /** The next DELETE ended the next attempt at the same worker, which nobody was told of. */
+    /**
+     * Guards against a further DELETE that cancels the next attempt at the same worker unnoticed.
+     */
     @Test
     public void jobReturnedDuringCancellationGetsNoFurtherDelete() throws Exception {
         ReceivedMessage job = sendAndReadJob("r1");
         respond(job.socket(), ACCEPTED);
         cancel("r1");
-        advance(20 * MILLI_MICROS); // Its connection rests.
+        advance(20 * MILLI_MICROS); // The connection rests.
         awaitDelete(job.socket());
         report("r1", "w1", ReportedState.RETURNED);
         runTurn();
@@ -226,7 +237,7 @@
         assertEquals("next", awaitRequest(worker1).header("X-Request-Id"));
     }
 
-    /** The worker has the job and refuses new connections from now on. */
+    /** The worker accepts the job and refuses new connections from now on. */
     private void acceptJobThenRefuseConnections(String id) throws IOException {
         ReceivedMessage job = sendAndReadJob(id);
         respond(job.socket(), ACCEPTED);
@@ -237,12 +248,12 @@
     }
 
     private void assertConnectRefused() throws IOException {
-        assertEquals("a DELETE asks for a connection", 1, loop.openChannels());
+        assertEquals("a DELETE opens a connection", 1, loop.openChannels());
         loop.runAndServe(() -> {});
         assertEquals(0, loop.openChannels());
     }
 
-    /** Each was a new connection, 20 a second up to the deadline. */
+    /** Guards against a new connection for each retry, 20 a second up to the deadline. */
     @Test
     public void refusedDeleteIsRetriedWithBackoffUntilTheDeadline() throws Exception {
         acceptJobThenRefuseConnections("b1");
@@ -259,18 +270,18 @@
             assertConnectRefused();
         }
         assertTrue(
-                "the module hears at the deadline",
+                "the policy is not notified before the deadline",
                 finishedEvents().isEmpty() && !pools.hasNoCancellations());
         advance(DEADLINE_MICROS - since);
         assertConnectRefused();
         runTurn();
-        assertTrue("that was the last", pools.hasNoCancellations());
+        assertTrue("that was the last DELETE", pools.hasNoCancellations());
         assertFinished("finished b1 0 TIMEOUT false");
     }
 
     /**
-     * One that drains may end its listener, and one that has all the connections it keeps refuses
-     * more: neither has dropped it.
+     * A draining worker may close its listener, and one at its connection limit refuses more:
+     * neither has dropped the job.
      */
     @Test
     public void workerThatRefusesADeleteMayStillRunTheJob() throws Exception {
@@ -281,6 +292,6 @@
         runTurn();
         assertFinished("finished b2 0 SERVED true");
         assertEquals(List.of("b2 served"), answers);
-        assertTrue("nothing is still given up", pools.hasNoCancellations());
+        assertTrue("no cancellation is pending", pools.hasNoCancellations());
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/ConcurrentAttemptsTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ConcurrentAttemptsTest.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import org.junit.Test;
 
-/** Where two attempts of a job may be out at once. */
+/** Settings that allow two attempts of a job at once. */
 public class ConcurrentAttemptsTest extends AttemptTestBase {
 
     public ConcurrentAttemptsTest() throws IOException {}
--- a/daemon/src/test/java/postgrade/daemon/ConnectionRestTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ConnectionRestTest.java
@@ -10,8 +10,7 @@
 import postgrade.dispatch.PendingRequest;
 
 /**
- * A connection that has just been answered, and a second answer on it that comes some milliseconds
- * late.
+ * Connections that have just been answered, and a second response on them some milliseconds late.
  */
 public class ConnectionRestTest extends AttemptTestBase {
 
@@ -23,11 +22,12 @@
     private void assertNothingSentOrOpened(Socket resting, int connections, long micros) {
         advance(micros);
         assertEquals("nothing is written yet", 0, availableBytes(resting));
-        assertEquals("nor another one opened", connections, loop.openChannels());
+        assertEquals("no other connection is opened", connections, loop.openChannels());
     }
 
     /**
-     * It was taken for the next job's, which ran on while the module was told that it never ran.
+     * Guards against taking the second response for the next job's, which would run on while the
+     * policy is told that it never ran.
      */
     @Test
     public void secondResponseIsNotTakenForTheNextJobs() throws Exception {
@@ -68,7 +68,7 @@
         ReceivedMessage second = awaitRequest(resting);
         assertEquals("c2", second.header("X-Request-Id"));
         assertEquals(
-                "what is left now",
+                "the time left now",
                 DEADLINE_MICROS - 15 * MILLI_MICROS + "u",
                 second.header("X-Deadline"));
     }
@@ -108,9 +108,9 @@
     @Test
     public void unwantedOrExpiredRequestIsNotWrittenAfterTheRest() throws Exception {
         Socket resting = sendAcceptedJob("f1");
-        PendingRequest left = submit("f2");
+        PendingRequest abandoned = submit("f2");
         runTurn();
-        tracker.clientDisconnected(left);
+        tracker.clientDisconnected(abandoned);
         runTurn();
         policy.onJob =
                 job -> policy.actions.startAttempt(job.id(), "w1", 0, 10 * MILLI_MICROS * 1000);
@@ -130,7 +130,7 @@
         runTurn();
         assertFinished("finished g2 0 NOT_SENT false");
         assertEquals("closed", -1, resting.getInputStream().read());
-        assertEquals("none is opened for it", 0, loop.openChannels());
+        assertEquals("no connection is opened for it", 0, loop.openChannels());
     }
 
     @Test
--- a/daemon/src/test/java/postgrade/daemon/EndProofTest.java
+++ b/daemon/src/test/java/postgrade/daemon/EndProofTest.java
@@ -15,8 +15,8 @@
 import postgrade.policy.api.PolicySettings;
 
 /**
- * An attempt has ended only when something says so that names it. Each sign that does not is here,
- * with what the worker is asked before the policy hears.
+ * An attempt has ended only when something that names it proves that. The tests cover each event
+ * that does not, and what the worker is asked before the policy is notified.
  */
 public class EndProofTest extends AttemptTestBase {
 
@@ -48,7 +48,7 @@
         runTurn();
     }
 
-    /** The connections of jobs that were served before, which have rested since. */
+    /** Returns the connections of jobs that were served before and that have rested since. */
     private List<Socket> usedConnections(String... ids) throws IOException {
         List<Socket> workers = new ArrayList<>();
         for (String id : ids) {
@@ -95,7 +95,7 @@
         assertFinished("finished a2 0 RESET false");
     }
 
-    /** The 202 went with the connection, and the job runs. */
+    /** The 202 was lost with the connection, and the job runs. */
     @Test
     public void callBackAfterAResetEndsTheAttempt() throws Exception {
         Socket worker = sendJob("a3");
@@ -116,7 +116,9 @@
         assertFinished("finished b1 0 FULL false");
     }
 
-    /** Answers come in order: that to the DELETE shows that the job had been answered before. */
+    /**
+     * Responses come in order: the one to the DELETE shows that the job had been answered before.
+     */
     @Test
     public void responseOnAReusedConnectionCountsOnceADeleteBehindItIsAnswered() throws Exception {
         List<Socket> workers = usedConnections("c0", "c1");
@@ -124,7 +126,8 @@
         respond(workers.get(1), FULL);
         runTurn();
         advance(20 * MILLI_MICROS - 1);
-        assertEquals("nothing on the other connection", 0, availableBytes(workers.get(0)));
+        assertEquals(
+                "nothing is written on the other connection", 0, availableBytes(workers.get(0)));
         assertFinished();
         advance(1);
         confirm(awaitDelete(workers.get(1), "c2"));
@@ -134,7 +137,10 @@
         assertFinished("finished c2 0 FULL false");
     }
 
-    /** It was the exchange before's: the worker has the job, and may have begun it. */
+    /**
+     * The first response belonged to the previous exchange: the worker has the job, and may have
+     * started it.
+     */
     @Test
     public void responseFollowedByAnotherIsNotBelieved() throws Exception {
         Socket worker = sendJobOn(usedConnections("d0"), "d1");
@@ -179,7 +185,10 @@
         assertFinished("finished d7 0 RESET false");
     }
 
-    /** Guards against a DELETE that goes out after the end and ends a later attempt there. */
+    /**
+     * Guards against a DELETE that goes out after the end and cancels a later attempt at this
+     * worker.
+     */
     @Test
     public void deleteBehindTheJobIsNotWrittenOnceACallBackHasEndedTheAttempt() throws Exception {
         Socket worker = sendJobOn(usedConnections("q0"), "q1");
@@ -189,27 +198,29 @@
         runTurn();
         assertFinished("finished q1 0 SERVED true");
         advance(20 * MILLI_MICROS);
-        assertEquals("nothing behind the job", 0, availableBytes(worker));
+        assertEquals("nothing is written behind the job", 0, availableBytes(worker));
         sendJobOn(worker, "q2");
     }
 
-    /** The same for one that waits for a connection when another is to follow the job. */
+    /** As above, for a DELETE that waits for a connection when another one is to follow the job. */
     @Test
     public void deleteThatWaitedForItsConnectionIsNotWrittenEither() throws Exception {
         Socket worker = sendJobOn(usedConnections("r0"), "r1");
         policy.actions.cancelAttempt("r1", 0);
-        tracker.runBatch(); // Its connection comes up only at the end of a turn.
+        tracker.runBatch(); // The connection comes up only at the end of a turn.
         respond(worker, FULL);
         int[] selections = {0};
-        loop.serveUntil(() -> ++selections[0] > 5); // Both the answer and the connection are there.
+        loop.serveUntil(
+                () -> ++selections[0] > 5); // Both the response and the connection are there.
         report("r1", "w1", ReportedState.DONE);
         runTurn();
         advance(20 * MILLI_MICROS);
-        assertEquals("nothing behind the job", 0, availableBytes(worker));
-        assertEquals("nothing beside it", 0, availableBytes(accept(worker1)));
+        assertEquals("nothing is written behind the job", 0, availableBytes(worker));
+        assertEquals(
+                "nothing is written on the new connection", 0, availableBytes(accept(worker1)));
     }
 
-    /** Its repeat would take the place of the one that follows the job, whose answer counts. */
+    /** Guards against a retry that replaces the DELETE following the job, whose response counts. */
     @Test
     public void refusedDeleteIsNotRetriedOnceAnotherFollowsTheJob() throws Exception {
         Socket worker = sendJobOn(usedConnections("s0"), "s1");
@@ -227,7 +238,7 @@
         assertFinished("finished s1 0 CANCELLED false");
     }
 
-    /** It cannot have been turned away unstarted. */
+    /** A started job cannot have been rejected as not run. */
     @Test
     public void notRunResponseOfAJobReportedStartedIsNotBelieved() throws Exception {
         Socket worker = sendJobOn(usedConnections("d4"), "d5");
@@ -241,7 +252,7 @@
         assertFinished("finished d5 0 RESET false");
     }
 
-    /** The one behind a cancelled job tells as well what became of it. */
+    /** The DELETE behind a cancelled job also shows what became of the job. */
     @Test
     public void ambiguousResponseDuringCancellationHasADeleteFollowIt() throws Exception {
         Socket worker = sendJobOn(usedConnections("j0"), "j1");
@@ -282,7 +293,7 @@
         assertEquals(List.of("f1 failed"), answers);
     }
 
-    /** Another exchange's answer, or the refusal to drop the job. */
+    /** The response belongs to another exchange, or is a refusal to drop the job. */
     @Test
     public void deleteIsSentAgainAfterAResponseThatDoesNotConfirmIt() throws Exception {
         for (String status : List.of("202 Accepted", "500 Error", "503 Busy", "409 Conflict")) {
@@ -302,7 +313,7 @@
         }
     }
 
-    /** What it does not know it does not run, and cannot get any more. */
+    /** A worker does not run a job that it does not know, and can no longer receive it. */
     @Test
     public void unknownJobCountsAsCancelled() throws Exception {
         Socket worker = sendJob("h1");
@@ -313,7 +324,7 @@
         assertFinished("finished h1 0 RESET false");
     }
 
-    /** Its 202 may be on its way just then: it speaks, on other connections. */
+    /** The 202 may be in flight at that moment: the worker sends, on other connections. */
     @Test
     public void closeBeforeTheResponseProvesNothingAtAWorkerThatHasSentSomethingSince()
             throws Exception {
@@ -333,7 +344,7 @@
         assertFinished("finished i1 0 CANCELLED false");
     }
 
-    /** Nor does a 202 there say by itself that the worker has this job. */
+    /** A 202 on a reused connection does not prove by itself that the worker has this job. */
     @Test
     public void acceptanceOnAReusedConnectionCountsOnceTheConnectionHasRested() throws Exception {
         List<Socket> workers = usedConnections("p0", "p1");
@@ -348,7 +359,9 @@
         assertFinished("finished p2 0 CANCELLED false");
     }
 
-    /** It names the worker and the request, and an earlier attempt of it there. */
+    /**
+     * The call-back names the worker and the request, but reports an earlier attempt of it there.
+     */
     @Test
     public void repeatedCallBackOfAnEarlierAttemptHasThisOneCancelledFirst() throws Exception {
         Socket worker = sendAcceptedJob("k1");
@@ -368,7 +381,7 @@
         assertFinished("finished k1 0 FULL false", "finished k1 1 RESET false");
     }
 
-    /** A call-back of another worker, or of another request, names something else. */
+    /** A call-back of another worker, or of another request, does not name this attempt. */
     @Test
     public void callBackOfAnotherWorkerOrRequestEndsNothing() throws Exception {
         sendAcceptedJob("l1");
@@ -378,7 +391,7 @@
         assertFinished();
     }
 
-    /** What the new settings allow is for requests to come. */
+    /** New settings apply to later requests only. */
     @Test
     public void newSettingsDoNotApplyToARequestUnderWay() throws Exception {
         sendAcceptedJob("m1");
@@ -402,7 +415,7 @@
         assertFinished("finished n1 0 UNREACHABLE false");
     }
 
-    /** The client's time is over, so nothing is sent again, whatever became of the job. */
+    /** The client's deadline has passed, so nothing is sent again, whatever became of the job. */
     @Test
     public void deadlineEndsTheAttempt() throws Exception {
         sendAcceptedJob("o1");
--- a/daemon/src/test/java/postgrade/daemon/LateConnectTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LateConnectTest.java
@@ -8,14 +8,14 @@
 import postgrade.dispatch.PendingRequest;
 
 /**
- * Connections to workers that come up after an attempt was decided on, and what may have happened
- * meanwhile.
+ * Connections to workers that come up after the policy has decided on an attempt, and events in
+ * between that forbid writing the request.
  */
 public class LateConnectTest extends AttemptTestBase {
 
     public LateConnectTest() throws IOException {}
 
-    /** The next attempt is the first that the worker sees. */
+    /** The next attempt is the first request that the worker sees. */
     private void assertNothingWrittenTo(Socket worker) throws IOException {
         submit("next");
         runTurn();
@@ -23,14 +23,14 @@
     }
 
     /**
-     * What it told was the time left when it was decided on, up to a connect's time more than was
-     * left at the send.
+     * Guards against a header computed when the attempt was decided on, which states up to a
+     * connect time too much.
      */
     @Test
     public void deadlineHeaderIsComputedWhenTheRequestIsWritten() throws Exception {
         submit("d1");
         runTurn();
-        Socket worker = accept(worker1); // Up, which the loop has not seen yet.
+        Socket worker = accept(worker1); // Established, but not yet seen by the loop.
         advance(1_500 * MILLI_MICROS);
         assertEquals(
                 DEADLINE_MICROS - 1_500 * MILLI_MICROS + "u",
@@ -38,27 +38,30 @@
     }
 
     /**
-     * The channels of a turn are served in any order, and a late turn's may have waited for long.
+     * The channels of a turn are served in any order, and a delayed turn may have many to serve.
      */
     @Test
     public void clientDisconnectReadAfterTheConnectIsSeenBeforeTheWrite() throws Exception {
-        PendingRequest in = submit("l1");
+        PendingRequest request = submit("l1");
         runTurn();
         Socket worker = accept(worker1);
-        loop.runAndServe(() -> {}); // It has come up.
-        tracker.clientDisconnected(in);
+        loop.runAndServe(() -> {}); // The connection is established.
+        tracker.clientDisconnected(request);
         runTurn();
         assertNothingWrittenTo(worker);
     }
 
-    /** The script calls nothing off, as the module does not where the settings forbid it. */
+    /**
+     * The scripted policy cancels nothing, as the real policy does where the settings forbid
+     * cancellation.
+     */
     @Test
     public void clientDisconnectDuringTheConnectPreventsTheWriteWithoutCancellation()
             throws Exception {
-        PendingRequest in = submit("l2");
+        PendingRequest request = submit("l2");
         runTurn();
         Socket worker = accept(worker1);
-        tracker.clientDisconnected(in);
+        tracker.clientDisconnected(request);
         runTurn();
         assertFinished("finished l2 0 NOT_SENT true");
         loop.runAndServe(() -> {});
@@ -92,14 +95,15 @@
         updateWorkers(endpoint("w1", worker1, true));
         submit("next");
         runTurn();
-        assertEquals(
-                "next",
-                awaitRequest(worker1)
-                        .header("X-Request-Id")); // On one more: the former pool is forgotten.
-        assertEquals("nothing came on the first", 0, availableBytes(worker));
+        // On a new connection: the former pool is gone.
+        assertEquals("next", awaitRequest(worker1).header("X-Request-Id"));
+        assertEquals("nothing came on the first connection", 0, availableBytes(worker));
     }
 
-    /** A connection in use or on its way was kept, and the next jobs went to the former process. */
+    /**
+     * Guards against keeping a connection in use or being opened, on which the next jobs would go
+     * to the former process.
+     */
     @Test
     public void connectionToAFormerAddressCarriesNothingMore() throws Exception {
         submit("m1");
@@ -125,8 +129,8 @@
     }
 
     /**
-     * It was decided on in time, and written once its connection was up: the job could run a second
-     * time.
+     * Guards against writing a retry that was decided on in time but whose connection came up too
+     * late: the job could run twice.
      */
     @Test
     public void retryIsNotWrittenAfterItsDeduplicationWindow() throws Exception {
@@ -150,13 +154,13 @@
     }
 
     /**
-     * The one that had opened it was left without a connection and a timer, and waited for its
+     * Guards against a request that loses its connection and has no timer, and so waits until its
      * deadline.
      */
     @Test
     public void failedConnectFailsEveryWaitingRequest() throws Exception {
         boolean[] mayOpen = {true};
-        pools.setConnectLimiter((id, must) -> mayOpen[0]);
+        pools.setConnectLimiter((id, mandatory) -> mayOpen[0]);
         submit("p0");
         runTurn();
         awaitRequest(worker1); // The connection is in use from now on.
--- a/daemon/src/test/java/postgrade/daemon/LateWorkerMessageTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LateWorkerMessageTest.java
@@ -11,8 +11,8 @@
 import postgrade.dispatch.ReportedState;
 
 /**
- * What a worker says of an attempt when it is all but over, and what comes of its connection long
- * after.
+ * Messages from a worker about an attempt that is almost over, and events on its connection long
+ * afterwards.
  */
 public class LateWorkerMessageTest extends AttemptTestBase {
 
@@ -21,12 +21,12 @@
     private void assertServed(String id) {
         assertFinished("finished " + id + " 0 SERVED true");
         assertEquals(List.of(id + " served"), answers);
-        assertTrue("nothing is given up", pools.hasNoCancellations());
+        assertTrue("no cancellation is pending", pools.hasNoCancellations());
     }
 
     /**
-     * The result is the answer, and the worker is not asked to drop what it has done: its next job
-     * may have the same id.
+     * The result is the answer, and the worker gets no DELETE for a job that it has completed: its
+     * next job may have the same id.
      */
     @Test
     public void resultInTheTurnOfTheCancellationIsDeliveredAndNoDeleteFollows() throws Exception {
@@ -36,8 +36,8 @@
         runTurn();
         assertServed("a");
         advance(100 * MILLI_MICROS);
-        assertEquals("nothing is asked of it", 0, availableBytes(worker));
-        assertEquals("nor on a connection of its own", 1, loop.openChannels());
+        assertEquals("nothing is sent to the worker", 0, availableBytes(worker));
+        assertEquals("nor on a new connection", 1, loop.openChannels());
     }
 
     private ReceivedMessage awaitDelete(Socket on, String id) throws IOException {
@@ -46,7 +46,7 @@
         return delete;
     }
 
-    /** A DELETE that comes before its job, and is answered. */
+    /** A DELETE that arrives before its job, and is answered. */
     private ReceivedMessage cancelWithDeleteBeforeJob(String id) throws IOException {
         policy.actions.cancelAttempt(id, 0);
         runTurn();
@@ -57,7 +57,7 @@
         return delete;
     }
 
-    /** Nothing reads it any more: it would be taken for that of the next attempt. */
+    /** Guards against a late 202 that would be taken for the next attempt's response. */
     @Test
     public void acceptanceLongAfterTheAnsweredDeleteFindsItsConnectionClosed() throws Exception {
         Socket worker = sendJob("b");
@@ -65,7 +65,7 @@
         advance(99 * MILLI_MICROS);
         assertFinished();
         advance(1 * MILLI_MICROS);
-        assertEquals("the one of the DELETE is left", 1, loop.openChannels());
+        assertEquals("only the connection of the DELETE is left", 1, loop.openChannels());
         assertEquals(-1, worker.getInputStream().read());
         assertFinished();
         ReceivedMessage second = awaitDelete(first.socket(), "b");
@@ -79,7 +79,10 @@
         assertEquals(1, finishedEvents().size());
     }
 
-    /** The first one's answer ended the attempt: the job ran, beside the next attempt. */
+    /**
+     * Guards against ending the attempt by the first DELETE's response: the job would run beside
+     * the next attempt.
+     */
     @Test
     public void acceptanceRightAfterTheAnsweredDeleteCausesAnotherDelete() throws Exception {
         Socket worker = sendJob("d");
@@ -94,8 +97,8 @@
     }
 
     /**
-     * The worker has taken the job: its connection is of no meaning to it, and only a call-back
-     * tells of its end.
+     * The worker has accepted the job: the connection no longer matters, and only a call- back
+     * reports the end.
      */
     @Test
     public void resetLongAfterTheAcceptanceEndsNothing() throws Exception {
@@ -110,7 +113,7 @@
         runTurn();
         advance(100 * MILLI_MICROS);
         assertFinished();
-        assertEquals("and nothing is asked of the worker", 0, loop.openChannels());
+        assertEquals("no connection to the worker is open", 0, loop.openChannels());
         report("c", "w1", ReportedState.DONE);
         runTurn();
         assertServed("c");
--- a/daemon/src/test/java/postgrade/daemon/ScriptedPeer.java
+++ b/daemon/src/test/java/postgrade/daemon/ScriptedPeer.java
@@ -17,13 +17,14 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A scripted peer on loopback: hands over what arrives and answers only what the test tells it to.
+ * A scripted peer on loopback: queues the messages it receives and sends only what the test tells
+ * it to.
  */
 final class ScriptedPeer implements AutoCloseable {
 
     static final int TIMEOUT_S = 20;
 
-    /** One message, and the connection it came on. */
+    /** One message, and the connection on which it came. */
     record ReceivedMessage(Socket socket, String head, String body) {
         void reply(String status, String body) {
             write(
@@ -40,7 +41,7 @@
             reply("202 Accepted", "");
         }
 
-        /** Ends the connection with a reset. */
+        /** Closes the connection with a reset. */
         void resetConnection() throws IOException {
             socket.setSoLinger(true, 0);
             socket.close();
@@ -66,8 +67,8 @@
     private final BlockingQueue<Socket> closedConnections = new LinkedBlockingQueue<>();
 
     ScriptedPeer() throws IOException {
-        // Guards against the dispatchers of earlier tests, which look for their peers for ever: no
-        // address comes again.
+        // No address is used twice: guards against the dispatchers of earlier tests, which keep
+        // trying to reach their peers.
         int count = PEER_COUNT.incrementAndGet();
         server =
                 new ServerSocket(
@@ -105,7 +106,7 @@
                             try {
                                 task.run();
                             } catch (IOException e) {
-                                // The test is over, or has broken the connection itself.
+                                // The test is over, or has closed the connection itself.
                             }
                         });
         thread.setDaemon(true);
@@ -118,7 +119,7 @@
 
     ReceivedMessage awaitMessage() throws InterruptedException {
         ReceivedMessage message = messages.poll(TIMEOUT_S, TimeUnit.SECONDS);
-        assertNotNull("nothing arrived", message);
+        assertNotNull("no message arrived", message);
         return message;
     }
 
@@ -135,7 +136,7 @@
     /** Waits until the other side has closed one of its connections. */
     Socket awaitClosedConnection() throws InterruptedException {
         Socket socket = closedConnections.poll(TIMEOUT_S, TimeUnit.SECONDS);
-        assertNotNull("no connection ended", socket);
+        assertNotNull("no connection was closed", socket);
         return socket;
     }
 
@@ -152,7 +153,7 @@
         }
     }
 
-    /** Reads one message with a length. */
+    /** Reads one message, whose body has the length given by Content-Length. */
     static ReceivedMessage read(Socket socket) throws IOException {
         InputStream in = socket.getInputStream();
         StringBuilder head = new StringBuilder();
--- a/daemon/src/test/java/postgrade/daemon/ScriptedPolicy.java
+++ b/daemon/src/test/java/postgrade/daemon/ScriptedPolicy.java
@@ -22,8 +22,8 @@
 import postgrade.policy.api.WorkerListUpdateType;
 
 /**
- * A decision module that writes down what it hears and does what the test says. Runs on the loop's
- * thread.
+ * A policy that records the events it is given and performs the actions that the test sets. Runs on
+ * the loop's thread.
  */
 final class ScriptedPolicy implements DispatchPolicy {
     final PolicyActions actions;
@@ -43,9 +43,7 @@
         assertEquals(expected, events.poll(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
     }
 
-    /**
-     * Passes over what else is heard, where that depends on how late the loop comes to a deadline.
-     */
+    /** Skips other events, where these depend on how late the loop handles a deadline. */
     void expectEventAmongOthers(String expected) throws InterruptedException {
         String next;
         do {
@@ -74,18 +72,18 @@
     }
 
     @Override
-    public void importState(long nowNs, List<PolicyStateEntry> all) {
-        if (!all.isEmpty()) {
+    public void importState(long nowNs, List<PolicyStateEntry> entries) {
+        if (!entries.isEmpty()) {
             events.add(
                     "learn "
-                            + all.stream()
+                            + entries.stream()
                                     .map(
-                                            l ->
-                                                    l.category()
+                                            entry ->
+                                                    entry.category()
                                                             + " "
-                                                            + l.name()
+                                                            + entry.name()
                                                             + " "
-                                                            + Arrays.toString(l.values()))
+                                                            + Arrays.toString(entry.values()))
                                     .toList());
         }
     }
@@ -96,10 +94,10 @@
     }
 
     @Override
-    public void quotaShareChanged(long nowNs, double part) {
-        lastShare = part;
-        if (part != 1) { // Each start says that.
-            events.add("share " + part);
+    public void quotaShareChanged(long nowNs, double share) {
+        lastShare = share;
+        if (share != 1) { // Every start reports a share of 1.
+            events.add("share " + share);
         }
     }
 
--- a/daemon/src/test/java/postgrade/daemon/SettingsReplacementTest.java
+++ b/daemon/src/test/java/postgrade/daemon/SettingsReplacementTest.java
@@ -13,14 +13,14 @@
 import org.junit.Test;
 
 /**
- * Customers whose settings share some names and nothing else: one alone, and one after the other in
- * one process.
+ * Settings of two deployments that share some names and nothing else: each alone, and one after the
+ * other in one process. Guards against settings that are left over after a reload.
  */
 public class SettingsReplacementTest extends DaemonTestBase {
 
     /**
-     * Six classes, digits and hyphens in names, eight zones. Two workers of one kind, which is not
-     * named first.
+     * Six classes, digits and hyphens in names, eight zones, and two kinds of workers, of which the
+     * one in use is not named first.
      */
     private static final String MANY_CLASSES =
             "{'balancers':3,'index':2,'zone':'s-2','kindOfService':'jobs','tier':0,"
@@ -45,8 +45,8 @@
                     + "'tenants':[{'name':'t-01','quotaPerS':90},{'name':'8-ball','quotaPerS':30},{'name':'t','quotaPerS':30}]}";
 
     /**
-     * One class, one tenant, one zone, one attempt; a class and a tenant are called as with the
-     * other.
+     * Two classes, one tenant, one zone, one retry; a class and the tenant have the same names as
+     * in the other settings.
      */
     private static final String SMALL =
             "{'balancers':1,'index':0,'zone':'main','kindOfService':'jobs','tier':0,"
@@ -110,7 +110,7 @@
         return s;
     }
 
-    /** The next job is taken by the worker that this returns. */
+    /** Accepts the next job, and returns the id of the worker that got it. */
     private String acceptNextJob() throws Exception {
         while (workerOne.hasNoMessage() && workerTwo.hasNoMessage()) {
             Thread.onSpinWait();
@@ -158,21 +158,25 @@
         startDaemonWith(SMALL);
         Socket retried = submitAndFail("a0", "t");
         acceptAndReport("a0", "done");
-        assertEquals("it may be repeated", 200, ScriptedPeer.read(retried).status());
+        assertEquals("the job may be retried", 200, ScriptedPeer.read(retried).status());
         assertServed("a1", "x", "t");
         Socket inFlight = submit("u", "x", "t");
         String workerId = acceptNextJob();
         writeSettings(MANY_CLASSES);
         daemon.reload();
-        assertEquals("and by this answer it has been read", 200, readinessStatus());
-        assertEquals("a class of the first alone", 400, submitForStatus("c0", "x", "t"));
+        assertEquals("the settings have been read before this response", 200, readinessStatus());
+        assertEquals(
+                "a class that only the first settings have", 400, submitForStatus("c0", "x", "t"));
         assertEquals(204, callBack("u", workerId, "done"));
-        assertEquals("one that came before goes on", 200, ScriptedPeer.read(inFlight).status());
+        assertEquals(
+                "a job submitted before the reload continues",
+                200,
+                ScriptedPeer.read(inFlight).status());
         assertServed("c1", "scan-2d", "t-01");
         assertServed("c2", "both", "t");
         Socket notRetried = submitAndFail("c3", "t");
         assertEquals(
-                "what kept its name must not run twice now",
+                "the class of the same name must not run twice now",
                 502,
                 ScriptedPeer.read(notRetried).status());
         assertTrue(workerOne.hasNoMessage() && workerTwo.hasNoMessage());
--- a/daemon/src/test/java/postgrade/daemon/SystemCallFailureTest.java
+++ b/daemon/src/test/java/postgrade/daemon/SystemCallFailureTest.java
@@ -18,7 +18,10 @@
 import postgrade.http.FaultInjectingCalls.Failure;
 import postgrade.policy.api.AttemptOutcome;
 
-/** System calls that fail for a moment, are short or return early, at each point of a job's way. */
+/**
+ * System calls that fail temporarily, transfer less than asked or return early, at each step of a
+ * job.
+ */
 public class SystemCallFailureTest extends DaemonTestBase {
 
     private static final List<Failure> LOCAL_RESOURCE_FAILURES =
@@ -44,8 +47,8 @@
     }
 
     /**
-     * Answers the attempt, reports the job done on a connection of its own, and reads the client's
-     * answer.
+     * Accepts the attempt, reports the job done on a separate connection, and reads the client's
+     * response.
      */
     private void assertServed(String id, Socket client, ScriptedPeer worker, String workerId)
             throws Exception {
@@ -71,7 +74,7 @@
         assertEquals("made", answer.body());
     }
 
-    /** The module may try another worker, and holds nothing against this one. */
+    /** The policy may try another worker, and does not count the failure against this one. */
     @Test
     public void connectFailureForLackOfLocalResourcesIsReportedAndTheJobGoesElsewhere()
             throws Exception {
@@ -122,9 +125,8 @@
         turns.script.expectEvent("job a1");
         calls.fail(Call.ACCEPT, 3, () -> new IOException("Too many open files in system"));
         Socket waits = turns.post("a2");
-        assertServed(
-                "a1", before, workerOne,
-                "w1"); // Its call-back comes on a connection that waits behind the other.
+        // The call-back comes on a connection queued behind the other.
+        assertServed("a1", before, workerOne, "w1");
         assertServed("a2", waits, workerOne, "w1");
         assertEquals(0, calls.failuresLeft(Call.ACCEPT));
     }
@@ -147,11 +149,11 @@
         assertServed("b1", client, workerOne, "w1");
     }
 
-    /** Its time runs from when it was sent. */
+    /** The deadline counts from when the request was sent. */
     @Test
     public void timeUnreadInASocketCountsAgainstTheDeadline() throws Exception {
         Socket client = turns.connect();
-        turns.turn(); // It is accepted and watched.
+        turns.turn(); // The connection is accepted and registered.
         turns.crossing(300, () -> Turns.post(client, "u1"), () -> {});
         assertRemainingAtMost(14_700_000, workerOne.awaitMessage("POST"));
     }
--- a/daemon/src/test/java/postgrade/daemon/UnsentRequestTest.java
+++ b/daemon/src/test/java/postgrade/daemon/UnsentRequestTest.java
@@ -8,7 +8,10 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.Test;
 
-/** A request that was never sent on is refused, however it ends: trying again is harmless. */
+/**
+ * A request that was never sent to a worker is rejected, however it ends, because a retry is
+ * harmless.
+ */
 public class UnsentRequestTest extends DaemonTestBase {
 
     private void assertRejected(Socket client) throws Exception {
@@ -23,7 +26,7 @@
                     if (job.id().equals("f1")) {
                         script.actions.fail(job.id());
                     } else {
-                        throw new IllegalStateException("as told");
+                        throw new IllegalStateException("thrown by the scripted policy");
                     }
                 };
         assertRejected(post("f1", "confirm", "15000m"));
@@ -46,21 +49,21 @@
             script.expectEventAmongOthers("finished d1 0 NOT_SENT false");
             assertRejected(client);
             script.onFinished = (id, outcome) -> {};
-            client = post("d2", "confirm", "300m"); // The module forgets it.
+            client = post("d2", "confirm", "300m"); // The policy does nothing about it.
             script.expectEventAmongOthers("job d2");
             script.expectEventAmongOthers("finished d2 0 NOT_SENT false");
             assertRejected(client);
             script.onJob =
                     job -> {
                         script.actions.startAttempt(job.id(), "w1", 0);
-                        script.actions.fail(job.id()); // Sooner.
+                        script.actions.fail(job.id()); // Before the deadline.
                     };
             assertRejected(post("d3", "confirm", "15000m"));
         }
     }
 
     /**
-     * A repeat that comes to its worker after the window in which that drops repeats would run
+     * Guards against a retry that reaches its worker after the deduplication window and so runs
      * again.
      */
     @Test
@@ -68,8 +71,8 @@
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob =
                 job ->
-                        script.actions.startAttempt(
-                                job.id(), "w1", 0, 0); // A connection comes up in a later turn.
+                        // A connection comes up in a later turn.
+                        script.actions.startAttempt(job.id(), "w1", 0, 0);
         script.onFinished = (id, outcome) -> script.actions.fail(id);
         Socket client = post("k1", "price", "15000m");
         script.expectEventAmongOthers("finished k1 0 NOT_SENT false");
@@ -78,7 +81,7 @@
                 job -> script.actions.startAttempt(job.id(), "w1", 0, TimeUnit.MINUTES.toNanos(1));
         post("k2", "price", "15000m");
         assertEquals(
-                "the first one left nothing behind",
+                "the first job left nothing behind",
                 "k2",
                 workerOne.awaitMessage("POST").header("X-Request-Id"));
     }
@@ -89,7 +92,7 @@
         script.onJob = job -> script.actions.startAttempt(job.id(), "w1", 0);
         script.onFinished = (id, outcome) -> script.actions.fail(id);
         Socket client = post("s1", "confirm", "300m");
-        workerOne.awaitMessage("POST"); // Silent on it.
+        workerOne.awaitMessage("POST"); // The worker sends no response.
         assertEquals(504, ScriptedPeer.read(client).status());
         workerOne.awaitMessage("DELETE /jobs/s1 ").reply("200 OK", "");
         client = post("s2", "confirm", "15000m");
@@ -102,7 +105,10 @@
         assertEquals(502, ScriptedPeer.read(client).status());
     }
 
-    /** A new connection that is closed without an answer counts as a request refused or lost. */
+    /**
+     * Guards against closing a new connection without a response, which counts as a request refused
+     * or lost.
+     */
     @Test
     public void connectionBeyondTheSocketLimitWaitsUntilAnotherCloses() throws Exception {
         descriptorLimit = 96; // 64 for sockets, 48 of them for accepted ones and the watch.
@@ -116,7 +122,8 @@
         ScriptedPeer.ReceivedMessage watch =
                 discovery.awaitMessage("GET /api/targets?watch=1&from=41 ");
         ScriptedPeer.write(watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        for (int turn = 0; turn < 2; turn++) { // By the second one the listener has come to it.
+        // By the second turn the listener has tried to accept the connection.
+        for (int turn = 0; turn < 2; turn++) {
             writeChunk(
                     watch,
                     workerListJson(
@@ -128,7 +135,7 @@
                     script.actions.reject(job.id(), 0);
                     script.actions.reject("busy0", 0);
                 };
-        sockets.get(1).close(); // Its place is free.
+        sockets.get(1).close(); // Frees a socket.
         script.expectEventAmongOthers("abandoned busy1");
         script.expectEventAmongOthers("job last");
         assertRejected(client);
--- a/daemon/src/test/java/postgrade/daemon/WorkerStartTimesTest.java
+++ b/daemon/src/test/java/postgrade/daemon/WorkerStartTimesTest.java
@@ -6,7 +6,7 @@
 import org.junit.Test;
 
 /**
- * Starts of workers told in true Unix time to a process whose wall clock was stepped before it
+ * Worker start times, given in true Unix time to a process whose wall clock was stepped before it
  * began.
  */
 public class WorkerStartTimesTest {
@@ -42,7 +42,7 @@
         assertEquals(0, times.micros("u", 0, nowMicros, nowMicros));
     }
 
-    /** Else a worker in slow start would pass as warm. */
+    /** Guards against taking a worker in slow start as warm. */
     @Test
     public void clockAnHourAheadTreatsAChangedStartAsRecent() throws Exception {
         WorkerStartTimes times = withWallClockOffBy(HOUR);
@@ -51,7 +51,7 @@
         assertTrue(nowMicros - started <= 2 * SECOND + WorkerStartTimes.MAX_NOTICE_DELAY_MICROS);
     }
 
-    /** Else a warm worker would pass as cold for an hour. */
+    /** Guards against taking a warm worker as cold for an hour. */
     @Test
     public void clockAnHourBehindCapsTheStartAtItsFirstReport() throws Exception {
         WorkerStartTimes times = withWallClockOffBy(-HOUR);
@@ -60,7 +60,7 @@
                 times.micros(
                         "w", startedAgo(SECOND), nowMicros, WorkerStartTimes.NO_EARLIER_CONTACT));
         assertEquals(
-                "told again",
+                "reported again",
                 nowMicros,
                 times.micros(
                         "w", startedAgo(SECOND), nowMicros + 30 * SECOND, nowMicros + 29 * SECOND));
