--- a/daemon/src/test/java/postgrade/daemon/ConnectionRestTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ConnectionRestTest.java
@@ -27,10 +27,10 @@
 
     /**
      * Guards against taking the second response for the next job's, which would run on while the
-     * policy is told that it never ran.
+     * policy is notified that it never ran.
      */
     @Test
-    public void secondResponseIsNotTakenForTheNextJobs() throws Exception {
+    public void secondResponseIsNotAttributedToTheNextJob() throws Exception {
         Socket resting = sendAcceptedJob("a1");
         submit("a2");
         runTurn();
@@ -43,7 +43,7 @@
     }
 
     @Test
-    public void secondResponseIsNotTakenForADeletes() throws Exception {
+    public void secondResponseIsNotAttributedToADelete() throws Exception {
         Socket resting = sendAcceptedJob("b1");
         policy.actions.cancelAttempt("b1", 0);
         runTurn();
--- a/daemon/src/test/java/postgrade/daemon/EndProofTest.java
+++ b/daemon/src/test/java/postgrade/daemon/EndProofTest.java
@@ -39,7 +39,7 @@
         runTurn();
     }
 
-    private void reset(Socket worker) throws IOException {
+    private void resetConnection(Socket worker) throws IOException {
         loop.runAndServe(
                 () -> {
                     worker.setSoLinger(true, 0);
@@ -79,7 +79,7 @@
     @Test
     public void resetBeforeAnyResponseIsFollowedByADelete() throws Exception {
         Socket worker = sendJob("a1");
-        reset(worker);
+        resetConnection(worker);
         assertFinished();
         confirmCancellation("a1");
         assertFinished("finished a1 0 RESET false");
@@ -99,7 +99,7 @@
     @Test
     public void callBackAfterAResetEndsTheAttempt() throws Exception {
         Socket worker = sendJob("a3");
-        reset(worker);
+        resetConnection(worker);
         awaitDelete(accept(worker1), "a3");
         report("a3", "w1", ReportedState.STARTED);
         report("a3", "w1", ReportedState.DONE);
@@ -155,7 +155,8 @@
     }
 
     @Test
-    public void responseFollowedByAnotherInPlaceOfTheDeletesIsNotBelieved() throws Exception {
+    public void responseFollowedByAnotherInPlaceOfTheDeleteResponseIsNotBelieved()
+            throws Exception {
         Socket worker = sendJobOn(usedConnections("d2"), "d3");
         respond(worker, FULL);
         runTurn();
@@ -171,7 +172,7 @@
 
     /** The worker has answered out of order, and has the job. */
     @Test
-    public void responseFollowedByAnotherAfterTheDeletesIsNotBelieved() throws Exception {
+    public void responseFollowedByAnotherAfterTheDeleteResponseIsNotBelieved() throws Exception {
         Socket worker = sendJobOn(usedConnections("d6"), "d7");
         respond(worker, FULL);
         runTurn();
@@ -300,7 +301,7 @@
             String id = "g" + status.substring(0, 3);
             policy.events.clear();
             Socket worker = sendJob(id);
-            reset(worker);
+            resetConnection(worker);
             ReceivedMessage refused = awaitDelete(accept(worker1), id);
             loop.runAndServe(() -> refused.reply(status, ""));
             runTurn();
@@ -317,7 +318,7 @@
     @Test
     public void unknownJobCountsAsCancelled() throws Exception {
         Socket worker = sendJob("h1");
-        reset(worker);
+        resetConnection(worker);
         ReceivedMessage delete = awaitDelete(accept(worker1), "h1");
         loop.runAndServe(() -> delete.reply("404 Unknown", ""));
         runTurn();
