--- a/daemon/src/test/java/postgrade/daemon/SystemCallFailureTest.java
+++ b/daemon/src/test/java/postgrade/daemon/SystemCallFailureTest.java
@@ -31,13 +31,13 @@
                     () -> new SocketException("Network is unreachable"));
 
     private final FaultInjectingCalls calls = new FaultInjectingCalls();
-    private Turns turns;
+    private LoopHarness turns;
 
     @Before
     public void startTurns() throws Exception {
-        turns = new Turns(Config.read(configuration()), 512, calls);
-        turns.provider("w1", workerOne);
-        turns.provider("w2", workerTwo);
+        turns = new LoopHarness(Config.read(configuration()), 512, calls);
+        turns.addWorker("w1", workerOne);
+        turns.addWorker("w2", workerTwo);
         turns.script.onJob = job -> turns.script.actions.startAttempt(job.id(), "w1", 0);
     }
 
@@ -137,7 +137,7 @@
         turns.script.expectEvent("job d1");
         calls.fail(Call.ACCEPT, 3, () -> new IOException("Too many open files"));
         Socket second = turns.post("d2");
-        turns.on(turns.ending::begin);
+        turns.runOnLoop(turns.shutdown::begin);
         assertServed("d1", first, workerOne, "w1");
         assertServed("d2", second, workerOne, "w1");
     }
@@ -153,14 +153,14 @@
     @Test
     public void timeUnreadInASocketCountsAgainstTheDeadline() throws Exception {
         Socket client = turns.connect();
-        turns.turn(); // The connection is accepted and registered.
-        turns.crossing(300, () -> Turns.post(client, "u1"), () -> {});
+        turns.awaitIteration(); // The connection is accepted and registered.
+        turns.interleave(300, () -> LoopHarness.post(client, "u1"), () -> {});
         assertRemainingAtMost(14_700_000, workerOne.awaitMessage("POST"));
     }
 
     @Test
     public void timeInTheAcceptBacklogCountsAgainstTheDeadline() throws Exception {
-        turns.crossing(300, () -> turns.post("u2"), () -> {});
+        turns.interleave(300, () -> turns.post("u2"), () -> {});
         assertRemainingAtMost(14_700_000, workerOne.awaitMessage("POST"));
     }
 
