--- a/core/src/main/java/postgrade/dispatch/RequestTracker.java
+++ b/core/src/main/java/postgrade/dispatch/RequestTracker.java
@@ -19,24 +19,23 @@
 
 /**
  * The core of the dispatcher. It tracks the requests in flight and their attempts, delivers events
- * to the policy and carries out what the policy decides. It knows no protocol: the clients' side
- * submits and abandons requests, the workers' side starts attempts and tells how they end.
+ * to the policy and executes the policy's decisions. It is independent of protocols: the client
+ * side submits and abandons requests, the worker side starts attempts and reports how they end.
  *
- * <p>What comes in during a turn of the loop is queued. {@link #runBatch} delivers it to the policy
- * in one go and then carries out the actions in their order; what those bring about waits for the
- * next turn. Used on the loop's thread alone. Times are microseconds of the loop's clock.
+ * <p>Events that occur during an event loop iteration are queued. {@link #runBatch} delivers them
+ * to the policy together and then executes the actions in order; events that these cause wait for
+ * the next iteration. Must be used on the event loop thread only. Times are microseconds of the
+ * event loop's clock.
  */
 public final class RequestTracker {
 
-    /** When a client that finds every place taken may come back. */
-    static final long FULL_RETRY_MICROS = 500_000;
+    /** The retry-after time for a request that is rejected because too many are in flight. */
+    static final long FULL_RETRY_AFTER_MICROS = 500_000;
 
     private static final long NANOS_PER_MICRO = 1_000;
 
-    /**
-     * The policy answers by the deadline; what it has not answered so long after is failed here.
-     */
-    private static final long OVERDUE_MICROS = 20_000;
+    /** A request that the policy has not answered this long after its deadline is failed here. */
+    private static final long OVERDUE_GRACE_MICROS = 20_000;
 
     private final Timers timers;
     private final InternalErrorListener errors;
@@ -45,26 +44,26 @@
     private final EventBatch batch;
     private final AttemptLifecycle lifecycle;
     private WorkerTransport transport;
-    private int mostRequests;
+    private int maxRequests;
     private boolean allowsConcurrentAttempts;
 
     /**
-     * A tracker with no requests, whose policy is made here.
+     * Creates a tracker with no requests, and its policy.
      *
-     * @param policyFactory makes the policy, given where its actions go
-     * @param allowsConcurrentAttempts whether two attempts of one request may be out at once
-     * @param mostRequests how many requests may be in flight; further ones are rejected at once
-     * @param errors is told what went wrong in the policy
+     * @param policyFactory creates the policy, given the receiver of its actions
+     * @param allowsConcurrentAttempts whether two attempts of one request may be in flight at once
+     * @param maxRequests how many requests may be in flight; further ones are rejected at once
+     * @param errors notified of exceptions and errors of the policy
      */
     public RequestTracker(
             Function<PolicyActions, DispatchPolicy> policyFactory,
             boolean allowsConcurrentAttempts,
-            int mostRequests,
+            int maxRequests,
             Timers timers,
             InternalErrorListener errors) {
         this.timers = timers;
         this.errors = errors;
-        this.mostRequests = mostRequests;
+        this.maxRequests = maxRequests;
         this.allowsConcurrentAttempts = allowsConcurrentAttempts;
         batch = new EventBatch(timers, errors);
         lifecycle = new AttemptLifecycle(timers, errors, batch, this::policy);
@@ -82,95 +81,89 @@
         return transport;
     }
 
-    /** Sets the side that speaks to workers. To be called once, before the first turn. */
-    public void connectTransport(WorkerTransport workers) {
-        transport = workers;
+    /** Sets the transport to the workers. Must be called once, before the first iteration. */
+    public void connectTransport(WorkerTransport newTransport) {
+        transport = newTransport;
     }
 
-    /** Sets who observes requests from now on, in place of any former one. */
-    public void observer(RequestObserver next) {
-        lifecycle.observer(next);
+    /** Replaces the observer of requests and attempts. */
+    public void observer(RequestObserver newObserver) {
+        lifecycle.observer(newObserver);
     }
 
     /**
-     * Accepts a request, which is owed one answer from now on. Returns false, and does nothing, if
-     * a request with its id is in flight.
+     * Accepts a request for one answer. Returns false, and does nothing, if its id is in flight.
      */
     public boolean submit(PendingRequest request) {
         if (requests.containsKey(request.id())) {
-            return false; // The policy would ignore the second and never answer it.
+            return false; // The policy would ignore the second request and never answer it.
         }
-        if (lifecycle.unanswered() >= mostRequests) {
-            // Bounds the memory: beyond this a request is rejected before the policy hears of it.
-            lifecycle.rejectUntracked(request, FULL_RETRY_MICROS);
+        if (lifecycle.unanswered() >= maxRequests) {
+            // Bounds memory: further requests are rejected without consulting the policy.
+            lifecycle.rejectUntracked(request, FULL_RETRY_AFTER_MICROS);
             return true;
         }
         requests.put(request.id(), request);
-        lifecycle.accepted();
-        long overdueMicros = request.deadlineMicros() + OVERDUE_MICROS;
-        request.accepted(
+        lifecycle.requestAccepted();
+        long overdueMicros = request.deadlineMicros() + OVERDUE_GRACE_MICROS;
+        request.startTracking(
                 timers.nowMicros(),
                 allowsConcurrentAttempts,
                 timers.at(overdueMicros, () -> lifecycle.failOverdue(request)));
-        batch.addEvent(nowNs -> deliver(nowNs, request));
+        batch.addEvent(nowNs -> deliverJob(nowNs, request));
         return true;
     }
 
-    /**
-     * Delivers a new request to the policy. One that the policy throws on is still owed its answer.
-     */
-    private void deliver(long nowNs, PendingRequest request) {
+    /** Delivers a new request to the policy; if that throws, the request is failed to answer it. */
+    private void deliverJob(long nowNs, PendingRequest request) {
         try {
             policy.jobArrived(nowNs, request.toJob(nowNs));
         } catch (RuntimeException thrown) {
             errors.internalError(
-                    InternalErrorListener.JOB_NOT_TAKEN,
-                    "the module could not take a job of class " + request.jobClass(),
+                    InternalErrorListener.JOB_ARRIVAL_FAILED,
+                    "the policy threw an exception on a job of class " + request.jobClass(),
                     thrown);
             lifecycle.failRequest(request, false, DecisionReason.UNSTATED);
         }
     }
 
-    /** The client has left, and nothing more is owed to it. */
+    /** The client has disconnected and needs no answer. */
     public void clientDisconnected(PendingRequest request) {
         if (!request.isAnswered()) {
             lifecycle.conclude(request);
-            notifyClientLeft(request);
+            notifyJobAbandoned(request);
             lifecycle.withdrawUnsent(request);
         }
     }
 
-    /**
-     * Answers the unanswered requests that have arrived since then, as there is no time left to
-     * serve them.
-     */
+    /** Fails the unanswered requests that arrived since then, as no time is left to serve them. */
     public void failArrivedSince(long sinceMicros) {
         for (PendingRequest request : new ArrayList<>(requests.values())) {
             if (!request.isAnswered() && request.arrivedMicros() >= sinceMicros) {
                 lifecycle.failRequest(request, false, DecisionReason.UNSTATED);
-                notifyClientLeft(request);
+                notifyJobAbandoned(request);
             }
         }
     }
 
-    private void notifyClientLeft(PendingRequest request) {
+    private void notifyJobAbandoned(PendingRequest request) {
         lifecycle.notifyPolicy(request, nowNs -> policy.jobAbandoned(nowNs, request.id()));
     }
 
-    // ---- From the workers' side.
+    // ---- Called by the worker side.
 
     /**
-     * A worker's call-back has come. Reports of unknown jobs, from other workers and of ended
+     * Processes a worker's call-back. Reports about unknown jobs, from other workers or about ended
      * attempts are ignored.
      *
-     * @param shareDone for {@link ReportedState#RUNNING}
-     * @param result for {@link ReportedState#DONE}, else null
+     * @param progress the fraction done, for {@link ReportedState#RUNNING}
+     * @param result the result for {@link ReportedState#DONE}, else null
      * @return false if no request with this id is in flight here
      */
     public boolean workerReported(
-            String id, String workerId, ReportedState state, double shareDone, byte[] result) {
+            String id, String workerId, ReportedState state, double progress, byte[] result) {
         PendingRequest request = requests.get(id);
-        Attempt attempt = request == null ? null : request.attemptOutAt(workerId);
+        Attempt attempt = request == null ? null : request.inFlightAttemptAt(workerId);
         if (attempt == null) {
             lifecycle.observer().reportUnmatched(id, workerId, state);
             return request != null;
@@ -178,14 +171,14 @@
         int number = attempt.number();
         switch (state) {
             case STARTED -> {
-                attempt.started(timers.nowMicros());
+                attempt.recordStart(timers.nowMicros());
                 attempt.handle().startedByReport();
                 lifecycle.notifyPolicy(request, nowNs -> policy.attemptStarted(nowNs, id, number));
             }
             case RUNNING -> {
                 attempt.handle().startedByReport();
                 lifecycle.notifyPolicy(
-                        request, nowNs -> policy.attemptProgressed(nowNs, id, number, shareDone));
+                        request, nowNs -> policy.attemptProgressed(nowNs, id, number, progress));
             }
             case DONE, FAILED, RETURNED, LOST -> endByReport(attempt, state, result);
         }
@@ -194,9 +187,8 @@
 
     private void endByReport(Attempt attempt, ReportedState state, byte[] result) {
         if (state != ReportedState.DONE && attempt.mayReceiveStaleReports()) {
-            // A late report of an earlier attempt at the same worker would free this one while it
-            // runs. So it is cancelled before the policy hears,
-            // and may have run.
+            // A late report about an earlier attempt at this worker would end this one while it
+            // runs. So it is cancelled before the policy is notified, and counts as possibly run.
             lifecycle.cancel(attempt, AttemptOutcome.RESET);
         } else {
             attempt.handle().endedByReport();
@@ -204,18 +196,18 @@
         }
     }
 
-    /** An attempt has ended, as the transport saw it by this evidence. */
+    /** The transport has found that an attempt has ended, by the given evidence. */
     public void attemptEnded(Attempt attempt, AttemptOutcome outcome, EndEvidence evidence) {
         lifecycle.end(attempt, outcome, evidence, null);
     }
 
     /**
-     * The worker cannot use what the client sent, and neither will another. It is no failure of the
-     * worker's, so for the policy the attempt was cancelled.
+     * The worker cannot process the client's request, and no other worker can. The worker is not at
+     * fault, so the policy is notified of a cancelled attempt.
      */
     public void requestUnusable(Attempt attempt, EndEvidence evidence) {
         PendingRequest request = attempt.request();
-        if (attempt.isOut() && !request.isAnswered()) {
+        if (attempt.isInFlight() && !request.isAnswered()) {
             lifecycle.markAnswered(request, Answer.FAILED, DecisionReason.UNUSABLE);
             request.client().fail(false);
         }
@@ -227,72 +219,71 @@
         batch.addEvent(nowNs -> policy.workerProbed(nowNs, workerId, answered, LoadReport.NONE));
     }
 
-    // ---- Settings, workers and what other processes have learnt; delivered before all else of the
-    // turn.
+    // ---- Settings, workers and imported state; delivered before an iteration's other events.
 
     /**
-     * Other settings are in force. Requests in flight keep their deadline and whether their
-     * attempts may be concurrent.
+     * Applies new settings. Requests in flight keep their deadline and whether they allow
+     * concurrent attempts.
      */
-    public void settingsChanged(PolicySettings settings, int nextMostRequests) {
-        mostRequests = nextMostRequests;
+    public void settingsChanged(PolicySettings settings, int newMaxRequests) {
+        maxRequests = newMaxRequests;
         allowsConcurrentAttempts = settings.allowsConcurrentAttempts;
-        batch.addFirst(nowNs -> policy.settingsChanged(nowNs, settings));
+        batch.addPriorityEvent(nowNs -> policy.settingsChanged(nowNs, settings));
     }
 
-    /** This process has so large a share of the dispatcher's quotas. */
+    /** Sets this process's share of the dispatcher's quotas. */
     public void shareChanged(double share) {
-        batch.addFirst(nowNs -> policy.quotaShareChanged(nowNs, share));
+        batch.addPriorityEvent(nowNs -> policy.quotaShareChanged(nowNs, share));
     }
 
-    /** These constraints are asked from now on. */
+    /** Replaces the job constraints that the policy consults. */
     public void constraintsChanged(JobConstraints constraints) {
         policy.constraintsChanged(constraints);
     }
 
-    /** What the policy has learnt, for the next process of this dispatcher. */
+    /** Returns the state that the policy has learnt, for the next process of this dispatcher. */
     public List<PolicyStateEntry> exportFigures() {
         return policy.exportState(timers.nowMicros() * NANOS_PER_MICRO);
     }
 
-    /** Imports what another process has exported. The list of workers has been queued before. */
-    public void importFigures(List<PolicyStateEntry> figures) {
-        batch.addFirst(nowNs -> policy.importState(nowNs, figures));
+    /** Imports state exported by another process; the worker list must have been queued before. */
+    public void importFigures(List<PolicyStateEntry> entries) {
+        batch.addPriorityEvent(nowNs -> policy.importState(nowNs, entries));
     }
 
-    /** The list of workers has come. */
+    /** Queues a new worker list. */
     public void workersUpdated(WorkerListUpdateType form, List<WorkerInfo> workers) {
-        batch.addFirst(nowNs -> policy.workersUpdated(nowNs, form, workers));
+        batch.addPriorityEvent(nowNs -> policy.workersUpdated(nowNs, form, workers));
     }
 
-    /** An operator has put this worker back. The list that says so has been queued before. */
+    /** An operator has enabled this worker again; the list that says so must be queued before. */
     public void workerReenabled(String workerId) {
-        batch.addFirst(nowNs -> policy.workerReenabled(nowNs, workerId));
+        batch.addPriorityEvent(nowNs -> policy.workerReenabled(nowNs, workerId));
     }
 
-    // ---- The turn.
+    // ---- The event loop iteration.
 
-    /** Whether nothing is owed, out or to be delivered. */
+    /** Whether no answer is due, no attempt is in flight and no event is undelivered. */
     public boolean isIdle() {
         return requests.isEmpty() && !hasPendingEvents();
     }
 
-    /** Whether no request waits for its answer; attempts of answered ones may be out. */
+    /** Whether no request waits for its answer; attempts of answered ones may be in flight. */
     public boolean allAnswered() {
         return lifecycle.unanswered() == 0;
     }
 
-    /** Has what is out for answered requests cancelled on the wire: nobody will hear of it. */
+    /** Cancels on the wire the attempts of answered requests, whose results nobody needs. */
     public void cancelUnwanted() {
         lifecycle.cancelUnwanted(requests.values());
     }
 
-    /** Whether events wait for a turn. */
+    /** Whether events are queued for an iteration. */
     public boolean hasPendingEvents() {
         return batch.hasEvents();
     }
 
-    /** Delivers what has come in and carries out what the policy decides. */
+    /** Delivers the queued events and executes the policy's decisions. */
     public void runBatch() {
         batch.run();
         lifecycle.forgetSettled(request -> requests.remove(request.id(), request));
--- a/core/src/main/java/postgrade/endpoints/EndpointRegistry.java
+++ b/core/src/main/java/postgrade/endpoints/EndpointRegistry.java
@@ -12,30 +12,29 @@
 import postgrade.policy.api.WorkerPhase;
 
 /**
- * The workers as they are in force: what discovery lists, overridden by what operators have said. A
- * worker that an operator has disabled drains until it is enabled again, whatever lists come
- * meanwhile.
+ * The effective worker list: discovery's list with the operators' overrides applied. A worker that
+ * an operator has disabled drains until it is enabled again, whatever lists arrive meanwhile.
  *
- * <p>While disabled a worker is restarted, and the list may be late with its start. So one that is
- * enabled is taken to have started at that moment, unless the list tells a start since it was
- * disabled. Times are nanoseconds of one monotonic clock. Not thread-safe.
+ * <p>A worker is restarted while it is disabled, and the list may be late to report its start. So
+ * an enabled worker counts as started when it was enabled, unless the list reports a start after it
+ * was disabled. Times are nanoseconds of one monotonic clock. Not thread-safe.
  */
 public final class EndpointRegistry {
 
-    /** {@link WorkerOverride#enabledNs} of a worker that is disabled. */
+    /** The {@link WorkerOverride#enabledNs} of a worker that is disabled. */
     public static final long STILL_DISABLED = Long.MAX_VALUE;
 
-    /** Bounds the memory against a discovery that names ever new workers. */
-    private static final int MOST_SEEN = 10_000;
+    /** Bounds memory if discovery keeps listing new workers. */
+    private static final int MAX_KNOWN_IDS = 10_000;
 
     private final Map<String, WorkerInfo> listed = new TreeMap<>();
-    private final Set<String> seen = new HashSet<>();
+    private final Set<String> knownIds = new HashSet<>();
     private final Map<String, Long> disabledSinceNs = new TreeMap<>();
-    private final Map<String, WorkerOverride> enabledAgain = new HashMap<>();
+    private final Map<String, WorkerOverride> reenabled = new HashMap<>();
 
     /**
-     * What operators have said of a worker. A start that the list tells after {@code disabledNs} is
-     * true; any earlier one is replaced by {@code enabledNs}.
+     * An operator's override of a worker. A listed start after {@code disabledNs} is used as it is;
+     * any earlier one is replaced by {@code enabledNs}.
      *
      * @param disabledNs when it was disabled
      * @param enabledNs when it was enabled again, or {@link #STILL_DISABLED}
@@ -43,30 +42,30 @@
     public record WorkerOverride(String id, long disabledNs, long enabledNs) {}
 
     /**
-     * Takes in a list of discovery and returns its workers as they are in force.
+     * Applies a list from discovery and returns its workers with the overrides applied.
      *
-     * @param complete whether workers that it does not name are no longer listed
+     * @param complete whether workers that are not in the list are no longer listed
      */
     public List<WorkerInfo> update(boolean complete, Collection<WorkerInfo> workers) {
         if (complete) {
             listed.clear();
         }
-        List<WorkerInfo> inForce = new ArrayList<>();
+        List<WorkerInfo> effective = new ArrayList<>();
         for (WorkerInfo worker : workers) {
             if (worker.phase() == WorkerPhase.GONE) {
                 listed.remove(worker.id());
             } else {
                 listed.put(worker.id(), worker);
             }
-            if (seen.size() < MOST_SEEN) {
-                seen.add(worker.id());
+            if (knownIds.size() < MAX_KNOWN_IDS) {
+                knownIds.add(worker.id());
             }
-            inForce.add(inForce(worker));
+            effective.add(withOverride(worker));
         }
-        return inForce;
+        return effective;
     }
 
-    private WorkerInfo inForce(WorkerInfo worker) {
+    private WorkerInfo withOverride(WorkerInfo worker) {
         boolean disabled =
                 worker.phase() == WorkerPhase.READY && disabledSinceNs.containsKey(worker.id());
         return new WorkerInfo(
@@ -76,43 +75,44 @@
                 worker.cell(),
                 disabled ? WorkerPhase.DRAINING : worker.phase(),
                 worker.weight(),
-                startedNs(worker));
+                effectiveStartNs(worker));
     }
 
-    private long startedNs(WorkerInfo worker) {
-        WorkerOverride override = enabledAgain.get(worker.id());
-        boolean listIsRight = override == null || worker.startedNs() > override.disabledNs();
-        return listIsRight ? worker.startedNs() : override.enabledNs();
+    private long effectiveStartNs(WorkerInfo worker) {
+        WorkerOverride override = reenabled.get(worker.id());
+        boolean listedStartIsCurrent =
+                override == null || worker.startedNs() > override.disabledNs();
+        return listedStartIsCurrent ? worker.startedNs() : override.enabledNs();
     }
 
-    /** The workers that are disabled, in the order of their names. */
+    /** Returns the ids of the disabled workers, in lexicographic order. */
     public List<String> disabledIds() {
         return List.copyOf(disabledSinceNs.keySet());
     }
 
-    /** All that operators have said, for another process of this dispatcher. */
+    /** Returns all operators' overrides, for another process of this dispatcher. */
     public List<WorkerOverride> overrides() {
         List<WorkerOverride> all = new ArrayList<>();
         disabledSinceNs.forEach(
                 (id, sinceNs) -> all.add(new WorkerOverride(id, sinceNs, STILL_DISABLED)));
-        all.addAll(enabledAgain.values());
+        all.addAll(reenabled.values());
         return all;
     }
 
-    /** Whether the list has ever named this worker, or an operator has. */
+    /** Whether discovery or an operator has ever named this worker. */
     public boolean knows(String id) {
-        return seen.contains(id) || disabledSinceNs.containsKey(id);
+        return knownIds.contains(id) || disabledSinceNs.containsKey(id);
     }
 
-    /** A worker as it is in force, or null if it is not listed. */
+    /** Returns a worker with its override applied, or null if it is not listed. */
     public WorkerInfo worker(String id) {
         WorkerInfo worker = listed.get(id);
-        return worker == null ? null : inForce(worker);
+        return worker == null ? null : withOverride(worker);
     }
 
     /** Disables a worker. Returns false if it is disabled already. */
     public boolean disable(long nowNs, String id) {
-        enabledAgain.remove(id);
+        reenabled.remove(id);
         return disabledSinceNs.putIfAbsent(id, nowNs) == null;
     }
 
@@ -122,7 +122,7 @@
         if (sinceNs == null) {
             return false;
         }
-        enabledAgain.put(id, new WorkerOverride(id, sinceNs, nowNs));
+        reenabled.put(id, new WorkerOverride(id, sinceNs, nowNs));
         return true;
     }
 }
--- a/daemon/src/main/java/postgrade/discovery/DiscoveryWatch.java
+++ b/daemon/src/main/java/postgrade/discovery/DiscoveryWatch.java
@@ -9,24 +9,24 @@
 import postgrade.log.Events;
 
 /**
- * Watches the list of workers. A watch that ends, or is silent for longer than {@link
- * WatchTimeouts} allows, is opened again from the last version after a pause. Without any version
- * it starts from 0, which brings the complete list.
+ * Watches the worker list. A watch that ends, or is silent for longer than {@link WatchTimeouts}
+ * allows, is reopened from the last version after a pause. Without a version it starts from 0,
+ * which returns the complete list.
  *
- * <p>The first object of a watch is due at once, also when nothing has changed, and brings what the
- * former one missed: a call for the complete list beside it would add to the load and find nothing
- * more.
+ * <p>The first object of a watch is sent at once, even if nothing has changed, and contains what
+ * the previous watch missed. A request for the complete list in addition would add load and return
+ * nothing more.
  *
- * <p>Discovery may move. Versions of two addresses need not agree, so the new one is asked for its
- * complete list first; until that has come the watch at the former address is still heard, and its
- * end is no alarm.
+ * <p>Discovery may move to another address. The versions at two addresses need not agree, so the
+ * complete list is requested from the new address first. Until it has been received, the watch at
+ * the previous address is still used, and its end is not logged as a loss.
  */
 public final class DiscoveryWatch implements WatchConnection.Owner {
 
     private static final Logger LOG = LoggerFactory.getLogger(DiscoveryWatch.class);
     private static final long NEVER = -1;
 
-    private final String host;
+    private final String dispatcherName;
     private final Reactor reactor;
     private final Timers timers;
     private final Consumer<WorkerList> listener;
@@ -35,126 +35,139 @@
     private InetSocketAddress address;
     private long version;
 
-    /** Null while a pause lasts. */
+    /** Null during a pause. */
     private WatchConnection current;
 
-    /** At the address before the last move, until the new one has told its list; else null. */
-    private WatchConnection former;
+    /**
+     * The watch at the address before the last move, until the new address has sent its list; else
+     * null.
+     */
+    private WatchConnection previous;
 
-    /** Whether the complete list of this address is still to be had. */
-    private boolean moved;
+    /** Whether the complete list of the current address has not been received yet. */
+    private boolean awaitsCompleteList;
 
-    /** Whether the log says that the watch is lost. */
+    /** Whether the loss of the watch has been logged. */
     private boolean lost;
 
-    private long heardMicros = NEVER;
-    private long heardBeforeMicros = NEVER;
+    private long lastContactMicros = NEVER;
+    private long previousContactMicros = NEVER;
 
-    /** Ends the pause that lasts; else null. */
-    private Timers.Timer reopening;
+    /** The timer that ends the current pause; else null. */
+    private Timers.Timer reopenTimer;
 
     /**
-     * A watch that is not open yet.
+     * Creates a watch that is not open yet.
      *
-     * @param host this dispatcher's name, by which its pauses differ from those of others
-     * @param version of the list known already, 0 for none
-     * @param listener takes the lists in
+     * @param dispatcherName the name of this dispatcher, by which its jitter differs from that of
+     *     others
+     * @param version the version of the list that is known already, 0 for none
+     * @param listener receives the lists
      */
     public DiscoveryWatch(
             InetSocketAddress address,
-            String host,
+            String dispatcherName,
             long version,
             WatchTimeouts timeouts,
             Reactor reactor,
             Timers timers,
             Consumer<WorkerList> listener) {
         this.address = address;
-        this.host = host;
+        this.dispatcherName = dispatcherName;
         this.version = version;
         this.timeouts = timeouts;
         this.reactor = reactor;
         this.timers = timers;
         this.listener = listener;
-        backoff = new WatchBackoff(timeouts.firstFrameMicros(), host.hashCode());
+        backoff = new WatchBackoff(timeouts.firstFrameMicros(), dispatcherName.hashCode());
     }
 
     /**
-     * Opens the watch; from then on it opens itself again. To be called once, on the loop's thread.
+     * Opens the watch, which then reopens itself. Must be called once, on the event loop thread.
      */
     public void open() {
         current =
                 new WatchConnection(
-                        this, host, moved, backoff.nextTimeoutMicros(), timeouts, timers);
+                        this,
+                        dispatcherName,
+                        awaitsCompleteList,
+                        backoff.nextTimeoutMicros(),
+                        timeouts,
+                        timers);
         current.open(reactor, address);
     }
 
-    /** The version of the list that is in force. */
+    /** Returns the version of the current list. */
     @Override
     public long version() {
         return version;
     }
 
     /**
-     * When discovery was last heard before the list that is being taken in, in microseconds, or -1
-     * if it never was.
+     * Returns when discovery was last heard from before the list that is being processed, in
+     * microseconds, or -1 if never.
      */
     public long previousContactMicros() {
-        return heardBeforeMicros;
+        return previousContactMicros;
     }
 
-    /** Where the list in force came from; after a move, where it is to come from. */
+    /**
+     * Returns the address that the current list came from; after a move, the address it will come
+     * from.
+     */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Discovery is at this address from now on. */
-    public void moveTo(InetSocketAddress next) {
-        if (next.equals(address)) {
+    /** Moves the watch to another address of discovery. */
+    public void moveTo(InetSocketAddress newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
         Events.info(LOG, "watch.moving")
                 .addKeyValue("from", address)
-                .addKeyValue("to", next)
-                .log("watch of the provider list moves from " + address + " to " + next);
-        if (reopening != null) {
-            reopening.cancel(); // No connection is open.
-        } else if (moved) {
-            current.drop(); // It has told nothing yet; the one before it is still the best.
+                .addKeyValue("to", newAddress)
+                .log("worker list watch moves from " + address + " to " + newAddress);
+        if (reopenTimer != null) {
+            reopenTimer.cancel(); // No connection is open.
+        } else if (awaitsCompleteList) {
+            // This address has sent no list yet, so the watch before it stays in use.
+            current.close();
         } else {
-            former = current;
+            previous = current;
         }
         current = null;
-        address = next;
-        moved = true;
+        address = newAddress;
+        awaitsCompleteList = true;
         backoff.reset();
-        reopening = null;
+        reopenTimer = null;
         open();
     }
 
-    // ---- What its connections tell.
+    // ---- Called by the connections.
 
     @Override
-    public void frameReceived(WatchConnection from, int frames) {
-        if (from == current) {
-            heard(frames);
+    public void frameReceived(WatchConnection source, int frames) {
+        if (source == current) {
+            recordContact(frames);
         }
     }
 
-    private void heard(int frames) {
-        backoff.heard(frames);
-        heardBeforeMicros = heardMicros;
-        heardMicros = timers.nowMicros();
+    private void recordContact(int frames) {
+        backoff.frameReceived(frames);
+        previousContactMicros = lastContactMicros;
+        lastContactMicros = timers.nowMicros();
         if (lost) {
             lost = false;
             Events.info(LOG, "watch.back")
                     .addKeyValue("version", version)
-                    .log("watch of the provider list is back at version " + version);
+                    .log("worker list watch is restored at version " + version);
         }
     }
 
     @Override
-    public void changes(WatchConnection from, WorkerList list) {
-        if (from == current) {
+    public void changes(WatchConnection source, WorkerList list) {
+        if (source == current) {
             version = list.version();
         }
         listener.accept(list);
@@ -163,61 +176,58 @@
     @Override
     public void completeList(WorkerList list) {
         if (!list.complete()) {
-            throw new IllegalArgumentException("not a whole list");
+            throw new IllegalArgumentException("list is not complete");
         }
-        heard(1);
-        moved = false;
+        recordContact(1);
+        awaitsCompleteList = false;
         version = list.version();
         Events.info(LOG, "watch.moved")
                 .addKeyValue("to", address)
                 .addKeyValue("version", version)
-                .log(
-                        "watch of the provider list has moved to "
-                                + address
-                                + " at version "
-                                + version);
-        if (former != null) {
-            former.drop();
-            former = null;
+                .log("worker list watch has moved to " + address + " at version " + version);
+        if (previous != null) {
+            previous.close();
+            previous = null;
         }
         listener.accept(list);
     }
 
     @Override
-    public void listEnded(WatchConnection which) {
+    public void closedAfterList(WatchConnection source) {
         open();
     }
 
     @Override
-    public void ended(WatchConnection which, String why, boolean wasSilent) {
-        if (which == current) {
-            reopenAfterPause(why, wasSilent);
-        } else if (which == former) {
-            former = null; // Discovery has moved, and its former address ends what is open: no
-            // alarm.
+    public void ended(WatchConnection source, String reason, boolean wasSilent) {
+        if (source == current) {
+            reopenAfterPause(reason, wasSilent);
+        } else if (source == previous) {
+            // Discovery has moved, so its previous address closes open connections; this is not
+            // logged.
+            previous = null;
         }
     }
 
-    private void reopenAfterPause(String why, boolean wasSilent) {
+    private void reopenAfterPause(String reason, boolean wasSilent) {
         if (!lost) {
             lost = true;
             Events.warn(LOG, "watch.lost")
-                    .addKeyValue("why", why)
+                    .addKeyValue("why", reason)
                     .addKeyValue("version", version)
                     .log(
-                            "watch of the provider list lost ("
-                                    + why
-                                    + "); kept at version "
+                            "worker list watch lost ("
+                                    + reason
+                                    + "); keeping version "
                                     + version
-                                    + " and opened again");
+                                    + " and reopening");
         }
         current = null;
         long whenMicros = timers.nowMicros() + backoff.nextPauseMicros(wasSilent);
-        reopening =
+        reopenTimer =
                 timers.at(
                         whenMicros,
                         () -> {
-                            reopening = null;
+                            reopenTimer = null;
                             open();
                         });
     }
--- a/daemon/src/main/java/postgrade/http/SocketBudget.java
+++ b/daemon/src/main/java/postgrade/http/SocketBudget.java
@@ -5,78 +5,82 @@
 import java.util.List;
 
 /**
- * One budget for the sockets of all peers. Guards against running out of descriptors, which would
- * fail accepts and connects alike: when it is used up, an idle connection is closed for a new one.
+ * A shared limit on the sockets of all peers. It prevents the process from running out of file
+ * descriptors, which would make accepts and connects fail alike: when the limit is reached, an idle
+ * connection is closed to make room for a new one.
  *
- * <p>Which one follows the segmented LRU scheme: connections are on probation until they have
- * proved useful, and the one of them that has been idle longest goes first. Guards the connections
- * that usual peers keep against hundreds of others that come and say nothing, or ask once and stay.
+ * <p>Eviction follows the segmented LRU scheme: a connection is on probation until it has proved
+ * useful, and of those on probation the one idle the longest is closed first. This protects the
+ * connections of regular peers against hundreds of others that send nothing, or send one request
+ * and stay open.
  */
 public final class SocketBudget {
 
     /**
-     * Accepted connections take this part at most, or busy consumers could leave none to reach a
-     * provider.
+     * The maximum fraction for accepted connections; otherwise busy clients could leave no socket
+     * to reach a worker.
      */
-    private static final double MOST_ACCEPTED = 0.75;
+    private static final double MAX_ACCEPTED_FRACTION = 0.75;
 
-    /** Places that only discovery may take: without it every decision ages. */
-    private static final int FOR_DISCOVERY = 2;
+    /** Places reserved for discovery: without it all decisions rely on an ageing worker list. */
+    private static final int RESERVED_FOR_DISCOVERY = 2;
 
-    private int most;
+    private int capacity;
     private int open;
-    private final LinkedHashSet<Connection> onProbation = new LinkedHashSet<>();
-    private final LinkedHashSet<Connection> idle = new LinkedHashSet<>();
+    private final LinkedHashSet<Connection> probationary = new LinkedHashSet<>();
+    private final LinkedHashSet<Connection> protectedIdle = new LinkedHashSet<>();
 
-    public SocketBudget(int most) {
-        this.most = most;
+    public SocketBudget(int capacity) {
+        this.capacity = capacity;
     }
 
-    /** From now on so many places, which closes idle connections beyond them. */
-    public void setLimit(int places) {
-        most = places;
-        for (LinkedHashSet<Connection> of : List.of(onProbation, idle)) {
-            while (open > most && !of.isEmpty()) {
-                of.iterator().next().evict();
+    /** Changes the capacity, closing idle connections above it. */
+    public void setLimit(int newCapacity) {
+        capacity = newCapacity;
+        for (LinkedHashSet<Connection> segment : List.of(probationary, protectedIdle)) {
+            while (open > capacity && !segment.isEmpty()) {
+                segment.iterator().next().evict();
             }
         }
     }
 
     /**
-     * Takes a place for a connection that has been accepted, if need be by closing an idle one; one
-     * place more than there are where the idle ones turn out not to be.
+     * Acquires a place for an accepted connection, if necessary by closing an idle one. If no idle
+     * connection can be closed, the limit is exceeded by one.
      *
-     * @param anyIdle also one that is past its probation may be closed
+     * @param mayEvictProtected whether a connection past its probation may be closed too
      */
-    public void acquireForAccept(boolean anyIdle) {
-        if (!take((int) (most * MOST_ACCEPTED), anyIdle)) {
+    public void acquireForAccept(boolean mayEvictProtected) {
+        if (!tryAcquire((int) (capacity * MAX_ACCEPTED_FRACTION), mayEvictProtected)) {
             open++;
         }
     }
 
     /**
-     * Whether {@link #acquireForAccept} would find a place; nothing is closed for one that may not
-     * come.
+     * Whether {@link #acquireForAccept} would find a place. Closes no connection, because none may
+     * arrive.
      */
-    public boolean canAcquireForAccept(boolean anyIdle) {
-        return open < (int) (most * MOST_ACCEPTED)
-                || !onProbation.isEmpty()
-                || anyIdle && !idle.isEmpty();
+    public boolean canAcquireForAccept(boolean mayEvictProtected) {
+        return open < (int) (capacity * MAX_ACCEPTED_FRACTION)
+                || !probationary.isEmpty()
+                || mayEvictProtected && !protectedIdle.isEmpty();
     }
 
-    /** Takes a place for a connection of ours. */
-    boolean takeToConnect(boolean toDiscovery) {
-        return take(toDiscovery ? most : most - FOR_DISCOVERY, true);
+    /** Acquires a place for an outgoing connection. */
+    boolean acquireForConnect(boolean toDiscovery) {
+        return tryAcquire(toDiscovery ? capacity : capacity - RESERVED_FOR_DISCOVERY, true);
     }
 
-    private boolean take(int limit, boolean anyIdle) {
+    private boolean tryAcquire(int limit, boolean mayEvictProtected) {
         while (open >= limit) {
             Iterator<Connection> oldest =
-                    (onProbation.isEmpty() && anyIdle ? idle : onProbation).iterator();
+                    (probationary.isEmpty() && mayEvictProtected ? protectedIdle : probationary)
+                            .iterator();
             if (!oldest.hasNext()) {
                 return false;
             }
-            oldest.next().evict(); // Or it is idle no longer.
+            // Closes the connection, or finds that it is no longer idle.
+            oldest.next().evict();
         }
         open++;
         return true;
@@ -86,21 +90,21 @@
         open--;
     }
 
-    boolean isIdle(Connection c) {
-        return idle.contains(c) || onProbation.contains(c);
+    boolean isIdle(Connection connection) {
+        return protectedIdle.contains(connection) || probationary.contains(connection);
     }
 
-    void idle(Connection c, boolean isIdle, boolean isOnProbation) {
-        // One that is idle already keeps its place.
+    void updateIdle(Connection connection, boolean isIdle, boolean isOnProbation) {
+        // A connection that is already idle keeps its position.
         if (isIdle && isOnProbation) {
-            idle.remove(c);
-            onProbation.add(c);
+            protectedIdle.remove(connection);
+            probationary.add(connection);
         } else if (isIdle) {
-            onProbation.remove(c);
-            idle.add(c);
+            probationary.remove(connection);
+            protectedIdle.add(connection);
         } else {
-            onProbation.remove(c);
-            idle.remove(c);
+            probationary.remove(connection);
+            protectedIdle.remove(connection);
         }
     }
 }
--- a/daemon/src/test/java/postgrade/discovery/ManualEventLoop.java
+++ b/daemon/src/test/java/postgrade/discovery/ManualEventLoop.java
@@ -17,28 +17,31 @@
 import postgrade.http.SocketBudget;
 import postgrade.http.SystemCalls;
 
-/** A loop turned by hand: sockets are real, time passes only when the test says so. */
+/**
+ * An event loop that the test drives: sockets are real, and time advances only when the test says
+ * so.
+ */
 public final class ManualEventLoop implements Reactor, Timers {
 
     private final Selector selector;
     private final SocketBudget sockets = new SocketBudget(100);
     private final ByteBuffer buffer = ByteBuffer.allocate(64 << 10);
-    private final PriorityQueue<Due> due = new PriorityQueue<>();
+    private final PriorityQueue<ScheduledTask> scheduledTasks = new PriorityQueue<>();
     private long nowMicros;
     private SystemCalls systemCalls = SystemCalls.REAL;
-    private long count;
+    private long scheduledCount;
     private final List<SelectableChannel> channels = new ArrayList<>();
-    private int served;
+    private int servedEvents;
 
-    private record Due(long whenMicros, long number, Runnable[] task)
-            implements Timer, Comparable<Due> {
+    private record ScheduledTask(long whenMicros, long number, Runnable[] task)
+            implements Timer, Comparable<ScheduledTask> {
         @Override
         public void cancel() {
             task[0] = null;
         }
 
         @Override
-        public int compareTo(Due o) {
+        public int compareTo(ScheduledTask o) {
             return whenMicros != o.whenMicros
                     ? Long.compare(whenMicros, o.whenMicros)
                     : Long.compare(number, o.number);
@@ -49,7 +52,7 @@
         selector = Selector.open();
     }
 
-    /** Connections are made, read and written by these from now on. */
+    /** Sets the system calls that connect, read and write from now on. */
     public void systemCalls(SystemCalls calls) {
         systemCalls = calls;
     }
@@ -59,62 +62,65 @@
         return systemCalls;
     }
 
-    /** Serves sockets until it is so; time stands still. */
-    public void serveUntil(BooleanSupplier isSo) throws IOException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (!isSo.getAsBoolean()) {
-            assertTrue("in time", System.nanoTime() < end);
-            turn(20);
+    /** Serves sockets until the condition holds; time does not advance. */
+    public void serveUntil(BooleanSupplier condition) throws IOException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+        while (!condition.getAsBoolean()) {
+            assertTrue("condition not met within 20 s", System.nanoTime() < deadlineNanos);
+            pollOnce(20);
         }
     }
 
-    private void turn(long waitMillis) throws IOException {
+    private void pollOnce(long waitMillis) throws IOException {
         selector.select(waitMillis);
         for (SelectionKey key : selector.selectedKeys()) {
             if (key.isValid()) {
-                served++;
-                Handler h = (Handler) key.attachment();
+                servedEvents++;
+                Handler handler = (Handler) key.attachment();
                 try {
-                    h.ready(key);
+                    handler.ready(key);
                 } catch (IOException e) {
-                    h.failed(e);
+                    handler.failed(e);
                 }
             }
         }
         selector.selectedKeys().clear();
     }
 
-    /** Connections that are open or coming up. */
+    /** Returns the number of connections that are open or being established. */
     public long openChannels() {
         return channels.stream().filter(SelectableChannel::isOpen).count();
     }
 
-    /** Does something that a socket hears of, and serves that. */
-    public void runAndServe(IoAction something) throws IOException {
-        int before = served;
-        something.run();
-        serveUntil(() -> served > before);
+    /** Runs an action that makes a socket ready, and serves that socket. */
+    public void runAndServe(IoAction action) throws IOException {
+        int servedBefore = servedEvents;
+        action.run();
+        serveUntil(() -> servedEvents > servedBefore);
     }
 
-    /** What a peer does. */
+    /** An action of a peer. */
     public interface IoAction {
         void run() throws IOException;
     }
 
-    /** Time passes; returns early, at its time, once a task has made it so. */
-    public boolean advanceTime(long micros, BooleanSupplier isSo) {
-        long end = nowMicros + micros;
-        while (!due.isEmpty() && due.peek().whenMicros <= end) {
-            Due next = due.poll();
+    /**
+     * Advances time and runs the tasks that fall due. Stops early, and returns true, once a task
+     * has made the condition hold.
+     */
+    public boolean advanceTime(long micros, BooleanSupplier condition) {
+        long endMicros = nowMicros + micros;
+        while (!scheduledTasks.isEmpty() && scheduledTasks.peek().whenMicros <= endMicros) {
+            ScheduledTask next = scheduledTasks.poll();
             nowMicros = Math.max(nowMicros, next.whenMicros);
             if (next.task[0] != null) {
                 next.task[0].run();
-                if (isSo.getAsBoolean()) {
+                if (condition.getAsBoolean()) {
                     return true;
                 }
             }
         }
-        nowMicros = end;
+        nowMicros = endMicros;
         return false;
     }
 
@@ -125,9 +131,10 @@
 
     @Override
     public Timer at(long whenMicros, Runnable task) {
-        Due d = new Due(whenMicros, count++, new Runnable[] {task});
-        due.add(d);
-        return d;
+        ScheduledTask scheduled =
+                new ScheduledTask(whenMicros, scheduledCount++, new Runnable[] {task});
+        scheduledTasks.add(scheduled);
+        return scheduled;
     }
 
     @Override
