--- a/daemon/src/main/java/postgrade/worker/WireTimes.java
+++ b/daemon/src/main/java/postgrade/worker/WireTimes.java
@@ -3,7 +3,7 @@
 import postgrade.dispatch.ConnectionUse;
 import postgrade.dispatch.WireRecord;
 
-/** When an attempt came how far on the wire, and on which connection. */
+/** Times of an attempt's steps on the wire, and the connection it carrier. */
 final class WireTimes {
 
     private long writtenMicros = WireRecord.NEVER;
@@ -11,17 +11,23 @@
     private long cancelledMicros = WireRecord.NEVER;
     private ConnectionUse connection;
 
-    /** It is about to be written on this link, whose counts do not include it yet. */
-    void written(long nowMicros, Link link) {
+    /**
+     * The request is about to be written on this connection, whose counts do not include it yet.
+     */
+    void recordWritten(long nowMicros, WorkerConnection carrier) {
         writtenMicros = nowMicros;
-        connection = new ConnectionUse(nowMicros - link.upMicros, link.idleMicros, link.carried);
+        connection =
+                new ConnectionUse(
+                        nowMicros - carrier.connectedAtMicros,
+                        carrier.idleBeforeUseMicros,
+                        carrier.requestsCarried);
     }
 
-    void accepted(long nowMicros) {
+    void recordAccepted(long nowMicros) {
         acceptedMicros = nowMicros;
     }
 
-    void cancelled(long nowMicros) {
+    void recordCancelled(long nowMicros) {
         cancelledMicros = nowMicros;
     }
 
--- a/daemon/src/test/java/postgrade/daemon/LearntIdleTest.java
+++ b/daemon/src/test/java/postgrade/daemon/AdaptiveIdleTimeoutTest.java
@@ -7,20 +7,14 @@
 import org.junit.Test;
 import postgrade.dispatch.ReportedState;
 
-/**
- * How long an idle connection is trusted with a request, learnt of one that broke, and other
- * settings after that.
- */
-public class LearntIdleTest extends AttemptTestBase {
+/** The idle limit learnt from a connection that broke, and new settings after that. */
+public class AdaptiveIdleTimeoutTest extends AttemptTestBase {
 
-    public LearntIdleTest() throws IOException {}
+    public AdaptiveIdleTimeoutTest() throws IOException {}
 
-    /**
-     * Idle connections are kept for 1 s from now on: one that was idle for 2 s broke under its
-     * request.
-     */
-    private void breaksAfterTwoSeconds() throws IOException {
-        Socket former = served("a");
+    /** Limits the idle time to 1 s: a connection that was idle for 2 s breaks under its request. */
+    private void breakAfterTwoSecondsIdle() throws IOException {
+        Socket former = serveAndLeaveIdle("a");
         advance(2_000 * MILLI_MICROS);
         submit("b");
         runTurn();
@@ -31,8 +25,8 @@
         assertEquals("finished b 0 RESET false", finishedEvents().get(1));
     }
 
-    /** Its connection is left idle. */
-    private Socket served(String id) throws IOException {
+    /** Serves a job, after which the connection is idle. */
+    private Socket serveAndLeaveIdle(String id) throws IOException {
         Socket worker = sendAcceptedJob(id);
         report(id, "w1", ReportedState.DONE);
         runTurn();
@@ -40,23 +34,23 @@
     }
 
     @Test
-    public void itHoldsUnderTheSameDeploymentsSettings() throws Exception {
-        breaksAfterTwoSeconds();
+    public void learntTimeoutIsKeptWithSettingsOfTheSameDeployment() throws Exception {
+        breakAfterTwoSecondsIdle();
         pools.updateSettings(2_000 * MILLI_MICROS, 20_000 * MILLI_MICROS, true);
-        Socket next = served("c");
+        Socket next = serveAndLeaveIdle("c");
         advance(1_500 * MILLI_MICROS);
         assertEquals("retired", -1, next.getInputStream().read());
     }
 
     /**
-     * It was kept, and each of the new deployment's connections was closed after half of a time
-     * that its network never knew.
+     * Guards against keeping the learnt limit: each connection of the new deployment would be
+     * closed after half of an idle time that never broke in its network.
      */
     @Test
-    public void itIsForgottenUnderAnothers() throws Exception {
-        breaksAfterTwoSeconds();
+    public void learntTimeoutIsDiscardedWithSettingsOfAnotherDeployment() throws Exception {
+        breakAfterTwoSecondsIdle();
         pools.updateSettings(2_000 * MILLI_MICROS, 20_000 * MILLI_MICROS, false);
-        Socket next = served("c");
+        Socket next = serveAndLeaveIdle("c");
         advance(11_000 * MILLI_MICROS);
         submit("d");
         runTurn();
--- a/daemon/src/test/java/postgrade/daemon/AttemptTestBase.java
+++ b/daemon/src/test/java/postgrade/daemon/AttemptTestBase.java
@@ -23,8 +23,9 @@
 import postgrade.worker.WorkerEndpoint;
 
 /**
- * The gateway and its pools on a loop that the test turns: sockets are real, time passes when the
- * test says so, and what is ready is served before the module decides, as in the daemon's own loop.
+ * Base of tests of the request tracker and the worker connection pools on a manually driven loop:
+ * sockets are real, time passes only when the test advances it, and ready channels are served
+ * before the policy decides, as in the daemon's own loop.
  */
 public abstract class AttemptTestBase {
 
@@ -79,18 +80,20 @@
         worker2.close();
     }
 
-    static WorkerEndpoint endpoint(String id, ServerSocket at, boolean ready) {
+    static WorkerEndpoint endpoint(String id, ServerSocket listener, boolean ready) {
         return new WorkerEndpoint(
-                id, new InetSocketAddress(at.getInetAddress(), at.getLocalPort()), ready);
+                id,
+                new InetSocketAddress(listener.getInetAddress(), listener.getLocalPort()),
+                ready);
     }
 
-    void updateWorkers(WorkerEndpoint... targets) {
-        pools.updateWorkers(false, List.of(targets));
+    void updateWorkers(WorkerEndpoint... workers) {
+        pools.updateWorkers(false, List.of(workers));
     }
 
-    /** A consumer's job, taken over but not yet decided on. */
+    /** A client's job, accepted but not yet seen by the policy. */
     PendingRequest submit(String id, String jobClass) {
-        PendingRequest in =
+        PendingRequest request =
                 new PendingRequest(
                         id,
                         jobClass,
@@ -121,62 +124,62 @@
                                 answers.add(id + " failed");
                             }
                         });
-        tracker.submit(in);
-        return in;
+        tracker.submit(request);
+        return request;
     }
 
     PendingRequest submit(String id) {
         return submit(id, "price");
     }
 
-    /** The rest of a turn whose channels have been served. */
+    /** Runs the part of a turn that follows the serving of channels. */
     void runTurn() {
         loop.advanceTime(0, () -> false);
         tracker.runBatch();
     }
 
-    /** Time passes, with a turn at its end. */
+    /** Advances the time and runs a turn at its end. */
     void advance(long micros) {
         loop.advanceTime(micros, () -> false);
         tracker.runBatch();
     }
 
-    /** Turns, none of which lets time pass, until something has come on the connection. */
-    void awaitBytes(Socket s) throws IOException {
+    /** Runs turns without advancing the time until bytes have arrived on the socket. */
+    void awaitBytes(Socket socket) throws IOException {
         loop.serveUntil(
                 () -> {
                     runTurn();
-                    return availableBytes(s) > 0;
+                    return availableBytes(socket) > 0;
                 });
     }
 
-    /** A worker's side of the next connection to it. */
-    Socket accept(ServerSocket at) throws IOException {
-        Socket s = at.accept();
-        s.setTcpNoDelay(true);
-        s.setSoTimeout(ScriptedPeer.TIMEOUT_S * 1000);
-        sockets.add(s);
-        return s;
+    /** Accepts the next connection to this worker. */
+    Socket accept(ServerSocket listener) throws IOException {
+        Socket socket = listener.accept();
+        socket.setTcpNoDelay(true);
+        socket.setSoTimeout(ScriptedPeer.TIMEOUT_S * 1000);
+        sockets.add(socket);
+        return socket;
     }
 
-    /** The next connection to it, with the request that has come on it. */
-    ScriptedPeer.ReceivedMessage awaitRequest(ServerSocket at) throws IOException {
-        return awaitRequest(accept(at));
+    /** Accepts the next connection to this worker and reads the request on it. */
+    ScriptedPeer.ReceivedMessage awaitRequest(ServerSocket listener) throws IOException {
+        return awaitRequest(accept(listener));
     }
 
-    ScriptedPeer.ReceivedMessage awaitRequest(Socket s) throws IOException {
-        awaitBytes(s);
-        return ScriptedPeer.read(s);
+    ScriptedPeer.ReceivedMessage awaitRequest(Socket socket) throws IOException {
+        awaitBytes(socket);
+        return ScriptedPeer.read(socket);
     }
 
-    /** A worker's side of the connection on which this job has come to it. */
+    /** Submits a job and returns the first worker's side of the connection on which it arrived. */
     Socket sendJob(String id) throws IOException {
         submit(id);
         runTurn();
         return awaitRequest(worker1).socket();
     }
 
-    /** As above, and the worker has answered 202. */
+    /** Like {@link #sendJob}, and the worker has answered 202. */
     Socket sendAcceptedJob(String id) throws IOException {
         Socket worker = sendJob(id);
         respond(worker, ACCEPTED);
@@ -184,7 +187,7 @@
     }
 
     /**
-     * The first worker is asked to drop the job on a new connection, says that it has and ends the
+     * The first worker receives the DELETE on a new connection, confirms it and closes the
      * connection.
      */
     void confirmCancellation(String id) throws IOException {
@@ -194,16 +197,16 @@
         runTurn();
     }
 
-    /** The worker says this, and it is read before the turn goes on. */
+    /** The worker sends this, and the loop reads it before the turn continues. */
     void respond(Socket worker, String text) throws IOException {
         loop.runAndServe(() -> ScriptedPeer.write(worker, text));
     }
 
-    void report(String id, String from, ReportedState state) {
-        tracker.workerReported(id, from, state, 0, new byte[0]);
+    void report(String id, String workerId, ReportedState state) {
+        tracker.workerReported(id, workerId, state, 0, new byte[0]);
     }
 
-    /** Ends of attempts that the module has heard of. */
+    /** The ends of attempts that the policy has been notified of. */
     List<String> finishedEvents() {
         return policy.events.stream().filter(h -> h.startsWith("finished")).toList();
     }
@@ -212,9 +215,9 @@
         assertEquals(List.of(expected), finishedEvents());
     }
 
-    static int availableBytes(Socket s) {
+    static int availableBytes(Socket socket) {
         try {
-            return s.getInputStream().available();
+            return socket.getInputStream().available();
         } catch (IOException e) {
             return 0;
         }
