--- a/core/src/main/java/postgrade/policy/AdmissionController.java
+++ b/core/src/main/java/postgrade/policy/AdmissionController.java
@@ -16,7 +16,7 @@
      */
     private static final double RESERVE_BEYOND_QUOTA = 0.1;
 
-    private static final double RESERVE_OF_DEAREST = 0.55;
+    private static final double RESERVE_FOR_COSTLIEST = 0.55;
 
     /** The part that the dearest classes leave free within their quota. */
     private static final double RESERVE_WITHIN_QUOTA = 0.1;
@@ -44,7 +44,7 @@
     boolean admits(long nowNs, InFlightJob job) {
         double reserve = reserve(job);
         double fleetSlots = workers.ready().stream().mapToDouble(capacity::slots).sum();
-        fleetLoad.updateWithoutReports(nowNs, fleetSlots);
+        fleetLoad.estimateWithoutReports(nowNs, fleetSlots);
         // Old reports count as the usual share: with anything above, all excess looks welcome in a
         // large fleet.
         double freeSlots =
@@ -67,7 +67,7 @@
             return RESERVE_WITHIN_QUOTA * classes.relativeCost(jobClass);
         }
         double ofDearest =
-                RESERVE_OF_DEAREST * jobClass.costPerWeight() / classes.highestCostPerWeight();
-        return rateLimiter.overuse(job.job().tenant()) * (RESERVE_BEYOND_QUOTA + ofDearest);
+                RESERVE_FOR_COSTLIEST * jobClass.costPerWeight() / classes.highestCostPerWeight();
+        return rateLimiter.overQuotaShare(job.job().tenant()) * (RESERVE_BEYOND_QUOTA + ofDearest);
     }
 }
--- a/core/src/main/java/postgrade/policy/AttemptGuard.java
+++ b/core/src/main/java/postgrade/policy/AttemptGuard.java
@@ -48,7 +48,7 @@
 
     /** Whether a repeat there cannot run the job twice. */
     private static boolean mayRepeat(long nowNs, InFlightJob job, WorkerInfo worker) {
-        AttemptRecord binding = job.bindingAttempt();
+        AttemptRecord binding = job.earliestPossibleRun();
         if (binding == null) {
             return true;
         }
@@ -61,7 +61,7 @@
     /** For how long a repeat may still be sent. */
     private static long repeatWindowNs(long nowNs, InFlightJob job, AttemptRecord binding) {
         long windowNs = job.jobClass().jobClass().deduplicationWindowNs();
-        return binding.sentNs() + windowNs - RetryController.SWEEP_NS - nowNs;
+        return binding.sentNs() + windowNs - RetryController.SWEEP_INTERVAL_NS - nowNs;
     }
 
     /** Whether trying again is harmless for the client. */
@@ -69,22 +69,22 @@
         boolean repeatsAreDropped =
                 job.idempotency() == Idempotency.DEDUPLICATED
                         && job.jobClass().jobClass().deduplicationScope() == DeduplicationScope.ALL;
-        return !job.isAnswered() && (repeatsAreDropped || job.bindingAttempt() == null);
+        return !job.isAnswered() && (repeatsAreDropped || job.earliestPossibleRun() == null);
     }
 
     /** Sends the job there if the rules allow it. */
     void send(long nowNs, InFlightJob job, WorkerState worker) {
-        boolean another = job.attemptsOut() > 0;
+        boolean another = job.attemptsInFlight() > 0;
         boolean forbidden = another && !context.settings().allowsConcurrentAttempts;
         if (forbidden || !maySend(nowNs, job, worker)) {
             return;
         }
-        AttemptRecord binding = job.bindingAttempt();
+        AttemptRecord binding = job.earliestPossibleRun();
         long windowNs = binding == null ? Long.MAX_VALUE : repeatWindowNs(nowNs, job, binding);
-        slowStart.sent(nowNs, job, worker);
-        worker.trialSent();
-        worker.averageUsedSlots(nowNs);
-        job.begin(nowNs, worker);
+        slowStart.recordSent(nowNs, job, worker);
+        worker.markTrialSent();
+        worker.updateAverageUsedSlots(nowNs);
+        job.beginAttempt(nowNs, worker);
         context.actions().startAttempt(job.id(), worker.id(), 0, windowNs);
     }
 
@@ -96,7 +96,7 @@
         } else if (!job.isAnswered()) {
             context.actions().fail(job.id(), reason);
         }
-        job.answered();
+        job.markAnswered();
         release(job);
     }
 
@@ -105,7 +105,7 @@
         for (int number = 0; number < job.attemptCount(); number++) {
             cancel(job, number, DecisionReason.ANSWERED);
         }
-        if (job.attemptsOut() == 0) {
+        if (job.attemptsInFlight() == 0) {
             jobs.remove(job.id());
         }
     }
@@ -116,7 +116,7 @@
         if (!attempt.hasEnded()
                 && !attempt.isCancelled()
                 && context.settings().allowsCancellation) {
-            attempt.cancelled();
+            attempt.markCancelled();
             context.actions().cancelAttempt(job.id(), number, reason);
         }
     }
--- a/core/src/main/java/postgrade/policy/AttemptRecord.java
+++ b/core/src/main/java/postgrade/policy/AttemptRecord.java
@@ -41,9 +41,9 @@
         return hasStarted() ? startedNs : sentNs;
     }
 
-    void started(long nowNs) {
+    void markStarted(long nowNs) {
         if (presumedLost) {
-            worker.occupy(job.job());
+            worker.addJob(job.job());
         }
         startedNs = nowNs;
     }
@@ -57,11 +57,11 @@
         return neverRan;
     }
 
-    void ended(boolean provedNotRun) {
+    void markEnded(boolean provedNotRun) {
         ended = true;
         neverRan = provedNotRun;
         if (!presumedLost || hasStarted()) {
-            worker.vacate(job.job());
+            worker.removeJob(job.job());
         }
     }
 
@@ -69,7 +69,7 @@
         return cancelled;
     }
 
-    void cancelled() {
+    void markCancelled() {
         cancelled = true;
     }
 
@@ -81,8 +81,8 @@
      * It is not expected to start: it counts among what its worker holds only if it starts after
      * all.
      */
-    void presumeLost() {
+    void markPresumedLost() {
         presumedLost = true;
-        worker.vacate(job.job());
+        worker.removeJob(job.job());
     }
 }
--- a/core/src/main/java/postgrade/policy/CapacityEstimator.java
+++ b/core/src/main/java/postgrade/policy/CapacityEstimator.java
@@ -6,16 +6,16 @@
 final class CapacityEstimator {
 
     /** Slots of a worker of mean size where none has reported any. */
-    static final double UNKNOWN_SLOTS = 5;
+    static final double DEFAULT_SLOTS = 5;
 
     /** A report shows our own jobs with this lag. */
     static final double REPORT_LAG_NS = 0.5e9;
 
     /** A report fades over this time to what reports usually say. */
-    private static final double REPORT_FADE_NS = 4e9;
+    private static final double REPORT_DECAY_NS = 4e9;
 
     /** More free slots than this are no report but an error. */
-    private static final double MOST_SLOTS = 1e6;
+    private static final double MAX_PLAUSIBLE_SLOTS = 1e6;
 
     private final PolicyContext context;
     private final WorkerTable workers;
@@ -39,7 +39,7 @@
      */
     double slots(WorkerState worker) {
         double reported = worker.kind().slots();
-        return reported > 0 ? reported : UNKNOWN_SLOTS * weight(worker);
+        return reported > 0 ? reported : DEFAULT_SLOTS * weight(worker);
     }
 
     /**
@@ -78,7 +78,8 @@
      */
     double freeSlots(long nowNs, WorkerState worker, double usualFreeShare) {
         double usual = slots(worker) * slowStartShare(nowNs, worker) * usualFreeShare;
-        double fadeNs = fleetLoad.workersReport() ? REPORT_FADE_NS : classes.longestServiceTimeNs();
+        double fadeNs =
+                fleetLoad.hasLoadReports() ? REPORT_DECAY_NS : classes.longestServiceTimeNs();
         double age =
                 worker.capacityReport().isPresent()
                         ? Math.min(1, (nowNs - worker.capacityReport().reportedNs()) / fadeNs)
@@ -89,13 +90,13 @@
     }
 
     /** Takes in a worker's report, if it gives free slots. */
-    void reported(long nowNs, WorkerState worker, LoadReport report) {
+    void recordReport(long nowNs, WorkerState worker, LoadReport report) {
         double free = report.freeSlots();
-        boolean given = free >= 0 && free < MOST_SLOTS; // False for NaN.
+        boolean given = free >= 0 && free < MAX_PLAUSIBLE_SLOTS; // False for NaN.
         if (given) {
-            worker.reportFreeSlots(nowNs, free);
-            fleetLoad.reported(worker.capacityReport().capacity() / slots(worker));
-            worker.kind().reportFreeSlots(free);
+            worker.recordFreeSlots(nowNs, free);
+            fleetLoad.recordReport(worker.capacityReport().capacity() / slots(worker));
+            worker.kind().recordFreeSlots(free);
         }
     }
 }
--- a/core/src/main/java/postgrade/policy/CapacityReport.java
+++ b/core/src/main/java/postgrade/policy/CapacityReport.java
@@ -12,7 +12,7 @@
     private boolean present;
     private double capacity;
     private long reportedNs;
-    private boolean everFull;
+    private boolean hasBeenFull;
     private long fullNs;
 
     /** Whether the worker's process has shown anything since its start. */
@@ -37,7 +37,7 @@
     /** It has rejected a job for want of capacity, while our jobs used so many slots. */
     void setFull(long nowNs, double usedSlots) {
         set(nowNs, usedSlots);
-        everFull = true;
+        hasBeenFull = true;
         fullNs = nowNs;
     }
 
@@ -46,7 +46,7 @@
      * was.
      */
     double fullness(long nowNs, double fadeNs) {
-        return everFull ? 1 - Math.min(1, (nowNs - fullNs) / fadeNs) : 0;
+        return hasBeenFull ? 1 - Math.min(1, (nowNs - fullNs) / fadeNs) : 0;
     }
 
     /** Its process is a new one. */
@@ -58,7 +58,7 @@
     /** Nothing of it counts any more. */
     void reset() {
         clear();
-        everFull = false;
+        hasBeenFull = false;
         fullNs = 0;
     }
 
@@ -68,11 +68,11 @@
     }
 
     double fullAgeNs(long nowNs) {
-        return everFull ? nowNs - fullNs : NEVER_AGE_NS;
+        return hasBeenFull ? nowNs - fullNs : NEVER_AGE_NS;
     }
 
     void restoreFullAge(double ageNs, long nowNs) {
-        everFull = ageNs < NEVER_AGE_NS;
-        fullNs = everFull ? nowNs - (long) ageNs : 0;
+        hasBeenFull = ageNs < NEVER_AGE_NS;
+        fullNs = hasBeenFull ? nowNs - (long) ageNs : 0;
     }
 }
--- a/core/src/main/java/postgrade/policy/FleetLoadEstimator.java
+++ b/core/src/main/java/postgrade/policy/FleetLoadEstimator.java
@@ -11,7 +11,7 @@
      * The fleet does so many times the tenants' rates at most, so the other dispatchers hold no
      * more.
      */
-    private static final double MOST_OF_RATES = 1.3;
+    private static final double MAX_LOAD_PER_QUOTA = 1.3;
 
     /** A start report that takes longer than a round trip tells of a wait. */
     static final long ROUND_TRIP_NS = 40_000_000L;
@@ -20,17 +20,17 @@
      * While fewer of our jobs wait the others hold less: they may be restarting, or have little
      * traffic.
      */
-    private static final double USUAL_WAITS = 0.25;
+    private static final double USUAL_QUEUED_SHARE = 0.25;
 
-    private static final double OTHERS_RATE = 0.01;
+    private static final double OTHERS_SMOOTHING_RATE = 0.01;
 
     private final PolicyContext context;
     private final JobClassTable classes;
     private final RateLimiter rateLimiter;
     private final DecayingSum servedSlotSeconds = new DecayingSum();
-    private boolean workersReport;
+    private boolean hasLoadReports;
     private double usualFreeShare = 1;
-    private double othersShare = 1;
+    private double othersLoadFactor = 1;
 
     FleetLoadEstimator(PolicyContext context, JobClassTable classes, RateLimiter rateLimiter) {
         this.context = context;
@@ -39,8 +39,8 @@
     }
 
     /** Whether any worker has reported its load. */
-    boolean workersReport() {
-        return workersReport;
+    boolean hasLoadReports() {
+        return hasLoadReports;
     }
 
     /** The part of the fleet that is usually free of the other dispatchers' jobs. */
@@ -49,19 +49,19 @@
     }
 
     /** A worker has reported that so large a part of it is free of others' jobs. */
-    void reported(double freeShare) {
-        workersReport = true;
+    void recordReport(double freeShare) {
+        hasLoadReports = true;
         usualFreeShare = Smoothing.next(usualFreeShare, Math.min(1, freeShare));
     }
 
     /** A job has started, so long after it was sent. */
-    void jobStarted(long delayNs) {
+    void recordStartDelay(long delayNs) {
         double waited = delayNs > ROUND_TRIP_NS ? 1 : 0;
-        double moved = othersShare + OTHERS_RATE * (waited / USUAL_WAITS - 1);
-        othersShare = Math.max(0, Math.min(1, moved));
+        double moved = othersLoadFactor + OTHERS_SMOOTHING_RATE * (waited / USUAL_QUEUED_SHARE - 1);
+        othersLoadFactor = Math.max(0, Math.min(1, moved));
     }
 
-    void jobServed(long nowNs, double slotSeconds) {
+    void recordServed(long nowNs, double slotSeconds) {
         servedSlotSeconds.add(nowNs, slotSeconds);
     }
 
@@ -70,10 +70,10 @@
      *
      * @param fleetSlots the slots of all ready workers
      */
-    void updateWithoutReports(long nowNs, double fleetSlots) {
-        if (!workersReport && fleetSlots > 0) {
+    void estimateWithoutReports(long nowNs, double fleetSlots) {
+        if (!hasLoadReports && fleetSlots > 0) {
             int others = context.settings().dispatcherCount - 1;
-            double othersLoad = othersShare * others * ownLoad(nowNs);
+            double othersLoad = othersLoadFactor * others * ownLoad(nowNs);
             usualFreeShare = Math.max(0, 1 - othersLoad / fleetSlots);
         }
     }
@@ -88,7 +88,10 @@
             return served;
         }
         double byRates =
-                MOST_OF_RATES * rateLimiter.totalRatePerS() * classes.meanServiceTimeNs() / 1e9;
+                MAX_LOAD_PER_QUOTA
+                        * rateLimiter.totalRatePerS()
+                        * classes.meanServiceTimeNs()
+                        / 1e9;
         return Math.min(served, byRates);
     }
 
@@ -101,19 +104,19 @@
     }
 
     void reset() {
-        workersReport = false;
+        hasLoadReports = false;
         servedSlotSeconds.reset();
         usualFreeShare = 1;
-        othersShare = 1;
+        othersLoadFactor = 1;
     }
 
     /** Its state in the order that {@link #restore} reads. */
     double[] export() {
-        return new double[] {usualFreeShare, othersShare};
+        return new double[] {usualFreeShare, othersLoadFactor};
     }
 
     void restore(double[] values) {
         usualFreeShare = values[0];
-        othersShare = values[1];
+        othersLoadFactor = values[1];
     }
 }
--- a/core/src/main/java/postgrade/policy/InFlightJob.java
+++ b/core/src/main/java/postgrade/policy/InFlightJob.java
@@ -17,7 +17,7 @@
     private final boolean withinQuota;
     private final long retryAfterNs;
     private final List<AttemptRecord> attempts = new ArrayList<>(2);
-    private int attemptsOut;
+    private int attemptsInFlight;
     private int resets;
     private boolean streaming;
     private boolean answered;
@@ -76,8 +76,8 @@
     }
 
     /** Attempts that have not ended. */
-    int attemptsOut() {
-        return attemptsOut;
+    int attemptsInFlight() {
+        return attemptsInFlight;
     }
 
     AttemptRecord attempt(int number) {
@@ -90,27 +90,27 @@
     }
 
     /** The attempt of this number if it has not ended, else null. */
-    AttemptRecord attemptOut(int number) {
+    AttemptRecord attemptInFlight(int number) {
         boolean known = number >= 0 && number < attempts.size();
         return known && !attempts.get(number).hasEnded() ? attempts.get(number) : null;
     }
 
-    void begin(long nowNs, WorkerState worker) {
+    void beginAttempt(long nowNs, WorkerState worker) {
         attempts.add(new AttemptRecord(this, worker, nowNs));
-        attemptsOut++;
-        worker.occupy(job);
+        attemptsInFlight++;
+        worker.addJob(job);
     }
 
-    void end(AttemptRecord attempt, boolean provedNotRun) {
-        attempt.ended(provedNotRun);
-        attemptsOut--;
+    void endAttempt(AttemptRecord attempt, boolean provedNotRun) {
+        attempt.markEnded(provedNotRun);
+        attemptsInFlight--;
     }
 
     /**
      * The earliest attempt that may have run a job that must not run freely again: later ones stay
      * in its deduplication scope and window. Null if there is none.
      */
-    AttemptRecord bindingAttempt() {
+    AttemptRecord earliestPossibleRun() {
         if (idempotency() == Idempotency.IDEMPOTENT) {
             return null;
         }
@@ -125,7 +125,7 @@
     }
 
     /** Counts an attempt whose connection was reset, and returns how many there have been. */
-    int countReset() {
+    int recordReset() {
         return ++resets;
     }
 
@@ -135,7 +135,7 @@
         return streaming;
     }
 
-    void streaming() {
+    void markStreaming() {
         streaming = true;
     }
 
@@ -144,7 +144,7 @@
         return answered;
     }
 
-    void answered() {
+    void markAnswered() {
         answered = true;
     }
 }
--- a/core/src/main/java/postgrade/policy/JobClassStats.java
+++ b/core/src/main/java/postgrade/policy/JobClassStats.java
@@ -6,10 +6,10 @@
 final class JobClassStats {
 
     /** The service time assumed of a class of which no job has been served yet. */
-    static final double UNKNOWN_SERVICE_TIME_NS = 1e9;
+    static final double DEFAULT_SERVICE_TIME_NS = 1e9;
 
     private final JobClass jobClass;
-    private double serviceTimeNs = UNKNOWN_SERVICE_TIME_NS;
+    private double serviceTimeNs = DEFAULT_SERVICE_TIME_NS;
     private double observedServiceTimeNs;
     private double failureRate;
     private long served;
--- a/core/src/main/java/postgrade/policy/JobClassTable.java
+++ b/core/src/main/java/postgrade/policy/JobClassTable.java
@@ -11,8 +11,8 @@
 final class JobClassTable {
 
     private final Map<String, JobClassStats> classes = new HashMap<>();
-    private double longestServiceTimeNs = JobClassStats.UNKNOWN_SERVICE_TIME_NS;
-    private double meanServiceTimeNs = JobClassStats.UNKNOWN_SERVICE_TIME_NS;
+    private double longestServiceTimeNs = JobClassStats.DEFAULT_SERVICE_TIME_NS;
+    private double meanServiceTimeNs = JobClassStats.DEFAULT_SERVICE_TIME_NS;
 
     /** Null if the settings do not name it. */
     JobClassStats get(String name) {
@@ -35,7 +35,7 @@
                     jobClass.name(),
                     known == null ? new JobClassStats(jobClass) : known.withSettings(jobClass));
         }
-        updateMeans();
+        updateAggregates();
     }
 
     /** The longest mean service time of a class. */
@@ -45,13 +45,13 @@
 
     void recordServiceTime(JobClassStats jobClass, double timeNs) {
         jobClass.recordServiceTime(timeNs);
-        updateMeans();
+        updateAggregates();
     }
 
     /**
      * Kept up to date rather than reckoned when asked for: they are asked for each worker and job.
      */
-    private void updateMeans() {
+    private void updateAggregates() {
         meanServiceTimeNs = meanOf(classes.values());
         longestServiceTimeNs =
                 classes.values().stream()
@@ -68,7 +68,7 @@
     private static double meanOf(Collection<JobClassStats> all) {
         double served = all.stream().mapToLong(JobClassStats::served).sum();
         if (served == 0) {
-            return JobClassStats.UNKNOWN_SERVICE_TIME_NS;
+            return JobClassStats.DEFAULT_SERVICE_TIME_NS;
         }
         return all.stream().mapToDouble(c -> c.served() * c.serviceTimeNs()).sum() / served;
     }
@@ -95,12 +95,12 @@
         JobClassStats known = classes.get(name);
         if (known != null) {
             known.restore(values);
-            updateMeans();
+            updateAggregates();
         }
     }
 
     /** Calls back with each class's name and exported figures. */
-    void export(FiguresConsumer consumer) {
+    void export(StateEntryConsumer consumer) {
         classes.forEach((name, stats) -> consumer.accept(name, stats.export()));
     }
 }
--- a/core/src/main/java/postgrade/policy/LeastLoadedSelector.java
+++ b/core/src/main/java/postgrade/policy/LeastLoadedSelector.java
@@ -12,7 +12,7 @@
     private static final double TARGET_MARGIN = 0.8;
 
     /** Added to the load of a worker that comes last. */
-    private static final double PENALTY = 1e9;
+    private static final double DISFAVOURED_PENALTY = 1e9;
 
     /** A failure rate above this puts a worker last for jobs that must not run twice. */
     private static final double SUSPECT_FAILURE_RATE = 0.1;
@@ -25,7 +25,7 @@
     private final QueueingDelayEstimator queueingDelay;
     private final ServiceTimeEstimator serviceTime;
     private final SlowStartLimiter slowStart;
-    private final AttemptGuard guard;
+    private final AttemptGuard attemptGuard;
 
     LeastLoadedSelector(PolicyState state, SlowStartLimiter slowStart, AttemptGuard guard) {
         context = state.context();
@@ -36,7 +36,7 @@
         queueingDelay = state.queueingDelay();
         serviceTime = state.serviceTime();
         this.slowStart = slowStart;
-        this.guard = guard;
+        this.attemptGuard = guard;
     }
 
     /**
@@ -50,7 +50,7 @@
         double leastLoad = Double.MAX_VALUE;
         double tieWeight = 0;
         for (WorkerState worker : workers.ready()) {
-            if (!isAble(nowNs, job, worker)) {
+            if (!isEligible(nowNs, job, worker)) {
                 continue;
             }
             if (worker.needsTrial() && !runsOnce) {
@@ -87,7 +87,7 @@
         double kindDelay = worker.kind().queueingDelayNs() / job.jobClass().serviceTimeNs();
         return capacity.slots(worker)
                 * capacity.slowStartShare(nowNs, worker)
-                / ServiceTimeEstimator.pace(worker)
+                / ServiceTimeEstimator.serviceTimeRatio(worker)
                 / (1 + kindDelay)
                 * context.constraints().usableShare(nowNs, job.job(), worker.info());
     }
@@ -109,8 +109,8 @@
                         && worker.health().failureRate() > SUSPECT_FAILURE_RATE;
         return Math.max(worker.inFlight(), whileFull) / size
                 + delay / size
-                + (isTooLate(nowNs, job, worker, delayNs) ? PENALTY : 0)
-                + (suspect ? PENALTY : 0);
+                + (isTooLate(nowNs, job, worker, delayNs) ? DISFAVOURED_PENALTY : 0)
+                + (suspect ? DISFAVOURED_PENALTY : 0);
     }
 
     /**
@@ -126,13 +126,13 @@
         return expectedNs > TARGET_MARGIN * job.jobClass().latencyTargetNs();
     }
 
-    private boolean isAble(long nowNs, InFlightJob job, WorkerState worker) {
+    private boolean isEligible(long nowNs, InFlightJob job, WorkerState worker) {
         AttemptRecord latest = job.latestAttempt();
         boolean wasLatest =
                 latest != null
                         && latest.worker() == worker
-                        && (workers.ready().size() > 1 || job.attemptsOut() > 0);
-        return !worker.isEjected(nowNs) && !wasLatest && guard.maySend(nowNs, job, worker);
+                        && (workers.ready().size() > 1 || job.attemptsInFlight() > 0);
+        return !worker.isEjected(nowNs) && !wasLatest && attemptGuard.maySend(nowNs, job, worker);
     }
 
     private boolean fits(long nowNs, InFlightJob job, WorkerState worker) {
--- a/core/src/main/java/postgrade/policy/OutlierDetector.java
+++ b/core/src/main/java/postgrade/policy/OutlierDetector.java
@@ -12,15 +12,15 @@
 final class OutlierDetector {
 
     /** Times of ejection and pauses between calls for the list double at most so often. */
-    static final int MOST_DOUBLINGS = 3;
+    static final int MAX_DOUBLINGS = 3;
 
     /** A failure rate above this ejects a worker; a healthy one stays far below. */
-    private static final double EJECTION_RATE = 0.45;
+    private static final double EJECTION_FAILURE_RATE = 0.45;
 
-    private static final long EJECTION_NS = 1_500_000_000L;
+    private static final long BASE_EJECTION_NS = 1_500_000_000L;
 
     /** At most this part of the ready workers is ejected, or the rest would be overloaded. */
-    private static final double MOST_EJECTED = 0.4;
+    private static final double MAX_EJECTED_SHARE = 0.4;
 
     private final WorkerTable workers;
     private final RateLimiter rateLimiter;
@@ -34,22 +34,22 @@
     }
 
     /** Learns from the end of an attempt. */
-    void attemptEnded(long nowNs, AttemptRecord attempt, AttemptOutcome outcome) {
+    void recordAttemptEnd(long nowNs, AttemptRecord attempt, AttemptOutcome outcome) {
         WorkerState worker = attempt.worker();
         switch (outcome) {
             case SERVED -> {
                 recordResult(attempt.job(), 0);
                 worker.health().recordSuccess();
             }
-            case FULL -> worker.reportFull(nowNs);
+            case FULL -> worker.recordFull(nowNs);
             case CANCELLED, NOT_SENT, NO_SOCKET -> {
                 // These say nothing of the worker.
             }
             case UNREACHABLE -> eject(nowNs, worker);
             case ERROR, TIMEOUT, RESET -> {
                 recordResult(attempt.job(), 1);
-                double fault = attempt.isPresumedLost() ? 0 : 1 - ownFault(attempt.job());
-                workerFailed(nowNs, worker, fault);
+                double fault = attempt.isPresumedLost() ? 0 : 1 - jobFault(attempt.job());
+                recordWorkerFailure(nowNs, worker, fault);
             }
         }
     }
@@ -57,9 +57,9 @@
     /**
      * @param fault how far the failure is the worker's, from 0 to 1
      */
-    void workerFailed(long nowNs, WorkerState worker, double fault) {
+    void recordWorkerFailure(long nowNs, WorkerState worker, double fault) {
         worker.health().recordFailure(fault);
-        if (worker.health().failureRate() > EJECTION_RATE) {
+        if (worker.health().failureRate() > EJECTION_FAILURE_RATE) {
             eject(nowNs, worker);
         }
     }
@@ -77,7 +77,7 @@
      * How far a failure is the job's own: 1 where only its tenant's or its class's jobs fail, 0
      * where all fail alike.
      */
-    double ownFault(InFlightJob job) {
+    double jobFault(InFlightJob job) {
         TokenBucket bucket = rateLimiter.tenantBucket(job.job().tenant());
         double ofTenant = bucket == null ? 0 : bucket.failureRate();
         double own = Math.max(job.jobClass().failureRate(), ofTenant);
@@ -86,9 +86,9 @@
 
     private void eject(long nowNs, WorkerState worker) {
         long ejected = workers.ready().stream().filter(other -> other.isEjected(nowNs)).count();
-        boolean leavesEnough = ejected + 1 <= workers.ready().size() * MOST_EJECTED;
+        boolean leavesEnough = ejected + 1 <= workers.ready().size() * MAX_EJECTED_SHARE;
         if (!worker.isEjected(nowNs) && leavesEnough) {
-            worker.health().eject(nowNs, EJECTION_NS, MOST_DOUBLINGS);
+            worker.health().eject(nowNs, BASE_EJECTION_NS, MAX_DOUBLINGS);
         }
     }
 
--- a/core/src/main/java/postgrade/policy/PolicyState.java
+++ b/core/src/main/java/postgrade/policy/PolicyState.java
@@ -20,18 +20,18 @@
     private final CapacityEstimator capacity;
     private final QueueingDelayEstimator queueingDelay;
     private final ServiceTimeEstimator serviceTime;
-    private final OutlierDetector outliers;
+    private final OutlierDetector outlierDetector;
     private final SlowStartLimiter slowStart;
     private final RetryBudget retryBudget = new RetryBudget();
 
     PolicyState(PolicySettings settings, long seed, PolicyActions actions) {
         context = new PolicyContext(settings, seed, actions);
-        rateLimiter = new RateLimiter(settings.mostBuckets);
+        rateLimiter = new RateLimiter(settings.maxBuckets);
         fleetLoad = new FleetLoadEstimator(context, classes, rateLimiter);
         capacity = new CapacityEstimator(context, workers, classes, fleetLoad);
         queueingDelay = new QueueingDelayEstimator(capacity, fleetLoad);
         serviceTime = new ServiceTimeEstimator(capacity, classes, fleetLoad);
-        outliers = new OutlierDetector(workers, rateLimiter);
+        outlierDetector = new OutlierDetector(workers, rateLimiter);
         slowStart =
                 new SlowStartLimiter(context, workers, classes, rateLimiter, capacity, fleetLoad);
         classes.replace(settings.classes, false);
@@ -50,9 +50,9 @@
         classes.replace(next.classes, sameDeployment);
         rateLimiter.settingsChanged(next, sameDeployment);
         if (!sameDeployment) {
-            workers.resetLearnt();
+            workers.resetLearned();
             fleetLoad.reset();
-            outliers.reset();
+            outlierDetector.reset();
             retryBudget.reset();
         }
         slowStart.settingsChanged(nowNs, former, next);
@@ -95,8 +95,8 @@
         return serviceTime;
     }
 
-    OutlierDetector outliers() {
-        return outliers;
+    OutlierDetector outlierDetector() {
+        return outlierDetector;
     }
 
     SlowStartLimiter slowStart() {
--- a/core/src/main/java/postgrade/policy/PolicyStateTransfer.java
+++ b/core/src/main/java/postgrade/policy/PolicyStateTransfer.java
@@ -20,10 +20,10 @@
     private static final String SLOW_START = "cold";
 
     /** For how long all that was sent to workers in slow start is known. */
-    private static final String COMPLETE_FOR = "up";
+    private static final String USAGE_COMPLETE_FOR = "up";
 
     /** Prefix of the names that identify the deployment; the sort of name follows. */
-    private static final String NAMED = "named ";
+    private static final String DEPLOYMENT_NAME_PREFIX = "named ";
 
     private final PolicyState state;
 
@@ -33,17 +33,17 @@
 
     List<PolicyStateEntry> export(long nowNs) {
         List<PolicyStateEntry> rows = new ArrayList<>();
-        state.classes().export(to(rows, CLASS));
-        state.workers().exportKinds(to(rows, KIND));
-        state.workers().exportWorkers(nowNs, to(rows, WORKER));
-        state.workers().exportSlowStarts(nowNs, to(rows, SLOW_START));
-        if (state.slowStart().hasList()) {
-            to(rows, COMPLETE_FOR)
-                    .accept("", new double[] {state.slowStart().completeForNs(nowNs)});
+        state.classes().export(appendTo(rows, CLASS));
+        state.workers().exportKinds(appendTo(rows, KIND));
+        state.workers().exportWorkers(nowNs, appendTo(rows, WORKER));
+        state.workers().exportSlowStartUsage(nowNs, appendTo(rows, SLOW_START));
+        if (state.slowStart().hasWorkerList()) {
+            appendTo(rows, USAGE_COMPLETE_FOR)
+                    .accept("", new double[] {state.slowStart().usageCompleteForNs(nowNs)});
         }
-        to(rows, FLEET).accept("", state.fleetLoad().export());
-        state.rateLimiter().exportTenants(nowNs, to(rows, TENANT));
-        state.rateLimiter().exportKeys(nowNs, to(rows, KEY));
+        appendTo(rows, FLEET).accept("", state.fleetLoad().export());
+        state.rateLimiter().exportTenants(nowNs, appendTo(rows, TENANT));
+        state.rateLimiter().exportKeys(nowNs, appendTo(rows, KEY));
         state.context()
                 .settings()
                 .deployment
@@ -52,12 +52,12 @@
                         (sort, names) ->
                                 names.forEach(
                                         name ->
-                                                to(rows, NAMED + sort)
+                                                appendTo(rows, DEPLOYMENT_NAME_PREFIX + sort)
                                                         .accept(name, new double[0])));
         return rows;
     }
 
-    private static FiguresConsumer to(List<PolicyStateEntry> rows, String category) {
+    private static StateEntryConsumer appendTo(List<PolicyStateEntry> rows, String category) {
         return (name, values) -> rows.add(new PolicyStateEntry(category, name, values));
     }
 
@@ -85,8 +85,9 @@
             case WORKER -> state.workers().restoreWorker(nowNs, name, values);
             case TENANT -> state.rateLimiter().restoreTenant(nowNs, name, values);
             case KEY -> state.rateLimiter().restoreKey(nowNs, name, values);
-            case SLOW_START -> state.workers().restoreSlowStart(nowNs, name, values);
-            case COMPLETE_FOR -> state.slowStart().completeFor(nowNs, (long) values[0]);
+            case SLOW_START -> state.workers().restoreSlowStartUsage(nowNs, name, values);
+            case USAGE_COMPLETE_FOR ->
+                    state.slowStart().restoreUsageCompleteFor(nowNs, (long) values[0]);
             case FLEET -> state.fleetLoad().restore(values);
             default -> {
                 // A later version may export more.
@@ -96,10 +97,10 @@
 
     private static Deployment deployment(List<PolicyStateEntry> rows) {
         Deployment exported = Deployment.UNNAMED;
-        for (Deployment.Sort sort : Deployment.Sort.values()) {
+        for (Deployment.NameType sort : Deployment.NameType.values()) {
             List<String> names =
                     rows.stream()
-                            .filter(row -> row.category().equals(NAMED + sort))
+                            .filter(row -> row.category().equals(DEPLOYMENT_NAME_PREFIX + sort))
                             .map(PolicyStateEntry::name)
                             .toList();
             exported = exported.with(sort, names);
--- a/core/src/main/java/postgrade/policy/QueueingDelayEstimator.java
+++ b/core/src/main/java/postgrade/policy/QueueingDelayEstimator.java
@@ -4,7 +4,7 @@
 final class QueueingDelayEstimator {
 
     /** A delay seen at a worker fades with this time constant to what is usual for its kind. */
-    private static final double FADE_NS = 2e9;
+    private static final double DECAY_NS = 2e9;
 
     private final CapacityEstimator capacity;
     private final FleetLoadEstimator fleetLoad;
@@ -19,7 +19,7 @@
      * kind's usual queue.
      */
     double delayNs(long nowNs, WorkerState worker) {
-        double keep = Math.exp((worker.queueingDelaySeenNs() - nowNs) / FADE_NS);
+        double keep = Math.exp((worker.queueingDelayObservedNs() - nowNs) / DECAY_NS);
         double usualNs =
                 capacity.isInSlowStart(nowNs, worker)
                         ? 0
@@ -28,19 +28,19 @@
     }
 
     /** The worker reports that it has started the attempt; a repeated report changes nothing. */
-    void started(long nowNs, AttemptRecord attempt) {
+    void recordStart(long nowNs, AttemptRecord attempt) {
         if (attempt.hasStarted()) {
             return;
         }
-        attempt.started(nowNs);
+        attempt.markStarted(nowNs);
         long delayNs = nowNs - attempt.sentNs();
         attempt.worker().recordQueueingDelay(nowNs, (double) delayNs);
         attempt.worker().kind().recordQueueingDelay(delayNs);
-        fleetLoad.jobStarted(delayNs);
+        fleetLoad.recordStartDelay(delayNs);
     }
 
     /** An attempt has not started yet: its worker's delay is as long at least. */
-    void stillWaits(long nowNs, AttemptRecord attempt) {
+    void recordStillQueued(long nowNs, AttemptRecord attempt) {
         double delayNs =
                 Math.max(delayNs(nowNs, attempt.worker()), (double) (nowNs - attempt.sentNs()));
         attempt.worker().recordQueueingDelay(nowNs, delayNs);
--- a/core/src/main/java/postgrade/policy/RateLimiter.java
+++ b/core/src/main/java/postgrade/policy/RateLimiter.java
@@ -18,13 +18,13 @@
     private static final double KEY_SHARE = 0.5;
 
     /** Bounds the export of thousands of keys; the busiest are the latest. */
-    private static final int MOST_EXPORTED = 500;
+    private static final int MAX_EXPORTED_BUCKETS = 500;
 
     private final Map<String, Double> tenantRates = new HashMap<>();
     private final LeastRecentlyUsedMap<TokenBucket> tenantBuckets;
     private final LeastRecentlyUsedMap<TokenBucket> keyBuckets;
     private double totalRatePerS;
-    private double share = 1;
+    private double quotaShare = 1;
 
     RateLimiter(int mostBuckets) {
         tenantBuckets = new LeastRecentlyUsedMap<>(mostBuckets);
@@ -49,16 +49,16 @@
     }
 
     /** The share of the dispatcher's rates that is this process's. */
-    double share() {
-        return share;
+    double quotaShare() {
+        return quotaShare;
     }
 
     /** Of the tokens that go with a smaller share another process has the use. */
-    void shareChanged(double next) {
-        double keep = Math.min(1, next / share);
-        tenantBuckets.values().forEach(bucket -> bucket.keep(keep));
-        keyBuckets.values().forEach(bucket -> bucket.keep(keep));
-        share = next;
+    void quotaShareChanged(double next) {
+        double keep = Math.min(1, next / quotaShare);
+        tenantBuckets.values().forEach(bucket -> bucket.scaleTokens(keep));
+        keyBuckets.values().forEach(bucket -> bucket.scaleTokens(keep));
+        quotaShare = next;
     }
 
     /** The sum of the tenants' rates here; 0 where the settings name no tenants. */
@@ -80,55 +80,56 @@
         long emptyForNs =
                 tenantRate == null
                         ? 0
-                        : take(tenantBuckets, job.tenant(), tenantRate * share, nowNs);
+                        : tryTake(tenantBuckets, job.tenant(), tenantRate * quotaShare, nowNs);
         if (job.key() != null && totalRatePerS > 0) {
-            double keyRate = totalRatePerS * KEY_SHARE * share;
-            emptyForNs = Math.max(emptyForNs, take(keyBuckets, job.key(), keyRate, nowNs));
+            double keyRate = totalRatePerS * KEY_SHARE * quotaShare;
+            emptyForNs = Math.max(emptyForNs, tryTake(keyBuckets, job.key(), keyRate, nowNs));
         }
         return emptyForNs;
     }
 
-    private static long take(
+    private static long tryTake(
             LeastRecentlyUsedMap<TokenBucket> buckets, String name, double ratePerS, long nowNs) {
         TokenBucket bucket =
                 buckets.computeIfAbsent(name, unused -> TokenBucket.full(ratePerS, nowNs));
-        return bucket.take(ratePerS, nowNs);
+        return bucket.tryTake(ratePerS, nowNs);
     }
 
     /**
      * The part of a tenant's demand here that lies beyond its quota; near 0 where only the split of
      * the traffic is uneven.
      */
-    double overuse(String tenant) {
+    double overQuotaShare(String tenant) {
         TokenBucket bucket = tenantBuckets.get(tenant);
         double rate = tenantRates.getOrDefault(tenant, 0.0);
-        return bucket == null ? 1 : Math.max(0, 1 - rate * share / bucket.demandPerS());
+        return bucket == null ? 1 : Math.max(0, 1 - rate * quotaShare / bucket.demandPerS());
     }
 
-    void exportTenants(long nowNs, FiguresConsumer consumer) {
+    void exportTenants(long nowNs, StateEntryConsumer consumer) {
         export(nowNs, tenantBuckets, consumer);
     }
 
-    void exportKeys(long nowNs, FiguresConsumer consumer) {
+    void exportKeys(long nowNs, StateEntryConsumer consumer) {
         export(nowNs, keyBuckets, consumer);
     }
 
     private static void export(
-            long nowNs, LeastRecentlyUsedMap<TokenBucket> buckets, FiguresConsumer consumer) {
+            long nowNs, LeastRecentlyUsedMap<TokenBucket> buckets, StateEntryConsumer consumer) {
         List<String> names =
                 new ArrayList<>(buckets.keySet()); // In the order of their use, the latest last.
-        for (String name : names.subList(Math.max(0, names.size() - MOST_EXPORTED), names.size())) {
+        for (String name :
+                names.subList(Math.max(0, names.size() - MAX_EXPORTED_BUCKETS), names.size())) {
             consumer.accept(name, buckets.get(name).export(nowNs));
         }
     }
 
     void restoreTenant(long nowNs, String name, double[] values) {
         if (tenantRates.containsKey(name)) {
-            tenantBuckets.put(name, TokenBucket.restore(values, share, nowNs));
+            tenantBuckets.put(name, TokenBucket.restore(values, quotaShare, nowNs));
         }
     }
 
     void restoreKey(long nowNs, String name, double[] values) {
-        keyBuckets.put(name, TokenBucket.restore(values, share, nowNs));
+        keyBuckets.put(name, TokenBucket.restore(values, quotaShare, nowNs));
     }
 }
--- a/core/src/main/java/postgrade/policy/RetryBudget.java
+++ b/core/src/main/java/postgrade/policy/RetryBudget.java
@@ -7,22 +7,22 @@
 final class RetryBudget {
 
     private static final double EARNED_PER_JOB = 0.3;
-    private static final double MOST = 8;
+    private static final double MAX_AVAILABLE = 8;
 
-    private double available = MOST;
+    private double available = MAX_AVAILABLE;
 
     /** A job has been served. */
     void earn() {
-        available = Math.min(MOST, available + EARNED_PER_JOB);
+        available = Math.min(MAX_AVAILABLE, available + EARNED_PER_JOB);
     }
 
-    boolean has(double cost) {
+    boolean canSpend(double cost) {
         return available >= cost;
     }
 
     /** Takes so much if it is there. Returns whether it was. */
-    boolean spend(double cost) {
-        boolean enough = has(cost);
+    boolean trySpend(double cost) {
+        boolean enough = canSpend(cost);
         if (enough) {
             available -= cost;
         }
@@ -30,6 +30,6 @@
     }
 
     void reset() {
-        available = MOST;
+        available = MAX_AVAILABLE;
     }
 }
--- a/core/src/main/java/postgrade/policy/RetryController.java
+++ b/core/src/main/java/postgrade/policy/RetryController.java
@@ -12,15 +12,15 @@
 final class RetryController {
 
     /** Waiting jobs are looked at this often; also the margin kept before a client's deadline. */
-    static final long SWEEP_NS = 50_000_000L;
+    static final long SWEEP_INTERVAL_NS = 50_000_000L;
 
     /**
      * No further attempt for a job whose failures are its own by more than this, nor after so many
      * resets.
      */
-    private static final double MOST_OWN_FAULT = 0.5;
+    private static final double MAX_JOB_FAULT = 0.5;
 
-    private static final int MOST_RESETS = 2;
+    private static final int MAX_RESETS = 2;
 
     /**
      * What moving a queued job costs a lone dispatcher of the retry budget beyond 1; many share it.
@@ -31,12 +31,12 @@
      * Jobs differ in length: one that would end after this part of its target is cancelled before
      * it starts.
      */
-    private static final double HOPELESS_SHARE = 0.85;
+    private static final double HOPELESS_TARGET_SHARE = 0.85;
 
     /**
      * Without a start report for so many service times of the longest class the job will not start.
      */
-    private static final double LOST_AFTER = 2;
+    private static final double LOST_AFTER_SERVICE_TIMES = 2;
 
     private final PolicyContext context;
     private final JobClassTable classes;
@@ -44,9 +44,9 @@
     private final ServiceTimeEstimator serviceTime;
     private final AdmissionController admission;
     private final LeastLoadedSelector selector;
-    private final AttemptGuard guard;
-    private final OutlierDetector outliers;
-    private final RetryBudget budget;
+    private final AttemptGuard attemptGuard;
+    private final OutlierDetector outlierDetector;
+    private final RetryBudget retryBudget;
 
     RetryController(
             PolicyState state,
@@ -57,24 +57,24 @@
         classes = state.classes();
         queueingDelay = state.queueingDelay();
         serviceTime = state.serviceTime();
-        outliers = state.outliers();
-        budget = state.retryBudget();
+        outlierDetector = state.outlierDetector();
+        retryBudget = state.retryBudget();
         this.admission = admission;
         this.selector = selector;
-        this.guard = guard;
+        this.attemptGuard = guard;
     }
 
     /**
      * Sends the job where there is room; within its quota also where there may be. Else it waits
      * for the next sweep, as long as it may yet be in time; a job beyond its quota does not wait.
      */
-    void place(long nowNs, InFlightJob job) {
+    void dispatch(long nowNs, InFlightJob job) {
         boolean admitted = job.attemptCount() > 0 || admission.admits(nowNs, job);
         WorkerState worker = admitted ? selector.select(nowNs, job, !job.withinQuota()) : null;
         if (worker != null) {
-            guard.send(nowNs, job, worker);
+            attemptGuard.send(nowNs, job, worker);
         } else if (!mayWait(nowNs, job)) {
-            guard.conclude(nowNs, job, reasonNotToWait(nowNs, job));
+            attemptGuard.conclude(nowNs, job, reasonNotToWait(nowNs, job));
         }
     }
 
@@ -85,17 +85,17 @@
         if (!job.withinQuota()) {
             return DecisionReason.OVER_QUOTA;
         }
-        boolean late = job.deadlineNs() - nowNs <= 2 * SWEEP_NS;
+        boolean late = job.deadlineNs() - nowNs <= 2 * SWEEP_INTERVAL_NS;
         return late ? DecisionReason.DEADLINE_NEAR : DecisionReason.NO_ROOM;
     }
 
     private boolean mayWait(long nowNs, InFlightJob job) {
         return job.attemptCount() < context.settings().maxAttempts
-                && (job.withinQuota() || !guard.mayReject(job))
+                && (job.withinQuota() || !attemptGuard.mayReject(job))
                 && nowNs - job.arrivedNs() < job.jobClass().jobClass().latencyObjectiveNs()
                 // The next sweep may come too late for an answer: a client's last try can start
                 // near its end.
-                && job.deadlineNs() - nowNs > 2 * SWEEP_NS;
+                && job.deadlineNs() - nowNs > 2 * SWEEP_INTERVAL_NS;
     }
 
     /**
@@ -105,7 +105,7 @@
     private boolean isHopeless(long nowNs, InFlightJob job, WorkerState worker) {
         JobClassStats jobClass = job.jobClass();
         double leftNs =
-                HOPELESS_SHARE * jobClass.latencyTargetNs()
+                HOPELESS_TARGET_SHARE * jobClass.latencyTargetNs()
                         - serviceTime.serviceTimeNs(nowNs, jobClass, worker);
         return jobClass.served() > 0 && leftNs > 0 && nowNs - job.arrivedNs() > leftNs;
     }
@@ -117,22 +117,22 @@
     void retry(long nowNs, InFlightJob job, AttemptRecord ended, AttemptOutcome outcome) {
         Optional<DecisionReason> over = reasonToStop(nowNs, job, ended, outcome);
         if (over.isPresent()) {
-            guard.conclude(nowNs, job, over.get());
+            attemptGuard.conclude(nowNs, job, over.get());
             return;
         }
         boolean free =
                 ended.neverRan() || (ended.isCancelled() && outcome == AttemptOutcome.CANCELLED);
-        if (free || budget.spend(1)) {
-            place(nowNs, job);
+        if (free || retryBudget.trySpend(1)) {
+            dispatch(nowNs, job);
         } else {
-            guard.conclude(nowNs, job, DecisionReason.RETRY_BUDGET_EMPTY);
+            attemptGuard.conclude(nowNs, job, DecisionReason.RETRY_BUDGET_EMPTY);
         }
     }
 
     /** Why the job gets no further attempt; empty if it may have one. */
     private Optional<DecisionReason> reasonToStop(
             long nowNs, InFlightJob job, AttemptRecord ended, AttemptOutcome outcome) {
-        if (job.deadlineNs() - nowNs <= SWEEP_NS) {
+        if (job.deadlineNs() - nowNs <= SWEEP_INTERVAL_NS) {
             return Optional.of(DecisionReason.DEADLINE_NEAR);
         }
         // Not sent to a worker that is draining says nothing of the job: another worker may take
@@ -146,15 +146,15 @@
         if (!ended.neverRan() && job.idempotency() == Idempotency.NOT_IDEMPOTENT) {
             return Optional.of(DecisionReason.MUST_NOT_REPEAT);
         }
-        if (!ended.neverRan() && outliers.ownFault(job) > MOST_OWN_FAULT) {
+        if (!ended.neverRan() && outlierDetector.jobFault(job) > MAX_JOB_FAULT) {
             return Optional.of(DecisionReason.OWN_FAULT);
         }
-        return reasonToStopByCourse(nowNs, job, ended, outcome);
+        return reasonToStopByHistory(nowNs, job, ended, outcome);
     }
 
-    private Optional<DecisionReason> reasonToStopByCourse(
+    private Optional<DecisionReason> reasonToStopByHistory(
             long nowNs, InFlightJob job, AttemptRecord ended, AttemptOutcome outcome) {
-        if (outcome == AttemptOutcome.RESET && job.countReset() == MOST_RESETS) {
+        if (outcome == AttemptOutcome.RESET && job.recordReset() == MAX_RESETS) {
             return Optional.of(DecisionReason.REPEATED_RESETS);
         }
         if (ended.isCancelled() && isHopeless(nowNs, job, ended.worker())) {
@@ -166,14 +166,14 @@
     /** Looks after a job at regular times. */
     void sweep(long nowNs, InFlightJob job) {
         boolean waits = !job.isAnswered();
-        if (job.attemptsOut() == 1
+        if (job.attemptsInFlight() == 1
                 && context.settings().workersReportStart
                 && nowNs < job.deadlineNs()) {
-            checkUnstarted(nowNs, job);
+            checkQueuedAttempt(nowNs, job);
         } else if (waits && !job.isStreaming() && nowNs >= job.deadlineNs()) {
-            guard.conclude(nowNs, job, DecisionReason.DEADLINE_NEAR);
-        } else if (waits && job.attemptsOut() == 0) {
-            place(nowNs, job);
+            attemptGuard.conclude(nowNs, job, DecisionReason.DEADLINE_NEAR);
+        } else if (waits && job.attemptsInFlight() == 0) {
+            dispatch(nowNs, job);
         }
     }
 
@@ -188,13 +188,13 @@
      * no longer counts as held there, or its worker would stand idle, and counts as a failure, so
      * that a worker that loses all is ejected long before time-outs tell.
      */
-    private void checkUnstarted(long nowNs, InFlightJob job) {
+    private void checkQueuedAttempt(long nowNs, InFlightJob job) {
         AttemptRecord attempt = job.latestAttempt();
         if (attempt.hasEnded() || attempt.hasStarted()) {
             return;
         }
         if (!attempt.isPresumedLost()) {
-            queueingDelay.stillWaits(nowNs, attempt);
+            queueingDelay.recordStillQueued(nowNs, attempt);
         }
         int number = job.attemptCount() - 1;
         boolean movable =
@@ -202,15 +202,16 @@
                         && context.settings().allowsCancellation
                         && job.idempotency() != Idempotency.NOT_IDEMPOTENT;
         if (movable && isHopeless(nowNs, job, attempt.worker())) {
-            guard.cancel(job, number, DecisionReason.HOPELESS);
+            attemptGuard.cancel(job, number, DecisionReason.HOPELESS);
         } else if (movable && shouldMove(nowNs, job, attempt)) {
-            budget.spend(moveCost());
-            guard.cancel(job, number, DecisionReason.MOVED);
+            retryBudget.trySpend(moveCost());
+            attemptGuard.cancel(job, number, DecisionReason.MOVED);
         } else if (!attempt.isPresumedLost()
-                && nowNs - attempt.sentNs() > LOST_AFTER * classes.longestServiceTimeNs()) {
-            attempt.presumeLost();
+                && nowNs - attempt.sentNs()
+                        > LOST_AFTER_SERVICE_TIMES * classes.longestServiceTimeNs()) {
+            attempt.markPresumedLost();
             attempt.worker().recordQueueingDelay(nowNs, 0); // It stands in no queue.
-            outliers.workerFailed(nowNs, attempt.worker(), 1);
+            outlierDetector.recordWorkerFailure(nowNs, attempt.worker(), 1);
         }
     }
 
@@ -220,7 +221,7 @@
                         FleetLoadEstimator.ROUND_TRIP_NS,
                         job.jobClass().jobClass().latencyObjectiveNs() / 2);
         return nowNs - attempt.sentNs() >= patienceNs
-                && budget.has(moveCost())
+                && retryBudget.canSpend(moveCost())
                 && selector.select(nowNs, job, true) != null;
     }
 
--- a/core/src/main/java/postgrade/policy/SlowStartLimiter.java
+++ b/core/src/main/java/postgrade/policy/SlowStartLimiter.java
@@ -13,7 +13,7 @@
 final class SlowStartLimiter {
 
     /** The part of the budget that is used, as jobs differ in length. */
-    private static final double BUDGET_USE = 0.9;
+    private static final double BUDGET_SHARE_USED = 0.9;
 
     /**
      * A worker on which hardly a job waits has room for its mean load and for so many square roots
@@ -21,7 +21,7 @@
      */
     private static final double STAFFING_ROOTS = 2;
 
-    private static final long NOT_YET = -1;
+    private static final long NOT_KNOWN = -1;
 
     private final PolicyContext context;
     private final WorkerTable workers;
@@ -34,7 +34,7 @@
      * Since when all that was sent to workers in slow start is known: not before a start or a
      * crash.
      */
-    private long completeSinceNs = NOT_YET;
+    private long usageCompleteSinceNs = NOT_KNOWN;
 
     SlowStartLimiter(
             PolicyContext context,
@@ -64,18 +64,18 @@
         boolean isSender =
                 Math.floorMod(settings.dispatcherIndex + worker.hash(), settings.dispatcherCount)
                         < senders;
-        if (!isSender || nowNs - completeSinceNs < settings.overloadWindowNs) {
+        if (!isSender || nowNs - usageCompleteSinceNs < settings.overloadWindowNs) {
             return false;
         }
-        double ownBudget = rateLimiter.share() * fleetBudgetNs(nowNs, worker) / senders;
-        double spent = worker.slowStartLedger().since(nowNs - settings.overloadWindowNs);
+        double ownBudget = rateLimiter.quotaShare() * fleetBudgetNs(nowNs, worker) / senders;
+        double spent = worker.slowStartUsage().since(nowNs - settings.overloadWindowNs);
         return costNs(job, worker) <= ownBudget - spent;
     }
 
     /** A job is sent there. */
-    void sent(long nowNs, InFlightJob job, WorkerState worker) {
+    void recordSent(long nowNs, InFlightJob job, WorkerState worker) {
         if (capacity.isInSlowStart(nowNs, worker)) {
-            worker.slowStartLedger().add(nowNs, costNs(job, worker));
+            worker.slowStartUsage().add(nowNs, costNs(job, worker));
         }
     }
 
@@ -88,17 +88,17 @@
 
     /** How many dispatchers may send there: as many as can send the dearest job each. */
     private int senders(long nowNs, WorkerState worker) {
-        double dearestNs = classes.longestServiceTimeNs() * worker.kind().pace();
+        double dearestNs = classes.longestServiceTimeNs() * worker.kind().serviceTimeRatio();
         double jobs = fleetBudgetNs(nowNs, worker) / dearestNs;
         return (int) Math.max(1, Math.min(context.settings().dispatcherCount, jobs));
     }
 
     /** The slot time that all dispatchers together may send there in one window. */
     private double fleetBudgetNs(long nowNs, WorkerState worker) {
-        return BUDGET_USE
+        return BUDGET_SHARE_USED
                 * context.settings().overloadMultiple
                 * capacity.slowStartShare(nowNs, worker)
-                * provenSlots(nowNs, worker)
+                * conservativeSlots(nowNs, worker)
                 * context.settings().overloadWindowNs;
     }
 
@@ -108,24 +108,26 @@
      * fleet is seen to carry: the mean load of a ready worker with its staffing margin, less where
      * jobs wait before they start.
      */
-    private double provenSlots(long nowNs, WorkerState worker) {
+    private double conservativeSlots(long nowNs, WorkerState worker) {
         if (worker.kind().slots() > 0) {
             return worker.kind().slots();
         }
         double load = fleetLoad.fleetLoad(nowNs) / Math.max(1, workers.ready().size());
         double waits = 1 + worker.kind().queueingDelayNs() / classes.meanServiceTimeNs();
         double staffed = Math.max(1, load + STAFFING_ROOTS * Math.sqrt(load)) / waits;
-        return capacity.weight(worker) * Math.min(CapacityEstimator.UNKNOWN_SLOTS, staffed);
+        return capacity.weight(worker) * Math.min(CapacityEstimator.DEFAULT_SLOTS, staffed);
     }
 
     private static double costNs(InFlightJob job, WorkerState worker) {
-        return job.job().slots() * job.jobClass().serviceTimeNs() * worker.kind().pace();
+        return job.job().slots()
+                * job.jobClass().serviceTimeNs()
+                * worker.kind().serviceTimeRatio();
     }
 
     /** The list of workers is known, so from now on all that is sent is. */
-    void listKnown(long nowNs) {
-        if (completeSinceNs == NOT_YET) {
-            completeSinceNs = nowNs;
+    void workerListKnown(long nowNs) {
+        if (usageCompleteSinceNs == NOT_KNOWN) {
+            usageCompleteSinceNs = nowNs;
         }
     }
 
@@ -137,22 +139,22 @@
         if (next.overloadWindowNs > former.overloadWindowNs
                 || next.slowStartNs > former.slowStartNs
                 || next.slowStartInitialShare < former.slowStartInitialShare) {
-            completeSinceNs = nowNs;
+            usageCompleteSinceNs = nowNs;
         }
     }
 
-    boolean hasList() {
-        return completeSinceNs != NOT_YET;
+    boolean hasWorkerList() {
+        return usageCompleteSinceNs != NOT_KNOWN;
     }
 
     /** For how long all that was sent is known. */
-    long completeForNs(long nowNs) {
-        return nowNs - completeSinceNs;
+    long usageCompleteForNs(long nowNs) {
+        return nowNs - usageCompleteSinceNs;
     }
 
     /** Another process of this dispatcher has known all for so long, and has exported it. */
-    void completeFor(long nowNs, long knownForNs) {
-        long sinceNs = hasList() ? completeSinceNs : nowNs;
-        completeSinceNs = Math.min(sinceNs, nowNs - knownForNs);
+    void restoreUsageCompleteFor(long nowNs, long knownForNs) {
+        long sinceNs = hasWorkerList() ? usageCompleteSinceNs : nowNs;
+        usageCompleteSinceNs = Math.min(sinceNs, nowNs - knownForNs);
     }
 }
--- a/core/src/main/java/postgrade/policy/SlowStartLedger.java
+++ b/core/src/main/java/postgrade/policy/SlowStartUsage.java
@@ -7,7 +7,7 @@
  * The work sent to one worker while it was in slow start, as far as it still counts against its
  * budget.
  */
-final class SlowStartLedger {
+final class SlowStartUsage {
 
     /** Work of {@code costNs} nanoseconds of slot time, sent at {@code atNs}. */
     private record Entry(long atNs, double costNs) {}
--- a/core/src/main/java/postgrade/policy/FiguresConsumer.java
+++ b/core/src/main/java/postgrade/policy/StateEntryConsumer.java
@@ -1,7 +1,7 @@
 package postgrade.policy;
 
 /** Takes the exported figures of one thing. */
-interface FiguresConsumer {
+interface StateEntryConsumer {
 
     /**
      * Takes the figures of the thing of this name.
--- a/core/src/main/java/postgrade/policy/TokenBucket.java
+++ b/core/src/main/java/postgrade/policy/TokenBucket.java
@@ -16,7 +16,7 @@
      * The least burst: with many dispatchers each one's part of a rate is so small that chance
      * alone would empty it.
      */
-    private static final double LEAST_BURST = 5;
+    private static final double MIN_BURST = 5;
 
     private double tokens;
     private double demandPerS;
@@ -34,11 +34,11 @@
     }
 
     private static double burst(double ratePerS) {
-        return Math.max(LEAST_BURST, ratePerS * BURST_SECONDS);
+        return Math.max(MIN_BURST, ratePerS * BURST_SECONDS);
     }
 
     /** Takes a token. Returns 0, or how long until there will be one; then none is taken. */
-    long take(double ratePerS, long nowNs) {
+    long tryTake(double ratePerS, long nowNs) {
         double seconds = (nowNs - updatedNs) / 1e9;
         updatedNs = nowNs;
         demandPerS = demandPerS * Math.exp(-seconds / BURST_SECONDS) + 1 / BURST_SECONDS;
@@ -51,7 +51,7 @@
     }
 
     /** Keeps this part of the tokens; the rest is another process's. */
-    void keep(double part) {
+    void scaleTokens(double part) {
         tokens *= part;
     }
 
--- a/core/src/main/java/postgrade/policy/TokenBucketDispatchPolicy.java
+++ b/core/src/main/java/postgrade/policy/TokenBucketDispatchPolicy.java
@@ -24,10 +24,10 @@
     private static final String SWEEP_TIMER = "sweep";
 
     private final PolicyState state;
-    private final PolicyStateTransfer transfer;
-    private final AttemptGuard guard;
-    private final RetryController retries;
-    private final WorkerListUpdater listUpdater;
+    private final PolicyStateTransfer stateTransfer;
+    private final AttemptGuard attemptGuard;
+    private final RetryController retryController;
+    private final WorkerListUpdater workerListUpdater;
     private boolean sweepScheduled;
 
     /**
@@ -37,8 +37,8 @@
      */
     public TokenBucketDispatchPolicy(PolicySettings settings, long seed, PolicyActions actions) {
         state = new PolicyState(settings, seed, actions);
-        transfer = new PolicyStateTransfer(state);
-        guard = new AttemptGuard(state.context(), state.slowStart(), state.jobs());
+        stateTransfer = new PolicyStateTransfer(state);
+        attemptGuard = new AttemptGuard(state.context(), state.slowStart(), state.jobs());
         AdmissionController admission =
                 new AdmissionController(
                         state.rateLimiter(),
@@ -46,9 +46,11 @@
                         state.workers(),
                         state.capacity(),
                         state.fleetLoad());
-        LeastLoadedSelector selector = new LeastLoadedSelector(state, state.slowStart(), guard);
-        retries = new RetryController(state, admission, selector, guard);
-        listUpdater = new WorkerListUpdater(state.context(), state.workers(), state.slowStart());
+        LeastLoadedSelector selector =
+                new LeastLoadedSelector(state, state.slowStart(), attemptGuard);
+        retryController = new RetryController(state, admission, selector, attemptGuard);
+        workerListUpdater =
+                new WorkerListUpdater(state.context(), state.workers(), state.slowStart());
     }
 
     @Override
@@ -63,29 +65,29 @@
 
     @Override
     public void quotaShareChanged(long nowNs, double share) {
-        state.rateLimiter().shareChanged(share);
+        state.rateLimiter().quotaShareChanged(share);
     }
 
     @Override
     public List<PolicyStateEntry> exportState(long nowNs) {
-        return transfer.export(nowNs);
+        return stateTransfer.export(nowNs);
     }
 
     @Override
     public void importState(long nowNs, List<PolicyStateEntry> figures) {
-        transfer.importAll(nowNs, figures);
+        stateTransfer.importAll(nowNs, figures);
     }
 
     @Override
     public void workersUpdated(long nowNs, WorkerListUpdateType form, List<WorkerInfo> workers) {
-        listUpdater.update(nowNs, form, workers);
+        workerListUpdater.update(nowNs, form, workers);
     }
 
     @Override
     public void workerReenabled(long nowNs, String workerId) {
         WorkerState worker = state.workers().get(workerId);
         if (worker != null) {
-            worker.reenabled();
+            worker.markReenabled();
         }
     }
 
@@ -106,10 +108,10 @@
         }
         long limitedForNs = state.rateLimiter().charge(nowNs, job);
         boolean withinQuota = limitedForNs == 0;
-        long retryAfterNs = withinQuota ? WorkerListUpdater.FIRST_RETRY_NS : limitedForNs;
+        long retryAfterNs = withinQuota ? WorkerListUpdater.INITIAL_RETRY_NS : limitedForNs;
         InFlightJob inFlight = new InFlightJob(job, jobClass, nowNs, withinQuota, retryAfterNs);
         state.jobs().put(job.id(), inFlight);
-        retries.place(nowNs, inFlight);
+        retryController.dispatch(nowNs, inFlight);
         scheduleSweep();
     }
 
@@ -117,25 +119,25 @@
     public void jobAbandoned(long nowNs, String jobId) {
         InFlightJob job = state.jobs().get(jobId);
         if (job != null) {
-            job.answered();
-            guard.release(job);
+            job.markAnswered();
+            attemptGuard.release(job);
         }
     }
 
     @Override
     public void attemptStarted(long nowNs, String jobId, int attempt) {
-        AttemptRecord out = attemptOut(jobId, attempt);
+        AttemptRecord out = attemptInFlight(jobId, attempt);
         if (out != null) {
-            state.queueingDelay().started(nowNs, out);
+            state.queueingDelay().recordStart(nowNs, out);
         }
     }
 
     @Override
     public void attemptStreaming(long nowNs, String jobId, int attempt) {
         attemptStarted(nowNs, jobId, attempt);
-        AttemptRecord out = attemptOut(jobId, attempt);
+        AttemptRecord out = attemptInFlight(jobId, attempt);
         if (out != null) {
-            out.job().streaming();
+            out.job().markStreaming();
         }
     }
 
@@ -147,40 +149,40 @@
             AttemptOutcome outcome,
             boolean last,
             LoadReport load) {
-        AttemptRecord attempt = attemptOut(jobId, number);
+        AttemptRecord attempt = attemptInFlight(jobId, number);
         if (attempt == null) {
             return;
         }
         InFlightJob job = attempt.job();
-        attempt.worker().averageUsedSlots(nowNs);
-        job.end(attempt, outcome.provesNotRun());
-        state.capacity().reported(nowNs, attempt.worker(), load);
-        state.outliers().attemptEnded(nowNs, attempt, outcome);
+        attempt.worker().updateAverageUsedSlots(nowNs);
+        job.endAttempt(attempt, outcome.provesNotRun());
+        state.capacity().recordReport(nowNs, attempt.worker(), load);
+        state.outlierDetector().recordAttemptEnd(nowNs, attempt, outcome);
         if (outcome == AttemptOutcome.SERVED) {
             state.retryBudget().earn();
-            state.serviceTime().served(nowNs, attempt);
+            state.serviceTime().recordServed(nowNs, attempt);
         }
         if (last) {
-            job.answered();
+            job.markAnswered();
         }
         if (job.isAnswered()) {
-            guard.release(job);
-        } else if (job.attemptsOut() == 0) {
-            retries.retry(nowNs, job, attempt, outcome);
+            attemptGuard.release(job);
+        } else if (job.attemptsInFlight() == 0) {
+            retryController.retry(nowNs, job, attempt, outcome);
         }
     }
 
     /** The attempt of this number if the job is known and the attempt has not ended, else null. */
-    private AttemptRecord attemptOut(String jobId, int number) {
+    private AttemptRecord attemptInFlight(String jobId, int number) {
         InFlightJob job = state.jobs().get(jobId);
-        return job == null ? null : job.attemptOut(number);
+        return job == null ? null : job.attemptInFlight(number);
     }
 
     @Override
     public void workerProbed(long nowNs, String workerId, boolean answered, LoadReport load) {
         WorkerState worker = state.workers().get(workerId);
         if (worker != null && answered) {
-            state.capacity().reported(nowNs, worker, load);
+            state.capacity().recordReport(nowNs, worker, load);
         }
     }
 
@@ -190,7 +192,8 @@
             state.context().actions().watchWorkers();
         } else if (token.equals(SWEEP_TIMER)) {
             sweepScheduled = false;
-            new ArrayList<>(state.jobs().values()).forEach(job -> retries.sweep(nowNs, job));
+            new ArrayList<>(state.jobs().values())
+                    .forEach(job -> retryController.sweep(nowNs, job));
             scheduleSweep();
         }
     }
@@ -198,7 +201,7 @@
     private void scheduleSweep() {
         if (!sweepScheduled && !state.jobs().isEmpty()) {
             sweepScheduled = true;
-            state.context().actions().startTimer(SWEEP_TIMER, RetryController.SWEEP_NS);
+            state.context().actions().startTimer(SWEEP_TIMER, RetryController.SWEEP_INTERVAL_NS);
         }
     }
 }
--- a/core/src/main/java/postgrade/policy/WorkerHealth.java
+++ b/core/src/main/java/postgrade/policy/WorkerHealth.java
@@ -6,7 +6,7 @@
 final class WorkerHealth {
 
     /** How fast the failure rate moves. */
-    private static final double RATE = 0.2;
+    private static final double SMOOTHING_RATE = 0.2;
 
     private double failureRate;
     private int ejections;
@@ -18,7 +18,7 @@
     }
 
     void recordSuccess() {
-        failureRate *= 1 - RATE;
+        failureRate *= 1 - SMOOTHING_RATE;
         ejections = 0;
     }
 
@@ -26,7 +26,7 @@
      * @param fault how far the failure is the worker's, from 0 to 1
      */
     void recordFailure(double fault) {
-        failureRate += RATE * Math.max(0, fault - failureRate);
+        failureRate += SMOOTHING_RATE * Math.max(0, fault - failureRate);
     }
 
     boolean isEjected(long nowNs) {
--- a/core/src/main/java/postgrade/policy/WorkerKindStats.java
+++ b/core/src/main/java/postgrade/policy/WorkerKindStats.java
@@ -4,10 +4,10 @@
 final class WorkerKindStats {
 
     /** How fast the reported size grows once it is known. */
-    private static final double SLOTS_RATE = 0.3;
+    private static final double SLOTS_SMOOTHING_RATE = 0.3;
 
     private double slots;
-    private double pace = 1;
+    private double serviceTimeRatio = 1;
     private long served;
     private double queueingDelayNs;
 
@@ -16,20 +16,21 @@
         return slots;
     }
 
-    void reportFreeSlots(double free) {
+    void recordFreeSlots(double free) {
         if (free > slots) {
-            slots += slots == 0 ? free : SLOTS_RATE * (free - slots);
+            slots += slots == 0 ? free : SLOTS_SMOOTHING_RATE * (free - slots);
         }
     }
 
     /** How long jobs run on this kind, relative to the mean of their class. */
-    double pace() {
-        return pace;
+    double serviceTimeRatio() {
+        return serviceTimeRatio;
     }
 
-    void recordPace(double observed) {
+    void recordServiceTimeRatio(double observed) {
         served++;
-        pace += Math.max(Smoothing.RATE, 1.0 / (served + 1)) * (observed - pace);
+        serviceTimeRatio +=
+                Math.max(Smoothing.RATE, 1.0 / (served + 1)) * (observed - serviceTimeRatio);
     }
 
     /** How long recent jobs have waited at workers of this kind before they started, on average. */
@@ -43,20 +44,20 @@
 
     void reset() {
         slots = 0;
-        pace = 1;
+        serviceTimeRatio = 1;
         served = 0;
         queueingDelayNs = 0;
     }
 
     /** Its state in the order that {@link #restore} reads. */
     double[] export() {
-        return new double[] {slots, pace, served, queueingDelayNs};
+        return new double[] {slots, serviceTimeRatio, served, queueingDelayNs};
     }
 
     /** An earlier version exports no queueing delay. */
     void restore(double[] values) {
         slots = values[0];
-        pace = values[1];
+        serviceTimeRatio = values[1];
         served = (long) values[2];
         queueingDelayNs = values.length > 3 ? values[3] : 0;
     }
--- a/core/src/main/java/postgrade/policy/WorkerListUpdater.java
+++ b/core/src/main/java/postgrade/policy/WorkerListUpdater.java
@@ -19,12 +19,12 @@
     static final String RETRY_TIMER = "ask";
 
     /** The first pause before the list is asked for again. */
-    static final long FIRST_RETRY_NS = 500_000_000L;
+    static final long INITIAL_RETRY_NS = 500_000_000L;
 
     private final PolicyContext context;
     private final WorkerTable workers;
     private final SlowStartLimiter slowStart;
-    private long retryNs = FIRST_RETRY_NS;
+    private long retryNs = INITIAL_RETRY_NS;
 
     WorkerListUpdater(PolicyContext context, WorkerTable workers, SlowStartLimiter slowStart) {
         this.context = context;
@@ -33,19 +33,19 @@
     }
 
     void update(long nowNs, WorkerListUpdateType form, List<WorkerInfo> list) {
-        slowStart.listKnown(nowNs);
+        slowStart.workerListKnown(nowNs);
         if (form == WorkerListUpdateType.FAILED) {
-            retryLater();
+            scheduleRetry();
             return;
         }
         if (form == WorkerListUpdateType.CACHED && context.settings().pollsWorkerList) {
             context.actions().watchWorkers();
         } else {
-            retryNs = FIRST_RETRY_NS;
+            retryNs = INITIAL_RETRY_NS;
         }
         boolean keepsUnlisted = context.settings().keepsUnlistedWorkers;
         if (form != WorkerListUpdateType.DELTA) {
-            workers.all().forEach(worker -> worker.unlisted(keepsUnlisted));
+            workers.all().forEach(worker -> worker.markUnlisted(keepsUnlisted));
         }
         list.forEach(info -> update(nowNs, info, keepsUnlisted));
         workers.refresh(nowNs, keepsUnlisted);
@@ -53,19 +53,19 @@
 
     private void update(long nowNs, WorkerInfo info, boolean keepsUnlisted) {
         if (info.phase() != WorkerPhase.GONE) {
-            workers.getOrAdd(info).listed(nowNs, info, keepsUnlisted);
+            workers.getOrAdd(info).updateFromList(nowNs, info, keepsUnlisted);
             return;
         }
         WorkerState known = workers.get(info.id());
         if (known != null) {
-            known.unlisted(keepsUnlisted);
+            known.markUnlisted(keepsUnlisted);
         }
     }
 
     /** After a pause that doubles with each failure, spread at random. */
-    private void retryLater() {
+    private void scheduleRetry() {
         long pauseNs = retryNs / 2 + context.random().nextLong(retryNs);
         context.actions().startTimer(RETRY_TIMER, pauseNs);
-        retryNs = Math.min(FIRST_RETRY_NS << OutlierDetector.MOST_DOUBLINGS, retryNs * 2);
+        retryNs = Math.min(INITIAL_RETRY_NS << OutlierDetector.MAX_DOUBLINGS, retryNs * 2);
     }
 }
--- a/core/src/main/java/postgrade/policy/WorkerState.java
+++ b/core/src/main/java/postgrade/policy/WorkerState.java
@@ -11,21 +11,21 @@
 final class WorkerState {
 
     /** Where unlisted workers are kept, an older list may name a drained one again for so long. */
-    private static final long DRAIN_MEMORY_NS = 60_000_000_000L;
+    private static final long DRAIN_RETENTION_NS = 60_000_000_000L;
 
     /** Of its own pace the latest so many jobs count. */
-    private static final double MOST_PACE_SAMPLES = 20;
+    private static final double MAX_SERVICE_TIME_RATIO_SAMPLES = 20;
 
     private final String id;
     private final long hash;
     private final WorkerKindStats kind;
-    private final SlowStartLedger slowStartLedger = new SlowStartLedger();
+    private final SlowStartUsage slowStartUsage = new SlowStartUsage();
     private final CapacityReport capacityReport = new CapacityReport();
     private final WorkerHealth health = new WorkerHealth();
     private WorkerInfo info;
     private boolean ready;
     private boolean listed;
-    private long drainedNs;
+    private long drainSeenNs;
     private long startedNs;
     private int inFlight;
     private double usedSlots;
@@ -33,9 +33,9 @@
     private double averageUsedSlots;
     private long averagedNs;
     private double queueingDelayNs;
-    private long queueingDelaySeenNs;
-    private double pace = 1;
-    private double paceSamples;
+    private long queueingDelayObservedNs;
+    private double serviceTimeRatio = 1;
+    private double serviceTimeRatioSamples;
     private boolean needsTrial;
 
     WorkerState(String id, WorkerKindStats kind) {
@@ -61,8 +61,8 @@
         return info;
     }
 
-    SlowStartLedger slowStartLedger() {
-        return slowStartLedger;
+    SlowStartUsage slowStartUsage() {
+        return slowStartUsage;
     }
 
     // ---- What the list says.
@@ -82,15 +82,15 @@
      *
      * @param keepsUnlisted only draining takes a worker out, and an older list may not undo a drain
      */
-    void listed(long nowNs, WorkerInfo latest, boolean keepsUnlisted) {
+    void updateFromList(long nowNs, WorkerInfo latest, boolean keepsUnlisted) {
         info = latest;
         boolean restarted = latest.startedNs() > startedNs;
         if (latest.phase() == WorkerPhase.DRAINING) {
             ready = false;
-            drainedNs = nowNs;
-        } else if (restarted || drainedNs == 0 || !keepsUnlisted) {
+            drainSeenNs = nowNs;
+        } else if (restarted || drainSeenNs == 0 || !keepsUnlisted) {
             ready = true;
-            drainedNs = 0;
+            drainSeenNs = 0;
         }
         listed = ready;
         if (restarted) {
@@ -100,7 +100,7 @@
     }
 
     /** The list names it no longer. */
-    void unlisted(boolean keepsUnlisted) {
+    void markUnlisted(boolean keepsUnlisted) {
         listed = false;
         ready &= keepsUnlisted;
     }
@@ -109,14 +109,14 @@
      * Whether nothing is lost with its state: none of our jobs are there, and it is not to be sent
      * to.
      */
-    boolean canBeForgotten(long nowNs, boolean keepsUnlisted) {
+    boolean canBeRemoved(long nowNs, boolean keepsUnlisted) {
         if (inFlight != 0) {
             return false;
         }
         if (ready) {
-            return !listed && health.ejections() > OutlierDetector.MOST_DOUBLINGS;
+            return !listed && health.ejections() > OutlierDetector.MAX_DOUBLINGS;
         }
-        return !keepsUnlisted || drainedNs == 0 || nowNs - drainedNs > DRAIN_MEMORY_NS;
+        return !keepsUnlisted || drainSeenNs == 0 || nowNs - drainSeenNs > DRAIN_RETENTION_NS;
     }
 
     // ---- What it holds of our jobs.
@@ -133,13 +133,13 @@
         return usedMemory;
     }
 
-    void occupy(Job job) {
+    void addJob(Job job) {
         inFlight++;
         usedSlots += job.slots();
         usedMemory += job.memory();
     }
 
-    void vacate(Job job) {
+    void removeJob(Job job) {
         inFlight--;
         usedSlots -= job.slots();
         usedMemory -= job.memory();
@@ -149,7 +149,7 @@
      * Updates the average of the slots that our jobs use, before their number changes or a report
      * is compared with it.
      */
-    void averageUsedSlots(long nowNs) {
+    void updateAverageUsedSlots(long nowNs) {
         double keep = Math.exp(-(nowNs - averagedNs) / CapacityEstimator.REPORT_LAG_NS);
         averageUsedSlots = averageUsedSlots * keep + usedSlots * (1 - keep);
         averagedNs = nowNs;
@@ -162,13 +162,13 @@
     }
 
     /** Its load report shows so many free slots, in which our jobs count with some lag. */
-    void reportFreeSlots(long nowNs, double freeSlots) {
-        averageUsedSlots(nowNs);
+    void recordFreeSlots(long nowNs, double freeSlots) {
+        updateAverageUsedSlots(nowNs);
         capacityReport.set(nowNs, freeSlots + averageUsedSlots);
     }
 
     /** It has rejected a job for want of capacity. */
-    void reportFull(long nowNs) {
+    void recordFull(long nowNs) {
         capacityReport.setFull(nowNs, usedSlots);
     }
 
@@ -187,29 +187,31 @@
         return queueingDelayNs;
     }
 
-    long queueingDelaySeenNs() {
-        return queueingDelaySeenNs;
+    long queueingDelayObservedNs() {
+        return queueingDelayObservedNs;
     }
 
     void recordQueueingDelay(long nowNs, double delayNs) {
         queueingDelayNs = delayNs;
-        queueingDelaySeenNs = nowNs;
+        queueingDelayObservedNs = nowNs;
     }
 
     /**
-     * How long jobs run there relative to the mean of their class, by {@link #paceSamples} jobs.
+     * How long jobs run there relative to the mean of their class, by {@link
+     * #serviceTimeRatioSamples} jobs.
      */
-    double pace() {
-        return pace;
+    double serviceTimeRatio() {
+        return serviceTimeRatio;
     }
 
-    double paceSamples() {
-        return paceSamples;
+    double serviceTimeRatioSamples() {
+        return serviceTimeRatioSamples;
     }
 
-    void recordPace(double observed) {
-        paceSamples = Math.min(MOST_PACE_SAMPLES, paceSamples + 1);
-        pace += (observed - pace) / paceSamples;
+    void recordServiceTimeRatio(double observed) {
+        serviceTimeRatioSamples =
+                Math.min(MAX_SERVICE_TIME_RATIO_SAMPLES, serviceTimeRatioSamples + 1);
+        serviceTimeRatio += (observed - serviceTimeRatio) / serviceTimeRatioSamples;
     }
 
     // ---- Resets.
@@ -219,7 +221,7 @@
         return needsTrial;
     }
 
-    void trialSent() {
+    void markTrialSent() {
         needsTrial = false;
     }
 
@@ -227,23 +229,23 @@
      * An operator has put it back, restarted. It needs a trial, as others look better while it is
      * in slow start.
      */
-    void reenabled() {
-        resetLearnt();
+    void markReenabled() {
+        resetLearned();
         needsTrial = true;
     }
 
     /** Nothing that was learnt under another deployment's settings counts any more. */
-    void deploymentChanged() {
-        resetLearnt();
-        queueingDelaySeenNs = 0;
+    void resetForNewDeployment() {
+        resetLearned();
+        queueingDelayObservedNs = 0;
         capacityReport.resetTime();
     }
 
-    private void resetLearnt() {
+    private void resetLearned() {
         health.reset();
         queueingDelayNs = 0;
-        pace = 1;
-        paceSamples = 0;
+        serviceTimeRatio = 1;
+        serviceTimeRatioSamples = 0;
         capacityReport.reset();
     }
 
@@ -253,10 +255,10 @@
             health.failureRate(),
             health.ejectedForNs(nowNs),
             health.ejections(),
-            pace,
-            paceSamples,
+            serviceTimeRatio,
+            serviceTimeRatioSamples,
             queueingDelayNs,
-            nowNs - queueingDelaySeenNs,
+            nowNs - queueingDelayObservedNs,
             capacityReport.fullAgeNs(nowNs),
             needsTrial ? 1 : 0
         };
@@ -264,10 +266,10 @@
 
     void restore(double[] values, long nowNs) {
         health.restore(values[0], nowNs + (long) values[1], (int) values[2]);
-        pace = values[3];
-        paceSamples = values[4];
+        serviceTimeRatio = values[3];
+        serviceTimeRatioSamples = values[4];
         queueingDelayNs = values[5];
-        queueingDelaySeenNs = nowNs - (long) values[6];
+        queueingDelayObservedNs = nowNs - (long) values[6];
         capacityReport.restoreFullAge(values[7], nowNs);
         needsTrial = values[8] == 1;
     }
--- a/core/src/main/java/postgrade/policy/WorkerTable.java
+++ b/core/src/main/java/postgrade/policy/WorkerTable.java
@@ -45,7 +45,7 @@
      * change of the list.
      */
     void refresh(long nowNs, boolean keepsUnlisted) {
-        workers.values().removeIf(worker -> worker.canBeForgotten(nowNs, keepsUnlisted));
+        workers.values().removeIf(worker -> worker.canBeRemoved(nowNs, keepsUnlisted));
         ready.clear();
         workers.values().stream().filter(WorkerState::isReady).forEach(ready::add);
         meanWeight =
@@ -60,12 +60,12 @@
      * What was learnt is forgotten; which workers there are, and what they hold of our jobs, is
      * not.
      */
-    void resetLearnt() {
+    void resetLearned() {
         kinds.values().forEach(WorkerKindStats::reset);
-        workers.values().forEach(WorkerState::deploymentChanged);
+        workers.values().forEach(WorkerState::resetForNewDeployment);
     }
 
-    void exportKinds(FiguresConsumer consumer) {
+    void exportKinds(StateEntryConsumer consumer) {
         kinds.forEach((name, kind) -> consumer.accept(name, kind.export()));
     }
 
@@ -76,7 +76,7 @@
         }
     }
 
-    void exportWorkers(long nowNs, FiguresConsumer consumer) {
+    void exportWorkers(long nowNs, StateEntryConsumer consumer) {
         workers.forEach((id, worker) -> consumer.accept(id, worker.export(nowNs)));
     }
 
@@ -88,10 +88,10 @@
     }
 
     /** Exports the work sent to workers in slow start; those without any are left out. */
-    void exportSlowStarts(long nowNs, FiguresConsumer consumer) {
+    void exportSlowStartUsage(long nowNs, StateEntryConsumer consumer) {
         workers.forEach(
                 (id, worker) -> {
-                    double[] sent = worker.slowStartLedger().export(nowNs);
+                    double[] sent = worker.slowStartUsage().export(nowNs);
                     if (sent.length > 0) {
                         consumer.accept(id, sent);
                     }
@@ -99,10 +99,10 @@
     }
 
     /** All of it counts here too: a part of a worker's budget is used, and none of it twice. */
-    void restoreSlowStart(long nowNs, String id, double[] values) {
+    void restoreSlowStartUsage(long nowNs, String id, double[] values) {
         WorkerState worker = workers.get(id);
         if (worker != null) {
-            worker.slowStartLedger().restore(values, nowNs);
+            worker.slowStartUsage().restore(values, nowNs);
         }
     }
 }
--- a/core/src/main/java/postgrade/policy/api/Deployment.java
+++ b/core/src/main/java/postgrade/policy/api/Deployment.java
@@ -14,13 +14,13 @@
  *
  * @param names the names of each sort; a sort of which the settings name nothing is absent
  */
-public record Deployment(Map<Sort, Set<String>> names) {
+public record Deployment(Map<NameType, Set<String>> names) {
 
     /**
      * Sorts of names that identify a deployment. Classes do not: a deployment may replace all of
      * its own at once.
      */
-    public enum Sort {
+    public enum NameType {
         TIER,
         KIND,
         ZONE,
@@ -31,8 +31,8 @@
     public static final Deployment UNNAMED = new Deployment(Map.of());
 
     /** This with these names of a sort, in place of those it had. */
-    public Deployment with(Sort sort, Collection<String> some) {
-        Map<Sort, Set<String>> all = new TreeMap<>(names);
+    public Deployment with(NameType sort, Collection<String> some) {
+        Map<NameType, Set<String>> all = new TreeMap<>(names);
         if (some.isEmpty()) {
             all.remove(sort);
         } else {
--- a/core/src/main/java/postgrade/policy/api/JobClass.java
+++ b/core/src/main/java/postgrade/policy/api/JobClass.java
@@ -34,11 +34,12 @@
     /** Checks the name, the times and the weight. */
     public JobClass {
         Objects.requireNonNull(name, "class name");
-        Requirements.require(
+        Preconditions.checkArgument(
                 deduplicationWindowNs >= 0, "windowNs of class " + name + " must not be negative");
-        Requirements.require(
+        Preconditions.checkArgument(
                 latencyObjectiveNs >= 0, "aimNs of class " + name + " must not be negative");
-        Requirements.require(priorityWeight > 0, "worth of class " + name + " must be positive");
+        Preconditions.checkArgument(
+                priorityWeight > 0, "worth of class " + name + " must be positive");
     }
 
     /** A class with an objective of one second, whose repeats are dropped nowhere. */
--- a/core/src/main/java/postgrade/policy/api/LoadReport.java
+++ b/core/src/main/java/postgrade/policy/api/LoadReport.java
@@ -8,7 +8,7 @@
  * @param inFlight jobs that run there
  * @param busy the share of its capacity in use
  */
-public record LoadReport(double freeSlots, double queued, double inFlight, double busy) {
+public record LoadReport(double freeSlots, double queued, double inFlight, double utilization) {
 
     /** A report without any figure. */
     public static final LoadReport NONE =
--- a/core/src/main/java/postgrade/policy/api/PolicySettings.java
+++ b/core/src/main/java/postgrade/policy/api/PolicySettings.java
@@ -27,7 +27,7 @@
     public final List<Tenant> tenants;
 
     /** How many token buckets are kept of tenants, and as many of keys. */
-    public final int mostBuckets;
+    public final int maxBuckets;
 
     /** Whether the list of workers is told only when asked for. */
     public final boolean pollsWorkerList;
@@ -80,7 +80,7 @@
         zone = builder.zone;
         classes = List.copyOf(builder.classes);
         tenants = List.copyOf(builder.tenants);
-        mostBuckets = builder.mostBuckets;
+        maxBuckets = builder.maxBuckets;
         pollsWorkerList = builder.pollsWorkerList;
         keepsUnlistedWorkers = builder.keepsUnlistedWorkers;
         maxAttempts = builder.maxAttempts;
@@ -97,7 +97,7 @@
         tickNs = builder.tickNs;
         deployment =
                 builder.deployment.with(
-                        Deployment.Sort.TENANT, tenants.stream().map(Tenant::name).toList());
+                        Deployment.NameType.TENANT, tenants.stream().map(Tenant::name).toList());
     }
 
     /**
@@ -119,7 +119,7 @@
         private Deployment deployment = Deployment.UNNAMED;
         private List<JobClass> classes = List.of();
         private List<Tenant> tenants = List.of();
-        private int mostBuckets = 4096;
+        private int maxBuckets = 4096;
         private boolean pollsWorkerList;
         private boolean keepsUnlistedWorkers;
         private int maxAttempts = 3;
@@ -137,7 +137,7 @@
 
         /** How many dispatchers the deployment has. */
         public Builder dispatcherCount(int value) {
-            Requirements.require(value > 0, "gateways must be positive");
+            Preconditions.checkArgument(value > 0, "gateways must be positive");
             dispatcherCount = value;
             return this;
         }
@@ -155,14 +155,14 @@
         }
 
         /** What the deployment calls its tiers, kinds of machine and zones. */
-        public Builder named(Deployment.Sort sort, List<String> names) {
+        public Builder deploymentNames(Deployment.NameType sort, List<String> names) {
             deployment = deployment.with(sort, names);
             return this;
         }
 
         /** The job classes; at least one. */
         public Builder classes(List<JobClass> value) {
-            Requirements.require(!value.isEmpty(), "classes must not be empty");
+            Preconditions.checkArgument(!value.isEmpty(), "classes must not be empty");
             classes = value;
             return this;
         }
@@ -174,9 +174,9 @@
         }
 
         /** Buckets kept for each kind of bucket; 0 keeps none, so every bucket is always full. */
-        public Builder mostBuckets(int value) {
-            Requirements.require(value >= 0, "tableSize must not be negative");
-            mostBuckets = value;
+        public Builder maxBuckets(int value) {
+            Preconditions.checkArgument(value >= 0, "tableSize must not be negative");
+            maxBuckets = value;
             return this;
         }
 
@@ -194,7 +194,7 @@
 
         /** How many attempts a job may have. */
         public Builder maxAttempts(int value) {
-            Requirements.require(value > 0, "maxAttempts must be positive");
+            Preconditions.checkArgument(value > 0, "maxAttempts must be positive");
             maxAttempts = value;
             return this;
         }
@@ -215,7 +215,7 @@
          * Workers may be probed; the fee is what one probe for each job would take off the result.
          */
         public Builder probes(boolean allowed, double fee) {
-            Requirements.require(fee >= 0, "probeFee must not be negative");
+            Preconditions.checkArgument(fee >= 0, "probeFee must not be negative");
             allowsProbes = allowed;
             probeFee = fee;
             return this;
@@ -223,7 +223,7 @@
 
         /** The longest retry-after that clients observe; 0 where they are given none. */
         public Builder maxRetryAfterNs(long value) {
-            Requirements.require(value >= 0, "maxRetryAfterNs must not be negative");
+            Preconditions.checkArgument(value >= 0, "maxRetryAfterNs must not be negative");
             maxRetryAfterNs = value;
             return this;
         }
@@ -236,10 +236,10 @@
 
         /** A starting worker can do this part of its work, all of it after {@code warmWithin}. */
         public Builder slowStart(double initialShare, long slowStart) {
-            Requirements.require(
+            Preconditions.checkArgument(
                     initialShare > 0 && initialShare <= 1,
                     "coldShare must lie above 0 and not above 1");
-            Requirements.require(slowStart >= 0, "warmWithinNs must not be negative");
+            Preconditions.checkArgument(slowStart >= 0, "warmWithinNs must not be negative");
             slowStartInitialShare = initialShare;
             slowStartNs = slowStart;
             return this;
@@ -249,8 +249,8 @@
          * A cold worker sent more than this multiple of what it can do for this time falls over.
          */
         public Builder overload(double multiple, long windowNs) {
-            Requirements.require(multiple > 0, "fallMultiple must be positive");
-            Requirements.require(windowNs > 0, "fallNs must be positive");
+            Preconditions.checkArgument(multiple > 0, "fallMultiple must be positive");
+            Preconditions.checkArgument(windowNs > 0, "fallNs must be positive");
             overloadMultiple = multiple;
             overloadWindowNs = windowNs;
             return this;
@@ -258,15 +258,15 @@
 
         /** The shortest time between two events handed over. */
         public Builder tickNs(long value) {
-            Requirements.require(value >= 0, "tickNs must not be negative");
+            Preconditions.checkArgument(value >= 0, "tickNs must not be negative");
             tickNs = value;
             return this;
         }
 
         /** The settings as given so far. */
         public PolicySettings build() {
-            Requirements.require(!classes.isEmpty(), "classes must not be empty");
-            Requirements.require(
+            Preconditions.checkArgument(!classes.isEmpty(), "classes must not be empty");
+            Preconditions.checkArgument(
                     dispatcherIndex >= 0 && dispatcherIndex < dispatcherCount,
                     "gateway must lie between 0 and gateways - 1");
             return new PolicySettings(this);
--- a/core/src/main/java/postgrade/policy/api/Requirements.java
+++ b/core/src/main/java/postgrade/policy/api/Preconditions.java
@@ -1,12 +1,12 @@
 package postgrade.policy.api;
 
 /** Checks of arguments. */
-final class Requirements {
+final class Preconditions {
 
-    private Requirements() {}
+    private Preconditions() {}
 
     /** Throws an {@link IllegalArgumentException} with this message unless the condition holds. */
-    static void require(boolean condition, String message) {
+    static void checkArgument(boolean condition, String message) {
         if (!condition) {
             throw new IllegalArgumentException(message);
         }
--- a/core/src/main/java/postgrade/policy/api/Tenant.java
+++ b/core/src/main/java/postgrade/policy/api/Tenant.java
@@ -9,6 +9,7 @@
 public record Tenant(String name, double ratePerS) {
     /** Checks the rate. */
     public Tenant {
-        Requirements.require(ratePerS > 0, "ratePerS of tenant " + name + " must be positive");
+        Preconditions.checkArgument(
+                ratePerS > 0, "ratePerS of tenant " + name + " must be positive");
     }
 }
--- a/core/src/main/java/postgrade/settings/SettingsReader.java
+++ b/core/src/main/java/postgrade/settings/SettingsReader.java
@@ -17,7 +17,7 @@
  */
 public final class SettingsReader {
 
-    private static final int DEFAULT_MOST_ATTEMPTS = 3;
+    private static final int DEFAULT_MAX_ATTEMPTS = 3;
     private static final double DEFAULT_OVERLOAD_WINDOW_NS = 1e9;
     private static final double DEFAULT_TICK_NS = 1e6;
 
@@ -50,14 +50,14 @@
                 .dispatcherCount((int) number("balancers", 1))
                 .dispatcherIndex((int) number("index", 0))
                 .zone(text("zone", ""))
-                .named(Deployment.Sort.TIER, list("tiers"))
-                .named(Deployment.Sort.KIND, workerKinds)
-                .named(Deployment.Sort.ZONE, list("dcs"))
+                .deploymentNames(Deployment.NameType.TIER, list("tiers"))
+                .deploymentNames(Deployment.NameType.KIND, workerKinds)
+                .deploymentNames(Deployment.NameType.ZONE, list("dcs"))
                 .classes(jobClasses(workerKinds))
                 .tenants(tenants())
                 .pollsWorkerList("ask".equals(pairs.get("discovery")))
                 .keepsUnlistedWorkers(flag("obligations.droppedStayOpen"))
-                .maxAttempts((int) number("limits.maxAttempts", DEFAULT_MOST_ATTEMPTS))
+                .maxAttempts((int) number("limits.maxAttempts", DEFAULT_MAX_ATTEMPTS))
                 .allowsConcurrentAttempts(flag("limits.mayDuplicate"))
                 .allowsCancellation(flag("limits.cancel"))
                 .probes(usesProbes(), number("fees.probe", 0))
@@ -143,7 +143,7 @@
             case "read_like" -> Idempotency.IDEMPOTENT;
             case "idempotency_key" -> Idempotency.DEDUPLICATED;
             case "non_idempotent" -> Idempotency.NOT_IDEMPOTENT;
-            default -> throw cannotBe(key, value, null);
+            default -> throw invalidValue(key, value, null);
         };
     }
 
@@ -153,7 +153,7 @@
             case "all" -> DeduplicationScope.ALL;
             case "zone" -> DeduplicationScope.ZONE;
             case "cell" -> DeduplicationScope.CELL;
-            default -> throw cannotBe(key, value, null);
+            default -> throw invalidValue(key, value, null);
         };
     }
 
@@ -204,11 +204,11 @@
         try {
             return Double.parseDouble(value);
         } catch (NumberFormatException cause) {
-            throw cannotBe(key, value, cause);
+            throw invalidValue(key, value, cause);
         }
     }
 
-    private static InvalidSettingException cannotBe(String key, String value, Throwable cause) {
+    private static InvalidSettingException invalidValue(String key, String value, Throwable cause) {
         return new InvalidSettingException(key, "cannot be " + value, cause);
     }
 
--- a/core/src/test/java/postgrade/policy/DeploymentChangeTest.java
+++ b/core/src/test/java/postgrade/policy/DeploymentChangeTest.java
@@ -61,20 +61,20 @@
                     "jobs",
                     "averageUsedSlots",
                     "averagedNs",
-                    "slowStartLedger",
+                    "slowStartUsage",
                     "id",
                     "hash",
                     "info");
 
-    private final Recorder out = new Recorder();
+    private final RecordingActions out = new RecordingActions();
     private int jobs;
 
     /** Both call a class, a tenant, a machine kind and a zone the same. */
     private static PolicySettings.Builder first() {
         return PolicySettings.builder()
-                .named(Deployment.Sort.TIER, List.of("shops"))
-                .named(Deployment.Sort.KIND, List.of("k", "k1"))
-                .named(Deployment.Sort.ZONE, List.of("z"))
+                .deploymentNames(Deployment.NameType.TIER, List.of("shops"))
+                .deploymentNames(Deployment.NameType.KIND, List.of("k", "k1"))
+                .deploymentNames(Deployment.NameType.ZONE, List.of("z"))
                 .classes(
                         List.of(
                                 JobClass.of("both", Idempotency.IDEMPOTENT),
@@ -89,9 +89,9 @@
 
     private static PolicySettings.Builder second() {
         return PolicySettings.builder()
-                .named(Deployment.Sort.TIER, List.of("yards"))
-                .named(Deployment.Sort.KIND, List.of("k", "k2"))
-                .named(Deployment.Sort.ZONE, List.of("z"))
+                .deploymentNames(Deployment.NameType.TIER, List.of("yards"))
+                .deploymentNames(Deployment.NameType.KIND, List.of("k", "k2"))
+                .deploymentNames(Deployment.NameType.ZONE, List.of("z"))
                 .classes(
                         List.of(
                                 JobClass.of("second", Idempotency.IDEMPOTENT),
@@ -186,7 +186,7 @@
                 LATER,
                 first().classes(List.of(JobClass.of("fresh", Idempotency.IDEMPOTENT))).build());
         assertEquals(
-                JobClassStats.UNKNOWN_SERVICE_TIME_NS, state(d).classes().longestServiceTimeNs());
+                JobClassStats.DEFAULT_SERVICE_TIME_NS, state(d).classes().longestServiceTimeNs());
     }
 
     @Test
@@ -256,10 +256,10 @@
     }
 
     @ParameterizedTest
-    @EnumSource(Deployment.Sort.class)
-    void oneSortOfNamesWithNoneInCommonTellsAnotherDeployment(Deployment.Sort sort) {
+    @EnumSource(Deployment.NameType.class)
+    void oneSortOfNamesWithNoneInCommonTellsAnotherDeployment(Deployment.NameType sort) {
         Deployment a = Deployment.UNNAMED;
-        for (Deployment.Sort s : Deployment.Sort.values()) {
+        for (Deployment.NameType s : Deployment.NameType.values()) {
             a = a.with(s, List.of("x", "y"));
         }
         assertTrue(a.isSameAs(a.with(sort, List.of("y", "z"))), "names come and go");
--- a/core/src/test/java/postgrade/policy/DrainTest.java
+++ b/core/src/test/java/postgrade/policy/DrainTest.java
@@ -18,18 +18,18 @@
 
     @Test
     void drainingGoneAndUnlistedWorkersGetNothing() {
-        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2", "s3", "s4");
+        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2", "s3", "s4");
         d.workersUpdated(
                 1,
                 WorkerListUpdateType.DELTA,
                 List.of(worker("s1", WorkerPhase.DRAINING, 0), worker("s2", WorkerPhase.GONE, 0)));
         for (int i = 0; i < 8; i++) {
-            String to = out.sentTo(job(d, 2, "safe"));
+            String to = actions.sentTo(submit(d, 2, "safe"));
             assertTrue(to.equals("s3") || to.equals("s4"), to);
         }
         d.workersUpdated(3, WorkerListUpdateType.FULL, List.of(worker("s3", WorkerPhase.READY, 0)));
         for (int i = 0; i < 8; i++) {
-            assertEquals("s3", out.sentTo(job(d, 4, "safe")));
+            assertEquals("s3", actions.sentTo(submit(d, 4, "safe")));
         }
     }
 
@@ -40,7 +40,7 @@
     @Test
     void whereOnlyDrainingBindsDroppedWorkersStayOpenAndDrainedOnesShut() {
         TokenBucketDispatchPolicy d =
-                start(settings().keepsUnlistedWorkers(true).build(), "s1", "s2", "s3");
+                newPolicy(settings().keepsUnlistedWorkers(true).build(), "s1", "s2", "s3");
         d.workersUpdated(
                 1, WorkerListUpdateType.DELTA, List.of(worker("s1", WorkerPhase.DRAINING, 0)));
         d.workersUpdated(
@@ -50,14 +50,16 @@
         d.workersUpdated(3, WorkerListUpdateType.FULL, List.of());
         Set<String> to = new TreeSet<>();
         for (int i = 0; i < 8; i++) {
-            to.add(out.sentTo(job(d, 4, "safe")));
+            to.add(actions.sentTo(submit(d, 4, "safe")));
         }
         assertEquals(Set.of("s2", "s3"), to, "named once and not drained");
         d.workersUpdated(5, WorkerListUpdateType.FULL, List.of(worker("s1", WorkerPhase.READY, 0)));
         assertNotEquals(
-                "s1", out.sentTo(job(d, 6, "safe")), "an older list does not undo the drain");
+                "s1",
+                actions.sentTo(submit(d, 6, "safe")),
+                "an older list does not undo the drain");
         d.workersUpdated(7, WorkerListUpdateType.FULL, List.of(worker("s1", WorkerPhase.READY, 6)));
-        assertEquals("s1", out.sentTo(job(d, 8, "safe")), "a new start does");
+        assertEquals("s1", actions.sentTo(submit(d, 8, "safe")), "a new start does");
     }
 
     /**
@@ -67,7 +69,7 @@
     @Test
     void droppedWorkerThatCannotBeReachedIsForgotten() {
         TokenBucketDispatchPolicy d =
-                start(settings().keepsUnlistedWorkers(true).build(), "s1", "s2", "s3");
+                newPolicy(settings().keepsUnlistedWorkers(true).build(), "s1", "s2", "s3");
         d.workersUpdated(
                 1,
                 WorkerListUpdateType.FULL,
@@ -75,8 +77,8 @@
         for (int round = 1; round <= 40; round++) {
             long nowNs = round * 2 * SECOND;
             for (int i = 0; i < 4; i++) {
-                String id = job(d, nowNs, "safe");
-                boolean dead = out.sentTo(id).equals("s1");
+                String id = submit(d, nowNs, "safe");
+                boolean dead = actions.sentTo(id).equals("s1");
                 d.attemptFinished(
                         nowNs,
                         id,
@@ -87,10 +89,10 @@
             }
         }
         d.workersUpdated(100 * SECOND, WorkerListUpdateType.DELTA, List.of());
-        long before = out.sendsTo("s1"::equals);
+        long before = actions.sendsTo("s1"::equals);
         for (int i = 0; i < 30; i++) {
-            job(d, 200 * SECOND, "safe");
+            submit(d, 200 * SECOND, "safe");
         }
-        assertEquals(before, out.sendsTo("s1"::equals));
+        assertEquals(before, actions.sendsTo("s1"::equals));
     }
 }
--- a/core/src/test/java/postgrade/policy/EarlierVersionTest.java
+++ b/core/src/test/java/postgrade/policy/EarlierVersionTest.java
@@ -37,8 +37,8 @@
         return PolicySettings.builder()
                 .dispatcherCount(4)
                 .dispatcherIndex(1)
-                .named(Deployment.Sort.KIND, List.of("k1", "k2"))
-                .named(Deployment.Sort.ZONE, List.of("z"))
+                .deploymentNames(Deployment.NameType.KIND, List.of("k1", "k2"))
+                .deploymentNames(Deployment.NameType.ZONE, List.of("z"))
                 .classes(
                         List.of(
                                 JobClass.of("price", Idempotency.IDEMPOTENT),
@@ -79,7 +79,7 @@
     @Test
     void whatTheEarlierVersionExportedIsExportedAgainUnchanged() throws IOException {
         TokenBucketDispatchPolicy policy =
-                new TokenBucketDispatchPolicy(settings(), 7, new Recorder());
+                new TokenBucketDispatchPolicy(settings(), 7, new RecordingActions());
         List<WorkerInfo> workers = new ArrayList<>();
         for (int i = 1; i <= 4; i++) {
             workers.add(
--- a/core/src/test/java/postgrade/policy/FinalAnswerTest.java
+++ b/core/src/test/java/postgrade/policy/FinalAnswerTest.java
@@ -11,39 +11,39 @@
 
     @Test
     void jobUnansweredAtItsDeadlineFailsOnceAndIsNotSentAgain() {
-        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2");
-        String id = job(d, 0, "unsafe");
+        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2");
+        String id = submit(d, 0, "unsafe");
         d.attemptFinished(20 * SECOND, id, 0, AttemptOutcome.TIMEOUT, false, LoadReport.NONE);
         d.timerFired(21 * SECOND, "sweep");
         d.jobAbandoned(21 * SECOND, id);
-        assertEquals(1, out.count("fail " + id));
-        assertEquals(1, out.count("send " + id));
-        assertEquals(0, out.count("refuse " + id));
+        assertEquals(1, actions.count("fail " + id));
+        assertEquals(1, actions.count("send " + id));
+        assertEquals(0, actions.count("refuse " + id));
     }
 
     @Test
     void lateRepeatedAndUnknownEventsAreIgnored() {
-        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2");
-        String id = job(d, 0, "safe");
+        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2");
+        String id = submit(d, 0, "safe");
         d.attemptFinished(1, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
-        int said = out.said.size();
+        int said = actions.recorded.size();
         d.attemptFinished(2, id, 0, AttemptOutcome.RESET, false, LoadReport.NONE);
         d.attemptFinished(2, "nobody", 3, AttemptOutcome.FULL, false, LoadReport.NONE);
         d.attemptStarted(2, id, 0);
         d.attemptProgressed(2, "nobody", -1, 0.5);
         d.attemptStreaming(2, "nobody", 0);
         d.jobAbandoned(2, id);
-        d.workerProbed(2, "nobody", true, FREE);
+        d.workerProbed(2, "nobody", true, IDLE_REPORT);
         d.timerFired(2, "unheard of");
-        assertEquals(said, out.said.size());
+        assertEquals(said, actions.recorded.size());
     }
 
     @Test
     void streamThatHasBegunHasNoDeadline() {
-        TokenBucketDispatchPolicy d = start(settings().build(), "s1");
-        String id = job(d, 0, "stream");
+        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1");
+        String id = submit(d, 0, "stream");
         d.attemptStreaming(SECOND, id, 0);
         d.timerFired(30 * SECOND, "sweep");
-        assertEquals(0, out.count("fail") + out.count("refuse"));
+        assertEquals(0, actions.count("fail") + actions.count("refuse"));
     }
 }
--- a/core/src/test/java/postgrade/policy/FleetSimulation.java
+++ b/core/src/test/java/postgrade/policy/FleetSimulation.java
@@ -27,9 +27,9 @@
     static final long SECOND = 1_000 * MS;
 
     /** One call that came to a worker: when, and how long it runs at full pace. */
-    record Call(long atNs, double workNs) {}
+    record ReceivedJob(long atNs, double serviceTimeNs) {}
 
-    private record Event(long atNs, long order, Runnable does) implements Comparable<Event> {
+    private record Event(long atNs, long order, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(Event o) {
             return atNs != o.atNs ? Long.compare(atNs, o.atNs) : Long.compare(order, o.order);
@@ -37,77 +37,77 @@
     }
 
     /** Runs first what came first, in so many slots; while cold more slowly. */
-    final class Machine {
+    final class SimulatedWorker {
         final String id;
         final int slots;
-        long bornNs;
+        long startedNs;
         int running;
         final ArrayDeque<Runnable> queue = new ArrayDeque<>();
-        final List<Call> calls = new ArrayList<>();
+        final List<ReceivedJob> received = new ArrayList<>();
 
-        Machine(String id, int slots) {
+        SimulatedWorker(String id, int slots) {
             this.id = id;
             this.slots = slots;
         }
 
-        double warmth(long nowNs) {
-            return bornNs == 0
+        double slowStartShare(long nowNs) {
+            return startedNs == 0
                     ? 1
                     : Math.min(
                             1,
-                            set.slowStartInitialShare
-                                    + (1 - set.slowStartInitialShare)
-                                            * Math.max(0, nowNs - bornNs)
-                                            / set.slowStartNs);
+                            commonSettings.slowStartInitialShare
+                                    + (1 - commonSettings.slowStartInitialShare)
+                                            * Math.max(0, nowNs - startedNs)
+                                            / commonSettings.slowStartNs);
         }
 
         void restart() {
-            bornNs = now;
+            startedNs = now;
             queue.clear(); // What it held ends with it, and its gateways hear of no end: their
             // limit tells them.
-            calls.clear();
+            received.clear();
         }
 
-        WorkerInfo listed() {
-            return new WorkerInfo(id, "z", "k", 0, WorkerPhase.READY, 1, bornNs);
+        WorkerInfo info() {
+            return new WorkerInfo(id, "z", "k", 0, WorkerPhase.READY, 1, startedNs);
         }
     }
 
-    private final class Gateway implements PolicyActions {
+    private final class Dispatcher implements PolicyActions {
         final int index;
-        TokenBucketDispatchPolicy module;
+        TokenBucketDispatchPolicy policy;
 
-        Gateway(int index) {
+        Dispatcher(int index) {
             this.index = index;
-            begin(WorkerListUpdateType.FULL);
+            start(WorkerListUpdateType.FULL);
         }
 
-        void begin(WorkerListUpdateType form) {
-            module = new TokenBucketDispatchPolicy(settings(index), random.nextLong(), this);
-            list(form);
+        void start(WorkerListUpdateType form) {
+            policy = new TokenBucketDispatchPolicy(settings(index), random.nextLong(), this);
+            updateWorkerList(form);
         }
 
-        void list(WorkerListUpdateType form) {
-            module.workersUpdated(
-                    now, form, machines.values().stream().map(Machine::listed).toList());
+        void updateWorkerList(WorkerListUpdateType form) {
+            policy.workersUpdated(
+                    now, form, workers.values().stream().map(SimulatedWorker::info).toList());
         }
 
         @Override
         public void startAttempt(String jobId, String workerId, long limitNs) {
-            TokenBucketDispatchPolicy by = module;
+            TokenBucketDispatchPolicy by = policy;
             int attempt = attempts.merge(jobId, 1, Integer::sum) - 1;
-            Machine m = machines.get(workerId);
-            double work = work(jobId);
-            m.calls.add(new Call(now, work));
-            long born = m.bornNs;
+            SimulatedWorker m = workers.get(workerId);
+            double work = serviceTimeNs(jobId);
+            m.received.add(new ReceivedJob(now, work));
+            long born = m.startedNs;
             Runnable runs =
                     () -> {
                         m.running++;
                         by.attemptStarted(now, jobId, attempt);
-                        at(
-                                now + (long) (work / m.warmth(now)),
+                        schedule(
+                                now + (long) (work / m.slowStartShare(now)),
                                 () -> {
-                                    if (m.bornNs == born) {
+                                    if (m.startedNs == born) {
                                         m.running--;
                                         by.attemptFinished(
                                                 now,
@@ -123,7 +123,7 @@
                                 });
                     };
             // After the module's own turn, as over a network.
-            at(
+            schedule(
                     now + MS,
                     () -> {
                         if (m.running < m.slots) {
@@ -137,8 +137,8 @@
         @Override
         public void cancelAttempt(String jobId, int attempt) {
             // Workers run what was called off all the same, in the worst case.
-            TokenBucketDispatchPolicy by = module;
-            at(
+            TokenBucketDispatchPolicy by = policy;
+            schedule(
                     now + MS,
                     () ->
                             by.attemptFinished(
@@ -152,12 +152,12 @@
 
         @Override
         public void reject(String jobId, long retryAfterNs) {
-            refused++;
+            rejected++;
         }
 
         @Override
         public void fail(String jobId) {
-            refused++;
+            rejected++;
         }
 
         @Override
@@ -165,8 +165,8 @@
 
         @Override
         public void startTimer(String token, long inNs) {
-            TokenBucketDispatchPolicy by = module;
-            at(now + inNs, () -> by.timerFired(now, token));
+            TokenBucketDispatchPolicy by = policy;
+            schedule(now + inNs, () -> by.timerFired(now, token));
         }
 
         @Override
@@ -175,17 +175,17 @@
 
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final SplittableRandom random;
-    private final PolicySettings set;
-    private final java.util.function.IntFunction<PolicySettings> settings;
-    private final Map<String, Double> meansNs;
-    private final double cv;
-    final Map<String, Machine> machines = new HashMap<>();
-    private final List<Gateway> gateways = new ArrayList<>();
+    private final PolicySettings commonSettings;
+    private final java.util.function.IntFunction<PolicySettings> settingsByIndex;
+    private final Map<String, Double> meanServiceTimesNs;
+    private final double variationCoefficient;
+    final Map<String, SimulatedWorker> workers = new HashMap<>();
+    private final List<Dispatcher> dispatchers = new ArrayList<>();
     private final Map<String, Integer> attempts = new HashMap<>();
-    private final Map<String, Double> works = new HashMap<>();
+    private final Map<String, Double> serviceTimesNs = new HashMap<>();
     private long order;
     private long jobs;
-    long refused;
+    long rejected;
     long now;
 
     /**
@@ -196,83 +196,88 @@
     FleetSimulation(
             long seed,
             java.util.function.IntFunction<PolicySettings> settings,
-            int workers,
+            int workerCount,
             int slots,
             Map<String, Double> meansNs,
             double cv) {
         random = new SplittableRandom(seed);
-        this.settings = settings;
-        set = settings.apply(0);
-        this.meansNs = meansNs;
-        this.cv = cv;
-        for (int i = 0; i < workers; i++) {
-            machines.put("w" + i, new Machine("w" + i, slots));
+        this.settingsByIndex = settings;
+        commonSettings = settings.apply(0);
+        this.meanServiceTimesNs = meansNs;
+        this.variationCoefficient = cv;
+        for (int i = 0; i < workerCount; i++) {
+            workers.put("w" + i, new SimulatedWorker("w" + i, slots));
         }
-        for (int i = 0; i < set.dispatcherCount; i++) {
-            gateways.add(new Gateway(i));
+        for (int i = 0; i < commonSettings.dispatcherCount; i++) {
+            dispatchers.add(new Dispatcher(i));
         }
     }
 
     private PolicySettings settings(int index) {
-        return settings.apply(index);
+        return settingsByIndex.apply(index);
     }
 
-    private double work(String jobId) {
-        return works.get(jobId);
+    private double serviceTimeNs(String jobId) {
+        return serviceTimesNs.get(jobId);
     }
 
-    void at(long atNs, Runnable does) {
+    void schedule(long atNs, Runnable does) {
         events.add(new Event(atNs, order++, does));
     }
 
     /** Jobs from now on until then, at random times; some gateways get several times the mean. */
-    void load(double perSecond, long untilNs) {
+    void generateLoad(double perSecond, long untilNs) {
         long next = now + (long) (-Math.log(1 - random.nextDouble()) / perSecond * SECOND);
         if (next < untilNs) {
-            at(
+            schedule(
                     next,
                     () -> {
-                        job();
-                        load(perSecond, untilNs);
+                        submitJob();
+                        generateLoad(perSecond, untilNs);
                     });
         }
     }
 
-    private void job() {
-        JobClass c = set.classes.get(random.nextInt(set.classes.size()));
+    private void submitJob() {
+        JobClass c = commonSettings.classes.get(random.nextInt(commonSettings.classes.size()));
         String id = "j" + jobs++;
-        double sigma2 = Math.log(1 + cv * cv);
-        works.put(id, meansNs.get(c.name()) * Math.exp(Math.sqrt(sigma2) * gauss() - sigma2 / 2));
+        double sigma2 = Math.log(1 + variationCoefficient * variationCoefficient);
+        serviceTimesNs.put(
+                id,
+                meanServiceTimesNs.get(c.name())
+                        * Math.exp(Math.sqrt(sigma2) * nextGaussian() - sigma2 / 2));
         double at = random.nextDouble();
-        Gateway g = gateways.get((int) (at * at * gateways.size()));
-        g.module.jobArrived(now, new Job(id, c.name(), "t", null, 5 * SECOND, 1, 0));
+        Dispatcher g = dispatchers.get((int) (at * at * dispatchers.size()));
+        g.policy.jobArrived(now, new Job(id, c.name(), "t", null, 5 * SECOND, 1, 0));
     }
 
-    private double gauss() {
+    private double nextGaussian() {
         return Math.sqrt(-2 * Math.log(1 - random.nextDouble()))
                 * Math.cos(2 * Math.PI * random.nextDouble());
     }
 
     /** The worker's process starts anew; each gateway hears of it within this time. */
-    void restart(String worker, long toldWithinNs) {
-        machines.get(worker).restart();
-        for (Gateway g : gateways) {
-            at(now + random.nextLong(toldWithinNs), () -> g.list(WorkerListUpdateType.DELTA));
+    void restartWorker(String worker, long toldWithinNs) {
+        workers.get(worker).restart();
+        for (Dispatcher g : dispatchers) {
+            schedule(
+                    now + random.nextLong(toldWithinNs),
+                    () -> g.updateWorkerList(WorkerListUpdateType.DELTA));
         }
     }
 
     /** So large a part of the gateways begins again with nothing but the list. */
-    void restartGateways(double part) {
-        gateways.stream()
+    void restartDispatchers(double part) {
+        dispatchers.stream()
                 .filter(g -> random.nextDouble() < part)
-                .forEach(g -> g.begin(WorkerListUpdateType.CACHED));
+                .forEach(g -> g.start(WorkerListUpdateType.CACHED));
     }
 
     void run(long untilNs) {
         while (!events.isEmpty() && events.peek().atNs <= untilNs) {
             Event e = events.poll();
             now = e.atNs;
-            e.does.run();
+            e.action.run();
         }
         now = untilNs;
     }
--- a/core/src/test/java/postgrade/policy/IdempotencyTest.java
+++ b/core/src/test/java/postgrade/policy/IdempotencyTest.java
@@ -31,15 +31,15 @@
     @Test
     void aConnectionThatCouldNotBeBegunSendsTheJobElsewhereAndEjectsNobody() {
         String[] workers = {"s1", "s2", "s3", "s4", "s5"};
-        TokenBucketDispatchPolicy d = start(settings().build(), workers);
-        String unsent = job(d, 0, "unsafe");
-        String first = out.sentTo(unsent);
+        TokenBucketDispatchPolicy d = newPolicy(settings().build(), workers);
+        String unsent = submit(d, 0, "unsafe");
+        String first = actions.sentTo(unsent);
         d.attemptFinished(1, unsent, 0, AttemptOutcome.NO_SOCKET, false, LoadReport.NONE);
-        assertNotEquals(first, out.sentTo(unsent), "it has run nowhere");
-        d.attemptFinished(2, unsent, 1, AttemptOutcome.SERVED, true, FREE);
+        assertNotEquals(first, actions.sentTo(unsent), "it has run nowhere");
+        d.attemptFinished(2, unsent, 1, AttemptOutcome.SERVED, true, IDLE_REPORT);
         Set<String> used = new TreeSet<>();
         for (int i = 0; i < workers.length; i++) {
-            used.add(out.sentTo(job(d, 3, "safe")));
+            used.add(actions.sentTo(submit(d, 3, "safe")));
         }
         assertEquals(Set.of(workers), used, "none is left out");
     }
@@ -50,12 +50,12 @@
             names = {"FULL", "UNREACHABLE"})
     void provenNotRunIsTriedElsewhere(AttemptOutcome outcome) {
         for (String c : List.of("safe", "keyed", "zoned", "celled", "unsafe")) {
-            TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2", "s3");
-            String id = job(d, 0, c);
-            String first = out.sentTo(id);
+            TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2", "s3");
+            String id = submit(d, 0, c);
+            String first = actions.sentTo(id);
             d.attemptFinished(1, id, 0, outcome, false, LoadReport.NONE);
-            assertEquals(2, out.count("send " + id), c);
-            assertNotEquals(first, out.sentTo(id), c);
+            assertEquals(2, actions.count("send " + id), c);
+            assertNotEquals(first, actions.sentTo(id), c);
         }
     }
 
@@ -68,39 +68,42 @@
     })
     void mayHaveRunIsRepeatedOnlyAsTheClassAllows(
             AttemptOutcome outcome, String jobClass, String expected) {
-        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2", "s3");
-        String id = job(d, 0, jobClass);
-        int before = out.said.size();
+        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2", "s3");
+        String id = submit(d, 0, jobClass);
+        int before = actions.recorded.size();
         d.attemptFinished(1, id, 0, outcome, false, LoadReport.NONE);
-        List<String> after = out.said.subList(before, out.said.size());
+        List<String> after = actions.recorded.subList(before, actions.recorded.size());
         assertEquals(1, after.size());
         assertTrue(after.get(0).startsWith(expected + " " + id), after.get(0));
     }
 
     @Test
     void notSentToAWorkerThatLeavesGoesToAnother() {
-        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2");
-        String id = job(d, 0, "unsafe");
-        String leaving = out.sentTo(id);
+        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2");
+        String id = submit(d, 0, "unsafe");
+        String leaving = actions.sentTo(id);
         d.workersUpdated(
                 1,
                 WorkerListUpdateType.DELTA,
                 List.of(new WorkerInfo(leaving, "z", "std", 0, WorkerPhase.DRAINING, 1, 0)));
         d.attemptFinished(1, id, 0, AttemptOutcome.NOT_SENT, false, LoadReport.NONE);
-        assertEquals(leaving.equals("s1") ? "s2" : "s1", out.sentTo(id));
+        assertEquals(leaving.equals("s1") ? "s2" : "s1", actions.sentTo(id));
     }
 
     @ParameterizedTest
     @CsvSource({"zoned,s1,t1", "celled,s1,t1"})
     void keyedJobThatMayHaveRunStaysInItsGroup(String jobClass, String one, String same) {
-        TokenBucketDispatchPolicy d = start(settings().build(), one, "s2", "s3", same, "s4", "s5");
+        TokenBucketDispatchPolicy d =
+                newPolicy(settings().build(), one, "s2", "s3", same, "s4", "s5");
         for (int i = 0; i < 20; i++) {
-            String id = job(d, 0, jobClass);
-            char zone = out.sentTo(id).charAt(1);
+            String id = submit(d, 0, jobClass);
+            char zone = actions.sentTo(id).charAt(1);
             d.attemptFinished(1, id, 0, AttemptOutcome.RESET, false, LoadReport.NONE);
-            assertEquals(zone, out.sentTo(id).charAt(1));
+            assertEquals(zone, actions.sentTo(id).charAt(1));
             assertEquals(
-                    0, out.count("refuse " + id), "a refusal would promise that it had not run");
+                    0,
+                    actions.count("refuse " + id),
+                    "a refusal would promise that it had not run");
         }
     }
 
@@ -122,13 +125,13 @@
                                                 null,
                                                 false)))
                         .build();
-        TokenBucketDispatchPolicy d = start(s, "s1", "s2");
-        String id = job(d, 0, "keyed");
+        TokenBucketDispatchPolicy d = newPolicy(s, "s1", "s2");
+        String id = submit(d, 0, "keyed");
         d.attemptFinished(2 * SECOND, id, 0, AttemptOutcome.RESET, false, LoadReport.NONE);
-        assertEquals(1, out.count("send " + id));
+        assertEquals(1, actions.count("send " + id));
         assertEquals(
                 1,
-                out.count("refuse " + id),
+                actions.count("refuse " + id),
                 "every worker drops repeats, so a refusal stays harmless");
     }
 
@@ -138,34 +141,34 @@
      */
     @Test
     void keyedRepeatGoesOutWithinItsWindowOrNotAtAllAndOthersWhenever() {
-        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2", "s3");
-        String id = job(d, 0, "keyed");
-        assertEquals(Long.MAX_VALUE, out.windowNs, "it has not run");
+        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2", "s3");
+        String id = submit(d, 0, "keyed");
+        assertEquals(Long.MAX_VALUE, actions.windowNs, "it has not run");
         d.attemptFinished(SECOND, id, 0, AttemptOutcome.UNREACHABLE, false, LoadReport.NONE);
-        assertEquals(Long.MAX_VALUE, out.windowNs, "nor now");
+        assertEquals(Long.MAX_VALUE, actions.windowNs, "nor now");
         d.attemptFinished(3 * SECOND, id, 1, AttemptOutcome.RESET, false, LoadReport.NONE);
-        assertEquals(3, out.count("send " + id));
+        assertEquals(3, actions.count("send " + id));
         assertEquals(
                 SECOND + 30 * SECOND - 3 * SECOND - 50 * MS,
-                out.windowNs,
+                actions.windowNs,
                 "from the first that may have run");
-        id = job(d, 4 * SECOND, "safe");
+        id = submit(d, 4 * SECOND, "safe");
         d.attemptFinished(4 * SECOND, id, 0, AttemptOutcome.RESET, false, LoadReport.NONE);
-        assertEquals(2, out.count("send " + id));
-        assertEquals(Long.MAX_VALUE, out.windowNs);
+        assertEquals(2, actions.count("send " + id));
+        assertEquals(Long.MAX_VALUE, actions.windowNs);
     }
 
     @Test
     void attemptsAreBounded() {
         TokenBucketDispatchPolicy d =
-                start(settings().build(), "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8");
-        String id = job(d, 0, "unsafe");
+                newPolicy(settings().build(), "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8");
+        String id = submit(d, 0, "unsafe");
         for (int i = 0; i < 4; i++) {
             d.timerFired(i * SECOND / 10, "sweep");
-            d.attemptFinished(i * SECOND / 10, id, i, AttemptOutcome.FULL, false, FREE);
+            d.attemptFinished(i * SECOND / 10, id, i, AttemptOutcome.FULL, false, IDLE_REPORT);
         }
         d.timerFired(SECOND, "sweep");
-        assertEquals(4, out.count("send " + id));
-        assertEquals(1, out.count("refuse " + id));
+        assertEquals(4, actions.count("send " + id));
+        assertEquals(1, actions.count("refuse " + id));
     }
 }
--- a/core/src/test/java/postgrade/policy/JobConstraintsTest.java
+++ b/core/src/test/java/postgrade/policy/JobConstraintsTest.java
@@ -14,7 +14,7 @@
 
     @Test
     void jobThatMayNotStartYetIsRefusedAtOnceAndCostsNoToken() {
-        TokenBucketDispatchPolicy d = oneTenant(4, 1);
+        TokenBucketDispatchPolicy d = policyWithOneTenant(4, 1);
         d.constraintsChanged(
                 new JobConstraints() {
                     @Override
@@ -24,16 +24,16 @@
                 });
         for (int i = 0; i < 20; i++) {
             assertEquals(
-                    "refuse " + job(d, SECOND, "safe", "t", null) + " " + 3599 * SECOND,
-                    out.last("refuse"));
+                    "refuse " + submit(d, SECOND, "safe", "t", null) + " " + 3599 * SECOND,
+                    actions.last("refuse"));
         }
         d.constraintsChanged(JobConstraints.NONE);
-        assertEquals("s1", out.sentTo(job(d, SECOND, "safe", "t", null)));
+        assertEquals("s1", actions.sentTo(submit(d, SECOND, "safe", "t", null)));
     }
 
     @Test
     void workerGetsJobsByThePartOfItThatIsThereForThem() {
-        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2", "s3");
+        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2", "s3");
         d.constraintsChanged(
                 new JobConstraints() {
                     @Override
@@ -46,13 +46,13 @@
                     }
                 });
         for (int i = 0; i < 100; i++) {
-            job(d, 0, "safe");
+            submit(d, 0, "safe");
         }
-        assertEquals(0, out.sendsTo("s1"::equals));
-        assertEquals(20, out.sendsTo("s2"::equals), 4);
+        assertEquals(0, actions.sendsTo("s1"::equals));
+        assertEquals(20, actions.sendsTo("s2"::equals), 4);
         assertTrue(
                 IntStream.range(0, 10)
-                        .mapToObj(i -> out.sentTo(job(d, 0, "safe", "t", null)))
+                        .mapToObj(i -> actions.sentTo(submit(d, 0, "safe", "t", null)))
                         .anyMatch("s1"::equals));
     }
 }
--- a/core/src/test/java/postgrade/policy/OutlierDetectionTest.java
+++ b/core/src/test/java/postgrade/policy/OutlierDetectionTest.java
@@ -18,13 +18,13 @@
     /** Incident i3632c1: a full worker holds few of ours, so fewest in flight fed it. */
     @Test
     void workerThatAnsweredFullShowsNoRoom() {
-        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2");
-        warmUp(d, 20, FREE);
-        String id = job(d, 0, "safe", null, "k");
-        String full = out.sentTo(id);
+        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2");
+        serveJobs(d, 20, IDLE_REPORT);
+        String id = submit(d, 0, "safe", null, "k");
+        String full = actions.sentTo(id);
         d.attemptFinished(1, id, 0, AttemptOutcome.FULL, false, LoadReport.NONE);
         for (int i = 0; i < 4; i++) {
-            assertNotEquals(full, out.sentTo(job(d, 2, "safe", null, "k")));
+            assertNotEquals(full, actions.sentTo(submit(d, 2, "safe", null, "k")));
         }
     }
 
@@ -34,15 +34,17 @@
      */
     @Test
     void repeatsAreBoundedByTheRetryBudget() {
-        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2", "s3", "s4");
+        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2", "s3", "s4");
         for (int i = 0; i < 200; i++) {
-            String id = job(d, i * 50 * MS, "safe");
-            d.attemptFinished(i * 50 * MS + 1, id, 0, AttemptOutcome.RESET, false, FREE);
+            String id = submit(d, i * 50 * MS, "safe");
+            d.attemptFinished(i * 50 * MS + 1, id, 0, AttemptOutcome.RESET, false, IDLE_REPORT);
             d.jobAbandoned(i * 50 * MS + 2, id);
-            d.attemptFinished(i * 50 * MS + 3, id, 1, AttemptOutcome.CANCELLED, true, FREE);
+            d.attemptFinished(i * 50 * MS + 3, id, 1, AttemptOutcome.CANCELLED, true, IDLE_REPORT);
         }
         assertEquals(
-                208, out.count("send"), "the whole budget, and no more while nothing is served");
+                208,
+                actions.count("send"),
+                "the whole budget, and no more while nothing is served");
     }
 
     /**
@@ -51,21 +53,27 @@
      */
     @Test
     void costlyJobWithinItsShareLeavesATenthOfTheFleetFree() {
-        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2");
+        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2");
         for (int i = 0; i < 10; i++) {
-            d.attemptFinished(200 * MS, job(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, FREE);
             d.attemptFinished(
-                    2 * SECOND, job(d, 0, "unsafe"), 0, AttemptOutcome.SERVED, true, FREE);
+                    200 * MS, submit(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, IDLE_REPORT);
+            d.attemptFinished(
+                    2 * SECOND,
+                    submit(d, 0, "unsafe"),
+                    0,
+                    AttemptOutcome.SERVED,
+                    true,
+                    IDLE_REPORT);
         }
         long now = 9 * SECOND;
-        d.workerProbed(now, "s1", true, FULL_UP);
+        d.workerProbed(now, "s1", true, FULL_REPORT);
         d.workerProbed(now, "s2", true, new LoadReport(1, 0, 0, 0));
-        String costly = job(d, now, "unsafe");
-        assertEquals(0, out.count("send " + costly), "one of sixteen slots is free");
-        assertEquals(1, out.count("send " + job(d, now, "safe")));
-        d.workerProbed(now, "s1", true, FREE);
+        String costly = submit(d, now, "unsafe");
+        assertEquals(0, actions.count("send " + costly), "one of sixteen slots is free");
+        assertEquals(1, actions.count("send " + submit(d, now, "safe")));
+        d.workerProbed(now, "s1", true, IDLE_REPORT);
         d.timerFired(now + 50 * MS, "sweep");
-        assertEquals(1, out.count("send " + costly));
+        assertEquals(1, actions.count("send " + costly));
     }
 
     /**
@@ -74,10 +82,10 @@
      */
     @Test
     void jobThatRanForNoTimeDoesNotUpsetTheClass() {
-        TokenBucketDispatchPolicy d = start(settings().build(), "s1");
-        d.attemptFinished(0, job(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, FREE);
+        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1");
+        d.attemptFinished(0, submit(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, IDLE_REPORT);
         for (int i = 0; i < 5; i++) {
-            assertEquals(1, out.count("send " + job(d, SECOND, "safe")));
+            assertEquals(1, actions.count("send " + submit(d, SECOND, "safe")));
         }
     }
 
@@ -87,36 +95,42 @@
      */
     @Test
     void idStillInHandIsNotTakenTwice() {
-        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2");
-        String id = job(d, 0, "unsafe");
+        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2");
+        String id = submit(d, 0, "unsafe");
         d.jobArrived(1, new Job(id, "safe", null, null, SECOND, 1, 0));
         d.attemptFinished(2, id, 0, AttemptOutcome.RESET, false, LoadReport.NONE);
         d.timerFired(2 * SECOND, "sweep");
-        assertEquals(1, out.count("send " + id));
+        assertEquals(1, actions.count("send " + id));
         assertEquals(
                 1,
-                out.count("fail " + id) + out.count("refuse " + id),
+                actions.count("fail " + id) + actions.count("refuse " + id),
                 "the first job's one answer");
     }
 
     /** Day cnx-scooter-core overload: long jobs filled the queues while short ones waited. */
     @Test
     void costlyJobWaitsForVisibleRoomAndCheapOnesDoNot() {
-        TokenBucketDispatchPolicy d = start(settings().build(), "s1");
+        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1");
         for (int i = 0; i < 3; i++) {
-            d.attemptFinished(100 * MS, job(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, FULL_UP);
             d.attemptFinished(
-                    3 * SECOND, job(d, 0, "unsafe"), 0, AttemptOutcome.SERVED, true, FULL_UP);
+                    100 * MS, submit(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, FULL_REPORT);
+            d.attemptFinished(
+                    3 * SECOND,
+                    submit(d, 0, "unsafe"),
+                    0,
+                    AttemptOutcome.SERVED,
+                    true,
+                    FULL_REPORT);
         }
         long now = 13 * SECOND;
-        d.workerProbed(now, "s1", true, FULL_UP);
-        String costly = job(d, now, "unsafe");
-        assertEquals(0, out.count("send " + costly));
-        String cheap = job(d, now, "safe");
-        assertEquals(1, out.count("send " + cheap));
-        d.attemptFinished(now + MS, cheap, 0, AttemptOutcome.SERVED, true, FREE);
+        d.workerProbed(now, "s1", true, FULL_REPORT);
+        String costly = submit(d, now, "unsafe");
+        assertEquals(0, actions.count("send " + costly));
+        String cheap = submit(d, now, "safe");
+        assertEquals(1, actions.count("send " + cheap));
+        d.attemptFinished(now + MS, cheap, 0, AttemptOutcome.SERVED, true, IDLE_REPORT);
         d.timerFired(now + 50 * MS, "sweep");
-        assertEquals(1, out.count("send " + costly));
+        assertEquals(1, actions.count("send " + costly));
     }
 
     /**
@@ -125,7 +139,7 @@
     @Test
     void failuresOfOneTenantsJobsDoNotCountAtTheWorkers() {
         TokenBucketDispatchPolicy d =
-                start(
+                newPolicy(
                         settings()
                                 .tenants(List.of(new Tenant("bad", 1000), new Tenant("good", 1000)))
                                 .build(),
@@ -134,18 +148,19 @@
                         "s3",
                         "s4");
         for (int i = 0; i < 400; i++) {
-            String good = job(d, i * 100 * MS, "safe", "good", null);
-            String bad = job(d, i * 100 * MS, "safe", "bad", null);
+            String good = submit(d, i * 100 * MS, "safe", "good", null);
+            String bad = submit(d, i * 100 * MS, "safe", "bad", null);
             d.attemptFinished(i * 100 * MS, bad, 0, AttemptOutcome.ERROR, true, LoadReport.NONE);
             d.attemptFinished(i * 100 * MS, good, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
-        long before = out.count("send");
-        String bad = job(d, 40 * SECOND, "safe", "bad", null);
+        long before = actions.count("send");
+        String bad = submit(d, 40 * SECOND, "safe", "bad", null);
         d.attemptFinished(40 * SECOND, bad, 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
-        assertEquals(before + 1, out.count("send"), "no further attempt for what fails everywhere");
+        assertEquals(
+                before + 1, actions.count("send"), "no further attempt for what fails everywhere");
         Set<String> open = new TreeSet<>();
         for (int i = 0; i < 4; i++) {
-            open.add(out.sentTo(job(d, 40 * SECOND, "safe", "good", null)));
+            open.add(actions.sentTo(submit(d, 40 * SECOND, "safe", "good", null)));
         }
         assertEquals(4, open.size(), "no worker is ejected");
     }
@@ -156,13 +171,13 @@
      */
     @Test
     void jobWhoseWorkersBrokeOffTwiceIsNotSentAThirdTime() {
-        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2", "s3");
-        String id = job(d, 0, "safe");
+        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2", "s3");
+        String id = submit(d, 0, "safe");
         d.attemptFinished(1, id, 0, AttemptOutcome.RESET, false, LoadReport.NONE);
-        assertEquals(2, out.count("send " + id), "the first may be an innocent one");
+        assertEquals(2, actions.count("send " + id), "the first may be an innocent one");
         d.attemptFinished(2, id, 1, AttemptOutcome.RESET, false, LoadReport.NONE);
-        assertEquals(2, out.count("send " + id));
-        assertEquals(1, out.count("refuse " + id));
+        assertEquals(2, actions.count("send " + id));
+        assertEquals(1, actions.count("refuse " + id));
     }
 
     /**
@@ -172,12 +187,12 @@
     @Test
     void jobThatNeverStartsIsNotHeldForLong() {
         TokenBucketDispatchPolicy d =
-                start(
+                newPolicy(
                         settings().workersReportStart(true).allowsCancellation(false).build(),
                         "s1",
                         "s2");
         for (int i = 0; i < 9; i++) {
-            String id = job(d, i * 3 * SECOND, "unsafe");
+            String id = submit(d, i * 3 * SECOND, "unsafe");
             d.attemptStarted(i * 3 * SECOND + MS, id, 0);
             d.timerFired(i * 3 * SECOND + 2 * SECOND, "sweep");
             d.attemptFinished(
@@ -189,19 +204,21 @@
                     LoadReport.NONE);
         }
         long nowNs = 40 * SECOND;
-        String lost = job(d, nowNs, "unsafe");
-        String other = job(d, nowNs, "unsafe");
+        String lost = submit(d, nowNs, "unsafe");
+        String other = submit(d, nowNs, "unsafe");
         d.attemptStarted(nowNs, other, 0);
         d.timerFired(nowNs + 5 * SECOND, "sweep");
         assertEquals(
-                out.sentTo(lost),
-                out.sentTo(job(d, nowNs + 5 * SECOND, "safe")),
+                actions.sentTo(lost),
+                actions.sentTo(submit(d, nowNs + 5 * SECOND, "safe")),
                 "it holds none now");
         d.attemptStarted(nowNs + 6 * SECOND, lost, 0);
         d.attemptFinished(
                 nowNs + 6 * SECOND, other, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         assertEquals(
-                out.sentTo(other), out.sentTo(job(d, nowNs + 6 * SECOND, "safe")), "it does again");
+                actions.sentTo(other),
+                actions.sentTo(submit(d, nowNs + 6 * SECOND, "safe")),
+                "it does again");
     }
 
     /**
@@ -210,14 +227,16 @@
      */
     @Test
     void workerThatAnsweredFullDoesNotDrawJobsAsItHoldsFewest() {
-        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2");
-        String id = job(d, 0, "safe");
-        String full = out.sentTo(id);
+        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2");
+        String id = submit(d, 0, "safe");
+        String full = actions.sentTo(id);
         d.attemptFinished(MS, id, 0, AttemptOutcome.FULL, false, LoadReport.NONE);
         for (int i = 0; i < 3; i++) {
-            assertNotEquals(full, out.sentTo(job(d, 2 * MS, "safe")));
+            assertNotEquals(full, actions.sentTo(submit(d, 2 * MS, "safe")));
         }
         assertEquals(
-                full, out.sentTo(job(d, 2 * SECOND, "safe")), "a job there may have ended since");
+                full,
+                actions.sentTo(submit(d, 2 * SECOND, "safe")),
+                "a job there may have ended since");
     }
 }
--- a/core/src/test/java/postgrade/policy/PolicyFixture.java
+++ b/core/src/test/java/postgrade/policy/PolicyFixture.java
@@ -23,10 +23,10 @@
 
     static final long MS = 1_000_000L;
     static final long SECOND = 1_000 * MS;
-    static final LoadReport FREE = new LoadReport(8, 0, 0, 0);
-    static final LoadReport FULL_UP = new LoadReport(0, 0, 0, 0);
+    static final LoadReport IDLE_REPORT = new LoadReport(8, 0, 0, 0);
+    static final LoadReport FULL_REPORT = new LoadReport(0, 0, 0, 0);
 
-    final Recorder out = new Recorder();
+    final RecordingActions actions = new RecordingActions();
     int jobNumber;
 
     static PolicySettings.Builder settings() {
@@ -105,8 +105,8 @@
                 bornNs);
     }
 
-    TokenBucketDispatchPolicy start(PolicySettings settings, String... workers) {
-        TokenBucketDispatchPolicy d = new TokenBucketDispatchPolicy(settings, 7, out);
+    TokenBucketDispatchPolicy newPolicy(PolicySettings settings, String... workers) {
+        TokenBucketDispatchPolicy d = new TokenBucketDispatchPolicy(settings, 7, actions);
         List<WorkerInfo> list = new ArrayList<>();
         for (String id : workers) {
             list.add(worker(id, WorkerPhase.READY, 0));
@@ -115,48 +115,48 @@
         return d;
     }
 
-    String job(
+    String submit(
             TokenBucketDispatchPolicy d, long nowNs, String jobClass, String tenant, String key) {
         String id = "j" + jobNumber++;
         d.jobArrived(nowNs, new Job(id, jobClass, tenant, key, 20 * SECOND, 1, 0));
         return id;
     }
 
-    String job(TokenBucketDispatchPolicy d, long nowNs, String jobClass) {
-        return job(d, nowNs, jobClass, null, null);
+    String submit(TokenBucketDispatchPolicy d, long nowNs, String jobClass) {
+        return submit(d, nowNs, jobClass, null, null);
     }
 
     /** Serves one job on each worker, with this report. */
-    void warmUp(TokenBucketDispatchPolicy d, int workers, LoadReport load) {
+    void serveJobs(TokenBucketDispatchPolicy d, int workers, LoadReport load) {
         for (int i = 0; i < workers; i++) {
-            String id = job(d, i, "safe");
+            String id = submit(d, i, "safe");
             d.attemptFinished(i, id, 0, AttemptOutcome.SERVED, true, load);
         }
     }
 
-    TokenBucketDispatchPolicy oneTenant(double ratePerS, int gateways) {
+    TokenBucketDispatchPolicy policyWithOneTenant(double ratePerS, int gateways) {
         TokenBucketDispatchPolicy d =
-                start(
+                newPolicy(
                         settings()
                                 .tenants(List.of(new Tenant("t", ratePerS)))
                                 .dispatcherCount(gateways)
                                 .build(),
                         "s1");
-        String id = job(d, 0, "safe");
-        d.attemptFinished(0, id, 0, AttemptOutcome.SERVED, true, FULL_UP);
+        String id = submit(d, 0, "safe");
+        d.attemptFinished(0, id, 0, AttemptOutcome.SERVED, true, FULL_REPORT);
         return d;
     }
 
-    long admitted(TokenBucketDispatchPolicy d, int jobs) {
-        long refused = out.count("refuse");
+    long submitAndCountAdmitted(TokenBucketDispatchPolicy d, int jobs) {
+        long refused = actions.count("refuse");
         for (int i = 0; i < jobs; i++) {
-            job(d, 0, "unsafe", "t", null);
+            submit(d, 0, "unsafe", "t", null);
         }
-        return jobs - (out.count("refuse") - refused);
+        return jobs - (actions.count("refuse") - refused);
     }
 
     /** Gateways that know s1 (8 slots, jobs of 300 ms) and hear that s2 has just started cold. */
-    List<TokenBucketDispatchPolicy> gatewaysWithColdWorker(int count, long coldNs) {
+    List<TokenBucketDispatchPolicy> dispatchersWithWorkerInSlowStart(int count, long coldNs) {
         return IntStream.range(0, count)
                 .mapToObj(
                         i -> {
@@ -169,7 +169,7 @@
                                                     .overload(3, 1500 * MS)
                                                     .build(),
                                             i,
-                                            out);
+                                            actions);
                             d.workersUpdated(
                                     0,
                                     WorkerListUpdateType.FULL,
@@ -177,11 +177,11 @@
                             for (int k = 0; k < 30; k++) {
                                 d.attemptFinished(
                                         300 * MS,
-                                        job(d, 0, "safe"),
+                                        submit(d, 0, "safe"),
                                         0,
                                         AttemptOutcome.SERVED,
                                         true,
-                                        FREE);
+                                        IDLE_REPORT);
                             }
                             d.workersUpdated(
                                     coldNs,
@@ -192,14 +192,15 @@
                 .toList();
     }
 
-    long sentToS2(List<TokenBucketDispatchPolicy> gateways, int jobsEach, long nowNs) {
-        int before = out.said.size();
+    long submitAndCountSentToS2(
+            List<TokenBucketDispatchPolicy> gateways, int jobsEach, long nowNs) {
+        int before = actions.recorded.size();
         for (TokenBucketDispatchPolicy d : gateways) {
             for (int i = 0; i < jobsEach; i++) {
-                job(d, nowNs, "safe");
+                submit(d, nowNs, "safe");
             }
         }
-        return out.said.stream()
+        return actions.recorded.stream()
                 .skip(before)
                 .filter(l -> l.startsWith("send") && l.endsWith(" s2"))
                 .count();
--- a/core/src/test/java/postgrade/policy/PolicySettingsTest.java
+++ b/core/src/test/java/postgrade/policy/PolicySettingsTest.java
@@ -14,7 +14,7 @@
     @Test
     void invalidSettingsAreNamed() {
         assertNamed("ratePerS", () -> new Tenant("t", 0));
-        assertNamed("tableSize", () -> PolicySettings.builder().mostBuckets(-1));
+        assertNamed("tableSize", () -> PolicySettings.builder().maxBuckets(-1));
         assertNamed("gateways", () -> PolicySettings.builder().dispatcherCount(0));
         assertNamed("classes", () -> PolicySettings.builder().build());
         assertNamed("gateway must", () -> settings().dispatcherCount(3).dispatcherIndex(3).build());
@@ -25,7 +25,7 @@
         assertNamed(
                 "no-such-class",
                 () ->
-                        start(settings().build(), "s1")
+                        newPolicy(settings().build(), "s1")
                                 .jobArrived(
                                         0,
                                         new Job("x", "no-such-class", null, null, SECOND, 1, 0)));
--- a/core/src/test/java/postgrade/policy/QueuedJobTest.java
+++ b/core/src/test/java/postgrade/policy/QueuedJobTest.java
@@ -29,23 +29,28 @@
     @Test
     void queuedJobThatCannotBeInTimeIsCalledOffAndRefused() {
         PolicySettings s = settings().workersReportStart(true).dispatcherCount(100).build();
-        TokenBucketDispatchPolicy d = start(s, "s1", "s2");
+        TokenBucketDispatchPolicy d = newPolicy(s, "s1", "s2");
         for (int i = 0; i < 40; i++) {
             d.attemptFinished(
-                    100 * MS, job(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
+                    100 * MS,
+                    submit(d, 0, "safe"),
+                    0,
+                    AttemptOutcome.SERVED,
+                    true,
+                    LoadReport.NONE);
         }
-        String safe = job(d, SECOND, "safe");
-        String once = job(d, SECOND, "unsafe");
-        String runs = job(d, SECOND, "safe");
+        String safe = submit(d, SECOND, "safe");
+        String once = submit(d, SECOND, "unsafe");
+        String runs = submit(d, SECOND, "safe");
         d.attemptStarted(SECOND, runs, 0);
         d.timerFired(1400 * MS, "sweep");
-        assertEquals(0, out.count("cancel"), "the aim is a second");
+        assertEquals(0, actions.count("cancel"), "the aim is a second");
         d.timerFired(1900 * MS, "sweep");
-        assertEquals("cancel " + safe + " 0", out.last("cancel"));
-        assertEquals(0, out.count("cancel " + once) + out.count("cancel " + runs));
+        assertEquals("cancel " + safe + " 0", actions.last("cancel"));
+        assertEquals(0, actions.count("cancel " + once) + actions.count("cancel " + runs));
         d.attemptFinished(1910 * MS, safe, 0, AttemptOutcome.CANCELLED, false, LoadReport.NONE);
-        assertEquals(1, out.count("refuse " + safe));
-        assertEquals(1, out.count("send " + safe));
+        assertEquals(1, actions.count("refuse " + safe));
+        assertEquals(1, actions.count("send " + safe));
     }
 
     /**
@@ -54,7 +59,7 @@
     @Test
     void queuedRepeatableJobMovesAfterHalfItsAimWhereThereIsRoom() {
         TokenBucketDispatchPolicy d =
-                start(
+                newPolicy(
                         settings()
                                 .workersReportStart(true)
                                 .allowsConcurrentAttempts(false)
@@ -62,34 +67,34 @@
                                 .build(),
                         "s1",
                         "s2");
-        warmUp(d, 20, FREE);
-        String id = job(d, 0, "safe");
+        serveJobs(d, 20, IDLE_REPORT);
+        String id = submit(d, 0, "safe");
         d.timerFired(450 * MS, "sweep");
-        assertEquals(0, out.count("cancel " + id), "the class's aim is a second");
-        String first = out.sentTo(id);
+        assertEquals(0, actions.count("cancel " + id), "the class's aim is a second");
+        String first = actions.sentTo(id);
         d.timerFired(500 * MS, "sweep");
-        assertEquals(1, out.count("cancel " + id));
+        assertEquals(1, actions.count("cancel " + id));
         d.attemptFinished(501 * MS, id, 0, AttemptOutcome.CANCELLED, false, LoadReport.NONE);
-        assertNotEquals(first, out.sentTo(id));
-        String once = job(d, 600 * MS, "unsafe");
+        assertNotEquals(first, actions.sentTo(id));
+        String once = submit(d, 600 * MS, "unsafe");
         d.timerFired(2 * SECOND, "sweep");
-        assertEquals(0, out.count("cancel " + once));
+        assertEquals(0, actions.count("cancel " + once));
     }
 
     @Test
     void queuedJobStaysWithALoneWorker() {
         TokenBucketDispatchPolicy d =
-                start(
+                newPolicy(
                         settings()
                                 .workersReportStart(true)
                                 .allowsConcurrentAttempts(false)
                                 .dispatcherCount(100)
                                 .build(),
                         "s1");
-        warmUp(d, 20, FREE);
-        String id = job(d, 0, "safe");
+        serveJobs(d, 20, IDLE_REPORT);
+        String id = submit(d, 0, "safe");
         d.timerFired(500 * MS, "sweep");
-        assertEquals(0, out.count("cancel " + id));
+        assertEquals(0, actions.count("cancel " + id));
     }
 
     /**
@@ -100,7 +105,7 @@
     @CsvSource({"2, 0", "20, 2", "200, 6"})
     void fewGatewaysMoveLittleAsTheyPlaceWell(int gateways, int moves) {
         TokenBucketDispatchPolicy d =
-                start(
+                newPolicy(
                         settings()
                                 .workersReportStart(true)
                                 .allowsConcurrentAttempts(false)
@@ -113,20 +118,20 @@
                         "s5",
                         "s6",
                         "s7");
-        warmUp(d, 40, FREE);
+        serveJobs(d, 40, IDLE_REPORT);
         for (int i = 0; i < 6; i++) {
-            job(d, 0, "safe");
+            submit(d, 0, "safe");
         }
         d.timerFired(500 * MS, "sweep");
-        assertEquals(moves, out.count("cancel"));
+        assertEquals(moves, actions.count("cancel"));
     }
 
     @Test
     void failingWorkersAreEjectedButNeverMostOfThemAndTriedAgain() {
-        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2", "s3", "s4", "s5");
-        List<String> held = IntStream.range(0, 20).mapToObj(i -> job(d, 0, "unsafe")).toList();
+        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2", "s3", "s4", "s5");
+        List<String> held = IntStream.range(0, 20).mapToObj(i -> submit(d, 0, "unsafe")).toList();
         for (String id : held) {
-            boolean bad = out.sentTo(id).equals("s1");
+            boolean bad = actions.sentTo(id).equals("s1");
             d.attemptFinished(
                     100 * MS,
                     id,
@@ -136,26 +141,29 @@
                     LoadReport.NONE);
         }
         for (int i = 0; i < 10; i++) {
-            assertNotEquals("s1", out.sentTo(job(d, 150 * MS, "safe")));
+            assertNotEquals("s1", actions.sentTo(submit(d, 150 * MS, "safe")));
         }
         String trial = "";
-        for (int i = 0; i < 10 && !out.sentTo(trial).equals("s1"); i++) {
-            trial = job(d, 10 * SECOND, "safe");
+        for (int i = 0; i < 10 && !actions.sentTo(trial).equals("s1"); i++) {
+            trial = submit(d, 10 * SECOND, "safe");
         }
-        assertEquals("s1", out.sentTo(trial), "tried again");
+        assertEquals("s1", actions.sentTo(trial), "tried again");
         d.attemptFinished(10 * SECOND, trial, 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
         for (int i = 0; i < 10; i++) {
             assertNotEquals(
-                    "s1", out.sentTo(job(d, 10 * SECOND, "safe")), "one more failure is enough");
+                    "s1",
+                    actions.sentTo(submit(d, 10 * SECOND, "safe")),
+                    "one more failure is enough");
         }
 
-        TokenBucketDispatchPolicy all = start(settings().build(), "s1", "s2", "s3", "s4", "s5");
+        TokenBucketDispatchPolicy all = newPolicy(settings().build(), "s1", "s2", "s3", "s4", "s5");
         for (int i = 0; i < 100; i++) {
             all.attemptFinished(
-                    i, job(all, i, "unsafe"), 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
+                    i, submit(all, i, "unsafe"), 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
         }
         assertFalse(
-                out.sentTo(job(all, 101, "unsafe")).isEmpty(), "somewhere to send is always left");
+                actions.sentTo(submit(all, 101, "unsafe")).isEmpty(),
+                "somewhere to send is always left");
     }
 
     /** Incident i42769e: many gateways holding nothing anywhere all chose the same fast worker. */
@@ -164,20 +172,20 @@
         Set<String> chosen = new TreeSet<>();
         for (int seed = 0; seed < 20; seed++) {
             TokenBucketDispatchPolicy d =
-                    new TokenBucketDispatchPolicy(settings().build(), seed, out);
+                    new TokenBucketDispatchPolicy(settings().build(), seed, actions);
             d.workersUpdated(
                     0,
                     WorkerListUpdateType.FULL,
                     List.of(
                             worker("b1", WorkerPhase.READY, 0),
                             worker("s2", WorkerPhase.READY, 0)));
-            String a = job(d, 0, "safe");
-            String b = job(d, 0, "safe");
-            long fast = out.sentTo(a).equals("b1") ? 1 : 10;
+            String a = submit(d, 0, "safe");
+            String b = submit(d, 0, "safe");
+            long fast = actions.sentTo(a).equals("b1") ? 1 : 10;
             d.attemptFinished(fast * 100 * MS, a, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
             d.attemptFinished(
                     (11 - fast) * 100 * MS, b, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
-            chosen.add(out.sentTo(job(d, 2 * SECOND, "safe")));
+            chosen.add(actions.sentTo(submit(d, 2 * SECOND, "safe")));
         }
         assertEquals(Set.of("b1", "s2"), chosen);
     }
@@ -187,13 +195,13 @@
      */
     @Test
     void oneFailureKeepsJobsThatMayNotBeRepeatedAway() {
-        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2");
-        String failed = job(d, 0, "safe");
+        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2");
+        String failed = submit(d, 0, "safe");
         d.attemptFinished(MS, failed, 0, AttemptOutcome.ERROR, true, LoadReport.NONE);
         long there = 0;
         for (int i = 0; i < 20; i++) {
-            String id = job(d, (2 + i) * MS, "unsafe");
-            there += out.sentTo(id).equals(out.sentTo(failed)) ? 1 : 0;
+            String id = submit(d, (2 + i) * MS, "unsafe");
+            there += actions.sentTo(id).equals(actions.sentTo(failed)) ? 1 : 0;
             d.attemptFinished((2 + i) * MS, id, 0, AttemptOutcome.NOT_SENT, true, LoadReport.NONE);
         }
         assertTrue(there <= 3, "sent there nevertheless: " + there);
@@ -203,22 +211,24 @@
     @Test
     void workerWhereJobsWaitToStartIsLeftAloneForAWhile() {
         TokenBucketDispatchPolicy d =
-                start(settings().workersReportStart(true).build(), "s1", "s2");
-        String first = job(d, 0, "safe");
-        d.attemptStarted(MS, job(d, 0, "safe"), 0);
+                newPolicy(settings().workersReportStart(true).build(), "s1", "s2");
+        String first = submit(d, 0, "safe");
+        d.attemptStarted(MS, submit(d, 0, "safe"), 0);
         d.attemptStarted(600 * MS, first, 0);
         for (int i = 0; i < 2; i++) {
             d.attemptFinished(700 * MS, "j" + i, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
         for (int i = 0; i < 40; i++) {
             long nowNs = 700 * MS + i * 10 * MS;
-            String id = job(d, nowNs, "safe");
+            String id = submit(d, nowNs, "safe");
             d.attemptStarted(nowNs + MS, id, 0);
             d.attemptFinished(nowNs + 2 * MS, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
-        String slow = out.sentTo(first);
+        String slow = actions.sentTo(first);
         long there =
-                out.said.stream().filter(l -> l.startsWith("send") && l.endsWith(slow)).count();
+                actions.recorded.stream()
+                        .filter(l -> l.startsWith("send") && l.endsWith(slow))
+                        .count();
         assertTrue(there < 25, "sent to the one where jobs wait: " + there);
     }
 
@@ -229,7 +239,7 @@
     @Test
     void whereNoJobWaitsOtherGatewaysAreTakenToHoldLess() {
         TokenBucketDispatchPolicy d =
-                start(
+                newPolicy(
                         settings()
                                 .workersReportStart(true)
                                 .dispatcherCount(2)
@@ -240,38 +250,38 @@
         long nowNs = 0;
         for (int i = 0; i < 400; i++) {
             nowNs += 100 * MS;
-            String id = job(d, nowNs, "safe");
+            String id = submit(d, nowNs, "safe");
             d.attemptStarted(nowNs + MS, id, 0);
             d.attemptFinished(
                     nowNs + 900 * MS, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
-        long before = out.count("refuse");
+        long before = actions.count("refuse");
         for (int i = 0; i < 12; i++) {
-            String id = job(d, nowNs + 950 * MS, "safe", "t", null);
+            String id = submit(d, nowNs + 950 * MS, "safe", "t", null);
             d.attemptStarted(nowNs + 951 * MS, id, 0);
             d.attemptFinished(
                     nowNs + 951 * MS, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
-        assertEquals(before, out.count("refuse"), "beyond its share, and there is room");
+        assertEquals(before, actions.count("refuse"), "beyond its share, and there is room");
     }
 
     /** Workers of one kind differed by a factor of four, and each got as many jobs as the next. */
     @Test
     void fastWorkerOfAKindGetsMoreJobsThanASlowOne() {
-        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2");
+        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2");
         long nowNs = 0;
         for (int i = 0; i < 60; i++) {
             nowNs += 3 * SECOND;
-            String id = job(d, nowNs, "safe");
-            long ran = out.sentTo(id).equals("s1") ? SECOND : SECOND / 4;
+            String id = submit(d, nowNs, "safe");
+            long ran = actions.sentTo(id).equals("s1") ? SECOND : SECOND / 4;
             d.attemptFinished(nowNs + ran, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
         nowNs += 10 * SECOND;
-        long before = out.sendsTo("s2"::equals);
+        long before = actions.sendsTo("s2"::equals);
         for (int i = 0; i < 10; i++) {
-            job(d, nowNs, "safe");
+            submit(d, nowNs, "safe");
         }
-        long fast = out.sendsTo("s2"::equals) - before;
+        long fast = actions.sendsTo("s2"::equals) - before;
         assertTrue(fast >= 6 && fast < 10, "to the fast one: " + fast);
     }
 
@@ -283,16 +293,18 @@
                         new LoadReport(1e12, 0, 0, 0),
                         LoadReport.NONE,
                         new LoadReport(Double.POSITIVE_INFINITY, 0, 0, 0))) {
-            out.said.clear();
-            TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2");
-            String id = job(d, 0, "safe");
-            String liar = out.sentTo(id);
+            actions.recorded.clear();
+            TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2");
+            String id = submit(d, 0, "safe");
+            String liar = actions.sentTo(id);
             d.attemptFinished(1, id, 0, AttemptOutcome.SERVED, true, absurd);
             for (int i = 0; i < 8; i++) {
-                job(d, 2, "safe");
+                submit(d, 2, "safe");
             }
             long there =
-                    out.said.stream().filter(l -> l.startsWith("send") && l.endsWith(liar)).count();
+                    actions.recorded.stream()
+                            .filter(l -> l.startsWith("send") && l.endsWith(liar))
+                            .count();
             assertTrue(there <= 5, absurd + ": " + there);
         }
     }
--- a/core/src/test/java/postgrade/policy/RateLimitTest.java
+++ b/core/src/test/java/postgrade/policy/RateLimitTest.java
@@ -16,17 +16,17 @@
 
     @Test
     void emptyBucketRefusesAtOnceWithRetryAfterAndRefills() {
-        TokenBucketDispatchPolicy d = oneTenant(4, 1);
+        TokenBucketDispatchPolicy d = policyWithOneTenant(4, 1);
         for (int i = 0; i < 12; i++) {
-            job(d, 0, "unsafe", "t", null);
+            submit(d, 0, "unsafe", "t", null);
         }
-        assertEquals(4, out.count("refuse"), "a burst of two seconds of the rate is admitted");
-        assertEquals("refuse j12 250000000", out.last("refuse"));
-        d.attemptFinished(0, "j1", 0, AttemptOutcome.SERVED, true, FULL_UP);
-        job(d, SECOND / 8, "safe", "t", null);
-        assertEquals(5, out.count("refuse"));
-        job(d, SECOND / 4, "safe", "t", null);
-        assertEquals(5, out.count("refuse"), "one token after a quarter of a second");
+        assertEquals(4, actions.count("refuse"), "a burst of two seconds of the rate is admitted");
+        assertEquals("refuse j12 250000000", actions.last("refuse"));
+        d.attemptFinished(0, "j1", 0, AttemptOutcome.SERVED, true, FULL_REPORT);
+        submit(d, SECOND / 8, "safe", "t", null);
+        assertEquals(5, actions.count("refuse"));
+        submit(d, SECOND / 4, "safe", "t", null);
+        assertEquals(5, actions.count("refuse"), "one token after a quarter of a second");
     }
 
     /**
@@ -35,14 +35,14 @@
      */
     @Test
     void gatewaysShareRateAndBurstEvenlyButABurstIsSomeJobsAtLeast() {
-        TokenBucketDispatchPolicy d = oneTenant(20, 100);
+        TokenBucketDispatchPolicy d = policyWithOneTenant(20, 100);
         for (int i = 0; i < 5; i++) {
-            assertFalse(out.sentTo(job(d, 0, "safe", "t", null)).isEmpty());
+            assertFalse(actions.sentTo(submit(d, 0, "safe", "t", null)).isEmpty());
         }
-        job(d, 0, "safe", "t", null);
+        submit(d, 0, "safe", "t", null);
         assertEquals(
                 "refuse j6 2000000000",
-                out.last("refuse"),
+                actions.last("refuse"),
                 "the next token of a hundredth of the rate");
     }
 
@@ -50,19 +50,19 @@
     void refusedJobIsChargedToItsOtherBuckets() {
         PolicySettings s =
                 settings().tenants(List.of(new Tenant("a", 1), new Tenant("b", 100))).build();
-        TokenBucketDispatchPolicy d = start(s, "s1");
-        d.attemptFinished(0, job(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, FULL_UP);
+        TokenBucketDispatchPolicy d = newPolicy(s, "s1");
+        d.attemptFinished(0, submit(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, FULL_REPORT);
         for (int i = 0; i < 300; i++) {
-            job(d, 0, "unsafe", "a", "k");
+            submit(d, 0, "unsafe", "a", "k");
         }
-        long before = out.count("refuse");
-        job(d, 0, "safe", "b", "k");
+        long before = actions.count("refuse");
+        submit(d, 0, "safe", "b", "k");
         assertEquals(
                 before + 1,
-                out.count("refuse"),
+                actions.count("refuse"),
                 "tenant a's refused jobs emptied the key's bucket");
-        job(d, 0, "safe", "b", "other");
-        assertEquals(before + 1, out.count("refuse"));
+        submit(d, 0, "safe", "b", "other");
+        assertEquals(before + 1, actions.count("refuse"));
     }
 
     @Test
@@ -70,29 +70,29 @@
         PolicySettings s =
                 settings()
                         .tenants(List.of(new Tenant("a", 0.1), new Tenant("b", 0.1)))
-                        .mostBuckets(1)
+                        .maxBuckets(1)
                         .build();
-        TokenBucketDispatchPolicy d = start(s, "s1");
-        d.attemptFinished(0, job(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, FULL_UP);
+        TokenBucketDispatchPolicy d = newPolicy(s, "s1");
+        d.attemptFinished(0, submit(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, FULL_REPORT);
         for (int i = 0; i < 6; i++) {
-            job(d, 0, "safe", "a", null);
+            submit(d, 0, "safe", "a", null);
         }
-        assertEquals(1, out.count("refuse"));
-        job(d, 0, "safe", "b", null);
-        job(d, 0, "safe", "a", null);
-        assertEquals(1, out.count("refuse"), "a was evicted by b");
+        assertEquals(1, actions.count("refuse"));
+        submit(d, 0, "safe", "b", null);
+        submit(d, 0, "safe", "a", null);
+        assertEquals(1, actions.count("refuse"), "a was evicted by b");
     }
 
     @Test
     void tenantBeyondItsRateOverdrawsOnlyVisibleRoom() {
         PolicySettings s = settings().tenants(List.of(new Tenant("t", 0.1))).build();
-        TokenBucketDispatchPolicy d = start(s, "s1", "s2", "s3", "s4");
-        warmUp(d, 8, FREE);
+        TokenBucketDispatchPolicy d = newPolicy(s, "s1", "s2", "s3", "s4");
+        serveJobs(d, 8, IDLE_REPORT);
         for (int i = 0; i < 30; i++) {
-            job(d, SECOND, "safe", "t", null);
+            submit(d, SECOND, "safe", "t", null);
         }
-        assertTrue(out.count("refuse") > 0, "the reserve is kept");
-        assertTrue(out.count("send") > 12, "room beyond it is used");
+        assertTrue(actions.count("refuse") > 0, "the reserve is kept");
+        assertTrue(actions.count("send") > 12, "room beyond it is used");
     }
 
     /**
@@ -103,22 +103,22 @@
     void oldReportsOfABusyFleetShowNoRoomForExcess() {
         PolicySettings s = settings().tenants(List.of(new Tenant("t", 1))).build();
         TokenBucketDispatchPolicy d =
-                start(s, IntStream.range(0, 20).mapToObj(i -> "s" + i).toArray(String[]::new));
-        warmUp(d, 5, FREE);
-        warmUp(d, 100, FULL_UP);
+                newPolicy(s, IntStream.range(0, 20).mapToObj(i -> "s" + i).toArray(String[]::new));
+        serveJobs(d, 5, IDLE_REPORT);
+        serveJobs(d, 100, FULL_REPORT);
         for (int i = 0; i < 30; i++) {
-            job(d, 20 * SECOND, "safe", "t", null);
+            submit(d, 20 * SECOND, "safe", "t", null);
         }
-        assertEquals(25, out.count("refuse"), "all beyond the burst");
+        assertEquals(25, actions.count("refuse"), "all beyond the burst");
     }
 
     @Test
     void jobWithoutTenantOrKeyMeetsNoBucket() {
         TokenBucketDispatchPolicy d =
-                start(settings().tenants(List.of(new Tenant("t", 0.1))).build(), "s1", "s2");
+                newPolicy(settings().tenants(List.of(new Tenant("t", 0.1))).build(), "s1", "s2");
         for (int i = 0; i < 20; i++) {
-            job(d, 0, "safe", null, null);
+            submit(d, 0, "safe", null, null);
         }
-        assertEquals(0, out.count("refuse"));
+        assertEquals(0, actions.count("refuse"));
     }
 }
--- a/core/src/test/java/postgrade/policy/Recorder.java
+++ b/core/src/test/java/postgrade/policy/RecordingActions.java
@@ -6,15 +6,15 @@
 import postgrade.policy.api.PolicyActions;
 
 /** Writes actions down as words, oldest first. */
-final class Recorder implements PolicyActions {
-    final List<String> said = new ArrayList<>();
+final class RecordingActions implements PolicyActions {
+    final List<String> recorded = new ArrayList<>();
 
     /** Within which the last attempt's request has to go out. */
     long windowNs;
 
     @Override
     public void startAttempt(String jobId, String workerId, long limitNs) {
-        said.add("send " + jobId + " " + workerId);
+        recorded.add("send " + jobId + " " + workerId);
     }
 
     @Override
@@ -25,46 +25,46 @@
 
     @Override
     public void cancelAttempt(String jobId, int attempt) {
-        said.add("cancel " + jobId + " " + attempt);
+        recorded.add("cancel " + jobId + " " + attempt);
     }
 
     @Override
     public void reject(String jobId, long retryAfterNs) {
-        said.add("refuse " + jobId + " " + retryAfterNs);
+        recorded.add("refuse " + jobId + " " + retryAfterNs);
     }
 
     @Override
     public void fail(String jobId) {
-        said.add("fail " + jobId);
+        recorded.add("fail " + jobId);
     }
 
     @Override
     public void probe(String workerId) {
-        said.add("probe " + workerId);
+        recorded.add("probe " + workerId);
     }
 
     @Override
     public void startTimer(String token, long inNs) {
-        said.add("timer " + token);
+        recorded.add("timer " + token);
     }
 
     @Override
     public void watchWorkers() {
-        said.add("watch");
+        recorded.add("watch");
     }
 
     long count(String start) {
-        return said.stream().filter(s -> s.startsWith(start)).count();
+        return recorded.stream().filter(s -> s.startsWith(start)).count();
     }
 
     /** The newest line with this start, or an empty text. */
     String last(String start) {
-        return said.stream().filter(s -> s.startsWith(start)).reduce("", (a, b) -> b);
+        return recorded.stream().filter(s -> s.startsWith(start)).reduce("", (a, b) -> b);
     }
 
     /** How many attempts went to workers whose id passes the test. */
     long sendsTo(Predicate<String> workerId) {
-        return said.stream()
+        return recorded.stream()
                 .filter(
                         s ->
                                 s.startsWith("send ")
--- a/core/src/test/java/postgrade/policy/SettingsChangeTest.java
+++ b/core/src/test/java/postgrade/policy/SettingsChangeTest.java
@@ -19,27 +19,27 @@
     @Test
     void newSettingsBindAtOnceAndFillNoBucket() {
         PolicySettings.Builder b = settings().tenants(List.of(new Tenant("t", 4)));
-        TokenBucketDispatchPolicy d = start(b.build(), "s1");
-        d.attemptFinished(0, job(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, FULL_UP);
+        TokenBucketDispatchPolicy d = newPolicy(b.build(), "s1");
+        d.attemptFinished(0, submit(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, FULL_REPORT);
         for (int i = 0; i < 8; i++) {
-            job(d, 0, "unsafe", "t", null);
+            submit(d, 0, "unsafe", "t", null);
         }
-        long refused = out.count("refuse");
+        long refused = actions.count("refuse");
         d.settingsChanged(
                 0, b.classes(List.of(JobClass.of("fresh", Idempotency.IDEMPOTENT))).build());
-        job(d, 0, "fresh", "t", null);
-        assertEquals(refused + 1, out.count("refuse"), "no fresh burst");
-        assertThrows(IllegalArgumentException.class, () -> job(d, 0, "safe"));
+        submit(d, 0, "fresh", "t", null);
+        assertEquals(refused + 1, actions.count("refuse"), "no fresh burst");
+        assertThrows(IllegalArgumentException.class, () -> submit(d, 0, "safe"));
         d.settingsChanged(0, b.tenants(List.of()).build());
-        job(d, MS, "fresh", "t", null);
-        assertFalse(out.last("send").isEmpty());
+        submit(d, MS, "fresh", "t", null);
+        assertFalse(actions.last("send").isEmpty());
     }
 
     @Test
     void fewerAttemptsBindJobsUnderWayMoreDoToo_andAClassThatTurnsUnsafeKeepsItsOldJobs() {
-        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2", "s3");
-        String id = job(d, 0, "safe");
-        String kept = job(d, 0, "safe");
+        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2", "s3");
+        String id = submit(d, 0, "safe");
+        String kept = submit(d, 0, "safe");
         d.settingsChanged(
                 0,
                 settings()
@@ -49,7 +49,7 @@
         d.attemptFinished(MS, id, 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
         assertEquals(
                 "refuse " + id,
-                out.last("refuse").substring(0, 7 + id.length()),
+                actions.last("refuse").substring(0, 7 + id.length()),
                 "no second attempt");
         d.settingsChanged(
                 0,
@@ -61,8 +61,8 @@
             d.attemptFinished(2 * MS, kept, i, AttemptOutcome.FULL, false, LoadReport.NONE);
             d.timerFired(2 * SECOND + 60 * MS * i, "sweep");
         }
-        String once = job(d, 3 * SECOND, "safe");
+        String once = submit(d, 3 * SECOND, "safe");
         d.attemptFinished(3 * SECOND, once, 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
-        assertEquals("fail " + once, out.last("fail"));
+        assertEquals("fail " + once, actions.last("fail"));
     }
 }
--- a/core/src/test/java/postgrade/policy/SlowStartBudgetTest.java
+++ b/core/src/test/java/postgrade/policy/SlowStartBudgetTest.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import postgrade.policy.FleetSimulation.Call;
-import postgrade.policy.FleetSimulation.Machine;
+import postgrade.policy.FleetSimulation.ReceivedJob;
+import postgrade.policy.FleetSimulation.SimulatedWorker;
 import postgrade.policy.api.DeduplicationScope;
 import postgrade.policy.api.Idempotency;
 import postgrade.policy.api.JobClass;
@@ -77,21 +77,21 @@
      * The most by which the work in any window since the worker's start went over N, in roots of N;
      * and that work over N.
      */
-    private static double[] worst(Machine m) {
+    private static double[] worst(SimulatedWorker m) {
         double worst = 0;
         double over = -9;
         double sum = 0;
         int from = 0;
-        for (int i = 0; i < m.calls.size(); i++) {
-            Call c = m.calls.get(i);
-            sum += c.workNs() / MEAN;
-            while (m.calls.get(from).atNs() <= c.atNs() - WINDOW) {
-                sum -= m.calls.get(from++).workNs() / MEAN;
+        for (int i = 0; i < m.received.size(); i++) {
+            ReceivedJob c = m.received.get(i);
+            sum += c.serviceTimeNs() / MEAN;
+            while (m.received.get(from).atNs() <= c.atNs() - WINDOW) {
+                sum -= m.received.get(from++).serviceTimeNs() / MEAN;
             }
             // The least that it can do in this window: what it could at its begin, or at its start.
             double n =
                     MULTIPLE
-                            * m.warmth(Math.max(m.bornNs, c.atNs() - WINDOW))
+                            * m.slowStartShare(Math.max(m.startedNs, c.atNs() - WINDOW))
                             * m.slots
                             * WINDOW
                             / MEAN;
@@ -105,9 +105,9 @@
         FleetSimulation f =
                 new FleetSimulation(
                         seed, i -> settings(gateways, i), SLOTS / slots, slots, MEANS, 1);
-        f.load(0.7 * CAPACITY, 30 * SECOND);
+        f.generateLoad(0.7 * CAPACITY, 30 * SECOND);
         f.run(8 * SECOND);
-        f.load(0.7 * CAPACITY, 14 * SECOND);
+        f.generateLoad(0.7 * CAPACITY, 14 * SECOND);
         return f;
     }
 
@@ -118,15 +118,17 @@
     private static int over(FleetSimulation f, String what) {
         List<String> restarted = List.of("w3", "w7", "w11");
         for (String w : restarted) {
-            f.restart(w, 200 * MS);
+            f.restartWorker(w, 200 * MS);
             f.run(f.now + SECOND);
         }
         f.run(30 * SECOND);
         int over = 0;
         for (String w : restarted) {
-            Machine m = f.machines.get(w);
+            SimulatedWorker m = f.workers.get(w);
             double[] worst = worst(m);
-            assertTrue(m.calls.size() > 10, what + ": it was used, " + m.calls.size() + " calls");
+            assertTrue(
+                    m.received.size() > 10,
+                    what + ": it was used, " + m.received.size() + " calls");
             over += worst[0] > 2 ? 1 : 0;
             assertTrue(
                     worst[0] <= 4,
@@ -161,7 +163,7 @@
         for (long seed = 1; seed <= 6; seed++) {
             String what = gateways + " gateways, seed " + seed;
             FleetSimulation f = underABurst(gateways, 5, seed);
-            f.restartGateways(0.7);
+            f.restartDispatchers(0.7);
             assertEquals(0, over(f, what), what);
         }
     }
--- a/core/src/test/java/postgrade/policy/SlowStartStudy.java
+++ b/core/src/test/java/postgrade/policy/SlowStartStudy.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import postgrade.policy.FleetSimulation.Call;
-import postgrade.policy.FleetSimulation.Machine;
+import postgrade.policy.FleetSimulation.ReceivedJob;
+import postgrade.policy.FleetSimulation.SimulatedWorker;
 import postgrade.policy.api.DeduplicationScope;
 import postgrade.policy.api.Idempotency;
 import postgrade.policy.api.JobClass;
@@ -77,17 +77,17 @@
     /** What the worst window since a worker's start came to. */
     private record Worst(double partOfBudget, double rootsOverAllowed) {}
 
-    private static Worst worst(Machine worker) {
+    private static Worst worst(SimulatedWorker worker) {
         double part = 0;
         double roots = Double.NEGATIVE_INFINITY;
         double sum = 0;
         int from = 0;
-        for (Call call : worker.calls) {
-            sum += call.workNs() / MEAN;
-            while (worker.calls.get(from).atNs() <= call.atNs() - WINDOW) {
-                sum -= worker.calls.get(from++).workNs() / MEAN;
+        for (ReceivedJob call : worker.received) {
+            sum += call.serviceTimeNs() / MEAN;
+            while (worker.received.get(from).atNs() <= call.atNs() - WINDOW) {
+                sum -= worker.received.get(from++).serviceTimeNs() / MEAN;
             }
-            double warmth = worker.warmth(Math.max(worker.bornNs, call.atNs() - WINDOW));
+            double warmth = worker.slowStartShare(Math.max(worker.startedNs, call.atNs() - WINDOW));
             double allowed = MULTIPLE * warmth * worker.slots * WINDOW / MEAN;
             part = Math.max(part, sum / budget(allowed));
             roots = Math.max(roots, (sum - allowed - 2) / Math.sqrt(allowed));
@@ -100,11 +100,11 @@
         FleetSimulation fleet =
                 new FleetSimulation(
                         seed, i -> settings(dispatchers, i, capacity), WORKERS, slots, MEANS, 1);
-        fleet.load(0.7 * capacity, 30 * SECOND);
+        fleet.generateLoad(0.7 * capacity, 30 * SECOND);
         fleet.run(8 * SECOND);
-        fleet.load(0.7 * capacity, 14 * SECOND);
+        fleet.generateLoad(0.7 * capacity, 14 * SECOND);
         for (String worker : STARTED) {
-            fleet.restart(worker, 200 * MS);
+            fleet.restartWorker(worker, 200 * MS);
             fleet.run(fleet.now + SECOND);
         }
         fleet.run(30 * SECOND);
@@ -116,8 +116,8 @@
         long refused = 0;
         for (long seed = 1; seed <= seeds; seed++) {
             FleetSimulation fleet = withThreeStarts(slots, dispatchers, seed);
-            refused += fleet.refused;
-            STARTED.forEach(worker -> starts.add(worst(fleet.machines.get(worker))));
+            refused += fleet.rejected;
+            STARTED.forEach(worker -> starts.add(worst(fleet.workers.get(worker))));
         }
         System.out.printf(
                 Locale.ROOT,
--- a/core/src/test/java/postgrade/policy/SlowStartTest.java
+++ b/core/src/test/java/postgrade/policy/SlowStartTest.java
@@ -21,15 +21,17 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 4, 200})
     void allGatewaysTogetherUseAColdWorkersBudgetAndNoMore(int count) {
-        List<TokenBucketDispatchPolicy> gateways = gatewaysWithColdWorker(count, 10 * SECOND);
+        List<TokenBucketDispatchPolicy> gateways =
+                dispatchersWithWorkerInSlowStart(count, 10 * SECOND);
         double budget = 3 * 0.12 * 8 * 1.5;
-        long sent = sentToS2(gateways, 30, 10 * SECOND);
+        long sent = submitAndCountSentToS2(gateways, 30, 10 * SECOND);
         assertTrue(
                 sent * 0.3 <= budget && sent * 0.3 >= budget / 4, sent + " jobs of 0.3 s at once");
-        sent += sentToS2(gateways, 30, 11 * SECOND);
+        sent += submitAndCountSentToS2(gateways, 30, 11 * SECOND);
         double warmer = 0.12 + 0.88 / 24;
         assertTrue(sent * 0.3 <= budget * warmer / 0.12, sent + " jobs within one window");
-        assertTrue(sentToS2(gateways, 60, 24 * SECOND) >= 2 * sent, "more as it warms");
+        assertTrue(
+                submitAndCountSentToS2(gateways, 60, 24 * SECOND) >= 2 * sent, "more as it warms");
     }
 
     /**
@@ -42,17 +44,17 @@
                 new TokenBucketDispatchPolicy(
                         settings().slowStart(0.5, 24 * SECOND).overload(3, 1500 * MS).build(),
                         1,
-                        out);
+                        actions);
         d.workersUpdated(
                 0, WorkerListUpdateType.CACHED, List.of(worker("s1", WorkerPhase.READY, 0)));
         d.workersUpdated(
                 SECOND,
                 WorkerListUpdateType.FULL,
                 List.of(worker("s2", WorkerPhase.READY, SECOND)));
-        job(d, 1400 * MS, "safe");
-        assertEquals(0, out.count("send"));
-        job(d, 1600 * MS, "safe");
-        assertEquals(1, out.count("send"));
+        submit(d, 1400 * MS, "safe");
+        assertEquals(0, actions.count("send"));
+        submit(d, 1600 * MS, "safe");
+        assertEquals(1, actions.count("send"));
     }
 
     /**
@@ -62,15 +64,16 @@
     @Test
     void jobThatAColdWorkerWouldRunTooLongGoesToABusyWarmOne() {
         TokenBucketDispatchPolicy d =
-                start(settings().slowStart(0.2, 20 * SECOND).overload(30, SECOND).build(), "s1");
+                newPolicy(
+                        settings().slowStart(0.2, 20 * SECOND).overload(30, SECOND).build(), "s1");
         for (int i = 0; i < 20; i++) {
             d.attemptFinished(
                     i * SECOND + 500 * MS,
-                    job(d, i * SECOND, "safe"),
+                    submit(d, i * SECOND, "safe"),
                     0,
                     AttemptOutcome.SERVED,
                     true,
-                    FREE);
+                    IDLE_REPORT);
         }
         long nowNs = 30 * SECOND;
         d.workersUpdated(
@@ -78,13 +81,13 @@
         for (int i = 0; i < 6; i++) {
             assertEquals(
                     "s1",
-                    out.sentTo(job(d, nowNs + i, "safe")),
+                    actions.sentTo(submit(d, nowNs + i, "safe")),
                     "half a second, 1.8 s cold, wanted within one");
         }
         double before = meanNs(d);
-        String later = job(d, nowNs + 8 * SECOND, "safe");
-        assertEquals("s2", out.sentTo(later), "0.7 s on a worker with none of ours");
-        d.attemptFinished(nowNs + 8_650 * MS, later, 0, AttemptOutcome.SERVED, true, FREE);
+        String later = submit(d, nowNs + 8 * SECOND, "safe");
+        assertEquals("s2", actions.sentTo(later), "0.7 s on a worker with none of ours");
+        d.attemptFinished(nowNs + 8_650 * MS, later, 0, AttemptOutcome.SERVED, true, IDLE_REPORT);
         assertTrue(meanNs(d) <= before, "half a second, warm: nothing new of the class");
     }
 
@@ -101,7 +104,7 @@
      */
     @Test
     void workerPutBackIsForgivenAndTriedByTheNextRepeatableJobWithinItsColdBudget() {
-        TokenBucketDispatchPolicy d = gatewaysWithColdWorker(1, 0).get(0);
+        TokenBucketDispatchPolicy d = dispatchersWithWorkerInSlowStart(1, 0).get(0);
         d.workersUpdated(
                 50 * SECOND,
                 WorkerListUpdateType.FULL,
@@ -109,24 +112,24 @@
                         worker("s1", WorkerPhase.READY, 0),
                         worker("s2", WorkerPhase.READY, 50 * SECOND)));
         for (int i = 0; i < 40; i++) {
-            String id = job(d, 50 * SECOND + i, "safe");
+            String id = submit(d, 50 * SECOND + i, "safe");
             AttemptOutcome end =
-                    out.sentTo(id).equals("s2") ? AttemptOutcome.ERROR : AttemptOutcome.SERVED;
-            d.attemptFinished(50 * SECOND + i, id, 0, end, true, FREE);
+                    actions.sentTo(id).equals("s2") ? AttemptOutcome.ERROR : AttemptOutcome.SERVED;
+            d.attemptFinished(50 * SECOND + i, id, 0, end, true, IDLE_REPORT);
         }
         d.workersUpdated(
                 60 * SECOND,
                 WorkerListUpdateType.DELTA,
                 List.of(worker("s2", WorkerPhase.READY, 60 * SECOND)));
         d.workerReenabled(60 * SECOND, "s2");
-        assertEquals("s1", out.sentTo(job(d, 60 * SECOND, "unsafe")));
-        assertEquals("s2", out.sentTo(job(d, 60 * SECOND, "safe")));
-        long before = out.count("send");
+        assertEquals("s1", actions.sentTo(submit(d, 60 * SECOND, "unsafe")));
+        assertEquals("s2", actions.sentTo(submit(d, 60 * SECOND, "safe")));
+        long before = actions.count("send");
         for (int i = 0; i < 5; i++) {
-            job(d, 60 * SECOND, "safe");
+            submit(d, 60 * SECOND, "safe");
         }
         assertTrue(
-                out.said.stream()
+                actions.recorded.stream()
                         .filter(l -> l.startsWith("send"))
                         .skip(before)
                         .anyMatch(l -> l.endsWith("s1")));
--- a/core/src/test/java/postgrade/policy/StateTransferTest.java
+++ b/core/src/test/java/postgrade/policy/StateTransferTest.java
@@ -21,35 +21,35 @@
 
     @Test
     void twoProcessesHaveOneBurstBetweenThem() {
-        assertEquals(40, admitted(oneTenant(20, 1), 80));
-        TokenBucketDispatchPolicy old = oneTenant(20, 1);
-        assertEquals(10, admitted(old, 10));
+        assertEquals(40, submitAndCountAdmitted(policyWithOneTenant(20, 1), 80));
+        TokenBucketDispatchPolicy old = policyWithOneTenant(20, 1);
+        assertEquals(10, submitAndCountAdmitted(old, 10));
         List<PolicyStateEntry> told = old.exportState(0);
         old.quotaShareChanged(0, 0.5);
-        TokenBucketDispatchPolicy fresh = oneTenant(20, 1);
+        TokenBucketDispatchPolicy fresh = policyWithOneTenant(20, 1);
         fresh.quotaShareChanged(0, 0.5);
         fresh.importState(0, told);
-        long both = admitted(old, 80) + admitted(fresh, 80);
+        long both = submitAndCountAdmitted(old, 80) + submitAndCountAdmitted(fresh, 80);
         assertTrue(both <= 30 && both >= 20, both + " after 10 of 40");
     }
 
     @Test
     void aNewProcessKnowsWhoIsSickWhoIsSlowAndWhoOwesATrial() {
         TokenBucketDispatchPolicy old =
-                start(
+                newPolicy(
                         settings().slowStart(0.2, 20 * SECOND).overload(3, SECOND).build(),
                         "s1",
                         "s2",
                         "s3");
         for (int i = 0; i < 60; i++) {
-            String id = job(old, i, "safe");
+            String id = submit(old, i, "safe");
             old.attemptFinished(
                     i,
                     id,
                     0,
-                    out.sentTo(id).equals("s2") ? AttemptOutcome.ERROR : AttemptOutcome.SERVED,
+                    actions.sentTo(id).equals("s2") ? AttemptOutcome.ERROR : AttemptOutcome.SERVED,
                     true,
-                    FREE);
+                    IDLE_REPORT);
         }
         old.workersUpdated(
                 SECOND,
@@ -61,7 +61,9 @@
         told.add(new PolicyStateEntry("of a later version", "x", new double[0]));
         TokenBucketDispatchPolicy fresh =
                 new TokenBucketDispatchPolicy(
-                        settings().slowStart(0.2, 20 * SECOND).overload(3, SECOND).build(), 3, out);
+                        settings().slowStart(0.2, 20 * SECOND).overload(3, SECOND).build(),
+                        3,
+                        actions);
         long now = 100 * SECOND; // Its clock is another.
         fresh.workersUpdated(
                 now,
@@ -73,10 +75,10 @@
         fresh.importState(now, told);
         assertEquals(
                 "s3",
-                out.sentTo(job(fresh, now, "safe")),
+                actions.sentTo(submit(fresh, now, "safe")),
                 "the trial is owed, and all sends there are told");
         for (int i = 0; i < 20; i++) {
-            assertNotEquals("s2", out.sentTo(job(fresh, now + i, "safe")), "it is ejected");
+            assertNotEquals("s2", actions.sentTo(submit(fresh, now + i, "safe")), "it is ejected");
         }
     }
 
@@ -87,8 +89,8 @@
     @Test
     void whatWasSentToAColdWorkerBeforeARestartCountsInItsWindow() {
         for (boolean ended : new boolean[] {true, false}) {
-            TokenBucketDispatchPolicy old = gatewaysWithColdWorker(1, 10 * SECOND).get(0);
-            long sent = sentToS2(List.of(old), 30, 10 * SECOND);
+            TokenBucketDispatchPolicy old = dispatchersWithWorkerInSlowStart(1, 10 * SECOND).get(0);
+            long sent = submitAndCountSentToS2(List.of(old), 30, 10 * SECOND);
             List<PolicyStateEntry> told =
                     old.exportState(10 * SECOND + 100 * MS).stream()
                             .filter(l -> ended || !l.category().equals("up"))
@@ -97,15 +99,16 @@
                     new TokenBucketDispatchPolicy(
                             settings().slowStart(0.12, 24 * SECOND).overload(3, 1500 * MS).build(),
                             0,
-                            out);
+                            actions);
             fresh.workersUpdated(
                     20 * SECOND,
                     WorkerListUpdateType.FULL,
                     List.of(worker("s2", WorkerPhase.READY, 19 * SECOND + 900 * MS)));
             fresh.importState(20 * SECOND, told);
             assertTrue(
-                    sent > 0 && sentToS2(List.of(fresh), 30, 20 * SECOND) == 0, sent + " before");
-            long later = sentToS2(List.of(fresh), 30, 21_450 * MS);
+                    sent > 0 && submitAndCountSentToS2(List.of(fresh), 30, 20 * SECOND) == 0,
+                    sent + " before");
+            long later = submitAndCountSentToS2(List.of(fresh), 30, 21_450 * MS);
             assertTrue(
                     later > 0 == ended,
                     later + " once its window is over; after a crash, one window after the start");
@@ -115,19 +118,20 @@
     @Test
     void aNewProcessKnowsHowMuchOfTheFleetOthersHoldAndWhichKindWaits() {
         PolicySettings s = settings().dispatcherCount(10).workersReportStart(true).build();
-        TokenBucketDispatchPolicy old = start(s, "s1", "b1");
+        TokenBucketDispatchPolicy old = newPolicy(s, "s1", "b1");
         for (int i = 0; i < 40; i++) {
-            String id = job(old, i * MS, "safe");
-            long waitNs = out.sentTo(id).equals("b1") ? 900 * MS : 50 * MS;
+            String id = submit(old, i * MS, "safe");
+            long waitNs = actions.sentTo(id).equals("b1") ? 900 * MS : 50 * MS;
             old.attemptStarted(i * MS + waitNs, id, 0);
             old.attemptFinished(2 * SECOND, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
         List<PolicyStateEntry> told = old.exportState(3 * SECOND);
-        TokenBucketDispatchPolicy fresh = start(s, "s1", "b1");
+        TokenBucketDispatchPolicy fresh = newPolicy(s, "s1", "b1");
         fresh.importState(0, told);
         for (String of : List.of("fleet", "kind")) {
             assertEquals(figures(told, of), figures(fresh.exportState(0), of));
-            assertNotEquals(figures(start(s, "s1", "b1").exportState(0), of), figures(told, of));
+            assertNotEquals(
+                    figures(newPolicy(s, "s1", "b1").exportState(0), of), figures(told, of));
         }
     }
 
