--- a/core/src/test/java/postgrade/policy/UnreportedLoadTest.java
+++ b/core/src/test/java/postgrade/policy/UnreportedLoadTest.java
@@ -24,7 +24,7 @@
      */
     @Test
     void withoutReportsJobsFollowTheSizesThatTheListAnnounces() {
-        TokenBucketDispatchPolicy d = new TokenBucketDispatchPolicy(settings().build(), 7, out);
+        TokenBucketDispatchPolicy d = new TokenBucketDispatchPolicy(settings().build(), 7, actions);
         d.workersUpdated(
                 0,
                 WorkerListUpdateType.FULL,
@@ -32,9 +32,9 @@
                         new WorkerInfo("s1", "z", "small", 0, WorkerPhase.READY, 1, 0),
                         new WorkerInfo("s2", "z", "large", 0, WorkerPhase.READY, 3, 0)));
         for (int i = 0; i < 40; i++) {
-            job(d, 1, "safe");
+            submit(d, 1, "safe");
         }
-        long large = out.sendsTo("s2"::equals);
+        long large = actions.sendsTo("s2"::equals);
         assertTrue(large >= 28 && large <= 32, large + " of 40");
     }
 
@@ -46,7 +46,7 @@
     @Test
     void withNoneOfOursAnywhereJobsGoInProportionToSize() {
         TokenBucketDispatchPolicy d =
-                new TokenBucketDispatchPolicy(settings().dispatcherCount(14).build(), 7, out);
+                new TokenBucketDispatchPolicy(settings().dispatcherCount(14).build(), 7, actions);
         d.workersUpdated(
                 0,
                 WorkerListUpdateType.FULL,
@@ -54,10 +54,10 @@
                         new WorkerInfo("s1", "z", "small", 0, WorkerPhase.READY, 1, 0),
                         new WorkerInfo("s2", "z", "large", 0, WorkerPhase.READY, 3, 0)));
         for (int i = 0; i < 400; i++) {
-            String id = job(d, i * MS, "safe");
+            String id = submit(d, i * MS, "safe");
             d.attemptFinished(i * MS, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
-        long small = out.sendsTo("s1"::equals);
+        long small = actions.sendsTo("s1"::equals);
         assertTrue(
                 small >= 70 && small <= 130,
                 small + " of 400 to the worker of a quarter of the size");
@@ -73,7 +73,9 @@
     void jobsGoLessToAKindWhoseJobsWaitBeforeTheyStart() {
         TokenBucketDispatchPolicy d =
                 new TokenBucketDispatchPolicy(
-                        settings().dispatcherCount(14).workersReportStart(true).build(), 7, out);
+                        settings().dispatcherCount(14).workersReportStart(true).build(),
+                        7,
+                        actions);
         List<WorkerInfo> fleet = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             fleet.add(
@@ -90,13 +92,13 @@
         for (int i = 0; i < 400; i++) {
             long nowNs =
                     i * 300 * MS; // Each worker hears of one job of ours in some twenty seconds.
-            String id = job(d, nowNs, "safe");
-            long waitNs = out.sentTo(id).startsWith("small") ? 20 * MS : 2 * MS;
+            String id = submit(d, nowNs, "safe");
+            long waitNs = actions.sentTo(id).startsWith("small") ? 20 * MS : 2 * MS;
             d.attemptStarted(nowNs + waitNs, id, 0);
             d.attemptFinished(
                     nowNs + waitNs + MS, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
-        long small = out.sendsTo(w -> w.startsWith("small-"));
+        long small = actions.sendsTo(w -> w.startsWith("small-"));
         // 176 where a worker's wait fades to none; 153 with the kind's wait in the size alone.
         assertTrue(small <= 40, small + " of 400 to the kind whose jobs wait ten times as long");
     }
@@ -115,14 +117,14 @@
                                 .overload(3, SECOND)
                                 .build(),
                         7,
-                        out);
+                        actions);
         d.workersUpdated(
                 0,
                 WorkerListUpdateType.FULL,
                 List.of(new WorkerInfo("old", "z", "k", 0, WorkerPhase.READY, 1, 0)));
         for (int i = 0; i < 40; i++) {
             long nowNs = i * 100 * MS;
-            String id = job(d, nowNs, "safe");
+            String id = submit(d, nowNs, "safe");
             d.attemptStarted(nowNs + 20 * MS, id, 0);
             d.attemptFinished(nowNs + 21 * MS, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
@@ -133,8 +135,8 @@
         long toNew = 0;
         for (int i = 0; i < 40; i++) {
             long nowNs = 10 * SECOND + i * SECOND;
-            String id = job(d, nowNs, "safe");
-            boolean cold = out.sentTo(id).equals("new");
+            String id = submit(d, nowNs, "safe");
+            boolean cold = actions.sentTo(id).equals("new");
             toNew += cold ? 1 : 0;
             d.attemptStarted(nowNs + (cold ? 0 : 20 * MS), id, 0);
             d.attemptFinished(nowNs + 21 * MS, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
@@ -148,7 +150,7 @@
      */
     @Test
     void workerWithoutWeightCountsAsOneOfMeanSize() {
-        TokenBucketDispatchPolicy d = new TokenBucketDispatchPolicy(settings().build(), 7, out);
+        TokenBucketDispatchPolicy d = new TokenBucketDispatchPolicy(settings().build(), 7, actions);
         d.workersUpdated(
                 0,
                 WorkerListUpdateType.FULL,
@@ -156,9 +158,9 @@
                         new WorkerInfo("s1", "z", "std", 0, WorkerPhase.READY, 0, 0),
                         new WorkerInfo("s2", "z", "std", 0, WorkerPhase.READY, 4, 0)));
         for (int i = 0; i < 20; i++) {
-            job(d, 1, "safe");
+            submit(d, 1, "safe");
         }
-        assertEquals(10, out.sendsTo("s1"::equals));
+        assertEquals(10, actions.sendsTo("s1"::equals));
     }
 
     /**
@@ -169,7 +171,7 @@
     @CsvSource({"1, true", "20, false"})
     void withoutReportsOtherGatewaysAreTakenToHoldAsMuch(int gateways, boolean excessGoes) {
         TokenBucketDispatchPolicy d =
-                start(
+                newPolicy(
                         settings()
                                 .dispatcherCount(gateways)
                                 .tenants(List.of(new Tenant("t", 1), new Tenant("u", 150)))
@@ -179,7 +181,7 @@
         for (long nowNs = SECOND; nowNs < 4 * SECOND; nowNs += 100 * MS) {
             d.attemptFinished(
                     nowNs + 90 * MS,
-                    job(d, nowNs, "safe"),
+                    submit(d, nowNs, "safe"),
                     0,
                     AttemptOutcome.SERVED,
                     true,
@@ -188,13 +190,13 @@
         for (int i = 0; i < 5; i++) {
             d.attemptFinished(
                     4 * SECOND,
-                    job(d, 4 * SECOND, "safe", "t", null),
+                    submit(d, 4 * SECOND, "safe", "t", null),
                     0,
                     AttemptOutcome.RESET,
                     true,
                     LoadReport.NONE);
         }
-        String excess = job(d, 4 * SECOND, "safe", "t", null);
-        assertEquals(excessGoes, !out.sentTo(excess).isEmpty());
+        String excess = submit(d, 4 * SECOND, "safe", "t", null);
+        assertEquals(excessGoes, !actions.sentTo(excess).isEmpty());
     }
 }
--- a/core/src/test/java/postgrade/policy/WorkerListTest.java
+++ b/core/src/test/java/postgrade/policy/WorkerListTest.java
@@ -21,15 +21,16 @@
     @Test
     void listIsAskedForAtTheStartAndAgainAfterAnError() {
         TokenBucketDispatchPolicy d =
-                new TokenBucketDispatchPolicy(settings().pollsWorkerList(true).build(), 1, out);
+                new TokenBucketDispatchPolicy(settings().pollsWorkerList(true).build(), 1, actions);
         d.workersUpdated(
                 0, WorkerListUpdateType.CACHED, List.of(worker("s1", WorkerPhase.READY, 0)));
-        assertEquals(1, out.count("watch"));
+        assertEquals(1, actions.count("watch"));
         d.workersUpdated(1, WorkerListUpdateType.FAILED, List.of());
-        assertEquals(1, out.count("timer ask"));
+        assertEquals(1, actions.count("timer ask"));
         d.timerFired(SECOND, "ask");
-        assertEquals(2, out.count("watch"));
-        assertEquals("s1", out.sentTo(job(d, SECOND, "safe")), "the old list stays in force");
+        assertEquals(2, actions.count("watch"));
+        assertEquals(
+                "s1", actions.sentTo(submit(d, SECOND, "safe")), "the old list stays in force");
     }
 
     /**
@@ -39,7 +40,7 @@
     @Test
     void restartedGatewayFollowsTheFirstFreshList() {
         TokenBucketDispatchPolicy d =
-                new TokenBucketDispatchPolicy(settings().pollsWorkerList(true).build(), 1, out);
+                new TokenBucketDispatchPolicy(settings().pollsWorkerList(true).build(), 1, actions);
         d.workersUpdated(
                 0,
                 WorkerListUpdateType.CACHED,
@@ -49,7 +50,7 @@
                 WorkerListUpdateType.FULL,
                 List.of(worker("s2", WorkerPhase.DRAINING, 0), worker("s3", WorkerPhase.READY, 0)));
         for (int i = 0; i < 6; i++) {
-            assertEquals("s3", out.sentTo(job(d, SECOND, "safe")));
+            assertEquals("s3", actions.sentTo(submit(d, SECOND, "safe")));
         }
     }
 
@@ -57,25 +58,25 @@
     @Test
     void workerThatWasUnreachableIsEjectedButNotTakenAsCold() {
         PolicySettings s = settings().slowStart(0.1, 20 * SECOND).overload(2, SECOND).build();
-        TokenBucketDispatchPolicy d = start(s, "s1", "s2", "s3");
-        warmUp(d, 20, FREE);
-        String id = job(d, SECOND, "safe");
-        String cut = out.sentTo(id);
+        TokenBucketDispatchPolicy d = newPolicy(s, "s1", "s2", "s3");
+        serveJobs(d, 20, IDLE_REPORT);
+        String id = submit(d, SECOND, "safe");
+        String cut = actions.sentTo(id);
         d.attemptFinished(SECOND, id, 0, AttemptOutcome.UNREACHABLE, false, LoadReport.NONE);
         for (int i = 0; i < 6; i++) {
-            assertNotEquals(cut, out.sentTo(job(d, SECOND, "safe")));
+            assertNotEquals(cut, actions.sentTo(submit(d, SECOND, "safe")));
         }
         String trial = "";
-        for (int i = 0; i < 9 && !out.sentTo(trial).equals(cut); i++) {
-            trial = job(d, 4 * SECOND, "safe");
+        for (int i = 0; i < 9 && !actions.sentTo(trial).equals(cut); i++) {
+            trial = submit(d, 4 * SECOND, "safe");
         }
-        d.attemptFinished(4 * SECOND, trial, 0, AttemptOutcome.SERVED, true, FREE);
-        int before = out.said.size();
+        d.attemptFinished(4 * SECOND, trial, 0, AttemptOutcome.SERVED, true, IDLE_REPORT);
+        int before = actions.recorded.size();
         for (int i = 0; i < 24; i++) {
-            job(d, 4 * SECOND, "safe");
+            submit(d, 4 * SECOND, "safe");
         }
         long sent =
-                out.said.stream()
+                actions.recorded.stream()
                         .skip(before)
                         .filter(l -> l.startsWith("send") && l.endsWith(cut))
                         .count();
@@ -90,7 +91,7 @@
     }
 
     private List<String> busyHour(long seed) {
-        Recorder mine = new Recorder();
+        RecordingActions mine = new RecordingActions();
         TokenBucketDispatchPolicy d =
                 new TokenBucketDispatchPolicy(
                         settings().tenants(List.of(new Tenant("t", 3))).build(), seed, mine);
@@ -110,9 +111,9 @@
                     0,
                     i % 5 == 0 ? AttemptOutcome.ERROR : AttemptOutcome.SERVED,
                     i % 5 != 0,
-                    FREE);
+                    IDLE_REPORT);
             d.timerFired(i * 50 * MS + 2, "sweep");
         }
-        return mine.said;
+        return mine.recorded;
     }
 }
--- a/core/src/test/java/postgrade/policy/WorkerSelectionTest.java
+++ b/core/src/test/java/postgrade/policy/WorkerSelectionTest.java
@@ -10,34 +10,36 @@
 
     @Test
     void fewestOwnJobsSpreadsEvenly() {
-        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "s2", "s3");
+        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2", "s3");
         for (int i = 0; i < 6; i++) {
-            job(d, 0, "safe");
+            submit(d, 0, "safe");
         }
         for (String id : List.of("s1", "s2", "s3")) {
             assertEquals(
                     2,
-                    out.said.stream().filter(l -> l.startsWith("send") && l.endsWith(id)).count());
+                    actions.recorded.stream()
+                            .filter(l -> l.startsWith("send") && l.endsWith(id))
+                            .count());
         }
     }
 
     @Test
     void classBoundToAKindRunsOnlyThere() {
-        TokenBucketDispatchPolicy d = start(settings().build(), "s1", "b1", "s2");
-        assertEquals("b1", out.sentTo(job(d, 0, "big-only")));
-        TokenBucketDispatchPolicy none = start(settings().build(), "s1");
-        String id = job(none, 0, "big-only");
+        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "b1", "s2");
+        assertEquals("b1", actions.sentTo(submit(d, 0, "big-only")));
+        TokenBucketDispatchPolicy none = newPolicy(settings().build(), "s1");
+        String id = submit(none, 0, "big-only");
         none.timerFired(2 * SECOND, "sweep");
-        assertEquals(1, out.count("refuse " + id), "no able worker: refused when hope is gone");
+        assertEquals(1, actions.count("refuse " + id), "no able worker: refused when hope is gone");
     }
 
     @Test
     void emptyListRefusesWithRetryAfterWhenHopeIsGone() {
-        TokenBucketDispatchPolicy d = start(settings().build());
-        String id = job(d, 0, "unsafe");
+        TokenBucketDispatchPolicy d = newPolicy(settings().build());
+        String id = submit(d, 0, "unsafe");
         d.timerFired(50 * MS, "sweep");
-        assertEquals(0, out.count("refuse"));
+        assertEquals(0, actions.count("refuse"));
         d.timerFired(1100 * MS, "sweep");
-        assertEquals("refuse " + id + " 500000000", out.last("refuse"));
+        assertEquals("refuse " + id + " 500000000", actions.last("refuse"));
     }
 }
