--- a/core/src/main/java/postgrade/policy/AdmissionController.java
+++ b/core/src/main/java/postgrade/policy/AdmissionController.java
@@ -1,24 +1,23 @@
 package postgrade.policy;
 
 /**
- * Decides whether a job may go to the fleet now.
+ * Decides whether a job may be sent to the fleet now.
  *
- * <p>Which of a tenant's jobs lie within its quota is not told, so a strict bucket rejects valuable
- * ones too: a job beyond the quota may go while the fleet has room beyond a reserve. Jobs of
- * classes that cost much service time for their weight leave more of it free, also within the
- * quota, or they fill a busy fleet and the cheap ones find it full.
+ * <p>It is not known which of a tenant's jobs lie within its quota, so a strict bucket would also
+ * reject valuable ones. Therefore a job beyond the quota is admitted while the fleet has free
+ * capacity beyond a reserve. For classes that need much service time for their priority weight the
+ * reserve is larger, and applies within the quota too; without it they would fill a busy fleet and
+ * cheap jobs would find it full.
  */
 final class AdmissionController {
 
-    /**
-     * The part of the fleet that is left free by jobs beyond their quota, and how much more by the
-     * dearest class.
-     */
+    /** Share of the fleet that jobs beyond their quota leave free. */
     private static final double RESERVE_BEYOND_QUOTA = 0.1;
 
+    /** Further share that jobs beyond their quota leave free, for the most expensive class. */
     private static final double RESERVE_FOR_COSTLIEST = 0.55;
 
-    /** The part that the dearest classes leave free within their quota. */
+    /** Share of the fleet that jobs of the most expensive class within their quota leave free. */
     private static final double RESERVE_WITHIN_QUOTA = 0.1;
 
     private final RateLimiter rateLimiter;
@@ -40,13 +39,13 @@
         this.fleetLoad = fleetLoad;
     }
 
-    /** Whether the fleet has room for the job beyond its reserve. */
+    /** Whether the fleet has free capacity for the job beyond the reserve. */
     boolean admits(long nowNs, InFlightJob job) {
         double reserve = reserve(job);
         double fleetSlots = workers.ready().stream().mapToDouble(capacity::slots).sum();
         fleetLoad.estimateWithoutReports(nowNs, fleetSlots);
-        // Old reports count as the usual share: with anything above, all excess looks welcome in a
-        // large fleet.
+        // Old reports decay to the usual free share. With any higher value, a large fleet would
+        // seem to have capacity for all jobs beyond the quota.
         double freeSlots =
                 workers.ready().stream()
                         .filter(worker -> !worker.isEjected(nowNs))
@@ -60,14 +59,15 @@
         return freeSlots >= fleetSlots * reserve;
     }
 
-    /** The part of the fleet that the job leaves free. */
+    /** Returns the share of the fleet that the job must leave free. */
     private double reserve(InFlightJob job) {
         JobClassStats jobClass = job.jobClass();
         if (job.withinQuota()) {
             return RESERVE_WITHIN_QUOTA * classes.relativeCost(jobClass);
         }
-        double ofDearest =
+        double costReserve =
                 RESERVE_FOR_COSTLIEST * jobClass.costPerWeight() / classes.highestCostPerWeight();
-        return rateLimiter.overQuotaShare(job.job().tenant()) * (RESERVE_BEYOND_QUOTA + ofDearest);
+        return rateLimiter.overQuotaShare(job.job().tenant())
+                * (RESERVE_BEYOND_QUOTA + costReserve);
     }
 }
--- a/core/src/main/java/postgrade/policy/AttemptGuard.java
+++ b/core/src/main/java/postgrade/policy/AttemptGuard.java
@@ -7,9 +7,9 @@
 import postgrade.policy.api.WorkerInfo;
 
 /**
- * Keeps the rules on attempts and final answers: nothing that must not run twice is sent again,
- * nothing goes to a worker that is not ready, and each job has one final answer. Every attempt and
- * every answer passes here.
+ * Enforces the rules on attempts and final answers: a job that must not run twice is not sent
+ * again, nothing is sent to a worker that is not ready, and each job has exactly one final answer.
+ * Every attempt and every answer goes through this class.
  */
 final class AttemptGuard {
 
@@ -18,7 +18,7 @@
     private final Map<String, InFlightJob> jobs;
 
     /**
-     * @param jobs in flight by id; those that are over are removed
+     * @param jobs the jobs in flight by id; completed ones are removed from it
      */
     AttemptGuard(PolicyContext context, SlowStartLimiter slowStart, Map<String, InFlightJob> jobs) {
         this.context = context;
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Whether the job may go there once none of its attempts is out: one that would move asks
-     * before it is cancelled.
+     * Whether the job may be sent to the worker once none of its attempts is in flight. For a
+     * queued job that is to move, this is asked before its attempt is cancelled.
      */
     boolean maySend(long nowNs, InFlightJob job, WorkerState worker) {
         return !job.isAnswered()
@@ -46,41 +46,42 @@
         return required == null || required.equals(worker.kind());
     }
 
-    /** Whether a repeat there cannot run the job twice. */
+    /** Whether a repeat at the worker cannot make the job take effect twice. */
     private static boolean mayRepeat(long nowNs, InFlightJob job, WorkerInfo worker) {
-        AttemptRecord binding = job.earliestPossibleRun();
-        if (binding == null) {
+        AttemptRecord possibleRun = job.earliestPossibleRun();
+        if (possibleRun == null) {
             return true;
         }
         DeduplicationScope scope = job.jobClass().jobClass().deduplicationScope();
         return job.idempotency() == Idempotency.DEDUPLICATED
-                && scope.covers(binding.worker().info(), worker)
-                && repeatWindowNs(nowNs, job, binding) > 0;
+                && scope.covers(possibleRun.worker().info(), worker)
+                && repeatWindowNs(nowNs, job, possibleRun) > 0;
     }
 
-    /** For how long a repeat may still be sent. */
-    private static long repeatWindowNs(long nowNs, InFlightJob job, AttemptRecord binding) {
+    /** Returns for how long a repeat may still be sent; not positive once the window is over. */
+    private static long repeatWindowNs(long nowNs, InFlightJob job, AttemptRecord possibleRun) {
         long windowNs = job.jobClass().jobClass().deduplicationWindowNs();
-        return binding.sentNs() + windowNs - RetryController.SWEEP_INTERVAL_NS - nowNs;
+        return possibleRun.sentNs() + windowNs - RetryController.SWEEP_INTERVAL_NS - nowNs;
     }
 
-    /** Whether trying again is harmless for the client. */
+    /** Whether the client can safely submit the job again. */
     boolean mayReject(InFlightJob job) {
-        boolean repeatsAreDropped =
+        boolean repeatsAreDeduplicated =
                 job.idempotency() == Idempotency.DEDUPLICATED
                         && job.jobClass().jobClass().deduplicationScope() == DeduplicationScope.ALL;
-        return !job.isAnswered() && (repeatsAreDropped || job.earliestPossibleRun() == null);
+        return !job.isAnswered() && (repeatsAreDeduplicated || job.earliestPossibleRun() == null);
     }
 
-    /** Sends the job there if the rules allow it. */
+    /** Sends the job to the worker if the rules allow it. */
     void send(long nowNs, InFlightJob job, WorkerState worker) {
-        boolean another = job.attemptsInFlight() > 0;
-        boolean forbidden = another && !context.settings().allowsConcurrentAttempts;
+        boolean isConcurrent = job.attemptsInFlight() > 0;
+        boolean forbidden = isConcurrent && !context.settings().allowsConcurrentAttempts;
         if (forbidden || !maySend(nowNs, job, worker)) {
             return;
         }
-        AttemptRecord binding = job.earliestPossibleRun();
-        long windowNs = binding == null ? Long.MAX_VALUE : repeatWindowNs(nowNs, job, binding);
+        AttemptRecord possibleRun = job.earliestPossibleRun();
+        long windowNs =
+                possibleRun == null ? Long.MAX_VALUE : repeatWindowNs(nowNs, job, possibleRun);
         slowStart.recordSent(nowNs, job, worker);
         worker.markTrialSent();
         worker.updateAverageUsedSlots(nowNs);
@@ -88,7 +89,10 @@
         context.actions().startAttempt(job.id(), worker.id(), 0, windowNs);
     }
 
-    /** Gives the final answer: a rejection where trying again is harmless, a failure otherwise. */
+    /**
+     * Gives the final answer: a rejection if the client can safely submit the job again, else a
+     * failure.
+     */
     void conclude(long nowNs, InFlightJob job, DecisionReason reason) {
         if (mayReject(job) && nowNs < job.deadlineNs()) {
             long retryAfterNs = Math.min(job.retryAfterNs(), context.settings().maxRetryAfterNs);
@@ -100,7 +104,7 @@
         release(job);
     }
 
-    /** Cancels the attempts of an answered job, and forgets it once none is out. */
+    /** Cancels the attempts of an answered job, and removes the job once none is in flight. */
     void release(InFlightJob job) {
         for (int number = 0; number < job.attemptCount(); number++) {
             cancel(job, number, DecisionReason.ANSWERED);
@@ -110,7 +114,7 @@
         }
     }
 
-    /** Cancels an attempt that is out, once, where the settings allow it. */
+    /** Cancels an attempt that is in flight, at most once and only if the settings allow it. */
     void cancel(InFlightJob job, int number, DecisionReason reason) {
         AttemptRecord attempt = job.attempt(number);
         if (!attempt.hasEnded()
--- a/core/src/main/java/postgrade/policy/AttemptRecord.java
+++ b/core/src/main/java/postgrade/policy/AttemptRecord.java
@@ -36,7 +36,7 @@
         return startedNs >= 0;
     }
 
-    /** When the worker reported its start, or, if it has not, when it was sent. */
+    /** Returns when the worker reported its start, or when it was sent if there is no report. */
     long startedOrSentNs() {
         return hasStarted() ? startedNs : sentNs;
     }
@@ -78,8 +78,8 @@
     }
 
     /**
-     * It is not expected to start: it counts among what its worker holds only if it starts after
-     * all.
+     * Marks the attempt as not expected to start. It counts as held by the worker again only if it
+     * starts after all.
      */
     void markPresumedLost() {
         presumedLost = true;
--- a/core/src/main/java/postgrade/policy/CapacityEstimator.java
+++ b/core/src/main/java/postgrade/policy/CapacityEstimator.java
@@ -2,19 +2,19 @@
 
 import postgrade.policy.api.LoadReport;
 
-/** Estimates the size of a worker and how much of it is free, in slots. */
+/** Estimates the size and the free capacity of a worker, in slots. */
 final class CapacityEstimator {
 
-    /** Slots of a worker of mean size where none has reported any. */
+    /** Slots assumed for a worker of mean size while no worker of its kind has reported any. */
     static final double DEFAULT_SLOTS = 5;
 
-    /** A report shows our own jobs with this lag. */
+    /** Lag with which load reports reflect the jobs that this dispatcher has sent. */
     static final double REPORT_LAG_NS = 0.5e9;
 
-    /** A report fades over this time to what reports usually say. */
+    /** Time over which the weight of a report decays linearly to that of the usual free share. */
     private static final double REPORT_DECAY_NS = 4e9;
 
-    /** More free slots than this are no report but an error. */
+    /** A report of more free slots than this is taken for an error and ignored. */
     private static final double MAX_PLAUSIBLE_SLOTS = 1e6;
 
     private final PolicyContext context;
@@ -34,8 +34,8 @@
     }
 
     /**
-     * The slots of a worker: as reported, or by the weight that the list announces, which counts
-     * speed too.
+     * Returns the slots of a worker: those reported for its kind, or else an estimate by the weight
+     * that the worker list announces, which also covers speed.
      */
     double slots(WorkerState worker) {
         double reported = worker.kind().slots();
@@ -43,8 +43,8 @@
     }
 
     /**
-     * The size that the list announces, relative to the mean of the ready workers; 1 where it
-     * announces none.
+     * Returns the size that the worker list announces, relative to the mean of the ready workers; 1
+     * if it announces none.
      */
     double weight(WorkerState worker) {
         double announced = worker.info().weight();
@@ -52,8 +52,8 @@
     }
 
     /**
-     * The part of its work that a worker can do for sure, by the time since its start: 1 once its
-     * slow start is over.
+     * Returns the share of its full throughput that a worker is guaranteed to deliver, by the time
+     * since its start: 1 once its slow start is over.
      */
     double slowStartShare(long nowNs, WorkerState worker) {
         double initial = context.settings().slowStartInitialShare;
@@ -70,30 +70,30 @@
     }
 
     /**
-     * Free slots by the worker's report, which fades to the usual; without a report it counts as
-     * full until a job may have ended.
+     * Estimates the free slots of a worker from its last report, whose weight decays to that of the
+     * usual free share.
      *
-     * @param usualFreeShare the part of a worker that is usually free of the other dispatchers'
-     *     jobs
+     * @param usualFreeShare the share of a worker that the other dispatchers' jobs usually leave
+     *     free
      */
     double freeSlots(long nowNs, WorkerState worker, double usualFreeShare) {
         double usual = slots(worker) * slowStartShare(nowNs, worker) * usualFreeShare;
-        double fadeNs =
+        double decayNs =
                 fleetLoad.hasLoadReports() ? REPORT_DECAY_NS : classes.longestServiceTimeNs();
-        double age =
+        double decay =
                 worker.capacityReport().isPresent()
-                        ? Math.min(1, (nowNs - worker.capacityReport().reportedNs()) / fadeNs)
+                        ? Math.min(1, (nowNs - worker.capacityReport().reportedNs()) / decayNs)
                         : 1;
         double reported = worker.capacityReport().capacity();
-        double capacity = age == 1 ? usual : reported + (usual - reported) * age;
+        double capacity = decay == 1 ? usual : reported + (usual - reported) * decay;
         return capacity - worker.usedSlots();
     }
 
-    /** Takes in a worker's report, if it gives free slots. */
+    /** Records a worker's load report if its figure of free slots is plausible. */
     void recordReport(long nowNs, WorkerState worker, LoadReport report) {
         double free = report.freeSlots();
-        boolean given = free >= 0 && free < MAX_PLAUSIBLE_SLOTS; // False for NaN.
-        if (given) {
+        boolean valid = free >= 0 && free < MAX_PLAUSIBLE_SLOTS; // False for NaN.
+        if (valid) {
             worker.recordFreeSlots(nowNs, free);
             fleetLoad.recordReport(worker.capacityReport().capacity() / slots(worker));
             worker.kind().recordFreeSlots(free);
--- a/core/src/main/java/postgrade/policy/CapacityReport.java
+++ b/core/src/main/java/postgrade/policy/CapacityReport.java
@@ -1,12 +1,12 @@
 package postgrade.policy;
 
 /**
- * What one worker last showed of its capacity: the slots that are free or used by our jobs. Times
- * are in nanoseconds.
+ * The capacity of one worker by its latest report: the slots that are free or used by this
+ * dispatcher's jobs. Times are in nanoseconds.
  */
 final class CapacityReport {
 
-    /** Exported as the age of what has never been. */
+    /** Exported in place of an age if the event has never happened. */
     private static final double NEVER_AGE_NS = Long.MAX_VALUE / 4.0;
 
     private boolean present;
@@ -15,7 +15,7 @@
     private boolean hasBeenFull;
     private long fullNs;
 
-    /** Whether the worker's process has shown anything since its start. */
+    /** Whether the worker's process has reported its capacity since its start. */
     boolean isPresent() {
         return present;
     }
@@ -34,7 +34,10 @@
         reportedNs = nowNs;
     }
 
-    /** It has rejected a job for want of capacity, while our jobs used so many slots. */
+    /**
+     * Records that the worker has rejected a job for lack of capacity while this dispatcher's jobs
+     * used this many slots.
+     */
     void setFull(long nowNs, double usedSlots) {
         set(nowNs, usedSlots);
         hasBeenFull = true;
@@ -42,27 +45,27 @@
     }
 
     /**
-     * How far it still counts as full: 1 right after it was, 0 after {@code fadeNs} or if it never
-     * was.
+     * Returns how far the worker still counts as full: 1 right after it was full, falling to 0
+     * after {@code decayNs}; 0 if it never was.
      */
-    double fullness(long nowNs, double fadeNs) {
-        return hasBeenFull ? 1 - Math.min(1, (nowNs - fullNs) / fadeNs) : 0;
+    double fullness(long nowNs, double decayNs) {
+        return hasBeenFull ? 1 - Math.min(1, (nowNs - fullNs) / decayNs) : 0;
     }
 
-    /** Its process is a new one. */
+    /** Clears the report when the worker has restarted. */
     void clear() {
         present = false;
         capacity = 0;
     }
 
-    /** Nothing of it counts any more. */
+    /** Resets the report and when the worker was full. */
     void reset() {
         clear();
         hasBeenFull = false;
         fullNs = 0;
     }
 
-    /** Nor does the time of the last report. */
+    /** Resets the time of the latest report too. */
     void resetTime() {
         reportedNs = 0;
     }
--- a/core/src/main/java/postgrade/policy/DecayingSum.java
+++ b/core/src/main/java/postgrade/policy/DecayingSum.java
@@ -1,7 +1,8 @@
 package postgrade.policy;
 
 /**
- * A sum whose parts decay with a time constant of one second, so that it is an amount per second.
+ * A sum whose terms decay exponentially with a time constant of one second, so that its value is an
+ * amount per second.
  */
 final class DecayingSum {
 
--- a/core/src/main/java/postgrade/policy/FleetLoadEstimator.java
+++ b/core/src/main/java/postgrade/policy/FleetLoadEstimator.java
@@ -1,24 +1,23 @@
 package postgrade.policy;
 
 /**
- * Estimates how much of the fleet the jobs of all dispatchers occupy. Where workers report their
- * load it goes by that; else it takes the other dispatchers to hold as much as this one, less while
- * few of our jobs wait.
+ * Estimates how much of the fleet the jobs of all dispatchers occupy: from load reports where
+ * workers send them, else by assuming that every other dispatcher holds as much as this one, or
+ * less while few of this one's jobs wait.
  */
 final class FleetLoadEstimator {
 
     /**
-     * The fleet does so many times the tenants' rates at most, so the other dispatchers hold no
-     * more.
+     * Bound on the load of the fleet, as a multiple of the load that the tenants' quotas amount to.
      */
     private static final double MAX_LOAD_PER_QUOTA = 1.3;
 
-    /** A start report that takes longer than a round trip tells of a wait. */
+    /** A start report that arrives later than this round trip shows that the job was queued. */
     static final long ROUND_TRIP_NS = 40_000_000L;
 
     /**
-     * While fewer of our jobs wait the others hold less: they may be restarting, or have little
-     * traffic.
+     * Share of queued jobs that is usual. While fewer of this dispatcher's jobs are queued, the
+     * others are assumed to hold less: they may be restarting or have little traffic.
      */
     private static final double USUAL_QUEUED_SHARE = 0.25;
 
@@ -43,22 +42,22 @@
         return hasLoadReports;
     }
 
-    /** The part of the fleet that is usually free of the other dispatchers' jobs. */
+    /** Returns the share of the fleet that the other dispatchers' jobs usually leave free. */
     double usualFreeShare() {
         return usualFreeShare;
     }
 
-    /** A worker has reported that so large a part of it is free of others' jobs. */
+    /** Records the share of a worker that, by its report, other dispatchers' jobs leave free. */
     void recordReport(double freeShare) {
         hasLoadReports = true;
         usualFreeShare = Smoothing.next(usualFreeShare, Math.min(1, freeShare));
     }
 
-    /** A job has started, so long after it was sent. */
+    /** Records the time between the sending and the start of a job. */
     void recordStartDelay(long delayNs) {
-        double waited = delayNs > ROUND_TRIP_NS ? 1 : 0;
-        double moved = othersLoadFactor + OTHERS_SMOOTHING_RATE * (waited / USUAL_QUEUED_SHARE - 1);
-        othersLoadFactor = Math.max(0, Math.min(1, moved));
+        double queued = delayNs > ROUND_TRIP_NS ? 1 : 0;
+        double next = othersLoadFactor + OTHERS_SMOOTHING_RATE * (queued / USUAL_QUEUED_SHARE - 1);
+        othersLoadFactor = Math.max(0, Math.min(1, next));
     }
 
     void recordServed(long nowNs, double slotSeconds) {
@@ -66,38 +65,38 @@
     }
 
     /**
-     * Reckons the usual free share anew where no worker reports.
+     * Updates the usual free share if no worker reports its load.
      *
      * @param fleetSlots the slots of all ready workers
      */
     void estimateWithoutReports(long nowNs, double fleetSlots) {
         if (!hasLoadReports && fleetSlots > 0) {
-            int others = context.settings().dispatcherCount - 1;
-            double othersLoad = othersLoadFactor * others * ownLoad(nowNs);
+            int otherDispatchers = context.settings().dispatcherCount - 1;
+            double othersLoad = othersLoadFactor * otherDispatchers * ownLoad(nowNs);
             usualFreeShare = Math.max(0, 1 - othersLoad / fleetSlots);
         }
     }
 
     /**
-     * The slots that this dispatcher's jobs fill on average, at most what the tenants' rates come
-     * to here.
+     * Returns the slots that this dispatcher's jobs fill on average, bounded by the tenants' quotas
+     * at this dispatcher.
      */
     private double ownLoad(long nowNs) {
         double served = servedSlotSeconds.perSecond(nowNs);
         if (rateLimiter.totalRatePerS() <= 0) {
             return served;
         }
-        double byRates =
+        double quotaLoad =
                 MAX_LOAD_PER_QUOTA
                         * rateLimiter.totalRatePerS()
                         * classes.meanServiceTimeNs()
                         / 1e9;
-        return Math.min(served, byRates);
+        return Math.min(served, quotaLoad);
     }
 
     /**
-     * The slots of the whole fleet that jobs fill on average, if each dispatcher does as much as
-     * this one.
+     * Returns the slots of the whole fleet that jobs fill on average, assuming that each dispatcher
+     * serves as much as this one.
      */
     double fleetLoad(long nowNs) {
         return ownLoad(nowNs) * context.settings().dispatcherCount;
@@ -110,7 +109,7 @@
         othersLoadFactor = 1;
     }
 
-    /** Its state in the order that {@link #restore} reads. */
+    /** Returns the state in the order that {@link #restore} reads. */
     double[] export() {
         return new double[] {usualFreeShare, othersLoadFactor};
     }
--- a/core/src/main/java/postgrade/policy/InFlightJob.java
+++ b/core/src/main/java/postgrade/policy/InFlightJob.java
@@ -5,9 +5,7 @@
 import postgrade.policy.api.Idempotency;
 import postgrade.policy.api.Job;
 
-/**
- * A job until its final answer is given and all its attempts have ended. Times are in nanoseconds.
- */
+/** A job that lacks its final answer or has attempts in flight. Times are in nanoseconds. */
 final class InFlightJob {
 
     private final Job job;
@@ -23,8 +21,8 @@
     private boolean answered;
 
     /**
-     * @param withinQuota whether no rate limit stood against it when it came
-     * @param retryAfterNs what its client is advised if it is rejected
+     * @param withinQuota whether no rate limit was exceeded when it arrived
+     * @param retryAfterNs the Retry-After of a rejection
      */
     InFlightJob(
             Job job, JobClassStats jobClass, long nowNs, boolean withinQuota, long retryAfterNs) {
@@ -70,12 +68,12 @@
 
     // ---- Attempts.
 
-    /** Attempts so far, those that have ended included. */
+    /** Returns the number of attempts so far, including those that have ended. */
     int attemptCount() {
         return attempts.size();
     }
 
-    /** Attempts that have not ended. */
+    /** Returns the number of attempts that have not ended. */
     int attemptsInFlight() {
         return attemptsInFlight;
     }
@@ -84,12 +82,12 @@
         return attempts.get(number);
     }
 
-    /** Null before the first. */
+    /** Returns the latest attempt, or null before the first. */
     AttemptRecord latestAttempt() {
         return attempts.isEmpty() ? null : attempts.get(attempts.size() - 1);
     }
 
-    /** The attempt of this number if it has not ended, else null. */
+    /** Returns the attempt of this number, or null if it is unknown or has ended. */
     AttemptRecord attemptInFlight(int number) {
         boolean known = number >= 0 && number < attempts.size();
         return known && !attempts.get(number).hasEnded() ? attempts.get(number) : null;
@@ -107,8 +105,8 @@
     }
 
     /**
-     * The earliest attempt that may have run a job that must not run freely again: later ones stay
-     * in its deduplication scope and window. Null if there is none.
+     * Returns the earliest attempt that may have run a job that is not idempotent, or null if there
+     * is none. Later attempts must stay within its deduplication scope and window.
      */
     AttemptRecord earliestPossibleRun() {
         if (idempotency() == Idempotency.IDEMPOTENT) {
@@ -116,7 +114,7 @@
         }
         for (int i = 0;
                 i < attempts.size();
-                i++) { // Asked for each worker: an iterator would be garbage.
+                i++) { // Called for each worker, so it allocates no iterator.
             if (!attempts.get(i).neverRan()) {
                 return attempts.get(i);
             }
@@ -124,12 +122,12 @@
         return null;
     }
 
-    /** Counts an attempt whose connection was reset, and returns how many there have been. */
+    /** Counts an attempt whose connection was reset, and returns the number of such attempts. */
     int recordReset() {
         return ++resets;
     }
 
-    // ---- Its answer.
+    // ---- Answer.
 
     boolean isStreaming() {
         return streaming;
@@ -139,7 +137,7 @@
         streaming = true;
     }
 
-    /** Whether nothing is owed: it has its final answer, or its client has left. */
+    /** Whether the job has its final answer or its client no longer waits for one. */
     boolean isAnswered() {
         return answered;
     }
--- a/core/src/main/java/postgrade/policy/JobClassStats.java
+++ b/core/src/main/java/postgrade/policy/JobClassStats.java
@@ -2,10 +2,10 @@
 
 import postgrade.policy.api.JobClass;
 
-/** A job class of the settings and what has been learnt of it. */
+/** A job class of the settings and the statistics of its jobs. */
 final class JobClassStats {
 
-    /** The service time assumed of a class of which no job has been served yet. */
+    /** Service time assumed for a class of which no job has been served yet. */
     static final double DEFAULT_SERVICE_TIME_NS = 1e9;
 
     private final JobClass jobClass;
@@ -18,9 +18,9 @@
         this.jobClass = jobClass;
     }
 
-    /** The class under other settings, with what was learnt of it so far. */
-    JobClassStats withSettings(JobClass changed) {
-        JobClassStats next = new JobClassStats(changed);
+    /** Returns these statistics for the class under other settings. */
+    JobClassStats withSettings(JobClass newSettings) {
+        JobClassStats next = new JobClassStats(newSettings);
         next.serviceTimeNs = serviceTimeNs;
         next.observedServiceTimeNs = observedServiceTimeNs;
         next.failureRate = failureRate;
@@ -33,19 +33,19 @@
     }
 
     /**
-     * The mean service time of the jobs served, and of one more of the time that is assumed before
-     * any was.
+     * Returns the mean service time of the jobs served and of one more job of the default service
+     * time.
      */
     double serviceTimeNs() {
         return serviceTimeNs;
     }
 
-    /** The mean service time of the jobs served alone; 0 before any was. */
+    /** Returns the mean service time of the jobs served alone; 0 before the first. */
     double observedServiceTimeNs() {
         return observedServiceTimeNs;
     }
 
-    /** Jobs served. */
+    /** Returns the number of jobs served. */
     long served() {
         return served;
     }
@@ -60,7 +60,7 @@
         return Math.max(Smoothing.RATE, 1.0 / samples);
     }
 
-    /** The moving average of failures among its jobs, from 0 to 1. */
+    /** Returns the moving average of failures among its jobs, from 0 to 1. */
     double failureRate() {
         return failureRate;
     }
@@ -72,22 +72,22 @@
         failureRate = Smoothing.next(failureRate, failed);
     }
 
-    /** A job of mean service time is in time if it is answered within this. */
+    /** Returns the time within which a job of mean service time has to be answered. */
     double latencyTargetNs() {
         return jobClass.latencyObjectiveNs() + jobClass.objectivePerServiceTime() * serviceTimeNs;
     }
 
-    /** What a unit of priority weight costs in service time. */
+    /** Returns the service time per unit of priority weight. */
     double costPerWeight() {
         return serviceTimeNs / jobClass.priorityWeight();
     }
 
-    /** Its state in the order that {@link #restore} reads. */
+    /** Returns the state in the order that {@link #restore} reads. */
     double[] export() {
         return new double[] {serviceTimeNs, served, failureRate, observedServiceTimeNs};
     }
 
-    /** An earlier version exports one mean. */
+    /** Restores exported state. Earlier versions export only one mean. */
     void restore(double[] values) {
         serviceTimeNs = values[0];
         served = (long) values[1];
--- a/core/src/main/java/postgrade/policy/JobClassTable.java
+++ b/core/src/main/java/postgrade/policy/JobClassTable.java
@@ -7,14 +7,14 @@
 import java.util.stream.DoubleStream;
 import postgrade.policy.api.JobClass;
 
-/** The job classes of the settings in force, and figures over all of them. */
+/** The job classes of the current settings, and aggregates over all of them. */
 final class JobClassTable {
 
     private final Map<String, JobClassStats> classes = new HashMap<>();
     private double longestServiceTimeNs = JobClassStats.DEFAULT_SERVICE_TIME_NS;
     private double meanServiceTimeNs = JobClassStats.DEFAULT_SERVICE_TIME_NS;
 
-    /** Null if the settings do not name it. */
+    /** Returns the class, or null if the settings do not define it. */
     JobClassStats get(String name) {
         return classes.get(name);
     }
@@ -24,10 +24,10 @@
     }
 
     /**
-     * @param keepLearnt whether classes that had the same name keep what was learnt of them
+     * @param keepLearned whether classes keep the statistics of the former class of the same name
      */
-    void replace(List<JobClass> next, boolean keepLearnt) {
-        Map<String, JobClassStats> former = keepLearnt ? Map.copyOf(classes) : Map.of();
+    void replace(List<JobClass> next, boolean keepLearned) {
+        Map<String, JobClassStats> former = keepLearned ? Map.copyOf(classes) : Map.of();
         classes.clear();
         for (JobClass jobClass : next) {
             JobClassStats known = former.get(jobClass.name());
@@ -38,7 +38,7 @@
         updateAggregates();
     }
 
-    /** The longest mean service time of a class. */
+    /** Returns the longest mean service time of any class. */
     double longestServiceTimeNs() {
         return longestServiceTimeNs;
     }
@@ -49,7 +49,8 @@
     }
 
     /**
-     * Kept up to date rather than reckoned when asked for: they are asked for each worker and job.
+     * Updates the aggregates eagerly rather than on each read, as they are read for each worker and
+     * job.
      */
     private void updateAggregates() {
         meanServiceTimeNs = meanOf(classes.values());
@@ -60,7 +61,7 @@
                         .orElse(longestServiceTimeNs);
     }
 
-    /** The mean service time over all jobs served. */
+    /** Returns the mean service time over all jobs served. */
     double meanServiceTimeNs() {
         return meanServiceTimeNs;
     }
@@ -70,18 +71,19 @@
         if (served == 0) {
             return JobClassStats.DEFAULT_SERVICE_TIME_NS;
         }
-        return all.stream().mapToDouble(c -> c.served() * c.serviceTimeNs()).sum() / served;
+        return all.stream().mapToDouble(stats -> stats.served() * stats.serviceTimeNs()).sum()
+                / served;
     }
 
     /**
-     * How much dearer a unit of the class's priority weight is than the cheapest class's: 0 for
-     * that one, towards 1.
+     * Returns how much more a unit of the class's priority weight costs than in the cheapest class:
+     * 0 for the cheapest, approaching 1.
      */
     double relativeCost(JobClassStats jobClass) {
         return 1 - costs().min().orElse(0) / jobClass.costPerWeight();
     }
 
-    /** What a unit of priority weight costs in the dearest class. */
+    /** Returns the cost of a unit of priority weight in the most expensive class. */
     double highestCostPerWeight() {
         return costs().max().orElse(1);
     }
@@ -90,7 +92,9 @@
         return classes.values().stream().mapToDouble(JobClassStats::costPerWeight);
     }
 
-    /** Takes over exported figures of a class; one that the settings do not name is ignored. */
+    /**
+     * Restores exported statistics of a class; a class that the settings do not define is ignored.
+     */
     void restore(String name, double[] values) {
         JobClassStats known = classes.get(name);
         if (known != null) {
@@ -99,7 +103,7 @@
         }
     }
 
-    /** Calls back with each class's name and exported figures. */
+    /** Passes each class's name and exported statistics to the consumer. */
     void export(StateEntryConsumer consumer) {
         classes.forEach((name, stats) -> consumer.accept(name, stats.export()));
     }
--- a/core/src/main/java/postgrade/policy/LeastLoadedSelector.java
+++ b/core/src/main/java/postgrade/policy/LeastLoadedSelector.java
@@ -3,18 +3,23 @@
 import postgrade.policy.api.Idempotency;
 
 /**
- * Selects the worker for an attempt: the one that holds the fewest of our jobs for its size, ties
- * at random.
+ * Selects the worker for an attempt: the one that holds the fewest jobs of this dispatcher relative
+ * to its size. Ties are broken at random.
  */
 final class LeastLoadedSelector {
 
-    /** A worker where a job would take longer than this part of its latency target comes last. */
+    /**
+     * A worker where a job would take longer than this share of its latency target is disfavoured.
+     */
     private static final double TARGET_MARGIN = 0.8;
 
-    /** Added to the load of a worker that comes last. */
+    /**
+     * Added to the load of a disfavoured worker, which is then selected only if all eligible
+     * workers are disfavoured.
+     */
     private static final double DISFAVOURED_PENALTY = 1e9;
 
-    /** A failure rate above this puts a worker last for jobs that must not run twice. */
+    /** A worker with a failure rate above this is disfavoured for jobs that must not run twice. */
     private static final double SUSPECT_FAILURE_RATE = 0.1;
 
     private final PolicyContext context;
@@ -40,12 +45,13 @@
     }
 
     /**
-     * Returns null if no worker is able.
+     * Returns the worker, or null if none is eligible.
      *
-     * @param needsFreeSlots whether only a worker that shows room for the job will do
+     * @param needsFreeSlots whether the worker must have free capacity for the job by its last
+     *     report
      */
     WorkerState select(long nowNs, InFlightJob job, boolean needsFreeSlots) {
-        boolean runsOnce = job.idempotency() == Idempotency.NOT_IDEMPOTENT;
+        boolean mustNotRepeat = job.idempotency() == Idempotency.NOT_IDEMPOTENT;
         WorkerState selected = null;
         double leastLoad = Double.MAX_VALUE;
         double tieWeight = 0;
@@ -53,8 +59,8 @@
             if (!isEligible(nowNs, job, worker)) {
                 continue;
             }
-            if (worker.needsTrial() && !runsOnce) {
-                return worker; // In slow start it never looks best, and would be left unused.
+            if (worker.needsTrial() && !mustNotRepeat) {
+                return worker; // In slow start it is never the least loaded, and would stay unused.
             }
             if (needsFreeSlots && !fits(nowNs, job, worker)) {
                 continue;
@@ -62,19 +68,19 @@
             double size = effectiveSize(nowNs, job, worker);
             double delayNs = queueingDelay.delayNs(nowNs, worker);
             double load = load(nowNs, job, worker, size, delayNs);
-            // What only few dispatchers may send to a worker in slow start must come from these
-            // few.
+            // Only few dispatchers may send to a worker in slow start, so these few have to send
+            // the share of all dispatchers.
             double weight = size * slowStart.dispatchersPerSender(nowNs, worker);
             if (load < leastLoad) {
                 tieWeight = weight;
             } else if (load == leastLoad) {
                 tieWeight += weight;
             }
-            boolean wins =
+            boolean isSelected =
                     load < leastLoad
                             || (load == leastLoad
                                     && context.random().nextDouble() * tieWeight < weight);
-            if (wins) {
+            if (isSelected) {
                 selected = worker;
                 leastLoad = load;
             }
@@ -82,40 +88,43 @@
         return selected;
     }
 
-    /** The job's usable slots there in terms of work done: less where jobs run slowly or wait. */
+    /**
+     * Returns the slots usable by the job, scaled by throughput: fewer where jobs run slowly or are
+     * queued.
+     */
     private double effectiveSize(long nowNs, InFlightJob job, WorkerState worker) {
-        double kindDelay = worker.kind().queueingDelayNs() / job.jobClass().serviceTimeNs();
+        double relativeKindDelay = worker.kind().queueingDelayNs() / job.jobClass().serviceTimeNs();
         return capacity.slots(worker)
                 * capacity.slowStartShare(nowNs, worker)
                 / ServiceTimeEstimator.serviceTimeRatio(worker)
-                / (1 + kindDelay)
+                / (1 + relativeKindDelay)
                 * context.constraints().usableShare(nowNs, job.job(), worker.info());
     }
 
     /**
-     * Our jobs there and the expected wait, both for its size; workers that come last have a
-     * penalty.
+     * Returns this dispatcher's jobs at the worker plus the expected queueing delay, both relative
+     * to its size, plus a penalty for disfavoured workers.
      */
     private double load(
             long nowNs, InFlightJob job, WorkerState worker, double size, double delayNs) {
-        // A worker that is full answers at once and holds none of our jobs: the fewest alone would
-        // feed it more.
-        double whileFull =
+        // A full worker rejects jobs at once and so holds none of this dispatcher's jobs. Going by
+        // their number alone, it would be sent even more.
+        double loadIfFull =
                 capacity.slots(worker)
                         * worker.capacityReport().fullness(nowNs, classes.longestServiceTimeNs());
-        double delay = delayNs / job.jobClass().serviceTimeNs();
+        double relativeDelay = delayNs / job.jobClass().serviceTimeNs();
         boolean suspect =
                 job.idempotency() == Idempotency.NOT_IDEMPOTENT
                         && worker.health().failureRate() > SUSPECT_FAILURE_RATE;
-        return Math.max(worker.inFlight(), whileFull) / size
-                + delay / size
+        return Math.max(worker.inFlight(), loadIfFull) / size
+                + relativeDelay / size
                 + (isTooLate(nowNs, job, worker, delayNs) ? DISFAVOURED_PENALTY : 0)
                 + (suspect ? DISFAVOURED_PENALTY : 0);
     }
 
     /**
-     * An idle worker that is slow, or one whose queue is long, may hold the fewest jobs and yet be
-     * of no use.
+     * Whether the job is expected to miss its latency target at the worker. A slow or heavily
+     * queued worker may hold the fewest jobs of this dispatcher and still be unsuitable.
      */
     private boolean isTooLate(long nowNs, InFlightJob job, WorkerState worker, double delayNs) {
         double expectedNs =
@@ -128,11 +137,13 @@
 
     private boolean isEligible(long nowNs, InFlightJob job, WorkerState worker) {
         AttemptRecord latest = job.latestAttempt();
-        boolean wasLatest =
+        boolean isLatestWorker =
                 latest != null
                         && latest.worker() == worker
                         && (workers.ready().size() > 1 || job.attemptsInFlight() > 0);
-        return !worker.isEjected(nowNs) && !wasLatest && attemptGuard.maySend(nowNs, job, worker);
+        return !worker.isEjected(nowNs)
+                && !isLatestWorker
+                && attemptGuard.maySend(nowNs, job, worker);
     }
 
     private boolean fits(long nowNs, InFlightJob job, WorkerState worker) {
--- a/core/src/main/java/postgrade/policy/LeastRecentlyUsedMap.java
+++ b/core/src/main/java/postgrade/policy/LeastRecentlyUsedMap.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A map by name that evicts the least recently used entry beyond its capacity. */
+/** A map keyed by name that evicts the least recently used entry when it exceeds its capacity. */
 final class LeastRecentlyUsedMap<V> extends LinkedHashMap<String, V> {
 
     private static final long serialVersionUID = 1L;
--- a/core/src/main/java/postgrade/policy/PolicyContext.java
+++ b/core/src/main/java/postgrade/policy/PolicyContext.java
@@ -6,8 +6,8 @@
 import postgrade.policy.api.PolicySettings;
 
 /**
- * What all parts of the policy depend on: the settings and constraints in force, where actions go,
- * and random choices.
+ * The shared dependencies of the policy's components: the current settings and constraints, the
+ * receiver of actions and the random generator.
  */
 final class PolicyContext {
 
--- a/core/src/main/java/postgrade/policy/PolicyState.java
+++ b/core/src/main/java/postgrade/policy/PolicyState.java
@@ -6,8 +6,8 @@
 import postgrade.policy.api.PolicySettings;
 
 /**
- * All that the policy remembers, in parts that each own their own state, and what a change of
- * settings does to them. Parts that decide are given just the parts that they need.
+ * The state of the policy, held by components that each own their part, and the effect of a change
+ * of settings on them. Components that decide are given only the components that they need.
  */
 final class PolicyState {
 
@@ -39,9 +39,9 @@
     }
 
     /**
-     * Under the same deployment's settings all that was learnt stays, but for what the settings no
-     * longer name; under another's everything begins anew. Either way jobs in flight keep the class
-     * that they came with.
+     * Applies new settings. If they belong to the same deployment, learned state is kept except for
+     * what they no longer name; else it is reset. Either way jobs in flight keep the class that
+     * they arrived with.
      */
     void settingsChanged(long nowNs, PolicySettings next) {
         PolicySettings former = context.settings();
@@ -74,7 +74,7 @@
         return workers;
     }
 
-    /** Jobs in flight by id, in the order of their arrival. */
+    /** Returns the jobs in flight by id, in the order of their arrival. */
     Map<String, InFlightJob> jobs() {
         return jobs;
     }
--- a/core/src/main/java/postgrade/policy/PolicyStateTransfer.java
+++ b/core/src/main/java/postgrade/policy/PolicyStateTransfer.java
@@ -6,8 +6,9 @@
 import postgrade.policy.api.PolicyStateEntry;
 
 /**
- * Exports what one process of a dispatcher has learnt and imports it in the next. Times go as ages.
- * What the importing process does not know, such as a worker that its list lacks, is ignored.
+ * Exports what one process of a dispatcher has learned and imports it into the next. Times are
+ * transferred as ages. Entries of things that the importing process does not know, such as a worker
+ * missing from its list, are ignored.
  */
 final class PolicyStateTransfer {
 
@@ -19,10 +20,12 @@
     private static final String FLEET = "fleet";
     private static final String SLOW_START = "cold";
 
-    /** For how long all that was sent to workers in slow start is known. */
+    /**
+     * Category of the time for which the record of work sent to workers in slow start is complete.
+     */
     private static final String USAGE_COMPLETE_FOR = "up";
 
-    /** Prefix of the names that identify the deployment; the sort of name follows. */
+    /** Prefix of the categories of names that identify the deployment; the type of name follows. */
     private static final String DEPLOYMENT_NAME_PREFIX = "named ";
 
     private final PolicyState state;
@@ -32,54 +35,55 @@
     }
 
     List<PolicyStateEntry> export(long nowNs) {
-        List<PolicyStateEntry> rows = new ArrayList<>();
-        state.classes().export(appendTo(rows, CLASS));
-        state.workers().exportKinds(appendTo(rows, KIND));
-        state.workers().exportWorkers(nowNs, appendTo(rows, WORKER));
-        state.workers().exportSlowStartUsage(nowNs, appendTo(rows, SLOW_START));
+        List<PolicyStateEntry> entries = new ArrayList<>();
+        state.classes().export(appendTo(entries, CLASS));
+        state.workers().exportKinds(appendTo(entries, KIND));
+        state.workers().exportWorkers(nowNs, appendTo(entries, WORKER));
+        state.workers().exportSlowStartUsage(nowNs, appendTo(entries, SLOW_START));
         if (state.slowStart().hasWorkerList()) {
-            appendTo(rows, USAGE_COMPLETE_FOR)
+            appendTo(entries, USAGE_COMPLETE_FOR)
                     .accept("", new double[] {state.slowStart().usageCompleteForNs(nowNs)});
         }
-        appendTo(rows, FLEET).accept("", state.fleetLoad().export());
-        state.rateLimiter().exportTenants(nowNs, appendTo(rows, TENANT));
-        state.rateLimiter().exportKeys(nowNs, appendTo(rows, KEY));
+        appendTo(entries, FLEET).accept("", state.fleetLoad().export());
+        state.rateLimiter().exportTenants(nowNs, appendTo(entries, TENANT));
+        state.rateLimiter().exportKeys(nowNs, appendTo(entries, KEY));
         state.context()
                 .settings()
                 .deployment
                 .names()
                 .forEach(
-                        (sort, names) ->
+                        (type, names) ->
                                 names.forEach(
                                         name ->
-                                                appendTo(rows, DEPLOYMENT_NAME_PREFIX + sort)
+                                                appendTo(entries, DEPLOYMENT_NAME_PREFIX + type)
                                                         .accept(name, new double[0])));
-        return rows;
+        return entries;
     }
 
-    private static StateEntryConsumer appendTo(List<PolicyStateEntry> rows, String category) {
-        return (name, values) -> rows.add(new PolicyStateEntry(category, name, values));
+    private static StateEntryConsumer appendTo(List<PolicyStateEntry> entries, String category) {
+        return (name, values) -> entries.add(new PolicyStateEntry(category, name, values));
     }
 
     /**
-     * Imports what another process has exported. Of the buckets' tokens only this process's share
-     * is taken. What was learnt under another deployment's settings is ignored, but for what
-     * workers in slow start were sent: that they have had.
+     * Imports what another process has exported. Of the tokens in the buckets only this process's
+     * share is taken over. What was learned under another deployment's settings is ignored, except
+     * the work sent to workers in slow start, which they have received in any case.
      */
-    void importAll(long nowNs, List<PolicyStateEntry> rows) {
-        // An earlier version exports no names, and is taken for the same deployment.
-        boolean sameDeployment = deployment(rows).isSameAs(state.context().settings().deployment);
-        for (PolicyStateEntry row : rows) {
-            if (sameDeployment || row.category().equals(SLOW_START)) {
-                importRow(nowNs, row);
+    void importState(long nowNs, List<PolicyStateEntry> entries) {
+        // Earlier versions export no names; they count as the same deployment.
+        boolean sameDeployment =
+                deployment(entries).isSameAs(state.context().settings().deployment);
+        for (PolicyStateEntry entry : entries) {
+            if (sameDeployment || entry.category().equals(SLOW_START)) {
+                importEntry(nowNs, entry);
             }
         }
     }
 
-    private void importRow(long nowNs, PolicyStateEntry row) {
-        String name = row.name();
-        double[] values = row.values();
-        switch (row.category()) {
+    private void importEntry(long nowNs, PolicyStateEntry entry) {
+        String name = entry.name();
+        double[] values = entry.values();
+        switch (entry.category()) {
             case CLASS -> state.classes().restore(name, values);
             case KIND -> state.workers().restoreKind(name, values);
             case WORKER -> state.workers().restoreWorker(nowNs, name, values);
@@ -90,20 +94,20 @@
                     state.slowStart().restoreUsageCompleteFor(nowNs, (long) values[0]);
             case FLEET -> state.fleetLoad().restore(values);
             default -> {
-                // A later version may export more.
+                // Later versions may export further categories.
             }
         }
     }
 
-    private static Deployment deployment(List<PolicyStateEntry> rows) {
+    private static Deployment deployment(List<PolicyStateEntry> entries) {
         Deployment exported = Deployment.UNNAMED;
-        for (Deployment.NameType sort : Deployment.NameType.values()) {
+        for (Deployment.NameType type : Deployment.NameType.values()) {
             List<String> names =
-                    rows.stream()
-                            .filter(row -> row.category().equals(DEPLOYMENT_NAME_PREFIX + sort))
+                    entries.stream()
+                            .filter(entry -> entry.category().equals(DEPLOYMENT_NAME_PREFIX + type))
                             .map(PolicyStateEntry::name)
                             .toList();
-            exported = exported.with(sort, names);
+            exported = exported.with(type, names);
         }
         return exported;
     }
--- a/core/src/main/java/postgrade/policy/QueueingDelayEstimator.java
+++ b/core/src/main/java/postgrade/policy/QueueingDelayEstimator.java
@@ -1,9 +1,9 @@
 package postgrade.policy;
 
-/** Estimates how long a job waits at a worker before it starts. */
+/** Estimates how long a job queues at a worker before it starts. */
 final class QueueingDelayEstimator {
 
-    /** A delay seen at a worker fades with this time constant to what is usual for its kind. */
+    /** Time constant with which a delay observed at a worker decays to the mean of its kind. */
     private static final double DECAY_NS = 2e9;
 
     private final CapacityEstimator capacity;
@@ -15,19 +15,21 @@
     }
 
     /**
-     * How long a job sent now would wait there. A worker in slow start is taken not to have its
-     * kind's usual queue.
+     * Returns how long a job sent now would queue at the worker. The mean of the kind does not
+     * apply in slow start, as a new worker starts with an empty queue.
      */
     double delayNs(long nowNs, WorkerState worker) {
-        double keep = Math.exp((worker.queueingDelayObservedNs() - nowNs) / DECAY_NS);
+        double remaining = Math.exp((worker.queueingDelayObservedNs() - nowNs) / DECAY_NS);
         double usualNs =
                 capacity.isInSlowStart(nowNs, worker)
                         ? 0
-                        : worker.kind().queueingDelayNs() * (1 - keep);
-        return worker.queueingDelayNs() * keep + usualNs;
+                        : worker.kind().queueingDelayNs() * (1 - remaining);
+        return worker.queueingDelayNs() * remaining + usualNs;
     }
 
-    /** The worker reports that it has started the attempt; a repeated report changes nothing. */
+    /**
+     * Records the worker's report that it has started the attempt; repeated reports are ignored.
+     */
     void recordStart(long nowNs, AttemptRecord attempt) {
         if (attempt.hasStarted()) {
             return;
@@ -39,7 +41,10 @@
         fleetLoad.recordStartDelay(delayNs);
     }
 
-    /** An attempt has not started yet: its worker's delay is as long at least. */
+    /**
+     * Records that an attempt is still queued: the worker's delay is at least as long as its wait
+     * so far.
+     */
     void recordStillQueued(long nowNs, AttemptRecord attempt) {
         double delayNs =
                 Math.max(delayNs(nowNs, attempt.worker()), (double) (nowNs - attempt.sentNs()));
--- a/core/src/main/java/postgrade/policy/RateLimiter.java
+++ b/core/src/main/java/postgrade/policy/RateLimiter.java
@@ -9,15 +9,18 @@
 import postgrade.policy.api.Tenant;
 
 /**
- * The token buckets of tenants and keys. Rates are jobs a second of this dispatcher, an even part
- * of the deployment's; this process has a share of them.
+ * The token buckets of tenants and keys. Rates are jobs per second of this dispatcher, which has an
+ * even share of the deployment's rates; this process has a share of the dispatcher's.
  */
 final class RateLimiter {
 
-    /** One key may take this part of all tenants' rates before its own bucket is empty. */
+    /** Rate of the bucket of one key, as a share of the sum of all tenants' rates. */
     private static final double KEY_SHARE = 0.5;
 
-    /** Bounds the export of thousands of keys; the busiest are the latest. */
+    /**
+     * Bound on the exported buckets, as there may be thousands of keys. The busiest keys are among
+     * the most recently used.
+     */
     private static final int MAX_EXPORTED_BUCKETS = 500;
 
     private final Map<String, Double> tenantRates = new HashMap<>();
@@ -32,48 +35,52 @@
     }
 
     /**
-     * @param keepLearnt whether the buckets of tenants that are still named and of keys stay as
-     *     they are
+     * @param keepLearned whether buckets of keys and of tenants that still exist are kept
      */
-    void settingsChanged(PolicySettings settings, boolean keepLearnt) {
+    void settingsChanged(PolicySettings settings, boolean keepLearned) {
         tenantRates.clear();
         for (Tenant tenant : settings.tenants) {
             tenantRates.put(tenant.name(), tenant.ratePerS() / settings.dispatcherCount);
         }
         totalRatePerS = tenantRates.values().stream().mapToDouble(rate -> rate).sum();
-        if (!keepLearnt) {
+        if (!keepLearned) {
             tenantBuckets.clear();
             keyBuckets.clear();
         }
         tenantBuckets.keySet().retainAll(tenantRates.keySet());
     }
 
-    /** The share of the dispatcher's rates that is this process's. */
+    /** Returns this process's share of the dispatcher's rates. */
     double quotaShare() {
         return quotaShare;
     }
 
-    /** Of the tokens that go with a smaller share another process has the use. */
+    /**
+     * Changes the quota share. If it shrinks, the tokens shrink with it, as another process uses
+     * the rest.
+     */
     void quotaShareChanged(double next) {
-        double keep = Math.min(1, next / quotaShare);
-        tenantBuckets.values().forEach(bucket -> bucket.scaleTokens(keep));
-        keyBuckets.values().forEach(bucket -> bucket.scaleTokens(keep));
+        double tokenShare = Math.min(1, next / quotaShare);
+        tenantBuckets.values().forEach(bucket -> bucket.scaleTokens(tokenShare));
+        keyBuckets.values().forEach(bucket -> bucket.scaleTokens(tokenShare));
         quotaShare = next;
     }
 
-    /** The sum of the tenants' rates here; 0 where the settings name no tenants. */
+    /**
+     * Returns the sum of the tenants' rates at this dispatcher; 0 if the settings name no tenants.
+     */
     double totalRatePerS() {
         return totalRatePerS;
     }
 
-    /** The bucket of a tenant, or null if it has none. */
+    /** Returns the bucket of a tenant, or null if it has none. */
     TokenBucket tenantBucket(String tenant) {
         return tenantBuckets.get(tenant);
     }
 
     /**
-     * Charges every bucket of the job, also when one of them is empty. Returns how long one stays
-     * empty, 0 if none is.
+     * Charges every bucket of the job, even if one of them is empty. Returns the longest time until
+     * a token is available, or 0 if no bucket is empty.
      */
     long charge(long nowNs, Job job) {
         Double tenantRate = tenantRates.get(job.tenant());
@@ -96,8 +103,8 @@
     }
 
     /**
-     * The part of a tenant's demand here that lies beyond its quota; near 0 where only the split of
-     * the traffic is uneven.
+     * Returns the share of a tenant's demand at this process that exceeds its quota; near 0 if the
+     * traffic is merely split unevenly among dispatchers.
      */
     double overQuotaShare(String tenant) {
         TokenBucket bucket = tenantBuckets.get(tenant);
@@ -115,8 +122,7 @@
 
     private static void export(
             long nowNs, LeastRecentlyUsedMap<TokenBucket> buckets, StateEntryConsumer consumer) {
-        List<String> names =
-                new ArrayList<>(buckets.keySet()); // In the order of their use, the latest last.
+        List<String> names = new ArrayList<>(buckets.keySet()); // Ordered by use, most recent last.
         for (String name :
                 names.subList(Math.max(0, names.size() - MAX_EXPORTED_BUCKETS), names.size())) {
             consumer.accept(name, buckets.get(name).export(nowNs));
--- a/core/src/main/java/postgrade/policy/RetryBudget.java
+++ b/core/src/main/java/postgrade/policy/RetryBudget.java
@@ -1,8 +1,8 @@
 package postgrade.policy;
 
 /**
- * Bounds attempts that may run a job twice by the jobs that were served, so that retries never feed
- * an overload.
+ * Limits attempts that may run a job twice in proportion to the jobs served, so that retries never
+ * amplify an overload.
  */
 final class RetryBudget {
 
@@ -11,7 +11,7 @@
 
     private double available = MAX_AVAILABLE;
 
-    /** A job has been served. */
+    /** Credits a job that has been served. */
     void earn() {
         available = Math.min(MAX_AVAILABLE, available + EARNED_PER_JOB);
     }
@@ -20,7 +20,7 @@
         return available >= cost;
     }
 
-    /** Takes so much if it is there. Returns whether it was. */
+    /** Deducts the cost if the budget covers it. Returns whether it did. */
     boolean trySpend(double cost) {
         boolean enough = canSpend(cost);
         if (enough) {
--- a/core/src/main/java/postgrade/policy/RetryController.java
+++ b/core/src/main/java/postgrade/policy/RetryController.java
@@ -6,35 +6,37 @@
 import postgrade.policy.api.Idempotency;
 
 /**
- * Decides when a job is sent, waits, is sent again or moves to another worker, and when it is given
- * up.
+ * Decides when a job is sent, waits, is retried or moves to another worker, and when it is
+ * abandoned.
  */
 final class RetryController {
 
-    /** Waiting jobs are looked at this often; also the margin kept before a client's deadline. */
-    static final long SWEEP_INTERVAL_NS = 50_000_000L;
-
     /**
-     * No further attempt for a job whose failures are its own by more than this, nor after so many
-     * resets.
+     * Interval at which waiting jobs are checked; also the margin kept before a client's deadline.
      */
+    static final long SWEEP_INTERVAL_NS = 50_000_000L;
+
+    /** A job is not retried if more than this share of the failure is attributed to it. */
     private static final double MAX_JOB_FAULT = 0.5;
 
+    /** A job is not retried after this many reset connections. */
     private static final int MAX_RESETS = 2;
 
     /**
-     * What moving a queued job costs a lone dispatcher of the retry budget beyond 1; many share it.
+     * Cost of moving a queued job beyond 1, in retry budget; it is divided by the number of
+     * dispatchers.
      */
     private static final double MOVE_COST = 50;
 
     /**
-     * Jobs differ in length: one that would end after this part of its target is cancelled before
-     * it starts.
+     * Share of its latency target within which a queued job must be expected to end, or it is
+     * cancelled before it starts. It is below 1 as jobs differ in length.
      */
     private static final double HOPELESS_TARGET_SHARE = 0.85;
 
     /**
-     * Without a start report for so many service times of the longest class the job will not start.
+     * A job without a start report for this many service times of the longest class is presumed
+     * lost.
      */
     private static final double LOST_AFTER_SERVICE_TIMES = 2;
 
@@ -52,7 +54,7 @@
             PolicyState state,
             AdmissionController admission,
             LeastLoadedSelector selector,
-            AttemptGuard guard) {
+            AttemptGuard attemptGuard) {
         context = state.context();
         classes = state.classes();
         queueingDelay = state.queueingDelay();
@@ -61,12 +63,13 @@
         retryBudget = state.retryBudget();
         this.admission = admission;
         this.selector = selector;
-        this.attemptGuard = guard;
+        this.attemptGuard = attemptGuard;
     }
 
     /**
-     * Sends the job where there is room; within its quota also where there may be. Else it waits
-     * for the next sweep, as long as it may yet be in time; a job beyond its quota does not wait.
+     * Sends the job to a worker; beyond its quota only to one with free capacity. If there is no
+     * such worker, the job waits for the next sweep as long as it can still be in time; a job
+     * beyond its quota does not wait.
      */
     void dispatch(long nowNs, InFlightJob job) {
         boolean admitted = job.attemptCount() > 0 || admission.admits(nowNs, job);
@@ -93,14 +96,14 @@
         return job.attemptCount() < context.settings().maxAttempts
                 && (job.withinQuota() || !attemptGuard.mayReject(job))
                 && nowNs - job.arrivedNs() < job.jobClass().jobClass().latencyObjectiveNs()
-                // The next sweep may come too late for an answer: a client's last try can start
-                // near its end.
+                // The next sweep may come too late for an answer, as a client's last
+                // retry can arrive close to its deadline.
                 && job.deadlineNs() - nowNs > 2 * SWEEP_INTERVAL_NS;
     }
 
     /**
-     * Whether the job would be late there, could it start now; no job of a class that is unknown or
-     * always late is.
+     * Whether the job would be late even if it started at the worker now. Never true for classes of
+     * which no job has been served or whose jobs are always late.
      */
     private boolean isHopeless(long nowNs, InFlightJob job, WorkerState worker) {
         JobClassStats jobClass = job.jobClass();
@@ -111,32 +114,32 @@
     }
 
     /**
-     * An attempt has ended, no other is out and the client still waits: another attempt, or the
-     * final answer.
+     * Makes another attempt or gives the final answer, after an attempt has ended while no other is
+     * in flight and the client still waits.
      */
     void retry(long nowNs, InFlightJob job, AttemptRecord ended, AttemptOutcome outcome) {
-        Optional<DecisionReason> over = reasonToStop(nowNs, job, ended, outcome);
-        if (over.isPresent()) {
-            attemptGuard.conclude(nowNs, job, over.get());
+        Optional<DecisionReason> stopReason = reasonToStop(nowNs, job, ended, outcome);
+        if (stopReason.isPresent()) {
+            attemptGuard.conclude(nowNs, job, stopReason.get());
             return;
         }
-        boolean free =
+        boolean isFree =
                 ended.neverRan() || (ended.isCancelled() && outcome == AttemptOutcome.CANCELLED);
-        if (free || retryBudget.trySpend(1)) {
+        if (isFree || retryBudget.trySpend(1)) {
             dispatch(nowNs, job);
         } else {
             attemptGuard.conclude(nowNs, job, DecisionReason.RETRY_BUDGET_EMPTY);
         }
     }
 
-    /** Why the job gets no further attempt; empty if it may have one. */
+    /** Returns why the job gets no further attempt; empty if it may have one. */
     private Optional<DecisionReason> reasonToStop(
             long nowNs, InFlightJob job, AttemptRecord ended, AttemptOutcome outcome) {
         if (job.deadlineNs() - nowNs <= SWEEP_INTERVAL_NS) {
             return Optional.of(DecisionReason.DEADLINE_NEAR);
         }
-        // Not sent to a worker that is draining says nothing of the job: another worker may take
-        // it.
+        // A request not sent because its worker is draining is still wanted: another worker may
+        // take it.
         if (outcome == AttemptOutcome.NOT_SENT && ended.worker().isReady()) {
             return Optional.of(DecisionReason.UNWANTED);
         }
@@ -163,30 +166,31 @@
         return Optional.empty();
     }
 
-    /** Looks after a job at regular times. */
+    /** Checks a job; called at each sweep. */
     void sweep(long nowNs, InFlightJob job) {
-        boolean waits = !job.isAnswered();
+        boolean isUnanswered = !job.isAnswered();
         if (job.attemptsInFlight() == 1
                 && context.settings().workersReportStart
                 && nowNs < job.deadlineNs()) {
             checkQueuedAttempt(nowNs, job);
-        } else if (waits && !job.isStreaming() && nowNs >= job.deadlineNs()) {
+        } else if (isUnanswered && !job.isStreaming() && nowNs >= job.deadlineNs()) {
             attemptGuard.conclude(nowNs, job, DecisionReason.DEADLINE_NEAR);
-        } else if (waits && job.attemptsInFlight() == 0) {
+        } else if (isUnanswered && job.attemptsInFlight() == 0) {
             dispatch(nowNs, job);
         }
     }
 
     /**
-     * Looks after an attempt that has not started. A job that may be repeated is cancelled once it
-     * cannot be in time, and moves after half its objective if another worker shows room: sooner,
-     * and it would leave queues that are in time. Some workers run what was cancelled all the same
-     * without saying so; few dispatchers place well, as each sees much of what a worker holds, and
-     * so may hardly move.
+     * Checks an attempt that has not started. A repeatable job is cancelled once it cannot be in
+     * time, and moves after half its latency objective if another worker has free capacity; moving
+     * sooner would take jobs out of queues in which they are in time. Moves are limited by the
+     * retry budget, as some workers run cancelled jobs without reporting it. Few dispatchers may
+     * move very little: each of them sees much of what a worker holds and so selects workers well.
      *
-     * <p>An attempt that has not started when those before it must have ended is presumed lost. It
-     * no longer counts as held there, or its worker would stand idle, and counts as a failure, so
-     * that a worker that loses all is ejected long before time-outs tell.
+     * <p>An attempt that has not started by the time that all jobs before it must have ended is
+     * presumed lost. It no longer counts as held by the worker, which would otherwise stay idle,
+     * and it counts as a failure, so that a worker that loses all jobs is ejected long before
+     * attempts time out.
      */
     private void checkQueuedAttempt(long nowNs, InFlightJob job) {
         AttemptRecord attempt = job.latestAttempt();
@@ -197,30 +201,30 @@
             queueingDelay.recordStillQueued(nowNs, attempt);
         }
         int number = job.attemptCount() - 1;
-        boolean movable =
+        boolean isMovable =
                 !attempt.isCancelled()
                         && context.settings().allowsCancellation
                         && job.idempotency() != Idempotency.NOT_IDEMPOTENT;
-        if (movable && isHopeless(nowNs, job, attempt.worker())) {
+        if (isMovable && isHopeless(nowNs, job, attempt.worker())) {
             attemptGuard.cancel(job, number, DecisionReason.HOPELESS);
-        } else if (movable && shouldMove(nowNs, job, attempt)) {
+        } else if (isMovable && shouldMove(nowNs, job, attempt)) {
             retryBudget.trySpend(moveCost());
             attemptGuard.cancel(job, number, DecisionReason.MOVED);
         } else if (!attempt.isPresumedLost()
                 && nowNs - attempt.sentNs()
                         > LOST_AFTER_SERVICE_TIMES * classes.longestServiceTimeNs()) {
             attempt.markPresumedLost();
-            attempt.worker().recordQueueingDelay(nowNs, 0); // It stands in no queue.
+            attempt.worker().recordQueueingDelay(nowNs, 0); // It is not queued.
             outlierDetector.recordWorkerFailure(nowNs, attempt.worker(), 1);
         }
     }
 
     private boolean shouldMove(long nowNs, InFlightJob job, AttemptRecord attempt) {
-        long patienceNs =
+        long moveAfterNs =
                 Math.max(
                         FleetLoadEstimator.ROUND_TRIP_NS,
                         job.jobClass().jobClass().latencyObjectiveNs() / 2);
-        return nowNs - attempt.sentNs() >= patienceNs
+        return nowNs - attempt.sentNs() >= moveAfterNs
                 && retryBudget.canSpend(moveCost())
                 && selector.select(nowNs, job, true) != null;
     }
--- a/core/src/main/java/postgrade/policy/ServiceTimeEstimator.java
+++ b/core/src/main/java/postgrade/policy/ServiceTimeEstimator.java
@@ -1,15 +1,18 @@
 package postgrade.policy;
 
-/** Estimates how long jobs run: by class, relative to that by worker, and longer in slow start. */
+/**
+ * Estimates how long jobs run: the mean of the class, times a ratio for the worker, times a factor
+ * while the worker is in slow start.
+ */
 final class ServiceTimeEstimator {
 
-    /** The most that one job tells of a pace, in either direction. */
+    /** Bound on the ratio that one job contributes, in either direction. */
     private static final double MAX_RATIO = 5;
 
-    /** A kind's pace counts as so many jobs of the worker itself. */
+    /** Weight of the ratio of the worker's kind, as a number of jobs of the worker itself. */
     private static final double KIND_PRIOR_SAMPLES = 4;
 
-    /** Workers in slow start run jobs so many times as fast as the settings promise at least. */
+    /** Speed of workers in slow start, as a multiple of the least that the settings guarantee. */
     private static final double SLOW_START_SPEED_FACTOR = 1.4;
 
     private final CapacityEstimator capacity;
@@ -23,19 +26,19 @@
         this.fleetLoad = fleetLoad;
     }
 
-    /** How long a job of the class would run there. */
+    /** Returns the expected service time of a job of the class at the worker. */
     double serviceTimeNs(long nowNs, JobClassStats jobClass, WorkerState worker) {
         return jobClass.serviceTimeNs() * serviceTimeRatio(worker) * slowStartFactor(nowNs, worker);
     }
 
-    /** How many times as long a job runs there as it will after the slow start. */
+    /** Returns by which factor a job now takes longer at the worker than after its slow start. */
     private double slowStartFactor(long nowNs, WorkerState worker) {
         return Math.max(1, 1 / (SLOW_START_SPEED_FACTOR * capacity.slowStartShare(nowNs, worker)));
     }
 
     /**
-     * How long jobs run there, relative to the mean of their class: as on its kind, until enough of
-     * its own are known.
+     * Returns the service time of jobs at the worker relative to the mean of their class. The ratio
+     * of the worker's kind prevails until enough jobs of the worker itself have been observed.
      */
     static double serviceTimeRatio(WorkerState worker) {
         double weighted =
@@ -45,19 +48,19 @@
     }
 
     /**
-     * Learns from an attempt that has been served. A first job of no time must not make its class
-     * free.
+     * Records the service time of an attempt that has been served. A first job that took no time
+     * must not make its class appear free of cost.
      */
     void recordServed(long nowNs, AttemptRecord attempt) {
         WorkerState worker = attempt.worker();
         JobClassStats jobClass = attempt.job().jobClass();
-        double ranNs = nowNs - attempt.startedOrSentNs();
-        double withoutSlowStartNs = ranNs / slowStartFactor(nowNs, worker);
+        double elapsedNs = nowNs - attempt.startedOrSentNs();
+        double withoutSlowStartNs = elapsedNs / slowStartFactor(nowNs, worker);
         classes.recordServiceTime(jobClass, withoutSlowStartNs);
-        double pace = withoutSlowStartNs / Math.max(1, jobClass.observedServiceTimeNs());
-        double bounded = Math.max(1 / MAX_RATIO, Math.min(MAX_RATIO, pace));
+        double ratio = withoutSlowStartNs / Math.max(1, jobClass.observedServiceTimeNs());
+        double bounded = Math.max(1 / MAX_RATIO, Math.min(MAX_RATIO, ratio));
         worker.kind().recordServiceTimeRatio(bounded);
         worker.recordServiceTimeRatio(bounded);
-        fleetLoad.recordServed(nowNs, ranNs / 1e9 * attempt.job().job().slots());
+        fleetLoad.recordServed(nowNs, elapsedNs / 1e9 * attempt.job().job().slots());
     }
 }
--- a/core/src/main/java/postgrade/policy/SlowStartLimiter.java
+++ b/core/src/main/java/postgrade/policy/SlowStartLimiter.java
@@ -3,21 +3,25 @@
 import postgrade.policy.api.PolicySettings;
 
 /**
- * Limits what is sent to a worker in slow start, so that the sum over all dispatchers stays within
- * the budget that the settings name.
+ * Limits the work sent to a worker in slow start, so that all dispatchers together stay within the
+ * budget that the settings define.
  *
- * <p>An even part of many dispatchers is under one job. So only as many of them send as can send
- * the dearest job each, more as the slow start goes on; which ones follows from the worker's name.
- * docs/measurements/cold-ramp.md has the calculation.
+ * <p>With many dispatchers, an even share of the budget is less than one job. So only as many
+ * dispatchers send as can each afford the most expensive job; their number grows during slow start,
+ * and a hash of the worker's name decides which ones they are. docs/measurements/cold-ramp.md has
+ * the calculation.
  */
 final class SlowStartLimiter {
 
-    /** The part of the budget that is used, as jobs differ in length. */
+    /**
+     * Share of the budget that is used; the rest is a margin for jobs that run longer than the
+     * mean.
+     */
     private static final double BUDGET_SHARE_USED = 0.9;
 
     /**
-     * A worker on which hardly a job waits has room for its mean load and for so many square roots
-     * of it (square-root staffing): at two roots about one job in forty waits.
+     * Square-root staffing: a worker on which hardly any job waits has capacity for its mean load
+     * plus this many square roots of it. With two roots about one job in forty waits.
      */
     private static final double STAFFING_ROOTS = 2;
 
@@ -31,8 +35,8 @@
     private final FleetLoadEstimator fleetLoad;
 
     /**
-     * Since when all that was sent to workers in slow start is known: not before a start or a
-     * crash.
+     * Time since which the recorded work sent to workers in slow start is complete. After a crash
+     * nothing is known of the time before the restart.
      */
     private long usageCompleteSinceNs = NOT_KNOWN;
 
@@ -52,12 +56,13 @@
     }
 
     /**
-     * Whether the job costs no more than is left of this process's part of the budget in the
-     * current window. What was sent before a restart is forgotten, so one window passes first.
+     * Whether the job fits into what is left of this process's share of the budget in the current
+     * window. Work sent before a restart is not known, so nothing is sent until one window has
+     * passed.
      */
     boolean permits(long nowNs, InFlightJob job, WorkerState worker) {
         if (!capacity.isInSlowStart(nowNs, worker)) {
-            return true; // First, as it is asked for each worker and job.
+            return true; // Checked first, as this method runs for each worker and job.
         }
         PolicySettings settings = context.settings();
         int senders = senders(nowNs, worker);
@@ -72,28 +77,31 @@
         return costNs(job, worker) <= ownBudget - spent;
     }
 
-    /** A job is sent there. */
+    /** Records that the job is sent to the worker. */
     void recordSent(long nowNs, InFlightJob job, WorkerState worker) {
         if (capacity.isInSlowStart(nowNs, worker)) {
             worker.slowStartUsage().add(nowNs, costNs(job, worker));
         }
     }
 
-    /** How many dispatchers there are for each one that may send there. */
+    /** Returns the number of dispatchers per dispatcher that may send to the worker. */
     double dispatchersPerSender(long nowNs, WorkerState worker) {
         return capacity.isInSlowStart(nowNs, worker)
                 ? (double) context.settings().dispatcherCount / senders(nowNs, worker)
                 : 1;
     }
 
-    /** How many dispatchers may send there: as many as can send the dearest job each. */
+    /**
+     * Returns how many dispatchers may send to the worker: as many as can each afford the most
+     * expensive job.
+     */
     private int senders(long nowNs, WorkerState worker) {
-        double dearestNs = classes.longestServiceTimeNs() * worker.kind().serviceTimeRatio();
-        double jobs = fleetBudgetNs(nowNs, worker) / dearestNs;
+        double longestJobNs = classes.longestServiceTimeNs() * worker.kind().serviceTimeRatio();
+        double jobs = fleetBudgetNs(nowNs, worker) / longestJobNs;
         return (int) Math.max(1, Math.min(context.settings().dispatcherCount, jobs));
     }
 
-    /** The slot time that all dispatchers together may send there in one window. */
+    /** Returns the slot time that all dispatchers together may send to the worker in one window. */
     private double fleetBudgetNs(long nowNs, WorkerState worker) {
         return BUDGET_SHARE_USED
                 * context.settings().overloadMultiple
@@ -103,19 +111,20 @@
     }
 
     /**
-     * The slots that the worker is known to have, at least one. Without load reports its size is a
-     * guess, and a small worker would be overloaded by it. So the guess is bounded by what the
-     * fleet is seen to carry: the mean load of a ready worker with its staffing margin, less where
+     * Returns the reported slots of the worker or, without load reports, a conservative estimate.
+     * The default size would overload a small worker, so it is bounded by the load that the fleet
+     * is observed to carry: the mean load of a ready worker plus a staffing margin, reduced where
      * jobs wait before they start.
      */
     private double conservativeSlots(long nowNs, WorkerState worker) {
         if (worker.kind().slots() > 0) {
             return worker.kind().slots();
         }
-        double load = fleetLoad.fleetLoad(nowNs) / Math.max(1, workers.ready().size());
-        double waits = 1 + worker.kind().queueingDelayNs() / classes.meanServiceTimeNs();
-        double staffed = Math.max(1, load + STAFFING_ROOTS * Math.sqrt(load)) / waits;
-        return capacity.weight(worker) * Math.min(CapacityEstimator.DEFAULT_SLOTS, staffed);
+        double meanLoad = fleetLoad.fleetLoad(nowNs) / Math.max(1, workers.ready().size());
+        double queueingFactor = 1 + worker.kind().queueingDelayNs() / classes.meanServiceTimeNs();
+        double staffedSlots =
+                Math.max(1, meanLoad + STAFFING_ROOTS * Math.sqrt(meanLoad)) / queueingFactor;
+        return capacity.weight(worker) * Math.min(CapacityEstimator.DEFAULT_SLOTS, staffedSlots);
     }
 
     private static double costNs(InFlightJob job, WorkerState worker) {
@@ -124,7 +133,7 @@
                 * worker.kind().serviceTimeRatio();
     }
 
-    /** The list of workers is known, so from now on all that is sent is. */
+    /** Notes the first update of the worker list: from then on all work sent is recorded. */
     void workerListKnown(long nowNs) {
         if (usageCompleteSinceNs == NOT_KNOWN) {
             usageCompleteSinceNs = nowNs;
@@ -132,8 +141,8 @@
     }
 
     /**
-     * Where workers count as in slow start only now, or for longer, what was sent to them has not
-     * been counted.
+     * Restarts the record if workers now count as in slow start, or for longer, or over a longer
+     * window: work sent to them before was not recorded.
      */
     void settingsChanged(long nowNs, PolicySettings former, PolicySettings next) {
         if (next.overloadWindowNs > former.overloadWindowNs
@@ -147,14 +156,17 @@
         return usageCompleteSinceNs != NOT_KNOWN;
     }
 
-    /** For how long all that was sent is known. */
+    /** Returns for how long the recorded work has been complete. */
     long usageCompleteForNs(long nowNs) {
         return nowNs - usageCompleteSinceNs;
     }
 
-    /** Another process of this dispatcher has known all for so long, and has exported it. */
-    void restoreUsageCompleteFor(long nowNs, long knownForNs) {
+    /**
+     * Takes over from another process of this dispatcher, which has exported a complete record of
+     * this duration.
+     */
+    void restoreUsageCompleteFor(long nowNs, long durationNs) {
         long sinceNs = hasWorkerList() ? usageCompleteSinceNs : nowNs;
-        usageCompleteSinceNs = Math.min(sinceNs, nowNs - knownForNs);
+        usageCompleteSinceNs = Math.min(sinceNs, nowNs - durationNs);
     }
 }
--- a/core/src/main/java/postgrade/policy/StateEntryConsumer.java
+++ b/core/src/main/java/postgrade/policy/StateEntryConsumer.java
@@ -1,12 +1,12 @@
 package postgrade.policy;
 
-/** Takes the exported figures of one thing. */
+/** Receives the exported values of one entry. */
 interface StateEntryConsumer {
 
     /**
-     * Takes the figures of the thing of this name.
+     * Accepts the values of the entry of this name.
      *
-     * @param name unique in its category
+     * @param name unique within the category
      */
     void accept(String name, double[] values);
 }
--- a/core/src/main/java/postgrade/policy/TokenBucket.java
+++ b/core/src/main/java/postgrade/policy/TokenBucket.java
@@ -1,20 +1,20 @@
 package postgrade.policy;
 
 /**
- * The rate limit of one tenant or key. Beside its tokens it keeps what the tenant asks for and how
- * often its jobs fail. Times are in nanoseconds.
+ * The rate limit of one tenant or key. Besides its tokens it tracks the demand and the failure rate
+ * of its jobs. Times are in nanoseconds.
  */
 final class TokenBucket {
 
     /**
-     * A bucket holds so many seconds of its rate, to ride over bursts; demand is averaged over as
-     * long.
+     * A bucket holds this many seconds of its rate, to absorb bursts; demand is averaged over the
+     * same time.
      */
     private static final double BURST_SECONDS = 2;
 
     /**
-     * The least burst: with many dispatchers each one's part of a rate is so small that chance
-     * alone would empty it.
+     * Smallest burst. With many dispatchers the share of each in a rate is so small that random
+     * variation alone would empty a smaller bucket.
      */
     private static final double MIN_BURST = 5;
 
@@ -28,7 +28,7 @@
         updatedNs = nowNs;
     }
 
-    /** A full bucket of this rate. */
+    /** Returns a full bucket of this rate. */
     static TokenBucket full(double ratePerS, long nowNs) {
         return new TokenBucket(burst(ratePerS), nowNs);
     }
@@ -37,7 +37,7 @@
         return Math.max(MIN_BURST, ratePerS * BURST_SECONDS);
     }
 
-    /** Takes a token. Returns 0, or how long until there will be one; then none is taken. */
+    /** Takes a token and returns 0, or takes none and returns the time until one is available. */
     long tryTake(double ratePerS, long nowNs) {
         double seconds = (nowNs - updatedNs) / 1e9;
         updatedNs = nowNs;
@@ -50,17 +50,19 @@
         return 0;
     }
 
-    /** Keeps this part of the tokens; the rest is another process's. */
-    void scaleTokens(double part) {
-        tokens *= part;
+    /** Scales the tokens to this share; the rest belongs to another process. */
+    void scaleTokens(double share) {
+        tokens *= share;
     }
 
-    /** How many jobs a second are asked for, admitted or not. */
+    /** Returns the jobs submitted per second, admitted or not. */
     double demandPerS() {
         return demandPerS;
     }
 
-    /** The moving average of failures among the jobs charged here, from 0 to 1. */
+    /**
+     * Returns the moving average of failures among the jobs charged to this bucket, from 0 to 1.
+     */
     double failureRate() {
         return failureRate;
     }
@@ -72,13 +74,13 @@
         failureRate = Smoothing.next(failureRate, failed);
     }
 
-    /** Its state in the order that {@link #restore} reads. */
+    /** Returns the state in the order that {@link #restore} reads. */
     double[] export(long nowNs) {
         return new double[] {tokens, demandPerS, failureRate, nowNs - updatedNs};
     }
 
     /**
-     * @param share of the tokens and the demand that are this process's
+     * @param share the share of the tokens and the demand that belongs to this process
      */
     static TokenBucket restore(double[] values, double share, long nowNs) {
         TokenBucket bucket = new TokenBucket(values[0] * share, nowNs - (long) values[3]);
--- a/core/src/main/java/postgrade/policy/TokenBucketDispatchPolicy.java
+++ b/core/src/main/java/postgrade/policy/TokenBucketDispatchPolicy.java
@@ -16,8 +16,8 @@
 
 /**
  * The decision policy of one dispatcher: admission by token buckets, selection of the least loaded
- * worker, bounded retries. This is the front that hands each event to the parts that decide;
- * docs/design.md says what is kept of the design and when each departure from it acts.
+ * worker, bounded retries. This class passes each event to the components that decide;
+ * docs/design.md describes the design and under which conditions the policy departs from it.
  */
 public final class TokenBucketDispatchPolicy implements DispatchPolicy {
 
@@ -31,9 +31,9 @@
     private boolean sweepScheduled;
 
     /**
-     * A policy that knows no workers yet.
+     * Creates a policy that knows no workers yet.
      *
-     * @param seed of its random choices
+     * @param seed the seed of its random choices
      */
     public TokenBucketDispatchPolicy(PolicySettings settings, long seed, PolicyActions actions) {
         state = new PolicyState(settings, seed, actions);
@@ -74,13 +74,13 @@
     }
 
     @Override
-    public void importState(long nowNs, List<PolicyStateEntry> figures) {
-        stateTransfer.importAll(nowNs, figures);
+    public void importState(long nowNs, List<PolicyStateEntry> entries) {
+        stateTransfer.importState(nowNs, entries);
     }
 
     @Override
-    public void workersUpdated(long nowNs, WorkerListUpdateType form, List<WorkerInfo> workers) {
-        workerListUpdater.update(nowNs, form, workers);
+    public void workersUpdated(long nowNs, WorkerListUpdateType type, List<WorkerInfo> workers) {
+        workerListUpdater.update(nowNs, type, workers);
     }
 
     @Override
@@ -98,17 +98,19 @@
             throw new IllegalArgumentException("unknown class " + job.jobClass());
         }
         if (state.jobs().containsKey(job.id())) {
-            return; // The first job under an id is still owed its answer.
+            return; // The first job with this id is still in flight.
         }
-        long startsInNs = state.context().constraints().startDelayNs(nowNs, job);
-        if (startsInNs > 0) {
-            // Perhaps hours: the longest usual pause does not bound it.
-            state.context().actions().reject(job.id(), startsInNs, DecisionReason.NOT_ALLOWED_NOW);
+        long startDelayNs = state.context().constraints().startDelayNs(nowNs, job);
+        if (startDelayNs > 0) {
+            // Not capped at maxRetryAfterNs: a start window may be hours away.
+            state.context()
+                    .actions()
+                    .reject(job.id(), startDelayNs, DecisionReason.NOT_ALLOWED_NOW);
             return;
         }
-        long limitedForNs = state.rateLimiter().charge(nowNs, job);
-        boolean withinQuota = limitedForNs == 0;
-        long retryAfterNs = withinQuota ? WorkerListUpdater.INITIAL_RETRY_NS : limitedForNs;
+        long rateLimitedForNs = state.rateLimiter().charge(nowNs, job);
+        boolean withinQuota = rateLimitedForNs == 0;
+        long retryAfterNs = withinQuota ? WorkerListUpdater.INITIAL_RETRY_NS : rateLimitedForNs;
         InFlightJob inFlight = new InFlightJob(job, jobClass, nowNs, withinQuota, retryAfterNs);
         state.jobs().put(job.id(), inFlight);
         retryController.dispatch(nowNs, inFlight);
@@ -126,18 +128,18 @@
 
     @Override
     public void attemptStarted(long nowNs, String jobId, int attempt) {
-        AttemptRecord out = attemptInFlight(jobId, attempt);
-        if (out != null) {
-            state.queueingDelay().recordStart(nowNs, out);
+        AttemptRecord record = attemptInFlight(jobId, attempt);
+        if (record != null) {
+            state.queueingDelay().recordStart(nowNs, record);
         }
     }
 
     @Override
     public void attemptStreaming(long nowNs, String jobId, int attempt) {
         attemptStarted(nowNs, jobId, attempt);
-        AttemptRecord out = attemptInFlight(jobId, attempt);
-        if (out != null) {
-            out.job().markStreaming();
+        AttemptRecord record = attemptInFlight(jobId, attempt);
+        if (record != null) {
+            record.job().markStreaming();
         }
     }
 
@@ -145,24 +147,24 @@
     public void attemptFinished(
             long nowNs,
             String jobId,
-            int number,
+            int attemptNumber,
             AttemptOutcome outcome,
-            boolean last,
-            LoadReport load) {
-        AttemptRecord attempt = attemptInFlight(jobId, number);
+            boolean finallyAnswered,
+            LoadReport loadReport) {
+        AttemptRecord attempt = attemptInFlight(jobId, attemptNumber);
         if (attempt == null) {
             return;
         }
         InFlightJob job = attempt.job();
         attempt.worker().updateAverageUsedSlots(nowNs);
         job.endAttempt(attempt, outcome.provesNotRun());
-        state.capacity().recordReport(nowNs, attempt.worker(), load);
+        state.capacity().recordReport(nowNs, attempt.worker(), loadReport);
         state.outlierDetector().recordAttemptEnd(nowNs, attempt, outcome);
         if (outcome == AttemptOutcome.SERVED) {
             state.retryBudget().earn();
             state.serviceTime().recordServed(nowNs, attempt);
         }
-        if (last) {
+        if (finallyAnswered) {
             job.markAnswered();
         }
         if (job.isAnswered()) {
@@ -172,17 +174,19 @@
         }
     }
 
-    /** The attempt of this number if the job is known and the attempt has not ended, else null. */
-    private AttemptRecord attemptInFlight(String jobId, int number) {
+    /**
+     * Returns the attempt of this number, or null if the job is unknown or the attempt has ended.
+     */
+    private AttemptRecord attemptInFlight(String jobId, int attemptNumber) {
         InFlightJob job = state.jobs().get(jobId);
-        return job == null ? null : job.attemptInFlight(number);
+        return job == null ? null : job.attemptInFlight(attemptNumber);
     }
 
     @Override
-    public void workerProbed(long nowNs, String workerId, boolean answered, LoadReport load) {
+    public void workerProbed(long nowNs, String workerId, boolean answered, LoadReport loadReport) {
         WorkerState worker = state.workers().get(workerId);
         if (worker != null && answered) {
-            state.capacity().recordReport(nowNs, worker, load);
+            state.capacity().recordReport(nowNs, worker, loadReport);
         }
     }
 
--- a/core/src/main/java/postgrade/policy/WorkerHealth.java
+++ b/core/src/main/java/postgrade/policy/WorkerHealth.java
@@ -1,18 +1,16 @@
 package postgrade.policy;
 
-/**
- * The failures of one worker, and for how long it is ejected for them. Times are in nanoseconds.
- */
+/** The failure rate of one worker and its ejections. Times are in nanoseconds. */
 final class WorkerHealth {
 
-    /** How fast the failure rate moves. */
+    /** Weight of the latest result in the moving average. */
     private static final double SMOOTHING_RATE = 0.2;
 
     private double failureRate;
     private int ejections;
     private long ejectedUntilNs;
 
-    /** The moving average of its failures, from 0 to 1. */
+    /** Returns the moving average of its failures, from 0 to 1. */
     double failureRate() {
         return failureRate;
     }
@@ -23,24 +21,24 @@
     }
 
     /**
-     * @param fault how far the failure is the worker's, from 0 to 1
+     * @param workerFault how far the failure is attributed to the worker, from 0 to 1
      */
-    void recordFailure(double fault) {
-        failureRate += SMOOTHING_RATE * Math.max(0, fault - failureRate);
+    void recordFailure(double workerFault) {
+        failureRate += SMOOTHING_RATE * Math.max(0, workerFault - failureRate);
     }
 
     boolean isEjected(long nowNs) {
         return ejectedUntilNs > nowNs;
     }
 
-    /** Ejections that no success has followed. */
+    /** Returns the number of ejections since the last success. */
     int ejections() {
         return ejections;
     }
 
-    /** Ejects it for a time that doubles with each ejection that no success has followed. */
-    void eject(long nowNs, long baseNs, int mostDoublings) {
-        ejectedUntilNs = nowNs + (baseNs << Math.min(ejections, mostDoublings));
+    /** Ejects the worker for a time that doubles with each ejection since the last success. */
+    void eject(long nowNs, long baseNs, int maxDoublings) {
+        ejectedUntilNs = nowNs + (baseNs << Math.min(ejections, maxDoublings));
         ejections++;
     }
 
@@ -52,9 +50,9 @@
         restore(0, 0, 0);
     }
 
-    void restore(double rate, long untilNs, int count) {
-        failureRate = rate;
-        ejectedUntilNs = untilNs;
-        ejections = count;
+    void restore(double restoredFailureRate, long restoredEjectedUntilNs, int restoredEjections) {
+        failureRate = restoredFailureRate;
+        ejectedUntilNs = restoredEjectedUntilNs;
+        ejections = restoredEjections;
     }
 }
--- a/core/src/main/java/postgrade/policy/WorkerKindStats.java
+++ b/core/src/main/java/postgrade/policy/WorkerKindStats.java
@@ -1,9 +1,9 @@
 package postgrade.policy;
 
-/** What has been learnt of all workers of one kind of machine. */
+/** Statistics over all workers of one kind of machine. */
 final class WorkerKindStats {
 
-    /** How fast the reported size grows once it is known. */
+    /** Rate at which the size grows towards larger reports after the first report. */
     private static final double SLOTS_SMOOTHING_RATE = 0.3;
 
     private double slots;
@@ -11,7 +11,10 @@
     private long served;
     private double queueingDelayNs;
 
-    /** The most free slots that a worker of this kind has about reported; 0 while none has. */
+    /**
+     * Returns approximately the most free slots that a worker of this kind has reported; 0 before
+     * any report.
+     */
     double slots() {
         return slots;
     }
@@ -22,7 +25,7 @@
         }
     }
 
-    /** How long jobs run on this kind, relative to the mean of their class. */
+    /** Returns the mean service time on this kind, relative to the mean of the job class. */
     double serviceTimeRatio() {
         return serviceTimeRatio;
     }
@@ -33,7 +36,7 @@
                 Math.max(Smoothing.RATE, 1.0 / (served + 1)) * (observed - serviceTimeRatio);
     }
 
-    /** How long recent jobs have waited at workers of this kind before they started, on average. */
+    /** Returns how long recent jobs were queued at workers of this kind on average. */
     double queueingDelayNs() {
         return queueingDelayNs;
     }
@@ -49,12 +52,12 @@
         queueingDelayNs = 0;
     }
 
-    /** Its state in the order that {@link #restore} reads. */
+    /** Returns the state in the order that {@link #restore} reads. */
     double[] export() {
         return new double[] {slots, serviceTimeRatio, served, queueingDelayNs};
     }
 
-    /** An earlier version exports no queueing delay. */
+    /** Restores exported state. Earlier versions export no queueing delay. */
     void restore(double[] values) {
         slots = values[0];
         serviceTimeRatio = values[1];
--- a/core/src/main/java/postgrade/policy/WorkerListUpdater.java
+++ b/core/src/main/java/postgrade/policy/WorkerListUpdater.java
@@ -6,19 +6,19 @@
 import postgrade.policy.api.WorkerPhase;
 
 /**
- * Takes in the list of workers and asks for it again after a failure.
+ * Applies updates of the worker list, and subscribes to it again after a failure.
  *
- * <p>A list may be wrong: empty, old, or calling a worker gone that serves. Where the settings say
- * that only draining takes a worker out, one that is no longer listed stays in use until failed
- * connections eject it, and is forgotten after several ejections in a row. Its drain is remembered
- * too, or an old list would undo it.
+ * <p>A list may be wrong: empty, outdated, or reporting a serving worker as gone. If by the
+ * settings only draining excludes a worker, a worker that is no longer listed stays in use until
+ * failed connections eject it, and is removed after several consecutive ejections. Drains are
+ * remembered for a time, so that an outdated list does not undo them.
  */
 final class WorkerListUpdater {
 
-    /** The token of the timer after which the list is asked for again. */
+    /** Token of the timer after which the list is requested again. */
     static final String RETRY_TIMER = "ask";
 
-    /** The first pause before the list is asked for again. */
+    /** First pause before the list is requested again. */
     static final long INITIAL_RETRY_NS = 500_000_000L;
 
     private final PolicyContext context;
@@ -32,19 +32,19 @@
         this.slowStart = slowStart;
     }
 
-    void update(long nowNs, WorkerListUpdateType form, List<WorkerInfo> list) {
+    void update(long nowNs, WorkerListUpdateType type, List<WorkerInfo> list) {
         slowStart.workerListKnown(nowNs);
-        if (form == WorkerListUpdateType.FAILED) {
+        if (type == WorkerListUpdateType.FAILED) {
             scheduleRetry();
             return;
         }
-        if (form == WorkerListUpdateType.CACHED && context.settings().pollsWorkerList) {
+        if (type == WorkerListUpdateType.CACHED && context.settings().pollsWorkerList) {
             context.actions().watchWorkers();
         } else {
             retryNs = INITIAL_RETRY_NS;
         }
         boolean keepsUnlisted = context.settings().keepsUnlistedWorkers;
-        if (form != WorkerListUpdateType.DELTA) {
+        if (type != WorkerListUpdateType.DELTA) {
             workers.all().forEach(worker -> worker.markUnlisted(keepsUnlisted));
         }
         list.forEach(info -> update(nowNs, info, keepsUnlisted));
@@ -62,7 +62,7 @@
         }
     }
 
-    /** After a pause that doubles with each failure, spread at random. */
+    /** Schedules a retry after a pause that doubles with each failure, with random jitter. */
     private void scheduleRetry() {
         long pauseNs = retryNs / 2 + context.random().nextLong(retryNs);
         context.actions().startTimer(RETRY_TIMER, pauseNs);
--- a/core/src/main/java/postgrade/policy/WorkerState.java
+++ b/core/src/main/java/postgrade/policy/WorkerState.java
@@ -5,15 +5,18 @@
 import postgrade.policy.api.WorkerPhase;
 
 /**
- * A worker as this dispatcher sees it: what the list says, what it holds of our jobs, and what has
- * been learnt of it. Times are in nanoseconds of the policy's clock.
+ * A worker as seen by this dispatcher: its state in the worker list, the jobs of this dispatcher
+ * that it holds, and what has been learned of it. Times are in nanoseconds of the policy's clock.
  */
 final class WorkerState {
 
-    /** Where unlisted workers are kept, an older list may name a drained one again for so long. */
+    /**
+     * If unlisted workers are kept, a drained worker is remembered for this long, as an outdated
+     * list may name it as ready again.
+     */
     private static final long DRAIN_RETENTION_NS = 60_000_000_000L;
 
-    /** Of its own pace the latest so many jobs count. */
+    /** Number of latest jobs that the service time ratio averages over. */
     private static final double MAX_SERVICE_TIME_RATIO_SAMPLES = 20;
 
     private final String id;
@@ -48,7 +51,7 @@
         return id;
     }
 
-    /** A hash of its name that all dispatchers agree on. */
+    /** Returns a hash of its name that is the same at all dispatchers. */
     long hash() {
         return hash;
     }
@@ -65,22 +68,23 @@
         return slowStartUsage;
     }
 
-    // ---- What the list says.
+    // ---- State in the worker list.
 
-    /** Whether it may be sent to, as far as the list decides. */
+    /** Whether the worker list allows sending to it. */
     boolean isReady() {
         return ready;
     }
 
-    /** When its process last started, 0 for long ago. */
+    /** Returns when its process last started; 0 for long ago. */
     long startedNs() {
         return startedNs;
     }
 
     /**
-     * The list names it.
+     * Applies an entry of the worker list.
      *
-     * @param keepsUnlisted only draining takes a worker out, and an older list may not undo a drain
+     * @param keepsUnlisted whether only draining excludes a worker; then an outdated list does not
+     *     undo a drain
      */
     void updateFromList(long nowNs, WorkerInfo latest, boolean keepsUnlisted) {
         info = latest;
@@ -99,15 +103,16 @@
         }
     }
 
-    /** The list names it no longer. */
+    /** Notes that the worker list no longer names it. */
     void markUnlisted(boolean keepsUnlisted) {
         listed = false;
         ready &= keepsUnlisted;
     }
 
     /**
-     * Whether nothing is lost with its state: none of our jobs are there, and it is not to be sent
-     * to.
+     * Whether its state can be removed: it holds no jobs of this dispatcher, and either it is not
+     * ready (and not a recently drained worker that is kept) or it is no longer listed and has been
+     * ejected several times in a row.
      */
     boolean canBeRemoved(long nowNs, boolean keepsUnlisted) {
         if (inFlight != 0) {
@@ -119,7 +124,7 @@
         return !keepsUnlisted || drainSeenNs == 0 || nowNs - drainSeenNs > DRAIN_RETENTION_NS;
     }
 
-    // ---- What it holds of our jobs.
+    // ---- This dispatcher's jobs at the worker.
 
     int inFlight() {
         return inFlight;
@@ -146,28 +151,30 @@
     }
 
     /**
-     * Updates the average of the slots that our jobs use, before their number changes or a report
-     * is compared with it.
+     * Updates the average of the slots used by this dispatcher's jobs. Must be called before their
+     * number changes and before a report is compared with the average.
      */
     void updateAverageUsedSlots(long nowNs) {
-        double keep = Math.exp(-(nowNs - averagedNs) / CapacityEstimator.REPORT_LAG_NS);
-        averageUsedSlots = averageUsedSlots * keep + usedSlots * (1 - keep);
+        double remaining = Math.exp(-(nowNs - averagedNs) / CapacityEstimator.REPORT_LAG_NS);
+        averageUsedSlots = averageUsedSlots * remaining + usedSlots * (1 - remaining);
         averagedNs = nowNs;
     }
 
-    // ---- Its capacity and its failures.
+    // ---- Capacity and failures.
 
     CapacityReport capacityReport() {
         return capacityReport;
     }
 
-    /** Its load report shows so many free slots, in which our jobs count with some lag. */
+    /**
+     * Records the free slots of a load report, which reflects this dispatcher's jobs with some lag.
+     */
     void recordFreeSlots(long nowNs, double freeSlots) {
         updateAverageUsedSlots(nowNs);
         capacityReport.set(nowNs, freeSlots + averageUsedSlots);
     }
 
-    /** It has rejected a job for want of capacity. */
+    /** Records that the worker has rejected a job for lack of capacity. */
     void recordFull(long nowNs) {
         capacityReport.setFull(nowNs, usedSlots);
     }
@@ -180,9 +187,9 @@
         return health.isEjected(nowNs);
     }
 
-    // ---- Its queueing delay and its pace.
+    // ---- Queueing delay and service time.
 
-    /** How long the latest job waited there before it started. */
+    /** Returns how long the latest job was queued before it started. */
     double queueingDelayNs() {
         return queueingDelayNs;
     }
@@ -197,8 +204,8 @@
     }
 
     /**
-     * How long jobs run there relative to the mean of their class, by {@link
-     * #serviceTimeRatioSamples} jobs.
+     * Returns the service time of its jobs relative to the mean of their class, averaged over
+     * {@link #serviceTimeRatioSamples} jobs.
      */
     double serviceTimeRatio() {
         return serviceTimeRatio;
@@ -216,7 +223,7 @@
 
     // ---- Resets.
 
-    /** Whether an operator has put it back and no job has been sent to it since. */
+    /** Whether an operator has re-enabled it and no job has been sent to it since. */
     boolean needsTrial() {
         return needsTrial;
     }
@@ -226,15 +233,15 @@
     }
 
     /**
-     * An operator has put it back, restarted. It needs a trial, as others look better while it is
-     * in slow start.
+     * Marks the worker as restarted and re-enabled by an operator. It needs a trial job, as other
+     * workers are preferred while it is in slow start.
      */
     void markReenabled() {
         resetLearned();
         needsTrial = true;
     }
 
-    /** Nothing that was learnt under another deployment's settings counts any more. */
+    /** Resets what was learned under another deployment's settings. */
     void resetForNewDeployment() {
         resetLearned();
         queueingDelayObservedNs = 0;
@@ -249,7 +256,7 @@
         capacityReport.reset();
     }
 
-    /** What was learnt of it, in the order that {@link #restore} reads. */
+    /** Returns what was learned of it, in the order that {@link #restore} reads. */
     double[] export(long nowNs) {
         return new double[] {
             health.failureRate(),
--- a/core/src/main/java/postgrade/policy/WorkerTable.java
+++ b/core/src/main/java/postgrade/policy/WorkerTable.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import postgrade.policy.api.WorkerInfo;
 
-/** The workers and their kinds. */
+/** The known workers and worker kinds. */
 final class WorkerTable {
 
     private final Map<String, WorkerKindStats> kinds = new HashMap<>();
@@ -16,7 +16,7 @@
     private final List<WorkerState> ready = new ArrayList<>();
     private double meanWeight = 1;
 
-    /** Null if it is not known. */
+    /** Returns the worker, or null if it is unknown. */
     WorkerState get(String id) {
         return workers.get(id);
     }
@@ -25,12 +25,12 @@
         return workers.values();
     }
 
-    /** Those that may be sent to, in the order of their names. */
+    /** Returns the workers that the list allows sending to, ordered by name. */
     List<WorkerState> ready() {
         return ready;
     }
 
-    /** The mean weight of the ready workers that announce one, 1 if none does. */
+    /** Returns the mean weight of the ready workers that announce one; 1 if none does. */
     double meanWeight() {
         return meanWeight;
     }
@@ -41,8 +41,8 @@
     }
 
     /**
-     * Forgets those that are of no more use and finds those that are ready. To be called after each
-     * change of the list.
+     * Removes workers that are no longer needed and collects the ready ones. Must be called after
+     * each change of the worker list.
      */
     void refresh(long nowNs, boolean keepsUnlisted) {
         workers.values().removeIf(worker -> worker.canBeRemoved(nowNs, keepsUnlisted));
@@ -57,8 +57,8 @@
     }
 
     /**
-     * What was learnt is forgotten; which workers there are, and what they hold of our jobs, is
-     * not.
+     * Resets what was learned of workers and kinds. Keeps which workers exist and which jobs of
+     * this dispatcher they hold.
      */
     void resetLearned() {
         kinds.values().forEach(WorkerKindStats::reset);
@@ -87,7 +87,7 @@
         }
     }
 
-    /** Exports the work sent to workers in slow start; those without any are left out. */
+    /** Exports the work sent to workers in slow start; omits workers without any. */
     void exportSlowStartUsage(long nowNs, StateEntryConsumer consumer) {
         workers.forEach(
                 (id, worker) -> {
@@ -98,7 +98,10 @@
                 });
     }
 
-    /** All of it counts here too: a part of a worker's budget is used, and none of it twice. */
+    /**
+     * Restores the work sent to a worker in slow start by another process. All of it counts in this
+     * process too, whatever its quota share, so that no part of the worker's budget is used twice.
+     */
     void restoreSlowStartUsage(long nowNs, String id, double[] values) {
         WorkerState worker = workers.get(id);
         if (worker != null) {
--- a/core/src/main/java/postgrade/policy/api/DecisionReason.java
+++ b/core/src/main/java/postgrade/policy/api/DecisionReason.java
@@ -2,36 +2,36 @@
 
 /** Why a policy gives a final answer that is not a result, or cancels an attempt. */
 public enum DecisionReason {
-    /** The policy states none. */
+    /** The policy gives no reason. */
     UNSTATED,
-    /** A rate limit stands against the job, and it may not wait. */
+    /** The job exceeds a rate limit and may not wait. */
     OVER_QUOTA,
-    /** No worker has room for it in time. */
+    /** No worker has capacity for the job in time. */
     NO_ROOM,
-    /** The job may not start now, by a constraint that is not the workers' load. */
+    /** A constraint other than the load of the workers forbids the job to start now. */
     NOT_ALLOWED_NOW,
-    /** Too little of the client's time is left. */
+    /** Too little time is left until the client's deadline. */
     DEADLINE_NEAR,
-    /** The last attempt was not sent, as nobody wanted it any more. */
+    /** The last attempt was not sent, as it was no longer wanted. */
     UNWANTED,
     /** The answer has begun to stream. */
     STREAMING,
     /** The job may have run, and must not run twice. */
     MUST_NOT_REPEAT,
-    /** The job's class or tenant fails wherever it is sent. */
+    /** Jobs of this class or tenant fail at all workers. */
     OWN_FAULT,
-    /** The connections of too many of its attempts were reset. */
+    /** The connections of too many attempts of the job were reset. */
     REPEATED_RESETS,
-    /** The job cannot be in time any more. */
+    /** The job can no longer be in time. */
     HOPELESS,
-    /** Retries would feed an overload. */
+    /** The retry budget is empty; retries would amplify an overload. */
     RETRY_BUDGET_EMPTY,
-    /** As many attempts as the settings allow have been made. */
+    /** The job has had as many attempts as the settings allow. */
     ATTEMPTS_USED_UP,
-    /** Another worker has room, and this one has not begun. */
+    /** Another worker has free capacity, and this one has not started the job. */
     MOVED,
-    /** The worker cannot use the request, and neither will another. */
+    /** The worker cannot process the request, and neither could another worker. */
     UNUSABLE,
-    /** The request has its final answer, or its client has left. */
+    /** The request has its final answer, or its client no longer waits for one. */
     ANSWERED
 }
--- a/core/src/main/java/postgrade/policy/api/DeduplicationScope.java
+++ b/core/src/main/java/postgrade/policy/api/DeduplicationScope.java
@@ -9,7 +9,7 @@
     /** The workers of one cell of a zone. */
     CELL;
 
-    /** Whether a repeat at {@code second} of what ran at {@code first} is dropped. */
+    /** Whether {@code second} drops a repeat of a job that ran at {@code first}. */
     public boolean covers(WorkerInfo first, WorkerInfo second) {
         return switch (this) {
             case ALL -> true;
--- a/core/src/main/java/postgrade/policy/api/Deployment.java
+++ b/core/src/main/java/postgrade/policy/api/Deployment.java
@@ -8,17 +8,17 @@
 import java.util.TreeSet;
 
 /**
- * Identifies the deployment that settings belong to, by the names in them. What was learnt under
- * one deployment's settings is of no use under another's, also where both call a class or a tenant
- * the same.
+ * Identifies the deployment that settings belong to by the names in them. State learned under one
+ * deployment's settings must not be used under another's, even where both have a class or tenant of
+ * the same name.
  *
- * @param names the names of each sort; a sort of which the settings name nothing is absent
+ * @param names the names of each type; types without names are absent
  */
 public record Deployment(Map<NameType, Set<String>> names) {
 
     /**
-     * Sorts of names that identify a deployment. Classes do not: a deployment may replace all of
-     * its own at once.
+     * Types of names that identify a deployment. Class names do not, as a deployment may replace
+     * all its classes at once.
      */
     public enum NameType {
         TIER,
@@ -27,30 +27,31 @@
         TENANT
     }
 
-    /** Names nothing, and is the same as any other. */
+    /** A deployment without names, which is the same as any other. */
     public static final Deployment UNNAMED = new Deployment(Map.of());
 
-    /** This with these names of a sort, in place of those it had. */
-    public Deployment with(NameType sort, Collection<String> some) {
+    /** Returns a copy in which these names of a type replace the former ones. */
+    public Deployment with(NameType type, Collection<String> newNames) {
         Map<NameType, Set<String>> all = new TreeMap<>(names);
-        if (some.isEmpty()) {
-            all.remove(sort);
+        if (newNames.isEmpty()) {
+            all.remove(type);
         } else {
-            all.put(sort, Collections.unmodifiableSet(new TreeSet<>(some)));
+            all.put(type, Collections.unmodifiableSet(new TreeSet<>(newNames)));
         }
         return new Deployment(Collections.unmodifiableMap(all));
     }
 
     /**
-     * Whether both are one deployment. Names may come and go, so two that share a name of each sort
-     * that both name are the same.
+     * Whether both are the same deployment: whether they share a name of each type that both have.
+     * Names may be added and removed, so they need not be equal.
      */
     public boolean isSameAs(Deployment other) {
         return names.entrySet().stream()
                 .allMatch(
-                        e -> {
-                            Set<String> others = other.names.get(e.getKey());
-                            return others == null || !Collections.disjoint(e.getValue(), others);
+                        entry -> {
+                            Set<String> others = other.names.get(entry.getKey());
+                            return others == null
+                                    || !Collections.disjoint(entry.getValue(), others);
                         });
     }
 }
--- a/core/src/main/java/postgrade/policy/api/JobClass.java
+++ b/core/src/main/java/postgrade/policy/api/JobClass.java
@@ -3,17 +3,17 @@
 import java.util.Objects;
 
 /**
- * What the settings say of a class of jobs.
+ * The settings of a class of jobs.
  *
  * @param name unique among the classes
- * @param idempotency whether its jobs may run again
+ * @param idempotency whether its jobs may run more than once
  * @param deduplicationScope which workers drop repeats of a deduplicated job
- * @param deduplicationWindowNs for how long they do, from its first attempt on
- * @param latencyObjectiveNs a job is in time within this, plus {@code objectivePerServiceTime}
- *     times its own service time
+ * @param deduplicationWindowNs how long they do so after its first attempt
+ * @param latencyObjectiveNs the latency objective of a job, to which {@code
+ *     objectivePerServiceTime} times its own service time is added
  * @param objectivePerServiceTime see {@code latencyObjectiveNs}
- * @param priorityWeight what a job served in time counts, relative to those of other classes
- * @param lateShare the part of {@code priorityWeight} that a late one still counts
+ * @param priorityWeight the value of a job served in time, relative to jobs of other classes
+ * @param lateShare the share of {@code priorityWeight} that a job served late is still worth
  * @param requiredWorkerKind the only kind of worker that runs it, or null for any
  * @param streaming whether its answer is streamed
  */
@@ -37,12 +37,12 @@
         Preconditions.checkArgument(
                 deduplicationWindowNs >= 0, "windowNs of class " + name + " must not be negative");
         Preconditions.checkArgument(
-                latencyObjectiveNs >= 0, "aimNs of class " + name + " must not be negative");
+                latencyObjectiveNs >= 0, "onTimeNs of class " + name + " must not be negative");
         Preconditions.checkArgument(
-                priorityWeight > 0, "worth of class " + name + " must be positive");
+                priorityWeight > 0, "importance of class " + name + " must be positive");
     }
 
-    /** A class with an objective of one second, whose repeats are dropped nowhere. */
+    /** Returns a class with a latency objective of one second and no deduplication window. */
     public static JobClass of(String name, Idempotency idempotency) {
         return new JobClass(
                 name,
--- a/core/src/main/java/postgrade/policy/api/PolicyActions.java
+++ b/core/src/main/java/postgrade/policy/api/PolicyActions.java
@@ -1,29 +1,27 @@
 package postgrade.policy.api;
 
 /**
- * What a {@link DispatchPolicy} decides. Called on the thread of the event that is being decided
- * on.
+ * The actions that a {@link DispatchPolicy} decides on. Called on the thread of the event that is
+ * being handled.
  */
 public interface PolicyActions {
 
     /**
      * Starts an attempt. A job's attempts are numbered from 0 in the order of these calls.
      *
-     * @param limitNs how long the attempt may take; 0 for as long as the client waits
+     * @param timeoutNs how long the attempt may take; 0 for as long as the client waits
      */
-    void startAttempt(String jobId, String workerId, long limitNs);
+    void startAttempt(String jobId, String workerId, long timeoutNs);
 
     /**
-     * As above, for a request that must not go out late: it is sent within {@code windowNs},
-     * however long its connection takes, or not at all.
+     * As above, for a request that must not be sent late: it is sent within {@code sendWithinNs},
+     * however long connecting takes, or not at all.
      */
-    default void startAttempt(String jobId, String workerId, long limitNs, long windowNs) {
-        startAttempt(jobId, workerId, limitNs);
+    default void startAttempt(String jobId, String workerId, long timeoutNs, long sendWithinNs) {
+        startAttempt(jobId, workerId, timeoutNs);
     }
 
-    /**
-     * Cancels an attempt. Its end is told by {@link DispatchPolicy#attemptFinished} all the same.
-     */
+    /** Cancels an attempt. Its end is still reported by {@link DispatchPolicy#attemptFinished}. */
     void cancelAttempt(String jobId, int attempt);
 
     /** As above, with the reason for the log. */
@@ -32,9 +30,9 @@
     }
 
     /**
-     * The final answer: the job has not run, and trying again is harmless.
+     * Gives the final answer that the job is rejected: submitting it again is safe.
      *
-     * @param retryAfterNs when the client may come again; 0 for no advice
+     * @param retryAfterNs when the client may retry; 0 for no advice
      */
     void reject(String jobId, long retryAfterNs);
 
@@ -43,7 +41,7 @@
         reject(jobId, retryAfterNs);
     }
 
-    /** The final answer: the job has failed, and nothing is promised of its effect. */
+    /** Gives the final answer that the job has failed; it may or may not have taken effect. */
     void fail(String jobId);
 
     /** As above, with the reason for the log. */
@@ -51,12 +49,12 @@
         fail(jobId);
     }
 
-    /** Asks a worker whether it is well. */
+    /** Probes the health of a worker. */
     void probe(String workerId);
 
-    /** Has {@link DispatchPolicy#timerFired} called with this token after so long. */
-    void startTimer(String token, long inNs);
+    /** Calls {@link DispatchPolicy#timerFired} with this token after the delay. */
+    void startTimer(String token, long delayNs);
 
-    /** Subscribes to changes of the worker list. */
+    /** Subscribes to updates of the worker list. */
     void watchWorkers();
 }
--- a/core/src/main/java/postgrade/policy/api/PolicySettings.java
+++ b/core/src/main/java/postgrade/policy/api/PolicySettings.java
@@ -4,17 +4,17 @@
 import java.util.Objects;
 
 /**
- * The settings of a decision policy: the deployment's job classes, tenants and limits. Immutable;
- * made by {@link #builder()}. Durations are in nanoseconds.
+ * The settings of a dispatch policy: the deployment's job classes, tenants and limits. Immutable;
+ * created by {@link #builder()}. Durations are in nanoseconds.
  */
 public final class PolicySettings {
-    /** How many dispatchers the deployment has. */
+    /** The number of dispatchers of the deployment. */
     public final int dispatcherCount;
 
-    /** This dispatcher's number among them, from 0. */
+    /** The index of this dispatcher among them, from 0. */
     public final int dispatcherIndex;
 
-    /** Where this dispatcher runs. */
+    /** The zone where this dispatcher runs. */
     public final String zone;
 
     /** The deployment that the settings belong to. */
@@ -23,25 +23,25 @@
     /** The job classes. */
     public final List<JobClass> classes;
 
-    /** The tenants; empty where jobs name none. */
+    /** The tenants; empty if jobs name none. */
     public final List<Tenant> tenants;
 
-    /** How many token buckets are kept of tenants, and as many of keys. */
+    /** The maximum number of token buckets of tenants, and likewise of keys. */
     public final int maxBuckets;
 
-    /** Whether the list of workers is told only when asked for. */
+    /** Whether the worker list is sent only on request. */
     public final boolean pollsWorkerList;
 
     /**
-     * Whether only draining takes a worker out, so that one that is no longer listed may still be
+     * Whether only draining excludes a worker, so that one that is no longer listed may still be
      * sent to.
      */
     public final boolean keepsUnlistedWorkers;
 
-    /** How many attempts a job may have. */
+    /** The maximum number of attempts of a job. */
     public final int maxAttempts;
 
-    /** Whether two attempts of a job may be out at once. */
+    /** Whether two attempts of a job may be in flight at once. */
     public final boolean allowsConcurrentAttempts;
 
     /** Whether attempts may be cancelled. */
@@ -50,25 +50,25 @@
     /** Whether workers may be probed. */
     public final boolean allowsProbes;
 
-    /** What one probe for each job would take off the result. */
+    /** The deduction from the result for one probe per job. */
     public final double probeFee;
 
-    /** The longest Retry-After that clients observe; 0 where they are given none. */
+    /** The longest Retry-After that clients honour; 0 if they are given none. */
     public final long maxRetryAfterNs;
 
-    /** Whether workers report that a job has started. */
+    /** Whether workers report the start of a job. */
     public final boolean workersReportStart;
 
-    /** The part of its work that a worker can do right after its start. */
+    /** The share of its full throughput that a worker delivers right after its start. */
     public final double slowStartInitialShare;
 
-    /** How long a worker takes from its start until it can do all of its work. */
+    /** How long a worker takes from its start until it delivers its full throughput. */
     public final long slowStartNs;
 
-    /** How many times what it can do a worker in slow start may be sent. */
+    /** How much work a worker in slow start may be sent, as a multiple of what it can do. */
     public final double overloadMultiple;
 
-    /** Over which time that is counted. */
+    /** The window over which the work sent to a worker in slow start is counted. */
     public final long overloadWindowNs;
 
     /** The shortest time between two events. */
@@ -101,16 +101,16 @@
     }
 
     /**
-     * Starts from the settings of a lone dispatcher that may do everything and is told nothing
-     * extra.
+     * Returns a builder that starts from the settings of a single dispatcher with concurrent
+     * attempts and cancellation allowed, and without any optional reports.
      */
     public static Builder builder() {
         return new Builder();
     }
 
     /**
-     * Collects settings and checks each. Setters throw an {@link IllegalArgumentException} that
-     * names a value that cannot be.
+     * Collects and checks settings. Setters throw an {@link IllegalArgumentException} that names an
+     * invalid value.
      */
     public static final class Builder {
         private int dispatcherCount = 1;
@@ -135,14 +135,14 @@
         private long overloadWindowNs = 1_000_000_000L;
         private long tickNs = 1_000_000L;
 
-        /** How many dispatchers the deployment has. */
+        /** The number of dispatchers of the deployment. */
         public Builder dispatcherCount(int value) {
-            Preconditions.checkArgument(value > 0, "gateways must be positive");
+            Preconditions.checkArgument(value > 0, "dispatcherCount must be positive");
             dispatcherCount = value;
             return this;
         }
 
-        /** This dispatcher's number among them, from 0; each has its own. */
+        /** The unique index of this dispatcher among them, from 0. */
         public Builder dispatcherIndex(int value) {
             dispatcherIndex = value;
             return this;
@@ -154,9 +154,9 @@
             return this;
         }
 
-        /** What the deployment calls its tiers, kinds of machine and zones. */
-        public Builder deploymentNames(Deployment.NameType sort, List<String> names) {
-            deployment = deployment.with(sort, names);
+        /** The deployment's names of this type: tiers, worker kinds or zones. */
+        public Builder deploymentNames(Deployment.NameType type, List<String> names) {
+            deployment = deployment.with(type, names);
             return this;
         }
 
@@ -167,39 +167,45 @@
             return this;
         }
 
-        /** The tenants; none where jobs name none. */
+        /** The tenants; empty if jobs name none. */
         public Builder tenants(List<Tenant> value) {
             tenants = value;
             return this;
         }
 
-        /** Buckets kept for each kind of bucket; 0 keeps none, so every bucket is always full. */
+        /**
+         * The maximum number of token buckets of tenants, and likewise of keys; with 0 no bucket is
+         * kept, so every bucket is always full.
+         */
         public Builder maxBuckets(int value) {
-            Preconditions.checkArgument(value >= 0, "tableSize must not be negative");
+            Preconditions.checkArgument(value >= 0, "maxBuckets must not be negative");
             maxBuckets = value;
             return this;
         }
 
-        /** The worker list answers only when asked. */
+        /** Whether the worker list is sent only on request. */
         public Builder pollsWorkerList(boolean value) {
             pollsWorkerList = value;
             return this;
         }
 
-        /** Only draining binds: a worker that the list drops or calls gone may still be sent to. */
+        /**
+         * Whether only draining excludes a worker: one that the list drops or reports as gone may
+         * still be sent to.
+         */
         public Builder keepsUnlistedWorkers(boolean value) {
             keepsUnlistedWorkers = value;
             return this;
         }
 
-        /** How many attempts a job may have. */
+        /** The maximum number of attempts of a job. */
         public Builder maxAttempts(int value) {
             Preconditions.checkArgument(value > 0, "maxAttempts must be positive");
             maxAttempts = value;
             return this;
         }
 
-        /** Two attempts of one job may be out at once. */
+        /** Whether two attempts of one job may be in flight at once. */
         public Builder allowsConcurrentAttempts(boolean value) {
             allowsConcurrentAttempts = value;
             return this;
@@ -212,7 +218,7 @@
         }
 
         /**
-         * Workers may be probed; the fee is what one probe for each job would take off the result.
+         * Whether workers may be probed, and the deduction from the result for one probe per job.
          */
         public Builder probes(boolean allowed, double fee) {
             Preconditions.checkArgument(fee >= 0, "probeFee must not be negative");
@@ -221,20 +227,23 @@
             return this;
         }
 
-        /** The longest retry-after that clients observe; 0 where they are given none. */
+        /** The longest Retry-After that clients honour; 0 if they are given none. */
         public Builder maxRetryAfterNs(long value) {
             Preconditions.checkArgument(value >= 0, "maxRetryAfterNs must not be negative");
             maxRetryAfterNs = value;
             return this;
         }
 
-        /** Workers tell when a job starts. */
+        /** Whether workers report the start of a job. */
         public Builder workersReportStart(boolean value) {
             workersReportStart = value;
             return this;
         }
 
-        /** A starting worker can do this part of its work, all of it after {@code warmWithin}. */
+        /**
+         * The share of its full throughput that a starting worker delivers, and the time after
+         * which it delivers all of it.
+         */
         public Builder slowStart(double initialShare, long slowStart) {
             Preconditions.checkArgument(
                     initialShare > 0 && initialShare <= 1,
@@ -246,7 +255,8 @@
         }
 
         /**
-         * A cold worker sent more than this multiple of what it can do for this time falls over.
+         * A worker in slow start fails if, within the window, it is sent more than this multiple of
+         * what it can do.
          */
         public Builder overload(double multiple, long windowNs) {
             Preconditions.checkArgument(multiple > 0, "fallMultiple must be positive");
@@ -256,19 +266,19 @@
             return this;
         }
 
-        /** The shortest time between two events handed over. */
+        /** The shortest time between two events. */
         public Builder tickNs(long value) {
             Preconditions.checkArgument(value >= 0, "tickNs must not be negative");
             tickNs = value;
             return this;
         }
 
-        /** The settings as given so far. */
+        /** Builds the settings from the values set so far. */
         public PolicySettings build() {
             Preconditions.checkArgument(!classes.isEmpty(), "classes must not be empty");
             Preconditions.checkArgument(
                     dispatcherIndex >= 0 && dispatcherIndex < dispatcherCount,
-                    "gateway must lie between 0 and gateways - 1");
+                    "dispatcherIndex must lie between 0 and dispatcherCount - 1");
             return new PolicySettings(this);
         }
     }
--- a/core/src/main/java/postgrade/policy/api/PolicyStateEntry.java
+++ b/core/src/main/java/postgrade/policy/api/PolicyStateEntry.java
@@ -3,9 +3,9 @@
 import java.util.Objects;
 
 /**
- * One row of what a process hands over to the next process of the same dispatcher: learnt figures
- * of one thing. Rows of an unknown category are ignored, so that either process may be the newer
- * version. Immutable.
+ * One entry of the learned state that a process transfers to the next process of the same
+ * dispatcher: the values of one object, for example a worker. Entries of unknown categories are
+ * ignored, so that either process may be the newer version. Immutable.
  */
 public final class PolicyStateEntry {
 
@@ -14,11 +14,11 @@
     private final double[] values;
 
     /**
-     * A row with a copy of these figures.
+     * Creates an entry with a copy of these values.
      *
-     * @param category what kind of thing it is, for example a worker or a tenant
-     * @param name which one, unique within the category
-     * @param values the figures, in the order that the category defines; copied
+     * @param category the category of the object, for example worker or tenant
+     * @param name the name of the object, unique within the category
+     * @param values the values, in the order that the category defines; copied
      */
     public PolicyStateEntry(String category, String name, double[] values) {
         this.category = Objects.requireNonNull(category, "category");
@@ -26,17 +26,17 @@
         this.values = values.clone();
     }
 
-    /** What kind of thing it is. */
+    /** Returns the category of the object. */
     public String category() {
         return category;
     }
 
-    /** Which one, unique within the category. */
+    /** Returns the name of the object, unique within the category. */
     public String name() {
         return name;
     }
 
-    /** A copy of the figures. */
+    /** Returns a copy of the values. */
     public double[] values() {
         return values.clone();
     }
--- a/core/src/main/java/postgrade/policy/api/Tenant.java
+++ b/core/src/main/java/postgrade/policy/api/Tenant.java
@@ -1,10 +1,10 @@
 package postgrade.policy.api;
 
 /**
- * Who submits jobs.
+ * A tenant on whose behalf jobs are submitted.
  *
  * @param name unique among the tenants
- * @param ratePerS jobs a second within the tenant's quota, over all dispatchers
+ * @param ratePerS the tenant's quota in jobs per second, over all dispatchers
  */
 public record Tenant(String name, double ratePerS) {
     /** Checks the rate. */
--- a/core/src/main/java/postgrade/policy/api/WorkerInfo.java
+++ b/core/src/main/java/postgrade/policy/api/WorkerInfo.java
@@ -1,14 +1,14 @@
 package postgrade.policy.api;
 
 /**
- * A worker as the list describes it.
+ * A worker as described by the worker list.
  *
- * @param id its name, the same after a restart
+ * @param id its name, which survives restarts
  * @param zone where it runs
- * @param kind which kind of machine it is
+ * @param kind its kind of machine
  * @param cell its group within the zone
- * @param phase whether it takes jobs
- * @param weight its size relative to others, 0 where none is announced
+ * @param phase whether it accepts jobs
+ * @param weight its size relative to others; 0 if none is announced
  * @param startedNs when its process last started, in nanoseconds of the policy's clock; 0 for long
  *     ago
  */
--- a/core/src/main/java/postgrade/policy/api/WorkerListUpdateType.java
+++ b/core/src/main/java/postgrade/policy/api/WorkerListUpdateType.java
@@ -1,13 +1,13 @@
 package postgrade.policy.api;
 
-/** What a report of the worker list covers. */
+/** What an update of the worker list covers. */
 public enum WorkerListUpdateType {
-    /** The complete list as discovery tells it now. */
+    /** The complete current list from discovery. */
     FULL,
-    /** The complete list as it was known before this process started; it may be out of date. */
+    /** The complete list as known before this process started; it may be outdated. */
     CACHED,
     /** Only the workers that have changed. */
     DELTA,
-    /** The call for the list has failed, and nothing is known anew. */
+    /** The request for the list has failed; nothing has changed. */
     FAILED
 }
--- a/core/src/main/java/postgrade/policy/api/WorkerPhase.java
+++ b/core/src/main/java/postgrade/policy/api/WorkerPhase.java
@@ -1,10 +1,10 @@
 package postgrade.policy.api;
 
-/** Where a worker stands in its life, as discovery tells it. */
+/** The lifecycle phase of a worker, as reported by discovery. */
 public enum WorkerPhase {
-    /** Takes jobs. */
+    /** Accepts jobs. */
     READY,
-    /** Completes what it has and takes no new jobs. */
+    /** Completes its jobs and accepts no new ones. */
     DRAINING,
     /** No longer listed. */
     GONE
--- a/core/src/main/java/postgrade/policy/api/package-info.java
+++ b/core/src/main/java/postgrade/policy/api/package-info.java
@@ -3,6 +3,6 @@
  * postgrade.policy.api.DispatchPolicy}), decisions out ({@link
  * postgrade.policy.api.PolicyActions}), and the values that both carry.
  *
- * <p>Times are nanoseconds of one monotonic clock. Nothing here does input or output.
+ * <p>Times are nanoseconds of one monotonic clock. Nothing in this package does I/O.
  */
 package postgrade.policy.api;
--- a/core/src/main/java/postgrade/policy/package-info.java
+++ b/core/src/main/java/postgrade/policy/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The decision policy of a dispatcher: {@link postgrade.policy.TokenBucketDispatchPolicy} and the
- * parts that decide for it.
+ * The decision policy of a dispatcher: {@link postgrade.policy.TokenBucketDispatchPolicy} and its
+ * components.
  *
- * <p>Each part owns its own state; {@link postgrade.policy.PolicyState} puts them together. Nothing
- * here does input or output, reads a clock or starts a thread: time comes with each event, in
- * nanoseconds, and all runs on the thread of the caller.
+ * <p>Each component owns its own state; {@link postgrade.policy.PolicyState} assembles them.
+ * Nothing in this package does I/O, reads a clock or starts a thread: each event carries its time
+ * in nanoseconds, and all code runs on the thread of the caller.
  */
 package postgrade.policy;
--- a/core/src/main/java/postgrade/settings/InvalidSettingException.java
+++ b/core/src/main/java/postgrade/settings/InvalidSettingException.java
@@ -1,6 +1,9 @@
 package postgrade.settings;
 
-/** A setting is missing or cannot be used. The message begins with its key. */
+/**
+ * Thrown when a setting is missing or has an invalid value. The message begins with the key of the
+ * setting.
+ */
 public final class InvalidSettingException extends IllegalArgumentException {
 
     private static final long serialVersionUID = 1L;
@@ -16,7 +19,7 @@
         this.key = key;
     }
 
-    /** The key of the setting, as in the simulator's ATTACH message. */
+    /** Returns the key of the setting, as in the simulator's ATTACH message. */
     public String key() {
         return key;
     }
--- a/core/src/main/java/postgrade/settings/SettingsReader.java
+++ b/core/src/main/java/postgrade/settings/SettingsReader.java
@@ -11,9 +11,10 @@
 import postgrade.policy.api.Tenant;
 
 /**
- * Reads the settings of a deployment, so that the simulator's adapter and the daemon give the
- * policy the same. They come as the key-value pairs of the simulator's ATTACH message; a reader of
- * nested JSON flattens it to such pairs first. Unknown keys are ignored. Immutable.
+ * Reads the settings of a deployment. The simulator's adapter and the daemon share this reader, so
+ * that both give the policy the same settings. The input is the key-value pairs of the simulator's
+ * ATTACH message; nested JSON has to be flattened to such pairs first. Unknown keys are ignored.
+ * Immutable.
  */
 public final class SettingsReader {
 
@@ -21,7 +22,7 @@
     private static final double DEFAULT_OVERLOAD_WINDOW_NS = 1e9;
     private static final double DEFAULT_TICK_NS = 1e6;
 
-    /** Stands for an absent value. */
+    /** Placeholder that the input uses for an absent value. */
     private static final String ABSENT = "-";
 
     private final Map<String, String> pairs;
@@ -31,9 +32,9 @@
     }
 
     /**
-     * A reader of these pairs.
+     * Creates a reader of these pairs.
      *
-     * @param pairs dotted paths and plain values
+     * @param pairs settings by dotted path
      */
     public static SettingsReader ofPairs(Map<String, String> pairs) {
         return new SettingsReader(pairs);
@@ -42,7 +43,7 @@
     /**
      * Reads all settings.
      *
-     * @throws InvalidSettingException that names the faulty key
+     * @throws InvalidSettingException if a setting is missing or invalid; names its key
      */
     public PolicySettings settings() {
         List<String> workerKinds = list("skus");
@@ -61,9 +62,9 @@
                 .allowsConcurrentAttempts(flag("limits.mayDuplicate"))
                 .allowsCancellation(flag("limits.cancel"))
                 .probes(usesProbes(), number("fees.probe", 0))
-                // limits.retryAfter tells whether clients usually observe a Retry-After. A rejected
-                // one is told when to come back either way: some observe it,
-                // and the others lose nothing.
+                // limits.retryAfter states whether clients usually honour Retry-After. It is not
+                // read: rejections carry a Retry-After either way, as some clients honour it
+                // and it does not harm the others.
                 .maxRetryAfterNs((long) number("limits.maxRetryAfterNs", 0))
                 .workersReportStart(flag("specifics.tellsStart"))
                 .slowStart(
@@ -77,8 +78,8 @@
     }
 
     /**
-     * Where no load report comes with its answer, a probe tells less than it costs the worker and
-     * the job.
+     * Probes are used only where their answers carry a load report. Without one, a probe costs the
+     * worker and the job more than its answer is worth.
      */
     private boolean usesProbes() {
         return flag("limits.mayProbe") && !text("telemetry.source", "").equals("silent");
@@ -109,7 +110,8 @@
     }
 
     /**
-     * The simulator lists it for all classes together; the daemon's file gives it with each class.
+     * Returns the latency objective per service time of a class. The simulator lists the values of
+     * all classes under one key; the daemon's file gives each value with its class.
      */
     private double objectivePerServiceTime(int index, String prefix) {
         String key = "specifics.classStretch";
@@ -119,7 +121,7 @@
                 : number(prefix + "aimStretch", 0);
     }
 
-    /** Null where any kind of worker runs the class. */
+    /** Returns the only worker kind that runs the class, or null if any kind does. */
     private String requiredWorkerKind(int index, List<String> workerKinds) {
         String key = "specifics.classKind";
         List<String> perClass = list(key);
@@ -157,35 +159,36 @@
         };
     }
 
-    // ---- Single values.
+    // ---- Access to single values.
 
-    /** The text under this key, or {@code absent} where there is none. */
-    public String text(String key, String absent) {
-        return pairs.getOrDefault(key, absent);
+    /** Returns the text of this key, or {@code defaultValue} if the key is absent. */
+    public String text(String key, String defaultValue) {
+        return pairs.getOrDefault(key, defaultValue);
     }
 
-    /** The comma-separated values under this key; none where it is absent. */
+    /** Returns the comma-separated values of this key; an empty list if the key is absent. */
     public List<String> list(String key) {
         String value = text(key, "");
         return isAbsent(value) ? List.of() : List.of(value.split(","));
     }
 
     /**
-     * The number under this key.
+     * Returns the number of this key.
      *
-     * @throws InvalidSettingException if there is none
+     * @throws InvalidSettingException if the key is absent or its value is not a number
      */
     public double number(String key) {
         return parse(key, required(key));
     }
 
     /**
-     * The number under this key, or {@code absent} where there is none. @throws
-     * InvalidSettingException if it is no number
+     * Returns the number of this key, or {@code defaultValue} if the key is absent.
+     *
+     * @throws InvalidSettingException if the value is not a number
      */
-    public double number(String key, double absent) {
+    public double number(String key, double defaultValue) {
         String value = text(key, "");
-        return isAbsent(value) ? absent : parse(key, value);
+        return isAbsent(value) ? defaultValue : parse(key, value);
     }
 
     private static boolean isAbsent(String value) {
--- a/core/src/main/java/postgrade/settings/package-info.java
+++ b/core/src/main/java/postgrade/settings/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Reads a deployment's settings into {@link postgrade.policy.api.PolicySettings}, for the daemon
- * and the simulator's adapter alike.
+ * Reads a deployment's settings into {@link postgrade.policy.api.PolicySettings}. The daemon and
+ * the simulator's adapter both use it.
  */
 package postgrade.settings;
--- a/core/src/test/java/postgrade/policy/PolicySettingsTest.java
+++ b/core/src/test/java/postgrade/policy/PolicySettingsTest.java
@@ -14,11 +14,13 @@
     @Test
     void invalidSettingsAreNamed() {
         assertNamed("ratePerS", () -> new Tenant("t", 0));
-        assertNamed("tableSize", () -> PolicySettings.builder().maxBuckets(-1));
-        assertNamed("gateways", () -> PolicySettings.builder().dispatcherCount(0));
+        assertNamed("maxBuckets", () -> PolicySettings.builder().maxBuckets(-1));
+        assertNamed("dispatcherCount must", () -> PolicySettings.builder().dispatcherCount(0));
         assertNamed("classes", () -> PolicySettings.builder().build());
-        assertNamed("gateway must", () -> settings().dispatcherCount(3).dispatcherIndex(3).build());
-        assertNamed("gateway must", () -> settings().dispatcherIndex(-1).build());
+        assertNamed(
+                "dispatcherIndex must",
+                () -> settings().dispatcherCount(3).dispatcherIndex(3).build());
+        assertNamed("dispatcherIndex must", () -> settings().dispatcherIndex(-1).build());
         assertNamed("probeFee", () -> PolicySettings.builder().probes(true, -1));
         assertNamed("coldShare", () -> PolicySettings.builder().slowStart(0, 1));
         assertNamed("maxAttempts", () -> PolicySettings.builder().maxAttempts(0));
