--- a/core/src/test/java/postgrade/LayeringTest.java
+++ b/core/src/test/java/postgrade/LayeringTest.java
@@ -20,7 +20,7 @@
                     .importPackages("postgrade");
 
     @Test
-    public void theCoreTouchesNoSocketsFilesThreadsOrLogs() {
+    public void coreUsesNoSocketsFilesThreadsOrLogs() {
         noClasses()
                 .should()
                 .dependOnClassesThat()
@@ -39,7 +39,7 @@
     }
 
     @Test
-    public void theCoreReadsNoClock() {
+    public void coreReadsNoClock() {
         noClasses()
                 .should()
                 .callMethod(System.class, "nanoTime")
@@ -56,7 +56,7 @@
      * machine.
      */
     @Test
-    public void onlyStartWindowsKnowZonesAndTheyToReadNoClock() {
+    public void onlyStartWindowsUseTimeZonesAndTheyReadNoClock() {
         noClasses()
                 .that()
                 .resideOutsideOfPackage("postgrade.window..")
@@ -78,7 +78,7 @@
                 .check(CORE);
     }
 
-    private static void doesNotDependOn(String layer, String... others) {
+    private static void assertDoesNotDependOn(String layer, String... others) {
         noClasses()
                 .that()
                 .resideInAPackage(layer)
@@ -89,8 +89,8 @@
     }
 
     @Test
-    public void thePolicysInterfaceDependsOnNothingElse() {
-        doesNotDependOn(
+    public void policyInterfaceDependsOnNoOtherLayer() {
+        assertDoesNotDependOn(
                 "postgrade.policy.api..",
                 "postgrade.policy",
                 "postgrade.dispatch..",
@@ -99,8 +99,8 @@
     }
 
     @Test
-    public void thePolicyDependsOnItsInterfaceAlone() {
-        doesNotDependOn(
+    public void policyDependsOnItsInterfaceOnly() {
+        assertDoesNotDependOn(
                 "postgrade.policy..",
                 "postgrade.dispatch..",
                 "postgrade.endpoints..",
@@ -113,8 +113,8 @@
     }
 
     @Test
-    public void theDispatcherKnowsThePolicyByItsInterface() {
-        doesNotDependOn(
+    public void dispatcherDependsOnThePolicyInterfaceOnly() {
+        assertDoesNotDependOn(
                 "postgrade.dispatch..",
                 "postgrade.policy",
                 "postgrade.endpoints..",
@@ -127,13 +127,13 @@
     }
 
     @Test
-    public void endpointsAndSettingsKnowThePolicysInterfaceAlone() {
-        doesNotDependOn(
+    public void endpointsAndSettingsDependOnThePolicyInterfaceOnly() {
+        assertDoesNotDependOn(
                 "postgrade.endpoints..",
                 "postgrade.policy",
                 "postgrade.dispatch..",
                 "postgrade.settings..");
-        doesNotDependOn(
+        assertDoesNotDependOn(
                 "postgrade.settings..",
                 "postgrade.policy",
                 "postgrade.dispatch..",
--- a/core/src/test/java/postgrade/policy/DeploymentChangeTest.java
+++ b/core/src/test/java/postgrade/policy/DeploymentChangeTest.java
@@ -42,7 +42,7 @@
     private static final long SECOND = 1_000 * MS;
 
     /** The first customer's jobs and troubles fall into this time. */
-    private static final long LATER = 30 * SECOND;
+    private static final long AFTER_FIRST_DEPLOYMENT_NS = 30 * SECOND;
 
     private static final List<WorkerInfo> WORKERS =
             Stream.of("w1", "w2", "w3")
@@ -53,7 +53,7 @@
      * What a worker or a job has of ours is a fact, whoever's settings are in force, and chance is
      * chance.
      */
-    private static final Set<String> FACTS =
+    private static final Set<String> NOT_LEARNED =
             Set.of(
                     "random",
                     "actions",
@@ -66,11 +66,11 @@
                     "hash",
                     "info");
 
-    private final RecordingActions out = new RecordingActions();
-    private int jobs;
+    private final RecordingActions actions = new RecordingActions();
+    private int jobCount;
 
     /** Both call a class, a tenant, a machine kind and a zone the same. */
-    private static PolicySettings.Builder first() {
+    private static PolicySettings.Builder firstDeployment() {
         return PolicySettings.builder()
                 .deploymentNames(Deployment.NameType.TIER, List.of("shops"))
                 .deploymentNames(Deployment.NameType.KIND, List.of("k", "k1"))
@@ -87,7 +87,7 @@
                 .overload(3, SECOND);
     }
 
-    private static PolicySettings.Builder second() {
+    private static PolicySettings.Builder secondDeployment() {
         return PolicySettings.builder()
                 .deploymentNames(Deployment.NameType.TIER, List.of("yards"))
                 .deploymentNames(Deployment.NameType.KIND, List.of("k", "k2"))
@@ -114,14 +114,14 @@
                 .overload(2, 2 * SECOND);
     }
 
-    private String job(TokenBucketDispatchPolicy d, long nowNs, String jobClass, String tenant) {
-        String id = "j" + jobs++;
+    private String submit(TokenBucketDispatchPolicy d, long nowNs, String jobClass, String tenant) {
+        String id = "j" + jobCount++;
         d.jobArrived(nowNs, new Job(id, jobClass, tenant, "user", 5 * SECOND, 1, 0));
         return id;
     }
 
-    private TokenBucketDispatchPolicy started(PolicySettings settings, long nowNs) {
-        TokenBucketDispatchPolicy d = new TokenBucketDispatchPolicy(settings, 7, out);
+    private TokenBucketDispatchPolicy newPolicy(PolicySettings settings, long nowNs) {
+        TokenBucketDispatchPolicy d = new TokenBucketDispatchPolicy(settings, 7, actions);
         d.workersUpdated(nowNs, WorkerListUpdateType.FULL, WORKERS);
         return d;
     }
@@ -130,16 +130,16 @@
      * Under the first customer: long waits and runs, failures, an ejection, reports, buckets that
      * are empty.
      */
-    private TokenBucketDispatchPolicy troubled(PolicySettings settings) {
-        TokenBucketDispatchPolicy d = started(settings, 0);
+    private TokenBucketDispatchPolicy policyWithLearnedState(PolicySettings settings) {
+        TokenBucketDispatchPolicy d = newPolicy(settings, 0);
         for (int i = 0; i < 60; i++) {
             long now = i * 100 * MS;
-            String id = job(d, now, i % 5 < 3 ? "both" : "first", i % 3 == 0 ? "t1" : "t");
-            if (out.sentTo(id).isEmpty()) {
+            String id = submit(d, now, i % 5 < 3 ? "both" : "first", i % 3 == 0 ? "t1" : "t");
+            if (actions.sentTo(id).isEmpty()) {
                 continue;
             }
             d.attemptStarted(now + 700 * MS, id, 0);
-            boolean fails = out.sentTo(id).equals("w1");
+            boolean fails = actions.sentTo(id).equals("w1");
             d.attemptFinished(
                     now + 800 * MS,
                     id,
@@ -152,23 +152,23 @@
     }
 
     @Test
-    void nothingLearntUnderTheFirstIsLeftUnderTheSecond() throws Exception {
-        TokenBucketDispatchPolicy d = troubled(first().build());
-        assertNotEquals(memory(started(first().build(), 0)), memory(d), "it had learnt something");
-        d.settingsChanged(LATER, second().build());
-        d.workersUpdated(LATER, WorkerListUpdateType.FULL, WORKERS);
-        assertEquals(memory(started(second().build(), LATER)), memory(d));
+    void stateLearnedUnderTheFirstIsResetUnderTheSecond() throws Exception {
+        TokenBucketDispatchPolicy d = policyWithLearnedState(firstDeployment().build());
+        assertNotEquals(learnedState(newPolicy(firstDeployment().build(), 0)), learnedState(d), "it had learnt something");
+        d.settingsChanged(AFTER_FIRST_DEPLOYMENT_NS, secondDeployment().build());
+        d.workersUpdated(AFTER_FIRST_DEPLOYMENT_NS, WorkerListUpdateType.FULL, WORKERS);
+        assertEquals(learnedState(newPolicy(secondDeployment().build(), AFTER_FIRST_DEPLOYMENT_NS)), learnedState(d));
     }
 
     @Test
-    void underTheSameDeploymentItStaysButForWhatTheSettingsNoLongerName() throws Exception {
-        TokenBucketDispatchPolicy d = troubled(first().build());
-        Object before = memory(d);
-        d.settingsChanged(LATER, first().build());
-        assertEquals(before, memory(d));
+    void sameDeploymentKeepsStateExceptForRemovedNames() throws Exception {
+        TokenBucketDispatchPolicy d = policyWithLearnedState(firstDeployment().build());
+        Object before = learnedState(d);
+        d.settingsChanged(AFTER_FIRST_DEPLOYMENT_NS, firstDeployment().build());
+        assertEquals(before, learnedState(d));
         d.settingsChanged(
-                LATER,
-                first().classes(List.of(JobClass.of("first", Idempotency.IDEMPOTENT)))
+                AFTER_FIRST_DEPLOYMENT_NS,
+                firstDeployment().classes(List.of(JobClass.of("first", Idempotency.IDEMPOTENT)))
                         .tenants(List.of(new Tenant("t1", 4)))
                         .build());
         PolicyState state = state(d);
@@ -180,52 +180,52 @@
 
     /** What a class's dearest job costs bounds how many gateways may send to a cold worker. */
     @Test
-    void theDearestClassIsOneThatThereIs() throws Exception {
-        TokenBucketDispatchPolicy d = troubled(first().build());
+    void removedClassesDoNotCountAsTheLongest() throws Exception {
+        TokenBucketDispatchPolicy d = policyWithLearnedState(firstDeployment().build());
         d.settingsChanged(
-                LATER,
-                first().classes(List.of(JobClass.of("fresh", Idempotency.IDEMPOTENT))).build());
+                AFTER_FIRST_DEPLOYMENT_NS,
+                firstDeployment().classes(List.of(JobClass.of("fresh", Idempotency.IDEMPOTENT))).build());
         assertEquals(
                 JobClassStats.DEFAULT_SERVICE_TIME_NS, state(d).classes().longestServiceTimeNs());
     }
 
     @Test
-    void aNewProcessOfTheSecondTakesNothingThatTheFirstHasLearnt() throws Exception {
-        TokenBucketDispatchPolicy old = troubled(first().slowStart(1, 0).build());
-        List<PolicyStateEntry> told = old.exportState(LATER);
-        TokenBucketDispatchPolicy fresh = started(second().build(), LATER);
-        fresh.importState(LATER, told);
-        assertEquals(memory(started(second().build(), LATER)), memory(fresh));
-        TokenBucketDispatchPolicy same = started(first().build(), LATER);
-        same.importState(LATER, told);
+    void newProcessOfTheSecondIgnoresStateOfTheFirst() throws Exception {
+        TokenBucketDispatchPolicy old = policyWithLearnedState(firstDeployment().slowStart(1, 0).build());
+        List<PolicyStateEntry> told = old.exportState(AFTER_FIRST_DEPLOYMENT_NS);
+        TokenBucketDispatchPolicy fresh = newPolicy(secondDeployment().build(), AFTER_FIRST_DEPLOYMENT_NS);
+        fresh.importState(AFTER_FIRST_DEPLOYMENT_NS, told);
+        assertEquals(learnedState(newPolicy(secondDeployment().build(), AFTER_FIRST_DEPLOYMENT_NS)), learnedState(fresh));
+        TokenBucketDispatchPolicy same = newPolicy(firstDeployment().build(), AFTER_FIRST_DEPLOYMENT_NS);
+        same.importState(AFTER_FIRST_DEPLOYMENT_NS, told);
         assertNotEquals(
-                memory(started(first().build(), LATER)), memory(same), "one of the first does");
+                learnedState(newPolicy(firstDeployment().build(), AFTER_FIRST_DEPLOYMENT_NS)), learnedState(same), "one of the first does");
         TokenBucketDispatchPolicy fewer =
-                started(first().tenants(List.of(new Tenant("t1", 4))).build(), LATER);
-        fewer.importState(LATER, told);
+                newPolicy(firstDeployment().tenants(List.of(new Tenant("t1", 4))).build(), AFTER_FIRST_DEPLOYMENT_NS);
+        fewer.importState(AFTER_FIRST_DEPLOYMENT_NS, told);
         assertEquals(Set.of("t1"), exportedTenants(state(fewer)));
     }
 
     /** The limits, the effect and the names of the second, for jobs that come after it. */
     @Test
-    void theSecondsLimitsAndEffectsHoldAtOnceAndJobsUnderWayKeepTheirClass() {
-        TokenBucketDispatchPolicy d = started(first().build(), 0);
-        String underWay = job(d, 0, "both", null);
-        d.settingsChanged(MS, second().build());
-        String once = job(d, MS, "both", null);
+    void newSettingsApplyAtOnceAndJobsInFlightKeepTheirClass() {
+        TokenBucketDispatchPolicy d = newPolicy(firstDeployment().build(), 0);
+        String underWay = submit(d, 0, "both", null);
+        d.settingsChanged(MS, secondDeployment().build());
+        String once = submit(d, MS, "both", null);
         d.attemptFinished(MS, once, 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
-        assertEquals("fail " + once, out.last("fail"), "it may have run, and must not run twice");
-        long sent = out.count("send " + underWay);
+        assertEquals("fail " + once, actions.last("fail"), "it may have run, and must not run twice");
+        long sent = actions.count("send " + underWay);
         d.attemptFinished(MS, underWay, 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
         assertTrue(
-                out.count("send " + underWay) > sent || out.last("refuse").contains(underWay),
+                actions.count("send " + underWay) > sent || actions.last("refuse").contains(underWay),
                 "taken as one that may be repeated");
-        assertThrows(IllegalArgumentException.class, () -> job(d, MS, "first", null));
+        assertThrows(IllegalArgumentException.class, () -> submit(d, MS, "first", null));
         int admitted = 0;
         for (int i = 0; i < 100; i++) {
-            long before = out.count("send");
-            String id = job(d, MS, "second", "t2");
-            admitted += out.count("send") - before;
+            long before = actions.count("send");
+            String id = submit(d, MS, "second", "t2");
+            admitted += actions.count("send") - before;
             d.attemptFinished(MS, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
         assertTrue(admitted >= 16, admitted + " of a burst of two seconds of 8");
@@ -236,28 +236,28 @@
      * first.
      */
     @Test
-    void underStricterRulesOnColdWorkersOneWindowPassesFirst() {
+    void stricterSlowStartRulesSendNothingForOneWindow() {
         for (boolean stricter : new boolean[] {false, true}) {
-            TokenBucketDispatchPolicy d = new TokenBucketDispatchPolicy(first().build(), 7, out);
+            TokenBucketDispatchPolicy d = new TokenBucketDispatchPolicy(firstDeployment().build(), 7, actions);
             d.workersUpdated(
                     0,
                     WorkerListUpdateType.FULL,
                     List.of(
                             new WorkerInfo(
-                                    "w1", "z", "k", 0, WorkerPhase.READY, 1, LATER - 5 * SECOND)));
+                                    "w1", "z", "k", 0, WorkerPhase.READY, 1, AFTER_FIRST_DEPLOYMENT_NS - 5 * SECOND)));
             d.settingsChanged(
-                    LATER, stricter ? first().overload(3, 2 * SECOND).build() : first().build());
-            long before = out.count("send");
-            job(d, LATER + MS, "both", null);
-            assertEquals(stricter ? before : before + 1, out.count("send"));
-            job(d, LATER + 2 * SECOND, "both", null);
-            assertTrue(out.count("send") > before);
+                    AFTER_FIRST_DEPLOYMENT_NS, stricter ? firstDeployment().overload(3, 2 * SECOND).build() : firstDeployment().build());
+            long before = actions.count("send");
+            submit(d, AFTER_FIRST_DEPLOYMENT_NS + MS, "both", null);
+            assertEquals(stricter ? before : before + 1, actions.count("send"));
+            submit(d, AFTER_FIRST_DEPLOYMENT_NS + 2 * SECOND, "both", null);
+            assertTrue(actions.count("send") > before);
         }
     }
 
     @ParameterizedTest
     @EnumSource(Deployment.NameType.class)
-    void oneSortOfNamesWithNoneInCommonTellsAnotherDeployment(Deployment.NameType sort) {
+    void oneTypeOfNamesWithNoneInCommonMakesAnotherDeployment(Deployment.NameType sort) {
         Deployment a = Deployment.UNNAMED;
         for (Deployment.NameType s : Deployment.NameType.values()) {
             a = a.with(s, List.of("x", "y"));
@@ -270,8 +270,8 @@
 
     // ---- All fields of the memory, so that one added later is either begun anew or named a fact.
 
-    private static Object memory(TokenBucketDispatchPolicy d) throws Exception {
-        return plain(state(d));
+    private static Object learnedState(TokenBucketDispatchPolicy d) throws Exception {
+        return toComparable(state(d));
     }
 
     private static PolicyState state(TokenBucketDispatchPolicy policy) throws Exception {
@@ -280,13 +280,13 @@
 
     private static Set<String> exportedTenants(PolicyState state) {
         Set<String> names = new TreeSet<>();
-        state.rateLimiter().exportTenants(LATER, (name, values) -> names.add(name));
+        state.rateLimiter().exportTenants(AFTER_FIRST_DEPLOYMENT_NS, (name, values) -> names.add(name));
         return names;
     }
 
     private static Set<String> exportedKeys(PolicyState state) {
         Set<String> names = new TreeSet<>();
-        state.rateLimiter().exportKeys(LATER, (name, values) -> names.add(name));
+        state.rateLimiter().exportKeys(AFTER_FIRST_DEPLOYMENT_NS, (name, values) -> names.add(name));
         return names;
     }
 
@@ -296,11 +296,11 @@
         return f.get(of);
     }
 
-    private static Object plain(Object o) throws Exception {
+    private static Object toComparable(Object o) throws Exception {
         if (o instanceof Map<?, ?> map) {
             Map<String, Object> all = new TreeMap<>();
             for (Map.Entry<?, ?> e : map.entrySet()) {
-                all.put(e.getKey().toString(), plain(e.getValue()));
+                all.put(e.getKey().toString(), toComparable(e.getValue()));
             }
             return all;
         }
@@ -315,9 +315,9 @@
         }
         Map<String, Object> all = new TreeMap<>();
         for (Field f : o.getClass().getDeclaredFields()) {
-            if (!Modifier.isStatic(f.getModifiers()) && !FACTS.contains(f.getName())) {
+            if (!Modifier.isStatic(f.getModifiers()) && !NOT_LEARNED.contains(f.getName())) {
                 f.setAccessible(true);
-                all.put(f.getName(), plain(f.get(o)));
+                all.put(f.getName(), toComparable(f.get(o)));
             }
         }
         return all;
--- a/core/src/test/java/postgrade/policy/DrainTest.java
+++ b/core/src/test/java/postgrade/policy/DrainTest.java
@@ -17,7 +17,7 @@
 class DrainTest extends PolicyFixture {
 
     @Test
-    void drainingGoneAndUnlistedWorkersGetNothing() {
+    void drainingGoneAndUnlistedWorkersGetNoJobs() {
         TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2", "s3", "s4");
         d.workersUpdated(
                 1,
@@ -38,7 +38,7 @@
      * serving.
      */
     @Test
-    void whereOnlyDrainingBindsDroppedWorkersStayOpenAndDrainedOnesShut() {
+    void unlistedWorkersStayInUseAndDrainedOnesExcludedIfOnlyDrainingExcludes() {
         TokenBucketDispatchPolicy d =
                 newPolicy(settings().keepsUnlistedWorkers(true).build(), "s1", "s2", "s3");
         d.workersUpdated(
@@ -67,7 +67,7 @@
      * forgotten.
      */
     @Test
-    void droppedWorkerThatCannotBeReachedIsForgotten() {
+    void unlistedWorkerThatIsUnreachableIsRemoved() {
         TokenBucketDispatchPolicy d =
                 newPolicy(settings().keepsUnlistedWorkers(true).build(), "s1", "s2", "s3");
         d.workersUpdated(
--- a/core/src/test/java/postgrade/policy/EarlierVersionTest.java
+++ b/core/src/test/java/postgrade/policy/EarlierVersionTest.java
@@ -47,7 +47,7 @@
                 .build();
     }
 
-    private static List<PolicyStateEntry> exported() throws IOException {
+    private static List<PolicyStateEntry> readExportedEntries() throws IOException {
         try (InputStream file =
                 EarlierVersionTest.class.getResourceAsStream("figures-of-0.2.0.txt")) {
             List<PolicyStateEntry> rows = new ArrayList<>();
@@ -66,7 +66,7 @@
     }
 
     /** By category and name. What has never been has no certain age. */
-    private static Map<String, String> plain(List<PolicyStateEntry> rows) {
+    private static Map<String, String> valuesByEntry(List<PolicyStateEntry> rows) {
         Map<String, String> plain = new TreeMap<>();
         for (PolicyStateEntry row : rows) {
             double[] values =
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void whatTheEarlierVersionExportedIsExportedAgainUnchanged() throws IOException {
+    void stateExportedByAnEarlierVersionIsExportedAgainUnchanged() throws IOException {
         TokenBucketDispatchPolicy policy =
                 new TokenBucketDispatchPolicy(settings(), 7, new RecordingActions());
         List<WorkerInfo> workers = new ArrayList<>();
@@ -86,9 +86,9 @@
                     new WorkerInfo("w" + i, "z", i < 3 ? "k1" : "k2", 0, WorkerPhase.READY, i, 0));
         }
         policy.workersUpdated(NOW, WorkerListUpdateType.FULL, workers);
-        List<PolicyStateEntry> exported = exported();
+        List<PolicyStateEntry> exported = readExportedEntries();
         assertTrue(exported.size() > 15, "the file has rows of every category");
         policy.importState(NOW, exported);
-        assertEquals(plain(exported), plain(policy.exportState(NOW)));
+        assertEquals(valuesByEntry(exported), valuesByEntry(policy.exportState(NOW)));
     }
 }
--- a/core/src/test/java/postgrade/policy/FinalAnswerTest.java
+++ b/core/src/test/java/postgrade/policy/FinalAnswerTest.java
@@ -10,7 +10,7 @@
 class FinalAnswerTest extends PolicyFixture {
 
     @Test
-    void jobUnansweredAtItsDeadlineFailsOnceAndIsNotSentAgain() {
+    void jobUnansweredAtItsDeadlineFailsOnceAndIsNotRetried() {
         TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2");
         String id = submit(d, 0, "unsafe");
         d.attemptFinished(20 * SECOND, id, 0, AttemptOutcome.TIMEOUT, false, LoadReport.NONE);
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void streamThatHasBegunHasNoDeadline() {
+    void streamingJobHasNoDeadline() {
         TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1");
         String id = submit(d, 0, "stream");
         d.attemptStreaming(SECOND, id, 0);
--- a/core/src/test/java/postgrade/policy/IdempotencyTest.java
+++ b/core/src/test/java/postgrade/policy/IdempotencyTest.java
@@ -29,7 +29,7 @@
      * fleet.
      */
     @Test
-    void aConnectionThatCouldNotBeBegunSendsTheJobElsewhereAndEjectsNobody() {
+    void connectionThatCouldNotBeOpenedSendsTheJobElsewhereAndEjectsNoWorker() {
         String[] workers = {"s1", "s2", "s3", "s4", "s5"};
         TokenBucketDispatchPolicy d = newPolicy(settings().build(), workers);
         String unsent = submit(d, 0, "unsafe");
@@ -48,7 +48,7 @@
     @EnumSource(
             value = AttemptOutcome.class,
             names = {"FULL", "UNREACHABLE"})
-    void provenNotRunIsTriedElsewhere(AttemptOutcome outcome) {
+    void jobProvenNotRunIsRetriedElsewhere(AttemptOutcome outcome) {
         for (String c : List.of("safe", "keyed", "zoned", "celled", "unsafe")) {
             TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2", "s3");
             String id = submit(d, 0, c);
@@ -66,7 +66,7 @@
         "ERROR,unsafe,fail", "RESET,unsafe,fail", "TIMEOUT,unsafe,fail", "CANCELLED,unsafe,fail",
         "NOT_SENT,safe,refuse", "NOT_SENT,keyed,refuse", "NOT_SENT,unsafe,refuse"
     })
-    void mayHaveRunIsRepeatedOnlyAsTheClassAllows(
+    void jobThatMayHaveRunIsRepeatedOnlyIfItsClassAllows(
             AttemptOutcome outcome, String jobClass, String expected) {
         TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2", "s3");
         String id = submit(d, 0, jobClass);
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void notSentToAWorkerThatLeavesGoesToAnother() {
+    void jobNotSentToADrainingWorkerGoesToAnother() {
         TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2");
         String id = submit(d, 0, "unsafe");
         String leaving = actions.sentTo(id);
@@ -92,7 +92,7 @@
 
     @ParameterizedTest
     @CsvSource({"zoned,s1,t1", "celled,s1,t1"})
-    void keyedJobThatMayHaveRunStaysInItsGroup(String jobClass, String one, String same) {
+    void deduplicatedJobThatMayHaveRunStaysInItsScope(String jobClass, String one, String same) {
         TokenBucketDispatchPolicy d =
                 newPolicy(settings().build(), one, "s2", "s3", same, "s4", "s5");
         for (int i = 0; i < 20; i++) {
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void keyedJobIsNotRepeatedAfterItsWindow() {
+    void deduplicatedJobIsNotRepeatedAfterItsWindow() {
         PolicySettings s =
                 PolicySettings.builder()
                         .classes(
@@ -140,7 +140,7 @@
      * behind it.
      */
     @Test
-    void keyedRepeatGoesOutWithinItsWindowOrNotAtAllAndOthersWhenever() {
+    void deduplicatedRepeatIsSentWithinItsWindowOrNotAtAll() {
         TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2", "s3");
         String id = submit(d, 0, "keyed");
         assertEquals(Long.MAX_VALUE, actions.windowNs, "it has not run");
--- a/core/src/test/java/postgrade/policy/JobConstraintsTest.java
+++ b/core/src/test/java/postgrade/policy/JobConstraintsTest.java
@@ -13,7 +13,7 @@
 class JobConstraintsTest extends PolicyFixture {
 
     @Test
-    void jobThatMayNotStartYetIsRefusedAtOnceAndCostsNoToken() {
+    void jobThatMayNotStartYetIsRejectedAtOnceAndTakesNoToken() {
         TokenBucketDispatchPolicy d = policyWithOneTenant(4, 1);
         d.constraintsChanged(
                 new JobConstraints() {
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void workerGetsJobsByThePartOfItThatIsThereForThem() {
+    void workerGetsJobsInProportionToItsUsableShare() {
         TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2", "s3");
         d.constraintsChanged(
                 new JobConstraints() {
--- a/core/src/test/java/postgrade/policy/OutlierDetectionTest.java
+++ b/core/src/test/java/postgrade/policy/OutlierDetectionTest.java
@@ -17,7 +17,7 @@
 
     /** Incident i3632c1: a full worker holds few of ours, so fewest in flight fed it. */
     @Test
-    void workerThatAnsweredFullShowsNoRoom() {
+    void workerThatAnsweredFullCountsAsFull() {
         TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2");
         serveJobs(d, 20, IDLE_REPORT);
         String id = submit(d, 0, "safe", null, "k");
@@ -33,7 +33,7 @@
      * an end.
      */
     @Test
-    void repeatsAreBoundedByTheRetryBudget() {
+    void retriesAreBoundedByTheRetryBudget() {
         TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2", "s3", "s4");
         for (int i = 0; i < 200; i++) {
             String id = submit(d, i * 50 * MS, "safe");
@@ -52,7 +52,7 @@
      * full.
      */
     @Test
-    void costlyJobWithinItsShareLeavesATenthOfTheFleetFree() {
+    void costlyJobWithinItsQuotaLeavesATenthOfTheFleetFree() {
         TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2");
         for (int i = 0; i < 10; i++) {
             d.attemptFinished(
@@ -81,7 +81,7 @@
      * it was refused.
      */
     @Test
-    void jobThatRanForNoTimeDoesNotUpsetTheClass() {
+    void jobThatTookNoTimeDoesNotDistortItsClass() {
         TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1");
         d.attemptFinished(0, submit(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, IDLE_REPORT);
         for (int i = 0; i < 5; i++) {
@@ -94,7 +94,7 @@
      * answer.
      */
     @Test
-    void idStillInHandIsNotTakenTwice() {
+    void idInFlightIsNotAcceptedTwice() {
         TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2");
         String id = submit(d, 0, "unsafe");
         d.jobArrived(1, new Job(id, "safe", null, null, SECOND, 1, 0));
@@ -109,7 +109,7 @@
 
     /** Day cnx-scooter-core overload: long jobs filled the queues while short ones waited. */
     @Test
-    void costlyJobWaitsForVisibleRoomAndCheapOnesDoNot() {
+    void costlyJobWaitsForFreeCapacityAndCheapOnesDoNot() {
         TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1");
         for (int i = 0; i < 3; i++) {
             d.attemptFinished(
@@ -137,7 +137,7 @@
      * Incident if06dc5: one tenant's jobs failed everywhere, and the workers were ejected for it.
      */
     @Test
-    void failuresOfOneTenantsJobsDoNotCountAtTheWorkers() {
+    void failuresOfOneTenantsJobsDoNotCountAgainstTheWorkers() {
         TokenBucketDispatchPolicy d =
                 newPolicy(
                         settings()
@@ -170,7 +170,7 @@
      * held.
      */
     @Test
-    void jobWhoseWorkersBrokeOffTwiceIsNotSentAThirdTime() {
+    void jobWhoseConnectionsWereResetTwiceIsNotSentAThirdTime() {
         TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2", "s3");
         String id = submit(d, 0, "safe");
         d.attemptFinished(1, id, 0, AttemptOutcome.RESET, false, LoadReport.NONE);
@@ -185,7 +185,7 @@
      * starts undo it.
      */
     @Test
-    void jobThatNeverStartsIsNotHeldForLong() {
+    void jobThatNeverStartsIsPresumedLost() {
         TokenBucketDispatchPolicy d =
                 newPolicy(
                         settings().workersReportStart(true).allowsCancellation(false).build(),
@@ -226,7 +226,7 @@
      * attempts.
      */
     @Test
-    void workerThatAnsweredFullDoesNotDrawJobsAsItHoldsFewest() {
+    void workerThatAnsweredFullAttractsNoJobsForHoldingTheFewest() {
         TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2");
         String id = submit(d, 0, "safe");
         String full = actions.sentTo(id);
--- a/core/src/test/java/postgrade/policy/QueuedJobTest.java
+++ b/core/src/test/java/postgrade/policy/QueuedJobTest.java
@@ -27,7 +27,7 @@
      * before they began.
      */
     @Test
-    void queuedJobThatCannotBeInTimeIsCalledOffAndRefused() {
+    void queuedJobThatCannotBeInTimeIsCancelledAndRejected() {
         PolicySettings s = settings().workersReportStart(true).dispatcherCount(100).build();
         TokenBucketDispatchPolicy d = newPolicy(s, "s1", "s2");
         for (int i = 0; i < 40; i++) {
@@ -57,7 +57,7 @@
      * Day nitra-mapy-later big-1: moved after 40 ms, jobs left queues that would have been in time.
      */
     @Test
-    void queuedRepeatableJobMovesAfterHalfItsAimWhereThereIsRoom() {
+    void queuedRepeatableJobMovesAfterHalfItsObjectiveIfAnotherWorkerHasCapacity() {
         TokenBucketDispatchPolicy d =
                 newPolicy(
                         settings()
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void queuedJobStaysWithALoneWorker() {
+    void queuedJobStaysWithTheOnlyWorker() {
         TokenBucketDispatchPolicy d =
                 newPolicy(
                         settings()
@@ -103,7 +103,7 @@
      */
     @ParameterizedTest
     @CsvSource({"2, 0", "20, 2", "200, 6"})
-    void fewGatewaysMoveLittleAsTheyPlaceWell(int gateways, int moves) {
+    void fewDispatchersMoveFewJobs(int gateways, int moves) {
         TokenBucketDispatchPolicy d =
                 newPolicy(
                         settings()
@@ -127,7 +127,7 @@
     }
 
     @Test
-    void failingWorkersAreEjectedButNeverMostOfThemAndTriedAgain() {
+    void failingWorkersAreEjectedButNeverMostOfThemAndAreRetried() {
         TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2", "s3", "s4", "s5");
         List<String> held = IntStream.range(0, 20).mapToObj(i -> submit(d, 0, "unsafe")).toList();
         for (String id : held) {
@@ -168,7 +168,7 @@
 
     /** Incident i42769e: many gateways holding nothing anywhere all chose the same fast worker. */
     @Test
-    void idleWorkersAreChosenAtRandomNotTheFastestByAll() {
+    void idleWorkersAreSelectedAtRandomRatherThanTheFastestByAllDispatchers() {
         Set<String> chosen = new TreeSet<>();
         for (int seed = 0; seed < 20; seed++) {
             TokenBucketDispatchPolicy d =
@@ -194,7 +194,7 @@
      * Fast failures: each costs a job that may not be repeated, long before the worker is ejected.
      */
     @Test
-    void oneFailureKeepsJobsThatMayNotBeRepeatedAway() {
+    void oneFailureDivertsJobsThatMustNotRunTwice() {
         TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2");
         String failed = submit(d, 0, "safe");
         d.attemptFinished(MS, failed, 0, AttemptOutcome.ERROR, true, LoadReport.NONE);
@@ -209,7 +209,7 @@
 
     /** Queues that other gateways filled: what waited there is the one sign of them. */
     @Test
-    void workerWhereJobsWaitToStartIsLeftAloneForAWhile() {
+    void workerWithQueueingDelayGetsFewerJobsForAWhile() {
         TokenBucketDispatchPolicy d =
                 newPolicy(settings().workersReportStart(true).build(), "s1", "s2");
         String first = submit(d, 0, "safe");
@@ -237,7 +237,7 @@
      * again.
      */
     @Test
-    void whereNoJobWaitsOtherGatewaysAreTakenToHoldLess() {
+    void otherDispatchersAreAssumedToHoldLessWhileNoJobIsQueued() {
         TokenBucketDispatchPolicy d =
                 newPolicy(
                         settings()
@@ -286,7 +286,7 @@
     }
 
     @Test
-    void absurdReportsDoNotDrawWork() {
+    void implausibleReportsDoNotAttractJobs() {
         for (LoadReport absurd :
                 List.of(
                         new LoadReport(-5, 0, 0, 0),
--- a/core/src/test/java/postgrade/policy/RateLimitTest.java
+++ b/core/src/test/java/postgrade/policy/RateLimitTest.java
@@ -15,7 +15,7 @@
 class RateLimitTest extends PolicyFixture {
 
     @Test
-    void emptyBucketRefusesAtOnceWithRetryAfterAndRefills() {
+    void emptyBucketRejectsAtOnceWithRetryAfterAndRefills() {
         TokenBucketDispatchPolicy d = policyWithOneTenant(4, 1);
         for (int i = 0; i < 12; i++) {
             submit(d, 0, "unsafe", "t", null);
@@ -34,7 +34,7 @@
      * their share.
      */
     @Test
-    void gatewaysShareRateAndBurstEvenlyButABurstIsSomeJobsAtLeast() {
+    void dispatchersShareRateAndBurstEvenlyDownToAMinimumBurst() {
         TokenBucketDispatchPolicy d = policyWithOneTenant(20, 100);
         for (int i = 0; i < 5; i++) {
             assertFalse(actions.sentTo(submit(d, 0, "safe", "t", null)).isEmpty());
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void refusedJobIsChargedToItsOtherBuckets() {
+    void rejectedJobIsChargedToItsOtherBuckets() {
         PolicySettings s =
                 settings().tenants(List.of(new Tenant("a", 1), new Tenant("b", 100))).build();
         TokenBucketDispatchPolicy d = newPolicy(s, "s1");
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void tenantBeyondItsRateOverdrawsOnlyVisibleRoom() {
+    void tenantBeyondItsRateUsesOnlyCapacityBeyondTheReserve() {
         PolicySettings s = settings().tenants(List.of(new Tenant("t", 0.1))).build();
         TokenBucketDispatchPolicy d = newPolicy(s, "s1", "s2", "s3", "s4");
         serveJobs(d, 8, IDLE_REPORT);
@@ -100,7 +100,7 @@
      * was admitted.
      */
     @Test
-    void oldReportsOfABusyFleetShowNoRoomForExcess() {
+    void oldReportsOfABusyFleetAdmitNoExcess() {
         PolicySettings s = settings().tenants(List.of(new Tenant("t", 1))).build();
         TokenBucketDispatchPolicy d =
                 newPolicy(s, IntStream.range(0, 20).mapToObj(i -> "s" + i).toArray(String[]::new));
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void jobWithoutTenantOrKeyMeetsNoBucket() {
+    void jobWithoutTenantOrKeyIsNotRateLimited() {
         TokenBucketDispatchPolicy d =
                 newPolicy(settings().tenants(List.of(new Tenant("t", 0.1))).build(), "s1", "s2");
         for (int i = 0; i < 20; i++) {
--- a/core/src/test/java/postgrade/policy/SettingsChangeTest.java
+++ b/core/src/test/java/postgrade/policy/SettingsChangeTest.java
@@ -17,7 +17,7 @@
 class SettingsChangeTest extends PolicyFixture {
 
     @Test
-    void newSettingsBindAtOnceAndFillNoBucket() {
+    void newSettingsApplyAtOnceAndRefillNoBucket() {
         PolicySettings.Builder b = settings().tenants(List.of(new Tenant("t", 4)));
         TokenBucketDispatchPolicy d = newPolicy(b.build(), "s1");
         d.attemptFinished(0, submit(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, FULL_REPORT);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void fewerAttemptsBindJobsUnderWayMoreDoToo_andAClassThatTurnsUnsafeKeepsItsOldJobs() {
+    void changedAttemptLimitAppliesToJobsInFlight_andTheyKeepTheirFormerClass() {
         TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2", "s3");
         String id = submit(d, 0, "safe");
         String kept = submit(d, 0, "safe");
--- a/core/src/test/java/postgrade/policy/SlowStartBudgetTest.java
+++ b/core/src/test/java/postgrade/policy/SlowStartBudgetTest.java
@@ -24,17 +24,17 @@
  */
 class SlowStartBudgetTest {
 
-    private static final double MULTIPLE = 3;
-    private static final long WINDOW = 2 * SECOND;
+    private static final double OVERLOAD_MULTIPLE = 3;
+    private static final long WINDOW_NS = 2 * SECOND;
 
     /** What the fleet has together, in workers of five slots or of two. */
-    private static final int SLOTS = 120;
+    private static final int FLEET_SLOTS = 120;
 
-    private static final Map<String, Double> MEANS = Map.of("short", 150e6, "long", 600e6);
-    private static final double MEAN = 375e6;
+    private static final Map<String, Double> MEAN_SERVICE_TIMES_NS = Map.of("short", 150e6, "long", 600e6);
+    private static final double MEAN_SERVICE_TIME_NS = 375e6;
 
     /** What the fleet can do, jobs a second. */
-    private static final double CAPACITY = SLOTS * 1e9 / MEAN;
+    private static final double CAPACITY_PER_S = FLEET_SLOTS * 1e9 / MEAN_SERVICE_TIME_NS;
 
     private static PolicySettings settings(int gateways, int index) {
         return PolicySettings.builder()
@@ -64,12 +64,12 @@
                                         0,
                                         null,
                                         false)))
-                .tenants(List.of(new Tenant("t", 0.8 * CAPACITY)))
+                .tenants(List.of(new Tenant("t", 0.8 * CAPACITY_PER_S)))
                 .workersReportStart(true)
                 .maxAttempts(4)
                 .allowsConcurrentAttempts(false)
                 .slowStart(0.15, 20 * SECOND)
-                .overload(MULTIPLE, WINDOW)
+                .overload(OVERLOAD_MULTIPLE, WINDOW_NS)
                 .build();
     }
 
@@ -77,37 +77,37 @@
      * The most by which the work in any window since the worker's start went over N, in roots of N;
      * and that work over N.
      */
-    private static double[] worst(SimulatedWorker m) {
+    private static double[] worstWindow(SimulatedWorker m) {
         double worst = 0;
         double over = -9;
         double sum = 0;
         int from = 0;
         for (int i = 0; i < m.received.size(); i++) {
             ReceivedJob c = m.received.get(i);
-            sum += c.serviceTimeNs() / MEAN;
-            while (m.received.get(from).atNs() <= c.atNs() - WINDOW) {
-                sum -= m.received.get(from++).serviceTimeNs() / MEAN;
+            sum += c.serviceTimeNs() / MEAN_SERVICE_TIME_NS;
+            while (m.received.get(from).atNs() <= c.atNs() - WINDOW_NS) {
+                sum -= m.received.get(from++).serviceTimeNs() / MEAN_SERVICE_TIME_NS;
             }
             // The least that it can do in this window: what it could at its begin, or at its start.
             double n =
-                    MULTIPLE
-                            * m.slowStartShare(Math.max(m.startedNs, c.atNs() - WINDOW))
+                    OVERLOAD_MULTIPLE
+                            * m.slowStartShare(Math.max(m.startedNs, c.atNs() - WINDOW_NS))
                             * m.slots
-                            * WINDOW
-                            / MEAN;
+                            * WINDOW_NS
+                            / MEAN_SERVICE_TIME_NS;
             worst = Math.max(worst, sum / n);
             over = Math.max(over, (sum - n - 2) / Math.sqrt(n));
         }
         return new double[] {over, worst};
     }
 
-    private static FleetSimulation underABurst(int gateways, int slots, long seed) {
+    private static FleetSimulation simulationUnderBurst(int gateways, int slots, long seed) {
         FleetSimulation f =
                 new FleetSimulation(
-                        seed, i -> settings(gateways, i), SLOTS / slots, slots, MEANS, 1);
-        f.generateLoad(0.7 * CAPACITY, 30 * SECOND);
+                        seed, i -> settings(gateways, i), FLEET_SLOTS / slots, slots, MEAN_SERVICE_TIMES_NS, 1);
+        f.generateLoad(0.7 * CAPACITY_PER_S, 30 * SECOND);
         f.run(8 * SECOND);
-        f.generateLoad(0.7 * CAPACITY, 14 * SECOND);
+        f.generateLoad(0.7 * CAPACITY_PER_S, 14 * SECOND);
         return f;
     }
 
@@ -115,7 +115,7 @@
      * Three workers restart under the same id, one after another. Returns how many got more than is
      * put down to chance.
      */
-    private static int over(FleetSimulation f, String what) {
+    private static int countWorkersOverBudget(FleetSimulation f, String what) {
         List<String> restarted = List.of("w3", "w7", "w11");
         for (String w : restarted) {
             f.restartWorker(w, 200 * MS);
@@ -125,7 +125,7 @@
         int over = 0;
         for (String w : restarted) {
             SimulatedWorker m = f.workers.get(w);
-            double[] worst = worst(m);
+            double[] worst = worstWindow(m);
             assertTrue(
                     m.received.size() > 10,
                     what + ": it was used, " + m.received.size() + " calls");
@@ -146,10 +146,10 @@
 
     @ParameterizedTest
     @ValueSource(ints = {5, 30, 100})
-    void theFleetsSumStaysWithinTheBudgetOnAStartUnderABurst(int gateways) {
+    void allDispatchersTogetherStayWithinTheBudgetOnRestartsUnderBurst(int gateways) {
         for (long seed = 1; seed <= 6; seed++) {
             String what = gateways + " gateways, seed " + seed;
-            assertEquals(0, over(underABurst(gateways, 5, seed), what), what);
+            assertEquals(0, countWorkersOverBudget(simulationUnderBurst(gateways, 5, seed), what), what);
         }
     }
 
@@ -159,12 +159,12 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {5, 30, 100})
-    void alsoWhereMostOfTheGatewaysHaveJustStarted(int gateways) {
+    void budgetHoldsWhenMostDispatchersHaveJustRestarted(int gateways) {
         for (long seed = 1; seed <= 6; seed++) {
             String what = gateways + " gateways, seed " + seed;
-            FleetSimulation f = underABurst(gateways, 5, seed);
+            FleetSimulation f = simulationUnderBurst(gateways, 5, seed);
             f.restartDispatchers(0.7);
-            assertEquals(0, over(f, what), what);
+            assertEquals(0, countWorkersOverBudget(f, what), what);
         }
     }
 
@@ -175,10 +175,10 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {5, 30, 100})
-    void smallWorkersGetNoMoreThanTheTenantsRatesVouchFor(int gateways) {
+    void smallWorkersGetNoMoreThanTheQuotasImply(int gateways) {
         int over = 0;
         for (long seed = 1; seed <= 6; seed++) {
-            over += over(underABurst(gateways, 2, seed), gateways + " gateways, seed " + seed);
+            over += countWorkersOverBudget(simulationUnderBurst(gateways, 2, seed), gateways + " gateways, seed " + seed);
         }
         assertTrue(over <= 1, over + " of 18 starts");
     }
--- a/core/src/test/java/postgrade/policy/SlowStartStudy.java
+++ b/core/src/test/java/postgrade/policy/SlowStartStudy.java
@@ -22,12 +22,12 @@
  */
 final class SlowStartStudy {
 
-    private static final double MULTIPLE = 3;
-    private static final long WINDOW = 2 * SECOND;
+    private static final double OVERLOAD_MULTIPLE = 3;
+    private static final long WINDOW_NS = 2 * SECOND;
     private static final int WORKERS = 24;
-    private static final Map<String, Double> MEANS = Map.of("short", 150e6, "long", 600e6);
-    private static final double MEAN = 375e6;
-    private static final List<String> STARTED = List.of("w3", "w7", "w11");
+    private static final Map<String, Double> MEAN_SERVICE_TIMES_NS = Map.of("short", 150e6, "long", 600e6);
+    private static final double MEAN_SERVICE_TIME_NS = 375e6;
+    private static final List<String> RESTARTED = List.of("w3", "w7", "w11");
 
     private SlowStartStudy() {}
 
@@ -64,46 +64,46 @@
                 .maxAttempts(4)
                 .allowsConcurrentAttempts(false)
                 .slowStart(0.15, 20 * SECOND)
-                .overload(MULTIPLE, WINDOW)
+                .overload(OVERLOAD_MULTIPLE, WINDOW_NS)
                 .build();
     }
 
     /** The budget of the terms for so many requests of mean work that the settings allow. */
-    private static double budget(double allowed) {
+    private static double workBudget(double allowed) {
         double roots = allowed < 30 ? 3 : 2;
         return allowed + roots * Math.sqrt(allowed) + roots;
     }
 
     /** What the worst window since a worker's start came to. */
-    private record Worst(double partOfBudget, double rootsOverAllowed) {}
+    private record WorstWindow(double shareOfBudget, double rootsOverAllowed) {}
 
-    private static Worst worst(SimulatedWorker worker) {
+    private static WorstWindow worstWindow(SimulatedWorker worker) {
         double part = 0;
         double roots = Double.NEGATIVE_INFINITY;
         double sum = 0;
         int from = 0;
         for (ReceivedJob call : worker.received) {
-            sum += call.serviceTimeNs() / MEAN;
-            while (worker.received.get(from).atNs() <= call.atNs() - WINDOW) {
-                sum -= worker.received.get(from++).serviceTimeNs() / MEAN;
+            sum += call.serviceTimeNs() / MEAN_SERVICE_TIME_NS;
+            while (worker.received.get(from).atNs() <= call.atNs() - WINDOW_NS) {
+                sum -= worker.received.get(from++).serviceTimeNs() / MEAN_SERVICE_TIME_NS;
             }
-            double warmth = worker.slowStartShare(Math.max(worker.startedNs, call.atNs() - WINDOW));
-            double allowed = MULTIPLE * warmth * worker.slots * WINDOW / MEAN;
-            part = Math.max(part, sum / budget(allowed));
+            double warmth = worker.slowStartShare(Math.max(worker.startedNs, call.atNs() - WINDOW_NS));
+            double allowed = OVERLOAD_MULTIPLE * warmth * worker.slots * WINDOW_NS / MEAN_SERVICE_TIME_NS;
+            part = Math.max(part, sum / workBudget(allowed));
             roots = Math.max(roots, (sum - allowed - 2) / Math.sqrt(allowed));
         }
-        return new Worst(part, roots);
+        return new WorstWindow(part, roots);
     }
 
-    private static FleetSimulation withThreeStarts(int slots, int dispatchers, long seed) {
-        double capacity = WORKERS * slots * 1e9 / MEAN;
+    private static FleetSimulation simulationWithThreeRestarts(int slots, int dispatchers, long seed) {
+        double capacity = WORKERS * slots * 1e9 / MEAN_SERVICE_TIME_NS;
         FleetSimulation fleet =
                 new FleetSimulation(
-                        seed, i -> settings(dispatchers, i, capacity), WORKERS, slots, MEANS, 1);
+                        seed, i -> settings(dispatchers, i, capacity), WORKERS, slots, MEAN_SERVICE_TIMES_NS, 1);
         fleet.generateLoad(0.7 * capacity, 30 * SECOND);
         fleet.run(8 * SECOND);
         fleet.generateLoad(0.7 * capacity, 14 * SECOND);
-        for (String worker : STARTED) {
+        for (String worker : RESTARTED) {
             fleet.restartWorker(worker, 200 * MS);
             fleet.run(fleet.now + SECOND);
         }
@@ -111,13 +111,13 @@
         return fleet;
     }
 
-    private static void row(int slots, int dispatchers, int seeds) {
-        List<Worst> starts = new ArrayList<>();
+    private static void printRow(int slots, int dispatchers, int seeds) {
+        List<WorstWindow> starts = new ArrayList<>();
         long refused = 0;
         for (long seed = 1; seed <= seeds; seed++) {
-            FleetSimulation fleet = withThreeStarts(slots, dispatchers, seed);
+            FleetSimulation fleet = simulationWithThreeRestarts(slots, dispatchers, seed);
             refused += fleet.rejected;
-            STARTED.forEach(worker -> starts.add(worst(fleet.workers.get(worker))));
+            RESTARTED.forEach(worker -> starts.add(worstWindow(fleet.workers.get(worker))));
         }
         System.out.printf(
                 Locale.ROOT,
@@ -125,8 +125,8 @@
                 slots,
                 dispatchers,
                 starts.size(),
-                starts.stream().filter(worst -> worst.partOfBudget() > 1).count(),
-                starts.stream().mapToDouble(Worst::partOfBudget).max().orElse(0),
+                starts.stream().filter(worst -> worst.shareOfBudget() > 1).count(),
+                starts.stream().mapToDouble(WorstWindow::shareOfBudget).max().orElse(0),
                 starts.stream().filter(worst -> worst.rootsOverAllowed() > 2).count(),
                 refused);
     }
@@ -141,7 +141,7 @@
         System.out.println("| --- | --- | --- | --- | --- | --- | --- |");
         for (int slots : new int[] {1, 2, 3, 5, 8, 16}) {
             for (int dispatchers : new int[] {5, 30, 100}) {
-                row(slots, dispatchers, seeds);
+                printRow(slots, dispatchers, seeds);
             }
         }
     }
--- a/core/src/test/java/postgrade/policy/SlowStartTest.java
+++ b/core/src/test/java/postgrade/policy/SlowStartTest.java
@@ -20,7 +20,7 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {1, 4, 200})
-    void allGatewaysTogetherUseAColdWorkersBudgetAndNoMore(int count) {
+    void allDispatchersTogetherUseTheSlowStartBudgetAndNoMore(int count) {
         List<TokenBucketDispatchPolicy> gateways =
                 dispatchersWithWorkerInSlowStart(count, 10 * SECOND);
         double budget = 3 * 0.12 * 8 * 1.5;
@@ -39,7 +39,7 @@
      * a window.
      */
     @Test
-    void restartedGatewayLeavesColdWorkersAloneForOneWindow() {
+    void restartedDispatcherSendsNothingToWorkersInSlowStartForOneWindow() {
         TokenBucketDispatchPolicy d =
                 new TokenBucketDispatchPolicy(
                         settings().slowStart(0.5, 24 * SECOND).overload(3, 1500 * MS).build(),
@@ -62,7 +62,7 @@
      * most of them.
      */
     @Test
-    void jobThatAColdWorkerWouldRunTooLongGoesToABusyWarmOne() {
+    void jobTooSlowForAWorkerInSlowStartGoesToABusyWorker() {
         TokenBucketDispatchPolicy d =
                 newPolicy(
                         settings().slowStart(0.2, 20 * SECOND).overload(30, SECOND).build(), "s1");
@@ -84,14 +84,14 @@
                     actions.sentTo(submit(d, nowNs + i, "safe")),
                     "half a second, 1.8 s cold, wanted within one");
         }
-        double before = meanNs(d);
+        double before = meanServiceTimeNs(d);
         String later = submit(d, nowNs + 8 * SECOND, "safe");
         assertEquals("s2", actions.sentTo(later), "0.7 s on a worker with none of ours");
         d.attemptFinished(nowNs + 8_650 * MS, later, 0, AttemptOutcome.SERVED, true, IDLE_REPORT);
-        assertTrue(meanNs(d) <= before, "half a second, warm: nothing new of the class");
+        assertTrue(meanServiceTimeNs(d) <= before, "half a second, warm: nothing new of the class");
     }
 
-    private static double meanNs(TokenBucketDispatchPolicy d) {
+    private static double meanServiceTimeNs(TokenBucketDispatchPolicy d) {
         return d.exportState(0).stream()
                 .filter(l -> l.name().equals("safe"))
                 .findFirst()
@@ -103,7 +103,7 @@
      * Cold it looks worse than all others, and a worker put back by an operator was left unused.
      */
     @Test
-    void workerPutBackIsForgivenAndTriedByTheNextRepeatableJobWithinItsColdBudget() {
+    void reenabledWorkerIsResetAndTriedByTheNextIdempotentJobWithinItsSlowStartBudget() {
         TokenBucketDispatchPolicy d = dispatchersWithWorkerInSlowStart(1, 0).get(0);
         d.workersUpdated(
                 50 * SECOND,
--- a/core/src/test/java/postgrade/policy/StateTransferTest.java
+++ b/core/src/test/java/postgrade/policy/StateTransferTest.java
@@ -20,7 +20,7 @@
 class StateTransferTest extends PolicyFixture {
 
     @Test
-    void twoProcessesHaveOneBurstBetweenThem() {
+    void twoProcessesShareOneBurst() {
         assertEquals(40, submitAndCountAdmitted(policyWithOneTenant(20, 1), 80));
         TokenBucketDispatchPolicy old = policyWithOneTenant(20, 1);
         assertEquals(10, submitAndCountAdmitted(old, 10));
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void aNewProcessKnowsWhoIsSickWhoIsSlowAndWhoOwesATrial() {
+    void newProcessKnowsWhichWorkersAreEjectedOrNeedATrial() {
         TokenBucketDispatchPolicy old =
                 newPolicy(
                         settings().slowStart(0.2, 20 * SECOND).overload(3, SECOND).build(),
@@ -87,7 +87,7 @@
      * its window.
      */
     @Test
-    void whatWasSentToAColdWorkerBeforeARestartCountsInItsWindow() {
+    void workSentInSlowStartBeforeARestartCountsInItsWindow() {
         for (boolean ended : new boolean[] {true, false}) {
             TokenBucketDispatchPolicy old = dispatchersWithWorkerInSlowStart(1, 10 * SECOND).get(0);
             long sent = submitAndCountSentToS2(List.of(old), 30, 10 * SECOND);
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void aNewProcessKnowsHowMuchOfTheFleetOthersHoldAndWhichKindWaits() {
+    void newProcessKnowsTheLoadOfOtherDispatchersAndTheQueueingDelayOfKinds() {
         PolicySettings s = settings().dispatcherCount(10).workersReportStart(true).build();
         TokenBucketDispatchPolicy old = newPolicy(s, "s1", "b1");
         for (int i = 0; i < 40; i++) {
@@ -129,13 +129,13 @@
         TokenBucketDispatchPolicy fresh = newPolicy(s, "s1", "b1");
         fresh.importState(0, told);
         for (String of : List.of("fleet", "kind")) {
-            assertEquals(figures(told, of), figures(fresh.exportState(0), of));
+            assertEquals(valuesOfCategory(told, of), valuesOfCategory(fresh.exportState(0), of));
             assertNotEquals(
-                    figures(newPolicy(s, "s1", "b1").exportState(0), of), figures(told, of));
+                    valuesOfCategory(newPolicy(s, "s1", "b1").exportState(0), of), valuesOfCategory(told, of));
         }
     }
 
-    private static List<List<Double>> figures(List<PolicyStateEntry> all, String of) {
+    private static List<List<Double>> valuesOfCategory(List<PolicyStateEntry> all, String of) {
         return all.stream()
                 .filter(l -> l.category().equals(of))
                 .sorted(Comparator.comparing(PolicyStateEntry::name))
--- a/core/src/test/java/postgrade/policy/UnreportedLoadTest.java
+++ b/core/src/test/java/postgrade/policy/UnreportedLoadTest.java
@@ -23,7 +23,7 @@
      * half idle.
      */
     @Test
-    void withoutReportsJobsFollowTheSizesThatTheListAnnounces() {
+    void withoutReportsJobsFollowTheAnnouncedWeights() {
         TokenBucketDispatchPolicy d = new TokenBucketDispatchPolicy(settings().build(), 7, actions);
         d.workersUpdated(
                 0,
@@ -44,7 +44,7 @@
      * and the rest idle.
      */
     @Test
-    void withNoneOfOursAnywhereJobsGoInProportionToSize() {
+    void withNoOwnJobsInFlightJobsGoInProportionToSize() {
         TokenBucketDispatchPolicy d =
                 new TokenBucketDispatchPolicy(settings().dispatcherCount(14).build(), 7, actions);
         d.workersUpdated(
@@ -70,7 +70,7 @@
      * size that they are weighed by.
      */
     @Test
-    void jobsGoLessToAKindWhoseJobsWaitBeforeTheyStart() {
+    void kindWithQueueingDelayGetsFewerJobs() {
         TokenBucketDispatchPolicy d =
                 new TokenBucketDispatchPolicy(
                         settings().dispatcherCount(14).workersReportStart(true).build(),
@@ -108,7 +108,7 @@
      * wait.
      */
     @Test
-    void aColdWorkerIsNotTakenToWaitAsLongAsItsKind() {
+    void workerInSlowStartDoesNotInheritTheQueueingDelayOfItsKind() {
         TokenBucketDispatchPolicy d =
                 new TokenBucketDispatchPolicy(
                         settings()
@@ -149,7 +149,7 @@
      * nothing.
      */
     @Test
-    void workerWithoutWeightCountsAsOneOfMeanSize() {
+    void workerWithoutWeightCountsAsMeanSize() {
         TokenBucketDispatchPolicy d = new TokenBucketDispatchPolicy(settings().build(), 7, actions);
         d.workersUpdated(
                 0,
@@ -169,7 +169,7 @@
      */
     @ParameterizedTest
     @CsvSource({"1, true", "20, false"})
-    void withoutReportsOtherGatewaysAreTakenToHoldAsMuch(int gateways, boolean excessGoes) {
+    void withoutReportsOtherDispatchersAreAssumedToHoldAsMuch(int gateways, boolean excessGoes) {
         TokenBucketDispatchPolicy d =
                 newPolicy(
                         settings()
--- a/core/src/test/java/postgrade/policy/WorkerListTest.java
+++ b/core/src/test/java/postgrade/policy/WorkerListTest.java
@@ -19,7 +19,7 @@
 class WorkerListTest extends PolicyFixture {
 
     @Test
-    void listIsAskedForAtTheStartAndAgainAfterAnError() {
+    void listIsRequestedAtTheStartAndAgainAfterAnError() {
         TokenBucketDispatchPolicy d =
                 new TokenBucketDispatchPolicy(settings().pollsWorkerList(true).build(), 1, actions);
         d.workersUpdated(
@@ -38,7 +38,7 @@
      * to.
      */
     @Test
-    void restartedGatewayFollowsTheFirstFreshList() {
+    void restartedDispatcherFollowsTheFirstCurrentList() {
         TokenBucketDispatchPolicy d =
                 new TokenBucketDispatchPolicy(settings().pollsWorkerList(true).build(), 1, actions);
         d.workersUpdated(
@@ -56,7 +56,7 @@
 
     /** A cut-off zone or a full connection table must not shut the workers for a whole warm-up. */
     @Test
-    void workerThatWasUnreachableIsEjectedButNotTakenAsCold() {
+    void unreachableWorkerIsEjectedButNotInSlowStart() {
         PolicySettings s = settings().slowStart(0.1, 20 * SECOND).overload(2, SECOND).build();
         TokenBucketDispatchPolicy d = newPolicy(s, "s1", "s2", "s3");
         serveJobs(d, 20, IDLE_REPORT);
@@ -85,12 +85,12 @@
 
     @Test
     void sameSeedAndEventsGiveTheSameActions() {
-        List<String> first = busyHour(5);
-        assertEquals(first, busyHour(5));
-        assertNotEquals(first, busyHour(6));
+        List<String> first = recordActions(5);
+        assertEquals(first, recordActions(5));
+        assertNotEquals(first, recordActions(6));
     }
 
-    private List<String> busyHour(long seed) {
+    private List<String> recordActions(long seed) {
         RecordingActions mine = new RecordingActions();
         TokenBucketDispatchPolicy d =
                 new TokenBucketDispatchPolicy(
--- a/core/src/test/java/postgrade/policy/WorkerSelectionTest.java
+++ b/core/src/test/java/postgrade/policy/WorkerSelectionTest.java
@@ -9,7 +9,7 @@
 class WorkerSelectionTest extends PolicyFixture {
 
     @Test
-    void fewestOwnJobsSpreadsEvenly() {
+    void selectionByFewestOwnJobsSpreadsEvenly() {
         TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2", "s3");
         for (int i = 0; i < 6; i++) {
             submit(d, 0, "safe");
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void classBoundToAKindRunsOnlyThere() {
+    void classWithRequiredKindRunsOnlyOnThatKind() {
         TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "b1", "s2");
         assertEquals("b1", actions.sentTo(submit(d, 0, "big-only")));
         TokenBucketDispatchPolicy none = newPolicy(settings().build(), "s1");
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void emptyListRefusesWithRetryAfterWhenHopeIsGone() {
+    void emptyListRejectsWithRetryAfterOnceTheObjectiveIsMissed() {
         TokenBucketDispatchPolicy d = newPolicy(settings().build());
         String id = submit(d, 0, "unsafe");
         d.timerFired(50 * MS, "sweep");
