--- a/core/src/main/java/postgrade/policy/InFlightJob.java
+++ b/core/src/main/java/postgrade/policy/InFlightJob.java
@@ -112,9 +112,8 @@
         if (idempotency() == Idempotency.IDEMPOTENT) {
             return null;
         }
-        for (int i = 0;
-                i < attempts.size();
-                i++) { // Called for each worker, so it allocates no iterator.
+        // Called for each worker, so it allocates no iterator.
+        for (int i = 0; i < attempts.size(); i++) {
             if (!attempts.get(i).neverRan()) {
                 return attempts.get(i);
             }
--- a/core/src/test/java/postgrade/LayeringTest.java
+++ b/core/src/test/java/postgrade/LayeringTest.java
@@ -9,8 +9,8 @@
 import org.junit.Test;
 
 /**
- * The layers of core, as docs/architecture.md has them: it decides and remembers, and does no input
- * or output.
+ * The layers of the core module as described in docs/architecture.md. The core makes decisions and
+ * keeps state, and does no I/O.
  */
 public class LayeringTest {
 
@@ -52,8 +52,8 @@
     }
 
     /**
-     * Start windows need zones and calendars; they take the time from no clock and the zone from no
-     * machine.
+     * Start windows need time zones and calendars, but read neither the clock nor the time zone of
+     * the machine.
      */
     @Test
     public void onlyStartWindowsUseTimeZonesAndTheyReadNoClock() {
@@ -78,13 +78,13 @@
                 .check(CORE);
     }
 
-    private static void assertDoesNotDependOn(String layer, String... others) {
+    private static void assertDoesNotDependOn(String layer, String... otherLayers) {
         noClasses()
                 .that()
                 .resideInAPackage(layer)
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage(others)
+                .resideInAnyPackage(otherLayers)
                 .check(CORE);
     }
 
--- a/core/src/test/java/postgrade/policy/DeploymentChangeTest.java
+++ b/core/src/test/java/postgrade/policy/DeploymentChangeTest.java
@@ -33,15 +33,15 @@
 import postgrade.policy.api.WorkerPhase;
 
 /**
- * Settings of another customer, read under way or by the process that takes over: nothing of the
- * first is left.
+ * Settings of another deployment, loaded at runtime or by a succeeding process: no learned state of
+ * the first deployment remains.
  */
 class DeploymentChangeTest {
 
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1_000 * MS;
 
-    /** The first customer's jobs and troubles fall into this time. */
+    /** A time after all jobs and failures of the first deployment. */
     private static final long AFTER_FIRST_DEPLOYMENT_NS = 30 * SECOND;
 
     private static final List<WorkerInfo> WORKERS =
@@ -50,8 +50,8 @@
                     .toList();
 
     /**
-     * What a worker or a job has of ours is a fact, whoever's settings are in force, and chance is
-     * chance.
+     * Names of fields that are not learned state: jobs in flight and their workers stay whichever
+     * settings are in force, and random choices are excluded.
      */
     private static final Set<String> NOT_LEARNED =
             Set.of(
@@ -69,7 +69,7 @@
     private final RecordingActions actions = new RecordingActions();
     private int jobCount;
 
-    /** Both call a class, a tenant, a machine kind and a zone the same. */
+    /** Both deployments have a class, a tenant, a worker kind and a zone of the same name. */
     private static PolicySettings.Builder firstDeployment() {
         return PolicySettings.builder()
                 .deploymentNames(Deployment.NameType.TIER, List.of("shops"))
@@ -114,33 +114,34 @@
                 .overload(2, 2 * SECOND);
     }
 
-    private String submit(TokenBucketDispatchPolicy d, long nowNs, String jobClass, String tenant) {
+    private String submit(
+            TokenBucketDispatchPolicy policy, long nowNs, String jobClass, String tenant) {
         String id = "j" + jobCount++;
-        d.jobArrived(nowNs, new Job(id, jobClass, tenant, "user", 5 * SECOND, 1, 0));
+        policy.jobArrived(nowNs, new Job(id, jobClass, tenant, "user", 5 * SECOND, 1, 0));
         return id;
     }
 
     private TokenBucketDispatchPolicy newPolicy(PolicySettings settings, long nowNs) {
-        TokenBucketDispatchPolicy d = new TokenBucketDispatchPolicy(settings, 7, actions);
-        d.workersUpdated(nowNs, WorkerListUpdateType.FULL, WORKERS);
-        return d;
+        TokenBucketDispatchPolicy policy = new TokenBucketDispatchPolicy(settings, 7, actions);
+        policy.workersUpdated(nowNs, WorkerListUpdateType.FULL, WORKERS);
+        return policy;
     }
 
     /**
-     * Under the first customer: long waits and runs, failures, an ejection, reports, buckets that
-     * are empty.
+     * Returns a policy that has seen long queueing delays and service times, failures, an ejection,
+     * load reports and empty buckets under the first deployment.
      */
     private TokenBucketDispatchPolicy policyWithLearnedState(PolicySettings settings) {
-        TokenBucketDispatchPolicy d = newPolicy(settings, 0);
+        TokenBucketDispatchPolicy policy = newPolicy(settings, 0);
         for (int i = 0; i < 60; i++) {
             long now = i * 100 * MS;
-            String id = submit(d, now, i % 5 < 3 ? "both" : "first", i % 3 == 0 ? "t1" : "t");
+            String id = submit(policy, now, i % 5 < 3 ? "both" : "first", i % 3 == 0 ? "t1" : "t");
             if (actions.sentTo(id).isEmpty()) {
                 continue;
             }
-            d.attemptStarted(now + 700 * MS, id, 0);
+            policy.attemptStarted(now + 700 * MS, id, 0);
             boolean fails = actions.sentTo(id).equals("w1");
-            d.attemptFinished(
+            policy.attemptFinished(
                     now + 800 * MS,
                     id,
                     0,
@@ -148,130 +149,175 @@
                     true,
                     new LoadReport(i % 7, 0, 0, 0));
         }
-        return d;
+        return policy;
     }
 
     @Test
     void stateLearnedUnderTheFirstIsResetUnderTheSecond() throws Exception {
-        TokenBucketDispatchPolicy d = policyWithLearnedState(firstDeployment().build());
-        assertNotEquals(learnedState(newPolicy(firstDeployment().build(), 0)), learnedState(d), "it had learnt something");
-        d.settingsChanged(AFTER_FIRST_DEPLOYMENT_NS, secondDeployment().build());
-        d.workersUpdated(AFTER_FIRST_DEPLOYMENT_NS, WorkerListUpdateType.FULL, WORKERS);
-        assertEquals(learnedState(newPolicy(secondDeployment().build(), AFTER_FIRST_DEPLOYMENT_NS)), learnedState(d));
+        TokenBucketDispatchPolicy policy = policyWithLearnedState(firstDeployment().build());
+        assertNotEquals(
+                learnedState(newPolicy(firstDeployment().build(), 0)),
+                learnedState(policy),
+                "it has learned something");
+        policy.settingsChanged(AFTER_FIRST_DEPLOYMENT_NS, secondDeployment().build());
+        policy.workersUpdated(AFTER_FIRST_DEPLOYMENT_NS, WorkerListUpdateType.FULL, WORKERS);
+        assertEquals(
+                learnedState(newPolicy(secondDeployment().build(), AFTER_FIRST_DEPLOYMENT_NS)),
+                learnedState(policy));
     }
 
     @Test
     void sameDeploymentKeepsStateExceptForRemovedNames() throws Exception {
-        TokenBucketDispatchPolicy d = policyWithLearnedState(firstDeployment().build());
-        Object before = learnedState(d);
-        d.settingsChanged(AFTER_FIRST_DEPLOYMENT_NS, firstDeployment().build());
-        assertEquals(before, learnedState(d));
-        d.settingsChanged(
+        TokenBucketDispatchPolicy policy = policyWithLearnedState(firstDeployment().build());
+        Object before = learnedState(policy);
+        policy.settingsChanged(AFTER_FIRST_DEPLOYMENT_NS, firstDeployment().build());
+        assertEquals(before, learnedState(policy));
+        policy.settingsChanged(
                 AFTER_FIRST_DEPLOYMENT_NS,
-                firstDeployment().classes(List.of(JobClass.of("first", Idempotency.IDEMPOTENT)))
+                firstDeployment()
+                        .classes(List.of(JobClass.of("first", Idempotency.IDEMPOTENT)))
                         .tenants(List.of(new Tenant("t1", 4)))
                         .build());
-        PolicyState state = state(d);
+        PolicyState state = state(policy);
         assertEquals(1, state.classes().all().size());
-        assertTrue(state.classes().get("first").served() > 0, "what it knew of that one it knows");
+        assertTrue(
+                state.classes().get("first").served() > 0,
+                "the statistics of the remaining class are kept");
         assertEquals(Set.of("t1"), exportedTenants(state));
         assertFalse(exportedKeys(state).isEmpty());
     }
 
-    /** What a class's dearest job costs bounds how many gateways may send to a cold worker. */
+    /**
+     * The longest service time bounds how many dispatchers may send to a worker in slow start, so a
+     * removed class must not determine it.
+     */
     @Test
     void removedClassesDoNotCountAsTheLongest() throws Exception {
-        TokenBucketDispatchPolicy d = policyWithLearnedState(firstDeployment().build());
-        d.settingsChanged(
+        TokenBucketDispatchPolicy policy = policyWithLearnedState(firstDeployment().build());
+        policy.settingsChanged(
                 AFTER_FIRST_DEPLOYMENT_NS,
-                firstDeployment().classes(List.of(JobClass.of("fresh", Idempotency.IDEMPOTENT))).build());
+                firstDeployment()
+                        .classes(List.of(JobClass.of("fresh", Idempotency.IDEMPOTENT)))
+                        .build());
         assertEquals(
-                JobClassStats.DEFAULT_SERVICE_TIME_NS, state(d).classes().longestServiceTimeNs());
+                JobClassStats.DEFAULT_SERVICE_TIME_NS,
+                state(policy).classes().longestServiceTimeNs());
     }
 
     @Test
     void newProcessOfTheSecondIgnoresStateOfTheFirst() throws Exception {
-        TokenBucketDispatchPolicy old = policyWithLearnedState(firstDeployment().slowStart(1, 0).build());
-        List<PolicyStateEntry> told = old.exportState(AFTER_FIRST_DEPLOYMENT_NS);
-        TokenBucketDispatchPolicy fresh = newPolicy(secondDeployment().build(), AFTER_FIRST_DEPLOYMENT_NS);
-        fresh.importState(AFTER_FIRST_DEPLOYMENT_NS, told);
-        assertEquals(learnedState(newPolicy(secondDeployment().build(), AFTER_FIRST_DEPLOYMENT_NS)), learnedState(fresh));
-        TokenBucketDispatchPolicy same = newPolicy(firstDeployment().build(), AFTER_FIRST_DEPLOYMENT_NS);
-        same.importState(AFTER_FIRST_DEPLOYMENT_NS, told);
+        TokenBucketDispatchPolicy oldProcess =
+                policyWithLearnedState(firstDeployment().slowStart(1, 0).build());
+        List<PolicyStateEntry> exported = oldProcess.exportState(AFTER_FIRST_DEPLOYMENT_NS);
+        TokenBucketDispatchPolicy newProcess =
+                newPolicy(secondDeployment().build(), AFTER_FIRST_DEPLOYMENT_NS);
+        newProcess.importState(AFTER_FIRST_DEPLOYMENT_NS, exported);
+        assertEquals(
+                learnedState(newPolicy(secondDeployment().build(), AFTER_FIRST_DEPLOYMENT_NS)),
+                learnedState(newProcess));
+        TokenBucketDispatchPolicy sameDeployment =
+                newPolicy(firstDeployment().build(), AFTER_FIRST_DEPLOYMENT_NS);
+        sameDeployment.importState(AFTER_FIRST_DEPLOYMENT_NS, exported);
         assertNotEquals(
-                learnedState(newPolicy(firstDeployment().build(), AFTER_FIRST_DEPLOYMENT_NS)), learnedState(same), "one of the first does");
-        TokenBucketDispatchPolicy fewer =
-                newPolicy(firstDeployment().tenants(List.of(new Tenant("t1", 4))).build(), AFTER_FIRST_DEPLOYMENT_NS);
-        fewer.importState(AFTER_FIRST_DEPLOYMENT_NS, told);
-        assertEquals(Set.of("t1"), exportedTenants(state(fewer)));
+                learnedState(newPolicy(firstDeployment().build(), AFTER_FIRST_DEPLOYMENT_NS)),
+                learnedState(sameDeployment),
+                "a process of the first deployment imports it");
+        TokenBucketDispatchPolicy fewerTenants =
+                newPolicy(
+                        firstDeployment().tenants(List.of(new Tenant("t1", 4))).build(),
+                        AFTER_FIRST_DEPLOYMENT_NS);
+        fewerTenants.importState(AFTER_FIRST_DEPLOYMENT_NS, exported);
+        assertEquals(Set.of("t1"), exportedTenants(state(fewerTenants)));
     }
 
-    /** The limits, the effect and the names of the second, for jobs that come after it. */
+    /**
+     * The limits, idempotency and names of the second deployment apply to jobs that arrive after
+     * the change.
+     */
     @Test
     void newSettingsApplyAtOnceAndJobsInFlightKeepTheirClass() {
-        TokenBucketDispatchPolicy d = newPolicy(firstDeployment().build(), 0);
-        String underWay = submit(d, 0, "both", null);
-        d.settingsChanged(MS, secondDeployment().build());
-        String once = submit(d, MS, "both", null);
-        d.attemptFinished(MS, once, 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
-        assertEquals("fail " + once, actions.last("fail"), "it may have run, and must not run twice");
-        long sent = actions.count("send " + underWay);
-        d.attemptFinished(MS, underWay, 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
+        TokenBucketDispatchPolicy policy = newPolicy(firstDeployment().build(), 0);
+        String inFlight = submit(policy, 0, "both", null);
+        policy.settingsChanged(MS, secondDeployment().build());
+        String notRepeatable = submit(policy, MS, "both", null);
+        policy.attemptFinished(MS, notRepeatable, 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
+        assertEquals(
+                "fail " + notRepeatable,
+                actions.last("fail"),
+                "it may have run, and must not run twice");
+        long sent = actions.count("send " + inFlight);
+        policy.attemptFinished(MS, inFlight, 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
         assertTrue(
-                actions.count("send " + underWay) > sent || actions.last("refuse").contains(underWay),
-                "taken as one that may be repeated");
-        assertThrows(IllegalArgumentException.class, () -> submit(d, MS, "first", null));
+                actions.count("send " + inFlight) > sent
+                        || actions.last("reject").contains(inFlight),
+                "treated as repeatable");
+        assertThrows(IllegalArgumentException.class, () -> submit(policy, MS, "first", null));
         int admitted = 0;
         for (int i = 0; i < 100; i++) {
             long before = actions.count("send");
-            String id = submit(d, MS, "second", "t2");
+            String id = submit(policy, MS, "second", "t2");
             admitted += actions.count("send") - before;
-            d.attemptFinished(MS, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
+            policy.attemptFinished(MS, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
         assertTrue(admitted >= 16, admitted + " of a burst of two seconds of 8");
     }
 
     /**
-     * What was sent before is not counted under other rules on cold workers: one window passes
-     * first.
+     * Work sent under laxer slow start rules has not been recorded, so nothing is sent until one
+     * window has passed.
      */
     @Test
     void stricterSlowStartRulesSendNothingForOneWindow() {
         for (boolean stricter : new boolean[] {false, true}) {
-            TokenBucketDispatchPolicy d = new TokenBucketDispatchPolicy(firstDeployment().build(), 7, actions);
-            d.workersUpdated(
+            TokenBucketDispatchPolicy policy =
+                    new TokenBucketDispatchPolicy(firstDeployment().build(), 7, actions);
+            policy.workersUpdated(
                     0,
                     WorkerListUpdateType.FULL,
                     List.of(
                             new WorkerInfo(
-                                    "w1", "z", "k", 0, WorkerPhase.READY, 1, AFTER_FIRST_DEPLOYMENT_NS - 5 * SECOND)));
-            d.settingsChanged(
-                    AFTER_FIRST_DEPLOYMENT_NS, stricter ? firstDeployment().overload(3, 2 * SECOND).build() : firstDeployment().build());
+                                    "w1",
+                                    "z",
+                                    "k",
+                                    0,
+                                    WorkerPhase.READY,
+                                    1,
+                                    AFTER_FIRST_DEPLOYMENT_NS - 5 * SECOND)));
+            policy.settingsChanged(
+                    AFTER_FIRST_DEPLOYMENT_NS,
+                    stricter
+                            ? firstDeployment().overload(3, 2 * SECOND).build()
+                            : firstDeployment().build());
             long before = actions.count("send");
-            submit(d, AFTER_FIRST_DEPLOYMENT_NS + MS, "both", null);
+            submit(policy, AFTER_FIRST_DEPLOYMENT_NS + MS, "both", null);
             assertEquals(stricter ? before : before + 1, actions.count("send"));
-            submit(d, AFTER_FIRST_DEPLOYMENT_NS + 2 * SECOND, "both", null);
+            submit(policy, AFTER_FIRST_DEPLOYMENT_NS + 2 * SECOND, "both", null);
             assertTrue(actions.count("send") > before);
         }
     }
 
     @ParameterizedTest
     @EnumSource(Deployment.NameType.class)
-    void oneTypeOfNamesWithNoneInCommonMakesAnotherDeployment(Deployment.NameType sort) {
-        Deployment a = Deployment.UNNAMED;
-        for (Deployment.NameType s : Deployment.NameType.values()) {
-            a = a.with(s, List.of("x", "y"));
+    void oneTypeOfNamesWithNoneInCommonMakesAnotherDeployment(Deployment.NameType type) {
+        Deployment deployment = Deployment.UNNAMED;
+        for (Deployment.NameType otherType : Deployment.NameType.values()) {
+            deployment = deployment.with(otherType, List.of("x", "y"));
         }
-        assertTrue(a.isSameAs(a.with(sort, List.of("y", "z"))), "names come and go");
-        assertTrue(a.isSameAs(a.with(sort, List.of())), "where nothing is named nothing is told");
-        assertFalse(a.isSameAs(a.with(sort, List.of("z"))));
-        assertFalse(a.with(sort, List.of("z")).isSameAs(a));
+        assertTrue(
+                deployment.isSameAs(deployment.with(type, List.of("y", "z"))),
+                "names may be added and removed");
+        assertTrue(
+                deployment.isSameAs(deployment.with(type, List.of())),
+                "types without names do not distinguish");
+        assertFalse(deployment.isSameAs(deployment.with(type, List.of("z"))));
+        assertFalse(deployment.with(type, List.of("z")).isSameAs(deployment));
     }
 
-    // ---- All fields of the memory, so that one added later is either begun anew or named a fact.
+    // ---- Compares all fields of the state: one added later must be reset or listed as not
+    // learned.
 
-    private static Object learnedState(TokenBucketDispatchPolicy d) throws Exception {
-        return toComparable(state(d));
+    private static Object learnedState(TokenBucketDispatchPolicy policy) throws Exception {
+        return toComparable(state(policy));
     }
 
     private static PolicyState state(TokenBucketDispatchPolicy policy) throws Exception {
@@ -280,46 +326,49 @@
 
     private static Set<String> exportedTenants(PolicyState state) {
         Set<String> names = new TreeSet<>();
-        state.rateLimiter().exportTenants(AFTER_FIRST_DEPLOYMENT_NS, (name, values) -> names.add(name));
+        state.rateLimiter()
+                .exportTenants(AFTER_FIRST_DEPLOYMENT_NS, (name, values) -> names.add(name));
         return names;
     }
 
     private static Set<String> exportedKeys(PolicyState state) {
         Set<String> names = new TreeSet<>();
-        state.rateLimiter().exportKeys(AFTER_FIRST_DEPLOYMENT_NS, (name, values) -> names.add(name));
+        state.rateLimiter()
+                .exportKeys(AFTER_FIRST_DEPLOYMENT_NS, (name, values) -> names.add(name));
         return names;
     }
 
-    private static Object field(Object of, String name) throws Exception {
-        Field f = of.getClass().getDeclaredField(name);
-        f.setAccessible(true);
-        return f.get(of);
+    private static Object field(Object owner, String name) throws Exception {
+        Field field = owner.getClass().getDeclaredField(name);
+        field.setAccessible(true);
+        return field.get(owner);
     }
 
-    private static Object toComparable(Object o) throws Exception {
-        if (o instanceof Map<?, ?> map) {
-            Map<String, Object> all = new TreeMap<>();
-            for (Map.Entry<?, ?> e : map.entrySet()) {
-                all.put(e.getKey().toString(), toComparable(e.getValue()));
+    private static Object toComparable(Object object) throws Exception {
+        if (object instanceof Map<?, ?> map) {
+            Map<String, Object> values = new TreeMap<>();
+            for (Map.Entry<?, ?> entry : map.entrySet()) {
+                values.put(entry.getKey().toString(), toComparable(entry.getValue()));
             }
-            return all;
+            return values;
         }
-        if (o instanceof Collection<?> list) {
+        if (object instanceof Collection<?> list) {
             return list.size();
         }
-        if (o == null
-                || o instanceof Enum<?>
-                || o instanceof PolicySettings
-                || !o.getClass().getName().startsWith("postgrade.policy.")) {
-            return o instanceof PolicySettings ? "" : String.valueOf(o);
+        if (object == null
+                || object instanceof Enum<?>
+                || object instanceof PolicySettings
+                || !object.getClass().getName().startsWith("postgrade.policy.")) {
+            return object instanceof PolicySettings ? "" : String.valueOf(object);
         }
-        Map<String, Object> all = new TreeMap<>();
-        for (Field f : o.getClass().getDeclaredFields()) {
-            if (!Modifier.isStatic(f.getModifiers()) && !NOT_LEARNED.contains(f.getName())) {
-                f.setAccessible(true);
-                all.put(f.getName(), toComparable(f.get(o)));
+        Map<String, Object> values = new TreeMap<>();
+        for (Field field : object.getClass().getDeclaredFields()) {
+            if (!Modifier.isStatic(field.getModifiers())
+                    && !NOT_LEARNED.contains(field.getName())) {
+                field.setAccessible(true);
+                values.put(field.getName(), toComparable(field.get(object)));
             }
         }
-        return all;
+        return values;
     }
 }
--- a/core/src/test/java/postgrade/policy/EarlierVersionTest.java
+++ b/core/src/test/java/postgrade/policy/EarlierVersionTest.java
@@ -23,10 +23,7 @@
 import postgrade.policy.api.WorkerListUpdateType;
 import postgrade.policy.api.WorkerPhase;
 
-/**
- * Figures that the version before the policy's parts exported, kept as a file, are taken over
- * whole.
- */
+/** State exported by version 0.2.0, kept as a file, is imported completely. */
 class EarlierVersionTest {
 
     private static final long SECOND = 1_000_000_000L;
@@ -50,7 +47,7 @@
     private static List<PolicyStateEntry> readExportedEntries() throws IOException {
         try (InputStream file =
                 EarlierVersionTest.class.getResourceAsStream("figures-of-0.2.0.txt")) {
-            List<PolicyStateEntry> rows = new ArrayList<>();
+            List<PolicyStateEntry> entries = new ArrayList<>();
             for (String line :
                     new String(file.readAllBytes(), StandardCharsets.UTF_8).split("\n")) {
                 String[] parts = line.split("\\|", -1);
@@ -59,21 +56,26 @@
                                 .filter(value -> !value.isEmpty())
                                 .mapToDouble(Double::parseDouble)
                                 .toArray();
-                rows.add(new PolicyStateEntry(parts[0], parts[1], values));
+                entries.add(new PolicyStateEntry(parts[0], parts[1], values));
             }
-            return rows;
+            return entries;
         }
     }
 
-    /** By category and name. What has never been has no certain age. */
-    private static Map<String, String> valuesByEntry(List<PolicyStateEntry> rows) {
-        Map<String, String> plain = new TreeMap<>();
-        for (PolicyStateEntry row : rows) {
+    /**
+     * Returns the values by category and name. Ages of events that never happened are capped, as
+     * their exact value is undefined.
+     */
+    private static Map<String, String> valuesByEntry(List<PolicyStateEntry> entries) {
+        Map<String, String> valuesByEntry = new TreeMap<>();
+        for (PolicyStateEntry entry : entries) {
             double[] values =
-                    Arrays.stream(row.values()).map(v -> Math.min(v, NEVER_AGE_NS)).toArray();
-            plain.put(row.category() + " " + row.name(), Arrays.toString(values));
+                    Arrays.stream(entry.values())
+                            .map(value -> Math.min(value, NEVER_AGE_NS))
+                            .toArray();
+            valuesByEntry.put(entry.category() + " " + entry.name(), Arrays.toString(values));
         }
-        return plain;
+        return valuesByEntry;
     }
 
     @Test
@@ -87,7 +89,7 @@
         }
         policy.workersUpdated(NOW, WorkerListUpdateType.FULL, workers);
         List<PolicyStateEntry> exported = readExportedEntries();
-        assertTrue(exported.size() > 15, "the file has rows of every category");
+        assertTrue(exported.size() > 15, "the file has entries of every category");
         policy.importState(NOW, exported);
         assertEquals(valuesByEntry(exported), valuesByEntry(policy.exportState(NOW)));
     }
--- a/core/src/test/java/postgrade/policy/FleetSimulation.java
+++ b/core/src/test/java/postgrade/policy/FleetSimulation.java
@@ -18,25 +18,29 @@
 import postgrade.policy.api.WorkerPhase;
 
 /**
- * Many gateways that know nothing of each other over workers with queues, on virtual time, by a
- * seed.
+ * Simulates dispatchers that do not know of each other and workers with queues, in virtual time and
+ * reproducible by seed.
  */
 final class FleetSimulation {
 
     static final long MS = 1_000_000L;
     static final long SECOND = 1_000 * MS;
 
-    /** One call that came to a worker: when, and how long it runs at full pace. */
+    /** A job received by a worker: when, and its service time after slow start. */
     record ReceivedJob(long atNs, double serviceTimeNs) {}
 
     private record Event(long atNs, long order, Runnable action) implements Comparable<Event> {
         @Override
-        public int compareTo(Event o) {
-            return atNs != o.atNs ? Long.compare(atNs, o.atNs) : Long.compare(order, o.order);
+        public int compareTo(Event other) {
+            return atNs != other.atNs
+                    ? Long.compare(atNs, other.atNs)
+                    : Long.compare(order, other.order);
         }
     }
 
-    /** Runs first what came first, in so many slots; while cold more slowly. */
+    /**
+     * A worker with a FIFO queue and a number of slots; it runs jobs more slowly during slow start.
+     */
     final class SimulatedWorker {
         final String id;
         final int slots;
@@ -63,8 +67,8 @@
 
         void restart() {
             startedNs = now;
-            queue.clear(); // What it held ends with it, and its gateways hear of no end: their
-            // limit tells them.
+            // Its jobs are lost without a report; their dispatchers notice by timeouts.
+            queue.clear();
             received.clear();
         }
 
@@ -82,66 +86,66 @@
             start(WorkerListUpdateType.FULL);
         }
 
-        void start(WorkerListUpdateType form) {
+        void start(WorkerListUpdateType type) {
             policy = new TokenBucketDispatchPolicy(settings(index), random.nextLong(), this);
-            updateWorkerList(form);
+            updateWorkerList(type);
         }
 
-        void updateWorkerList(WorkerListUpdateType form) {
+        void updateWorkerList(WorkerListUpdateType type) {
             policy.workersUpdated(
-                    now, form, workers.values().stream().map(SimulatedWorker::info).toList());
+                    now, type, workers.values().stream().map(SimulatedWorker::info).toList());
         }
 
         @Override
-        public void startAttempt(String jobId, String workerId, long limitNs) {
-            TokenBucketDispatchPolicy by = policy;
+        public void startAttempt(String jobId, String workerId, long timeoutNs) {
+            TokenBucketDispatchPolicy currentPolicy = policy;
             int attempt = attempts.merge(jobId, 1, Integer::sum) - 1;
-            SimulatedWorker m = workers.get(workerId);
-            double work = serviceTimeNs(jobId);
-            m.received.add(new ReceivedJob(now, work));
-            long born = m.startedNs;
-            Runnable runs =
+            SimulatedWorker worker = workers.get(workerId);
+            double serviceTimeNs = serviceTimeNs(jobId);
+            worker.received.add(new ReceivedJob(now, serviceTimeNs));
+            long startedNs = worker.startedNs;
+            Runnable run =
                     () -> {
-                        m.running++;
-                        by.attemptStarted(now, jobId, attempt);
+                        worker.running++;
+                        currentPolicy.attemptStarted(now, jobId, attempt);
                         schedule(
-                                now + (long) (work / m.slowStartShare(now)),
+                                now + (long) (serviceTimeNs / worker.slowStartShare(now)),
                                 () -> {
-                                    if (m.startedNs == born) {
-                                        m.running--;
-                                        by.attemptFinished(
+                                    if (worker.startedNs == startedNs) {
+                                        worker.running--;
+                                        currentPolicy.attemptFinished(
                                                 now,
                                                 jobId,
                                                 attempt,
                                                 AttemptOutcome.SERVED,
                                                 true,
                                                 LoadReport.NONE);
-                                        if (!m.queue.isEmpty()) {
-                                            m.queue.poll().run();
+                                        if (!worker.queue.isEmpty()) {
+                                            worker.queue.poll().run();
                                         }
                                     }
                                 });
                     };
-            // After the module's own turn, as over a network.
+            // Later than the current event of the policy, as over a network.
             schedule(
                     now + MS,
                     () -> {
-                        if (m.running < m.slots) {
-                            runs.run();
+                        if (worker.running < worker.slots) {
+                            run.run();
                         } else {
-                            m.queue.add(runs);
+                            worker.queue.add(run);
                         }
                     });
         }
 
         @Override
         public void cancelAttempt(String jobId, int attempt) {
-            // Workers run what was called off all the same, in the worst case.
-            TokenBucketDispatchPolicy by = policy;
+            // In the worst case workers run cancelled jobs nevertheless.
+            TokenBucketDispatchPolicy currentPolicy = policy;
             schedule(
                     now + MS,
                     () ->
-                            by.attemptFinished(
+                            currentPolicy.attemptFinished(
                                     now,
                                     jobId,
                                     attempt,
@@ -164,9 +168,9 @@
         public void probe(String workerId) {}
 
         @Override
-        public void startTimer(String token, long inNs) {
-            TokenBucketDispatchPolicy by = policy;
-            schedule(now + inNs, () -> by.timerFired(now, token));
+        public void startTimer(String token, long delayNs) {
+            TokenBucketDispatchPolicy currentPolicy = policy;
+            schedule(now + delayNs, () -> currentPolicy.timerFired(now, token));
         }
 
         @Override
@@ -189,22 +193,22 @@
     long now;
 
     /**
-     * @param settings of each gateway, by its number
-     * @param meansNs how long jobs of each class run on the mean
-     * @param cv their deviation over their mean, lognormal
+     * @param settings the settings of each dispatcher, by its index
+     * @param meanServiceTimesNs the mean service time of each class
+     * @param variationCoefficient the coefficient of variation of the lognormal service times
      */
     FleetSimulation(
             long seed,
             java.util.function.IntFunction<PolicySettings> settings,
             int workerCount,
             int slots,
-            Map<String, Double> meansNs,
-            double cv) {
+            Map<String, Double> meanServiceTimesNs,
+            double variationCoefficient) {
         random = new SplittableRandom(seed);
         this.settingsByIndex = settings;
         commonSettings = settings.apply(0);
-        this.meanServiceTimesNs = meansNs;
-        this.variationCoefficient = cv;
+        this.meanServiceTimesNs = meanServiceTimesNs;
+        this.variationCoefficient = variationCoefficient;
         for (int i = 0; i < workerCount; i++) {
             workers.put("w" + i, new SimulatedWorker("w" + i, slots));
         }
@@ -221,16 +225,19 @@
         return serviceTimesNs.get(jobId);
     }
 
-    void schedule(long atNs, Runnable does) {
-        events.add(new Event(atNs, order++, does));
+    void schedule(long atNs, Runnable action) {
+        events.add(new Event(atNs, order++, action));
     }
 
-    /** Jobs from now on until then, at random times; some gateways get several times the mean. */
+    /**
+     * Generates jobs at random times until {@code untilNs}; some dispatchers get several times the
+     * mean load.
+     */
     void generateLoad(double perSecond, long untilNs) {
-        long next = now + (long) (-Math.log(1 - random.nextDouble()) / perSecond * SECOND);
-        if (next < untilNs) {
+        long nextNs = now + (long) (-Math.log(1 - random.nextDouble()) / perSecond * SECOND);
+        if (nextNs < untilNs) {
             schedule(
-                    next,
+                    nextNs,
                     () -> {
                         submitJob();
                         generateLoad(perSecond, untilNs);
@@ -239,16 +246,18 @@
     }
 
     private void submitJob() {
-        JobClass c = commonSettings.classes.get(random.nextInt(commonSettings.classes.size()));
+        JobClass jobClass =
+                commonSettings.classes.get(random.nextInt(commonSettings.classes.size()));
         String id = "j" + jobs++;
-        double sigma2 = Math.log(1 + variationCoefficient * variationCoefficient);
+        double variance = Math.log(1 + variationCoefficient * variationCoefficient);
         serviceTimesNs.put(
                 id,
-                meanServiceTimesNs.get(c.name())
-                        * Math.exp(Math.sqrt(sigma2) * nextGaussian() - sigma2 / 2));
-        double at = random.nextDouble();
-        Dispatcher g = dispatchers.get((int) (at * at * dispatchers.size()));
-        g.policy.jobArrived(now, new Job(id, c.name(), "t", null, 5 * SECOND, 1, 0));
+                meanServiceTimesNs.get(jobClass.name())
+                        * Math.exp(Math.sqrt(variance) * nextGaussian() - variance / 2));
+        double position = random.nextDouble();
+        Dispatcher dispatcher = dispatchers.get((int) (position * position * dispatchers.size()));
+        dispatcher.policy.jobArrived(
+                now, new Job(id, jobClass.name(), "t", null, 5 * SECOND, 1, 0));
     }
 
     private double nextGaussian() {
@@ -256,28 +265,31 @@
                 * Math.cos(2 * Math.PI * random.nextDouble());
     }
 
-    /** The worker's process starts anew; each gateway hears of it within this time. */
-    void restartWorker(String worker, long toldWithinNs) {
+    /**
+     * Restarts the worker; each dispatcher is notified at a random time within {@code
+     * notifiedWithinNs}.
+     */
+    void restartWorker(String worker, long notifiedWithinNs) {
         workers.get(worker).restart();
-        for (Dispatcher g : dispatchers) {
+        for (Dispatcher dispatcher : dispatchers) {
             schedule(
-                    now + random.nextLong(toldWithinNs),
-                    () -> g.updateWorkerList(WorkerListUpdateType.DELTA));
+                    now + random.nextLong(notifiedWithinNs),
+                    () -> dispatcher.updateWorkerList(WorkerListUpdateType.DELTA));
         }
     }
 
-    /** So large a part of the gateways begins again with nothing but the list. */
-    void restartDispatchers(double part) {
+    /** Restarts this share of the dispatchers; they keep only the cached worker list. */
+    void restartDispatchers(double share) {
         dispatchers.stream()
-                .filter(g -> random.nextDouble() < part)
-                .forEach(g -> g.start(WorkerListUpdateType.CACHED));
+                .filter(dispatcher -> random.nextDouble() < share)
+                .forEach(dispatcher -> dispatcher.start(WorkerListUpdateType.CACHED));
     }
 
     void run(long untilNs) {
         while (!events.isEmpty() && events.peek().atNs <= untilNs) {
-            Event e = events.poll();
-            now = e.atNs;
-            e.action.run();
+            Event event = events.poll();
+            now = event.atNs;
+            event.action.run();
         }
         now = untilNs;
     }
--- a/core/src/test/java/postgrade/policy/IdempotencyTest.java
+++ b/core/src/test/java/postgrade/policy/IdempotencyTest.java
@@ -21,27 +21,27 @@
 import postgrade.policy.api.WorkerListUpdateType;
 import postgrade.policy.api.WorkerPhase;
 
-/** No job takes effect twice: every outcome against every kind of class. */
+/** No job takes effect twice: every outcome with every idempotency. */
 class IdempotencyTest extends PolicyFixture {
 
     /**
-     * For want of a port, a descriptor or a route: an ejection would take a healthy worker from the
-     * fleet.
+     * Opening a connection fails for lack of a port, file descriptor or route. Ejecting the worker
+     * for it would remove a healthy one from the fleet.
      */
     @Test
     void connectionThatCouldNotBeOpenedSendsTheJobElsewhereAndEjectsNoWorker() {
         String[] workers = {"s1", "s2", "s3", "s4", "s5"};
-        TokenBucketDispatchPolicy d = newPolicy(settings().build(), workers);
-        String unsent = submit(d, 0, "unsafe");
+        TokenBucketDispatchPolicy policy = newPolicy(settings().build(), workers);
+        String unsent = submit(policy, 0, "unsafe");
         String first = actions.sentTo(unsent);
-        d.attemptFinished(1, unsent, 0, AttemptOutcome.NO_SOCKET, false, LoadReport.NONE);
-        assertNotEquals(first, actions.sentTo(unsent), "it has run nowhere");
-        d.attemptFinished(2, unsent, 1, AttemptOutcome.SERVED, true, IDLE_REPORT);
+        policy.attemptFinished(1, unsent, 0, AttemptOutcome.NO_SOCKET, false, LoadReport.NONE);
+        assertNotEquals(first, actions.sentTo(unsent), "it has not run");
+        policy.attemptFinished(2, unsent, 1, AttemptOutcome.SERVED, true, IDLE_REPORT);
         Set<String> used = new TreeSet<>();
         for (int i = 0; i < workers.length; i++) {
-            used.add(actions.sentTo(submit(d, 3, "safe")));
+            used.add(actions.sentTo(submit(policy, 3, "safe")));
         }
-        assertEquals(Set.of(workers), used, "none is left out");
+        assertEquals(Set.of(workers), used, "no worker is ejected");
     }
 
     @ParameterizedTest
@@ -49,13 +49,13 @@
             value = AttemptOutcome.class,
             names = {"FULL", "UNREACHABLE"})
     void jobProvenNotRunIsRetriedElsewhere(AttemptOutcome outcome) {
-        for (String c : List.of("safe", "keyed", "zoned", "celled", "unsafe")) {
-            TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2", "s3");
-            String id = submit(d, 0, c);
+        for (String jobClass : List.of("safe", "keyed", "zoned", "celled", "unsafe")) {
+            TokenBucketDispatchPolicy policy = newPolicy(settings().build(), "s1", "s2", "s3");
+            String id = submit(policy, 0, jobClass);
             String first = actions.sentTo(id);
-            d.attemptFinished(1, id, 0, outcome, false, LoadReport.NONE);
-            assertEquals(2, actions.count("send " + id), c);
-            assertNotEquals(first, actions.sentTo(id), c);
+            policy.attemptFinished(1, id, 0, outcome, false, LoadReport.NONE);
+            assertEquals(2, actions.count("send " + id), jobClass);
+            assertNotEquals(first, actions.sentTo(id), jobClass);
         }
     }
 
@@ -64,14 +64,14 @@
         "ERROR,safe,send", "RESET,safe,send", "TIMEOUT,safe,send", "CANCELLED,safe,send",
         "ERROR,keyed,send", "RESET,keyed,send", "TIMEOUT,keyed,send", "CANCELLED,keyed,send",
         "ERROR,unsafe,fail", "RESET,unsafe,fail", "TIMEOUT,unsafe,fail", "CANCELLED,unsafe,fail",
-        "NOT_SENT,safe,refuse", "NOT_SENT,keyed,refuse", "NOT_SENT,unsafe,refuse"
+        "NOT_SENT,safe,reject", "NOT_SENT,keyed,reject", "NOT_SENT,unsafe,reject"
     })
     void jobThatMayHaveRunIsRepeatedOnlyIfItsClassAllows(
             AttemptOutcome outcome, String jobClass, String expected) {
-        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2", "s3");
-        String id = submit(d, 0, jobClass);
+        TokenBucketDispatchPolicy policy = newPolicy(settings().build(), "s1", "s2", "s3");
+        String id = submit(policy, 0, jobClass);
         int before = actions.recorded.size();
-        d.attemptFinished(1, id, 0, outcome, false, LoadReport.NONE);
+        policy.attemptFinished(1, id, 0, outcome, false, LoadReport.NONE);
         List<String> after = actions.recorded.subList(before, actions.recorded.size());
         assertEquals(1, after.size());
         assertTrue(after.get(0).startsWith(expected + " " + id), after.get(0));
@@ -79,37 +79,38 @@
 
     @Test
     void jobNotSentToADrainingWorkerGoesToAnother() {
-        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2");
-        String id = submit(d, 0, "unsafe");
-        String leaving = actions.sentTo(id);
-        d.workersUpdated(
+        TokenBucketDispatchPolicy policy = newPolicy(settings().build(), "s1", "s2");
+        String id = submit(policy, 0, "unsafe");
+        String draining = actions.sentTo(id);
+        policy.workersUpdated(
                 1,
                 WorkerListUpdateType.DELTA,
-                List.of(new WorkerInfo(leaving, "z", "std", 0, WorkerPhase.DRAINING, 1, 0)));
-        d.attemptFinished(1, id, 0, AttemptOutcome.NOT_SENT, false, LoadReport.NONE);
-        assertEquals(leaving.equals("s1") ? "s2" : "s1", actions.sentTo(id));
+                List.of(new WorkerInfo(draining, "z", "std", 0, WorkerPhase.DRAINING, 1, 0)));
+        policy.attemptFinished(1, id, 0, AttemptOutcome.NOT_SENT, false, LoadReport.NONE);
+        assertEquals(draining.equals("s1") ? "s2" : "s1", actions.sentTo(id));
     }
 
     @ParameterizedTest
     @CsvSource({"zoned,s1,t1", "celled,s1,t1"})
-    void deduplicatedJobThatMayHaveRunStaysInItsScope(String jobClass, String one, String same) {
-        TokenBucketDispatchPolicy d =
-                newPolicy(settings().build(), one, "s2", "s3", same, "s4", "s5");
+    void deduplicatedJobThatMayHaveRunStaysInItsScope(
+            String jobClass, String worker, String workerInScope) {
+        TokenBucketDispatchPolicy policy =
+                newPolicy(settings().build(), worker, "s2", "s3", workerInScope, "s4", "s5");
         for (int i = 0; i < 20; i++) {
-            String id = submit(d, 0, jobClass);
+            String id = submit(policy, 0, jobClass);
             char zone = actions.sentTo(id).charAt(1);
-            d.attemptFinished(1, id, 0, AttemptOutcome.RESET, false, LoadReport.NONE);
+            policy.attemptFinished(1, id, 0, AttemptOutcome.RESET, false, LoadReport.NONE);
             assertEquals(zone, actions.sentTo(id).charAt(1));
             assertEquals(
                     0,
-                    actions.count("refuse " + id),
-                    "a refusal would promise that it had not run");
+                    actions.count("reject " + id),
+                    "a rejection would imply that it has not run");
         }
     }
 
     @Test
     void deduplicatedJobIsNotRepeatedAfterItsWindow() {
-        PolicySettings s =
+        PolicySettings settings =
                 PolicySettings.builder()
                         .classes(
                                 List.of(
@@ -125,50 +126,50 @@
                                                 null,
                                                 false)))
                         .build();
-        TokenBucketDispatchPolicy d = newPolicy(s, "s1", "s2");
-        String id = submit(d, 0, "keyed");
-        d.attemptFinished(2 * SECOND, id, 0, AttemptOutcome.RESET, false, LoadReport.NONE);
+        TokenBucketDispatchPolicy policy = newPolicy(settings, "s1", "s2");
+        String id = submit(policy, 0, "keyed");
+        policy.attemptFinished(2 * SECOND, id, 0, AttemptOutcome.RESET, false, LoadReport.NONE);
         assertEquals(1, actions.count("send " + id));
         assertEquals(
                 1,
-                actions.count("refuse " + id),
-                "every worker drops repeats, so a refusal stays harmless");
+                actions.count("reject " + id),
+                "every worker drops repeats, so a rejection is safe");
     }
 
     /**
-     * Its connection may come up late: what was decided within the window would come to its worker
-     * behind it.
+     * The connection may be established late, so that a repeat decided on within the window could
+     * reach the worker after it.
      */
     @Test
     void deduplicatedRepeatIsSentWithinItsWindowOrNotAtAll() {
-        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2", "s3");
-        String id = submit(d, 0, "keyed");
-        assertEquals(Long.MAX_VALUE, actions.windowNs, "it has not run");
-        d.attemptFinished(SECOND, id, 0, AttemptOutcome.UNREACHABLE, false, LoadReport.NONE);
-        assertEquals(Long.MAX_VALUE, actions.windowNs, "nor now");
-        d.attemptFinished(3 * SECOND, id, 1, AttemptOutcome.RESET, false, LoadReport.NONE);
+        TokenBucketDispatchPolicy policy = newPolicy(settings().build(), "s1", "s2", "s3");
+        String id = submit(policy, 0, "keyed");
+        assertEquals(Long.MAX_VALUE, actions.sendWithinNs, "it has not run");
+        policy.attemptFinished(SECOND, id, 0, AttemptOutcome.UNREACHABLE, false, LoadReport.NONE);
+        assertEquals(Long.MAX_VALUE, actions.sendWithinNs, "it still has not run");
+        policy.attemptFinished(3 * SECOND, id, 1, AttemptOutcome.RESET, false, LoadReport.NONE);
         assertEquals(3, actions.count("send " + id));
         assertEquals(
                 SECOND + 30 * SECOND - 3 * SECOND - 50 * MS,
-                actions.windowNs,
-                "from the first that may have run");
-        id = submit(d, 4 * SECOND, "safe");
-        d.attemptFinished(4 * SECOND, id, 0, AttemptOutcome.RESET, false, LoadReport.NONE);
+                actions.sendWithinNs,
+                "counted from the first attempt that may have run");
+        id = submit(policy, 4 * SECOND, "safe");
+        policy.attemptFinished(4 * SECOND, id, 0, AttemptOutcome.RESET, false, LoadReport.NONE);
         assertEquals(2, actions.count("send " + id));
-        assertEquals(Long.MAX_VALUE, actions.windowNs);
+        assertEquals(Long.MAX_VALUE, actions.sendWithinNs);
     }
 
     @Test
     void attemptsAreBounded() {
-        TokenBucketDispatchPolicy d =
+        TokenBucketDispatchPolicy policy =
                 newPolicy(settings().build(), "s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8");
-        String id = submit(d, 0, "unsafe");
+        String id = submit(policy, 0, "unsafe");
         for (int i = 0; i < 4; i++) {
-            d.timerFired(i * SECOND / 10, "sweep");
-            d.attemptFinished(i * SECOND / 10, id, i, AttemptOutcome.FULL, false, IDLE_REPORT);
+            policy.timerFired(i * SECOND / 10, "sweep");
+            policy.attemptFinished(i * SECOND / 10, id, i, AttemptOutcome.FULL, false, IDLE_REPORT);
         }
-        d.timerFired(SECOND, "sweep");
+        policy.timerFired(SECOND, "sweep");
         assertEquals(4, actions.count("send " + id));
-        assertEquals(1, actions.count("refuse " + id));
+        assertEquals(1, actions.count("reject " + id));
     }
 }
--- a/core/src/test/java/postgrade/policy/JobConstraintsTest.java
+++ b/core/src/test/java/postgrade/policy/JobConstraintsTest.java
@@ -9,13 +9,13 @@
 import postgrade.policy.api.JobConstraints;
 import postgrade.policy.api.WorkerInfo;
 
-/** Constraints beyond the rules of the policy. */
+/** Job constraints beyond the policy's own rules. */
 class JobConstraintsTest extends PolicyFixture {
 
     @Test
     void jobThatMayNotStartYetIsRejectedAtOnceAndTakesNoToken() {
-        TokenBucketDispatchPolicy d = policyWithOneTenant(4, 1);
-        d.constraintsChanged(
+        TokenBucketDispatchPolicy policy = policyWithOneTenant(4, 1);
+        policy.constraintsChanged(
                 new JobConstraints() {
                     @Override
                     public long startDelayNs(long nowNs, Job job) {
@@ -24,17 +24,17 @@
                 });
         for (int i = 0; i < 20; i++) {
             assertEquals(
-                    "refuse " + submit(d, SECOND, "safe", "t", null) + " " + 3599 * SECOND,
-                    actions.last("refuse"));
+                    "reject " + submit(policy, SECOND, "safe", "t", null) + " " + 3599 * SECOND,
+                    actions.last("reject"));
         }
-        d.constraintsChanged(JobConstraints.NONE);
-        assertEquals("s1", actions.sentTo(submit(d, SECOND, "safe", "t", null)));
+        policy.constraintsChanged(JobConstraints.NONE);
+        assertEquals("s1", actions.sentTo(submit(policy, SECOND, "safe", "t", null)));
     }
 
     @Test
     void workerGetsJobsInProportionToItsUsableShare() {
-        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2", "s3");
-        d.constraintsChanged(
+        TokenBucketDispatchPolicy policy = newPolicy(settings().build(), "s1", "s2", "s3");
+        policy.constraintsChanged(
                 new JobConstraints() {
                     @Override
                     public double usableShare(long nowNs, Job job, WorkerInfo worker) {
@@ -46,13 +46,13 @@
                     }
                 });
         for (int i = 0; i < 100; i++) {
-            submit(d, 0, "safe");
+            submit(policy, 0, "safe");
         }
         assertEquals(0, actions.sendsTo("s1"::equals));
         assertEquals(20, actions.sendsTo("s2"::equals), 4);
         assertTrue(
                 IntStream.range(0, 10)
-                        .mapToObj(i -> actions.sentTo(submit(d, 0, "safe", "t", null)))
+                        .mapToObj(i -> actions.sentTo(submit(policy, 0, "safe", "t", null)))
                         .anyMatch("s1"::equals));
     }
 }
--- a/core/src/test/java/postgrade/policy/OutlierDetectionTest.java
+++ b/core/src/test/java/postgrade/policy/OutlierDetectionTest.java
@@ -12,133 +12,144 @@
 import postgrade.policy.api.LoadReport;
 import postgrade.policy.api.Tenant;
 
-/** Which failures eject a worker. */
+/** Ejection of failing workers, full workers and the retry budget. */
 class OutlierDetectionTest extends PolicyFixture {
 
-    /** Incident i3632c1: a full worker holds few of ours, so fewest in flight fed it. */
+    /**
+     * A full worker holds few jobs of this dispatcher, so selecting by the fewest in flight would
+     * send it even more.
+     */
     @Test
     void workerThatAnsweredFullCountsAsFull() {
-        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2");
-        serveJobs(d, 20, IDLE_REPORT);
-        String id = submit(d, 0, "safe", null, "k");
+        TokenBucketDispatchPolicy policy = newPolicy(settings().build(), "s1", "s2");
+        serveJobs(policy, 20, IDLE_REPORT);
+        String id = submit(policy, 0, "safe", null, "k");
         String full = actions.sentTo(id);
-        d.attemptFinished(1, id, 0, AttemptOutcome.FULL, false, LoadReport.NONE);
+        policy.attemptFinished(1, id, 0, AttemptOutcome.FULL, false, LoadReport.NONE);
         for (int i = 0; i < 4; i++) {
-            assertNotEquals(full, actions.sentTo(submit(d, 2, "safe", null, "k")));
+            assertNotEquals(full, actions.sentTo(submit(policy, 2, "safe", null, "k")));
         }
     }
 
     /**
-     * Repeats of jobs that may have run must not feed a jam: while nothing is served they come to
-     * an end.
+     * Repeats of jobs that may have run must not amplify an overload: while no job is served they
+     * cease.
      */
     @Test
     void retriesAreBoundedByTheRetryBudget() {
-        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2", "s3", "s4");
+        TokenBucketDispatchPolicy policy = newPolicy(settings().build(), "s1", "s2", "s3", "s4");
         for (int i = 0; i < 200; i++) {
-            String id = submit(d, i * 50 * MS, "safe");
-            d.attemptFinished(i * 50 * MS + 1, id, 0, AttemptOutcome.RESET, false, IDLE_REPORT);
-            d.jobAbandoned(i * 50 * MS + 2, id);
-            d.attemptFinished(i * 50 * MS + 3, id, 1, AttemptOutcome.CANCELLED, true, IDLE_REPORT);
+            String id = submit(policy, i * 50 * MS, "safe");
+            policy.attemptFinished(
+                    i * 50 * MS + 1, id, 0, AttemptOutcome.RESET, false, IDLE_REPORT);
+            policy.jobAbandoned(i * 50 * MS + 2, id);
+            policy.attemptFinished(
+                    i * 50 * MS + 3, id, 1, AttemptOutcome.CANCELLED, true, IDLE_REPORT);
         }
         assertEquals(
-                208,
-                actions.count("send"),
-                "the whole budget, and no more while nothing is served");
+                208, actions.count("send"), "the whole budget, and no more while no job is served");
     }
 
     /**
-     * Incident i824a42: long jobs within their share filled the fleet, and cheap ones found it
-     * full.
+     * Without a reserve, long jobs within their quota fill the fleet and cheap jobs find it full.
      */
     @Test
     void costlyJobWithinItsQuotaLeavesATenthOfTheFleetFree() {
-        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2");
+        TokenBucketDispatchPolicy policy = newPolicy(settings().build(), "s1", "s2");
         for (int i = 0; i < 10; i++) {
-            d.attemptFinished(
-                    200 * MS, submit(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, IDLE_REPORT);
-            d.attemptFinished(
+            policy.attemptFinished(
+                    200 * MS,
+                    submit(policy, 0, "safe"),
+                    0,
+                    AttemptOutcome.SERVED,
+                    true,
+                    IDLE_REPORT);
+            policy.attemptFinished(
                     2 * SECOND,
-                    submit(d, 0, "unsafe"),
+                    submit(policy, 0, "unsafe"),
                     0,
                     AttemptOutcome.SERVED,
                     true,
                     IDLE_REPORT);
         }
         long now = 9 * SECOND;
-        d.workerProbed(now, "s1", true, FULL_REPORT);
-        d.workerProbed(now, "s2", true, new LoadReport(1, 0, 0, 0));
-        String costly = submit(d, now, "unsafe");
+        policy.workerProbed(now, "s1", true, FULL_REPORT);
+        policy.workerProbed(now, "s2", true, new LoadReport(1, 0, 0, 0));
+        String costly = submit(policy, now, "unsafe");
         assertEquals(0, actions.count("send " + costly), "one of sixteen slots is free");
-        assertEquals(1, actions.count("send " + submit(d, now, "safe")));
-        d.workerProbed(now, "s1", true, IDLE_REPORT);
-        d.timerFired(now + 50 * MS, "sweep");
+        assertEquals(1, actions.count("send " + submit(policy, now, "safe")));
+        policy.workerProbed(now, "s1", true, IDLE_REPORT);
+        policy.timerFired(now + 50 * MS, "sweep");
         assertEquals(1, actions.count("send " + costly));
     }
 
     /**
-     * Day caerdydd-main rough-2: a first job that ran for no time made its class free, and all of
-     * it was refused.
+     * A first job that takes no time must not make its class appear free of cost, which would get
+     * all its jobs rejected.
      */
     @Test
     void jobThatTookNoTimeDoesNotDistortItsClass() {
-        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1");
-        d.attemptFinished(0, submit(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, IDLE_REPORT);
+        TokenBucketDispatchPolicy policy = newPolicy(settings().build(), "s1");
+        policy.attemptFinished(
+                0, submit(policy, 0, "safe"), 0, AttemptOutcome.SERVED, true, IDLE_REPORT);
         for (int i = 0; i < 5; i++) {
-            assertEquals(1, actions.count("send " + submit(d, SECOND, "safe")));
+            assertEquals(1, actions.count("send " + submit(policy, SECOND, "safe")));
         }
     }
 
     /**
-     * A second job under an id in hand must not take the first one's place, nor bring a second
+     * A second job with an id in flight must neither replace the first one nor cause a second
      * answer.
      */
     @Test
     void idInFlightIsNotAcceptedTwice() {
-        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2");
-        String id = submit(d, 0, "unsafe");
-        d.jobArrived(1, new Job(id, "safe", null, null, SECOND, 1, 0));
-        d.attemptFinished(2, id, 0, AttemptOutcome.RESET, false, LoadReport.NONE);
-        d.timerFired(2 * SECOND, "sweep");
+        TokenBucketDispatchPolicy policy = newPolicy(settings().build(), "s1", "s2");
+        String id = submit(policy, 0, "unsafe");
+        policy.jobArrived(1, new Job(id, "safe", null, null, SECOND, 1, 0));
+        policy.attemptFinished(2, id, 0, AttemptOutcome.RESET, false, LoadReport.NONE);
+        policy.timerFired(2 * SECOND, "sweep");
         assertEquals(1, actions.count("send " + id));
         assertEquals(
                 1,
-                actions.count("fail " + id) + actions.count("refuse " + id),
-                "the first job's one answer");
+                actions.count("fail " + id) + actions.count("reject " + id),
+                "one answer for the first job");
     }
 
-    /** Day cnx-scooter-core overload: long jobs filled the queues while short ones waited. */
+    /** Without this, long jobs fill the queues of an overloaded fleet while short ones wait. */
     @Test
     void costlyJobWaitsForFreeCapacityAndCheapOnesDoNot() {
-        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1");
+        TokenBucketDispatchPolicy policy = newPolicy(settings().build(), "s1");
         for (int i = 0; i < 3; i++) {
-            d.attemptFinished(
-                    100 * MS, submit(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, FULL_REPORT);
-            d.attemptFinished(
+            policy.attemptFinished(
+                    100 * MS,
+                    submit(policy, 0, "safe"),
+                    0,
+                    AttemptOutcome.SERVED,
+                    true,
+                    FULL_REPORT);
+            policy.attemptFinished(
                     3 * SECOND,
-                    submit(d, 0, "unsafe"),
+                    submit(policy, 0, "unsafe"),
                     0,
                     AttemptOutcome.SERVED,
                     true,
                     FULL_REPORT);
         }
         long now = 13 * SECOND;
-        d.workerProbed(now, "s1", true, FULL_REPORT);
-        String costly = submit(d, now, "unsafe");
+        policy.workerProbed(now, "s1", true, FULL_REPORT);
+        String costly = submit(policy, now, "unsafe");
         assertEquals(0, actions.count("send " + costly));
-        String cheap = submit(d, now, "safe");
+        String cheap = submit(policy, now, "safe");
         assertEquals(1, actions.count("send " + cheap));
-        d.attemptFinished(now + MS, cheap, 0, AttemptOutcome.SERVED, true, IDLE_REPORT);
-        d.timerFired(now + 50 * MS, "sweep");
+        policy.attemptFinished(now + MS, cheap, 0, AttemptOutcome.SERVED, true, IDLE_REPORT);
+        policy.timerFired(now + 50 * MS, "sweep");
         assertEquals(1, actions.count("send " + costly));
     }
 
-    /**
-     * Incident if06dc5: one tenant's jobs failed everywhere, and the workers were ejected for it.
-     */
+    /** Jobs of one tenant that fail at every worker must not get the workers ejected. */
     @Test
     void failuresOfOneTenantsJobsDoNotCountAgainstTheWorkers() {
-        TokenBucketDispatchPolicy d =
+        TokenBucketDispatchPolicy policy =
                 newPolicy(
                         settings()
                                 .tenants(List.of(new Tenant("bad", 1000), new Tenant("good", 1000)))
@@ -148,54 +159,59 @@
                         "s3",
                         "s4");
         for (int i = 0; i < 400; i++) {
-            String good = submit(d, i * 100 * MS, "safe", "good", null);
-            String bad = submit(d, i * 100 * MS, "safe", "bad", null);
-            d.attemptFinished(i * 100 * MS, bad, 0, AttemptOutcome.ERROR, true, LoadReport.NONE);
-            d.attemptFinished(i * 100 * MS, good, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
+            String good = submit(policy, i * 100 * MS, "safe", "good", null);
+            String bad = submit(policy, i * 100 * MS, "safe", "bad", null);
+            policy.attemptFinished(
+                    i * 100 * MS, bad, 0, AttemptOutcome.ERROR, true, LoadReport.NONE);
+            policy.attemptFinished(
+                    i * 100 * MS, good, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
         long before = actions.count("send");
-        String bad = submit(d, 40 * SECOND, "safe", "bad", null);
-        d.attemptFinished(40 * SECOND, bad, 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
+        String bad = submit(policy, 40 * SECOND, "safe", "bad", null);
+        policy.attemptFinished(40 * SECOND, bad, 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
         assertEquals(
-                before + 1, actions.count("send"), "no further attempt for what fails everywhere");
-        Set<String> open = new TreeSet<>();
+                before + 1,
+                actions.count("send"),
+                "no further attempt for jobs that fail at every worker");
+        Set<String> usedWorkers = new TreeSet<>();
         for (int i = 0; i < 4; i++) {
-            open.add(actions.sentTo(submit(d, 40 * SECOND, "safe", "good", null)));
+            usedWorkers.add(actions.sentTo(submit(policy, 40 * SECOND, "safe", "good", null)));
         }
-        assertEquals(4, open.size(), "no worker is ejected");
+        assertEquals(4, usedWorkers.size(), "no worker is ejected");
     }
 
     /**
-     * Incident i9b503f: one job went from worker to worker and each died of it, with all that it
-     * held.
+     * A job that crashes its worker must not be sent on from worker to worker, as each crash loses
+     * all jobs of the worker.
      */
     @Test
     void jobWhoseConnectionsWereResetTwiceIsNotSentAThirdTime() {
-        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2", "s3");
-        String id = submit(d, 0, "safe");
-        d.attemptFinished(1, id, 0, AttemptOutcome.RESET, false, LoadReport.NONE);
-        assertEquals(2, actions.count("send " + id), "the first may be an innocent one");
-        d.attemptFinished(2, id, 1, AttemptOutcome.RESET, false, LoadReport.NONE);
+        TokenBucketDispatchPolicy policy = newPolicy(settings().build(), "s1", "s2", "s3");
+        String id = submit(policy, 0, "safe");
+        policy.attemptFinished(1, id, 0, AttemptOutcome.RESET, false, LoadReport.NONE);
+        assertEquals(
+                2, actions.count("send " + id), "the first reset may not be caused by the job");
+        policy.attemptFinished(2, id, 1, AttemptOutcome.RESET, false, LoadReport.NONE);
         assertEquals(2, actions.count("send " + id));
-        assertEquals(1, actions.count("refuse " + id));
+        assertEquals(1, actions.count("reject " + id));
     }
 
     /**
-     * Incident id90802: workers that lost a few jobs seemed to hold them and stood idle; late
-     * starts undo it.
+     * Workers that lose jobs would seem to hold them forever and stay idle. A late start report
+     * makes the job count again.
      */
     @Test
     void jobThatNeverStartsIsPresumedLost() {
-        TokenBucketDispatchPolicy d =
+        TokenBucketDispatchPolicy policy =
                 newPolicy(
                         settings().workersReportStart(true).allowsCancellation(false).build(),
                         "s1",
                         "s2");
         for (int i = 0; i < 9; i++) {
-            String id = submit(d, i * 3 * SECOND, "unsafe");
-            d.attemptStarted(i * 3 * SECOND + MS, id, 0);
-            d.timerFired(i * 3 * SECOND + 2 * SECOND, "sweep");
-            d.attemptFinished(
+            String id = submit(policy, i * 3 * SECOND, "unsafe");
+            policy.attemptStarted(i * 3 * SECOND + MS, id, 0);
+            policy.timerFired(i * 3 * SECOND + 2 * SECOND, "sweep");
+            policy.attemptFinished(
                     i * 3 * SECOND + 2 * SECOND,
                     id,
                     0,
@@ -204,39 +220,39 @@
                     LoadReport.NONE);
         }
         long nowNs = 40 * SECOND;
-        String lost = submit(d, nowNs, "unsafe");
-        String other = submit(d, nowNs, "unsafe");
-        d.attemptStarted(nowNs, other, 0);
-        d.timerFired(nowNs + 5 * SECOND, "sweep");
+        String lost = submit(policy, nowNs, "unsafe");
+        String other = submit(policy, nowNs, "unsafe");
+        policy.attemptStarted(nowNs, other, 0);
+        policy.timerFired(nowNs + 5 * SECOND, "sweep");
         assertEquals(
                 actions.sentTo(lost),
-                actions.sentTo(submit(d, nowNs + 5 * SECOND, "safe")),
-                "it holds none now");
-        d.attemptStarted(nowNs + 6 * SECOND, lost, 0);
-        d.attemptFinished(
+                actions.sentTo(submit(policy, nowNs + 5 * SECOND, "safe")),
+                "the lost job no longer counts");
+        policy.attemptStarted(nowNs + 6 * SECOND, lost, 0);
+        policy.attemptFinished(
                 nowNs + 6 * SECOND, other, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         assertEquals(
                 actions.sentTo(other),
-                actions.sentTo(submit(d, nowNs + 6 * SECOND, "safe")),
-                "it does again");
+                actions.sentTo(submit(policy, nowNs + 6 * SECOND, "safe")),
+                "it counts again after its start");
     }
 
     /**
-     * Incident id90802: four workers that turned jobs away held none, so they drew half of all
-     * attempts.
+     * Workers that reject jobs hold none and would attract more of them: four such workers got half
+     * of all attempts.
      */
     @Test
     void workerThatAnsweredFullAttractsNoJobsForHoldingTheFewest() {
-        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2");
-        String id = submit(d, 0, "safe");
+        TokenBucketDispatchPolicy policy = newPolicy(settings().build(), "s1", "s2");
+        String id = submit(policy, 0, "safe");
         String full = actions.sentTo(id);
-        d.attemptFinished(MS, id, 0, AttemptOutcome.FULL, false, LoadReport.NONE);
+        policy.attemptFinished(MS, id, 0, AttemptOutcome.FULL, false, LoadReport.NONE);
         for (int i = 0; i < 3; i++) {
-            assertNotEquals(full, actions.sentTo(submit(d, 2 * MS, "safe")));
+            assertNotEquals(full, actions.sentTo(submit(policy, 2 * MS, "safe")));
         }
         assertEquals(
                 full,
-                actions.sentTo(submit(d, 2 * SECOND, "safe")),
+                actions.sentTo(submit(policy, 2 * SECOND, "safe")),
                 "a job there may have ended since");
     }
 }
--- a/core/src/test/java/postgrade/policy/PolicyFixture.java
+++ b/core/src/test/java/postgrade/policy/PolicyFixture.java
@@ -16,8 +16,8 @@
 import postgrade.policy.api.WorkerPhase;
 
 /**
- * A policy whose actions are recorded, with classes of every kind and workers that are named for
- * their kind, zone and cell.
+ * Base class of the policy tests: policies whose actions are recorded, job classes of every
+ * idempotency, and workers whose names encode their kind, zone and cell.
  */
 abstract class PolicyFixture {
 
@@ -94,7 +94,7 @@
                 .maxAttempts(4);
     }
 
-    static WorkerInfo worker(String id, WorkerPhase phase, long bornNs) {
+    static WorkerInfo worker(String id, WorkerPhase phase, long startedNs) {
         return new WorkerInfo(
                 id,
                 "z" + id.charAt(1),
@@ -102,65 +102,72 @@
                 id.charAt(1),
                 phase,
                 1,
-                bornNs);
+                startedNs);
     }
 
     TokenBucketDispatchPolicy newPolicy(PolicySettings settings, String... workers) {
-        TokenBucketDispatchPolicy d = new TokenBucketDispatchPolicy(settings, 7, actions);
+        TokenBucketDispatchPolicy policy = new TokenBucketDispatchPolicy(settings, 7, actions);
         List<WorkerInfo> list = new ArrayList<>();
         for (String id : workers) {
             list.add(worker(id, WorkerPhase.READY, 0));
         }
-        d.workersUpdated(0, WorkerListUpdateType.FULL, list);
-        return d;
+        policy.workersUpdated(0, WorkerListUpdateType.FULL, list);
+        return policy;
     }
 
     String submit(
-            TokenBucketDispatchPolicy d, long nowNs, String jobClass, String tenant, String key) {
+            TokenBucketDispatchPolicy policy,
+            long nowNs,
+            String jobClass,
+            String tenant,
+            String key) {
         String id = "j" + jobNumber++;
-        d.jobArrived(nowNs, new Job(id, jobClass, tenant, key, 20 * SECOND, 1, 0));
+        policy.jobArrived(nowNs, new Job(id, jobClass, tenant, key, 20 * SECOND, 1, 0));
         return id;
     }
 
-    String submit(TokenBucketDispatchPolicy d, long nowNs, String jobClass) {
-        return submit(d, nowNs, jobClass, null, null);
+    String submit(TokenBucketDispatchPolicy policy, long nowNs, String jobClass) {
+        return submit(policy, nowNs, jobClass, null, null);
     }
 
-    /** Serves one job on each worker, with this report. */
-    void serveJobs(TokenBucketDispatchPolicy d, int workers, LoadReport load) {
+    /** Serves this many jobs one after another, each with this report. */
+    void serveJobs(TokenBucketDispatchPolicy policy, int workers, LoadReport load) {
         for (int i = 0; i < workers; i++) {
-            String id = submit(d, i, "safe");
-            d.attemptFinished(i, id, 0, AttemptOutcome.SERVED, true, load);
+            String id = submit(policy, i, "safe");
+            policy.attemptFinished(i, id, 0, AttemptOutcome.SERVED, true, load);
         }
     }
 
-    TokenBucketDispatchPolicy policyWithOneTenant(double ratePerS, int gateways) {
-        TokenBucketDispatchPolicy d =
+    TokenBucketDispatchPolicy policyWithOneTenant(double ratePerS, int dispatcherCount) {
+        TokenBucketDispatchPolicy policy =
                 newPolicy(
                         settings()
                                 .tenants(List.of(new Tenant("t", ratePerS)))
-                                .dispatcherCount(gateways)
+                                .dispatcherCount(dispatcherCount)
                                 .build(),
                         "s1");
-        String id = submit(d, 0, "safe");
-        d.attemptFinished(0, id, 0, AttemptOutcome.SERVED, true, FULL_REPORT);
-        return d;
+        String id = submit(policy, 0, "safe");
+        policy.attemptFinished(0, id, 0, AttemptOutcome.SERVED, true, FULL_REPORT);
+        return policy;
     }
 
-    long submitAndCountAdmitted(TokenBucketDispatchPolicy d, int jobs) {
-        long refused = actions.count("refuse");
+    long submitAndCountAdmitted(TokenBucketDispatchPolicy policy, int jobs) {
+        long rejectedBefore = actions.count("reject");
         for (int i = 0; i < jobs; i++) {
-            submit(d, 0, "unsafe", "t", null);
+            submit(policy, 0, "unsafe", "t", null);
         }
-        return jobs - (actions.count("refuse") - refused);
+        return jobs - (actions.count("reject") - rejectedBefore);
     }
 
-    /** Gateways that know s1 (8 slots, jobs of 300 ms) and hear that s2 has just started cold. */
-    List<TokenBucketDispatchPolicy> dispatchersWithWorkerInSlowStart(int count, long coldNs) {
+    /**
+     * Returns dispatchers that know s1 (8 slots, jobs of 300 ms) and have just learned that s2 has
+     * started.
+     */
+    List<TokenBucketDispatchPolicy> dispatchersWithWorkerInSlowStart(int count, long startedNs) {
         return IntStream.range(0, count)
                 .mapToObj(
                         i -> {
-                            TokenBucketDispatchPolicy d =
+                            TokenBucketDispatchPolicy policy =
                                     new TokenBucketDispatchPolicy(
                                             settings()
                                                     .dispatcherCount(count)
@@ -170,39 +177,39 @@
                                                     .build(),
                                             i,
                                             actions);
-                            d.workersUpdated(
+                            policy.workersUpdated(
                                     0,
                                     WorkerListUpdateType.FULL,
                                     List.of(worker("s1", WorkerPhase.READY, 0)));
-                            for (int k = 0; k < 30; k++) {
-                                d.attemptFinished(
+                            for (int jobIndex = 0; jobIndex < 30; jobIndex++) {
+                                policy.attemptFinished(
                                         300 * MS,
-                                        submit(d, 0, "safe"),
+                                        submit(policy, 0, "safe"),
                                         0,
                                         AttemptOutcome.SERVED,
                                         true,
                                         IDLE_REPORT);
                             }
-                            d.workersUpdated(
-                                    coldNs,
+                            policy.workersUpdated(
+                                    startedNs,
                                     WorkerListUpdateType.FULL,
-                                    List.of(worker("s2", WorkerPhase.READY, coldNs)));
-                            return d;
+                                    List.of(worker("s2", WorkerPhase.READY, startedNs)));
+                            return policy;
                         })
                 .toList();
     }
 
     long submitAndCountSentToS2(
-            List<TokenBucketDispatchPolicy> gateways, int jobsEach, long nowNs) {
-        int before = actions.recorded.size();
-        for (TokenBucketDispatchPolicy d : gateways) {
+            List<TokenBucketDispatchPolicy> dispatchers, int jobsEach, long nowNs) {
+        int recordedBefore = actions.recorded.size();
+        for (TokenBucketDispatchPolicy policy : dispatchers) {
             for (int i = 0; i < jobsEach; i++) {
-                submit(d, nowNs, "safe");
+                submit(policy, nowNs, "safe");
             }
         }
         return actions.recorded.stream()
-                .skip(before)
-                .filter(l -> l.startsWith("send") && l.endsWith(" s2"))
+                .skip(recordedBefore)
+                .filter(action -> action.startsWith("send") && action.endsWith(" s2"))
                 .count();
     }
 }
--- a/core/src/test/java/postgrade/policy/PolicySettingsTest.java
+++ b/core/src/test/java/postgrade/policy/PolicySettingsTest.java
@@ -8,7 +8,7 @@
 import postgrade.policy.api.PolicySettings;
 import postgrade.policy.api.Tenant;
 
-/** Settings that cannot be. */
+/** Invalid settings are rejected with a message that names them. */
 class PolicySettingsTest extends PolicyFixture {
 
     @Test
--- a/core/src/test/java/postgrade/policy/QueuedJobTest.java
+++ b/core/src/test/java/postgrade/policy/QueuedJobTest.java
@@ -19,46 +19,48 @@
 import postgrade.policy.api.WorkerListUpdateType;
 import postgrade.policy.api.WorkerPhase;
 
-/** Jobs that wait at a worker: cancelled, moved or presumed lost. */
+/**
+ * Jobs queued at a worker, which are cancelled, moved or presumed lost, and the selection of
+ * workers by queueing delay and service time.
+ */
 class QueuedJobTest extends PolicyFixture {
 
     /**
-     * Simulated days of 60 uneven gateways: after a burst the queues held jobs that were late
-     * before they began.
+     * After a burst on many unevenly loaded dispatchers, queues hold jobs that are late before they
+     * start.
      */
     @Test
     void queuedJobThatCannotBeInTimeIsCancelledAndRejected() {
-        PolicySettings s = settings().workersReportStart(true).dispatcherCount(100).build();
-        TokenBucketDispatchPolicy d = newPolicy(s, "s1", "s2");
+        PolicySettings settings = settings().workersReportStart(true).dispatcherCount(100).build();
+        TokenBucketDispatchPolicy policy = newPolicy(settings, "s1", "s2");
         for (int i = 0; i < 40; i++) {
-            d.attemptFinished(
+            policy.attemptFinished(
                     100 * MS,
-                    submit(d, 0, "safe"),
+                    submit(policy, 0, "safe"),
                     0,
                     AttemptOutcome.SERVED,
                     true,
                     LoadReport.NONE);
         }
-        String safe = submit(d, SECOND, "safe");
-        String once = submit(d, SECOND, "unsafe");
-        String runs = submit(d, SECOND, "safe");
-        d.attemptStarted(SECOND, runs, 0);
-        d.timerFired(1400 * MS, "sweep");
-        assertEquals(0, actions.count("cancel"), "the aim is a second");
-        d.timerFired(1900 * MS, "sweep");
+        String safe = submit(policy, SECOND, "safe");
+        String notRepeatable = submit(policy, SECOND, "unsafe");
+        String runs = submit(policy, SECOND, "safe");
+        policy.attemptStarted(SECOND, runs, 0);
+        policy.timerFired(1400 * MS, "sweep");
+        assertEquals(0, actions.count("cancel"), "the objective is a second");
+        policy.timerFired(1900 * MS, "sweep");
         assertEquals("cancel " + safe + " 0", actions.last("cancel"));
-        assertEquals(0, actions.count("cancel " + once) + actions.count("cancel " + runs));
-        d.attemptFinished(1910 * MS, safe, 0, AttemptOutcome.CANCELLED, false, LoadReport.NONE);
-        assertEquals(1, actions.count("refuse " + safe));
+        assertEquals(0, actions.count("cancel " + notRepeatable) + actions.count("cancel " + runs));
+        policy.attemptFinished(
+                1910 * MS, safe, 0, AttemptOutcome.CANCELLED, false, LoadReport.NONE);
+        assertEquals(1, actions.count("reject " + safe));
         assertEquals(1, actions.count("send " + safe));
     }
 
-    /**
-     * Day nitra-mapy-later big-1: moved after 40 ms, jobs left queues that would have been in time.
-     */
+    /** Moving after 40 ms would take jobs out of queues in which they would have been in time. */
     @Test
     void queuedRepeatableJobMovesAfterHalfItsObjectiveIfAnotherWorkerHasCapacity() {
-        TokenBucketDispatchPolicy d =
+        TokenBucketDispatchPolicy policy =
                 newPolicy(
                         settings()
                                 .workersReportStart(true)
@@ -67,23 +69,23 @@
                                 .build(),
                         "s1",
                         "s2");
-        serveJobs(d, 20, IDLE_REPORT);
-        String id = submit(d, 0, "safe");
-        d.timerFired(450 * MS, "sweep");
-        assertEquals(0, actions.count("cancel " + id), "the class's aim is a second");
+        serveJobs(policy, 20, IDLE_REPORT);
+        String id = submit(policy, 0, "safe");
+        policy.timerFired(450 * MS, "sweep");
+        assertEquals(0, actions.count("cancel " + id), "the objective of the class is a second");
         String first = actions.sentTo(id);
-        d.timerFired(500 * MS, "sweep");
+        policy.timerFired(500 * MS, "sweep");
         assertEquals(1, actions.count("cancel " + id));
-        d.attemptFinished(501 * MS, id, 0, AttemptOutcome.CANCELLED, false, LoadReport.NONE);
+        policy.attemptFinished(501 * MS, id, 0, AttemptOutcome.CANCELLED, false, LoadReport.NONE);
         assertNotEquals(first, actions.sentTo(id));
-        String once = submit(d, 600 * MS, "unsafe");
-        d.timerFired(2 * SECOND, "sweep");
-        assertEquals(0, actions.count("cancel " + once));
+        String notRepeatable = submit(policy, 600 * MS, "unsafe");
+        policy.timerFired(2 * SECOND, "sweep");
+        assertEquals(0, actions.count("cancel " + notRepeatable));
     }
 
     @Test
     void queuedJobStaysWithTheOnlyWorker() {
-        TokenBucketDispatchPolicy d =
+        TokenBucketDispatchPolicy policy =
                 newPolicy(
                         settings()
                                 .workersReportStart(true)
@@ -91,25 +93,25 @@
                                 .dispatcherCount(100)
                                 .build(),
                         "s1");
-        serveJobs(d, 20, IDLE_REPORT);
-        String id = submit(d, 0, "safe");
-        d.timerFired(500 * MS, "sweep");
+        serveJobs(policy, 20, IDLE_REPORT);
+        String id = submit(policy, 0, "safe");
+        policy.timerFired(500 * MS, "sweep");
         assertEquals(0, actions.count("cancel " + id));
     }
 
     /**
-     * Day prairie-clips big-2: a quarter of the attempts were moves whose first try ran all the
-     * same.
+     * Without the limit a quarter of the attempts were moves of jobs whose cancelled first attempt
+     * ran nevertheless.
      */
     @ParameterizedTest
     @CsvSource({"2, 0", "20, 2", "200, 6"})
-    void fewDispatchersMoveFewJobs(int gateways, int moves) {
-        TokenBucketDispatchPolicy d =
+    void fewDispatchersMoveFewJobs(int dispatchers, int moves) {
+        TokenBucketDispatchPolicy policy =
                 newPolicy(
                         settings()
                                 .workersReportStart(true)
                                 .allowsConcurrentAttempts(false)
-                                .dispatcherCount(gateways)
+                                .dispatcherCount(dispatchers)
                                 .build(),
                         "s1",
                         "s2",
@@ -118,41 +120,43 @@
                         "s5",
                         "s6",
                         "s7");
-        serveJobs(d, 40, IDLE_REPORT);
+        serveJobs(policy, 40, IDLE_REPORT);
         for (int i = 0; i < 6; i++) {
-            submit(d, 0, "safe");
+            submit(policy, 0, "safe");
         }
-        d.timerFired(500 * MS, "sweep");
+        policy.timerFired(500 * MS, "sweep");
         assertEquals(moves, actions.count("cancel"));
     }
 
     @Test
     void failingWorkersAreEjectedButNeverMostOfThemAndAreRetried() {
-        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2", "s3", "s4", "s5");
-        List<String> held = IntStream.range(0, 20).mapToObj(i -> submit(d, 0, "unsafe")).toList();
+        TokenBucketDispatchPolicy policy =
+                newPolicy(settings().build(), "s1", "s2", "s3", "s4", "s5");
+        List<String> held =
+                IntStream.range(0, 20).mapToObj(i -> submit(policy, 0, "unsafe")).toList();
         for (String id : held) {
-            boolean bad = actions.sentTo(id).equals("s1");
-            d.attemptFinished(
+            boolean fails = actions.sentTo(id).equals("s1");
+            policy.attemptFinished(
                     100 * MS,
                     id,
                     0,
-                    bad ? AttemptOutcome.ERROR : AttemptOutcome.SERVED,
-                    !bad,
+                    fails ? AttemptOutcome.ERROR : AttemptOutcome.SERVED,
+                    !fails,
                     LoadReport.NONE);
         }
         for (int i = 0; i < 10; i++) {
-            assertNotEquals("s1", actions.sentTo(submit(d, 150 * MS, "safe")));
+            assertNotEquals("s1", actions.sentTo(submit(policy, 150 * MS, "safe")));
         }
         String trial = "";
         for (int i = 0; i < 10 && !actions.sentTo(trial).equals("s1"); i++) {
-            trial = submit(d, 10 * SECOND, "safe");
+            trial = submit(policy, 10 * SECOND, "safe");
         }
         assertEquals("s1", actions.sentTo(trial), "tried again");
-        d.attemptFinished(10 * SECOND, trial, 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
+        policy.attemptFinished(10 * SECOND, trial, 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
         for (int i = 0; i < 10; i++) {
             assertNotEquals(
                     "s1",
-                    actions.sentTo(submit(d, 10 * SECOND, "safe")),
+                    actions.sentTo(submit(policy, 10 * SECOND, "safe")),
                     "one more failure is enough");
         }
 
@@ -162,83 +166,87 @@
                     i, submit(all, i, "unsafe"), 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
         }
         assertFalse(
-                actions.sentTo(submit(all, 101, "unsafe")).isEmpty(),
-                "somewhere to send is always left");
+                actions.sentTo(submit(all, 101, "unsafe")).isEmpty(), "some worker always remains");
     }
 
-    /** Incident i42769e: many gateways holding nothing anywhere all chose the same fast worker. */
+    /** Many dispatchers without jobs in flight must not all select the same fast worker. */
     @Test
     void idleWorkersAreSelectedAtRandomRatherThanTheFastestByAllDispatchers() {
         Set<String> chosen = new TreeSet<>();
         for (int seed = 0; seed < 20; seed++) {
-            TokenBucketDispatchPolicy d =
+            TokenBucketDispatchPolicy policy =
                     new TokenBucketDispatchPolicy(settings().build(), seed, actions);
-            d.workersUpdated(
+            policy.workersUpdated(
                     0,
                     WorkerListUpdateType.FULL,
                     List.of(
                             worker("b1", WorkerPhase.READY, 0),
                             worker("s2", WorkerPhase.READY, 0)));
-            String a = submit(d, 0, "safe");
-            String b = submit(d, 0, "safe");
+            String a = submit(policy, 0, "safe");
+            String b = submit(policy, 0, "safe");
             long fast = actions.sentTo(a).equals("b1") ? 1 : 10;
-            d.attemptFinished(fast * 100 * MS, a, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
-            d.attemptFinished(
+            policy.attemptFinished(
+                    fast * 100 * MS, a, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
+            policy.attemptFinished(
                     (11 - fast) * 100 * MS, b, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
-            chosen.add(actions.sentTo(submit(d, 2 * SECOND, "safe")));
+            chosen.add(actions.sentTo(submit(policy, 2 * SECOND, "safe")));
         }
         assertEquals(Set.of("b1", "s2"), chosen);
     }
 
-    /**
-     * Fast failures: each costs a job that may not be repeated, long before the worker is ejected.
-     */
+    /** A worker that fails fast costs jobs that must not run twice long before it is ejected. */
     @Test
     void oneFailureDivertsJobsThatMustNotRunTwice() {
-        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2");
-        String failed = submit(d, 0, "safe");
-        d.attemptFinished(MS, failed, 0, AttemptOutcome.ERROR, true, LoadReport.NONE);
-        long there = 0;
+        TokenBucketDispatchPolicy policy = newPolicy(settings().build(), "s1", "s2");
+        String failed = submit(policy, 0, "safe");
+        policy.attemptFinished(MS, failed, 0, AttemptOutcome.ERROR, true, LoadReport.NONE);
+        long sentThere = 0;
         for (int i = 0; i < 20; i++) {
-            String id = submit(d, (2 + i) * MS, "unsafe");
-            there += actions.sentTo(id).equals(actions.sentTo(failed)) ? 1 : 0;
-            d.attemptFinished((2 + i) * MS, id, 0, AttemptOutcome.NOT_SENT, true, LoadReport.NONE);
+            String id = submit(policy, (2 + i) * MS, "unsafe");
+            sentThere += actions.sentTo(id).equals(actions.sentTo(failed)) ? 1 : 0;
+            policy.attemptFinished(
+                    (2 + i) * MS, id, 0, AttemptOutcome.NOT_SENT, true, LoadReport.NONE);
         }
-        assertTrue(there <= 3, "sent there nevertheless: " + there);
+        assertTrue(sentThere <= 3, "sent to the failing worker: " + sentThere);
     }
 
-    /** Queues that other gateways filled: what waited there is the one sign of them. */
+    /**
+     * Other dispatchers fill the queue of a worker; the queueing delay of own jobs is the only sign
+     * of it.
+     */
     @Test
     void workerWithQueueingDelayGetsFewerJobsForAWhile() {
-        TokenBucketDispatchPolicy d =
+        TokenBucketDispatchPolicy policy =
                 newPolicy(settings().workersReportStart(true).build(), "s1", "s2");
-        String first = submit(d, 0, "safe");
-        d.attemptStarted(MS, submit(d, 0, "safe"), 0);
-        d.attemptStarted(600 * MS, first, 0);
+        String first = submit(policy, 0, "safe");
+        policy.attemptStarted(MS, submit(policy, 0, "safe"), 0);
+        policy.attemptStarted(600 * MS, first, 0);
         for (int i = 0; i < 2; i++) {
-            d.attemptFinished(700 * MS, "j" + i, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
+            policy.attemptFinished(
+                    700 * MS, "j" + i, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
         for (int i = 0; i < 40; i++) {
             long nowNs = 700 * MS + i * 10 * MS;
-            String id = submit(d, nowNs, "safe");
-            d.attemptStarted(nowNs + MS, id, 0);
-            d.attemptFinished(nowNs + 2 * MS, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
+            String id = submit(policy, nowNs, "safe");
+            policy.attemptStarted(nowNs + MS, id, 0);
+            policy.attemptFinished(
+                    nowNs + 2 * MS, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
         String slow = actions.sentTo(first);
-        long there =
+        long sentThere =
                 actions.recorded.stream()
-                        .filter(l -> l.startsWith("send") && l.endsWith(slow))
+                        .filter(action -> action.startsWith("send") && action.endsWith(slow))
                         .count();
-        assertTrue(there < 25, "sent to the one where jobs wait: " + there);
+        assertTrue(sentThere < 25, "sent to the worker with queued jobs: " + sentThere);
     }
 
     /**
-     * One gateway bore all traffic while the other restarted, and refused as if that held as much
-     * again.
+     * While one dispatcher restarts, the other carries all traffic. It must not reject jobs as if
+     * the first one held as many.
      */
     @Test
     void otherDispatchersAreAssumedToHoldLessWhileNoJobIsQueued() {
-        TokenBucketDispatchPolicy d =
+        TokenBucketDispatchPolicy policy =
                 newPolicy(
                         settings()
                                 .workersReportStart(true)
@@ -250,62 +258,68 @@
         long nowNs = 0;
         for (int i = 0; i < 400; i++) {
             nowNs += 100 * MS;
-            String id = submit(d, nowNs, "safe");
-            d.attemptStarted(nowNs + MS, id, 0);
-            d.attemptFinished(
+            String id = submit(policy, nowNs, "safe");
+            policy.attemptStarted(nowNs + MS, id, 0);
+            policy.attemptFinished(
                     nowNs + 900 * MS, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
-        long before = actions.count("refuse");
+        long before = actions.count("reject");
         for (int i = 0; i < 12; i++) {
-            String id = submit(d, nowNs + 950 * MS, "safe", "t", null);
-            d.attemptStarted(nowNs + 951 * MS, id, 0);
-            d.attemptFinished(
+            String id = submit(policy, nowNs + 950 * MS, "safe", "t", null);
+            policy.attemptStarted(nowNs + 951 * MS, id, 0);
+            policy.attemptFinished(
                     nowNs + 951 * MS, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
-        assertEquals(before, actions.count("refuse"), "beyond its share, and there is room");
+        assertEquals(before, actions.count("reject"), "beyond its quota, but there is capacity");
     }
 
-    /** Workers of one kind differed by a factor of four, and each got as many jobs as the next. */
+    /**
+     * Workers of one kind may differ in speed by a factor of four and must not all get the same
+     * number of jobs.
+     */
     @Test
     void fastWorkerOfAKindGetsMoreJobsThanASlowOne() {
-        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2");
+        TokenBucketDispatchPolicy policy = newPolicy(settings().build(), "s1", "s2");
         long nowNs = 0;
         for (int i = 0; i < 60; i++) {
             nowNs += 3 * SECOND;
-            String id = submit(d, nowNs, "safe");
+            String id = submit(policy, nowNs, "safe");
             long ran = actions.sentTo(id).equals("s1") ? SECOND : SECOND / 4;
-            d.attemptFinished(nowNs + ran, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
+            policy.attemptFinished(
+                    nowNs + ran, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
         nowNs += 10 * SECOND;
         long before = actions.sendsTo("s2"::equals);
         for (int i = 0; i < 10; i++) {
-            submit(d, nowNs, "safe");
+            submit(policy, nowNs, "safe");
         }
         long fast = actions.sendsTo("s2"::equals) - before;
-        assertTrue(fast >= 6 && fast < 10, "to the fast one: " + fast);
+        assertTrue(fast >= 6 && fast < 10, "sent to the fast worker: " + fast);
     }
 
     @Test
     void implausibleReportsDoNotAttractJobs() {
-        for (LoadReport absurd :
+        for (LoadReport implausible :
                 List.of(
                         new LoadReport(-5, 0, 0, 0),
                         new LoadReport(1e12, 0, 0, 0),
                         LoadReport.NONE,
                         new LoadReport(Double.POSITIVE_INFINITY, 0, 0, 0))) {
             actions.recorded.clear();
-            TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2");
-            String id = submit(d, 0, "safe");
-            String liar = actions.sentTo(id);
-            d.attemptFinished(1, id, 0, AttemptOutcome.SERVED, true, absurd);
+            TokenBucketDispatchPolicy policy = newPolicy(settings().build(), "s1", "s2");
+            String id = submit(policy, 0, "safe");
+            String reporter = actions.sentTo(id);
+            policy.attemptFinished(1, id, 0, AttemptOutcome.SERVED, true, implausible);
             for (int i = 0; i < 8; i++) {
-                submit(d, 2, "safe");
+                submit(policy, 2, "safe");
             }
-            long there =
+            long sentThere =
                     actions.recorded.stream()
-                            .filter(l -> l.startsWith("send") && l.endsWith(liar))
+                            .filter(
+                                    action ->
+                                            action.startsWith("send") && action.endsWith(reporter))
                             .count();
-            assertTrue(there <= 5, absurd + ": " + there);
+            assertTrue(sentThere <= 5, implausible + ": " + sentThere);
         }
     }
 }
--- a/core/src/test/java/postgrade/policy/RateLimitTest.java
+++ b/core/src/test/java/postgrade/policy/RateLimitTest.java
@@ -16,109 +16,110 @@
 
     @Test
     void emptyBucketRejectsAtOnceWithRetryAfterAndRefills() {
-        TokenBucketDispatchPolicy d = policyWithOneTenant(4, 1);
+        TokenBucketDispatchPolicy policy = policyWithOneTenant(4, 1);
         for (int i = 0; i < 12; i++) {
-            submit(d, 0, "unsafe", "t", null);
+            submit(policy, 0, "unsafe", "t", null);
         }
-        assertEquals(4, actions.count("refuse"), "a burst of two seconds of the rate is admitted");
-        assertEquals("refuse j12 250000000", actions.last("refuse"));
-        d.attemptFinished(0, "j1", 0, AttemptOutcome.SERVED, true, FULL_REPORT);
-        submit(d, SECOND / 8, "safe", "t", null);
-        assertEquals(5, actions.count("refuse"));
-        submit(d, SECOND / 4, "safe", "t", null);
-        assertEquals(5, actions.count("refuse"), "one token after a quarter of a second");
+        assertEquals(4, actions.count("reject"), "a burst of two seconds of the rate is admitted");
+        assertEquals("reject j12 250000000", actions.last("reject"));
+        policy.attemptFinished(0, "j1", 0, AttemptOutcome.SERVED, true, FULL_REPORT);
+        submit(policy, SECOND / 8, "safe", "t", null);
+        assertEquals(5, actions.count("reject"));
+        submit(policy, SECOND / 4, "safe", "t", null);
+        assertEquals(5, actions.count("reject"), "one token after a quarter of a second");
     }
 
     /**
-     * A part of 0.2 jobs a second with one token refused a third of the jobs of tenants within
-     * their share.
+     * With a rate of 0.2 jobs per second per dispatcher and a burst of one token, a third of the
+     * jobs of tenants within their quota would be rejected.
      */
     @Test
     void dispatchersShareRateAndBurstEvenlyDownToAMinimumBurst() {
-        TokenBucketDispatchPolicy d = policyWithOneTenant(20, 100);
+        TokenBucketDispatchPolicy policy = policyWithOneTenant(20, 100);
         for (int i = 0; i < 5; i++) {
-            assertFalse(actions.sentTo(submit(d, 0, "safe", "t", null)).isEmpty());
+            assertFalse(actions.sentTo(submit(policy, 0, "safe", "t", null)).isEmpty());
         }
-        submit(d, 0, "safe", "t", null);
+        submit(policy, 0, "safe", "t", null);
         assertEquals(
-                "refuse j6 2000000000",
-                actions.last("refuse"),
+                "reject j6 2000000000",
+                actions.last("reject"),
                 "the next token of a hundredth of the rate");
     }
 
     @Test
     void rejectedJobIsChargedToItsOtherBuckets() {
-        PolicySettings s =
+        PolicySettings settings =
                 settings().tenants(List.of(new Tenant("a", 1), new Tenant("b", 100))).build();
-        TokenBucketDispatchPolicy d = newPolicy(s, "s1");
-        d.attemptFinished(0, submit(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, FULL_REPORT);
+        TokenBucketDispatchPolicy policy = newPolicy(settings, "s1");
+        policy.attemptFinished(
+                0, submit(policy, 0, "safe"), 0, AttemptOutcome.SERVED, true, FULL_REPORT);
         for (int i = 0; i < 300; i++) {
-            submit(d, 0, "unsafe", "a", "k");
+            submit(policy, 0, "unsafe", "a", "k");
         }
-        long before = actions.count("refuse");
-        submit(d, 0, "safe", "b", "k");
+        long before = actions.count("reject");
+        submit(policy, 0, "safe", "b", "k");
         assertEquals(
                 before + 1,
-                actions.count("refuse"),
-                "tenant a's refused jobs emptied the key's bucket");
-        submit(d, 0, "safe", "b", "other");
-        assertEquals(before + 1, actions.count("refuse"));
+                actions.count("reject"),
+                "tenant a's rejected jobs emptied the key's bucket");
+        submit(policy, 0, "safe", "b", "other");
+        assertEquals(before + 1, actions.count("reject"));
     }
 
     @Test
     void evictedBucketReturnsFull() {
-        PolicySettings s =
+        PolicySettings settings =
                 settings()
                         .tenants(List.of(new Tenant("a", 0.1), new Tenant("b", 0.1)))
                         .maxBuckets(1)
                         .build();
-        TokenBucketDispatchPolicy d = newPolicy(s, "s1");
-        d.attemptFinished(0, submit(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, FULL_REPORT);
+        TokenBucketDispatchPolicy policy = newPolicy(settings, "s1");
+        policy.attemptFinished(
+                0, submit(policy, 0, "safe"), 0, AttemptOutcome.SERVED, true, FULL_REPORT);
         for (int i = 0; i < 6; i++) {
-            submit(d, 0, "safe", "a", null);
+            submit(policy, 0, "safe", "a", null);
         }
-        assertEquals(1, actions.count("refuse"));
-        submit(d, 0, "safe", "b", null);
-        submit(d, 0, "safe", "a", null);
-        assertEquals(1, actions.count("refuse"), "a was evicted by b");
+        assertEquals(1, actions.count("reject"));
+        submit(policy, 0, "safe", "b", null);
+        submit(policy, 0, "safe", "a", null);
+        assertEquals(1, actions.count("reject"), "a was evicted by b");
     }
 
     @Test
     void tenantBeyondItsRateUsesOnlyCapacityBeyondTheReserve() {
-        PolicySettings s = settings().tenants(List.of(new Tenant("t", 0.1))).build();
-        TokenBucketDispatchPolicy d = newPolicy(s, "s1", "s2", "s3", "s4");
-        serveJobs(d, 8, IDLE_REPORT);
+        PolicySettings settings = settings().tenants(List.of(new Tenant("t", 0.1))).build();
+        TokenBucketDispatchPolicy policy = newPolicy(settings, "s1", "s2", "s3", "s4");
+        serveJobs(policy, 8, IDLE_REPORT);
         for (int i = 0; i < 30; i++) {
-            submit(d, SECOND, "safe", "t", null);
+            submit(policy, SECOND, "safe", "t", null);
         }
-        assertTrue(actions.count("refuse") > 0, "the reserve is kept");
-        assertTrue(actions.count("send") > 12, "room beyond it is used");
+        assertTrue(actions.count("reject") > 0, "the reserve is kept");
+        assertTrue(actions.count("send") > 12, "capacity beyond it is used");
     }
 
-    /**
-     * Days cnx- and caerdydd-main-later big-1: reports faded to half free, so at size all excess
-     * was admitted.
-     */
+    /** If old reports decayed to half free, a large fleet would admit all jobs beyond the quota. */
     @Test
     void oldReportsOfABusyFleetAdmitNoExcess() {
-        PolicySettings s = settings().tenants(List.of(new Tenant("t", 1))).build();
-        TokenBucketDispatchPolicy d =
-                newPolicy(s, IntStream.range(0, 20).mapToObj(i -> "s" + i).toArray(String[]::new));
-        serveJobs(d, 5, IDLE_REPORT);
-        serveJobs(d, 100, FULL_REPORT);
+        PolicySettings settings = settings().tenants(List.of(new Tenant("t", 1))).build();
+        TokenBucketDispatchPolicy policy =
+                newPolicy(
+                        settings,
+                        IntStream.range(0, 20).mapToObj(i -> "s" + i).toArray(String[]::new));
+        serveJobs(policy, 5, IDLE_REPORT);
+        serveJobs(policy, 100, FULL_REPORT);
         for (int i = 0; i < 30; i++) {
-            submit(d, 20 * SECOND, "safe", "t", null);
+            submit(policy, 20 * SECOND, "safe", "t", null);
         }
-        assertEquals(25, actions.count("refuse"), "all beyond the burst");
+        assertEquals(25, actions.count("reject"), "all beyond the burst");
     }
 
     @Test
     void jobWithoutTenantOrKeyIsNotRateLimited() {
-        TokenBucketDispatchPolicy d =
+        TokenBucketDispatchPolicy policy =
                 newPolicy(settings().tenants(List.of(new Tenant("t", 0.1))).build(), "s1", "s2");
         for (int i = 0; i < 20; i++) {
-            submit(d, 0, "safe", null, null);
+            submit(policy, 0, "safe", null, null);
         }
-        assertEquals(0, actions.count("refuse"));
+        assertEquals(0, actions.count("reject"));
     }
 }
--- a/core/src/test/java/postgrade/policy/RecordingActions.java
+++ b/core/src/test/java/postgrade/policy/RecordingActions.java
@@ -5,22 +5,22 @@
 import java.util.function.Predicate;
 import postgrade.policy.api.PolicyActions;
 
-/** Writes actions down as words, oldest first. */
+/** Records the actions of a policy as text, oldest first. */
 final class RecordingActions implements PolicyActions {
     final List<String> recorded = new ArrayList<>();
 
-    /** Within which the last attempt's request has to go out. */
-    long windowNs;
+    /** The time within which the request of the latest attempt has to be sent. */
+    long sendWithinNs;
 
     @Override
-    public void startAttempt(String jobId, String workerId, long limitNs) {
+    public void startAttempt(String jobId, String workerId, long timeoutNs) {
         recorded.add("send " + jobId + " " + workerId);
     }
 
     @Override
-    public void startAttempt(String jobId, String workerId, long limitNs, long within) {
-        windowNs = within;
-        startAttempt(jobId, workerId, limitNs);
+    public void startAttempt(String jobId, String workerId, long timeoutNs, long withinNs) {
+        sendWithinNs = withinNs;
+        startAttempt(jobId, workerId, timeoutNs);
     }
 
     @Override
@@ -30,7 +30,7 @@
 
     @Override
     public void reject(String jobId, long retryAfterNs) {
-        recorded.add("refuse " + jobId + " " + retryAfterNs);
+        recorded.add("reject " + jobId + " " + retryAfterNs);
     }
 
     @Override
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public void startTimer(String token, long inNs) {
+    public void startTimer(String token, long delayNs) {
         recorded.add("timer " + token);
     }
 
@@ -53,28 +53,31 @@
         recorded.add("watch");
     }
 
-    long count(String start) {
-        return recorded.stream().filter(s -> s.startsWith(start)).count();
+    long count(String prefix) {
+        return recorded.stream().filter(action -> action.startsWith(prefix)).count();
     }
 
-    /** The newest line with this start, or an empty text. */
-    String last(String start) {
-        return recorded.stream().filter(s -> s.startsWith(start)).reduce("", (a, b) -> b);
+    /** Returns the latest action with this prefix, or an empty string. */
+    String last(String prefix) {
+        return recorded.stream()
+                .filter(action -> action.startsWith(prefix))
+                .reduce("", (earlier, later) -> later);
     }
 
-    /** How many attempts went to workers whose id passes the test. */
+    /** Returns how many attempts were sent to workers whose id matches. */
     long sendsTo(Predicate<String> workerId) {
         return recorded.stream()
                 .filter(
-                        s ->
-                                s.startsWith("send ")
-                                        && workerId.test(s.substring(s.lastIndexOf(' ') + 1)))
+                        action ->
+                                action.startsWith("send ")
+                                        && workerId.test(
+                                                action.substring(action.lastIndexOf(' ') + 1)))
                 .count();
     }
 
-    /** The worker that the job was last sent to, or an empty text. */
+    /** Returns the worker that the job was last sent to, or an empty string. */
     String sentTo(String jobId) {
-        String line = last("send " + jobId + " ");
-        return line.substring(line.lastIndexOf(' ') + 1);
+        String action = last("send " + jobId + " ");
+        return action.substring(action.lastIndexOf(' ') + 1);
     }
 }
--- a/core/src/test/java/postgrade/policy/SettingsChangeTest.java
+++ b/core/src/test/java/postgrade/policy/SettingsChangeTest.java
@@ -13,56 +13,58 @@
 import postgrade.policy.api.PolicySettings;
 import postgrade.policy.api.Tenant;
 
-/** Settings that change while jobs are in flight. */
+/** Changes of settings while jobs are in flight. */
 class SettingsChangeTest extends PolicyFixture {
 
     @Test
     void newSettingsApplyAtOnceAndRefillNoBucket() {
-        PolicySettings.Builder b = settings().tenants(List.of(new Tenant("t", 4)));
-        TokenBucketDispatchPolicy d = newPolicy(b.build(), "s1");
-        d.attemptFinished(0, submit(d, 0, "safe"), 0, AttemptOutcome.SERVED, true, FULL_REPORT);
+        PolicySettings.Builder builder = settings().tenants(List.of(new Tenant("t", 4)));
+        TokenBucketDispatchPolicy policy = newPolicy(builder.build(), "s1");
+        policy.attemptFinished(
+                0, submit(policy, 0, "safe"), 0, AttemptOutcome.SERVED, true, FULL_REPORT);
         for (int i = 0; i < 8; i++) {
-            submit(d, 0, "unsafe", "t", null);
+            submit(policy, 0, "unsafe", "t", null);
         }
-        long refused = actions.count("refuse");
-        d.settingsChanged(
-                0, b.classes(List.of(JobClass.of("fresh", Idempotency.IDEMPOTENT))).build());
-        submit(d, 0, "fresh", "t", null);
-        assertEquals(refused + 1, actions.count("refuse"), "no fresh burst");
-        assertThrows(IllegalArgumentException.class, () -> submit(d, 0, "safe"));
-        d.settingsChanged(0, b.tenants(List.of()).build());
-        submit(d, MS, "fresh", "t", null);
+        long rejected = actions.count("reject");
+        policy.settingsChanged(
+                0, builder.classes(List.of(JobClass.of("fresh", Idempotency.IDEMPOTENT))).build());
+        submit(policy, 0, "fresh", "t", null);
+        assertEquals(rejected + 1, actions.count("reject"), "no new burst");
+        assertThrows(IllegalArgumentException.class, () -> submit(policy, 0, "safe"));
+        policy.settingsChanged(0, builder.tenants(List.of()).build());
+        submit(policy, MS, "fresh", "t", null);
         assertFalse(actions.last("send").isEmpty());
     }
 
     @Test
     void changedAttemptLimitAppliesToJobsInFlight_andTheyKeepTheirFormerClass() {
-        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2", "s3");
-        String id = submit(d, 0, "safe");
-        String kept = submit(d, 0, "safe");
-        d.settingsChanged(
+        TokenBucketDispatchPolicy policy = newPolicy(settings().build(), "s1", "s2", "s3");
+        String id = submit(policy, 0, "safe");
+        String otherId = submit(policy, 0, "safe");
+        policy.settingsChanged(
                 0,
                 settings()
                         .classes(List.of(JobClass.of("safe", Idempotency.NOT_IDEMPOTENT)))
                         .maxAttempts(1)
                         .build());
-        d.attemptFinished(MS, id, 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
+        policy.attemptFinished(MS, id, 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
         assertEquals(
-                "refuse " + id,
-                actions.last("refuse").substring(0, 7 + id.length()),
+                "reject " + id,
+                actions.last("reject").substring(0, 7 + id.length()),
                 "no second attempt");
-        d.settingsChanged(
+        policy.settingsChanged(
                 0,
                 settings()
                         .classes(List.of(JobClass.of("safe", Idempotency.NOT_IDEMPOTENT)))
                         .maxAttempts(6)
                         .build());
         for (int i = 0; i < 5; i++) {
-            d.attemptFinished(2 * MS, kept, i, AttemptOutcome.FULL, false, LoadReport.NONE);
-            d.timerFired(2 * SECOND + 60 * MS * i, "sweep");
+            policy.attemptFinished(2 * MS, otherId, i, AttemptOutcome.FULL, false, LoadReport.NONE);
+            policy.timerFired(2 * SECOND + 60 * MS * i, "sweep");
         }
-        String once = submit(d, 3 * SECOND, "safe");
-        d.attemptFinished(3 * SECOND, once, 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
-        assertEquals("fail " + once, actions.last("fail"));
+        String notRepeatable = submit(policy, 3 * SECOND, "safe");
+        policy.attemptFinished(
+                3 * SECOND, notRepeatable, 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
+        assertEquals("fail " + notRepeatable, actions.last("fail"));
     }
 }
--- a/core/src/test/java/postgrade/policy/SlowStartBudgetTest.java
+++ b/core/src/test/java/postgrade/policy/SlowStartBudgetTest.java
@@ -18,27 +18,28 @@
 import postgrade.policy.api.Tenant;
 
 /**
- * What all gateways together send to a cold worker, in a seeded simulation. Within each window it
- * may get N requests of mean work, and 2 roots of N and 2 more are put down to chance;
- * docs/measurements/cold-ramp.md has the calculation.
+ * The work that all dispatchers together send to a worker in slow start, in a seeded simulation.
+ * Within each window it may get N jobs of mean service time; 2 square roots of N and 2 jobs more
+ * are attributed to chance. docs/measurements/cold-ramp.md has the calculation.
  */
 class SlowStartBudgetTest {
 
     private static final double OVERLOAD_MULTIPLE = 3;
     private static final long WINDOW_NS = 2 * SECOND;
 
-    /** What the fleet has together, in workers of five slots or of two. */
+    /** Slots of the whole fleet, whose workers have five slots or two. */
     private static final int FLEET_SLOTS = 120;
 
-    private static final Map<String, Double> MEAN_SERVICE_TIMES_NS = Map.of("short", 150e6, "long", 600e6);
+    private static final Map<String, Double> MEAN_SERVICE_TIMES_NS =
+            Map.of("short", 150e6, "long", 600e6);
     private static final double MEAN_SERVICE_TIME_NS = 375e6;
 
-    /** What the fleet can do, jobs a second. */
+    /** Capacity of the fleet in jobs per second. */
     private static final double CAPACITY_PER_S = FLEET_SLOTS * 1e9 / MEAN_SERVICE_TIME_NS;
 
-    private static PolicySettings settings(int gateways, int index) {
+    private static PolicySettings settings(int dispatchers, int index) {
         return PolicySettings.builder()
-                .dispatcherCount(gateways)
+                .dispatcherCount(dispatchers)
                 .dispatcherIndex(index)
                 .classes(
                         List.of(
@@ -74,67 +75,73 @@
     }
 
     /**
-     * The most by which the work in any window since the worker's start went over N, in roots of N;
-     * and that work over N.
+     * Returns by how much the work in any window since the worker's start exceeded N + 2 at most,
+     * in square roots of N; and the greatest ratio of that work to N.
      */
-    private static double[] worstWindow(SimulatedWorker m) {
-        double worst = 0;
-        double over = -9;
+    private static double[] worstWindow(SimulatedWorker worker) {
+        double maxRatio = 0;
+        double maxExcessInRoots = -9;
         double sum = 0;
-        int from = 0;
-        for (int i = 0; i < m.received.size(); i++) {
-            ReceivedJob c = m.received.get(i);
-            sum += c.serviceTimeNs() / MEAN_SERVICE_TIME_NS;
-            while (m.received.get(from).atNs() <= c.atNs() - WINDOW_NS) {
-                sum -= m.received.get(from++).serviceTimeNs() / MEAN_SERVICE_TIME_NS;
+        int firstInWindow = 0;
+        for (int i = 0; i < worker.received.size(); i++) {
+            ReceivedJob job = worker.received.get(i);
+            sum += job.serviceTimeNs() / MEAN_SERVICE_TIME_NS;
+            while (worker.received.get(firstInWindow).atNs() <= job.atNs() - WINDOW_NS) {
+                sum -= worker.received.get(firstInWindow++).serviceTimeNs() / MEAN_SERVICE_TIME_NS;
             }
-            // The least that it can do in this window: what it could at its begin, or at its start.
-            double n =
+            // Its lowest capacity in this window: at the start of the window or of the worker.
+            double allowed =
                     OVERLOAD_MULTIPLE
-                            * m.slowStartShare(Math.max(m.startedNs, c.atNs() - WINDOW_NS))
-                            * m.slots
+                            * worker.slowStartShare(
+                                    Math.max(worker.startedNs, job.atNs() - WINDOW_NS))
+                            * worker.slots
                             * WINDOW_NS
                             / MEAN_SERVICE_TIME_NS;
-            worst = Math.max(worst, sum / n);
-            over = Math.max(over, (sum - n - 2) / Math.sqrt(n));
+            maxRatio = Math.max(maxRatio, sum / allowed);
+            maxExcessInRoots = Math.max(maxExcessInRoots, (sum - allowed - 2) / Math.sqrt(allowed));
         }
-        return new double[] {over, worst};
+        return new double[] {maxExcessInRoots, maxRatio};
     }
 
-    private static FleetSimulation simulationUnderBurst(int gateways, int slots, long seed) {
-        FleetSimulation f =
+    private static FleetSimulation simulationUnderBurst(int dispatchers, int slots, long seed) {
+        FleetSimulation simulation =
                 new FleetSimulation(
-                        seed, i -> settings(gateways, i), FLEET_SLOTS / slots, slots, MEAN_SERVICE_TIMES_NS, 1);
-        f.generateLoad(0.7 * CAPACITY_PER_S, 30 * SECOND);
-        f.run(8 * SECOND);
-        f.generateLoad(0.7 * CAPACITY_PER_S, 14 * SECOND);
-        return f;
+                        seed,
+                        i -> settings(dispatchers, i),
+                        FLEET_SLOTS / slots,
+                        slots,
+                        MEAN_SERVICE_TIMES_NS,
+                        1);
+        simulation.generateLoad(0.7 * CAPACITY_PER_S, 30 * SECOND);
+        simulation.run(8 * SECOND);
+        simulation.generateLoad(0.7 * CAPACITY_PER_S, 14 * SECOND);
+        return simulation;
     }
 
     /**
-     * Three workers restart under the same id, one after another. Returns how many got more than is
-     * put down to chance.
+     * Restarts three workers under the same id, one after another. Returns how many were sent more
+     * than is attributed to chance.
      */
-    private static int countWorkersOverBudget(FleetSimulation f, String what) {
+    private static int countWorkersOverBudget(FleetSimulation simulation, String scenario) {
         List<String> restarted = List.of("w3", "w7", "w11");
-        for (String w : restarted) {
-            f.restartWorker(w, 200 * MS);
-            f.run(f.now + SECOND);
+        for (String id : restarted) {
+            simulation.restartWorker(id, 200 * MS);
+            simulation.run(simulation.now + SECOND);
         }
-        f.run(30 * SECOND);
+        simulation.run(30 * SECOND);
         int over = 0;
-        for (String w : restarted) {
-            SimulatedWorker m = f.workers.get(w);
-            double[] worst = worstWindow(m);
+        for (String id : restarted) {
+            SimulatedWorker worker = simulation.workers.get(id);
+            double[] worst = worstWindow(worker);
             assertTrue(
-                    m.received.size() > 10,
-                    what + ": it was used, " + m.received.size() + " calls");
+                    worker.received.size() > 10,
+                    scenario + ": it was used, " + worker.received.size() + " jobs");
             over += worst[0] > 2 ? 1 : 0;
             assertTrue(
                     worst[0] <= 4,
-                    what
+                    scenario
                             + ", "
-                            + w
+                            + id
                             + ": "
                             + worst[0]
                             + " roots of N over N + 2, "
@@ -146,40 +153,43 @@
 
     @ParameterizedTest
     @ValueSource(ints = {5, 30, 100})
-    void allDispatchersTogetherStayWithinTheBudgetOnRestartsUnderBurst(int gateways) {
+    void allDispatchersTogetherStayWithinTheBudgetOnRestartsUnderBurst(int dispatchers) {
         for (long seed = 1; seed <= 6; seed++) {
-            String what = gateways + " gateways, seed " + seed;
-            assertEquals(0, countWorkersOverBudget(simulationUnderBurst(gateways, 5, seed), what), what);
+            String scenario = dispatchers + " dispatchers, seed " + seed;
+            assertEquals(
+                    0,
+                    countWorkersOverBudget(simulationUnderBurst(dispatchers, 5, seed), scenario),
+                    scenario);
         }
     }
 
-    /**
-     * Seven in ten gateways begin again just before: they know the workers by a list that they were
-     * given, and nothing else.
-     */
+    /** Seven in ten dispatchers restart just before and know nothing but the cached worker list. */
     @ParameterizedTest
     @ValueSource(ints = {5, 30, 100})
-    void budgetHoldsWhenMostDispatchersHaveJustRestarted(int gateways) {
+    void budgetHoldsWhenMostDispatchersHaveJustRestarted(int dispatchers) {
         for (long seed = 1; seed <= 6; seed++) {
-            String what = gateways + " gateways, seed " + seed;
-            FleetSimulation f = simulationUnderBurst(gateways, 5, seed);
-            f.restartDispatchers(0.7);
-            assertEquals(0, countWorkersOverBudget(f, what), what);
+            String scenario = dispatchers + " dispatchers, seed " + seed;
+            FleetSimulation simulation = simulationUnderBurst(dispatchers, 5, seed);
+            simulation.restartDispatchers(0.7);
+            assertEquals(0, countWorkersOverBudget(simulation, scenario), scenario);
         }
     }
 
     /**
-     * Workers smaller than one is taken to be of which nothing is known: what the tenants' rates
-     * come to bounds the guess. N is under five jobs here, whose lengths alone take one start in
-     * twenty over two roots.
+     * Workers smaller than the size assumed for workers without reports: the load that the tenants'
+     * quotas imply bounds the estimate. N is below five jobs here, and the variation of their
+     * service times alone takes one restart in twenty over two roots.
      */
     @ParameterizedTest
     @ValueSource(ints = {5, 30, 100})
-    void smallWorkersGetNoMoreThanTheQuotasImply(int gateways) {
+    void smallWorkersGetNoMoreThanTheQuotasImply(int dispatchers) {
         int over = 0;
         for (long seed = 1; seed <= 6; seed++) {
-            over += countWorkersOverBudget(simulationUnderBurst(gateways, 2, seed), gateways + " gateways, seed " + seed);
+            over +=
+                    countWorkersOverBudget(
+                            simulationUnderBurst(dispatchers, 2, seed),
+                            dispatchers + " dispatchers, seed " + seed);
         }
-        assertTrue(over <= 1, over + " of 18 starts");
+        assertTrue(over <= 1, over + " of 18 restarts");
     }
 }
--- a/core/src/test/java/postgrade/policy/SlowStartStudy.java
+++ b/core/src/test/java/postgrade/policy/SlowStartStudy.java
@@ -16,16 +16,16 @@
 import postgrade.policy.api.Tenant;
 
 /**
- * Prints how often a worker in slow start gets more than its budget, by its slots and the number of
- * dispatchers. Run by {@code bench/slow-start}; the figures stand in
- * docs/measurements/cold-ramp.md.
+ * Prints how often a worker in slow start is sent more than its budget, by its slots and the number
+ * of dispatchers. docs/measurements/cold-ramp.md has the results.
  */
 final class SlowStartStudy {
 
     private static final double OVERLOAD_MULTIPLE = 3;
     private static final long WINDOW_NS = 2 * SECOND;
     private static final int WORKERS = 24;
-    private static final Map<String, Double> MEAN_SERVICE_TIMES_NS = Map.of("short", 150e6, "long", 600e6);
+    private static final Map<String, Double> MEAN_SERVICE_TIMES_NS =
+            Map.of("short", 150e6, "long", 600e6);
     private static final double MEAN_SERVICE_TIME_NS = 375e6;
     private static final List<String> RESTARTED = List.of("w3", "w7", "w11");
 
@@ -68,38 +68,53 @@
                 .build();
     }
 
-    /** The budget of the terms for so many requests of mean work that the settings allow. */
+    /**
+     * Returns the budget in jobs of mean service time for the number that the settings allow: that
+     * number plus a margin for chance.
+     */
     private static double workBudget(double allowed) {
         double roots = allowed < 30 ? 3 : 2;
         return allowed + roots * Math.sqrt(allowed) + roots;
     }
 
-    /** What the worst window since a worker's start came to. */
+    /** The worst window since the start of a worker. */
     private record WorstWindow(double shareOfBudget, double rootsOverAllowed) {}
 
     private static WorstWindow worstWindow(SimulatedWorker worker) {
-        double part = 0;
+        double share = 0;
         double roots = Double.NEGATIVE_INFINITY;
         double sum = 0;
-        int from = 0;
-        for (ReceivedJob call : worker.received) {
-            sum += call.serviceTimeNs() / MEAN_SERVICE_TIME_NS;
-            while (worker.received.get(from).atNs() <= call.atNs() - WINDOW_NS) {
-                sum -= worker.received.get(from++).serviceTimeNs() / MEAN_SERVICE_TIME_NS;
+        int firstInWindow = 0;
+        for (ReceivedJob received : worker.received) {
+            sum += received.serviceTimeNs() / MEAN_SERVICE_TIME_NS;
+            while (worker.received.get(firstInWindow).atNs() <= received.atNs() - WINDOW_NS) {
+                sum -= worker.received.get(firstInWindow++).serviceTimeNs() / MEAN_SERVICE_TIME_NS;
             }
-            double warmth = worker.slowStartShare(Math.max(worker.startedNs, call.atNs() - WINDOW_NS));
-            double allowed = OVERLOAD_MULTIPLE * warmth * worker.slots * WINDOW_NS / MEAN_SERVICE_TIME_NS;
-            part = Math.max(part, sum / workBudget(allowed));
+            double slowStartShare =
+                    worker.slowStartShare(Math.max(worker.startedNs, received.atNs() - WINDOW_NS));
+            double allowed =
+                    OVERLOAD_MULTIPLE
+                            * slowStartShare
+                            * worker.slots
+                            * WINDOW_NS
+                            / MEAN_SERVICE_TIME_NS;
+            share = Math.max(share, sum / workBudget(allowed));
             roots = Math.max(roots, (sum - allowed - 2) / Math.sqrt(allowed));
         }
-        return new WorstWindow(part, roots);
+        return new WorstWindow(share, roots);
     }
 
-    private static FleetSimulation simulationWithThreeRestarts(int slots, int dispatchers, long seed) {
+    private static FleetSimulation simulationWithThreeRestarts(
+            int slots, int dispatchers, long seed) {
         double capacity = WORKERS * slots * 1e9 / MEAN_SERVICE_TIME_NS;
         FleetSimulation fleet =
                 new FleetSimulation(
-                        seed, i -> settings(dispatchers, i, capacity), WORKERS, slots, MEAN_SERVICE_TIMES_NS, 1);
+                        seed,
+                        i -> settings(dispatchers, i, capacity),
+                        WORKERS,
+                        slots,
+                        MEAN_SERVICE_TIMES_NS,
+                        1);
         fleet.generateLoad(0.7 * capacity, 30 * SECOND);
         fleet.run(8 * SECOND);
         fleet.generateLoad(0.7 * capacity, 14 * SECOND);
@@ -112,27 +127,29 @@
     }
 
     private static void printRow(int slots, int dispatchers, int seeds) {
-        List<WorstWindow> starts = new ArrayList<>();
-        long refused = 0;
+        List<WorstWindow> restarts = new ArrayList<>();
+        long rejected = 0;
         for (long seed = 1; seed <= seeds; seed++) {
             FleetSimulation fleet = simulationWithThreeRestarts(slots, dispatchers, seed);
-            refused += fleet.rejected;
-            RESTARTED.forEach(worker -> starts.add(worstWindow(fleet.workers.get(worker))));
+            rejected += fleet.rejected;
+            RESTARTED.forEach(worker -> restarts.add(worstWindow(fleet.workers.get(worker))));
         }
         System.out.printf(
                 Locale.ROOT,
                 "| %d | %d | %d | %d | %.2f | %d | %d |%n",
                 slots,
                 dispatchers,
-                starts.size(),
-                starts.stream().filter(worst -> worst.shareOfBudget() > 1).count(),
-                starts.stream().mapToDouble(WorstWindow::shareOfBudget).max().orElse(0),
-                starts.stream().filter(worst -> worst.rootsOverAllowed() > 2).count(),
-                refused);
+                restarts.size(),
+                restarts.stream().filter(worst -> worst.shareOfBudget() > 1).count(),
+                restarts.stream().mapToDouble(WorstWindow::shareOfBudget).max().orElse(0),
+                restarts.stream().filter(worst -> worst.rootsOverAllowed() > 2).count(),
+                rejected);
     }
 
     /**
-     * @param args how many seeds; each has three starts
+     * Runs the study.
+     *
+     * @param args the number of seeds; each has three restarts of workers
      */
     public static void main(String[] args) {
         int seeds = Integer.parseInt(args[0]);
--- a/core/src/test/java/postgrade/policy/StateTransferTest.java
+++ b/core/src/test/java/postgrade/policy/StateTransferTest.java
@@ -16,34 +16,36 @@
 import postgrade.policy.api.WorkerListUpdateType;
 import postgrade.policy.api.WorkerPhase;
 
-/** What two processes of one dispatcher hand over. */
+/** Transfer of learned state between two processes of one dispatcher. */
 class StateTransferTest extends PolicyFixture {
 
     @Test
     void twoProcessesShareOneBurst() {
         assertEquals(40, submitAndCountAdmitted(policyWithOneTenant(20, 1), 80));
-        TokenBucketDispatchPolicy old = policyWithOneTenant(20, 1);
-        assertEquals(10, submitAndCountAdmitted(old, 10));
-        List<PolicyStateEntry> told = old.exportState(0);
-        old.quotaShareChanged(0, 0.5);
-        TokenBucketDispatchPolicy fresh = policyWithOneTenant(20, 1);
-        fresh.quotaShareChanged(0, 0.5);
-        fresh.importState(0, told);
-        long both = submitAndCountAdmitted(old, 80) + submitAndCountAdmitted(fresh, 80);
-        assertTrue(both <= 30 && both >= 20, both + " after 10 of 40");
+        TokenBucketDispatchPolicy oldProcess = policyWithOneTenant(20, 1);
+        assertEquals(10, submitAndCountAdmitted(oldProcess, 10));
+        List<PolicyStateEntry> exported = oldProcess.exportState(0);
+        oldProcess.quotaShareChanged(0, 0.5);
+        TokenBucketDispatchPolicy newProcess = policyWithOneTenant(20, 1);
+        newProcess.quotaShareChanged(0, 0.5);
+        newProcess.importState(0, exported);
+        long admittedByBoth =
+                submitAndCountAdmitted(oldProcess, 80) + submitAndCountAdmitted(newProcess, 80);
+        assertTrue(
+                admittedByBoth <= 30 && admittedByBoth >= 20, admittedByBoth + " after 10 of 40");
     }
 
     @Test
     void newProcessKnowsWhichWorkersAreEjectedOrNeedATrial() {
-        TokenBucketDispatchPolicy old =
+        TokenBucketDispatchPolicy oldProcess =
                 newPolicy(
                         settings().slowStart(0.2, 20 * SECOND).overload(3, SECOND).build(),
                         "s1",
                         "s2",
                         "s3");
         for (int i = 0; i < 60; i++) {
-            String id = submit(old, i, "safe");
-            old.attemptFinished(
+            String id = submit(oldProcess, i, "safe");
+            oldProcess.attemptFinished(
                     i,
                     id,
                     0,
@@ -51,95 +53,103 @@
                     true,
                     IDLE_REPORT);
         }
-        old.workersUpdated(
+        oldProcess.workersUpdated(
                 SECOND,
                 WorkerListUpdateType.DELTA,
                 List.of(worker("s3", WorkerPhase.READY, SECOND)));
-        old.workerReenabled(SECOND, "s3");
-        List<PolicyStateEntry> told = new ArrayList<>(old.exportState(SECOND));
-        told.add(new PolicyStateEntry("worker", "unheard of", new double[9]));
-        told.add(new PolicyStateEntry("of a later version", "x", new double[0]));
-        TokenBucketDispatchPolicy fresh =
+        oldProcess.workerReenabled(SECOND, "s3");
+        List<PolicyStateEntry> exported = new ArrayList<>(oldProcess.exportState(SECOND));
+        exported.add(new PolicyStateEntry("worker", "unknown", new double[9]));
+        exported.add(new PolicyStateEntry("of a later version", "x", new double[0]));
+        TokenBucketDispatchPolicy newProcess =
                 new TokenBucketDispatchPolicy(
                         settings().slowStart(0.2, 20 * SECOND).overload(3, SECOND).build(),
                         3,
                         actions);
-        long now = 100 * SECOND; // Its clock is another.
-        fresh.workersUpdated(
+        long now = 100 * SECOND; // Its clock differs.
+        newProcess.workersUpdated(
                 now,
                 WorkerListUpdateType.CACHED,
                 List.of(
                         worker("s1", WorkerPhase.READY, 0),
                         worker("s2", WorkerPhase.READY, 0),
                         worker("s3", WorkerPhase.READY, now)));
-        fresh.importState(now, told);
+        newProcess.importState(now, exported);
         assertEquals(
                 "s3",
-                actions.sentTo(submit(fresh, now, "safe")),
-                "the trial is owed, and all sends there are told");
+                actions.sentTo(submit(newProcess, now, "safe")),
+                "it needs a trial, and the work sent to it is known");
         for (int i = 0; i < 20; i++) {
-            assertNotEquals("s2", actions.sentTo(submit(fresh, now + i, "safe")), "it is ejected");
+            assertNotEquals(
+                    "s2", actions.sentTo(submit(newProcess, now + i, "safe")), "it is ejected");
         }
     }
 
     /**
-     * One that ended in order, or hands over, tells all it sent to a cold worker; it counts on in
-     * its window.
+     * A process that stopped regularly or hands over exports all work sent to a worker in slow
+     * start, which keeps counting in its window.
      */
     @Test
     void workSentInSlowStartBeforeARestartCountsInItsWindow() {
-        for (boolean ended : new boolean[] {true, false}) {
-            TokenBucketDispatchPolicy old = dispatchersWithWorkerInSlowStart(1, 10 * SECOND).get(0);
-            long sent = submitAndCountSentToS2(List.of(old), 30, 10 * SECOND);
-            List<PolicyStateEntry> told =
-                    old.exportState(10 * SECOND + 100 * MS).stream()
-                            .filter(l -> ended || !l.category().equals("up"))
+        for (boolean endedRegularly : new boolean[] {true, false}) {
+            TokenBucketDispatchPolicy oldProcess =
+                    dispatchersWithWorkerInSlowStart(1, 10 * SECOND).get(0);
+            long sent = submitAndCountSentToS2(List.of(oldProcess), 30, 10 * SECOND);
+            List<PolicyStateEntry> exported =
+                    oldProcess.exportState(10 * SECOND + 100 * MS).stream()
+                            .filter(entry -> endedRegularly || !entry.category().equals("up"))
                             .toList();
-            TokenBucketDispatchPolicy fresh =
+            TokenBucketDispatchPolicy newProcess =
                     new TokenBucketDispatchPolicy(
                             settings().slowStart(0.12, 24 * SECOND).overload(3, 1500 * MS).build(),
                             0,
                             actions);
-            fresh.workersUpdated(
+            newProcess.workersUpdated(
                     20 * SECOND,
                     WorkerListUpdateType.FULL,
                     List.of(worker("s2", WorkerPhase.READY, 19 * SECOND + 900 * MS)));
-            fresh.importState(20 * SECOND, told);
+            newProcess.importState(20 * SECOND, exported);
             assertTrue(
-                    sent > 0 && submitAndCountSentToS2(List.of(fresh), 30, 20 * SECOND) == 0,
+                    sent > 0 && submitAndCountSentToS2(List.of(newProcess), 30, 20 * SECOND) == 0,
                     sent + " before");
-            long later = submitAndCountSentToS2(List.of(fresh), 30, 21_450 * MS);
+            long sentLater = submitAndCountSentToS2(List.of(newProcess), 30, 21_450 * MS);
             assertTrue(
-                    later > 0 == ended,
-                    later + " once its window is over; after a crash, one window after the start");
+                    sentLater > 0 == endedRegularly,
+                    sentLater
+                            + " once its window is over; after a crash, one window after the start");
         }
     }
 
     @Test
     void newProcessKnowsTheLoadOfOtherDispatchersAndTheQueueingDelayOfKinds() {
-        PolicySettings s = settings().dispatcherCount(10).workersReportStart(true).build();
-        TokenBucketDispatchPolicy old = newPolicy(s, "s1", "b1");
+        PolicySettings settings = settings().dispatcherCount(10).workersReportStart(true).build();
+        TokenBucketDispatchPolicy oldProcess = newPolicy(settings, "s1", "b1");
         for (int i = 0; i < 40; i++) {
-            String id = submit(old, i * MS, "safe");
+            String id = submit(oldProcess, i * MS, "safe");
             long waitNs = actions.sentTo(id).equals("b1") ? 900 * MS : 50 * MS;
-            old.attemptStarted(i * MS + waitNs, id, 0);
-            old.attemptFinished(2 * SECOND, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
+            oldProcess.attemptStarted(i * MS + waitNs, id, 0);
+            oldProcess.attemptFinished(
+                    2 * SECOND, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
-        List<PolicyStateEntry> told = old.exportState(3 * SECOND);
-        TokenBucketDispatchPolicy fresh = newPolicy(s, "s1", "b1");
-        fresh.importState(0, told);
-        for (String of : List.of("fleet", "kind")) {
-            assertEquals(valuesOfCategory(told, of), valuesOfCategory(fresh.exportState(0), of));
+        List<PolicyStateEntry> exported = oldProcess.exportState(3 * SECOND);
+        TokenBucketDispatchPolicy newProcess = newPolicy(settings, "s1", "b1");
+        newProcess.importState(0, exported);
+        for (String category : List.of("fleet", "kind")) {
+            assertEquals(
+                    valuesOfCategory(exported, category),
+                    valuesOfCategory(newProcess.exportState(0), category));
             assertNotEquals(
-                    valuesOfCategory(newPolicy(s, "s1", "b1").exportState(0), of), valuesOfCategory(told, of));
+                    valuesOfCategory(newPolicy(settings, "s1", "b1").exportState(0), category),
+                    valuesOfCategory(exported, category));
         }
     }
 
-    private static List<List<Double>> valuesOfCategory(List<PolicyStateEntry> all, String of) {
-        return all.stream()
-                .filter(l -> l.category().equals(of))
+    private static List<List<Double>> valuesOfCategory(
+            List<PolicyStateEntry> entries, String category) {
+        return entries.stream()
+                .filter(entry -> entry.category().equals(category))
                 .sorted(Comparator.comparing(PolicyStateEntry::name))
-                .map(l -> DoubleStream.of(l.values()).boxed().toList())
+                .map(entry -> DoubleStream.of(entry.values()).boxed().toList())
                 .toList();
     }
 }
--- a/core/src/test/java/postgrade/policy/UnreportedLoadTest.java
+++ b/core/src/test/java/postgrade/policy/UnreportedLoadTest.java
@@ -15,47 +15,48 @@
 import postgrade.policy.api.WorkerListUpdateType;
 import postgrade.policy.api.WorkerPhase;
 
-/** Decisions where workers report no load. */
+/** Decisions when workers report no load. */
 class UnreportedLoadTest extends PolicyFixture {
 
     /**
-     * Incident ia1e7e7: with all sizes equal the workers with few slots were full and the others
+     * If all workers counted as the same size, those with few slots would be full and the others
      * half idle.
      */
     @Test
     void withoutReportsJobsFollowTheAnnouncedWeights() {
-        TokenBucketDispatchPolicy d = new TokenBucketDispatchPolicy(settings().build(), 7, actions);
-        d.workersUpdated(
+        TokenBucketDispatchPolicy policy =
+                new TokenBucketDispatchPolicy(settings().build(), 7, actions);
+        policy.workersUpdated(
                 0,
                 WorkerListUpdateType.FULL,
                 List.of(
                         new WorkerInfo("s1", "z", "small", 0, WorkerPhase.READY, 1, 0),
                         new WorkerInfo("s2", "z", "large", 0, WorkerPhase.READY, 3, 0)));
         for (int i = 0; i < 40; i++) {
-            submit(d, 1, "safe");
+            submit(policy, 1, "safe");
         }
         long large = actions.sendsTo("s2"::equals);
         assertTrue(large >= 28 && large <= 32, large + " of 40");
     }
 
     /**
-     * Day join+vast: one job at a time, each over before the next, leaves a gateway none of its
-     * jobs anywhere. The job itself counted as load, so the largest worker was always least loaded
-     * and the rest idle.
+     * With one job at a time, a dispatcher has no jobs in flight when it selects a worker. If the
+     * new job itself counted as load, the largest worker would always be the least loaded and the
+     * rest idle.
      */
     @Test
     void withNoOwnJobsInFlightJobsGoInProportionToSize() {
-        TokenBucketDispatchPolicy d =
+        TokenBucketDispatchPolicy policy =
                 new TokenBucketDispatchPolicy(settings().dispatcherCount(14).build(), 7, actions);
-        d.workersUpdated(
+        policy.workersUpdated(
                 0,
                 WorkerListUpdateType.FULL,
                 List.of(
                         new WorkerInfo("s1", "z", "small", 0, WorkerPhase.READY, 1, 0),
                         new WorkerInfo("s2", "z", "large", 0, WorkerPhase.READY, 3, 0)));
         for (int i = 0; i < 400; i++) {
-            String id = submit(d, i * MS, "safe");
-            d.attemptFinished(i * MS, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
+            String id = submit(policy, i * MS, "safe");
+            policy.attemptFinished(i * MS, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
         long small = actions.sendsTo("s1"::equals);
         assertTrue(
@@ -64,14 +65,14 @@
     }
 
     /**
-     * Day herd+vast: without reports every worker looks of one size, and each gateway sees too few
-     * of its own jobs at any one worker to learn its queue. The wait before start, learnt over all
-     * workers of a kind, shows the kind whose workers are smaller than announced, and shrinks the
-     * size that they are weighed by.
+     * Without reports every worker seems to have the same size, and each dispatcher has too few
+     * jobs at any one worker to learn its queueing delay. The mean queueing delay of a kind reveals
+     * kinds whose workers are smaller than announced, and reduces the size that they are weighted
+     * by.
      */
     @Test
     void kindWithQueueingDelayGetsFewerJobs() {
-        TokenBucketDispatchPolicy d =
+        TokenBucketDispatchPolicy policy =
                 new TokenBucketDispatchPolicy(
                         settings().dispatcherCount(14).workersReportStart(true).build(),
                         7,
@@ -88,28 +89,28 @@
                             1,
                             0));
         }
-        d.workersUpdated(0, WorkerListUpdateType.FULL, fleet);
+        policy.workersUpdated(0, WorkerListUpdateType.FULL, fleet);
         for (int i = 0; i < 400; i++) {
             long nowNs =
-                    i * 300 * MS; // Each worker hears of one job of ours in some twenty seconds.
-            String id = submit(d, nowNs, "safe");
+                    i * 300 * MS; // Each worker gets one job of this dispatcher about every 20 s.
+            String id = submit(policy, nowNs, "safe");
             long waitNs = actions.sentTo(id).startsWith("small") ? 20 * MS : 2 * MS;
-            d.attemptStarted(nowNs + waitNs, id, 0);
-            d.attemptFinished(
+            policy.attemptStarted(nowNs + waitNs, id, 0);
+            policy.attemptFinished(
                     nowNs + waitNs + MS, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
-        long small = actions.sendsTo(w -> w.startsWith("small-"));
-        // 176 where a worker's wait fades to none; 153 with the kind's wait in the size alone.
-        assertTrue(small <= 40, small + " of 400 to the kind whose jobs wait ten times as long");
+        long small = actions.sendsTo(id -> id.startsWith("small-"));
+        // 176 if a worker's queueing delay decays to zero; 153 if the delay of the kind only
+        // reduces the size.
+        assertTrue(small <= 40, small + " of 400 to the kind with ten times the queueing delay");
     }
 
     /**
-     * Day join+vast: a new worker's queue is empty, whatever its kind's older workers make jobs
-     * wait.
+     * The queue of a new worker is empty, whatever the queueing delay at older workers of its kind.
      */
     @Test
     void workerInSlowStartDoesNotInheritTheQueueingDelayOfItsKind() {
-        TokenBucketDispatchPolicy d =
+        TokenBucketDispatchPolicy policy =
                 new TokenBucketDispatchPolicy(
                         settings()
                                 .workersReportStart(true)
@@ -118,85 +119,89 @@
                                 .build(),
                         7,
                         actions);
-        d.workersUpdated(
+        policy.workersUpdated(
                 0,
                 WorkerListUpdateType.FULL,
                 List.of(new WorkerInfo("old", "z", "k", 0, WorkerPhase.READY, 1, 0)));
         for (int i = 0; i < 40; i++) {
             long nowNs = i * 100 * MS;
-            String id = submit(d, nowNs, "safe");
-            d.attemptStarted(nowNs + 20 * MS, id, 0);
-            d.attemptFinished(nowNs + 21 * MS, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
+            String id = submit(policy, nowNs, "safe");
+            policy.attemptStarted(nowNs + 20 * MS, id, 0);
+            policy.attemptFinished(
+                    nowNs + 21 * MS, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
-        d.workersUpdated(
+        policy.workersUpdated(
                 4 * SECOND,
                 WorkerListUpdateType.DELTA,
                 List.of(new WorkerInfo("new", "z", "k", 0, WorkerPhase.READY, 1, 4 * SECOND)));
         long toNew = 0;
         for (int i = 0; i < 40; i++) {
             long nowNs = 10 * SECOND + i * SECOND;
-            String id = submit(d, nowNs, "safe");
-            boolean cold = actions.sentTo(id).equals("new");
-            toNew += cold ? 1 : 0;
-            d.attemptStarted(nowNs + (cold ? 0 : 20 * MS), id, 0);
-            d.attemptFinished(nowNs + 21 * MS, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
+            String id = submit(policy, nowNs, "safe");
+            boolean inSlowStart = actions.sentTo(id).equals("new");
+            toNew += inSlowStart ? 1 : 0;
+            policy.attemptStarted(nowNs + (inSlowStart ? 0 : 20 * MS), id, 0);
+            policy.attemptFinished(
+                    nowNs + 21 * MS, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
-        assertTrue(toNew >= 10, toNew + " of 40 to the cold worker");
+        assertTrue(toNew >= 10, toNew + " of 40 to the worker in slow start");
     }
 
     /**
-     * A weight that is not announced makes a worker one of mean size, not one of no size that gets
-     * nothing.
+     * A worker without an announced weight counts as one of mean size, not as one of size zero that
+     * gets no jobs.
      */
     @Test
     void workerWithoutWeightCountsAsMeanSize() {
-        TokenBucketDispatchPolicy d = new TokenBucketDispatchPolicy(settings().build(), 7, actions);
-        d.workersUpdated(
+        TokenBucketDispatchPolicy policy =
+                new TokenBucketDispatchPolicy(settings().build(), 7, actions);
+        policy.workersUpdated(
                 0,
                 WorkerListUpdateType.FULL,
                 List.of(
                         new WorkerInfo("s1", "z", "std", 0, WorkerPhase.READY, 0, 0),
                         new WorkerInfo("s2", "z", "std", 0, WorkerPhase.READY, 4, 0)));
         for (int i = 0; i < 20; i++) {
-            submit(d, 1, "safe");
+            submit(policy, 1, "safe");
         }
         assertEquals(10, actions.sendsTo("s1"::equals));
     }
 
     /**
-     * Day dar-index big-2: without reports a fleet full of other gateways' jobs looked free to all
-     * excess.
+     * Without reports, a fleet full of other dispatchers' jobs must not seem free to jobs beyond
+     * the quota.
      */
     @ParameterizedTest
     @CsvSource({"1, true", "20, false"})
-    void withoutReportsOtherDispatchersAreAssumedToHoldAsMuch(int gateways, boolean excessGoes) {
-        TokenBucketDispatchPolicy d =
+    void withoutReportsOtherDispatchersAreAssumedToHoldAsMuch(
+            int dispatchers, boolean excessIsSent) {
+        TokenBucketDispatchPolicy policy =
                 newPolicy(
                         settings()
-                                .dispatcherCount(gateways)
+                                .dispatcherCount(dispatchers)
                                 .tenants(List.of(new Tenant("t", 1), new Tenant("u", 150)))
                                 .build(),
                         "s1",
                         "s2");
         for (long nowNs = SECOND; nowNs < 4 * SECOND; nowNs += 100 * MS) {
-            d.attemptFinished(
+            policy.attemptFinished(
                     nowNs + 90 * MS,
-                    submit(d, nowNs, "safe"),
+                    submit(policy, nowNs, "safe"),
                     0,
                     AttemptOutcome.SERVED,
                     true,
                     LoadReport.NONE);
         }
         for (int i = 0; i < 5; i++) {
-            d.attemptFinished(
+            policy.attemptFinished(
                     4 * SECOND,
-                    submit(d, 4 * SECOND, "safe", "t", null),
+                    submit(policy, 4 * SECOND, "safe", "t", null),
                     0,
                     AttemptOutcome.RESET,
                     true,
                     LoadReport.NONE);
         }
-        String excess = submit(d, 4 * SECOND, "safe", "t", null);
-        assertEquals(excessGoes, !actions.sentTo(excess).isEmpty());
+        String excess = submit(policy, 4 * SECOND, "safe", "t", null);
+        assertEquals(excessIsSent, !actions.sentTo(excess).isEmpty());
     }
 }
--- a/core/src/test/java/postgrade/policy/WorkerListTest.java
+++ b/core/src/test/java/postgrade/policy/WorkerListTest.java
@@ -15,72 +15,78 @@
 import postgrade.policy.api.WorkerListUpdateType;
 import postgrade.policy.api.WorkerPhase;
 
-/** Lists of workers that are old, empty or missing. */
+/** Worker lists that are outdated, empty or missing. */
 class WorkerListTest extends PolicyFixture {
 
     @Test
     void listIsRequestedAtTheStartAndAgainAfterAnError() {
-        TokenBucketDispatchPolicy d =
+        TokenBucketDispatchPolicy policy =
                 new TokenBucketDispatchPolicy(settings().pollsWorkerList(true).build(), 1, actions);
-        d.workersUpdated(
+        policy.workersUpdated(
                 0, WorkerListUpdateType.CACHED, List.of(worker("s1", WorkerPhase.READY, 0)));
         assertEquals(1, actions.count("watch"));
-        d.workersUpdated(1, WorkerListUpdateType.FAILED, List.of());
+        policy.workersUpdated(1, WorkerListUpdateType.FAILED, List.of());
         assertEquals(1, actions.count("timer ask"));
-        d.timerFired(SECOND, "ask");
+        policy.timerFired(SECOND, "ask");
         assertEquals(2, actions.count("watch"));
         assertEquals(
-                "s1", actions.sentTo(submit(d, SECOND, "safe")), "the old list stays in force");
+                "s1",
+                actions.sentTo(submit(policy, SECOND, "safe")),
+                "the old list stays in force");
     }
 
     /**
-     * A restarted gateway knows only its last list: what the new one no longer holds is not sent
-     * to.
+     * A restarted dispatcher knows only a cached list; workers missing from the first current list
+     * get no jobs.
      */
     @Test
     void restartedDispatcherFollowsTheFirstCurrentList() {
-        TokenBucketDispatchPolicy d =
+        TokenBucketDispatchPolicy policy =
                 new TokenBucketDispatchPolicy(settings().pollsWorkerList(true).build(), 1, actions);
-        d.workersUpdated(
+        policy.workersUpdated(
                 0,
                 WorkerListUpdateType.CACHED,
                 List.of(worker("s1", WorkerPhase.READY, 0), worker("s2", WorkerPhase.READY, 0)));
-        d.workersUpdated(
+        policy.workersUpdated(
                 SECOND,
                 WorkerListUpdateType.FULL,
                 List.of(worker("s2", WorkerPhase.DRAINING, 0), worker("s3", WorkerPhase.READY, 0)));
         for (int i = 0; i < 6; i++) {
-            assertEquals("s3", actions.sentTo(submit(d, SECOND, "safe")));
+            assertEquals("s3", actions.sentTo(submit(policy, SECOND, "safe")));
         }
     }
 
-    /** A cut-off zone or a full connection table must not shut the workers for a whole warm-up. */
+    /**
+     * A network partition or a full connection table must not exclude workers for a whole slow
+     * start.
+     */
     @Test
     void unreachableWorkerIsEjectedButNotInSlowStart() {
-        PolicySettings s = settings().slowStart(0.1, 20 * SECOND).overload(2, SECOND).build();
-        TokenBucketDispatchPolicy d = newPolicy(s, "s1", "s2", "s3");
-        serveJobs(d, 20, IDLE_REPORT);
-        String id = submit(d, SECOND, "safe");
-        String cut = actions.sentTo(id);
-        d.attemptFinished(SECOND, id, 0, AttemptOutcome.UNREACHABLE, false, LoadReport.NONE);
+        PolicySettings settings =
+                settings().slowStart(0.1, 20 * SECOND).overload(2, SECOND).build();
+        TokenBucketDispatchPolicy policy = newPolicy(settings, "s1", "s2", "s3");
+        serveJobs(policy, 20, IDLE_REPORT);
+        String id = submit(policy, SECOND, "safe");
+        String unreachable = actions.sentTo(id);
+        policy.attemptFinished(SECOND, id, 0, AttemptOutcome.UNREACHABLE, false, LoadReport.NONE);
         for (int i = 0; i < 6; i++) {
-            assertNotEquals(cut, actions.sentTo(submit(d, SECOND, "safe")));
+            assertNotEquals(unreachable, actions.sentTo(submit(policy, SECOND, "safe")));
         }
         String trial = "";
-        for (int i = 0; i < 9 && !actions.sentTo(trial).equals(cut); i++) {
-            trial = submit(d, 4 * SECOND, "safe");
+        for (int i = 0; i < 9 && !actions.sentTo(trial).equals(unreachable); i++) {
+            trial = submit(policy, 4 * SECOND, "safe");
         }
-        d.attemptFinished(4 * SECOND, trial, 0, AttemptOutcome.SERVED, true, IDLE_REPORT);
-        int before = actions.recorded.size();
+        policy.attemptFinished(4 * SECOND, trial, 0, AttemptOutcome.SERVED, true, IDLE_REPORT);
+        int recordedBefore = actions.recorded.size();
         for (int i = 0; i < 24; i++) {
-            submit(d, 4 * SECOND, "safe");
+            submit(policy, 4 * SECOND, "safe");
         }
         long sent =
                 actions.recorded.stream()
-                        .skip(before)
-                        .filter(l -> l.startsWith("send") && l.endsWith(cut))
+                        .skip(recordedBefore)
+                        .filter(action -> action.startsWith("send") && action.endsWith(unreachable))
                         .count();
-        assertTrue(sent >= 8, "its full part again: " + sent);
+        assertTrue(sent >= 8, "its full share again: " + sent);
     }
 
     @Test
@@ -91,29 +97,29 @@
     }
 
     private List<String> recordActions(long seed) {
-        RecordingActions mine = new RecordingActions();
-        TokenBucketDispatchPolicy d =
+        RecordingActions actions = new RecordingActions();
+        TokenBucketDispatchPolicy policy =
                 new TokenBucketDispatchPolicy(
-                        settings().tenants(List.of(new Tenant("t", 3))).build(), seed, mine);
-        d.workersUpdated(
+                        settings().tenants(List.of(new Tenant("t", 3))).build(), seed, actions);
+        policy.workersUpdated(
                 0,
                 WorkerListUpdateType.FULL,
                 IntStream.range(0, 7)
                         .mapToObj(i -> worker("s" + i, WorkerPhase.READY, 0))
                         .toList());
         for (int i = 0; i < 200; i++) {
-            d.jobArrived(
+            policy.jobArrived(
                     i * 50 * MS,
                     new Job("x" + i, i % 3 == 0 ? "unsafe" : "safe", "t", null, 5 * SECOND, 1, 0));
-            d.attemptFinished(
+            policy.attemptFinished(
                     i * 50 * MS + 1,
                     "x" + i / 2,
                     0,
                     i % 5 == 0 ? AttemptOutcome.ERROR : AttemptOutcome.SERVED,
                     i % 5 != 0,
                     IDLE_REPORT);
-            d.timerFired(i * 50 * MS + 2, "sweep");
+            policy.timerFired(i * 50 * MS + 2, "sweep");
         }
-        return mine.recorded;
+        return actions.recorded;
     }
 }
--- a/core/src/test/java/postgrade/policy/WorkerSelectionTest.java
+++ b/core/src/test/java/postgrade/policy/WorkerSelectionTest.java
@@ -5,41 +5,44 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which worker a job goes to. */
+/** The selection of workers. */
 class WorkerSelectionTest extends PolicyFixture {
 
     @Test
     void selectionByFewestOwnJobsSpreadsEvenly() {
-        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "s2", "s3");
+        TokenBucketDispatchPolicy policy = newPolicy(settings().build(), "s1", "s2", "s3");
         for (int i = 0; i < 6; i++) {
-            submit(d, 0, "safe");
+            submit(policy, 0, "safe");
         }
         for (String id : List.of("s1", "s2", "s3")) {
             assertEquals(
                     2,
                     actions.recorded.stream()
-                            .filter(l -> l.startsWith("send") && l.endsWith(id))
+                            .filter(action -> action.startsWith("send") && action.endsWith(id))
                             .count());
         }
     }
 
     @Test
     void classWithRequiredKindRunsOnlyOnThatKind() {
-        TokenBucketDispatchPolicy d = newPolicy(settings().build(), "s1", "b1", "s2");
-        assertEquals("b1", actions.sentTo(submit(d, 0, "big-only")));
-        TokenBucketDispatchPolicy none = newPolicy(settings().build(), "s1");
-        String id = submit(none, 0, "big-only");
-        none.timerFired(2 * SECOND, "sweep");
-        assertEquals(1, actions.count("refuse " + id), "no able worker: refused when hope is gone");
+        TokenBucketDispatchPolicy policy = newPolicy(settings().build(), "s1", "b1", "s2");
+        assertEquals("b1", actions.sentTo(submit(policy, 0, "big-only")));
+        TokenBucketDispatchPolicy policyWithoutKind = newPolicy(settings().build(), "s1");
+        String id = submit(policyWithoutKind, 0, "big-only");
+        policyWithoutKind.timerFired(2 * SECOND, "sweep");
+        assertEquals(
+                1,
+                actions.count("reject " + id),
+                "no eligible worker: rejected once its latency objective has passed");
     }
 
     @Test
     void emptyListRejectsWithRetryAfterOnceTheObjectiveIsMissed() {
-        TokenBucketDispatchPolicy d = newPolicy(settings().build());
-        String id = submit(d, 0, "unsafe");
-        d.timerFired(50 * MS, "sweep");
-        assertEquals(0, actions.count("refuse"));
-        d.timerFired(1100 * MS, "sweep");
-        assertEquals("refuse " + id + " 500000000", actions.last("refuse"));
+        TokenBucketDispatchPolicy policy = newPolicy(settings().build());
+        String id = submit(policy, 0, "unsafe");
+        policy.timerFired(50 * MS, "sweep");
+        assertEquals(0, actions.count("reject"));
+        policy.timerFired(1100 * MS, "sweep");
+        assertEquals("reject " + id + " 500000000", actions.last("reject"));
     }
 }
