--- a/core/src/main/java/postgrade/policy/TokenBucketDispatchPolicy.java
+++ b/core/src/main/java/postgrade/policy/TokenBucketDispatchPolicy.java
@@ -128,18 +128,18 @@
 
     @Override
     public void attemptStarted(long nowNs, String jobId, int attempt) {
-        AttemptRecord record = attemptInFlight(jobId, attempt);
-        if (record != null) {
-            state.queueingDelay().recordStart(nowNs, record);
+        AttemptRecord attemptRecord = attemptInFlight(jobId, attempt);
+        if (attemptRecord != null) {
+            state.queueingDelay().recordStart(nowNs, attemptRecord);
         }
     }
 
     @Override
     public void attemptStreaming(long nowNs, String jobId, int attempt) {
         attemptStarted(nowNs, jobId, attempt);
-        AttemptRecord record = attemptInFlight(jobId, attempt);
-        if (record != null) {
-            record.job().markStreaming();
+        AttemptRecord attemptRecord = attemptInFlight(jobId, attempt);
+        if (attemptRecord != null) {
+            attemptRecord.job().markStreaming();
         }
     }
 
--- a/core/src/test/java/postgrade/policy/DeploymentChangeTest.java
+++ b/core/src/test/java/postgrade/policy/DeploymentChangeTest.java
@@ -313,8 +313,7 @@
         assertFalse(deployment.with(type, List.of("z")).isSameAs(deployment));
     }
 
-    // ---- Compares all fields of the state: one added later must be reset or listed as not
-    // learned.
+    // ---- Compares all fields of the state: a new one must be reset or listed as not learned.
 
     private static Object learnedState(TokenBucketDispatchPolicy policy) throws Exception {
         return toComparable(state(policy));
--- a/core/src/test/java/postgrade/policy/QueuedJobTest.java
+++ b/core/src/test/java/postgrade/policy/QueuedJobTest.java
@@ -26,7 +26,7 @@
 class QueuedJobTest extends PolicyFixture {
 
     /**
-     * After a burst on many unevenly loaded dispatchers, queues hold jobs that are late before they
+     * After a burst on 60 unevenly loaded dispatchers, queues hold jobs that are late before they
      * start.
      */
     @Test
