--- a/daemon/src/main/java/postgrade/daemon/Beside.java
+++ b/daemon/src/main/java/postgrade/daemon/Beside.java
@@ -127,17 +127,17 @@
 
     @Override
     public boolean connected(String id) {
-        return workers.providers().connected(id);
+        return workers.providers().hasConnection(id);
     }
 
     @Override
     public boolean anyConnected(int fewerThan) {
-        return workers.providers().anyConnected(fewerThan);
+        return workers.providers().hasConnectedWorkerBelow(fewerThan);
     }
 
     @Override
     public long keptMicros() {
-        return workers.providers().keptMicros();
+        return workers.providers().maxIdleMicros();
     }
 
     @Override
--- a/daemon/src/main/java/postgrade/daemon/Daemon.java
+++ b/daemon/src/main/java/postgrade/daemon/Daemon.java
@@ -25,9 +25,9 @@
 import postgrade.policy.api.DispatchPolicy;
 import postgrade.policy.api.PolicyActions;
 import postgrade.policy.api.WorkerListUpdateType;
-import postgrade.provider.ProviderPools;
 import postgrade.telemetry.AttemptLog;
 import postgrade.upgrade.UpgradeCoordinator;
+import postgrade.worker.WorkerConnectionPools;
 
 /** One dispatcher: puts the parts together, passes the list on, and stops in order. */
 final class Daemon {
@@ -44,7 +44,7 @@
     private final Config started;
     private final EventLoop loop;
     private final RequestTracker gateway;
-    private final ProviderPools providers;
+    private final WorkerConnectionPools providers;
     private final AttemptLog attemptLog;
     private final Listener listener;
     private final DiscoveryWatch watch;
@@ -110,7 +110,7 @@
                         (event, message, thrown) ->
                                 Events.error(LOG, event).setCause(thrown).log(message));
         providers =
-                new ProviderPools(
+                new WorkerConnectionPools(
                         gateway, loop, loop, config.connectTimeoutMicros, config.idleTimeoutMicros);
         gateway.connectTransport(providers);
         attemptLog = new AttemptLog(loop);
@@ -171,8 +171,8 @@
                         config.discovery, config.name, version, patience, loop, loop, this::told);
         companion = plan == null ? null : CompanionLoader.open(plan, beside);
         if (companion != null) {
-            providers.fences(companion::fence);
-            providers.pacing(companion::mayConnect);
+            providers.setFencingTokens(companion::fence);
+            providers.setConnectLimiter(companion::mayConnect);
             gateway.constraintsChanged(companion.ability());
             gateway.observer(RequestObserver.both(attemptLog, companion.witness()));
             listener.claims(companion.claims());
--- a/daemon/src/main/java/postgrade/daemon/Operating.java
+++ b/daemon/src/main/java/postgrade/daemon/Operating.java
@@ -9,8 +9,8 @@
 import postgrade.lifecycle.Lifecycle;
 import postgrade.log.Events;
 import postgrade.operator.Operations;
-import postgrade.provider.ProviderPools;
 import postgrade.upgrade.UpgradeCoordinator;
+import postgrade.worker.WorkerConnectionPools;
 
 /** Carries out what operators ask for, here and in the other processes of this dispatcher. */
 final class Operating implements Operations {
@@ -19,7 +19,7 @@
 
     private final Timers timers;
     private final Lifecycle lifecycle;
-    private final ProviderPools providers;
+    private final WorkerConnectionPools providers;
     private final Workers workers;
     private final UpgradeCoordinator upgrade;
     private final Runnable check;
@@ -32,7 +32,7 @@
     Operating(
             Timers timers,
             Lifecycle lifecycle,
-            ProviderPools providers,
+            WorkerConnectionPools providers,
             Workers workers,
             UpgradeCoordinator upgrade,
             Runnable check,
--- a/daemon/src/main/java/postgrade/daemon/Reload.java
+++ b/daemon/src/main/java/postgrade/daemon/Reload.java
@@ -6,14 +6,17 @@
 import postgrade.discovery.DiscoveryWatch;
 import postgrade.dispatch.RequestTracker;
 import postgrade.log.Events;
-import postgrade.provider.ProviderPools;
+import postgrade.worker.WorkerConnectionPools;
 
 /**
  * Reads the configuration again and takes over what can change under way. A faulty one changes
  * nothing. On the loop.
  */
 record Reload(
-        RequestTracker gateway, Listener listener, ProviderPools providers, DiscoveryWatch watch) {
+        RequestTracker gateway,
+        Listener listener,
+        WorkerConnectionPools providers,
+        DiscoveryWatch watch) {
 
     private static final Logger LOG = LoggerFactory.getLogger(Reload.class);
 
@@ -32,7 +35,7 @@
             if (!config.sameSettings(next)) {
                 gateway.settingsChanged(next.settings, next.mostHeld);
                 listener.settings(next.deadlineMicros, next.tenantNames());
-                providers.settings(
+                providers.updateSettings(
                         next.connectTimeoutMicros,
                         next.idleTimeoutMicros,
                         config.settings.deployment.isSameAs(next.settings.deployment));
--- a/daemon/src/main/java/postgrade/daemon/ShutdownSequence.java
+++ b/daemon/src/main/java/postgrade/daemon/ShutdownSequence.java
@@ -9,8 +9,8 @@
 import postgrade.dispatch.RequestTracker;
 import postgrade.lifecycle.Lifecycle;
 import postgrade.log.Events;
-import postgrade.provider.ProviderPools;
 import postgrade.upgrade.UpgradeCoordinator;
+import postgrade.worker.WorkerConnectionPools;
 
 /**
  * Carries out what the lifecycle asks for in standby and on the way to the end, which it finds. On
@@ -30,7 +30,7 @@
     private final EventLoop loop;
     private final Lifecycle lifecycle;
     private final RequestTracker gateway;
-    private final ProviderPools providers;
+    private final WorkerConnectionPools providers;
     private final Listener listener;
     private final UpgradeCoordinator upgrade;
 
@@ -46,7 +46,7 @@
             EventLoop loop,
             Lifecycle lifecycle,
             RequestTracker gateway,
-            ProviderPools providers,
+            WorkerConnectionPools providers,
             Listener listener,
             UpgradeCoordinator upgrade,
             Companion companion,
@@ -97,10 +97,10 @@
      */
     private boolean owesNothing(long now) {
         if (!lifecycle.mustEnd(now)) {
-            return gateway.isIdle() && providers.quiet();
+            return gateway.isIdle() && providers.hasNoCancellations();
         }
         gateway.cancelUnwanted();
-        return gateway.allAnswered() && providers.allCancellationsAsked();
+        return gateway.allAnswered() && providers.allCancellationsAttempted();
     }
 
     private void checked() {
--- a/daemon/src/main/java/postgrade/daemon/Workers.java
+++ b/daemon/src/main/java/postgrade/daemon/Workers.java
@@ -17,8 +17,8 @@
 import postgrade.policy.api.WorkerInfo;
 import postgrade.policy.api.WorkerListUpdateType;
 import postgrade.policy.api.WorkerPhase;
-import postgrade.provider.ProviderPools;
-import postgrade.provider.Target;
+import postgrade.worker.WorkerConnectionPools;
+import postgrade.worker.WorkerEndpoint;
 
 /**
  * Takes in what discovery and operators say of the workers, and tells the pools and the module how
@@ -34,17 +34,17 @@
     /** What discovery has last said of each provider. */
     private final Map<String, ListedWorker> told = new LinkedHashMap<>();
 
-    private final ProviderPools providers;
+    private final WorkerConnectionPools providers;
     private final RequestTracker gateway;
     private final WorkerStartTimes startTimes;
 
-    Workers(ProviderPools providers, RequestTracker gateway, Clock clock) {
+    Workers(WorkerConnectionPools providers, RequestTracker gateway, Clock clock) {
         this.providers = providers;
         this.gateway = gateway;
         startTimes = new WorkerStartTimes(clock);
     }
 
-    ProviderPools providers() {
+    WorkerConnectionPools providers() {
         return providers;
     }
 
@@ -81,14 +81,15 @@
                             e.id(), e.zone(), e.kind(), e.cell(), phase, e.weight(), born * NANOS));
         }
         List<WorkerInfo> counted = roster.update(form != WorkerListUpdateType.DELTA, workers);
-        providers.list(
+        providers.updateWorkers(
                 form != WorkerListUpdateType.DELTA, counted.stream().map(this::target).toList());
         told.values().removeIf(e -> e.state() == State.GONE);
         gateway.workersUpdated(form, counted);
     }
 
-    private Target target(WorkerInfo w) {
-        return new Target(w.id(), told.get(w.id()).address(), w.phase() == WorkerPhase.READY);
+    private WorkerEndpoint target(WorkerInfo w) {
+        return new WorkerEndpoint(
+                w.id(), told.get(w.id()).address(), w.phase() == WorkerPhase.READY);
     }
 
     boolean takeOut(long nowMicros, String id) {
@@ -121,7 +122,7 @@
     private void recount(String id) {
         WorkerInfo w = roster.worker(id);
         if (w != null) {
-            providers.list(false, List.of(target(w)));
+            providers.updateWorkers(false, List.of(target(w)));
             gateway.workersUpdated(WorkerListUpdateType.DELTA, List.of(w));
         }
     }
--- a/daemon/src/main/java/postgrade/provider/Call.java
+++ b/daemon/src/main/java/postgrade/worker/Call.java
@@ -1,4 +1,4 @@
-package postgrade.provider;
+package postgrade.worker;
 
 import java.util.function.Consumer;
 import postgrade.dispatch.Attempt;
--- a/daemon/src/main/java/postgrade/provider/CallState.java
+++ b/daemon/src/main/java/postgrade/worker/CallState.java
@@ -1,4 +1,4 @@
-package postgrade.provider;
+package postgrade.worker;
 
 import java.util.EnumSet;
 import java.util.Map;
--- a/daemon/src/main/java/postgrade/provider/CancellationTracker.java
+++ b/daemon/src/main/java/postgrade/worker/CancellationTracker.java
@@ -1,4 +1,4 @@
-package postgrade.provider;
+package postgrade.worker;
 
 /** Counts the cancellations under way, and those of them that no worker has been asked for yet. */
 final class CancellationTracker {
--- a/daemon/src/main/java/postgrade/provider/Pacing.java
+++ b/daemon/src/main/java/postgrade/worker/ConnectLimiter.java
@@ -1,4 +1,4 @@
-package postgrade.provider;
+package postgrade.worker;
 
 /**
  * How often connections to a provider may be opened, where many dispatchers may do so at once.
@@ -6,12 +6,12 @@
  * Pool#PATIENCE_MICROS}.
  */
 @FunctionalInterface
-public interface Pacing {
+public interface ConnectLimiter {
 
     /**
      * Asked right before one is opened, and counts it if so.
      *
      * @param must it is opened whatever the answer is: nothing else can carry the request
      */
-    boolean mayOpen(String providerId, boolean must);
+    boolean tryOpen(String providerId, boolean must);
 }
--- a/daemon/src/main/java/postgrade/provider/EndProof.java
+++ b/daemon/src/main/java/postgrade/worker/EndProof.java
@@ -1,4 +1,4 @@
-package postgrade.provider;
+package postgrade.worker;
 
 import postgrade.http.Message;
 
--- a/daemon/src/main/java/postgrade/provider/KeepAlive.java
+++ b/daemon/src/main/java/postgrade/worker/KeepAlive.java
@@ -1,4 +1,4 @@
-package postgrade.provider;
+package postgrade.worker;
 
 /**
  * How long a connection to a provider may stand idle and still be trusted with a request. The
--- a/daemon/src/main/java/postgrade/provider/Link.java
+++ b/daemon/src/main/java/postgrade/worker/Link.java
@@ -1,4 +1,4 @@
-package postgrade.provider;
+package postgrade.worker;
 
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
--- a/daemon/src/main/java/postgrade/provider/Pool.java
+++ b/daemon/src/main/java/postgrade/worker/Pool.java
@@ -1,4 +1,4 @@
-package postgrade.provider;
+package postgrade.worker;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -50,7 +50,7 @@
      */
     private int postponed;
 
-    private final Supplier<Pacing> pacing;
+    private final Supplier<ConnectLimiter> pacing;
 
     Pool(
             String id,
@@ -58,7 +58,7 @@
             Timers timers,
             LongSupplier connectTimeoutMicros,
             KeepAlive keepAlive,
-            Supplier<Pacing> pacing) {
+            Supplier<ConnectLimiter> pacing) {
         this.pacing = pacing;
         this.id = id;
         this.reactor = reactor;
@@ -83,9 +83,9 @@
             wakeForWaiting();
             return;
         }
-        Pacing pace = pacing.get();
+        ConnectLimiter pace = pacing.get();
         boolean must = !connected();
-        if (pace == null || pace.mayOpen(id, must) || must) {
+        if (pace == null || pace.tryOpen(id, must) || must) {
             try {
                 open();
             } catch (IOException e) {
@@ -150,9 +150,9 @@
     /** One more for what has waited, if what it has waited for is gone. */
     private void replace() {
         if (lacksOne()) {
-            Pacing pace = pacing.get();
+            ConnectLimiter pace = pacing.get();
             if (pace != null) {
-                pace.mayOpen(id, true);
+                pace.tryOpen(id, true);
             }
             try {
                 open();
--- a/daemon/src/main/java/postgrade/provider/WaitingRequests.java
+++ b/daemon/src/main/java/postgrade/worker/WaitingRequests.java
@@ -1,4 +1,4 @@
-package postgrade.provider;
+package postgrade.worker;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/daemon/src/main/java/postgrade/provider/WireTimes.java
+++ b/daemon/src/main/java/postgrade/worker/WireTimes.java
@@ -1,4 +1,4 @@
-package postgrade.provider;
+package postgrade.worker;
 
 import postgrade.dispatch.ConnectionUse;
 import postgrade.dispatch.WireRecord;
--- a/daemon/src/main/java/postgrade/provider/ProviderPools.java
+++ b/daemon/src/main/java/postgrade/worker/WorkerConnectionPools.java
@@ -1,4 +1,4 @@
-package postgrade.provider;
+package postgrade.worker;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -21,9 +21,9 @@
 import postgrade.policy.api.AttemptOutcome;
 
 /** Speaks to the providers: sends calls, gives them up, probes. */
-public final class ProviderPools implements WorkerTransport {
+public final class WorkerConnectionPools implements WorkerTransport {
 
-    private static final Logger LOG = LoggerFactory.getLogger(ProviderPools.class);
+    private static final Logger LOG = LoggerFactory.getLogger(WorkerConnectionPools.class);
 
     /**
      * Idle connections are retired after this part of the time after which providers close them.
@@ -66,14 +66,14 @@
     private long connectTimeoutMicros;
     private final KeepAlive keepAlive;
     private final Map<String, Pool> pools = new HashMap<>();
-    private Fences fences = Fences.NONE;
+    private FencingTokens fences = FencingTokens.NONE;
 
     /** Null where nothing paces. */
-    private Pacing pacing;
+    private ConnectLimiter pacing;
 
     private final CancellationTracker cancellations = new CancellationTracker();
 
-    public ProviderPools(
+    public WorkerConnectionPools(
             RequestTracker gateway,
             Reactor reactor,
             Timers timers,
@@ -87,23 +87,23 @@
     }
 
     /** Jobs go with these claims from now on. */
-    public void fences(Fences from) {
+    public void setFencingTokens(FencingTokens from) {
         fences = from;
     }
 
     /** Connections are opened at this pace from now on. */
-    public void pacing(Pacing by) {
+    public void setConnectLimiter(ConnectLimiter by) {
         pacing = by;
     }
 
     /** A connection to it is up or on its way. */
-    public boolean connected(String providerId) {
+    public boolean hasConnection(String providerId) {
         Pool pool = pools.get(providerId);
         return pool != null && pool.connected();
     }
 
     /** Some provider with a connection has fewer calls of ours than that. */
-    public boolean anyConnected(int fewerThan) {
+    public boolean hasConnectedWorkerBelow(int fewerThan) {
         for (Pool p : pools.values()) {
             if (p.ready && p.users < fewerThan && p.connected()) {
                 return true;
@@ -113,7 +113,7 @@
     }
 
     /** For how long an idle connection is kept at most. */
-    public long keptMicros() {
+    public long maxIdleMicros() {
         return keepAlive.most();
     }
 
@@ -122,7 +122,7 @@
      *
      * @param sameDeployment what was learnt of its network holds on
      */
-    public void settings(long connectMicros, long idleMicros, boolean sameDeployment) {
+    public void updateSettings(long connectMicros, long idleMicros, boolean sameDeployment) {
         connectTimeoutMicros = connectMicros;
         keepAlive.most((long) (idleMicros * RETIRE), sameDeployment);
     }
@@ -133,9 +133,9 @@
      * Applies a change of the list, before the module hears of it. A whole list drops what it
      * lacks.
      */
-    public void list(boolean whole, List<Target> targets) {
+    public void updateWorkers(boolean whole, List<WorkerEndpoint> targets) {
         Set<String> named = new HashSet<>();
-        for (Target t : targets) {
+        for (WorkerEndpoint t : targets) {
             named.add(t.id());
             Pool pool =
                     pools.computeIfAbsent(
@@ -201,7 +201,7 @@
                         timers,
                         pool,
                         call,
-                        fences.of(call.jobClass(), call.tenant(), call.workerId()),
+                        fences.tokenFor(call.jobClass(), call.tenant(), call.workerId()),
                         cancellations);
         pool.users++;
         pool.send(sent);
@@ -209,12 +209,12 @@
     }
 
     /** No attempt is still being given up on the wire. */
-    public boolean quiet() {
+    public boolean hasNoCancellations() {
         return cancellations.underWay() == 0;
     }
 
     /** Each worker has been asked once to drop what is being given up, or could not be asked. */
-    public boolean allCancellationsAsked() {
+    public boolean allCancellationsAttempted() {
         return cancellations.unasked() == 0;
     }
 
--- a/daemon/src/test/java/postgrade/daemon/AttemptStage.java
+++ b/daemon/src/test/java/postgrade/daemon/AttemptTestBase.java
@@ -19,74 +19,77 @@
 import postgrade.dispatch.RequestPayload;
 import postgrade.dispatch.RequestTracker;
 import postgrade.dispatch.ResponseHandler;
-import postgrade.provider.ProviderPools;
-import postgrade.provider.Target;
+import postgrade.worker.WorkerConnectionPools;
+import postgrade.worker.WorkerEndpoint;
 
 /**
  * The gateway and its pools on a loop that the test turns: sockets are real, time passes when the
  * test says so, and what is ready is served before the module decides, as in the daemon's own loop.
  */
-public abstract class AttemptStage {
+public abstract class AttemptTestBase {
 
-    static final long MILLI = 1_000;
-    static final long DEADLINE = 15_000 * MILLI;
-    static final String TAKEN = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
+    static final long MILLI_MICROS = 1_000;
+    static final long DEADLINE_MICROS = 15_000 * MILLI_MICROS;
+    static final String ACCEPTED = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
 
-    final ManualEventLoop hand;
+    final ManualEventLoop loop;
     final List<String> answers = new ArrayList<>();
     final List<Socket> sockets = new ArrayList<>();
-    ServerSocket one;
-    ServerSocket two;
-    Script script;
-    RequestTracker gateway;
-    ProviderPools pools;
+    ServerSocket worker1;
+    ServerSocket worker2;
+    ScriptedPolicy policy;
+    RequestTracker tracker;
+    WorkerConnectionPools pools;
 
-    AttemptStage() throws IOException {
-        hand = new ManualEventLoop();
-        one = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        two = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        one.setSoTimeout(Peer.PATIENCE_S * 1000);
-        two.setSoTimeout(Peer.PATIENCE_S * 1000);
+    AttemptTestBase() throws IOException {
+        loop = new ManualEventLoop();
+        worker1 = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        worker2 = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        worker1.setSoTimeout(ScriptedPeer.TIMEOUT_S * 1000);
+        worker2.setSoTimeout(ScriptedPeer.TIMEOUT_S * 1000);
     }
 
-    boolean mayDuplicate() {
+    boolean allowsConcurrentAttempts() {
         return false;
     }
 
     @Before
-    public void begin() {
-        gateway =
+    public void setUp() {
+        tracker =
                 new RequestTracker(
-                        out -> script = new Script(out),
-                        mayDuplicate(),
+                        out -> policy = new ScriptedPolicy(out),
+                        allowsConcurrentAttempts(),
                         100,
-                        hand,
+                        loop,
                         (event, message, thrown) -> {});
-        pools = new ProviderPools(gateway, hand, hand, 2_000 * MILLI, 10_000 * MILLI);
-        gateway.connectTransport(pools);
-        list(target("w1", one, true), target("w2", two, true));
-        script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
+        pools =
+                new WorkerConnectionPools(
+                        tracker, loop, loop, 2_000 * MILLI_MICROS, 10_000 * MILLI_MICROS);
+        tracker.connectTransport(pools);
+        updateWorkers(endpoint("w1", worker1, true), endpoint("w2", worker2, true));
+        policy.onJob = job -> policy.actions.startAttempt(job.id(), "w1", 0);
     }
 
     @After
-    public void end() throws IOException {
+    public void tearDown() throws IOException {
         for (Socket s : sockets) {
             s.close();
         }
-        one.close();
-        two.close();
+        worker1.close();
+        worker2.close();
     }
 
-    static Target target(String id, ServerSocket at, boolean ready) {
-        return new Target(id, new InetSocketAddress(at.getInetAddress(), at.getLocalPort()), ready);
+    static WorkerEndpoint endpoint(String id, ServerSocket at, boolean ready) {
+        return new WorkerEndpoint(
+                id, new InetSocketAddress(at.getInetAddress(), at.getLocalPort()), ready);
     }
 
-    void list(Target... targets) {
-        pools.list(false, List.of(targets));
+    void updateWorkers(WorkerEndpoint... targets) {
+        pools.updateWorkers(false, List.of(targets));
     }
 
     /** A consumer's job, taken over but not yet decided on. */
-    PendingRequest open(String id, String jobClass) {
+    PendingRequest submit(String id, String jobClass) {
         PendingRequest in =
                 new PendingRequest(
                         id,
@@ -95,7 +98,7 @@
                         null,
                         1,
                         0,
-                        hand.nowMicros() + DEADLINE,
+                        loop.nowMicros() + DEADLINE_MICROS,
                         new RequestPayload(
                                 "POST",
                                 "/api",
@@ -118,32 +121,32 @@
                                 answers.add(id + " failed");
                             }
                         });
-        gateway.submit(in);
+        tracker.submit(in);
         return in;
     }
 
-    PendingRequest open(String id) {
-        return open(id, "price");
+    PendingRequest submit(String id) {
+        return submit(id, "price");
     }
 
     /** The rest of a turn whose channels have been served. */
-    void turn() {
-        hand.advanceTime(0, () -> false);
-        gateway.runBatch();
+    void runTurn() {
+        loop.advanceTime(0, () -> false);
+        tracker.runBatch();
     }
 
     /** Time passes, with a turn at its end. */
-    void pass(long micros) {
-        hand.advanceTime(micros, () -> false);
-        gateway.runBatch();
+    void advance(long micros) {
+        loop.advanceTime(micros, () -> false);
+        tracker.runBatch();
     }
 
     /** Turns, none of which lets time pass, until something has come on the connection. */
-    void arrives(Socket s) throws IOException {
-        hand.serveUntil(
+    void awaitBytes(Socket s) throws IOException {
+        loop.serveUntil(
                 () -> {
-                    turn();
-                    return available(s) > 0;
+                    runTurn();
+                    return availableBytes(s) > 0;
                 });
     }
 
@@ -151,32 +154,32 @@
     Socket accept(ServerSocket at) throws IOException {
         Socket s = at.accept();
         s.setTcpNoDelay(true);
-        s.setSoTimeout(Peer.PATIENCE_S * 1000);
+        s.setSoTimeout(ScriptedPeer.TIMEOUT_S * 1000);
         sockets.add(s);
         return s;
     }
 
     /** The next connection to it, with the request that has come on it. */
-    Peer.Arrived request(ServerSocket at) throws IOException {
-        return request(accept(at));
+    ScriptedPeer.ReceivedMessage awaitRequest(ServerSocket at) throws IOException {
+        return awaitRequest(accept(at));
     }
 
-    Peer.Arrived request(Socket s) throws IOException {
-        arrives(s);
-        return Peer.read(s);
+    ScriptedPeer.ReceivedMessage awaitRequest(Socket s) throws IOException {
+        awaitBytes(s);
+        return ScriptedPeer.read(s);
     }
 
     /** A worker's side of the connection on which this job has come to it. */
-    Socket untaken(String id) throws IOException {
-        open(id);
-        turn();
-        return request(one).socket();
+    Socket sendJob(String id) throws IOException {
+        submit(id);
+        runTurn();
+        return awaitRequest(worker1).socket();
     }
 
     /** As above, and the worker has answered 202. */
-    Socket taken(String id) throws IOException {
-        Socket worker = untaken(id);
-        says(worker, TAKEN);
+    Socket sendAcceptedJob(String id) throws IOException {
+        Socket worker = sendJob(id);
+        respond(worker, ACCEPTED);
         return worker;
     }
 
@@ -184,32 +187,32 @@
      * The first worker is asked to drop the job on a new connection, says that it has and ends the
      * connection.
      */
-    void confirmsCancellation(String id) throws IOException {
-        Peer.Arrived delete = request(one);
+    void confirmCancellation(String id) throws IOException {
+        ScriptedPeer.ReceivedMessage delete = awaitRequest(worker1);
         assertTrue(delete.head(), delete.head().startsWith("DELETE /jobs/" + id + " "));
-        hand.runAndServe(() -> delete.reply("200 OK\r\nConnection: close", ""));
-        turn();
+        loop.runAndServe(() -> delete.reply("200 OK\r\nConnection: close", ""));
+        runTurn();
     }
 
     /** The worker says this, and it is read before the turn goes on. */
-    void says(Socket worker, String text) throws IOException {
-        hand.runAndServe(() -> Peer.write(worker, text));
+    void respond(Socket worker, String text) throws IOException {
+        loop.runAndServe(() -> ScriptedPeer.write(worker, text));
     }
 
-    void reports(String id, String from, ReportedState state) {
-        gateway.workerReported(id, from, state, 0, new byte[0]);
+    void report(String id, String from, ReportedState state) {
+        tracker.workerReported(id, from, state, 0, new byte[0]);
     }
 
     /** Ends of attempts that the module has heard of. */
-    List<String> ends() {
-        return script.heard.stream().filter(h -> h.startsWith("finished")).toList();
+    List<String> finishedEvents() {
+        return policy.events.stream().filter(h -> h.startsWith("finished")).toList();
     }
 
-    void hasHeard(String... expected) {
-        assertEquals(List.of(expected), ends());
+    void assertFinished(String... expected) {
+        assertEquals(List.of(expected), finishedEvents());
     }
 
-    static int available(Socket s) {
+    static int availableBytes(Socket s) {
         try {
             return s.getInputStream().available();
         } catch (IOException e) {
--- a/daemon/src/test/java/postgrade/daemon/BadInputTest.java
+++ b/daemon/src/test/java/postgrade/daemon/BadInputTest.java
@@ -11,16 +11,16 @@
 import org.junit.Before;
 import org.junit.Test;
 import postgrade.consumer.Listener;
-import postgrade.daemon.Peer.Arrived;
+import postgrade.daemon.ScriptedPeer.ReceivedMessage;
 import postgrade.lifecycle.Lifecycle;
 
 /**
  * Clients that send what they should not, on time that the test turns: each is answered and ended,
  * others are served.
  */
-public class BadInputTest extends AttemptStage {
+public class BadInputTest extends AttemptTestBase {
 
-    private static final long STEP = 500 * MILLI;
+    private static final long STEP = 500 * MILLI_MICROS;
     private static final String JOB = "POST /api HTTP/1.1\r\nX-Class: price\r\nX-Request-Id: ";
 
     /**
@@ -55,18 +55,18 @@
                 new Listener(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         false,
-                        Map.of("price", DEADLINE),
+                        Map.of("price", DEADLINE_MICROS),
                         Set.of(),
                         () -> true,
                         lifecycle,
                         new Turns.Alone(),
-                        gateway,
-                        hand,
-                        hand);
-        script.onJob =
+                        tracker,
+                        loop,
+                        loop);
+        policy.onJob =
                 job -> {
                     if (job.id().startsWith("usual")) {
-                        script.out.startAttempt(job.id(), "w1", 0);
+                        policy.actions.startAttempt(job.id(), "w1", 0);
                     }
                 };
     }
@@ -74,8 +74,8 @@
     private Socket connect() throws IOException {
         Socket s = new Socket();
         sockets.add(s);
-        s.setSoTimeout(Peer.PATIENCE_S * 1000);
-        hand.runAndServe(
+        s.setSoTimeout(ScriptedPeer.TIMEOUT_S * 1000);
+        loop.runAndServe(
                 () ->
                         s.connect(
                                 new InetSocketAddress(
@@ -84,20 +84,21 @@
     }
 
     private static int status(Socket s) throws IOException {
-        return Peer.read(s).status();
+        return ScriptedPeer.read(s).status();
     }
 
     /** Another client's job, the worker's word that it is done, and the answers to both. */
     private void served(String id, Socket client, Socket callBacks, Socket worker)
             throws IOException {
-        hand.runAndServe(() -> Peer.write(client, JOB + id + "\r\nContent-Length: 0\r\n\r\n"));
-        turn();
-        Arrived attempt = worker == null ? request(one) : request(worker);
-        says(attempt.socket(), "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
+        loop.runAndServe(
+                () -> ScriptedPeer.write(client, JOB + id + "\r\nContent-Length: 0\r\n\r\n"));
+        runTurn();
+        ReceivedMessage attempt = worker == null ? awaitRequest(worker1) : awaitRequest(worker);
+        respond(attempt.socket(), "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
         String done = "{\"id\":\"" + id + "\",\"from\":\"w1\",\"state\":\"done\"}";
-        hand.runAndServe(
+        loop.runAndServe(
                 () ->
-                        Peer.write(
+                        ScriptedPeer.write(
                                 callBacks,
                                 "POST /v1/job-events HTTP/1.1\r\nContent-Length: "
                                         + done.length()
@@ -105,7 +106,7 @@
                                         + done));
         assertEquals(204, status(callBacks));
         assertEquals(200, status(client));
-        turn();
+        runTurn();
         callBacks.setSoTimeout(attempt.socket().getSoTimeout());
     }
 
@@ -116,21 +117,21 @@
         Socket callBacks = connect();
         served("usual", usual, callBacks, null);
         Socket worker = sockets.get(2);
-        long before = hand.openChannels();
+        long before = loop.openChannels();
         Socket[] bad = new Socket[CLIENTS.length];
         for (int i = 0; i < bad.length; i++) {
             Socket s = connect();
             bad[i] = s;
             String text = (String) CLIENTS[i][0];
             if (!text.isEmpty()) {
-                hand.runAndServe(() -> Peer.write(s, text));
+                loop.runAndServe(() -> ScriptedPeer.write(s, text));
             }
             if ((boolean) CLIENTS[i][2]) {
-                hand.serveUntil(() -> available(s) > 0);
+                loop.serveUntil(() -> availableBytes(s) > 0);
             }
         }
         for (int i = 0; i < 6; i++) {
-            pass(STEP);
+            advance(STEP);
             served("usual" + i, usual, callBacks, worker);
         }
         for (int i = 0; i < bad.length; i++) { // By now, 3 s on.
@@ -142,11 +143,11 @@
                     -1,
                     bad[i].getInputStream().read());
         }
-        pass(STEP);
-        hand.serveUntil(() -> true);
+        advance(STEP);
+        loop.serveUntil(() -> true);
         assertEquals(
                 "none of them holds a place though it has not ended its own side",
                 before,
-                hand.openChannels());
+                loop.openChannels());
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/CompanionTest.java
+++ b/daemon/src/test/java/postgrade/daemon/CompanionTest.java
@@ -19,7 +19,7 @@
 import org.junit.Test;
 import postgrade.companion.Companion;
 import postgrade.companion.Host;
-import postgrade.daemon.Peer.Arrived;
+import postgrade.daemon.ScriptedPeer.ReceivedMessage;
 import postgrade.operator.Further;
 import postgrade.policy.api.JobConstraints;
 
@@ -47,7 +47,7 @@
     }
 
     private Socket postOnceItListens(String id) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Peer.PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(ScriptedPeer.TIMEOUT_S);
         while (true) {
             try {
                 return post(id, "price", "15000m");
@@ -59,7 +59,7 @@
     }
 
     private void hears(String what) throws InterruptedException {
-        assertEquals(what, heard.poll(Peer.PATIENCE_S, TimeUnit.SECONDS));
+        assertEquals(what, heard.poll(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
     }
 
     @Override
@@ -140,7 +140,7 @@
     public void itHearsOfListsOperatorsAndTheEndAndItsShareAndAbilityReachTheModule()
             throws Exception {
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
-        assertSame(JobConstraints.NONE, script.ability);
+        assertSame(JobConstraints.NONE, script.constraints);
         answerWatch(
                 workerListJson(
                         42,
@@ -148,13 +148,13 @@
                         workerEntry("w1", workerOne.address(), "ready"),
                         workerEntry("w2", workerTwo.address(), "ready")));
         hears("listed [w1, w2]");
-        script.hears("list FULL [w1 READY, w2 READY]");
+        script.expectEvent("list FULL [w1 READY, w2 READY]");
         assertEquals(
                 200, operatorCall(daemon, "PUT /maintenance/enter", "{\"id\":\"w1\"}").status());
         hears("w1 true");
-        script.hears("list DELTA [w1 DRAINING]");
+        script.expectEvent("list DELTA [w1 DRAINING]");
         host.loop().execute(() -> host.share(1.5));
-        script.hears("share 1.5");
+        script.expectEvent("share 1.5");
         host.loop()
                 .execute(
                         () ->
@@ -165,7 +165,7 @@
                                                 + " "
                                                 + host.alone()));
         hears("true true true");
-        script.hears("list DELTA [w1 READY]");
+        script.expectEvent("list DELTA [w1 READY]");
         awaitStopped(stopInBackground(daemon));
         hears("stopping");
         hears("close");
@@ -174,19 +174,19 @@
     @Test
     public void consumersWaitUntilItKnowsWhichWorkersAreOut() throws Exception {
         knows = false;
-        patienceMicros = Peer.PATIENCE_S * 1_000_000L;
+        patienceMicros = ScriptedPeer.TIMEOUT_S * 1_000_000L;
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
-        script.onJob = job -> script.out.reject(job.id(), 0);
+        script.onJob = job -> script.actions.reject(job.id(), 0);
         assertThrows("they turn to others at once", ConnectException.class, this::connect);
         assertEquals(
                 "it takes no consumers yet", 503, operatorCall(daemon, "GET /status", "").status());
         host.loop().execute(() -> host.takeOut("w1"));
-        script.hears("list DELTA [w1 DRAINING]");
+        script.expectEvent("list DELTA [w1 DRAINING]");
         assertThrows(ConnectException.class, this::connect);
         knows = true;
         Socket consumer = postOnceItListens("a1");
-        script.hears("job a1");
-        assertEquals(429, Peer.read(consumer).status());
+        script.expectEvent("job a1");
+        assertEquals(429, ScriptedPeer.read(consumer).status());
     }
 
     @Test
@@ -195,25 +195,25 @@
         script.onJob =
                 job -> {
                     heard.add("turn " + (turnMicros == host.timers().nowMicros()));
-                    script.out.reject(job.id(), 0);
+                    script.actions.reject(job.id(), 0);
                 };
         Socket consumer = post("t1", "price", "15000m");
         hears("turn true");
-        assertEquals(429, Peer.read(consumer).status());
+        assertEquals(429, ScriptedPeer.read(consumer).status());
     }
 
     @Test
     public void itPacesConnectionsAndARequestThatWaitsForOneHasItAllTheSame() throws Exception {
         paces = true;
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
-        script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
+        script.onJob = job -> script.actions.startAttempt(job.id(), "w1", 0);
         post("p1", "price", "15000m");
         hears("connect w1 true");
-        Arrived first = workerOne.next("POST");
+        ReceivedMessage first = workerOne.awaitMessage("POST");
         post("p2", "price", "15000m"); // The first is not answered, so its connection stays in use.
         hears("connect w1 false");
         hears("connect w1 true");
-        Arrived second = workerOne.next("POST");
+        ReceivedMessage second = workerOne.awaitMessage("POST");
         assertNotSame(first.socket(), second.socket());
     }
 
@@ -222,16 +222,16 @@
         knows = false;
         patienceMicros = 50_000;
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
-        script.onJob = job -> script.out.reject(job.id(), 0);
+        script.onJob = job -> script.actions.reject(job.id(), 0);
         Socket consumer = postOnceItListens("b1");
-        script.hears("job b1");
-        assertEquals(429, Peer.read(consumer).status());
+        script.expectEvent("job b1");
+        assertEquals(429, ScriptedPeer.read(consumer).status());
     }
 
     @Test
     public void operatorsCallsBeyondTheDailyOnesAreItsOwnEachWithItsBound() throws Exception {
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
-        Arrived answer = operatorCall(daemon, "PUT /calendar", "x".repeat(100_000));
+        ReceivedMessage answer = operatorCall(daemon, "PUT /calendar", "x".repeat(100_000));
         assertEquals("{\"length\":100000}\n", answer.body());
         assertEquals(503, answer.status());
         assertEquals("in whole seconds, never too early", "2", answer.header("Retry-After"));
--- a/daemon/src/test/java/postgrade/daemon/CopiesTest.java
+++ b/daemon/src/test/java/postgrade/daemon/CopiesTest.java
@@ -6,25 +6,25 @@
 import org.junit.Test;
 
 /** Where two attempts of a job may be out at once. */
-public class CopiesTest extends AttemptStage {
+public class CopiesTest extends AttemptTestBase {
 
     public CopiesTest() throws IOException {}
 
     @Override
-    boolean mayDuplicate() {
+    boolean allowsConcurrentAttempts() {
         return true;
     }
 
     @Test
     public void aWorkerHasOneOfThemAllTheSame() throws Exception {
-        open("c1");
-        turn();
-        request(one);
-        script.out.startAttempt("c1", "w1", 0);
-        script.out.startAttempt("c1", "w2", 0);
-        turn();
-        assertEquals("c1", request(two).header("X-Request-Id"));
-        turn();
-        hasHeard("finished c1 1 NOT_SENT false");
+        submit("c1");
+        runTurn();
+        awaitRequest(worker1);
+        policy.actions.startAttempt("c1", "w1", 0);
+        policy.actions.startAttempt("c1", "w2", 0);
+        runTurn();
+        assertEquals("c1", awaitRequest(worker2).header("X-Request-Id"));
+        runTurn();
+        assertFinished("finished c1 1 NOT_SENT false");
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/DaemonTestBase.java
+++ b/daemon/src/test/java/postgrade/daemon/DaemonTestBase.java
@@ -19,7 +19,7 @@
 import org.junit.Rule;
 import org.junit.rules.TemporaryFolder;
 import postgrade.companion.Companion;
-import postgrade.daemon.Peer.Arrived;
+import postgrade.daemon.ScriptedPeer.ReceivedMessage;
 import postgrade.discovery.WatchTimeouts;
 
 /**
@@ -43,11 +43,11 @@
                     + "'specifics':{'tellsStart':true}";
 
     @Rule public final TemporaryFolder folder = new TemporaryFolder();
-    Peer discovery;
-    Peer workerOne;
-    Peer workerTwo;
+    ScriptedPeer discovery;
+    ScriptedPeer workerOne;
+    ScriptedPeer workerTwo;
     Daemon daemon;
-    Script script;
+    ScriptedPolicy script;
     final List<Socket> sockets = new ArrayList<>();
     int maxHeldJobs = 100;
     long idleNs = 10_000_000_000L;
@@ -63,9 +63,9 @@
 
     @Before
     public void startPeers() throws IOException {
-        discovery = new Peer();
-        workerOne = new Peer();
-        workerTwo = new Peer();
+        discovery = new ScriptedPeer();
+        workerOne = new ScriptedPeer();
+        workerTwo = new ScriptedPeer();
     }
 
     /**
@@ -94,7 +94,7 @@
         for (Socket s : sockets) {
             s.close();
         }
-        for (Peer p : List.of(discovery, workerOne, workerTwo)) {
+        for (ScriptedPeer p : List.of(discovery, workerOne, workerTwo)) {
             p.close();
         }
     }
@@ -156,15 +156,15 @@
                 new Daemon(
                         Config.read(configuration(servers)),
                         companionPlan,
-                        out -> script = new Script(out),
+                        out -> script = new ScriptedPolicy(out),
                         PATIENCE);
         daemon.start();
-        script.heard.take(); // The stored list.
+        script.events.take(); // The stored list.
     }
 
     Socket connect() throws IOException {
         Socket s = new Socket(listen.split(":")[0], daemon.port());
-        s.setSoTimeout(Peer.PATIENCE_S * 1000);
+        s.setSoTimeout(ScriptedPeer.TIMEOUT_S * 1000);
         sockets.add(s);
         return s;
     }
@@ -176,7 +176,7 @@
     }
 
     static void post(Socket s, String id, String jobClass, String deadline) {
-        Peer.write(
+        ScriptedPeer.write(
                 s,
                 "POST /api?a=b HTTP/1.1\r\nHost: backend.local\r\nX-Request-Id: "
                         + id
@@ -187,10 +187,10 @@
                         + "\r\nContent-Length: 3\r\n\r\njob");
     }
 
-    Arrived exchange(String text) throws IOException {
+    ReceivedMessage exchange(String text) throws IOException {
         Socket s = connect();
-        Peer.write(s, text);
-        return Peer.read(s);
+        ScriptedPeer.write(s, text);
+        return ScriptedPeer.read(s);
     }
 
     int readinessStatus() throws IOException {
@@ -217,18 +217,19 @@
     }
 
     void answerWatch(String line) throws InterruptedException {
-        Arrived watch = discovery.next("GET /api/targets?watch=1&from=41 ");
-        Peer.write(watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        ReceivedMessage watch = discovery.awaitMessage("GET /api/targets?watch=1&from=41 ");
+        ScriptedPeer.write(watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         writeChunk(watch, line);
     }
 
     /** One operator's call, and its answer; one call a connection. */
-    Arrived operatorCall(Daemon of, String line, String body) throws IOException {
+    ReceivedMessage operatorCall(Daemon of, String line, String body) throws IOException {
         Socket s = new Socket(InetAddress.getLoopbackAddress(), of.operatorPort());
-        s.setSoTimeout(Peer.PATIENCE_S * 1000);
+        s.setSoTimeout(ScriptedPeer.TIMEOUT_S * 1000);
         sockets.add(s);
-        Peer.write(s, line + " HTTP/1.1\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
-        Arrived answer = Peer.read(s);
+        ScriptedPeer.write(
+                s, line + " HTTP/1.1\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+        ReceivedMessage answer = ScriptedPeer.read(s);
         assertEquals("one call a connection", -1, s.getInputStream().read());
         s.close();
         return answer;
@@ -242,12 +243,12 @@
     }
 
     static void awaitStopped(Thread stop) throws InterruptedException {
-        TimeUnit.SECONDS.timedJoin(stop, Peer.PATIENCE_S);
+        TimeUnit.SECONDS.timedJoin(stop, ScriptedPeer.TIMEOUT_S);
         assertFalse("stopped", stop.isAlive());
     }
 
-    static void writeChunk(Arrived watch, String line) {
-        Peer.write(
+    static void writeChunk(ReceivedMessage watch, String line) {
+        ScriptedPeer.write(
                 watch.socket(), Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
     }
 
--- a/daemon/src/test/java/postgrade/daemon/DarkTest.java
+++ b/daemon/src/test/java/postgrade/daemon/DarkTest.java
@@ -6,7 +6,7 @@
 import java.net.Socket;
 import java.util.concurrent.TimeUnit;
 import org.junit.Test;
-import postgrade.daemon.Peer.Arrived;
+import postgrade.daemon.ScriptedPeer.ReceivedMessage;
 
 /**
  * While discovery is down, only the workers' own answers tell that one of them drains. Discovery
@@ -14,23 +14,23 @@
  */
 public class DarkTest extends DaemonTestBase {
 
-    private Peer other;
+    private ScriptedPeer other;
 
     /** The worker that was chosen has the job. */
-    private Arrived first() throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Peer.PATIENCE_S);
-        while (workerOne.nothingArrived() && workerTwo.nothingArrived()) {
+    private ReceivedMessage first() throws InterruptedException {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(ScriptedPeer.TIMEOUT_S);
+        while (workerOne.hasNoMessage() && workerTwo.hasNoMessage()) {
             assertTrue("no worker was chosen", System.nanoTime() < end);
             Thread.sleep(1);
         }
-        other = workerOne.nothingArrived() ? workerOne : workerTwo;
-        return (other == workerOne ? workerTwo : workerOne).next("POST");
+        other = workerOne.hasNoMessage() ? workerOne : workerTwo;
+        return (other == workerOne ? workerTwo : workerOne).awaitMessage("POST");
     }
 
     private void isServedByTheOther(Socket consumer, String id) throws Exception {
-        other.next("POST").accept();
+        other.awaitMessage("POST").accept();
         callBack(id, other == workerOne ? "w1" : "w2", "done");
-        assertEquals(200, Peer.read(consumer).status());
+        assertEquals(200, ScriptedPeer.read(consumer).status());
     }
 
     @Test
@@ -40,7 +40,7 @@
                 workerEntry("w1", workerOne.address(), "ready"),
                 workerEntry("w2", workerTwo.address(), "ready"));
         Socket consumer = post("h1", "confirm", "15000m");
-        Peer.write(
+        ScriptedPeer.write(
                 first().socket(),
                 "HTTP/1.1 503 Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
         isServedByTheOther(consumer, "h1");
@@ -66,9 +66,9 @@
                 workerEntry("w2", workerTwo.address(), "ready"));
         for (int i = 0; i < 10; i++) {
             Socket consumer = post("u" + i, "confirm", "15000m");
-            workerTwo.next("POST").accept();
+            workerTwo.awaitMessage("POST").accept();
             callBack("u" + i, "w2", "done");
-            assertEquals(200, Peer.read(consumer).status());
+            assertEquals(200, ScriptedPeer.read(consumer).status());
         }
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/ExtensionHeadersTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ExtensionHeadersTest.java
@@ -11,7 +11,7 @@
 import org.junit.Before;
 import org.junit.Test;
 import postgrade.companion.Companion;
-import postgrade.daemon.Peer.Arrived;
+import postgrade.daemon.ScriptedPeer.ReceivedMessage;
 import postgrade.dispatch.ExtensionHeaders;
 import postgrade.operator.Further;
 import postgrade.policy.api.JobConstraints;
@@ -53,12 +53,12 @@
         if ("soon".equals(lasts)) {
             throw new IllegalArgumentException("X-Window-Lasts has to be a length");
         }
-        return id -> script.heard.add("claim " + id + " " + jobClass + " " + lasts);
+        return id -> script.events.add("claim " + id + " " + jobClass + " " + lasts);
     }
 
     private Socket submit(String id, String headers) throws IOException {
         Socket s = connect();
-        Peer.write(
+        ScriptedPeer.write(
                 s,
                 "POST /api HTTP/1.1\r\nX-Request-Id: "
                         + id
@@ -69,7 +69,7 @@
     }
 
     private void turnedAway(String id, String headers, String sentence) throws IOException {
-        Arrived answer = Peer.read(submit(id, headers));
+        ReceivedMessage answer = ScriptedPeer.read(submit(id, headers));
         assertEquals(400, answer.status());
         assertTrue(answer.body(), answer.body().toLowerCase().startsWith(sentence));
     }
@@ -78,17 +78,19 @@
     public void aClaimIsKnownBeforeTheModuleHearsOfTheJobAndABadOneNeverReachesIt()
             throws Exception {
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
-        script.onJob = job -> script.out.reject(job.id(), 0);
+        script.onJob = job -> script.actions.reject(job.id(), 0);
         turnedAway("c1", "X-Window-Lasts: soon\r\n", "x-window-lasts has to be");
         turnedAway(
                 "c1", "X-Window-Lasts: 1m\r\nX-Window-Lasts: 1m\r\n", "x-window-lasts is repeated");
-        assertEquals(429, Peer.read(submit("c1", "X-Window-Lasts: 90m\r\n")).status());
-        script.hears("claim c1 price 90m");
-        script.hears("job c1");
+        assertEquals(429, ScriptedPeer.read(submit("c1", "X-Window-Lasts: 90m\r\n")).status());
+        script.expectEvent("claim c1 price 90m");
+        script.expectEvent("job c1");
         assertEquals(
-                "told too, so that nothing older holds", 429, Peer.read(submit("c1", "")).status());
-        script.hears("claim c1 price null");
-        script.hears("job c1");
+                "told too, so that nothing older holds",
+                429,
+                ScriptedPeer.read(submit("c1", "")).status());
+        script.expectEvent("claim c1 price null");
+        script.expectEvent("job c1");
     }
 
     @Test
@@ -96,23 +98,28 @@
         maxHeldJobs = 1;
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         submit("d1", "X-Window-Lasts: 1m\r\n");
-        script.hears("claim d1 price 1m");
-        script.hears("job d1");
+        script.expectEvent("claim d1 price 1m");
+        script.expectEvent("job d1");
+        assertEquals(
+                "its id is open",
+                409,
+                ScriptedPeer.read(submit("d1", "X-Window-Lasts: 2m\r\n")).status());
         assertEquals(
-                "its id is open", 409, Peer.read(submit("d1", "X-Window-Lasts: 2m\r\n")).status());
-        assertEquals("no place", 429, Peer.read(submit("d2", "X-Window-Lasts: 3m\r\n")).status());
-        assertTrue("heard of neither", script.heard.isEmpty());
+                "no place",
+                429,
+                ScriptedPeer.read(submit("d2", "X-Window-Lasts: 3m\r\n")).status());
+        assertTrue("heard of neither", script.events.isEmpty());
     }
 
     @Test
     public void whereNobodyReadsThemTheyArePassedOver() throws Exception {
         companionPlan = null;
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
-        script.onJob = job -> script.out.reject(job.id(), 0);
+        script.onJob = job -> script.actions.reject(job.id(), 0);
         assertEquals(
                 429,
-                Peer.read(submit("e1", "X-Window-Lasts: soon\r\nX-Window-Lasts: now\r\n"))
+                ScriptedPeer.read(submit("e1", "X-Window-Lasts: soon\r\nX-Window-Lasts: now\r\n"))
                         .status());
-        script.hears("job e1");
+        script.expectEvent("job e1");
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/FloodTest.java
+++ b/daemon/src/test/java/postgrade/daemon/FloodTest.java
@@ -10,7 +10,7 @@
 import org.junit.After;
 import org.junit.Before;
 import org.junit.Test;
-import postgrade.daemon.Peer.Arrived;
+import postgrade.daemon.ScriptedPeer.ReceivedMessage;
 
 /**
  * Clients that send as much as is kept, and go: others' jobs and call-backs are served meanwhile,
@@ -34,7 +34,7 @@
         turns.script.onJob =
                 job -> {
                     if (job.id().startsWith("usual")) {
-                        turns.script.out.startAttempt(job.id(), "w1", 0);
+                        turns.script.actions.startAttempt(job.id(), "w1", 0);
                     }
                 };
     }
@@ -51,9 +51,9 @@
 
     private void usualIsServed(String id) throws Exception {
         Socket client = turns.post(id);
-        workerOne.next("POST").accept();
+        workerOne.awaitMessage("POST").accept();
         assertEquals(204, callBack(id, "w1", "done"));
-        assertEquals(200, Peer.read(client).status());
+        assertEquals(200, ScriptedPeer.read(client).status());
     }
 
     @Test
@@ -61,13 +61,13 @@
         List<Socket> flood = new ArrayList<>();
         for (int i = 0; i < FILLS; i++) {
             flood.add(turns.connect());
-            Peer.write(flood.get(i), LARGE + "flood" + i + "\r\n\r\n" + "x".repeat(BODY));
-            turns.script.hears("job flood" + i);
+            ScriptedPeer.write(flood.get(i), LARGE + "flood" + i + "\r\n\r\n" + "x".repeat(BODY));
+            turns.script.expectEvent("job flood" + i);
         }
         Socket over = turns.connect();
-        Peer.write(
+        ScriptedPeer.write(
                 over, LARGE + "over\r\n\r\n" + "x".repeat(BODY - 1)); // Not whole, and never to be.
-        Arrived answer = Peer.read(over);
+        ReceivedMessage answer = ScriptedPeer.read(over);
         assertEquals(429, answer.status());
         assertEquals("ended, not reset", -1, over.getInputStream().read());
         usualIsServed("usual0");
@@ -76,7 +76,8 @@
                 () -> {
                     for (int i = 0; i < flood.size(); i++) {
                         Socket s = flood.get(i);
-                        Peer.write(s, LARGE + "more" + i + "\r\n\r\n" + "x".repeat(BODY / 2));
+                        ScriptedPeer.write(
+                                s, LARGE + "more" + i + "\r\n\r\n" + "x".repeat(BODY / 2));
                         if (i % 2 == 0) {
                             s.setSoLinger(true, 0); // With a reset.
                         }
@@ -85,10 +86,10 @@
                 },
                 () -> {});
         usualIsServed("usual1");
-        turns.script.heard.clear();
+        turns.script.events.clear();
         Socket large = turns.connect();
-        Peer.write(large, LARGE + "large\r\n\r\n" + "x".repeat(BODY));
-        turns.script.hearsAmongOthers("job large");
-        assertTrue("of the flood nothing was sent on", workerOne.nothingArrived());
+        ScriptedPeer.write(large, LARGE + "large\r\n\r\n" + "x".repeat(BODY));
+        turns.script.expectEventAmongOthers("job large");
+        assertTrue("of the flood nothing was sent on", workerOne.hasNoMessage());
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/FullHouseTest.java
+++ b/daemon/src/test/java/postgrade/daemon/FullHouseTest.java
@@ -3,7 +3,7 @@
 import static org.junit.Assert.assertTrue;
 
 import org.junit.Test;
-import postgrade.daemon.Peer.Arrived;
+import postgrade.daemon.ScriptedPeer.ReceivedMessage;
 
 /** Every descriptor is taken, and each one that comes free is wanted. */
 public class FullHouseTest extends DaemonTestBase {
@@ -27,40 +27,41 @@
                 job -> {
                     if (job.id().equals(last)) { // Now all connections to workers at once.
                         for (int i = 1; i < ACCEPTED; i++) {
-                            script.out.startAttempt("busy" + i, "w1", 0);
+                            script.actions.startAttempt("busy" + i, "w1", 0);
                         }
                     }
                 };
         script.onFinished =
                 (id, outcome) -> {
                     if (id.equals(last) && wants++ < MOST_WANTS) {
-                        script.out.startAttempt(id, "w1", 0); // In each turn it wants a connection.
+                        script.actions.startAttempt(
+                                id, "w1", 0); // In each turn it wants a connection.
                     }
                 };
-        Arrived watch = discovery.next("GET /api/targets?watch=1&from=41 ");
-        Peer.write(watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        ReceivedMessage watch = discovery.awaitMessage("GET /api/targets?watch=1&from=41 ");
+        ScriptedPeer.write(watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         writeChunk(
                 watch, workerListJson(42, false, workerEntry("w2", workerTwo.address(), "ready")));
-        script.hearsAmongOthers("list DELTA [w2 READY]");
+        script.expectEventAmongOthers("list DELTA [w2 READY]");
         for (int i = 1; i < ACCEPTED; i++) { // The watch has one of them.
             post("busy" + i, "price", "600000m");
-            script.hearsAmongOthers("job busy" + i);
+            script.expectEventAmongOthers("job busy" + i);
         }
         for (int i = 0; i < PLACES - OF_DISCOVERY - ACCEPTED; i++) {
-            workerOne.next("POST"); // Which says nothing to it, and keeps its connection.
+            workerOne.awaitMessage("POST"); // Which says nothing to it, and keeps its connection.
         }
         for (int i = 0; i < 10; i++) {
             connect(); // And more wait to be accepted.
         }
-        script.hearsAmongOthers("finished " + last + " 0 NO_SOCKET false");
+        script.expectEventAmongOthers("finished " + last + " 0 NO_SOCKET false");
         assertTrue("still wanted", wants < MOST_WANTS);
         watch.socket().close();
-        watch = discovery.next("GET /api/targets?watch=1&from=42 ");
-        Peer.write(watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        watch = discovery.awaitMessage("GET /api/targets?watch=1&from=42 ");
+        ScriptedPeer.write(watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         writeChunk(
                 watch,
                 workerListJson(43, false, workerEntry("w1", workerOne.address(), "draining")));
-        script.hearsAmongOthers("list DELTA [w1 DRAINING]");
+        script.expectEventAmongOthers("list DELTA [w1 DRAINING]");
         assertTrue("wanted to the end", wants < MOST_WANTS);
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/GiveUpCrossingTest.java
+++ b/daemon/src/test/java/postgrade/daemon/GiveUpCrossingTest.java
@@ -7,46 +7,46 @@
 import java.net.Socket;
 import java.util.List;
 import org.junit.Test;
-import postgrade.daemon.Peer.Arrived;
+import postgrade.daemon.ScriptedPeer.ReceivedMessage;
 import postgrade.dispatch.ReportedState;
 
 /**
  * What a worker says in the moment in which an attempt is given up, or so that nobody can tell what
  * it means.
  */
-public class GiveUpCrossingTest extends AttemptStage {
+public class GiveUpCrossingTest extends AttemptTestBase {
 
     public GiveUpCrossingTest() throws IOException {}
 
-    private Arrived sent(String id) throws IOException {
-        open(id);
-        turn();
-        return request(one);
+    private ReceivedMessage sent(String id) throws IOException {
+        submit(id);
+        runTurn();
+        return awaitRequest(worker1);
     }
 
     private void cancel(String id) {
-        script.out.cancelAttempt(id, 0);
-        turn();
+        policy.actions.cancelAttempt(id, 0);
+        runTurn();
     }
 
-    private Arrived delete(Socket on) throws IOException {
-        Arrived delete = request(on);
+    private ReceivedMessage delete(Socket on) throws IOException {
+        ReceivedMessage delete = awaitRequest(on);
         assertTrue(delete.head(), delete.head().startsWith("DELETE /jobs/"));
         return delete;
     }
 
-    private void isGivenUpBy(Arrived delete, String end) throws IOException {
-        hasHeard();
-        hand.runAndServe(() -> delete.reply("200 OK", ""));
-        turn();
-        hasHeard(end);
+    private void isGivenUpBy(ReceivedMessage delete, String end) throws IOException {
+        assertFinished();
+        loop.runAndServe(() -> delete.reply("200 OK", ""));
+        runTurn();
+        assertFinished(end);
     }
 
     /** It came before the job, or its connection's end, was known: the worker may have it since. */
-    private void provesNothing(Arrived delete) throws IOException {
-        hand.runAndServe(() -> delete.reply("200 OK", ""));
-        turn();
-        hasHeard();
+    private void provesNothing(ReceivedMessage delete) throws IOException {
+        loop.runAndServe(() -> delete.reply("200 OK", ""));
+        runTurn();
+        assertFinished();
     }
 
     /**
@@ -55,50 +55,50 @@
      */
     @Test
     public void afterA202ThatCrossesOnlyTheAnsweredDeleteEndsTheAttempt() throws Exception {
-        Arrived job = sent("x1");
+        ReceivedMessage job = sent("x1");
         cancel("x1");
-        Arrived delete = delete(accept(one));
-        says(job.socket(), TAKEN);
-        pass(200 * MILLI);
+        ReceivedMessage delete = delete(accept(worker1));
+        respond(job.socket(), ACCEPTED);
+        advance(200 * MILLI_MICROS);
         provesNothing(delete);
         isGivenUpBy(delete(job.socket()), "finished x1 0 CANCELLED false");
     }
 
     @Test
     public void soItIsAfterHalfAnAnswer() throws Exception {
-        Arrived job = sent("x2");
-        says(job.socket(), TAKEN.substring(0, 20));
+        ReceivedMessage job = sent("x2");
+        respond(job.socket(), ACCEPTED.substring(0, 20));
         cancel("x2");
-        Arrived delete = delete(accept(one));
-        pass(200 * MILLI);
+        ReceivedMessage delete = delete(accept(worker1));
+        advance(200 * MILLI_MICROS);
         provesNothing(delete);
-        pass(20 * MILLI);
+        advance(20 * MILLI_MICROS);
         isGivenUpBy(delete(delete.socket()), "finished x2 0 CANCELLED false");
     }
 
     @Test
     public void aWorkerThatSaysNothingHasItGivenUpByTheCloseAlone() throws Exception {
-        Arrived job = sent("x3");
+        ReceivedMessage job = sent("x3");
         cancel("x3");
-        delete(accept(one));
-        pass(99 * MILLI);
-        hasHeard();
-        pass(1 * MILLI);
-        hasHeard("finished x3 0 CANCELLED false");
+        delete(accept(worker1));
+        advance(99 * MILLI_MICROS);
+        assertFinished();
+        advance(1 * MILLI_MICROS);
+        assertFinished("finished x3 0 CANCELLED false");
         assertEquals("closed", -1, job.socket().getInputStream().read());
     }
 
     /** It counted as its word that it had dropped the job, though a 202 may have gone with it. */
     @Test
     public void aConnectionThatEndsBeforeItsAnswerIsNoWordOfTheWorkers() throws Exception {
-        Arrived job = sent("x4");
+        ReceivedMessage job = sent("x4");
         cancel("x4");
-        Arrived delete = delete(accept(one));
-        hand.runAndServe(() -> job.socket().close());
-        turn();
-        hasHeard();
+        ReceivedMessage delete = delete(accept(worker1));
+        loop.runAndServe(() -> job.socket().close());
+        runTurn();
+        assertFinished();
         provesNothing(delete);
-        pass(20 * MILLI);
+        advance(20 * MILLI_MICROS);
         isGivenUpBy(delete(delete.socket()), "finished x4 0 CANCELLED false");
     }
 
@@ -112,36 +112,36 @@
                 List.of(
                         "HTTP/1.1 2x2 Accepted\r\n\r\n",
                         "HTTP/1.1 202 Accepted\r\nContent-Length: x\r\n\r\n")) {
-            script.heard.clear();
-            Arrived job = sent("s" + spoilt.length());
-            says(job.socket(), spoilt);
-            turn();
-            isGivenUpBy(delete(accept(one)), "finished s" + spoilt.length() + " 0 RESET false");
-            pools.list(true, List.of());
-            list(target("w1", one, true));
+            policy.events.clear();
+            ReceivedMessage job = sent("s" + spoilt.length());
+            respond(job.socket(), spoilt);
+            runTurn();
+            isGivenUpBy(delete(accept(worker1)), "finished s" + spoilt.length() + " 0 RESET false");
+            pools.updateWorkers(true, List.of());
+            updateWorkers(endpoint("w1", worker1, true));
         }
     }
 
     @Test
     public void soIsOneWhoseAnswerIsCutShort() throws Exception {
-        Arrived job = sent("s1");
-        says(job.socket(), "HTTP/1.1 202 Accepted\r\nContent-Length: 9\r\n\r\nhalf");
-        hand.runAndServe(() -> job.socket().close());
-        turn();
-        isGivenUpBy(delete(accept(one)), "finished s1 0 RESET false");
+        ReceivedMessage job = sent("s1");
+        respond(job.socket(), "HTTP/1.1 202 Accepted\r\nContent-Length: 9\r\n\r\nhalf");
+        loop.runAndServe(() -> job.socket().close());
+        runTurn();
+        isGivenUpBy(delete(accept(worker1)), "finished s1 0 RESET false");
     }
 
     @Test
     public void aSpoiltAnswerOfAJobThatRunsDoesNotCostItsResult() throws Exception {
-        Arrived job = sent("s2");
-        says(job.socket(), "HTTP/1.1 2x2 Accepted\r\n\r\n");
-        turn();
-        reports("s2", "w1", ReportedState.STARTED);
-        reports("s2", "w1", ReportedState.DONE);
-        turn();
-        hasHeard("finished s2 0 SERVED true");
+        ReceivedMessage job = sent("s2");
+        respond(job.socket(), "HTTP/1.1 2x2 Accepted\r\n\r\n");
+        runTurn();
+        report("s2", "w1", ReportedState.STARTED);
+        report("s2", "w1", ReportedState.DONE);
+        runTurn();
+        assertFinished("finished s2 0 SERVED true");
         assertEquals(List.of("s2 served"), answers);
-        assertTrue("nothing is still given up", pools.quiet());
+        assertTrue("nothing is still given up", pools.hasNoCancellations());
     }
 
     /**
@@ -152,90 +152,91 @@
     public void anAttemptWhoseAnswerTheProtocolDoesNotKnowIsGivenUpBeforeTheModuleHears()
             throws Exception {
         for (int status : new int[] {200, 204, 302, 304, 408, 429, 501, 502, 599, 600}) {
-            script.heard.clear();
-            Arrived job = sent("u" + status);
-            says(job.socket(), "HTTP/1.1 " + status + " Unknown\r\nContent-Length: 0\r\n\r\n");
-            turn();
-            hasHeard();
-            pass(20 * MILLI);
+            policy.events.clear();
+            ReceivedMessage job = sent("u" + status);
+            respond(job.socket(), "HTTP/1.1 " + status + " Unknown\r\nContent-Length: 0\r\n\r\n");
+            runTurn();
+            assertFinished();
+            advance(20 * MILLI_MICROS);
             isGivenUpBy(delete(job.socket()), "finished u" + status + " 0 ERROR false");
-            pools.list(true, List.of());
-            list(target("w1", one, true));
+            pools.updateWorkers(true, List.of());
+            updateWorkers(endpoint("w1", worker1, true));
         }
     }
 
     @Test
     public void suchAnAnswerWhileItIsGivenUpLeavesThatToTheDelete() throws Exception {
-        Arrived job = sent("v1");
+        ReceivedMessage job = sent("v1");
         cancel("v1");
-        Arrived delete = delete(accept(one));
-        says(job.socket(), "HTTP/1.1 502 Unknown\r\nContent-Length: 0\r\n\r\n");
-        turn();
+        ReceivedMessage delete = delete(accept(worker1));
+        respond(job.socket(), "HTTP/1.1 502 Unknown\r\nContent-Length: 0\r\n\r\n");
+        runTurn();
         provesNothing(delete);
-        pass(20 * MILLI);
+        advance(20 * MILLI_MICROS);
         isGivenUpBy(delete(delete.socket()), "finished v1 0 CANCELLED false");
     }
 
     /** It is none: the real one follows, and decides. */
     @Test
     public void anInterimAnswerIsPassedOver() throws Exception {
-        Arrived job = sent("w1");
-        says(job.socket(), "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n");
-        turn();
-        hasHeard();
-        says(job.socket(), "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
-        turn();
-        hasHeard("finished w1 0 FULL false");
+        ReceivedMessage job = sent("w1");
+        respond(job.socket(), "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n");
+        runTurn();
+        assertFinished();
+        respond(job.socket(), "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
+        runTurn();
+        assertFinished("finished w1 0 FULL false");
     }
 
     /** It was taken as given up when its own time was over, with most of its consumer's left. */
     @Test
     public void anAttemptWithALimitOfItsOwnIsGivenUpLikeAnyOther() throws Exception {
-        script.onJob = job -> script.out.startAttempt(job.id(), "w1", 300 * MILLI * 1000);
-        Arrived job = sent("t1");
-        says(job.socket(), TAKEN);
-        pass(300 * MILLI);
+        policy.onJob =
+                job -> policy.actions.startAttempt(job.id(), "w1", 300 * MILLI_MICROS * 1000);
+        ReceivedMessage job = sent("t1");
+        respond(job.socket(), ACCEPTED);
+        advance(300 * MILLI_MICROS);
         delete(job.socket());
-        pass(400 * MILLI);
-        pass(50 * MILLI);
-        isGivenUpBy(delete(accept(one)), "finished t1 0 TIMEOUT false");
+        advance(400 * MILLI_MICROS);
+        advance(50 * MILLI_MICROS);
+        isGivenUpBy(delete(accept(worker1)), "finished t1 0 TIMEOUT false");
     }
 
     /** The next DELETE ended the next attempt at the same worker, which nobody was told of. */
     @Test
     public void whatAWorkerHandsBackMeanwhileIsAskedForNoMore() throws Exception {
-        Arrived job = sent("r1");
-        says(job.socket(), TAKEN);
+        ReceivedMessage job = sent("r1");
+        respond(job.socket(), ACCEPTED);
         cancel("r1");
-        pass(20 * MILLI); // Its connection rests.
+        advance(20 * MILLI_MICROS); // Its connection rests.
         delete(job.socket());
-        reports("r1", "w1", ReportedState.RETURNED);
-        turn();
-        hasHeard("finished r1 0 FULL false");
-        script.out.startAttempt("r1", "w1", 0);
-        turn();
-        assertEquals("POST /api HTTP/1.1", request(one).head().split("\r\n")[0]);
-        pass(400 * MILLI);
-        pass(50 * MILLI);
-        open("next");
-        turn();
-        assertEquals("next", request(one).header("X-Request-Id"));
+        report("r1", "w1", ReportedState.RETURNED);
+        runTurn();
+        assertFinished("finished r1 0 FULL false");
+        policy.actions.startAttempt("r1", "w1", 0);
+        runTurn();
+        assertEquals("POST /api HTTP/1.1", awaitRequest(worker1).head().split("\r\n")[0]);
+        advance(400 * MILLI_MICROS);
+        advance(50 * MILLI_MICROS);
+        submit("next");
+        runTurn();
+        assertEquals("next", awaitRequest(worker1).header("X-Request-Id"));
     }
 
     /** The worker has the job and refuses new connections from now on. */
     private void runsButRefuses(String id) throws IOException {
-        Arrived job = sent(id);
-        says(job.socket(), TAKEN);
-        one.close();
-        hand.runAndServe(job.socket()::close);
+        ReceivedMessage job = sent(id);
+        respond(job.socket(), ACCEPTED);
+        worker1.close();
+        loop.runAndServe(job.socket()::close);
         cancel(id);
         isRefused();
     }
 
     private void isRefused() throws IOException {
-        assertEquals("a DELETE asks for a connection", 1, hand.openChannels());
-        hand.runAndServe(() -> {});
-        assertEquals(0, hand.openChannels());
+        assertEquals("a DELETE asks for a connection", 1, loop.openChannels());
+        loop.runAndServe(() -> {});
+        assertEquals(0, loop.openChannels());
     }
 
     /** Each was a new connection, 20 a second up to the deadline. */
@@ -245,22 +246,24 @@
         runsButRefuses("b1");
         long since = 0;
         for (long pause : new long[] {50, 100, 200, 400, 400}) {
-            pass(pause * MILLI - 1);
-            assertEquals("not before " + pause + " ms", 0, hand.openChannels());
-            pass(1);
+            advance(pause * MILLI_MICROS - 1);
+            assertEquals("not before " + pause + " ms", 0, loop.openChannels());
+            advance(1);
             isRefused();
-            since += pause * MILLI;
+            since += pause * MILLI_MICROS;
         }
-        for (; since + 400 * MILLI < DEADLINE; since += 400 * MILLI) {
-            pass(400 * MILLI);
+        for (; since + 400 * MILLI_MICROS < DEADLINE_MICROS; since += 400 * MILLI_MICROS) {
+            advance(400 * MILLI_MICROS);
             isRefused();
         }
-        assertTrue("the module hears at the deadline", ends().isEmpty() && !pools.quiet());
-        pass(DEADLINE - since);
+        assertTrue(
+                "the module hears at the deadline",
+                finishedEvents().isEmpty() && !pools.hasNoCancellations());
+        advance(DEADLINE_MICROS - since);
         isRefused();
-        turn();
-        assertTrue("that was the last", pools.quiet());
-        hasHeard("finished b1 0 TIMEOUT false");
+        runTurn();
+        assertTrue("that was the last", pools.hasNoCancellations());
+        assertFinished("finished b1 0 TIMEOUT false");
     }
 
     /**
@@ -270,12 +273,12 @@
     @Test
     public void aWorkerThatRefusesADeleteMayRunTheJobOn() throws Exception {
         runsButRefuses("b2");
-        turn();
-        hasHeard();
-        reports("b2", "w1", ReportedState.DONE);
-        turn();
-        hasHeard("finished b2 0 SERVED true");
+        runTurn();
+        assertFinished();
+        report("b2", "w1", ReportedState.DONE);
+        runTurn();
+        assertFinished("finished b2 0 SERVED true");
         assertEquals(List.of("b2 served"), answers);
-        assertTrue("nothing is still given up", pools.quiet());
+        assertTrue("nothing is still given up", pools.hasNoCancellations());
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/HandOverTest.java
+++ b/daemon/src/test/java/postgrade/daemon/HandOverTest.java
@@ -23,7 +23,7 @@
 import org.junit.Before;
 import org.junit.Test;
 import postgrade.companion.Companion;
-import postgrade.daemon.Peer.Arrived;
+import postgrade.daemon.ScriptedPeer.ReceivedMessage;
 import postgrade.operator.Further;
 import postgrade.policy.api.JobConstraints;
 import postgrade.policy.api.PolicyStateEntry;
@@ -58,25 +58,31 @@
     public void tokensColdBudgetsAndFiguresGoOverTheLinkAndTheRateIsHalved() throws Exception {
         daemon =
                 new Daemon(
-                        Config.read(environment), null, out -> script = new Script(out), PATIENCE);
-        Script first = script;
-        first.learnt =
+                        Config.read(environment),
+                        null,
+                        out -> script = new ScriptedPolicy(out),
+                        PATIENCE);
+        ScriptedPolicy first = script;
+        first.exportedFigures =
                 List.of(
                         new PolicyStateEntry("tenant", "t", new double[] {2.5, 40, 0, 1e9}),
                         new PolicyStateEntry("cold", "w1", new double[] {5e8, 1.5, 2e8, 0.5}),
                         new PolicyStateEntry("class", "price", new double[] {4e6, 120, 0.25}));
         daemon.start();
-        first.hears("list CACHED [w1 READY, w2 READY]");
+        first.expectEvent("list CACHED [w1 READY, w2 READY]");
         Daemon second =
                 new Daemon(
-                        Config.read(environment), null, out -> script = new Script(out), PATIENCE);
+                        Config.read(environment),
+                        null,
+                        out -> script = new ScriptedPolicy(out),
+                        PATIENCE);
         second.start();
-        script.hears("list CACHED [w1 READY, w2 READY]");
-        script.hears("share 0.5");
-        script.hears(
+        script.expectEvent("list CACHED [w1 READY, w2 READY]");
+        script.expectEvent("share 0.5");
+        script.expectEvent(
                 "learn [tenant t [2.5, 40.0, 0.0, 1.0E9], cold w1 [5.0E8, 1.5, 2.0E8, 0.5], "
                         + "class price [4000000.0, 120.0, 0.25]]");
-        first.hears("share 0.5");
+        first.expectEvent("share 0.5");
         awaitStopped(stopInBackground(daemon));
         awaitStopped(stopInBackground(second));
     }
@@ -157,9 +163,12 @@
     public void aNewProcessThatFailsAtItsStartLeavesTheOldOneAsItWas() throws Exception {
         daemon =
                 new Daemon(
-                        Config.read(environment), null, out -> script = new Script(out), PATIENCE);
+                        Config.read(environment),
+                        null,
+                        out -> script = new ScriptedPolicy(out),
+                        PATIENCE);
         daemon.start();
-        script.hears("list CACHED [w1 READY, w2 READY]");
+        script.expectEvent("list CACHED [w1 READY, w2 READY]");
         Map<String, String> clash = new HashMap<>(environment);
         Path file = folder.newFile().toPath();
         Files.writeString(
@@ -171,14 +180,14 @@
         clash.put("ROUTER_CONFIG", file.toString());
         Process failing = program(clash);
         try {
-            assertTrue(failing.waitFor(Peer.PATIENCE_S, TimeUnit.SECONDS));
+            assertTrue(failing.waitFor(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
             assertEquals(1, failing.exitValue());
             String said = new String(failing.getErrorStream().readAllBytes());
             assertTrue(said, said.contains("postgrade: listen: "));
         } finally {
             failing.destroyForcibly();
         }
-        script.hears("share 0.5");
+        script.expectEvent("share 0.5");
         while (operatorCall(daemon, "GET /status", "").status() != 200 || links() != 1) {
             Thread.onSpinWait();
         }
@@ -195,14 +204,17 @@
     public void whatIsUnderWayOrInTheBacklogWhenTheListenerPassesIsServedHere() throws Exception {
         daemon =
                 new Daemon(
-                        Config.read(environment), null, out -> script = new Script(out), PATIENCE);
+                        Config.read(environment),
+                        null,
+                        out -> script = new ScriptedPolicy(out),
+                        PATIENCE);
         daemon.start();
         Config c = Config.read(environment);
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch goesOn = new CountDownLatch(1);
         script.onJob =
                 job -> {
-                    script.out.startAttempt(job.id(), "w1", 0);
+                    script.actions.startAttempt(job.id(), "w1", 0);
                     if (job.id().equals("holds")) {
                         held.countDown();
                         hold(goesOn);
@@ -216,17 +228,17 @@
                             + " "
                             + c.listen
                             + "\"}\n{\"serving\":true}\n");
-            script.hearsAmongOthers("share 0.5");
+            script.expectEventAmongOthers("share 0.5");
             Map<String, Socket> clients = new HashMap<>();
             clients.put("sent", post("sent", "price", "15000m"));
-            Arrived sent = workerOne.next("POST");
+            ReceivedMessage sent = workerOne.awaitMessage("POST");
             Socket half = connect();
             clients.put("half", half);
-            Peer.write(
+            ScriptedPeer.write(
                     half,
                     "POST /api HTTP/1.1\r\nX-Request-Id: half\r\nX-Class: price\r\nContent-Length: 3\r\n\r\n");
             clients.put("holds", post("holds", "price", "15000m"));
-            assertTrue(held.await(Peer.PATIENCE_S, TimeUnit.SECONDS));
+            assertTrue(held.await(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
             clients.put("backlog", post("backlog", "price", "15000m"));
             Thread stop = stopInBackground(daemon);
             while (stop.getState()
@@ -234,9 +246,9 @@
                 Thread.onSpinWait();
             }
             goesOn.countDown();
-            Peer.write(half, "job");
+            ScriptedPeer.write(half, "job");
             for (int i = 0; i < clients.size(); i++) {
-                Arrived job = i == 0 ? sent : workerOne.next("POST");
+                ReceivedMessage job = i == 0 ? sent : workerOne.awaitMessage("POST");
                 job.accept();
                 String id = job.header("X-Request-Id");
                 // The workers' call-backs come to the successor, which passes them on.
@@ -246,7 +258,7 @@
                                 + id
                                 + "\\\",\\\"from\\\":\\\"w1\\\",\\\"state\\\":\\\"done\\\"}\"}\n");
                 Socket client = clients.get(id);
-                Arrived answer = Peer.read(client);
+                ReceivedMessage answer = ScriptedPeer.read(client);
                 assertEquals(id, 200, answer.status());
                 assertEquals("close", answer.header("Connection"));
                 assertEquals(-1, client.getInputStream().read());
@@ -258,7 +270,7 @@
 
     private static void hold(CountDownLatch until) {
         try {
-            assertTrue(until.await(Peer.PATIENCE_S, TimeUnit.SECONDS));
+            assertTrue(until.await(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/daemon/src/test/java/postgrade/daemon/LateDialTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LateDialTest.java
@@ -11,15 +11,15 @@
  * Connections to workers that come up after an attempt was decided on, and what may have happened
  * meanwhile.
  */
-public class LateDialTest extends AttemptStage {
+public class LateDialTest extends AttemptTestBase {
 
     public LateDialTest() throws IOException {}
 
     /** The next attempt is the first that the worker sees. */
     private void nothingWasWrittenTo(Socket worker) throws IOException {
-        open("next");
-        turn();
-        assertEquals("next", request(worker).header("X-Request-Id"));
+        submit("next");
+        runTurn();
+        assertEquals("next", awaitRequest(worker).header("X-Request-Id"));
     }
 
     /**
@@ -28,11 +28,13 @@
      */
     @Test
     public void anAttemptTellsWhatIsLeftWhenItIsWritten() throws Exception {
-        open("d1");
-        turn();
-        Socket worker = accept(one); // Up, which the loop has not seen yet.
-        pass(1_500 * MILLI);
-        assertEquals(DEADLINE - 1_500 * MILLI + "u", request(worker).header("X-Deadline"));
+        submit("d1");
+        runTurn();
+        Socket worker = accept(worker1); // Up, which the loop has not seen yet.
+        advance(1_500 * MILLI_MICROS);
+        assertEquals(
+                DEADLINE_MICROS - 1_500 * MILLI_MICROS + "u",
+                awaitRequest(worker).header("X-Deadline"));
     }
 
     /**
@@ -41,12 +43,12 @@
     @Test
     public void aConsumerWhoseLeavingIsReadAfterTheConnectionCameUpHasNothingWritten()
             throws Exception {
-        PendingRequest in = open("l1");
-        turn();
-        Socket worker = accept(one);
-        hand.runAndServe(() -> {}); // It has come up.
-        gateway.clientDisconnected(in);
-        turn();
+        PendingRequest in = submit("l1");
+        runTurn();
+        Socket worker = accept(worker1);
+        loop.runAndServe(() -> {}); // It has come up.
+        tracker.clientDisconnected(in);
+        runTurn();
         nothingWasWrittenTo(worker);
     }
 
@@ -54,68 +56,71 @@
     @Test
     public void aConsumerThatLeftWhileItCameUpHasNothingWrittenAlsoWhereNothingMayBeCalledOff()
             throws Exception {
-        PendingRequest in = open("l2");
-        turn();
-        Socket worker = accept(one);
-        gateway.clientDisconnected(in);
-        turn();
-        hasHeard("finished l2 0 NOT_SENT true");
-        hand.runAndServe(() -> {});
-        turn();
+        PendingRequest in = submit("l2");
+        runTurn();
+        Socket worker = accept(worker1);
+        tracker.clientDisconnected(in);
+        runTurn();
+        assertFinished("finished l2 0 NOT_SENT true");
+        loop.runAndServe(() -> {});
+        runTurn();
         nothingWasWrittenTo(worker);
     }
 
     @Test
     public void neitherHasOneThatIsRefusedMeanwhile() throws Exception {
-        open("l3");
-        turn();
-        Socket worker = accept(one);
-        script.out.reject("l3", 0);
-        turn();
-        hand.runAndServe(() -> {});
-        turn();
+        submit("l3");
+        runTurn();
+        Socket worker = accept(worker1);
+        policy.actions.reject("l3", 0);
+        runTurn();
+        loop.runAndServe(() -> {});
+        runTurn();
         nothingWasWrittenTo(worker);
     }
 
     @Test
     public void noneIsWrittenToAWorkerThatDrainsInTheTurnInWhichItsConnectionComesUp()
             throws Exception {
-        open("l4");
-        turn();
-        Socket worker = accept(one);
-        hand.runAndServe(() -> {});
-        list(target("w1", one, false));
-        turn();
-        turn();
-        hasHeard("finished l4 0 NOT_SENT false");
-        list(target("w1", one, true));
-        open("next");
-        turn();
+        submit("l4");
+        runTurn();
+        Socket worker = accept(worker1);
+        loop.runAndServe(() -> {});
+        updateWorkers(endpoint("w1", worker1, false));
+        runTurn();
+        runTurn();
+        assertFinished("finished l4 0 NOT_SENT false");
+        updateWorkers(endpoint("w1", worker1, true));
+        submit("next");
+        runTurn();
         assertEquals(
                 "next",
-                request(one).header("X-Request-Id")); // On one more: the former pool is forgotten.
-        assertEquals("nothing came on the first", 0, available(worker));
+                awaitRequest(worker1)
+                        .header("X-Request-Id")); // On one more: the former pool is forgotten.
+        assertEquals("nothing came on the first", 0, availableBytes(worker));
     }
 
     /** A connection in use or on its way was kept, and the next jobs went to the former process. */
     @Test
     public void oneToAnAddressThatItsWorkerHasLeftCarriesNothingMore() throws Exception {
-        open("m1");
-        turn();
-        Socket former = request(one).socket();
-        open("m2");
-        turn();
-        Socket late = accept(one);
-        list(target("w1", two, true));
-        hand.runAndServe(() -> {});
-        turn();
-        assertEquals("m2", request(two).header("X-Request-Id"));
-        hand.runAndServe(
-                () -> Peer.write(former, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"));
-        turn();
-        open("m3");
-        turn();
-        assertEquals("m3", request(two).header("X-Request-Id"));
+        submit("m1");
+        runTurn();
+        Socket former = awaitRequest(worker1).socket();
+        submit("m2");
+        runTurn();
+        Socket late = accept(worker1);
+        updateWorkers(endpoint("w1", worker2, true));
+        loop.runAndServe(() -> {});
+        runTurn();
+        assertEquals("m2", awaitRequest(worker2).header("X-Request-Id"));
+        loop.runAndServe(
+                () ->
+                        ScriptedPeer.write(
+                                former, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"));
+        runTurn();
+        submit("m3");
+        runTurn();
+        assertEquals("m3", awaitRequest(worker2).header("X-Request-Id"));
         assertEquals(-1, former.getInputStream().read());
         assertEquals(-1, late.getInputStream().read());
     }
@@ -126,22 +131,22 @@
      */
     @Test
     public void aRepeatIsNotWrittenOnceRepeatsAreNoLongerDropped() throws Exception {
-        open("k1");
-        turn();
-        Socket first = request(one).socket();
+        submit("k1");
+        runTurn();
+        Socket first = awaitRequest(worker1).socket();
         first.setSoLinger(true, 0);
-        hand.runAndServe(first::close);
-        turn();
-        confirmsCancellation("k1");
-        script.out.startAttempt("k1", "w2", 0, 100 * MILLI * 1000);
-        turn();
-        Socket second = accept(two);
-        pass(101 * MILLI);
-        hand.runAndServe(() -> {});
-        turn();
-        turn();
-        hasHeard("finished k1 0 RESET false", "finished k1 1 NOT_SENT false");
-        script.onJob = job -> script.out.startAttempt(job.id(), "w2", 0);
+        loop.runAndServe(first::close);
+        runTurn();
+        confirmCancellation("k1");
+        policy.actions.startAttempt("k1", "w2", 0, 100 * MILLI_MICROS * 1000);
+        runTurn();
+        Socket second = accept(worker2);
+        advance(101 * MILLI_MICROS);
+        loop.runAndServe(() -> {});
+        runTurn();
+        runTurn();
+        assertFinished("finished k1 0 RESET false", "finished k1 1 NOT_SENT false");
+        policy.onJob = job -> policy.actions.startAttempt(job.id(), "w2", 0);
         nothingWasWrittenTo(second);
     }
 
@@ -152,22 +157,22 @@
     @Test
     public void whenAConnectFailsNoneThatWaitsIsForgotten() throws Exception {
         boolean[] mayOpen = {true};
-        pools.pacing((id, must) -> mayOpen[0]);
-        open("p0");
-        turn();
-        request(one); // The connection is in use from now on.
-        one.close();
+        pools.setConnectLimiter((id, must) -> mayOpen[0]);
+        submit("p0");
+        runTurn();
+        awaitRequest(worker1); // The connection is in use from now on.
+        worker1.close();
         mayOpen[0] = false;
-        open("p1");
-        turn();
+        submit("p1");
+        runTurn();
         mayOpen[0] = true;
-        open("p2");
-        turn();
-        hand.runAndServe(() -> {}); // Refused.
-        turn();
-        pass(40 * MILLI);
-        hand.runAndServe(() -> {});
-        turn();
-        hasHeard("finished p1 0 UNREACHABLE false", "finished p2 0 UNREACHABLE false");
+        submit("p2");
+        runTurn();
+        loop.runAndServe(() -> {}); // Refused.
+        runTurn();
+        advance(40 * MILLI_MICROS);
+        loop.runAndServe(() -> {});
+        runTurn();
+        assertFinished("finished p1 0 UNREACHABLE false", "finished p2 0 UNREACHABLE false");
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/LateWordTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LateWordTest.java
@@ -7,21 +7,21 @@
 import java.net.Socket;
 import java.util.List;
 import org.junit.Test;
-import postgrade.daemon.Peer.Arrived;
+import postgrade.daemon.ScriptedPeer.ReceivedMessage;
 import postgrade.dispatch.ReportedState;
 
 /**
  * What a worker says of an attempt when it is all but over, and what comes of its connection long
  * after.
  */
-public class LateWordTest extends AttemptStage {
+public class LateWordTest extends AttemptTestBase {
 
     public LateWordTest() throws IOException {}
 
     private void isServed(String id) {
-        hasHeard("finished " + id + " 0 SERVED true");
+        assertFinished("finished " + id + " 0 SERVED true");
         assertEquals(List.of(id + " served"), answers);
-        assertTrue("nothing is given up", pools.quiet());
+        assertTrue("nothing is given up", pools.hasNoCancellations());
     }
 
     /**
@@ -30,67 +30,67 @@
      */
     @Test
     public void doneInTheTurnInWhichItIsGivenUpIsTheAnswerAndNoDeleteFollows() throws Exception {
-        Socket worker = taken("a");
-        script.out.cancelAttempt("a", 0);
-        reports("a", "w1", ReportedState.DONE);
-        turn();
+        Socket worker = sendAcceptedJob("a");
+        policy.actions.cancelAttempt("a", 0);
+        report("a", "w1", ReportedState.DONE);
+        runTurn();
         isServed("a");
-        pass(100 * MILLI);
-        assertEquals("nothing is asked of it", 0, available(worker));
-        assertEquals("nor on a connection of its own", 1, hand.openChannels());
+        advance(100 * MILLI_MICROS);
+        assertEquals("nothing is asked of it", 0, availableBytes(worker));
+        assertEquals("nor on a connection of its own", 1, loop.openChannels());
     }
 
-    private Arrived delete(Socket on, String id) throws IOException {
-        Arrived delete = request(on);
+    private ReceivedMessage delete(Socket on, String id) throws IOException {
+        ReceivedMessage delete = awaitRequest(on);
         assertTrue(delete.head(), delete.head().startsWith("DELETE /jobs/" + id + " "));
         return delete;
     }
 
     /** A DELETE that comes before its job, and is answered. */
-    private Arrived overtaking(String id) throws IOException {
-        script.out.cancelAttempt(id, 0);
-        turn();
-        Arrived delete = delete(accept(one), id);
-        hand.runAndServe(() -> delete.reply("200 OK", ""));
-        turn();
-        hasHeard();
+    private ReceivedMessage overtaking(String id) throws IOException {
+        policy.actions.cancelAttempt(id, 0);
+        runTurn();
+        ReceivedMessage delete = delete(accept(worker1), id);
+        loop.runAndServe(() -> delete.reply("200 OK", ""));
+        runTurn();
+        assertFinished();
         return delete;
     }
 
     /** Nothing reads it any more: it would be taken for that of the next attempt. */
     @Test
     public void a202LongBehindTheAnsweredDeleteFindsItsConnectionClosed() throws Exception {
-        Socket worker = untaken("b");
-        Arrived first = overtaking("b");
-        pass(99 * MILLI);
-        hasHeard();
-        pass(1 * MILLI);
-        assertEquals("the one of the DELETE is left", 1, hand.openChannels());
+        Socket worker = sendJob("b");
+        ReceivedMessage first = overtaking("b");
+        advance(99 * MILLI_MICROS);
+        assertFinished();
+        advance(1 * MILLI_MICROS);
+        assertEquals("the one of the DELETE is left", 1, loop.openChannels());
         assertEquals(-1, worker.getInputStream().read());
-        hasHeard();
-        Arrived second = delete(first.socket(), "b");
-        hand.runAndServe(() -> second.reply("200 OK", ""));
-        turn();
-        hasHeard("finished b 0 CANCELLED false");
-        pass(20 * MILLI);
-        script.out.startAttempt("b", "w1", 0);
-        turn();
-        assertEquals("b", request(first.socket()).header("X-Request-Id"));
-        assertEquals(1, ends().size());
+        assertFinished();
+        ReceivedMessage second = delete(first.socket(), "b");
+        loop.runAndServe(() -> second.reply("200 OK", ""));
+        runTurn();
+        assertFinished("finished b 0 CANCELLED false");
+        advance(20 * MILLI_MICROS);
+        policy.actions.startAttempt("b", "w1", 0);
+        runTurn();
+        assertEquals("b", awaitRequest(first.socket()).header("X-Request-Id"));
+        assertEquals(1, finishedEvents().size());
     }
 
     /** The first one's answer ended the attempt: the job ran, beside the next attempt. */
     @Test
     public void a202RightBehindTheAnsweredDeleteHasAnotherDeleteFollow() throws Exception {
-        Socket worker = untaken("d");
+        Socket worker = sendJob("d");
         overtaking("d");
-        says(worker, TAKEN);
-        pass(20 * MILLI);
-        hasHeard();
-        Arrived second = delete(worker, "d");
-        hand.runAndServe(() -> second.reply("200 OK", ""));
-        turn();
-        hasHeard("finished d 0 CANCELLED false");
+        respond(worker, ACCEPTED);
+        advance(20 * MILLI_MICROS);
+        assertFinished();
+        ReceivedMessage second = delete(worker, "d");
+        loop.runAndServe(() -> second.reply("200 OK", ""));
+        runTurn();
+        assertFinished("finished d 0 CANCELLED false");
     }
 
     /**
@@ -99,20 +99,20 @@
      */
     @Test
     public void aResetLongAfterThe202EndsNothing() throws Exception {
-        Socket worker = taken("c");
-        reports("c", "w1", ReportedState.STARTED);
-        pass(2_000 * MILLI);
-        hand.runAndServe(
+        Socket worker = sendAcceptedJob("c");
+        report("c", "w1", ReportedState.STARTED);
+        advance(2_000 * MILLI_MICROS);
+        loop.runAndServe(
                 () -> {
                     worker.setSoLinger(true, 0);
                     worker.close();
                 });
-        turn();
-        pass(100 * MILLI);
-        hasHeard();
-        assertEquals("and nothing is asked of the worker", 0, hand.openChannels());
-        reports("c", "w1", ReportedState.DONE);
-        turn();
+        runTurn();
+        advance(100 * MILLI_MICROS);
+        assertFinished();
+        assertEquals("and nothing is asked of the worker", 0, loop.openChannels());
+        report("c", "w1", ReportedState.DONE);
+        runTurn();
         isServed("c");
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/LayeringTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LayeringTest.java
@@ -29,18 +29,18 @@
     public void noFrontKnowsABack() {
         apart(
                 "postgrade.consumer..",
-                "postgrade.provider..",
+                "postgrade.worker..",
                 "postgrade.discovery..",
                 "postgrade.daemon..");
         apart(
-                "postgrade.provider..",
+                "postgrade.worker..",
                 "postgrade.consumer..",
                 "postgrade.discovery..",
                 "postgrade.daemon..");
         apart(
                 "postgrade.discovery..",
                 "postgrade.consumer..",
-                "postgrade.provider..",
+                "postgrade.worker..",
                 "postgrade.daemon..",
                 "postgrade.dispatch.RequestTracker");
     }
@@ -53,7 +53,7 @@
                 "postgrade.endpoints..",
                 "postgrade.dispatch..",
                 "postgrade.consumer..",
-                "postgrade.provider..",
+                "postgrade.worker..",
                 "postgrade.discovery..",
                 "postgrade.daemon..");
     }
@@ -71,7 +71,7 @@
                 "postgrade.companion..",
                 "postgrade.daemon..",
                 "postgrade.consumer..",
-                "postgrade.provider..",
+                "postgrade.worker..",
                 "postgrade.discovery..");
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/LearntIdleTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LearntIdleTest.java
@@ -11,7 +11,7 @@
  * How long an idle connection is trusted with a request, learnt of one that broke, and other
  * settings after that.
  */
-public class LearntIdleTest extends AttemptStage {
+public class LearntIdleTest extends AttemptTestBase {
 
     public LearntIdleTest() throws IOException {}
 
@@ -21,30 +21,30 @@
      */
     private void breaksAfterTwoSeconds() throws IOException {
         Socket former = served("a");
-        pass(2_000 * MILLI);
-        open("b");
-        turn();
-        assertEquals("b", request(former).header("X-Request-Id"));
-        hand.runAndServe(former::close);
-        turn();
-        confirmsCancellation("b");
-        assertEquals("finished b 0 RESET false", ends().get(1));
+        advance(2_000 * MILLI_MICROS);
+        submit("b");
+        runTurn();
+        assertEquals("b", awaitRequest(former).header("X-Request-Id"));
+        loop.runAndServe(former::close);
+        runTurn();
+        confirmCancellation("b");
+        assertEquals("finished b 0 RESET false", finishedEvents().get(1));
     }
 
     /** Its connection is left idle. */
     private Socket served(String id) throws IOException {
-        Socket worker = taken(id);
-        reports(id, "w1", ReportedState.DONE);
-        turn();
+        Socket worker = sendAcceptedJob(id);
+        report(id, "w1", ReportedState.DONE);
+        runTurn();
         return worker;
     }
 
     @Test
     public void itHoldsUnderTheSameDeploymentsSettings() throws Exception {
         breaksAfterTwoSeconds();
-        pools.settings(2_000 * MILLI, 20_000 * MILLI, true);
+        pools.updateSettings(2_000 * MILLI_MICROS, 20_000 * MILLI_MICROS, true);
         Socket next = served("c");
-        pass(1_500 * MILLI);
+        advance(1_500 * MILLI_MICROS);
         assertEquals("retired", -1, next.getInputStream().read());
     }
 
@@ -55,11 +55,11 @@
     @Test
     public void itIsForgottenUnderAnothers() throws Exception {
         breaksAfterTwoSeconds();
-        pools.settings(2_000 * MILLI, 20_000 * MILLI, false);
+        pools.updateSettings(2_000 * MILLI_MICROS, 20_000 * MILLI_MICROS, false);
         Socket next = served("c");
-        pass(11_000 * MILLI);
-        open("d");
-        turn();
-        assertEquals("used again", "d", request(next).header("X-Request-Id"));
+        advance(11_000 * MILLI_MICROS);
+        submit("d");
+        runTurn();
+        assertEquals("used again", "d", awaitRequest(next).header("X-Request-Id"));
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/LeavingTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LeavingTest.java
@@ -59,10 +59,10 @@
 
     /** All that was written has arrived when a later attempt has. */
     private void nothingWasSent() throws Exception {
-        turns.script.onJob = job -> turns.script.out.startAttempt(job.id(), "w1", 0);
+        turns.script.onJob = job -> turns.script.actions.startAttempt(job.id(), "w1", 0);
         turns.post("last");
-        assertEquals("last", workerOne.next(ATTEMPT).header("X-Request-Id"));
-        assertTrue(workerTwo.nothingArrived());
+        assertEquals("last", workerOne.awaitMessage(ATTEMPT).header("X-Request-Id"));
+        assertTrue(workerTwo.hasNoMessage());
     }
 
     @Test
@@ -73,12 +73,12 @@
             turns.script.onJob =
                     job -> {
                         leave(way, client[0]);
-                        turns.script.out.startAttempt(job.id(), "w1", 0);
+                        turns.script.actions.startAttempt(job.id(), "w1", 0);
                     };
             Turns.post(client[0], "a1");
-            turns.script.hears("job a1");
-            turns.script.hears("abandoned a1");
-            turns.script.hears("finished a1 0 NOT_SENT true");
+            turns.script.expectEvent("job a1");
+            turns.script.expectEvent("abandoned a1");
+            turns.script.expectEvent("finished a1 0 NOT_SENT true");
         }
         nothingWasSent();
     }
@@ -87,32 +87,32 @@
     public void whoLeavesInTheTurnOfARepeatGetsNoFurtherAttempt() throws Exception {
         for (Way way : WAYS) {
             Socket client = turns.connect();
-            turns.script.onJob = job -> turns.script.out.startAttempt(job.id(), "w1", 0);
+            turns.script.onJob = job -> turns.script.actions.startAttempt(job.id(), "w1", 0);
             turns.script.onFinished =
                     (id, outcome) -> {
                         if (outcome == AttemptOutcome.FULL) {
                             leave(way, client);
-                            turns.script.out.startAttempt(id, "w2", 0);
+                            turns.script.actions.startAttempt(id, "w2", 0);
                         }
                     };
             Turns.post(client, "r1");
-            Peer.Arrived attempt = workerOne.next(ATTEMPT);
+            ScriptedPeer.ReceivedMessage attempt = workerOne.awaitMessage(ATTEMPT);
             attempt.reply("503 Full\r\nX-Not-Run: 1", "");
             if (way != WAYS.get(0)) {
                 // The connection has carried others, whose late answer this may be.
-                workerOne.next("DELETE /jobs/r1 ").reply("200 OK", "");
+                workerOne.awaitMessage("DELETE /jobs/r1 ").reply("200 OK", "");
             }
-            turns.script.hears("job r1");
-            turns.script.hears("finished r1 0 FULL false");
-            turns.script.hears("abandoned r1");
-            turns.script.hears("finished r1 1 NOT_SENT true");
+            turns.script.expectEvent("job r1");
+            turns.script.expectEvent("finished r1 0 FULL false");
+            turns.script.expectEvent("abandoned r1");
+            turns.script.expectEvent("finished r1 1 NOT_SENT true");
         }
         nothingWasSent();
     }
 
     @Test
     public void anEndBehindMoreThanOneReadIsSeenBeforeTheAttempt() throws Exception {
-        turns.script.onJob = job -> turns.script.out.startAttempt(job.id(), "w1", 0);
+        turns.script.onJob = job -> turns.script.actions.startAttempt(job.id(), "w1", 0);
         StringBuilder many = new StringBuilder();
         for (int i = 0; many.length() < 100_000; i++) { // A turn reads 64 KiB of it.
             many.append("POST /api HTTP/1.1\r\nX-Request-Id: m")
@@ -124,13 +124,13 @@
                 0,
                 () -> {
                     Socket client = turns.connect();
-                    Peer.write(client, many.toString());
+                    ScriptedPeer.write(client, many.toString());
                     client.close();
                 },
                 () -> {});
-        turns.script.hears("job m0");
-        turns.script.hears("abandoned m0");
-        turns.script.hears("finished m0 0 NOT_SENT true");
+        turns.script.expectEvent("job m0");
+        turns.script.expectEvent("abandoned m0");
+        turns.script.expectEvent("finished m0 0 NOT_SENT true");
         nothingWasSent();
     }
 
@@ -144,32 +144,32 @@
         turns.script.onJob =
                 job -> {
                     leave(Socket::close, client);
-                    turns.script.out.startTimer("next turn", 0);
+                    turns.script.actions.startTimer("next turn", 0);
                 };
         turns.crossing(
                 SWEEPS_MILLIS,
                 () -> {}, // The next sweep is far.
                 () ->
-                        Peer.write(
+                        ScriptedPeer.write(
                                 client,
                                 "GET /nowhere HTTP/1.1\r\n\r\nPOST /api HTTP/1.1\r\nX-Request-Id: p1\r\n"
                                         + "X-Class: price\r\nContent-Length: 0\r\n\r\n"));
-        turns.script.hears("job p1");
-        turns.script.hears("abandoned p1");
-        turns.script.hears("timer next turn");
+        turns.script.expectEvent("job p1");
+        turns.script.expectEvent("abandoned p1");
+        turns.script.expectEvent("timer next turn");
     }
 
     @Test
     public void whoHasLeftWhenAConnectionComesUpLateGetsNoAttemptOnIt() throws Exception {
         try (ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            deaf.setSoTimeout(Peer.PATIENCE_S * 1000);
+            deaf.setSoTimeout(ScriptedPeer.TIMEOUT_S * 1000);
             for (int i = 0; i < 2; i++) {
                 sockets.add(new Socket(deaf.getInetAddress(), deaf.getLocalPort()));
             }
             turns.provider("w3", deaf.getInetAddress().getHostAddress(), deaf.getLocalPort());
-            turns.script.onJob = job -> turns.script.out.startAttempt(job.id(), "w3", 0);
+            turns.script.onJob = job -> turns.script.actions.startAttempt(job.id(), "w3", 0);
             Socket client = turns.post("d1");
-            turns.script.hears("job d1");
+            turns.script.expectEvent("job d1");
             turns.turn();
             Socket[] up = new Socket[1];
             turns.crossing(
@@ -182,32 +182,32 @@
                         }
                     },
                     client::close);
-            turns.script.hears("abandoned d1");
-            turns.script.hears("finished d1 0 NOT_SENT true");
+            turns.script.expectEvent("abandoned d1");
+            turns.script.expectEvent("finished d1 0 NOT_SENT true");
             assertEquals("nothing was written", 0, up[0].getInputStream().available());
         }
     }
 
     @Test
     public void aBurstThatLeavesInOneTurnGetsNoAttempt() throws Exception {
-        turns.script.onJob = job -> turns.script.out.startAttempt(job.id(), "w1", 0);
+        turns.script.onJob = job -> turns.script.actions.startAttempt(job.id(), "w1", 0);
         turns.post("warm");
-        turns.script.hears("job warm");
-        workerOne.next(ATTEMPT).accept();
+        turns.script.expectEvent("job warm");
+        workerOne.awaitMessage(ATTEMPT).accept();
         turns.turn(); // The first attempt of all has a connection at once.
         turns.script.onJob = job -> {};
         int many = 100;
         Socket[] clients = new Socket[many];
         for (int i = 0; i < many; i++) {
             clients[i] = turns.post("b" + i);
-            turns.script.hears("job b" + i);
+            turns.script.expectEvent("job b" + i);
         }
         Socket go = turns.connect();
         turns.turn();
         turns.script.onJob =
                 job -> {
                     for (int i = 0; i < many; i++) {
-                        turns.script.out.startAttempt("b" + i, "w1", 0);
+                        turns.script.actions.startAttempt("b" + i, "w1", 0);
                     }
                 };
         turns.crossing(
--- a/daemon/src/test/java/postgrade/daemon/LinkCrossingTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LinkCrossingTest.java
@@ -117,7 +117,7 @@
     }
 
     private Daemon started(Future<Daemon> start) throws Exception {
-        daemon = start.get(Peer.PATIENCE_S, TimeUnit.SECONDS);
+        daemon = start.get(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS);
         return daemon;
     }
 
--- a/daemon/src/test/java/postgrade/daemon/OperatorTest.java
+++ b/daemon/src/test/java/postgrade/daemon/OperatorTest.java
@@ -9,7 +9,7 @@
 import java.net.Socket;
 import org.junit.Before;
 import org.junit.Test;
-import postgrade.daemon.Peer.Arrived;
+import postgrade.daemon.ScriptedPeer.ReceivedMessage;
 
 /** What operators call for, and what the dispatcher does then. */
 public class OperatorTest extends DaemonTestBase {
@@ -21,12 +21,12 @@
 
     private Socket operator() throws IOException {
         Socket s = new Socket(InetAddress.getLoopbackAddress(), daemon.operatorPort());
-        s.setSoTimeout(Peer.PATIENCE_S * 1000);
+        s.setSoTimeout(ScriptedPeer.TIMEOUT_S * 1000);
         sockets.add(s);
         return s;
     }
 
-    private Arrived call(String line, String body) throws IOException {
+    private ReceivedMessage call(String line, String body) throws IOException {
         return operatorCall(daemon, line, body);
     }
 
@@ -38,7 +38,7 @@
         return call("PUT /maintenance/exit", "{\"id\":\"" + id + "\"}").status();
     }
 
-    private static void refused(Arrived answer, int status, String text) {
+    private static void refused(ReceivedMessage answer, int status, String text) {
         assertEquals(answer.body(), status, answer.status());
         assertTrue(answer.body(), answer.body().contains(text));
     }
@@ -47,7 +47,7 @@
     public void aNoSaysWhatWasWrongAndChangesNothing() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         refused(call("GET /nowhere", ""), 404, "no call /nowhere");
-        Arrived wrong = call("POST /standby", "");
+        ReceivedMessage wrong = call("POST /standby", "");
         refused(wrong, 405, "PUT, not POST");
         assertEquals("PUT", wrong.header("Allow"));
         refused(call("PUT /maintenance/enter", "{\"id\":"), 400, "not JSON");
@@ -57,7 +57,7 @@
         refused(call("PUT /maintenance/enter", "{\"id\":\"w9\"}"), 404, "no worker w9");
         refused(call("nonsense", ""), 400, "start line");
         assertEquals("it has started by this answer", 200, readinessStatus());
-        Arrived status = call("GET /status", "");
+        ReceivedMessage status = call("GET /status", "");
         assertEquals(200, status.status());
         assertEquals("{\"state\":\"active\",\"workers\":1,\"out\":[]}\n", status.body());
         assertEquals(200, readinessStatus());
@@ -71,12 +71,12 @@
                 workerEntry("w2", workerTwo.address(), "ready"));
         assertEquals(200, out("w1"));
         assertEquals(200, out("w1"));
-        script.hears("list DELTA [w1 DRAINING]");
-        Arrived watch = discovery.next("GET /api/targets?watch=1&from=41 ");
-        Peer.write(watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        script.expectEvent("list DELTA [w1 DRAINING]");
+        ReceivedMessage watch = discovery.awaitMessage("GET /api/targets?watch=1&from=41 ");
+        ScriptedPeer.write(watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         writeChunk(
                 watch, workerListJson(42, false, workerEntry("w1", workerOne.address(), "gone")));
-        script.hears("list DELTA [w1 GONE]");
+        script.expectEvent("list DELTA [w1 GONE]");
         writeChunk(
                 watch,
                 workerListJson(
@@ -84,18 +84,18 @@
                         true,
                         workerEntry("w1", workerOne.address(), "ready"),
                         workerEntry("w2", workerTwo.address(), "ready")));
-        script.hears("list FULL [w1 DRAINING, w2 READY]");
-        script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
+        script.expectEvent("list FULL [w1 DRAINING, w2 READY]");
+        script.onJob = job -> script.actions.startAttempt(job.id(), "w1", 0);
         post("m1", "price", "15000m");
-        script.hears("job m1");
-        script.hears("finished m1 0 NOT_SENT false");
+        script.expectEvent("job m1");
+        script.expectEvent("finished m1 0 NOT_SENT false");
         assertTrue(call("GET /status", "").body().contains("\"out\":[\"w1\"]"));
         assertEquals(200, back("w1"));
-        script.hears("list DELTA [w1 READY]");
-        script.hears("recalled w1");
+        script.expectEvent("list DELTA [w1 READY]");
+        script.expectEvent("recalled w1");
         assertEquals("not out, and no harm", 200, back("w1"));
         post("m2", "price", "15000m");
-        workerOne.next("POST").accept();
+        workerOne.awaitMessage("POST").accept();
     }
 
     @Test
@@ -106,9 +106,9 @@
         for (int cut = 1; cut < text.length(); cut++) {
             Socket s = operator();
             s.setTcpNoDelay(true);
-            Peer.write(s, text.substring(0, cut));
-            Peer.write(s, text.substring(cut));
-            assertEquals("cut at " + cut, 404, Peer.read(s).status());
+            ScriptedPeer.write(s, text.substring(0, cut));
+            ScriptedPeer.write(s, text.substring(cut));
+            assertEquals("cut at " + cut, 404, ScriptedPeer.read(s).status());
         }
         String job =
                 "POST /api HTTP/1.1\r\nX-Request-Id: ID\r\nX-Class: price\r\nContent-Length: 3\r\n\r\njob";
@@ -117,11 +117,11 @@
         for (int cut = 1; cut < job.length(); cut++) {
             String id = "" + (100 + cut);
             String mine = job.replace("ID", id);
-            Peer.write(s, mine.substring(0, cut));
-            Peer.write(s, mine.substring(cut));
-            workerOne.next("POST").accept();
+            ScriptedPeer.write(s, mine.substring(0, cut));
+            ScriptedPeer.write(s, mine.substring(cut));
+            workerOne.awaitMessage("POST").accept();
             callBack(id, "w1", "done");
-            assertEquals("cut at " + cut, 200, Peer.read(s).status());
+            assertEquals("cut at " + cut, 200, ScriptedPeer.read(s).status());
         }
     }
 
@@ -130,7 +130,7 @@
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket first = operator();
         for (int i = 0; i < 40; i++) {
-            Peer.write(operator(), i % 2 == 0 ? "" : "PUT /standby HTTP/1.1\r\nContent-Le");
+            ScriptedPeer.write(operator(), i % 2 == 0 ? "" : "PUT /standby HTTP/1.1\r\nContent-Le");
         }
         assertEquals("it has started by this answer", 200, readinessStatus());
         assertEquals(200, call("GET /status", "").status());
@@ -143,39 +143,39 @@
             throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket idle = post("d1", "price", "15000m");
-        workerOne.next("POST").accept();
+        workerOne.awaitMessage("POST").accept();
         callBack("d1", "w1", "done");
-        Arrived kept = Peer.read(idle);
+        ReceivedMessage kept = ScriptedPeer.read(idle);
         assertNull(kept.header("Connection"));
         Socket busy = post("d2", "confirm", "15000m");
-        workerOne.next("POST").accept();
+        workerOne.awaitMessage("POST").accept();
         assertEquals(200, call("PUT /standby", "").status());
         assertEquals(503, readinessStatus());
         assertEquals(503, call("GET /status", "").status());
         Socket late = post("d3", "price", "15000m"); // The front does not know yet.
-        workerOne.next("POST").accept();
+        workerOne.awaitMessage("POST").accept();
         assertEquals("closed, as nobody may be held idle", -1, idle.getInputStream().read());
         assertEquals(200, call("PUT /standby", "").status());
         assertEquals(204, callBack("d2", "w1", "done"));
         assertEquals(204, callBack("d3", "w1", "done"));
-        Arrived answer = Peer.read(late);
+        ReceivedMessage answer = ScriptedPeer.read(late);
         assertEquals(200, answer.status());
         assertEquals("close", answer.header("Connection"));
-        assertEquals("close", Peer.read(busy).header("Connection"));
+        assertEquals("close", ScriptedPeer.read(busy).header("Connection"));
         assertEquals(200, call("PUT /active", "").status());
         assertEquals(200, readinessStatus());
         assertEquals(200, call("GET /status", "").status());
         Socket again = post("d4", "price", "15000m");
-        workerOne.next("POST").accept();
+        workerOne.awaitMessage("POST").accept();
         callBack("d4", "w1", "done");
-        assertNull(Peer.read(again).header("Connection"));
+        assertNull(ScriptedPeer.read(again).header("Connection"));
     }
 
     @Test
     public void aStopInStandbyEndsTheProcessAndNoCallUndoesIt() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket open = post("e1", "price", "15000m");
-        workerOne.next("POST").accept();
+        workerOne.awaitMessage("POST").accept();
         assertEquals(200, call("PUT /standby", "").status());
         Thread stop = stopInBackground(daemon);
         while (!call("GET /status", "").body().contains("stopping")) {
@@ -183,7 +183,7 @@
         }
         refused(call("PUT /active", ""), 503, "stopping");
         callBack("e1", "w1", "done");
-        assertEquals(200, Peer.read(open).status());
+        assertEquals(200, ScriptedPeer.read(open).status());
         awaitStopped(stop);
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/OtherCustomerTest.java
+++ b/daemon/src/test/java/postgrade/daemon/OtherCustomerTest.java
@@ -97,7 +97,7 @@
 
     private Socket submitted(String id, String jobClass, String tenant) throws IOException {
         Socket s = connect();
-        Peer.write(
+        ScriptedPeer.write(
                 s,
                 "POST /api HTTP/1.1\r\nX-Request-Id: "
                         + id
@@ -111,11 +111,11 @@
 
     /** The next job is taken by the worker that this returns. */
     private String taken() throws Exception {
-        while (workerOne.nothingArrived() && workerTwo.nothingArrived()) {
+        while (workerOne.hasNoMessage() && workerTwo.hasNoMessage()) {
             Thread.onSpinWait();
         }
-        String at = workerOne.nothingArrived() ? "w2" : "w1";
-        (at.equals("w1") ? workerOne : workerTwo).next("POST").accept();
+        String at = workerOne.hasNoMessage() ? "w2" : "w1";
+        (at.equals("w1") ? workerOne : workerTwo).awaitMessage("POST").accept();
         return at;
     }
 
@@ -126,11 +126,11 @@
     private void served(String id, String jobClass, String tenant) throws Exception {
         Socket consumer = submitted(id, jobClass, tenant);
         ends(id, "done");
-        assertEquals(jobClass, 200, Peer.read(consumer).status());
+        assertEquals(jobClass, 200, ScriptedPeer.read(consumer).status());
     }
 
     private int refused(String id, String jobClass, String tenant) throws IOException {
-        return Peer.read(submitted(id, jobClass, tenant)).status();
+        return ScriptedPeer.read(submitted(id, jobClass, tenant)).status();
     }
 
     private Socket failed(String id, String tenant) throws Exception {
@@ -157,7 +157,7 @@
         serve(PLAIN);
         Socket again = failed("a0", "t");
         ends("a0", "done");
-        assertEquals("it may be repeated", 200, Peer.read(again).status());
+        assertEquals("it may be repeated", 200, ScriptedPeer.read(again).status());
         served("a1", "x", "t");
         Socket underWay = submitted("u", "x", "t");
         String at = taken();
@@ -166,12 +166,13 @@
         assertEquals("and by this answer it has been read", 200, readinessStatus());
         assertEquals("a class of the first alone", 400, refused("c0", "x", "t"));
         assertEquals(204, callBack("u", at, "done"));
-        assertEquals("one that came before goes on", 200, Peer.read(underWay).status());
+        assertEquals("one that came before goes on", 200, ScriptedPeer.read(underWay).status());
         served("c1", "scan-2d", "t-01");
         served("c2", "both", "t");
         Socket once = failed("c3", "t");
-        assertEquals("what kept its name must not run twice now", 502, Peer.read(once).status());
-        assertTrue(workerOne.nothingArrived() && workerTwo.nothingArrived());
+        assertEquals(
+                "what kept its name must not run twice now", 502, ScriptedPeer.read(once).status());
+        assertTrue(workerOne.hasNoMessage() && workerTwo.hasNoMessage());
         settings(PLAIN);
         daemon.reload();
         assertEquals(200, readinessStatus());
--- a/daemon/src/test/java/postgrade/daemon/ReloadTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ReloadTest.java
@@ -92,15 +92,15 @@
                 new Daemon(
                         Config.read(environment),
                         null,
-                        out -> script = new Script(out),
+                        out -> script = new ScriptedPolicy(out),
                         new WatchTimeouts(20_000_000, 20_000_000, 0));
         daemon.start();
-        script.heard.take();
-        script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
+        script.events.take();
+        script.onJob = job -> script.actions.startAttempt(job.id(), "w1", 0);
         Socket underWay = post("r1", "price", "15000m");
-        script.hears("job r1");
-        workerOne.next("POST").accept();
-        discovery.next("GET /api/targets?watch=1&from=41 ");
+        script.expectEvent("job r1");
+        workerOne.awaitMessage("POST").accept();
+        discovery.awaitMessage("GET /api/targets?watch=1&from=41 ");
         Files.writeString(
                 file,
                 text.replace(discovery.address(), workerTwo.address())
@@ -109,16 +109,16 @@
         assertEquals("and by this answer it has been read", 200, readinessStatus());
         Files.writeString(file, text.replace("\"price\"", "\"quote\""));
         daemon.reload();
-        script.hears("settings [quote, confirm]");
-        assertTrue("a faulty file moves nothing", workerTwo.nothingArrived());
-        assertEquals(400, Peer.read(post("r2", "price", "15000m")).status());
+        script.expectEvent("settings [quote, confirm]");
+        assertTrue("a faulty file moves nothing", workerTwo.hasNoMessage());
+        assertEquals(400, ScriptedPeer.read(post("r2", "price", "15000m")).status());
         Socket fresh = post("r3", "quote", "15000m");
-        script.hears("job r3");
-        workerOne.next("POST").accept();
+        script.expectEvent("job r3");
+        workerOne.awaitMessage("POST").accept();
         callBack("r1", "w1", "done");
-        assertEquals(200, Peer.read(underWay).status());
+        assertEquals(200, ScriptedPeer.read(underWay).status());
         callBack("r3", "w1", "done");
-        assertEquals(200, Peer.read(fresh).status());
+        assertEquals(200, ScriptedPeer.read(fresh).status());
     }
 
     /**
@@ -128,7 +128,7 @@
     @Test
     public void aReloadWhileAWorkerDrainsAndAnAttemptWaitsChangesNeither() throws Exception {
         try (ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            deaf.setSoTimeout(Peer.PATIENCE_S * 1000);
+            deaf.setSoTimeout(ScriptedPeer.TIMEOUT_S * 1000);
             for (int i = 0; i < 2; i++) {
                 sockets.add(
                         new Socket(deaf.getInetAddress(), deaf.getLocalPort())); // A full backlog.
@@ -142,46 +142,47 @@
                     new Daemon(
                             Config.read(environment),
                             null,
-                            out -> script = new Script(out),
+                            out -> script = new ScriptedPolicy(out),
                             new WatchTimeouts(20_000_000, 20_000_000, 0));
             daemon.start();
             script.onJob =
                     job ->
-                            script.out.startAttempt(
+                            script.actions.startAttempt(
                                     job.id(), job.id().startsWith("late") ? "late" : "w1", 0);
             Socket held = post("held", "price", "15000m");
-            workerOne.next("POST").accept();
+            workerOne.awaitMessage("POST").accept();
             Socket waits = post("late1", "price", "15000m");
-            script.hearsAmongOthers("job late1");
+            script.expectEventAmongOthers("job late1");
             answerWatch(
                     workerListJson(42, false, workerEntry("w1", workerOne.address(), "draining")));
-            script.hears("list DELTA [w1 DRAINING]");
+            script.expectEvent("list DELTA [w1 DRAINING]");
             Files.writeString(
                     file,
                     Files.readString(file)
                             .replace("\"price\"", "\"quote\"")
                             .replace("\"connIdleNs\":" + idleNs, "\"connIdleNs\":1000000000"));
             daemon.reload();
-            script.hears("settings [quote, confirm]");
-            script.onFinished = (id, outcome) -> script.out.reject(id, 0);
+            script.expectEvent("settings [quote, confirm]");
+            script.onFinished = (id, outcome) -> script.actions.reject(id, 0);
             Socket next = post("next", "quote", "15000m");
-            script.hears("job next");
-            script.hears("finished next 0 NOT_SENT false");
-            assertEquals("its worker drains", 429, Peer.read(next).status());
+            script.expectEvent("job next");
+            script.expectEvent("finished next 0 NOT_SENT false");
+            assertEquals("its worker drains", 429, ScriptedPeer.read(next).status());
             for (int i = 0; i < 3; i++) {
                 sockets.add(deaf.accept()); // The third is ours: it comes up with the system's next
                 // try.
             }
-            Peer.Arrived job = Peer.read(sockets.get(sockets.size() - 1));
+            ScriptedPeer.ReceivedMessage job = ScriptedPeer.read(sockets.get(sockets.size() - 1));
             assertEquals("late1", job.header("X-Request-Id"));
             job.accept();
             for (String[] done : new String[][] {{"late1", "late"}, {"held", "w1"}}) {
                 assertEquals(204, callBack(done[0], done[1], "done"));
-                Peer.Arrived answer = Peer.read(done[0].equals("held") ? held : waits);
+                ScriptedPeer.ReceivedMessage answer =
+                        ScriptedPeer.read(done[0].equals("held") ? held : waits);
                 assertEquals(200, answer.status());
                 assertEquals("made by " + done[1], answer.body());
             }
-            assertTrue("nothing more came to the one that drains", workerOne.nothingArrived());
+            assertTrue("nothing more came to the one that drains", workerOne.hasNoMessage());
         }
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/RestingTest.java
+++ b/daemon/src/test/java/postgrade/daemon/RestingTest.java
@@ -6,14 +6,14 @@
 import java.io.IOException;
 import java.net.Socket;
 import org.junit.Test;
-import postgrade.daemon.Peer.Arrived;
+import postgrade.daemon.ScriptedPeer.ReceivedMessage;
 import postgrade.dispatch.PendingRequest;
 
 /**
  * A connection that has just been answered, and a second answer on it that comes some milliseconds
  * late.
  */
-public class RestingTest extends AttemptStage {
+public class RestingTest extends AttemptTestBase {
 
     private static final String NOT_RUN =
             "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
@@ -21,9 +21,9 @@
     public RestingTest() throws IOException {}
 
     private void waits(Socket resting, int connections, long micros) {
-        pass(micros);
-        assertEquals("nothing is written yet", 0, available(resting));
-        assertEquals("nor another one opened", connections, hand.openChannels());
+        advance(micros);
+        assertEquals("nothing is written yet", 0, availableBytes(resting));
+        assertEquals("nor another one opened", connections, loop.openChannels());
     }
 
     /**
@@ -31,112 +31,116 @@
      */
     @Test
     public void aSecondAnswerIsNotTakenForTheNextJobs() throws Exception {
-        Socket resting = taken("a1");
-        open("a2");
-        turn();
-        pass(20 * MILLI - 1);
-        says(resting, NOT_RUN);
-        turn();
-        hasHeard();
-        assertEquals("a2", request(one).header("X-Request-Id"));
+        Socket resting = sendAcceptedJob("a1");
+        submit("a2");
+        runTurn();
+        advance(20 * MILLI_MICROS - 1);
+        respond(resting, NOT_RUN);
+        runTurn();
+        assertFinished();
+        assertEquals("a2", awaitRequest(worker1).header("X-Request-Id"));
         assertEquals("closed", -1, resting.getInputStream().read());
     }
 
     @Test
     public void norForADeletes() throws Exception {
-        Socket resting = taken("b1");
-        script.out.cancelAttempt("b1", 0);
-        turn();
-        pass(20 * MILLI - 1);
-        says(resting, TAKEN);
-        turn();
-        hasHeard();
-        Arrived delete = request(one);
-        hand.runAndServe(() -> delete.reply("200 OK", ""));
-        turn();
-        hasHeard("finished b1 0 CANCELLED false");
+        Socket resting = sendAcceptedJob("b1");
+        policy.actions.cancelAttempt("b1", 0);
+        runTurn();
+        advance(20 * MILLI_MICROS - 1);
+        respond(resting, ACCEPTED);
+        runTurn();
+        assertFinished();
+        ReceivedMessage delete = awaitRequest(worker1);
+        loop.runAndServe(() -> delete.reply("200 OK", ""));
+        runTurn();
+        assertFinished("finished b1 0 CANCELLED false");
     }
 
     @Test
     public void whatFindsOnlyARestingOneWaitsForItAndOpensNoOther() throws Exception {
-        Socket resting = taken("c1");
-        pass(5 * MILLI);
-        open("c2");
-        turn();
-        waits(resting, 1, 15 * MILLI - 1);
-        pass(1);
-        Arrived second = request(resting);
+        Socket resting = sendAcceptedJob("c1");
+        advance(5 * MILLI_MICROS);
+        submit("c2");
+        runTurn();
+        waits(resting, 1, 15 * MILLI_MICROS - 1);
+        advance(1);
+        ReceivedMessage second = awaitRequest(resting);
         assertEquals("c2", second.header("X-Request-Id"));
-        assertEquals("what is left now", DEADLINE - 15 * MILLI + "u", second.header("X-Deadline"));
+        assertEquals(
+                "what is left now",
+                DEADLINE_MICROS - 15 * MILLI_MICROS + "u",
+                second.header("X-Deadline"));
     }
 
     @Test
     public void oneMoreThanThoseThatRestOpensItsOwnAndTheyAreGivenInOrder() throws Exception {
-        Socket resting = taken("d1");
-        open("d2");
-        open("d3");
-        turn();
-        Socket other = accept(one);
-        hand.runAndServe(() -> {});
-        turn();
-        assertEquals("d2", request(other).header("X-Request-Id"));
-        waits(resting, 2, 20 * MILLI - 1);
-        pass(1);
-        assertEquals("d3", request(resting).header("X-Request-Id"));
+        Socket resting = sendAcceptedJob("d1");
+        submit("d2");
+        submit("d3");
+        runTurn();
+        Socket other = accept(worker1);
+        loop.runAndServe(() -> {});
+        runTurn();
+        assertEquals("d2", awaitRequest(other).header("X-Request-Id"));
+        waits(resting, 2, 20 * MILLI_MICROS - 1);
+        advance(1);
+        assertEquals("d3", awaitRequest(resting).header("X-Request-Id"));
     }
 
     @Test
     public void oneThatHasRestedGoesBeforeOneThatRests() throws Exception {
-        open("e1");
-        open("e2");
-        turn();
-        Arrived first = request(one);
-        Arrived second = request(one);
-        says(first.socket(), TAKEN);
-        pass(15 * MILLI);
-        says(second.socket(), TAKEN);
-        pass(5 * MILLI);
-        open("e3");
-        turn();
-        assertEquals("e3", request(first.socket()).header("X-Request-Id"));
+        submit("e1");
+        submit("e2");
+        runTurn();
+        ReceivedMessage first = awaitRequest(worker1);
+        ReceivedMessage second = awaitRequest(worker1);
+        respond(first.socket(), ACCEPTED);
+        advance(15 * MILLI_MICROS);
+        respond(second.socket(), ACCEPTED);
+        advance(5 * MILLI_MICROS);
+        submit("e3");
+        runTurn();
+        assertEquals("e3", awaitRequest(first.socket()).header("X-Request-Id"));
     }
 
     @Test
     public void whatIsNoLongerWantedMeanwhileIsNotWritten() throws Exception {
-        Socket resting = taken("f1");
-        PendingRequest left = open("f2");
-        turn();
-        gateway.clientDisconnected(left);
-        turn();
-        script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0, 10 * MILLI * 1000);
-        open("f3"); // May be written for 10 ms.
-        turn();
-        pass(20 * MILLI);
-        hasHeard("finished f2 0 NOT_SENT true", "finished f3 0 NOT_SENT false");
+        Socket resting = sendAcceptedJob("f1");
+        PendingRequest left = submit("f2");
+        runTurn();
+        tracker.clientDisconnected(left);
+        runTurn();
+        policy.onJob =
+                job -> policy.actions.startAttempt(job.id(), "w1", 0, 10 * MILLI_MICROS * 1000);
+        submit("f3"); // May be written for 10 ms.
+        runTurn();
+        advance(20 * MILLI_MICROS);
+        assertFinished("finished f2 0 NOT_SENT true", "finished f3 0 NOT_SENT false");
         waits(resting, 1, 0);
     }
 
     @Test
     public void norIsAnythingToAWorkerThatDrainsMeanwhile() throws Exception {
-        Socket resting = taken("g1");
-        open("g2");
-        turn();
-        list(target("w1", one, false));
-        turn();
-        hasHeard("finished g2 0 NOT_SENT false");
+        Socket resting = sendAcceptedJob("g1");
+        submit("g2");
+        runTurn();
+        updateWorkers(endpoint("w1", worker1, false));
+        runTurn();
+        assertFinished("finished g2 0 NOT_SENT false");
         assertEquals("closed", -1, resting.getInputStream().read());
-        assertEquals("none is opened for it", 0, hand.openChannels());
+        assertEquals("none is opened for it", 0, loop.openChannels());
     }
 
     @Test
     public void whatWaitsGoesToTheAddressThatItsWorkerHasMovedTo() throws Exception {
-        Socket resting = taken("h1");
-        open("h2");
-        turn();
-        list(target("w1", two, true));
-        turn();
-        assertEquals("h2", request(two).header("X-Request-Id"));
+        Socket resting = sendAcceptedJob("h1");
+        submit("h2");
+        runTurn();
+        updateWorkers(endpoint("w1", worker2, true));
+        runTurn();
+        assertEquals("h2", awaitRequest(worker2).header("X-Request-Id"));
         assertEquals("closed", -1, resting.getInputStream().read());
-        assertTrue(ends().isEmpty());
+        assertTrue(finishedEvents().isEmpty());
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/Peer.java
+++ b/daemon/src/test/java/postgrade/daemon/ScriptedPeer.java
@@ -19,12 +19,12 @@
 /**
  * A scripted peer on loopback: hands over what arrives and answers only what the test tells it to.
  */
-final class Peer implements AutoCloseable {
+final class ScriptedPeer implements AutoCloseable {
 
-    static final int PATIENCE_S = 20;
+    static final int TIMEOUT_S = 20;
 
     /** One message, and the connection it came on. */
-    record Arrived(Socket socket, String head, String body) {
+    record ReceivedMessage(Socket socket, String head, String body) {
         void reply(String status, String body) {
             write(
                     socket,
@@ -41,7 +41,7 @@
         }
 
         /** Ends the connection with a reset. */
-        void breakOff() throws IOException {
+        void resetConnection() throws IOException {
             socket.setSoLinger(true, 0);
             socket.close();
         }
@@ -62,10 +62,10 @@
 
     private static final AtomicInteger PEERS = new AtomicInteger();
     private final ServerSocket server;
-    private final BlockingQueue<Arrived> arrived = new LinkedBlockingQueue<>();
+    private final BlockingQueue<ReceivedMessage> arrived = new LinkedBlockingQueue<>();
     private final BlockingQueue<Socket> ended = new LinkedBlockingQueue<>();
 
-    Peer() throws IOException {
+    ScriptedPeer() throws IOException {
         // Guards against the dispatchers of earlier tests, which look for their peers for ever: no
         // address comes again.
         int count = PEERS.incrementAndGet();
@@ -116,25 +116,25 @@
         return server.getInetAddress().getHostAddress() + ":" + server.getLocalPort();
     }
 
-    Arrived next() throws InterruptedException {
-        Arrived a = arrived.poll(PATIENCE_S, TimeUnit.SECONDS);
+    ReceivedMessage awaitMessage() throws InterruptedException {
+        ReceivedMessage a = arrived.poll(TIMEOUT_S, TimeUnit.SECONDS);
         assertNotNull("nothing arrived", a);
         return a;
     }
 
-    Arrived next(String start) throws InterruptedException {
-        Arrived a = next();
+    ReceivedMessage awaitMessage(String start) throws InterruptedException {
+        ReceivedMessage a = awaitMessage();
         assertTrue(a.head(), a.head().startsWith(start));
         return a;
     }
 
-    boolean nothingArrived() {
+    boolean hasNoMessage() {
         return arrived.isEmpty();
     }
 
     /** Waits until the other side has closed one of its connections. */
-    Socket nextEnd() throws InterruptedException {
-        Socket s = ended.poll(PATIENCE_S, TimeUnit.SECONDS);
+    Socket awaitClosedConnection() throws InterruptedException {
+        Socket s = ended.poll(TIMEOUT_S, TimeUnit.SECONDS);
         assertNotNull("no connection ended", s);
         return s;
     }
@@ -153,7 +153,7 @@
     }
 
     /** Reads one message with a length. */
-    static Arrived read(Socket s) throws IOException {
+    static ReceivedMessage read(Socket s) throws IOException {
         InputStream in = s.getInputStream();
         StringBuilder head = new StringBuilder();
         while (head.length() < 4 || !head.substring(head.length() - 4).equals("\r\n\r\n")) {
@@ -163,8 +163,8 @@
             }
             head.append((char) b);
         }
-        String length = new Arrived(s, head.toString(), "").header("Content-Length");
+        String length = new ReceivedMessage(s, head.toString(), "").header("Content-Length");
         byte[] body = in.readNBytes(length == null ? 0 : Integer.parseInt(length));
-        return new Arrived(s, head.toString(), new String(body, StandardCharsets.UTF_8));
+        return new ReceivedMessage(s, head.toString(), new String(body, StandardCharsets.UTF_8));
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/Script.java
+++ b/daemon/src/test/java/postgrade/daemon/ScriptedPolicy.java
@@ -25,38 +25,38 @@
  * A decision module that writes down what it hears and does what the test says. Runs on the loop's
  * thread.
  */
-final class Script implements DispatchPolicy {
-    final PolicyActions out;
-    JobConstraints ability;
+final class ScriptedPolicy implements DispatchPolicy {
+    final PolicyActions actions;
+    JobConstraints constraints;
     volatile double lastShare = 1;
-    volatile List<PolicyStateEntry> learnt = List.of();
-    final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+    volatile List<PolicyStateEntry> exportedFigures = List.of();
+    final BlockingQueue<String> events = new LinkedBlockingQueue<>();
     volatile Consumer<Job> onJob = job -> {};
     volatile BiConsumer<String, Integer> onStarted = (id, attempt) -> {};
     volatile BiConsumer<String, AttemptOutcome> onFinished = (id, outcome) -> {};
 
-    Script(PolicyActions out) {
-        this.out = out;
+    ScriptedPolicy(PolicyActions out) {
+        this.actions = out;
     }
 
-    void hears(String expected) throws InterruptedException {
-        assertEquals(expected, heard.poll(Peer.PATIENCE_S, TimeUnit.SECONDS));
+    void expectEvent(String expected) throws InterruptedException {
+        assertEquals(expected, events.poll(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
     }
 
     /**
      * Passes over what else is heard, where that depends on how late the loop comes to a deadline.
      */
-    void hearsAmongOthers(String expected) throws InterruptedException {
+    void expectEventAmongOthers(String expected) throws InterruptedException {
         String next;
         do {
-            next = heard.poll(Peer.PATIENCE_S, TimeUnit.SECONDS);
+            next = events.poll(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS);
         } while (next != null && !next.equals(expected));
         assertEquals(expected, next);
     }
 
     @Override
     public void workersUpdated(long nowNs, WorkerListUpdateType form, List<WorkerInfo> workers) {
-        heard.add(
+        events.add(
                 "list "
                         + form
                         + " "
@@ -65,18 +65,18 @@
 
     @Override
     public void workerReenabled(long nowNs, String workerId) {
-        heard.add("recalled " + workerId);
+        events.add("recalled " + workerId);
     }
 
     @Override
     public List<PolicyStateEntry> exportState(long nowNs) {
-        return learnt;
+        return exportedFigures;
     }
 
     @Override
     public void importState(long nowNs, List<PolicyStateEntry> all) {
         if (!all.isEmpty()) {
-            heard.add(
+            events.add(
                     "learn "
                             + all.stream()
                                     .map(
@@ -92,31 +92,31 @@
 
     @Override
     public void constraintsChanged(JobConstraints a) {
-        ability = a;
+        constraints = a;
     }
 
     @Override
     public void quotaShareChanged(long nowNs, double part) {
         lastShare = part;
         if (part != 1) { // Each start says that.
-            heard.add("share " + part);
+            events.add("share " + part);
         }
     }
 
     @Override
     public void settingsChanged(long nowNs, PolicySettings settings) {
-        heard.add("settings " + settings.classes.stream().map(JobClass::name).toList());
+        events.add("settings " + settings.classes.stream().map(JobClass::name).toList());
     }
 
     @Override
     public void jobArrived(long nowNs, Job job) {
-        heard.add("job " + job.id());
+        events.add("job " + job.id());
         onJob.accept(job);
     }
 
     @Override
     public void attemptStarted(long nowNs, String jobId, int attempt) {
-        heard.add("started " + jobId + " " + attempt);
+        events.add("started " + jobId + " " + attempt);
         onStarted.accept(jobId, attempt);
     }
 
@@ -131,22 +131,22 @@
             AttemptOutcome outcome,
             boolean last,
             LoadReport load) {
-        heard.add("finished " + jobId + " " + attempt + " " + outcome + " " + last);
+        events.add("finished " + jobId + " " + attempt + " " + outcome + " " + last);
         onFinished.accept(jobId, outcome);
     }
 
     @Override
     public void workerProbed(long nowNs, String workerId, boolean answered, LoadReport load) {
-        heard.add("probed " + workerId + " " + answered);
+        events.add("probed " + workerId + " " + answered);
     }
 
     @Override
     public void jobAbandoned(long nowNs, String jobId) {
-        heard.add("abandoned " + jobId);
+        events.add("abandoned " + jobId);
     }
 
     @Override
     public void timerFired(long nowNs, String token) {
-        heard.add("timer " + token);
+        events.add("timer " + token);
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/ShutdownCrossingTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ShutdownCrossingTest.java
@@ -16,7 +16,7 @@
         Socket kept = resting("k1");
         Socket other = resting("k2");
         stop(() -> {}, () -> Turns.post(kept, "k3"));
-        turns.script.hears("job k3");
+        turns.script.expectEvent("job k3");
         rejectedAndEnded(kept);
         assertEquals("ended, not reset", -1, other.getInputStream().read());
     }
@@ -53,7 +53,8 @@
                                 turns.loop.nowMicros() + 25_000,
                                 later::countDown)); // Behind the next check.
         assertEquals("told to leave", -1, kept.getInputStream().read());
-        assertTrue("it may not have read all", later.await(Peer.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(
+                "it may not have read all", later.await(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
         kept.close();
         turns.ends();
     }
@@ -81,7 +82,7 @@
         Turns.post(kept, "s2");
         kept.close();
         turns.ends();
-        assertTrue("read and dropped", turns.script.heard.isEmpty());
+        assertTrue("read and dropped", turns.script.events.isEmpty());
     }
 
     @Test
@@ -90,12 +91,14 @@
         String job = "POST /api HTTP/1.1\r\nX-Class: price\r\nContent-Length: 0\r\nX-Request-Id: ";
         stop(
                 () -> {},
-                () -> Peer.write(kept, job + "p2\r\n\r\n" + job + "p3\r\n\r\n")); // In one packet.
-        turns.script.hears("job p2");
+                () ->
+                        ScriptedPeer.write(
+                                kept, job + "p2\r\n\r\n" + job + "p3\r\n\r\n")); // In one packet.
+        turns.script.expectEvent("job p2");
         rejectedAndEnded(kept);
         kept.close();
         turns.ends();
-        assertTrue("dropped", turns.script.heard.isEmpty());
+        assertTrue("dropped", turns.script.events.isEmpty());
     }
 
     @Test
@@ -103,15 +106,15 @@
         Socket half = turns.connect();
         stop(
                 () ->
-                        Peer.write(
+                        ScriptedPeer.write(
                                 half,
                                 "POST /api HTTP/1.1\r\nX-Request-Id: h1\r\nX-Class: price\r\nContent-Length: 3\r\n\r\n"),
                 () -> {});
         rejectedAndEnded(half);
-        Peer.write(half, "job");
+        ScriptedPeer.write(half, "job");
         half.close();
         turns.ends();
-        assertTrue("passed over", turns.script.heard.isEmpty());
+        assertTrue("passed over", turns.script.events.isEmpty());
     }
 
     @Test
@@ -119,8 +122,8 @@
         Socket silent = turns.connect();
         turns.turn();
         turns.crossing(2_100, () -> {}, () -> Turns.post(silent, "w1")); // It is given 2 s.
-        turns.script.hears("job w1");
-        assertEquals(429, Peer.read(silent).status());
+        turns.script.expectEvent("job w1");
+        assertEquals(429, ScriptedPeer.read(silent).status());
     }
 
     @Test
@@ -129,15 +132,15 @@
         for (int i = 0; i < idle.length; i++) {
             idle[i] = resting("i" + i);
             Turns.post(idle[i], "j" + i); // Past its probation.
-            turns.script.hears("job j" + i);
-            assertEquals(429, Peer.read(idle[i]).status());
+            turns.script.expectEvent("job j" + i);
+            assertEquals(429, ScriptedPeer.read(idle[i]).status());
         }
         turns.crossing(SWEEPS_MILLIS, () -> {}, () -> {});
         Socket[] fresh = new Socket[1];
         turns.crossing(
                 SWEEPS_MILLIS, () -> fresh[0] = turns.post("f1"), () -> Turns.post(idle[0], "f2"));
-        assertEquals("the one that was idle longest", 429, Peer.read(idle[0]).status());
-        assertEquals(429, Peer.read(fresh[0]).status());
+        assertEquals("the one that was idle longest", 429, ScriptedPeer.read(idle[0]).status());
+        assertEquals(429, ScriptedPeer.read(fresh[0]).status());
         assertEquals("another has gone", -1, idle[1].getInputStream().read());
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/ShutdownStage.java
+++ b/daemon/src/test/java/postgrade/daemon/ShutdownStage.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.junit.After;
 import org.junit.Before;
-import postgrade.daemon.Peer.Arrived;
+import postgrade.daemon.ScriptedPeer.ReceivedMessage;
 
 /**
  * The stage of what SIGTERM crosses: the loop with all that serves clients and ends, and a hook
@@ -36,7 +36,7 @@
         Path file = Path.of(configuration().get("ROUTER_CONFIG"));
         Files.writeString(file, Files.readString(file).replace("20000000000", "" + DEADLINE_NS));
         turns = new Turns(Config.read(Map.of("ROUTER_CONFIG", file.toString())), 64);
-        turns.script.onJob = job -> turns.script.out.reject(job.id(), 0);
+        turns.script.onJob = job -> turns.script.actions.reject(job.id(), 0);
     }
 
     @After
@@ -51,8 +51,8 @@
 
     Socket resting(String id) throws Exception {
         Socket s = turns.post(id);
-        turns.script.hears("job " + id);
-        assertEquals(429, Peer.read(s).status());
+        turns.script.expectEvent("job " + id);
+        assertEquals(429, ScriptedPeer.read(s).status());
         return s;
     }
 
@@ -63,7 +63,7 @@
     }
 
     static void rejectedAndEnded(Socket s) throws IOException {
-        Arrived answer = Peer.read(s);
+        ReceivedMessage answer = ScriptedPeer.read(s);
         assertEquals(429, answer.status());
         assertEquals("close", answer.header("Connection"));
         assertEquals(-1, s.getInputStream().read());
--- a/daemon/src/test/java/postgrade/daemon/ShutdownStagesTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ShutdownStagesTest.java
@@ -10,7 +10,7 @@
 import java.net.Socket;
 import java.util.concurrent.CountDownLatch;
 import org.junit.Test;
-import postgrade.daemon.Peer.Arrived;
+import postgrade.daemon.ScriptedPeer.ReceivedMessage;
 
 /**
  * SIGTERM meets a job at a stage of its life, and it goes on once resting connections are ended: it
@@ -20,9 +20,9 @@
 
     private Socket sentOn(String id) throws Exception {
         turns.provider("w1", workerOne);
-        turns.script.onJob = job -> turns.script.out.startAttempt(job.id(), "w1", 0);
+        turns.script.onJob = job -> turns.script.actions.startAttempt(job.id(), "w1", 0);
         Socket client = turns.post(id);
-        turns.script.hears("job " + id);
+        turns.script.expectEvent("job " + id);
         return client;
     }
 
@@ -30,7 +30,7 @@
     private void answeredOnce(Socket client, String id) throws Exception {
         assertEquals(204, callBack(id, "w1", "done"));
         assertEquals("late", 204, callBack(id, "w1", "done"));
-        Arrived answer = Peer.read(client);
+        ReceivedMessage answer = ScriptedPeer.read(client);
         assertEquals(200, answer.status());
         assertEquals("made by w1", answer.body());
         assertEquals("close", answer.header("Connection"));
@@ -44,31 +44,31 @@
         turns.provider("w1", workerOne);
         turns.script.onJob = job -> {};
         Socket client = turns.post("q1");
-        turns.script.hears("job q1");
+        turns.script.expectEvent("job q1");
         stop(() -> {}, () -> {});
-        turns.on(() -> turns.script.out.startAttempt("q1", "w1", 0));
-        workerOne.next("POST").accept();
+        turns.on(() -> turns.script.actions.startAttempt("q1", "w1", 0));
+        workerOne.awaitMessage("POST").accept();
         answeredOnce(client, "q1");
     }
 
     @Test
     public void aJobThatWaitsForItsConnectionIsSentOnItAndAnswered() throws Exception {
         try (ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            deaf.setSoTimeout(Peer.PATIENCE_S * 1000);
+            deaf.setSoTimeout(ScriptedPeer.TIMEOUT_S * 1000);
             for (int i = 0; i < 2; i++) {
                 sockets.add(
                         new Socket(deaf.getInetAddress(), deaf.getLocalPort())); // A full backlog.
             }
             turns.provider("w1", deaf.getInetAddress().getHostAddress(), deaf.getLocalPort());
-            turns.script.onJob = job -> turns.script.out.startAttempt(job.id(), "w1", 0);
+            turns.script.onJob = job -> turns.script.actions.startAttempt(job.id(), "w1", 0);
             Socket client = turns.post("c1");
-            turns.script.hears("job c1");
+            turns.script.expectEvent("job c1");
             stop(() -> {}, () -> {});
             for (int i = 0; i < 3; i++) {
                 sockets.add(deaf.accept()); // The third is ours: it comes up with the system's next
                 // try.
             }
-            Arrived job = Peer.read(sockets.get(sockets.size() - 1));
+            ReceivedMessage job = ScriptedPeer.read(sockets.get(sockets.size() - 1));
             assertEquals("c1", job.header("X-Request-Id"));
             job.accept();
             answeredOnce(client, "c1");
@@ -78,7 +78,7 @@
     @Test
     public void aJobThatHasBeenSentAndNotTakenYetIsAnswered() throws Exception {
         Socket client = sentOn("n1");
-        Arrived job = workerOne.next("POST");
+        ReceivedMessage job = workerOne.awaitMessage("POST");
         stop(() -> {}, () -> {});
         job.accept();
         answeredOnce(client, "n1");
@@ -87,9 +87,9 @@
     @Test
     public void aJobThatHasStartedIsAnswered() throws Exception {
         Socket client = sentOn("s1");
-        workerOne.next("POST").accept();
+        workerOne.awaitMessage("POST").accept();
         assertEquals(204, callBack("s1", "w1", "started"));
-        turns.script.hears("started s1 0");
+        turns.script.expectEvent("started s1 0");
         stop(() -> {}, () -> {});
         answeredOnce(client, "s1");
     }
@@ -97,22 +97,22 @@
     /** Its client has its answer, and its worker does not say that it has dropped it. */
     private void isBeingGivenUp(String id) throws Exception {
         Socket client = sentOn(id);
-        workerOne.next("POST").accept();
+        workerOne.awaitMessage("POST").accept();
         turns.on(
                 () -> {
-                    turns.script.out.cancelAttempt(id, 0);
-                    turns.script.out.reject(id, 0);
+                    turns.script.actions.cancelAttempt(id, 0);
+                    turns.script.actions.reject(id, 0);
                 });
-        workerOne.next("DELETE /jobs/" + id + " ");
-        assertEquals(429, Peer.read(client).status());
+        workerOne.awaitMessage("DELETE /jobs/" + id + " ");
+        assertEquals(429, ScriptedPeer.read(client).status());
         client.close();
     }
 
     /** What comes next, but for repeated words that this one is to be dropped. */
-    private Arrived arrivesBesides(String id, String start) throws InterruptedException {
-        Arrived next = workerOne.next();
+    private ReceivedMessage arrivesBesides(String id, String start) throws InterruptedException {
+        ReceivedMessage next = workerOne.awaitMessage();
         while (next.head().startsWith("DELETE /jobs/" + id + " ")) {
-            next = workerOne.next();
+            next = workerOne.awaitMessage();
         }
         assertTrue(next.head(), next.head().startsWith(start));
         return next;
@@ -140,10 +140,10 @@
         stop(() -> {}, () -> {});
         turns.crossing(150, () -> {}, () -> {}); // Later than what SIGKILL may find unanswered.
         Socket late = turns.post("h2");
-        turns.script.hears("job h2");
+        turns.script.expectEvent("job h2");
         arrivesBesides("h1", "POST").accept();
         turns.crossing(KILL_MILLIS - UNTIL_LEAVING_MILLIS, () -> {}, () -> {});
-        assertEquals(502, Peer.read(late).status());
+        assertEquals(502, ScriptedPeer.read(late).status());
         arrivesBesides("h1", "DELETE /jobs/h2 ");
         late.close();
         turns.ends();
@@ -155,10 +155,10 @@
         isBeingGivenUp("i0");
         stop(() -> {}, () -> {});
         Socket late = turns.post("i1"); // 0.6 s after it was heard, so 0.7 s after it was sent.
-        turns.script.hears("job i1");
+        turns.script.expectEvent("job i1");
         arrivesBesides("i0", "POST").accept();
         turns.crossing(KILL_MILLIS - UNTIL_LEAVING_MILLIS - 200, () -> {}, () -> {});
-        assertEquals(502, Peer.read(late).status());
+        assertEquals(502, ScriptedPeer.read(late).status());
         late.close();
         turns.crossing(200, () -> {}, () -> {});
         turns.ends();
@@ -167,12 +167,12 @@
     @Test
     public void aRequestInPartIsNotTakenForARestingConnection() throws Exception {
         Socket half = turns.connect();
-        Peer.write(
+        ScriptedPeer.write(
                 half,
                 "POST /api HTTP/1.1\r\nX-Request-Id: f1\r\nX-Class: price\r\nContent-Length: 3\r\n\r\n");
         turns.turn();
         stop(() -> {}, () -> {});
-        Peer.write(half, "job");
+        ScriptedPeer.write(half, "job");
         rejectedAndEnded(half);
         half.close();
         turns.ends();
@@ -185,11 +185,11 @@
     @Test
     public void whatAClientReadsLateIsWrittenToTheLastByte() throws Exception {
         turns.provider("w1", workerOne);
-        turns.script.onJob = job -> turns.script.out.startAttempt(job.id(), "w1", 0);
+        turns.script.onJob = job -> turns.script.actions.startAttempt(job.id(), "w1", 0);
         String result = "x".repeat(60_000);
         Socket late = new Socket();
         late.setReceiveBufferSize(4096);
-        late.setSoTimeout(Peer.PATIENCE_S * 1000);
+        late.setSoTimeout(ScriptedPeer.TIMEOUT_S * 1000);
         late.connect(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), turns.listener.port()));
         sockets.add(late);
@@ -197,7 +197,7 @@
         int answers = 0;
         for (; allSent[0]; answers++) {
             Turns.post(late, "l" + answers);
-            workerOne.next("POST").accept();
+            workerOne.awaitMessage("POST").accept();
             assertEquals(
                     204,
                     callBack(
@@ -215,7 +215,7 @@
                 () -> {},
                 () -> {}); // Its peers are waited for no longer, but for what they are owed.
         for (int i = 0; i < answers; i++) {
-            Arrived answer = Peer.read(late);
+            ReceivedMessage answer = ScriptedPeer.read(late);
             assertEquals(200, answer.status());
             assertEquals(result, answer.body());
         }
--- a/daemon/src/test/java/postgrade/daemon/SignalTest.java
+++ b/daemon/src/test/java/postgrade/daemon/SignalTest.java
@@ -31,14 +31,14 @@
 
     private String log() throws IOException, InterruptedException {
         String log = new String(program.getErrorStream().readAllBytes());
-        assertTrue("ended", program.waitFor(Peer.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue("ended", program.waitFor(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
         return log;
     }
 
     @Test
     public void sigtermTwiceAndSighupBeforeAndBehindItEndTheProgramInOrder() throws Exception {
         program = program(configuration(workerEntry("w1", workerOne.address(), "ready")));
-        discovery.next("GET /api/targets?watch=1&from=41 ");
+        discovery.awaitMessage("GET /api/targets?watch=1&from=41 ");
         for (String signal : new String[] {"HUP", "TERM", "HUP", "TERM"}) {
             send(signal);
         }
@@ -70,7 +70,7 @@
         Files.writeString(
                 file,
                 text.replace(discovery.address(), workerTwo.address())); // The reload reads again.
-        workerTwo.next("GET /api/targets ");
+        workerTwo.awaitMessage("GET /api/targets ");
         send("KILL");
         program.waitFor();
         program = program(environment);
