--- a/daemon/src/test/java/postgrade/daemon/StoriesTest.java
+++ b/daemon/src/test/java/postgrade/daemon/StoriesTest.java
@@ -20,7 +20,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import org.junit.Test;
-import postgrade.daemon.Peer.Arrived;
+import postgrade.daemon.ScriptedPeer.ReceivedMessage;
 import postgrade.discovery.WatchTimeouts;
 
 /**
@@ -36,7 +36,7 @@
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         assertEquals(200, readinessStatus());
         Socket consumer = post("ab12", "price", "15000m");
-        Arrived job = workerOne.next("POST /api?a=b HTTP/1.1\r\n");
+        ReceivedMessage job = workerOne.awaitMessage("POST /api?a=b HTTP/1.1\r\n");
         assertEquals("job", job.body());
         assertEquals("ab12", job.header("X-Request-Id"));
         assertEquals("a stranger's", 204, callBack("ab12", "w9", "done"));
@@ -44,16 +44,18 @@
         assertEquals(204, callBack("ab12", "w1", "started"));
         assertEquals(204, callBack("ab12", "w1", "done"));
         assertEquals("repeated", 204, callBack("ab12", "w1", "done"));
-        Arrived answer = Peer.read(consumer);
+        ReceivedMessage answer = ScriptedPeer.read(consumer);
         assertEquals(200, answer.status());
         assertEquals("made by w1", answer.body());
         job.accept();
         post(consumer, "ab13", "price", "15000m");
         assertSame(
-                "the late 202 frees its connection", job.socket(), workerOne.next("POST").socket());
+                "the late 202 frees its connection",
+                job.socket(),
+                workerOne.awaitMessage("POST").socket());
         assertEquals("late, of an ended call", 204, callBack("ab12", "w1", "failed"));
         callBack("ab13", "w1", "done");
-        assertEquals(200, Peer.read(consumer).status());
+        assertEquals(200, ScriptedPeer.read(consumer).status());
     }
 
     /**
@@ -68,11 +70,11 @@
         String head =
                 "POST /api HTTP/1.1\r\nX-Request-Id: i1\r\nX-Class: price\r\nContent-Length: 0\r\n";
         Socket consumer = connect();
-        Peer.write(consumer, head + "Idempotency-Key: \"8e03 978e\"\r\n\r\n");
-        Arrived first = workerOne.next("POST");
+        ScriptedPeer.write(consumer, head + "Idempotency-Key: \"8e03 978e\"\r\n\r\n");
+        ReceivedMessage first = workerOne.awaitMessage("POST");
         assertEquals("\"8e03 978e\"", first.header("Idempotency-Key"));
         first.reply("503 Full\r\nX-Not-Run: 1", "");
-        assertEquals("\"8e03 978e\"", workerOne.next("POST").header("Idempotency-Key"));
+        assertEquals("\"8e03 978e\"", workerOne.awaitMessage("POST").header("Idempotency-Key"));
         assertEquals(
                 "two readings",
                 400,
@@ -81,7 +83,7 @@
                                         + "Idempotency-Key: a\r\nIdempotency-Key: b\r\n\r\n")
                         .status());
         post("i3", "price", "15000m");
-        assertNull("where there is none", workerOne.next("POST").header("Idempotency-Key"));
+        assertNull("where there is none", workerOne.awaitMessage("POST").header("Idempotency-Key"));
     }
 
     @Test
@@ -99,11 +101,11 @@
                 workerEntry("w1", workerOne.address(), "ready"),
                 workerEntry("w2", workerOne.address(), "ready"));
         Socket consumer = post("c1", "confirm", "15000m");
-        workerOne.next("POST").breakOff();
+        workerOne.awaitMessage("POST").resetConnection();
         // Its worker may have taken it all the same, and is asked to drop it first.
-        workerOne.next("DELETE /jobs/c1 ").reply("200 OK", "");
-        assertEquals(502, Peer.read(consumer).status());
-        assertTrue(workerOne.nothingArrived());
+        workerOne.awaitMessage("DELETE /jobs/c1 ").reply("200 OK", "");
+        assertEquals(502, ScriptedPeer.read(consumer).status());
+        assertTrue(workerOne.hasNoMessage());
     }
 
     @Test
@@ -115,17 +117,17 @@
                 workerEntry("w2", workerOne.address(), "ready"));
         for (int i = 0; i < 6; i++) {
             Socket consumer = post("c" + i, "confirm", "15000m");
-            workerOne.next("POST").accept();
+            workerOne.awaitMessage("POST").accept();
             callBack("c" + i, "w2", "done");
-            assertEquals(200, Peer.read(consumer).status());
+            assertEquals(200, ScriptedPeer.read(consumer).status());
         }
     }
 
     @Test
     public void outcomesFollowTheProtocol() throws Exception {
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
-        script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
-        script.onFinished = (id, outcome) -> script.out.reject(id, 1_500_000_000L);
+        script.onJob = job -> script.actions.startAttempt(job.id(), "w1", 0);
+        script.onFinished = (id, outcome) -> script.actions.reject(id, 1_500_000_000L);
         String[][] stories = {
             {"500 Error", "ERROR"},
             {"503 Full\r\nX-Not-Run: 1", "FULL"},
@@ -136,17 +138,18 @@
         };
         for (int i = 0; i < stories.length; i++) {
             Socket consumer = post("j" + i, "price", "15000m");
-            Arrived job = workerOne.next("POST");
+            ReceivedMessage job = workerOne.awaitMessage("POST");
             job.reply(stories[i][0], "");
             if (stories[i].length == 3) {
                 callBack("j" + i, "w1", stories[i][1]);
             } else if (i > 0) {
                 // The connection has carried others, whose late answer this may be.
-                workerOne.next("DELETE /jobs/j" + i + " ").reply("200 OK", "");
+                workerOne.awaitMessage("DELETE /jobs/j" + i + " ").reply("200 OK", "");
             }
-            script.hears("job j" + i);
-            script.hears("finished j" + i + " 0 " + stories[i][stories[i].length - 1] + " false");
-            Arrived answer = Peer.read(consumer);
+            script.expectEvent("job j" + i);
+            script.expectEvent(
+                    "finished j" + i + " 0 " + stories[i][stories[i].length - 1] + " false");
+            ReceivedMessage answer = ScriptedPeer.read(consumer);
             assertEquals(429, answer.status());
             assertEquals("1.500", answer.header("Retry-After"));
         }
@@ -157,19 +160,19 @@
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         long start = System.nanoTime();
         Socket consumer = post("t1", "price", "400m");
-        workerOne.next("POST").accept();
-        assertEquals(504, Peer.read(consumer).status());
+        workerOne.awaitMessage("POST").accept();
+        assertEquals(504, ScriptedPeer.read(consumer).status());
         assertTrue("not before it", System.nanoTime() - start >= 400_000_000L);
-        workerOne.next("DELETE /jobs/t1 ");
+        workerOne.awaitMessage("DELETE /jobs/t1 ");
     }
 
     @Test
     public void aConsumerThatLeavesHasItsJobGivenUp() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket consumer = post("g1", "price", "15000m");
-        workerOne.next("POST").accept();
+        workerOne.awaitMessage("POST").accept();
         consumer.close();
-        workerOne.next("DELETE /jobs/g1 ").reply("200 OK", "");
+        workerOne.awaitMessage("DELETE /jobs/g1 ").reply("200 OK", "");
         assertEquals(200, readinessStatus());
     }
 
@@ -178,29 +181,29 @@
         startWithScriptedPolicy(
                 workerEntry("w1", workerOne.address(), "ready"),
                 workerEntry("w2", workerTwo.address(), "ready"));
-        script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
+        script.onJob = job -> script.actions.startAttempt(job.id(), "w1", 0);
         Socket consumer = post("b1", "price", "15000m");
-        workerOne.next("POST").reply("400 Bad Request", "");
-        assertEquals(502, Peer.read(consumer).status());
-        script.hears("job b1");
-        script.hears("finished b1 0 CANCELLED true");
+        workerOne.awaitMessage("POST").reply("400 Bad Request", "");
+        assertEquals(502, ScriptedPeer.read(consumer).status());
+        script.expectEvent("job b1");
+        script.expectEvent("finished b1 0 CANCELLED true");
     }
 
     @Test
     public void whoRepeatsWhatWasTurnedAwayIsReadFromAgainAtTheNextSweepOnly() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket s = post("m1", "no class", "1m");
-        assertEquals(400, Peer.read(s).status());
+        assertEquals(400, ScriptedPeer.read(s).status());
         long start = System.nanoTime();
         for (int i = 0; i < 4; i++) {
             post(s, "m1", "no class", "1m");
-            assertEquals(400, Peer.read(s).status());
+            assertEquals(400, ScriptedPeer.read(s).status());
         }
         assertTrue("4 sweeps, the first under way", System.nanoTime() - start > 3 * 40_000_000L);
         post(s, "m2", "price", "15000m");
-        workerOne.next("POST").accept();
+        workerOne.awaitMessage("POST").accept();
         callBack("m2", "w1", "done");
-        assertEquals(200, Peer.read(s).status());
+        assertEquals(200, ScriptedPeer.read(s).status());
     }
 
     // ---- Never two calls out.
@@ -210,54 +213,54 @@
         startWithScriptedPolicy(
                 workerEntry("w1", workerOne.address(), "ready"),
                 workerEntry("w2", workerTwo.address(), "ready"));
-        script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
-        script.onStarted = (id, attempt) -> script.out.cancelAttempt(id, attempt);
-        script.onFinished = (id, outcome) -> script.out.startAttempt(id, "w2", 0);
+        script.onJob = job -> script.actions.startAttempt(job.id(), "w1", 0);
+        script.onStarted = (id, attempt) -> script.actions.cancelAttempt(id, attempt);
+        script.onFinished = (id, outcome) -> script.actions.startAttempt(id, "w2", 0);
         Socket consumer = post("x1", "price", "15000m");
-        workerOne.next("POST").accept();
+        workerOne.awaitMessage("POST").accept();
         callBack("x1", "w1", "started");
-        Arrived delete = workerOne.next("DELETE /jobs/x1 ");
-        script.hears("job x1");
-        script.hears("started x1 0");
+        ReceivedMessage delete = workerOne.awaitMessage("DELETE /jobs/x1 ");
+        script.expectEvent("job x1");
+        script.expectEvent("started x1 0");
         readinessStatus(); // Turns of the loop pass.
-        assertTrue(script.heard.isEmpty() && workerTwo.nothingArrived());
+        assertTrue(script.events.isEmpty() && workerTwo.hasNoMessage());
         delete.reply("200 OK", "");
-        script.hears("finished x1 0 CANCELLED false");
-        workerTwo.next("POST").accept();
+        script.expectEvent("finished x1 0 CANCELLED false");
+        workerTwo.awaitMessage("POST").accept();
         callBack("x1", "w2", "done");
-        assertEquals("made by w2", Peer.read(consumer).body());
+        assertEquals("made by w2", ScriptedPeer.read(consumer).body());
     }
 
     @Test
     public void aCallThatIsNotYetTakenIsGivenUpByClosingAndADelete() throws Exception {
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
-        script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
-        script.onStarted = (id, attempt) -> script.out.cancelAttempt(id, attempt);
+        script.onJob = job -> script.actions.startAttempt(job.id(), "w1", 0);
+        script.onStarted = (id, attempt) -> script.actions.cancelAttempt(id, attempt);
         post("x2", "price", "15000m");
-        Arrived job = workerOne.next("POST");
+        ReceivedMessage job = workerOne.awaitMessage("POST");
         callBack("x2", "w1", "started");
-        assertSame(job.socket(), workerOne.nextEnd());
-        workerOne.next("DELETE /jobs/x2 ").reply("404 Not Found", "");
-        script.hears("job x2");
-        script.hears("started x2 0");
-        script.hears("finished x2 0 CANCELLED false");
+        assertSame(job.socket(), workerOne.awaitClosedConnection());
+        workerOne.awaitMessage("DELETE /jobs/x2 ").reply("404 Not Found", "");
+        script.expectEvent("job x2");
+        script.expectEvent("started x2 0");
+        script.expectEvent("finished x2 0 CANCELLED false");
     }
 
     @Test
     public void aDeleteThatIsCutOffIsSentAgainBeforeTheModuleHears() throws Exception {
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
-        script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
-        script.onStarted = (id, attempt) -> script.out.cancelAttempt(id, attempt);
+        script.onJob = job -> script.actions.startAttempt(job.id(), "w1", 0);
+        script.onStarted = (id, attempt) -> script.actions.cancelAttempt(id, attempt);
         post("y1", "price", "15000m");
-        workerOne.next("POST").accept();
+        workerOne.awaitMessage("POST").accept();
         callBack("y1", "w1", "started");
-        workerOne.next("DELETE /jobs/y1 ").breakOff();
-        Arrived again = workerOne.next("DELETE /jobs/y1 ");
-        script.hears("job y1");
-        script.hears("started y1 0");
-        assertTrue(script.heard.isEmpty());
+        workerOne.awaitMessage("DELETE /jobs/y1 ").resetConnection();
+        ReceivedMessage again = workerOne.awaitMessage("DELETE /jobs/y1 ");
+        script.expectEvent("job y1");
+        script.expectEvent("started y1 0");
+        assertTrue(script.events.isEmpty());
         again.reply("200 OK", "");
-        script.hears("finished y1 0 CANCELLED false");
+        script.expectEvent("finished y1 0 CANCELLED false");
     }
 
     @Test
@@ -267,31 +270,31 @@
                 workerEntry("w2", workerTwo.address(), "ready"));
         script.onJob =
                 job -> {
-                    script.out.startAttempt(job.id(), "w1", 0);
-                    script.out.startAttempt(job.id(), "w2", 0);
+                    script.actions.startAttempt(job.id(), "w1", 0);
+                    script.actions.startAttempt(job.id(), "w2", 0);
                 };
         post("d1", "price", "15000m");
-        workerOne.next("POST").accept();
-        script.hears("job d1");
-        script.hears("finished d1 1 NOT_SENT false");
-        assertTrue(workerTwo.nothingArrived());
+        workerOne.awaitMessage("POST").accept();
+        script.expectEvent("job d1");
+        script.expectEvent("finished d1 1 NOT_SENT false");
+        assertTrue(workerTwo.hasNoMessage());
     }
 
     @Test
     public void aLateCallBackOfAnEarlierCallToTheSameProviderDoesNotFreeTheNext() throws Exception {
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
-        script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
+        script.onJob = job -> script.actions.startAttempt(job.id(), "w1", 0);
         post("e1", "price", "15000m");
-        workerOne.next("POST").accept();
-        script.hears("job e1");
-        script.onFinished = (id, outcome) -> script.out.startAttempt(id, "w1", 0);
+        workerOne.awaitMessage("POST").accept();
+        script.expectEvent("job e1");
+        script.onFinished = (id, outcome) -> script.actions.startAttempt(id, "w1", 0);
         callBack("e1", "w1", "returned");
-        script.hears("finished e1 0 FULL false");
-        workerOne.next("POST").accept();
+        script.expectEvent("finished e1 0 FULL false");
+        workerOne.awaitMessage("POST").accept();
         script.onFinished = (id, outcome) -> {};
         callBack("e1", "w1", "returned");
-        workerOne.next("DELETE /jobs/e1 ").reply("200 OK", "");
-        script.hears("finished e1 1 RESET false");
+        workerOne.awaitMessage("DELETE /jobs/e1 ").reply("200 OK", "");
+        script.expectEvent("finished e1 1 RESET false");
     }
 
     // ---- The list.
@@ -305,12 +308,12 @@
             }
             String address = "127.0.0.1:" + deaf.getLocalPort();
             startWithScriptedPolicy(workerEntry("w1", address, "ready"));
-            script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
+            script.onJob = job -> script.actions.startAttempt(job.id(), "w1", 0);
             post("w1", "price", "15000m");
-            script.hears("job w1");
+            script.expectEvent("job w1");
             answerWatch(workerListJson(42, false, workerEntry("w1", address, "draining")));
-            script.hears("list DELTA [w1 DRAINING]");
-            script.hears("finished w1 0 NOT_SENT false");
+            script.expectEvent("list DELTA [w1 DRAINING]");
+            script.expectEvent("finished w1 0 NOT_SENT false");
             assertEquals("no provider is left", 503, readinessStatus());
         }
     }
@@ -319,15 +322,16 @@
     public void aWatchThatEndsOrFallsSilentIsOpenedAgainFromTheLastVersion() throws Exception {
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         answerWatch(workerListJson(43, false, workerEntry("w2", workerTwo.address(), "ready")));
-        script.hears("list DELTA [w2 READY]");
-        Arrived again =
-                discovery.next("GET /api/targets?watch=1&from=43 "); // Silent after its line.
-        again.breakOff();
-        again = discovery.next("GET /api/targets?watch=1&from=43 ");
-        Peer.write(again.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        script.expectEvent("list DELTA [w2 READY]");
+        ReceivedMessage again =
+                discovery.awaitMessage(
+                        "GET /api/targets?watch=1&from=43 "); // Silent after its line.
+        again.resetConnection();
+        again = discovery.awaitMessage("GET /api/targets?watch=1&from=43 ");
+        ScriptedPeer.write(again.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         writeChunk(again, "no JSON");
-        again = discovery.next("GET /api/targets?watch=1&from=43 ");
-        Peer.write(again.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        again = discovery.awaitMessage("GET /api/targets?watch=1&from=43 ");
+        ScriptedPeer.write(again.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         writeChunk(
                 again,
                 workerListJson(
@@ -337,12 +341,12 @@
                         workerEntry("w2", workerTwo.address(), "ready"),
                         workerEntry("w3", "nowhere", "ready"),
                         workerEntry("w4", workerOne.address(), "never heard of")));
-        script.hears(
+        script.expectEvent(
                 "list FULL [w2 READY, w4 DRAINING]"); // Entries that cannot be read hide no others.
-        script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
+        script.onJob = job -> script.actions.startAttempt(job.id(), "w1", 0);
         post("l1", "price", "15000m");
-        script.hears("job l1");
-        script.hears("finished l1 0 NOT_SENT false"); // The whole list lacks w1.
+        script.expectEvent("job l1");
+        script.expectEvent("finished l1 0 NOT_SENT false"); // The whole list lacks w1.
     }
 
     @Test
@@ -350,7 +354,7 @@
         startWithScriptedPolicy();
         assertEquals(503, readinessStatus());
         answerWatch(workerListJson(42, true, workerEntry("w1", workerOne.address(), "ready")));
-        script.hears("list FULL [w1 READY]");
+        script.expectEvent("list FULL [w1 READY]");
         assertEquals(200, readinessStatus());
     }
 
@@ -364,37 +368,42 @@
                 new Daemon(
                         Config.read(Map.of("ROUTER_CONFIG", file.toString())),
                         null,
-                        out -> script = new Script(out),
+                        out -> script = new ScriptedPolicy(out),
                         new WatchTimeouts(20_000_000, 20_000_000, 0));
         daemon.start();
-        script.hears("list CACHED [w1 READY]");
-        Arrived former = discovery.next("GET /api/targets?watch=1&from=41 ");
-        Peer.write(former.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        try (Peer next = new Peer()) {
+        script.expectEvent("list CACHED [w1 READY]");
+        ReceivedMessage former = discovery.awaitMessage("GET /api/targets?watch=1&from=41 ");
+        ScriptedPeer.write(
+                former.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        try (ScriptedPeer next = new ScriptedPeer()) {
             Files.writeString(
                     file, Files.readString(file).replace(discovery.address(), next.address()));
             daemon.reload();
-            Arrived whole = next.next("GET /api/targets ");
+            ReceivedMessage whole = next.awaitMessage("GET /api/targets ");
             writeChunk(
                     former,
                     workerListJson(42, false, workerEntry("w2", workerTwo.address(), "ready")));
-            script.hears("list DELTA [w2 READY]");
+            script.expectEvent("list DELTA [w2 READY]");
             assertEquals("served from the known list", 200, readinessStatus());
             whole.reply(
                     "200 OK",
                     workerListJson(7, true, workerEntry("w2", workerTwo.address(), "draining")));
-            script.hears("list FULL [w2 DRAINING]");
-            assertSame("the former watch is ended", former.socket(), discovery.nextEnd());
-            Arrived watch = next.next("GET /api/targets?watch=1&from=7 ");
+            script.expectEvent("list FULL [w2 DRAINING]");
+            assertSame(
+                    "the former watch is ended",
+                    former.socket(),
+                    discovery.awaitClosedConnection());
+            ReceivedMessage watch = next.awaitMessage("GET /api/targets?watch=1&from=7 ");
             assertSame(whole.socket(), watch.socket());
-            Peer.write(watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            ScriptedPeer.write(
+                    watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             writeChunk(
                     watch,
                     workerListJson(8, false, workerEntry("w2", workerTwo.address(), "ready")));
-            script.hears("list DELTA [w2 READY]");
-            watch.breakOff();
-            next.next("GET /api/targets?watch=1&from=8 ");
-            assertTrue(discovery.nothingArrived());
+            script.expectEvent("list DELTA [w2 READY]");
+            watch.resetConnection();
+            next.awaitMessage("GET /api/targets?watch=1&from=8 ");
+            assertTrue(discovery.hasNoMessage());
         }
     }
 
@@ -429,13 +438,13 @@
             {post + "a: b\r\n".repeat(70) + "\r\n", "431"}
         };
         for (String[] story : stories) {
-            Arrived answer = exchange(story[0]);
+            ReceivedMessage answer = exchange(story[0]);
             assertEquals(story[0], story[1], "" + answer.status());
             assertEquals("the connection ends", -1, answer.socket().getInputStream().read());
         }
-        assertEquals(400, Peer.read(post("", "price", "1m")).status());
-        assertEquals(400, Peer.read(post("a/../b c", "price", "1m")).status());
-        assertEquals(400, Peer.read(post("i1", "no class", "1m")).status());
+        assertEquals(400, ScriptedPeer.read(post("", "price", "1m")).status());
+        assertEquals(400, ScriptedPeer.read(post("a/../b c", "price", "1m")).status());
+        assertEquals(400, ScriptedPeer.read(post("i1", "no class", "1m")).status());
         for (String deadline :
                 List.of(
                         "soon",
@@ -447,21 +456,21 @@
                         "m",
                         "99999999999m",
                         "9".repeat(400) + "m")) {
-            assertEquals(deadline, 400, Peer.read(post("i1", "price", deadline)).status());
+            assertEquals(deadline, 400, ScriptedPeer.read(post("i1", "price", deadline)).status());
         }
         assertEquals(411, exchange(post + "X-Request-Id: i1\r\nX-Class: price\r\n\r\n").status());
         assertEquals(
                 "repeated",
                 400,
-                Peer.read(post("i1\r\nX-Request-Id: i2", "price", "15000m")).status());
+                ScriptedPeer.read(post("i1\r\nX-Request-Id: i2", "price", "15000m")).status());
         assertEquals(
                 "no slots",
                 400,
-                Peer.read(post("i1\r\nX-Extras: slots=-4", "price", "15000m")).status());
+                ScriptedPeer.read(post("i1\r\nX-Extras: slots=-4", "price", "15000m")).status());
         assertEquals(404, exchange("GET /other HTTP/1.1\r\n\r\n").status());
         assertEquals(405, exchange("GET /api HTTP/1.1\r\n\r\n").status());
         assertEquals(200, readinessStatus());
-        assertTrue("nothing of it went further", workerOne.nothingArrived());
+        assertTrue("nothing of it went further", workerOne.hasNoMessage());
     }
 
     @Test
@@ -469,21 +478,21 @@
             throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket kept = post("o1", "price", "15000m");
-        workerOne.next("POST").accept();
+        workerOne.awaitMessage("POST").accept();
         callBack("o1", "w1", "done");
-        Peer.read(kept);
+        ScriptedPeer.read(kept);
         long start = System.nanoTime();
         Socket silent = connect();
         Socket half = connect();
-        Peer.write(half, "POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf");
-        assertEquals(408, Peer.read(half).status());
+        ScriptedPeer.write(half, "POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf");
+        assertEquals(408, ScriptedPeer.read(half).status());
         assertEquals(-1, half.getInputStream().read());
         assertEquals(-1, silent.getInputStream().read());
         assertTrue("within 3 s", System.nanoTime() - start < 3_000_000_000L);
         post(kept, "o2", "price", "15000m");
-        workerOne.next("POST").accept();
+        workerOne.awaitMessage("POST").accept();
         callBack("o2", "w1", "done");
-        assertEquals(200, Peer.read(kept).status());
+        assertEquals(200, ScriptedPeer.read(kept).status());
     }
 
     /**
@@ -503,30 +512,31 @@
         boolean turnedAway = false;
         long start = System.nanoTime();
         for (int i = 0; !turnedAway; i++) {
-            Peer.write(trickles, "x");
+            ScriptedPeer.write(trickles, "x");
             // Eight pieces, half a second apart: twice as long as a request may take that stops.
             if (i < 8) {
-                Peer.write(slow, job.substring(i * job.length() / 8, (i + 1) * job.length() / 8));
+                ScriptedPeer.write(
+                        slow, job.substring(i * job.length() / 8, (i + 1) * job.length() / 8));
             }
             try {
-                assertEquals(408, Peer.read(trickles).status());
+                assertEquals(408, ScriptedPeer.read(trickles).status());
                 turnedAway = true;
             } catch (SocketTimeoutException e) {
                 assertTrue("still open", System.nanoTime() - start < 15_000_000_000L);
             }
         }
-        workerOne.next("POST").accept();
+        workerOne.awaitMessage("POST").accept();
         callBack("s1", "w1", "done");
-        assertEquals(200, Peer.read(slow).status());
+        assertEquals(200, ScriptedPeer.read(slow).status());
     }
 
     @Test
     public void anErrorOverBytesThatNobodyReadsIsNotLost() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket s = connect();
-        Peer.write(
+        ScriptedPeer.write(
                 s, "POST /api HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n" + "x".repeat(4 << 20));
-        assertEquals(413, Peer.read(s).status());
+        assertEquals(413, ScriptedPeer.read(s).status());
         assertEquals("ended, not reset", -1, s.getInputStream().read());
     }
 
@@ -534,17 +544,17 @@
     public void anIdOpenElsewhereAndBytesBeyondARequestDisturbNobodyElse() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket owner = post("ab", "price", "15000m");
-        workerOne.next("POST").accept();
+        workerOne.awaitMessage("POST").accept();
         Socket thief = post("ab", "price", "15000m");
-        assertEquals(409, Peer.read(thief).status());
+        assertEquals(409, ScriptedPeer.read(thief).status());
         thief.close();
         Socket longer = post("ac", "price", "15000m");
-        workerOne.next("POST").accept();
-        Peer.write(longer, "and more than its length");
-        assertEquals(400, Peer.read(longer).status());
-        workerOne.next("DELETE /jobs/ac ").reply("200 OK", "");
+        workerOne.awaitMessage("POST").accept();
+        ScriptedPeer.write(longer, "and more than its length");
+        assertEquals(400, ScriptedPeer.read(longer).status());
+        workerOne.awaitMessage("DELETE /jobs/ac ").reply("200 OK", "");
         callBack("ab", "w1", "done");
-        assertEquals("made by w1", Peer.read(owner).body());
+        assertEquals("made by w1", ScriptedPeer.read(owner).body());
     }
 
     @Test
@@ -553,53 +563,53 @@
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket usual = post("u0", "price", "15000m");
         for (int i = 0; i < 4; i++) {
-            workerOne.next("POST").accept();
+            workerOne.awaitMessage("POST").accept();
             callBack("u" + i, "w1", "done");
-            assertEquals(200, Peer.read(usual).status());
+            assertEquals(200, ScriptedPeer.read(usual).status());
             for (int j = 0; i > 0 && j < 60; j++) { // Once the usual one is past its probation.
                 Socket bad = connect();
                 if (j % 2 == 0) {
-                    Peer.write(bad, "GET /-/ready HTTP/1.1\r\n\r\n");
+                    ScriptedPeer.write(bad, "GET /-/ready HTTP/1.1\r\n\r\n");
                 }
             }
             post(usual, "u" + (i + 1), "price", "15000m");
         }
-        workerOne.next("POST").accept();
+        workerOne.awaitMessage("POST").accept();
         Socket fresh = post("n0", "price", "15000m");
-        workerOne.next("POST").accept();
+        workerOne.awaitMessage("POST").accept();
         callBack("n0", "w1", "done");
-        assertEquals(200, Peer.read(fresh).status());
+        assertEquals(200, ScriptedPeer.read(fresh).status());
     }
 
     @Test
     public void aConsumerThatAsksBeforeItsBodyIsToldToGoOn() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket consumer = connect();
-        Peer.write(
+        ScriptedPeer.write(
                 consumer,
                 "POST /api HTTP/1.1\r\nX-Request-Id: q1\r\nX-Class: price\r\nContent-Length: 3\r\n"
                         + "Expect: 100-continue\r\n\r\n");
-        assertEquals(100, Peer.read(consumer).status());
-        Peer.write(consumer, "job");
-        assertEquals("job", workerOne.next("POST").body());
+        assertEquals(100, ScriptedPeer.read(consumer).status());
+        ScriptedPeer.write(consumer, "job");
+        assertEquals("job", workerOne.awaitMessage("POST").body());
         callBack("q1", "w1", "done");
-        assertEquals(200, Peer.read(consumer).status());
+        assertEquals(200, ScriptedPeer.read(consumer).status());
     }
 
     @Test
     public void bytesOfAProviderThatNobodyAskedForAreNotTheNextAnswer() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket consumer = post("u1", "price", "15000m");
-        Arrived first = workerOne.next("POST");
-        Peer.write(first.socket(), "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
+        ReceivedMessage first = workerOne.awaitMessage("POST");
+        ScriptedPeer.write(first.socket(), "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
         callBack("u1", "w1", "done");
-        Peer.read(consumer);
-        Peer.write(first.socket(), "HTTP/1.1 500 ");
-        assertSame("its connection ends", first.socket(), workerOne.nextEnd());
+        ScriptedPeer.read(consumer);
+        ScriptedPeer.write(first.socket(), "HTTP/1.1 500 ");
+        assertSame("its connection ends", first.socket(), workerOne.awaitClosedConnection());
         post(consumer, "u2", "price", "15000m");
-        workerOne.next("POST").accept();
+        workerOne.awaitMessage("POST").accept();
         callBack("u2", "w1", "done");
-        assertEquals(200, Peer.read(consumer).status());
+        assertEquals(200, ScriptedPeer.read(consumer).status());
     }
 
     @Test
@@ -608,9 +618,9 @@
         maxHeldJobs = 1;
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         post("h1", "price", "15000m");
-        script.hears("job h1");
-        assertEquals(409, Peer.read(post("h1", "price", "15000m")).status());
-        assertEquals(429, Peer.read(post("h2", "price", "15000m")).status());
+        script.expectEvent("job h1");
+        assertEquals(409, ScriptedPeer.read(post("h1", "price", "15000m")).status());
+        assertEquals(429, ScriptedPeer.read(post("h2", "price", "15000m")).status());
     }
 
     @Test
@@ -622,30 +632,30 @@
                 "POST /api HTTP/1.1\r\nX-Class: price\r\nContent-Length: 65536\r\nX-Request-Id: ";
         int most = (24 << 20) / 65536;
         for (int i = 0; i <= most; i++) {
-            Peer.write(connect(), large + i + "\r\n\r\n" + "x".repeat(65536));
+            ScriptedPeer.write(connect(), large + i + "\r\n\r\n" + "x".repeat(65536));
             if (i < most) {
-                script.hears("job " + i);
+                script.expectEvent("job " + i);
             }
         }
-        Peer.write(connect(), large + "over\r\n\r\n" + "x".repeat(65536));
-        Arrived answer = Peer.read(sockets.get(most + 1));
+        ScriptedPeer.write(connect(), large + "over\r\n\r\n" + "x".repeat(65536));
+        ReceivedMessage answer = ScriptedPeer.read(sockets.get(most + 1));
         assertEquals(429, answer.status());
         assertEquals("0.500", answer.header("Retry-After"));
         post("small", "price", "15000m");
-        String heard = script.heard.poll(Peer.PATIENCE_S, TimeUnit.SECONDS);
-        assertEquals("job small", heard.equals("job " + most) ? script.heard.take() : heard);
+        String heard = script.events.poll(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS);
+        assertEquals("job small", heard.equals("job " + most) ? script.events.take() : heard);
     }
 
     @Test
     public void aJobThatTheModuleStumblesOverOrForgetsIsAnswered() throws Exception {
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         post("f0", "price", "300m");
-        assertEquals("forgotten", 429, Peer.read(sockets.get(0)).status());
+        assertEquals("forgotten", 429, ScriptedPeer.read(sockets.get(0)).status());
         script.onJob =
                 job -> {
                     throw new IllegalStateException("scripted");
                 };
-        assertEquals(429, Peer.read(post("f1", "price", "15000m")).status());
+        assertEquals(429, ScriptedPeer.read(post("f1", "price", "15000m")).status());
         assertEquals(200, readinessStatus());
     }
 
@@ -654,13 +664,13 @@
         idleNs = 300_000_000L;
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket consumer = post("r1", "price", "15000m");
-        Arrived first = workerOne.next("POST");
+        ReceivedMessage first = workerOne.awaitMessage("POST");
         first.accept();
         callBack("r1", "w1", "done");
-        Peer.read(consumer);
-        assertSame(first.socket(), workerOne.nextEnd());
+        ScriptedPeer.read(consumer);
+        assertSame(first.socket(), workerOne.awaitClosedConnection());
         post(consumer, "r2", "price", "15000m");
-        Arrived second = workerOne.next("POST");
+        ReceivedMessage second = workerOne.awaitMessage("POST");
         assertNotSame(first.socket(), second.socket());
     }
 
@@ -668,46 +678,46 @@
     public void aConnectionThatBrokeAfterIdlenessShortensHowLongOthersAreKept() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket consumer = post("v1", "price", "15000m");
-        Arrived first = workerOne.next("POST");
+        ReceivedMessage first = workerOne.awaitMessage("POST");
         Socket other = post("v2", "price", "15000m");
-        Arrived second = workerOne.next("POST");
+        ReceivedMessage second = workerOne.awaitMessage("POST");
         first.accept();
         second.accept();
         callBack("v1", "w1", "done");
         callBack("v2", "w1", "done");
-        Peer.read(consumer);
-        Peer.read(other);
+        ScriptedPeer.read(consumer);
+        ScriptedPeer.read(other);
         Thread.sleep(
                 400); // The idleness itself: without the guard the other connection is kept for 6
         // s.
         post(consumer, "v3", "confirm", "15000m");
-        Arrived broken = workerOne.next("POST");
-        broken.breakOff();
-        workerOne.next("DELETE /jobs/v3 ").reply("200 OK", "");
-        assertEquals("it may have run", 502, Peer.read(consumer).status());
+        ReceivedMessage broken = workerOne.awaitMessage("POST");
+        broken.resetConnection();
+        workerOne.awaitMessage("DELETE /jobs/v3 ").reply("200 OK", "");
+        assertEquals("it may have run", 502, ScriptedPeer.read(consumer).status());
         post(other, "v4", "confirm", "15000m");
-        Arrived fresh = workerOne.next("POST");
+        ReceivedMessage fresh = workerOne.awaitMessage("POST");
         assertNotSame(first.socket(), fresh.socket());
         assertNotSame(second.socket(), fresh.socket());
         fresh.accept();
         callBack("v4", "w1", "done");
-        assertEquals(200, Peer.read(other).status());
+        assertEquals(200, ScriptedPeer.read(other).status());
     }
 
     @Test
     public void aConnectionThatEndedWhileIdleCostsTheNextJobNothing() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket consumer = post("k1", "confirm", "15000m");
-        Arrived first = workerOne.next("POST");
+        ReceivedMessage first = workerOne.awaitMessage("POST");
         first.accept();
         callBack("k1", "w1", "done");
-        Peer.read(consumer);
+        ScriptedPeer.read(consumer);
         first.socket()
                 .shutdownOutput(); // Arrives at once; a close waits for the thread that reads.
         post(consumer, "k2", "confirm", "15000m");
-        workerOne.next("POST").accept();
+        workerOne.awaitMessage("POST").accept();
         callBack("k2", "w1", "done");
-        assertEquals(200, Peer.read(consumer).status());
+        assertEquals(200, ScriptedPeer.read(consumer).status());
     }
 
     @Test
@@ -718,9 +728,9 @@
             connect();
         }
         Socket consumer = post("s1", "price", "15000m");
-        workerOne.next("POST").accept();
+        workerOne.awaitMessage("POST").accept();
         callBack("s1", "w1", "done");
-        assertEquals(200, Peer.read(consumer).status());
+        assertEquals(200, ScriptedPeer.read(consumer).status());
         assertEquals("the oldest was closed", -1, sockets.get(0).getInputStream().read());
     }
 
@@ -730,15 +740,15 @@
     public void anOrderlyStopServesWhatStillComesAndAnswersAllThatWasTaken() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket before = post("p1", "price", "15000m");
-        workerOne.next("POST").accept();
+        workerOne.awaitMessage("POST").accept();
         Thread stop = stopInBackground(daemon);
         while (readinessStatus() == 200) {
             Thread.onSpinWait();
         }
         Socket after = post("p2", "price", "15000m");
-        workerOne.next("POST").accept();
+        workerOne.awaitMessage("POST").accept();
         assertEquals(204, callBack("p2", "w1", "done"));
-        assertEquals(200, Peer.read(after).status());
+        assertEquals(200, ScriptedPeer.read(after).status());
         TimeUnit.SECONDS.timedJoin(stop, 1);
         assertTrue("one is still owed", stop.isAlive());
         Socket early = connect(); // A call-back whose connection is there before its bytes are.
@@ -748,25 +758,25 @@
                         * Daemon.STOP_CHECK_MICROS
                         / 1000); // Not for luck: without its guard these checks close it.
         String done = "{\"id\":\"p1\",\"from\":\"w1\",\"state\":\"done\"}";
-        Peer.write(
+        ScriptedPeer.write(
                 early,
                 "POST /v1/job-events HTTP/1.1\r\nContent-Length: "
                         + done.length()
                         + "\r\n\r\n"
                         + done);
-        assertEquals(204, Peer.read(early).status());
-        assertEquals(200, Peer.read(before).status());
+        assertEquals(204, ScriptedPeer.read(early).status());
+        assertEquals(200, ScriptedPeer.read(before).status());
         awaitStopped(stop);
     }
 
     @Test
     public void aStopServesOnAndInTheEndAnswersWhatCameTooLateToBeServed() throws Exception {
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
-        script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
+        script.onJob = job -> script.actions.startAttempt(job.id(), "w1", 0);
         Socket kept = post("z1", "price", "15000m");
-        workerOne.next("POST").accept();
+        workerOne.awaitMessage("POST").accept();
         callBack("z1", "w1", "done");
-        Peer.read(kept);
+        ScriptedPeer.read(kept);
         long start = System.nanoTime();
         Thread stop = stopInBackground(daemon);
         while (readinessStatus() == 200) {
@@ -775,17 +785,17 @@
         while (System.nanoTime() - start
                 < 1_000_000_000L) { // Later than what SIGKILL may find unanswered.
             post(kept, "z2" + System.nanoTime(), "price", "15000m");
-            Arrived job = workerOne.next("POST");
+            ReceivedMessage job = workerOne.awaitMessage("POST");
             job.accept();
             callBack(job.header("X-Request-Id"), "w1", "done");
-            Arrived answer = Peer.read(kept);
+            ReceivedMessage answer = ScriptedPeer.read(kept);
             assertEquals("served on", 200, answer.status());
             assertNull("on a connection that stays", answer.header("Connection"));
         }
         post(kept, "z3", "confirm", "6000m");
-        workerOne.next("POST").accept();
-        assertEquals(502, Peer.read(kept).status());
-        workerOne.next("DELETE /jobs/z3 ").reply("200 OK", "");
+        workerOne.awaitMessage("POST").accept();
+        assertEquals(502, ScriptedPeer.read(kept).status());
+        workerOne.awaitMessage("DELETE /jobs/z3 ").reply("200 OK", "");
         awaitStopped(stop);
     }
 
@@ -793,20 +803,22 @@
     public void theProgramReloadsOnSighupEndsInOrderOnSigtermAndNamesAFaultyKey() throws Exception {
         Map<String, String> good = configuration(workerEntry("w1", workerOne.address(), "ready"));
         Process p = program(good);
-        discovery.next("GET /api/targets?watch=1&from=41 ");
+        discovery.awaitMessage("GET /api/targets?watch=1&from=41 ");
         hangUp(p, good, discovery.address(), workerTwo.address());
-        Arrived asked = workerTwo.next("GET /api/targets ");
+        ReceivedMessage asked = workerTwo.awaitMessage("GET /api/targets ");
         hangUp(p, good, "discovery", "nowhere"); // Faulty.
         while (!asked.head().startsWith("GET /api/targets?watch=1&from=1 ")) {
             asked.reply(
                     "200 OK",
                     workerListJson(1, true, workerEntry("w1", workerOne.address(), "ready")));
-            asked = workerTwo.next("GET /api/targets"); // Again where the reply was late on a slow
+            asked =
+                    workerTwo.awaitMessage(
+                            "GET /api/targets"); // Again where the reply was late on a slow
             // machine.
         }
         p.toHandle().destroy(); // SIGTERM; the process object itself would close its log too.
         String log = new String(p.getErrorStream().readAllBytes());
-        assertTrue("ended", p.waitFor(Peer.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue("ended", p.waitFor(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
         assertTrue(log, log.contains(good.get("ROUTER_CONFIG") + ": discovery: "));
         assertFalse("the move is no alarm: " + log, log.contains("list lost (closed)"));
         assertTrue(log, log.contains("all answered"));
--- a/daemon/src/test/java/postgrade/daemon/SystemCallsTest.java
+++ b/daemon/src/test/java/postgrade/daemon/SystemCallsTest.java
@@ -12,7 +12,7 @@
 import org.junit.After;
 import org.junit.Before;
 import org.junit.Test;
-import postgrade.daemon.Peer.Arrived;
+import postgrade.daemon.ScriptedPeer.ReceivedMessage;
 import postgrade.http.FaultInjectingCalls;
 import postgrade.http.FaultInjectingCalls.Call;
 import postgrade.http.FaultInjectingCalls.Failure;
@@ -35,7 +35,7 @@
         turns = new Turns(Config.read(configuration()), 512, calls);
         turns.provider("w1", workerOne);
         turns.provider("w2", workerTwo);
-        turns.script.onJob = job -> turns.script.out.startAttempt(job.id(), "w1", 0);
+        turns.script.onJob = job -> turns.script.actions.startAttempt(job.id(), "w1", 0);
     }
 
     @After
@@ -47,10 +47,11 @@
      * Answers the attempt, reports the job done on a connection of its own, and reads the client's
      * answer.
      */
-    private void isServed(String id, Socket client, Peer worker, String from) throws Exception {
-        Arrived attempt = worker.next("POST");
+    private void isServed(String id, Socket client, ScriptedPeer worker, String from)
+            throws Exception {
+        ReceivedMessage attempt = worker.awaitMessage("POST");
         assertEquals(id, attempt.header("X-Request-Id"));
-        Peer.write(attempt.socket(), "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
+        ScriptedPeer.write(attempt.socket(), "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
         String body =
                 "{\"id\":\""
                         + id
@@ -58,14 +59,14 @@
                         + from
                         + "\",\"state\":\"done\",\"result\":\"made\"}";
         Socket report = turns.connect();
-        Peer.write(
+        ScriptedPeer.write(
                 report,
                 "POST /v1/job-events HTTP/1.1\r\nContent-Length: "
                         + body.length()
                         + "\r\n\r\n"
                         + body);
-        assertEquals(204, Peer.read(report).status());
-        Arrived answer = Peer.read(client);
+        assertEquals(204, ScriptedPeer.read(report).status());
+        ReceivedMessage answer = ScriptedPeer.read(client);
         assertEquals(200, answer.status());
         assertEquals("made", answer.body());
     }
@@ -77,7 +78,7 @@
         turns.script.onFinished =
                 (id, outcome) -> {
                     if (outcome == AttemptOutcome.NO_SOCKET) {
-                        turns.script.out.startAttempt(id, "w2", 0);
+                        turns.script.actions.startAttempt(id, "w2", 0);
                     }
                 };
         int number = 0;
@@ -86,10 +87,10 @@
                 String id = "c" + number++;
                 calls.fail(call, 1, failure);
                 Socket client = turns.post(id);
-                turns.script.hears("job " + id);
-                turns.script.hears("finished " + id + " 0 NO_SOCKET false");
+                turns.script.expectEvent("job " + id);
+                turns.script.expectEvent("finished " + id + " 0 NO_SOCKET false");
                 isServed(id, client, workerTwo, "w2");
-                turns.script.hears("finished " + id + " 1 SERVED true");
+                turns.script.expectEvent("finished " + id + " 1 SERVED true");
             }
         }
     }
@@ -98,18 +99,18 @@
     public void aConnectThatThePeerRefusesIsStillTheWorkersFailure() throws Exception {
         calls.fail(Call.CONNECT, 1, () -> new ConnectException("Connection refused"));
         turns.post("p1");
-        turns.script.hears("job p1");
-        turns.script.hears("finished p1 0 UNREACHABLE false");
+        turns.script.expectEvent("job p1");
+        turns.script.expectEvent("finished p1 0 UNREACHABLE false");
         calls.fail(Call.FINISH_CONNECT, 1, () -> new ConnectException("Connection timed out"));
         turns.post("p2");
-        turns.script.hears("job p2");
-        turns.script.hears("finished p2 0 UNREACHABLE false");
+        turns.script.expectEvent("job p2");
+        turns.script.expectEvent("finished p2 0 UNREACHABLE false");
     }
 
     @Test
     public void aWaitThatFailsEndsNeitherTheLoopNorWhatIsUnderWay() throws Exception {
         Socket client = turns.post("s1");
-        turns.script.hears("job s1");
+        turns.script.expectEvent("job s1");
         calls.fail(Call.SELECT, 3, () -> new IOException("Interrupted system call"));
         isServed("s1", client, workerOne, "w1");
         assertEquals(0, calls.failuresLeft(Call.SELECT));
@@ -118,7 +119,7 @@
     @Test
     public void aFailedAcceptLosesNobodyWhoWaitsAndCallBacksAreStillHeard() throws Exception {
         Socket before = turns.post("a1");
-        turns.script.hears("job a1");
+        turns.script.expectEvent("job a1");
         calls.fail(Call.ACCEPT, 3, () -> new IOException("Too many open files in system"));
         Socket waits = turns.post("a2");
         isServed(
@@ -131,7 +132,7 @@
     @Test
     public void aShutdownWhoseAcceptFailsStillServesWhoWaits() throws Exception {
         Socket first = turns.post("d1");
-        turns.script.hears("job d1");
+        turns.script.expectEvent("job d1");
         calls.fail(Call.ACCEPT, 3, () -> new IOException("Too many open files"));
         Socket second = turns.post("d2");
         turns.on(turns.ending::begin);
@@ -152,16 +153,16 @@
         Socket client = turns.connect();
         turns.turn(); // It is accepted and watched.
         turns.crossing(300, () -> Turns.post(client, "u1"), () -> {});
-        assertTellsAtMost(14_700_000, workerOne.next("POST"));
+        assertTellsAtMost(14_700_000, workerOne.awaitMessage("POST"));
     }
 
     @Test
     public void neitherDoesOneThatWaitedInTheBacklogTellMore() throws Exception {
         turns.crossing(300, () -> turns.post("u2"), () -> {});
-        assertTellsAtMost(14_700_000, workerOne.next("POST"));
+        assertTellsAtMost(14_700_000, workerOne.awaitMessage("POST"));
     }
 
-    private static void assertTellsAtMost(long micros, Arrived attempt) {
+    private static void assertTellsAtMost(long micros, ReceivedMessage attempt) {
         String told = attempt.header("X-Deadline");
         assertTrue(told, told.endsWith("u"));
         assertTrue(told, Long.parseLong(told.substring(0, told.length() - 1)) <= micros);
--- a/daemon/src/test/java/postgrade/daemon/Turns.java
+++ b/daemon/src/test/java/postgrade/daemon/Turns.java
@@ -20,9 +20,9 @@
 import postgrade.http.SocketBudget;
 import postgrade.http.SystemCalls;
 import postgrade.lifecycle.Lifecycle;
-import postgrade.provider.ProviderPools;
-import postgrade.provider.Target;
 import postgrade.upgrade.UpgradeCoordinator;
+import postgrade.worker.WorkerConnectionPools;
+import postgrade.worker.WorkerEndpoint;
 
 /**
  * The loop with all that serves clients, and a hook into one of its turns: while the loop is held,
@@ -38,9 +38,9 @@
 
     final Lifecycle lifecycle = new Lifecycle();
     final EventLoop loop;
-    final Script script;
+    final ScriptedPolicy script;
     final RequestTracker gateway;
-    final ProviderPools providers;
+    final WorkerConnectionPools providers;
     final Listener listener;
     final ShutdownSequence ending;
     private final List<Socket> sockets = new ArrayList<>();
@@ -58,17 +58,17 @@
 
     Turns(Config config, int places, SystemCalls systemCalls) throws IOException {
         loop = new EventLoop(new SocketBudget(places), config.clock, systemCalls);
-        Script[] made = new Script[1];
+        ScriptedPolicy[] made = new ScriptedPolicy[1];
         gateway =
                 new RequestTracker(
-                        out -> made[0] = new Script(out),
+                        out -> made[0] = new ScriptedPolicy(out),
                         false,
                         1000,
                         loop,
                         (event, message, thrown) -> {});
         script = made[0];
         providers =
-                new ProviderPools(
+                new WorkerConnectionPools(
                         gateway, loop, loop, config.connectTimeoutMicros, config.idleTimeoutMicros);
         gateway.connectTransport(providers);
         UpgradeCoordinator alone = new UpgradeCoordinator(null, config.name, loop, loop, null);
@@ -133,12 +133,14 @@
     void provider(String id, String host, int port) throws InterruptedException {
         on(
                 () ->
-                        providers.list(
+                        providers.updateWorkers(
                                 false,
-                                List.of(new Target(id, new InetSocketAddress(host, port), true))));
+                                List.of(
+                                        new WorkerEndpoint(
+                                                id, new InetSocketAddress(host, port), true))));
     }
 
-    void provider(String id, Peer peer) throws InterruptedException {
+    void provider(String id, ScriptedPeer peer) throws InterruptedException {
         String[] address = peer.address().split(":");
         provider(id, address[0], Integer.parseInt(address[1]));
     }
@@ -151,7 +153,7 @@
                     task.run();
                     done.countDown();
                 });
-        assertTrue(done.await(Peer.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(done.await(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
     }
 
     /**
@@ -174,7 +176,7 @@
                                                 noted = done;
                                             });
                                 }));
-        assertTrue(done.await(Peer.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(done.await(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
         if (failed[0] != null) {
             throw new AssertionError(failed[0]);
         }
@@ -198,18 +200,18 @@
         for (int i = 0; i < 2; i++) { // The first may be under way.
             CountDownLatch done = new CountDownLatch(1);
             loop.execute(() -> noted = done);
-            assertTrue(done.await(Peer.PATIENCE_S, TimeUnit.SECONDS));
+            assertTrue(done.await(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
         }
     }
 
     void ends() throws InterruptedException {
-        thread.join(TimeUnit.SECONDS.toMillis(Peer.PATIENCE_S));
+        thread.join(TimeUnit.SECONDS.toMillis(ScriptedPeer.TIMEOUT_S));
         assertFalse("ended", thread.isAlive());
     }
 
     Socket connect() throws IOException {
         Socket s = new Socket(InetAddress.getLoopbackAddress(), listener.port());
-        s.setSoTimeout(Peer.PATIENCE_S * 1000);
+        s.setSoTimeout(ScriptedPeer.TIMEOUT_S * 1000);
         sockets.add(s);
         return s;
     }
--- a/daemon/src/test/java/postgrade/daemon/UnsentTest.java
+++ b/daemon/src/test/java/postgrade/daemon/UnsentTest.java
@@ -12,7 +12,7 @@
 public class UnsentTest extends DaemonTestBase {
 
     private void refused(Socket consumer) throws Exception {
-        assertEquals(429, Peer.read(consumer).status());
+        assertEquals(429, ScriptedPeer.read(consumer).status());
     }
 
     @Test
@@ -21,7 +21,7 @@
         script.onJob =
                 job -> {
                     if (job.id().equals("f1")) {
-                        script.out.fail(job.id());
+                        script.actions.fail(job.id());
                     } else {
                         throw new IllegalStateException("as told");
                     }
@@ -38,21 +38,21 @@
                 sockets.add(new Socket(deaf.getInetAddress(), deaf.getLocalPort()));
             }
             startWithScriptedPolicy(workerEntry("w1", "127.0.0.1:" + deaf.getLocalPort(), "ready"));
-            script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
-            script.onFinished = (id, outcome) -> script.out.fail(id);
+            script.onJob = job -> script.actions.startAttempt(job.id(), "w1", 0);
+            script.onFinished = (id, outcome) -> script.actions.fail(id);
             Socket consumer = post("d1", "confirm", "300m");
-            script.hearsAmongOthers("job d1");
-            script.hearsAmongOthers("finished d1 0 NOT_SENT false");
+            script.expectEventAmongOthers("job d1");
+            script.expectEventAmongOthers("finished d1 0 NOT_SENT false");
             refused(consumer);
             script.onFinished = (id, outcome) -> {};
             consumer = post("d2", "confirm", "300m"); // The module forgets it.
-            script.hearsAmongOthers("job d2");
-            script.hearsAmongOthers("finished d2 0 NOT_SENT false");
+            script.expectEventAmongOthers("job d2");
+            script.expectEventAmongOthers("finished d2 0 NOT_SENT false");
             refused(consumer);
             script.onJob =
                     job -> {
-                        script.out.startAttempt(job.id(), "w1", 0);
-                        script.out.fail(job.id()); // Sooner.
+                        script.actions.startAttempt(job.id(), "w1", 0);
+                        script.actions.fail(job.id()); // Sooner.
                     };
             refused(post("d3", "confirm", "15000m"));
         }
@@ -67,38 +67,38 @@
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob =
                 job ->
-                        script.out.startAttempt(
+                        script.actions.startAttempt(
                                 job.id(), "w1", 0, 0); // A connection comes up in a later turn.
-        script.onFinished = (id, outcome) -> script.out.fail(id);
+        script.onFinished = (id, outcome) -> script.actions.fail(id);
         Socket consumer = post("k1", "price", "15000m");
-        script.hearsAmongOthers("finished k1 0 NOT_SENT false");
+        script.expectEventAmongOthers("finished k1 0 NOT_SENT false");
         refused(consumer);
         script.onJob =
-                job -> script.out.startAttempt(job.id(), "w1", 0, TimeUnit.MINUTES.toNanos(1));
+                job -> script.actions.startAttempt(job.id(), "w1", 0, TimeUnit.MINUTES.toNanos(1));
         post("k2", "price", "15000m");
         assertEquals(
                 "the first one left nothing behind",
                 "k2",
-                workerOne.next("POST").header("X-Request-Id"));
+                workerOne.awaitMessage("POST").header("X-Request-Id"));
     }
 
     @Test
     public void whatAWorkerHasHadMayHaveRunAndIsFailed() throws Exception {
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
-        script.onJob = job -> script.out.startAttempt(job.id(), "w1", 0);
-        script.onFinished = (id, outcome) -> script.out.fail(id);
+        script.onJob = job -> script.actions.startAttempt(job.id(), "w1", 0);
+        script.onFinished = (id, outcome) -> script.actions.fail(id);
         Socket consumer = post("s1", "confirm", "300m");
-        workerOne.next("POST"); // Silent on it.
-        assertEquals(504, Peer.read(consumer).status());
-        workerOne.next("DELETE /jobs/s1 ").reply("200 OK", "");
+        workerOne.awaitMessage("POST"); // Silent on it.
+        assertEquals(504, ScriptedPeer.read(consumer).status());
+        workerOne.awaitMessage("DELETE /jobs/s1 ").reply("200 OK", "");
         consumer = post("s2", "confirm", "15000m");
-        workerOne.next("POST").breakOff();
-        workerOne.next("DELETE /jobs/s2 ").reply("200 OK", "");
-        script.hearsAmongOthers("job s1");
-        script.hearsAmongOthers("finished s1 0 TIMEOUT false");
-        script.hearsAmongOthers("job s2");
-        script.hearsAmongOthers("finished s2 0 RESET false");
-        assertEquals(502, Peer.read(consumer).status());
+        workerOne.awaitMessage("POST").resetConnection();
+        workerOne.awaitMessage("DELETE /jobs/s2 ").reply("200 OK", "");
+        script.expectEventAmongOthers("job s1");
+        script.expectEventAmongOthers("finished s1 0 TIMEOUT false");
+        script.expectEventAmongOthers("job s2");
+        script.expectEventAmongOthers("finished s2 0 RESET false");
+        assertEquals(502, ScriptedPeer.read(consumer).status());
     }
 
     /** A new connection that is closed without an answer counts as a request refused or lost. */
@@ -110,26 +110,27 @@
         script.onJob = job -> {};
         for (int i = 0; i < 47; i++) {
             post("busy" + i, "price", "15000m");
-            script.hearsAmongOthers("job busy" + i);
+            script.expectEventAmongOthers("job busy" + i);
         }
         Socket consumer = post("last", "price", "15000m");
-        Peer.Arrived watch = discovery.next("GET /api/targets?watch=1&from=41 ");
-        Peer.write(watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        ScriptedPeer.ReceivedMessage watch =
+                discovery.awaitMessage("GET /api/targets?watch=1&from=41 ");
+        ScriptedPeer.write(watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         for (int turn = 0; turn < 2; turn++) { // By the second one the listener has come to it.
             writeChunk(
                     watch,
                     workerListJson(
                             42 + turn, false, workerEntry("w2", workerTwo.address(), "ready")));
-            script.hearsAmongOthers("list DELTA [w2 READY]");
+            script.expectEventAmongOthers("list DELTA [w2 READY]");
         }
         script.onJob =
                 job -> {
-                    script.out.reject(job.id(), 0);
-                    script.out.reject("busy0", 0);
+                    script.actions.reject(job.id(), 0);
+                    script.actions.reject("busy0", 0);
                 };
         sockets.get(1).close(); // Its place is free.
-        script.hearsAmongOthers("abandoned busy1");
-        script.hearsAmongOthers("job last");
+        script.expectEventAmongOthers("abandoned busy1");
+        script.expectEventAmongOthers("job last");
         refused(consumer);
         refused(sockets.get(0));
     }
--- a/daemon/src/test/java/postgrade/daemon/UpgradeTest.java
+++ b/daemon/src/test/java/postgrade/daemon/UpgradeTest.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.Before;
 import org.junit.Test;
-import postgrade.daemon.Peer.Arrived;
+import postgrade.daemon.ScriptedPeer.ReceivedMessage;
 
 /** A new version starts beside the running one and takes its place. */
 public class UpgradeTest extends DaemonTestBase {
@@ -80,9 +80,9 @@
         for (int arrived = 0;
                 arrived < 24;
                 Thread.onSpinWait()) { // Sent on, so that each has a call to end.
-            for (Peer p : List.of(workerOne, workerTwo)) {
-                if (!p.nothingArrived()) {
-                    p.next("POST");
+            for (ScriptedPeer p : List.of(workerOne, workerTwo)) {
+                if (!p.hasNoMessage()) {
+                    p.awaitMessage("POST");
                     arrived++;
                 }
             }
@@ -92,7 +92,7 @@
             assertEquals(204, callBack("u" + i, "w2", "done"));
         }
         for (Socket s : consumers) {
-            assertEquals(200, Peer.read(s).status());
+            assertEquals(200, ScriptedPeer.read(s).status());
         }
         assertEquals("known nowhere", 204, callBack("u99", "w1", "done"));
         stop(daemon);
@@ -108,9 +108,9 @@
         assertTrue(status(daemon), status(daemon).contains("\"out\":[\"w1\"]"));
         for (int i = 0; i < 10; i++) {
             post("o" + i, "price", "15000m");
-            workerTwo.next("POST").accept();
+            workerTwo.awaitMessage("POST").accept();
         }
-        assertTrue(workerOne.nothingArrived());
+        assertTrue(workerOne.hasNoMessage());
         assertEquals(
                 200, operatorCall(daemon, "PUT /maintenance/exit", "{\"id\":\"w1\"}").status());
         assertTrue(status(old), status(old).contains("\"out\":[]"));
@@ -148,7 +148,7 @@
         assertEquals(200, operatorCall(daemon, "GET /status", "").status());
         callBack("h1", "w1", "done");
         callBack("h1", "w2", "done");
-        Arrived answer = Peer.read(before);
+        ReceivedMessage answer = ScriptedPeer.read(before);
         assertEquals(200, answer.status());
         assertEquals("close", answer.header("Connection"));
         awaitStopped(stop);
@@ -236,7 +236,7 @@
             says(logs.get(0), "linked with process");
             says(logs.get(1), "listens on");
             for (int i = 0; i < 2; i++) {
-                discovery.next(
+                discovery.awaitMessage(
                         "GET /api/targets?watch=1&from=41 "); // Each handles the signal by now.
             }
             for (int i = 0; i < 2; i++) {
@@ -258,7 +258,9 @@
             says(logs.get(2), "all answered");
             // The line is written before the link is removed: what the process leaves is judged
             // once it has ended.
-            assertTrue("the last one ends", all.get(2).waitFor(Peer.PATIENCE_S, TimeUnit.SECONDS));
+            assertTrue(
+                    "the last one ends",
+                    all.get(2).waitFor(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
             assertTrue(links().isEmpty());
         } finally {
             all.forEach(Process::destroyForcibly);
