--- a/cli/src/main/java/postgrade/cli/BenchlinkCommand.java
+++ b/cli/src/main/java/postgrade/cli/BenchlinkCommand.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
-import postgrade.benchlink.Main;
+import postgrade.simadapter.SimulatorAdapter;
 
 @Command(
         name = "benchlink",
@@ -10,6 +10,6 @@
 final class BenchlinkCommand implements Callable<Integer> {
     @Override
     public Integer call() throws Exception {
-        return Main.serve(System.in, System.out, System.err);
+        return SimulatorAdapter.serve(System.in, System.out, System.err);
     }
 }
--- a/daemon/src/main/java/postgrade/consumer/Relay.java
+++ b/daemon/src/main/java/postgrade/client/CallBackRelay.java
@@ -1,4 +1,4 @@
-package postgrade.consumer;
+package postgrade.client;
 
 import java.util.function.Consumer;
 
@@ -6,12 +6,12 @@
  * Hands call-backs of jobs that are not known here to the other processes of this dispatcher, where
  * there are any.
  */
-public interface Relay {
+public interface CallBackRelay {
 
-    boolean any();
+    boolean hasPeers();
 
     /**
      * @param done told once, true when all others have looked at it, false when that is not known
      */
-    void callBack(byte[] body, Consumer<Boolean> done);
+    void relay(byte[] body, Consumer<Boolean> done);
 }
--- a/daemon/src/main/java/postgrade/consumer/Listener.java
+++ b/daemon/src/main/java/postgrade/client/ClientListener.java
@@ -1,4 +1,4 @@
-package postgrade.consumer;
+package postgrade.client;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -24,9 +24,9 @@
 import postgrade.log.Events;
 
 /** The address where consumers and the providers' call-backs connect. */
-public final class Listener implements Reactor.Handler {
+public final class ClientListener implements Reactor.Handler {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Listener.class);
+    private static final Logger LOG = LoggerFactory.getLogger(ClientListener.class);
     private static final int BACKLOG = 1024;
 
     /** The most bytes of bodies held, in part or whole; well within the heap. */
@@ -52,7 +52,7 @@
     private final Lifecycle lifecycle;
     private final Set<ConsumerConnection> connections = new LinkedHashSet<>();
     private final InetSocketAddress address;
-    final Relay relay;
+    final CallBackRelay relay;
 
     /** Null where nobody reads them. */
     ExtensionHeaders claims;
@@ -88,14 +88,14 @@
      * @param holds it does not listen before consumers are taken: they turn elsewhere, as if
      *     nothing had started here
      */
-    public Listener(
+    public ClientListener(
             InetSocketAddress address,
             boolean holds,
             Map<String, Long> deadlineMicros,
             Set<String> tenants,
             BooleanSupplier able,
             Lifecycle lifecycle,
-            Relay relay,
+            CallBackRelay relay,
             RequestTracker gateway,
             Reactor reactor,
             Timers timers)
@@ -126,7 +126,7 @@
      * dispatcher that is started by mistake: with SO_REUSEPORT the two would share the consumers
      * and lose each other's call-backs.
      */
-    public static void requireFree(InetSocketAddress address) throws IOException {
+    public static void requireAddressFree(InetSocketAddress address) throws IOException {
         if (address.getPort() != 0) {
             try (SocketChannel probe = SocketChannel.open()) {
                 probe.setOption(StandardSocketOptions.SO_REUSEADDR, true);
@@ -181,13 +181,13 @@
      * the socket resets them, so all are accepted first, and the socket goes in the same moment.
      * What does not find a place keeps it open.
      */
-    public void followLifecycle() {
+    public void applyLifecycle() {
         try {
-            if (lifecycle.accepts()
+            if (lifecycle.acceptsConnections()
                     && channel == null
                     && (held == null || lifecycle.hasStarted())) {
-                if (held != null && !relay.any()) {
-                    requireFree(
+                if (held != null && !relay.hasPeers()) {
+                    requireAddressFree(
                             address); // Another may have come to listen since this one was started.
                 }
                 listen(address);
@@ -197,7 +197,9 @@
                 }
             }
             pause(false);
-            if (!lifecycle.accepts() && channel != null && acceptAll(Integer.MAX_VALUE)) {
+            if (!lifecycle.acceptsConnections()
+                    && channel != null
+                    && acceptAll(Integer.MAX_VALUE)) {
                 channel.close();
                 channel = null;
             }
@@ -207,18 +209,18 @@
     }
 
     /** Read from now on in each job's headers; null for none. */
-    public void claims(ExtensionHeaders read) {
+    public void setExtensionHeaders(ExtensionHeaders read) {
         claims = read;
     }
 
     /** Other classes and tenants hold for jobs that come from now on. */
-    public void settings(Map<String, Long> deadlines, Set<String> knownTenants) {
+    public void updateSettings(Map<String, Long> deadlines, Set<String> knownTenants) {
         deadlineMicros = deadlines;
         tenants = knownTenants;
     }
 
     /** The address is held, and nothing listens there yet. */
-    public boolean holds() {
+    public boolean reservesAddress() {
         return held != null;
     }
 
@@ -321,7 +323,7 @@
     }
 
     private void sweep() {
-        boolean leaves = lifecycle.leaves(timers.nowMicros());
+        boolean leaves = lifecycle.closesIdleConnections(timers.nowMicros());
         for (ConsumerConnection c : new ArrayList<>(connections)) {
             c.sweep(timers.nowMicros());
             if (leaves) {
@@ -334,7 +336,7 @@
     }
 
     /** A call-back that came to another process of this dispatcher and was found right there. */
-    public void relayed(byte[] body) {
+    public void handleRelayedCallBack(byte[] body) {
         JobEvent.of(body).tell(gateway);
     }
 
@@ -343,21 +345,21 @@
     }
 
     boolean readyToServe() {
-        return lifecycle.ready() && able.getAsBoolean();
+        return lifecycle.isReady() && able.getAsBoolean();
     }
 
     /** Answers to consumers end their connections now. */
     boolean endsConnections() {
-        return lifecycle.endsConnections(timers.nowMicros());
+        return lifecycle.closesAfterAnswer(timers.nowMicros());
     }
 
     /** Nothing has come in part and no answer is still being written. */
-    public boolean quiet() {
+    public boolean isIdle() {
         return connections.stream().noneMatch(ConsumerConnection::busy);
     }
 
     /** SIGKILL is near: requests that have come in part would be whole too late. */
-    public void refuseUnfinished() {
+    public void rejectIncompleteRequests() {
         new ArrayList<>(connections).forEach(ConsumerConnection::refuseUnfinished);
     }
 
@@ -367,16 +369,16 @@
      * when no connection is left: each peer has ended its own side, which it does once it has read
      * all, or has been given the time to.
      */
-    public boolean emptied() {
+    public boolean tryCloseAll() {
         try {
             if (channel != null && !acceptAll(Integer.MAX_VALUE)) {
                 return false;
             }
             new ArrayList<>(connections).forEach(ConsumerConnection::look);
-            if (!quiet() || connections.stream().anyMatch(c -> c.fresh(timers.nowMicros()))) {
+            if (!isIdle() || connections.stream().anyMatch(c -> c.fresh(timers.nowMicros()))) {
                 return false;
             }
-            lifecycle.closing();
+            lifecycle.beginClosing();
             if (channel != null) {
                 channel.close();
                 channel = null;
--- a/daemon/src/main/java/postgrade/consumer/ConnectionState.java
+++ b/daemon/src/main/java/postgrade/client/ConnectionState.java
@@ -1,4 +1,4 @@
-package postgrade.consumer;
+package postgrade.client;
 
 import java.util.EnumMap;
 import java.util.EnumSet;
--- a/daemon/src/main/java/postgrade/consumer/ConsumerConnection.java
+++ b/daemon/src/main/java/postgrade/client/ConsumerConnection.java
@@ -1,4 +1,4 @@
-package postgrade.consumer;
+package postgrade.client;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -29,7 +29,7 @@
     /** Bytes kept of requests that come before the one ahead of them is answered. */
     private static final int MOST_AHEAD = MessageParser.MAX_BODY_BYTES * 2;
 
-    final Listener listener;
+    final ClientListener listener;
     private final Connection connection;
     private final Expiry expiry;
     private ConnectionState state = ConnectionState.READING;
@@ -55,7 +55,7 @@
     /**
      * @param sinceMicros it has waited in the backlog since then at the earliest
      */
-    ConsumerConnection(Listener listener, SocketChannel channel, long sinceMicros)
+    ConsumerConnection(ClientListener listener, SocketChannel channel, long sinceMicros)
             throws IOException {
         this.listener = listener;
         arrivals = new ArrivalTimes(sinceMicros, listener.timers.nowMicros());
--- a/daemon/src/main/java/postgrade/consumer/Exchange.java
+++ b/daemon/src/main/java/postgrade/client/Exchange.java
@@ -1,4 +1,4 @@
-package postgrade.consumer;
+package postgrade.client;
 
 import postgrade.dispatch.PendingRequest;
 import postgrade.dispatch.ResponseHandler;
--- a/daemon/src/main/java/postgrade/consumer/Expiry.java
+++ b/daemon/src/main/java/postgrade/client/Expiry.java
@@ -1,4 +1,4 @@
-package postgrade.consumer;
+package postgrade.client;
 
 /**
  * How long an accepted connection is waited for, by when it came and what has come on it. It knows
--- a/daemon/src/main/java/postgrade/consumer/Fields.java
+++ b/daemon/src/main/java/postgrade/client/Fields.java
@@ -1,4 +1,4 @@
-package postgrade.consumer;
+package postgrade.client;
 
 import java.util.List;
 import java.util.regex.Pattern;
--- a/daemon/src/main/java/postgrade/consumer/JobEvent.java
+++ b/daemon/src/main/java/postgrade/client/JobEvent.java
@@ -1,4 +1,4 @@
-package postgrade.consumer;
+package postgrade.client;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
--- a/daemon/src/main/java/postgrade/consumer/Requests.java
+++ b/daemon/src/main/java/postgrade/client/Requests.java
@@ -1,4 +1,4 @@
-package postgrade.consumer;
+package postgrade.client;
 
 import postgrade.dispatch.PendingRequest;
 import postgrade.dispatch.RequestPayload;
@@ -43,16 +43,16 @@
             return;
         }
         on.wasOfUse();
-        if (event.tell(on.listener.gateway) || !on.listener.relay.any()) {
+        if (event.tell(on.listener.gateway) || !on.listener.relay.hasPeers()) {
             on.answer(204, "", request.isKeepAlive());
             return;
         }
         Exchange waits = on.open(request.isKeepAlive());
-        on.listener.relay.callBack(request.body(), waits::relayed);
+        on.listener.relay.relay(request.body(), waits::relayed);
     }
 
     private static void invoke(ConsumerConnection on, Message request) {
-        Listener listener = on.listener;
+        ClientListener listener = on.listener;
         Submission job;
         try {
             job = Submission.of(request, listener);
--- a/daemon/src/main/java/postgrade/consumer/Submission.java
+++ b/daemon/src/main/java/postgrade/client/Submission.java
@@ -1,4 +1,4 @@
-package postgrade.consumer;
+package postgrade.client;
 
 import java.util.function.Consumer;
 import postgrade.dispatch.ExtensionHeaders;
@@ -24,7 +24,7 @@
     /**
      * @throws BadMessageException with the status and the sentence for its consumer
      */
-    static Submission of(Message request, Listener listener) throws BadMessageException {
+    static Submission of(Message request, ClientListener listener) throws BadMessageException {
         if (!request.declaresLength()) {
             throw new BadMessageException(411, "a job needs a body with a stated length");
         }
--- a/daemon/src/main/java/postgrade/daemon/Beginning.java
+++ b/daemon/src/main/java/postgrade/daemon/Beginning.java
@@ -1,7 +1,7 @@
 package postgrade.daemon;
 
-import postgrade.companion.Companion;
-import postgrade.consumer.Listener;
+import postgrade.client.ClientListener;
+import postgrade.extension.DispatcherExtension;
 import postgrade.lifecycle.Lifecycle;
 
 /**
@@ -12,10 +12,10 @@
 
     private final EventLoop loop;
     private final Lifecycle lifecycle;
-    private final Listener listener;
+    private final ClientListener listener;
 
     /** Null where nothing stands beside this dispatcher. */
-    private final Companion companion;
+    private final DispatcherExtension companion;
 
     private final Runnable sayListening;
 
@@ -31,8 +31,8 @@
     Beginning(
             EventLoop loop,
             Lifecycle lifecycle,
-            Listener listener,
-            Companion companion,
+            ClientListener listener,
+            DispatcherExtension companion,
             boolean tookOver,
             long startMicros,
             Runnable sayListening) {
@@ -55,7 +55,7 @@
                         companionMicros,
                         loop.nowMicros()
                                 + startMicros
-                                + (companion == null ? 0 : companion.patienceMicros()));
+                                + (companion == null ? 0 : companion.initTimeoutMicros()));
         loop.at(loop.nowMicros() + startMicros, this::awaitCompanion);
     }
 
@@ -65,12 +65,14 @@
      */
     void begin() {
         boolean waits =
-                companion != null && !companion.knows() && loop.nowMicros() < companionMicros;
+                companion != null
+                        && !companion.isInitialized()
+                        && loop.nowMicros() < companionMicros;
         if (!lifecycle.hasStarted() && !waits) {
-            boolean held = listener.holds();
-            lifecycle.started();
-            listener.followLifecycle();
-            if (lifecycle.accepts() && listener.holds()) {
+            boolean held = listener.reservesAddress();
+            lifecycle.markStarted();
+            listener.applyLifecycle();
+            if (lifecycle.acceptsConnections() && listener.reservesAddress()) {
                 // Guards against a process that nobody can reach: what restarts us must see it die.
                 // The log has the cause.
                 Runtime.getRuntime().halt(1);
--- a/daemon/src/main/java/postgrade/daemon/Beside.java
+++ b/daemon/src/main/java/postgrade/daemon/Beside.java
@@ -5,9 +5,9 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
-import postgrade.companion.Host;
 import postgrade.dispatch.RequestTracker;
 import postgrade.dispatch.Timers;
+import postgrade.extension.Host;
 import postgrade.policy.api.PolicySettings;
 import postgrade.policy.api.PolicyStateEntry;
 import postgrade.upgrade.UpgradeCoordinator;
@@ -53,7 +53,7 @@
     }
 
     @Override
-    public void share(double of) {
+    public void setRateFactor(double of) {
         if (factor != of) {
             factor = of;
             shareOut();
@@ -76,7 +76,7 @@
     }
 
     @Override
-    public LongSupplier micros() {
+    public LongSupplier monotonicMicros() {
         return loop.clock()::micros;
     }
 
@@ -86,67 +86,67 @@
     }
 
     @Override
-    public Executor loop() {
+    public Executor loopExecutor() {
         return loop::execute;
     }
 
     @Override
-    public List<PolicyStateEntry> learnt() {
+    public List<PolicyStateEntry> exportPolicyState() {
         return gateway.exportFigures();
     }
 
     @Override
-    public void learn(List<PolicyStateEntry> all) {
+    public void importPolicyState(List<PolicyStateEntry> all) {
         gateway.importFigures(all);
     }
 
     @Override
-    public boolean tookOver() {
+    public boolean startedByHandOver() {
         return told != null;
     }
 
     @Override
-    public String told() {
+    public String predecessorState() {
         return told == null ? "" : told.beside();
     }
 
     @Override
-    public boolean alone() {
+    public boolean isOnlyProcess() {
         return upgrade.count() == 0;
     }
 
     @Override
-    public boolean ready() {
+    public boolean isReady() {
         return ready.getAsBoolean();
     }
 
     @Override
-    public List<Known> workers() {
+    public List<WorkerStatus> workers() {
         return workers.known();
     }
 
     @Override
-    public boolean connected(String id) {
+    public boolean isConnected(String id) {
         return workers.providers().hasConnection(id);
     }
 
     @Override
-    public boolean anyConnected(int fewerThan) {
+    public boolean anyConnectedWithCallsBelow(int fewerThan) {
         return workers.providers().hasConnectedWorkerBelow(fewerThan);
     }
 
     @Override
-    public long keptMicros() {
+    public long maxIdleMicros() {
         return workers.providers().maxIdleMicros();
     }
 
     @Override
-    public boolean takeOut(String id) {
+    public boolean enterMaintenance(String id) {
         return workers.takeOut(loop.nowMicros(), id);
     }
 
     @Override
-    public boolean putBack(String id) {
+    public boolean exitMaintenance(String id) {
         return workers.putBack(loop.nowMicros(), id);
     }
 }
--- a/daemon/src/main/java/postgrade/daemon/CompanionLoader.java
+++ b/daemon/src/main/java/postgrade/daemon/CompanionLoader.java
@@ -2,8 +2,8 @@
 
 import java.io.IOException;
 import java.util.ServiceLoader;
-import postgrade.companion.Companion;
-import postgrade.companion.Host;
+import postgrade.extension.DispatcherExtension;
+import postgrade.extension.Host;
 
 /** Finds what is to stand beside the dispatcher, if its configuration names any. */
 final class CompanionLoader {
@@ -11,12 +11,13 @@
     private CompanionLoader() {}
 
     /** Null where nothing is named: then nothing is looked for either. */
-    static Companion.Plan loadPlan(Config config) throws Config.InvalidConfigException {
+    static DispatcherExtension.Configuration loadPlan(Config config)
+            throws Config.InvalidConfigException {
         if (config.sharing == null) {
             return null;
         }
-        Companion.Finder finder =
-                ServiceLoader.load(Companion.Finder.class)
+        DispatcherExtension.Factory finder =
+                ServiceLoader.load(DispatcherExtension.Factory.class)
                         .findFirst()
                         .orElseThrow(
                                 () ->
@@ -30,7 +31,7 @@
         }
     }
 
-    static Companion open(Companion.Plan plan, Host host)
+    static DispatcherExtension open(DispatcherExtension.Configuration plan, Host host)
             throws IOException, Config.InvalidConfigException {
         try {
             return plan.open(host);
--- a/daemon/src/main/java/postgrade/daemon/Config.java
+++ b/daemon/src/main/java/postgrade/daemon/Config.java
@@ -14,7 +14,6 @@
 import java.util.Objects;
 import java.util.Set;
 import java.util.stream.Collectors;
-import postgrade.benchlink.JsonPairs;
 import postgrade.discovery.AddressFormat;
 import postgrade.discovery.WorkerList;
 import postgrade.operator.OperatorListener;
@@ -22,6 +21,7 @@
 import postgrade.policy.api.PolicySettings;
 import postgrade.policy.api.Tenant;
 import postgrade.settings.SettingsReader;
+import postgrade.simadapter.JsonPairs;
 
 /**
  * The daemon's configuration. This is the one place where it is read, checked and given defaults.
@@ -240,7 +240,7 @@
             throw new InvalidConfigException("limits.sockets", "not a number");
         }
         descriptors = value == null ? DEFAULT_SOCKETS : (int) value.asDouble();
-        int apart = OWN_DESCRIPTORS + (operator == null ? 0 : OperatorListener.PLACES);
+        int apart = OWN_DESCRIPTORS + (operator == null ? 0 : OperatorListener.MAX_SOCKETS);
         if (descriptors < 2 * OWN_DESCRIPTORS) {
             throw new InvalidConfigException(
                     "limits.sockets", "at least " + 2 * OWN_DESCRIPTORS + " are needed");
--- a/daemon/src/main/java/postgrade/daemon/Daemon.java
+++ b/daemon/src/main/java/postgrade/daemon/Daemon.java
@@ -6,19 +6,19 @@
 import java.util.function.Function;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import postgrade.companion.Companion;
-import postgrade.consumer.Listener;
-import postgrade.consumer.Relay;
+import postgrade.client.CallBackRelay;
+import postgrade.client.ClientListener;
 import postgrade.discovery.DiscoveryWatch;
 import postgrade.discovery.WatchTimeouts;
 import postgrade.discovery.WorkerList;
 import postgrade.dispatch.RequestObserver;
 import postgrade.dispatch.RequestTracker;
+import postgrade.extension.DispatcherExtension;
 import postgrade.http.SocketBudget;
 import postgrade.http.SystemCalls;
 import postgrade.lifecycle.Lifecycle;
 import postgrade.log.Events;
-import postgrade.operator.Further;
+import postgrade.operator.AdditionalEndpoints;
 import postgrade.operator.Operations;
 import postgrade.operator.OperatorListener;
 import postgrade.policy.TokenBucketDispatchPolicy;
@@ -46,7 +46,7 @@
     private final RequestTracker gateway;
     private final WorkerConnectionPools providers;
     private final AttemptLog attemptLog;
-    private final Listener listener;
+    private final ClientListener listener;
     private final DiscoveryWatch watch;
     private final Thread thread;
     private final Lifecycle lifecycle = new Lifecycle();
@@ -59,7 +59,7 @@
     private final Reload reload;
 
     /** Null where nothing stands beside this dispatcher. */
-    private final Companion companion;
+    private final DispatcherExtension companion;
 
     private final Beginning beginning;
 
@@ -70,7 +70,8 @@
     /**
      * @param plan what is to stand beside it, or null
      */
-    Daemon(Config config, Companion.Plan plan) throws IOException, Config.InvalidConfigException {
+    Daemon(Config config, DispatcherExtension.Configuration plan)
+            throws IOException, Config.InvalidConfigException {
         this(
                 config,
                 plan,
@@ -80,7 +81,7 @@
 
     Daemon(
             Config config,
-            Companion.Plan plan,
+            DispatcherExtension.Configuration plan,
             Function<PolicyActions, DispatchPolicy> module,
             WatchTimeouts patience)
             throws IOException, Config.InvalidConfigException {
@@ -93,7 +94,7 @@
      */
     Daemon(
             Config config,
-            Companion.Plan plan,
+            DispatcherExtension.Configuration plan,
             Function<PolicyActions, DispatchPolicy> module,
             WatchTimeouts patience,
             SystemCalls systemCalls)
@@ -143,7 +144,7 @@
         }
         try {
             if (upgrade.count() == 0) {
-                Listener.requireFree(config.listen);
+                ClientListener.requireAddressFree(config.listen);
             }
         } catch (IOException e) {
             upgrade.close();
@@ -151,7 +152,7 @@
         }
         boolean tookOver = before != null && before.list() != null;
         listener =
-                new Listener(
+                new ClientListener(
                         config.listen,
                         plan != null && !tookOver,
                         config.deadlineMicros,
@@ -173,9 +174,9 @@
         if (companion != null) {
             providers.setFencingTokens(companion::fence);
             providers.setConnectLimiter(companion::mayConnect);
-            gateway.constraintsChanged(companion.ability());
-            gateway.observer(RequestObserver.both(attemptLog, companion.witness()));
-            listener.claims(companion.claims());
+            gateway.constraintsChanged(companion.jobConstraints());
+            gateway.observer(RequestObserver.both(attemptLog, companion.requestObserver()));
+            listener.setExtensionHeaders(companion.extensionHeaders());
         }
         ending =
                 new ShutdownSequence(
@@ -202,13 +203,13 @@
                         patience.startupMicros(),
                         this::sayListening);
         if (before != null && before.standbyAgeMicros() >= 0) {
-            lifecycle.standby(loop.nowMicros() - before.standbyAgeMicros());
+            lifecycle.enterStandby(loop.nowMicros() - before.standbyAgeMicros());
             ending.check();
         }
         upgrade.serving();
         peersChanged();
         thread = new Thread(null, this::run, "loop");
-        if (!listener.holds()) {
+        if (!listener.reservesAddress()) {
             sayListening();
         }
     }
@@ -253,7 +254,7 @@
                         @Override
                         public void iterationStarted() {
                             if (companion != null) {
-                                companion.turn();
+                                companion.iterationStarted();
                             }
                         }
 
@@ -291,22 +292,22 @@
                     watch.previousContactMicros());
         }
         if (companion != null) {
-            companion.listed();
+            companion.workerListChanged();
         }
         beginning.begin();
     }
 
     // ---- Other processes of this dispatcher.
 
-    private Relay relay() {
-        return new Relay() {
+    private CallBackRelay relay() {
+        return new CallBackRelay() {
             @Override
-            public boolean any() {
+            public boolean hasPeers() {
                 return upgrade.count() > 0;
             }
 
             @Override
-            public void callBack(byte[] body, Consumer<Boolean> done) {
+            public void relay(byte[] body, Consumer<Boolean> done) {
                 upgrade.callBack(body, done);
             }
         };
@@ -315,15 +316,15 @@
     private void peersChanged() {
         loop.sockets().setLimit(started.sockets(1 + upgrade.count()));
         beside.shareOut();
-        lifecycle.successor(upgrade.hasSuccessor());
-        listener.followLifecycle();
+        lifecycle.setSuccessor(upgrade.hasSuccessor());
+        listener.applyLifecycle();
         if (companion != null) {
             companion.peersChanged();
         }
     }
 
     private boolean serves() {
-        return lifecycle.takesClients() && providers.readyCount() > 0;
+        return lifecycle.servesClients() && providers.readyCount() > 0;
     }
 
     private OperatorListener operators() throws IOException {
@@ -333,7 +334,9 @@
                     : new OperatorListener(
                             config.operator,
                             operating,
-                            companion == null ? Further.NONE : companion.calls(),
+                            companion == null
+                                    ? AdditionalEndpoints.NONE
+                                    : companion.operatorEndpoints(),
                             loop,
                             loop);
         } catch (IOException e) {
@@ -350,7 +353,7 @@
                         config.clock.unixMillis(),
                         System.nanoTime()));
         if (companion != null) {
-            companion.said(worker, out);
+            companion.workerMaintenanceChanged(worker, out);
         }
     }
 
@@ -365,12 +368,12 @@
                     watch.address(),
                     lifecycle.standbyAgeMicros(loop.nowMicros()),
                     gateway.exportFigures(),
-                    companion == null ? "" : companion.tells());
+                    companion == null ? "" : companion.handOverState());
         }
 
         @Override
         public void callBack(byte[] body) {
-            listener.relayed(body);
+            listener.handleRelayedCallBack(body);
         }
 
         @Override
--- a/daemon/src/main/java/postgrade/daemon/Main.java
+++ b/daemon/src/main/java/postgrade/daemon/Main.java
@@ -30,7 +30,9 @@
         switch (command) {
             case "serve" -> serve();
             case "benchlink" ->
-                    System.exit(postgrade.benchlink.Main.serve(System.in, System.out, System.err));
+                    System.exit(
+                            postgrade.simadapter.SimulatorAdapter.serve(
+                                    System.in, System.out, System.err));
             case "rehearse" -> rehearse();
             default -> {
                 System.err.println(
--- a/daemon/src/main/java/postgrade/daemon/Operating.java
+++ b/daemon/src/main/java/postgrade/daemon/Operating.java
@@ -49,13 +49,13 @@
     @Override
     public void call(Call call, String id, Reply reply) {
         if (call == Call.STATUS) {
-            if (lifecycle.takesClients() && providers.readyCount() > 0) {
-                reply.yes(status());
+            if (lifecycle.servesClients() && providers.readyCount() > 0) {
+                reply.succeeded(status());
             } else {
-                reply.no(No.NOT_NOW, status());
+                reply.refused(Refusal.UNAVAILABLE, status());
             }
         } else if (id != null && !workers.roster().knows(id)) {
-            reply.no(No.UNKNOWN, "no worker " + id + " is known here");
+            reply.refused(Refusal.UNKNOWN, "no worker " + id + " is known here");
         } else {
             boolean done = carryOut(call, id);
             if (id != null) {
@@ -69,18 +69,20 @@
 
     private static void answer(Call call, String id, boolean done, Reply reply) {
         switch (call) {
-            case ENTER -> reply.yes("worker " + id + " is out and gets no new work");
+            case ENTER -> reply.succeeded("worker " + id + " is out and gets no new work");
             case EXIT ->
-                    reply.yes(
+                    reply.succeeded(
                             done
                                     ? "worker " + id + " may serve again"
                                     : "worker " + id + " was not out");
-            case STANDBY -> reply.yes("draining: no longer ready");
+            case STANDBY -> reply.succeeded("draining: no longer ready");
             default -> {
                 if (done) {
-                    reply.yes("taking clients");
+                    reply.succeeded("taking clients");
                 } else {
-                    reply.no(No.NOT_NOW, "this process is stopping and takes no clients any more");
+                    reply.refused(
+                            Refusal.UNAVAILABLE,
+                            "this process is stopping and takes no clients any more");
                 }
             }
         }
@@ -106,7 +108,7 @@
         JsonArray out = Json.array();
         workers.roster().disabledIds().forEach(out::add);
         return Json.object()
-                .add("state", lifecycle.state().word())
+                .add("state", lifecycle.state().label())
                 .add("workers", providers.readyCount())
                 .add("out", out)
                 .toString();
@@ -114,7 +116,7 @@
 
     private void standby() {
         if (lifecycle.state() != Lifecycle.State.STANDBY) {
-            lifecycle.standby(timers.nowMicros());
+            lifecycle.enterStandby(timers.nowMicros());
             Events.info(LOG, "daemon.standby")
                     .log("standby: no longer ready, turning consumers away");
             check.run();
@@ -125,6 +127,6 @@
         if (lifecycle.state() == Lifecycle.State.STANDBY) {
             Events.info(LOG, "daemon.active").log("active: taking consumers again");
         }
-        return lifecycle.active();
+        return lifecycle.leaveStandby();
     }
 }
--- a/daemon/src/main/java/postgrade/daemon/Reload.java
+++ b/daemon/src/main/java/postgrade/daemon/Reload.java
@@ -2,7 +2,7 @@
 
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import postgrade.consumer.Listener;
+import postgrade.client.ClientListener;
 import postgrade.discovery.DiscoveryWatch;
 import postgrade.dispatch.RequestTracker;
 import postgrade.log.Events;
@@ -14,7 +14,7 @@
  */
 record Reload(
         RequestTracker gateway,
-        Listener listener,
+        ClientListener listener,
         WorkerConnectionPools providers,
         DiscoveryWatch watch) {
 
@@ -34,7 +34,7 @@
                                             : "; only at the next start: " + later));
             if (!config.sameSettings(next)) {
                 gateway.settingsChanged(next.settings, next.mostHeld);
-                listener.settings(next.deadlineMicros, next.tenantNames());
+                listener.updateSettings(next.deadlineMicros, next.tenantNames());
                 providers.updateSettings(
                         next.connectTimeoutMicros,
                         next.idleTimeoutMicros,
--- a/daemon/src/main/java/postgrade/daemon/ShutdownSequence.java
+++ b/daemon/src/main/java/postgrade/daemon/ShutdownSequence.java
@@ -4,9 +4,9 @@
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import postgrade.companion.Companion;
-import postgrade.consumer.Listener;
+import postgrade.client.ClientListener;
 import postgrade.dispatch.RequestTracker;
+import postgrade.extension.DispatcherExtension;
 import postgrade.lifecycle.Lifecycle;
 import postgrade.log.Events;
 import postgrade.upgrade.UpgradeCoordinator;
@@ -31,11 +31,11 @@
     private final Lifecycle lifecycle;
     private final RequestTracker gateway;
     private final WorkerConnectionPools providers;
-    private final Listener listener;
+    private final ClientListener listener;
     private final UpgradeCoordinator upgrade;
 
     /** Null where nothing stands beside this dispatcher. */
-    private final Companion companion;
+    private final DispatcherExtension companion;
 
     private final Supplier<Config> config;
 
@@ -47,9 +47,9 @@
             Lifecycle lifecycle,
             RequestTracker gateway,
             WorkerConnectionPools providers,
-            Listener listener,
+            ClientListener listener,
             UpgradeCoordinator upgrade,
-            Companion companion,
+            DispatcherExtension companion,
             Supplier<Config> config) {
         this.loop = loop;
         this.lifecycle = lifecycle;
@@ -78,7 +78,7 @@
         if (companion != null) {
             companion.stopping();
         }
-        listener.followLifecycle();
+        listener.applyLifecycle();
         check();
     }
 
@@ -96,7 +96,7 @@
      * until then.
      */
     private boolean owesNothing(long now) {
-        if (!lifecycle.mustEnd(now)) {
+        if (!lifecycle.mustExit(now)) {
             return gateway.isIdle() && providers.hasNoCancellations();
         }
         gateway.cancelUnwanted();
@@ -105,21 +105,21 @@
 
     private void checked() {
         checking = false;
-        listener.followLifecycle();
+        listener.applyLifecycle();
         long now = loop.nowMicros();
-        OptionalLong late = lifecycle.concludesSince(now);
+        OptionalLong late = lifecycle.forcedAnswerCutoff(now);
         if (late.isPresent()) {
             // Guards the one answer: what SIGKILL finds unanswered of these is lost.
             gateway.failArrivedSince(late.getAsLong() - HEARD_LATE_MICROS);
-            if (lifecycle.mayEnd(now)) {
-                listener.refuseUnfinished();
+            if (lifecycle.mayExit(now)) {
+                listener.rejectIncompleteRequests();
             }
         }
-        boolean answered = lifecycle.mayEnd(now) && owesNothing(now) && listener.quiet();
+        boolean answered = lifecycle.mayExit(now) && owesNothing(now) && listener.isIdle();
         // Guards the last requests and answers: with the process go what lies unread in its sockets
         // and backlog, and by a
         // reset what peers have not read yet.
-        if (answered && (listener.emptied() || lifecycle.mustEnd(now))) {
+        if (answered && (listener.tryCloseAll() || lifecycle.mustExit(now))) {
             long millis = lifecycle.stoppingForMicros(now) / MICROS_PER_MILLI;
             Events.info(LOG, "daemon.stopped")
                     .addKeyValue("ms", millis)
--- a/daemon/src/main/java/postgrade/daemon/Workers.java
+++ b/daemon/src/main/java/postgrade/daemon/Workers.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import postgrade.companion.Host;
 import postgrade.discovery.WorkerList;
 import postgrade.discovery.WorkerList.ListedWorker;
 import postgrade.discovery.WorkerList.State;
 import postgrade.dispatch.RequestTracker;
 import postgrade.endpoints.EndpointRegistry;
+import postgrade.extension.Host;
 import postgrade.log.Events;
 import postgrade.policy.api.WorkerInfo;
 import postgrade.policy.api.WorkerListUpdateType;
@@ -128,12 +128,12 @@
     }
 
     /** As the companion sees them. */
-    List<Host.Known> known() {
+    List<Host.WorkerStatus> known() {
         List<String> out = roster.disabledIds();
         return told.values().stream()
                 .map(
                         e ->
-                                new Host.Known(
+                                new Host.WorkerStatus(
                                         e.id(),
                                         e.zone(),
                                         e.kind(),
--- a/daemon/src/main/java/postgrade/companion/Companion.java
+++ b/daemon/src/main/java/postgrade/extension/DispatcherExtension.java
@@ -1,10 +1,10 @@
-package postgrade.companion;
+package postgrade.extension;
 
 import java.io.IOException;
 import java.nio.file.Path;
 import postgrade.dispatch.ExtensionHeaders;
 import postgrade.dispatch.RequestObserver;
-import postgrade.operator.Further;
+import postgrade.operator.AdditionalEndpoints;
 import postgrade.policy.api.JobConstraints;
 
 /**
@@ -12,10 +12,10 @@
  * decides, and the dispatcher does all without it as well. All is called on the loop's thread, and
  * nothing here may wait.
  */
-public interface Companion {
+public interface DispatcherExtension {
 
     /** Consulted by the module for each job and worker. */
-    JobConstraints ability();
+    JobConstraints jobConstraints();
 
     /**
      * What goes to a worker beside a job, in a header of ours that proves the job's claim; null for
@@ -39,14 +39,14 @@
      * A turn of the loop begins, and nothing of it has been taken in: what hangs on the time is
      * looked at here.
      */
-    default void turn() {}
+    default void iterationStarted() {}
 
     /**
      * It has heard what a new process has to know, such as which workers are out. Until then, and
      * for so long at most, the process does not listen: consumers turn to others, as before it had
      * started.
      */
-    default boolean knows() {
+    default boolean isInitialized() {
         return true;
     }
 
@@ -54,33 +54,33 @@
      * How long it may be waited for: what stands beside a dispatcher may cost features, and no
      * consumer its answer.
      */
-    default long patienceMicros() {
+    default long initTimeoutMicros() {
         return 1_000_000;
     }
 
     /** What the companion of a new process of this dispatcher is to know, in a form of its own. */
-    default String tells() {
+    default String handOverState() {
         return "";
     }
 
     /** What jobs may claim in headers of ours; null for nothing, then none is looked at. */
-    default ExtensionHeaders claims() {
+    default ExtensionHeaders extensionHeaders() {
         return null;
     }
 
     /** Sees what becomes of invocations. */
-    default RequestObserver witness() {
+    default RequestObserver requestObserver() {
         return RequestObserver.NONE;
     }
 
     /** Calls that operators may make of it. */
-    Further calls();
+    AdditionalEndpoints operatorEndpoints();
 
     /** The list of workers has changed, in whole or in part; the module has not heard of it yet. */
-    default void listed() {}
+    default void workerListChanged() {}
 
     /** An operator has taken this worker out here, or put it back. */
-    default void said(String workerId, boolean out) {}
+    default void workerMaintenanceChanged(String workerId, boolean out) {}
 
     /** A process of the same dispatcher has come or gone. */
     default void peersChanged() {}
@@ -94,23 +94,23 @@
     void close();
 
     /** Finds companions, by {@link java.util.ServiceLoader}. */
-    interface Finder {
+    interface Factory {
         /**
          * Reads what is to stand there.
          *
          * @param dispatcher its name
          * @throws IllegalArgumentException for a faulty file; the message names the place
          */
-        Plan read(Path file, String dispatcher);
+        Configuration read(Path file, String dispatcher);
     }
 
     /** A file that was found good. */
-    interface Plan {
+    interface Configuration {
         /**
          * Called once, before the loop runs.
          *
          * @throws IllegalArgumentException where it does not go with the dispatcher's settings
          */
-        Companion open(Host host) throws IOException;
+        DispatcherExtension open(Host host) throws IOException;
     }
 }
--- a/daemon/src/main/java/postgrade/companion/Host.java
+++ b/daemon/src/main/java/postgrade/extension/Host.java
@@ -1,4 +1,4 @@
-package postgrade.companion;
+package postgrade.extension;
 
 import java.util.List;
 import java.util.concurrent.Executor;
@@ -9,7 +9,7 @@
 
 /**
  * The dispatcher as its companion sees it. For the loop's thread, but for the three clocks and
- * {@link #loop}.
+ * {@link #loopExecutor}.
  */
 public interface Host {
 
@@ -22,69 +22,69 @@
     Timers timers();
 
     /** The same clock, running on, for any thread. */
-    LongSupplier micros();
+    LongSupplier monotonicMicros();
 
     /** The wall clock, for any thread. It may jump. */
     LongSupplier unixMillis();
 
     /** Runs a task on the loop; may be called from any thread. */
-    Executor loop();
+    Executor loopExecutor();
 
     // ---- What was learnt.
 
     /** What the module knows now, as a copy. */
-    List<PolicyStateEntry> learnt();
+    List<PolicyStateEntry> exportPolicyState();
 
     /**
      * Tells the module what was learnt elsewhere; it passes over workers that it does not know yet.
      */
-    void learn(List<PolicyStateEntry> all);
+    void importPolicyState(List<PolicyStateEntry> all);
 
     /** This process has begun with what a running one told it, which is newer than any file. */
-    boolean tookOver();
+    boolean startedByHandOver();
 
     /** What the companion of that process told; empty where there was none, or nothing came. */
-    String told();
+    String predecessorState();
 
     // ---- Who is there.
 
     /** No other process of this dispatcher lives. */
-    boolean alone();
+    boolean isOnlyProcess();
 
     /** It serves consumers, and some worker is there. */
-    boolean ready();
+    boolean isReady();
 
-    List<Known> workers();
+    List<WorkerStatus> workers();
 
     /**
      * @param startedMillis of the wall clock as discovery told it, 0 for long ago @param out by an
      *     operator
      */
-    record Known(
+    record WorkerStatus(
             String id,
             String zone,
             String kind,
             double weight,
             long startedMillis,
             boolean ready,
-            boolean out) {}
+            boolean inMaintenance) {}
 
     /** A connection to the worker is up, or on its way. */
-    boolean connected(String workerId);
+    boolean isConnected(String workerId);
 
     /** Some worker that takes jobs has a connection, and fewer calls of this process than that. */
-    boolean anyConnected(int fewerThan);
+    boolean anyConnectedWithCallsBelow(int fewerThan);
 
     /** For how long an idle connection to a worker is kept at most. */
-    long keptMicros();
+    long maxIdleMicros();
 
     /** Takes a worker out as an operator's call would; false if it is out already. */
-    boolean takeOut(String workerId);
+    boolean enterMaintenance(String workerId);
 
-    boolean putBack(String workerId);
+    boolean exitMaintenance(String workerId);
 
     // ---- What it has a say in.
 
     /** This process may use so many times the even part of each rate; 1 until this is called. */
-    void share(double factor);
+    void setRateFactor(double factor);
 }
--- a/daemon/src/main/java/postgrade/lifecycle/Lifecycle.java
+++ b/daemon/src/main/java/postgrade/lifecycle/Lifecycle.java
@@ -25,7 +25,7 @@
          */
         CLOSING;
 
-        public String word() {
+        public String label() {
             return name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ');
         }
     }
@@ -93,7 +93,7 @@
     }
 
     /** It takes consumers from now on; until then they wait in the backlog. */
-    public void started() {
+    public void markStarted() {
         started = true;
     }
 
@@ -102,12 +102,12 @@
     }
 
     /** Drain. Called again it changes nothing: the front has been told by the first call. */
-    public void standby(long nowMicros) {
+    public void enterStandby(long nowMicros) {
         standbyMicros = Math.min(standbyMicros, nowMicros);
     }
 
     /** Takes consumers again. False where it is to end, which no call undoes. */
-    public boolean active() {
+    public boolean leaveStandby() {
         if (stopMicros != NEVER) {
             return false;
         }
@@ -134,12 +134,12 @@
      * A successor has come; or it has died, and what it was to take is ours again for as long as we
      * may live.
      */
-    public void successor(boolean isThere) {
+    public void setSuccessor(boolean isThere) {
         successor = isThere;
     }
 
     /** Nothing more is taken: the last connections end. There is no way back. */
-    public void closing() {
+    public void beginClosing() {
         closing = true;
     }
 
@@ -147,12 +147,12 @@
      * The front may send consumers. In an upgrade the pair is one dispatcher, ready as its
      * successor is.
      */
-    public boolean ready() {
+    public boolean isReady() {
         return state() == State.ACTIVE || state() == State.HANDING_OVER && standbyMicros == NEVER;
     }
 
     /** This process, not the pair, takes clients. */
-    public boolean takesClients() {
+    public boolean servesClients() {
         return state() == State.ACTIVE;
     }
 
@@ -165,19 +165,19 @@
      * New connections are accepted: the consumers', and always the providers' call-backs, but for a
      * successor's.
      */
-    public boolean accepts() {
+    public boolean acceptsConnections() {
         return state() != State.HANDING_OVER && state() != State.CLOSING;
     }
 
     /** An answer to a consumer ends its connection. */
-    public boolean endsConnections(long nowMicros) {
+    public boolean closesAfterAnswer(long nowMicros) {
         return state() == State.HANDING_OVER
                 || past(standbyMicros, FRONT_KNOWS_MICROS, nowMicros)
-                || leaves(nowMicros);
+                || closesIdleConnections(nowMicros);
     }
 
     /** Consumers' connections that await nothing are closed. */
-    public boolean leaves(long nowMicros) {
+    public boolean closesIdleConnections(long nowMicros) {
         return past(standbyMicros, STANDBY_LEAVE_MICROS, nowMicros)
                 || past(killMicros, -LEAVE_MICROS, nowMicros)
                         && past(stopMicros, STILL_SENT_MICROS, nowMicros)
@@ -186,7 +186,7 @@
     }
 
     /** Jobs that came since then are answered now as they stand; none if empty. */
-    public OptionalLong concludesSince(long nowMicros) {
+    public OptionalLong forcedAnswerCutoff(long nowMicros) {
         long since = NEVER;
         if (past(standbyMicros, STANDBY_CONCLUDE_MICROS, nowMicros)) {
             since = standbyMicros + STANDBY_LATE_MICROS;
@@ -201,12 +201,12 @@
      * The process may end once all is answered; not before, as consumers use what connections they
      * hold.
      */
-    public boolean mayEnd(long nowMicros) {
-        return stopMicros != NEVER && leaves(nowMicros);
+    public boolean mayExit(long nowMicros) {
+        return stopMicros != NEVER && closesIdleConnections(nowMicros);
     }
 
     /** SIGKILL is so near that who has not ended its connection is waited for no longer. */
-    public boolean mustEnd(long nowMicros) {
+    public boolean mustExit(long nowMicros) {
         return past(killMicros, -END_MICROS, nowMicros);
     }
 
--- a/daemon/src/main/java/postgrade/operator/Further.java
+++ b/daemon/src/main/java/postgrade/operator/AdditionalEndpoints.java
@@ -6,7 +6,7 @@
  * Operators' calls beyond {@link Operations}, by their paths. Who takes them knows nothing of how
  * they came.
  */
-public interface Further {
+public interface AdditionalEndpoints {
 
     /** Exactly one answer is given to each call. */
     interface Reply {
@@ -18,32 +18,32 @@
     }
 
     /** None there. */
-    Further NONE =
-            new Further() {
+    AdditionalEndpoints NONE =
+            new AdditionalEndpoints() {
                 @Override
-                public Set<String> methods(String path) {
+                public Set<String> allowedMethods(String path) {
                     return Set.of();
                 }
 
                 @Override
-                public void call(String method, String path, byte[] body, Reply reply) {
+                public void handle(String method, String path, byte[] body, Reply reply) {
                     throw new IllegalStateException(path);
                 }
             };
 
     /** How a path may be called; none for a path that is not known. */
-    Set<String> methods(String path);
+    Set<String> allowedMethods(String path);
 
     /** The longest body that a call of this path may bring. */
-    default int mostBody(String path) {
+    default int maxBodyBytes(String path) {
         return 64 << 10;
     }
 
     /** The longest body of any path. */
-    default int mostBody() {
+    default int maxBodyBytes() {
         return 64 << 10;
     }
 
     /** Answers within 2 s. */
-    void call(String method, String path, byte[] body, Reply reply);
+    void handle(String method, String path, byte[] body, Reply reply);
 }
--- a/daemon/src/main/java/postgrade/operator/Operations.java
+++ b/daemon/src/main/java/postgrade/operator/Operations.java
@@ -12,21 +12,23 @@
         ACTIVE
     }
 
-    /** Exactly one of these is called, once, at latest when {@link #LONGEST_MICROS} have passed. */
+    /**
+     * Exactly one of these is called, once, at latest when {@link #MAX_REPLY_MICROS} have passed.
+     */
     interface Reply {
-        void yes(String text);
+        void succeeded(String text);
 
-        void no(No why, String text);
+        void refused(Refusal why, String text);
     }
 
     /** Why not: there is no such worker, or the dispatcher is not in a state for it. */
-    enum No {
+    enum Refusal {
         UNKNOWN,
-        NOT_NOW
+        UNAVAILABLE
     }
 
     /** Half of what the caller has, who waits for 1 s. */
-    long LONGEST_MICROS = 500_000;
+    long MAX_REPLY_MICROS = 500_000;
 
     /**
      * Carries a call out before it replies. A no has changed nothing.
--- a/daemon/src/main/java/postgrade/operator/OperatorConnection.java
+++ b/daemon/src/main/java/postgrade/operator/OperatorConnection.java
@@ -15,7 +15,7 @@
 import postgrade.http.MessageParser;
 import postgrade.http.MessageWriter;
 import postgrade.operator.Operations.Call;
-import postgrade.operator.Operations.No;
+import postgrade.operator.Operations.Refusal;
 
 /** One connection of an operator's, for one call. */
 final class OperatorConnection implements Connection.Owner, Operations.Reply {
@@ -46,7 +46,7 @@
 
     OperatorConnection(OperatorListener listener, SocketChannel channel) throws IOException {
         this.listener = listener;
-        parser = MessageParser.forRequests(listener.further.mostBody());
+        parser = MessageParser.forRequests(listener.further.maxBodyBytes());
         connection = Connection.accepted(listener, channel, this, true);
         connection.setIdle(true, true);
         end = listener.timers.at(listener.timers.nowMicros() + PATIENCE_MICROS, this::expire);
@@ -96,7 +96,7 @@
     }
 
     private void further(String path, Message message) {
-        Set<String> methods = listener.further.methods(path);
+        Set<String> methods = listener.further.allowedMethods(path);
         if (methods.isEmpty()) {
             answer(404, null, "there is no call " + path);
         } else if (!methods.contains(message.method())) {
@@ -108,10 +108,10 @@
                             + String.join(" or ", methods)
                             + ", not "
                             + message.method());
-        } else if (message.body().length > listener.further.mostBody(path)) {
+        } else if (message.body().length > listener.further.maxBodyBytes(path)) {
             answer(413, null, "body too large");
         } else {
-            listener.further.call(
+            listener.further.handle(
                     message.method(),
                     path,
                     message.body(),
@@ -137,13 +137,13 @@
     }
 
     @Override
-    public void yes(String text) {
+    public void succeeded(String text) {
         answer(200, null, text);
     }
 
     @Override
-    public void no(No why, String text) {
-        answer(why == No.UNKNOWN ? 404 : 503, null, text);
+    public void refused(Refusal why, String text) {
+        answer(why == Refusal.UNKNOWN ? 404 : 503, null, text);
     }
 
     private void answer(int status, String allow, String text) {
--- a/daemon/src/main/java/postgrade/operator/OperatorListener.java
+++ b/daemon/src/main/java/postgrade/operator/OperatorListener.java
@@ -28,22 +28,22 @@
      * Descriptors to set aside: of them three quarters are for callers, of whom some sit and say
      * nothing.
      */
-    public static final int PLACES = 16;
+    public static final int MAX_SOCKETS = 16;
 
     private static final int BACKLOG = 64;
 
     final Timers timers;
     final Operations operations;
-    final Further further;
+    final AdditionalEndpoints further;
     private final Reactor loop;
-    private final SocketBudget places = new SocketBudget(PLACES);
+    private final SocketBudget places = new SocketBudget(MAX_SOCKETS);
     private final ServerSocketChannel channel;
     private final SelectionKey key;
 
     public OperatorListener(
             InetSocketAddress address,
             Operations operations,
-            Further further,
+            AdditionalEndpoints further,
             Reactor loop,
             Timers timers)
             throws IOException {
@@ -103,7 +103,7 @@
                 .setCause(e)
                 .log("accept of an operator's call failed");
         key.interestOps(0);
-        timers.at(timers.nowMicros() + Operations.LONGEST_MICROS / 2, this::closed);
+        timers.at(timers.nowMicros() + Operations.MAX_REPLY_MICROS / 2, this::closed);
     }
 
     // ---- The loop, but for the budget.
--- a/daemon/src/main/java/postgrade/benchlink/JsonPairs.java
+++ b/daemon/src/main/java/postgrade/simadapter/JsonPairs.java
@@ -1,4 +1,4 @@
-package postgrade.benchlink;
+package postgrade.simadapter;
 
 import com.eclipsesource.json.JsonArray;
 import com.eclipsesource.json.JsonObject;
--- a/daemon/src/main/java/postgrade/benchlink/Main.java
+++ b/daemon/src/main/java/postgrade/simadapter/SimulatorAdapter.java
@@ -1,4 +1,4 @@
-package postgrade.benchlink;
+package postgrade.simadapter;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -8,11 +8,11 @@
 import java.nio.charset.StandardCharsets;
 
 /** Speaks the bench's wire on standard input and output until the input ends. */
-public final class Main {
+public final class SimulatorAdapter {
 
     private static final int READ_BYTES = 1 << 16;
 
-    private Main() {}
+    private SimulatorAdapter() {}
 
     /**
      * Returns the exit code: 0 at the end of the input, 1 after a line that cannot be understood.
--- a/daemon/src/main/java/postgrade/benchlink/Wire.java
+++ b/daemon/src/main/java/postgrade/simadapter/Wire.java
@@ -1,4 +1,4 @@
-package postgrade.benchlink;
+package postgrade.simadapter;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/daemon/src/test/java/postgrade/consumer/ConnectionStateTest.java
+++ b/daemon/src/test/java/postgrade/client/ConnectionStateTest.java
@@ -1,4 +1,4 @@
-package postgrade.consumer;
+package postgrade.client;
 
 import static org.junit.Assert.assertFalse;
 
--- a/daemon/src/test/java/postgrade/daemon/BadInputTest.java
+++ b/daemon/src/test/java/postgrade/daemon/BadInputTest.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import org.junit.Before;
 import org.junit.Test;
-import postgrade.consumer.Listener;
+import postgrade.client.ClientListener;
 import postgrade.daemon.ScriptedPeer.ReceivedMessage;
 import postgrade.lifecycle.Lifecycle;
 
@@ -43,23 +43,23 @@
         {"", null, false}
     };
 
-    private Listener listener;
+    private ClientListener listener;
 
     public BadInputTest() throws IOException {}
 
     @Before
     public void listen() throws IOException {
         Lifecycle lifecycle = new Lifecycle();
-        lifecycle.started();
+        lifecycle.markStarted();
         listener =
-                new Listener(
+                new ClientListener(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         false,
                         Map.of("price", DEADLINE_MICROS),
                         Set.of(),
                         () -> true,
                         lifecycle,
-                        new Turns.Alone(),
+                        new LoopHarness.NoPeers(),
                         tracker,
                         loop,
                         loop);
--- a/daemon/src/test/java/postgrade/daemon/CompanionTest.java
+++ b/daemon/src/test/java/postgrade/daemon/CompanionTest.java
@@ -17,17 +17,18 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.Before;
 import org.junit.Test;
-import postgrade.companion.Companion;
-import postgrade.companion.Host;
 import postgrade.daemon.ScriptedPeer.ReceivedMessage;
-import postgrade.operator.Further;
+import postgrade.extension.DispatcherExtension;
+import postgrade.extension.Host;
+import postgrade.operator.AdditionalEndpoints;
 import postgrade.policy.api.JobConstraints;
 
 /**
  * What stands beside a dispatcher hears what goes on, has its say, and is asked what operators want
  * of it.
  */
-public class CompanionTest extends DaemonTestBase implements Companion, Further {
+public class CompanionTest extends DaemonTestBase
+        implements DispatcherExtension, AdditionalEndpoints {
 
     private final LinkedBlockingQueue<String> heard = new LinkedBlockingQueue<>();
     private Host host;
@@ -63,17 +64,17 @@
     }
 
     @Override
-    public JobConstraints ability() {
+    public JobConstraints jobConstraints() {
         return JobConstraints.NONE;
     }
 
     @Override
-    public boolean knows() {
+    public boolean isInitialized() {
         return knows;
     }
 
     @Override
-    public long patienceMicros() {
+    public long initTimeoutMicros() {
         return patienceMicros;
     }
 
@@ -86,22 +87,22 @@
     }
 
     @Override
-    public void turn() {
+    public void iterationStarted() {
         turnMicros = host.timers().nowMicros();
     }
 
     @Override
-    public Further calls() {
+    public AdditionalEndpoints operatorEndpoints() {
         return this;
     }
 
     @Override
-    public void listed() {
-        heard.add("listed " + host.workers().stream().map(Host.Known::id).toList());
+    public void workerListChanged() {
+        heard.add("listed " + host.workers().stream().map(Host.WorkerStatus::id).toList());
     }
 
     @Override
-    public void said(String worker, boolean out) {
+    public void workerMaintenanceChanged(String worker, boolean out) {
         heard.add(worker + " " + out);
     }
 
@@ -116,24 +117,25 @@
     }
 
     @Override
-    public Set<String> methods(String path) {
+    public Set<String> allowedMethods(String path) {
         return path.startsWith("/calendar") ? Set.of("PUT") : Set.of();
     }
 
     @Override
-    public int mostBody(String path) {
-        return path.equals("/calendar") ? mostBody() : 64 << 10;
+    public int maxBodyBytes(String path) {
+        return path.equals("/calendar") ? maxBodyBytes() : 64 << 10;
     }
 
     @Override
-    public int mostBody() {
+    public int maxBodyBytes() {
         return 100_000;
     }
 
     @Override
-    public void call(String method, String path, byte[] body, Reply reply) {
+    public void handle(String method, String path, byte[] body, Reply reply) {
         // Answered in a later turn, as an answer from elsewhere would be.
-        host.loop().execute(() -> reply.answer(503, 1_200_000, "{\"length\":" + body.length + "}"));
+        host.loopExecutor()
+                .execute(() -> reply.answer(503, 1_200_000, "{\"length\":" + body.length + "}"));
     }
 
     @Test
@@ -153,17 +155,17 @@
                 200, operatorCall(daemon, "PUT /maintenance/enter", "{\"id\":\"w1\"}").status());
         hears("w1 true");
         script.expectEvent("list DELTA [w1 DRAINING]");
-        host.loop().execute(() -> host.share(1.5));
+        host.loopExecutor().execute(() -> host.setRateFactor(1.5));
         script.expectEvent("share 1.5");
-        host.loop()
+        host.loopExecutor()
                 .execute(
                         () ->
                                 heard.add(
-                                        host.putBack("w1")
+                                        host.exitMaintenance("w1")
                                                 + " "
-                                                + host.ready()
+                                                + host.isReady()
                                                 + " "
-                                                + host.alone()));
+                                                + host.isOnlyProcess()));
         hears("true true true");
         script.expectEvent("list DELTA [w1 READY]");
         awaitStopped(stopInBackground(daemon));
@@ -180,7 +182,7 @@
         assertThrows("they turn to others at once", ConnectException.class, this::connect);
         assertEquals(
                 "it takes no consumers yet", 503, operatorCall(daemon, "GET /status", "").status());
-        host.loop().execute(() -> host.takeOut("w1"));
+        host.loopExecutor().execute(() -> host.enterMaintenance("w1"));
         script.expectEvent("list DELTA [w1 DRAINING]");
         assertThrows(ConnectException.class, this::connect);
         knows = true;
--- a/daemon/src/test/java/postgrade/daemon/DaemonTestBase.java
+++ b/daemon/src/test/java/postgrade/daemon/DaemonTestBase.java
@@ -18,9 +18,9 @@
 import org.junit.Before;
 import org.junit.Rule;
 import org.junit.rules.TemporaryFolder;
-import postgrade.companion.Companion;
 import postgrade.daemon.ScriptedPeer.ReceivedMessage;
 import postgrade.discovery.WatchTimeouts;
+import postgrade.extension.DispatcherExtension;
 
 /**
  * The stage of the stories: a daemon on loopback between scripted consumers, providers and
@@ -56,7 +56,7 @@
     String listen = "127.0.0.1:0";
 
     /** What stands beside the daemon, if anything is to. */
-    Companion.Plan companionPlan;
+    DispatcherExtension.Configuration companionPlan;
 
     /** The folder that the processes of one dispatcher share, if there is to be one. */
     Path shared;
--- a/daemon/src/test/java/postgrade/daemon/ExtensionHeadersTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ExtensionHeadersTest.java
@@ -10,14 +10,15 @@
 import java.util.function.UnaryOperator;
 import org.junit.Before;
 import org.junit.Test;
-import postgrade.companion.Companion;
 import postgrade.daemon.ScriptedPeer.ReceivedMessage;
 import postgrade.dispatch.ExtensionHeaders;
-import postgrade.operator.Further;
+import postgrade.extension.DispatcherExtension;
+import postgrade.operator.AdditionalEndpoints;
 import postgrade.policy.api.JobConstraints;
 
 /** What jobs claim in headers that somebody beside the dispatcher reads. */
-public class ExtensionHeadersTest extends DaemonTestBase implements Companion, ExtensionHeaders {
+public class ExtensionHeadersTest extends DaemonTestBase
+        implements DispatcherExtension, ExtensionHeaders {
 
     @Before
     public void besideTheDaemon() {
@@ -25,20 +26,20 @@
     }
 
     @Override
-    public JobConstraints ability() {
+    public JobConstraints jobConstraints() {
         return JobConstraints.NONE;
     }
 
     @Override
-    public Further calls() {
-        return Further.NONE;
+    public AdditionalEndpoints operatorEndpoints() {
+        return AdditionalEndpoints.NONE;
     }
 
     @Override
     public void close() {}
 
     @Override
-    public ExtensionHeaders claims() {
+    public ExtensionHeaders extensionHeaders() {
         return this;
     }
 
--- a/daemon/src/test/java/postgrade/daemon/FloodTest.java
+++ b/daemon/src/test/java/postgrade/daemon/FloodTest.java
@@ -25,12 +25,12 @@
                     + BODY
                     + "\r\nX-Request-Id: ";
 
-    private Turns turns;
+    private LoopHarness turns;
 
     @Before
     public void turn() throws Exception {
-        turns = new Turns(Config.read(configuration()), 1024);
-        turns.provider("w1", workerOne);
+        turns = new LoopHarness(Config.read(configuration()), 1024);
+        turns.addWorker("w1", workerOne);
         turns.script.onJob =
                 job -> {
                     if (job.id().startsWith("usual")) {
@@ -71,7 +71,7 @@
         assertEquals(429, answer.status());
         assertEquals("ended, not reset", -1, over.getInputStream().read());
         usualIsServed("usual0");
-        turns.crossing(
+        turns.interleave(
                 0,
                 () -> {
                     for (int i = 0; i < flood.size(); i++) {
--- a/daemon/src/test/java/postgrade/daemon/HandOverTest.java
+++ b/daemon/src/test/java/postgrade/daemon/HandOverTest.java
@@ -22,9 +22,9 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.Before;
 import org.junit.Test;
-import postgrade.companion.Companion;
 import postgrade.daemon.ScriptedPeer.ReceivedMessage;
-import postgrade.operator.Further;
+import postgrade.extension.DispatcherExtension;
+import postgrade.operator.AdditionalEndpoints;
 import postgrade.policy.api.JobConstraints;
 import postgrade.policy.api.PolicyStateEntry;
 
@@ -127,23 +127,28 @@
     @Test
     public void whatTheCompanionTellsReachesThatOfTheNewProcessAtItsStart() throws Exception {
         List<String> told = new ArrayList<>();
-        Companion.Plan beside =
+        DispatcherExtension.Configuration beside =
                 host -> {
-                    told.add(host.told() + " " + host.tookOver() + " " + host.alone());
-                    return new Companion() {
+                    told.add(
+                            host.predecessorState()
+                                    + " "
+                                    + host.startedByHandOver()
+                                    + " "
+                                    + host.isOnlyProcess());
+                    return new DispatcherExtension() {
                         @Override
-                        public JobConstraints ability() {
+                        public JobConstraints jobConstraints() {
                             return JobConstraints.NONE;
                         }
 
                         @Override
-                        public String tells() {
+                        public String handOverState() {
                             return "{\"word\":\"as \u010dvor\"}";
                         }
 
                         @Override
-                        public Further calls() {
-                            return Further.NONE;
+                        public AdditionalEndpoints operatorEndpoints() {
+                            return AdditionalEndpoints.NONE;
                         }
 
                         @Override
--- a/daemon/src/test/java/postgrade/daemon/LayeringTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LayeringTest.java
@@ -28,18 +28,18 @@
     @Test
     public void noFrontKnowsABack() {
         apart(
-                "postgrade.consumer..",
+                "postgrade.client..",
                 "postgrade.worker..",
                 "postgrade.discovery..",
                 "postgrade.daemon..");
         apart(
                 "postgrade.worker..",
-                "postgrade.consumer..",
+                "postgrade.client..",
                 "postgrade.discovery..",
                 "postgrade.daemon..");
         apart(
                 "postgrade.discovery..",
-                "postgrade.consumer..",
+                "postgrade.client..",
                 "postgrade.worker..",
                 "postgrade.daemon..",
                 "postgrade.dispatch.RequestTracker");
@@ -52,7 +52,7 @@
                 "postgrade.policy..",
                 "postgrade.endpoints..",
                 "postgrade.dispatch..",
-                "postgrade.consumer..",
+                "postgrade.client..",
                 "postgrade.worker..",
                 "postgrade.discovery..",
                 "postgrade.daemon..");
@@ -68,9 +68,9 @@
                 "io.microraft..",
                 "io.grpc..");
         apart(
-                "postgrade.companion..",
+                "postgrade.extension..",
                 "postgrade.daemon..",
-                "postgrade.consumer..",
+                "postgrade.client..",
                 "postgrade.worker..",
                 "postgrade.discovery..");
     }
--- a/daemon/src/test/java/postgrade/daemon/LeavingTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LeavingTest.java
@@ -35,13 +35,13 @@
                         s.close();
                     });
 
-    private Turns turns;
+    private LoopHarness turns;
 
     @Before
     public void turn() throws Exception {
-        turns = new Turns(Config.read(configuration()), 512);
-        turns.provider("w1", workerOne);
-        turns.provider("w2", workerTwo);
+        turns = new LoopHarness(Config.read(configuration()), 512);
+        turns.addWorker("w1", workerOne);
+        turns.addWorker("w2", workerTwo);
     }
 
     @After
@@ -75,7 +75,7 @@
                         leave(way, client[0]);
                         turns.script.actions.startAttempt(job.id(), "w1", 0);
                     };
-            Turns.post(client[0], "a1");
+            LoopHarness.post(client[0], "a1");
             turns.script.expectEvent("job a1");
             turns.script.expectEvent("abandoned a1");
             turns.script.expectEvent("finished a1 0 NOT_SENT true");
@@ -95,7 +95,7 @@
                             turns.script.actions.startAttempt(id, "w2", 0);
                         }
                     };
-            Turns.post(client, "r1");
+            LoopHarness.post(client, "r1");
             ScriptedPeer.ReceivedMessage attempt = workerOne.awaitMessage(ATTEMPT);
             attempt.reply("503 Full\r\nX-Not-Run: 1", "");
             if (way != WAYS.get(0)) {
@@ -120,7 +120,7 @@
                     .append("\r\nX-Class: price\r\nContent-Length: 1000\r\n\r\n")
                     .append("x".repeat(1000));
         }
-        turns.crossing(
+        turns.interleave(
                 0,
                 () -> {
                     Socket client = turns.connect();
@@ -146,7 +146,7 @@
                     leave(Socket::close, client);
                     turns.script.actions.startTimer("next turn", 0);
                 };
-        turns.crossing(
+        turns.interleave(
                 SWEEPS_MILLIS,
                 () -> {}, // The next sweep is far.
                 () ->
@@ -166,13 +166,13 @@
             for (int i = 0; i < 2; i++) {
                 sockets.add(new Socket(deaf.getInetAddress(), deaf.getLocalPort()));
             }
-            turns.provider("w3", deaf.getInetAddress().getHostAddress(), deaf.getLocalPort());
+            turns.addWorker("w3", deaf.getInetAddress().getHostAddress(), deaf.getLocalPort());
             turns.script.onJob = job -> turns.script.actions.startAttempt(job.id(), "w3", 0);
             Socket client = turns.post("d1");
             turns.script.expectEvent("job d1");
-            turns.turn();
+            turns.awaitIteration();
             Socket[] up = new Socket[1];
-            turns.crossing(
+            turns.interleave(
                     0,
                     () -> {
                         for (int i = 0; i < 3; i++) {
@@ -194,7 +194,7 @@
         turns.post("warm");
         turns.script.expectEvent("job warm");
         workerOne.awaitMessage(ATTEMPT).accept();
-        turns.turn(); // The first attempt of all has a connection at once.
+        turns.awaitIteration(); // The first attempt of all has a connection at once.
         turns.script.onJob = job -> {};
         int many = 100;
         Socket[] clients = new Socket[many];
@@ -203,20 +203,20 @@
             turns.script.expectEvent("job b" + i);
         }
         Socket go = turns.connect();
-        turns.turn();
+        turns.awaitIteration();
         turns.script.onJob =
                 job -> {
                     for (int i = 0; i < many; i++) {
                         turns.script.actions.startAttempt("b" + i, "w1", 0);
                     }
                 };
-        turns.crossing(
+        turns.interleave(
                 0,
                 () -> {
                     for (Socket c : clients) {
                         c.close();
                     }
-                    Turns.post(go, "go");
+                    LoopHarness.post(go, "go");
                 },
                 () -> {});
         nothingWasSent();
--- a/daemon/src/test/java/postgrade/daemon/Turns.java
+++ b/daemon/src/test/java/postgrade/daemon/LoopHarness.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import postgrade.consumer.Listener;
-import postgrade.consumer.Relay;
+import postgrade.client.CallBackRelay;
+import postgrade.client.ClientListener;
 import postgrade.dispatch.RequestTracker;
 import postgrade.http.SocketBudget;
 import postgrade.http.SystemCalls;
@@ -29,20 +29,20 @@
  * and after the turn's select, peers may do what the loop has not seen when it comes to what is
  * due.
  */
-final class Turns implements AutoCloseable {
+final class LoopHarness implements AutoCloseable {
 
     /** What a peer does. */
-    interface Io {
+    interface IoAction {
         void run() throws IOException;
     }
 
     final Lifecycle lifecycle = new Lifecycle();
     final EventLoop loop;
     final ScriptedPolicy script;
-    final RequestTracker gateway;
-    final WorkerConnectionPools providers;
-    final Listener listener;
-    final ShutdownSequence ending;
+    final RequestTracker tracker;
+    final WorkerConnectionPools workerPools;
+    final ClientListener listener;
+    final ShutdownSequence shutdown;
     private final List<Socket> sockets = new ArrayList<>();
     private final Thread thread;
 
@@ -52,14 +52,14 @@
     /**
      * @param places for sockets
      */
-    Turns(Config config, int places) throws IOException {
+    LoopHarness(Config config, int places) throws IOException {
         this(config, places, SystemCalls.REAL);
     }
 
-    Turns(Config config, int places, SystemCalls systemCalls) throws IOException {
+    LoopHarness(Config config, int places, SystemCalls systemCalls) throws IOException {
         loop = new EventLoop(new SocketBudget(places), config.clock, systemCalls);
         ScriptedPolicy[] made = new ScriptedPolicy[1];
-        gateway =
+        tracker =
                 new RequestTracker(
                         out -> made[0] = new ScriptedPolicy(out),
                         false,
@@ -67,41 +67,41 @@
                         loop,
                         (event, message, thrown) -> {});
         script = made[0];
-        providers =
+        workerPools =
                 new WorkerConnectionPools(
-                        gateway, loop, loop, config.connectTimeoutMicros, config.idleTimeoutMicros);
-        gateway.connectTransport(providers);
+                        tracker, loop, loop, config.connectTimeoutMicros, config.idleTimeoutMicros);
+        tracker.connectTransport(workerPools);
         UpgradeCoordinator alone = new UpgradeCoordinator(null, config.name, loop, loop, null);
         listener =
-                new Listener(
+                new ClientListener(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         false,
                         config.deadlineMicros,
                         Set.of(),
                         () -> true,
                         lifecycle,
-                        new Alone(),
-                        gateway,
+                        new NoPeers(),
+                        tracker,
                         loop,
                         loop);
-        ending =
+        shutdown =
                 new ShutdownSequence(
-                        loop, lifecycle, gateway, providers, listener, alone, null, () -> config);
-        lifecycle.started();
+                        loop, lifecycle, tracker, workerPools, listener, alone, null, () -> config);
+        lifecycle.markStarted();
         thread = new Thread(this::run, "loop");
         thread.setDaemon(true);
         thread.start();
     }
 
     /** No other process of this dispatcher runs. */
-    static final class Alone implements Relay {
+    static final class NoPeers implements CallBackRelay {
         @Override
-        public boolean any() {
+        public boolean hasPeers() {
             return false;
         }
 
         @Override
-        public void callBack(byte[] body, Consumer<Boolean> done) {
+        public void relay(byte[] body, Consumer<Boolean> done) {
             throw new AssertionError("nobody is there");
         }
     }
@@ -112,7 +112,7 @@
                     new EventLoop.IterationHandler() {
                         @Override
                         public void runBatch() {
-                            gateway.runBatch();
+                            tracker.runBatch();
                             if (noted != null) {
                                 noted.countDown();
                                 noted = null;
@@ -121,7 +121,7 @@
 
                         @Override
                         public boolean hasPendingWork() {
-                            return gateway.hasPendingEvents();
+                            return tracker.hasPendingEvents();
                         }
                     });
         } catch (IOException e) {
@@ -130,23 +130,23 @@
     }
 
     /** A provider, ready from the start. */
-    void provider(String id, String host, int port) throws InterruptedException {
-        on(
+    void addWorker(String id, String host, int port) throws InterruptedException {
+        runOnLoop(
                 () ->
-                        providers.updateWorkers(
+                        workerPools.updateWorkers(
                                 false,
                                 List.of(
                                         new WorkerEndpoint(
                                                 id, new InetSocketAddress(host, port), true))));
     }
 
-    void provider(String id, ScriptedPeer peer) throws InterruptedException {
+    void addWorker(String id, ScriptedPeer peer) throws InterruptedException {
         String[] address = peer.address().split(":");
-        provider(id, address[0], Integer.parseInt(address[1]));
+        addWorker(id, address[0], Integer.parseInt(address[1]));
     }
 
     /** Runs something on the loop and waits for it. */
-    void on(Runnable task) throws InterruptedException {
+    void runOnLoop(Runnable task) throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
         loop.execute(
                 () -> {
@@ -161,7 +161,8 @@
      * peers do meanwhile is ready in that turn. What they do after its select is not. Returns when
      * that turn is over.
      */
-    void crossing(long holdMillis, Io whileHeld, Io afterSelect) throws InterruptedException {
+    void interleave(long holdMillis, IoAction whileHeld, IoAction afterSelect)
+            throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
         Throwable[] failed = new Throwable[1];
         loop.execute(
@@ -182,7 +183,7 @@
         }
     }
 
-    private static void held(long millis, Io what, Throwable[] failed) {
+    private static void held(long millis, IoAction what, Throwable[] failed) {
         try {
             what.run();
             TimeUnit.MILLISECONDS.sleep(millis);
@@ -196,7 +197,7 @@
     }
 
     /** Waits for the end of a turn that has begun since this call. */
-    void turn() throws InterruptedException {
+    void awaitIteration() throws InterruptedException {
         for (int i = 0; i < 2; i++) { // The first may be under way.
             CountDownLatch done = new CountDownLatch(1);
             loop.execute(() -> noted = done);
@@ -204,7 +205,7 @@
         }
     }
 
-    void ends() throws InterruptedException {
+    void awaitEnd() throws InterruptedException {
         thread.join(TimeUnit.SECONDS.toMillis(ScriptedPeer.TIMEOUT_S));
         assertFalse("ended", thread.isAlive());
     }
--- a/daemon/src/test/java/postgrade/daemon/ShutdownCrossingTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ShutdownCrossingTest.java
@@ -15,7 +15,7 @@
     public void aRequestOnARestingConnectionInTheMomentItIsClosedIsServed() throws Exception {
         Socket kept = resting("k1");
         Socket other = resting("k2");
-        stop(() -> {}, () -> Turns.post(kept, "k3"));
+        stop(() -> {}, () -> LoopHarness.post(kept, "k3"));
         turns.script.expectEvent("job k3");
         rejectedAndEnded(kept);
         assertEquals("ended, not reset", -1, other.getInputStream().read());
@@ -38,7 +38,7 @@
                 () ->
                         turns.loop.at(
                                 turns.loop.nowMicros(),
-                                () -> Turns.post(late[0], "m1"))); // Behind all that is due.
+                                () -> LoopHarness.post(late[0], "m1"))); // Behind all that is due.
         rejectedAndEnded(late[0]);
     }
 
@@ -56,7 +56,7 @@
         assertTrue(
                 "it may not have read all", later.await(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
         kept.close();
-        turns.ends();
+        turns.awaitEnd();
     }
 
     @Test
@@ -65,11 +65,11 @@
         stop(() -> {}, () -> {});
         CountDownLatch later = new CountDownLatch(1);
         // It is waited for until 0.6 s and one more have passed; SIGKILL may come at 1.5 s.
-        turns.crossing(
+        turns.interleave(
                 KILL_MILLIS - UNTIL_LEAVING_MILLIS,
                 () -> {},
                 () -> turns.loop.at(turns.loop.nowMicros() + 1, later::countDown));
-        turns.ends();
+        turns.awaitEnd();
         assertEquals("ended in that turn", 1, later.getCount());
         assertEquals(-1, kept.getInputStream().read());
     }
@@ -79,9 +79,9 @@
         Socket kept = resting("s1");
         stop(() -> {}, () -> {});
         assertEquals(-1, kept.getInputStream().read());
-        Turns.post(kept, "s2");
+        LoopHarness.post(kept, "s2");
         kept.close();
-        turns.ends();
+        turns.awaitEnd();
         assertTrue("read and dropped", turns.script.events.isEmpty());
     }
 
@@ -97,7 +97,7 @@
         turns.script.expectEvent("job p2");
         rejectedAndEnded(kept);
         kept.close();
-        turns.ends();
+        turns.awaitEnd();
         assertTrue("dropped", turns.script.events.isEmpty());
     }
 
@@ -113,15 +113,15 @@
         rejectedAndEnded(half);
         ScriptedPeer.write(half, "job");
         half.close();
-        turns.ends();
+        turns.awaitEnd();
         assertTrue("passed over", turns.script.events.isEmpty());
     }
 
     @Test
     public void whoSaysNothingIsEndedWithoutLosingWhatComesInThatMoment() throws Exception {
         Socket silent = turns.connect();
-        turns.turn();
-        turns.crossing(2_100, () -> {}, () -> Turns.post(silent, "w1")); // It is given 2 s.
+        turns.awaitIteration();
+        turns.interleave(2_100, () -> {}, () -> LoopHarness.post(silent, "w1")); // It is given 2 s.
         turns.script.expectEvent("job w1");
         assertEquals(429, ScriptedPeer.read(silent).status());
     }
@@ -131,14 +131,16 @@
         Socket[] idle = new Socket[48]; // All that may be accepted of 64.
         for (int i = 0; i < idle.length; i++) {
             idle[i] = resting("i" + i);
-            Turns.post(idle[i], "j" + i); // Past its probation.
+            LoopHarness.post(idle[i], "j" + i); // Past its probation.
             turns.script.expectEvent("job j" + i);
             assertEquals(429, ScriptedPeer.read(idle[i]).status());
         }
-        turns.crossing(SWEEPS_MILLIS, () -> {}, () -> {});
+        turns.interleave(SWEEPS_MILLIS, () -> {}, () -> {});
         Socket[] fresh = new Socket[1];
-        turns.crossing(
-                SWEEPS_MILLIS, () -> fresh[0] = turns.post("f1"), () -> Turns.post(idle[0], "f2"));
+        turns.interleave(
+                SWEEPS_MILLIS,
+                () -> fresh[0] = turns.post("f1"),
+                () -> LoopHarness.post(idle[0], "f2"));
         assertEquals("the one that was idle longest", 429, ScriptedPeer.read(idle[0]).status());
         assertEquals(429, ScriptedPeer.read(fresh[0]).status());
         assertEquals("another has gone", -1, idle[1].getInputStream().read());
--- a/daemon/src/test/java/postgrade/daemon/ShutdownStage.java
+++ b/daemon/src/test/java/postgrade/daemon/ShutdownStage.java
@@ -29,13 +29,13 @@
     /** Longer than two sweeps and checks. */
     static final long SWEEPS_MILLIS = 120;
 
-    Turns turns;
+    LoopHarness turns;
 
     @Before
     public void turn() throws Exception {
         Path file = Path.of(configuration().get("ROUTER_CONFIG"));
         Files.writeString(file, Files.readString(file).replace("20000000000", "" + DEADLINE_NS));
-        turns = new Turns(Config.read(Map.of("ROUTER_CONFIG", file.toString())), 64);
+        turns = new LoopHarness(Config.read(Map.of("ROUTER_CONFIG", file.toString())), 64);
         turns.script.onJob = job -> turns.script.actions.reject(job.id(), 0);
     }
 
@@ -57,9 +57,9 @@
     }
 
     /** SIGTERM, with the loop held until connections are to be closed. */
-    void stop(Turns.Io whileHeld, Turns.Io afterSelect) throws Exception {
-        turns.on(turns.ending::begin);
-        turns.crossing(UNTIL_LEAVING_MILLIS, whileHeld, afterSelect);
+    void stop(LoopHarness.IoAction whileHeld, LoopHarness.IoAction afterSelect) throws Exception {
+        turns.runOnLoop(turns.shutdown::begin);
+        turns.interleave(UNTIL_LEAVING_MILLIS, whileHeld, afterSelect);
     }
 
     static void rejectedAndEnded(Socket s) throws IOException {
--- a/daemon/src/test/java/postgrade/daemon/ShutdownStagesTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ShutdownStagesTest.java
@@ -19,7 +19,7 @@
 public class ShutdownStagesTest extends ShutdownStage {
 
     private Socket sentOn(String id) throws Exception {
-        turns.provider("w1", workerOne);
+        turns.addWorker("w1", workerOne);
         turns.script.onJob = job -> turns.script.actions.startAttempt(job.id(), "w1", 0);
         Socket client = turns.post(id);
         turns.script.expectEvent("job " + id);
@@ -36,17 +36,17 @@
         assertEquals("close", answer.header("Connection"));
         assertEquals("one answer", -1, client.getInputStream().read());
         client.close();
-        turns.ends();
+        turns.awaitEnd();
     }
 
     @Test
     public void aJobThatIsQueuedWithoutAnAttemptIsSentAndAnswered() throws Exception {
-        turns.provider("w1", workerOne);
+        turns.addWorker("w1", workerOne);
         turns.script.onJob = job -> {};
         Socket client = turns.post("q1");
         turns.script.expectEvent("job q1");
         stop(() -> {}, () -> {});
-        turns.on(() -> turns.script.actions.startAttempt("q1", "w1", 0));
+        turns.runOnLoop(() -> turns.script.actions.startAttempt("q1", "w1", 0));
         workerOne.awaitMessage("POST").accept();
         answeredOnce(client, "q1");
     }
@@ -59,7 +59,7 @@
                 sockets.add(
                         new Socket(deaf.getInetAddress(), deaf.getLocalPort())); // A full backlog.
             }
-            turns.provider("w1", deaf.getInetAddress().getHostAddress(), deaf.getLocalPort());
+            turns.addWorker("w1", deaf.getInetAddress().getHostAddress(), deaf.getLocalPort());
             turns.script.onJob = job -> turns.script.actions.startAttempt(job.id(), "w1", 0);
             Socket client = turns.post("c1");
             turns.script.expectEvent("job c1");
@@ -98,7 +98,7 @@
     private void isBeingGivenUp(String id) throws Exception {
         Socket client = sentOn(id);
         workerOne.awaitMessage("POST").accept();
-        turns.on(
+        turns.runOnLoop(
                 () -> {
                     turns.script.actions.cancelAttempt(id, 0);
                     turns.script.actions.reject(id, 0);
@@ -125,11 +125,11 @@
         stop(() -> {}, () -> {});
         assertFalse("it is waited for until then", turns.hasEnded());
         CountDownLatch later = new CountDownLatch(1);
-        turns.crossing(
+        turns.interleave(
                 KILL_MILLIS - UNTIL_LEAVING_MILLIS,
                 () -> {},
                 () -> turns.loop.at(turns.loop.nowMicros() + 1, later::countDown));
-        turns.ends();
+        turns.awaitEnd();
         assertEquals("ended in that turn", 1, later.getCount());
     }
 
@@ -138,15 +138,15 @@
     public void aWorkerIsAskedToDropWhatIsConcludedLastOfAll() throws Exception {
         isBeingGivenUp("h1");
         stop(() -> {}, () -> {});
-        turns.crossing(150, () -> {}, () -> {}); // Later than what SIGKILL may find unanswered.
+        turns.interleave(150, () -> {}, () -> {}); // Later than what SIGKILL may find unanswered.
         Socket late = turns.post("h2");
         turns.script.expectEvent("job h2");
         arrivesBesides("h1", "POST").accept();
-        turns.crossing(KILL_MILLIS - UNTIL_LEAVING_MILLIS, () -> {}, () -> {});
+        turns.interleave(KILL_MILLIS - UNTIL_LEAVING_MILLIS, () -> {}, () -> {});
         assertEquals(502, ScriptedPeer.read(late).status());
         arrivesBesides("h1", "DELETE /jobs/h2 ");
         late.close();
-        turns.ends();
+        turns.awaitEnd();
     }
 
     /** Guards against one that SIGKILL finds unanswered where SIGTERM was heard of late. */
@@ -157,11 +157,11 @@
         Socket late = turns.post("i1"); // 0.6 s after it was heard, so 0.7 s after it was sent.
         turns.script.expectEvent("job i1");
         arrivesBesides("i0", "POST").accept();
-        turns.crossing(KILL_MILLIS - UNTIL_LEAVING_MILLIS - 200, () -> {}, () -> {});
+        turns.interleave(KILL_MILLIS - UNTIL_LEAVING_MILLIS - 200, () -> {}, () -> {});
         assertEquals(502, ScriptedPeer.read(late).status());
         late.close();
-        turns.crossing(200, () -> {}, () -> {});
-        turns.ends();
+        turns.interleave(200, () -> {}, () -> {});
+        turns.awaitEnd();
     }
 
     @Test
@@ -170,12 +170,12 @@
         ScriptedPeer.write(
                 half,
                 "POST /api HTTP/1.1\r\nX-Request-Id: f1\r\nX-Class: price\r\nContent-Length: 3\r\n\r\n");
-        turns.turn();
+        turns.awaitIteration();
         stop(() -> {}, () -> {});
         ScriptedPeer.write(half, "job");
         rejectedAndEnded(half);
         half.close();
-        turns.ends();
+        turns.awaitEnd();
     }
 
     /**
@@ -184,7 +184,7 @@
      */
     @Test
     public void whatAClientReadsLateIsWrittenToTheLastByte() throws Exception {
-        turns.provider("w1", workerOne);
+        turns.addWorker("w1", workerOne);
         turns.script.onJob = job -> turns.script.actions.startAttempt(job.id(), "w1", 0);
         String result = "x".repeat(60_000);
         Socket late = new Socket();
@@ -196,7 +196,7 @@
         boolean[] allSent = {true};
         int answers = 0;
         for (; allSent[0]; answers++) {
-            Turns.post(late, "l" + answers);
+            LoopHarness.post(late, "l" + answers);
             workerOne.awaitMessage("POST").accept();
             assertEquals(
                     204,
@@ -206,11 +206,11 @@
                                     + "\",\"from\":\"w1\",\"state\":\"done\",\"result\":\""
                                     + result
                                     + "\"}"));
-            turns.on(() -> allSent[0] = turns.listener.quiet());
+            turns.runOnLoop(() -> allSent[0] = turns.listener.isIdle());
         }
-        turns.on(turns.ending::begin);
-        turns.crossing(KILL_MILLIS, () -> {}, () -> {});
-        turns.crossing(
+        turns.runOnLoop(turns.shutdown::begin);
+        turns.interleave(KILL_MILLIS, () -> {}, () -> {});
+        turns.interleave(
                 SWEEPS_MILLIS,
                 () -> {},
                 () -> {}); // Its peers are waited for no longer, but for what they are owed.
@@ -221,6 +221,6 @@
         }
         assertEquals("ended, not reset", -1, late.getInputStream().read());
         late.close();
-        turns.ends();
+        turns.awaitEnd();
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/SystemCallsTest.java
+++ b/daemon/src/test/java/postgrade/daemon/SystemCallsTest.java
@@ -28,13 +28,13 @@
                     () -> new SocketException("Network is unreachable"));
 
     private final FaultInjectingCalls calls = new FaultInjectingCalls();
-    private Turns turns;
+    private LoopHarness turns;
 
     @Before
     public void startTurns() throws Exception {
-        turns = new Turns(Config.read(configuration()), 512, calls);
-        turns.provider("w1", workerOne);
-        turns.provider("w2", workerTwo);
+        turns = new LoopHarness(Config.read(configuration()), 512, calls);
+        turns.addWorker("w1", workerOne);
+        turns.addWorker("w2", workerTwo);
         turns.script.onJob = job -> turns.script.actions.startAttempt(job.id(), "w1", 0);
     }
 
@@ -135,7 +135,7 @@
         turns.script.expectEvent("job d1");
         calls.fail(Call.ACCEPT, 3, () -> new IOException("Too many open files"));
         Socket second = turns.post("d2");
-        turns.on(turns.ending::begin);
+        turns.runOnLoop(turns.shutdown::begin);
         isServed("d1", first, workerOne, "w1");
         isServed("d2", second, workerOne, "w1");
     }
@@ -151,14 +151,14 @@
     @Test
     public void aRequestThatLayUnreadInASocketTellsItsWorkerOfTheTimeThatIsLeft() throws Exception {
         Socket client = turns.connect();
-        turns.turn(); // It is accepted and watched.
-        turns.crossing(300, () -> Turns.post(client, "u1"), () -> {});
+        turns.awaitIteration(); // It is accepted and watched.
+        turns.interleave(300, () -> LoopHarness.post(client, "u1"), () -> {});
         assertTellsAtMost(14_700_000, workerOne.awaitMessage("POST"));
     }
 
     @Test
     public void neitherDoesOneThatWaitedInTheBacklogTellMore() throws Exception {
-        turns.crossing(300, () -> turns.post("u2"), () -> {});
+        turns.interleave(300, () -> turns.post("u2"), () -> {});
         assertTellsAtMost(14_700_000, workerOne.awaitMessage("POST"));
     }
 
--- a/daemon/src/test/java/postgrade/benchlink/MainTest.java
+++ b/daemon/src/test/java/postgrade/simadapter/MainTest.java
@@ -1,4 +1,4 @@
-package postgrade.benchlink;
+package postgrade.simadapter;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -23,7 +23,7 @@
     private final StringBuilder err = new StringBuilder();
 
     private int serve(String input) throws IOException {
-        return Main.serve(
+        return SimulatorAdapter.serve(
                 new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out, err);
     }
 
--- a/daemon/src/test/java/postgrade/benchlink/SettingsReaderTest.java
+++ b/daemon/src/test/java/postgrade/simadapter/SettingsReaderTest.java
@@ -1,4 +1,4 @@
-package postgrade.benchlink;
+package postgrade.simadapter;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
--- a/sharing/src/main/java/postgrade/sharing/Shared.java
+++ b/sharing/src/main/java/postgrade/sharing/Shared.java
@@ -9,12 +9,12 @@
 import org.slf4j.LoggerFactory;
 import postgrade.comeback.Memory;
 import postgrade.comeback.Recovery;
-import postgrade.companion.Companion;
-import postgrade.companion.Host;
 import postgrade.dispatch.AnsweredRequest;
 import postgrade.dispatch.EndedAttempt;
 import postgrade.dispatch.ExtensionHeaders;
 import postgrade.dispatch.RequestObserver;
+import postgrade.extension.DispatcherExtension;
+import postgrade.extension.Host;
 import postgrade.lease.Fleet;
 import postgrade.lease.LeasePart;
 import postgrade.lease.Times;
@@ -23,7 +23,7 @@
 import postgrade.member.MemberPart;
 import postgrade.member.OutPart;
 import postgrade.member.Terms;
-import postgrade.operator.Further;
+import postgrade.operator.AdditionalEndpoints;
 import postgrade.policy.api.AttemptOutcome;
 import postgrade.policy.api.JobConstraints;
 import postgrade.policy.api.PolicySettings;
@@ -51,7 +51,7 @@
 import postgrade.window.CalendarPart;
 
 /** Puts the parts of sharing together, beside one dispatcher. */
-final class Shared implements Companion {
+final class Shared implements DispatcherExtension {
 
     private static final Logger LOG = LoggerFactory.getLogger(Shared.class);
     private static final long TICK_MICROS = 50_000;
@@ -96,7 +96,7 @@
                                 new OutPart(),
                                 new LeasePart(Times.USUAL),
                                 new CalendarPart()));
-        Former former = Former.of(host.told());
+        Former former = Former.of(host.predecessorState());
         sharing =
                 new Late(host, former == null ? host.name() : former.name(), parts, opener, aside);
         session =
@@ -130,7 +130,7 @@
         if (former != null) {
             outs.takeUp(former);
         }
-        calls = new Calls(sharing, host.micros());
+        calls = new Calls(sharing, host.monotonicMicros());
         ReservationCalls.addTo(calls, sharing);
         SharingCall.addTo(
                 calls, sharing, session, progress, () -> keeper == null ? null : keeper.fault());
@@ -197,7 +197,7 @@
     }
 
     @Override
-    public boolean knows() {
+    public boolean isInitialized() {
         return knows;
     }
 
@@ -206,7 +206,7 @@
      * out long ago.
      */
     @Override
-    public long patienceMicros() {
+    public long initTimeoutMicros() {
         return remembers ? REMEMBERING_MICROS : PATIENCE_MICROS;
     }
 
@@ -225,13 +225,13 @@
      * whole.
      */
     private void keep() {
-        if (host.alone() || sharing.isOpen()) {
+        if (host.isOnlyProcess() || sharing.isOpen()) {
             keeper.tick();
         }
     }
 
     @Override
-    public String tells() {
+    public String handOverState() {
         return new Former(
                         sharing.standing().name(),
                         session.incarnation(),
@@ -270,12 +270,12 @@
      * is taken in by it.
      */
     @Override
-    public void turn() {
+    public void iterationStarted() {
         session.look();
     }
 
     @Override
-    public JobConstraints ability() {
+    public JobConstraints jobConstraints() {
         return ability;
     }
 
@@ -285,12 +285,12 @@
     }
 
     @Override
-    public ExtensionHeaders claims() {
+    public ExtensionHeaders extensionHeaders() {
         return opening.claims();
     }
 
     @Override
-    public RequestObserver witness() {
+    public RequestObserver requestObserver() {
         return new RequestObserver() {
             @Override
             public void requestAnswered(AnsweredRequest answered) {
@@ -309,12 +309,12 @@
     }
 
     @Override
-    public Further calls() {
+    public AdditionalEndpoints operatorEndpoints() {
         return calls;
     }
 
     @Override
-    public void listed() {
+    public void workerListChanged() {
         if (keeper != null) {
             keeper.listed();
         }
@@ -326,7 +326,7 @@
         long warmMillis = s.slowStartNs / 1_000_000;
         double able = 0;
         double all = 0;
-        for (Host.Known w : host.workers()) {
+        for (Host.WorkerStatus w : host.workers()) {
             double size = w.weight() > 0 ? w.weight() : 1;
             long upMillis = host.unixMillis().getAsLong() - w.startedMillis();
             all += size;
@@ -339,7 +339,7 @@
     }
 
     @Override
-    public void said(String worker, boolean out) {
+    public void workerMaintenanceChanged(String worker, boolean out) {
         outs.said(worker, out);
     }
 
--- a/sharing/src/main/java/postgrade/sharing/SharingFinder.java
+++ b/sharing/src/main/java/postgrade/sharing/SharingFinder.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.function.LongSupplier;
-import postgrade.companion.Companion;
+import postgrade.extension.DispatcherExtension;
 import postgrade.quorum.Quorum;
 import postgrade.quorum.settings.QuorumSettings;
 import postgrade.script.ScriptError;
@@ -17,10 +17,10 @@
 import postgrade.sharing.settings.SharingPlan;
 
 /** Puts shared state beside a dispatcher that is told of a file for it. */
-public final class SharingFinder implements Companion.Finder {
+public final class SharingFinder implements DispatcherExtension.Factory {
 
     @Override
-    public Companion.Plan read(Path file, String dispatcher) {
+    public DispatcherExtension.Configuration read(Path file, String dispatcher) {
         SharingPlan.Both both;
         try {
             both = SharingPlan.read(file, dispatcher);
--- a/sharing/src/main/java/postgrade/sharing/calls/Answers.java
+++ b/sharing/src/main/java/postgrade/sharing/calls/Answers.java
@@ -3,7 +3,7 @@
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
-import postgrade.operator.Further.Reply;
+import postgrade.operator.AdditionalEndpoints.Reply;
 import postgrade.shared.Command;
 import postgrade.shared.Sharing;
 import postgrade.shared.View;
--- a/sharing/src/main/java/postgrade/sharing/calls/CalendarCalls.java
+++ b/sharing/src/main/java/postgrade/sharing/calls/CalendarCalls.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 import java.util.concurrent.Executor;
 import postgrade.calendar.CalendarCheck;
-import postgrade.companion.Host;
-import postgrade.operator.Further.Reply;
+import postgrade.extension.Host;
+import postgrade.operator.AdditionalEndpoints.Reply;
 import postgrade.shared.Command;
 import postgrade.shared.Row;
 import postgrade.shared.Sharing;
@@ -79,7 +79,7 @@
         aside.execute(
                 () -> {
                     String fault = fault(site, zone, text);
-                    host.loop()
+                    host.loopExecutor()
                             .execute(
                                     () -> {
                                         checking = false;
--- a/sharing/src/main/java/postgrade/sharing/calls/Calls.java
+++ b/sharing/src/main/java/postgrade/sharing/calls/Calls.java
@@ -5,12 +5,12 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.LongSupplier;
-import postgrade.operator.Further;
+import postgrade.operator.AdditionalEndpoints;
 import postgrade.shared.Row;
 import postgrade.shared.Sharing;
 
 /** Operators' calls of sharing, by path. */
-public final class Calls implements Further {
+public final class Calls implements AdditionalEndpoints {
 
     private static final int MOST_BODY = 64 << 10;
 
@@ -42,12 +42,12 @@
     }
 
     @Override
-    public Set<String> methods(String path) {
+    public Set<String> allowedMethods(String path) {
         return new TreeSet<>(paths.getOrDefault(path, Map.of()).keySet());
     }
 
     @Override
-    public int mostBody(String path) {
+    public int maxBodyBytes(String path) {
         return paths.getOrDefault(path, Map.of()).values().stream()
                 .mapToInt(Way::mostBody)
                 .max()
@@ -55,12 +55,12 @@
     }
 
     @Override
-    public int mostBody() {
-        return paths.keySet().stream().mapToInt(this::mostBody).max().orElse(MOST_BODY);
+    public int maxBodyBytes() {
+        return paths.keySet().stream().mapToInt(this::maxBodyBytes).max().orElse(MOST_BODY);
     }
 
     @Override
-    public void call(String method, String path, byte[] body, Reply reply) {
+    public void handle(String method, String path, byte[] body, Reply reply) {
         try {
             paths.get(path).get(method).take.take(body, reply);
         } catch (Body.Bad | Row.Refused e) {
--- a/sharing/src/main/java/postgrade/sharing/lease/Reserving.java
+++ b/sharing/src/main/java/postgrade/sharing/lease/Reserving.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import postgrade.companion.Host;
+import postgrade.extension.Host;
 import postgrade.lease.Fleet;
 import postgrade.lease.LeaseAbility;
 import postgrade.lease.Times;
@@ -85,7 +85,7 @@
         dueMicros = now + EVERY_MICROS;
         List<WorkerInfo> workers = new ArrayList<>();
         Set<String> out = new HashSet<>();
-        for (Host.Known w : host.workers()) {
+        for (Host.WorkerStatus w : host.workers()) {
             workers.add(
                     new WorkerInfo(
                             w.id(),
@@ -95,7 +95,7 @@
                             w.ready() ? WorkerPhase.READY : WorkerPhase.DRAINING,
                             w.weight(),
                             w.startedMillis() * 1_000_000));
-            if (w.out()) {
+            if (w.inMaintenance()) {
                 out.add(w.id());
             }
         }
--- a/sharing/src/main/java/postgrade/sharing/memory/Keeper.java
+++ b/sharing/src/main/java/postgrade/sharing/memory/Keeper.java
@@ -15,7 +15,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import postgrade.comeback.Memory;
-import postgrade.companion.Host;
+import postgrade.extension.Host;
 import postgrade.log.Events;
 import postgrade.policy.api.PolicyStateEntry;
 
@@ -82,7 +82,7 @@
      */
     public Memory recall() {
         Memory memory = file.read(unixMicros());
-        if (memory == null || host.tookOver()) {
+        if (memory == null || host.startedByHandOver()) {
             return null;
         }
         boolean ended = memory.figures().stream().anyMatch(f -> f.learnt().category().equals(UP));
@@ -95,7 +95,7 @@
             // That the sends are all there counts no sooner than the sends.
             (ofWorker(f.learnt()) || f.learnt().category().equals(UP) ? workers : others).add(f);
         }
-        host.learn(with(memory, others).trusted(unixMicros(), Map.of()));
+        host.importPolicyState(with(memory, others).trusted(unixMicros(), Map.of()));
         ofWorkers = workers.isEmpty() ? null : with(memory, workers);
         Events.info(LOG, "memory.read")
                 .addKeyValue("figures", memory.figures().size())
@@ -149,7 +149,7 @@
      */
     public void listed() {
         if (ofWorkers != null && !host.workers().isEmpty()) {
-            host.learn(ofWorkers.trusted(unixMicros(), started()));
+            host.importPolicyState(ofWorkers.trusted(unixMicros(), started()));
             ofWorkers = null;
         }
     }
@@ -180,7 +180,11 @@
     private Memory now() {
         Memory m =
                 Memory.of(
-                        host.name(), unixMicros(), served.getAsDouble(), host.learnt(), started());
+                        host.name(),
+                        unixMicros(),
+                        served.getAsDouble(),
+                        host.exportPolicyState(),
+                        started());
         List<Memory.Figure> all = new ArrayList<>();
         // First, so that no bound cuts them off.
         out.get()
--- a/sharing/src/main/java/postgrade/sharing/pace/Connecting.java
+++ b/sharing/src/main/java/postgrade/sharing/pace/Connecting.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Set;
 import postgrade.comeback.Openings;
-import postgrade.companion.Host;
+import postgrade.extension.Host;
 import postgrade.policy.api.Job;
 import postgrade.policy.api.JobConstraints;
 import postgrade.policy.api.WorkerInfo;
@@ -52,14 +52,14 @@
                         places,
                         Math.floorMod(host.name().hashCode(), places),
                         multiple,
-                        host.keptMicros());
+                        host.maxIdleMicros());
     }
 
     /**
      * @param alive members by the view, 0 where it does not tell
      */
     public void look(int alive) {
-        openings.look(host.timers().nowMicros(), alive, host.keptMicros());
+        openings.look(host.timers().nowMicros(), alive, host.maxIdleMicros());
     }
 
     /** One is to be opened, and must be if nothing else can carry the request. */
@@ -70,7 +70,7 @@
     @Override
     public double usableShare(long nowNs, Job job, WorkerInfo worker) {
         return bound.contains(job.jobClass())
-                        || host.connected(worker.id())
+                        || host.isConnected(worker.id())
                         || openings.open(host.timers().nowMicros(), worker.id())
                         || !othersCan(nowNs, job)
                 ? 1
@@ -83,7 +83,7 @@
             asked = job;
             askedNs = nowNs;
             Long since = waiting.putIfAbsent(job.id(), nowNs);
-            othersCan = (since == null || since == nowNs) && host.anyConnected(FEW);
+            othersCan = (since == null || since == nowNs) && host.anyConnectedWithCallsBelow(FEW);
         }
         return othersCan;
     }
--- a/sharing/src/main/java/postgrade/sharing/progress/Progress.java
+++ b/sharing/src/main/java/postgrade/sharing/progress/Progress.java
@@ -13,10 +13,10 @@
 import postgrade.comeback.Recovery.Seen;
 import postgrade.comeback.Recovery.Step;
 import postgrade.comeback.Worth;
-import postgrade.companion.Host;
 import postgrade.dispatch.AnsweredRequest;
 import postgrade.dispatch.EndedAttempt;
 import postgrade.dispatch.RequestObserver;
+import postgrade.extension.Host;
 import postgrade.log.Events;
 import postgrade.policy.api.AttemptOutcome;
 import postgrade.policy.api.JobClass;
@@ -129,7 +129,7 @@
         host.settings().classes.forEach(c -> byName.put(c.name(), c));
         classes = byName;
         if (classes.values().stream().anyMatch(c -> c.objectivePerServiceTime() > 0)) {
-            for (PolicyStateEntry l : host.learnt()) {
+            for (PolicyStateEntry l : host.exportPolicyState()) {
                 if (l.category().equals("class") && l.values().length > 0) {
                     meanMicros.put(l.name(), l.values()[0] / NANOS);
                 }
--- a/sharing/src/main/java/postgrade/sharing/session/Late.java
+++ b/sharing/src/main/java/postgrade/sharing/session/Late.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import postgrade.companion.Host;
+import postgrade.extension.Host;
 import postgrade.log.Events;
 import postgrade.shared.Command;
 import postgrade.shared.Part;
@@ -60,7 +60,7 @@
         if (sharing != null || opening || closed || now < notBeforeMicros) {
             return;
         }
-        boolean alone = host.alone();
+        boolean alone = host.isOnlyProcess();
         if (!alone) {
             fault = "another process of this dispatcher still has its place";
         }
@@ -79,11 +79,11 @@
         try {
             Sharing opened =
                     alone
-                            ? opener.open(parts, host.micros(), host.loop())
-                            : opener.beside(host.micros(), host.loop());
-            host.loop().execute(() -> opened(opened, alone));
+                            ? opener.open(parts, host.monotonicMicros(), host.loopExecutor())
+                            : opener.beside(host.monotonicMicros(), host.loopExecutor());
+            host.loopExecutor().execute(() -> opened(opened, alone));
         } catch (IOException | RuntimeException e) {
-            host.loop().execute(() -> failed(e));
+            host.loopExecutor().execute(() -> failed(e));
         }
     }
 
@@ -141,7 +141,7 @@
     public void ask(Command command, long withinMicros, Consumer<Reply> done) {
         Sharing way = sharing == null ? beside : sharing;
         if (way == null) {
-            host.loop().execute(() -> done.accept(new Reply(null, null, AGAIN_MICROS)));
+            host.loopExecutor().execute(() -> done.accept(new Reply(null, null, AGAIN_MICROS)));
         } else {
             way.ask(command, withinMicros, done);
         }
--- a/sharing/src/main/java/postgrade/sharing/session/Outs.java
+++ b/sharing/src/main/java/postgrade/sharing/session/Outs.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import postgrade.companion.Host;
+import postgrade.extension.Host;
 import postgrade.member.OutPart;
 import postgrade.shared.Answer.Status;
 import postgrade.shared.Command;
@@ -53,7 +53,7 @@
         workers.forEach(
                 w -> {
                     known.add(w);
-                    host.takeOut(w);
+                    host.enterMaintenance(w);
                 });
     }
 
@@ -92,7 +92,7 @@
                         + "-out-"
                         + ++said
                         + "-"
-                        + Long.toHexString(host.micros().getAsLong());
+                        + Long.toHexString(host.monotonicMicros().getAsLong());
         words.put(worker, new Word(out, id));
         mark(worker, out);
         tick();
@@ -129,12 +129,12 @@
         for (String worker : new TreeSet<>(known)) {
             if (!out.contains(worker) && !words.containsKey(worker)) {
                 known.remove(worker);
-                host.putBack(worker);
+                host.exitMaintenance(worker);
             }
         }
         for (String worker : out) {
             if (!words.containsKey(worker) && known.add(worker)) {
-                host.takeOut(worker);
+                host.enterMaintenance(worker);
             }
         }
     }
--- a/sharing/src/main/java/postgrade/sharing/session/Session.java
+++ b/sharing/src/main/java/postgrade/sharing/session/Session.java
@@ -2,7 +2,7 @@
 
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import postgrade.companion.Host;
+import postgrade.extension.Host;
 import postgrade.log.Events;
 import postgrade.member.MemberPart;
 import postgrade.member.Shares;
@@ -77,7 +77,7 @@
                 factor = Math.max(factor, before);
             }
         }
-        host.share(factor);
+        host.setRateFactor(factor);
     }
 
     /** Called again and again: what it is granted changes as its view grows old. */
@@ -116,7 +116,7 @@
      * rest stays reserved to the end of its lease.
      */
     private long goneBy() {
-        return host.alone() ? shares.goneBy() : 0;
+        return host.isOnlyProcess() ? shares.goneBy() : 0;
     }
 
     private String name() {
@@ -166,7 +166,7 @@
      * goes by is not left.
      */
     public void leave() {
-        if (joined && !ended && host.alone()) {
+        if (joined && !ended && host.isOnlyProcess()) {
             ended = true;
             sharing.ask(
                     MemberPart.leave(name(), sharing.standing().incarnation()),
--- a/sharing/src/main/java/postgrade/sharing/window/Opening.java
+++ b/sharing/src/main/java/postgrade/sharing/window/Opening.java
@@ -7,8 +7,8 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import postgrade.calendar.CalendarCheck;
-import postgrade.companion.Host;
 import postgrade.dispatch.ExtensionHeaders;
+import postgrade.extension.Host;
 import postgrade.log.Events;
 import postgrade.policy.api.JobConstraints;
 import postgrade.shared.Sharing;
@@ -126,7 +126,7 @@
         }
         SiteCalendar done = calendar;
         String fault = why;
-        host.loop()
+        host.loopExecutor()
                 .execute(
                         () -> {
                             underWay.remove(w.site() + ":" + w.version());
--- a/sharing/src/test/java/postgrade/sharing/FakeHost.java
+++ b/sharing/src/test/java/postgrade/sharing/FakeHost.java
@@ -9,8 +9,8 @@
 import java.util.TreeSet;
 import java.util.concurrent.Executor;
 import java.util.function.LongSupplier;
-import postgrade.companion.Host;
 import postgrade.dispatch.Timers;
+import postgrade.extension.Host;
 import postgrade.policy.api.Idempotency;
 import postgrade.policy.api.JobClass;
 import postgrade.policy.api.PolicySettings;
@@ -39,7 +39,7 @@
     String former = "";
     List<PolicyStateEntry> learnt = List.of();
     final List<PolicyStateEntry> told = new ArrayList<>();
-    final Map<String, Known> workers = new LinkedHashMap<>();
+    final Map<String, WorkerStatus> workers = new LinkedHashMap<>();
     final Set<String> out = new TreeSet<>();
     final Set<String> connected = new TreeSet<>();
     int calls;
@@ -49,7 +49,7 @@
     }
 
     void worker(String id, long startedMillis) {
-        workers.put(id, new Known(id, "a", "m", 1, startedMillis, true, false));
+        workers.put(id, new WorkerStatus(id, "a", "m", 1, startedMillis, true, false));
     }
 
     /** Runs what is due within this time. */
@@ -105,7 +105,7 @@
     }
 
     @Override
-    public LongSupplier micros() {
+    public LongSupplier monotonicMicros() {
         return () -> now;
     }
 
@@ -115,72 +115,72 @@
     }
 
     @Override
-    public Executor loop() {
+    public Executor loopExecutor() {
         return task -> at(now, task);
     }
 
     @Override
-    public List<PolicyStateEntry> learnt() {
+    public List<PolicyStateEntry> exportPolicyState() {
         return learnt;
     }
 
     @Override
-    public void learn(List<PolicyStateEntry> all) {
+    public void importPolicyState(List<PolicyStateEntry> all) {
         told.addAll(all);
     }
 
     @Override
-    public boolean tookOver() {
+    public boolean startedByHandOver() {
         return tookOver;
     }
 
     @Override
-    public String told() {
+    public String predecessorState() {
         return former;
     }
 
     @Override
-    public boolean alone() {
+    public boolean isOnlyProcess() {
         return alone;
     }
 
     @Override
-    public boolean ready() {
+    public boolean isReady() {
         return true;
     }
 
     @Override
-    public List<Known> workers() {
+    public List<WorkerStatus> workers() {
         return List.copyOf(workers.values());
     }
 
     @Override
-    public boolean connected(String worker) {
+    public boolean isConnected(String worker) {
         return connected.contains(worker);
     }
 
     @Override
-    public boolean anyConnected(int fewerThan) {
+    public boolean anyConnectedWithCallsBelow(int fewerThan) {
         return !connected.isEmpty() && calls < fewerThan;
     }
 
     @Override
-    public long keptMicros() {
+    public long maxIdleMicros() {
         return 4_000_000;
     }
 
     @Override
-    public boolean takeOut(String worker) {
+    public boolean enterMaintenance(String worker) {
         return out.add(worker);
     }
 
     @Override
-    public boolean putBack(String worker) {
+    public boolean exitMaintenance(String worker) {
         return out.remove(worker);
     }
 
     @Override
-    public void share(double factor) {
+    public void setRateFactor(double factor) {
         share = factor;
         leastShare = Math.min(leastShare, factor);
     }
--- a/sharing/src/test/java/postgrade/sharing/FakeQuorum.java
+++ b/sharing/src/test/java/postgrade/sharing/FakeQuorum.java
@@ -93,7 +93,7 @@
         @Override
         public void ask(Command command, long withinMicros, Consumer<Reply> done) {
             if (reached()) {
-                host.loop().execute(() -> decide(command, done));
+                host.loopExecutor().execute(() -> decide(command, done));
             } else {
                 host.at(
                         host.nowMicros() + withinMicros,
--- a/sharing/src/test/java/postgrade/sharing/PlanHeadersTest.java
+++ b/sharing/src/test/java/postgrade/sharing/PlanHeadersTest.java
@@ -70,8 +70,8 @@
                         Runnable::run);
         run(2);
         for (String site : List.of("zagreb", "split")) {
-            shared.calls()
-                    .call(
+            shared.operatorEndpoints()
+                    .handle(
                             "PUT",
                             "/calendar",
                             ("{\"site\":\""
@@ -102,8 +102,8 @@
 
     /** When a job with these headers opens, in seconds from now. */
     private double opens(String id, String jobClass, String... namesAndValues) {
-        shared.claims().read(jobClass, headers(namesAndValues)::get).accept(id);
-        return shared.ability().startDelayNs(host.nowMicros() * 1000, job(id, jobClass))
+        shared.extensionHeaders().read(jobClass, headers(namesAndValues)::get).accept(id);
+        return shared.jobConstraints().startDelayNs(host.nowMicros() * 1000, job(id, jobClass))
                 / (double) SECOND_NS;
     }
 
@@ -112,7 +112,7 @@
     }
 
     private double part(String id, String jobClass, String zone) {
-        return shared.ability()
+        return shared.jobConstraints()
                 .usableShare(
                         host.nowMicros() * 1000,
                         job(id, jobClass),
@@ -204,7 +204,7 @@
 
     private void bad(String sentence, String jobClass, String... namesAndValues) {
         try {
-            shared.claims().read(jobClass, headers(namesAndValues)::get);
+            shared.extensionHeaders().read(jobClass, headers(namesAndValues)::get);
             fail(sentence);
         } catch (IllegalArgumentException e) {
             assertTrue(e.getMessage(), e.getMessage().startsWith(sentence));
@@ -247,8 +247,8 @@
                                 settings(WindowSettings.NONE),
                                 quorum.as(host),
                                 Runnable::run)
-                        .claims());
-        ExtensionHeaders read = shared.claims();
+                        .extensionHeaders());
+        ExtensionHeaders read = shared.extensionHeaders();
         assertEquals(
                 Set.of(
                         "x-window-earliest",
--- a/sharing/src/test/java/postgrade/sharing/SharedTest.java
+++ b/sharing/src/test/java/postgrade/sharing/SharedTest.java
@@ -73,8 +73,8 @@
     private Answered call(FakeHost host, String method, String path, String body) {
         Answered[] answered = new Answered[1];
         all.get(host)
-                .calls()
-                .call(
+                .operatorEndpoints()
+                .handle(
                         method,
                         path,
                         body.replace('\'', '"').getBytes(StandardCharsets.UTF_8),
@@ -122,7 +122,7 @@
         assertEquals(1.75, a.share, 0.01);
         quorum.cutOff.add("a"); // Its view is the one from before.
         a.sleep(60 * SECOND);
-        all.get(a).turn();
+        all.get(a).iterationStarted();
         assertEquals(0.25, a.share, 0);
     }
 
@@ -131,8 +131,8 @@
         FakeHost a = start("a");
         FakeHost b = start("b");
         run(SECOND);
-        a.takeOut("w1");
-        all.get(a).said("w1", true);
+        a.enterMaintenance("w1");
+        all.get(a).workerMaintenanceChanged("w1", true);
         run(SECOND);
         assertEquals(Set.of("w1"), b.out);
         all.remove(a);
@@ -140,8 +140,8 @@
         run(SECOND);
         assertEquals(Set.of("w1"), again.out);
         quorum.lost = true;
-        b.putBack("w1");
-        all.get(b).said("w1", false);
+        b.exitMaintenance("w1");
+        all.get(b).workerMaintenanceChanged("w1", false);
         run(3 * SECOND);
         assertTrue("done here, and told when it can be", b.out.isEmpty());
         assertEquals(Set.of("w1"), again.out);
@@ -205,7 +205,7 @@
         FakeHost a = start("a");
         run(SECOND);
         a.worker("w1", 0);
-        all.get(a).listed();
+        all.get(a).workerListChanged();
         run(5 * SECOND);
         JsonObject json = call(a, "GET", "/sharing", "").json;
         assertEquals("a", json.getString("name", ""));
@@ -245,7 +245,7 @@
         Job own = new Job("1", "price", "shop", null, 1, 1, 0);
         Job other = new Job("2", "price", "t", null, 1, 1, 0);
         Job confirm = new Job("3", "confirm", "t", null, 1, 1, 0);
-        JobConstraints ability = all.get(a).ability();
+        JobConstraints ability = all.get(a).jobConstraints();
         assertEquals(1, ability.usableShare(a.nowMicros() * 1000, own, w1), 0);
         assertEquals(0.25, ability.usableShare(a.nowMicros() * 1000, other, w1), 0);
         assertEquals(
@@ -308,7 +308,7 @@
                 start("a", settings(windows)); // It is 2027-01-15 08:00 UTC, 9 o'clock in Zagreb.
         FakeHost b = start("b", settings(windows));
         run(2 * SECOND);
-        JobConstraints ability = all.get(a).ability();
+        JobConstraints ability = all.get(a).jobConstraints();
         Job job = new Job("1", "price", "t", null, 1, 1, 0);
         Job free = new Job("2", "confirm", "t", null, 1, 1, 0);
         assertTrue(ability.startDelayNs(a.nowMicros() * 1000, job) > 0);
@@ -419,7 +419,7 @@
                 call(a, "PUT", path, "{'holder':'s','site':'a','accelerators':1,'ttlMs':1000}");
         assertEquals(503, none.status);
         assertEquals(700_000, none.retryAfterMicros);
-        assertEquals(Set.of(), all.get(a).calls().methods("/nowhere"));
-        assertFalse(all.get(a).calls().methods("/sharing").isEmpty());
+        assertEquals(Set.of(), all.get(a).operatorEndpoints().allowedMethods("/nowhere"));
+        assertFalse(all.get(a).operatorEndpoints().allowedMethods("/sharing").isEmpty());
     }
 }
--- a/sharing/src/test/java/postgrade/sharing/SharingPlanTest.java
+++ b/sharing/src/test/java/postgrade/sharing/SharingPlanTest.java
@@ -10,7 +10,7 @@
 import org.junit.Rule;
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
-import postgrade.companion.Companion;
+import postgrade.extension.DispatcherExtension;
 import postgrade.sharing.settings.SharingPlan;
 
 /** The file that operators write: what it may say, and what is said of it where it is faulty. */
@@ -90,8 +90,8 @@
 
     @Test
     public void aDispatcherFindsItByItself() throws Exception {
-        Companion.Finder finder =
-                ServiceLoader.load(Companion.Finder.class).findFirst().orElseThrow();
+        DispatcherExtension.Factory finder =
+                ServiceLoader.load(DispatcherExtension.Factory.class).findFirst().orElseThrow();
         assertEquals(SharingFinder.class, finder.getClass());
         Path file = file("pull_ms = [");
         assertThrows(IllegalArgumentException.class, () -> finder.read(file, "a"));
--- a/sharing/src/test/java/postgrade/sharing/SuccessionTest.java
+++ b/sharing/src/test/java/postgrade/sharing/SuccessionTest.java
@@ -79,8 +79,8 @@
     private JsonObject call(FakeHost host, String method, String path, String body) {
         String[] answer = new String[1];
         all.get(host)
-                .calls()
-                .call(method, path, body.getBytes(), (status, again, json) -> answer[0] = json);
+                .operatorEndpoints()
+                .handle(method, path, body.getBytes(), (status, again, json) -> answer[0] = json);
         while (answer[0] == null) {
             run(SECOND / 10);
         }
@@ -94,7 +94,7 @@
         old.alone = false;
         next.alone = false;
         next.tookOver = true;
-        next.former = all.get(old).tells();
+        next.former = all.get(old).handOverState();
         next.out.addAll(old.out);
         start(next);
         all.get(old).peersChanged();
@@ -115,7 +115,7 @@
         upgrade();
         run(SECOND / 2);
         assertEquals("each takes half of it, by the link", 1, next.share, 0.01);
-        JobConstraints ability = all.get(next).ability();
+        JobConstraints ability = all.get(next).jobConstraints();
         Job job = new Job("1", "price", "t", null, 1, 1, 0);
         assertEquals(
                 "it knows the calendars", 0, ability.startDelayNs(next.nowMicros() * 1000, job));
@@ -204,14 +204,14 @@
     @Test
     public void whatOperatorsSaidToTheOldProcessAndNoneHasDecidedIsToldByTheNewOne() {
         run(2 * SECOND);
-        old.takeOut("w1");
-        all.get(old).said("w1", true);
+        old.enterMaintenance("w1");
+        all.get(old).workerMaintenanceChanged("w1", true);
         run(SECOND);
         quorum.lost = true;
-        old.takeOut("w2");
-        all.get(old).said("w2", true);
-        old.putBack("w1");
-        all.get(old).said("w1", false);
+        old.enterMaintenance("w2");
+        all.get(old).workerMaintenanceChanged("w2", true);
+        old.exitMaintenance("w1");
+        all.get(old).workerMaintenanceChanged("w1", false);
         run(SECOND);
         upgrade();
         all.remove(old);
@@ -225,13 +225,13 @@
     @Test
     public void aWorkerPutBackElsewhereWhileTheNewProcessStartsIsBackThereToo() {
         run(2 * SECOND);
-        other.takeOut("w1");
-        all.get(other).said("w1", true);
+        other.enterMaintenance("w1");
+        all.get(other).workerMaintenanceChanged("w1", true);
         run(SECOND);
         assertEquals(Set.of("w1"), old.out);
         upgrade();
-        other.putBack("w1");
-        all.get(other).said("w1", false);
+        other.exitMaintenance("w1");
+        all.get(other).workerMaintenanceChanged("w1", false);
         run(SECOND);
         assertTrue(old.out.isEmpty() && next.out.isEmpty());
     }
