--- a/core/src/main/java/postgrade/dispatch/AttemptLifecycle.java
+++ b/core/src/main/java/postgrade/dispatch/AttemptLifecycle.java
@@ -13,8 +13,8 @@
 import postgrade.policy.api.LoadReport;
 
 /**
- * How attempts and requests end: each attempt once, each request with one final answer, and the
- * policy is notified of both. Used on the loop's thread.
+ * Ends attempts and requests. Each attempt ends once, each request gets one final answer, and the
+ * policy is notified of both. Must be used on the event loop thread only.
  */
 final class AttemptLifecycle {
 
@@ -22,7 +22,7 @@
     private final InternalErrorListener errors;
     private final EventBatch batch;
     private final Supplier<DispatchPolicy> policy;
-    private final ArrayDeque<PendingRequest> touched = new ArrayDeque<>();
+    private final ArrayDeque<PendingRequest> settlementCandidates = new ArrayDeque<>();
     private RequestObserver observer = RequestObserver.NONE;
     private int unanswered;
 
@@ -41,23 +41,28 @@
         return observer;
     }
 
-    void observer(RequestObserver next) {
-        observer = next;
+    void observer(RequestObserver newObserver) {
+        observer = newObserver;
     }
 
-    /** How many accepted requests have no answer yet. */
+    /** Returns the number of accepted requests that have no answer yet. */
     int unanswered() {
         return unanswered;
     }
 
-    /** A request has been accepted, which is owed an answer from now on. */
-    void accepted() {
+    /** Counts a request that has been accepted and must be answered. */
+    void requestAccepted() {
         unanswered++;
     }
 
-    /** Hands over the requests that may be forgotten: nothing is owed, out or to be delivered. */
+    /**
+     * Passes the settled requests to {@code forget}: those that are answered and have no attempt in
+     * flight and no undelivered event.
+     */
     void forgetSettled(Consumer<PendingRequest> forget) {
-        for (PendingRequest request = touched.poll(); request != null; request = touched.poll()) {
+        for (PendingRequest request = settlementCandidates.poll();
+                request != null;
+                request = settlementCandidates.poll()) {
             if (request.isSettled()) {
                 forget.accept(request);
             }
@@ -65,24 +70,24 @@
     }
 
     /**
-     * Queues an event of this request for the policy. The request is remembered until it has been
-     * delivered.
+     * Queues an event of this request for the policy. The request stays tracked until the event has
+     * been delivered.
      */
     void notifyPolicy(PendingRequest request, LongConsumer event) {
         request.eventQueued();
         batch.addEvent(
                 nowNs -> {
                     request.eventDelivered();
-                    touched.add(request);
+                    settlementCandidates.add(request);
                     event.accept(nowNs);
                 });
     }
 
     /**
-     * An attempt has ended. One that has ended before is left as it is.
+     * Ends an attempt. Has no effect on an attempt that has already ended.
      *
-     * @param evidence what showed it
-     * @param result of a served job, else null
+     * @param evidence what showed that the attempt had ended
+     * @param result the result of a served job, else null
      */
     void end(Attempt attempt, AttemptOutcome outcome, EndEvidence evidence, byte[] result) {
         if (!attempt.end(outcome)) {
@@ -95,7 +100,7 @@
             markAnswered(request, Answer.SERVED, DecisionReason.UNSTATED);
             request.client().complete(result);
         }
-        boolean last = request.isAnswered();
+        boolean requestAnswered = request.isAnswered();
         notifyPolicy(
                 request,
                 nowNs ->
@@ -105,27 +110,27 @@
                                         request.id(),
                                         attempt.number(),
                                         outcome,
-                                        last,
+                                        requestAnswered,
                                         LoadReport.NONE));
     }
 
-    /** Marks the one final answer, which the caller gives. */
+    /** Marks a request as answered; the caller sends the answer. */
     void markAnswered(PendingRequest request, Answer answer, DecisionReason reason) {
-        observeAnswer(request, answer, reason, sinceArrival(request));
+        notifyAnswered(request, answer, reason, microsSinceArrival(request));
         conclude(request);
     }
 
     /** Rejects a request that is not tracked. */
     void rejectUntracked(PendingRequest request, long retryAfterMicros) {
         request.client().reject(retryAfterMicros);
-        observeAnswer(request, Answer.REJECTED, DecisionReason.NO_ROOM, 0);
+        notifyAnswered(request, Answer.REJECTED, DecisionReason.NO_ROOM, 0);
     }
 
-    private long sinceArrival(PendingRequest request) {
+    private long microsSinceArrival(PendingRequest request) {
         return timers.nowMicros() - request.arrivedMicros();
     }
 
-    private void observeAnswer(
+    private void notifyAnswered(
             PendingRequest request, Answer answer, DecisionReason reason, long afterMicros) {
         observer.requestAnswered(
                 new AnsweredRequest(
@@ -137,16 +142,16 @@
                         reason));
     }
 
-    /** Nothing more is owed. */
+    /** Marks that the client needs no further answer. */
     void conclude(PendingRequest request) {
-        request.answered();
+        request.markAnswered();
         unanswered--;
-        touched.add(request);
+        settlementCandidates.add(request);
     }
 
     /**
-     * Gives the final answer to a request that is not served. A client whose job no worker has had
-     * is told that trying again is harmless. An attempt that still waits for its connection is
+     * Sends the final answer to a request that was not served. If no worker has received the job,
+     * the client is told that it may safely retry. Attempts that still wait for a connection are
      * withdrawn first.
      */
     void failRequest(PendingRequest request, boolean timedOut, DecisionReason reason) {
@@ -154,22 +159,23 @@
         withdrawUnsent(request);
         boolean neverSent = request.attempts().stream().allMatch(Attempt::wasNeverSent);
         Answer answer = neverSent ? Answer.REJECTED : Answer.FAILED;
-        observeAnswer(request, answer, reason, sinceArrival(request));
+        notifyAnswered(request, answer, reason, microsSinceArrival(request));
         if (neverSent) {
-            request.client().reject(RequestTracker.FULL_RETRY_MICROS);
+            request.client().reject(RequestTracker.FULL_RETRY_AFTER_MICROS);
         } else {
             request.client().fail(timedOut);
         }
     }
 
     /**
-     * Withdraws the attempts of an answered or abandoned request that have not been written whole,
-     * in the moment in which nobody waits any more. The policy's own cancellation comes later in
-     * the turn, or never where the settings forbid it, and a connection may come up before it.
+     * Withdraws the attempts of an answered or abandoned request that have not been completely
+     * written. This happens at once because the policy's own cancellation comes later in the
+     * iteration, or never where the settings forbid it, and a connection may be established before
+     * then.
      */
     void withdrawUnsent(PendingRequest request) {
         for (Attempt attempt : request.attempts()) {
-            if (attempt.isOut() && attempt.isOnWire() && !attempt.handle().isWritten()) {
+            if (attempt.isInFlight() && attempt.isOnWire() && !attempt.handle().isWritten()) {
                 attempt.handle().cancel(evidence -> {});
                 end(
                         attempt,
@@ -180,52 +186,52 @@
         }
     }
 
-    /** The policy has left a request unanswered past its deadline. */
+    /** Fails a request that the policy has not answered by its deadline. */
     void failOverdue(PendingRequest request) {
         if (!request.isAnswered()) {
             errors.internalError(
-                    InternalErrorListener.LEFT_UNANSWERED,
-                    "the module left a job of class "
+                    InternalErrorListener.UNANSWERED_AT_DEADLINE,
+                    "the policy did not answer a job of class "
                             + request.jobClass()
-                            + " unanswered at its deadline; failed here",
+                            + " by its deadline; the request was failed",
                     null);
             failRequest(request, true, DecisionReason.UNSTATED);
             notifyPolicy(request, nowNs -> policy.get().jobAbandoned(nowNs, request.id()));
         }
     }
 
-    /** An attempt is no longer waited for. */
+    /** Ends or cancels an attempt whose time has run out. */
     void expire(Attempt attempt) {
         long deadlineMicros = attempt.deadlineMicros();
-        if (attempt.isOut() && timers.nowMicros() >= deadlineMicros) {
-            // The policy owes the answer now and can send no more, so it need not wait for the
-            // worker.
+        if (attempt.isInFlight() && timers.nowMicros() >= deadlineMicros) {
+            // At the deadline the answer is due and no retry is possible, so the policy need not
+            // wait for the worker to confirm.
             AttemptOutcome outcome =
                     attempt.handle().isWritten() ? AttemptOutcome.TIMEOUT : AttemptOutcome.NOT_SENT;
             attempt.handle().cancel(evidence -> {});
             end(attempt, outcome, EndEvidence.of(EndEvidence.Kind.DEADLINE), null);
         } else {
-            attempt.limitTimer(timers.at(deadlineMicros, () -> expire(attempt)));
+            attempt.setExpiryTimer(timers.at(deadlineMicros, () -> expire(attempt)));
             cancel(attempt, AttemptOutcome.TIMEOUT);
         }
     }
 
     /**
-     * Cancels an attempt. The policy is notified, and may send again, only once the worker is sure
-     * not to run it.
+     * Cancels an attempt. The policy is notified, and may retry, only after it is certain that the
+     * worker will not run the attempt.
      */
     void cancel(Attempt attempt, AttemptOutcome outcome) {
-        if (attempt.cancelling()) {
+        if (attempt.beginCancel()) {
             attempt.handle().cancel(evidence -> end(attempt, outcome, evidence, null));
         }
     }
 
-    /** Cancels the attempts of answered requests that have not ended, once each. */
+    /** Cancels the attempts in flight of answered requests, once each. */
     void cancelUnwanted(Collection<PendingRequest> requests) {
         for (PendingRequest request : List.copyOf(requests)) {
             if (request.isAnswered()) {
                 request.attempts().stream()
-                        .filter(attempt -> attempt.isOut() && attempt.isOnWire())
+                        .filter(attempt -> attempt.isInFlight() && attempt.isOnWire())
                         .forEach(attempt -> cancel(attempt, AttemptOutcome.CANCELLED));
             }
         }
--- a/daemon/src/main/java/postgrade/http/MessageParser.java
+++ b/daemon/src/main/java/postgrade/http/MessageParser.java
@@ -9,109 +9,119 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads messages from bytes as they come, one at a time. Every part is bounded, so that no peer can
- * make us hold more than a head and a body of the greatest length.
+ * An incremental parser for HTTP/1.1, one message at a time. Every part is bounded, so that a peer
+ * cannot make the process hold more than a head and a body of the maximum size.
  */
 public final class MessageParser {
 
     public static final int MAX_BODY_BYTES = 64 << 10;
     static final int MAX_HEAD_BYTES = 16 << 10;
     static final int MAX_HEADERS = 64;
-    private static final int SMALL = 256;
-    private static final int MOST_STREAM_PIECE = 16 << 20;
+    private static final int SMALL_BODY_BYTES = 256;
+    private static final int MAX_STREAMED_CHUNK_BYTES = 16 << 20;
 
-    /** As much of a start line as may have come. */
-    private static final Pattern BEGINNING = Pattern.compile("\\r?|[A-Z]{0,16}|[A-Z]{1,16} (/.*)?");
+    /** Matches any prefix of a valid start line of a request. */
+    private static final Pattern START_LINE_PREFIX =
+            Pattern.compile("\\r?|[A-Z]{0,16}|[A-Z]{1,16} (/.*)?");
 
-    private enum Part {
+    private enum State {
         START_LINE,
         HEADERS,
         BODY,
-        TO_THE_END,
+        BODY_UNTIL_CLOSE,
         CHUNK_SIZE,
         CHUNK,
         CHUNK_END,
         TRAILERS
     }
 
-    private final boolean requests;
-    private final Consumer<byte[]> stream;
-    private final int mostBody;
-    private Part part = Part.START_LINE;
+    private final boolean parsesRequests;
+    private final Consumer<byte[]> pieceConsumer;
+    private final int maxBodyBytes;
+    private State state = State.START_LINE;
     private Message message = new Message();
     private byte[] line = new byte[256];
     private int lineLength;
     private int headLength;
-    private long left;
+    private long remaining;
     private boolean expectsContinue;
-    private ByteArrayOutputStream body = new ByteArrayOutputStream(SMALL);
+    private ByteArrayOutputStream body = new ByteArrayOutputStream(SMALL_BODY_BYTES);
 
-    private MessageParser(boolean requests, Consumer<byte[]> stream, int mostBody) {
-        this.requests = requests;
-        this.stream = stream;
-        this.mostBody = mostBody;
+    private MessageParser(
+            boolean parsesRequests, Consumer<byte[]> pieceConsumer, int maxBodyBytes) {
+        this.parsesRequests = parsesRequests;
+        this.pieceConsumer = pieceConsumer;
+        this.maxBodyBytes = maxBodyBytes;
     }
 
     public static MessageParser forRequests() {
         return forRequests(MAX_BODY_BYTES);
     }
 
-    /** With another bound for bodies. */
-    public static MessageParser forRequests(int mostBody) {
-        return new MessageParser(true, null, mostBody);
+    /** Returns a parser of requests with another limit for bodies. */
+    public static MessageParser forRequests(int maxBodyBytes) {
+        return new MessageParser(true, null, maxBodyBytes);
     }
 
     public static MessageParser forResponses() {
         return new MessageParser(false, null, MAX_BODY_BYTES);
     }
 
-    /** Reads one response whose body has no bound; its pieces go to the consumer as they come. */
-    public static MessageParser forStreamingResponse(Consumer<byte[]> pieces) {
-        return new MessageParser(false, pieces, MOST_STREAM_PIECE);
+    /**
+     * Returns a parser for one response with a body of unlimited length, which is passed on in
+     * pieces as it arrives.
+     */
+    public static MessageParser forStreamingResponse(Consumer<byte[]> pieceConsumer) {
+        return new MessageParser(false, pieceConsumer, MAX_STREAMED_CHUNK_BYTES);
     }
 
-    /** Whether the bytes may be the beginning of a request, as far as they go. They stay unread. */
+    /**
+     * Whether the bytes may be the beginning of a request. The buffer's position does not change.
+     */
     public static boolean mayBeRequest(ByteBuffer bytes) {
         try {
             MessageParser parser = forRequests();
             parser.parse(bytes.duplicate());
             String line =
                     new String(parser.line, 0, parser.lineLength, StandardCharsets.ISO_8859_1);
-            return parser.part != Part.START_LINE || BEGINNING.matcher(line).matches();
+            return parser.state != State.START_LINE || START_LINE_PREFIX.matcher(line).matches();
         } catch (BadMessageException e) {
             return false;
         }
     }
 
-    /** Nothing of a next message has been read. */
+    /** Whether no byte of the next message has been read. */
     public boolean isAtMessageStart() {
-        return part == Part.START_LINE && lineLength == 0;
+        return state == State.START_LINE && lineLength == 0;
     }
 
-    /** True once, where a request's sender waits for our word before it sends the body. */
+    /**
+     * Returns true once if the sender of the request waits for {@code 100 Continue} before it sends
+     * the body.
+     */
     public boolean consumeExpectContinue() {
         boolean expects = expectsContinue;
         expectsContinue = false;
         return expects;
     }
 
-    /** Bytes of the body that has come in part. */
+    /** Returns the number of bytes received of an incomplete body. */
     public int bodyBytesReceived() {
         return body.size();
     }
 
     /**
-     * Takes bytes up to the end of one message at most; returns it once it is whole, null until
-     * then.
+     * Consumes bytes up to the end of one message at most. Returns the message once it is complete,
+     * null until then.
      */
     public Message parse(ByteBuffer in) throws BadMessageException {
         while (in.hasRemaining()) {
-            boolean whole =
-                    switch (part) {
-                        case BODY, TO_THE_END, CHUNK -> takeBody(in);
-                        default -> takeLine(in) && endLine();
+            boolean complete =
+                    switch (state) {
+                        case BODY, BODY_UNTIL_CLOSE, CHUNK -> readBody(in);
+                        default -> readLine(in) && parseLine();
                     };
-            if (whole) {
+            if (complete) {
                 return finish();
             }
         }
@@ -119,29 +129,28 @@
     }
 
     /**
-     * The peer has ended its side: a response without a length ends here. Null if this cuts a
-     * message short.
+     * The peer has closed its side, which ends a response without a declared length. Returns null
+     * if a message is cut short by it.
      */
     public Message endOfInput() {
-        return part == Part.TO_THE_END ? finish() : null;
+        return state == State.BODY_UNTIL_CLOSE ? finish() : null;
     }
 
     private Message finish() {
-        Message whole = message;
-        whole.body = body.toByteArray();
+        Message finished = message;
+        finished.body = body.toByteArray();
         message = new Message();
-        if (whole.body.length > SMALL) {
-            body =
-                    new ByteArrayOutputStream(
-                            SMALL); // Guards the memory: an idle connection keeps no large buffer.
+        if (finished.body.length > SMALL_BODY_BYTES) {
+            // Bounds memory: an idle connection keeps no large buffer.
+            body = new ByteArrayOutputStream(SMALL_BODY_BYTES);
         }
         body.reset();
-        part = Part.START_LINE;
+        state = State.START_LINE;
         headLength = 0;
-        return whole;
+        return finished;
     }
 
-    private boolean takeLine(ByteBuffer in) throws BadMessageException {
+    private boolean readLine(ByteBuffer in) throws BadMessageException {
         while (in.hasRemaining()) {
             byte b = in.get();
             if (b == '\n') {
@@ -161,54 +170,55 @@
         return false;
     }
 
-    /** True if the message is whole with this line. */
-    private boolean endLine() throws BadMessageException {
+    /** Returns true if the message is complete with this line. */
+    private boolean parseLine() throws BadMessageException {
         String text = new String(line, 0, lineLength, StandardCharsets.ISO_8859_1);
         lineLength = 0;
-        switch (part) {
+        switch (state) {
             case START_LINE -> {
-                if (!text.isEmpty()) { // Blank lines before a message are allowed, and count to its
-                    // head.
-                    startLine(text);
-                    part = Part.HEADERS;
+                // Blank lines before a message are allowed, and count towards the head's size
+                // limit.
+                if (!text.isEmpty()) {
+                    parseStartLine(text);
+                    state = State.HEADERS;
                 }
                 return false;
             }
             case HEADERS -> {
                 if (text.isEmpty()) {
-                    return endHead();
+                    return endOfHead();
                 }
-                header(text);
+                parseHeader(text);
                 return false;
             }
             case CHUNK_SIZE -> {
-                chunkSize(text);
+                parseChunkSize(text);
                 return false;
             }
             case CHUNK_END -> {
                 if (!text.isEmpty()) {
                     throw new BadMessageException(400, "chunk longer than its size");
                 }
-                part = Part.CHUNK_SIZE;
+                state = State.CHUNK_SIZE;
                 headLength = 0;
                 return false;
             }
             default -> {
-                return text.isEmpty(); // The end of the trailers, which are passed over.
+                return text.isEmpty(); // The end of the trailers, which are ignored.
             }
         }
     }
 
-    private void startLine(String text) throws BadMessageException {
+    private void parseStartLine(String text) throws BadMessageException {
         String[] words = text.split(" ", 3);
-        String version = requests ? words[words.length - 1] : words[0];
-        if (words.length < (requests ? 3 : 2)
+        String version = parsesRequests ? words[words.length - 1] : words[0];
+        if (words.length < (parsesRequests ? 3 : 2)
                 || !version.equals("HTTP/1.1") && !version.equals("HTTP/1.0")) {
             throw new BadMessageException(400, "not a start line of HTTP/1.1");
         }
         message.http10 = version.equals("HTTP/1.0");
-        if (requests) {
-            if (!token(words[0])
+        if (parsesRequests) {
+            if (!isToken(words[0])
                     || words[1].isEmpty()
                     || words[1].chars().anyMatch(c -> c <= ' ' || c > '~')) {
                 throw new BadMessageException(400, "bad method or target");
@@ -216,92 +226,97 @@
             message.method = words[0];
             message.target = words[1];
         } else {
-            message.status = (int) number(words[1], 10, 999, 400);
+            message.status = (int) parseNumber(words[1], 10, 999, 400);
             if (message.status < 100) {
                 throw new BadMessageException(400, "bad status");
             }
         }
     }
 
-    private void header(String text) throws BadMessageException {
+    private void parseHeader(String text) throws BadMessageException {
         int colon = text.indexOf(':');
-        if (colon < 0 || !token(text.substring(0, colon))) {
-            throw new BadMessageException(400, "bad header line"); // Folded lines among them.
+        if (colon < 0 || !isToken(text.substring(0, colon))) {
+            throw new BadMessageException(400, "bad header line"); // This includes folded lines.
         }
         if (message.names.size() == MAX_HEADERS) {
             throw new BadMessageException(431, "too many headers");
         }
         String value = text.substring(colon + 1).strip();
         if (value.chars().anyMatch(c -> c < ' ' && c != '\t')) {
-            // Guards what is passed on: a stray control character could split the head we write.
+            // A control character could split the head that is forwarded.
             throw new BadMessageException(400, "control character in a header");
         }
         message.names.add(text.substring(0, colon).toLowerCase(Locale.ROOT));
         message.values.add(value);
     }
 
-    /** True if the message has no body. */
-    private boolean endHead() throws BadMessageException {
+    /** Returns true if the message has no body. */
+    private boolean endOfHead() throws BadMessageException {
         boolean chunked = message.header("transfer-encoding") != null;
         if (chunked
                 && (message.http10
                         || !message.header("transfer-encoding").equalsIgnoreCase("chunked"))) {
             throw new BadMessageException(400, "transfer encoding not known");
         }
-        // Guards against smuggling: whatever leaves two readings of where the message ends.
+        // Prevents request smuggling: rejects whatever allows two interpretations of the
+        // message's end.
         if (message.headerCount("content-length") + message.headerCount("transfer-encoding") > 1) {
             throw new BadMessageException(400, "more than one length or transfer encoding");
         }
-        String stated = message.header("content-length");
-        long length = stated == null ? -1 : number(stated, 10, mostBody, 413);
-        if (!requests && (message.status < 200 || message.status == 204 || message.status == 304)) {
-            if (message.status < 200) { // An interim response: the real one follows.
+        String contentLength = message.header("content-length");
+        long length =
+                contentLength == null ? -1 : parseNumber(contentLength, 10, maxBodyBytes, 413);
+        if (!parsesRequests
+                && (message.status < 200 || message.status == 204 || message.status == 304)) {
+            if (message.status < 200) { // An interim response: the final one follows.
                 finish();
                 return false;
             }
             return true;
         }
         if (chunked) {
-            part = Part.CHUNK_SIZE;
+            state = State.CHUNK_SIZE;
             headLength = 0;
         } else if (length > 0) {
-            part = Part.BODY;
-            left = length;
-        } else if (length < 0 && !requests) {
-            part = Part.TO_THE_END;
-            left = Long.MAX_VALUE;
+            state = State.BODY;
+            remaining = length;
+        } else if (length < 0 && !parsesRequests) {
+            state = State.BODY_UNTIL_CLOSE;
+            remaining = Long.MAX_VALUE;
         }
         expectsContinue =
-                requests && part != Part.HEADERS && message.lists("expect", "100-continue");
-        return part == Part.HEADERS;
+                parsesRequests
+                        && state != State.HEADERS
+                        && message.hasToken("expect", "100-continue");
+        return state == State.HEADERS;
     }
 
-    private void chunkSize(String text) throws BadMessageException {
+    private void parseChunkSize(String text) throws BadMessageException {
         int end = text.indexOf(';');
-        left = number(end < 0 ? text : text.substring(0, end), 16, mostBody, 413);
-        part = left == 0 ? Part.TRAILERS : Part.CHUNK;
-        headLength = left == 0 ? headLength : 0;
+        remaining = parseNumber(end < 0 ? text : text.substring(0, end), 16, maxBodyBytes, 413);
+        state = remaining == 0 ? State.TRAILERS : State.CHUNK;
+        headLength = remaining == 0 ? headLength : 0;
     }
 
-    /** True if the message is whole with these bytes. */
-    private boolean takeBody(ByteBuffer in) throws BadMessageException {
-        byte[] piece = new byte[(int) Math.min(left, in.remaining())];
+    /** Returns true if the message is complete with these bytes. */
+    private boolean readBody(ByteBuffer in) throws BadMessageException {
+        byte[] piece = new byte[(int) Math.min(remaining, in.remaining())];
         in.get(piece);
-        left -= part == Part.TO_THE_END ? 0 : piece.length;
-        if (stream != null) {
-            stream.accept(piece);
-        } else if (body.size() + piece.length > mostBody) {
+        remaining -= state == State.BODY_UNTIL_CLOSE ? 0 : piece.length;
+        if (pieceConsumer != null) {
+            pieceConsumer.accept(piece);
+        } else if (body.size() + piece.length > maxBodyBytes) {
             throw new BadMessageException(413, "body too large");
         } else {
             body.write(piece, 0, piece.length);
         }
-        if (left == 0 && part == Part.CHUNK) {
-            part = Part.CHUNK_END;
+        if (remaining == 0 && state == State.CHUNK) {
+            state = State.CHUNK_END;
         }
-        return left == 0 && part == Part.BODY;
+        return remaining == 0 && state == State.BODY;
     }
 
-    private long number(String text, int radix, long most, int statusAbove)
+    private long parseNumber(String text, int radix, long max, int statusIfTooLarge)
             throws BadMessageException {
         if (text.isEmpty()
                 || text.chars().anyMatch(c -> Character.digit(c, radix) < 0 || c > 'f')) {
@@ -310,14 +325,14 @@
         long value = 0;
         for (int i = 0; i < text.length(); i++) {
             value = value * radix + Character.digit(text.charAt(i), radix);
-            if (value > most) {
-                throw new BadMessageException(statusAbove, "too large a number");
+            if (value > max) {
+                throw new BadMessageException(statusIfTooLarge, "too large a number");
             }
         }
         return value;
     }
 
-    private static boolean token(String text) {
+    private static boolean isToken(String text) {
         return !text.isEmpty()
                 && text.chars()
                         .allMatch(c -> c > ' ' && c < 127 && "()<>@,;:\\\"/[]?={}".indexOf(c) < 0);
--- a/daemon/src/test/java/postgrade/daemon/CopiesTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ConcurrentAttemptsTest.java
@@ -5,10 +5,10 @@
 import java.io.IOException;
 import org.junit.Test;
 
-/** Where two attempts of a job may be out at once. */
-public class CopiesTest extends AttemptTestBase {
+/** Settings that allow two attempts of a job at once. */
+public class ConcurrentAttemptsTest extends AttemptTestBase {
 
-    public CopiesTest() throws IOException {}
+    public ConcurrentAttemptsTest() throws IOException {}
 
     @Override
     boolean allowsConcurrentAttempts() {
@@ -16,7 +16,7 @@
     }
 
     @Test
-    public void aWorkerHasOneOfThemAllTheSame() throws Exception {
+    public void workerGetsAtMostOneAttemptOfAJob() throws Exception {
         submit("c1");
         runTurn();
         awaitRequest(worker1);
--- a/daemon/src/test/java/postgrade/daemon/LateWordTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LateWorkerMessageTest.java
@@ -11,64 +11,64 @@
 import postgrade.dispatch.ReportedState;
 
 /**
- * What a worker says of an attempt when it is all but over, and what comes of its connection long
- * after.
+ * Messages from a worker about an attempt that is almost over, and events on its connection long
+ * afterwards.
  */
-public class LateWordTest extends AttemptTestBase {
+public class LateWorkerMessageTest extends AttemptTestBase {
 
-    public LateWordTest() throws IOException {}
+    public LateWorkerMessageTest() throws IOException {}
 
-    private void isServed(String id) {
+    private void assertServed(String id) {
         assertFinished("finished " + id + " 0 SERVED true");
         assertEquals(List.of(id + " served"), answers);
-        assertTrue("nothing is given up", pools.hasNoCancellations());
+        assertTrue("no cancellation is pending", pools.hasNoCancellations());
     }
 
     /**
-     * The result is the answer, and the worker is not asked to drop what it has done: its next job
-     * may have the same id.
+     * The result is the answer, and the worker gets no DELETE for a job that it has completed: its
+     * next job may have the same id.
      */
     @Test
-    public void doneInTheTurnInWhichItIsGivenUpIsTheAnswerAndNoDeleteFollows() throws Exception {
+    public void resultInTheTurnOfTheCancellationIsDeliveredAndNoDeleteFollows() throws Exception {
         Socket worker = sendAcceptedJob("a");
         policy.actions.cancelAttempt("a", 0);
         report("a", "w1", ReportedState.DONE);
         runTurn();
-        isServed("a");
+        assertServed("a");
         advance(100 * MILLI_MICROS);
-        assertEquals("nothing is asked of it", 0, availableBytes(worker));
-        assertEquals("nor on a connection of its own", 1, loop.openChannels());
+        assertEquals("nothing is sent to the worker", 0, availableBytes(worker));
+        assertEquals("nor on a new connection", 1, loop.openChannels());
     }
 
-    private ReceivedMessage delete(Socket on, String id) throws IOException {
+    private ReceivedMessage awaitDelete(Socket on, String id) throws IOException {
         ReceivedMessage delete = awaitRequest(on);
         assertTrue(delete.head(), delete.head().startsWith("DELETE /jobs/" + id + " "));
         return delete;
     }
 
-    /** A DELETE that comes before its job, and is answered. */
-    private ReceivedMessage overtaking(String id) throws IOException {
+    /** A DELETE that arrives before its job, and is answered. */
+    private ReceivedMessage cancelWithDeleteBeforeJob(String id) throws IOException {
         policy.actions.cancelAttempt(id, 0);
         runTurn();
-        ReceivedMessage delete = delete(accept(worker1), id);
+        ReceivedMessage delete = awaitDelete(accept(worker1), id);
         loop.runAndServe(() -> delete.reply("200 OK", ""));
         runTurn();
         assertFinished();
         return delete;
     }
 
-    /** Nothing reads it any more: it would be taken for that of the next attempt. */
+    /** Guards against a late 202 that would be taken for the next attempt's response. */
     @Test
-    public void a202LongBehindTheAnsweredDeleteFindsItsConnectionClosed() throws Exception {
+    public void acceptanceLongAfterTheAnsweredDeleteFindsItsConnectionClosed() throws Exception {
         Socket worker = sendJob("b");
-        ReceivedMessage first = overtaking("b");
+        ReceivedMessage first = cancelWithDeleteBeforeJob("b");
         advance(99 * MILLI_MICROS);
         assertFinished();
         advance(1 * MILLI_MICROS);
-        assertEquals("the one of the DELETE is left", 1, loop.openChannels());
+        assertEquals("only the connection of the DELETE is left", 1, loop.openChannels());
         assertEquals(-1, worker.getInputStream().read());
         assertFinished();
-        ReceivedMessage second = delete(first.socket(), "b");
+        ReceivedMessage second = awaitDelete(first.socket(), "b");
         loop.runAndServe(() -> second.reply("200 OK", ""));
         runTurn();
         assertFinished("finished b 0 CANCELLED false");
@@ -79,26 +79,29 @@
         assertEquals(1, finishedEvents().size());
     }
 
-    /** The first one's answer ended the attempt: the job ran, beside the next attempt. */
+    /**
+     * Guards against ending the attempt by the first DELETE's response: the job would run beside
+     * the next attempt.
+     */
     @Test
-    public void a202RightBehindTheAnsweredDeleteHasAnotherDeleteFollow() throws Exception {
+    public void acceptanceRightAfterTheAnsweredDeleteCausesAnotherDelete() throws Exception {
         Socket worker = sendJob("d");
-        overtaking("d");
+        cancelWithDeleteBeforeJob("d");
         respond(worker, ACCEPTED);
         advance(20 * MILLI_MICROS);
         assertFinished();
-        ReceivedMessage second = delete(worker, "d");
+        ReceivedMessage second = awaitDelete(worker, "d");
         loop.runAndServe(() -> second.reply("200 OK", ""));
         runTurn();
         assertFinished("finished d 0 CANCELLED false");
     }
 
     /**
-     * The worker has taken the job: its connection is of no meaning to it, and only a call-back
-     * tells of its end.
+     * The worker has accepted the job: the connection no longer matters, and only a call- back
+     * reports the end.
      */
     @Test
-    public void aResetLongAfterThe202EndsNothing() throws Exception {
+    public void resetLongAfterTheAcceptanceEndsNothing() throws Exception {
         Socket worker = sendAcceptedJob("c");
         report("c", "w1", ReportedState.STARTED);
         advance(2_000 * MILLI_MICROS);
@@ -110,9 +113,9 @@
         runTurn();
         advance(100 * MILLI_MICROS);
         assertFinished();
-        assertEquals("and nothing is asked of the worker", 0, loop.openChannels());
+        assertEquals("no connection to the worker is open", 0, loop.openChannels());
         report("c", "w1", ReportedState.DONE);
         runTurn();
-        isServed("c");
+        assertServed("c");
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/WorkerStartTimesTest.java
+++ b/daemon/src/test/java/postgrade/daemon/WorkerStartTimesTest.java
@@ -6,7 +6,7 @@
 import org.junit.Test;
 
 /**
- * Starts of workers told in true Unix time to a process whose wall clock was stepped before it
+ * Worker start times, given in true Unix time to a process whose wall clock was stepped before it
  * began.
  */
 public class WorkerStartTimesTest {
@@ -29,7 +29,7 @@
     }
 
     @Test
-    public void underATrueClockAStartIsWhereItWas() throws Exception {
+    public void accurateClockKeepsTheStartTime() throws Exception {
         WorkerStartTimes times = withWallClockOffBy(0);
         assertEquals(
                 nowMicros - 5 * SECOND,
@@ -42,34 +42,32 @@
         assertEquals(0, times.micros("u", 0, nowMicros, nowMicros));
     }
 
-    /** Else a worker in slow start would pass as warm. */
+    /** Guards against taking a worker in slow start as warm. */
     @Test
-    public void underAClockAnHourAheadAChangeTellsAStartSinceDiscoveryWasLastHeard()
-            throws Exception {
+    public void clockAnHourAheadTreatsAChangedStartAsRecent() throws Exception {
         WorkerStartTimes times = withWallClockOffBy(HOUR);
-        long heardBefore = nowMicros - 2 * SECOND;
-        long started = times.micros("w", startedAgo(SECOND), nowMicros, heardBefore);
+        long previouslyHeard = nowMicros - 2 * SECOND;
+        long started = times.micros("w", startedAgo(SECOND), nowMicros, previouslyHeard);
         assertTrue(nowMicros - started <= 2 * SECOND + WorkerStartTimes.MAX_NOTICE_DELAY_MICROS);
     }
 
-    /** Else a warm worker would pass as cold for an hour. */
+    /** Guards against taking a warm worker as cold for an hour. */
     @Test
-    public void underAClockAnHourBehindAStartIsNoLaterThanTheMomentItIsFirstTold()
-            throws Exception {
+    public void clockAnHourBehindCapsTheStartAtItsFirstReport() throws Exception {
         WorkerStartTimes times = withWallClockOffBy(-HOUR);
         assertEquals(
                 nowMicros,
                 times.micros(
                         "w", startedAgo(SECOND), nowMicros, WorkerStartTimes.NO_EARLIER_CONTACT));
         assertEquals(
-                "told again",
+                "reported again",
                 nowMicros,
                 times.micros(
                         "w", startedAgo(SECOND), nowMicros + 30 * SECOND, nowMicros + 29 * SECOND));
     }
 
     @Test
-    public void aRestartUnderTheSameNameIsAStartOfItsOwn() throws Exception {
+    public void restartUnderTheSameNameGetsItsOwnStartTime() throws Exception {
         WorkerStartTimes times = withWallClockOffBy(0);
         times.micros("w", startedAgo(HOUR), nowMicros, WorkerStartTimes.NO_EARLIER_CONTACT);
         long again = times.micros("w", startedAgo(SECOND), nowMicros, nowMicros - SECOND);
