--- a/core/src/main/java/postgrade/policy/PolicyState.java
+++ b/core/src/main/java/postgrade/policy/PolicyState.java
@@ -6,8 +6,8 @@
 import postgrade.policy.api.PolicySettings;
 
 /**
- * All that the policy remembers, in parts that each own their own state, and what a change of
- * settings does to them. Parts that decide are given just the parts that they need.
+ * The state of the policy, held by components that each own their part, and the effect of a change
+ * of settings on them. Components that decide are given only the components that they need.
  */
 final class PolicyState {
 
@@ -20,18 +20,18 @@
     private final CapacityEstimator capacity;
     private final QueueingDelayEstimator queueingDelay;
     private final ServiceTimeEstimator serviceTime;
-    private final OutlierDetector outliers;
+    private final OutlierDetector outlierDetector;
     private final SlowStartLimiter slowStart;
     private final RetryBudget retryBudget = new RetryBudget();
 
     PolicyState(PolicySettings settings, long seed, PolicyActions actions) {
         context = new PolicyContext(settings, seed, actions);
-        rateLimiter = new RateLimiter(settings.mostBuckets);
+        rateLimiter = new RateLimiter(settings.maxBuckets);
         fleetLoad = new FleetLoadEstimator(context, classes, rateLimiter);
         capacity = new CapacityEstimator(context, workers, classes, fleetLoad);
         queueingDelay = new QueueingDelayEstimator(capacity, fleetLoad);
         serviceTime = new ServiceTimeEstimator(capacity, classes, fleetLoad);
-        outliers = new OutlierDetector(workers, rateLimiter);
+        outlierDetector = new OutlierDetector(workers, rateLimiter);
         slowStart =
                 new SlowStartLimiter(context, workers, classes, rateLimiter, capacity, fleetLoad);
         classes.replace(settings.classes, false);
@@ -39,9 +39,9 @@
     }
 
     /**
-     * Under the same deployment's settings all that was learnt stays, but for what the settings no
-     * longer name; under another's everything begins anew. Either way jobs in flight keep the class
-     * that they came with.
+     * Applies new settings. If they belong to the same deployment, learned state is kept except for
+     * what they no longer name; else it is reset. Either way jobs in flight keep the class that
+     * they arrived with.
      */
     void settingsChanged(long nowNs, PolicySettings next) {
         PolicySettings former = context.settings();
@@ -50,9 +50,9 @@
         classes.replace(next.classes, sameDeployment);
         rateLimiter.settingsChanged(next, sameDeployment);
         if (!sameDeployment) {
-            workers.resetLearnt();
+            workers.resetLearned();
             fleetLoad.reset();
-            outliers.reset();
+            outlierDetector.reset();
             retryBudget.reset();
         }
         slowStart.settingsChanged(nowNs, former, next);
@@ -74,7 +74,7 @@
         return workers;
     }
 
-    /** Jobs in flight by id, in the order of their arrival. */
+    /** Returns the jobs in flight by id, in the order of their arrival. */
     Map<String, InFlightJob> jobs() {
         return jobs;
     }
@@ -95,8 +95,8 @@
         return serviceTime;
     }
 
-    OutlierDetector outliers() {
-        return outliers;
+    OutlierDetector outlierDetector() {
+        return outlierDetector;
     }
 
     SlowStartLimiter slowStart() {
--- a/core/src/main/java/postgrade/policy/TokenBucketDispatchPolicy.java
+++ b/core/src/main/java/postgrade/policy/TokenBucketDispatchPolicy.java
@@ -16,29 +16,29 @@
 
 /**
  * The decision policy of one dispatcher: admission by token buckets, selection of the least loaded
- * worker, bounded retries. This is the front that hands each event to the parts that decide;
- * docs/design.md says what is kept of the design and when each departure from it acts.
+ * worker, bounded retries. This class passes each event to the components that decide;
+ * docs/design.md describes the design and under which conditions the policy departs from it.
  */
 public final class TokenBucketDispatchPolicy implements DispatchPolicy {
 
     private static final String SWEEP_TIMER = "sweep";
 
     private final PolicyState state;
-    private final PolicyStateTransfer transfer;
-    private final AttemptGuard guard;
-    private final RetryController retries;
-    private final WorkerListUpdater listUpdater;
+    private final PolicyStateTransfer stateTransfer;
+    private final AttemptGuard attemptGuard;
+    private final RetryController retryController;
+    private final WorkerListUpdater workerListUpdater;
     private boolean sweepScheduled;
 
     /**
-     * A policy that knows no workers yet.
+     * Creates a policy that knows no workers yet.
      *
-     * @param seed of its random choices
+     * @param seed the seed of its random choices
      */
     public TokenBucketDispatchPolicy(PolicySettings settings, long seed, PolicyActions actions) {
         state = new PolicyState(settings, seed, actions);
-        transfer = new PolicyStateTransfer(state);
-        guard = new AttemptGuard(state.context(), state.slowStart(), state.jobs());
+        stateTransfer = new PolicyStateTransfer(state);
+        attemptGuard = new AttemptGuard(state.context(), state.slowStart(), state.jobs());
         AdmissionController admission =
                 new AdmissionController(
                         state.rateLimiter(),
@@ -46,9 +46,11 @@
                         state.workers(),
                         state.capacity(),
                         state.fleetLoad());
-        LeastLoadedSelector selector = new LeastLoadedSelector(state, state.slowStart(), guard);
-        retries = new RetryController(state, admission, selector, guard);
-        listUpdater = new WorkerListUpdater(state.context(), state.workers(), state.slowStart());
+        LeastLoadedSelector selector =
+                new LeastLoadedSelector(state, state.slowStart(), attemptGuard);
+        retryController = new RetryController(state, admission, selector, attemptGuard);
+        workerListUpdater =
+                new WorkerListUpdater(state.context(), state.workers(), state.slowStart());
     }
 
     @Override
@@ -63,29 +65,29 @@
 
     @Override
     public void quotaShareChanged(long nowNs, double share) {
-        state.rateLimiter().shareChanged(share);
+        state.rateLimiter().quotaShareChanged(share);
     }
 
     @Override
     public List<PolicyStateEntry> exportState(long nowNs) {
-        return transfer.export(nowNs);
+        return stateTransfer.export(nowNs);
     }
 
     @Override
-    public void importState(long nowNs, List<PolicyStateEntry> figures) {
-        transfer.importAll(nowNs, figures);
+    public void importState(long nowNs, List<PolicyStateEntry> entries) {
+        stateTransfer.importState(nowNs, entries);
     }
 
     @Override
-    public void workersUpdated(long nowNs, WorkerListUpdateType form, List<WorkerInfo> workers) {
-        listUpdater.update(nowNs, form, workers);
+    public void workersUpdated(long nowNs, WorkerListUpdateType type, List<WorkerInfo> workers) {
+        workerListUpdater.update(nowNs, type, workers);
     }
 
     @Override
     public void workerReenabled(long nowNs, String workerId) {
         WorkerState worker = state.workers().get(workerId);
         if (worker != null) {
-            worker.reenabled();
+            worker.markReenabled();
         }
     }
 
@@ -96,20 +98,22 @@
             throw new IllegalArgumentException("unknown class " + job.jobClass());
         }
         if (state.jobs().containsKey(job.id())) {
-            return; // The first job under an id is still owed its answer.
+            return; // The first job with this id is still in flight.
         }
-        long startsInNs = state.context().constraints().startDelayNs(nowNs, job);
-        if (startsInNs > 0) {
-            // Perhaps hours: the longest usual pause does not bound it.
-            state.context().actions().reject(job.id(), startsInNs, DecisionReason.NOT_ALLOWED_NOW);
+        long startDelayNs = state.context().constraints().startDelayNs(nowNs, job);
+        if (startDelayNs > 0) {
+            // Not capped at maxRetryAfterNs: a start window may be hours away.
+            state.context()
+                    .actions()
+                    .reject(job.id(), startDelayNs, DecisionReason.NOT_ALLOWED_NOW);
             return;
         }
-        long limitedForNs = state.rateLimiter().charge(nowNs, job);
-        boolean withinQuota = limitedForNs == 0;
-        long retryAfterNs = withinQuota ? WorkerListUpdater.FIRST_RETRY_NS : limitedForNs;
+        long rateLimitedForNs = state.rateLimiter().charge(nowNs, job);
+        boolean withinQuota = rateLimitedForNs == 0;
+        long retryAfterNs = withinQuota ? WorkerListUpdater.INITIAL_RETRY_NS : rateLimitedForNs;
         InFlightJob inFlight = new InFlightJob(job, jobClass, nowNs, withinQuota, retryAfterNs);
         state.jobs().put(job.id(), inFlight);
-        retries.place(nowNs, inFlight);
+        retryController.dispatch(nowNs, inFlight);
         scheduleSweep();
     }
 
@@ -117,25 +121,25 @@
     public void jobAbandoned(long nowNs, String jobId) {
         InFlightJob job = state.jobs().get(jobId);
         if (job != null) {
-            job.answered();
-            guard.release(job);
+            job.markAnswered();
+            attemptGuard.release(job);
         }
     }
 
     @Override
     public void attemptStarted(long nowNs, String jobId, int attempt) {
-        AttemptRecord out = attemptOut(jobId, attempt);
-        if (out != null) {
-            state.queueingDelay().started(nowNs, out);
+        AttemptRecord attemptRecord = attemptInFlight(jobId, attempt);
+        if (attemptRecord != null) {
+            state.queueingDelay().recordStart(nowNs, attemptRecord);
         }
     }
 
     @Override
     public void attemptStreaming(long nowNs, String jobId, int attempt) {
         attemptStarted(nowNs, jobId, attempt);
-        AttemptRecord out = attemptOut(jobId, attempt);
-        if (out != null) {
-            out.job().streaming();
+        AttemptRecord attemptRecord = attemptInFlight(jobId, attempt);
+        if (attemptRecord != null) {
+            attemptRecord.job().markStreaming();
         }
     }
 
@@ -143,44 +147,46 @@
     public void attemptFinished(
             long nowNs,
             String jobId,
-            int number,
+            int attemptNumber,
             AttemptOutcome outcome,
-            boolean last,
-            LoadReport load) {
-        AttemptRecord attempt = attemptOut(jobId, number);
+            boolean finallyAnswered,
+            LoadReport loadReport) {
+        AttemptRecord attempt = attemptInFlight(jobId, attemptNumber);
         if (attempt == null) {
             return;
         }
         InFlightJob job = attempt.job();
-        attempt.worker().averageUsedSlots(nowNs);
-        job.end(attempt, outcome.provesNotRun());
-        state.capacity().reported(nowNs, attempt.worker(), load);
-        state.outliers().attemptEnded(nowNs, attempt, outcome);
+        attempt.worker().updateAverageUsedSlots(nowNs);
+        job.endAttempt(attempt, outcome.provesNotRun());
+        state.capacity().recordReport(nowNs, attempt.worker(), loadReport);
+        state.outlierDetector().recordAttemptEnd(nowNs, attempt, outcome);
         if (outcome == AttemptOutcome.SERVED) {
             state.retryBudget().earn();
-            state.serviceTime().served(nowNs, attempt);
+            state.serviceTime().recordServed(nowNs, attempt);
         }
-        if (last) {
-            job.answered();
+        if (finallyAnswered) {
+            job.markAnswered();
         }
         if (job.isAnswered()) {
-            guard.release(job);
-        } else if (job.attemptsOut() == 0) {
-            retries.retry(nowNs, job, attempt, outcome);
+            attemptGuard.release(job);
+        } else if (job.attemptsInFlight() == 0) {
+            retryController.retry(nowNs, job, attempt, outcome);
         }
     }
 
-    /** The attempt of this number if the job is known and the attempt has not ended, else null. */
-    private AttemptRecord attemptOut(String jobId, int number) {
+    /**
+     * Returns the attempt of this number, or null if the job is unknown or the attempt has ended.
+     */
+    private AttemptRecord attemptInFlight(String jobId, int attemptNumber) {
         InFlightJob job = state.jobs().get(jobId);
-        return job == null ? null : job.attemptOut(number);
+        return job == null ? null : job.attemptInFlight(attemptNumber);
     }
 
     @Override
-    public void workerProbed(long nowNs, String workerId, boolean answered, LoadReport load) {
+    public void workerProbed(long nowNs, String workerId, boolean answered, LoadReport loadReport) {
         WorkerState worker = state.workers().get(workerId);
         if (worker != null && answered) {
-            state.capacity().reported(nowNs, worker, load);
+            state.capacity().recordReport(nowNs, worker, loadReport);
         }
     }
 
@@ -190,7 +196,8 @@
             state.context().actions().watchWorkers();
         } else if (token.equals(SWEEP_TIMER)) {
             sweepScheduled = false;
-            new ArrayList<>(state.jobs().values()).forEach(job -> retries.sweep(nowNs, job));
+            new ArrayList<>(state.jobs().values())
+                    .forEach(job -> retryController.sweep(nowNs, job));
             scheduleSweep();
         }
     }
@@ -198,7 +205,7 @@
     private void scheduleSweep() {
         if (!sweepScheduled && !state.jobs().isEmpty()) {
             sweepScheduled = true;
-            state.context().actions().startTimer(SWEEP_TIMER, RetryController.SWEEP_NS);
+            state.context().actions().startTimer(SWEEP_TIMER, RetryController.SWEEP_INTERVAL_NS);
         }
     }
 }
--- a/core/src/main/java/postgrade/policy/WorkerState.java
+++ b/core/src/main/java/postgrade/policy/WorkerState.java
@@ -5,27 +5,30 @@
 import postgrade.policy.api.WorkerPhase;
 
 /**
- * A worker as this dispatcher sees it: what the list says, what it holds of our jobs, and what has
- * been learnt of it. Times are in nanoseconds of the policy's clock.
+ * A worker as seen by this dispatcher: its state in the worker list, the jobs of this dispatcher
+ * that it holds, and what has been learned of it. Times are in nanoseconds of the policy's clock.
  */
 final class WorkerState {
 
-    /** Where unlisted workers are kept, an older list may name a drained one again for so long. */
-    private static final long DRAIN_MEMORY_NS = 60_000_000_000L;
+    /**
+     * If unlisted workers are kept, a drained worker is remembered for this long, as an outdated
+     * list may name it as ready again.
+     */
+    private static final long DRAIN_RETENTION_NS = 60_000_000_000L;
 
-    /** Of its own pace the latest so many jobs count. */
-    private static final double MOST_PACE_SAMPLES = 20;
+    /** Number of latest jobs that the service time ratio averages over. */
+    private static final double MAX_SERVICE_TIME_RATIO_SAMPLES = 20;
 
     private final String id;
     private final long hash;
     private final WorkerKindStats kind;
-    private final SlowStartLedger slowStartLedger = new SlowStartLedger();
+    private final SlowStartUsage slowStartUsage = new SlowStartUsage();
     private final CapacityReport capacityReport = new CapacityReport();
     private final WorkerHealth health = new WorkerHealth();
     private WorkerInfo info;
     private boolean ready;
     private boolean listed;
-    private long drainedNs;
+    private long drainSeenNs;
     private long startedNs;
     private int inFlight;
     private double usedSlots;
@@ -33,9 +36,9 @@
     private double averageUsedSlots;
     private long averagedNs;
     private double queueingDelayNs;
-    private long queueingDelaySeenNs;
-    private double pace = 1;
-    private double paceSamples;
+    private long queueingDelayObservedNs;
+    private double serviceTimeRatio = 1;
+    private double serviceTimeRatioSamples;
     private boolean needsTrial;
 
     WorkerState(String id, WorkerKindStats kind) {
@@ -48,7 +51,7 @@
         return id;
     }
 
-    /** A hash of its name that all dispatchers agree on. */
+    /** Returns a hash of its name that is the same at all dispatchers. */
     long hash() {
         return hash;
     }
@@ -61,36 +64,37 @@
         return info;
     }
 
-    SlowStartLedger slowStartLedger() {
-        return slowStartLedger;
+    SlowStartUsage slowStartUsage() {
+        return slowStartUsage;
     }
 
-    // ---- What the list says.
+    // ---- State in the worker list.
 
-    /** Whether it may be sent to, as far as the list decides. */
+    /** Whether the worker list allows sending to it. */
     boolean isReady() {
         return ready;
     }
 
-    /** When its process last started, 0 for long ago. */
+    /** Returns when its process last started; 0 for long ago. */
     long startedNs() {
         return startedNs;
     }
 
     /**
-     * The list names it.
+     * Applies an entry of the worker list.
      *
-     * @param keepsUnlisted only draining takes a worker out, and an older list may not undo a drain
+     * @param keepsUnlisted whether only draining excludes a worker; then an outdated list does not
+     *     undo a drain
      */
-    void listed(long nowNs, WorkerInfo latest, boolean keepsUnlisted) {
+    void updateFromList(long nowNs, WorkerInfo latest, boolean keepsUnlisted) {
         info = latest;
         boolean restarted = latest.startedNs() > startedNs;
         if (latest.phase() == WorkerPhase.DRAINING) {
             ready = false;
-            drainedNs = nowNs;
-        } else if (restarted || drainedNs == 0 || !keepsUnlisted) {
+            drainSeenNs = nowNs;
+        } else if (restarted || drainSeenNs == 0 || !keepsUnlisted) {
             ready = true;
-            drainedNs = 0;
+            drainSeenNs = 0;
         }
         listed = ready;
         if (restarted) {
@@ -99,27 +103,28 @@
         }
     }
 
-    /** The list names it no longer. */
-    void unlisted(boolean keepsUnlisted) {
+    /** Notes that the worker list no longer names it. */
+    void markUnlisted(boolean keepsUnlisted) {
         listed = false;
         ready &= keepsUnlisted;
     }
 
     /**
-     * Whether nothing is lost with its state: none of our jobs are there, and it is not to be sent
-     * to.
+     * Whether its state can be removed: it holds no jobs of this dispatcher, and either it is not
+     * ready (and not a recently drained worker that is kept) or it is no longer listed and has been
+     * ejected several times in a row.
      */
-    boolean canBeForgotten(long nowNs, boolean keepsUnlisted) {
+    boolean canBeRemoved(long nowNs, boolean keepsUnlisted) {
         if (inFlight != 0) {
             return false;
         }
         if (ready) {
-            return !listed && health.ejections() > OutlierDetector.MOST_DOUBLINGS;
+            return !listed && health.ejections() > OutlierDetector.MAX_DOUBLINGS;
         }
-        return !keepsUnlisted || drainedNs == 0 || nowNs - drainedNs > DRAIN_MEMORY_NS;
+        return !keepsUnlisted || drainSeenNs == 0 || nowNs - drainSeenNs > DRAIN_RETENTION_NS;
     }
 
-    // ---- What it holds of our jobs.
+    // ---- This dispatcher's jobs at the worker.
 
     int inFlight() {
         return inFlight;
@@ -133,42 +138,44 @@
         return usedMemory;
     }
 
-    void occupy(Job job) {
+    void addJob(Job job) {
         inFlight++;
         usedSlots += job.slots();
         usedMemory += job.memory();
     }
 
-    void vacate(Job job) {
+    void removeJob(Job job) {
         inFlight--;
         usedSlots -= job.slots();
         usedMemory -= job.memory();
     }
 
     /**
-     * Updates the average of the slots that our jobs use, before their number changes or a report
-     * is compared with it.
+     * Updates the average of the slots used by this dispatcher's jobs. Must be called before their
+     * number changes and before a report is compared with the average.
      */
-    void averageUsedSlots(long nowNs) {
-        double keep = Math.exp(-(nowNs - averagedNs) / CapacityEstimator.REPORT_LAG_NS);
-        averageUsedSlots = averageUsedSlots * keep + usedSlots * (1 - keep);
+    void updateAverageUsedSlots(long nowNs) {
+        double remaining = Math.exp(-(nowNs - averagedNs) / CapacityEstimator.REPORT_LAG_NS);
+        averageUsedSlots = averageUsedSlots * remaining + usedSlots * (1 - remaining);
         averagedNs = nowNs;
     }
 
-    // ---- Its capacity and its failures.
+    // ---- Capacity and failures.
 
     CapacityReport capacityReport() {
         return capacityReport;
     }
 
-    /** Its load report shows so many free slots, in which our jobs count with some lag. */
-    void reportFreeSlots(long nowNs, double freeSlots) {
-        averageUsedSlots(nowNs);
+    /**
+     * Records the free slots of a load report, which reflects this dispatcher's jobs with some lag.
+     */
+    void recordFreeSlots(long nowNs, double freeSlots) {
+        updateAverageUsedSlots(nowNs);
         capacityReport.set(nowNs, freeSlots + averageUsedSlots);
     }
 
-    /** It has rejected a job for want of capacity. */
-    void reportFull(long nowNs) {
+    /** Records that the worker has rejected a job for lack of capacity. */
+    void recordFull(long nowNs) {
         capacityReport.setFull(nowNs, usedSlots);
     }
 
@@ -180,83 +187,85 @@
         return health.isEjected(nowNs);
     }
 
-    // ---- Its queueing delay and its pace.
+    // ---- Queueing delay and service time.
 
-    /** How long the latest job waited there before it started. */
+    /** Returns how long the latest job was queued before it started. */
     double queueingDelayNs() {
         return queueingDelayNs;
     }
 
-    long queueingDelaySeenNs() {
-        return queueingDelaySeenNs;
+    long queueingDelayObservedNs() {
+        return queueingDelayObservedNs;
     }
 
     void recordQueueingDelay(long nowNs, double delayNs) {
         queueingDelayNs = delayNs;
-        queueingDelaySeenNs = nowNs;
+        queueingDelayObservedNs = nowNs;
     }
 
     /**
-     * How long jobs run there relative to the mean of their class, by {@link #paceSamples} jobs.
+     * Returns the service time of its jobs relative to the mean of their class, averaged over
+     * {@link #serviceTimeRatioSamples} jobs.
      */
-    double pace() {
-        return pace;
+    double serviceTimeRatio() {
+        return serviceTimeRatio;
     }
 
-    double paceSamples() {
-        return paceSamples;
+    double serviceTimeRatioSamples() {
+        return serviceTimeRatioSamples;
     }
 
-    void recordPace(double observed) {
-        paceSamples = Math.min(MOST_PACE_SAMPLES, paceSamples + 1);
-        pace += (observed - pace) / paceSamples;
+    void recordServiceTimeRatio(double observed) {
+        serviceTimeRatioSamples =
+                Math.min(MAX_SERVICE_TIME_RATIO_SAMPLES, serviceTimeRatioSamples + 1);
+        serviceTimeRatio += (observed - serviceTimeRatio) / serviceTimeRatioSamples;
     }
 
     // ---- Resets.
 
-    /** Whether an operator has put it back and no job has been sent to it since. */
+    /** Whether an operator has re-enabled it and no job has been sent to it since. */
     boolean needsTrial() {
         return needsTrial;
     }
 
-    void trialSent() {
+    void markTrialSent() {
         needsTrial = false;
     }
 
     /**
-     * An operator has put it back, restarted. It needs a trial, as others look better while it is
-     * in slow start.
+     * Marks the worker as restarted and re-enabled by an operator. It needs a trial job, as other
+     * workers are preferred while it is in slow start.
      */
-    void reenabled() {
-        resetLearnt();
+    void markReenabled() {
+        resetLearned();
         needsTrial = true;
     }
 
-    /** Nothing that was learnt under another deployment's settings counts any more. */
-    void deploymentChanged() {
-        resetLearnt();
-        queueingDelaySeenNs = 0;
+    /** Resets what was learned under another deployment's settings. */
+    void resetForNewDeployment() {
+        resetLearned();
+        queueingDelayObservedNs = 0;
         capacityReport.resetTime();
     }
 
-    private void resetLearnt() {
+    private void resetLearned() {
         health.reset();
         queueingDelayNs = 0;
-        pace = 1;
-        paceSamples = 0;
+        serviceTimeRatio = 1;
+        serviceTimeRatioSamples = 0;
         capacityReport.reset();
     }
 
-    /** What was learnt of it, in the order that {@link #restore} reads. */
+    /** Returns what was learned of it, in the order that {@link #restore} reads. */
     double[] export(long nowNs) {
         return new double[] {
             health.failureRate(),
             health.ejectedForNs(nowNs),
             health.ejections(),
-            pace,
-            paceSamples,
+            serviceTimeRatio,
+            serviceTimeRatioSamples,
             queueingDelayNs,
-            nowNs - queueingDelaySeenNs,
+            nowNs - queueingDelayObservedNs,
             capacityReport.fullAgeNs(nowNs),
             needsTrial ? 1 : 0
         };
@@ -264,10 +273,10 @@
 
     void restore(double[] values, long nowNs) {
         health.restore(values[0], nowNs + (long) values[1], (int) values[2]);
-        pace = values[3];
-        paceSamples = values[4];
+        serviceTimeRatio = values[3];
+        serviceTimeRatioSamples = values[4];
         queueingDelayNs = values[5];
-        queueingDelaySeenNs = nowNs - (long) values[6];
+        queueingDelayObservedNs = nowNs - (long) values[6];
         capacityReport.restoreFullAge(values[7], nowNs);
         needsTrial = values[8] == 1;
     }
