--- a/daemon/src/main/java/postgrade/daemon/Rehearsal.java
+++ b/daemon/src/main/java/postgrade/daemon/ClassDataTraining.java
@@ -18,15 +18,15 @@
  * all on loopback, and ends. The virtual machine writes down which classes that took: the build
  * makes the class-data archive from it, by which later starts are quicker.
  */
-final class Rehearsal {
+final class ClassDataTraining {
 
-    private static final int PATIENCE_MS = 10_000;
+    private static final int READ_TIMEOUT_MS = 10_000;
     private static final String SETTINGS =
             "{'balancers':1,'zone':'a','classes':[{'name':'price','idempotency':"
                     + "'read_like','onTimeNs':200000000,'deadlineNs':1000000000}],'tenants':[{'name':'t','quotaPerS':100}],"
                     + "'limits':{'cancel':true,'maxAttempts':4},'specifics':{'tellsStart':true}}";
 
-    private Rehearsal() {}
+    private ClassDataTraining() {}
 
     static void run() throws IOException, InterruptedException {
         try (ServerSocket worker = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
@@ -40,11 +40,11 @@
                                 .add("discovery", "127.0.0.1:" + discovery.getLocalPort())
                                 .add("seed", "8c1f30d27a5be964")
                                 .add("settings", Json.parse(SETTINGS.replace('\'', '"')))
-                                .add("known", Json.parse(list(worker.getLocalPort())));
+                                .add("known", Json.parse(workerListJson(worker.getLocalPort())));
                 Files.writeString(file, config.toString());
                 Daemon daemon = new Daemon(Config.read(Map.of("ROUTER_CONFIG", file.toString())));
                 daemon.start();
-                play(daemon, worker, discovery);
+                exchangeMessages(daemon, worker, discovery);
                 daemon.reload();
                 daemon.stop();
             } catch (Config.InvalidConfigException e) {
@@ -55,7 +55,7 @@
         }
     }
 
-    private static String list(int port) {
+    private static String workerListJson(int port) {
         return ("{'version':1,'full':true,'servers':[{'id':'s-1','addr':'127.0.0.1:"
                         + port
                         + "','zone':'a',"
@@ -63,47 +63,47 @@
                 .replace('\'', '"');
     }
 
-    private static void play(Daemon daemon, ServerSocket worker, ServerSocket discovery)
+    private static void exchangeMessages(Daemon daemon, ServerSocket worker, ServerSocket discovery)
             throws IOException {
-        try (Socket watch = discovery.accept();
-                Socket client = connect(daemon)) {
-            read(watch);
-            String change = list(worker.getLocalPort()) + "\n";
+        try (Socket watchConnection = discovery.accept();
+                Socket clientConnection = connect(daemon)) {
+            read(watchConnection);
+            String listUpdate = workerListJson(worker.getLocalPort()) + "\n";
             write(
-                    watch,
+                    watchConnection,
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                            + Integer.toHexString(change.length())
+                            + Integer.toHexString(listUpdate.length())
                             + "\r\n"
-                            + change
+                            + listUpdate
                             + "\r\n");
-            write(client, "GET /-/ready HTTP/1.1\r\n\r\n");
-            read(client);
-            write(client, job("1", "price"));
-            try (Socket call = worker.accept();
-                    Socket back = connect(daemon)) {
-                read(call);
-                write(call, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
+            write(clientConnection, "GET /-/ready HTTP/1.1\r\n\r\n");
+            read(clientConnection);
+            write(clientConnection, jobRequest("1", "price"));
+            try (Socket workerConnection = worker.accept();
+                    Socket callBackConnection = connect(daemon)) {
+                read(workerConnection);
+                write(workerConnection, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
                 for (String state : new String[] {"started", "done"}) {
                     String event =
                             "{\"id\":\"1\",\"from\":\"s-1\",\"state\":\""
                                     + state
                                     + "\",\"result\":\"r\"}";
                     write(
-                            back,
+                            callBackConnection,
                             "POST /v1/job-events HTTP/1.1\r\nContent-Length: "
                                     + event.length()
                                     + "\r\n\r\n"
                                     + event);
-                    read(back);
+                    read(callBackConnection);
                 }
-                read(client);
+                read(clientConnection);
             }
-            write(client, job("2", "unknown"));
-            read(client);
+            write(clientConnection, jobRequest("2", "unknown"));
+            read(clientConnection);
         }
     }
 
-    private static String job(String id, String jobClass) {
+    private static String jobRequest(String id, String jobClass) {
         return "POST /api HTTP/1.1\r\nHost: b\r\nX-Request-Id: "
                 + id
                 + "\r\nX-Class: "
@@ -112,21 +112,21 @@
     }
 
     private static Socket connect(Daemon daemon) throws IOException {
-        Socket s = new Socket(InetAddress.getLoopbackAddress(), daemon.port());
-        s.setSoTimeout(PATIENCE_MS);
-        return s;
+        Socket socket = new Socket(InetAddress.getLoopbackAddress(), daemon.port());
+        socket.setSoTimeout(READ_TIMEOUT_MS);
+        return socket;
     }
 
-    private static void write(Socket s, String text) throws IOException {
-        OutputStream out = s.getOutputStream();
+    private static void write(Socket socket, String text) throws IOException {
+        OutputStream out = socket.getOutputStream();
         out.write(text.getBytes(StandardCharsets.ISO_8859_1));
         out.flush();
     }
 
     /** Takes what has come so far, which for the small messages here is one whole. */
-    private static void read(Socket s) throws IOException {
-        s.setSoTimeout(PATIENCE_MS);
-        InputStream in = s.getInputStream();
+    private static void read(Socket socket) throws IOException {
+        socket.setSoTimeout(READ_TIMEOUT_MS);
+        InputStream in = socket.getInputStream();
         if (in.read(new byte[4096]) < 0) {
             throw new IOException("the dispatcher has closed the connection");
         }
--- a/daemon/src/main/java/postgrade/daemon/Clock.java
+++ b/daemon/src/main/java/postgrade/daemon/Clock.java
@@ -18,8 +18,8 @@
      */
     private static final long ORIGIN_MICROS = 86_400_000_000L;
 
-    private static final double MILLION = 1e6;
-    private static final long MOST_PPM = 100_000;
+    private static final double PPM = 1e6;
+    private static final long MAX_RATE_PPM = 100_000;
 
     private final long offsetMicros;
     private final long ratePpm;
@@ -38,9 +38,9 @@
         }
         String[] parts = setting.split(",", -1);
         try {
-            long rate = parts.length == 2 ? Long.parseLong(parts[1].strip()) : Long.MAX_VALUE;
-            if (Math.abs(rate) <= MOST_PPM) {
-                return new Clock(Long.parseLong(parts[0].strip()), rate);
+            long ppm = parts.length == 2 ? Long.parseLong(parts[1].strip()) : Long.MAX_VALUE;
+            if (Math.abs(ppm) <= MAX_RATE_PPM) {
+                return new Clock(Long.parseLong(parts[0].strip()), ppm);
             }
         } catch (NumberFormatException e) {
             // Falls through to the one sentence.
@@ -52,17 +52,17 @@
 
     /** Monotonic. */
     long micros() {
-        return ORIGIN_MICROS + passed((System.nanoTime() - startNanos) / 1000);
+        return ORIGIN_MICROS + scaled((System.nanoTime() - startNanos) / 1000);
     }
 
     /** The wall clock, which may jump. */
     long unixMillis() {
-        long skew =
+        long skewMicros =
                 ratePpm == 0
                         ? 0
-                        : passed((System.nanoTime() - startNanos) / 1000)
+                        : scaled((System.nanoTime() - startNanos) / 1000)
                                 - (System.nanoTime() - startNanos) / 1000;
-        return System.currentTimeMillis() + (offsetMicros + skew) / 1000;
+        return System.currentTimeMillis() + (offsetMicros + skewMicros) / 1000;
     }
 
     /** A point of Unix time on the monotonic clock, 0 for one too long ago for it. */
@@ -70,7 +70,7 @@
         return Math.max(0, ORIGIN_MICROS + (millis - startUnixMillis) * 1000);
     }
 
-    private long passed(long micros) {
-        return ratePpm == 0 ? micros : (long) (micros * (1 + ratePpm / MILLION));
+    private long scaled(long micros) {
+        return ratePpm == 0 ? micros : (long) (micros * (1 + ratePpm / PPM));
     }
 }
--- a/daemon/src/main/java/postgrade/daemon/CompanionLoader.java
+++ b/daemon/src/main/java/postgrade/daemon/CompanionLoader.java
@@ -13,7 +13,7 @@
     /** Null where nothing is named: then nothing is looked for either. */
     static DispatcherExtension.Configuration loadPlan(Config config)
             throws Config.InvalidConfigException {
-        if (config.sharing == null) {
+        if (config.sharingScript == null) {
             return null;
         }
         DispatcherExtension.Factory finder =
@@ -25,7 +25,7 @@
                                                 "sharing",
                                                 "this program has no sharing in it; start it by ./postgrade serve"));
         try {
-            return finder.read(config.sharing, config.name);
+            return finder.read(config.sharingScript, config.name);
         } catch (IllegalArgumentException e) {
             throw new Config.InvalidConfigException("sharing", e.getMessage());
         }
--- a/daemon/src/main/java/postgrade/daemon/Config.java
+++ b/daemon/src/main/java/postgrade/daemon/Config.java
@@ -32,105 +32,117 @@
     static final class InvalidConfigException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        InvalidConfigException(String key, String what) {
-            super(key + ": " + what);
+        InvalidConfigException(String key, String problem) {
+            super(key + ": " + problem);
         }
     }
 
-    private static final int DEFAULT_SOCKETS = 1024;
+    private static final int DEFAULT_DESCRIPTORS = 1024;
 
     /**
      * For what the virtual machine itself holds, 11 by count: its files, the selector, the standard
      * streams.
      */
-    private static final int OWN_DESCRIPTORS = 32;
+    private static final int JVM_DESCRIPTORS = 32;
 
-    private static final int LEAST_SOCKETS = 16;
-    private static final double DEFAULT_MOST_HELD = 20_000;
+    private static final int MIN_SOCKETS = 16;
+    private static final double DEFAULT_MAX_HELD_JOBS = 20_000;
     private static final double DEFAULT_DEADLINE_NS = 30e9;
-    private static final double DEFAULT_CONNECT_NS = 250e6;
-    private static final double DEFAULT_IDLE_NS = 10e9;
+    private static final double DEFAULT_CONNECT_TIMEOUT_NS = 250e6;
+    private static final double DEFAULT_IDLE_TIMEOUT_NS = 10e9;
 
     final String file;
     final String name;
-    final InetSocketAddress listen;
-    final InetSocketAddress discovery;
+    final InetSocketAddress listenAddress;
+    final InetSocketAddress discoveryAddress;
 
     /** Where operators call, or null where nobody does. */
-    final InetSocketAddress operator;
+    final InetSocketAddress operatorAddress;
 
     final long seed;
 
     /** The script that says with whom state is shared, or null where it is not. */
-    final Path sharing;
+    final Path sharingScript;
 
     final Clock clock;
 
     /** A folder that all processes of this dispatcher share, or null. */
-    final Path shared;
+    final Path sharedDirectory;
 
-    private int descriptors;
+    private int descriptorLimit;
 
     /** Sockets of all peers together, the operators' apart. */
-    final int sockets;
+    final int socketLimit;
 
     final PolicySettings settings;
-    final int mostHeld;
+    final int maxHeldJobs;
     final long connectTimeoutMicros;
     final long idleTimeoutMicros;
     final Map<String, Long> deadlineMicros = new HashMap<>();
 
     /** The list as it was last known, or null. */
-    final WorkerList known;
+    final WorkerList cachedWorkers;
 
     private final Map<String, String> environment;
     private final JsonObject json;
-    private final Map<String, String> pairs;
+    private final Map<String, String> flatSettings;
 
     private Config(Map<String, String> environment, JsonObject json) throws InvalidConfigException {
         this.environment = environment;
         this.json = json;
         file = environment.get("ROUTER_CONFIG");
-        name = text("name", "ROUTER_NAME");
-        String folder = environment.getOrDefault("TMPDIR", "");
-        shared = folder.isEmpty() ? null : Path.of(folder);
-        listen = address("listen", "ROUTER_LISTEN");
-        discovery = address("discovery", "ROUTER_DISCOVERY");
-        operator =
-                has("operator", "ROUTER_OPERATOR") ? address("operator", "ROUTER_OPERATOR") : null;
-        sharing =
-                has("sharing", "ROUTER_SHARING")
-                        ? Path.of(text("sharing", "ROUTER_SHARING"))
+        name = requiredText("name", "ROUTER_NAME");
+        String directory = environment.getOrDefault("TMPDIR", "");
+        sharedDirectory = directory.isEmpty() ? null : Path.of(directory);
+        listenAddress = requiredAddress("listen", "ROUTER_LISTEN");
+        discoveryAddress = requiredAddress("discovery", "ROUTER_DISCOVERY");
+        operatorAddress =
+                isSet("operator", "ROUTER_OPERATOR")
+                        ? requiredAddress("operator", "ROUTER_OPERATOR")
+                        : null;
+        sharingScript =
+                isSet("sharing", "ROUTER_SHARING")
+                        ? Path.of(requiredText("sharing", "ROUTER_SHARING"))
                         : null;
         clock = Clock.of(environment.get(Clock.VARIABLE));
-        seed = seed();
-        sockets = sockets();
-        JsonValue given = json.get("settings");
-        if (given == null || !given.isObject()) {
+        seed = readSeed();
+        socketLimit = readSocketLimit();
+        JsonValue settingsJson = json.get("settings");
+        if (settingsJson == null || !settingsJson.isObject()) {
             throw new InvalidConfigException("settings", "an object is needed");
         }
-        Required.requireWholeNumbers(given.asObject());
-        pairs = JsonPairs.of(given.asObject());
-        SettingsReader read = SettingsReader.ofPairs(pairs);
+        ConfigValidation.requirePositiveWholeNumbers(settingsJson.asObject());
+        flatSettings = JsonPairs.of(settingsJson.asObject());
+        SettingsReader reader = SettingsReader.ofPairs(flatSettings);
         try {
-            settings = read.settings();
-            mostHeld = (int) positive(read, "limits.mostHeld", DEFAULT_MOST_HELD);
+            settings = reader.settings();
+            maxHeldJobs = (int) positiveNumber(reader, "limits.mostHeld", DEFAULT_MAX_HELD_JOBS);
             connectTimeoutMicros =
-                    (long) (positive(read, "limits.connectTimeoutNs", DEFAULT_CONNECT_NS) / 1000);
+                    (long)
+                            (positiveNumber(
+                                            reader,
+                                            "limits.connectTimeoutNs",
+                                            DEFAULT_CONNECT_TIMEOUT_NS)
+                                    / 1000);
             idleTimeoutMicros =
-                    (long) (positive(read, "limits.connIdleNs", DEFAULT_IDLE_NS) / 1000);
+                    (long)
+                            (positiveNumber(reader, "limits.connIdleNs", DEFAULT_IDLE_TIMEOUT_NS)
+                                    / 1000);
             List<JobClass> classes = settings.classes;
             for (int i = 0; i < classes.size(); i++) {
                 deadlineMicros.put(
                         classes.get(i).name(),
                         (long)
-                                (positive(read, "classes." + i + ".deadlineNs", DEFAULT_DEADLINE_NS)
+                                (positiveNumber(
+                                                reader,
+                                                "classes." + i + ".deadlineNs",
+                                                DEFAULT_DEADLINE_NS)
                                         / 1000));
             }
         } catch (IllegalArgumentException e) {
             throw new InvalidConfigException("settings", e.getMessage());
         }
-        known = known();
+        cachedWorkers = readCachedWorkers();
     }
 
     static Config read(Map<String, String> environment) throws InvalidConfigException {
@@ -149,8 +161,8 @@
     }
 
     /** All settings as they are in force, in the order of the operators' page. */
-    List<Effective> effective() {
-        return Effective.of(this, json, pairs);
+    List<EffectiveSetting> effectiveSettings() {
+        return EffectiveSetting.allOf(this, json, flatSettings);
     }
 
     /** Who may submit jobs; empty where there are none. */
@@ -159,8 +171,8 @@
     }
 
     /** All that this process may hold. */
-    int descriptors() {
-        return descriptors;
+    int descriptorLimit() {
+        return descriptorLimit;
     }
 
     /**
@@ -168,18 +180,18 @@
      * that it had: one that is missing would fall back to a default that nobody chose, as in a file
      * that somebody is still writing.
      */
-    Config readAgain() throws InvalidConfigException {
+    Config reread() throws InvalidConfigException {
         Config next = read(environment);
-        Required.requireKeys(json, next.json, "");
+        ConfigValidation.requireKeys(json, next.json, "");
         return next;
     }
 
-    boolean sameSettings(Config other) {
+    boolean hasSameSettings(Config other) {
         return json.get("settings").equals(other.json.get("settings"));
     }
 
     /** The keys whose new values would need a new start; seed and list concern the start alone. */
-    List<String> keysForNextStart(Config next) {
+    List<String> keysNeedingRestart(Config next) {
         List<String> keys = new ArrayList<>();
         for (String key : new String[] {"name", "listen", "operator", "sharing", "limits"}) {
             if (!Objects.equals(json.get(key), next.json.get(key))) {
@@ -190,11 +202,11 @@
     }
 
     /** Places for sockets where so many processes share the descriptors. */
-    int sockets(int processes) {
-        return Math.max(LEAST_SOCKETS, descriptors / processes - (descriptors - sockets));
+    int socketLimitFor(int processes) {
+        return Math.max(MIN_SOCKETS, descriptorLimit / processes - (descriptorLimit - socketLimit));
     }
 
-    private String text(String key, String variable) throws InvalidConfigException {
+    private String requiredText(String key, String variable) throws InvalidConfigException {
         JsonValue value = json.get(key);
         String text =
                 value != null && value.isString()
@@ -206,19 +218,20 @@
         return text;
     }
 
-    private boolean has(String key, String variable) {
+    private boolean isSet(String key, String variable) {
         return json.get(key) != null || !environment.getOrDefault(variable, "").isEmpty();
     }
 
-    private InetSocketAddress address(String key, String variable) throws InvalidConfigException {
+    private InetSocketAddress requiredAddress(String key, String variable)
+            throws InvalidConfigException {
         try {
-            return AddressFormat.parse(text(key, variable));
+            return AddressFormat.parse(requiredText(key, variable));
         } catch (IllegalArgumentException e) {
             throw new InvalidConfigException(key, e.getMessage());
         }
     }
 
-    private long seed() throws InvalidConfigException {
+    private long readSeed() throws InvalidConfigException {
         JsonValue value = json.get("seed");
         if (value == null) {
             return System.nanoTime();
@@ -232,31 +245,32 @@
         }
     }
 
-    private int sockets() throws InvalidConfigException {
+    private int readSocketLimit() throws InvalidConfigException {
         JsonValue limits = json.get("limits");
         JsonValue value =
                 limits != null && limits.isObject() ? limits.asObject().get("sockets") : null;
         if (value != null && !value.isNumber()) {
             throw new InvalidConfigException("limits.sockets", "not a number");
         }
-        descriptors = value == null ? DEFAULT_SOCKETS : (int) value.asDouble();
-        int apart = OWN_DESCRIPTORS + (operator == null ? 0 : OperatorListener.MAX_SOCKETS);
-        if (descriptors < 2 * OWN_DESCRIPTORS) {
+        descriptorLimit = value == null ? DEFAULT_DESCRIPTORS : (int) value.asDouble();
+        int reserved =
+                JVM_DESCRIPTORS + (operatorAddress == null ? 0 : OperatorListener.MAX_SOCKETS);
+        if (descriptorLimit < 2 * JVM_DESCRIPTORS) {
             throw new InvalidConfigException(
-                    "limits.sockets", "at least " + 2 * OWN_DESCRIPTORS + " are needed");
+                    "limits.sockets", "at least " + 2 * JVM_DESCRIPTORS + " are needed");
         }
-        return descriptors - apart;
+        return descriptorLimit - reserved;
     }
 
-    private static double positive(SettingsReader read, String key, double absent) {
-        double value = read.number(key, absent);
+    private static double positiveNumber(SettingsReader reader, String key, double defaultValue) {
+        double value = reader.number(key, defaultValue);
         if (!(value > 0)) {
             throw new IllegalArgumentException(key + " must be positive");
         }
         return value;
     }
 
-    private WorkerList known() throws InvalidConfigException {
+    private WorkerList readCachedWorkers() throws InvalidConfigException {
         JsonValue value = json.get("known");
         if (value == null || value.isNull()) {
             return null;
--- a/daemon/src/main/java/postgrade/daemon/ConfigCheck.java
+++ b/daemon/src/main/java/postgrade/daemon/ConfigCheck.java
@@ -22,10 +22,10 @@
      *     key
      */
     public static List<Setting> effectiveSettings(Path file, Map<String, String> environment) {
-        Map<String, String> seen = new HashMap<>(environment);
-        seen.put("ROUTER_CONFIG", file.toString());
+        Map<String, String> variables = new HashMap<>(environment);
+        variables.put("ROUTER_CONFIG", file.toString());
         try {
-            return Config.read(seen).effective().stream()
+            return Config.read(variables).effectiveSettings().stream()
                     .map(e -> new Setting(e.key(), String.valueOf(e.value()), e.origin()))
                     .toList();
         } catch (Config.InvalidConfigException e) {
--- a/daemon/src/main/java/postgrade/daemon/Reload.java
+++ b/daemon/src/main/java/postgrade/daemon/ConfigReloader.java
@@ -12,35 +12,35 @@
  * Reads the configuration again and takes over what can change under way. A faulty one changes
  * nothing. On the loop.
  */
-record Reload(
-        RequestTracker gateway,
+record ConfigReloader(
+        RequestTracker requestTracker,
         ClientListener listener,
-        WorkerConnectionPools providers,
-        DiscoveryWatch watch) {
+        WorkerConnectionPools workerPools,
+        DiscoveryWatch discoveryWatch) {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Reload.class);
+    private static final Logger LOG = LoggerFactory.getLogger(ConfigReloader.class);
 
     /** Returns what is in force from now on. */
-    Config after(Config config) {
+    Config reload(Config config) {
         try {
-            Config next = config.readAgain();
-            String later = String.join(", ", config.keysForNextStart(next));
+            Config next = config.reread();
+            String restartKeys = String.join(", ", config.keysNeedingRestart(next));
             Events.info(LOG, "configuration.read-again")
-                    .addKeyValue("later", later)
+                    .addKeyValue("later", restartKeys)
                     .log(
                             "configuration read again"
-                                    + (later.isEmpty()
+                                    + (restartKeys.isEmpty()
                                             ? ""
-                                            : "; only at the next start: " + later));
-            if (!config.sameSettings(next)) {
-                gateway.settingsChanged(next.settings, next.mostHeld);
+                                            : "; only at the next start: " + restartKeys));
+            if (!config.hasSameSettings(next)) {
+                requestTracker.settingsChanged(next.settings, next.maxHeldJobs);
                 listener.updateSettings(next.deadlineMicros, next.tenantNames());
-                providers.updateSettings(
+                workerPools.updateSettings(
                         next.connectTimeoutMicros,
                         next.idleTimeoutMicros,
                         config.settings.deployment.isSameAs(next.settings.deployment));
             }
-            watch.moveTo(next.discovery);
+            discoveryWatch.moveTo(next.discoveryAddress);
             return next;
         } catch (Config.InvalidConfigException e) {
             Events.warn(LOG, "configuration.not-taken")
--- a/daemon/src/main/java/postgrade/daemon/Daemon.java
+++ b/daemon/src/main/java/postgrade/daemon/Daemon.java
@@ -33,35 +33,35 @@
 final class Daemon {
 
     private static final Logger LOG = LoggerFactory.getLogger(Daemon.class);
-    private static final long NANOS = 1_000;
-    static final long STOP_CHECK_MICROS = 20_000;
+    private static final long NANOS_PER_MICRO = 1_000;
+    static final long SHUTDOWN_CHECK_INTERVAL_MICROS = 20_000;
 
     /**
      * In force; and what this process was started with, by which its addresses and descriptors go.
      */
     private Config config;
 
-    private final Config started;
+    private final Config startConfig;
     private final EventLoop loop;
-    private final RequestTracker gateway;
-    private final WorkerConnectionPools providers;
+    private final RequestTracker requestTracker;
+    private final WorkerConnectionPools workerPools;
     private final AttemptLog attemptLog;
     private final ClientListener listener;
-    private final DiscoveryWatch watch;
+    private final DiscoveryWatch discoveryWatch;
     private final Thread thread;
     private final Lifecycle lifecycle = new Lifecycle();
-    private final Workers workers;
-    private final OperatorListener operators;
-    private final Operating operating;
+    private final WorkerDirectory workers;
+    private final OperatorListener operatorListener;
+    private final OperatorActions operatorActions;
     private final UpgradeCoordinator upgrade;
-    private final Beside beside;
-    private final ShutdownSequence ending;
-    private final Reload reload;
+    private final ExtensionHost extensionHost;
+    private final ShutdownSequence shutdown;
+    private final ConfigReloader reloader;
 
     /** Null where nothing stands beside this dispatcher. */
-    private final DispatcherExtension companion;
+    private final DispatcherExtension extension;
 
-    private final Beginning beginning;
+    private final StartupGate startupGate;
 
     Daemon(Config config) throws IOException, Config.InvalidConfigException {
         this(config, null);
@@ -70,22 +70,22 @@
     /**
      * @param plan what is to stand beside it, or null
      */
-    Daemon(Config config, DispatcherExtension.Configuration plan)
+    Daemon(Config config, DispatcherExtension.Configuration extensionConfiguration)
             throws IOException, Config.InvalidConfigException {
         this(
                 config,
-                plan,
+                extensionConfiguration,
                 actions -> new TokenBucketDispatchPolicy(config.settings, config.seed, actions),
                 WatchTimeouts.DEFAULT);
     }
 
     Daemon(
             Config config,
-            DispatcherExtension.Configuration plan,
-            Function<PolicyActions, DispatchPolicy> module,
-            WatchTimeouts patience)
+            DispatcherExtension.Configuration extensionConfiguration,
+            Function<PolicyActions, DispatchPolicy> policyFactory,
+            WatchTimeouts watchTimeouts)
             throws IOException, Config.InvalidConfigException {
-        this(config, plan, module, patience, SystemCalls.REAL);
+        this(config, extensionConfiguration, policyFactory, watchTimeouts, SystemCalls.REAL);
     }
 
     /**
@@ -94,137 +94,175 @@
      */
     Daemon(
             Config config,
-            DispatcherExtension.Configuration plan,
-            Function<PolicyActions, DispatchPolicy> module,
-            WatchTimeouts patience,
+            DispatcherExtension.Configuration extensionConfiguration,
+            Function<PolicyActions, DispatchPolicy> policyFactory,
+            WatchTimeouts watchTimeouts,
             SystemCalls systemCalls)
             throws IOException, Config.InvalidConfigException {
         this.config = config;
-        started = config;
-        loop = new EventLoop(new SocketBudget(config.sockets), config.clock, systemCalls);
-        gateway =
+        startConfig = config;
+        loop = new EventLoop(new SocketBudget(config.socketLimit), config.clock, systemCalls);
+        requestTracker =
                 new RequestTracker(
-                        module,
+                        policyFactory,
                         config.settings.allowsConcurrentAttempts,
-                        config.mostHeld,
+                        config.maxHeldJobs,
                         loop,
                         (event, message, thrown) ->
                                 Events.error(LOG, event).setCause(thrown).log(message));
-        providers =
+        workerPools =
                 new WorkerConnectionPools(
-                        gateway, loop, loop, config.connectTimeoutMicros, config.idleTimeoutMicros);
-        gateway.connectTransport(providers);
+                        requestTracker,
+                        loop,
+                        loop,
+                        config.connectTimeoutMicros,
+                        config.idleTimeoutMicros);
+        requestTracker.connectTransport(workerPools);
         attemptLog = new AttemptLog(loop);
-        gateway.observer(attemptLog);
-        workers = new Workers(providers, gateway, config.clock);
+        requestTracker.observer(attemptLog);
+        workers = new WorkerDirectory(workerPools, requestTracker, config.clock);
         upgrade =
                 new UpgradeCoordinator(
-                        config.shared, config.name + " " + config.listen, loop, loop, new Link());
-        Takeover told = Takeover.of(upgrade.join());
-        Takeover before =
-                told != null
-                        ? told
-                        : Takeover.left(
-                                upgrade.left(), config.clock.unixMillis(), System.nanoTime());
-        WorkerList known = before == null || before.list() == null ? config.known : before.list();
-        if (before != null) {
-            before.tell(workers.roster(), loop.nowMicros() * NANOS);
+                        config.sharedDirectory,
+                        config.name + " " + config.listenAddress,
+                        loop,
+                        loop,
+                        new UpgradeOwner());
+        HandoverState received = HandoverState.fromSnapshot(upgrade.join());
+        HandoverState handover =
+                received != null
+                        ? received
+                        : HandoverState.fromHandoverFile(
+                                upgrade.readHandoverFile(),
+                                config.clock.unixMillis(),
+                                System.nanoTime());
+        WorkerList knownWorkers =
+                handover == null || handover.workerList() == null
+                        ? config.cachedWorkers
+                        : handover.workerList();
+        if (handover != null) {
+            handover.applyOverrides(workers.registry(), loop.nowMicros() * NANOS_PER_MICRO);
         }
-        if (known != null) {
-            workers.list(
+        if (knownWorkers != null) {
+            workers.applyList(
                     WorkerListUpdateType.CACHED,
-                    known,
+                    knownWorkers,
                     loop.nowMicros(),
                     WorkerStartTimes.NO_EARLIER_CONTACT);
         }
-        beside = new Beside(() -> this.config, loop, gateway, workers, upgrade, told, this::serves);
-        if (before != null) {
-            beside.shareOut();
-            gateway.importFigures(before.learnt());
+        extensionHost =
+                new ExtensionHost(
+                        () -> this.config,
+                        loop,
+                        requestTracker,
+                        workers,
+                        upgrade,
+                        received,
+                        this::isServing);
+        if (handover != null) {
+            extensionHost.updatePolicyShare();
+            requestTracker.importFigures(handover.learntFigures());
         }
         try {
-            if (upgrade.count() == 0) {
-                ClientListener.requireAddressFree(config.listen);
+            if (upgrade.peerCount() == 0) {
+                ClientListener.requireAddressFree(config.listenAddress);
             }
         } catch (IOException e) {
             upgrade.close();
             throw e;
         }
-        boolean tookOver = before != null && before.list() != null;
+        boolean tookOver = handover != null && handover.workerList() != null;
         listener =
                 new ClientListener(
-                        config.listen,
-                        plan != null && !tookOver,
+                        config.listenAddress,
+                        extensionConfiguration != null && !tookOver,
                         config.deadlineMicros,
                         config.tenantNames(),
-                        () -> providers.readyCount() > 0,
+                        () -> workerPools.readyCount() > 0,
                         lifecycle,
-                        relay(),
-                        gateway,
+                        peerRelay(),
+                        requestTracker,
                         loop,
                         loop);
         long version =
-                known == null || before != null && !before.follows(config.discovery)
+                knownWorkers == null
+                                || handover != null
+                                        && !handover.isFromDiscovery(config.discoveryAddress)
                         ? 0
-                        : known.version();
-        watch =
+                        : knownWorkers.version();
+        discoveryWatch =
                 new DiscoveryWatch(
-                        config.discovery, config.name, version, patience, loop, loop, this::told);
-        companion = plan == null ? null : CompanionLoader.open(plan, beside);
-        if (companion != null) {
-            providers.setFencingTokens(companion::fence);
-            providers.setConnectLimiter(companion::mayConnect);
-            gateway.constraintsChanged(companion.jobConstraints());
-            gateway.observer(RequestObserver.both(attemptLog, companion.requestObserver()));
-            listener.setExtensionHeaders(companion.extensionHeaders());
+                        config.discoveryAddress,
+                        config.name,
+                        version,
+                        watchTimeouts,
+                        loop,
+                        loop,
+                        this::workerListReceived);
+        extension =
+                extensionConfiguration == null
+                        ? null
+                        : CompanionLoader.open(extensionConfiguration, extensionHost);
+        if (extension != null) {
+            workerPools.setFencingTokens(extension::fence);
+            workerPools.setConnectLimiter(extension::mayConnect);
+            requestTracker.constraintsChanged(extension.jobConstraints());
+            requestTracker.observer(RequestObserver.both(attemptLog, extension.requestObserver()));
+            listener.setExtensionHeaders(extension.extensionHeaders());
         }
-        ending =
+        shutdown =
                 new ShutdownSequence(
                         loop,
                         lifecycle,
-                        gateway,
-                        providers,
+                        requestTracker,
+                        workerPools,
                         listener,
                         upgrade,
-                        companion,
+                        extension,
                         () -> this.config);
-        reload = new Reload(gateway, listener, providers, watch);
-        operating =
-                new Operating(
-                        loop, lifecycle, providers, workers, upgrade, ending::check, this::said);
-        operators = operators();
-        beginning =
-                new Beginning(
+        reloader = new ConfigReloader(requestTracker, listener, workerPools, discoveryWatch);
+        operatorActions =
+                new OperatorActions(
+                        loop,
+                        lifecycle,
+                        workerPools,
+                        workers,
+                        upgrade,
+                        shutdown::scheduleCheck,
+                        this::workerOverridden);
+        operatorListener = openOperatorListener();
+        startupGate =
+                new StartupGate(
                         loop,
                         lifecycle,
                         listener,
-                        companion,
+                        extension,
                         tookOver,
-                        patience.startupMicros(),
-                        this::sayListening);
-        if (before != null && before.standbyAgeMicros() >= 0) {
-            lifecycle.enterStandby(loop.nowMicros() - before.standbyAgeMicros());
-            ending.check();
+                        watchTimeouts.startupMicros(),
+                        this::logListening);
+        if (handover != null && handover.standbyAgeMicros() >= 0) {
+            lifecycle.enterStandby(loop.nowMicros() - handover.standbyAgeMicros());
+            shutdown.scheduleCheck();
         }
-        upgrade.serving();
+        upgrade.announceServing();
         peersChanged();
         thread = new Thread(null, this::run, "loop");
         if (!listener.reservesAddress()) {
-            sayListening();
+            logListening();
         }
     }
 
-    private void sayListening() {
+    private void logListening() {
         Events.info(LOG, "daemon.listening")
-                .addKeyValue("name", started.name)
-                .addKeyValue("address", started.listen)
-                .addKeyValue("providers", providers.readyCount())
+                .addKeyValue("name", startConfig.name)
+                .addKeyValue("address", startConfig.listenAddress)
+                .addKeyValue("providers", workerPools.readyCount())
                 .log(
-                        started.name
+                        startConfig.name
                                 + " listens on "
-                                + started.listen
+                                + startConfig.listenAddress
                                 + ", "
-                                + providers.readyCount()
+                                + workerPools.readyCount()
                                 + " providers known from before");
     }
 
@@ -234,7 +272,7 @@
 
     /** The port where operators call. */
     int operatorPort() throws IOException {
-        return operators.port();
+        return operatorListener.port();
     }
 
     void start() {
@@ -246,26 +284,26 @@
             loop.execute(
                     () -> { // In the first turn: before it the clock stands where the loop was
                         // made.
-                        watch.open();
-                        beginning.await();
+                        discoveryWatch.open();
+                        startupGate.startWaiting();
                     });
             loop.run(
                     new EventLoop.IterationHandler() {
                         @Override
                         public void iterationStarted() {
-                            if (companion != null) {
-                                companion.iterationStarted();
+                            if (extension != null) {
+                                extension.iterationStarted();
                             }
                         }
 
                         @Override
                         public void runBatch() {
-                            gateway.runBatch();
+                            requestTracker.runBatch();
                         }
 
                         @Override
                         public boolean hasPendingWork() {
-                            return gateway.hasPendingEvents();
+                            return requestTracker.hasPendingEvents();
                         }
                     });
             attemptLog.logCounts();
@@ -277,66 +315,66 @@
         }
     }
 
-    private void told(WorkerList list) {
+    private void workerListReceived(WorkerList list) {
         if (list.complete()) {
-            workers.list(
+            workers.applyList(
                     WorkerListUpdateType.FULL,
                     list,
                     loop.nowMicros(),
                     WorkerStartTimes.NO_EARLIER_CONTACT);
         } else {
-            workers.list(
+            workers.applyList(
                     WorkerListUpdateType.DELTA,
                     list,
                     loop.nowMicros(),
-                    watch.previousContactMicros());
+                    discoveryWatch.previousContactMicros());
         }
-        if (companion != null) {
-            companion.workerListChanged();
+        if (extension != null) {
+            extension.workerListChanged();
         }
-        beginning.begin();
+        startupGate.openIfReady();
     }
 
     // ---- Other processes of this dispatcher.
 
-    private CallBackRelay relay() {
+    private CallBackRelay peerRelay() {
         return new CallBackRelay() {
             @Override
             public boolean hasPeers() {
-                return upgrade.count() > 0;
+                return upgrade.peerCount() > 0;
             }
 
             @Override
             public void relay(byte[] body, Consumer<Boolean> done) {
-                upgrade.callBack(body, done);
+                upgrade.relayCallBack(body, done);
             }
         };
     }
 
     private void peersChanged() {
-        loop.sockets().setLimit(started.sockets(1 + upgrade.count()));
-        beside.shareOut();
+        loop.sockets().setLimit(startConfig.socketLimitFor(1 + upgrade.peerCount()));
+        extensionHost.updatePolicyShare();
         lifecycle.setSuccessor(upgrade.hasSuccessor());
         listener.applyLifecycle();
-        if (companion != null) {
-            companion.peersChanged();
+        if (extension != null) {
+            extension.peersChanged();
         }
     }
 
-    private boolean serves() {
-        return lifecycle.servesClients() && providers.readyCount() > 0;
+    private boolean isServing() {
+        return lifecycle.servesClients() && workerPools.readyCount() > 0;
     }
 
-    private OperatorListener operators() throws IOException {
+    private OperatorListener openOperatorListener() throws IOException {
         try {
-            return config.operator == null
+            return config.operatorAddress == null
                     ? null
                     : new OperatorListener(
-                            config.operator,
-                            operating,
-                            companion == null
+                            config.operatorAddress,
+                            operatorActions,
+                            extension == null
                                     ? AdditionalEndpoints.NONE
-                                    : companion.operatorEndpoints(),
+                                    : extension.operatorEndpoints(),
                             loop,
                             loop);
         } catch (IOException e) {
@@ -345,40 +383,40 @@
         }
     }
 
-    private void said(String worker, boolean out) {
-        upgrade.leave(
-                Takeover.leave(
-                        workers.roster(),
-                        loop.nowMicros() * NANOS,
+    private void workerOverridden(String worker, boolean disabled) {
+        upgrade.writeHandoverFile(
+                HandoverState.handoverFileContent(
+                        workers.registry(),
+                        loop.nowMicros() * NANOS_PER_MICRO,
                         config.clock.unixMillis(),
                         System.nanoTime()));
-        if (companion != null) {
-            companion.workerMaintenanceChanged(worker, out);
+        if (extension != null) {
+            extension.workerMaintenanceChanged(worker, disabled);
         }
     }
 
-    private final class Link implements UpgradeCoordinator.Owner {
+    private final class UpgradeOwner implements UpgradeCoordinator.Owner {
         @Override
         public JsonObject snapshot() {
-            return Takeover.snapshot(
-                    workers.roster(),
-                    loop.nowMicros() * NANOS,
-                    watch.version(),
-                    workers.told(),
-                    watch.address(),
+            return HandoverState.snapshot(
+                    workers.registry(),
+                    loop.nowMicros() * NANOS_PER_MICRO,
+                    discoveryWatch.version(),
+                    workers.listedWorkers(),
+                    discoveryWatch.address(),
                     lifecycle.standbyAgeMicros(loop.nowMicros()),
-                    gateway.exportFigures(),
-                    companion == null ? "" : companion.handOverState());
+                    requestTracker.exportFigures(),
+                    extension == null ? "" : extension.handOverState());
         }
 
         @Override
-        public void callBack(byte[] body) {
+        public void callBackRelayed(byte[] body) {
             listener.handleRelayedCallBack(body);
         }
 
         @Override
-        public void called(String call, String id) {
-            operating.carryOut(Operations.Call.valueOf(call), id);
+        public void operatorCallRelayed(String call, String id) {
+            operatorActions.execute(Operations.Call.valueOf(call), id);
         }
 
         @Override
@@ -394,7 +432,7 @@
      * any thread.
      */
     void reload() {
-        loop.execute(() -> config = reload.after(config));
+        loop.execute(() -> config = reloader.reload(config));
     }
 
     /**
@@ -402,7 +440,7 @@
      * thread.
      */
     void stop() {
-        loop.execute(ending::begin);
+        loop.execute(shutdown::begin);
         try {
             // Guards against an exit in mid-answer: the virtual machine ends once its shutdown
             // hooks have returned.
--- a/daemon/src/main/java/postgrade/daemon/EventLoop.java
+++ b/daemon/src/main/java/postgrade/daemon/EventLoop.java
@@ -31,13 +31,13 @@
     /**
      * Waits that fail one after another: the process ends, as its selector is of no use any more.
      */
-    private static final int MOST_FAILED_WAITS = 100;
+    private static final int MAX_CONSECUTIVE_FAILED_WAITS = 100;
 
     /** A turn that took longer was late: what came meanwhile has waited for a time that counts. */
-    private static final long LATE_TURN_MICROS = 10_000;
+    private static final long LATE_ITERATION_MICROS = 10_000;
 
     /** A wait that took longer has waited: nothing was ready when it began. */
-    private static final long WAITED_MICROS = 1_000;
+    private static final long MIN_WAIT_MICROS = 1_000;
 
     /** What takes its turn when all that was ready has been gathered. */
     interface IterationHandler {
@@ -54,16 +54,16 @@
     private final SocketBudget sockets;
     private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BYTES);
     private final ReadBufferPool looks = new ReadBufferPool();
-    private final PriorityQueue<Due> timers = new PriorityQueue<>();
+    private final PriorityQueue<ScheduledTask> timers = new PriorityQueue<>();
     private final Clock clock;
     private final SystemCalls systemCalls;
     private long nowMicros;
     private long lastWaitMicros;
     private long readySinceMicros;
-    private int failedWaits;
-    private long timerCount;
+    private int consecutiveFailedWaits;
+    private long nextTimerNumber;
     private volatile boolean stopped;
-    private final Queue<Runnable> asked = new ConcurrentLinkedQueue<>();
+    private final Queue<Runnable> submittedTasks = new ConcurrentLinkedQueue<>();
 
     EventLoop(SocketBudget sockets, Clock clock, SystemCalls systemCalls) throws IOException {
         this.sockets = sockets;
@@ -80,26 +80,28 @@
         return clock;
     }
 
-    void run(IterationHandler turn) throws IOException {
-        Runnable begin = turn::iterationStarted;
+    void run(IterationHandler handler) throws IOException {
+        Runnable iterationStarted = handler::iterationStarted;
         nowMicros = clock.micros(); // What came before is as good as just come.
         while (!stopped) {
-            long waitBeganMicros = clock.micros();
-            await(turn.hasPendingWork());
-            readClock(waitBeganMicros);
-            guarded(begin);
-            for (Runnable task = asked.poll(); task != null; task = asked.poll()) {
-                guarded(task);
+            long waitStartMicros = clock.micros();
+            waitForEvents(handler.hasPendingWork());
+            readClock(waitStartMicros);
+            runGuarded(iterationStarted);
+            for (Runnable task = submittedTasks.poll();
+                    task != null;
+                    task = submittedTasks.poll()) {
+                runGuarded(task);
             }
-            serve(new ArrayList<>(selector.selectedKeys()));
+            dispatch(new ArrayList<>(selector.selectedKeys()));
             selector.selectedKeys().clear();
-            while (!timers.isEmpty() && timers.peek().whenMicros <= nowMicros) {
-                Due due = timers.poll();
-                if (due.task != null) {
-                    guarded(due.task);
+            while (!timers.isEmpty() && timers.peek().dueMicros <= nowMicros) {
+                ScheduledTask timer = timers.poll();
+                if (timer.task != null) {
+                    runGuarded(timer.task);
                 }
             }
-            turn.runBatch();
+            handler.runBatch();
         }
         selector.close();
     }
@@ -108,11 +110,11 @@
      * What is ready after a turn that was late may have been so since that turn began; else it is
      * what has ended the wait.
      */
-    private void readClock(long waitBeganMicros) {
-        boolean wasLate = waitBeganMicros - nowMicros > LATE_TURN_MICROS;
+    private void readClock(long waitStartMicros) {
+        boolean wasLate = waitStartMicros - nowMicros > LATE_ITERATION_MICROS;
         lastWaitMicros = nowMicros;
         nowMicros = clock.micros();
-        boolean waited = nowMicros - waitBeganMicros > WAITED_MICROS;
+        boolean waited = nowMicros - waitStartMicros > MIN_WAIT_MICROS;
         readySinceMicros = wasLate && !waited ? lastWaitMicros : nowMicros;
     }
 
@@ -120,12 +122,12 @@
      * Waits for channels and timers. A wait that fails ends early, and what is due is done all the
      * same.
      */
-    private void await(boolean atOnce) throws IOException {
+    private void waitForEvents(boolean immediately) throws IOException {
         try {
-            systemCalls.select(selector, waitMillis(atOnce));
-            failedWaits = 0;
+            systemCalls.select(selector, waitMillis(immediately));
+            consecutiveFailedWaits = 0;
         } catch (IOException e) {
-            if (++failedWaits == MOST_FAILED_WAITS) {
+            if (++consecutiveFailedWaits == MAX_CONSECUTIVE_FAILED_WAITS) {
                 throw e;
             }
             Events.warn(LOG, "loop.wait-failed")
@@ -135,17 +137,17 @@
     }
 
     /** How long nothing is due; negative if nothing ever is. */
-    private long waitMillis(boolean atOnce) {
+    private long waitMillis(boolean immediately) {
         while (!timers.isEmpty() && timers.peek().task == null) {
             timers.poll();
         }
-        if (atOnce) {
+        if (immediately) {
             return 0;
         }
         if (timers.isEmpty()) {
             return -1;
         }
-        long waitMicros = timers.peek().whenMicros - clock.micros();
+        long waitMicros = timers.peek().dueMicros - clock.micros();
         return waitMicros <= 0 ? 0 : (waitMicros + 999) / 1000;
     }
 
@@ -154,18 +156,18 @@
      * listener goes last: a connection whose request has come is not taken for a silent one when
      * room is made for the next.
      */
-    private void serve(List<SelectionKey> keys) {
+    private void dispatch(List<SelectionKey> keys) {
         for (Handler.Order order : Handler.Order.values()) {
             for (SelectionKey key : keys) {
                 Handler handler = (Handler) key.attachment();
                 if (handler.order() == order && key.isValid()) {
-                    serve(key, handler);
+                    dispatch(key, handler);
                 }
             }
         }
     }
 
-    private void serve(SelectionKey key, Handler handler) {
+    private void dispatch(SelectionKey key, Handler handler) {
         try {
             handler.ready(key);
         } catch (IOException | CancelledKeyException e) {
@@ -175,11 +177,11 @@
             Events.error(LOG, "connection.handler-failed")
                     .setCause(e)
                     .log("a connection's handler failed; the connection is closed");
-            guarded(() -> handler.failed(e));
+            runGuarded(() -> handler.failed(e));
         }
     }
 
-    private static void guarded(Runnable task) {
+    private static void runGuarded(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
@@ -189,7 +191,7 @@
 
     /** Runs a task on the loop's thread; may be called from any other. */
     void execute(Runnable task) {
-        asked.add(task);
+        submittedTasks.add(task);
         selector.wakeup();
     }
 
@@ -203,10 +205,10 @@
     }
 
     @Override
-    public Timer at(long whenMicros, Runnable task) {
-        Due due = new Due(whenMicros, timerCount++, task);
-        timers.add(due);
-        return due;
+    public Timer at(long dueMicros, Runnable task) {
+        ScheduledTask timer = new ScheduledTask(dueMicros, nextTimerNumber++, task);
+        timers.add(timer);
+        return timer;
     }
 
     @Override
@@ -251,13 +253,13 @@
     }
 
     /** A timer in the heap; a cancelled one stays there, empty, until its time. */
-    private static final class Due implements Timer, Comparable<Due> {
-        private final long whenMicros;
+    private static final class ScheduledTask implements Timer, Comparable<ScheduledTask> {
+        private final long dueMicros;
         private final long number;
         private Runnable task;
 
-        Due(long whenMicros, long number, Runnable task) {
-            this.whenMicros = whenMicros;
+        ScheduledTask(long dueMicros, long number, Runnable task) {
+            this.dueMicros = dueMicros;
             this.number = number;
             this.task = task;
         }
@@ -268,8 +270,8 @@
         }
 
         @Override
-        public int compareTo(Due other) {
-            int byTime = Long.compare(whenMicros, other.whenMicros);
+        public int compareTo(ScheduledTask other) {
+            int byTime = Long.compare(dueMicros, other.dueMicros);
             return byTime != 0 ? byTime : Long.compare(number, other.number);
         }
     }
--- a/daemon/src/main/java/postgrade/daemon/Beside.java
+++ b/daemon/src/main/java/postgrade/daemon/ExtensionHost.java
@@ -16,47 +16,47 @@
  * What the companion gets to see, and the one place where its part of the rates meets that of an
  * upgrade.
  */
-final class Beside implements Host {
+final class ExtensionHost implements Host {
 
     private final Supplier<Config> config;
     private final EventLoop loop;
-    private final RequestTracker gateway;
-    private final Workers workers;
+    private final RequestTracker requestTracker;
+    private final WorkerDirectory workers;
     private final UpgradeCoordinator upgrade;
-    private final Takeover told;
-    private final BooleanSupplier ready;
-    private double factor = 1;
+    private final HandoverState handover;
+    private final BooleanSupplier serving;
+    private double shareFactor = 1;
 
     /**
      * @param told what a running process has told, or null
      */
-    Beside(
+    ExtensionHost(
             Supplier<Config> config,
             EventLoop loop,
-            RequestTracker gateway,
-            Workers workers,
+            RequestTracker requestTracker,
+            WorkerDirectory workers,
             UpgradeCoordinator upgrade,
-            Takeover told,
-            BooleanSupplier ready) {
+            HandoverState handover,
+            BooleanSupplier serving) {
         this.config = config;
         this.loop = loop;
-        this.gateway = gateway;
+        this.requestTracker = requestTracker;
         this.workers = workers;
         this.upgrade = upgrade;
-        this.told = told;
-        this.ready = ready;
+        this.handover = handover;
+        this.serving = serving;
     }
 
     /** Tells the module its part anew: that of the dispatcher, split over its processes. */
-    void shareOut() {
-        gateway.shareChanged(factor / (1 + upgrade.count()));
+    void updatePolicyShare() {
+        requestTracker.shareChanged(shareFactor / (1 + upgrade.peerCount()));
     }
 
     @Override
-    public void setRateFactor(double of) {
-        if (factor != of) {
-            factor = of;
-            shareOut();
+    public void setRateFactor(double newFactor) {
+        if (shareFactor != newFactor) {
+            shareFactor = newFactor;
+            updatePolicyShare();
         }
     }
 
@@ -92,61 +92,61 @@
 
     @Override
     public List<PolicyStateEntry> exportPolicyState() {
-        return gateway.exportFigures();
+        return requestTracker.exportFigures();
     }
 
     @Override
     public void importPolicyState(List<PolicyStateEntry> all) {
-        gateway.importFigures(all);
+        requestTracker.importFigures(all);
     }
 
     @Override
     public boolean startedByHandOver() {
-        return told != null;
+        return handover != null;
     }
 
     @Override
     public String predecessorState() {
-        return told == null ? "" : told.beside();
+        return handover == null ? "" : handover.extensionState();
     }
 
     @Override
     public boolean isOnlyProcess() {
-        return upgrade.count() == 0;
+        return upgrade.peerCount() == 0;
     }
 
     @Override
     public boolean isReady() {
-        return ready.getAsBoolean();
+        return serving.getAsBoolean();
     }
 
     @Override
     public List<WorkerStatus> workers() {
-        return workers.known();
+        return workers.extensionView();
     }
 
     @Override
     public boolean isConnected(String id) {
-        return workers.providers().hasConnection(id);
+        return workers.pools().hasConnection(id);
     }
 
     @Override
     public boolean anyConnectedWithCallsBelow(int fewerThan) {
-        return workers.providers().hasConnectedWorkerBelow(fewerThan);
+        return workers.pools().hasConnectedWorkerBelow(fewerThan);
     }
 
     @Override
     public long maxIdleMicros() {
-        return workers.providers().maxIdleMicros();
+        return workers.pools().maxIdleMicros();
     }
 
     @Override
     public boolean enterMaintenance(String id) {
-        return workers.takeOut(loop.nowMicros(), id);
+        return workers.enterMaintenance(loop.nowMicros(), id);
     }
 
     @Override
     public boolean exitMaintenance(String id) {
-        return workers.putBack(loop.nowMicros(), id);
+        return workers.exitMaintenance(loop.nowMicros(), id);
     }
 }
--- a/daemon/src/main/java/postgrade/daemon/Main.java
+++ b/daemon/src/main/java/postgrade/daemon/Main.java
@@ -14,8 +14,8 @@
  */
 public final class Main {
 
-    private static final int USAGE = 2;
-    private static final String LOG_FORMAT = "--log-format=";
+    private static final int EXIT_USAGE = 2;
+    private static final String LOG_FORMAT_OPTION = "--log-format=";
 
     private Main() {}
 
@@ -25,7 +25,7 @@
             EventLogs.configure(logFormat(args));
         } catch (IllegalArgumentException e) {
             System.err.println("postgrade: " + e.getMessage());
-            System.exit(USAGE);
+            System.exit(EXIT_USAGE);
         }
         switch (command) {
             case "serve" -> serve();
@@ -33,19 +33,19 @@
                     System.exit(
                             postgrade.simadapter.SimulatorAdapter.serve(
                                     System.in, System.out, System.err));
-            case "rehearse" -> rehearse();
+            case "rehearse" -> runTraining();
             default -> {
                 System.err.println(
                         "usage: java -jar postgrade.jar serve|benchlink [--log-format=text|json]");
-                System.exit(USAGE);
+                System.exit(EXIT_USAGE);
             }
         }
     }
 
     /** Plays one job through a dispatcher and ends, for the build's class-data archive. */
-    private static void rehearse() throws IOException {
+    private static void runTraining() throws IOException {
         try {
-            Rehearsal.run();
+            ClassDataTraining.run();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -55,10 +55,10 @@
         if (args.length < 2) {
             return EventLogs.Format.TEXT;
         }
-        if (args.length > 2 || !args[1].startsWith(LOG_FORMAT)) {
+        if (args.length > 2 || !args[1].startsWith(LOG_FORMAT_OPTION)) {
             throw new IllegalArgumentException("not understood: " + args[args.length - 1]);
         }
-        return EventLogs.parseFormat(args[1].substring(LOG_FORMAT.length()));
+        return EventLogs.parseFormat(args[1].substring(LOG_FORMAT_OPTION.length()));
     }
 
     /** Starts one dispatcher and returns while it serves; ends the process if it cannot start. */
@@ -66,37 +66,37 @@
         // Guards the start: a signal that comes before there is a dispatcher waits for it. SIGHUP
         // would end the process, and
         // SIGTERM reset what waits in the backlog.
-        CompletableFuture<Daemon> made = new CompletableFuture<>();
-        heedSignals(made);
-        int fault = 0;
+        CompletableFuture<Daemon> daemonFuture = new CompletableFuture<>();
+        installSignalHandlers(daemonFuture);
+        int exitCode = 0;
         try {
             Config config = Config.read(System.getenv());
             Daemon daemon = new Daemon(config, CompanionLoader.loadPlan(config));
             daemon.start();
-            made.complete(daemon);
+            daemonFuture.complete(daemon);
         } catch (Config.InvalidConfigException e) {
             System.err.println("postgrade: " + e.getMessage());
-            fault = USAGE;
+            exitCode = EXIT_USAGE;
         } catch (IOException e) {
             System.err.println("postgrade: listen: " + e.getMessage());
-            fault = 1;
+            exitCode = 1;
         } finally {
-            made.cancel(
+            daemonFuture.cancel(
                     false); // There is none, and nobody waits for it; without effect where there
             // is.
         }
-        if (fault != 0) {
-            System.exit(fault);
+        if (exitCode != 0) {
+            System.exit(exitCode);
         }
     }
 
-    private static void heedSignals(CompletableFuture<Daemon> made) {
+    private static void installSignalHandlers(CompletableFuture<Daemon> daemonFuture) {
         // Guards against the virtual machine's own way with SIGHUP, which is to end. No library of
         // the JDK's own names
         // signals but this one; it is part of the exported module jdk.unsupported.
-        SignalHandler before =
-                Signal.handle(new Signal("HUP"), signal -> made.thenAccept(Daemon::reload));
-        if (before == SignalHandler.SIG_IGN) {
+        SignalHandler previousHandler =
+                Signal.handle(new Signal("HUP"), signal -> daemonFuture.thenAccept(Daemon::reload));
+        if (previousHandler == SignalHandler.SIG_IGN) {
             // Guards the operators: the virtual machine leaves a signal ignored that was so when it
             // started, and says
             // nothing. A new configuration, discovery's new address with it, would never be heard
@@ -110,8 +110,9 @@
                 .addShutdownHook(
                         new Thread(
                                 () ->
-                                        made.handle(
-                                                        (daemon, none) -> {
+                                        daemonFuture
+                                                .handle(
+                                                        (daemon, failure) -> {
                                                             if (daemon != null) {
                                                                 daemon.stop();
                                                             }
--- a/daemon/src/main/java/postgrade/daemon/Operating.java
+++ b/daemon/src/main/java/postgrade/daemon/OperatorActions.java
@@ -13,61 +13,62 @@
 import postgrade.worker.WorkerConnectionPools;
 
 /** Carries out what operators ask for, here and in the other processes of this dispatcher. */
-final class Operating implements Operations {
+final class OperatorActions implements Operations {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Operating.class);
+    private static final Logger LOG = LoggerFactory.getLogger(OperatorActions.class);
 
     private final Timers timers;
     private final Lifecycle lifecycle;
-    private final WorkerConnectionPools providers;
-    private final Workers workers;
+    private final WorkerConnectionPools workerPools;
+    private final WorkerDirectory workers;
     private final UpgradeCoordinator upgrade;
-    private final Runnable check;
-    private final BiConsumer<String, Boolean> said;
+    private final Runnable shutdownCheck;
+    private final BiConsumer<String, Boolean> overrideListener;
 
     /**
      * @param check looks at what the lifecycle asks for from now on
      * @param said hears of each worker that an operator has taken out here, or put back
      */
-    Operating(
+    OperatorActions(
             Timers timers,
             Lifecycle lifecycle,
-            WorkerConnectionPools providers,
-            Workers workers,
+            WorkerConnectionPools workerPools,
+            WorkerDirectory workers,
             UpgradeCoordinator upgrade,
-            Runnable check,
-            BiConsumer<String, Boolean> said) {
+            Runnable shutdownCheck,
+            BiConsumer<String, Boolean> overrideListener) {
         this.timers = timers;
         this.lifecycle = lifecycle;
-        this.providers = providers;
+        this.workerPools = workerPools;
         this.workers = workers;
         this.upgrade = upgrade;
-        this.check = check;
-        this.said = said;
+        this.shutdownCheck = shutdownCheck;
+        this.overrideListener = overrideListener;
     }
 
     @Override
     public void call(Call call, String id, Reply reply) {
         if (call == Call.STATUS) {
-            if (lifecycle.servesClients() && providers.readyCount() > 0) {
+            if (lifecycle.servesClients() && workerPools.readyCount() > 0) {
                 reply.succeeded(status());
             } else {
                 reply.refused(Refusal.UNAVAILABLE, status());
             }
-        } else if (id != null && !workers.roster().knows(id)) {
+        } else if (id != null && !workers.registry().knows(id)) {
             reply.refused(Refusal.UNKNOWN, "no worker " + id + " is known here");
         } else {
-            boolean done = carryOut(call, id);
+            boolean done = execute(call, id);
             if (id != null) {
-                said.accept(id, call == Call.ENTER);
+                overrideListener.accept(id, call == Call.ENTER);
             }
             // The others of this dispatcher have it too before the yes leaves, or will never have a
             // say again.
-            upgrade.call(call.name(), id, heard -> answer(call, id, done, reply));
+            upgrade.relayOperatorCall(
+                    call.name(), id, allAcknowledged -> reply(call, id, done, reply));
         }
     }
 
-    private static void answer(Call call, String id, boolean done, Reply reply) {
+    private static void reply(Call call, String id, boolean done, Reply reply) {
         switch (call) {
             case ENTER -> reply.succeeded("worker " + id + " is out and gets no new work");
             case EXIT ->
@@ -89,15 +90,15 @@
     }
 
     /** False if there was nothing to do, or it cannot be done any more. */
-    boolean carryOut(Call call, String id) {
+    boolean execute(Call call, String id) {
         switch (call) {
-            case ENTER -> workers.takeOut(timers.nowMicros(), id);
+            case ENTER -> workers.enterMaintenance(timers.nowMicros(), id);
             case EXIT -> {
-                return workers.putBack(timers.nowMicros(), id);
+                return workers.exitMaintenance(timers.nowMicros(), id);
             }
-            case STANDBY -> standby();
+            case STANDBY -> enterStandby();
             case ACTIVE -> {
-                return active();
+                return leaveStandby();
             }
             default -> {}
         }
@@ -105,25 +106,25 @@
     }
 
     private String status() {
-        JsonArray out = Json.array();
-        workers.roster().disabledIds().forEach(out::add);
+        JsonArray disabled = Json.array();
+        workers.registry().disabledIds().forEach(disabled::add);
         return Json.object()
                 .add("state", lifecycle.state().label())
-                .add("workers", providers.readyCount())
-                .add("out", out)
+                .add("workers", workerPools.readyCount())
+                .add("out", disabled)
                 .toString();
     }
 
-    private void standby() {
+    private void enterStandby() {
         if (lifecycle.state() != Lifecycle.State.STANDBY) {
             lifecycle.enterStandby(timers.nowMicros());
             Events.info(LOG, "daemon.standby")
                     .log("standby: no longer ready, turning consumers away");
-            check.run();
+            shutdownCheck.run();
         }
     }
 
-    private boolean active() {
+    private boolean leaveStandby() {
         if (lifecycle.state() == Lifecycle.State.STANDBY) {
             Events.info(LOG, "daemon.active").log("active: taking consumers again");
         }
--- a/daemon/src/main/java/postgrade/daemon/ShutdownSequence.java
+++ b/daemon/src/main/java/postgrade/daemon/ShutdownSequence.java
@@ -25,39 +25,39 @@
      * SIGTERM may have been sent so long before this process heard of it, which may be held up.
      * What came that much sooner after we heard of it may have come as late after it was sent.
      */
-    private static final long HEARD_LATE_MICROS = 150_000;
+    private static final long SIGNAL_DELAY_MICROS = 150_000;
 
     private final EventLoop loop;
     private final Lifecycle lifecycle;
-    private final RequestTracker gateway;
-    private final WorkerConnectionPools providers;
+    private final RequestTracker requestTracker;
+    private final WorkerConnectionPools workerPools;
     private final ClientListener listener;
     private final UpgradeCoordinator upgrade;
 
     /** Null where nothing stands beside this dispatcher. */
-    private final DispatcherExtension companion;
+    private final DispatcherExtension extension;
 
     private final Supplier<Config> config;
 
     /** A check of what the lifecycle asks for is due. */
-    private boolean checking;
+    private boolean checkScheduled;
 
     ShutdownSequence(
             EventLoop loop,
             Lifecycle lifecycle,
-            RequestTracker gateway,
-            WorkerConnectionPools providers,
+            RequestTracker requestTracker,
+            WorkerConnectionPools workerPools,
             ClientListener listener,
             UpgradeCoordinator upgrade,
-            DispatcherExtension companion,
+            DispatcherExtension extension,
             Supplier<Config> config) {
         this.loop = loop;
         this.lifecycle = lifecycle;
-        this.gateway = gateway;
-        this.providers = providers;
+        this.requestTracker = requestTracker;
+        this.workerPools = workerPools;
         this.listener = listener;
         this.upgrade = upgrade;
-        this.companion = companion;
+        this.extension = extension;
         this.config = config;
     }
 
@@ -74,19 +74,19 @@
                         .max()
                         .orElse(Long.MAX_VALUE),
                 upgrade.hasSuccessor());
-        upgrade.stopping();
-        if (companion != null) {
-            companion.stopping();
+        upgrade.announceStopping();
+        if (extension != null) {
+            extension.stopping();
         }
         listener.applyLifecycle();
-        check();
+        scheduleCheck();
     }
 
     /** Does what standby and the end ask for, again and again while either lasts. */
-    void check() {
-        if (!checking) {
-            checking = true;
-            loop.at(loop.nowMicros() + Daemon.STOP_CHECK_MICROS, this::checked);
+    void scheduleCheck() {
+        if (!checkScheduled) {
+            checkScheduled = true;
+            loop.at(loop.nowMicros() + Daemon.SHUTDOWN_CHECK_INTERVAL_MICROS, this::runCheck);
         }
     }
 
@@ -95,42 +95,43 @@
      * to drop what is out for answered requests: one that is silent would keep the listener open
      * until then.
      */
-    private boolean owesNothing(long now) {
-        if (!lifecycle.mustExit(now)) {
-            return gateway.isIdle() && providers.hasNoCancellations();
+    private boolean isDrained(long nowMicros) {
+        if (!lifecycle.mustExit(nowMicros)) {
+            return requestTracker.isIdle() && workerPools.hasNoCancellations();
         }
-        gateway.cancelUnwanted();
-        return gateway.allAnswered() && providers.allCancellationsAttempted();
+        requestTracker.cancelUnwanted();
+        return requestTracker.allAnswered() && workerPools.allCancellationsAttempted();
     }
 
-    private void checked() {
-        checking = false;
+    private void runCheck() {
+        checkScheduled = false;
         listener.applyLifecycle();
-        long now = loop.nowMicros();
-        OptionalLong late = lifecycle.forcedAnswerCutoff(now);
-        if (late.isPresent()) {
+        long nowMicros = loop.nowMicros();
+        OptionalLong concludeSinceMicros = lifecycle.forcedAnswerCutoff(nowMicros);
+        if (concludeSinceMicros.isPresent()) {
             // Guards the one answer: what SIGKILL finds unanswered of these is lost.
-            gateway.failArrivedSince(late.getAsLong() - HEARD_LATE_MICROS);
-            if (lifecycle.mayExit(now)) {
+            requestTracker.failArrivedSince(concludeSinceMicros.getAsLong() - SIGNAL_DELAY_MICROS);
+            if (lifecycle.mayExit(nowMicros)) {
                 listener.rejectIncompleteRequests();
             }
         }
-        boolean answered = lifecycle.mayExit(now) && owesNothing(now) && listener.isIdle();
+        boolean allAnswered =
+                lifecycle.mayExit(nowMicros) && isDrained(nowMicros) && listener.isIdle();
         // Guards the last requests and answers: with the process go what lies unread in its sockets
         // and backlog, and by a
         // reset what peers have not read yet.
-        if (answered && (listener.tryCloseAll() || lifecycle.mustExit(now))) {
-            long millis = lifecycle.stoppingForMicros(now) / MICROS_PER_MILLI;
+        if (allAnswered && (listener.tryCloseAll() || lifecycle.mustExit(nowMicros))) {
+            long stoppingMillis = lifecycle.stoppingForMicros(nowMicros) / MICROS_PER_MILLI;
             Events.info(LOG, "daemon.stopped")
-                    .addKeyValue("ms", millis)
-                    .log("stopped after " + millis + " ms, all answered");
-            if (companion != null) {
-                companion.close();
+                    .addKeyValue("ms", stoppingMillis)
+                    .log("stopped after " + stoppingMillis + " ms, all answered");
+            if (extension != null) {
+                extension.close();
             }
             upgrade.close();
             loop.stop();
         } else if (lifecycle.state() != Lifecycle.State.ACTIVE) {
-            check();
+            scheduleCheck();
         }
     }
 }
--- a/daemon/src/main/java/postgrade/daemon/Beginning.java
+++ b/daemon/src/main/java/postgrade/daemon/StartupGate.java
@@ -8,68 +8,68 @@
  * When consumers are taken from the listener's backlog, or from the address, for the first time. On
  * the loop.
  */
-final class Beginning {
+final class StartupGate {
 
     private final EventLoop loop;
     private final Lifecycle lifecycle;
     private final ClientListener listener;
 
     /** Null where nothing stands beside this dispatcher. */
-    private final DispatcherExtension companion;
+    private final DispatcherExtension extension;
 
-    private final Runnable sayListening;
+    private final Runnable logListening;
 
     /** Consumers wait for the first word of discovery for so long. */
-    private final long startMicros;
+    private final long discoveryWaitMicros;
 
     /** And for the companion to know enough until then. */
-    private long companionMicros;
+    private long extensionDeadlineMicros;
 
     /**
      * @param tookOver a running process has told what there is to know; then nobody waits
      */
-    Beginning(
+    StartupGate(
             EventLoop loop,
             Lifecycle lifecycle,
             ClientListener listener,
-            DispatcherExtension companion,
+            DispatcherExtension extension,
             boolean tookOver,
-            long startMicros,
-            Runnable sayListening) {
+            long discoveryWaitMicros,
+            Runnable logListening) {
         this.loop = loop;
         this.lifecycle = lifecycle;
         this.listener = listener;
-        this.companion = companion;
-        this.sayListening = sayListening;
-        this.startMicros = tookOver ? 0 : startMicros;
-        companionMicros = tookOver ? Long.MIN_VALUE : Long.MAX_VALUE;
-        if (this.startMicros == 0) {
-            begin();
+        this.extension = extension;
+        this.logListening = logListening;
+        this.discoveryWaitMicros = tookOver ? 0 : discoveryWaitMicros;
+        extensionDeadlineMicros = tookOver ? Long.MIN_VALUE : Long.MAX_VALUE;
+        if (this.discoveryWaitMicros == 0) {
+            openIfReady();
         }
     }
 
     /** In the loop's first turn. */
-    void await() {
-        companionMicros =
+    void startWaiting() {
+        extensionDeadlineMicros =
                 Math.min(
-                        companionMicros,
+                        extensionDeadlineMicros,
                         loop.nowMicros()
-                                + startMicros
-                                + (companion == null ? 0 : companion.initTimeoutMicros()));
-        loop.at(loop.nowMicros() + startMicros, this::awaitCompanion);
+                                + discoveryWaitMicros
+                                + (extension == null ? 0 : extension.initTimeoutMicros()));
+        loop.at(loop.nowMicros() + discoveryWaitMicros, this::openOrRetry);
     }
 
     /**
      * Takes consumers. Guards the drain rule: what the agent has counts as told from the first
      * moment of this process, and the list known from before may be old.
      */
-    void begin() {
-        boolean waits =
-                companion != null
-                        && !companion.isInitialized()
-                        && loop.nowMicros() < companionMicros;
-        if (!lifecycle.hasStarted() && !waits) {
-            boolean held = listener.reservesAddress();
+    void openIfReady() {
+        boolean awaitsExtension =
+                extension != null
+                        && !extension.isInitialized()
+                        && loop.nowMicros() < extensionDeadlineMicros;
+        if (!lifecycle.hasStarted() && !awaitsExtension) {
+            boolean wasHeldBack = listener.reservesAddress();
             lifecycle.markStarted();
             listener.applyLifecycle();
             if (lifecycle.acceptsConnections() && listener.reservesAddress()) {
@@ -77,16 +77,16 @@
                 // The log has the cause.
                 Runtime.getRuntime().halt(1);
             }
-            if (held) {
-                sayListening.run();
+            if (wasHeldBack) {
+                logListening.run();
             }
         }
     }
 
-    private void awaitCompanion() {
-        begin();
+    private void openOrRetry() {
+        openIfReady();
         if (!lifecycle.hasStarted()) {
-            loop.at(loop.nowMicros() + Daemon.STOP_CHECK_MICROS, this::awaitCompanion);
+            loop.at(loop.nowMicros() + Daemon.SHUTDOWN_CHECK_INTERVAL_MICROS, this::openOrRetry);
         }
     }
 }
--- a/daemon/src/main/java/postgrade/daemon/WorkerStartTimes.java
+++ b/daemon/src/main/java/postgrade/daemon/WorkerStartTimes.java
@@ -27,7 +27,7 @@
     static final long NO_EARLIER_CONTACT = -1;
 
     /** Guards the memory against a discovery that names ever new workers. */
-    private static final int MOST_REMEMBERED = 10_000;
+    private static final int MAX_REMEMBERED = 10_000;
 
     private record Start(long unixMillis, long micros) {}
 
@@ -38,7 +38,7 @@
 
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<String, Start> eldest) {
-                    return size() > MOST_REMEMBERED;
+                    return size() > MAX_REMEMBERED;
                 }
             };
 
@@ -53,23 +53,23 @@
      *     {@link #NO_EARLIER_CONTACT}
      * @return microseconds of the monotonic clock, 0 for long ago
      */
-    long micros(String workerId, long unixMillis, long nowMicros, long heardBeforeMicros) {
+    long micros(String workerId, long unixMillis, long nowMicros, long previousContactMicros) {
         if (unixMillis == 0) {
             return 0;
         }
         Start known = starts.get(workerId);
         if (known == null || known.unixMillis() != unixMillis) {
-            known = new Start(unixMillis, bounded(unixMillis, nowMicros, heardBeforeMicros));
+            known = new Start(unixMillis, bounded(unixMillis, nowMicros, previousContactMicros));
             starts.put(workerId, known);
         }
         return known.micros();
     }
 
-    private long bounded(long unixMillis, long nowMicros, long heardBeforeMicros) {
+    private long bounded(long unixMillis, long nowMicros, long previousContactMicros) {
         long earliestMicros =
-                heardBeforeMicros == NO_EARLIER_CONTACT
+                previousContactMicros == NO_EARLIER_CONTACT
                         ? 0
-                        : heardBeforeMicros - MAX_NOTICE_DELAY_MICROS;
+                        : previousContactMicros - MAX_NOTICE_DELAY_MICROS;
         long byWallClock = clock.fromUnixMillis(unixMillis);
         return Math.min(nowMicros, Math.max(earliestMicros, byWallClock));
     }
--- a/daemon/src/main/java/postgrade/upgrade/Left.java
+++ b/daemon/src/main/java/postgrade/upgrade/HandoverFile.java
@@ -14,30 +14,30 @@
  * A small file beside the links: what a process leaves for one that has met it and not heard it
  * out.
  */
-final class Left {
+final class HandoverFile {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Left.class);
+    private static final Logger LOG = LoggerFactory.getLogger(HandoverFile.class);
 
     private final Path file;
 
     /**
      * @param file null where there is no folder for it
      */
-    Left(Path file) {
+    HandoverFile(Path file) {
         this.file = file;
     }
 
     /** On the loop: some hundred bytes to the system's memory, at an operator's call. */
-    void write(JsonObject what) {
+    void write(JsonObject content) {
         if (file == null) {
             return;
         }
         try {
-            Path next =
+            Path temporary =
                     file.resolveSibling(file.getFileName() + "." + ProcessHandle.current().pid());
-            Files.writeString(next, what.toString());
+            Files.writeString(temporary, content.toString());
             Files.move(
-                    next,
+                    temporary,
                     file,
                     StandardCopyOption.ATOMIC_MOVE,
                     StandardCopyOption.REPLACE_EXISTING);
@@ -61,7 +61,7 @@
         }
     }
 
-    void forget() {
+    void delete() {
         try {
             if (file != null) {
                 Files.deleteIfExists(file);
--- a/daemon/src/main/java/postgrade/upgrade/Meeting.java
+++ b/daemon/src/main/java/postgrade/upgrade/JoinHandshake.java
@@ -19,39 +19,39 @@
  * How a new process comes to its links with those that run, and waits for what they tell. Before
  * the loop runs.
  */
-final class Meeting {
+final class JoinHandshake {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Meeting.class);
+    private static final Logger LOG = LoggerFactory.getLogger(JoinHandshake.class);
 
     /**
      * A peer under load on a small part of a core may need as long; the new process is due within 6
      * s.
      */
-    static final long STATE_MILLIS = 2_500;
+    static final long STATE_TIMEOUT_MILLIS = 2_500;
 
     /** A link that broke before the peer had told is made again so often, while there is time. */
-    private static final long AGAIN_MILLIS = 50;
+    private static final long RECONNECT_MILLIS = 50;
 
-    private final UpgradeCoordinator up;
+    private final UpgradeCoordinator coordinator;
 
-    Meeting(UpgradeCoordinator up) {
-        this.up = up;
+    JoinHandshake(UpgradeCoordinator coordinator) {
+        this.coordinator = coordinator;
     }
 
     /** Its link is among the peers from then on, if somebody listens there. */
     void connect(Path file) {
         JsonObject hello =
                 Json.object()
-                        .add("hello", UpgradeCoordinator.FORM)
-                        .add("id", up.id)
-                        .add("dispatcher", up.dispatcher);
+                        .add("hello", UpgradeCoordinator.PROTOCOL_VERSION)
+                        .add("id", coordinator.id)
+                        .add("dispatcher", coordinator.dispatcher);
         SocketChannel channel = null;
         try {
             channel = SocketChannel.open(UnixDomainSocketAddress.of(file));
             channel.configureBlocking(false);
-            Peer p = new Peer(up, channel, file);
-            up.peers.add(p);
-            p.send(hello);
+            PeerLink peer = new PeerLink(coordinator, channel, file);
+            coordinator.peers.add(peer);
+            peer.send(hello);
         } catch (IOException | RuntimeException e) {
             try {
                 // Guards against what a killed process leaves: nobody listens there, and nobody
@@ -60,8 +60,8 @@
                 if (channel != null) {
                     channel.close();
                 }
-            } catch (IOException left) {
-                LOG.debug("could not remove a link that is not in use", left);
+            } catch (IOException cleanupFailure) {
+                LOG.debug("could not remove a link that is not in use", cleanupFailure);
             }
         }
     }
@@ -71,29 +71,34 @@
      * process that serves and is not linked with would hold the address, and this one could not
      * listen beside it. Where nobody is, connecting fails.
      */
-    void await() {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(STATE_MILLIS);
+    void awaitStates() {
+        long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(STATE_TIMEOUT_MILLIS);
         List<Path> broken = new ArrayList<>();
         try (Selector selector = Selector.open()) {
-            while (!broken.isEmpty() || up.peers.stream().anyMatch(p -> p.state == null)) {
-                for (Peer p : up.peers) {
-                    if (p.channel.keyFor(selector) == null) {
-                        p.channel.register(selector, SelectionKey.OP_READ, p);
+            while (!broken.isEmpty()
+                    || coordinator.peers.stream().anyMatch(peer -> peer.state == null)) {
+                for (PeerLink peer : coordinator.peers) {
+                    if (peer.channel.keyFor(selector) == null) {
+                        peer.channel.register(selector, SelectionKey.OP_READ, peer);
                     }
                 }
-                long left = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime());
-                if (left <= 0) {
+                long remainingMillis = TimeUnit.NANOSECONDS.toMillis(endNanos - System.nanoTime());
+                if (remainingMillis <= 0) {
                     // Counted, as one is that is silent: it may live and hold the address.
                     broken.forEach(this::connect);
                     break;
                 }
-                boolean heard =
-                        selector.select(broken.isEmpty() ? left : Math.min(left, AGAIN_MILLIS)) > 0;
+                boolean anyReady =
+                        selector.select(
+                                        broken.isEmpty()
+                                                ? remainingMillis
+                                                : Math.min(remainingMillis, RECONNECT_MILLIS))
+                                > 0;
                 for (SelectionKey key : selector.selectedKeys()) {
-                    read((Peer) key.attachment(), broken);
+                    read((PeerLink) key.attachment(), broken);
                 }
                 selector.selectedKeys().clear();
-                if (!heard) {
+                if (!anyReady) {
                     broken.forEach(this::connect);
                     broken.clear();
                 }
@@ -103,14 +108,14 @@
         }
     }
 
-    private static void read(Peer p, List<Path> broken) {
+    private static void read(PeerLink peer, List<Path> broken) {
         try {
-            p.read();
+            peer.read();
         } catch (IOException | RuntimeException e) {
-            p.lost(e);
+            peer.disconnected(e);
         }
-        if (!p.open && p.state == null) {
-            broken.add(p.file);
+        if (!peer.open && peer.state == null) {
+            broken.add(peer.file);
         }
     }
 }
--- a/daemon/src/main/java/postgrade/upgrade/Lines.java
+++ b/daemon/src/main/java/postgrade/upgrade/LineCodec.java
@@ -10,47 +10,47 @@
 import java.util.List;
 
 /** Messages as lines of text, whatever parts they come and go in. */
-final class Lines {
+final class LineCodec {
 
     /**
      * Guards the memory against a line that never ends; a state with a thousand workers is a fifth
      * of it.
      */
-    static final int MOST_LINE = 1 << 20;
+    static final int MAX_LINE_BYTES = 1 << 20;
 
     /** A peer that does not read is not written to without end. */
-    private static final int MOST_UNSENT = 256;
+    private static final int MAX_UNSENT_MESSAGES = 256;
 
-    private final ByteArrayOutputStream line = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream partialLine = new ByteArrayOutputStream();
     private final ArrayDeque<ByteBuffer> unsent = new ArrayDeque<>();
 
     /** The lines that are whole with these bytes, all of which are taken. */
-    List<String> read(ByteBuffer in) throws IOException {
-        List<String> whole = new ArrayList<>();
+    List<String> decode(ByteBuffer in) throws IOException {
+        List<String> complete = new ArrayList<>();
         while (in.hasRemaining()) {
             byte b = in.get();
             if (b == '\n') {
-                whole.add(line.toString(StandardCharsets.UTF_8));
-                line.reset();
+                complete.add(partialLine.toString(StandardCharsets.UTF_8));
+                partialLine.reset();
             } else {
-                line.write(b);
-                if (line.size() > MOST_LINE) {
+                partialLine.write(b);
+                if (partialLine.size() > MAX_LINE_BYTES) {
                     throw new IOException("line too long");
                 }
             }
         }
-        return whole;
+        return complete;
     }
 
-    void add(String text) {
-        if (unsent.size() < MOST_UNSENT) {
+    void enqueue(String text) {
+        if (unsent.size() < MAX_UNSENT_MESSAGES) {
             unsent.add(ByteBuffer.wrap((text + "\n").getBytes(StandardCharsets.UTF_8)));
         }
     }
 
-    void writeTo(WritableByteChannel to) throws IOException {
+    void writeTo(WritableByteChannel channel) throws IOException {
         while (!unsent.isEmpty()) {
-            to.write(unsent.peek());
+            channel.write(unsent.peek());
             if (unsent.peek().hasRemaining()) {
                 return;
             }
--- /dev/null
+++ b/daemon/src/main/java/postgrade/upgrade/PeerLink.java
@@ -0,0 +1,218 @@
+package postgrade.upgrade;
+
+import com.eclipsesource.json.Json;
+import com.eclipsesource.json.JsonObject;
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.channels.SelectionKey;
+import java.nio.channels.SocketChannel;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import postgrade.http.Reactor;
+import postgrade.log.Events;
+
+/** Another process of this dispatcher, at the other end of its link. */
+final class PeerLink implements Reactor.Handler {
+
+    private static final Logger LOG = LoggerFactory.getLogger(PeerLink.class);
+
+    private final UpgradeCoordinator coordinator;
+    final SocketChannel channel;
+
+    /** Where it listens, if it was this process that made the link; else null. */
+    final Path file;
+
+    private final LineCodec lines = new LineCodec();
+    final List<Long> pendingAcknowledgements = new ArrayList<>();
+    private SelectionKey key;
+    String id;
+    JsonObject state;
+    boolean serving;
+    boolean stopping;
+    boolean open = true;
+
+    PeerLink(UpgradeCoordinator coordinator, SocketChannel channel, Path file) {
+        this.coordinator = coordinator;
+        this.channel = channel;
+        this.file = file;
+    }
+
+    void register() {
+        try {
+            key = coordinator.reactor.register(channel, SelectionKey.OP_READ, this);
+            updateInterest();
+        } catch (IOException e) {
+            disconnected(e);
+        }
+    }
+
+    void send(JsonObject message) {
+        lines.enqueue(message.toString());
+        try {
+            flush();
+        } catch (IOException e) {
+            // The read side tells of the break: nothing of the owner's runs inside its own call.
+        }
+    }
+
+    private void flush() throws IOException {
+        if (open) {
+            lines.writeTo(channel);
+            updateInterest();
+        }
+    }
+
+    private void updateInterest() {
+        if (key != null && key.isValid()) {
+            key.interestOps(
+                    SelectionKey.OP_READ | (lines.allWritten() ? 0 : SelectionKey.OP_WRITE));
+        }
+    }
+
+    @Override
+    public Order order() {
+        return Order.FIRST;
+    }
+
+    @Override
+    public void ready(SelectionKey ready) throws IOException {
+        if (ready.isWritable()) {
+            flush();
+        }
+        if (open && ready.isReadable()) {
+            try {
+                read();
+            } catch (RuntimeException e) {
+                disconnected(
+                        e); // Guards the process against a peer that sends what cannot be
+                            // understood.
+            }
+        }
+    }
+
+    void read() throws IOException {
+        ByteBuffer in = coordinator.reactor.readBuffer();
+        in.clear();
+        int count = channel.read(in);
+        if (count < 0) {
+            disconnected(null);
+            return;
+        }
+        in.flip();
+        for (String line : lines.decode(in)) {
+            if (open) {
+                handle(Json.parse(line).asObject());
+            }
+        }
+    }
+
+    private void handle(JsonObject message) {
+        if (message.get("hello") != null) {
+            if (message.getInt("hello", 0) != UpgradeCoordinator.PROTOCOL_VERSION
+                    || !coordinator.dispatcher.equals(message.getString("dispatcher", ""))) {
+                throw new IllegalArgumentException("another dispatcher's, or of another form");
+            }
+            identified(message.get("id").asString());
+            if (open) {
+                send(
+                        Json.object()
+                                .add("state", coordinator.owner.snapshot())
+                                .add("id", coordinator.id)
+                                .add("serving", coordinator.serving)
+                                .add("stopping", coordinator.stopping));
+                coordinator.owner.peersChanged();
+            }
+        } else if (message.get("state") != null) {
+            state = message.get("state").asObject();
+            serving = message.getBoolean("serving", false);
+            stopping = message.getBoolean("stopping", false);
+            identified(message.get("id").asString());
+            if (key != null) {
+                coordinator.owner.peersChanged(); // Late: the process has begun without it.
+            }
+        } else if (id == null) {
+            throw new IllegalArgumentException("no hello");
+        } else if (message.get("ask") != null) {
+            if (message.get("event") != null) {
+                coordinator.owner.callBackRelayed(
+                        message.get("event").asString().getBytes(StandardCharsets.UTF_8));
+            } else {
+                coordinator.owner.operatorCallRelayed(
+                        message.get("call").asString(), message.getString("worker", ""));
+            }
+            send(Json.object().add("told", message.get("ask")));
+        } else if (message.get("told") != null) {
+            coordinator.acknowledgements.complete(this, message.get("told").asLong(), true);
+        } else {
+            serving |= message.getBoolean("serving", false);
+            stopping |= message.getBoolean("stopping", false);
+            coordinator.owner.peersChanged();
+        }
+    }
+
+    /**
+     * Its name is known. Of two links with one process, the one that the later of the two made
+     * stays.
+     */
+    private void identified(String peerId) {
+        id = peerId;
+        boolean listed = false;
+        for (PeerLink other : new ArrayList<>(coordinator.peers)) {
+            if (other != this && peerId.equals(other.id)) {
+                boolean thisIsLater = coordinator.id.compareTo(peerId) > 0;
+                (file != null == thisIsLater ? other : this).close();
+            }
+            listed |= other == this;
+        }
+        if (open && !listed) {
+            coordinator.peers.add(this);
+        }
+        if (open) {
+            Events.info(LOG, "upgrade.linked")
+                    .addKeyValue("peer", id)
+                    .log("linked with process " + id + " of this dispatcher");
+        }
+    }
+
+    private void close() {
+        open = false;
+        coordinator.peers.remove(this);
+        try {
+            channel.close();
+        } catch (IOException e) {
+            LOG.debug("a link could not be closed", e);
+        }
+        for (Long number : new ArrayList<>(pendingAcknowledgements)) {
+            coordinator.acknowledgements.complete(this, number, false);
+        }
+    }
+
+    /**
+     * @param why null if it has ended the link itself, as it does when its process ends
+     */
+    void disconnected(Exception cause) {
+        if (!open) {
+            return;
+        }
+        close();
+        if (id != null && key != null) {
+            Events.info(LOG, "upgrade.unlinked")
+                    .addKeyValue("peer", id)
+                    .log(
+                            "process "
+                                    + id
+                                    + " of this dispatcher is gone"
+                                    + (cause == null ? "" : " (" + cause + ")"));
+            coordinator.owner.peersChanged();
+        }
+    }
+
+    @Override
+    public void failed(Exception e) {
+        disconnected(e);
+    }
+}
--- a/daemon/src/main/java/postgrade/upgrade/UpgradeCoordinator.java
+++ b/daemon/src/main/java/postgrade/upgrade/UpgradeCoordinator.java
@@ -34,12 +34,12 @@
 public final class UpgradeCoordinator implements Reactor.Handler {
 
     private static final Logger LOG = LoggerFactory.getLogger(UpgradeCoordinator.class);
-    static final int FORM = 1;
-    private static final String SUFFIX = ".link";
-    private static final long AFTER_UNIX_MILLIS = 500_000_000_000_000L;
+    static final int PROTOCOL_VERSION = 1;
+    private static final String LINK_SUFFIX = ".link";
+    private static final long ID_OFFSET_MILLIS = 500_000_000_000_000L;
 
     /** Guards the descriptors: an upgrade has one peer, one that follows at once two. */
-    private static final int MOST_PEERS = 4;
+    private static final int MAX_PEERS = 4;
 
     /** Whose link it is. All is called on the loop's thread. */
     public interface Owner {
@@ -47,10 +47,10 @@
         JsonObject snapshot();
 
         /** A worker's call-back that came to a peer and whose job may be ours. */
-        void callBack(byte[] body);
+        void callBackRelayed(byte[] body);
 
         /** An operator's call that came to a peer and was carried out there. */
-        void called(String call, String id);
+        void operatorCallRelayed(String call, String workerId);
 
         /** A peer has come, begun to serve, begun to stop, or gone. */
         void peersChanged();
@@ -58,17 +58,17 @@
 
     final String dispatcher;
     final String id;
-    private final Path folder;
+    private final Path directory;
     final Reactor reactor;
     final Timers timers;
     final Owner owner;
-    final List<Peer> peers = new ArrayList<>();
-    final Asks asks = new Asks(this);
-    private final Meeting meeting = new Meeting(this);
-    private final Left left;
-    private boolean met;
+    final List<PeerLink> peers = new ArrayList<>();
+    final AcknowledgementTracker acknowledgements = new AcknowledgementTracker(this);
+    private final JoinHandshake handshake = new JoinHandshake(this);
+    private final HandoverFile handoverFile;
+    private boolean foundPeers;
     private ServerSocketChannel server;
-    private Path path;
+    private Path socketFile;
     boolean serving;
     boolean stopping;
 
@@ -77,15 +77,16 @@
      * @param dispatcher whose processes belong together: its name and address
      */
     public UpgradeCoordinator(
-            Path folder, String dispatcher, Reactor reactor, Timers timers, Owner owner) {
-        this.folder = folder;
+            Path directory, String dispatcher, Reactor reactor, Timers timers, Owner owner) {
+        this.directory = directory;
         this.dispatcher = dispatcher;
         this.reactor = reactor;
         this.timers = timers;
         this.owner = owner;
         id = processId(System.nanoTime(), ProcessHandle.current().pid());
-        left = new Left(folder == null ? null : folder.resolve(prefix() + "left"));
-        if (folder != null) {
+        handoverFile =
+                new HandoverFile(directory == null ? null : directory.resolve(prefix() + "left"));
+        if (directory != null) {
             listen();
         }
     }
@@ -99,7 +100,7 @@
         return String.format(
                 Locale.ROOT,
                 "%015d-%010d",
-                AFTER_UNIX_MILLIS + machineNanos / 1_000_000,
+                ID_OFFSET_MILLIS + machineNanos / 1_000_000,
                 processNumber);
     }
 
@@ -108,10 +109,10 @@
     }
 
     private void listen() {
-        path = folder.resolve(prefix() + id + SUFFIX);
+        socketFile = directory.resolve(prefix() + id + LINK_SUFFIX);
         try {
             server = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
-            server.bind(UnixDomainSocketAddress.of(path));
+            server.bind(UnixDomainSocketAddress.of(socketFile));
             server.configureBlocking(false);
             reactor.register(server, SelectionKey.OP_ACCEPT, this);
         } catch (IOException | RuntimeException e) {
@@ -139,10 +140,10 @@
             return null;
         }
         try (DirectoryStream<Path> files =
-                Files.newDirectoryStream(folder, prefix() + "*" + SUFFIX)) {
+                Files.newDirectoryStream(directory, prefix() + "*" + LINK_SUFFIX)) {
             for (Path file : files) {
-                if (!file.equals(path) && peers.size() < MOST_PEERS) {
-                    meeting.connect(file);
+                if (!file.equals(socketFile) && peers.size() < MAX_PEERS) {
+                    handshake.connect(file);
                 }
             }
         } catch (IOException | RuntimeException e) {
@@ -150,19 +151,20 @@
                     .setCause(e)
                     .log("could not look for a process to take over from");
         }
-        Peer latest = null;
+        PeerLink latest = null;
         if (peers.isEmpty()) {
-            left.forget(); // A plain start: what operators said goes with the process that they
+            handoverFile
+                    .delete(); // A plain start: what operators said goes with the process that they
             // said it to.
         } else {
-            met = true;
-            meeting.await();
+            foundPeers = true;
+            handshake.awaitStates();
         }
-        for (Peer p : new ArrayList<>(peers)) {
-            p.begin();
+        for (PeerLink peer : new ArrayList<>(peers)) {
+            peer.register();
             latest =
-                    p.state != null && (latest == null || p.id.compareTo(latest.id) > 0)
-                            ? p
+                    peer.state != null && (latest == null || peer.id.compareTo(latest.id) > 0)
+                            ? peer
                             : latest;
         }
         return latest == null ? null : latest.state;
@@ -172,27 +174,27 @@
      * What a process has left that was there when this one began and died before it could tell;
      * null where none did.
      */
-    public JsonObject left() {
-        return met ? left.read() : null;
+    public JsonObject readHandoverFile() {
+        return foundPeers ? handoverFile.read() : null;
     }
 
     /** Keeps what a new process has to know even if this one dies before it can tell. */
-    public void leave(JsonObject what) {
-        left.write(what);
+    public void writeHandoverFile(JsonObject content) {
+        handoverFile.write(content);
     }
 
     // ---- Who is there.
 
     /** This process listens for consumers. */
-    public void serving() {
+    public void announceServing() {
         serving = true;
-        tellAll(Json.object().add("serving", true));
+        broadcast(Json.object().add("serving", true));
     }
 
     /** This process is to end. */
-    public void stopping() {
+    public void announceStopping() {
         stopping = true;
-        tellAll(Json.object().add("stopping", true));
+        broadcast(Json.object().add("stopping", true));
     }
 
     /**
@@ -200,17 +202,17 @@
      * them to the old one.
      */
     public boolean hasSuccessor() {
-        return peers.stream().anyMatch(p -> p.serving && !p.stopping);
+        return peers.stream().anyMatch(peer -> peer.serving && !peer.stopping);
     }
 
     /** Processes of this dispatcher that are linked to this one. */
-    public int count() {
+    public int peerCount() {
         return peers.size();
     }
 
-    private void tellAll(JsonObject message) {
-        for (Peer p : new ArrayList<>(peers)) {
-            p.send(message);
+    private void broadcast(JsonObject message) {
+        for (PeerLink peer : new ArrayList<>(peers)) {
+            peer.send(message);
         }
     }
 
@@ -220,13 +222,14 @@
      * Hands a call-back to whoever holds its job. True once all others have looked at it, false if
      * one did not answer in time.
      */
-    public void callBack(byte[] body, Consumer<Boolean> done) {
-        asks.askAll(Json.object().add("event", new String(body, StandardCharsets.UTF_8)), done);
+    public void relayCallBack(byte[] body, Consumer<Boolean> done) {
+        acknowledgements.sendToAll(
+                Json.object().add("event", new String(body, StandardCharsets.UTF_8)), done);
     }
 
     /** Tells the others of an operator's call that was carried out here. */
-    public void call(String call, String workerId, Consumer<Boolean> done) {
-        asks.askAll(
+    public void relayOperatorCall(String call, String workerId, Consumer<Boolean> done) {
+        acknowledgements.sendToAll(
                 Json.object().add("call", call).add("worker", workerId == null ? "" : workerId),
                 done);
     }
@@ -244,20 +247,20 @@
         if (channel == null) {
             return;
         }
-        if (peers.size() >= MOST_PEERS) {
+        if (peers.size() >= MAX_PEERS) {
             channel.close(); // Guards the descriptors against whoever else finds the socket.
             return;
         }
         channel.configureBlocking(false);
-        Peer p = new Peer(this, channel, null);
-        p.begin();
+        PeerLink peer = new PeerLink(this, channel, null);
+        peer.register();
         // As long as it waits for what we know: a process that starts on a full machine may be held
         // up in between.
         timers.at(
-                timers.nowMicros() + Meeting.STATE_MILLIS * 1000,
+                timers.nowMicros() + JoinHandshake.STATE_TIMEOUT_MILLIS * 1000,
                 () -> {
-                    if (p.id == null) {
-                        p.lost(new IOException("said nothing"));
+                    if (peer.id == null) {
+                        peer.disconnected(new IOException("said nothing"));
                     }
                 });
     }
@@ -273,11 +276,11 @@
             if (server != null) {
                 server.close();
             }
-            if (path != null) {
-                Files.deleteIfExists(path);
+            if (socketFile != null) {
+                Files.deleteIfExists(socketFile);
             }
             if (peers.isEmpty()) {
-                left.forget();
+                handoverFile.delete();
             }
         } catch (IOException e) {
             LOG.debug("could not remove the link", e);
--- a/daemon/src/test/java/postgrade/daemon/ArchitecturePageTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ArchitecturePageTest.java
@@ -54,7 +54,7 @@
     }
 
     @Test
-    public void thePageNamesEveryPackageOfTheJar() throws IOException {
+    public void thePageListsEveryPackageOfTheJar() throws IOException {
         Set<String> packages = new TreeSet<>();
         for (JavaClass type : CLASSES) {
             packages.add(type.getPackageName().substring(ROOT.length()));
@@ -64,7 +64,7 @@
     }
 
     @Test
-    public void eachPackageUsesOnlyThoseThatThePageNames() throws IOException {
+    public void eachPackageUsesOnlyThoseThatThePageAllows() throws IOException {
         for (Map.Entry<String, List<String>> layer : layers().entrySet()) {
             DescribedPredicate<JavaClass> others =
                     resideInAPackage("postgrade..")
--- a/daemon/src/test/java/postgrade/daemon/StoriesTest.java
+++ b/daemon/src/test/java/postgrade/daemon/DaemonScenariosTest.java
@@ -27,12 +27,12 @@
  * Stories over loopback: the whole daemon against scripted peers, one for each thing that goes
  * wrong.
  */
-public class StoriesTest extends DaemonTestBase {
+public class DaemonScenariosTest extends DaemonTestBase {
 
     // ---- The life of a job.
 
     @Test
-    public void callBacksMayComeBeforeThe202AndTwiceAndFromStrangers() throws Exception {
+    public void callBacksMayArriveBeforeThe202TwiceOrFromOtherWorkers() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         assertEquals(200, readinessStatus());
         Socket consumer = post("ab12", "price", "15000m");
@@ -63,7 +63,7 @@
      * another way.
      */
     @Test
-    public void theConsumersIdempotencyKeyGoesWithEachAttempt() throws Exception {
+    public void theClientsIdempotencyKeyIsSentWithEachAttempt() throws Exception {
         startDaemon(
                 workerEntry("w1", workerOne.address(), "ready"),
                 workerEntry("w2", workerOne.address(), "ready"));
@@ -87,7 +87,7 @@
     }
 
     @Test
-    public void whatIsNotAJobEventIsToldSoAndNothingElseHappens() throws Exception {
+    public void malformedJobEventsAreAnsweredWith400AndHaveNoOtherEffect() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         for (String bad : List.of("", "{", "[]", "{\"id\":1}", "[".repeat(60_000))) {
             assertEquals(bad.length() > 20 ? "deep" : bad, 400, callBack(bad));
@@ -96,7 +96,7 @@
     }
 
     @Test
-    public void aConfirmThatBrokeAfterItsLastByteIsNeverSentAgain() throws Exception {
+    public void aNonIdempotentJobIsNotRetriedAfterItsConnectionBroke() throws Exception {
         startDaemon(
                 workerEntry("w1", workerOne.address(), "ready"),
                 workerEntry("w2", workerOne.address(), "ready"));
@@ -109,7 +109,7 @@
     }
 
     @Test
-    public void aRefusedConnectionProvesThatNothingRanAndAnotherProviderServes() throws Exception {
+    public void aRefusedConnectionIsRetriedOnAnotherWorker() throws Exception {
         String closed = workerTwo.address();
         workerTwo.close();
         startDaemon(
@@ -124,7 +124,7 @@
     }
 
     @Test
-    public void outcomesFollowTheProtocol() throws Exception {
+    public void attemptOutcomesFollowTheProtocol() throws Exception {
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> script.actions.startAttempt(job.id(), "w1", 0);
         script.onFinished = (id, outcome) -> script.actions.reject(id, 1_500_000_000L);
@@ -156,7 +156,8 @@
     }
 
     @Test
-    public void withoutAnAnswerTheConsumerHearsAtTheDeadlineAndTheJobIsGivenUp() throws Exception {
+    public void withoutAnAnswerTheClientGets504AtTheDeadlineAndTheJobIsCancelled()
+            throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         long start = System.nanoTime();
         Socket consumer = post("t1", "price", "400m");
@@ -167,7 +168,7 @@
     }
 
     @Test
-    public void aConsumerThatLeavesHasItsJobGivenUp() throws Exception {
+    public void theJobOfADisconnectedClientIsCancelled() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket consumer = post("g1", "price", "15000m");
         workerOne.awaitMessage("POST").accept();
@@ -177,7 +178,7 @@
     }
 
     @Test
-    public void whatAProviderCannotUseIsFailedAtOnceAndTriedNowhereElse() throws Exception {
+    public void aJobThatAWorkerRejectsAsMalformedFailsWithoutRetry() throws Exception {
         startWithScriptedPolicy(
                 workerEntry("w1", workerOne.address(), "ready"),
                 workerEntry("w2", workerTwo.address(), "ready"));
@@ -190,7 +191,7 @@
     }
 
     @Test
-    public void whoRepeatsWhatWasTurnedAwayIsReadFromAgainAtTheNextSweepOnly() throws Exception {
+    public void aClientRepeatingARejectedRequestIsReadOncePerSweep() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket s = post("m1", "no class", "1m");
         assertEquals(400, ScriptedPeer.read(s).status());
@@ -209,7 +210,7 @@
     // ---- Never two calls out.
 
     @Test
-    public void aCallIsEndedForTheModuleOnlyOnceItsDeleteIsAnswered() throws Exception {
+    public void anAttemptEndsForThePolicyOnlyOnceItsDeleteIsAnswered() throws Exception {
         startWithScriptedPolicy(
                 workerEntry("w1", workerOne.address(), "ready"),
                 workerEntry("w2", workerTwo.address(), "ready"));
@@ -232,7 +233,7 @@
     }
 
     @Test
-    public void aCallThatIsNotYetTakenIsGivenUpByClosingAndADelete() throws Exception {
+    public void anUnacceptedAttemptIsCancelledByCloseAndDelete() throws Exception {
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> script.actions.startAttempt(job.id(), "w1", 0);
         script.onStarted = (id, attempt) -> script.actions.cancelAttempt(id, attempt);
@@ -247,7 +248,7 @@
     }
 
     @Test
-    public void aDeleteThatIsCutOffIsSentAgainBeforeTheModuleHears() throws Exception {
+    public void anInterruptedDeleteIsResentBeforeThePolicyIsNotified() throws Exception {
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> script.actions.startAttempt(job.id(), "w1", 0);
         script.onStarted = (id, attempt) -> script.actions.cancelAttempt(id, attempt);
@@ -264,7 +265,7 @@
     }
 
     @Test
-    public void aSecondCallBesideOneThatIsOutIsNotSent() throws Exception {
+    public void aSecondConcurrentAttemptIsNotSent() throws Exception {
         startWithScriptedPolicy(
                 workerEntry("w1", workerOne.address(), "ready"),
                 workerEntry("w2", workerTwo.address(), "ready"));
@@ -281,7 +282,7 @@
     }
 
     @Test
-    public void aLateCallBackOfAnEarlierCallToTheSameProviderDoesNotFreeTheNext() throws Exception {
+    public void aLateCallBackOfAnEarlierAttemptDoesNotReleaseTheNextOne() throws Exception {
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> script.actions.startAttempt(job.id(), "w1", 0);
         post("e1", "price", "15000m");
@@ -300,7 +301,7 @@
     // ---- The list.
 
     @Test
-    public void aSendThatWaitsForItsConnectionNeverLeavesOnceItsProviderDrains() throws Exception {
+    public void anAttemptWaitingForItsConnectionIsNotSentOnceItsWorkerDrains() throws Exception {
         try (ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             // A full backlog: further connects neither come up nor fail.
             for (int i = 0; i < 2; i++) {
@@ -319,7 +320,7 @@
     }
 
     @Test
-    public void aWatchThatEndsOrFallsSilentIsOpenedAgainFromTheLastVersion() throws Exception {
+    public void aWatchThatEndsOrStallsIsReopenedFromTheLastVersion() throws Exception {
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         answerWatch(workerListJson(43, false, workerEntry("w2", workerTwo.address(), "ready")));
         script.expectEvent("list DELTA [w2 READY]");
@@ -350,7 +351,7 @@
     }
 
     @Test
-    public void withoutAnyKnownProviderItIsNotReadyUntilDiscoveryHasNamedOne() throws Exception {
+    public void withoutKnownWorkersItIsNotReadyUntilDiscoveryListsOne() throws Exception {
         startWithScriptedPolicy();
         assertEquals(503, readinessStatus());
         answerWatch(workerListJson(42, true, workerEntry("w1", workerOne.address(), "ready")));
@@ -359,7 +360,7 @@
     }
 
     @Test
-    public void aMovedWatchTakesTheWholeListAndHearsTheFormerAddressUntilThen() throws Exception {
+    public void aMovedWatchFetchesTheFullListAndFollowsTheOldAddressUntilThen() throws Exception {
         Path file =
                 Path.of(
                         configuration(workerEntry("w1", workerOne.address(), "ready"))
@@ -410,7 +411,7 @@
     // ---- Bounds.
 
     @Test
-    public void badInputIsAnsweredAndEndsItsConnectionAlone() throws Exception {
+    public void badInputIsAnsweredAndClosesOnlyItsConnection() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         String post = "POST /api HTTP/1.1\r\n";
         String[][] stories = {
@@ -474,7 +475,7 @@
     }
 
     @Test
-    public void whoSaysNothingOrNeverEndsIsTurnedAwayWithin3sOfConnectingAndKeptConnectionsStay()
+    public void silentAndIncompleteConnectionsAreClosedWithin3sAndEstablishedOnesKept()
             throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket kept = post("o1", "price", "15000m");
@@ -500,8 +501,7 @@
      * for ever still is.
      */
     @Test
-    public void aJobThatComesOnInPiecesIsTakenHoweverSlowlyAndOneThatNeverEndsIsNot()
-            throws Exception {
+    public void aSlowlySentJobIsAcceptedAndAnEndlessOneIsNot() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket trickles = connect();
         Socket slow = connect();
@@ -531,7 +531,7 @@
     }
 
     @Test
-    public void anErrorOverBytesThatNobodyReadsIsNotLost() throws Exception {
+    public void anErrorResponseIsNotLostToUnreadRequestBytes() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket s = connect();
         ScriptedPeer.write(
@@ -541,7 +541,7 @@
     }
 
     @Test
-    public void anIdOpenElsewhereAndBytesBeyondARequestDisturbNobodyElse() throws Exception {
+    public void aDuplicateIdAndExcessBytesAffectNoOtherRequest() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket owner = post("ab", "price", "15000m");
         workerOne.awaitMessage("POST").accept();
@@ -558,7 +558,7 @@
     }
 
     @Test
-    public void hundredsThatSayNothingOrAskOnceAndStayCostNoUsualConnection() throws Exception {
+    public void floodsOfIdleConnectionsDoNotEvictAnEstablishedOne() throws Exception {
         descriptorLimit = 96; // 64 for sockets, 48 of them for accepted ones.
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket usual = post("u0", "price", "15000m");
@@ -582,7 +582,7 @@
     }
 
     @Test
-    public void aConsumerThatAsksBeforeItsBodyIsToldToGoOn() throws Exception {
+    public void expect100ContinueIsAnswered() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket consumer = connect();
         ScriptedPeer.write(
@@ -597,7 +597,7 @@
     }
 
     @Test
-    public void bytesOfAProviderThatNobodyAskedForAreNotTheNextAnswer() throws Exception {
+    public void unsolicitedWorkerBytesAreNotTakenAsTheNextResponse() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket consumer = post("u1", "price", "15000m");
         ReceivedMessage first = workerOne.awaitMessage("POST");
@@ -613,8 +613,7 @@
     }
 
     @Test
-    public void beyondTheMostHeldAJobIsRejectedAtOnceAndAnIdHeldAlreadyIsAConflict()
-            throws Exception {
+    public void beyondTheJobLimitAJobIsRejectedAndADuplicateIdConflicts() throws Exception {
         maxHeldJobs = 1;
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         post("h1", "price", "15000m");
@@ -624,8 +623,7 @@
     }
 
     @Test
-    public void beyondTheBytesThatTheHeapCanHoldLargeJobsAreRejectedAndSmallOnesTaken()
-            throws Exception {
+    public void beyondTheMemoryLimitLargeJobsAreRejectedAndSmallOnesAccepted() throws Exception {
         maxHeldJobs = 1000;
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         String large =
@@ -647,7 +645,7 @@
     }
 
     @Test
-    public void aJobThatTheModuleStumblesOverOrForgetsIsAnswered() throws Exception {
+    public void aJobThatThePolicyFailsOnOrForgetsIsAnswered() throws Exception {
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         post("f0", "price", "300m");
         assertEquals("forgotten", 429, ScriptedPeer.read(sockets.get(0)).status());
@@ -660,8 +658,8 @@
     }
 
     @Test
-    public void idleConnectionsAreRetiredBeforeTheirProviderClosesThem() throws Exception {
-        idleNs = 300_000_000L;
+    public void idleConnectionsAreClosedBeforeTheWorkerClosesThem() throws Exception {
+        idleTimeoutNs = 300_000_000L;
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket consumer = post("r1", "price", "15000m");
         ReceivedMessage first = workerOne.awaitMessage("POST");
@@ -675,7 +673,7 @@
     }
 
     @Test
-    public void aConnectionThatBrokeAfterIdlenessShortensHowLongOthersAreKept() throws Exception {
+    public void aConnectionFoundBrokenAfterIdlingShortensTheIdleTimeout() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket consumer = post("v1", "price", "15000m");
         ReceivedMessage first = workerOne.awaitMessage("POST");
@@ -705,7 +703,7 @@
     }
 
     @Test
-    public void aConnectionThatEndedWhileIdleCostsTheNextJobNothing() throws Exception {
+    public void aConnectionClosedWhileIdleDoesNotFailTheNextJob() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket consumer = post("k1", "confirm", "15000m");
         ReceivedMessage first = workerOne.awaitMessage("POST");
@@ -721,7 +719,7 @@
     }
 
     @Test
-    public void whenSocketsAreShortIdleConnectionsMakeRoom() throws Exception {
+    public void idleConnectionsAreEvictedWhenSocketsRunOut() throws Exception {
         descriptorLimit = 96; // 64 for sockets, 48 of them for accepted ones.
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         for (int i = 0; i < 80; i++) {
@@ -737,7 +735,7 @@
     // ---- Start and stop.
 
     @Test
-    public void anOrderlyStopServesWhatStillComesAndAnswersAllThatWasTaken() throws Exception {
+    public void gracefulStopServesNewJobsAndAnswersAllAccepted() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket before = post("p1", "price", "15000m");
         workerOne.awaitMessage("POST").accept();
@@ -755,7 +753,7 @@
         assertEquals(503, readinessStatus());
         Thread.sleep(
                 3
-                        * Daemon.STOP_CHECK_MICROS
+                        * Daemon.SHUTDOWN_CHECK_INTERVAL_MICROS
                         / 1000); // Not for luck: without its guard these checks close it.
         String done = "{\"id\":\"p1\",\"from\":\"w1\",\"state\":\"done\"}";
         ScriptedPeer.write(
@@ -770,7 +768,7 @@
     }
 
     @Test
-    public void aStopServesOnAndInTheEndAnswersWhatCameTooLateToBeServed() throws Exception {
+    public void gracefulStopFinallyAnswersJobsThatArrivedTooLate() throws Exception {
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> script.actions.startAttempt(job.id(), "w1", 0);
         Socket kept = post("z1", "price", "15000m");
@@ -800,13 +798,13 @@
     }
 
     @Test
-    public void theProgramReloadsOnSighupEndsInOrderOnSigtermAndNamesAFaultyKey() throws Exception {
+    public void sighupReloadsSigtermStopsAndAnInvalidKeyIsNamed() throws Exception {
         Map<String, String> good = configuration(workerEntry("w1", workerOne.address(), "ready"));
-        Process p = program(good);
+        Process p = startProcess(good);
         discovery.awaitMessage("GET /api/targets?watch=1&from=41 ");
-        hangUp(p, good, discovery.address(), workerTwo.address());
+        replaceAndSendSighup(p, good, discovery.address(), workerTwo.address());
         ReceivedMessage asked = workerTwo.awaitMessage("GET /api/targets ");
-        hangUp(p, good, "discovery", "nowhere"); // Faulty.
+        replaceAndSendSighup(p, good, "discovery", "nowhere"); // Faulty.
         while (!asked.head().startsWith("GET /api/targets?watch=1&from=1 ")) {
             asked.reply(
                     "200 OK",
@@ -828,7 +826,7 @@
                 Files.readString(file)
                         .replace("nowhere", "discovery")
                         .replace("read_like", "perhaps"));
-        p = program(good);
+        p = startProcess(good);
         log = new String(p.getErrorStream().readAllBytes());
         assertEquals(2, p.waitFor());
         assertTrue(log, log.contains("settings: classes.0.idempotency"));
@@ -845,9 +843,9 @@
      * new configuration.
      */
     @Test
-    public void aProgramThatIsStartedWithSighupIgnoredSaysThatItCannotReadAgain() throws Exception {
+    public void aProcessStartedWithSighupIgnoredWarnsThatItCannotReload() throws Exception {
         Map<String, String> good = configuration(workerEntry("w1", workerOne.address(), "ready"));
-        Process p = program(good, "sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
+        Process p = startProcess(good, "sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
         try (BufferedReader log = new BufferedReader(new InputStreamReader(p.getErrorStream()))) {
             String line = log.readLine();
             while (line != null && !line.contains("SIGHUP is ignored")) {
@@ -860,8 +858,8 @@
     }
 
     /** Replaces a word of the configuration file and sends SIGHUP. */
-    private static void hangUp(Process p, Map<String, String> environment, String from, String to)
-            throws Exception {
+    private static void replaceAndSendSighup(
+            Process p, Map<String, String> environment, String from, String to) throws Exception {
         Path file = Path.of(environment.get("ROUTER_CONFIG"));
         Files.writeString(file, Files.readString(file).replace(from, to));
         new ProcessBuilder("kill", "-HUP", "" + p.pid()).start().waitFor();
--- a/daemon/src/test/java/postgrade/daemon/DaemonTestBase.java
+++ b/daemon/src/test/java/postgrade/daemon/DaemonTestBase.java
@@ -28,11 +28,11 @@
  */
 public abstract class DaemonTestBase {
 
-    private static final List<String> HEEDS_SIGHUP = List.of("env", "--default-signal=HUP");
-    private static final long MOST_PROGRAM_SECONDS = 180;
+    private static final List<String> WITH_DEFAULT_SIGHUP = List.of("env", "--default-signal=HUP");
+    private static final long MAX_PROCESS_SECONDS = 180;
 
     /** Nothing is silent at its opening, however slow the machine; but soon after a line. */
-    static final WatchTimeouts PATIENCE = new WatchTimeouts(20_000_000, 500_000, 0);
+    static final WatchTimeouts WATCH_TIMEOUTS = new WatchTimeouts(20_000_000, 500_000, 0);
 
     static final String SETTINGS =
             "'balancers':1,'classes':["
@@ -50,7 +50,7 @@
     ScriptedPolicy script;
     final List<Socket> sockets = new ArrayList<>();
     int maxHeldJobs = 100;
-    long idleNs = 10_000_000_000L;
+    long idleTimeoutNs = 10_000_000_000L;
     int descriptorLimit = 1024;
     boolean withOperatorPort;
     String listen = "127.0.0.1:0";
@@ -59,7 +59,7 @@
     DispatcherExtension.Configuration companionPlan;
 
     /** The folder that the processes of one dispatcher share, if there is to be one. */
-    Path shared;
+    Path sharedDirectory;
 
     @Before
     public void startPeers() throws IOException {
@@ -73,12 +73,12 @@
      * is bound and never listens: nobody else is given it while none of them does.
      */
     String reserveAddress(String host) throws IOException {
-        Socket holder = new Socket();
-        sockets.add(holder);
-        holder.setReuseAddress(false);
-        holder.bind(new InetSocketAddress(host, 0));
-        holder.setReuseAddress(true);
-        return host + ":" + holder.getLocalPort();
+        Socket placeholder = new Socket();
+        sockets.add(placeholder);
+        placeholder.setReuseAddress(false);
+        placeholder.bind(new InetSocketAddress(host, 0));
+        placeholder.setReuseAddress(true);
+        return host + ":" + placeholder.getLocalPort();
     }
 
     @After
@@ -135,14 +135,14 @@
                                         + descriptorLimit
                                         + "},'settings':{"
                                         + SETTINGS.replace("HELD", "" + maxHeldJobs)
-                                                .replace("IDLE", "" + idleNs)
+                                                .replace("IDLE", "" + idleTimeoutNs)
                                         + "},'known':")
                                 .replace('\'', '"')
                         + workerListJson(41, true, servers)
                         + "}");
-        return shared == null
+        return sharedDirectory == null
                 ? Map.of("ROUTER_CONFIG", file.toString())
-                : Map.of("ROUTER_CONFIG", file.toString(), "TMPDIR", shared.toString());
+                : Map.of("ROUTER_CONFIG", file.toString(), "TMPDIR", sharedDirectory.toString());
     }
 
     void startDaemon(String... servers) throws Exception {
@@ -157,7 +157,7 @@
                         Config.read(configuration(servers)),
                         companionPlan,
                         out -> script = new ScriptedPolicy(out),
-                        PATIENCE);
+                        WATCH_TIMEOUTS);
         daemon.start();
         script.events.take(); // The stored list.
     }
@@ -258,8 +258,10 @@
      *
      * @param by a command that starts it, if it is not to be started plainly
      */
-    static Process program(Map<String, String> environment, String... by) throws IOException {
-        List<String> command = new ArrayList<>(by.length > 0 ? List.of(by) : HEEDS_SIGHUP);
+    static Process startProcess(Map<String, String> environment, String... launcher)
+            throws IOException {
+        List<String> command =
+                new ArrayList<>(launcher.length > 0 ? List.of(launcher) : WITH_DEFAULT_SIGHUP);
         command.addAll(
                 List.of(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -267,11 +269,11 @@
                         System.getProperty("java.class.path"),
                         "postgrade.daemon.Main",
                         "serve"));
-        ProcessBuilder b = new ProcessBuilder(command);
-        b.environment().putAll(environment);
-        Process program = b.start();
-        CompletableFuture.delayedExecutor(MOST_PROGRAM_SECONDS, TimeUnit.SECONDS)
-                .execute(program::destroyForcibly);
-        return program;
+        ProcessBuilder builder = new ProcessBuilder(command);
+        builder.environment().putAll(environment);
+        Process process = builder.start();
+        CompletableFuture.delayedExecutor(MAX_PROCESS_SECONDS, TimeUnit.SECONDS)
+                .execute(process::destroyForcibly);
+        return process;
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/HandOverTest.java
+++ b/daemon/src/test/java/postgrade/daemon/HandOverTest.java
@@ -38,30 +38,30 @@
     private Map<String, String> environment;
 
     @Before
-    public void share() throws IOException {
+    public void configureSharedDirectory() throws IOException {
         withOperatorPort = true;
         listen = reserveAddress(HOST);
-        shared = Files.createDirectory(folder.getRoot().toPath().resolve("t"));
+        sharedDirectory = Files.createDirectory(folder.getRoot().toPath().resolve("t"));
         environment =
                 configuration(
                         workerEntry("w1", workerOne.address(), "ready"),
                         workerEntry("w2", workerTwo.address(), "ready"));
     }
 
-    private Path link() throws IOException {
-        try (var files = Files.list(shared)) {
+    private Path linkFile() throws IOException {
+        try (var files = Files.list(sharedDirectory)) {
             return files.filter(f -> f.toString().endsWith(".link")).findFirst().orElseThrow();
         }
     }
 
     @Test
-    public void tokensColdBudgetsAndFiguresGoOverTheLinkAndTheRateIsHalved() throws Exception {
+    public void learntFiguresAreHandedOverAndTheRateIsHalved() throws Exception {
         daemon =
                 new Daemon(
                         Config.read(environment),
                         null,
                         out -> script = new ScriptedPolicy(out),
-                        PATIENCE);
+                        WATCH_TIMEOUTS);
         ScriptedPolicy first = script;
         first.exportedFigures =
                 List.of(
@@ -75,7 +75,7 @@
                         Config.read(environment),
                         null,
                         out -> script = new ScriptedPolicy(out),
-                        PATIENCE);
+                        WATCH_TIMEOUTS);
         second.start();
         script.expectEvent("list CACHED [w1 READY, w2 READY]");
         script.expectEvent("share 0.5");
@@ -88,12 +88,12 @@
     }
 
     @Test
-    public void aWorkerOutStaysOutWhereTheOldProcessDiesBeforeItHasTold() throws Exception {
+    public void aDisabledWorkerStaysDisabledIfTheOldProcessDiesDuringHandOver() throws Exception {
         daemon = new Daemon(Config.read(environment));
         daemon.start();
         assertEquals(
                 200, operatorCall(daemon, "PUT /maintenance/enter", "{\"id\":\"w1\"}").status());
-        Path link = link();
+        Path link = linkFile();
         Path left = Path.of(link.toString().replaceFirst("[0-9]{15}-[0-9]{10}[.]link", "left"));
         byte[] said = Files.readAllBytes(left);
         awaitStopped(stopInBackground(daemon));
@@ -111,7 +111,8 @@
         awaitStopped(stopInBackground(daemon));
         Files.write(left, said);
         Process plain =
-                program(environment); // Its address is free: the others here have ended in order.
+                startProcess(
+                        environment); // Its address is free: the others here have ended in order.
         try (BufferedReader log = plain.errorReader()) {
             String line = log.readLine();
             while (line != null && !line.contains(" listens on ")) {
@@ -125,7 +126,7 @@
     }
 
     @Test
-    public void whatTheCompanionTellsReachesThatOfTheNewProcessAtItsStart() throws Exception {
+    public void extensionStateReachesTheNewProcessAtStart() throws Exception {
         List<String> told = new ArrayList<>();
         DispatcherExtension.Configuration beside =
                 host -> {
@@ -165,13 +166,13 @@
     }
 
     @Test
-    public void aNewProcessThatFailsAtItsStartLeavesTheOldOneAsItWas() throws Exception {
+    public void aNewProcessThatFailsToStartLeavesTheOldOneUnchanged() throws Exception {
         daemon =
                 new Daemon(
                         Config.read(environment),
                         null,
                         out -> script = new ScriptedPolicy(out),
-                        PATIENCE);
+                        WATCH_TIMEOUTS);
         daemon.start();
         script.expectEvent("list CACHED [w1 READY, w2 READY]");
         Map<String, String> clash = new HashMap<>(environment);
@@ -183,7 +184,7 @@
                                 "\"operator\":\"127.0.0.1:0\"",
                                 "\"operator\":\"127.0.0.1:" + daemon.operatorPort() + "\""));
         clash.put("ROUTER_CONFIG", file.toString());
-        Process failing = program(clash);
+        Process failing = startProcess(clash);
         try {
             assertTrue(failing.waitFor(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
             assertEquals(1, failing.exitValue());
@@ -193,7 +194,7 @@
             failing.destroyForcibly();
         }
         script.expectEvent("share 0.5");
-        while (operatorCall(daemon, "GET /status", "").status() != 200 || links() != 1) {
+        while (operatorCall(daemon, "GET /status", "").status() != 200 || linkCount() != 1) {
             Thread.onSpinWait();
         }
         assertEquals(200, readinessStatus());
@@ -206,13 +207,14 @@
      * a request is half read.
      */
     @Test
-    public void whatIsUnderWayOrInTheBacklogWhenTheListenerPassesIsServedHere() throws Exception {
+    public void requestsInFlightOrInTheBacklogAtHandOverAreServedByTheOldProcess()
+            throws Exception {
         daemon =
                 new Daemon(
                         Config.read(environment),
                         null,
                         out -> script = new ScriptedPolicy(out),
-                        PATIENCE);
+                        WATCH_TIMEOUTS);
         daemon.start();
         Config c = Config.read(environment);
         CountDownLatch held = new CountDownLatch(1);
@@ -222,16 +224,16 @@
                     script.actions.startAttempt(job.id(), "w1", 0);
                     if (job.id().equals("holds")) {
                         held.countDown();
-                        hold(goesOn);
+                        awaitLatch(goesOn);
                     }
                 };
-        try (SocketChannel successor = SocketChannel.open(UnixDomainSocketAddress.of(link()))) {
-            tells(
+        try (SocketChannel successor = SocketChannel.open(UnixDomainSocketAddress.of(linkFile()))) {
+            write(
                     successor,
                     "{\"hello\":1,\"id\":\"x\",\"dispatcher\":\""
                             + c.name
                             + " "
-                            + c.listen
+                            + c.listenAddress
                             + "\"}\n{\"serving\":true}\n");
             script.expectEventAmongOthers("share 0.5");
             Map<String, Socket> clients = new HashMap<>();
@@ -257,7 +259,7 @@
                 job.accept();
                 String id = job.header("X-Request-Id");
                 // The workers' call-backs come to the successor, which passes them on.
-                tells(
+                write(
                         successor,
                         "{\"ask\":1,\"event\":\"{\\\"id\\\":\\\""
                                 + id
@@ -273,7 +275,7 @@
         }
     }
 
-    private static void hold(CountDownLatch until) {
+    private static void awaitLatch(CountDownLatch until) {
         try {
             assertTrue(until.await(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
         } catch (InterruptedException e) {
@@ -281,12 +283,12 @@
         }
     }
 
-    private static void tells(SocketChannel link, String lines) throws IOException {
+    private static void write(SocketChannel link, String lines) throws IOException {
         link.write(ByteBuffer.wrap(lines.getBytes(StandardCharsets.UTF_8)));
     }
 
-    private long links() throws IOException {
-        try (var files = Files.list(shared)) {
+    private long linkCount() throws IOException {
+        try (var files = Files.list(sharedDirectory)) {
             return files.filter(f -> f.toString().endsWith(".link")).count();
         }
     }
--- a/daemon/src/test/java/postgrade/daemon/TakeoverTest.java
+++ b/daemon/src/test/java/postgrade/daemon/HandoverStateTest.java
@@ -13,18 +13,19 @@
  * The file that a process leaves for the next one: read whichever version wrote it, its ages by the
  * clock it had.
  */
-public class TakeoverTest {
+public class HandoverStateTest {
 
     private static final long SECOND_NS = 1_000_000_000L;
     private static final long HOUR_MS = 3_600_000;
     private static final long WRITTEN_MS = 1_790_000_000_000L;
 
-    private static List<WorkerOverride> said(JsonObject file, long nowMillis, long machineNanos) {
-        return Takeover.left(file, nowMillis, machineNanos).said();
+    private static List<WorkerOverride> overrides(
+            JsonObject file, long nowMillis, long machineNanos) {
+        return HandoverState.fromHandoverFile(file, nowMillis, machineNanos).overrides();
     }
 
     @Test
-    public void aFileOfTheEarlierVersionIsReadByTheWallClock() {
+    public void aFileOfAnEarlierVersionIsReadByTheWallClock() {
         JsonObject file =
                 Json.parse(
                                 "{\"atMs\":"
@@ -36,19 +37,21 @@
                 List.of(
                         new WorkerOverride("w1", 5 * SECOND_NS, -1),
                         new WorkerOverride("w2", 8 * SECOND_NS, 4 * SECOND_NS)),
-                said(file, WRITTEN_MS + 3_000, 77));
+                overrides(file, WRITTEN_MS + 3_000, 77));
     }
 
     /** By an hour, either way, between the writing and the reading. */
     @Test
-    public void aStepOfTheWallClockChangesNoAge() {
+    public void aWallClockStepChangesNoAge() {
         EndpointRegistry registry = new EndpointRegistry();
         registry.disable(10 * SECOND_NS, "w1");
-        JsonObject file = Takeover.leave(registry, 12 * SECOND_NS, WRITTEN_MS, 100 * SECOND_NS);
+        JsonObject file =
+                HandoverState.handoverFileContent(
+                        registry, 12 * SECOND_NS, WRITTEN_MS, 100 * SECOND_NS);
         for (long step : new long[] {HOUR_MS, -HOUR_MS}) {
             assertEquals(
                     List.of(new WorkerOverride("w1", 5 * SECOND_NS, -1)),
-                    said(file, WRITTEN_MS + step, 103 * SECOND_NS));
+                    overrides(file, WRITTEN_MS + step, 103 * SECOND_NS));
         }
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/LayeringTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LayeringTest.java
@@ -15,7 +15,7 @@
                     .withImportOption(new ImportOption.DoNotIncludeTests())
                     .importPackages("postgrade");
 
-    private static void apart(String from, String... others) {
+    private static void assertIndependent(String from, String... others) {
         noClasses()
                 .that()
                 .resideInAPackage(from)
@@ -26,18 +26,18 @@
     }
 
     @Test
-    public void noFrontKnowsABack() {
-        apart(
+    public void clientAndWorkerSidesAreIndependent() {
+        assertIndependent(
                 "postgrade.client..",
                 "postgrade.worker..",
                 "postgrade.discovery..",
                 "postgrade.daemon..");
-        apart(
+        assertIndependent(
                 "postgrade.worker..",
                 "postgrade.client..",
                 "postgrade.discovery..",
                 "postgrade.daemon..");
-        apart(
+        assertIndependent(
                 "postgrade.discovery..",
                 "postgrade.client..",
                 "postgrade.worker..",
@@ -46,8 +46,8 @@
     }
 
     @Test
-    public void theCodecKnowsNobody() {
-        apart(
+    public void theHttpCodecDependsOnNoOtherPackage() {
+        assertIndependent(
                 "postgrade.http..",
                 "postgrade.policy..",
                 "postgrade.endpoints..",
@@ -59,15 +59,15 @@
     }
 
     @Test
-    public void theDaemonKnowsNothingOfSharing() {
-        apart(
+    public void theDaemonDoesNotDependOnSharing() {
+        assertIndependent(
                 "postgrade..",
                 "postgrade.sharing..",
                 "postgrade.quorum..",
                 "postgrade.calendar..",
                 "io.microraft..",
                 "io.grpc..");
-        apart(
+        assertIndependent(
                 "postgrade.extension..",
                 "postgrade.daemon..",
                 "postgrade.client..",
--- a/daemon/src/test/java/postgrade/daemon/LinkCrossingTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LinkFailureTest.java
@@ -30,73 +30,73 @@
  * A process that serves, by script, beside which a new one starts: it holds the address whatever
  * becomes of the link.
  */
-public class LinkCrossingTest extends DaemonTestBase {
+public class LinkFailureTest extends DaemonTestBase {
 
     private static final String HOST = "127.0.0.79";
     @Rule public final Timeout timeout = Timeout.seconds(60);
-    private final ExecutorService starts = Executors.newSingleThreadExecutor();
+    private final ExecutorService startExecutor = Executors.newSingleThreadExecutor();
     private Map<String, String> environment;
-    private ServerSocketChannel serves;
-    private ServerSocketChannel links;
+    private ServerSocketChannel clientListener;
+    private ServerSocketChannel linkListener;
 
     @Before
-    public void oneServes() throws Exception {
+    public void startScriptedProcess() throws Exception {
         withOperatorPort = true;
         listen = reserveAddress(HOST);
-        shared = Files.createDirectory(folder.getRoot().toPath().resolve("t"));
+        sharedDirectory = Files.createDirectory(folder.getRoot().toPath().resolve("t"));
         environment = configuration(workerEntry("w1", workerOne.address(), "ready"));
         Config c = Config.read(environment);
         Path link =
-                shared.resolve(
+                sharedDirectory.resolve(
                         "pg-"
-                                + Integer.toHexString((c.name + " " + c.listen).hashCode())
+                                + Integer.toHexString((c.name + " " + c.listenAddress).hashCode())
                                 + "-000000000000001-0000000001.link");
-        links =
+        linkListener =
                 ServerSocketChannel.open(StandardProtocolFamily.UNIX)
                         .bind(UnixDomainSocketAddress.of(link));
-        serves = ServerSocketChannel.open();
-        serves.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-        serves.setOption(StandardSocketOptions.SO_REUSEPORT, true);
-        serves.bind(new InetSocketAddress(HOST, Integer.parseInt(listen.split(":")[1])));
+        clientListener = ServerSocketChannel.open();
+        clientListener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+        clientListener.setOption(StandardSocketOptions.SO_REUSEPORT, true);
+        clientListener.bind(new InetSocketAddress(HOST, Integer.parseInt(listen.split(":")[1])));
     }
 
     @After
     public void close() throws IOException {
-        starts.shutdownNow();
-        links.close();
-        serves.close();
+        startExecutor.shutdownNow();
+        linkListener.close();
+        clientListener.close();
     }
 
     /** One that fails says so at once: whoever waits for its link would wait in vain. */
-    private Future<Daemon> starting() {
-        return starts.submit(
+    private Future<Daemon> startInBackground() {
+        return startExecutor.submit(
                 () -> {
                     try {
                         Daemon d = new Daemon(Config.read(environment));
                         d.start();
                         return d;
                     } catch (Exception e) {
-                        links.close();
+                        linkListener.close();
                         throw e;
                     }
                 });
     }
 
     /** A new process has connected and said who it is. */
-    private SocketChannel greeted(Future<Daemon> by) throws Exception {
+    private SocketChannel acceptHello(Future<Daemon> by) throws Exception {
         SocketChannel c;
         try {
-            c = links.accept();
+            c = linkListener.accept();
         } catch (ClosedChannelException e) {
             by.get(); // Its start has failed, and this says why.
             throw e;
         }
-        String hello = line(c);
+        String hello = readLine(c);
         assertTrue(hello, hello.contains("\"hello\":1"));
         return c;
     }
 
-    private static String line(SocketChannel c) throws IOException {
+    private static String readLine(SocketChannel c) throws IOException {
         StringBuilder line = new StringBuilder();
         ByteBuffer b = ByteBuffer.allocate(1);
         while (line.indexOf("\n") < 0) {
@@ -107,7 +107,7 @@
         return line.toString();
     }
 
-    private static void tells(SocketChannel c) throws IOException {
+    private static void sendState(SocketChannel c) throws IOException {
         c.write(
                 ByteBuffer.wrap(
                         ("{\"state\":{\"list\":{\"version\":41,\"full\":true,\"servers\":[]},\"discovery\":\"\","
@@ -116,20 +116,20 @@
                                 .getBytes(StandardCharsets.UTF_8)));
     }
 
-    private Daemon started(Future<Daemon> start) throws Exception {
+    private Daemon awaitStarted(Future<Daemon> start) throws Exception {
         daemon = start.get(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS);
         return daemon;
     }
 
     @Test
-    public void aLinkThatBreaksBeforeItHasToldIsMadeAgain() throws Exception {
-        Future<Daemon> start = starting();
-        greeted(start).close();
-        greeted(start).close();
-        try (SocketChannel third = greeted(start)) {
-            tells(third);
-            started(start);
-            assertTrue(line(third).contains("\"serving\":true"));
+    public void aLinkBrokenBeforeItsStateArrivedIsReconnected() throws Exception {
+        Future<Daemon> start = startInBackground();
+        acceptHello(start).close();
+        acceptHello(start).close();
+        try (SocketChannel third = acceptHello(start)) {
+            sendState(third);
+            awaitStarted(start);
+            assertTrue(readLine(third).contains("\"serving\":true"));
             String status = operatorCall(daemon, "GET /status", "").body();
             assertTrue("and what it told is known: " + status, status.contains("\"out\":[\"w1\"]"));
         }
@@ -138,18 +138,18 @@
 
     /** Guards against a new process that ends as the address is in use by the one it follows. */
     @Test
-    public void aLinkThatBreaksUntilTheWaitIsOverKeepsNoNewProcessFromItsStart() throws Exception {
-        Future<Daemon> start = starting();
-        links.configureBlocking(false);
+    public void aLinkThatKeepsBreakingDoesNotPreventTheStart() throws Exception {
+        Future<Daemon> start = startInBackground();
+        linkListener.configureBlocking(false);
         while (!start.isDone()) {
-            SocketChannel link = links.accept();
+            SocketChannel link = linkListener.accept();
             if (link != null) {
                 link.close();
             }
             Thread.onSpinWait();
         }
-        links.configureBlocking(true);
-        started(start);
+        linkListener.configureBlocking(true);
+        awaitStarted(start);
         awaitStopped(stopInBackground(daemon));
     }
 
@@ -158,28 +158,28 @@
      * address and sockets.
      */
     @Test
-    public void oneThatIsSilentForTheWholeTimeIsStillCounted() throws Exception {
-        Future<Daemon> start = starting();
-        try (SocketChannel silent = greeted(start)) {
-            started(start);
-            assertTrue(line(silent).contains("\"serving\":true"));
+    public void aSilentProcessIsStillCountedAsAPeer() throws Exception {
+        Future<Daemon> start = startInBackground();
+        try (SocketChannel silent = acceptHello(start)) {
+            awaitStarted(start);
+            assertTrue(readLine(silent).contains("\"serving\":true"));
             assertEquals(
                     200,
                     operatorCall(daemon, "PUT /maintenance/enter", "{\"id\":\"w1\"}").status());
-            assertTrue("it hears of calls", line(silent).contains("\"worker\":\"w1\""));
+            assertTrue("it hears of calls", readLine(silent).contains("\"worker\":\"w1\""));
         }
         awaitStopped(stopInBackground(daemon));
     }
 
     /** What is left by one that died is in nobody's way. */
     @Test
-    public void oneThatDiesOverItsAnswerIsGone() throws Exception {
-        Future<Daemon> start = starting();
-        SocketChannel dies = greeted(start);
-        serves.close();
-        links.close();
+    public void aProcessThatDiesDuringTheHandshakeIsNotCounted() throws Exception {
+        Future<Daemon> start = startInBackground();
+        SocketChannel dies = acceptHello(start);
+        clientListener.close();
+        linkListener.close();
         dies.close();
-        started(start);
+        awaitStarted(start);
         assertEquals(200, readinessStatus());
         awaitStopped(stopInBackground(daemon));
     }
--- a/daemon/src/test/java/postgrade/daemon/ReloadTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ReloadTest.java
@@ -19,7 +19,7 @@
     private Path file;
     private String text;
 
-    private Config config() throws Exception {
+    private Config readConfig() throws Exception {
         Map<String, String> environment =
                 configuration(workerEntry("w1", workerOne.address(), "ready"));
         file = Path.of(environment.get("ROUTER_CONFIG"));
@@ -27,11 +27,12 @@
         return Config.read(environment);
     }
 
-    private void turnedDown(Config inForce, String from, String to, String why) throws Exception {
+    private void assertRejected(Config inForce, String from, String to, String why)
+            throws Exception {
         assertTrue(from, text.contains(from));
         Files.writeString(file, text.replace(from, to));
         try {
-            inForce.readAgain();
+            inForce.reread();
             fail("taken over: " + to);
         } catch (Config.InvalidConfigException e) {
             assertTrue(e.getMessage(), e.getMessage().startsWith(why));
@@ -39,43 +40,44 @@
     }
 
     @Test
-    public void aFileThatIsNotWholeIsTurnedDownByKey() throws Exception {
-        Config c = config();
-        turnedDown(c, text, "", "ROUTER_CONFIG: not a JSON object");
-        turnedDown(c, text.substring(text.length() / 2), "", "ROUTER_CONFIG: not a JSON object");
-        turnedDown(c, "\"discovery\"", "\"discover\"", "discovery: missing");
-        turnedDown(c, "\"limits\":{\"sockets\":1024},", "", "limits: missing");
-        turnedDown(c, "\"maxAttempts\":4,", "", "settings.limits.maxAttempts: missing");
-        turnedDown(
+    public void anIncompleteFileIsRejectedWithTheKey() throws Exception {
+        Config c = readConfig();
+        assertRejected(c, text, "", "ROUTER_CONFIG: not a JSON object");
+        assertRejected(
+                c, text.substring(text.length() / 2), "", "ROUTER_CONFIG: not a JSON object");
+        assertRejected(c, "\"discovery\"", "\"discover\"", "discovery: missing");
+        assertRejected(c, "\"limits\":{\"sockets\":1024},", "", "limits: missing");
+        assertRejected(c, "\"maxAttempts\":4,", "", "settings.limits.maxAttempts: missing");
+        assertRejected(
                 c,
                 "\"onTimeNs\":20000000000,\"deadlineNs\":20000000000},{",
                 "\"onTimeNs\":200000000},{",
                 "settings.classes.0.deadlineNs: missing");
-        turnedDown(c, "\"idempotency\":\"non_idempotent\",", "", "settings: classes.1.idempotency");
-        turnedDown(
+        assertRejected(
+                c, "\"idempotency\":\"non_idempotent\",", "", "settings: classes.1.idempotency");
+        assertRejected(
                 c,
                 "\"name\":\"confirm\"",
                 "\"name\":\"price\"",
                 "settings.classes.1.name: two classes");
         for (String bad : new String[] {"0", "-1", "1.5", "\"4\"", "null", "true", "[]", "1e300"}) {
-            turnedDown(
+            assertRejected(
                     c,
                     "\"maxAttempts\":4",
                     "\"maxAttempts\":" + bad,
                     "settings.limits.maxAttempts: ");
-            turnedDown(c, "20000000000},{", bad + "},{", "settings.classes.0.deadlineNs: ");
+            assertRejected(c, "20000000000},{", bad + "},{", "settings.classes.0.deadlineNs: ");
         }
-        turnedDown(
+        assertRejected(
                 c, "\"maxAttempts\":4", "\"maxAttempts\":NaN", "ROUTER_CONFIG: not a JSON object");
-        turnedDown(
+        assertRejected(
                 c,
                 text.substring(text.indexOf("\"classes\":["), text.indexOf("],\"limits\"")),
                 "\"classes\":[",
                 "settings: classes");
         Files.writeString(
                 file, text.replace("\"price\"", "\"quote\"").replace(":20000000000}", ":2e9}"));
-        assertEquals(
-                Map.of("quote", 2_000_000L, "confirm", 2_000_000L), c.readAgain().deadlineMicros);
+        assertEquals(Map.of("quote", 2_000_000L, "confirm", 2_000_000L), c.reread().deadlineMicros);
     }
 
     /**
@@ -83,7 +85,7 @@
      * once.
      */
     @Test
-    public void newClassesAreServedVanishedOnesNoLongerAndJobsUnderWayGoOn() throws Exception {
+    public void newClassesAreServedRemovedOnesRejectedAndJobsInFlightContinue() throws Exception {
         Map<String, String> environment =
                 configuration(workerEntry("w1", workerOne.address(), "ready"));
         file = Path.of(environment.get("ROUTER_CONFIG"));
@@ -126,7 +128,7 @@
      * its class and its time.
      */
     @Test
-    public void aReloadWhileAWorkerDrainsAndAnAttemptWaitsChangesNeither() throws Exception {
+    public void aReloadAffectsNeitherADrainingWorkerNorAWaitingAttempt() throws Exception {
         try (ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             deaf.setSoTimeout(ScriptedPeer.TIMEOUT_S * 1000);
             for (int i = 0; i < 2; i++) {
@@ -160,7 +162,9 @@
                     file,
                     Files.readString(file)
                             .replace("\"price\"", "\"quote\"")
-                            .replace("\"connIdleNs\":" + idleNs, "\"connIdleNs\":1000000000"));
+                            .replace(
+                                    "\"connIdleNs\":" + idleTimeoutNs,
+                                    "\"connIdleNs\":1000000000"));
             daemon.reload();
             script.expectEvent("settings [quote, confirm]");
             script.onFinished = (id, outcome) -> script.actions.reject(id, 0);
--- a/daemon/src/test/java/postgrade/daemon/SignalTest.java
+++ b/daemon/src/test/java/postgrade/daemon/SignalTest.java
@@ -15,53 +15,53 @@
 /** Signals to the program in moments in which it is busy with something else. */
 public class SignalTest extends DaemonTestBase {
 
-    private Process program;
+    private Process process;
 
     @After
     public void kill() {
-        if (program != null) {
-            program.destroyForcibly();
+        if (process != null) {
+            process.destroyForcibly();
         }
     }
 
     private void send(String signal) throws Exception {
         assertEquals(
-                0, new ProcessBuilder("kill", "-" + signal, "" + program.pid()).start().waitFor());
+                0, new ProcessBuilder("kill", "-" + signal, "" + process.pid()).start().waitFor());
     }
 
-    private String log() throws IOException, InterruptedException {
-        String log = new String(program.getErrorStream().readAllBytes());
-        assertTrue("ended", program.waitFor(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
+    private String readLog() throws IOException, InterruptedException {
+        String log = new String(process.getErrorStream().readAllBytes());
+        assertTrue("ended", process.waitFor(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
         return log;
     }
 
     @Test
-    public void sigtermTwiceAndSighupBeforeAndBehindItEndTheProgramInOrder() throws Exception {
-        program = program(configuration(workerEntry("w1", workerOne.address(), "ready")));
+    public void repeatedSigtermAndSighupStopTheProcessGracefully() throws Exception {
+        process = startProcess(configuration(workerEntry("w1", workerOne.address(), "ready")));
         discovery.awaitMessage("GET /api/targets?watch=1&from=41 ");
         for (String signal : new String[] {"HUP", "TERM", "HUP", "TERM"}) {
             send(signal);
         }
-        String log = log();
+        String log = readLog();
         assertEquals(log, 2, log.split("stopping: no longer ready", -1).length);
         assertTrue(log, log.contains("all answered"));
     }
 
     /** It is held at the start by its configuration, a pipe that the test fills when it likes. */
     @Test(timeout = 60_000) // A pipe that nobody reads from is waited for without end.
-    public void signalsThatComeBeforeThereIsADispatcherWaitForIt() throws Exception {
+    public void signalsDuringStartAreHandledOnceTheDaemonExists() throws Exception {
         Map<String, String> environment =
                 configuration(workerEntry("w1", workerOne.address(), "ready"));
         Path file = Path.of(environment.get("ROUTER_CONFIG"));
         String text = Files.readString(file);
         Files.delete(file);
         assertEquals(0, new ProcessBuilder("mkfifo", file.toString()).start().waitFor());
-        program = program(environment);
+        process = startProcess(environment);
         try (var pipe = Files.newOutputStream(file)) { // It is open once the program reads.
             send("HUP");
             pipe.write(text.getBytes());
         }
-        BufferedReader errors = program.errorReader();
+        BufferedReader errors = process.errorReader();
         String line = errors.readLine();
         while (line != null && !line.contains(" listens on ")) { // By then it has closed the pipe.
             line = errors.readLine();
@@ -72,13 +72,13 @@
                 text.replace(discovery.address(), workerTwo.address())); // The reload reads again.
         workerTwo.awaitMessage("GET /api/targets ");
         send("KILL");
-        program.waitFor();
-        program = program(environment);
+        process.waitFor();
+        process = startProcess(environment);
         try (var pipe = Files.newOutputStream(file)) {
             send("TERM");
             pipe.write(text.getBytes());
         }
-        String log = log();
+        String log = readLog();
         assertTrue(log, log.contains("all answered"));
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/StartTest.java
+++ b/daemon/src/test/java/postgrade/daemon/StartTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    public void consumersWaitUntilDiscoveryHasSpoken() throws Exception {
+    public void clientsWaitUntilDiscoveryAnswers() throws Exception {
         serve(20_000_000);
         script.onFinished = (id, outcome) -> script.actions.reject(id, 0);
         Socket consumer = post("b1", "price", "15000m");
@@ -48,7 +48,7 @@
     }
 
     @Test
-    public void butNotForLongWhileDiscoveryIsSilent() throws Exception {
+    public void clientsWaitNoLongerThanTheLimitWhileDiscoveryIsSilent() throws Exception {
         serve(100_000);
         Socket consumer = post("c1", "price", "15000m");
         script.expectEvent("job c1");
--- a/daemon/src/test/java/postgrade/daemon/UpgradeTest.java
+++ b/daemon/src/test/java/postgrade/daemon/UpgradeTest.java
@@ -31,20 +31,20 @@
     private static final String HOST = "127.0.0.77";
 
     private Map<String, String> environment;
-    private Daemon old;
+    private Daemon oldDaemon;
 
     @Before
-    public void share() throws IOException {
+    public void configureSharedDirectory() throws IOException {
         withOperatorPort = true;
         listen = reserveAddress(HOST);
-        shared = Files.createDirectory(folder.getRoot().toPath().resolve("t"));
+        sharedDirectory = Files.createDirectory(folder.getRoot().toPath().resolve("t"));
         environment =
                 configuration(
                         workerEntry("w1", workerOne.address(), "ready"),
                         workerEntry("w2", workerTwo.address(), "ready"));
     }
 
-    private Daemon started() throws Exception {
+    private Daemon startNew() throws Exception {
         daemon = new Daemon(Config.read(environment));
         daemon.start();
         return daemon;
@@ -54,8 +54,8 @@
         return operatorCall(of, "GET /status", "").body();
     }
 
-    private List<Path> links() throws IOException {
-        try (var files = Files.list(shared)) {
+    private List<Path> linkFiles() throws IOException {
+        try (var files = Files.list(sharedDirectory)) {
             return files.filter(f -> f.toString().endsWith(".link")).toList();
         }
     }
@@ -70,9 +70,9 @@
      * was called.
      */
     @Test
-    public void callBacksReachTheProcessThatHasTheJobWhicheverTheyCameTo() throws Exception {
-        old = started();
-        started();
+    public void callBacksReachTheProcessThatOwnsTheJob() throws Exception {
+        oldDaemon = startNew();
+        startNew();
         List<Socket> consumers = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
             consumers.add(post("u" + i, "price", "15000m"));
@@ -96,15 +96,16 @@
         }
         assertEquals("known nowhere", 204, callBack("u99", "w1", "done"));
         stop(daemon);
-        stop(old);
-        assertTrue("the names are gone", links().isEmpty());
+        stop(oldDaemon);
+        assertTrue("the names are gone", linkFiles().isEmpty());
     }
 
     @Test
-    public void theNewProcessKnowsWhoIsOutAndCallsToEitherReachBoth() throws Exception {
-        old = started();
-        assertEquals(200, operatorCall(old, "PUT /maintenance/enter", "{\"id\":\"w1\"}").status());
-        started();
+    public void disabledWorkersAreHandedOverAndOperatorCallsReachBothProcesses() throws Exception {
+        oldDaemon = startNew();
+        assertEquals(
+                200, operatorCall(oldDaemon, "PUT /maintenance/enter", "{\"id\":\"w1\"}").status());
+        startNew();
         assertTrue(status(daemon), status(daemon).contains("\"out\":[\"w1\"]"));
         for (int i = 0; i < 10; i++) {
             post("o" + i, "price", "15000m");
@@ -113,10 +114,11 @@
         assertTrue(workerOne.hasNoMessage());
         assertEquals(
                 200, operatorCall(daemon, "PUT /maintenance/exit", "{\"id\":\"w1\"}").status());
-        assertTrue(status(old), status(old).contains("\"out\":[]"));
-        assertEquals(200, operatorCall(old, "PUT /maintenance/enter", "{\"id\":\"w2\"}").status());
+        assertTrue(status(oldDaemon), status(oldDaemon).contains("\"out\":[]"));
+        assertEquals(
+                200, operatorCall(oldDaemon, "PUT /maintenance/enter", "{\"id\":\"w2\"}").status());
         assertTrue(status(daemon), status(daemon).contains("\"out\":[\"w2\"]"));
-        assertEquals(200, operatorCall(old, "PUT /standby", "").status());
+        assertEquals(200, operatorCall(oldDaemon, "PUT /standby", "").status());
         assertTrue(status(daemon), status(daemon).contains("standby"));
         Daemon third = new Daemon(Config.read(environment));
         third.start();
@@ -126,25 +128,24 @@
         assertTrue(status(third), status(third).contains("\"out\":[\"w2\"]"));
         assertEquals(200, operatorCall(daemon, "PUT /active", "").status());
         assertTrue(status(third), status(third).contains("active"));
-        stop(old);
+        stop(oldDaemon);
         stop(daemon);
         stop(third);
     }
 
     @Test
-    public void withASuccessorAStopLeavesTheDoorToItAnswersWhatItHasAndEndsEarly()
-            throws Exception {
-        old = started();
+    public void withASuccessorAStopHandsOverAnswersItsJobsAndEndsEarly() throws Exception {
+        oldDaemon = startNew();
         Socket before = post("h1", "price", "15000m");
-        started();
-        Thread stop = stopInBackground(old);
-        while (!status(old).contains("handing over")) {
+        startNew();
+        Thread stop = stopInBackground(oldDaemon);
+        while (!status(oldDaemon).contains("handing over")) {
             Thread.onSpinWait();
         }
         for (int i = 0; i < 16; i++) {
             assertEquals("the pair is ready", 200, readinessStatus());
         }
-        assertEquals(503, operatorCall(old, "GET /status", "").status());
+        assertEquals(503, operatorCall(oldDaemon, "GET /status", "").status());
         assertEquals(200, operatorCall(daemon, "GET /status", "").status());
         callBack("h1", "w1", "done");
         callBack("h1", "w2", "done");
@@ -157,9 +158,9 @@
     }
 
     @Test
-    public void anUpgradeIsUndoneByEndingTheNewProcess() throws Exception {
-        old = started();
-        started();
+    public void anUpgradeIsRolledBackByStoppingTheNewProcess() throws Exception {
+        oldDaemon = startNew();
+        startNew();
         Thread stop = stopInBackground(daemon);
         while (!status(daemon).contains("handing over")) {
             Thread.onSpinWait();
@@ -169,20 +170,22 @@
         }
         awaitStopped(stop);
         assertEquals(200, readinessStatus());
-        stop(old);
+        stop(oldDaemon);
     }
 
     @Test
-    public void whatDeadProcessesLeaveAndWhoSendsGarbageFailNoStartAndNoUpgrade() throws Exception {
-        old = started();
-        Path link = links().get(0);
+    public void staleLinksAndGarbageDoNotPreventStartOrUpgrade() throws Exception {
+        oldDaemon = startNew();
+        Path link = linkFiles().get(0);
         String prefix =
                 link.getFileName().toString().replaceFirst("[0-9]{15}-[0-9]{10}[.]link", "");
-        Path dead = shared.resolve(prefix + "000000000000001-0000000001.link");
+        Path dead = sharedDirectory.resolve(prefix + "000000000000001-0000000001.link");
         try (ServerSocketChannel left = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
             left.bind(UnixDomainSocketAddress.of(dead));
         }
-        Path file = Files.createFile(shared.resolve(prefix + "000000000000002-0000000002.link"));
+        Path file =
+                Files.createFile(
+                        sharedDirectory.resolve(prefix + "000000000000002-0000000002.link"));
         for (String text :
                 new String[] {
                     "nonsense\n",
@@ -198,17 +201,18 @@
             }
             c.close(); // In mid-message, the last but one.
         }
-        started();
+        startNew();
         assertFalse(Files.exists(dead) || Files.exists(file));
-        assertEquals(2, links().size());
-        assertEquals(200, operatorCall(old, "PUT /maintenance/enter", "{\"id\":\"w1\"}").status());
+        assertEquals(2, linkFiles().size());
+        assertEquals(
+                200, operatorCall(oldDaemon, "PUT /maintenance/enter", "{\"id\":\"w1\"}").status());
         assertTrue(status(daemon).contains("\"out\":[\"w1\"]"));
-        stop(old);
+        stop(oldDaemon);
         stop(daemon);
     }
 
     /** Reads a program's log up to a line with this text. */
-    private static void says(BufferedReader log, String text) throws IOException {
+    private static void awaitLogLine(BufferedReader log, String text) throws IOException {
         List<String> before = new ArrayList<>();
         String line = log.readLine();
         while (line != null && !line.contains(text)) {
@@ -223,60 +227,59 @@
     }
 
     @Test
-    public void realProcessesReadAgainInTheOverlapOutliveAKilledOneAndAreReplacedAgain()
-            throws Exception {
+    public void realProcessesReloadSurviveAKilledPeerAndAreReplaced() throws Exception {
         List<Process> all = new ArrayList<>();
         List<BufferedReader> logs = new ArrayList<>();
         try {
             for (int i = 0; i < 2; i++) {
-                all.add(program(environment));
+                all.add(startProcess(environment));
                 logs.add(new BufferedReader(new InputStreamReader(all.get(i).getErrorStream())));
-                says(logs.get(i), i == 0 ? "listens on" : "linked with process");
+                awaitLogLine(logs.get(i), i == 0 ? "listens on" : "linked with process");
             }
-            says(logs.get(0), "linked with process");
-            says(logs.get(1), "listens on");
+            awaitLogLine(logs.get(0), "linked with process");
+            awaitLogLine(logs.get(1), "listens on");
             for (int i = 0; i < 2; i++) {
                 discovery.awaitMessage(
                         "GET /api/targets?watch=1&from=41 "); // Each handles the signal by now.
             }
             for (int i = 0; i < 2; i++) {
                 signal("HUP", all.get(i));
-                says(logs.get(i), "configuration read again");
+                awaitLogLine(logs.get(i), "configuration read again");
             }
             signal("KILL", all.get(0));
-            says(logs.get(1), "of this dispatcher is gone");
-            assertEquals("the killed one has left its name", 2, links().size());
-            all.add(program(environment));
+            awaitLogLine(logs.get(1), "of this dispatcher is gone");
+            assertEquals("the killed one has left its name", 2, linkFiles().size());
+            all.add(startProcess(environment));
             logs.add(new BufferedReader(new InputStreamReader(all.get(2).getErrorStream())));
-            says(logs.get(2), "linked with process");
-            says(logs.get(2), "listens on");
-            assertEquals("which the next start removes", 2, links().size());
+            awaitLogLine(logs.get(2), "linked with process");
+            awaitLogLine(logs.get(2), "listens on");
+            assertEquals("which the next start removes", 2, linkFiles().size());
             signal("TERM", all.get(1));
-            says(logs.get(1), "all answered");
-            says(logs.get(2), "of this dispatcher is gone");
+            awaitLogLine(logs.get(1), "all answered");
+            awaitLogLine(logs.get(2), "of this dispatcher is gone");
             signal("TERM", all.get(2));
-            says(logs.get(2), "all answered");
+            awaitLogLine(logs.get(2), "all answered");
             // The line is written before the link is removed: what the process leaves is judged
             // once it has ended.
             assertTrue(
                     "the last one ends",
                     all.get(2).waitFor(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
-            assertTrue(links().isEmpty());
+            assertTrue(linkFiles().isEmpty());
         } finally {
             all.forEach(Process::destroyForcibly);
         }
     }
 
     @Test
-    public void withoutTheLinkASecondProcessIsRefusedAsTheAddressIsInUse() throws Exception {
-        old = started();
+    public void withoutALinkASecondProcessFailsAsTheAddressIsInUse() throws Exception {
+        oldDaemon = startNew();
         environment = Map.of("ROUTER_CONFIG", environment.get("ROUTER_CONFIG"));
         try {
-            started();
+            startNew();
             throw new AssertionError("two dispatchers at one address");
         } catch (IOException e) {
             assertTrue(e.getMessage(), e.getMessage().contains("in use"));
         }
-        stop(old);
+        stop(oldDaemon);
     }
 }
--- a/daemon/src/test/java/postgrade/upgrade/HelloTest.java
+++ b/daemon/src/test/java/postgrade/upgrade/HelloTimeoutTest.java
@@ -32,9 +32,9 @@
 /**
  * Who connects to a process and is held up before it says who it is, on time that the test turns.
  */
-public class HelloTest implements Reactor, Timers, UpgradeCoordinator.Owner {
+public class HelloTimeoutTest implements Reactor, Timers, UpgradeCoordinator.Owner {
 
-    private record Task(long atMicros, Runnable does) {}
+    private record Task(long atMicros, Runnable action) {}
 
     /** Reading from a link that is not let go would not end. */
     @Rule public final Timeout timeout = Timeout.seconds(30);
@@ -44,31 +44,31 @@
     private final List<Task> tasks = new ArrayList<>();
     private Selector selector;
     private long nowMicros;
-    private UpgradeCoordinator old;
-    private SocketChannel held;
+    private UpgradeCoordinator oldProcess;
+    private SocketChannel connection;
 
     @Before
-    public void anOldProcessListensAndANewOneConnects() throws IOException {
+    public void connectToListeningProcess() throws IOException {
         selector = Selector.open();
-        old = new UpgradeCoordinator(folder.getRoot().toPath(), "n1 here", this, this, this);
-        old.serving();
+        oldProcess = new UpgradeCoordinator(folder.getRoot().toPath(), "n1 here", this, this, this);
+        oldProcess.announceServing();
         try (var files = Files.list(folder.getRoot().toPath())) {
             Path link = files.filter(f -> f.toString().endsWith(".link")).findFirst().orElseThrow();
-            held = SocketChannel.open(UnixDomainSocketAddress.of(link));
+            connection = SocketChannel.open(UnixDomainSocketAddress.of(link));
         }
-        until(() -> !tasks.isEmpty());
+        pollUntil(() -> !tasks.isEmpty());
     }
 
     @After
     public void close() throws IOException {
-        held.close();
-        old.close();
+        connection.close();
+        oldProcess.close();
         selector.close();
     }
 
-    private void until(BooleanSupplier isSo) throws IOException {
+    private void pollUntil(BooleanSupplier condition) throws IOException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (!isSo.getAsBoolean()) {
+        while (!condition.getAsBoolean()) {
             assertTrue("in time", System.nanoTime() < end);
             selector.select(20);
             for (SelectionKey key : selector.selectedKeys()) {
@@ -78,41 +78,41 @@
         }
     }
 
-    private void passes(long micros) {
+    private void advance(long micros) {
         nowMicros += micros;
         for (Task t : new ArrayList<>(tasks)) {
             if (t.atMicros <= nowMicros) {
                 tasks.remove(t);
-                t.does.run();
+                t.action.run();
             }
         }
     }
 
     /** As after a second in which the new process got no part of a core. */
     @Test
-    public void whoSaysItLateWithinItsOwnPatienceIsLinkedAndTold() throws IOException {
-        passes(2_400_000);
-        held.write(
+    public void aLateHelloWithinTheTimeoutIsAnsweredWithState() throws IOException {
+        advance(2_400_000);
+        connection.write(
                 ByteBuffer.wrap(
                         "{\"hello\":1,\"id\":\"x\",\"dispatcher\":\"n1 here\"}\n"
                                 .getBytes(StandardCharsets.UTF_8)));
-        until(() -> old.count() == 1);
+        pollUntil(() -> oldProcess.peerCount() == 1);
         ByteBuffer state = ByteBuffer.allocate(1000);
-        assertTrue(held.read(state) > 0);
+        assertTrue(connection.read(state) > 0);
         String said = new String(state.array(), 0, state.position(), StandardCharsets.UTF_8);
         assertEquals(
                 said,
                 "as it is",
                 Json.parse(said.strip()).asObject().get("state").asObject().getString("what", ""));
-        passes(10_000_000);
-        assertEquals("and it stays", 1, old.count());
+        advance(10_000_000);
+        assertEquals("and it stays", 1, oldProcess.peerCount());
     }
 
     @Test
-    public void whoSaysNothingIsLetGo() throws IOException {
-        passes(2_600_000);
-        assertEquals(-1, held.read(ByteBuffer.allocate(1)));
-        assertEquals(0, old.count());
+    public void aConnectionWithoutHelloIsClosed() throws IOException {
+        advance(2_600_000);
+        assertEquals(-1, connection.read(ByteBuffer.allocate(1)));
+        assertEquals(0, oldProcess.peerCount());
     }
 
     // ---- The loop, turned by hand, and what the process knows.
@@ -139,8 +139,8 @@
     }
 
     @Override
-    public Timer at(long whenMicros, Runnable does) {
-        Task t = new Task(whenMicros, does);
+    public Timer at(long whenMicros, Runnable action) {
+        Task t = new Task(whenMicros, action);
         tasks.add(t);
         return () -> tasks.remove(t);
     }
@@ -151,10 +151,10 @@
     }
 
     @Override
-    public void callBack(byte[] body) {}
+    public void callBackRelayed(byte[] body) {}
 
     @Override
-    public void called(String call, String id) {}
+    public void operatorCallRelayed(String call, String id) {}
 
     @Override
     public void peersChanged() {}
--- a/daemon/src/test/java/postgrade/upgrade/ProcessIdTest.java
+++ b/daemon/src/test/java/postgrade/upgrade/ProcessIdTest.java
@@ -10,7 +10,7 @@
     private static final long HOUR_NS = 3_600_000_000_000L;
 
     @Test
-    public void theLaterProcessComesLaterWhateverTheWallClockSaysMeanwhile() {
+    public void aLaterProcessSortsLaterRegardlessOfTheWallClock() {
         assertTrue(
                 UpgradeCoordinator.processId(HOUR_NS, 900)
                                 .compareTo(UpgradeCoordinator.processId(HOUR_NS + 1_000_000, 5))
@@ -23,7 +23,7 @@
     }
 
     @Test
-    public void aProcessOfAnEarlierVersionComesBeforeOneOfOurs() {
+    public void aProcessOfAnEarlierVersionSortsFirst() {
         String earlier = String.format("%015d-%010d", System.currentTimeMillis(), 7);
         assertTrue(earlier.compareTo(UpgradeCoordinator.processId(1_000_000, 5)) < 0);
     }
