--- a/daemon/src/main/java/postgrade/daemon/ClassDataTraining.java
+++ b/daemon/src/main/java/postgrade/daemon/ClassDataTraining.java
@@ -14,9 +14,9 @@
 import java.util.Map;
 
 /**
- * Runs a dispatcher through one job, a rejection and an orderly stop against peers in this process,
- * all on loopback, and ends. The virtual machine writes down which classes that took: the build
- * makes the class-data archive from it, by which later starts are quicker.
+ * Training run for the class-data archive: takes one dispatcher through a job, a rejection and a
+ * graceful stop against peers in this process, all on loopback. The JVM records which classes were
+ * loaded; the build makes the class-data archive from that record, which shortens later starts.
  */
 final class ClassDataTraining {
 
@@ -123,7 +123,7 @@
         out.flush();
     }
 
-    /** Takes what has come so far, which for the small messages here is one whole. */
+    /** Reads what has arrived so far, which for the small messages here is one whole message. */
     private static void read(Socket socket) throws IOException {
         socket.setSoTimeout(READ_TIMEOUT_MS);
         InputStream in = socket.getInputStream();
--- a/daemon/src/main/java/postgrade/daemon/Clock.java
+++ b/daemon/src/main/java/postgrade/daemon/Clock.java
@@ -1,20 +1,20 @@
 package postgrade.daemon;
 
 /**
- * The process's clocks. For any thread.
+ * The monotonic and the wall clock of this process. May be used from any thread.
  *
- * <p>Tests of several processes let them run apart: {@code POSTGRADE_TEST_CLOCK} holds by how many
- * microseconds the wall clock is off and by how many millionths both clocks run fast. Nothing else
- * sets it, the platform neither.
+ * <p>Tests with several processes make their clocks differ: {@code POSTGRADE_TEST_CLOCK} gives the
+ * offset of the wall clock in microseconds and the rate error of both clocks in parts per million.
+ * Only tests set it; the platform does not.
  */
 final class Clock {
 
-    /** For tests alone. */
+    /** Environment variable that only tests set. */
     static final String VARIABLE = "POSTGRADE_TEST_CLOCK";
 
     /**
-     * The clock starts at a day, so that the starts of providers up to a day before ours lie after
-     * 0.
+     * The monotonic clock starts at one day, so that workers started up to a day before this
+     * process have start times above 0.
      */
     private static final long ORIGIN_MICROS = 86_400_000_000L;
 
@@ -43,19 +43,19 @@
                 return new Clock(Long.parseLong(parts[0].strip()), ppm);
             }
         } catch (NumberFormatException e) {
-            // Falls through to the one sentence.
+            // Reported by the exception below.
         }
         throw new Config.InvalidConfigException(
                 VARIABLE,
-                "has to be OFFSET_MICROS,RATE_PPM with a rate within 100000, not " + setting);
+                "must be OFFSET_MICROS,RATE_PPM with a rate within 100000, not " + setting);
     }
 
-    /** Monotonic. */
+    /** Returns the time of the monotonic clock. */
     long micros() {
         return ORIGIN_MICROS + scaled((System.nanoTime() - startNanos) / 1000);
     }
 
-    /** The wall clock, which may jump. */
+    /** Returns the time of the wall clock, which may be stepped. */
     long unixMillis() {
         long skewMicros =
                 ratePpm == 0
@@ -65,7 +65,7 @@
         return System.currentTimeMillis() + (offsetMicros + skewMicros) / 1000;
     }
 
-    /** A point of Unix time on the monotonic clock, 0 for one too long ago for it. */
+    /** Converts a point of Unix time to the monotonic clock; 0 if it lies too far in the past. */
     long fromUnixMillis(long millis) {
         return Math.max(0, ORIGIN_MICROS + (millis - startUnixMillis) * 1000);
     }
--- a/daemon/src/main/java/postgrade/daemon/CompanionLoader.java
+++ b/daemon/src/main/java/postgrade/daemon/CompanionLoader.java
@@ -5,12 +5,12 @@
 import postgrade.extension.DispatcherExtension;
 import postgrade.extension.Host;
 
-/** Finds what is to stand beside the dispatcher, if its configuration names any. */
+/** Loads the dispatcher extension that the configuration names, if any. */
 final class CompanionLoader {
 
     private CompanionLoader() {}
 
-    /** Null where nothing is named: then nothing is looked for either. */
+    /** Returns null if no extension is configured; the class path is not searched then. */
     static DispatcherExtension.Configuration loadPlan(Config config)
             throws Config.InvalidConfigException {
         if (config.sharingScript == null) {
@@ -23,7 +23,7 @@
                                 () ->
                                         new Config.InvalidConfigException(
                                                 "sharing",
-                                                "this program has no sharing in it; start it by ./postgrade serve"));
+                                                "this program does not include sharing; start it with ./postgrade serve"));
         try {
             return finder.read(config.sharingScript, config.name);
         } catch (IllegalArgumentException e) {
--- a/daemon/src/main/java/postgrade/daemon/Config.java
+++ b/daemon/src/main/java/postgrade/daemon/Config.java
@@ -23,12 +23,13 @@
 import postgrade.settings.SettingsReader;
 import postgrade.simadapter.JsonPairs;
 
-/**
- * The daemon's configuration. This is the one place where it is read, checked and given defaults.
- */
+/** The daemon's configuration. The only place where it is read, validated and given defaults. */
 final class Config {
 
-    /** What cannot be started with; the message begins with the faulty key. */
+    /**
+     * Reports a configuration that the daemon cannot start with; the message begins with the
+     * invalid key.
+     */
     static final class InvalidConfigException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -40,8 +41,8 @@
     private static final int DEFAULT_DESCRIPTORS = 1024;
 
     /**
-     * For what the virtual machine itself holds, 11 by count: its files, the selector, the standard
-     * streams.
+     * Reserved for the descriptors of the JVM itself, of which there are 11: its files, the
+     * selector, the standard streams.
      */
     private static final int JVM_DESCRIPTORS = 32;
 
@@ -56,22 +57,25 @@
     final InetSocketAddress listenAddress;
     final InetSocketAddress discoveryAddress;
 
-    /** Where operators call, or null where nobody does. */
+    /** Address for operator calls, or null if there is none. */
     final InetSocketAddress operatorAddress;
 
     final long seed;
 
-    /** The script that says with whom state is shared, or null where it is not. */
+    /** Script that configures with which dispatchers state is shared, or null if none is shared. */
     final Path sharingScript;
 
     final Clock clock;
 
-    /** A folder that all processes of this dispatcher share, or null. */
+    /** Directory shared by all processes of this dispatcher, or null. */
     final Path sharedDirectory;
 
     private int descriptorLimit;
 
-    /** Sockets of all peers together, the operators' apart. */
+    /**
+     * Limit on sockets to clients, workers and discovery together; those of operators are not
+     * included.
+     */
     final int socketLimit;
 
     final PolicySettings settings;
@@ -80,7 +84,7 @@
     final long idleTimeoutMicros;
     final Map<String, Long> deadlineMicros = new HashMap<>();
 
-    /** The list as it was last known, or null. */
+    /** Worker list as last known before the start, or null. */
     final WorkerList cachedWorkers;
 
     private final Map<String, String> environment;
@@ -109,7 +113,7 @@
         socketLimit = readSocketLimit();
         JsonValue settingsJson = json.get("settings");
         if (settingsJson == null || !settingsJson.isObject()) {
-            throw new InvalidConfigException("settings", "an object is needed");
+            throw new InvalidConfigException("settings", "must be an object");
         }
         ConfigValidation.requirePositiveWholeNumbers(settingsJson.asObject());
         flatSettings = JsonPairs.of(settingsJson.asObject());
@@ -160,25 +164,25 @@
         }
     }
 
-    /** All settings as they are in force, in the order of the operators' page. */
+    /** Returns all settings in force, in the order of the operators' page. */
     List<EffectiveSetting> effectiveSettings() {
         return EffectiveSetting.allOf(this, json, flatSettings);
     }
 
-    /** Who may submit jobs; empty where there are none. */
+    /** Names of the tenants that may submit jobs; empty if none are configured. */
     Set<String> tenantNames() {
         return settings.tenants.stream().map(Tenant::name).collect(Collectors.toSet());
     }
 
-    /** All that this process may hold. */
+    /** Returns the number of descriptors that this process may have open. */
     int descriptorLimit() {
         return descriptorLimit;
     }
 
     /**
-     * Reads the file again that this was read from. Beyond what a start asks it must have each key
-     * that it had: one that is missing would fall back to a default that nobody chose, as in a file
-     * that somebody is still writing.
+     * Reads the configuration file again. In addition to the checks of a start, each key of the
+     * current configuration must be present: a missing key would silently fall back to its default,
+     * for example when the file is read while it is still being written.
      */
     Config reread() throws InvalidConfigException {
         Config next = read(environment);
@@ -190,7 +194,10 @@
         return json.get("settings").equals(other.json.get("settings"));
     }
 
-    /** The keys whose new values would need a new start; seed and list concern the start alone. */
+    /**
+     * Returns the changed keys that take effect only after a restart. The seed and the cached
+     * worker list are not reported, as they matter at a start alone.
+     */
     List<String> keysNeedingRestart(Config next) {
         List<String> keys = new ArrayList<>();
         for (String key : new String[] {"name", "listen", "operator", "sharing", "limits"}) {
@@ -201,7 +208,7 @@
         return keys;
     }
 
-    /** Places for sockets where so many processes share the descriptors. */
+    /** Returns the socket limit of each process if that many processes share the descriptors. */
     int socketLimitFor(int processes) {
         return Math.max(MIN_SOCKETS, descriptorLimit / processes - (descriptorLimit - socketLimit));
     }
@@ -257,7 +264,7 @@
                 JVM_DESCRIPTORS + (operatorAddress == null ? 0 : OperatorListener.MAX_SOCKETS);
         if (descriptorLimit < 2 * JVM_DESCRIPTORS) {
             throw new InvalidConfigException(
-                    "limits.sockets", "at least " + 2 * JVM_DESCRIPTORS + " are needed");
+                    "limits.sockets", "at least " + 2 * JVM_DESCRIPTORS + " are required");
         }
         return descriptorLimit - reserved;
     }
--- a/daemon/src/main/java/postgrade/daemon/ConfigCheck.java
+++ b/daemon/src/main/java/postgrade/daemon/ConfigCheck.java
@@ -5,21 +5,23 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads a dispatcher's configuration as a start would, without starting. */
+/** Reads and validates a dispatcher's configuration as a start would, without starting. */
 public final class ConfigCheck {
 
     /**
-     * One setting in force: its key, its value and where that came from (the file, a variable, a
-     * default).
+     * One setting in force: its key, its value and its origin (the file, a variable or a default).
      */
     public record Setting(String key, String value, String origin) {}
 
     private ConfigCheck() {}
 
     /**
-     * @param environment what {@code ROUTER_NAME} and the like would be
-     * @throws IllegalArgumentException for a configuration that cannot be started with; names the
-     *     key
+     * Returns the settings that a dispatcher started with this file would use.
+     *
+     * @param environment stands in for the process environment, with {@code ROUTER_NAME} and the
+     *     other variables
+     * @throws IllegalArgumentException if a dispatcher could not start with the configuration; the
+     *     message names the key
      */
     public static List<Setting> effectiveSettings(Path file, Map<String, String> environment) {
         Map<String, String> variables = new HashMap<>(environment);
--- a/daemon/src/main/java/postgrade/daemon/ConfigReloader.java
+++ b/daemon/src/main/java/postgrade/daemon/ConfigReloader.java
@@ -9,8 +9,8 @@
 import postgrade.worker.WorkerConnectionPools;
 
 /**
- * Reads the configuration again and takes over what can change under way. A faulty one changes
- * nothing. On the loop.
+ * Reads the configuration again and applies the settings that can change while the daemon runs. An
+ * invalid configuration changes nothing. Runs on the event loop.
  */
 record ConfigReloader(
         RequestTracker requestTracker,
@@ -20,7 +20,7 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(ConfigReloader.class);
 
-    /** Returns what is in force from now on. */
+    /** Returns the configuration in force from now on. */
     Config reload(Config config) {
         try {
             Config next = config.reread();
@@ -31,7 +31,7 @@
                             "configuration read again"
                                     + (restartKeys.isEmpty()
                                             ? ""
-                                            : "; only at the next start: " + restartKeys));
+                                            : "; in force only after a restart: " + restartKeys));
             if (!config.hasSameSettings(next)) {
                 requestTracker.settingsChanged(next.settings, next.maxHeldJobs);
                 listener.updateSettings(next.deadlineMicros, next.tenantNames());
@@ -46,7 +46,7 @@
             Events.warn(LOG, "configuration.not-taken")
                     .addKeyValue("why", e.getMessage())
                     .log(
-                            "configuration not taken over, the former one stays: "
+                            "configuration rejected, the previous one stays in force: "
                                     + config.file
                                     + ": "
                                     + e.getMessage());
--- a/daemon/src/main/java/postgrade/daemon/ConfigValidation.java
+++ b/daemon/src/main/java/postgrade/daemon/ConfigValidation.java
@@ -7,15 +7,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What a configuration's JSON has to have beyond what its readers ask for. */
+/** Checks of the configuration's JSON beyond those of its readers. */
 final class ConfigValidation {
 
-    /** Far beyond any deadline; a double still counts each. */
+    /** Far above any deadline in nanoseconds, and still exact in a double. */
     private static final double MAX_WHOLE_NUMBER = 1e15;
 
     private ConfigValidation() {}
 
-    /** Each key that a list or object in force has, the new one has too. */
+    /** Requires each key of the object or list in force to be present in the new one. */
     static void requireKeys(JsonValue inForce, JsonValue next, String path)
             throws Config.InvalidConfigException {
         if (inForce.isObject()) {
@@ -24,10 +24,10 @@
                 JsonValue value = next.isObject() ? next.asObject().get(member.getName()) : null;
                 if (value == null || value.isNull() && !member.getValue().isNull()) {
                     throw new Config.InvalidConfigException(
-                            key, "missing, though the file in force has it");
+                            key, "missing, but present in the configuration in force");
                 }
-                if (!key.equals(
-                        "known")) { // A list of workers may be any, and concerns a start alone.
+                // The cached worker list may hold anything, and matters at a start alone.
+                if (!key.equals("known")) {
                     requireKeys(member.getValue(), value, key);
                 }
             }
@@ -37,13 +37,13 @@
                 requireKeys(common, next.asArray().get(i), path + "." + i);
             }
         } else if (inForce.isArray()) {
-            throw new Config.InvalidConfigException(path, "a list is needed");
+            throw new Config.InvalidConfigException(path, "must be a list");
         }
     }
 
     /**
-     * What all the objects of a list have: classes and tenants may come and go, and some may have
-     * more than others.
+     * Returns the members that all objects of a list have: classes and tenants may be added and
+     * removed, and some may have more members than others.
      */
     private static JsonObject commonMembers(JsonArray list) {
         JsonObject common = null;
@@ -62,8 +62,8 @@
     }
 
     /**
-     * Guards what is counted with them: a deadline or a number of attempts is a number of JSON,
-     * whole and above 0.
+     * Requires a whole JSON number above 0, as for a deadline or a number of attempts, which are
+     * calculated with.
      */
     private static void requirePositiveWhole(JsonObject object, String key, String prefix)
             throws Config.InvalidConfigException {
@@ -74,21 +74,21 @@
                         && value.asDouble() <= MAX_WHOLE_NUMBER
                         && value.asDouble() == Math.rint(value.asDouble()))) {
             throw new Config.InvalidConfigException(
-                    prefix + key, "has to be a whole number above 0, not " + value);
+                    prefix + key, "must be a whole number above 0, not " + value);
         }
     }
 
     static void requirePositiveWholeNumbers(JsonObject settings)
             throws Config.InvalidConfigException {
         if (settings.get("classes") == null || !settings.get("classes").isArray()) {
-            throw new Config.InvalidConfigException("settings.classes", "a list is needed");
+            throw new Config.InvalidConfigException("settings.classes", "must be a list");
         }
         List<String> names = new ArrayList<>();
         for (JsonValue jobClass : settings.get("classes").asArray()) {
             String prefix = "settings.classes." + names.size() + ".";
             if (!jobClass.isObject()) {
                 throw new Config.InvalidConfigException(
-                        "settings.classes." + names.size(), "an object is needed");
+                        "settings.classes." + names.size(), "must be an object");
             }
             requirePositiveWhole(jobClass.asObject(), "deadlineNs", prefix);
             String name = String.valueOf(jobClass.asObject().get("name"));
--- a/daemon/src/main/java/postgrade/daemon/Daemon.java
+++ b/daemon/src/main/java/postgrade/daemon/Daemon.java
@@ -29,7 +29,10 @@
 import postgrade.upgrade.UpgradeCoordinator;
 import postgrade.worker.WorkerConnectionPools;
 
-/** One dispatcher: puts the parts together, passes the list on, and stops in order. */
+/**
+ * One dispatcher: creates and connects its components, forwards worker list updates, and stops
+ * gracefully.
+ */
 final class Daemon {
 
     private static final Logger LOG = LoggerFactory.getLogger(Daemon.class);
@@ -37,7 +40,8 @@
     static final long SHUTDOWN_CHECK_INTERVAL_MICROS = 20_000;
 
     /**
-     * In force; and what this process was started with, by which its addresses and descriptors go.
+     * The configuration in force. {@link #startConfig} is the one that the process started with,
+     * which determines its addresses and descriptors.
      */
     private Config config;
 
@@ -58,7 +62,7 @@
     private final ShutdownSequence shutdown;
     private final ConfigReloader reloader;
 
-    /** Null where nothing stands beside this dispatcher. */
+    /** Null if no extension is configured. */
     private final DispatcherExtension extension;
 
     private final StartupGate startupGate;
@@ -68,7 +72,9 @@
     }
 
     /**
-     * @param plan what is to stand beside it, or null
+     * Creates a dispatcher with the default policy.
+     *
+     * @param extensionConfiguration configuration of its extension, or null
      */
     Daemon(Config config, DispatcherExtension.Configuration extensionConfiguration)
             throws IOException, Config.InvalidConfigException {
@@ -88,10 +94,7 @@
         this(config, extensionConfiguration, policyFactory, watchTimeouts, SystemCalls.REAL);
     }
 
-    /**
-     * With another module in the place of ours, another patience with discovery, and other system
-     * calls.
-     */
+    /** Creates a dispatcher with the given policy, discovery timeouts and system calls. */
     Daemon(
             Config config,
             DispatcherExtension.Configuration extensionConfiguration,
@@ -263,14 +266,14 @@
                                 + startConfig.listenAddress
                                 + ", "
                                 + workerPools.readyCount()
-                                + " providers known from before");
+                                + " workers known from before the start");
     }
 
     int port() throws IOException {
         return listener.port();
     }
 
-    /** The port where operators call. */
+    /** Returns the port for operator calls. */
     int operatorPort() throws IOException {
         return operatorListener.port();
     }
@@ -281,9 +284,10 @@
 
     private void run() {
         try {
+            // In the first iteration: until then the loop's clock shows the time at which the loop
+            // was created.
             loop.execute(
-                    () -> { // In the first turn: before it the clock stands where the loop was
-                        // made.
+                    () -> {
                         discoveryWatch.open();
                         startupGate.startWaiting();
                     });
@@ -308,9 +312,9 @@
                     });
             attemptLog.logCounts();
         } catch (IOException | RuntimeException | Error e) {
-            // Guards against a process that lives on without its loop: what restarts us must see it
-            // die.
-            Events.error(LOG, "loop.ended").setCause(e).log("the loop ended");
+            // A process must not live on without its loop: it exits so that its supervisor restarts
+            // it.
+            Events.error(LOG, "loop.ended").setCause(e).log("the event loop ended");
             Runtime.getRuntime().halt(1);
         }
     }
@@ -378,7 +382,8 @@
                             loop,
                             loop);
         } catch (IOException e) {
-            upgrade.close(); // Guards the process beside us: this one never comes to serve.
+            // This process will not serve; its socket is removed so that no other connects to it.
+            upgrade.close();
             throw e;
         }
     }
@@ -425,25 +430,25 @@
         }
     }
 
-    // ---- From outside.
+    // ---- Called from other threads.
 
     /**
-     * Reads the configuration again and takes over what can change under way. May be called from
-     * any thread.
+     * Reads the configuration again and applies the settings that can change while the daemon runs.
+     * May be called from any thread.
      */
     void reload() {
         loop.execute(() -> config = reloader.reload(config));
     }
 
     /**
-     * Stops in order and returns when all that was taken is answered. May be called from any
+     * Stops gracefully and returns once all accepted jobs are answered. May be called from any
      * thread.
      */
     void stop() {
         loop.execute(shutdown::begin);
         try {
-            // Guards against an exit in mid-answer: the virtual machine ends once its shutdown
-            // hooks have returned.
+            // The JVM exits once its shutdown hooks have returned, so this call waits until all
+            // answers are written.
             thread.join();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/daemon/src/main/java/postgrade/daemon/EffectiveSetting.java
+++ b/daemon/src/main/java/postgrade/daemon/EffectiveSetting.java
@@ -7,13 +7,14 @@
 import postgrade.discovery.AddressFormat;
 import postgrade.policy.api.JobClass;
 
-/** One setting as it is in force, and where it came from. */
+/** One setting in force and its origin. */
 record EffectiveSetting(String key, Object value, String origin) {
 
     /**
-     * All that are in force, in the order of the operators' page.
+     * Returns all settings in force, in the order of the operators' page.
      *
-     * @param json and {@code pairs}: what the file says, of {@code settings} by full names
+     * @param json the content of the file
+     * @param flatSettings the file's {@code settings} by full key
      */
     static List<EffectiveSetting> allOf(
             Config config, JsonObject json, Map<String, String> flatSettings) {
--- a/daemon/src/main/java/postgrade/daemon/EventLoop.java
+++ b/daemon/src/main/java/postgrade/daemon/EventLoop.java
@@ -21,7 +21,8 @@
 import postgrade.log.Events;
 
 /**
- * The one thread of the daemon: waits for channels and timers, then lets the gateway take its turn.
+ * The daemon's single thread: waits for channels and timers, then has the request tracker process
+ * its batch.
  */
 final class EventLoop implements Reactor, Timers {
 
@@ -29,24 +30,27 @@
     private static final int READ_BYTES = 64 << 10;
 
     /**
-     * Waits that fail one after another: the process ends, as its selector is of no use any more.
+     * After this many failed waits in a row the process exits, as its selector is no longer usable.
      */
     private static final int MAX_CONSECUTIVE_FAILED_WAITS = 100;
 
-    /** A turn that took longer was late: what came meanwhile has waited for a time that counts. */
+    /**
+     * An iteration that took longer is late: events that arrived meanwhile have waited for a time
+     * that matters.
+     */
     private static final long LATE_ITERATION_MICROS = 10_000;
 
-    /** A wait that took longer has waited: nothing was ready when it began. */
+    /** A wait that took longer did block, so no channel was ready when it began. */
     private static final long MIN_WAIT_MICROS = 1_000;
 
-    /** What takes its turn when all that was ready has been gathered. */
+    /** Called in each iteration of the loop. */
     interface IterationHandler {
-        /** The clock has been read, and nothing has been looked at by it. */
+        /** Called when the clock has been read and before anything is processed at that time. */
         default void iterationStarted() {}
 
         void runBatch();
 
-        /** More waits, so that the next turn is due at once. */
+        /** Whether work is left, so that the next iteration starts without waiting. */
         boolean hasPendingWork();
     }
 
@@ -75,14 +79,15 @@
         selector = Selector.open();
     }
 
-    /** What its time is read from, once a turn. */
+    /** Returns the clock that the loop reads once per iteration. */
     Clock clock() {
         return clock;
     }
 
     void run(IterationHandler handler) throws IOException {
         Runnable iterationStarted = handler::iterationStarted;
-        nowMicros = clock.micros(); // What came before is as good as just come.
+        // Events from before the start count as having just arrived.
+        nowMicros = clock.micros();
         while (!stopped) {
             long waitStartMicros = clock.micros();
             waitForEvents(handler.hasPendingWork());
@@ -107,8 +112,8 @@
     }
 
     /**
-     * What is ready after a turn that was late may have been so since that turn began; else it is
-     * what has ended the wait.
+     * Determines since when channels may have been ready: after a late iteration, since that
+     * iteration began; otherwise since the wait ended.
      */
     private void readClock(long waitStartMicros) {
         boolean wasLate = waitStartMicros - nowMicros > LATE_ITERATION_MICROS;
@@ -119,8 +124,8 @@
     }
 
     /**
-     * Waits for channels and timers. A wait that fails ends early, and what is due is done all the
-     * same.
+     * Waits for channels and timers. A failed wait ends early, and the iteration goes on with what
+     * is due.
      */
     private void waitForEvents(boolean immediately) throws IOException {
         try {
@@ -132,11 +137,11 @@
             }
             Events.warn(LOG, "loop.wait-failed")
                     .setCause(e)
-                    .log("a wait for channels failed; going on");
+                    .log("waiting for channels failed; continuing");
         }
     }
 
-    /** How long nothing is due; negative if nothing ever is. */
+    /** Returns the time until the next timer is due; negative if there is none. */
     private long waitMillis(boolean immediately) {
         while (!timers.isEmpty() && timers.peek().task == null) {
             timers.poll();
@@ -152,9 +157,9 @@
     }
 
     /**
-     * Discovery goes first: what it has told must be known before anything else is looked at. The
-     * listener goes last: a connection whose request has come is not taken for a silent one when
-     * room is made for the next.
+     * Handles discovery first, so that worker updates are known before any other event is
+     * processed. The client listener comes last, so that a connection whose request has just
+     * arrived is not evicted as idle to make room for a new one.
      */
     private void dispatch(List<SelectionKey> keys) {
         for (Handler.Order order : Handler.Order.values()) {
@@ -171,9 +176,10 @@
         try {
             handler.ready(key);
         } catch (IOException | CancelledKeyException e) {
-            handler.failed(e); // An ordinary break of one connection.
+            handler.failed(e); // A broken connection is an ordinary event.
         } catch (RuntimeException e) {
-            // Guards the loop: what goes wrong with one connection ends that connection alone.
+            // A programming error in one handler must not stop the loop: only its connection is
+            // closed.
             Events.error(LOG, "connection.handler-failed")
                     .setCause(e)
                     .log("a connection's handler failed; the connection is closed");
@@ -185,11 +191,13 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            Events.error(LOG, "loop.task-failed").setCause(e).log("a task of the loop failed");
+            Events.error(LOG, "loop.task-failed")
+                    .setCause(e)
+                    .log("a task on the event loop failed");
         }
     }
 
-    /** Runs a task on the loop's thread; may be called from any other. */
+    /** Runs a task on the loop's thread; may be called from any thread. */
     void execute(Runnable task) {
         submittedTasks.add(task);
         selector.wakeup();
@@ -252,7 +260,7 @@
         return sockets;
     }
 
-    /** A timer in the heap; a cancelled one stays there, empty, until its time. */
+    /** A timer in the heap; a cancelled one stays there without its task until it is due. */
     private static final class ScheduledTask implements Timer, Comparable<ScheduledTask> {
         private final long dueMicros;
         private final long number;
--- a/daemon/src/main/java/postgrade/daemon/ExtensionHost.java
+++ b/daemon/src/main/java/postgrade/daemon/ExtensionHost.java
@@ -13,8 +13,8 @@
 import postgrade.upgrade.UpgradeCoordinator;
 
 /**
- * What the companion gets to see, and the one place where its part of the rates meets that of an
- * upgrade.
+ * The dispatcher as seen by its extension. The only place where the extension's rate factor is
+ * combined with the split of rates between processes during an upgrade.
  */
 final class ExtensionHost implements Host {
 
@@ -28,7 +28,9 @@
     private double shareFactor = 1;
 
     /**
-     * @param told what a running process has told, or null
+     * Creates the extension's view of this dispatcher.
+     *
+     * @param handover state received from the running process, or null
      */
     ExtensionHost(
             Supplier<Config> config,
@@ -47,7 +49,10 @@
         this.serving = serving;
     }
 
-    /** Tells the module its part anew: that of the dispatcher, split over its processes. */
+    /**
+     * Sends the policy its share of the rates: that of the dispatcher, divided by the number of its
+     * processes.
+     */
     void updatePolicyShare() {
         requestTracker.shareChanged(shareFactor / (1 + upgrade.peerCount()));
     }
--- a/daemon/src/main/java/postgrade/daemon/HandoverState.java
+++ b/daemon/src/main/java/postgrade/daemon/HandoverState.java
@@ -19,15 +19,16 @@
 import postgrade.policy.api.PolicyStateEntry;
 
 /**
- * What a new process of this dispatcher is told by the one that serves. Times go as ages, since the
- * two processes' clocks begin at different moments.
+ * State that a new process of this dispatcher receives from the running one. Times are sent as
+ * ages, since the monotonic clocks of the two processes have different origins.
  *
- * @param list the workers as discovery last told them, or null
- * @param discovery who told them; versions of two addresses need not agree
- * @param said what operators have said, its times as ages
- * @param learnt what the decision module there has learnt
- * @param standbyAgeMicros since when it drains, negative if it does not
- * @param beside what its companion told, empty where there was none
+ * @param workerList the last worker list from discovery, or null
+ * @param discoveryAddress the discovery service that sent it; versions of two services are not
+ *     comparable
+ * @param overrides the workers that operators have disabled or enabled again, with times as ages
+ * @param learntFigures what the policy of the running process has learnt
+ * @param standbyAgeMicros time since it entered standby, negative if it is not in standby
+ * @param extensionState state of its extension, empty if there is none
  */
 record HandoverState(
         WorkerList workerList,
@@ -41,8 +42,8 @@
     private static final String AT_MACHINE_NS = "atMachineNs";
 
     /**
-     * Reads a snapshot; one that cannot be made sense of, or none, is null: the start goes on
-     * without.
+     * Parses a snapshot. Returns null if there is none or it cannot be parsed; the start continues
+     * without it.
      */
     static HandoverState fromSnapshot(JsonObject json) {
         if (json == null) {
@@ -60,7 +61,7 @@
         } catch (RuntimeException e) {
             Events.warn(LOG, "upgrade.state-not-understood")
                     .setCause(e)
-                    .log("what the running process told was not understood; started without it");
+                    .log("the state of the running process could not be read; starting without it");
             return null;
         }
     }
@@ -78,7 +79,10 @@
         return parsed;
     }
 
-    /** What operators have said, alone: of a process that died before it could tell the rest. */
+    /**
+     * Parses the operators' overrides, which is all that is known of a process that died before it
+     * sent its snapshot.
+     */
     static HandoverState fromHandoverFile(JsonObject json, long nowMillis, long machineNanos) {
         if (json == null) {
             return null;
@@ -98,14 +102,14 @@
         } catch (RuntimeException e) {
             Events.warn(LOG, "upgrade.left-not-understood")
                     .setCause(e)
-                    .log("what a process left was not understood; started without it");
+                    .log("the hand-over file could not be read; starting without it");
             return null;
         }
     }
 
     /**
-     * By the time since the machine started, which no step of the wall clock changes; an earlier
-     * version tells that alone.
+     * Returns the time since the file was written, by the time since the machine's boot, which
+     * steps of the wall clock do not affect. An earlier version wrote the wall clock alone.
      */
     private static long elapsedNs(JsonObject json, long nowMillis, long machineNanos) {
         JsonValue writtenAt = json.get(AT_MACHINE_NS);
@@ -201,7 +205,7 @@
         return AddressFormat.format(address).equals(discoveryAddress);
     }
 
-    /** Tells the roster what operators have said. */
+    /** Applies the operators' overrides to the registry. */
     void applyOverrides(EndpointRegistry registry, long nowNs) {
         for (EndpointRegistry.WorkerOverride override : overrides) {
             registry.disable(nowNs - override.disabledNs(), override.id());
--- a/daemon/src/main/java/postgrade/daemon/Main.java
+++ b/daemon/src/main/java/postgrade/daemon/Main.java
@@ -9,7 +9,7 @@
 import sun.misc.SignalHandler;
 
 /**
- * The program: {@code serve} is one dispatcher on sockets, {@code benchlink} the simulator's
+ * Entry point: {@code serve} runs one dispatcher on sockets, {@code benchlink} the simulator's
  * adapter.
  */
 public final class Main {
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Plays one job through a dispatcher and ends, for the build's class-data archive. */
+    /** Runs one job through a dispatcher and exits, for the build's class-data archive. */
     private static void runTraining() throws IOException {
         try {
             ClassDataTraining.run();
@@ -56,16 +56,15 @@
             return EventLogs.Format.TEXT;
         }
         if (args.length > 2 || !args[1].startsWith(LOG_FORMAT_OPTION)) {
-            throw new IllegalArgumentException("not understood: " + args[args.length - 1]);
+            throw new IllegalArgumentException("unknown argument: " + args[args.length - 1]);
         }
         return EventLogs.parseFormat(args[1].substring(LOG_FORMAT_OPTION.length()));
     }
 
-    /** Starts one dispatcher and returns while it serves; ends the process if it cannot start. */
+    /** Starts one dispatcher and returns while it serves; exits the process if it cannot start. */
     public static void serve() {
-        // Guards the start: a signal that comes before there is a dispatcher waits for it. SIGHUP
-        // would end the process, and
-        // SIGTERM reset what waits in the backlog.
+        // A signal that arrives before the dispatcher exists waits for it. By default SIGHUP would
+        // end the process, and SIGTERM would reset the connections in the backlog.
         CompletableFuture<Daemon> daemonFuture = new CompletableFuture<>();
         installSignalHandlers(daemonFuture);
         int exitCode = 0;
@@ -81,9 +80,9 @@
             System.err.println("postgrade: listen: " + e.getMessage());
             exitCode = 1;
         } finally {
-            daemonFuture.cancel(
-                    false); // There is none, and nobody waits for it; without effect where there
-            // is.
+            // Releases signal handlers that wait for a dispatcher if there is none; no effect
+            // otherwise.
+            daemonFuture.cancel(false);
         }
         if (exitCode != 0) {
             System.exit(exitCode);
@@ -91,20 +90,18 @@
     }
 
     private static void installSignalHandlers(CompletableFuture<Daemon> daemonFuture) {
-        // Guards against the virtual machine's own way with SIGHUP, which is to end. No library of
-        // the JDK's own names
-        // signals but this one; it is part of the exported module jdk.unsupported.
+        // By default the JVM exits on SIGHUP. The JDK has no other API for signals by name; this
+        // one belongs to the exported module jdk.unsupported.
         SignalHandler previousHandler =
                 Signal.handle(new Signal("HUP"), signal -> daemonFuture.thenAccept(Daemon::reload));
         if (previousHandler == SignalHandler.SIG_IGN) {
-            // Guards the operators: the virtual machine leaves a signal ignored that was so when it
-            // started, and says
-            // nothing. A new configuration, discovery's new address with it, would never be heard
-            // of.
+            // The JVM keeps ignoring, without a message, a signal that was ignored when it started.
+            // A new configuration, for example a new address of discovery, would then never be
+            // read.
             Events.warn(LoggerFactory.getLogger(Main.class), "configuration.signal-ignored")
                     .log(
-                            "SIGHUP is ignored, as whoever started this process wanted it (nohup does); "
-                                    + "the configuration cannot be read again until a start without that");
+                            "SIGHUP is ignored, as it was when this process was started (by nohup, for example); "
+                                    + "the configuration cannot be reloaded until the process is started without that");
         }
         Runtime.getRuntime()
                 .addShutdownHook(
--- a/daemon/src/main/java/postgrade/daemon/OperatorActions.java
+++ b/daemon/src/main/java/postgrade/daemon/OperatorActions.java
@@ -12,7 +12,7 @@
 import postgrade.upgrade.UpgradeCoordinator;
 import postgrade.worker.WorkerConnectionPools;
 
-/** Carries out what operators ask for, here and in the other processes of this dispatcher. */
+/** Carries out operator calls, in this process and in the other processes of this dispatcher. */
 final class OperatorActions implements Operations {
 
     private static final Logger LOG = LoggerFactory.getLogger(OperatorActions.class);
@@ -26,8 +26,10 @@
     private final BiConsumer<String, Boolean> overrideListener;
 
     /**
-     * @param check looks at what the lifecycle asks for from now on
-     * @param said hears of each worker that an operator has taken out here, or put back
+     * Creates the operations of this process.
+     *
+     * @param shutdownCheck schedules a check of what the lifecycle requires
+     * @param overrideListener notified of each worker that an operator has disabled or enabled here
      */
     OperatorActions(
             Timers timers,
@@ -61,8 +63,8 @@
             if (id != null) {
                 overrideListener.accept(id, call == Call.ENTER);
             }
-            // The others of this dispatcher have it too before the yes leaves, or will never have a
-            // say again.
+            // Replies once the other processes of this dispatcher have acknowledged the call or can
+            // no longer affect its outcome.
             upgrade.relayOperatorCall(
                     call.name(), id, allAcknowledged -> reply(call, id, done, reply));
         }
@@ -89,7 +91,7 @@
         }
     }
 
-    /** False if there was nothing to do, or it cannot be done any more. */
+    /** Returns false if there was nothing to do or the action is no longer possible. */
     boolean execute(Call call, String id) {
         switch (call) {
             case ENTER -> workers.enterMaintenance(timers.nowMicros(), id);
@@ -118,15 +120,14 @@
     private void enterStandby() {
         if (lifecycle.state() != Lifecycle.State.STANDBY) {
             lifecycle.enterStandby(timers.nowMicros());
-            Events.info(LOG, "daemon.standby")
-                    .log("standby: no longer ready, turning consumers away");
+            Events.info(LOG, "daemon.standby").log("standby: no longer ready, rejecting clients");
             shutdownCheck.run();
         }
     }
 
     private boolean leaveStandby() {
         if (lifecycle.state() == Lifecycle.State.STANDBY) {
-            Events.info(LOG, "daemon.active").log("active: taking consumers again");
+            Events.info(LOG, "daemon.active").log("active: accepting clients again");
         }
         return lifecycle.leaveStandby();
     }
--- a/daemon/src/main/java/postgrade/daemon/ShutdownSequence.java
+++ b/daemon/src/main/java/postgrade/daemon/ShutdownSequence.java
@@ -13,8 +13,8 @@
 import postgrade.worker.WorkerConnectionPools;
 
 /**
- * Carries out what the lifecycle asks for in standby and on the way to the end, which it finds. On
- * the loop.
+ * Carries out what the lifecycle requires in standby and during shutdown, and detects when the
+ * process may exit. Runs on the event loop.
  */
 final class ShutdownSequence {
 
@@ -22,8 +22,9 @@
     private static final long MICROS_PER_MILLI = 1_000;
 
     /**
-     * SIGTERM may have been sent so long before this process heard of it, which may be held up.
-     * What came that much sooner after we heard of it may have come as late after it was sent.
+     * Bound on the time between the sending of SIGTERM and its handling by this process, which may
+     * be delayed. Requests that arrived up to this long before it was handled may have arrived
+     * after it was sent.
      */
     private static final long SIGNAL_DELAY_MICROS = 150_000;
 
@@ -34,12 +35,12 @@
     private final ClientListener listener;
     private final UpgradeCoordinator upgrade;
 
-    /** Null where nothing stands beside this dispatcher. */
+    /** Null if no extension is configured. */
     private final DispatcherExtension extension;
 
     private final Supplier<Config> config;
 
-    /** A check of what the lifecycle asks for is due. */
+    /** Whether a check of what the lifecycle requires is scheduled. */
     private boolean checkScheduled;
 
     ShutdownSequence(
@@ -61,12 +62,12 @@
         this.config = config;
     }
 
-    /** The process is told to end. */
+    /** Begins the shutdown, on SIGTERM. */
     void begin() {
-        Events.info(LOG, "daemon.stopping").log("stopping: no longer ready, serving on");
-        // Guards the consumers who hold a connection: while it is open they go on using it, and
-        // until SIGKILL
-        // is near they are served as well here as anywhere. All of us may be restarting in turn.
+        Events.info(LOG, "daemon.stopping").log("stopping: no longer ready, still serving");
+        // Clients with an open connection go on using it, and until shortly before SIGKILL this
+        // process serves them as well as any other. All dispatchers may be restarted one after
+        // another.
         lifecycle.stop(
                 loop.nowMicros(),
                 config.get().deadlineMicros.values().stream()
@@ -82,7 +83,7 @@
         scheduleCheck();
     }
 
-    /** Does what standby and the end ask for, again and again while either lasts. */
+    /** Schedules a check, which repeats itself while standby or shutdown lasts. */
     void scheduleCheck() {
         if (!checkScheduled) {
             checkScheduled = true;
@@ -91,9 +92,9 @@
     }
 
     /**
-     * Attempts that are out are waited for, but near SIGKILL only until each worker has been asked
-     * to drop what is out for answered requests: one that is silent would keep the listener open
-     * until then.
+     * Attempts in flight are awaited. Shortly before SIGKILL only the cancellations of answered
+     * requests are: each worker must have been asked to drop them, but a worker that does not
+     * respond would otherwise keep the listener open until SIGKILL.
      */
     private boolean isDrained(long nowMicros) {
         if (!lifecycle.mustExit(nowMicros)) {
@@ -109,7 +110,8 @@
         long nowMicros = loop.nowMicros();
         OptionalLong concludeSinceMicros = lifecycle.forcedAnswerCutoff(nowMicros);
         if (concludeSinceMicros.isPresent()) {
-            // Guards the one answer: what SIGKILL finds unanswered of these is lost.
+            // Each request must get its answer: those of these requests that are unanswered at
+            // SIGKILL would get none.
             requestTracker.failArrivedSince(concludeSinceMicros.getAsLong() - SIGNAL_DELAY_MICROS);
             if (lifecycle.mayExit(nowMicros)) {
                 listener.rejectIncompleteRequests();
@@ -117,9 +119,8 @@
         }
         boolean allAnswered =
                 lifecycle.mayExit(nowMicros) && isDrained(nowMicros) && listener.isIdle();
-        // Guards the last requests and answers: with the process go what lies unread in its sockets
-        // and backlog, and by a
-        // reset what peers have not read yet.
+        // When the process exits, unread data in its sockets and backlog is lost, and a reset
+        // discards answers that peers have not read yet.
         if (allAnswered && (listener.tryCloseAll() || lifecycle.mustExit(nowMicros))) {
             long stoppingMillis = lifecycle.stoppingForMicros(nowMicros) / MICROS_PER_MILLI;
             Events.info(LOG, "daemon.stopped")
--- a/daemon/src/main/java/postgrade/daemon/StartupGate.java
+++ b/daemon/src/main/java/postgrade/daemon/StartupGate.java
@@ -5,8 +5,8 @@
 import postgrade.lifecycle.Lifecycle;
 
 /**
- * When consumers are taken from the listener's backlog, or from the address, for the first time. On
- * the loop.
+ * Decides when this process first accepts clients, from the listener's backlog or by starting to
+ * listen. Runs on the event loop.
  */
 final class StartupGate {
 
@@ -14,19 +14,22 @@
     private final Lifecycle lifecycle;
     private final ClientListener listener;
 
-    /** Null where nothing stands beside this dispatcher. */
+    /** Null if no extension is configured. */
     private final DispatcherExtension extension;
 
     private final Runnable logListening;
 
-    /** Consumers wait for the first word of discovery for so long. */
+    /** How long clients wait for the first update from discovery. */
     private final long discoveryWaitMicros;
 
-    /** And for the companion to know enough until then. */
+    /** Until when clients also wait for the extension to initialize. */
     private long extensionDeadlineMicros;
 
     /**
-     * @param tookOver a running process has told what there is to know; then nobody waits
+     * Creates the gate, which is open at once after a hand-over.
+     *
+     * @param tookOver whether a running process has handed over its state, so that there is nothing
+     *     to wait for
      */
     StartupGate(
             EventLoop loop,
@@ -48,7 +51,7 @@
         }
     }
 
-    /** In the loop's first turn. */
+    /** Starts the wait; called in the loop's first iteration. */
     void startWaiting() {
         extensionDeadlineMicros =
                 Math.min(
@@ -60,8 +63,9 @@
     }
 
     /**
-     * Takes consumers. Guards the drain rule: what the agent has counts as told from the first
-     * moment of this process, and the list known from before may be old.
+     * Accepts clients unless the extension is still awaited. Clients wait for discovery because of
+     * the drain rule: a drain known to the discovery agent binds this process from its first
+     * moment, and the cached worker list may be out of date.
      */
     void openIfReady() {
         boolean awaitsExtension =
@@ -73,8 +77,8 @@
             lifecycle.markStarted();
             listener.applyLifecycle();
             if (lifecycle.acceptsConnections() && listener.reservesAddress()) {
-                // Guards against a process that nobody can reach: what restarts us must see it die.
-                // The log has the cause.
+                // A process that nobody can reach exits so that its supervisor restarts it. The
+                // cause has been logged.
                 Runtime.getRuntime().halt(1);
             }
             if (wasHeldBack) {
--- a/daemon/src/main/java/postgrade/daemon/WorkerDirectory.java
+++ b/daemon/src/main/java/postgrade/daemon/WorkerDirectory.java
@@ -21,8 +21,8 @@
 import postgrade.worker.WorkerEndpoint;
 
 /**
- * Takes in what discovery and operators say of the workers, and tells the pools and the module how
- * each counts.
+ * Combines worker updates from discovery with the overrides of operators, and sends the connection
+ * pools and the policy the resulting state of each worker.
  */
 final class WorkerDirectory {
 
@@ -31,7 +31,7 @@
 
     private final EndpointRegistry registry = new EndpointRegistry();
 
-    /** What discovery has last said of each provider. */
+    /** The last entry from discovery for each worker. */
     private final Map<String, ListedWorker> listed = new LinkedHashMap<>();
 
     private final WorkerConnectionPools pools;
@@ -57,9 +57,11 @@
     }
 
     /**
+     * Applies a worker list, in whole or as a change.
+     *
      * @param nowMicros of the loop's clock
-     * @param heardBeforeMicros when discovery was last heard before it told this, or {@link
-     *     WorkerStartTimes#NEVER_HEARD}
+     * @param previousContactMicros time of the last contact with discovery before this update, or
+     *     {@link WorkerStartTimes#NO_EARLIER_CONTACT}
      */
     void applyList(
             WorkerListUpdateType form,
@@ -112,7 +114,7 @@
         }
         Events.info(LOG, "worker.out")
                 .addKeyValue("provider", id)
-                .log("provider " + id + " taken out by an operator");
+                .log("worker " + id + " put into maintenance by an operator");
         republish(id);
         return true;
     }
@@ -123,15 +125,15 @@
         }
         Events.info(LOG, "worker.back")
                 .addKeyValue("provider", id)
-                .log("provider " + id + " put back by an operator");
+                .log("worker " + id + " taken out of maintenance by an operator");
         republish(id);
         requestTracker.workerReenabled(id);
         return true;
     }
 
     /**
-     * Both sides hear of one worker as it counts now. The pools refuse it from now on, before
-     * anyone is answered.
+     * Sends the state of one worker to the pools and the policy. The pools refuse a disabled worker
+     * at once, before the operator gets a reply.
      */
     private void republish(String id) {
         WorkerInfo worker = registry.worker(id);
@@ -141,7 +143,7 @@
         }
     }
 
-    /** As the companion sees them. */
+    /** Returns the workers as the extension sees them. */
     List<Host.WorkerStatus> extensionView() {
         List<String> disabled = registry.disabledIds();
         return listed.values().stream()
--- a/daemon/src/main/java/postgrade/daemon/WorkerStartTimes.java
+++ b/daemon/src/main/java/postgrade/daemon/WorkerStartTimes.java
@@ -4,29 +4,29 @@
 import java.util.Map;
 
 /**
- * When each worker's process started, on this process's monotonic clock. Discovery tells starts in
- * Unix time, and this machine's wall clock may have been stepped before the process began, by
- * seconds or by an hour. Taken at its word, such a clock makes a worker in slow start pass as warm,
- * or one that is warm never become so.
+ * Start times of the workers' processes on this process's monotonic clock. Discovery reports them
+ * in Unix time, and this machine's wall clock may have been stepped before this process started, by
+ * seconds or by an hour. Uncorrected, such a clock makes a worker in slow start count as warm, or
+ * keeps a warm worker in slow start.
  *
- * <p>So a start is held against what is known without the wall clock: it does not lie ahead of the
- * moment in which it is first told, and one that a change tells does not lie far before discovery
- * was last heard. A list that is taken in at the start of this process has no such bound from
- * below. What is found of a start stays, however often it is told again.
+ * <p>Start times are therefore bounded by what is known without the wall clock. A worker has not
+ * started after it was first reported, and one that is reported in a change has not started long
+ * before the last contact with discovery. A list read at the start of this process gives no such
+ * lower bound. The time first determined for a start is kept when the same start is reported again.
  *
- * <p>It knows times alone and is used on the loop's thread.
+ * <p>Holds times only; used on the event loop's thread.
  */
 final class WorkerStartTimes {
 
     /**
-     * A change is told this long after discovery had it at the latest, while discovery is heard.
+     * Discovery reports a change at most this long after it learns of it, while there is contact.
      */
     static final long MAX_NOTICE_DELAY_MICROS = 6_000_000;
 
-    /** {@code heardBeforeMicros} where nothing was heard before. */
+    /** Value of {@code previousContactMicros} if there was no earlier contact. */
     static final long NO_EARLIER_CONTACT = -1;
 
-    /** Guards the memory against a discovery that names ever new workers. */
+    /** Bounds the memory in case discovery keeps listing new workers. */
     private static final int MAX_REMEMBERED = 10_000;
 
     private record Start(long unixMillis, long micros) {}
@@ -47,11 +47,13 @@
     }
 
     /**
-     * @param unixMillis as discovery tells it, 0 for long ago
+     * Returns the start time of a worker.
+     *
+     * @param unixMillis as reported by discovery, 0 if long ago
      * @param nowMicros on the monotonic clock
-     * @param heardBeforeMicros when discovery was last heard before the change that tells this, or
-     *     {@link #NO_EARLIER_CONTACT}
-     * @return microseconds of the monotonic clock, 0 for long ago
+     * @param previousContactMicros time of the last contact with discovery before the change that
+     *     reports this start, or {@link #NO_EARLIER_CONTACT}
+     * @return microseconds of the monotonic clock, 0 if long ago
      */
     long micros(String workerId, long unixMillis, long nowMicros, long previousContactMicros) {
         if (unixMillis == 0) {
--- a/daemon/src/main/java/postgrade/upgrade/AcknowledgementTracker.java
+++ b/daemon/src/main/java/postgrade/upgrade/AcknowledgementTracker.java
@@ -6,10 +6,10 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** What the other processes were asked and have not answered yet. */
+/** Messages to peers that have not been acknowledged yet. */
 final class AcknowledgementTracker {
 
-    /** An ask that is not answered in this time counts as not heard. */
+    /** A message that is not acknowledged within this time counts as not received. */
     static final long ACK_TIMEOUT_MICROS = 400_000;
 
     private final UpgradeCoordinator coordinator;
@@ -20,15 +20,17 @@
         this.coordinator = coordinator;
     }
 
-    /** Asks all that serve. True once all have answered, false if one did not in time. */
+    /**
+     * Sends a message to all peers and awaits those that serve. The callback gets true once all of
+     * them have acknowledged, false if one did not in time.
+     */
     void sendToAll(JsonObject message, Consumer<Boolean> done) {
         int[] outstanding = {0};
         boolean[] allAcknowledged = {true};
         for (PeerLink peer : new ArrayList<>(coordinator.peers)) {
             if (!peer.serving) {
-                peer.send(
-                        new JsonObject(message)
-                                .add("ask", 0)); // Read before it serves; not waited for.
+                // A peer that does not serve yet reads the message before it does; not awaited.
+                peer.send(new JsonObject(message).add("ask", 0));
                 continue;
             }
             outstanding[0]++;
--- a/daemon/src/main/java/postgrade/upgrade/HandoverFile.java
+++ b/daemon/src/main/java/postgrade/upgrade/HandoverFile.java
@@ -11,8 +11,8 @@
 import postgrade.log.Events;
 
 /**
- * A small file beside the links: what a process leaves for one that has met it and not heard it
- * out.
+ * A small file next to the sockets, for a new process that has connected to this one but has not
+ * received its whole state when this one dies.
  */
 final class HandoverFile {
 
@@ -21,13 +21,18 @@
     private final Path file;
 
     /**
-     * @param file null where there is no folder for it
+     * Creates the access to a file.
+     *
+     * @param file null if there is no shared directory
      */
     HandoverFile(Path file) {
         this.file = file;
     }
 
-    /** On the loop: some hundred bytes to the system's memory, at an operator's call. */
+    /**
+     * Writes the file on the event loop: some hundred bytes to the page cache, once per operator
+     * call.
+     */
     void write(JsonObject content) {
         if (file == null) {
             return;
@@ -44,7 +49,10 @@
         } catch (IOException e) {
             Events.warn(LOG, "upgrade.not-left")
                     .addKeyValue("why", e.toString())
-                    .log("what operators said cannot be left for a new process (" + e + ")");
+                    .log(
+                            "the operators' overrides could not be written for a new process ("
+                                    + e
+                                    + ")");
         }
     }
 
@@ -56,7 +64,7 @@
         } catch (IOException | RuntimeException e) {
             Events.warn(LOG, "upgrade.left-not-understood")
                     .addKeyValue("why", e.toString())
-                    .log("what a process left was not understood (" + e + "); started without it");
+                    .log("the hand-over file could not be read (" + e + "); starting without it");
             return null;
         }
     }
@@ -67,7 +75,7 @@
                 Files.deleteIfExists(file);
             }
         } catch (IOException e) {
-            LOG.debug("what was left could not be removed", e);
+            LOG.debug("the hand-over file could not be removed", e);
         }
     }
 }
--- a/daemon/src/main/java/postgrade/upgrade/JoinHandshake.java
+++ b/daemon/src/main/java/postgrade/upgrade/JoinHandshake.java
@@ -16,20 +16,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How a new process comes to its links with those that run, and waits for what they tell. Before
- * the loop runs.
+ * Connects a new process to the running ones and waits for their state. Used before the event loop
+ * runs.
  */
 final class JoinHandshake {
 
     private static final Logger LOG = LoggerFactory.getLogger(JoinHandshake.class);
 
     /**
-     * A peer under load on a small part of a core may need as long; the new process is due within 6
-     * s.
+     * A peer under load with a small share of a core may take this long; the new process has to
+     * serve within 6 s.
      */
     static final long STATE_TIMEOUT_MILLIS = 2_500;
 
-    /** A link that broke before the peer had told is made again so often, while there is time. */
+    /**
+     * Interval at which a link that broke before the peer's state arrived is reconnected, while
+     * time is left.
+     */
     private static final long RECONNECT_MILLIS = 50;
 
     private final UpgradeCoordinator coordinator;
@@ -38,7 +41,10 @@
         this.coordinator = coordinator;
     }
 
-    /** Its link is among the peers from then on, if somebody listens there. */
+    /**
+     * Connects to a process, which counts as a peer from then on. Removes the socket file if no
+     * process listens there.
+     */
     void connect(Path file) {
         JsonObject hello =
                 Json.object()
@@ -54,22 +60,22 @@
             peer.send(hello);
         } catch (IOException | RuntimeException e) {
             try {
-                // Guards against what a killed process leaves: nobody listens there, and nobody
-                // will under this name.
+                // A killed process leaves its socket file. No process listens there, and none will,
+                // as the name is not used again.
                 Files.deleteIfExists(file);
                 if (channel != null) {
                     channel.close();
                 }
             } catch (IOException cleanupFailure) {
-                LOG.debug("could not remove a link that is not in use", cleanupFailure);
+                LOG.debug("could not remove an unused socket", cleanupFailure);
             }
         }
     }
 
     /**
-     * Until all have told or time is up. A peer whose link has broken before it told may live: a
-     * process that serves and is not linked with would hold the address, and this one could not
-     * listen beside it. Where nobody is, connecting fails.
+     * Waits until all peers have sent their state or the time is up. A peer whose link broke before
+     * that may be alive: it would hold the listen address, and without a link this process could
+     * not listen there as well. If the peer is dead, connecting fails.
      */
     void awaitStates() {
         long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(STATE_TIMEOUT_MILLIS);
@@ -84,7 +90,8 @@
                 }
                 long remainingMillis = TimeUnit.NANOSECONDS.toMillis(endNanos - System.nanoTime());
                 if (remainingMillis <= 0) {
-                    // Counted, as one is that is silent: it may live and hold the address.
+                    // Counts as a peer, like one that does not respond: it may be alive and hold
+                    // the address.
                     broken.forEach(this::connect);
                     break;
                 }
@@ -104,7 +111,7 @@
                 }
             }
         } catch (IOException e) {
-            LOG.debug("waiting for a peer's state was cut short", e);
+            LOG.debug("could not wait for the state of the peers", e);
         }
     }
 
--- a/daemon/src/main/java/postgrade/upgrade/LineCodec.java
+++ b/daemon/src/main/java/postgrade/upgrade/LineCodec.java
@@ -9,22 +9,22 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Messages as lines of text, whatever parts they come and go in. */
+/** Splits a byte stream into lines and writes lines, both in parts of any size. */
 final class LineCodec {
 
     /**
-     * Guards the memory against a line that never ends; a state with a thousand workers is a fifth
-     * of it.
+     * Bounds the memory used by a line without an end. A state with a thousand workers takes a
+     * fifth of it.
      */
     static final int MAX_LINE_BYTES = 1 << 20;
 
-    /** A peer that does not read is not written to without end. */
+    /** Bounds the messages queued for a peer that does not read. */
     private static final int MAX_UNSENT_MESSAGES = 256;
 
     private final ByteArrayOutputStream partialLine = new ByteArrayOutputStream();
     private final ArrayDeque<ByteBuffer> unsent = new ArrayDeque<>();
 
-    /** The lines that are whole with these bytes, all of which are taken. */
+    /** Consumes all of the input and returns the lines that it completes. */
     List<String> decode(ByteBuffer in) throws IOException {
         List<String> complete = new ArrayList<>();
         while (in.hasRemaining()) {
@@ -35,7 +35,7 @@
             } else {
                 partialLine.write(b);
                 if (partialLine.size() > MAX_LINE_BYTES) {
-                    throw new IOException("line too long");
+                    throw new IOException("line exceeds the maximum length");
                 }
             }
         }
--- a/daemon/src/main/java/postgrade/upgrade/PeerLink.java
+++ b/daemon/src/main/java/postgrade/upgrade/PeerLink.java
@@ -15,7 +15,7 @@
 import postgrade.http.Reactor;
 import postgrade.log.Events;
 
-/** Another process of this dispatcher, at the other end of its link. */
+/** The link to another process of this dispatcher. */
 final class PeerLink implements Reactor.Handler {
 
     private static final Logger LOG = LoggerFactory.getLogger(PeerLink.class);
@@ -23,7 +23,7 @@
     private final UpgradeCoordinator coordinator;
     final SocketChannel channel;
 
-    /** Where it listens, if it was this process that made the link; else null. */
+    /** The socket that the peer listens on, if this process opened the link; otherwise null. */
     final Path file;
 
     private final LineCodec lines = new LineCodec();
@@ -55,7 +55,8 @@
         try {
             flush();
         } catch (IOException e) {
-            // The read side tells of the break: nothing of the owner's runs inside its own call.
+            // The read side reports the broken link, so that the owner is not called back from
+            // within its own call.
         }
     }
 
@@ -87,9 +88,7 @@
             try {
                 read();
             } catch (RuntimeException e) {
-                disconnected(
-                        e); // Guards the process against a peer that sends what cannot be
-                            // understood.
+                disconnected(e); // A peer that sends malformed messages must not stop this process.
             }
         }
     }
@@ -114,7 +113,8 @@
         if (message.get("hello") != null) {
             if (message.getInt("hello", 0) != UpgradeCoordinator.PROTOCOL_VERSION
                     || !coordinator.dispatcher.equals(message.getString("dispatcher", ""))) {
-                throw new IllegalArgumentException("another dispatcher's, or of another form");
+                throw new IllegalArgumentException(
+                        "hello of another dispatcher or another protocol version");
             }
             identified(message.get("id").asString());
             if (open) {
@@ -132,10 +132,11 @@
             stopping = message.getBoolean("stopping", false);
             identified(message.get("id").asString());
             if (key != null) {
-                coordinator.owner.peersChanged(); // Late: the process has begun without it.
+                // The state arrived too late: this process has started without it.
+                coordinator.owner.peersChanged();
             }
         } else if (id == null) {
-            throw new IllegalArgumentException("no hello");
+            throw new IllegalArgumentException("message before hello");
         } else if (message.get("ask") != null) {
             if (message.get("event") != null) {
                 coordinator.owner.callBackRelayed(
@@ -155,8 +156,8 @@
     }
 
     /**
-     * Its name is known. Of two links with one process, the one that the later of the two made
-     * stays.
+     * Records the peer's id. If two links connect the same two processes, the one that the later
+     * process opened is kept.
      */
     private void identified(String peerId) {
         id = peerId;
@@ -192,7 +193,9 @@
     }
 
     /**
-     * @param why null if it has ended the link itself, as it does when its process ends
+     * Closes the link and notifies the owner if the peer was identified.
+     *
+     * @param cause null if the peer closed the link, as it does when its process exits
      */
     void disconnected(Exception cause) {
         if (!open) {
--- a/daemon/src/main/java/postgrade/upgrade/UpgradeCoordinator.java
+++ b/daemon/src/main/java/postgrade/upgrade/UpgradeCoordinator.java
@@ -23,13 +23,14 @@
 import postgrade.log.Events;
 
 /**
- * The link between the processes of one dispatcher while a new version takes the place of an old
- * one. Each listens on a Unix-domain socket of its own name in a folder that they share; a new one
- * connects to all it finds there and takes over what they know before it listens for consumers.
- * From then on either passes on what came to it and is the other's.
+ * Links the processes of one dispatcher while a new version replaces the old one. Each process
+ * listens on a Unix-domain socket of its own in a shared directory. A new process connects to all
+ * sockets that it finds there and takes over the state of the running ones before it listens for
+ * clients. From then on each process forwards to the others what may concern them, such as
+ * call-backs and operator calls.
  *
- * <p>Without such a folder, or where the platform refuses such sockets, there is no link and
- * nothing else is lost.
+ * <p>Without a shared directory, or if the platform refuses such sockets, there is no link; the
+ * dispatcher works otherwise without restrictions.
  */
 public final class UpgradeCoordinator implements Reactor.Handler {
 
@@ -38,21 +39,26 @@
     private static final String LINK_SUFFIX = ".link";
     private static final long ID_OFFSET_MILLIS = 500_000_000_000_000L;
 
-    /** Guards the descriptors: an upgrade has one peer, one that follows at once two. */
+    /**
+     * Bounds the descriptors: an upgrade has one peer, or two if another upgrade follows at once.
+     */
     private static final int MAX_PEERS = 4;
 
-    /** Whose link it is. All is called on the loop's thread. */
+    /** The process that the links belong to. Called on the event loop's thread. */
     public interface Owner {
-        /** What a new process is to know. */
+        /** Returns the state for a new process. */
         JsonObject snapshot();
 
-        /** A worker's call-back that came to a peer and whose job may be ours. */
+        /**
+         * Handles a worker's call-back that a peer received and whose job may belong to this
+         * process.
+         */
         void callBackRelayed(byte[] body);
 
-        /** An operator's call that came to a peer and was carried out there. */
+        /** Handles an operator call that a peer received and has carried out. */
         void operatorCallRelayed(String call, String workerId);
 
-        /** A peer has come, begun to serve, begun to stop, or gone. */
+        /** Called when a peer has connected, started to serve, started to stop, or disconnected. */
         void peersChanged();
     }
 
@@ -73,8 +79,10 @@
     boolean stopping;
 
     /**
-     * @param folder that the processes of one dispatcher share, or null for no link
-     * @param dispatcher whose processes belong together: its name and address
+     * Creates the coordinator and listens for other processes.
+     *
+     * @param directory shared by the processes of one dispatcher, or null for no link
+     * @param dispatcher identifies the processes that belong together: its name and address
      */
     public UpgradeCoordinator(
             Path directory, String dispatcher, Reactor reactor, Timers timers, Owner owner) {
@@ -92,9 +100,9 @@
     }
 
     /**
-     * Comparable by the time since the machine started, which no step of its wall clock turns
-     * round; of one millisecond the process number decides. Earlier versions took Unix time: theirs
-     * come before all of ours.
+     * Returns an id that sorts by the time since the machine's boot, which steps of the wall clock
+     * do not affect; within one millisecond the process number decides. Earlier versions used Unix
+     * time: their ids sort before those of this version.
      */
     static String processId(long machineNanos, long processNumber) {
         return String.format(
@@ -116,24 +124,23 @@
             server.configureBlocking(false);
             reactor.register(server, SelectionKey.OP_ACCEPT, this);
         } catch (IOException | RuntimeException e) {
-            // Guards the start: where the platform has no such sockets the dispatcher serves as
-            // well.
+            // If the platform has no such sockets, the dispatcher starts without a link.
             Events.info(LOG, "upgrade.no-link")
                     .addKeyValue("why", String.valueOf(e.getMessage()))
                     .log(
                             "no link for upgrades ("
                                     + e.getMessage()
-                                    + "); a new version would need a restart");
+                                    + "); a new version requires a restart");
             close();
             server = null;
         }
     }
 
-    // ---- A new process finds those before it.
+    // ---- A new process joins the running ones.
 
     /**
-     * Connects to the processes that run already and waits for what they know. Returns it of the
-     * latest that answered in time, or null. To be called before the loop runs.
+     * Connects to the running processes and waits for their state. Returns the state of the latest
+     * process that answered in time, or null. Must be called before the event loop runs.
      */
     public JsonObject join() {
         if (server == null) {
@@ -149,13 +156,13 @@
         } catch (IOException | RuntimeException e) {
             Events.warn(LOG, "upgrade.not-looked")
                     .setCause(e)
-                    .log("could not look for a process to take over from");
+                    .log("could not search for running processes of this dispatcher");
         }
         PeerLink latest = null;
         if (peers.isEmpty()) {
-            handoverFile
-                    .delete(); // A plain start: what operators said goes with the process that they
-            // said it to.
+            // No process is running: operators' overrides end with the process that they were made
+            // in.
+            handoverFile.delete();
         } else {
             foundPeers = true;
             handshake.awaitStates();
@@ -171,41 +178,41 @@
     }
 
     /**
-     * What a process has left that was there when this one began and died before it could tell;
-     * null where none did.
+     * Returns the content of the hand-over file left by a process that was running when this one
+     * started and died before it sent its state; null if there is none.
      */
     public JsonObject readHandoverFile() {
         return foundPeers ? handoverFile.read() : null;
     }
 
-    /** Keeps what a new process has to know even if this one dies before it can tell. */
+    /** Keeps state for a new process in case this one dies before it can send it. */
     public void writeHandoverFile(JsonObject content) {
         handoverFile.write(content);
     }
 
-    // ---- Who is there.
+    // ---- State of the processes.
 
-    /** This process listens for consumers. */
+    /** Announces that this process listens for clients. */
     public void announceServing() {
         serving = true;
         broadcast(Json.object().add("serving", true));
     }
 
-    /** This process is to end. */
+    /** Announces that this process is stopping. */
     public void announceStopping() {
         stopping = true;
         broadcast(Json.object().add("stopping", true));
     }
 
     /**
-     * Another process serves and is not to end: it takes the consumers. An upgrade undone leaves
-     * them to the old one.
+     * Whether another process serves and is not stopping, so that it can take the clients. If an
+     * upgrade is rolled back, the old process keeps them.
      */
     public boolean hasSuccessor() {
         return peers.stream().anyMatch(peer -> peer.serving && !peer.stopping);
     }
 
-    /** Processes of this dispatcher that are linked to this one. */
+    /** Returns the number of processes linked to this one. */
     public int peerCount() {
         return peers.size();
     }
@@ -216,25 +223,25 @@
         }
     }
 
-    // ---- Passing on.
+    // ---- Messages to the other processes.
 
     /**
-     * Hands a call-back to whoever holds its job. True once all others have looked at it, false if
-     * one did not answer in time.
+     * Forwards a call-back to the process that owns its job. The callback gets true once all others
+     * have handled it, false if one did not acknowledge in time.
      */
     public void relayCallBack(byte[] body, Consumer<Boolean> done) {
         acknowledgements.sendToAll(
                 Json.object().add("event", new String(body, StandardCharsets.UTF_8)), done);
     }
 
-    /** Tells the others of an operator's call that was carried out here. */
+    /** Notifies the other processes of an operator call that was carried out here. */
     public void relayOperatorCall(String call, String workerId, Consumer<Boolean> done) {
         acknowledgements.sendToAll(
                 Json.object().add("call", call).add("worker", workerId == null ? "" : workerId),
                 done);
     }
 
-    // ---- The listener's side.
+    // ---- Incoming links.
 
     @Override
     public Order order() {
@@ -248,29 +255,29 @@
             return;
         }
         if (peers.size() >= MAX_PEERS) {
-            channel.close(); // Guards the descriptors against whoever else finds the socket.
+            channel.close(); // Bounds the descriptors, whoever else may find the socket.
             return;
         }
         channel.configureBlocking(false);
         PeerLink peer = new PeerLink(this, channel, null);
         peer.register();
-        // As long as it waits for what we know: a process that starts on a full machine may be held
-        // up in between.
+        // As long as the peer waits for the state: on a machine under load it may be delayed
+        // between connecting and its hello.
         timers.at(
                 timers.nowMicros() + JoinHandshake.STATE_TIMEOUT_MILLIS * 1000,
                 () -> {
                     if (peer.id == null) {
-                        peer.disconnected(new IOException("said nothing"));
+                        peer.disconnected(new IOException("no hello within the time limit"));
                     }
                 });
     }
 
     @Override
     public void failed(Exception e) {
-        LOG.debug("accept of a link failed", e);
+        LOG.debug("could not accept a link", e);
     }
 
-    /** The process ends: its name goes, so that nobody looks for it. */
+    /** Removes the socket when the process exits, so that no other process tries to connect. */
     public void close() {
         try {
             if (server != null) {
@@ -283,7 +290,7 @@
                 handoverFile.delete();
             }
         } catch (IOException e) {
-            LOG.debug("could not remove the link", e);
+            LOG.debug("could not remove the socket", e);
         }
     }
 }
