--- a/daemon/src/main/java/postgrade/daemon/EventLoop.java
+++ b/daemon/src/main/java/postgrade/daemon/EventLoop.java
@@ -57,12 +57,12 @@
     private final Selector selector;
     private final SocketBudget sockets;
     private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BYTES);
-    private final ReadBufferPool looks = new ReadBufferPool();
+    private final ReadBufferPool readBuffers = new ReadBufferPool();
     private final PriorityQueue<ScheduledTask> timers = new PriorityQueue<>();
     private final Clock clock;
     private final SystemCalls systemCalls;
     private long nowMicros;
-    private long lastWaitMicros;
+    private long previousWaitEndMicros;
     private long readySinceMicros;
     private int consecutiveFailedWaits;
     private long nextTimerNumber;
@@ -74,7 +74,7 @@
         this.clock = clock;
         this.systemCalls = systemCalls;
         nowMicros = clock.micros();
-        lastWaitMicros = nowMicros;
+        previousWaitEndMicros = nowMicros;
         readySinceMicros = nowMicros;
         selector = Selector.open();
     }
@@ -117,10 +117,10 @@
      */
     private void readClock(long waitStartMicros) {
         boolean wasLate = waitStartMicros - nowMicros > LATE_ITERATION_MICROS;
-        lastWaitMicros = nowMicros;
+        previousWaitEndMicros = nowMicros;
         nowMicros = clock.micros();
         boolean waited = nowMicros - waitStartMicros > MIN_WAIT_MICROS;
-        readySinceMicros = wasLate && !waited ? lastWaitMicros : nowMicros;
+        readySinceMicros = wasLate && !waited ? previousWaitEndMicros : nowMicros;
     }
 
     /**
@@ -232,12 +232,12 @@
 
     @Override
     public ByteBuffer acquireBuffer() {
-        return looks.acquire();
+        return readBuffers.acquire();
     }
 
     @Override
     public void releaseBuffer(ByteBuffer lent) {
-        looks.release(lent);
+        readBuffers.release(lent);
     }
 
     @Override
@@ -247,7 +247,7 @@
 
     @Override
     public long previousWaitEndMicros() {
-        return lastWaitMicros;
+        return previousWaitEndMicros;
     }
 
     @Override
--- a/daemon/src/test/java/postgrade/daemon/ArchitecturePageTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ArchitecturePageTest.java
@@ -21,13 +21,15 @@
 import java.util.stream.Stream;
 import org.junit.Test;
 
-/** The block of layers on the architecture page against the packages of the platform's jar. */
+/**
+ * Checks the block of layers on the architecture page against the packages of the platform's jar.
+ */
 public class ArchitecturePageTest {
 
     private static final Path PAGE = Path.of("..", "docs", "architecture.md");
     private static final String ROOT = "postgrade.";
 
-    /** Packages of core that the platform's jar leaves out. */
+    /** Packages of core that the platform's jar does not include. */
     private static final Set<String> NOT_IN_THE_JAR =
             Set.of("shared", "member", "comeback", "lease", "window");
 
@@ -36,7 +38,7 @@
                     .withImportOption(new ImportOption.DoNotIncludeTests())
                     .importPackages("postgrade");
 
-    /** Each package and those that it may use. */
+    /** Returns each package with the packages that it may use. */
     private static Map<String, List<String>> layers() throws IOException {
         Map<String, List<String>> layers = new LinkedHashMap<>();
         boolean inBlock = false;
--- a/daemon/src/test/java/postgrade/daemon/DaemonScenariosTest.java
+++ b/daemon/src/test/java/postgrade/daemon/DaemonScenariosTest.java
@@ -24,43 +24,43 @@
 import postgrade.discovery.WatchTimeouts;
 
 /**
- * Stories over loopback: the whole daemon against scripted peers, one for each thing that goes
- * wrong.
+ * Runs the whole daemon over loopback against scripted peers, with one test for each kind of
+ * failure.
  */
 public class DaemonScenariosTest extends DaemonTestBase {
 
-    // ---- The life of a job.
+    // ---- From job to answer.
 
     @Test
     public void callBacksMayArriveBeforeThe202TwiceOrFromOtherWorkers() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         assertEquals(200, readinessStatus());
-        Socket consumer = post("ab12", "price", "15000m");
+        Socket client = post("ab12", "price", "15000m");
         ReceivedMessage job = workerOne.awaitMessage("POST /api?a=b HTTP/1.1\r\n");
         assertEquals("job", job.body());
         assertEquals("ab12", job.header("X-Request-Id"));
-        assertEquals("a stranger's", 204, callBack("ab12", "w9", "done"));
-        assertEquals("another job's", 204, callBack("ffff", "w1", "done"));
+        assertEquals("from another worker", 204, callBack("ab12", "w9", "done"));
+        assertEquals("for another job", 204, callBack("ffff", "w1", "done"));
         assertEquals(204, callBack("ab12", "w1", "started"));
         assertEquals(204, callBack("ab12", "w1", "done"));
         assertEquals("repeated", 204, callBack("ab12", "w1", "done"));
-        ReceivedMessage answer = ScriptedPeer.read(consumer);
+        ReceivedMessage answer = ScriptedPeer.read(client);
         assertEquals(200, answer.status());
         assertEquals("made by w1", answer.body());
         job.accept();
-        post(consumer, "ab13", "price", "15000m");
+        post(client, "ab13", "price", "15000m");
         assertSame(
                 "the late 202 frees its connection",
                 job.socket(),
                 workerOne.awaitMessage("POST").socket());
-        assertEquals("late, of an ended call", 204, callBack("ab12", "w1", "failed"));
+        assertEquals("late, for an ended attempt", 204, callBack("ab12", "w1", "failed"));
         callBack("ab13", "w1", "done");
-        assertEquals(200, ScriptedPeer.read(consumer).status());
+        assertEquals(200, ScriptedPeer.read(client).status());
     }
 
     /**
-     * Without the consumer's key a provider cannot know a repeat, ours or the consumer's own by
-     * another way.
+     * Without the client's key a worker cannot recognise a repeated job, whether this dispatcher or
+     * the client repeats it.
      */
     @Test
     public void theClientsIdempotencyKeyIsSentWithEachAttempt() throws Exception {
@@ -69,28 +69,30 @@
                 workerEntry("w2", workerOne.address(), "ready"));
         String head =
                 "POST /api HTTP/1.1\r\nX-Request-Id: i1\r\nX-Class: price\r\nContent-Length: 0\r\n";
-        Socket consumer = connect();
-        ScriptedPeer.write(consumer, head + "Idempotency-Key: \"8e03 978e\"\r\n\r\n");
+        Socket client = connect();
+        ScriptedPeer.write(client, head + "Idempotency-Key: \"8e03 978e\"\r\n\r\n");
         ReceivedMessage first = workerOne.awaitMessage("POST");
         assertEquals("\"8e03 978e\"", first.header("Idempotency-Key"));
         first.reply("503 Full\r\nX-Not-Run: 1", "");
         assertEquals("\"8e03 978e\"", workerOne.awaitMessage("POST").header("Idempotency-Key"));
         assertEquals(
-                "two readings",
+                "ambiguous",
                 400,
                 exchange(
                                 head.replace("i1", "i2")
                                         + "Idempotency-Key: a\r\nIdempotency-Key: b\r\n\r\n")
                         .status());
         post("i3", "price", "15000m");
-        assertNull("where there is none", workerOne.awaitMessage("POST").header("Idempotency-Key"));
+        assertNull(
+                "if the client sent none",
+                workerOne.awaitMessage("POST").header("Idempotency-Key"));
     }
 
     @Test
     public void malformedJobEventsAreAnsweredWith400AndHaveNoOtherEffect() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
-        for (String bad : List.of("", "{", "[]", "{\"id\":1}", "[".repeat(60_000))) {
-            assertEquals(bad.length() > 20 ? "deep" : bad, 400, callBack(bad));
+        for (String malformed : List.of("", "{", "[]", "{\"id\":1}", "[".repeat(60_000))) {
+            assertEquals(malformed.length() > 20 ? "deep" : malformed, 400, callBack(malformed));
         }
         assertEquals(200, readinessStatus());
     }
@@ -100,11 +102,11 @@
         startDaemon(
                 workerEntry("w1", workerOne.address(), "ready"),
                 workerEntry("w2", workerOne.address(), "ready"));
-        Socket consumer = post("c1", "confirm", "15000m");
+        Socket client = post("c1", "confirm", "15000m");
         workerOne.awaitMessage("POST").resetConnection();
-        // Its worker may have taken it all the same, and is asked to drop it first.
+        // Its worker may have accepted it before the reset, so it is first asked to drop it.
         workerOne.awaitMessage("DELETE /jobs/c1 ").reply("200 OK", "");
-        assertEquals(502, ScriptedPeer.read(consumer).status());
+        assertEquals(502, ScriptedPeer.read(client).status());
         assertTrue(workerOne.hasNoMessage());
     }
 
@@ -116,10 +118,10 @@
                 workerEntry("w1", closed, "ready"),
                 workerEntry("w2", workerOne.address(), "ready"));
         for (int i = 0; i < 6; i++) {
-            Socket consumer = post("c" + i, "confirm", "15000m");
+            Socket client = post("c" + i, "confirm", "15000m");
             workerOne.awaitMessage("POST").accept();
             callBack("c" + i, "w2", "done");
-            assertEquals(200, ScriptedPeer.read(consumer).status());
+            assertEquals(200, ScriptedPeer.read(client).status());
         }
     }
 
@@ -128,7 +130,7 @@
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> script.actions.startAttempt(job.id(), "w1", 0);
         script.onFinished = (id, outcome) -> script.actions.reject(id, 1_500_000_000L);
-        String[][] stories = {
+        String[][] cases = {
             {"500 Error", "ERROR"},
             {"503 Full\r\nX-Not-Run: 1", "FULL"},
             {"503 No", "ERROR"},
@@ -136,20 +138,20 @@
             {"202 Accepted", "returned", "FULL"},
             {"202 Accepted", "lost", "RESET"}
         };
-        for (int i = 0; i < stories.length; i++) {
-            Socket consumer = post("j" + i, "price", "15000m");
+        for (int i = 0; i < cases.length; i++) {
+            Socket client = post("j" + i, "price", "15000m");
             ReceivedMessage job = workerOne.awaitMessage("POST");
-            job.reply(stories[i][0], "");
-            if (stories[i].length == 3) {
-                callBack("j" + i, "w1", stories[i][1]);
+            job.reply(cases[i][0], "");
+            if (cases[i].length == 3) {
+                callBack("j" + i, "w1", cases[i][1]);
             } else if (i > 0) {
-                // The connection has carried others, whose late answer this may be.
+                // The connection has carried other requests, so this may be the late response to
+                // one of them.
                 workerOne.awaitMessage("DELETE /jobs/j" + i + " ").reply("200 OK", "");
             }
             script.expectEvent("job j" + i);
-            script.expectEvent(
-                    "finished j" + i + " 0 " + stories[i][stories[i].length - 1] + " false");
-            ReceivedMessage answer = ScriptedPeer.read(consumer);
+            script.expectEvent("finished j" + i + " 0 " + cases[i][cases[i].length - 1] + " false");
+            ReceivedMessage answer = ScriptedPeer.read(client);
             assertEquals(429, answer.status());
             assertEquals("1.500", answer.header("Retry-After"));
         }
@@ -160,19 +162,19 @@
             throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         long start = System.nanoTime();
-        Socket consumer = post("t1", "price", "400m");
+        Socket client = post("t1", "price", "400m");
         workerOne.awaitMessage("POST").accept();
-        assertEquals(504, ScriptedPeer.read(consumer).status());
-        assertTrue("not before it", System.nanoTime() - start >= 400_000_000L);
+        assertEquals(504, ScriptedPeer.read(client).status());
+        assertTrue("not before the deadline", System.nanoTime() - start >= 400_000_000L);
         workerOne.awaitMessage("DELETE /jobs/t1 ");
     }
 
     @Test
     public void theJobOfADisconnectedClientIsCancelled() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
-        Socket consumer = post("g1", "price", "15000m");
+        Socket client = post("g1", "price", "15000m");
         workerOne.awaitMessage("POST").accept();
-        consumer.close();
+        client.close();
         workerOne.awaitMessage("DELETE /jobs/g1 ").reply("200 OK", "");
         assertEquals(200, readinessStatus());
     }
@@ -183,9 +185,9 @@
                 workerEntry("w1", workerOne.address(), "ready"),
                 workerEntry("w2", workerTwo.address(), "ready"));
         script.onJob = job -> script.actions.startAttempt(job.id(), "w1", 0);
-        Socket consumer = post("b1", "price", "15000m");
+        Socket client = post("b1", "price", "15000m");
         workerOne.awaitMessage("POST").reply("400 Bad Request", "");
-        assertEquals(502, ScriptedPeer.read(consumer).status());
+        assertEquals(502, ScriptedPeer.read(client).status());
         script.expectEvent("job b1");
         script.expectEvent("finished b1 0 CANCELLED true");
     }
@@ -193,21 +195,21 @@
     @Test
     public void aClientRepeatingARejectedRequestIsReadOncePerSweep() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
-        Socket s = post("m1", "no class", "1m");
-        assertEquals(400, ScriptedPeer.read(s).status());
+        Socket client = post("m1", "no class", "1m");
+        assertEquals(400, ScriptedPeer.read(client).status());
         long start = System.nanoTime();
         for (int i = 0; i < 4; i++) {
-            post(s, "m1", "no class", "1m");
-            assertEquals(400, ScriptedPeer.read(s).status());
+            post(client, "m1", "no class", "1m");
+            assertEquals(400, ScriptedPeer.read(client).status());
         }
         assertTrue("4 sweeps, the first under way", System.nanoTime() - start > 3 * 40_000_000L);
-        post(s, "m2", "price", "15000m");
+        post(client, "m2", "price", "15000m");
         workerOne.awaitMessage("POST").accept();
         callBack("m2", "w1", "done");
-        assertEquals(200, ScriptedPeer.read(s).status());
+        assertEquals(200, ScriptedPeer.read(client).status());
     }
 
-    // ---- Never two calls out.
+    // ---- No two attempts in flight.
 
     @Test
     public void anAttemptEndsForThePolicyOnlyOnceItsDeleteIsAnswered() throws Exception {
@@ -217,19 +219,19 @@
         script.onJob = job -> script.actions.startAttempt(job.id(), "w1", 0);
         script.onStarted = (id, attempt) -> script.actions.cancelAttempt(id, attempt);
         script.onFinished = (id, outcome) -> script.actions.startAttempt(id, "w2", 0);
-        Socket consumer = post("x1", "price", "15000m");
+        Socket client = post("x1", "price", "15000m");
         workerOne.awaitMessage("POST").accept();
         callBack("x1", "w1", "started");
         ReceivedMessage delete = workerOne.awaitMessage("DELETE /jobs/x1 ");
         script.expectEvent("job x1");
         script.expectEvent("started x1 0");
-        readinessStatus(); // Turns of the loop pass.
+        readinessStatus(); // The request takes some iterations of the loop.
         assertTrue(script.events.isEmpty() && workerTwo.hasNoMessage());
         delete.reply("200 OK", "");
         script.expectEvent("finished x1 0 CANCELLED false");
         workerTwo.awaitMessage("POST").accept();
         callBack("x1", "w2", "done");
-        assertEquals("made by w2", ScriptedPeer.read(consumer).body());
+        assertEquals("made by w2", ScriptedPeer.read(client).body());
     }
 
     @Test
@@ -298,16 +300,16 @@
         script.expectEvent("finished e1 1 RESET false");
     }
 
-    // ---- The list.
+    // ---- The worker list.
 
     @Test
     public void anAttemptWaitingForItsConnectionIsNotSentOnceItsWorkerDrains() throws Exception {
-        try (ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            // A full backlog: further connects neither come up nor fail.
+        try (ServerSocket unresponsive = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            // With a full backlog further connects neither succeed nor fail.
             for (int i = 0; i < 2; i++) {
-                sockets.add(new Socket(deaf.getInetAddress(), deaf.getLocalPort()));
+                sockets.add(new Socket(unresponsive.getInetAddress(), unresponsive.getLocalPort()));
             }
-            String address = "127.0.0.1:" + deaf.getLocalPort();
+            String address = "127.0.0.1:" + unresponsive.getLocalPort();
             startWithScriptedPolicy(workerEntry("w1", address, "ready"));
             script.onJob = job -> script.actions.startAttempt(job.id(), "w1", 0);
             post("w1", "price", "15000m");
@@ -315,7 +317,7 @@
             answerWatch(workerListJson(42, false, workerEntry("w1", address, "draining")));
             script.expectEvent("list DELTA [w1 DRAINING]");
             script.expectEvent("finished w1 0 NOT_SENT false");
-            assertEquals("no provider is left", 503, readinessStatus());
+            assertEquals("no worker is left", 503, readinessStatus());
         }
     }
 
@@ -324,9 +326,8 @@
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         answerWatch(workerListJson(43, false, workerEntry("w2", workerTwo.address(), "ready")));
         script.expectEvent("list DELTA [w2 READY]");
-        ReceivedMessage again =
-                discovery.awaitMessage(
-                        "GET /api/targets?watch=1&from=43 "); // Silent after its line.
+        // It stalls after its first line.
+        ReceivedMessage again = discovery.awaitMessage("GET /api/targets?watch=1&from=43 ");
         again.resetConnection();
         again = discovery.awaitMessage("GET /api/targets?watch=1&from=43 ");
         ScriptedPeer.write(again.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -342,12 +343,13 @@
                         workerEntry("w2", workerTwo.address(), "ready"),
                         workerEntry("w3", "nowhere", "ready"),
                         workerEntry("w4", workerOne.address(), "never heard of")));
-        script.expectEvent(
-                "list FULL [w2 READY, w4 DRAINING]"); // Entries that cannot be read hide no others.
+        // Unreadable entries do not hide the others.
+        script.expectEvent("list FULL [w2 READY, w4 DRAINING]");
         script.onJob = job -> script.actions.startAttempt(job.id(), "w1", 0);
         post("l1", "price", "15000m");
         script.expectEvent("job l1");
-        script.expectEvent("finished l1 0 NOT_SENT false"); // The whole list lacks w1.
+        // The full list does not contain w1.
+        script.expectEvent("finished l1 0 NOT_SENT false");
     }
 
     @Test
@@ -380,22 +382,22 @@
             Files.writeString(
                     file, Files.readString(file).replace(discovery.address(), next.address()));
             daemon.reload();
-            ReceivedMessage whole = next.awaitMessage("GET /api/targets ");
+            ReceivedMessage fullList = next.awaitMessage("GET /api/targets ");
             writeChunk(
                     former,
                     workerListJson(42, false, workerEntry("w2", workerTwo.address(), "ready")));
             script.expectEvent("list DELTA [w2 READY]");
             assertEquals("served from the known list", 200, readinessStatus());
-            whole.reply(
+            fullList.reply(
                     "200 OK",
                     workerListJson(7, true, workerEntry("w2", workerTwo.address(), "draining")));
             script.expectEvent("list FULL [w2 DRAINING]");
             assertSame(
-                    "the former watch is ended",
+                    "the former watch is closed",
                     former.socket(),
                     discovery.awaitClosedConnection());
             ReceivedMessage watch = next.awaitMessage("GET /api/targets?watch=1&from=7 ");
-            assertSame(whole.socket(), watch.socket());
+            assertSame(fullList.socket(), watch.socket());
             ScriptedPeer.write(
                     watch.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             writeChunk(
@@ -408,13 +410,13 @@
         }
     }
 
-    // ---- Bounds.
+    // ---- Limits.
 
     @Test
     public void badInputIsAnsweredAndClosesOnlyItsConnection() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         String post = "POST /api HTTP/1.1\r\n";
-        String[][] stories = {
+        String[][] cases = {
             {"NONSENSE\r\n\r\n", "400"},
             {post + "a b: c\r\n\r\n", "400"},
             {post + "Content-Length: 70000\r\n\r\n", "413"},
@@ -438,10 +440,10 @@
             {post + "X: " + "x".repeat(20_000) + "\r\n\r\n", "431"},
             {post + "a: b\r\n".repeat(70) + "\r\n", "431"}
         };
-        for (String[] story : stories) {
-            ReceivedMessage answer = exchange(story[0]);
-            assertEquals(story[0], story[1], "" + answer.status());
-            assertEquals("the connection ends", -1, answer.socket().getInputStream().read());
+        for (String[] testCase : cases) {
+            ReceivedMessage answer = exchange(testCase[0]);
+            assertEquals(testCase[0], testCase[1], "" + answer.status());
+            assertEquals("the connection is closed", -1, answer.socket().getInputStream().read());
         }
         assertEquals(400, ScriptedPeer.read(post("", "price", "1m")).status());
         assertEquals(400, ScriptedPeer.read(post("a/../b c", "price", "1m")).status());
@@ -465,62 +467,62 @@
                 400,
                 ScriptedPeer.read(post("i1\r\nX-Request-Id: i2", "price", "15000m")).status());
         assertEquals(
-                "no slots",
+                "invalid slots",
                 400,
                 ScriptedPeer.read(post("i1\r\nX-Extras: slots=-4", "price", "15000m")).status());
         assertEquals(404, exchange("GET /other HTTP/1.1\r\n\r\n").status());
         assertEquals(405, exchange("GET /api HTTP/1.1\r\n\r\n").status());
         assertEquals(200, readinessStatus());
-        assertTrue("nothing of it went further", workerOne.hasNoMessage());
+        assertTrue("nothing is forwarded", workerOne.hasNoMessage());
     }
 
     @Test
     public void silentAndIncompleteConnectionsAreClosedWithin3sAndEstablishedOnesKept()
             throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
-        Socket kept = post("o1", "price", "15000m");
+        Socket established = post("o1", "price", "15000m");
         workerOne.awaitMessage("POST").accept();
         callBack("o1", "w1", "done");
-        ScriptedPeer.read(kept);
+        ScriptedPeer.read(established);
         long start = System.nanoTime();
         Socket silent = connect();
-        Socket half = connect();
-        ScriptedPeer.write(half, "POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf");
-        assertEquals(408, ScriptedPeer.read(half).status());
-        assertEquals(-1, half.getInputStream().read());
+        Socket incomplete = connect();
+        ScriptedPeer.write(incomplete, "POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf");
+        assertEquals(408, ScriptedPeer.read(incomplete).status());
+        assertEquals(-1, incomplete.getInputStream().read());
         assertEquals(-1, silent.getInputStream().read());
         assertTrue("within 3 s", System.nanoTime() - start < 3_000_000_000L);
-        post(kept, "o2", "price", "15000m");
+        post(established, "o2", "price", "15000m");
         workerOne.awaitMessage("POST").accept();
         callBack("o2", "w1", "done");
-        assertEquals(200, ScriptedPeer.read(kept).status());
+        assertEquals(200, ScriptedPeer.read(established).status());
     }
 
     /**
-     * Jobs written over more than 2 s were turned away as if they had stopped; one that trickles
-     * for ever still is.
+     * Jobs written over more than 2 s used to be rejected as if their clients had stalled. One that
+     * never ends must still be.
      */
     @Test
     public void aSlowlySentJobIsAcceptedAndAnEndlessOneIsNot() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
-        Socket trickles = connect();
+        Socket endless = connect();
         Socket slow = connect();
         slow.setTcpNoDelay(true);
-        trickles.setSoTimeout(500);
+        endless.setSoTimeout(500);
         String job =
                 "POST /api HTTP/1.1\r\nX-Request-Id: s1\r\nX-Class: price\r\nContent-Length: 3\r\n\r\njob";
-        boolean turnedAway = false;
+        boolean rejected = false;
         long start = System.nanoTime();
-        for (int i = 0; !turnedAway; i++) {
-            ScriptedPeer.write(trickles, "x");
-            // Eight pieces, half a second apart: twice as long as a request may take that stops.
+        for (int i = 0; !rejected; i++) {
+            ScriptedPeer.write(endless, "x");
+            // Eight pieces, half a second apart: twice as long as a stalled request may take.
             if (i < 8) {
                 ScriptedPeer.write(
                         slow, job.substring(i * job.length() / 8, (i + 1) * job.length() / 8));
             }
             try {
-                assertEquals(408, ScriptedPeer.read(trickles).status());
-                turnedAway = true;
+                assertEquals(408, ScriptedPeer.read(endless).status());
+                rejected = true;
             } catch (SocketTimeoutException e) {
                 assertTrue("still open", System.nanoTime() - start < 15_000_000_000L);
             }
@@ -537,7 +539,7 @@
         ScriptedPeer.write(
                 s, "POST /api HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n" + "x".repeat(4 << 20));
         assertEquals(413, ScriptedPeer.read(s).status());
-        assertEquals("ended, not reset", -1, s.getInputStream().read());
+        assertEquals("closed, not reset", -1, s.getInputStream().read());
     }
 
     @Test
@@ -545,13 +547,13 @@
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         Socket owner = post("ab", "price", "15000m");
         workerOne.awaitMessage("POST").accept();
-        Socket thief = post("ab", "price", "15000m");
-        assertEquals(409, ScriptedPeer.read(thief).status());
-        thief.close();
-        Socket longer = post("ac", "price", "15000m");
+        Socket duplicate = post("ab", "price", "15000m");
+        assertEquals(409, ScriptedPeer.read(duplicate).status());
+        duplicate.close();
+        Socket excess = post("ac", "price", "15000m");
         workerOne.awaitMessage("POST").accept();
-        ScriptedPeer.write(longer, "and more than its length");
-        assertEquals(400, ScriptedPeer.read(longer).status());
+        ScriptedPeer.write(excess, "and more than its length");
+        assertEquals(400, ScriptedPeer.read(excess).status());
         workerOne.awaitMessage("DELETE /jobs/ac ").reply("200 OK", "");
         callBack("ab", "w1", "done");
         assertEquals("made by w1", ScriptedPeer.read(owner).body());
@@ -559,20 +561,21 @@
 
     @Test
     public void floodsOfIdleConnectionsDoNotEvictAnEstablishedOne() throws Exception {
-        descriptorLimit = 96; // 64 for sockets, 48 of them for accepted ones.
+        descriptorLimit = 96; // 64 of them for sockets, of which 48 for accepted connections.
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
-        Socket usual = post("u0", "price", "15000m");
+        Socket established = post("u0", "price", "15000m");
         for (int i = 0; i < 4; i++) {
             workerOne.awaitMessage("POST").accept();
             callBack("u" + i, "w1", "done");
-            assertEquals(200, ScriptedPeer.read(usual).status());
-            for (int j = 0; i > 0 && j < 60; j++) { // Once the usual one is past its probation.
-                Socket bad = connect();
+            assertEquals(200, ScriptedPeer.read(established).status());
+            // Once the established connection is no longer on probation.
+            for (int j = 0; i > 0 && j < 60; j++) {
+                Socket idle = connect();
                 if (j % 2 == 0) {
-                    ScriptedPeer.write(bad, "GET /-/ready HTTP/1.1\r\n\r\n");
+                    ScriptedPeer.write(idle, "GET /-/ready HTTP/1.1\r\n\r\n");
                 }
             }
-            post(usual, "u" + (i + 1), "price", "15000m");
+            post(established, "u" + (i + 1), "price", "15000m");
         }
         workerOne.awaitMessage("POST").accept();
         Socket fresh = post("n0", "price", "15000m");
@@ -584,32 +587,32 @@
     @Test
     public void expect100ContinueIsAnswered() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
-        Socket consumer = connect();
+        Socket client = connect();
         ScriptedPeer.write(
-                consumer,
+                client,
                 "POST /api HTTP/1.1\r\nX-Request-Id: q1\r\nX-Class: price\r\nContent-Length: 3\r\n"
                         + "Expect: 100-continue\r\n\r\n");
-        assertEquals(100, ScriptedPeer.read(consumer).status());
-        ScriptedPeer.write(consumer, "job");
+        assertEquals(100, ScriptedPeer.read(client).status());
+        ScriptedPeer.write(client, "job");
         assertEquals("job", workerOne.awaitMessage("POST").body());
         callBack("q1", "w1", "done");
-        assertEquals(200, ScriptedPeer.read(consumer).status());
+        assertEquals(200, ScriptedPeer.read(client).status());
     }
 
     @Test
     public void unsolicitedWorkerBytesAreNotTakenAsTheNextResponse() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
-        Socket consumer = post("u1", "price", "15000m");
+        Socket client = post("u1", "price", "15000m");
         ReceivedMessage first = workerOne.awaitMessage("POST");
         ScriptedPeer.write(first.socket(), "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
         callBack("u1", "w1", "done");
-        ScriptedPeer.read(consumer);
+        ScriptedPeer.read(client);
         ScriptedPeer.write(first.socket(), "HTTP/1.1 500 ");
-        assertSame("its connection ends", first.socket(), workerOne.awaitClosedConnection());
-        post(consumer, "u2", "price", "15000m");
+        assertSame("its connection is closed", first.socket(), workerOne.awaitClosedConnection());
+        post(client, "u2", "price", "15000m");
         workerOne.awaitMessage("POST").accept();
         callBack("u2", "w1", "done");
-        assertEquals(200, ScriptedPeer.read(consumer).status());
+        assertEquals(200, ScriptedPeer.read(client).status());
     }
 
     @Test
@@ -648,7 +651,7 @@
     public void aJobThatThePolicyFailsOnOrForgetsIsAnswered() throws Exception {
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         post("f0", "price", "300m");
-        assertEquals("forgotten", 429, ScriptedPeer.read(sockets.get(0)).status());
+        assertEquals("the policy ignores it", 429, ScriptedPeer.read(sockets.get(0)).status());
         script.onJob =
                 job -> {
                     throw new IllegalStateException("scripted");
@@ -661,13 +664,13 @@
     public void idleConnectionsAreClosedBeforeTheWorkerClosesThem() throws Exception {
         idleTimeoutNs = 300_000_000L;
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
-        Socket consumer = post("r1", "price", "15000m");
+        Socket client = post("r1", "price", "15000m");
         ReceivedMessage first = workerOne.awaitMessage("POST");
         first.accept();
         callBack("r1", "w1", "done");
-        ScriptedPeer.read(consumer);
+        ScriptedPeer.read(client);
         assertSame(first.socket(), workerOne.awaitClosedConnection());
-        post(consumer, "r2", "price", "15000m");
+        post(client, "r2", "price", "15000m");
         ReceivedMessage second = workerOne.awaitMessage("POST");
         assertNotSame(first.socket(), second.socket());
     }
@@ -675,7 +678,7 @@
     @Test
     public void aConnectionFoundBrokenAfterIdlingShortensTheIdleTimeout() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
-        Socket consumer = post("v1", "price", "15000m");
+        Socket client = post("v1", "price", "15000m");
         ReceivedMessage first = workerOne.awaitMessage("POST");
         Socket other = post("v2", "price", "15000m");
         ReceivedMessage second = workerOne.awaitMessage("POST");
@@ -683,16 +686,16 @@
         second.accept();
         callBack("v1", "w1", "done");
         callBack("v2", "w1", "done");
-        ScriptedPeer.read(consumer);
+        ScriptedPeer.read(client);
         ScriptedPeer.read(other);
-        Thread.sleep(
-                400); // The idleness itself: without the guard the other connection is kept for 6
-        // s.
-        post(consumer, "v3", "confirm", "15000m");
+        // Idle time that the test needs: without the shortened time-out the other connection is
+        // kept for 6 s.
+        Thread.sleep(400);
+        post(client, "v3", "confirm", "15000m");
         ReceivedMessage broken = workerOne.awaitMessage("POST");
         broken.resetConnection();
         workerOne.awaitMessage("DELETE /jobs/v3 ").reply("200 OK", "");
-        assertEquals("it may have run", 502, ScriptedPeer.read(consumer).status());
+        assertEquals("it may have run", 502, ScriptedPeer.read(client).status());
         post(other, "v4", "confirm", "15000m");
         ReceivedMessage fresh = workerOne.awaitMessage("POST");
         assertNotSame(first.socket(), fresh.socket());
@@ -705,30 +708,30 @@
     @Test
     public void aConnectionClosedWhileIdleDoesNotFailTheNextJob() throws Exception {
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
-        Socket consumer = post("k1", "confirm", "15000m");
+        Socket client = post("k1", "confirm", "15000m");
         ReceivedMessage first = workerOne.awaitMessage("POST");
         first.accept();
         callBack("k1", "w1", "done");
-        ScriptedPeer.read(consumer);
-        first.socket()
-                .shutdownOutput(); // Arrives at once; a close waits for the thread that reads.
-        post(consumer, "k2", "confirm", "15000m");
+        ScriptedPeer.read(client);
+        // Arrives at once, whereas a close waits for the reading thread.
+        first.socket().shutdownOutput();
+        post(client, "k2", "confirm", "15000m");
         workerOne.awaitMessage("POST").accept();
         callBack("k2", "w1", "done");
-        assertEquals(200, ScriptedPeer.read(consumer).status());
+        assertEquals(200, ScriptedPeer.read(client).status());
     }
 
     @Test
     public void idleConnectionsAreEvictedWhenSocketsRunOut() throws Exception {
-        descriptorLimit = 96; // 64 for sockets, 48 of them for accepted ones.
+        descriptorLimit = 96; // 64 of them for sockets, of which 48 for accepted connections.
         startDaemon(workerEntry("w1", workerOne.address(), "ready"));
         for (int i = 0; i < 80; i++) {
             connect();
         }
-        Socket consumer = post("s1", "price", "15000m");
+        Socket client = post("s1", "price", "15000m");
         workerOne.awaitMessage("POST").accept();
         callBack("s1", "w1", "done");
-        assertEquals(200, ScriptedPeer.read(consumer).status());
+        assertEquals(200, ScriptedPeer.read(client).status());
         assertEquals("the oldest was closed", -1, sockets.get(0).getInputStream().read());
     }
 
@@ -748,13 +751,15 @@
         assertEquals(204, callBack("p2", "w1", "done"));
         assertEquals(200, ScriptedPeer.read(after).status());
         TimeUnit.SECONDS.timedJoin(stop, 1);
-        assertTrue("one is still owed", stop.isAlive());
-        Socket early = connect(); // A call-back whose connection is there before its bytes are.
+        assertTrue("one job is still unanswered", stop.isAlive());
+        Socket early = connect(); // For a call-back whose connection arrives before its bytes.
         assertEquals(503, readinessStatus());
         Thread.sleep(
                 3
                         * Daemon.SHUTDOWN_CHECK_INTERVAL_MICROS
-                        / 1000); // Not for luck: without its guard these checks close it.
+                        // Long enough for several checks, which would close it if open connections
+                        // were ignored.
+                        / 1000);
         String done = "{\"id\":\"p1\",\"from\":\"w1\",\"state\":\"done\"}";
         ScriptedPeer.write(
                 early,
@@ -771,97 +776,101 @@
     public void gracefulStopFinallyAnswersJobsThatArrivedTooLate() throws Exception {
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> script.actions.startAttempt(job.id(), "w1", 0);
-        Socket kept = post("z1", "price", "15000m");
+        Socket client = post("z1", "price", "15000m");
         workerOne.awaitMessage("POST").accept();
         callBack("z1", "w1", "done");
-        ScriptedPeer.read(kept);
+        ScriptedPeer.read(client);
         long start = System.nanoTime();
         Thread stop = stopInBackground(daemon);
         while (readinessStatus() == 200) {
             Thread.onSpinWait();
         }
         while (System.nanoTime() - start
-                < 1_000_000_000L) { // Later than what SIGKILL may find unanswered.
-            post(kept, "z2" + System.nanoTime(), "price", "15000m");
+                < 1_000_000_000L) { // Later than jobs that may be unanswered at SIGKILL.
+            post(client, "z2" + System.nanoTime(), "price", "15000m");
             ReceivedMessage job = workerOne.awaitMessage("POST");
             job.accept();
             callBack(job.header("X-Request-Id"), "w1", "done");
-            ReceivedMessage answer = ScriptedPeer.read(kept);
-            assertEquals("served on", 200, answer.status());
-            assertNull("on a connection that stays", answer.header("Connection"));
+            ReceivedMessage answer = ScriptedPeer.read(client);
+            assertEquals("still served", 200, answer.status());
+            assertNull("on a connection that is kept open", answer.header("Connection"));
         }
-        post(kept, "z3", "confirm", "6000m");
+        post(client, "z3", "confirm", "6000m");
         workerOne.awaitMessage("POST").accept();
-        assertEquals(502, ScriptedPeer.read(kept).status());
+        assertEquals(502, ScriptedPeer.read(client).status());
         workerOne.awaitMessage("DELETE /jobs/z3 ").reply("200 OK", "");
         awaitStopped(stop);
     }
 
     @Test
     public void sighupReloadsSigtermStopsAndAnInvalidKeyIsNamed() throws Exception {
-        Map<String, String> good = configuration(workerEntry("w1", workerOne.address(), "ready"));
-        Process p = startProcess(good);
+        Map<String, String> environment =
+                configuration(workerEntry("w1", workerOne.address(), "ready"));
+        Process process = startProcess(environment);
         discovery.awaitMessage("GET /api/targets?watch=1&from=41 ");
-        replaceAndSendSighup(p, good, discovery.address(), workerTwo.address());
+        replaceAndSendSighup(process, environment, discovery.address(), workerTwo.address());
         ReceivedMessage asked = workerTwo.awaitMessage("GET /api/targets ");
-        replaceAndSendSighup(p, good, "discovery", "nowhere"); // Faulty.
+        replaceAndSendSighup(process, environment, "discovery", "nowhere"); // An invalid address.
         while (!asked.head().startsWith("GET /api/targets?watch=1&from=1 ")) {
             asked.reply(
                     "200 OK",
                     workerListJson(1, true, workerEntry("w1", workerOne.address(), "ready")));
-            asked =
-                    workerTwo.awaitMessage(
-                            "GET /api/targets"); // Again where the reply was late on a slow
-            // machine.
+            // Asked again if the reply was late on a slow machine.
+            asked = workerTwo.awaitMessage("GET /api/targets");
         }
-        p.toHandle().destroy(); // SIGTERM; the process object itself would close its log too.
-        String log = new String(p.getErrorStream().readAllBytes());
-        assertTrue("ended", p.waitFor(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
-        assertTrue(log, log.contains(good.get("ROUTER_CONFIG") + ": discovery: "));
-        assertFalse("the move is no alarm: " + log, log.contains("list lost (closed)"));
+        // Sends SIGTERM; destroy() of the process object would close its log as well.
+        process.toHandle().destroy();
+        String log = new String(process.getErrorStream().readAllBytes());
+        assertTrue("ended", process.waitFor(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
+        assertTrue(log, log.contains(environment.get("ROUTER_CONFIG") + ": discovery: "));
+        assertFalse(
+                "the move is not reported as a loss: " + log, log.contains("list lost (closed)"));
         assertTrue(log, log.contains("all answered"));
-        Path file = Path.of(good.get("ROUTER_CONFIG"));
+        Path file = Path.of(environment.get("ROUTER_CONFIG"));
         Files.writeString(
                 file,
                 Files.readString(file)
                         .replace("nowhere", "discovery")
                         .replace("read_like", "perhaps"));
-        p = startProcess(good);
-        log = new String(p.getErrorStream().readAllBytes());
-        assertEquals(2, p.waitFor());
+        process = startProcess(environment);
+        log = new String(process.getErrorStream().readAllBytes());
+        assertEquals(2, process.waitFor());
         assertTrue(log, log.contains("settings: classes.0.idempotency"));
         try {
             Config.read(Map.of());
-            fail("nothing was configured");
+            fail("accepted without a configuration");
         } catch (Config.InvalidConfigException e) {
             assertEquals("ROUTER_CONFIG: not set", e.getMessage());
         }
     }
 
     /**
-     * Days were lost to it: the bench had been started with nohup, and its dispatchers never read a
-     * new configuration.
+     * A dispatcher started under nohup ignores SIGHUP and never reads a new configuration. Test
+     * runs under nohup failed this way without any message.
      */
     @Test
     public void aProcessStartedWithSighupIgnoredWarnsThatItCannotReload() throws Exception {
-        Map<String, String> good = configuration(workerEntry("w1", workerOne.address(), "ready"));
-        Process p = startProcess(good, "sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
-        try (BufferedReader log = new BufferedReader(new InputStreamReader(p.getErrorStream()))) {
+        Map<String, String> environment =
+                configuration(workerEntry("w1", workerOne.address(), "ready"));
+        Process process = startProcess(environment, "sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
+        try (BufferedReader log =
+                new BufferedReader(new InputStreamReader(process.getErrorStream()))) {
             String line = log.readLine();
             while (line != null && !line.contains("SIGHUP is ignored")) {
                 line = log.readLine();
             }
-            assertTrue("said so", line != null);
+            assertTrue("the warning is logged", line != null);
         } finally {
-            p.destroyForcibly();
+            process.destroyForcibly();
         }
     }
 
-    /** Replaces a word of the configuration file and sends SIGHUP. */
+    /** Replaces a word in the configuration file and sends SIGHUP. */
     private static void replaceAndSendSighup(
-            Process p, Map<String, String> environment, String from, String to) throws Exception {
+            Process process, Map<String, String> environment, String from, String to)
+            throws Exception {
         Path file = Path.of(environment.get("ROUTER_CONFIG"));
         Files.writeString(file, Files.readString(file).replace(from, to));
-        new ProcessBuilder("kill", "-HUP", "" + p.pid()).start().waitFor();
+        new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor();
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/DaemonTestBase.java
+++ b/daemon/src/test/java/postgrade/daemon/DaemonTestBase.java
@@ -23,15 +23,16 @@
 import postgrade.extension.DispatcherExtension;
 
 /**
- * The stage of the stories: a daemon on loopback between scripted consumers, providers and
- * discovery.
+ * Base of the tests that run a daemon on loopback between scripted clients, workers and discovery.
  */
 public abstract class DaemonTestBase {
 
     private static final List<String> WITH_DEFAULT_SIGHUP = List.of("env", "--default-signal=HUP");
     private static final long MAX_PROCESS_SECONDS = 180;
 
-    /** Nothing is silent at its opening, however slow the machine; but soon after a line. */
+    /**
+     * A watch is never timed out when it opens, however slow the machine, but soon after a line.
+     */
     static final WatchTimeouts WATCH_TIMEOUTS = new WatchTimeouts(20_000_000, 500_000, 0);
 
     static final String SETTINGS =
@@ -55,10 +56,10 @@
     boolean withOperatorPort;
     String listen = "127.0.0.1:0";
 
-    /** What stands beside the daemon, if anything is to. */
+    /** The configuration of the daemon's extension, or null for none. */
     DispatcherExtension.Configuration companionPlan;
 
-    /** The folder that the processes of one dispatcher share, if there is to be one. */
+    /** The directory shared by the processes of one dispatcher, or null for none. */
     Path sharedDirectory;
 
     @Before
@@ -69,8 +70,9 @@
     }
 
     /**
-     * A port for processes of one dispatcher that listen one after another, held by a socket that
-     * is bound and never listens: nobody else is given it while none of them does.
+     * Reserves a port for processes of one dispatcher that listen one after another, by a socket
+     * that is bound and never listens: the system gives the port to nobody else while none of them
+     * listens.
      */
     String reserveAddress(String host) throws IOException {
         Socket placeholder = new Socket();
@@ -84,9 +86,8 @@
     @After
     public void closePeers() throws IOException {
         if (script != null) {
-            // Guards the tests that follow: a script that sends again whatever fails would do so
-            // for ever, and fill the heap,
-            // once the consumer and the providers are gone.
+            // A policy that retries whatever fails would retry for ever and fill the heap once the
+            // client and the workers are gone, which would break the tests that follow.
             script.onJob = job -> {};
             script.onStarted = (id, attempt) -> {};
             script.onFinished = (id, outcome) -> {};
@@ -99,7 +100,7 @@
         }
     }
 
-    // ---- Setting the stage.
+    // ---- Setup.
 
     static String workerEntry(String id, String address, String state) {
         return "{'id':'"
@@ -111,18 +112,18 @@
                 + "','weight':1.0,'started_ms':0}";
     }
 
-    static String workerListJson(long version, boolean full, String... servers) {
+    static String workerListJson(long version, boolean full, String... entries) {
         return ("{'version':"
                         + version
                         + ",'full':"
                         + full
                         + ",'servers':["
-                        + String.join(",", servers)
+                        + String.join(",", entries)
                         + "]}")
                 .replace('\'', '"');
     }
 
-    Map<String, String> configuration(String... servers) throws IOException {
+    Map<String, String> configuration(String... entries) throws IOException {
         Path file = folder.newFile().toPath();
         Files.writeString(
                 file,
@@ -138,46 +139,46 @@
                                                 .replace("IDLE", "" + idleTimeoutNs)
                                         + "},'known':")
                                 .replace('\'', '"')
-                        + workerListJson(41, true, servers)
+                        + workerListJson(41, true, entries)
                         + "}");
         return sharedDirectory == null
                 ? Map.of("ROUTER_CONFIG", file.toString())
                 : Map.of("ROUTER_CONFIG", file.toString(), "TMPDIR", sharedDirectory.toString());
     }
 
-    void startDaemon(String... servers) throws Exception {
-        daemon = new Daemon(Config.read(configuration(servers)), companionPlan);
+    void startDaemon(String... entries) throws Exception {
+        daemon = new Daemon(Config.read(configuration(entries)), companionPlan);
         daemon.start();
     }
 
-    /** With a module that does what the test says. */
-    void startWithScriptedPolicy(String... servers) throws Exception {
+    /** Starts the daemon with a policy scripted by the test. */
+    void startWithScriptedPolicy(String... entries) throws Exception {
         daemon =
                 new Daemon(
-                        Config.read(configuration(servers)),
+                        Config.read(configuration(entries)),
                         companionPlan,
                         out -> script = new ScriptedPolicy(out),
                         WATCH_TIMEOUTS);
         daemon.start();
-        script.events.take(); // The stored list.
+        script.events.take(); // The cached list.
     }
 
     Socket connect() throws IOException {
-        Socket s = new Socket(listen.split(":")[0], daemon.port());
-        s.setSoTimeout(ScriptedPeer.TIMEOUT_S * 1000);
-        sockets.add(s);
-        return s;
+        Socket socket = new Socket(listen.split(":")[0], daemon.port());
+        socket.setSoTimeout(ScriptedPeer.TIMEOUT_S * 1000);
+        sockets.add(socket);
+        return socket;
     }
 
     Socket post(String id, String jobClass, String deadline) throws IOException {
-        Socket s = connect();
-        post(s, id, jobClass, deadline);
-        return s;
+        Socket socket = connect();
+        post(socket, id, jobClass, deadline);
+        return socket;
     }
 
-    static void post(Socket s, String id, String jobClass, String deadline) {
+    static void post(Socket socket, String id, String jobClass, String deadline) {
         ScriptedPeer.write(
-                s,
+                socket,
                 "POST /api?a=b HTTP/1.1\r\nHost: backend.local\r\nX-Request-Id: "
                         + id
                         + "\r\nX-Class: "
@@ -187,10 +188,10 @@
                         + "\r\nContent-Length: 3\r\n\r\njob");
     }
 
-    ReceivedMessage exchange(String text) throws IOException {
-        Socket s = connect();
-        ScriptedPeer.write(s, text);
-        return ScriptedPeer.read(s);
+    ReceivedMessage exchange(String request) throws IOException {
+        Socket socket = connect();
+        ScriptedPeer.write(socket, request);
+        return ScriptedPeer.read(socket);
     }
 
     int readinessStatus() throws IOException {
@@ -222,29 +223,29 @@
         writeChunk(watch, line);
     }
 
-    /** One operator's call, and its answer; one call a connection. */
-    ReceivedMessage operatorCall(Daemon of, String line, String body) throws IOException {
-        Socket s = new Socket(InetAddress.getLoopbackAddress(), of.operatorPort());
-        s.setSoTimeout(ScriptedPeer.TIMEOUT_S * 1000);
-        sockets.add(s);
+    /** Makes an operator call on a connection of its own and returns the answer. */
+    ReceivedMessage operatorCall(Daemon dispatcher, String line, String body) throws IOException {
+        Socket socket = new Socket(InetAddress.getLoopbackAddress(), dispatcher.operatorPort());
+        socket.setSoTimeout(ScriptedPeer.TIMEOUT_S * 1000);
+        sockets.add(socket);
         ScriptedPeer.write(
-                s, line + " HTTP/1.1\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
-        ReceivedMessage answer = ScriptedPeer.read(s);
-        assertEquals("one call a connection", -1, s.getInputStream().read());
-        s.close();
+                socket, line + " HTTP/1.1\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+        ReceivedMessage answer = ScriptedPeer.read(socket);
+        assertEquals("one call per connection", -1, socket.getInputStream().read());
+        socket.close();
         return answer;
     }
 
-    /** Tells it to end in order; {@link #awaitStopped} waits until it has. */
-    static Thread stopInBackground(Daemon d) {
-        Thread stop = new Thread(d::stop);
+    /** Starts a graceful stop; {@link #awaitStopped} waits for its end. */
+    static Thread stopInBackground(Daemon dispatcher) {
+        Thread stop = new Thread(dispatcher::stop);
         stop.start();
         return stop;
     }
 
     static void awaitStopped(Thread stop) throws InterruptedException {
         TimeUnit.SECONDS.timedJoin(stop, ScriptedPeer.TIMEOUT_S);
-        assertFalse("stopped", stop.isAlive());
+        assertFalse("stopped in time", stop.isAlive());
     }
 
     static void writeChunk(ReceivedMessage watch, String line) {
@@ -253,10 +254,10 @@
     }
 
     /**
-     * A dispatcher in a process of its own, which is killed where a test waits for its log without
-     * end. It heeds SIGHUP though the tests may have been started by nohup.
+     * Starts a dispatcher in a process of its own, which is killed after some time in case a test
+     * waits for its log for ever. It handles SIGHUP even if the tests were started under nohup.
      *
-     * @param by a command that starts it, if it is not to be started plainly
+     * @param launcher a command that starts it, if it is not to be started directly
      */
     static Process startProcess(Map<String, String> environment, String... launcher)
             throws IOException {
--- a/daemon/src/test/java/postgrade/daemon/HandOverTest.java
+++ b/daemon/src/test/java/postgrade/daemon/HandOverTest.java
@@ -29,8 +29,8 @@
 import postgrade.policy.api.PolicyStateEntry;
 
 /**
- * What goes from the old process of a dispatcher to the new one, and what does not where either
- * fails early.
+ * What the old process of a dispatcher hands over to the new one, and what happens if either fails
+ * early.
  */
 public class HandOverTest extends DaemonTestBase {
 
@@ -94,43 +94,44 @@
         assertEquals(
                 200, operatorCall(daemon, "PUT /maintenance/enter", "{\"id\":\"w1\"}").status());
         Path link = linkFile();
-        Path left = Path.of(link.toString().replaceFirst("[0-9]{15}-[0-9]{10}[.]link", "left"));
-        byte[] said = Files.readAllBytes(left);
+        Path handoverFile =
+                Path.of(link.toString().replaceFirst("[0-9]{15}-[0-9]{10}[.]link", "left"));
+        byte[] overrides = Files.readAllBytes(handoverFile);
         awaitStopped(stopInBackground(daemon));
-        assertTrue("an end in order leaves nothing", !Files.exists(left));
-        Files.write(left, said);
-        try (ServerSocketChannel old = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
-            old.bind(UnixDomainSocketAddress.of(link));
-            // It is there, and dies over its answer.
+        assertTrue("a graceful stop leaves no file", !Files.exists(handoverFile));
+        Files.write(handoverFile, overrides);
+        try (ServerSocketChannel dyingProcess =
+                ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
+            dyingProcess.bind(UnixDomainSocketAddress.of(link));
+            // It accepts the link and dies before it answers.
             daemon = new Daemon(Config.read(environment));
-            old.accept().close();
+            dyingProcess.accept().close();
         }
         daemon.start();
         String status = operatorCall(daemon, "GET /status", "").body();
         assertTrue(status, status.contains("\"out\":[\"w1\"]"));
         awaitStopped(stopInBackground(daemon));
-        Files.write(left, said);
-        Process plain =
-                startProcess(
-                        environment); // Its address is free: the others here have ended in order.
-        try (BufferedReader log = plain.errorReader()) {
+        Files.write(handoverFile, overrides);
+        // Its address is free, as the other daemons of this test have stopped gracefully.
+        Process process = startProcess(environment);
+        try (BufferedReader log = process.errorReader()) {
             String line = log.readLine();
             while (line != null && !line.contains(" listens on ")) {
                 line = log.readLine();
             }
-            assertTrue("it serves", line != null);
+            assertTrue("it starts to serve", line != null);
         } finally {
-            plain.destroyForcibly();
+            process.destroyForcibly();
         }
-        assertTrue("a start that meets nobody forgets it", !Files.exists(left));
+        assertTrue("a start without running processes deletes it", !Files.exists(handoverFile));
     }
 
     @Test
     public void extensionStateReachesTheNewProcessAtStart() throws Exception {
-        List<String> told = new ArrayList<>();
-        DispatcherExtension.Configuration beside =
+        List<String> received = new ArrayList<>();
+        DispatcherExtension.Configuration extension =
                 host -> {
-                    told.add(
+                    received.add(
                             host.predecessorState()
                                     + " "
                                     + host.startedByHandOver()
@@ -156,11 +157,11 @@
                         public void close() {}
                     };
                 };
-        daemon = new Daemon(Config.read(environment), beside);
+        daemon = new Daemon(Config.read(environment), extension);
         daemon.start();
-        Daemon second = new Daemon(Config.read(environment), beside);
+        Daemon second = new Daemon(Config.read(environment), extension);
         second.start();
-        assertEquals(List.of(" false true", "{\"word\":\"as \u010dvor\"} true false"), told);
+        assertEquals(List.of(" false true", "{\"word\":\"as \u010dvor\"} true false"), received);
         awaitStopped(stopInBackground(daemon));
         awaitStopped(stopInBackground(second));
     }
@@ -175,7 +176,7 @@
                         WATCH_TIMEOUTS);
         daemon.start();
         script.expectEvent("list CACHED [w1 READY, w2 READY]");
-        Map<String, String> clash = new HashMap<>(environment);
+        Map<String, String> conflicting = new HashMap<>(environment);
         Path file = folder.newFile().toPath();
         Files.writeString(
                 file,
@@ -183,13 +184,13 @@
                         .replace(
                                 "\"operator\":\"127.0.0.1:0\"",
                                 "\"operator\":\"127.0.0.1:" + daemon.operatorPort() + "\""));
-        clash.put("ROUTER_CONFIG", file.toString());
-        Process failing = startProcess(clash);
+        conflicting.put("ROUTER_CONFIG", file.toString());
+        Process failing = startProcess(conflicting);
         try {
             assertTrue(failing.waitFor(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
             assertEquals(1, failing.exitValue());
-            String said = new String(failing.getErrorStream().readAllBytes());
-            assertTrue(said, said.contains("postgrade: listen: "));
+            String errors = new String(failing.getErrorStream().readAllBytes());
+            assertTrue(errors, errors.contains("postgrade: listen: "));
         } finally {
             failing.destroyForcibly();
         }
@@ -198,13 +199,13 @@
             Thread.onSpinWait();
         }
         assertEquals(200, readinessStatus());
-        assertEquals("whole again", 1, script.lastShare, 0);
+        assertEquals("the full rate is restored", 1, script.lastShare, 0);
         awaitStopped(stopInBackground(daemon));
     }
 
     /**
-     * Told to end by one that has come to serve, while the loop is held: some wait to be accepted,
-     * a request is half read.
+     * The old process is stopped after its successor has started to serve, while its loop is
+     * blocked: a connection waits to be accepted and a request is half read.
      */
     @Test
     public void requestsInFlightOrInTheBacklogAtHandOverAreServedByTheOldProcess()
@@ -216,24 +217,24 @@
                         out -> script = new ScriptedPolicy(out),
                         WATCH_TIMEOUTS);
         daemon.start();
-        Config c = Config.read(environment);
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch goesOn = new CountDownLatch(1);
+        Config config = Config.read(environment);
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         script.onJob =
                 job -> {
                     script.actions.startAttempt(job.id(), "w1", 0);
                     if (job.id().equals("holds")) {
-                        held.countDown();
-                        awaitLatch(goesOn);
+                        blocked.countDown();
+                        awaitLatch(release);
                     }
                 };
         try (SocketChannel successor = SocketChannel.open(UnixDomainSocketAddress.of(linkFile()))) {
             write(
                     successor,
                     "{\"hello\":1,\"id\":\"x\",\"dispatcher\":\""
-                            + c.name
+                            + config.name
                             + " "
-                            + c.listenAddress
+                            + config.listenAddress
                             + "\"}\n{\"serving\":true}\n");
             script.expectEventAmongOthers("share 0.5");
             Map<String, Socket> clients = new HashMap<>();
@@ -245,20 +246,20 @@
                     half,
                     "POST /api HTTP/1.1\r\nX-Request-Id: half\r\nX-Class: price\r\nContent-Length: 3\r\n\r\n");
             clients.put("holds", post("holds", "price", "15000m"));
-            assertTrue(held.await(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
+            assertTrue(blocked.await(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
             clients.put("backlog", post("backlog", "price", "15000m"));
             Thread stop = stopInBackground(daemon);
-            while (stop.getState()
-                    != Thread.State.WAITING) { // For the loop, which has been told by then.
+            // It waits for the loop, which has received the stop by then.
+            while (stop.getState() != Thread.State.WAITING) {
                 Thread.onSpinWait();
             }
-            goesOn.countDown();
+            release.countDown();
             ScriptedPeer.write(half, "job");
             for (int i = 0; i < clients.size(); i++) {
                 ReceivedMessage job = i == 0 ? sent : workerOne.awaitMessage("POST");
                 job.accept();
                 String id = job.header("X-Request-Id");
-                // The workers' call-backs come to the successor, which passes them on.
+                // The workers' call-backs arrive at the successor, which relays them.
                 write(
                         successor,
                         "{\"ask\":1,\"event\":\"{\\\"id\\\":\\\""
--- a/daemon/src/test/java/postgrade/daemon/HandoverStateTest.java
+++ b/daemon/src/test/java/postgrade/daemon/HandoverStateTest.java
@@ -10,8 +10,8 @@
 import postgrade.endpoints.EndpointRegistry.WorkerOverride;
 
 /**
- * The file that a process leaves for the next one: read whichever version wrote it, its ages by the
- * clock it had.
+ * The file that a process leaves for the next one: it is readable whichever version wrote it, and
+ * its ages are computed by the clock recorded in it.
  */
 public class HandoverStateTest {
 
@@ -40,7 +40,7 @@
                 overrides(file, WRITTEN_MS + 3_000, 77));
     }
 
-    /** By an hour, either way, between the writing and the reading. */
+    /** The wall clock is stepped by an hour in either direction between writing and reading. */
     @Test
     public void aWallClockStepChangesNoAge() {
         EndpointRegistry registry = new EndpointRegistry();
--- a/daemon/src/test/java/postgrade/daemon/LayeringTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LayeringTest.java
@@ -7,7 +7,10 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.Test;
 
-/** The layers of the daemon, as docs/architecture.md has them: its sides do not know each other. */
+/**
+ * Checks the layers of the daemon described in docs/architecture.md: its client, worker and
+ * discovery sides do not depend on each other.
+ */
 public class LayeringTest {
 
     private static final JavaClasses DAEMON =
--- a/daemon/src/test/java/postgrade/daemon/LinkFailureTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LinkFailureTest.java
@@ -27,8 +27,8 @@
 import org.junit.rules.Timeout;
 
 /**
- * A process that serves, by script, beside which a new one starts: it holds the address whatever
- * becomes of the link.
+ * A new process starts next to a scripted process that serves and holds the address whatever
+ * happens to the link.
  */
 public class LinkFailureTest extends DaemonTestBase {
 
@@ -45,11 +45,12 @@
         listen = reserveAddress(HOST);
         sharedDirectory = Files.createDirectory(folder.getRoot().toPath().resolve("t"));
         environment = configuration(workerEntry("w1", workerOne.address(), "ready"));
-        Config c = Config.read(environment);
+        Config config = Config.read(environment);
         Path link =
                 sharedDirectory.resolve(
                         "pg-"
-                                + Integer.toHexString((c.name + " " + c.listenAddress).hashCode())
+                                + Integer.toHexString(
+                                        (config.name + " " + config.listenAddress).hashCode())
                                 + "-000000000000001-0000000001.link");
         linkListener =
                 ServerSocketChannel.open(StandardProtocolFamily.UNIX)
@@ -67,14 +68,14 @@
         clientListener.close();
     }
 
-    /** One that fails says so at once: whoever waits for its link would wait in vain. */
+    /** A failing start closes the listener, so that a test does not wait for its link in vain. */
     private Future<Daemon> startInBackground() {
         return startExecutor.submit(
                 () -> {
                     try {
-                        Daemon d = new Daemon(Config.read(environment));
-                        d.start();
-                        return d;
+                        Daemon dispatcher = new Daemon(Config.read(environment));
+                        dispatcher.start();
+                        return dispatcher;
                     } catch (Exception e) {
                         linkListener.close();
                         throw e;
@@ -82,33 +83,33 @@
                 });
     }
 
-    /** A new process has connected and said who it is. */
-    private SocketChannel acceptHello(Future<Daemon> by) throws Exception {
-        SocketChannel c;
+    /** Accepts the link of the new process and reads its hello. */
+    private SocketChannel acceptHello(Future<Daemon> start) throws Exception {
+        SocketChannel link;
         try {
-            c = linkListener.accept();
+            link = linkListener.accept();
         } catch (ClosedChannelException e) {
-            by.get(); // Its start has failed, and this says why.
+            start.get(); // Throws the cause if the start has failed.
             throw e;
         }
-        String hello = readLine(c);
+        String hello = readLine(link);
         assertTrue(hello, hello.contains("\"hello\":1"));
-        return c;
+        return link;
     }
 
-    private static String readLine(SocketChannel c) throws IOException {
+    private static String readLine(SocketChannel link) throws IOException {
         StringBuilder line = new StringBuilder();
         ByteBuffer b = ByteBuffer.allocate(1);
         while (line.indexOf("\n") < 0) {
             b.clear();
-            assertTrue("ended after " + line, c.read(b) > 0);
+            assertTrue("ended after " + line, link.read(b) > 0);
             line.append((char) b.get(0));
         }
         return line.toString();
     }
 
-    private static void sendState(SocketChannel c) throws IOException {
-        c.write(
+    private static void sendState(SocketChannel link) throws IOException {
+        link.write(
                 ByteBuffer.wrap(
                         ("{\"state\":{\"list\":{\"version\":41,\"full\":true,\"servers\":[]},\"discovery\":\"\","
                                         + "\"roster\":[{\"id\":\"w1\",\"out\":5,\"back\":-1}],\"standby\":-1,\"learnt\":[]},\"id\":\"old\","
@@ -131,12 +132,12 @@
             awaitStarted(start);
             assertTrue(readLine(third).contains("\"serving\":true"));
             String status = operatorCall(daemon, "GET /status", "").body();
-            assertTrue("and what it told is known: " + status, status.contains("\"out\":[\"w1\"]"));
+            assertTrue("its state is taken over: " + status, status.contains("\"out\":[\"w1\"]"));
         }
         awaitStopped(stopInBackground(daemon));
     }
 
-    /** Guards against a new process that ends as the address is in use by the one it follows. */
+    /** Guards against a new process that exits because its predecessor still holds the address. */
     @Test
     public void aLinkThatKeepsBreakingDoesNotPreventTheStart() throws Exception {
         Future<Daemon> start = startInBackground();
@@ -154,8 +155,8 @@
     }
 
     /**
-     * One that is stopped for longer than a new process waits is there all the same: they share
-     * address and sockets.
+     * A process that is suspended for longer than a new one waits is still there: the two share the
+     * address and the sockets.
      */
     @Test
     public void aSilentProcessIsStillCountedAsAPeer() throws Exception {
@@ -166,12 +167,14 @@
             assertEquals(
                     200,
                     operatorCall(daemon, "PUT /maintenance/enter", "{\"id\":\"w1\"}").status());
-            assertTrue("it hears of calls", readLine(silent).contains("\"worker\":\"w1\""));
+            assertTrue(
+                    "it is notified of operator calls",
+                    readLine(silent).contains("\"worker\":\"w1\""));
         }
         awaitStopped(stopInBackground(daemon));
     }
 
-    /** What is left by one that died is in nobody's way. */
+    /** What a dead process leaves behind does not impede a start. */
     @Test
     public void aProcessThatDiesDuringTheHandshakeIsNotCounted() throws Exception {
         Future<Daemon> start = startInBackground();
--- a/daemon/src/test/java/postgrade/daemon/ReloadTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ReloadTest.java
@@ -13,7 +13,7 @@
 import org.junit.Test;
 import postgrade.discovery.WatchTimeouts;
 
-/** New settings under way: taken over whole, or not at all. */
+/** Settings reloaded at run time are applied as a whole or not at all. */
 public class ReloadTest extends DaemonTestBase {
 
     private Path file;
@@ -27,62 +27,71 @@
         return Config.read(environment);
     }
 
-    private void assertRejected(Config inForce, String from, String to, String why)
+    private void assertRejected(Config inForce, String from, String to, String error)
             throws Exception {
         assertTrue(from, text.contains(from));
         Files.writeString(file, text.replace(from, to));
         try {
             inForce.reread();
-            fail("taken over: " + to);
+            fail("accepted: " + to);
         } catch (Config.InvalidConfigException e) {
-            assertTrue(e.getMessage(), e.getMessage().startsWith(why));
+            assertTrue(e.getMessage(), e.getMessage().startsWith(error));
         }
     }
 
     @Test
     public void anIncompleteFileIsRejectedWithTheKey() throws Exception {
-        Config c = readConfig();
-        assertRejected(c, text, "", "ROUTER_CONFIG: not a JSON object");
+        Config config = readConfig();
+        assertRejected(config, text, "", "ROUTER_CONFIG: not a JSON object");
         assertRejected(
-                c, text.substring(text.length() / 2), "", "ROUTER_CONFIG: not a JSON object");
-        assertRejected(c, "\"discovery\"", "\"discover\"", "discovery: missing");
-        assertRejected(c, "\"limits\":{\"sockets\":1024},", "", "limits: missing");
-        assertRejected(c, "\"maxAttempts\":4,", "", "settings.limits.maxAttempts: missing");
+                config, text.substring(text.length() / 2), "", "ROUTER_CONFIG: not a JSON object");
+        assertRejected(config, "\"discovery\"", "\"discover\"", "discovery: missing");
+        assertRejected(config, "\"limits\":{\"sockets\":1024},", "", "limits: missing");
+        assertRejected(config, "\"maxAttempts\":4,", "", "settings.limits.maxAttempts: missing");
         assertRejected(
-                c,
+                config,
                 "\"onTimeNs\":20000000000,\"deadlineNs\":20000000000},{",
                 "\"onTimeNs\":200000000},{",
                 "settings.classes.0.deadlineNs: missing");
         assertRejected(
-                c, "\"idempotency\":\"non_idempotent\",", "", "settings: classes.1.idempotency");
+                config,
+                "\"idempotency\":\"non_idempotent\",",
+                "",
+                "settings: classes.1.idempotency");
         assertRejected(
-                c,
+                config,
                 "\"name\":\"confirm\"",
                 "\"name\":\"price\"",
                 "settings.classes.1.name: two classes");
-        for (String bad : new String[] {"0", "-1", "1.5", "\"4\"", "null", "true", "[]", "1e300"}) {
+        for (String invalid :
+                new String[] {"0", "-1", "1.5", "\"4\"", "null", "true", "[]", "1e300"}) {
             assertRejected(
-                    c,
+                    config,
                     "\"maxAttempts\":4",
-                    "\"maxAttempts\":" + bad,
+                    "\"maxAttempts\":" + invalid,
                     "settings.limits.maxAttempts: ");
-            assertRejected(c, "20000000000},{", bad + "},{", "settings.classes.0.deadlineNs: ");
+            assertRejected(
+                    config, "20000000000},{", invalid + "},{", "settings.classes.0.deadlineNs: ");
         }
         assertRejected(
-                c, "\"maxAttempts\":4", "\"maxAttempts\":NaN", "ROUTER_CONFIG: not a JSON object");
+                config,
+                "\"maxAttempts\":4",
+                "\"maxAttempts\":NaN",
+                "ROUTER_CONFIG: not a JSON object");
         assertRejected(
-                c,
+                config,
                 text.substring(text.indexOf("\"classes\":["), text.indexOf("],\"limits\"")),
                 "\"classes\":[",
                 "settings: classes");
         Files.writeString(
                 file, text.replace("\"price\"", "\"quote\"").replace(":20000000000}", ":2e9}"));
-        assertEquals(Map.of("quote", 2_000_000L, "confirm", 2_000_000L), c.reread().deadlineMicros);
+        assertEquals(
+                Map.of("quote", 2_000_000L, "confirm", 2_000_000L), config.reread().deadlineMicros);
     }
 
     /**
-     * What is faulty changes nothing, discovery's address included; what is right is in force at
-     * once.
+     * An invalid configuration changes nothing, the address of discovery included; a valid one is
+     * in force at once.
      */
     @Test
     public void newClassesAreServedRemovedOnesRejectedAndJobsInFlightContinue() throws Exception {
@@ -99,7 +108,7 @@
         daemon.start();
         script.events.take();
         script.onJob = job -> script.actions.startAttempt(job.id(), "w1", 0);
-        Socket underWay = post("r1", "price", "15000m");
+        Socket inFlight = post("r1", "price", "15000m");
         script.expectEvent("job r1");
         workerOne.awaitMessage("POST").accept();
         discovery.awaitMessage("GET /api/targets?watch=1&from=41 ");
@@ -108,37 +117,38 @@
                 text.replace(discovery.address(), workerTwo.address())
                         .replace("\"maxAttempts\":4,", ""));
         daemon.reload();
-        assertEquals("and by this answer it has been read", 200, readinessStatus());
+        assertEquals("the file has been read by this answer", 200, readinessStatus());
         Files.writeString(file, text.replace("\"price\"", "\"quote\""));
         daemon.reload();
         script.expectEvent("settings [quote, confirm]");
-        assertTrue("a faulty file moves nothing", workerTwo.hasNoMessage());
+        assertTrue("an invalid file has no effect", workerTwo.hasNoMessage());
         assertEquals(400, ScriptedPeer.read(post("r2", "price", "15000m")).status());
         Socket fresh = post("r3", "quote", "15000m");
         script.expectEvent("job r3");
         workerOne.awaitMessage("POST").accept();
         callBack("r1", "w1", "done");
-        assertEquals(200, ScriptedPeer.read(underWay).status());
+        assertEquals(200, ScriptedPeer.read(inFlight).status());
         callBack("r3", "w1", "done");
         assertEquals(200, ScriptedPeer.read(fresh).status());
     }
 
     /**
-     * What a worker that drains has goes on and it gets no more; what waits for a connection keeps
-     * its class and its time.
+     * Attempts on a draining worker continue and it gets no more; an attempt that waits for a
+     * connection keeps its class and its deadline.
      */
     @Test
     public void aReloadAffectsNeitherADrainingWorkerNorAWaitingAttempt() throws Exception {
-        try (ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            deaf.setSoTimeout(ScriptedPeer.TIMEOUT_S * 1000);
+        try (ServerSocket unresponsive = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            unresponsive.setSoTimeout(ScriptedPeer.TIMEOUT_S * 1000);
             for (int i = 0; i < 2; i++) {
-                sockets.add(
-                        new Socket(deaf.getInetAddress(), deaf.getLocalPort())); // A full backlog.
+                // Fills the backlog.
+                sockets.add(new Socket(unresponsive.getInetAddress(), unresponsive.getLocalPort()));
             }
             Map<String, String> environment =
                     configuration(
                             workerEntry("w1", workerOne.address(), "ready"),
-                            workerEntry("late", "127.0.0.1:" + deaf.getLocalPort(), "ready"));
+                            workerEntry(
+                                    "late", "127.0.0.1:" + unresponsive.getLocalPort(), "ready"));
             file = Path.of(environment.get("ROUTER_CONFIG"));
             daemon =
                     new Daemon(
@@ -151,9 +161,9 @@
                     job ->
                             script.actions.startAttempt(
                                     job.id(), job.id().startsWith("late") ? "late" : "w1", 0);
-            Socket held = post("held", "price", "15000m");
+            Socket inFlight = post("held", "price", "15000m");
             workerOne.awaitMessage("POST").accept();
-            Socket waits = post("late1", "price", "15000m");
+            Socket waiting = post("late1", "price", "15000m");
             script.expectEventAmongOthers("job late1");
             answerWatch(
                     workerListJson(42, false, workerEntry("w1", workerOne.address(), "draining")));
@@ -171,10 +181,10 @@
             Socket next = post("next", "quote", "15000m");
             script.expectEvent("job next");
             script.expectEvent("finished next 0 NOT_SENT false");
-            assertEquals("its worker drains", 429, ScriptedPeer.read(next).status());
+            assertEquals("its worker is draining", 429, ScriptedPeer.read(next).status());
             for (int i = 0; i < 3; i++) {
-                sockets.add(deaf.accept()); // The third is ours: it comes up with the system's next
-                // try.
+                // The third is the daemon's: it succeeds when the system retries the connect.
+                sockets.add(unresponsive.accept());
             }
             ScriptedPeer.ReceivedMessage job = ScriptedPeer.read(sockets.get(sockets.size() - 1));
             assertEquals("late1", job.header("X-Request-Id"));
@@ -182,11 +192,11 @@
             for (String[] done : new String[][] {{"late1", "late"}, {"held", "w1"}}) {
                 assertEquals(204, callBack(done[0], done[1], "done"));
                 ScriptedPeer.ReceivedMessage answer =
-                        ScriptedPeer.read(done[0].equals("held") ? held : waits);
+                        ScriptedPeer.read(done[0].equals("held") ? inFlight : waiting);
                 assertEquals(200, answer.status());
                 assertEquals("made by " + done[1], answer.body());
             }
-            assertTrue("nothing more came to the one that drains", workerOne.hasNoMessage());
+            assertTrue("the draining worker gets nothing more", workerOne.hasNoMessage());
         }
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/SignalTest.java
+++ b/daemon/src/test/java/postgrade/daemon/SignalTest.java
@@ -12,7 +12,7 @@
 import org.junit.After;
 import org.junit.Test;
 
-/** Signals to the program in moments in which it is busy with something else. */
+/** Signals that reach the process while it starts or stops. */
 public class SignalTest extends DaemonTestBase {
 
     private Process process;
@@ -47,8 +47,8 @@
         assertTrue(log, log.contains("all answered"));
     }
 
-    /** It is held at the start by its configuration, a pipe that the test fills when it likes. */
-    @Test(timeout = 60_000) // A pipe that nobody reads from is waited for without end.
+    /** Its configuration is a pipe, so the start blocks until the test writes to it. */
+    @Test(timeout = 60_000) // Opening a pipe that nobody reads would block for ever.
     public void signalsDuringStartAreHandledOnceTheDaemonExists() throws Exception {
         Map<String, String> environment =
                 configuration(workerEntry("w1", workerOne.address(), "ready"));
@@ -57,19 +57,20 @@
         Files.delete(file);
         assertEquals(0, new ProcessBuilder("mkfifo", file.toString()).start().waitFor());
         process = startProcess(environment);
-        try (var pipe = Files.newOutputStream(file)) { // It is open once the program reads.
+        // The open returns once the process reads.
+        try (var pipe = Files.newOutputStream(file)) {
             send("HUP");
             pipe.write(text.getBytes());
         }
         BufferedReader errors = process.errorReader();
         String line = errors.readLine();
-        while (line != null && !line.contains(" listens on ")) { // By then it has closed the pipe.
+        // By then it has closed the pipe.
+        while (line != null && !line.contains(" listens on ")) {
             line = errors.readLine();
         }
-        assertTrue("it has outlived the signal", line != null);
-        Files.writeString(
-                file,
-                text.replace(discovery.address(), workerTwo.address())); // The reload reads again.
+        assertTrue("it has survived the signal", line != null);
+        // The reload reads the file again.
+        Files.writeString(file, text.replace(discovery.address(), workerTwo.address()));
         workerTwo.awaitMessage("GET /api/targets ");
         send("KILL");
         process.waitFor();
--- a/daemon/src/test/java/postgrade/daemon/UpgradeTest.java
+++ b/daemon/src/test/java/postgrade/daemon/UpgradeTest.java
@@ -24,10 +24,10 @@
 import org.junit.Test;
 import postgrade.daemon.ScriptedPeer.ReceivedMessage;
 
-/** A new version starts beside the running one and takes its place. */
+/** A new version starts next to the running process and replaces it. */
 public class UpgradeTest extends DaemonTestBase {
 
-    /** An address of its own, so that no other test's connection has the port. */
+    /** An address of its own, so that no connection of another test uses the port. */
     private static final String HOST = "127.0.0.77";
 
     private Map<String, String> environment;
@@ -50,8 +50,8 @@
         return daemon;
     }
 
-    private String status(Daemon of) throws IOException {
-        return operatorCall(of, "GET /status", "").body();
+    private String status(Daemon dispatcher) throws IOException {
+        return operatorCall(dispatcher, "GET /status", "").body();
     }
 
     private List<Path> linkFiles() throws IOException {
@@ -60,26 +60,27 @@
         }
     }
 
-    /** Ends in order; returns once it has. */
-    private static void stop(Daemon d) throws InterruptedException {
-        awaitStopped(stopInBackground(d));
+    /** Stops gracefully and waits for the end. */
+    private static void stop(Daemon dispatcher) throws InterruptedException {
+        awaitStopped(stopInBackground(dispatcher));
     }
 
     /**
-     * Jobs at both processes, and call-backs that reach either: each job gets its answer, whoever
-     * was called.
+     * Jobs at both processes, and call-backs that reach either: each job gets its answer whichever
+     * process is called.
      */
     @Test
     public void callBacksReachTheProcessThatOwnsTheJob() throws Exception {
         oldDaemon = startNew();
         startNew();
-        List<Socket> consumers = new ArrayList<>();
+        List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
-            consumers.add(post("u" + i, "price", "15000m"));
+            clients.add(post("u" + i, "price", "15000m"));
         }
         for (int arrived = 0;
                 arrived < 24;
-                Thread.onSpinWait()) { // Sent on, so that each has a call to end.
+                // Waits until all are forwarded, so that each has an attempt to end.
+                Thread.onSpinWait()) {
             for (ScriptedPeer p : List.of(workerOne, workerTwo)) {
                 if (!p.hasNoMessage()) {
                     p.awaitMessage("POST");
@@ -91,13 +92,13 @@
             assertEquals(204, callBack("u" + i, "w1", "done"));
             assertEquals(204, callBack("u" + i, "w2", "done"));
         }
-        for (Socket s : consumers) {
+        for (Socket s : clients) {
             assertEquals(200, ScriptedPeer.read(s).status());
         }
-        assertEquals("known nowhere", 204, callBack("u99", "w1", "done"));
+        assertEquals("unknown to both", 204, callBack("u99", "w1", "done"));
         stop(daemon);
         stop(oldDaemon);
-        assertTrue("the names are gone", linkFiles().isEmpty());
+        assertTrue("the sockets are removed", linkFiles().isEmpty());
     }
 
     @Test
@@ -123,7 +124,7 @@
         Daemon third = new Daemon(Config.read(environment));
         third.start();
         assertTrue(
-                "an upgrade in standby stays there: " + status(third),
+                "the new process takes over standby: " + status(third),
                 status(third).contains("standby"));
         assertTrue(status(third), status(third).contains("\"out\":[\"w2\"]"));
         assertEquals(200, operatorCall(daemon, "PUT /active", "").status());
@@ -143,7 +144,7 @@
             Thread.onSpinWait();
         }
         for (int i = 0; i < 16; i++) {
-            assertEquals("the pair is ready", 200, readinessStatus());
+            assertEquals("one of the two processes is ready", 200, readinessStatus());
         }
         assertEquals(503, operatorCall(oldDaemon, "GET /status", "").status());
         assertEquals(200, operatorCall(daemon, "GET /status", "").status());
@@ -166,7 +167,7 @@
             Thread.onSpinWait();
         }
         for (int i = 0; i < 16; i++) {
-            assertEquals("the pair is ready", 200, readinessStatus());
+            assertEquals("one of the two processes is ready", 200, readinessStatus());
         }
         awaitStopped(stop);
         assertEquals(200, readinessStatus());
@@ -179,11 +180,12 @@
         Path link = linkFiles().get(0);
         String prefix =
                 link.getFileName().toString().replaceFirst("[0-9]{15}-[0-9]{10}[.]link", "");
-        Path dead = sharedDirectory.resolve(prefix + "000000000000001-0000000001.link");
-        try (ServerSocketChannel left = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
-            left.bind(UnixDomainSocketAddress.of(dead));
+        Path staleSocket = sharedDirectory.resolve(prefix + "000000000000001-0000000001.link");
+        try (ServerSocketChannel staleListener =
+                ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
+            staleListener.bind(UnixDomainSocketAddress.of(staleSocket));
         }
-        Path file =
+        Path staleFile =
                 Files.createFile(
                         sharedDirectory.resolve(prefix + "000000000000002-0000000002.link"));
         for (String text :
@@ -194,15 +196,15 @@
                     "{\"hello\":1,\"dispa",
                     "[]\n"
                 }) {
-            SocketChannel c = SocketChannel.open(UnixDomainSocketAddress.of(link));
-            c.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
+            SocketChannel connection = SocketChannel.open(UnixDomainSocketAddress.of(link));
+            connection.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
             if (text.endsWith("\n")) {
-                assertEquals(text, -1, c.read(ByteBuffer.allocate(1)));
+                assertEquals(text, -1, connection.read(ByteBuffer.allocate(1)));
             }
-            c.close(); // In mid-message, the last but one.
+            connection.close(); // The last but one is cut off in the middle of a message.
         }
         startNew();
-        assertFalse(Files.exists(dead) || Files.exists(file));
+        assertFalse(Files.exists(staleSocket) || Files.exists(staleFile));
         assertEquals(2, linkFiles().size());
         assertEquals(
                 200, operatorCall(oldDaemon, "PUT /maintenance/enter", "{\"id\":\"w1\"}").status());
@@ -211,7 +213,7 @@
         stop(daemon);
     }
 
-    /** Reads a program's log up to a line with this text. */
+    /** Reads a process's log up to a line with this text. */
     private static void awaitLogLine(BufferedReader log, String text) throws IOException {
         List<String> before = new ArrayList<>();
         String line = log.readLine();
@@ -219,54 +221,57 @@
             before.add(line);
             line = log.readLine();
         }
-        assertTrue("never said " + text + ": " + before, line != null);
+        assertTrue("not logged: " + text + ": " + before, line != null);
     }
 
-    private static void signal(String name, Process p) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-" + name, "" + p.pid()).start().waitFor());
+    private static void signal(String name, Process process) throws Exception {
+        assertEquals(
+                0, new ProcessBuilder("kill", "-" + name, "" + process.pid()).start().waitFor());
     }
 
     @Test
     public void realProcessesReloadSurviveAKilledPeerAndAreReplaced() throws Exception {
-        List<Process> all = new ArrayList<>();
+        List<Process> processes = new ArrayList<>();
         List<BufferedReader> logs = new ArrayList<>();
         try {
             for (int i = 0; i < 2; i++) {
-                all.add(startProcess(environment));
-                logs.add(new BufferedReader(new InputStreamReader(all.get(i).getErrorStream())));
+                processes.add(startProcess(environment));
+                logs.add(
+                        new BufferedReader(
+                                new InputStreamReader(processes.get(i).getErrorStream())));
                 awaitLogLine(logs.get(i), i == 0 ? "listens on" : "linked with process");
             }
             awaitLogLine(logs.get(0), "linked with process");
             awaitLogLine(logs.get(1), "listens on");
             for (int i = 0; i < 2; i++) {
-                discovery.awaitMessage(
-                        "GET /api/targets?watch=1&from=41 "); // Each handles the signal by now.
+                // Each handles the signal by now.
+                discovery.awaitMessage("GET /api/targets?watch=1&from=41 ");
             }
             for (int i = 0; i < 2; i++) {
-                signal("HUP", all.get(i));
+                signal("HUP", processes.get(i));
                 awaitLogLine(logs.get(i), "configuration read again");
             }
-            signal("KILL", all.get(0));
+            signal("KILL", processes.get(0));
             awaitLogLine(logs.get(1), "of this dispatcher is gone");
-            assertEquals("the killed one has left its name", 2, linkFiles().size());
-            all.add(startProcess(environment));
-            logs.add(new BufferedReader(new InputStreamReader(all.get(2).getErrorStream())));
+            assertEquals("the killed process has left its socket", 2, linkFiles().size());
+            processes.add(startProcess(environment));
+            logs.add(new BufferedReader(new InputStreamReader(processes.get(2).getErrorStream())));
             awaitLogLine(logs.get(2), "linked with process");
             awaitLogLine(logs.get(2), "listens on");
-            assertEquals("which the next start removes", 2, linkFiles().size());
-            signal("TERM", all.get(1));
+            assertEquals("the next start has removed it", 2, linkFiles().size());
+            signal("TERM", processes.get(1));
             awaitLogLine(logs.get(1), "all answered");
             awaitLogLine(logs.get(2), "of this dispatcher is gone");
-            signal("TERM", all.get(2));
+            signal("TERM", processes.get(2));
             awaitLogLine(logs.get(2), "all answered");
-            // The line is written before the link is removed: what the process leaves is judged
-            // once it has ended.
+            // The line is logged before the link is removed, so the check for links waits for the
+            // end of the process.
             assertTrue(
-                    "the last one ends",
-                    all.get(2).waitFor(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
+                    "the last process exits",
+                    processes.get(2).waitFor(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
             assertTrue(linkFiles().isEmpty());
         } finally {
-            all.forEach(Process::destroyForcibly);
+            processes.forEach(Process::destroyForcibly);
         }
     }
 
--- a/daemon/src/test/java/postgrade/upgrade/HelloTimeoutTest.java
+++ b/daemon/src/test/java/postgrade/upgrade/HelloTimeoutTest.java
@@ -30,13 +30,13 @@
 import postgrade.http.SocketBudget;
 
 /**
- * Who connects to a process and is held up before it says who it is, on time that the test turns.
+ * A process that connects and is delayed before it sends its hello, with time advanced by the test.
  */
 public class HelloTimeoutTest implements Reactor, Timers, UpgradeCoordinator.Owner {
 
     private record Task(long atMicros, Runnable action) {}
 
-    /** Reading from a link that is not let go would not end. */
+    /** Without it, reading from a link that is never closed would block for ever. */
     @Rule public final Timeout timeout = Timeout.seconds(30);
 
     @Rule public final TemporaryFolder folder = new TemporaryFolder();
@@ -69,7 +69,7 @@
     private void pollUntil(BooleanSupplier condition) throws IOException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (!condition.getAsBoolean()) {
-            assertTrue("in time", System.nanoTime() < end);
+            assertTrue("condition met in time", System.nanoTime() < end);
             selector.select(20);
             for (SelectionKey key : selector.selectedKeys()) {
                 ((Handler) key.attachment()).ready(key);
@@ -88,7 +88,7 @@
         }
     }
 
-    /** As after a second in which the new process got no part of a core. */
+    /** As after a second in which the new process got no CPU time. */
     @Test
     public void aLateHelloWithinTheTimeoutIsAnsweredWithState() throws IOException {
         advance(2_400_000);
@@ -99,13 +99,17 @@
         pollUntil(() -> oldProcess.peerCount() == 1);
         ByteBuffer state = ByteBuffer.allocate(1000);
         assertTrue(connection.read(state) > 0);
-        String said = new String(state.array(), 0, state.position(), StandardCharsets.UTF_8);
+        String message = new String(state.array(), 0, state.position(), StandardCharsets.UTF_8);
         assertEquals(
-                said,
+                message,
                 "as it is",
-                Json.parse(said.strip()).asObject().get("state").asObject().getString("what", ""));
+                Json.parse(message.strip())
+                        .asObject()
+                        .get("state")
+                        .asObject()
+                        .getString("what", ""));
         advance(10_000_000);
-        assertEquals("and it stays", 1, oldProcess.peerCount());
+        assertEquals("the link is kept", 1, oldProcess.peerCount());
     }
 
     @Test
@@ -115,7 +119,7 @@
         assertEquals(0, oldProcess.peerCount());
     }
 
-    // ---- The loop, turned by hand, and what the process knows.
+    // ---- The event loop, driven by the test, and the state of the process.
 
     @Override
     public SelectionKey register(SelectableChannel channel, int interest, Handler handler)
--- a/daemon/src/test/java/postgrade/upgrade/ProcessIdTest.java
+++ b/daemon/src/test/java/postgrade/upgrade/ProcessIdTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.Test;
 
-/** Which of two processes of one dispatcher is the later one. */
+/** The order of the ids of two processes of one dispatcher. */
 public class ProcessIdTest {
 
     private static final long HOUR_NS = 3_600_000_000_000L;
@@ -16,7 +16,7 @@
                                 .compareTo(UpgradeCoordinator.processId(HOUR_NS + 1_000_000, 5))
                         < 0);
         assertTrue(
-                "of one millisecond",
+                "within one millisecond",
                 UpgradeCoordinator.processId(HOUR_NS, 5)
                                 .compareTo(UpgradeCoordinator.processId(HOUR_NS, 900))
                         < 0);
