--- a/daemon/src/main/java/postgrade/daemon/EventLoop.java
+++ b/daemon/src/main/java/postgrade/daemon/EventLoop.java
@@ -57,7 +57,7 @@
     private final Selector selector;
     private final SocketBudget sockets;
     private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BYTES);
-    private final ReadBufferPool readBuffers = new ReadBufferPool();
+    private final ReadBufferPool bufferPool = new ReadBufferPool();
     private final PriorityQueue<ScheduledTask> timers = new PriorityQueue<>();
     private final Clock clock;
     private final SystemCalls systemCalls;
@@ -232,12 +232,12 @@
 
     @Override
     public ByteBuffer acquireBuffer() {
-        return readBuffers.acquire();
+        return bufferPool.acquire();
     }
 
     @Override
     public void releaseBuffer(ByteBuffer lent) {
-        readBuffers.release(lent);
+        bufferPool.release(lent);
     }
 
     @Override
