--- a/daemon/src/main/java/postgrade/http/Connection.java
+++ b/daemon/src/main/java/postgrade/http/Connection.java
@@ -11,42 +11,45 @@
 import java.util.ArrayDeque;
 
 /**
- * One TCP connection on the loop. Its owner hears what comes in and when it ends; writes are kept
- * until sent.
+ * One TCP connection on the event loop. Its owner is notified of received bytes and of its end;
+ * writes are buffered until they are sent.
  */
 public final class Connection implements Reactor.Handler {
 
-    /** So often at most a look reads on: an end may lie behind all that a peer may send ahead. */
-    private static final int MOST_LOOKS = 32;
+    /**
+     * The maximum number of reads in one call of {@link #readPending}. The end of the stream lies
+     * behind all the bytes that a peer may have sent ahead.
+     */
+    private static final int MAX_PENDING_READS = 32;
 
-    /** Who owns the connection. */
+    /** The owner of a connection, which is notified of its events. */
     public interface Owner {
-        /** A connect of ours has come up. */
+        /** An outgoing connection has been established. */
         default void connected(Connection c) {}
 
-        /** Bytes have come; what the owner leaves in the buffer is lost. */
+        /** Bytes have been received. Bytes that the owner leaves in the buffer are discarded. */
         void received(Connection c, ByteBuffer bytes) throws BadMessageException;
 
         /**
-         * The peer has ended its side. The connection is closed right after, and {@link #closed}
-         * follows.
+         * The peer has closed its side. The connection is closed right after this call, and {@link
+         * #closed} follows.
          */
         default void inputEnded(Connection c) {}
 
         /**
-         * What came is not a message. The owner may answer, and must see to it that the connection
-         * is closed.
+         * The received bytes are not a valid message. The owner may answer, and must make sure that
+         * the connection is closed.
          */
         void badMessage(Connection c, BadMessageException e);
 
-        /** The connection is gone, unless the owner closed it itself. */
+        /** The connection has been closed, other than by the owner itself. */
         void closed(Connection c);
     }
 
     private final Reactor reactor;
     private final SocketChannel channel;
     private final Owner owner;
-    private final boolean urgent;
+    private final boolean highPriority;
     private final ArrayDeque<ByteBuffer> unsent = new ArrayDeque<>();
     private SelectionKey key;
     private boolean connecting;
@@ -54,65 +57,66 @@
     private boolean closed;
     private boolean paused;
 
-    private Connection(Reactor reactor, SocketChannel channel, Owner owner, boolean urgent) {
+    private Connection(Reactor reactor, SocketChannel channel, Owner owner, boolean highPriority) {
         this.reactor = reactor;
         this.channel = channel;
         this.owner = owner;
-        this.urgent = urgent;
+        this.highPriority = highPriority;
     }
 
-    /** Wraps an accepted channel, whose place in the budget is taken already. */
+    /** Wraps an accepted channel, whose place in the budget has already been acquired. */
     public static Connection accepted(Reactor reactor, SocketChannel channel, Owner owner)
             throws IOException {
         return accepted(reactor, channel, owner, false);
     }
 
     /**
-     * @param urgent served first in a turn
+     * Wraps an accepted channel, whose place in the budget has already been acquired.
+     *
+     * @param highPriority whether it is served first in each iteration
      */
     public static Connection accepted(
-            Reactor reactor, SocketChannel channel, Owner owner, boolean urgent)
+            Reactor reactor, SocketChannel channel, Owner owner, boolean highPriority)
             throws IOException {
-        Connection c = new Connection(reactor, channel, owner, urgent);
-        c.begin(SelectionKey.OP_READ);
-        return c;
+        Connection connection = new Connection(reactor, channel, owner, highPriority);
+        connection.register(SelectionKey.OP_READ);
+        return connection;
     }
 
     /**
-     * Begins to connect.
+     * Starts to connect.
      *
-     * @throws NoSocketException if it is for want of something of ours
+     * @throws NoSocketException if a local resource is missing or exhausted
      * @throws IOException if the peer's system refuses at once
      */
     public static Connection open(
-            Reactor reactor, InetSocketAddress to, Owner owner, boolean urgent) throws IOException {
-        if (!reactor.sockets().takeToConnect(urgent)) {
-            throw new NoSocketException("every socket is in use", null);
+            Reactor reactor, InetSocketAddress address, Owner owner, boolean highPriority)
+            throws IOException {
+        if (!reactor.sockets().acquireForConnect(highPriority)) {
+            throw new NoSocketException("no free place in the socket budget", null);
         }
-        Connection c = null;
+        Connection connection = null;
         try {
-            c = new Connection(reactor, reactor.systemCalls().open(), owner, urgent);
-            c.connecting = true;
-            c.begin(SelectionKey.OP_CONNECT);
-            reactor.systemCalls()
-                    .connect(
-                            c.channel,
-                            to); // Also one that comes up at once is told of in the next turn.
-            return c;
+            connection = new Connection(reactor, reactor.systemCalls().open(), owner, highPriority);
+            connection.connecting = true;
+            connection.register(SelectionKey.OP_CONNECT);
+            // A connection that is established at once is still reported in the next iteration.
+            reactor.systemCalls().connect(connection.channel, address);
+            return connection;
         } catch (IOException | RuntimeException e) {
-            if (c == null) {
+            if (connection == null) {
                 reactor.sockets().release();
             } else {
-                c.close();
+                connection.close();
             }
             if (e instanceof ConnectException || e instanceof NoRouteToHostException) {
                 throw (IOException) e;
             }
-            throw new NoSocketException("no connection to " + to + " could be begun", e);
+            throw new NoSocketException("connection to " + address + " could not be opened", e);
         }
     }
 
-    private void begin(int interest) throws IOException {
+    private void register(int interest) throws IOException {
         channel.configureBlocking(false);
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         key = reactor.register(channel, interest, this);
@@ -120,7 +124,7 @@
 
     @Override
     public Order order() {
-        return urgent ? Order.FIRST : Order.NORMAL;
+        return highPriority ? Order.FIRST : Order.NORMAL;
     }
 
     @Override
@@ -143,20 +147,20 @@
         }
     }
 
-    /** False if nothing is left to read. */
-    private boolean read(ByteBuffer in) throws IOException {
-        in.clear();
-        int count = reactor.systemCalls().read(channel, in);
+    /** Returns false if nothing is left to read. */
+    private boolean read(ByteBuffer buffer) throws IOException {
+        buffer.clear();
+        int count = reactor.systemCalls().read(channel, buffer);
         if (count < 0) {
             owner.inputEnded(this);
-            gone();
+            closeAndNotify();
         } else if (count > 0 && !closing) {
-            in.flip();
+            buffer.flip();
             try {
-                owner.received(this, in);
+                owner.received(this, buffer);
             } catch (BadMessageException e) {
-                // Guards the loop and the peer's next bytes: nothing after a bad message can be
-                // made sense of.
+                // Caught here so that it does not reach the event loop. The bytes that follow a
+                // bad message cannot be interpreted.
                 owner.badMessage(this, e);
             }
         }
@@ -164,95 +168,97 @@
     }
 
     /**
-     * Reads what lies in the socket by now, though the loop has not come to it or the connection is
-     * paused: the owner hears of it, and of the end behind it. Guards what is about to be done on
-     * the word of an older look.
+     * Reads the bytes that are in the socket buffer now, without waiting for the event loop and
+     * even if the connection is paused. The owner is notified of them, and of the end of the stream
+     * after them. Used before an action that must not rely on an earlier read.
      */
     public void readPending() {
         if (closed || connecting) {
             return;
         }
-        ByteBuffer own = reactor.acquireBuffer(); // The loop's buffer may be in use.
+        ByteBuffer buffer = reactor.acquireBuffer(); // The event loop's buffer may be in use.
         try {
-            for (int i = 0; i < MOST_LOOKS && read(own); i++) {
-                // What has been read is the owner's.
+            for (int i = 0; i < MAX_PENDING_READS && read(buffer); i++) {
+                // The owner has been given the bytes.
             }
         } catch (IOException | RuntimeException e) {
             failed(e);
         } finally {
-            reactor.releaseBuffer(own);
+            reactor.releaseBuffer(buffer);
         }
     }
 
-    /** False if the peer has closed an idle connection, though the loop has not come to it yet. */
+    /**
+     * Returns false if the peer has closed an idle connection, even if the event loop has not
+     * processed this yet.
+     */
     public boolean isStillOpen() {
         if (closed) {
             return false;
         }
-        ByteBuffer own = reactor.acquireBuffer(); // The loop's buffer may be in use.
+        ByteBuffer buffer = reactor.acquireBuffer(); // The event loop's buffer may be in use.
         try {
-            return reactor.systemCalls().read(channel, own) == 0;
+            return reactor.systemCalls().read(channel, buffer) == 0;
         } catch (IOException e) {
             return false;
         } finally {
-            reactor.releaseBuffer(own);
+            reactor.releaseBuffer(buffer);
         }
     }
 
     /**
-     * Sends the bytes, part by part, now or as soon as the peer takes them. They are not copied.
+     * Sends the byte arrays in order, at once or as soon as the peer accepts them. They are not
+     * copied.
      */
     public void write(byte[]... parts) {
         if (closed) {
             return;
         }
-        boolean first = unsent.isEmpty();
+        boolean wasEmpty = unsent.isEmpty();
         for (byte[] part : parts) {
             unsent.add(ByteBuffer.wrap(part));
         }
-        if (first && !connecting) {
+        if (wasEmpty && !connecting) {
             try {
                 flush();
             } catch (IOException e) {
-                // The bytes stay unsent and the read side will tell of the break: nothing of the
-                // owner's runs
-                // inside its own call.
+                // The bytes stay unsent and the next read reports the failure, so that the owner
+                // is not notified inside its own call.
             }
         }
     }
 
     private void flush() throws IOException {
         if (!unsent.isEmpty()) {
-            reactor.systemCalls()
-                    .write(
-                            channel,
-                            unsent.toArray(
-                                    new ByteBuffer[0])); // All parts in one packet, if they fit.
+            // All parts are sent in one packet if they fit.
+            reactor.systemCalls().write(channel, unsent.toArray(new ByteBuffer[0]));
         }
         while (!unsent.isEmpty() && !unsent.peek().hasRemaining()) {
             unsent.poll();
         }
-        interest();
+        updateInterest();
         if (unsent.isEmpty() && closing) {
             channel.shutdownOutput();
         }
     }
 
-    private void interest() {
+    private void updateInterest() {
         key.interestOps(
                 (paused ? 0 : SelectionKey.OP_READ)
                         | (unsent.isEmpty() ? 0 : SelectionKey.OP_WRITE));
     }
 
-    /** While paused nothing more is read; the peer's own system holds it back. */
-    public void setPaused(boolean now) {
-        if (paused != now && !closed && !connecting) {
-            paused = now;
-            interest();
+    /** Pauses or resumes reading. While paused, TCP flow control stops the peer. */
+    public void setPaused(boolean newPaused) {
+        if (paused != newPaused && !closed && !connecting) {
+            paused = newPaused;
+            updateInterest();
         }
     }
 
-    /** All that was to be written has been given to the system, the last byte too. */
+    /**
+     * Whether all written bytes, including the last one, have been passed to the operating system.
+     */
     public boolean isAllSent() {
         return !connecting && unsent.isEmpty();
     }
@@ -270,19 +276,19 @@
     }
 
     /**
-     * An idle connection may be closed for a new one when sockets are short, one on probation
-     * before all others.
+     * Marks the connection as idle or not. An idle connection may be closed for a new one when
+     * sockets are short; those on probation are closed first.
      */
     public void setIdle(boolean isIdle, boolean onProbation) {
         if (!closed) {
-            reactor.sockets().idle(this, isIdle, onProbation);
+            reactor.sockets().updateIdle(this, isIdle, onProbation);
         }
     }
 
     /**
-     * Ends our side once all is sent, and closes when the peer ends its own. Guards the last
-     * answer: a close with unread bytes waiting resets the connection, and the peer may lose what
-     * it has not read.
+     * Closes the sending side once all bytes are sent, and the connection when the peer closes its
+     * side. A close with unread bytes in the socket buffer would reset the connection, and the peer
+     * might lose an answer that it has not read.
      */
     public void closeWhenSent() {
         if (closing || closed) {
@@ -292,7 +298,7 @@
         try {
             flush();
         } catch (IOException e) {
-            // The read side will tell of the break.
+            // The next read reports the failure.
         }
     }
 
@@ -302,40 +308,40 @@
 
     @Override
     public void failed(Exception e) {
-        gone();
+        closeAndNotify();
     }
 
     /**
-     * Closed for want of sockets, unless something has come that the loop has not looked at; the
-     * owner is told. Guards a request that was under way, and the last answer: a close over unread
-     * bytes resets the connection.
+     * Closes an idle connection because sockets are short, and notifies the owner, unless unread
+     * bytes show that it is no longer idle. Such a close would lose a request that has just
+     * arrived, and would reset the connection, so that the peer might lose the last answer.
      */
     void evict() {
         readPending();
         if (reactor.sockets().isIdle(this)) {
-            gone();
+            closeAndNotify();
         }
     }
 
-    private void gone() {
+    private void closeAndNotify() {
         if (!closed) {
             close();
             owner.closed(this);
         }
     }
 
-    /** Closes at once; the owner is not told. */
+    /** Closes at once, without notifying the owner. */
     public void close() {
         if (closed) {
             return;
         }
         closed = true;
-        reactor.sockets().idle(this, false, false);
+        reactor.sockets().updateIdle(this, false, false);
         reactor.sockets().release();
         try {
             channel.close();
         } catch (IOException e) {
-            // There is nothing more to be had of a channel that cannot even be closed.
+            // Nothing more can be done with a channel whose close fails.
         }
     }
 }
--- a/daemon/src/main/java/postgrade/telemetry/EndCounters.java
+++ b/daemon/src/main/java/postgrade/telemetry/AttemptCounters.java
@@ -9,8 +9,8 @@
 import postgrade.policy.api.AttemptOutcome;
 import postgrade.policy.api.DecisionReason;
 
-/** Counts ends of attempts by outcome and evidence, and answers by kind and reason. */
-final class EndCounters {
+/** Counts the ends of attempts by outcome and evidence, and answers by kind and reason. */
+final class AttemptCounters {
 
     private static final int OUTCOMES = AttemptOutcome.values().length;
     private static final int EVIDENCE = EndEvidence.Kind.values().length;
@@ -48,27 +48,27 @@
         contradictedEnds++;
     }
 
-    /** Changes whenever something has been counted. */
+    /** Returns a number that changes when an end, an answer or an unmatched report is counted. */
     long total() {
         return Arrays.stream(ends).sum() + Arrays.stream(answers).sum() + unmatchedReports;
     }
 
-    /** Ends as {@code OUTCOME/EVIDENCE=count}, those above 0. */
+    /** Returns the ends as {@code OUTCOME/EVIDENCE=count}, those above 0. */
     String endsText() {
         return pairs(ends, AttemptOutcome.values(), EndEvidence.Kind.values());
     }
 
-    /** Answers as {@code ANSWER/REASON=count}, those above 0. */
+    /** Returns the answers as {@code ANSWER/REASON=count}, those above 0. */
     String answersText() {
         return pairs(answers, AnsweredRequest.Answer.values(), DecisionReason.values());
     }
 
-    /** Cancelled attempts as {@code REASON=count}, those above 0. */
+    /** Returns the cancelled attempts as {@code REASON=count}, those above 0. */
     String cancelsText() {
         StringJoiner text = new StringJoiner(" ");
         for (DecisionReason reason : DecisionReason.values()) {
             if (cancels[reason.ordinal()] > 0) {
-                text.add(word(reason) + "=" + cancels[reason.ordinal()]);
+                text.add(lowerCaseName(reason) + "=" + cancels[reason.ordinal()]);
             }
         }
         return text.toString();
@@ -92,14 +92,14 @@
             for (Enum<?> column : columns) {
                 long count = counts[row.ordinal() * columns.length + column.ordinal()];
                 if (count > 0) {
-                    text.add(word(row) + "/" + word(column) + "=" + count);
+                    text.add(lowerCaseName(row) + "/" + lowerCaseName(column) + "=" + count);
                 }
             }
         }
         return text.toString();
     }
 
-    private static String word(Enum<?> value) {
+    private static String lowerCaseName(Enum<?> value) {
         return value.name().toLowerCase(Locale.ROOT);
     }
 }
--- a/daemon/src/test/java/postgrade/http/ConnectionTest.java
+++ b/daemon/src/test/java/postgrade/http/ConnectionTest.java
@@ -23,20 +23,20 @@
 import org.junit.Test;
 
 /**
- * One accepted connection over loopback, looked at and ended in moments of the test's choice. No
- * loop runs.
+ * One accepted connection over loopback, which the test reads and closes at chosen moments. No
+ * event loop runs.
  */
 public class ConnectionTest implements Reactor, Connection.Owner {
 
     private final SocketBudget sockets = new SocketBudget(10);
-    private final ByteBuffer inUse = ByteBuffer.allocate(16);
-    private final StringBuilder heard = new StringBuilder();
-    private final ReadBufferPool looks = new ReadBufferPool();
-    private ByteBuffer last;
+    private final ByteBuffer loopBuffer = ByteBuffer.allocate(16);
+    private final StringBuilder events = new StringBuilder();
+    private final ReadBufferPool bufferPool = new ReadBufferPool();
+    private ByteBuffer lastBuffer;
     private Selector selector;
     private ServerSocketChannel server;
     private SocketChannel peer;
-    private SocketChannel ours;
+    private SocketChannel accepted;
     private Connection connection;
 
     @Before
@@ -46,15 +46,15 @@
                 ServerSocketChannel.open()
                         .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         peer = SocketChannel.open(server.getLocalAddress());
-        ours = server.accept();
+        accepted = server.accept();
         sockets.acquireForAccept(true);
-        connection = Connection.accepted(this, ours, this);
+        connection = Connection.accepted(this, accepted, this);
     }
 
     @After
     public void close() throws IOException {
         peer.close();
-        ours.close();
+        accepted.close();
         server.close();
         selector.close();
     }
@@ -63,47 +63,46 @@
         peer.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
     }
 
-    /** Small writes that the system holds back would go with a reset. */
+    /** Small writes that the operating system delays would be lost in a reset. */
     @Test
-    public void whatIsWrittenIsNotHeldBack() throws IOException {
-        assertTrue(ours.getOption(StandardSocketOptions.TCP_NODELAY));
+    public void tcpNoDelayIsSet() throws IOException {
+        assertTrue(accepted.getOption(StandardSocketOptions.TCP_NODELAY));
     }
 
     @Test
-    public void aLookTakesAllThatHasComeAndTheEndBehindItThoughNothingIsReadOtherwise()
-            throws IOException {
+    public void readPendingReadsAllBytesAndTheEndWhilePaused() throws IOException {
         connection.setPaused(true);
-        inUse.put((byte) 7);
+        loopBuffer.put((byte) 7);
         send("x".repeat(20_000));
         peer.close();
         connection.readPending();
-        assertEquals("x".repeat(20_000) + " ended closed", heard.toString());
+        assertEquals("x".repeat(20_000) + " ended closed", events.toString());
         assertFalse(connection.isOpen());
-        assertEquals("the loop's buffer is as it was", 1, inUse.position());
+        assertEquals("the event loop's buffer is unchanged", 1, loopBuffer.position());
     }
 
     @Test
-    public void aLookAtAConnectionThatHasBeenResetTellsOfItsEnd() throws IOException {
+    public void readPendingReportsReset() throws IOException {
         peer.setOption(StandardSocketOptions.SO_LINGER, 0);
         peer.close();
         connection.readPending();
-        assertEquals(" closed", heard.toString());
+        assertEquals(" closed", events.toString());
     }
 
     @Test
-    public void whatComesBehindOurEndIsPassedOverAndThePeersEndIsSeen() throws IOException {
+    public void bytesAfterOurEndAreDiscardedAndThePeersEndIsReported() throws IOException {
         connection.closeWhenSent();
         send("late");
         connection.readPending();
-        assertEquals("", heard.toString());
+        assertEquals("", events.toString());
         assertTrue(connection.isOpen());
         peer.close();
         connection.readPending();
-        assertEquals(" ended closed", heard.toString());
+        assertEquals(" ended closed", events.toString());
     }
 
     @Test
-    public void oneThatIsNoLongerIdleOnALookIsNotEvicted() throws IOException {
+    public void connectionWithUnreadBytesIsNotEvicted() throws IOException {
         connection.setIdle(true, false);
         send("x");
         connection.evict();
@@ -114,13 +113,14 @@
     }
 
     /**
-     * A look tells an owner of bytes, who has another connection looked at before they are taken.
+     * A pending read notifies an owner of bytes, and the owner reads from another connection before
+     * it consumes them.
      */
     @Test
-    public void looksWithinLooksSpoilNeitherEachOthersBytesNorTheLoops() throws IOException {
+    public void nestedPendingReadsDoNotShareBuffers() throws IOException {
         Set<ByteBuffer> buffers = Collections.newSetFromMap(new IdentityHashMap<>());
         StringBuilder inner = new StringBuilder();
-        Connection[] chain = new Connection[6]; // Deeper than buffers are kept for.
+        Connection[] chain = new Connection[6]; // Deeper than the number of pooled buffers.
         SocketChannel[] peers = new SocketChannel[chain.length];
         for (int i = 0; i < chain.length; i++) {
             int next = i + 1;
@@ -153,7 +153,7 @@
                                 }
                             });
         }
-        for (int round = 0; round < 2; round++) { // By new buffers, then by those given back.
+        for (int round = 0; round < 2; round++) { // With new buffers, then with released ones.
             for (int i = 0; i < chain.length; i++) {
                 peers[i].write(ByteBuffer.wrap(("of " + i).getBytes(StandardCharsets.ISO_8859_1)));
             }
@@ -161,12 +161,12 @@
             inner.setLength(0);
             chain[0].readPending();
             assertEquals("of 5 of 4 of 3 of 2 of 1 of 0 ", inner.toString());
-            assertEquals("each had its own", chain.length, buffers.size());
+            assertEquals("each read has its own buffer", chain.length, buffers.size());
         }
-        send("one look after another");
+        send("one read after another");
         connection.readPending();
-        assertEquals("one look after another", heard.toString());
-        assertTrue("has a buffer that was used before", buffers.contains(last));
+        assertEquals("one read after another", events.toString());
+        assertTrue("the buffer is reused", buffers.contains(lastBuffer));
         for (SocketChannel p : peers) {
             p.close();
         }
@@ -177,13 +177,13 @@
     @Override
     public void received(Connection c, ByteBuffer bytes) {
         c.setIdle(false, false);
-        last = bytes;
-        heard.append(StandardCharsets.ISO_8859_1.decode(bytes));
+        lastBuffer = bytes;
+        events.append(StandardCharsets.ISO_8859_1.decode(bytes));
     }
 
     @Override
     public void inputEnded(Connection c) {
-        heard.append(" ended");
+        events.append(" ended");
     }
 
     @Override
@@ -193,10 +193,10 @@
 
     @Override
     public void closed(Connection c) {
-        heard.append(" closed");
+        events.append(" closed");
     }
 
-    // ---- The loop.
+    // ---- The event loop.
 
     @Override
     public SelectionKey register(SelectableChannel channel, int interest, Handler handler)
@@ -206,17 +206,17 @@
 
     @Override
     public ByteBuffer readBuffer() {
-        return inUse;
+        return loopBuffer;
     }
 
     @Override
     public ByteBuffer acquireBuffer() {
-        return looks.acquire();
+        return bufferPool.acquire();
     }
 
     @Override
     public void releaseBuffer(ByteBuffer lent) {
-        looks.release(lent);
+        bufferPool.release(lent);
     }
 
     @Override
