--- a/cli/src/main/java/postgrade/cli/SettingsFiles.java
+++ b/cli/src/main/java/postgrade/cli/SettingsFiles.java
@@ -45,15 +45,27 @@
                                                 "file")));
         all.add(
                 new Setting(
-                        "view_age_ms", Long.toString(q.viewAgeMicros() / 1000), "file or default"));
-        all.add(new Setting("pull_ms", Integer.toString(q.pullMillis()), "file or default"));
-        all.add(new Setting("request_ms", Integer.toString(q.requestMillis()), "file or default"));
+                        "view_age_ms",
+                        Long.toString(q.maxViewAgeMicros() / 1000),
+                        "file or default"));
+        all.add(
+                new Setting(
+                        "pull_ms", Integer.toString(q.pullIntervalMillis()), "file or default"));
+        all.add(
+                new Setting(
+                        "request_ms",
+                        Integer.toString(q.requestTimeoutMillis()),
+                        "file or default"));
         all.add(
                 new Setting(
-                        "heartbeat_ms", Integer.toString(q.heartbeatMillis()), "file or default"));
+                        "heartbeat_ms",
+                        Integer.toString(q.heartbeatIntervalMillis()),
+                        "file or default"));
         all.add(
                 new Setting(
-                        "election_ms", Integer.toString(q.electionMillis()), "file or default"));
+                        "election_ms",
+                        Integer.toString(q.electionTimeoutMillis()),
+                        "file or default"));
         all.add(
                 new Setting(
                         "places",
--- a/quorum/src/main/java/postgrade/quorum/Quorum.java
+++ b/quorum/src/main/java/postgrade/quorum/Quorum.java
@@ -104,8 +104,8 @@
      * Follows beside the process of these settings, which lives: without its vote, its store and
      * its incarnation.
      */
-    public static Quorum beside(QuorumSettings settings, LongSupplier nowMicros, Executor onLoop)
-            throws IOException {
+    public static Quorum openObserver(
+            QuorumSettings settings, LongSupplier nowMicros, Executor onLoop) throws IOException {
         quiet();
         return new Quorum(settings.beside(), List.of(), nowMicros, onLoop);
     }
--- a/quorum/src/main/java/postgrade/quorum/engine/Desk.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/Desk.java
@@ -68,7 +68,7 @@
                 () -> {
                     Group group = voter.group();
                     long now = nowMicros.getAsLong();
-                    long least = settings.pullMillis() * 1000L / 4;
+                    long least = settings.pullIntervalMillis() * 1000L / 4;
                     if (pulled.size() > MOST_PULLERS) {
                         pulled.clear(); // Guards against names without end; whoever is real is
                         // known again at once.
@@ -82,14 +82,14 @@
                             && request.getAfterPart().isEmpty()) {
                         answer.accept(
                                 PullReply.newBuilder()
-                                        .setBusyMillis(settings.pullMillis() / 4 + 1)
+                                        .setBusyMillis(settings.pullIntervalMillis() / 4 + 1)
                                         .build());
                     } else {
                         group.pull(
                                 request,
                                 InTime.within(
                                         thread,
-                                        settings.requestMillis(),
+                                        settings.requestTimeoutMillis(),
                                         PullReply.newBuilder()
                                                 .setFault("not confirmed in time")
                                                 .build(),
@@ -111,7 +111,7 @@
                         Consumer<ReadReply> inTime =
                                 InTime.within(
                                         thread,
-                                        settings.requestMillis(),
+                                        settings.requestTimeoutMillis(),
                                         ReadReply.getDefaultInstance(),
                                         answer);
                         group.reads.confirm(
@@ -139,7 +139,7 @@
                                 InTime.within(
                                         thread,
                                         Math.min(
-                                                settings.requestMillis(),
+                                                settings.requestTimeoutMillis(),
                                                 request.getWithinMicros() / 1000),
                                         AskReply.getDefaultInstance(),
                                         answer));
@@ -149,7 +149,8 @@
                                 Methods.ASK,
                                 request.toBuilder().setForwarded(true).build(),
                                 Math.min(
-                                        settings.requestMillis(), request.getWithinMicros() / 1000),
+                                        settings.requestTimeoutMillis(),
+                                        request.getWithinMicros() / 1000),
                                 (reply, status) ->
                                         answer.accept(
                                                 reply == null
--- a/quorum/src/main/java/postgrade/quorum/engine/EraBegin.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/EraBegin.java
@@ -84,16 +84,16 @@
 
     private static Map<String, HelloReply> others(QuorumSettings settings) throws IOException {
         EventLoopGroup events = new NioEventLoopGroup(1);
-        EngineThread thread = new EngineThread(settings.name(), settings.heartbeatMillis());
+        EngineThread thread = new EngineThread(settings.name(), settings.heartbeatIntervalMillis());
         Links links = new Links(settings, events);
         CompletableFuture<Greeting> answers = new CompletableFuture<>();
         try {
             new Peers(settings, links, thread)
                     .greet(
                             HelloRequest.newBuilder().setName(settings.name()).build(),
-                            settings.requestMillis(),
+                            settings.requestTimeoutMillis(),
                             answers::complete);
-            return answers.get(settings.requestMillis() + TOLD_MILLIS, TimeUnit.MILLISECONDS)
+            return answers.get(settings.requestTimeoutMillis() + TOLD_MILLIS, TimeUnit.MILLISECONDS)
                     .replies();
         } catch (InterruptedException
                 | java.util.concurrent.ExecutionException
--- a/quorum/src/main/java/postgrade/quorum/engine/Group.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/Group.java
@@ -77,21 +77,24 @@
         this.store = store;
         facts = store.facts();
         replica = new Replica(facts.era(), parts);
-        advanceMicros = settings.heartbeatMillis() * 1000L;
+        advanceMicros = settings.heartbeatIntervalMillis() * 1000L;
         clock =
                 new LogClock(
                         settings.name(),
                         settings.incarnation(),
                         nowMicros,
-                        settings.electionMillis() * 1000L,
+                        settings.electionTimeoutMillis() * 1000L,
                         HEARTBEATS_OF_A_STEP * advanceMicros);
-        reads = new Reads(thread, links, facts.group(), settings.requestMillis());
+        reads = new Reads(thread, links, facts.group(), settings.requestTimeoutMillis());
         admission = new Admission(settings, thread, thread.clock(nowMicros));
         RaftConfig config =
                 RaftConfig.newBuilder()
                         .setLeaderHeartbeatPeriodSecs(1)
                         .setLeaderHeartbeatTimeoutSecs(
-                                Math.max(2, settings.electionMillis() / settings.heartbeatMillis()))
+                                Math.max(
+                                        2,
+                                        settings.electionTimeoutMillis()
+                                                / settings.heartbeatIntervalMillis()))
                         .setLeaderElectionTimeoutMillis(Elections.VOTE_MILLIS)
                         .setCommitCountToTakeSnapshot(SNAPSHOT_EVERY)
                         .setMaxPendingLogEntryCount(MOST_PENDING)
--- a/quorum/src/main/java/postgrade/quorum/engine/Voter.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/Voter.java
@@ -55,7 +55,7 @@
         this.nowMicros = nowMicros;
         this.links = links;
         this.faults = faults;
-        thread = new EngineThread(settings.name(), settings.heartbeatMillis());
+        thread = new EngineThread(settings.name(), settings.heartbeatIntervalMillis());
         peers = new Peers(settings, links, thread);
         desk = new Desk(this, settings, nowMicros, links, thread);
     }
@@ -109,7 +109,9 @@
             store = VoterStore.open(settings.store());
             VoterStore opened = store;
             peers.greet(
-                    hello(false), settings.electionMillis(), greeting -> checked(opened, greeting));
+                    hello(false),
+                    settings.electionTimeoutMillis(),
+                    greeting -> checked(opened, greeting));
         } catch (IOException e) {
             failed(e.getMessage());
         }
@@ -171,7 +173,8 @@
 
     private LeaderStickiness stickiness(Greeting greeting) {
         return greeting.mayHaveLeader(store.facts().group(), settings.name())
-                ? LeaderStickiness.until(nowMicros.getAsLong() + settings.electionMillis() * 1000L)
+                ? LeaderStickiness.until(
+                        nowMicros.getAsLong() + settings.electionTimeoutMillis() * 1000L)
                 : LeaderStickiness.none();
     }
 
@@ -245,10 +248,10 @@
         boolean join = group != null && !votes;
         long pause =
                 group == null || join || leader == null
-                        ? settings.electionMillis() / 4
-                        : settings.electionMillis();
+                        ? settings.electionTimeoutMillis() / 4
+                        : settings.electionTimeoutMillis();
         thread.afterMicros(this::greet, pause * 1000L); // One that fails is not the last.
-        peers.greet(hello(join), settings.electionMillis(), this::greeted);
+        peers.greet(hello(join), settings.electionTimeoutMillis(), this::greeted);
     }
 
     private void greeted(Greeting greeting) {
@@ -294,7 +297,7 @@
                 if (lost != null) {
                     faults.set(lost);
                 }
-            } else if (store.slowestMillis() > settings.electionMillis()) {
+            } else if (store.slowestMillis() > settings.electionTimeoutMillis()) {
                 faults.set("the store is slow: a write took longer than an election");
             } else if (faults.now() != null && group.votes()) {
                 faults.clear();
--- a/quorum/src/main/java/postgrade/quorum/follow/Asker.java
+++ b/quorum/src/main/java/postgrade/quorum/follow/Asker.java
@@ -59,7 +59,7 @@
     private Reply undecided() {
         // One election, spread, so that whoever was left without an answer does not come back at
         // once.
-        long election = settings.electionMillis() * 1000L;
+        long election = settings.electionTimeoutMillis() * 1000L;
         return new Reply(null, null, election + random.nextLong(election));
     }
 
@@ -82,7 +82,7 @@
             return;
         }
         Way way = way();
-        long within = Math.min(settings.requestMillis(), Math.max(1, left / 1000));
+        long within = Math.min(settings.requestTimeoutMillis(), Math.max(1, left / 1000));
         AskRequest request =
                 AskRequest.newBuilder()
                         .setCommand(Shapes.command(asked.command))
--- a/quorum/src/main/java/postgrade/quorum/follow/Follower.java
+++ b/quorum/src/main/java/postgrade/quorum/follow/Follower.java
@@ -79,7 +79,8 @@
     }
 
     void start() {
-        thread.after(this::pull, (long) (random.nextDouble() * settings.pullMillis() * 1000));
+        thread.after(
+                this::pull, (long) (random.nextDouble() * settings.pullIntervalMillis() * 1000));
     }
 
     private void pull() {
@@ -101,10 +102,10 @@
         // of its own.
         thread.after(
                 () -> answered(way, number, over, asOf, null),
-                settings.requestMillis() * 1000L + 50_000);
+                settings.requestTimeoutMillis() * 1000L + 50_000);
         way.pull(
                 request,
-                settings.requestMillis(),
+                settings.requestTimeoutMillis(),
                 reply -> thread.run(() -> answered(way, number, over, asOf, reply)));
     }
 
@@ -135,7 +136,7 @@
             return;
         }
         long spent = (nowMicros.getAsLong() - asOf) / 1000;
-        next(Math.max(1, settings.pullMillis() - spent));
+        next(Math.max(1, settings.pullIntervalMillis() - spent));
     }
 
     private void failed() {
@@ -145,7 +146,11 @@
         if (failures == MOST_FAILURES) {
             faults.set(NO_VIEW);
         }
-        next(pauseMillis(settings.pullMillis(), failures, view.known() ? 0 : 2 * ways.size()));
+        next(
+                pauseMillis(
+                        settings.pullIntervalMillis(),
+                        failures,
+                        view.known() ? 0 : 2 * ways.size()));
     }
 
     private void take(long asOf, PullReply reply) {
--- a/quorum/src/main/java/postgrade/quorum/settings/QuorumSettings.java
+++ b/quorum/src/main/java/postgrade/quorum/settings/QuorumSettings.java
@@ -25,17 +25,17 @@
         long incarnation,
         List<Voter> voters,
         Path store,
-        long viewAgeMicros,
-        int requestMillis,
-        int pullMillis,
-        int heartbeatMillis,
-        int electionMillis) {
+        long maxViewAgeMicros,
+        int requestTimeoutMillis,
+        int pullIntervalMillis,
+        int heartbeatIntervalMillis,
+        int electionTimeoutMillis) {
 
-    public static final long VIEW_AGE_MICROS = 2_000_000;
-    public static final int REQUEST_MILLIS = 500;
-    public static final int PULL_MILLIS = 250;
-    public static final int HEARTBEAT_MILLIS = 100;
-    public static final int ELECTION_MILLIS = 800;
+    public static final long DEFAULT_MAX_VIEW_AGE_MICROS = 2_000_000;
+    public static final int DEFAULT_REQUEST_TIMEOUT_MILLIS = 500;
+    public static final int DEFAULT_PULL_INTERVAL_MILLIS = 250;
+    public static final int DEFAULT_HEARTBEAT_INTERVAL_MILLIS = 100;
+    public static final int DEFAULT_ELECTION_TIMEOUT_MILLIS = 800;
     private static final int MOST_VOTERS = 5;
     private static final int MOST_NAME = 64;
     private static final String BESIDE = ".beside";
@@ -89,25 +89,25 @@
         if (names.contains(name) && store == null) {
             throw new Faulty("store", "is missing, and " + name + " is a voter");
         }
-        within("heartbeat_ms", heartbeatMillis, 10, 10_000);
-        within("election_ms", electionMillis, 2L * heartbeatMillis, 60_000);
-        within("pull_ms", pullMillis, 10, 10_000);
-        within("request_ms", requestMillis, 10, 60_000);
-        within("view_age_ms", viewAgeMicros / 1000, 2L * pullMillis, 600_000);
+        within("heartbeat_ms", heartbeatIntervalMillis, 10, 10_000);
+        within("election_ms", electionTimeoutMillis, 2L * heartbeatIntervalMillis, 60_000);
+        within("pull_ms", pullIntervalMillis, 10, 10_000);
+        within("request_ms", requestTimeoutMillis, 10, 60_000);
+        within("view_age_ms", maxViewAgeMicros / 1000, 2L * pullIntervalMillis, 600_000);
     }
 
     /** With the customary bounds. */
-    public static QuorumSettings of(String name, List<Voter> voters, Path store) {
+    public static QuorumSettings withDefaults(String name, List<Voter> voters, Path store) {
         return new QuorumSettings(
                 name,
                 0,
                 voters,
                 store,
-                VIEW_AGE_MICROS,
-                REQUEST_MILLIS,
-                PULL_MILLIS,
-                HEARTBEAT_MILLIS,
-                ELECTION_MILLIS);
+                DEFAULT_MAX_VIEW_AGE_MICROS,
+                DEFAULT_REQUEST_TIMEOUT_MILLIS,
+                DEFAULT_PULL_INTERVAL_MILLIS,
+                DEFAULT_HEARTBEAT_INTERVAL_MILLIS,
+                DEFAULT_ELECTION_TIMEOUT_MILLIS);
     }
 
     public QuorumSettings withIncarnation(long taken) {
@@ -116,11 +116,11 @@
                 taken,
                 voters,
                 store,
-                viewAgeMicros,
-                requestMillis,
-                pullMillis,
-                heartbeatMillis,
-                electionMillis);
+                maxViewAgeMicros,
+                requestTimeoutMillis,
+                pullIntervalMillis,
+                heartbeatIntervalMillis,
+                electionTimeoutMillis);
     }
 
     /** Under a name that is no voter's, as voters bound the pulls of each name. */
@@ -139,11 +139,11 @@
                 0,
                 voters,
                 null,
-                viewAgeMicros,
-                requestMillis,
-                pullMillis,
-                heartbeatMillis,
-                electionMillis);
+                maxViewAgeMicros,
+                requestTimeoutMillis,
+                pullIntervalMillis,
+                heartbeatIntervalMillis,
+                electionTimeoutMillis);
     }
 
     public boolean votes() {
--- a/quorum/src/main/java/postgrade/quorum/settings/SharingFile.java
+++ b/quorum/src/main/java/postgrade/quorum/settings/SharingFile.java
@@ -67,11 +67,11 @@
      * @throws postgrade.script.ScriptError where the script itself is faulty
      */
     public static QuorumSettings read(Path file, String name, Consumer<String> printer) {
-        return read(Script.run(file, names(), printer), file, name, Set.of());
+        return read(Script.run(file, scriptFunctions(), printer), file, name, Set.of());
     }
 
     /** What a script of this kind may call. */
-    public static Map<String, Object> names() {
+    public static Map<String, Object> scriptFunctions() {
         return Map.of("voter", Script.function("voter", "name host port", a -> new Made(voter(a))));
     }
 
@@ -116,11 +116,11 @@
                     0,
                     voters(),
                     store == null ? null : Path.of(store).resolve(name),
-                    number("view_age_ms", QuorumSettings.VIEW_AGE_MICROS / 1000) * 1000,
-                    (int) number("request_ms", QuorumSettings.REQUEST_MILLIS),
-                    (int) number("pull_ms", QuorumSettings.PULL_MILLIS),
-                    (int) number("heartbeat_ms", QuorumSettings.HEARTBEAT_MILLIS),
-                    (int) number("election_ms", QuorumSettings.ELECTION_MILLIS));
+                    number("view_age_ms", QuorumSettings.DEFAULT_MAX_VIEW_AGE_MICROS / 1000) * 1000,
+                    (int) number("request_ms", QuorumSettings.DEFAULT_REQUEST_TIMEOUT_MILLIS),
+                    (int) number("pull_ms", QuorumSettings.DEFAULT_PULL_INTERVAL_MILLIS),
+                    (int) number("heartbeat_ms", QuorumSettings.DEFAULT_HEARTBEAT_INTERVAL_MILLIS),
+                    (int) number("election_ms", QuorumSettings.DEFAULT_ELECTION_TIMEOUT_MILLIS));
         } catch (Faulty e) {
             throw faulty(e);
         } catch (java.nio.file.InvalidPathException e) {
--- a/quorum/src/test/java/postgrade/quorum/SharingFileTest.java
+++ b/quorum/src/test/java/postgrade/quorum/SharingFileTest.java
@@ -28,7 +28,7 @@
         QuorumSettings a = SharingFile.read(shipped, "a", line -> {});
         assertTrue(a.votes());
         assertEquals(Path.of("var/sharing/a"), a.store());
-        assertEquals(2_000_000, a.viewAgeMicros());
+        assertEquals(2_000_000, a.maxViewAgeMicros());
         assertFalse(SharingFile.read(shipped, "gateway-7", line -> {}).votes());
     }
 
--- a/quorum/src/test/java/postgrade/quorum/wire/LinksTest.java
+++ b/quorum/src/test/java/postgrade/quorum/wire/LinksTest.java
@@ -70,7 +70,7 @@
                 s.close();
                 Voter b = new Voter("b", "127.0.0.1", port);
                 server = new Server(b, events, new Quiet());
-                links = new Links(QuorumSettings.of("x", List.of(b), null), events);
+                links = new Links(QuorumSettings.withDefaults("x", List.of(b), null), events);
             } catch (IOException e) {
                 // Taken: another.
             }
--- a/rig/src/test/java/postgrade/rig/ground/Node.java
+++ b/rig/src/test/java/postgrade/rig/ground/Node.java
@@ -38,7 +38,7 @@
 
     private Node(String name, Path store, List<Voter> voters) {
         this.name = name;
-        settings = QuorumSettings.of(name, voters, store);
+        settings = QuorumSettings.withDefaults(name, voters, store);
         String clock = System.getenv("POSTGRADE_TEST_CLOCK");
         double rate = clock == null ? 1 : 1 + Long.parseLong(clock.split(",")[1]) / 1e6;
         long begun = System.nanoTime();
@@ -154,7 +154,7 @@
                             .add("fault", s.fault() == null ? "" : s.fault()));
         }
         boolean now =
-                view.known() && view.ageMicros(micros.getAsLong()) <= settings.viewAgeMicros();
+                view.known() && view.ageMicros(micros.getAsLong()) <= settings.maxViewAgeMicros();
         if (now != fresh) {
             fresh = now;
             tell(
--- a/rig/src/test/java/postgrade/rig/lease/LeaseNode.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseNode.java
@@ -76,8 +76,8 @@
                         Times.USUAL.viewBoundMicros(),
                         500,
                         100,
-                        QuorumSettings.HEARTBEAT_MILLIS,
-                        QuorumSettings.ELECTION_MILLIS);
+                        QuorumSettings.DEFAULT_HEARTBEAT_INTERVAL_MILLIS,
+                        QuorumSettings.DEFAULT_ELECTION_TIMEOUT_MILLIS);
         if (a.length > 4 && a[4].equals("begin")) {
             say(
                     "era",
--- a/sharing/src/main/java/postgrade/sharing/SharingFinder.java
+++ b/sharing/src/main/java/postgrade/sharing/SharingFinder.java
@@ -49,7 +49,7 @@
 
             @Override
             public Sharing beside(LongSupplier nowMicros, Executor onLoop) throws IOException {
-                return Quorum.beside(settings, nowMicros, onLoop);
+                return Quorum.openObserver(settings, nowMicros, onLoop);
             }
         };
     }
--- a/sharing/src/main/java/postgrade/sharing/settings/SharingPlan.java
+++ b/sharing/src/main/java/postgrade/sharing/settings/SharingPlan.java
@@ -84,7 +84,7 @@
      * @throws IllegalArgumentException with one sentence that names file and key
      */
     public static Both read(Path file, String dispatcher) {
-        Map<String, Object> names = new HashMap<>(SharingFile.names());
+        Map<String, Object> names = new HashMap<>(SharingFile.scriptFunctions());
         names.put(
                 "window",
                 Script.function(
@@ -113,7 +113,7 @@
                 (long) (number("linger_s", 20, 0, 3600) * MICROS),
                 share("floor"),
                 share("cut_off"),
-                q.viewAgeMicros(),
+                q.maxViewAgeMicros(),
                 counts(),
                 (long) number("accelerators_version", 1, 1, MOST),
                 reserving(),
