--- a/quorum/src/main/java/postgrade/quorum/Quorum.java
+++ b/quorum/src/main/java/postgrade/quorum/Quorum.java
@@ -19,14 +19,14 @@
 import postgrade.quorum.wire.Links;
 import postgrade.quorum.wire.Server;
 import postgrade.shared.Command;
-import postgrade.shared.Part;
-import postgrade.shared.Sharing;
+import postgrade.shared.ReplicatedState;
+import postgrade.shared.StatePart;
 import postgrade.shared.View;
 
 /**
  * Shared state by a quorum of voters, for one process: a voter itself, or an observer that follows.
  */
-public final class Quorum implements Sharing {
+public final class Quorum implements ReplicatedState {
 
     /** Held, since loggers that nobody holds forget their level. */
     private static final java.util.logging.Logger GRPC =
@@ -42,7 +42,7 @@
     private final Following following;
 
     private Quorum(
-            QuorumSettings settings, List<Part> parts, LongSupplier nowMicros, Executor onLoop)
+            QuorumSettings settings, List<StatePart> parts, LongSupplier nowMicros, Executor onLoop)
             throws IOException {
         this.settings = settings;
         faults = new Faults(settings.name());
@@ -82,7 +82,7 @@
      * @throws IOException where a voter cannot listen
      */
     public static Quorum open(
-            QuorumSettings settings, List<Part> parts, LongSupplier nowMicros, Executor onLoop)
+            QuorumSettings settings, List<StatePart> parts, LongSupplier nowMicros, Executor onLoop)
             throws IOException {
         quiet();
         long incarnation =
@@ -126,7 +126,7 @@
     }
 
     @Override
-    public void ask(Command command, long withinMicros, Consumer<Reply> done) {
+    public void submit(Command command, long withinMicros, Consumer<Reply> done) {
         following.ask(command, withinMicros, done);
     }
 
--- a/quorum/src/main/java/postgrade/quorum/engine/Group.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/Group.java
@@ -27,7 +27,7 @@
 import postgrade.quorum.wire.proto.RaftMsg;
 import postgrade.shared.Command;
 import postgrade.shared.Moment;
-import postgrade.shared.Part;
+import postgrade.shared.StatePart;
 
 /**
  * One era's log as this voter keeps it: engine, store and replica. All is called on the engine's
@@ -63,7 +63,7 @@
 
     Group(
             QuorumSettings settings,
-            List<Part> parts,
+            List<StatePart> parts,
             LongSupplier nowMicros,
             EngineThread thread,
             Links links,
--- a/quorum/src/main/java/postgrade/quorum/engine/LogClock.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/LogClock.java
@@ -3,7 +3,7 @@
 import io.microraft.RaftNode;
 import io.microraft.exception.CannotReplicateException;
 import java.util.function.LongSupplier;
-import postgrade.shared.Machine;
+import postgrade.shared.ReplicatedStateMachine;
 
 /**
  * Moves the log's time on, while this voter leads, by what its own monotonic clock has measured.
@@ -54,7 +54,7 @@
         this.incarnation = incarnation;
         this.nowMicros = nowMicros;
         this.step = step;
-        this.most = Math.min(most, Machine.MOST_ADVANCE_MICROS);
+        this.most = Math.min(most, ReplicatedStateMachine.MAX_ADVANCE_MICROS);
     }
 
     /** Who leads has changed: what was measured so far counts no more. */
@@ -98,7 +98,7 @@
         askedMicros = now;
         int entry = ++entries;
         long by = begun ? Math.min(most, now - from) : 0;
-        node.replicate(Machine.advance(name, incarnation, by))
+        node.replicate(ReplicatedStateMachine.advance(name, incarnation, by))
                 .whenComplete(
                         (done, e) -> {
                             if (term != current || entry != entries) {
--- a/quorum/src/main/java/postgrade/quorum/engine/Pages.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/Pages.java
@@ -9,7 +9,7 @@
 import postgrade.quorum.wire.proto.ChangeMsg;
 import postgrade.quorum.wire.proto.PullReply;
 import postgrade.quorum.wire.proto.PullRequest;
-import postgrade.shared.Machine;
+import postgrade.shared.ReplicatedStateMachine;
 import postgrade.shared.Rows.Change;
 
 /**
@@ -31,8 +31,11 @@
      * Fills in what has changed since the request's index, or all there is where that is not known.
      */
     public static void fill(
-            PullReply.Builder reply, Machine machine, PullRequest request, boolean resumed) {
-        List<Change> changes = resumed ? machine.rows().since(request.getIndex()) : null;
+            PullReply.Builder reply,
+            ReplicatedStateMachine machine,
+            PullRequest request,
+            boolean resumed) {
+        List<Change> changes = resumed ? machine.rows().changesSince(request.getIndex()) : null;
         reply.setMoment(Shapes.moment(machine.moment())).setWhole(changes == null);
         if (!request.getPages()) {
             reply.addAllChanges(Shapes.changes(changes == null ? machine.rows().all() : changes));
@@ -69,24 +72,26 @@
     }
 
     /** A snapshot in pieces of about that size, each with its moment. */
-    static void split(Machine.Snapshot whole, Consumer<Object> piece) {
+    static void split(ReplicatedStateMachine.Snapshot whole, Consumer<Object> piece) {
         List<Change> rows = new ArrayList<>();
         int bytes = 0;
         for (Change c : whole.rows()) {
             if (bytes >= BYTES) {
-                piece.accept(new Machine.Snapshot(whole.moment(), List.copyOf(rows)));
+                piece.accept(
+                        new ReplicatedStateMachine.Snapshot(whole.moment(), List.copyOf(rows)));
                 rows.clear();
                 bytes = 0;
             }
             rows.add(c);
             bytes += Shapes.change(c).getSerializedSize();
         }
-        piece.accept(new Machine.Snapshot(whole.moment(), List.copyOf(rows)));
+        piece.accept(new ReplicatedStateMachine.Snapshot(whole.moment(), List.copyOf(rows)));
     }
 
-    static Machine.Snapshot join(List<Object> pieces) {
+    static ReplicatedStateMachine.Snapshot join(List<Object> pieces) {
         List<Change> rows = new ArrayList<>();
-        pieces.forEach(p -> rows.addAll(((Machine.Snapshot) p).rows()));
-        return new Machine.Snapshot(((Machine.Snapshot) pieces.get(0)).moment(), rows);
+        pieces.forEach(p -> rows.addAll(((ReplicatedStateMachine.Snapshot) p).rows()));
+        return new ReplicatedStateMachine.Snapshot(
+                ((ReplicatedStateMachine.Snapshot) pieces.get(0)).moment(), rows);
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/engine/Voter.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/Voter.java
@@ -18,7 +18,7 @@
 import postgrade.quorum.wire.Server;
 import postgrade.quorum.wire.proto.HelloReply;
 import postgrade.quorum.wire.proto.HelloRequest;
-import postgrade.shared.Part;
+import postgrade.shared.StatePart;
 
 /**
  * A process that votes, or is to. It opens its store, asks its peers whether that is all it had
@@ -31,7 +31,7 @@
     private static final long AGAIN_MICROS = 2_000_000;
 
     private final QuorumSettings settings;
-    private final List<Part> parts;
+    private final List<StatePart> parts;
     private final LongSupplier nowMicros;
     private final Links links;
     private final EngineThread thread;
@@ -46,7 +46,7 @@
 
     public Voter(
             QuorumSettings settings,
-            List<Part> parts,
+            List<StatePart> parts,
             LongSupplier nowMicros,
             Links links,
             Faults faults) {
--- a/quorum/src/main/java/postgrade/quorum/follow/Asker.java
+++ b/quorum/src/main/java/postgrade/quorum/follow/Asker.java
@@ -10,7 +10,7 @@
 import postgrade.quorum.wire.proto.AskReply;
 import postgrade.quorum.wire.proto.AskRequest;
 import postgrade.shared.Command;
-import postgrade.shared.Sharing.Reply;
+import postgrade.shared.ReplicatedState.Reply;
 
 /**
  * Has commands decided: asks the leader where it is known, else any voter, with the same id until
--- a/quorum/src/main/java/postgrade/quorum/follow/Gathering.java
+++ b/quorum/src/main/java/postgrade/quorum/follow/Gathering.java
@@ -108,10 +108,10 @@
                 new View(
                         moment,
                         whole
-                                ? Rows.of(moment.index(), changes)
+                                ? Rows.fromSnapshot(moment.index(), changes)
                                 : changes.isEmpty()
                                         ? before.rows()
-                                        : before.rows().with(moment.index(), changes),
+                                        : before.rows().withChanges(moment.index(), changes),
                         Math.max(asOfMicros, before.asOfMicros()));
         begin(view);
         return view;
--- a/quorum/src/main/java/postgrade/quorum/wire/LogShapes.java
+++ b/quorum/src/main/java/postgrade/quorum/wire/LogShapes.java
@@ -16,7 +16,7 @@
 import postgrade.quorum.wire.proto.MemberChange;
 import postgrade.quorum.wire.proto.Members;
 import postgrade.shared.Command;
-import postgrade.shared.Machine;
+import postgrade.shared.ReplicatedStateMachine;
 
 /** Entries and snapshots of the log, as they go over the wire and into the store. */
 public final class LogShapes {
@@ -99,7 +99,7 @@
                 .setNumber(c.getSnapshotChunkIndex())
                 .setCount(c.getSnapshotChunkCount())
                 .setMembers(members(c.getGroupMembersView()))
-                .setRows(Shapes.snapshot((Machine.Snapshot) c.getOperation()))
+                .setRows(Shapes.snapshot((ReplicatedStateMachine.Snapshot) c.getOperation()))
                 .build();
     }
 
--- a/quorum/src/main/java/postgrade/quorum/wire/Shapes.java
+++ b/quorum/src/main/java/postgrade/quorum/wire/Shapes.java
@@ -11,8 +11,8 @@
 import postgrade.quorum.wire.proto.SnapshotMsg;
 import postgrade.shared.Answer;
 import postgrade.shared.Command;
-import postgrade.shared.Machine;
 import postgrade.shared.Moment;
+import postgrade.shared.ReplicatedStateMachine;
 import postgrade.shared.Row;
 import postgrade.shared.Rows.Change;
 
@@ -99,14 +99,14 @@
         return read;
     }
 
-    public static SnapshotMsg snapshot(Machine.Snapshot s) {
+    public static SnapshotMsg snapshot(ReplicatedStateMachine.Snapshot s) {
         return SnapshotMsg.newBuilder()
                 .setMoment(moment(s.moment()))
                 .addAllRows(changes(s.rows()))
                 .build();
     }
 
-    public static Machine.Snapshot snapshot(SnapshotMsg m) {
-        return new Machine.Snapshot(moment(m.getMoment()), told(m.getRowsList()));
+    public static ReplicatedStateMachine.Snapshot snapshot(SnapshotMsg m) {
+        return new ReplicatedStateMachine.Snapshot(moment(m.getMoment()), told(m.getRowsList()));
     }
 }
--- a/quorum/src/test/java/postgrade/quorum/Cluster.java
+++ b/quorum/src/test/java/postgrade/quorum/Cluster.java
@@ -23,10 +23,10 @@
 import postgrade.shared.Answer;
 import postgrade.shared.Command;
 import postgrade.shared.Moment;
-import postgrade.shared.Part;
+import postgrade.shared.ReplicatedState.Reply;
 import postgrade.shared.Row;
 import postgrade.shared.Rows;
-import postgrade.shared.Sharing.Reply;
+import postgrade.shared.StatePart;
 
 /** Voters and observers in this process, over real connections, each with a store of its own. */
 final class Cluster implements AutoCloseable {
@@ -37,7 +37,7 @@
     private static final long DEADLINE_MILLIS = 120_000;
 
     /** Counts what it was told to add, by key. */
-    static final class Sums implements Part {
+    static final class Sums implements StatePart {
         @Override
         public String name() {
             return "sums";
@@ -45,9 +45,9 @@
 
         @Override
         public Answer apply(Rows rows, Moment at, Command c) {
-            long by = c.args().whole("by");
+            long by = c.args().integer("by");
             Row before = rows.get("sums", c.args().text("key"));
-            long sum = (before == null ? 0 : before.whole("sum")) + by;
+            long sum = (before == null ? 0 : before.integer("sum")) + by;
             rows.put("sums", c.args().text("key"), Row.of("sum", sum));
             return Answer.done("", Row.of("sum", sum, "fence", at.fence()));
         }
@@ -151,7 +151,7 @@
 
     Reply ask(String through, Command c, long withinMicros) {
         CompletableFuture<Reply> reply = new CompletableFuture<>();
-        loop.execute(() -> open.get(through).ask(c, withinMicros, reply::complete));
+        loop.execute(() -> open.get(through).submit(c, withinMicros, reply::complete));
         try {
             return reply.get(DEADLINE_MILLIS, TimeUnit.MILLISECONDS);
         } catch (Exception e) {
@@ -161,7 +161,7 @@
 
     long sum(String seenBy, String key) {
         Row row = open.get(seenBy).view().rows().get("sums", key);
-        return row == null ? 0 : row.whole("sum");
+        return row == null ? 0 : row.integer("sum");
     }
 
     void await(String what, BooleanSupplier there) {
--- a/quorum/src/test/java/postgrade/quorum/QuorumTest.java
+++ b/quorum/src/test/java/postgrade/quorum/QuorumTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.Test;
 import postgrade.shared.Answer;
-import postgrade.shared.Sharing.Reply;
+import postgrade.shared.ReplicatedState.Reply;
 
 /** Commands and views while voters come and go. */
 public class QuorumTest {
@@ -25,7 +25,7 @@
             assertEquals(first.answer(), again.answer());
             c.await("the view tells it", () -> c.sum(other, "k") == 5);
             Reply more = c.ask(other, Cluster.add("r2", "k", 2), Cluster.LONG_MICROS);
-            assertEquals(7, more.answer().fields().whole("sum"));
+            assertEquals(7, more.answer().fields().integer("sum"));
             assertTrue(more.moment().after(first.moment()));
             assertTrue(
                     "the log's time never runs ahead",
@@ -74,7 +74,7 @@
             assertEquals(asOf, c.open.get("o").view().asOfMicros());
             c.start("a");
             Reply decided = c.ask("o", Cluster.add("r1", "k", 5), Cluster.LONG_MICROS);
-            assertEquals(5, decided.answer().fields().whole("sum"));
+            assertEquals(5, decided.answer().fields().integer("sum"));
             c.await("the view tells it once", () -> c.sum("o", "k") == 5);
         }
     }
@@ -86,11 +86,11 @@
                     c.ask("a", Cluster.add("r1", "k", 5), Cluster.LONG_MICROS)
                             .answer()
                             .fields()
-                            .whole("fence");
+                            .integer("fence");
             c.stop("a", "b", "c");
             c.start("a", "b", "c");
             Reply again = c.ask("c", Cluster.add("r1", "k", 5), Cluster.LONG_MICROS);
-            assertEquals(fence, again.answer().fields().whole("fence"));
+            assertEquals(fence, again.answer().fields().integer("fence"));
             c.awaitAll("a", "b", "c");
         }
     }
--- a/quorum/src/test/java/postgrade/quorum/StoreTest.java
+++ b/quorum/src/test/java/postgrade/quorum/StoreTest.java
@@ -12,7 +12,7 @@
 import java.util.stream.Stream;
 import org.junit.Test;
 import postgrade.quorum.store.VoterStore;
-import postgrade.shared.Sharing.Reply;
+import postgrade.shared.ReplicatedState.Reply;
 
 /** Stores that are wiped, copied back, or cannot be written. */
 public class StoreTest {
@@ -41,7 +41,7 @@
                     c.ask("b", Cluster.add("r2", "k", 1), Cluster.LONG_MICROS)
                             .answer()
                             .fields()
-                            .whole("sum"));
+                            .integer("sum"));
             c.stop("a");
             assertTrue(
                     "a and the newcomer's pair decide",
@@ -58,7 +58,7 @@
                     c.ask("a", Cluster.add("r1", "k", 5), Cluster.LONG_MICROS)
                             .answer()
                             .fields()
-                            .whole("fence");
+                            .integer("fence");
             c.start("o");
             c.await("o sees era 1", () -> c.open.get("o").view().moment().era() == 1);
             c.stop("a", "b", "c");
@@ -78,7 +78,7 @@
             c.start("a");
             c.awaitAll("a", "b", "c");
             Reply r = c.ask("o", Cluster.add("r1", "k", 5), Cluster.LONG_MICROS);
-            assertTrue(r.answer().fields().whole("fence") > fence);
+            assertTrue(r.answer().fields().integer("fence") > fence);
             c.await("o sees era 2", () -> c.open.get("o").view().moment().era() == 2);
             // A voter of the former era comes back with its store.
             c.stop("c");
--- a/quorum/src/test/java/postgrade/quorum/bench/One.java
+++ b/quorum/src/test/java/postgrade/quorum/bench/One.java
@@ -10,9 +10,9 @@
 import postgrade.shared.Answer;
 import postgrade.shared.Command;
 import postgrade.shared.Moment;
-import postgrade.shared.Part;
 import postgrade.shared.Row;
 import postgrade.shared.Rows;
+import postgrade.shared.StatePart;
 
 /**
  * One process for measuring: opens sharing and does nothing else, or renews a row every so many
@@ -23,7 +23,7 @@
 
     private One() {}
 
-    private static final class Members implements Part {
+    private static final class Members implements StatePart {
         @Override
         public String name() {
             return "members";
@@ -54,7 +54,7 @@
                         new java.util.concurrent.CompletableFuture<>();
                 loop.execute(
                         () ->
-                                quorum.ask(
+                                quorum.submit(
                                         new Command(
                                                 "",
                                                 settings.name(),
--- a/quorum/src/test/java/postgrade/quorum/engine/LogClockTest.java
+++ b/quorum/src/test/java/postgrade/quorum/engine/LogClockTest.java
@@ -68,7 +68,7 @@
     }
 
     private long told() {
-        return asked.stream().mapToLong(c -> c.args().whole("by")).sum();
+        return asked.stream().mapToLong(c -> c.args().integer("by")).sum();
     }
 
     /** A leader's first entry tells no time: it commits what was before. */
@@ -76,7 +76,7 @@
         int before = asked.size();
         tickAfter(0);
         assertEquals(before + 1, asked.size());
-        assertEquals(0, asked.get(before).args().whole("by"));
+        assertEquals(0, asked.get(before).args().integer("by"));
         answer.complete(null);
     }
 
--- a/quorum/src/test/java/postgrade/quorum/engine/PagesTest.java
+++ b/quorum/src/test/java/postgrade/quorum/engine/PagesTest.java
@@ -10,11 +10,11 @@
 import postgrade.quorum.wire.proto.PullReply;
 import postgrade.shared.Answer;
 import postgrade.shared.Command;
-import postgrade.shared.Machine;
 import postgrade.shared.Moment;
-import postgrade.shared.Part;
+import postgrade.shared.ReplicatedStateMachine;
 import postgrade.shared.Row;
 import postgrade.shared.Rows;
+import postgrade.shared.StatePart;
 import postgrade.shared.View;
 
 /** A state larger than any message, told page by page while it goes on. */
@@ -24,7 +24,7 @@
     private static final String TEXT = "x".repeat(16 << 10);
     private static final long OLD_MOST = 64 << 20;
 
-    private static final class Texts implements Part {
+    private static final class Texts implements StatePart {
         @Override
         public String name() {
             return "texts";
@@ -41,7 +41,8 @@
         }
     }
 
-    private final Machine machine = new Machine(1, List.of(new Texts()));
+    private final ReplicatedStateMachine machine =
+            new ReplicatedStateMachine(1, List.of(new Texts()));
     private Gathering gathering = new Gathering(View.NONE);
     private long told;
     private int pages;
@@ -74,7 +75,7 @@
 
     private void asTheMachine(View view) {
         assertEquals(machine.moment(), view.moment());
-        assertEquals(machine.rows().of("texts"), view.rows().of("texts"));
+        assertEquals(machine.rows().ofPart("texts"), view.rows().ofPart("texts"));
     }
 
     @Test
@@ -119,13 +120,13 @@
         }
         page();
         PullReply.Builder other = PullReply.newBuilder().setGroup("2-h");
-        Machine later = new Machine(2, List.of(new Texts()));
+        ReplicatedStateMachine later = new ReplicatedStateMachine(2, List.of(new Texts()));
         later.apply(1, new Command("", "test", 1, "texts", "put", Row.of("key", "only")));
         Pages.fill(other, later, gathering.asks().build(), false);
         assertEquals(null, gathering.take(5, other.build()));
         Pages.fill(other.clear().setGroup("2-h"), later, gathering.asks().build(), false);
         View view = gathering.take(6, other.build());
-        assertEquals(later.rows().of("texts"), view.rows().of("texts"));
+        assertEquals(later.rows().ofPart("texts"), view.rows().ofPart("texts"));
         assertEquals("an earlier moment", null, page());
     }
 
@@ -135,11 +136,11 @@
             change("put", i);
         }
         List<Object> pieces = new ArrayList<>();
-        Pages.split(machine.save(), pieces::add);
+        Pages.split(machine.snapshot(), pieces::add);
         assertTrue(pieces.size() > 5);
-        Machine read = new Machine(1, List.of(new Texts()));
-        read.load(Pages.join(pieces));
+        ReplicatedStateMachine read = new ReplicatedStateMachine(1, List.of(new Texts()));
+        read.restore(Pages.join(pieces));
         assertEquals(machine.moment(), read.moment());
-        assertEquals(machine.rows().of("texts"), read.rows().of("texts"));
+        assertEquals(machine.rows().ofPart("texts"), read.rows().ofPart("texts"));
     }
 }
