--- a/core/src/main/java/postgrade/policy/AttemptRecord.java
+++ b/core/src/main/java/postgrade/policy/AttemptRecord.java
@@ -36,14 +36,14 @@
         return startedNs >= 0;
     }
 
-    /** When the worker reported its start, or, if it has not, when it was sent. */
+    /** Returns when the worker reported its start, or when it was sent if there is no report. */
     long startedOrSentNs() {
         return hasStarted() ? startedNs : sentNs;
     }
 
-    void started(long nowNs) {
+    void markStarted(long nowNs) {
         if (presumedLost) {
-            worker.occupy(job.job());
+            worker.addJob(job.job());
         }
         startedNs = nowNs;
     }
@@ -57,11 +57,11 @@
         return neverRan;
     }
 
-    void ended(boolean provedNotRun) {
+    void markEnded(boolean provedNotRun) {
         ended = true;
         neverRan = provedNotRun;
         if (!presumedLost || hasStarted()) {
-            worker.vacate(job.job());
+            worker.removeJob(job.job());
         }
     }
 
@@ -69,7 +69,7 @@
         return cancelled;
     }
 
-    void cancelled() {
+    void markCancelled() {
         cancelled = true;
     }
 
@@ -78,11 +78,11 @@
     }
 
     /**
-     * It is not expected to start: it counts among what its worker holds only if it starts after
-     * all.
+     * Marks the attempt as not expected to start. It counts as held by the worker again only if it
+     * starts after all.
      */
-    void presumeLost() {
+    void markPresumedLost() {
         presumedLost = true;
-        worker.vacate(job.job());
+        worker.removeJob(job.job());
     }
 }
--- a/core/src/main/java/postgrade/policy/InFlightJob.java
+++ b/core/src/main/java/postgrade/policy/InFlightJob.java
@@ -5,9 +5,7 @@
 import postgrade.policy.api.Idempotency;
 import postgrade.policy.api.Job;
 
-/**
- * A job until its final answer is given and all its attempts have ended. Times are in nanoseconds.
- */
+/** A job that lacks its final answer or has attempts in flight. Times are in nanoseconds. */
 final class InFlightJob {
 
     private final Job job;
@@ -17,14 +15,14 @@
     private final boolean withinQuota;
     private final long retryAfterNs;
     private final List<AttemptRecord> attempts = new ArrayList<>(2);
-    private int attemptsOut;
+    private int attemptsInFlight;
     private int resets;
     private boolean streaming;
     private boolean answered;
 
     /**
-     * @param withinQuota whether no rate limit stood against it when it came
-     * @param retryAfterNs what its client is advised if it is rejected
+     * @param withinQuota whether no rate limit was exceeded when it arrived
+     * @param retryAfterNs the Retry-After of a rejection
      */
     InFlightJob(
             Job job, JobClassStats jobClass, long nowNs, boolean withinQuota, long retryAfterNs) {
@@ -70,53 +68,52 @@
 
     // ---- Attempts.
 
-    /** Attempts so far, those that have ended included. */
+    /** Returns the number of attempts so far, including those that have ended. */
     int attemptCount() {
         return attempts.size();
     }
 
-    /** Attempts that have not ended. */
-    int attemptsOut() {
-        return attemptsOut;
+    /** Returns the number of attempts that have not ended. */
+    int attemptsInFlight() {
+        return attemptsInFlight;
     }
 
     AttemptRecord attempt(int number) {
         return attempts.get(number);
     }
 
-    /** Null before the first. */
+    /** Returns the latest attempt, or null before the first. */
     AttemptRecord latestAttempt() {
         return attempts.isEmpty() ? null : attempts.get(attempts.size() - 1);
     }
 
-    /** The attempt of this number if it has not ended, else null. */
-    AttemptRecord attemptOut(int number) {
+    /** Returns the attempt of this number, or null if it is unknown or has ended. */
+    AttemptRecord attemptInFlight(int number) {
         boolean known = number >= 0 && number < attempts.size();
         return known && !attempts.get(number).hasEnded() ? attempts.get(number) : null;
     }
 
-    void begin(long nowNs, WorkerState worker) {
+    void beginAttempt(long nowNs, WorkerState worker) {
         attempts.add(new AttemptRecord(this, worker, nowNs));
-        attemptsOut++;
-        worker.occupy(job);
+        attemptsInFlight++;
+        worker.addJob(job);
     }
 
-    void end(AttemptRecord attempt, boolean provedNotRun) {
-        attempt.ended(provedNotRun);
-        attemptsOut--;
+    void endAttempt(AttemptRecord attempt, boolean provedNotRun) {
+        attempt.markEnded(provedNotRun);
+        attemptsInFlight--;
     }
 
     /**
-     * The earliest attempt that may have run a job that must not run freely again: later ones stay
-     * in its deduplication scope and window. Null if there is none.
+     * Returns the earliest attempt that may have run a job that is not idempotent, or null if there
+     * is none. Later attempts must stay within its deduplication scope and window.
      */
-    AttemptRecord bindingAttempt() {
+    AttemptRecord earliestPossibleRun() {
         if (idempotency() == Idempotency.IDEMPOTENT) {
             return null;
         }
-        for (int i = 0;
-                i < attempts.size();
-                i++) { // Asked for each worker: an iterator would be garbage.
+        // Called for each worker, so it allocates no iterator.
+        for (int i = 0; i < attempts.size(); i++) {
             if (!attempts.get(i).neverRan()) {
                 return attempts.get(i);
             }
@@ -124,27 +121,27 @@
         return null;
     }
 
-    /** Counts an attempt whose connection was reset, and returns how many there have been. */
-    int countReset() {
+    /** Counts an attempt whose connection was reset, and returns the number of such attempts. */
+    int recordReset() {
         return ++resets;
     }
 
-    // ---- Its answer.
+    // ---- Answer.
 
     boolean isStreaming() {
         return streaming;
     }
 
-    void streaming() {
+    void markStreaming() {
         streaming = true;
     }
 
-    /** Whether nothing is owed: it has its final answer, or its client has left. */
+    /** Whether the job has its final answer or its client no longer waits for one. */
     boolean isAnswered() {
         return answered;
     }
 
-    void answered() {
+    void markAnswered() {
         answered = true;
     }
 }
--- a/core/src/main/java/postgrade/policy/WorkerKindStats.java
+++ b/core/src/main/java/postgrade/policy/WorkerKindStats.java
@@ -1,38 +1,42 @@
 package postgrade.policy;
 
-/** What has been learnt of all workers of one kind of machine. */
+/** Statistics over all workers of one kind of machine. */
 final class WorkerKindStats {
 
-    /** How fast the reported size grows once it is known. */
-    private static final double SLOTS_RATE = 0.3;
+    /** Rate at which the size grows towards larger reports after the first report. */
+    private static final double SLOTS_SMOOTHING_RATE = 0.3;
 
     private double slots;
-    private double pace = 1;
+    private double serviceTimeRatio = 1;
     private long served;
     private double queueingDelayNs;
 
-    /** The most free slots that a worker of this kind has about reported; 0 while none has. */
+    /**
+     * Returns approximately the most free slots that a worker of this kind has reported; 0 before
+     * any report.
+     */
     double slots() {
         return slots;
     }
 
-    void reportFreeSlots(double free) {
+    void recordFreeSlots(double free) {
         if (free > slots) {
-            slots += slots == 0 ? free : SLOTS_RATE * (free - slots);
+            slots += slots == 0 ? free : SLOTS_SMOOTHING_RATE * (free - slots);
         }
     }
 
-    /** How long jobs run on this kind, relative to the mean of their class. */
-    double pace() {
-        return pace;
+    /** Returns the mean service time on this kind, relative to the mean of the job class. */
+    double serviceTimeRatio() {
+        return serviceTimeRatio;
     }
 
-    void recordPace(double observed) {
+    void recordServiceTimeRatio(double observed) {
         served++;
-        pace += Math.max(Smoothing.RATE, 1.0 / (served + 1)) * (observed - pace);
+        serviceTimeRatio +=
+                Math.max(Smoothing.RATE, 1.0 / (served + 1)) * (observed - serviceTimeRatio);
     }
 
-    /** How long recent jobs have waited at workers of this kind before they started, on average. */
+    /** Returns how long recent jobs were queued at workers of this kind on average. */
     double queueingDelayNs() {
         return queueingDelayNs;
     }
@@ -43,20 +47,20 @@
 
     void reset() {
         slots = 0;
-        pace = 1;
+        serviceTimeRatio = 1;
         served = 0;
         queueingDelayNs = 0;
     }
 
-    /** Its state in the order that {@link #restore} reads. */
+    /** Returns the state in the order that {@link #restore} reads. */
     double[] export() {
-        return new double[] {slots, pace, served, queueingDelayNs};
+        return new double[] {slots, serviceTimeRatio, served, queueingDelayNs};
     }
 
-    /** An earlier version exports no queueing delay. */
+    /** Restores exported state. Earlier versions export no queueing delay. */
     void restore(double[] values) {
         slots = values[0];
-        pace = values[1];
+        serviceTimeRatio = values[1];
         served = (long) values[2];
         queueingDelayNs = values.length > 3 ? values[3] : 0;
     }
--- a/core/src/test/java/postgrade/policy/DeploymentChangeTest.java
+++ b/core/src/test/java/postgrade/policy/DeploymentChangeTest.java
@@ -33,16 +33,16 @@
 import postgrade.policy.api.WorkerPhase;
 
 /**
- * Settings of another customer, read under way or by the process that takes over: nothing of the
- * first is left.
+ * Settings of another deployment, loaded at runtime or by a succeeding process: no learned state of
+ * the first deployment remains.
  */
 class DeploymentChangeTest {
 
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1_000 * MS;
 
-    /** The first customer's jobs and troubles fall into this time. */
-    private static final long LATER = 30 * SECOND;
+    /** A time after all jobs and failures of the first deployment. */
+    private static final long AFTER_FIRST_DEPLOYMENT_NS = 30 * SECOND;
 
     private static final List<WorkerInfo> WORKERS =
             Stream.of("w1", "w2", "w3")
@@ -50,10 +50,10 @@
                     .toList();
 
     /**
-     * What a worker or a job has of ours is a fact, whoever's settings are in force, and chance is
-     * chance.
+     * Names of fields that are not learned state: jobs in flight and their workers stay whichever
+     * settings are in force, and random choices are excluded.
      */
-    private static final Set<String> FACTS =
+    private static final Set<String> NOT_LEARNED =
             Set.of(
                     "random",
                     "actions",
@@ -61,20 +61,20 @@
                     "jobs",
                     "averageUsedSlots",
                     "averagedNs",
-                    "slowStartLedger",
+                    "slowStartUsage",
                     "id",
                     "hash",
                     "info");
 
-    private final Recorder out = new Recorder();
-    private int jobs;
+    private final RecordingActions actions = new RecordingActions();
+    private int jobCount;
 
-    /** Both call a class, a tenant, a machine kind and a zone the same. */
-    private static PolicySettings.Builder first() {
+    /** Both deployments have a class, a tenant, a worker kind and a zone of the same name. */
+    private static PolicySettings.Builder firstDeployment() {
         return PolicySettings.builder()
-                .named(Deployment.Sort.TIER, List.of("shops"))
-                .named(Deployment.Sort.KIND, List.of("k", "k1"))
-                .named(Deployment.Sort.ZONE, List.of("z"))
+                .deploymentNames(Deployment.NameType.TIER, List.of("shops"))
+                .deploymentNames(Deployment.NameType.KIND, List.of("k", "k1"))
+                .deploymentNames(Deployment.NameType.ZONE, List.of("z"))
                 .classes(
                         List.of(
                                 JobClass.of("both", Idempotency.IDEMPOTENT),
@@ -87,11 +87,11 @@
                 .overload(3, SECOND);
     }
 
-    private static PolicySettings.Builder second() {
+    private static PolicySettings.Builder secondDeployment() {
         return PolicySettings.builder()
-                .named(Deployment.Sort.TIER, List.of("yards"))
-                .named(Deployment.Sort.KIND, List.of("k", "k2"))
-                .named(Deployment.Sort.ZONE, List.of("z"))
+                .deploymentNames(Deployment.NameType.TIER, List.of("yards"))
+                .deploymentNames(Deployment.NameType.KIND, List.of("k", "k2"))
+                .deploymentNames(Deployment.NameType.ZONE, List.of("z"))
                 .classes(
                         List.of(
                                 JobClass.of("second", Idempotency.IDEMPOTENT),
@@ -114,33 +114,34 @@
                 .overload(2, 2 * SECOND);
     }
 
-    private String job(TokenBucketDispatchPolicy d, long nowNs, String jobClass, String tenant) {
-        String id = "j" + jobs++;
-        d.jobArrived(nowNs, new Job(id, jobClass, tenant, "user", 5 * SECOND, 1, 0));
+    private String submit(
+            TokenBucketDispatchPolicy policy, long nowNs, String jobClass, String tenant) {
+        String id = "j" + jobCount++;
+        policy.jobArrived(nowNs, new Job(id, jobClass, tenant, "user", 5 * SECOND, 1, 0));
         return id;
     }
 
-    private TokenBucketDispatchPolicy started(PolicySettings settings, long nowNs) {
-        TokenBucketDispatchPolicy d = new TokenBucketDispatchPolicy(settings, 7, out);
-        d.workersUpdated(nowNs, WorkerListUpdateType.FULL, WORKERS);
-        return d;
+    private TokenBucketDispatchPolicy newPolicy(PolicySettings settings, long nowNs) {
+        TokenBucketDispatchPolicy policy = new TokenBucketDispatchPolicy(settings, 7, actions);
+        policy.workersUpdated(nowNs, WorkerListUpdateType.FULL, WORKERS);
+        return policy;
     }
 
     /**
-     * Under the first customer: long waits and runs, failures, an ejection, reports, buckets that
-     * are empty.
+     * Returns a policy that has seen long queueing delays and service times, failures, an ejection,
+     * load reports and empty buckets under the first deployment.
      */
-    private TokenBucketDispatchPolicy troubled(PolicySettings settings) {
-        TokenBucketDispatchPolicy d = started(settings, 0);
+    private TokenBucketDispatchPolicy policyWithLearnedState(PolicySettings settings) {
+        TokenBucketDispatchPolicy policy = newPolicy(settings, 0);
         for (int i = 0; i < 60; i++) {
             long now = i * 100 * MS;
-            String id = job(d, now, i % 5 < 3 ? "both" : "first", i % 3 == 0 ? "t1" : "t");
-            if (out.sentTo(id).isEmpty()) {
+            String id = submit(policy, now, i % 5 < 3 ? "both" : "first", i % 3 == 0 ? "t1" : "t");
+            if (actions.sentTo(id).isEmpty()) {
                 continue;
             }
-            d.attemptStarted(now + 700 * MS, id, 0);
-            boolean fails = out.sentTo(id).equals("w1");
-            d.attemptFinished(
+            policy.attemptStarted(now + 700 * MS, id, 0);
+            boolean fails = actions.sentTo(id).equals("w1");
+            policy.attemptFinished(
                     now + 800 * MS,
                     id,
                     0,
@@ -148,130 +149,174 @@
                     true,
                     new LoadReport(i % 7, 0, 0, 0));
         }
-        return d;
+        return policy;
     }
 
     @Test
-    void nothingLearntUnderTheFirstIsLeftUnderTheSecond() throws Exception {
-        TokenBucketDispatchPolicy d = troubled(first().build());
-        assertNotEquals(memory(started(first().build(), 0)), memory(d), "it had learnt something");
-        d.settingsChanged(LATER, second().build());
-        d.workersUpdated(LATER, WorkerListUpdateType.FULL, WORKERS);
-        assertEquals(memory(started(second().build(), LATER)), memory(d));
+    void stateLearnedUnderTheFirstIsResetUnderTheSecond() throws Exception {
+        TokenBucketDispatchPolicy policy = policyWithLearnedState(firstDeployment().build());
+        assertNotEquals(
+                learnedState(newPolicy(firstDeployment().build(), 0)),
+                learnedState(policy),
+                "it has learned something");
+        policy.settingsChanged(AFTER_FIRST_DEPLOYMENT_NS, secondDeployment().build());
+        policy.workersUpdated(AFTER_FIRST_DEPLOYMENT_NS, WorkerListUpdateType.FULL, WORKERS);
+        assertEquals(
+                learnedState(newPolicy(secondDeployment().build(), AFTER_FIRST_DEPLOYMENT_NS)),
+                learnedState(policy));
     }
 
     @Test
-    void underTheSameDeploymentItStaysButForWhatTheSettingsNoLongerName() throws Exception {
-        TokenBucketDispatchPolicy d = troubled(first().build());
-        Object before = memory(d);
-        d.settingsChanged(LATER, first().build());
-        assertEquals(before, memory(d));
-        d.settingsChanged(
-                LATER,
-                first().classes(List.of(JobClass.of("first", Idempotency.IDEMPOTENT)))
+    void sameDeploymentKeepsStateExceptForRemovedNames() throws Exception {
+        TokenBucketDispatchPolicy policy = policyWithLearnedState(firstDeployment().build());
+        Object before = learnedState(policy);
+        policy.settingsChanged(AFTER_FIRST_DEPLOYMENT_NS, firstDeployment().build());
+        assertEquals(before, learnedState(policy));
+        policy.settingsChanged(
+                AFTER_FIRST_DEPLOYMENT_NS,
+                firstDeployment()
+                        .classes(List.of(JobClass.of("first", Idempotency.IDEMPOTENT)))
                         .tenants(List.of(new Tenant("t1", 4)))
                         .build());
-        PolicyState state = state(d);
+        PolicyState state = state(policy);
         assertEquals(1, state.classes().all().size());
-        assertTrue(state.classes().get("first").served() > 0, "what it knew of that one it knows");
+        assertTrue(
+                state.classes().get("first").served() > 0,
+                "the statistics of the remaining class are kept");
         assertEquals(Set.of("t1"), exportedTenants(state));
         assertFalse(exportedKeys(state).isEmpty());
     }
 
-    /** What a class's dearest job costs bounds how many gateways may send to a cold worker. */
+    /**
+     * The longest service time bounds how many dispatchers may send to a worker in slow start, so a
+     * removed class must not determine it.
+     */
     @Test
-    void theDearestClassIsOneThatThereIs() throws Exception {
-        TokenBucketDispatchPolicy d = troubled(first().build());
-        d.settingsChanged(
-                LATER,
-                first().classes(List.of(JobClass.of("fresh", Idempotency.IDEMPOTENT))).build());
+    void removedClassesDoNotCountAsTheLongest() throws Exception {
+        TokenBucketDispatchPolicy policy = policyWithLearnedState(firstDeployment().build());
+        policy.settingsChanged(
+                AFTER_FIRST_DEPLOYMENT_NS,
+                firstDeployment()
+                        .classes(List.of(JobClass.of("fresh", Idempotency.IDEMPOTENT)))
+                        .build());
         assertEquals(
-                JobClassStats.UNKNOWN_SERVICE_TIME_NS, state(d).classes().longestServiceTimeNs());
+                JobClassStats.DEFAULT_SERVICE_TIME_NS,
+                state(policy).classes().longestServiceTimeNs());
     }
 
     @Test
-    void aNewProcessOfTheSecondTakesNothingThatTheFirstHasLearnt() throws Exception {
-        TokenBucketDispatchPolicy old = troubled(first().slowStart(1, 0).build());
-        List<PolicyStateEntry> told = old.exportState(LATER);
-        TokenBucketDispatchPolicy fresh = started(second().build(), LATER);
-        fresh.importState(LATER, told);
-        assertEquals(memory(started(second().build(), LATER)), memory(fresh));
-        TokenBucketDispatchPolicy same = started(first().build(), LATER);
-        same.importState(LATER, told);
+    void newProcessOfTheSecondIgnoresStateOfTheFirst() throws Exception {
+        TokenBucketDispatchPolicy oldProcess =
+                policyWithLearnedState(firstDeployment().slowStart(1, 0).build());
+        List<PolicyStateEntry> exported = oldProcess.exportState(AFTER_FIRST_DEPLOYMENT_NS);
+        TokenBucketDispatchPolicy newProcess =
+                newPolicy(secondDeployment().build(), AFTER_FIRST_DEPLOYMENT_NS);
+        newProcess.importState(AFTER_FIRST_DEPLOYMENT_NS, exported);
+        assertEquals(
+                learnedState(newPolicy(secondDeployment().build(), AFTER_FIRST_DEPLOYMENT_NS)),
+                learnedState(newProcess));
+        TokenBucketDispatchPolicy sameDeployment =
+                newPolicy(firstDeployment().build(), AFTER_FIRST_DEPLOYMENT_NS);
+        sameDeployment.importState(AFTER_FIRST_DEPLOYMENT_NS, exported);
         assertNotEquals(
-                memory(started(first().build(), LATER)), memory(same), "one of the first does");
-        TokenBucketDispatchPolicy fewer =
-                started(first().tenants(List.of(new Tenant("t1", 4))).build(), LATER);
-        fewer.importState(LATER, told);
-        assertEquals(Set.of("t1"), exportedTenants(state(fewer)));
+                learnedState(newPolicy(firstDeployment().build(), AFTER_FIRST_DEPLOYMENT_NS)),
+                learnedState(sameDeployment),
+                "a process of the first deployment imports it");
+        TokenBucketDispatchPolicy fewerTenants =
+                newPolicy(
+                        firstDeployment().tenants(List.of(new Tenant("t1", 4))).build(),
+                        AFTER_FIRST_DEPLOYMENT_NS);
+        fewerTenants.importState(AFTER_FIRST_DEPLOYMENT_NS, exported);
+        assertEquals(Set.of("t1"), exportedTenants(state(fewerTenants)));
     }
 
-    /** The limits, the effect and the names of the second, for jobs that come after it. */
+    /**
+     * The limits, idempotency and names of the second deployment apply to jobs that arrive after
+     * the change.
+     */
     @Test
-    void theSecondsLimitsAndEffectsHoldAtOnceAndJobsUnderWayKeepTheirClass() {
-        TokenBucketDispatchPolicy d = started(first().build(), 0);
-        String underWay = job(d, 0, "both", null);
-        d.settingsChanged(MS, second().build());
-        String once = job(d, MS, "both", null);
-        d.attemptFinished(MS, once, 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
-        assertEquals("fail " + once, out.last("fail"), "it may have run, and must not run twice");
-        long sent = out.count("send " + underWay);
-        d.attemptFinished(MS, underWay, 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
+    void newSettingsApplyAtOnceAndJobsInFlightKeepTheirClass() {
+        TokenBucketDispatchPolicy policy = newPolicy(firstDeployment().build(), 0);
+        String inFlight = submit(policy, 0, "both", null);
+        policy.settingsChanged(MS, secondDeployment().build());
+        String notRepeatable = submit(policy, MS, "both", null);
+        policy.attemptFinished(MS, notRepeatable, 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
+        assertEquals(
+                "fail " + notRepeatable,
+                actions.last("fail"),
+                "it may have run, and must not run twice");
+        long sent = actions.count("send " + inFlight);
+        policy.attemptFinished(MS, inFlight, 0, AttemptOutcome.ERROR, false, LoadReport.NONE);
         assertTrue(
-                out.count("send " + underWay) > sent || out.last("refuse").contains(underWay),
-                "taken as one that may be repeated");
-        assertThrows(IllegalArgumentException.class, () -> job(d, MS, "first", null));
+                actions.count("send " + inFlight) > sent
+                        || actions.last("reject").contains(inFlight),
+                "treated as repeatable");
+        assertThrows(IllegalArgumentException.class, () -> submit(policy, MS, "first", null));
         int admitted = 0;
         for (int i = 0; i < 100; i++) {
-            long before = out.count("send");
-            String id = job(d, MS, "second", "t2");
-            admitted += out.count("send") - before;
-            d.attemptFinished(MS, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
+            long before = actions.count("send");
+            String id = submit(policy, MS, "second", "t2");
+            admitted += actions.count("send") - before;
+            policy.attemptFinished(MS, id, 0, AttemptOutcome.SERVED, true, LoadReport.NONE);
         }
         assertTrue(admitted >= 16, admitted + " of a burst of two seconds of 8");
     }
 
     /**
-     * What was sent before is not counted under other rules on cold workers: one window passes
-     * first.
+     * Work sent under laxer slow start rules has not been recorded, so nothing is sent until one
+     * window has passed.
      */
     @Test
-    void underStricterRulesOnColdWorkersOneWindowPassesFirst() {
+    void stricterSlowStartRulesSendNothingForOneWindow() {
         for (boolean stricter : new boolean[] {false, true}) {
-            TokenBucketDispatchPolicy d = new TokenBucketDispatchPolicy(first().build(), 7, out);
-            d.workersUpdated(
+            TokenBucketDispatchPolicy policy =
+                    new TokenBucketDispatchPolicy(firstDeployment().build(), 7, actions);
+            policy.workersUpdated(
                     0,
                     WorkerListUpdateType.FULL,
                     List.of(
                             new WorkerInfo(
-                                    "w1", "z", "k", 0, WorkerPhase.READY, 1, LATER - 5 * SECOND)));
-            d.settingsChanged(
-                    LATER, stricter ? first().overload(3, 2 * SECOND).build() : first().build());
-            long before = out.count("send");
-            job(d, LATER + MS, "both", null);
-            assertEquals(stricter ? before : before + 1, out.count("send"));
-            job(d, LATER + 2 * SECOND, "both", null);
-            assertTrue(out.count("send") > before);
+                                    "w1",
+                                    "z",
+                                    "k",
+                                    0,
+                                    WorkerPhase.READY,
+                                    1,
+                                    AFTER_FIRST_DEPLOYMENT_NS - 5 * SECOND)));
+            policy.settingsChanged(
+                    AFTER_FIRST_DEPLOYMENT_NS,
+                    stricter
+                            ? firstDeployment().overload(3, 2 * SECOND).build()
+                            : firstDeployment().build());
+            long before = actions.count("send");
+            submit(policy, AFTER_FIRST_DEPLOYMENT_NS + MS, "both", null);
+            assertEquals(stricter ? before : before + 1, actions.count("send"));
+            submit(policy, AFTER_FIRST_DEPLOYMENT_NS + 2 * SECOND, "both", null);
+            assertTrue(actions.count("send") > before);
         }
     }
 
     @ParameterizedTest
-    @EnumSource(Deployment.Sort.class)
-    void oneSortOfNamesWithNoneInCommonTellsAnotherDeployment(Deployment.Sort sort) {
-        Deployment a = Deployment.UNNAMED;
-        for (Deployment.Sort s : Deployment.Sort.values()) {
-            a = a.with(s, List.of("x", "y"));
+    @EnumSource(Deployment.NameType.class)
+    void oneTypeOfNamesWithNoneInCommonMakesAnotherDeployment(Deployment.NameType type) {
+        Deployment deployment = Deployment.UNNAMED;
+        for (Deployment.NameType otherType : Deployment.NameType.values()) {
+            deployment = deployment.with(otherType, List.of("x", "y"));
         }
-        assertTrue(a.isSameAs(a.with(sort, List.of("y", "z"))), "names come and go");
-        assertTrue(a.isSameAs(a.with(sort, List.of())), "where nothing is named nothing is told");
-        assertFalse(a.isSameAs(a.with(sort, List.of("z"))));
-        assertFalse(a.with(sort, List.of("z")).isSameAs(a));
+        assertTrue(
+                deployment.isSameAs(deployment.with(type, List.of("y", "z"))),
+                "names may be added and removed");
+        assertTrue(
+                deployment.isSameAs(deployment.with(type, List.of())),
+                "types without names do not distinguish");
+        assertFalse(deployment.isSameAs(deployment.with(type, List.of("z"))));
+        assertFalse(deployment.with(type, List.of("z")).isSameAs(deployment));
     }
 
-    // ---- All fields of the memory, so that one added later is either begun anew or named a fact.
+    // ---- Compares all fields of the state: a new one must be reset or listed as not learned.
 
-    private static Object memory(TokenBucketDispatchPolicy d) throws Exception {
-        return plain(state(d));
+    private static Object learnedState(TokenBucketDispatchPolicy policy) throws Exception {
+        return toComparable(state(policy));
     }
 
     private static PolicyState state(TokenBucketDispatchPolicy policy) throws Exception {
@@ -280,46 +325,49 @@
 
     private static Set<String> exportedTenants(PolicyState state) {
         Set<String> names = new TreeSet<>();
-        state.rateLimiter().exportTenants(LATER, (name, values) -> names.add(name));
+        state.rateLimiter()
+                .exportTenants(AFTER_FIRST_DEPLOYMENT_NS, (name, values) -> names.add(name));
         return names;
     }
 
     private static Set<String> exportedKeys(PolicyState state) {
         Set<String> names = new TreeSet<>();
-        state.rateLimiter().exportKeys(LATER, (name, values) -> names.add(name));
+        state.rateLimiter()
+                .exportKeys(AFTER_FIRST_DEPLOYMENT_NS, (name, values) -> names.add(name));
         return names;
     }
 
-    private static Object field(Object of, String name) throws Exception {
-        Field f = of.getClass().getDeclaredField(name);
-        f.setAccessible(true);
-        return f.get(of);
+    private static Object field(Object owner, String name) throws Exception {
+        Field field = owner.getClass().getDeclaredField(name);
+        field.setAccessible(true);
+        return field.get(owner);
     }
 
-    private static Object plain(Object o) throws Exception {
-        if (o instanceof Map<?, ?> map) {
-            Map<String, Object> all = new TreeMap<>();
-            for (Map.Entry<?, ?> e : map.entrySet()) {
-                all.put(e.getKey().toString(), plain(e.getValue()));
+    private static Object toComparable(Object object) throws Exception {
+        if (object instanceof Map<?, ?> map) {
+            Map<String, Object> values = new TreeMap<>();
+            for (Map.Entry<?, ?> entry : map.entrySet()) {
+                values.put(entry.getKey().toString(), toComparable(entry.getValue()));
             }
-            return all;
+            return values;
         }
-        if (o instanceof Collection<?> list) {
+        if (object instanceof Collection<?> list) {
             return list.size();
         }
-        if (o == null
-                || o instanceof Enum<?>
-                || o instanceof PolicySettings
-                || !o.getClass().getName().startsWith("postgrade.policy.")) {
-            return o instanceof PolicySettings ? "" : String.valueOf(o);
+        if (object == null
+                || object instanceof Enum<?>
+                || object instanceof PolicySettings
+                || !object.getClass().getName().startsWith("postgrade.policy.")) {
+            return object instanceof PolicySettings ? "" : String.valueOf(object);
         }
-        Map<String, Object> all = new TreeMap<>();
-        for (Field f : o.getClass().getDeclaredFields()) {
-            if (!Modifier.isStatic(f.getModifiers()) && !FACTS.contains(f.getName())) {
-                f.setAccessible(true);
-                all.put(f.getName(), plain(f.get(o)));
+        Map<String, Object> values = new TreeMap<>();
+        for (Field field : object.getClass().getDeclaredFields()) {
+            if (!Modifier.isStatic(field.getModifiers())
+                    && !NOT_LEARNED.contains(field.getName())) {
+                field.setAccessible(true);
+                values.put(field.getName(), toComparable(field.get(object)));
             }
         }
-        return all;
+        return values;
     }
 }
--- a/core/src/test/java/postgrade/policy/SlowStartBudgetTest.java
+++ b/core/src/test/java/postgrade/policy/SlowStartBudgetTest.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import postgrade.policy.FleetSimulation.Call;
-import postgrade.policy.FleetSimulation.Machine;
+import postgrade.policy.FleetSimulation.ReceivedJob;
+import postgrade.policy.FleetSimulation.SimulatedWorker;
 import postgrade.policy.api.DeduplicationScope;
 import postgrade.policy.api.Idempotency;
 import postgrade.policy.api.JobClass;
@@ -18,27 +18,28 @@
 import postgrade.policy.api.Tenant;
 
 /**
- * What all gateways together send to a cold worker, in a seeded simulation. Within each window it
- * may get N requests of mean work, and 2 roots of N and 2 more are put down to chance;
- * docs/measurements/cold-ramp.md has the calculation.
+ * The work that all dispatchers together send to a worker in slow start, in a seeded simulation.
+ * Within each window it may get N jobs of mean service time; 2 square roots of N and 2 jobs more
+ * are attributed to chance. docs/measurements/cold-ramp.md has the calculation.
  */
 class SlowStartBudgetTest {
 
-    private static final double MULTIPLE = 3;
-    private static final long WINDOW = 2 * SECOND;
+    private static final double OVERLOAD_MULTIPLE = 3;
+    private static final long WINDOW_NS = 2 * SECOND;
 
-    /** What the fleet has together, in workers of five slots or of two. */
-    private static final int SLOTS = 120;
+    /** Slots of the whole fleet, whose workers have five slots or two. */
+    private static final int FLEET_SLOTS = 120;
 
-    private static final Map<String, Double> MEANS = Map.of("short", 150e6, "long", 600e6);
-    private static final double MEAN = 375e6;
+    private static final Map<String, Double> MEAN_SERVICE_TIMES_NS =
+            Map.of("short", 150e6, "long", 600e6);
+    private static final double MEAN_SERVICE_TIME_NS = 375e6;
 
-    /** What the fleet can do, jobs a second. */
-    private static final double CAPACITY = SLOTS * 1e9 / MEAN;
+    /** Capacity of the fleet in jobs per second. */
+    private static final double CAPACITY_PER_S = FLEET_SLOTS * 1e9 / MEAN_SERVICE_TIME_NS;
 
-    private static PolicySettings settings(int gateways, int index) {
+    private static PolicySettings settings(int dispatchers, int index) {
         return PolicySettings.builder()
-                .dispatcherCount(gateways)
+                .dispatcherCount(dispatchers)
                 .dispatcherIndex(index)
                 .classes(
                         List.of(
@@ -64,75 +65,83 @@
                                         0,
                                         null,
                                         false)))
-                .tenants(List.of(new Tenant("t", 0.8 * CAPACITY)))
+                .tenants(List.of(new Tenant("t", 0.8 * CAPACITY_PER_S)))
                 .workersReportStart(true)
                 .maxAttempts(4)
                 .allowsConcurrentAttempts(false)
                 .slowStart(0.15, 20 * SECOND)
-                .overload(MULTIPLE, WINDOW)
+                .overload(OVERLOAD_MULTIPLE, WINDOW_NS)
                 .build();
     }
 
     /**
-     * The most by which the work in any window since the worker's start went over N, in roots of N;
-     * and that work over N.
+     * Returns by how much the work in any window since the worker's start exceeded N + 2 at most,
+     * in square roots of N; and the greatest ratio of that work to N.
      */
-    private static double[] worst(Machine m) {
-        double worst = 0;
-        double over = -9;
+    private static double[] worstWindow(SimulatedWorker worker) {
+        double maxRatio = 0;
+        double maxExcessInRoots = -9;
         double sum = 0;
-        int from = 0;
-        for (int i = 0; i < m.calls.size(); i++) {
-            Call c = m.calls.get(i);
-            sum += c.workNs() / MEAN;
-            while (m.calls.get(from).atNs() <= c.atNs() - WINDOW) {
-                sum -= m.calls.get(from++).workNs() / MEAN;
+        int firstInWindow = 0;
+        for (int i = 0; i < worker.received.size(); i++) {
+            ReceivedJob job = worker.received.get(i);
+            sum += job.serviceTimeNs() / MEAN_SERVICE_TIME_NS;
+            while (worker.received.get(firstInWindow).atNs() <= job.atNs() - WINDOW_NS) {
+                sum -= worker.received.get(firstInWindow++).serviceTimeNs() / MEAN_SERVICE_TIME_NS;
             }
-            // The least that it can do in this window: what it could at its begin, or at its start.
-            double n =
-                    MULTIPLE
-                            * m.warmth(Math.max(m.bornNs, c.atNs() - WINDOW))
-                            * m.slots
-                            * WINDOW
-                            / MEAN;
-            worst = Math.max(worst, sum / n);
-            over = Math.max(over, (sum - n - 2) / Math.sqrt(n));
+            // Its lowest capacity in this window: at the start of the window or of the worker.
+            double allowed =
+                    OVERLOAD_MULTIPLE
+                            * worker.slowStartShare(
+                                    Math.max(worker.startedNs, job.atNs() - WINDOW_NS))
+                            * worker.slots
+                            * WINDOW_NS
+                            / MEAN_SERVICE_TIME_NS;
+            maxRatio = Math.max(maxRatio, sum / allowed);
+            maxExcessInRoots = Math.max(maxExcessInRoots, (sum - allowed - 2) / Math.sqrt(allowed));
         }
-        return new double[] {over, worst};
+        return new double[] {maxExcessInRoots, maxRatio};
     }
 
-    private static FleetSimulation underABurst(int gateways, int slots, long seed) {
-        FleetSimulation f =
+    private static FleetSimulation simulationUnderBurst(int dispatchers, int slots, long seed) {
+        FleetSimulation simulation =
                 new FleetSimulation(
-                        seed, i -> settings(gateways, i), SLOTS / slots, slots, MEANS, 1);
-        f.load(0.7 * CAPACITY, 30 * SECOND);
-        f.run(8 * SECOND);
-        f.load(0.7 * CAPACITY, 14 * SECOND);
-        return f;
+                        seed,
+                        i -> settings(dispatchers, i),
+                        FLEET_SLOTS / slots,
+                        slots,
+                        MEAN_SERVICE_TIMES_NS,
+                        1);
+        simulation.generateLoad(0.7 * CAPACITY_PER_S, 30 * SECOND);
+        simulation.run(8 * SECOND);
+        simulation.generateLoad(0.7 * CAPACITY_PER_S, 14 * SECOND);
+        return simulation;
     }
 
     /**
-     * Three workers restart under the same id, one after another. Returns how many got more than is
-     * put down to chance.
+     * Restarts three workers under the same id, one after another. Returns how many were sent more
+     * than is attributed to chance.
      */
-    private static int over(FleetSimulation f, String what) {
+    private static int countWorkersOverBudget(FleetSimulation simulation, String scenario) {
         List<String> restarted = List.of("w3", "w7", "w11");
-        for (String w : restarted) {
-            f.restart(w, 200 * MS);
-            f.run(f.now + SECOND);
+        for (String id : restarted) {
+            simulation.restartWorker(id, 200 * MS);
+            simulation.run(simulation.now + SECOND);
         }
-        f.run(30 * SECOND);
+        simulation.run(30 * SECOND);
         int over = 0;
-        for (String w : restarted) {
-            Machine m = f.machines.get(w);
-            double[] worst = worst(m);
-            assertTrue(m.calls.size() > 10, what + ": it was used, " + m.calls.size() + " calls");
+        for (String id : restarted) {
+            SimulatedWorker worker = simulation.workers.get(id);
+            double[] worst = worstWindow(worker);
+            assertTrue(
+                    worker.received.size() > 10,
+                    scenario + ": it was used, " + worker.received.size() + " jobs");
             over += worst[0] > 2 ? 1 : 0;
             assertTrue(
                     worst[0] <= 4,
-                    what
+                    scenario
                             + ", "
-                            + w
+                            + id
                             + ": "
                             + worst[0]
                             + " roots of N over N + 2, "
@@ -144,40 +153,43 @@
 
     @ParameterizedTest
     @ValueSource(ints = {5, 30, 100})
-    void theFleetsSumStaysWithinTheBudgetOnAStartUnderABurst(int gateways) {
+    void allDispatchersTogetherStayWithinTheBudgetOnRestartsUnderBurst(int dispatchers) {
         for (long seed = 1; seed <= 6; seed++) {
-            String what = gateways + " gateways, seed " + seed;
-            assertEquals(0, over(underABurst(gateways, 5, seed), what), what);
+            String scenario = dispatchers + " dispatchers, seed " + seed;
+            assertEquals(
+                    0,
+                    countWorkersOverBudget(simulationUnderBurst(dispatchers, 5, seed), scenario),
+                    scenario);
         }
     }
 
-    /**
-     * Seven in ten gateways begin again just before: they know the workers by a list that they were
-     * given, and nothing else.
-     */
+    /** Seven in ten dispatchers restart just before and know nothing but the cached worker list. */
     @ParameterizedTest
     @ValueSource(ints = {5, 30, 100})
-    void alsoWhereMostOfTheGatewaysHaveJustStarted(int gateways) {
+    void budgetHoldsWhenMostDispatchersHaveJustRestarted(int dispatchers) {
         for (long seed = 1; seed <= 6; seed++) {
-            String what = gateways + " gateways, seed " + seed;
-            FleetSimulation f = underABurst(gateways, 5, seed);
-            f.restartGateways(0.7);
-            assertEquals(0, over(f, what), what);
+            String scenario = dispatchers + " dispatchers, seed " + seed;
+            FleetSimulation simulation = simulationUnderBurst(dispatchers, 5, seed);
+            simulation.restartDispatchers(0.7);
+            assertEquals(0, countWorkersOverBudget(simulation, scenario), scenario);
         }
     }
 
     /**
-     * Workers smaller than one is taken to be of which nothing is known: what the tenants' rates
-     * come to bounds the guess. N is under five jobs here, whose lengths alone take one start in
-     * twenty over two roots.
+     * Workers smaller than the size assumed for workers without reports: the load that the tenants'
+     * quotas imply bounds the estimate. N is below five jobs here, and the variation of their
+     * service times alone takes one restart in twenty over two roots.
      */
     @ParameterizedTest
     @ValueSource(ints = {5, 30, 100})
-    void smallWorkersGetNoMoreThanTheTenantsRatesVouchFor(int gateways) {
+    void smallWorkersGetNoMoreThanTheQuotasImply(int dispatchers) {
         int over = 0;
         for (long seed = 1; seed <= 6; seed++) {
-            over += over(underABurst(gateways, 2, seed), gateways + " gateways, seed " + seed);
+            over +=
+                    countWorkersOverBudget(
+                            simulationUnderBurst(dispatchers, 2, seed),
+                            dispatchers + " dispatchers, seed " + seed);
         }
-        assertTrue(over <= 1, over + " of 18 starts");
+        assertTrue(over <= 1, over + " of 18 restarts");
     }
 }
--- a/core/src/test/java/postgrade/policy/SlowStartStudy.java
+++ b/core/src/test/java/postgrade/policy/SlowStartStudy.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import postgrade.policy.FleetSimulation.Call;
-import postgrade.policy.FleetSimulation.Machine;
+import postgrade.policy.FleetSimulation.ReceivedJob;
+import postgrade.policy.FleetSimulation.SimulatedWorker;
 import postgrade.policy.api.DeduplicationScope;
 import postgrade.policy.api.Idempotency;
 import postgrade.policy.api.JobClass;
@@ -16,18 +16,18 @@
 import postgrade.policy.api.Tenant;
 
 /**
- * Prints how often a worker in slow start gets more than its budget, by its slots and the number of
- * dispatchers. Run by {@code bench/slow-start}; the figures stand in
- * docs/measurements/cold-ramp.md.
+ * Prints how often a worker in slow start is sent more than its budget, by its slots and the number
+ * of dispatchers. docs/measurements/cold-ramp.md has the results.
  */
 final class SlowStartStudy {
 
-    private static final double MULTIPLE = 3;
-    private static final long WINDOW = 2 * SECOND;
+    private static final double OVERLOAD_MULTIPLE = 3;
+    private static final long WINDOW_NS = 2 * SECOND;
     private static final int WORKERS = 24;
-    private static final Map<String, Double> MEANS = Map.of("short", 150e6, "long", 600e6);
-    private static final double MEAN = 375e6;
-    private static final List<String> STARTED = List.of("w3", "w7", "w11");
+    private static final Map<String, Double> MEAN_SERVICE_TIMES_NS =
+            Map.of("short", 150e6, "long", 600e6);
+    private static final double MEAN_SERVICE_TIME_NS = 375e6;
+    private static final List<String> RESTARTED = List.of("w3", "w7", "w11");
 
     private SlowStartStudy() {}
 
@@ -64,75 +64,92 @@
                 .maxAttempts(4)
                 .allowsConcurrentAttempts(false)
                 .slowStart(0.15, 20 * SECOND)
-                .overload(MULTIPLE, WINDOW)
+                .overload(OVERLOAD_MULTIPLE, WINDOW_NS)
                 .build();
     }
 
-    /** The budget of the terms for so many requests of mean work that the settings allow. */
-    private static double budget(double allowed) {
+    /**
+     * Returns the budget in jobs of mean service time for the number that the settings allow: that
+     * number plus a margin for chance.
+     */
+    private static double workBudget(double allowed) {
         double roots = allowed < 30 ? 3 : 2;
         return allowed + roots * Math.sqrt(allowed) + roots;
     }
 
-    /** What the worst window since a worker's start came to. */
-    private record Worst(double partOfBudget, double rootsOverAllowed) {}
+    /** The worst window since the start of a worker. */
+    private record WorstWindow(double shareOfBudget, double rootsOverAllowed) {}
 
-    private static Worst worst(Machine worker) {
-        double part = 0;
+    private static WorstWindow worstWindow(SimulatedWorker worker) {
+        double share = 0;
         double roots = Double.NEGATIVE_INFINITY;
         double sum = 0;
-        int from = 0;
-        for (Call call : worker.calls) {
-            sum += call.workNs() / MEAN;
-            while (worker.calls.get(from).atNs() <= call.atNs() - WINDOW) {
-                sum -= worker.calls.get(from++).workNs() / MEAN;
+        int firstInWindow = 0;
+        for (ReceivedJob received : worker.received) {
+            sum += received.serviceTimeNs() / MEAN_SERVICE_TIME_NS;
+            while (worker.received.get(firstInWindow).atNs() <= received.atNs() - WINDOW_NS) {
+                sum -= worker.received.get(firstInWindow++).serviceTimeNs() / MEAN_SERVICE_TIME_NS;
             }
-            double warmth = worker.warmth(Math.max(worker.bornNs, call.atNs() - WINDOW));
-            double allowed = MULTIPLE * warmth * worker.slots * WINDOW / MEAN;
-            part = Math.max(part, sum / budget(allowed));
+            double slowStartShare =
+                    worker.slowStartShare(Math.max(worker.startedNs, received.atNs() - WINDOW_NS));
+            double allowed =
+                    OVERLOAD_MULTIPLE
+                            * slowStartShare
+                            * worker.slots
+                            * WINDOW_NS
+                            / MEAN_SERVICE_TIME_NS;
+            share = Math.max(share, sum / workBudget(allowed));
             roots = Math.max(roots, (sum - allowed - 2) / Math.sqrt(allowed));
         }
-        return new Worst(part, roots);
+        return new WorstWindow(share, roots);
     }
 
-    private static FleetSimulation withThreeStarts(int slots, int dispatchers, long seed) {
-        double capacity = WORKERS * slots * 1e9 / MEAN;
+    private static FleetSimulation simulationWithThreeRestarts(
+            int slots, int dispatchers, long seed) {
+        double capacity = WORKERS * slots * 1e9 / MEAN_SERVICE_TIME_NS;
         FleetSimulation fleet =
                 new FleetSimulation(
-                        seed, i -> settings(dispatchers, i, capacity), WORKERS, slots, MEANS, 1);
-        fleet.load(0.7 * capacity, 30 * SECOND);
+                        seed,
+                        i -> settings(dispatchers, i, capacity),
+                        WORKERS,
+                        slots,
+                        MEAN_SERVICE_TIMES_NS,
+                        1);
+        fleet.generateLoad(0.7 * capacity, 30 * SECOND);
         fleet.run(8 * SECOND);
-        fleet.load(0.7 * capacity, 14 * SECOND);
-        for (String worker : STARTED) {
-            fleet.restart(worker, 200 * MS);
+        fleet.generateLoad(0.7 * capacity, 14 * SECOND);
+        for (String worker : RESTARTED) {
+            fleet.restartWorker(worker, 200 * MS);
             fleet.run(fleet.now + SECOND);
         }
         fleet.run(30 * SECOND);
         return fleet;
     }
 
-    private static void row(int slots, int dispatchers, int seeds) {
-        List<Worst> starts = new ArrayList<>();
-        long refused = 0;
+    private static void printRow(int slots, int dispatchers, int seeds) {
+        List<WorstWindow> restarts = new ArrayList<>();
+        long rejected = 0;
         for (long seed = 1; seed <= seeds; seed++) {
-            FleetSimulation fleet = withThreeStarts(slots, dispatchers, seed);
-            refused += fleet.refused;
-            STARTED.forEach(worker -> starts.add(worst(fleet.machines.get(worker))));
+            FleetSimulation fleet = simulationWithThreeRestarts(slots, dispatchers, seed);
+            rejected += fleet.rejected;
+            RESTARTED.forEach(worker -> restarts.add(worstWindow(fleet.workers.get(worker))));
         }
         System.out.printf(
                 Locale.ROOT,
                 "| %d | %d | %d | %d | %.2f | %d | %d |%n",
                 slots,
                 dispatchers,
-                starts.size(),
-                starts.stream().filter(worst -> worst.partOfBudget() > 1).count(),
-                starts.stream().mapToDouble(Worst::partOfBudget).max().orElse(0),
-                starts.stream().filter(worst -> worst.rootsOverAllowed() > 2).count(),
-                refused);
+                restarts.size(),
+                restarts.stream().filter(worst -> worst.shareOfBudget() > 1).count(),
+                restarts.stream().mapToDouble(WorstWindow::shareOfBudget).max().orElse(0),
+                restarts.stream().filter(worst -> worst.rootsOverAllowed() > 2).count(),
+                rejected);
     }
 
     /**
-     * @param args how many seeds; each has three starts
+     * Runs the study.
+     *
+     * @param args the number of seeds; each has three restarts of workers
      */
     public static void main(String[] args) {
         int seeds = Integer.parseInt(args[0]);
@@ -141,7 +158,7 @@
         System.out.println("| --- | --- | --- | --- | --- | --- | --- |");
         for (int slots : new int[] {1, 2, 3, 5, 8, 16}) {
             for (int dispatchers : new int[] {5, 30, 100}) {
-                row(slots, dispatchers, seeds);
+                printRow(slots, dispatchers, seeds);
             }
         }
     }
