--- a/daemon/src/main/java/postgrade/daemon/ShutdownSequence.java
+++ b/daemon/src/main/java/postgrade/daemon/ShutdownSequence.java
@@ -13,8 +13,8 @@
 import postgrade.worker.WorkerConnectionPools;
 
 /**
- * Carries out what the lifecycle asks for in standby and on the way to the end, which it finds. On
- * the loop.
+ * Carries out what the lifecycle requires in standby and during shutdown, and detects when the
+ * process may exit. Runs on the event loop.
  */
 final class ShutdownSequence {
 
@@ -22,51 +22,52 @@
     private static final long MICROS_PER_MILLI = 1_000;
 
     /**
-     * SIGTERM may have been sent so long before this process heard of it, which may be held up.
-     * What came that much sooner after we heard of it may have come as late after it was sent.
+     * Bound on the time between the sending of SIGTERM and its handling by this process, which may
+     * be delayed. Requests that arrived up to this long before it was handled may have arrived
+     * after it was sent.
      */
-    private static final long HEARD_LATE_MICROS = 150_000;
+    private static final long SIGNAL_DELAY_MICROS = 150_000;
 
     private final EventLoop loop;
     private final Lifecycle lifecycle;
-    private final RequestTracker gateway;
-    private final WorkerConnectionPools providers;
+    private final RequestTracker requestTracker;
+    private final WorkerConnectionPools workerPools;
     private final ClientListener listener;
     private final UpgradeCoordinator upgrade;
 
-    /** Null where nothing stands beside this dispatcher. */
-    private final DispatcherExtension companion;
+    /** Null if no extension is configured. */
+    private final DispatcherExtension extension;
 
     private final Supplier<Config> config;
 
-    /** A check of what the lifecycle asks for is due. */
-    private boolean checking;
+    /** Whether a check of what the lifecycle requires is scheduled. */
+    private boolean checkScheduled;
 
     ShutdownSequence(
             EventLoop loop,
             Lifecycle lifecycle,
-            RequestTracker gateway,
-            WorkerConnectionPools providers,
+            RequestTracker requestTracker,
+            WorkerConnectionPools workerPools,
             ClientListener listener,
             UpgradeCoordinator upgrade,
-            DispatcherExtension companion,
+            DispatcherExtension extension,
             Supplier<Config> config) {
         this.loop = loop;
         this.lifecycle = lifecycle;
-        this.gateway = gateway;
-        this.providers = providers;
+        this.requestTracker = requestTracker;
+        this.workerPools = workerPools;
         this.listener = listener;
         this.upgrade = upgrade;
-        this.companion = companion;
+        this.extension = extension;
         this.config = config;
     }
 
-    /** The process is told to end. */
+    /** Begins the shutdown, on SIGTERM. */
     void begin() {
-        Events.info(LOG, "daemon.stopping").log("stopping: no longer ready, serving on");
-        // Guards the consumers who hold a connection: while it is open they go on using it, and
-        // until SIGKILL
-        // is near they are served as well here as anywhere. All of us may be restarting in turn.
+        Events.info(LOG, "daemon.stopping").log("stopping: no longer ready, still serving");
+        // Clients with an open connection go on using it, and until shortly before SIGKILL this
+        // process serves them as well as any other. All dispatchers may be restarted one after
+        // another.
         lifecycle.stop(
                 loop.nowMicros(),
                 config.get().deadlineMicros.values().stream()
@@ -74,63 +75,64 @@
                         .max()
                         .orElse(Long.MAX_VALUE),
                 upgrade.hasSuccessor());
-        upgrade.stopping();
-        if (companion != null) {
-            companion.stopping();
+        upgrade.announceStopping();
+        if (extension != null) {
+            extension.stopping();
         }
         listener.applyLifecycle();
-        check();
+        scheduleCheck();
     }
 
-    /** Does what standby and the end ask for, again and again while either lasts. */
-    void check() {
-        if (!checking) {
-            checking = true;
-            loop.at(loop.nowMicros() + Daemon.STOP_CHECK_MICROS, this::checked);
+    /** Schedules a check, which repeats itself while standby or shutdown lasts. */
+    void scheduleCheck() {
+        if (!checkScheduled) {
+            checkScheduled = true;
+            loop.at(loop.nowMicros() + Daemon.SHUTDOWN_CHECK_INTERVAL_MICROS, this::runCheck);
         }
     }
 
     /**
-     * Attempts that are out are waited for, but near SIGKILL only until each worker has been asked
-     * to drop what is out for answered requests: one that is silent would keep the listener open
-     * until then.
+     * Attempts in flight are awaited. Shortly before SIGKILL only the cancellations of answered
+     * requests are: each worker must have been asked to drop them, but a worker that does not
+     * respond would otherwise keep the listener open until SIGKILL.
      */
-    private boolean owesNothing(long now) {
-        if (!lifecycle.mustExit(now)) {
-            return gateway.isIdle() && providers.hasNoCancellations();
+    private boolean isDrained(long nowMicros) {
+        if (!lifecycle.mustExit(nowMicros)) {
+            return requestTracker.isIdle() && workerPools.hasNoCancellations();
         }
-        gateway.cancelUnwanted();
-        return gateway.allAnswered() && providers.allCancellationsAttempted();
+        requestTracker.cancelUnwanted();
+        return requestTracker.allAnswered() && workerPools.allCancellationsAttempted();
     }
 
-    private void checked() {
-        checking = false;
+    private void runCheck() {
+        checkScheduled = false;
         listener.applyLifecycle();
-        long now = loop.nowMicros();
-        OptionalLong late = lifecycle.forcedAnswerCutoff(now);
-        if (late.isPresent()) {
-            // Guards the one answer: what SIGKILL finds unanswered of these is lost.
-            gateway.failArrivedSince(late.getAsLong() - HEARD_LATE_MICROS);
-            if (lifecycle.mayExit(now)) {
+        long nowMicros = loop.nowMicros();
+        OptionalLong concludeSinceMicros = lifecycle.forcedAnswerCutoff(nowMicros);
+        if (concludeSinceMicros.isPresent()) {
+            // Each request must get its answer: those of these requests that are unanswered at
+            // SIGKILL would get none.
+            requestTracker.failArrivedSince(concludeSinceMicros.getAsLong() - SIGNAL_DELAY_MICROS);
+            if (lifecycle.mayExit(nowMicros)) {
                 listener.rejectIncompleteRequests();
             }
         }
-        boolean answered = lifecycle.mayExit(now) && owesNothing(now) && listener.isIdle();
-        // Guards the last requests and answers: with the process go what lies unread in its sockets
-        // and backlog, and by a
-        // reset what peers have not read yet.
-        if (answered && (listener.tryCloseAll() || lifecycle.mustExit(now))) {
-            long millis = lifecycle.stoppingForMicros(now) / MICROS_PER_MILLI;
+        boolean allAnswered =
+                lifecycle.mayExit(nowMicros) && isDrained(nowMicros) && listener.isIdle();
+        // When the process exits, unread data in its sockets and backlog is lost, and a reset
+        // discards answers that peers have not read yet.
+        if (allAnswered && (listener.tryCloseAll() || lifecycle.mustExit(nowMicros))) {
+            long stoppingMillis = lifecycle.stoppingForMicros(nowMicros) / MICROS_PER_MILLI;
             Events.info(LOG, "daemon.stopped")
-                    .addKeyValue("ms", millis)
-                    .log("stopped after " + millis + " ms, all answered");
-            if (companion != null) {
-                companion.close();
+                    .addKeyValue("ms", stoppingMillis)
+                    .log("stopped after " + stoppingMillis + " ms, all answered");
+            if (extension != null) {
+                extension.close();
             }
             upgrade.close();
             loop.stop();
         } else if (lifecycle.state() != Lifecycle.State.ACTIVE) {
-            check();
+            scheduleCheck();
         }
     }
 }
--- a/daemon/src/main/java/postgrade/upgrade/Left.java
+++ b/daemon/src/main/java/postgrade/upgrade/HandoverFile.java
@@ -11,40 +11,48 @@
 import postgrade.log.Events;
 
 /**
- * A small file beside the links: what a process leaves for one that has met it and not heard it
- * out.
+ * A small file next to the sockets, for a new process that has connected to this one but has not
+ * received its whole state when this one dies.
  */
-final class Left {
+final class HandoverFile {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Left.class);
+    private static final Logger LOG = LoggerFactory.getLogger(HandoverFile.class);
 
     private final Path file;
 
     /**
-     * @param file null where there is no folder for it
+     * Creates the access to a file.
+     *
+     * @param file null if there is no shared directory
      */
-    Left(Path file) {
+    HandoverFile(Path file) {
         this.file = file;
     }
 
-    /** On the loop: some hundred bytes to the system's memory, at an operator's call. */
-    void write(JsonObject what) {
+    /**
+     * Writes the file on the event loop: some hundred bytes to the page cache, once per operator
+     * call.
+     */
+    void write(JsonObject content) {
         if (file == null) {
             return;
         }
         try {
-            Path next =
+            Path temporary =
                     file.resolveSibling(file.getFileName() + "." + ProcessHandle.current().pid());
-            Files.writeString(next, what.toString());
+            Files.writeString(temporary, content.toString());
             Files.move(
-                    next,
+                    temporary,
                     file,
                     StandardCopyOption.ATOMIC_MOVE,
                     StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
             Events.warn(LOG, "upgrade.not-left")
                     .addKeyValue("why", e.toString())
-                    .log("what operators said cannot be left for a new process (" + e + ")");
+                    .log(
+                            "the operators' overrides could not be written for a new process ("
+                                    + e
+                                    + ")");
         }
     }
 
@@ -56,18 +64,18 @@
         } catch (IOException | RuntimeException e) {
             Events.warn(LOG, "upgrade.left-not-understood")
                     .addKeyValue("why", e.toString())
-                    .log("what a process left was not understood (" + e + "); started without it");
+                    .log("the hand-over file could not be read (" + e + "); starting without it");
             return null;
         }
     }
 
-    void forget() {
+    void delete() {
         try {
             if (file != null) {
                 Files.deleteIfExists(file);
             }
         } catch (IOException e) {
-            LOG.debug("what was left could not be removed", e);
+            LOG.debug("the hand-over file could not be removed", e);
         }
     }
 }
