--- a/daemon/src/main/java/postgrade/daemon/Daemon.java
+++ b/daemon/src/main/java/postgrade/daemon/Daemon.java
@@ -205,7 +205,7 @@
         extension =
                 extensionConfiguration == null
                         ? null
-                        : CompanionLoader.open(extensionConfiguration, extensionHost);
+                        : ExtensionLoader.open(extensionConfiguration, extensionHost);
         if (extension != null) {
             workerPools.setFencingTokens(extension::fence);
             workerPools.setConnectLimiter(extension::mayConnect);
--- a/daemon/src/main/java/postgrade/daemon/CompanionLoader.java
+++ b/daemon/src/main/java/postgrade/daemon/ExtensionLoader.java
@@ -6,12 +6,12 @@
 import postgrade.extension.Host;
 
 /** Loads the dispatcher extension that the configuration names, if any. */
-final class CompanionLoader {
+final class ExtensionLoader {
 
-    private CompanionLoader() {}
+    private ExtensionLoader() {}
 
     /** Returns null if no extension is configured; the class path is not searched then. */
-    static DispatcherExtension.Configuration loadPlan(Config config)
+    static DispatcherExtension.Configuration loadConfiguration(Config config)
             throws Config.InvalidConfigException {
         if (config.sharingScript == null) {
             return null;
--- a/daemon/src/main/java/postgrade/daemon/Main.java
+++ b/daemon/src/main/java/postgrade/daemon/Main.java
@@ -70,7 +70,7 @@
         int exitCode = 0;
         try {
             Config config = Config.read(System.getenv());
-            Daemon daemon = new Daemon(config, CompanionLoader.loadPlan(config));
+            Daemon daemon = new Daemon(config, ExtensionLoader.loadConfiguration(config));
             daemon.start();
             daemonFuture.complete(daemon);
         } catch (Config.InvalidConfigException e) {
--- a/daemon/src/test/java/postgrade/daemon/DaemonTestBase.java
+++ b/daemon/src/test/java/postgrade/daemon/DaemonTestBase.java
@@ -57,7 +57,7 @@
     String listen = "127.0.0.1:0";
 
     /** The configuration of the daemon's extension, or null for none. */
-    DispatcherExtension.Configuration companionPlan;
+    DispatcherExtension.Configuration extensionConfiguration;
 
     /** The directory shared by the processes of one dispatcher, or null for none. */
     Path sharedDirectory;
@@ -147,7 +147,7 @@
     }
 
     void startDaemon(String... entries) throws Exception {
-        daemon = new Daemon(Config.read(configuration(entries)), companionPlan);
+        daemon = new Daemon(Config.read(configuration(entries)), extensionConfiguration);
         daemon.start();
     }
 
@@ -156,7 +156,7 @@
         daemon =
                 new Daemon(
                         Config.read(configuration(entries)),
-                        companionPlan,
+                        extensionConfiguration,
                         out -> script = new ScriptedPolicy(out),
                         WATCH_TIMEOUTS);
         daemon.start();
--- a/daemon/src/test/java/postgrade/daemon/DispatcherExtensionTest.java
+++ b/daemon/src/test/java/postgrade/daemon/DispatcherExtensionTest.java
@@ -37,7 +37,7 @@
     @Before
     public void installExtension() {
         withOperatorPort = true;
-        companionPlan =
+        extensionConfiguration =
                 h -> {
                     host = h;
                     return this;
@@ -248,10 +248,10 @@
     public void noFileLoadsNoExtensionAndAFileWithoutOneOnTheClassPathIsAnError() throws Exception {
         Map<String, String> environment =
                 new HashMap<>(configuration(workerEntry("w1", workerOne.address(), "ready")));
-        assertEquals(null, CompanionLoader.loadPlan(Config.read(environment)));
+        assertEquals(null, ExtensionLoader.loadConfiguration(Config.read(environment)));
         environment.put("ROUTER_SHARING", "sharing.star");
         try {
-            CompanionLoader.loadPlan(Config.read(environment));
+            ExtensionLoader.loadConfiguration(Config.read(environment));
             fail("started without the extension that was asked for");
         } catch (Config.InvalidConfigException e) {
             assertTrue(e.getMessage(), e.getMessage().startsWith("sharing: "));
