--- a/calendar/src/main/java/postgrade/calendar/CalendarLoader.java
+++ b/calendar/src/main/java/postgrade/calendar/CalendarLoader.java
@@ -1,10 +1,10 @@
 package postgrade.calendar;
 
 import java.util.List;
+import postgrade.window.ExpansionBudget;
 import postgrade.window.InvalidCalendarException;
 import postgrade.window.MaintenanceEvent;
 import postgrade.window.SiteCalendar;
-import postgrade.window.Steps;
 
 /** Whether a calendar may be taken over. Costs up to a second for one made to; not for the loop. */
 public final class CalendarLoader {
@@ -13,7 +13,7 @@
     public static final long HORIZON_MILLIS = 100L * 86_400_000;
 
     /** How far back: what began earlier has its end within. */
-    public static final long BACK = 86_400_000;
+    public static final long LOOKBACK_MILLIS = 86_400_000;
 
     private CalendarLoader() {}
 
@@ -34,13 +34,13 @@
         try {
             List<MaintenanceEvent> events = CalendarReader.read(zone, text);
             compile(site, "", events, now);
-            Steps ahead = new Steps();
+            ExpansionBudget laterBudget = new ExpansionBudget();
             for (MaintenanceEvent e : events) {
                 // What begins beyond the horizon is tried as if it were within.
-                long begins = e.start().millis();
+                long begins = e.start().toEpochMillis();
                 if (begins > now + HORIZON_MILLIS) {
                     SiteCalendar.compile(
-                            site, "", List.of(e), begins, begins + HORIZON_MILLIS, ahead);
+                            site, "", List.of(e), begins, begins + HORIZON_MILLIS, laterBudget);
                 }
             }
             return new CheckResult(true, 0, null, null, events.size());
@@ -59,6 +59,7 @@
 
     private static SiteCalendar compile(
             String site, String version, List<MaintenanceEvent> events, long now) {
-        return SiteCalendar.compile(site, version, events, now - BACK, now + HORIZON_MILLIS);
+        return SiteCalendar.compile(
+                site, version, events, now - LOOKBACK_MILLIS, now + HORIZON_MILLIS);
     }
 }
--- a/calendar/src/main/java/postgrade/calendar/CalendarReader.java
+++ b/calendar/src/main/java/postgrade/calendar/CalendarReader.java
@@ -14,9 +14,9 @@
 public final class CalendarReader {
 
     /** What is shared is kept whole by every process, so it is small. */
-    public static final int MOST_BYTES = 256 * 1024;
+    public static final int MAX_BYTES = 256 * 1024;
 
-    public static final int MOST_EVENTS = 2_000;
+    public static final int MAX_EVENTS = 2_000;
 
     static {
         // The library must not look for zones on a network; none of its zones are used here at all.
@@ -33,27 +33,27 @@
      * @throws InvalidCalendarException where it is turned down
      */
     public static List<MaintenanceEvent> read(String zone, String text) {
-        if (!Values.known(zone)) {
+        if (!ValueReader.isKnownZone(zone)) {
             throw new InvalidCalendarException(0, "zone", "is not known: " + zone);
         }
-        if (text.length() > MOST_BYTES
-                || text.getBytes(StandardCharsets.UTF_8).length > MOST_BYTES) {
+        if (text.length() > MAX_BYTES || text.getBytes(StandardCharsets.UTF_8).length > MAX_BYTES) {
             throw new InvalidCalendarException(
-                    1, "VCALENDAR", "is longer than " + MOST_BYTES + " bytes");
+                    1, "VCALENDAR", "is longer than " + MAX_BYTES + " bytes");
         }
-        Component calendar = TreeReader.read(text);
-        Values values = new Values(ZoneId.of(zone).getRules(), ZoneReader.zones(calendar));
+        Component calendar = ComponentTreeReader.read(text);
+        ValueReader values =
+                new ValueReader(ZoneId.of(zone).getRules(), ZoneReader.zones(calendar));
         List<EventReader> events = new ArrayList<>();
-        for (Component c : calendar.within) {
+        for (Component c : calendar.children) {
             switch (c.name) {
                 case "VEVENT" -> events.add(new EventReader(c, values));
                 case "VTIMEZONE", "VTODO", "VJOURNAL" -> {}
                 // Passing over what may close a site would let jobs start there.
                 default -> throw new InvalidCalendarException(c.line, c.name, "is not supported");
             }
-            if (events.size() > MOST_EVENTS) {
+            if (events.size() > MAX_EVENTS) {
                 throw new InvalidCalendarException(
-                        c.line, "VEVENT", "is there more than " + MOST_EVENTS + " times");
+                        c.line, "VEVENT", "is there more than " + MAX_EVENTS + " times");
             }
         }
         return EventReader.events(events);
--- a/calendar/src/main/java/postgrade/calendar/Component.java
+++ b/calendar/src/main/java/postgrade/calendar/Component.java
@@ -13,23 +13,23 @@
      * @param parameters by their names in capitals
      */
     record Property(String name, int line, Map<String, String> parameters, String value) {
-        InvalidCalendarException faulty(String what) {
+        InvalidCalendarException invalid(String what) {
             return new InvalidCalendarException(line, name, what);
         }
 
         /** The kind of value: what VALUE says, else the given one. */
-        String kind(String otherwise) {
-            return parameters.getOrDefault("VALUE", otherwise).toUpperCase(java.util.Locale.ROOT);
+        String valueType(String defaultType) {
+            return parameters.getOrDefault("VALUE", defaultType).toUpperCase(java.util.Locale.ROOT);
         }
 
-        Property with(String newValue) {
+        Property withValue(String newValue) {
             return new Property(name, line, parameters, newValue);
         }
     }
 
     final String name;
     final int line;
-    final List<Component> within = new ArrayList<>();
+    final List<Component> children = new ArrayList<>();
     final List<Property> properties = new ArrayList<>();
 
     Component(String name, int line) {
@@ -46,24 +46,24 @@
     }
 
     /** Null where there is none. */
-    Property one(String property) {
+    Property optional(String property) {
         List<Property> all = all(property);
         if (all.size() > 1) {
-            throw all.get(1).faulty("is there twice in " + name);
+            throw all.get(1).invalid("is there twice in " + name);
         }
         return all.isEmpty() ? null : all.get(0);
     }
 
-    Property needed(String property) {
-        Property p = one(property);
+    Property required(String property) {
+        Property p = optional(property);
         if (p == null) {
             throw new InvalidCalendarException(line, property, "is missing in " + name);
         }
         return p;
     }
 
-    String text(String property, String otherwise) {
-        Property p = one(property);
-        return p == null ? otherwise : p.value;
+    String valueOrDefault(String property, String defaultValue) {
+        Property p = optional(property);
+        return p == null ? defaultValue : p.value;
     }
 }
--- a/calendar/src/main/java/postgrade/calendar/TreeReader.java
+++ b/calendar/src/main/java/postgrade/calendar/ComponentTreeReader.java
@@ -16,36 +16,36 @@
  * The library's parser reads the text; here its events become a tree whose properties know their
  * lines.
  */
-final class TreeReader implements ContentHandler {
+final class ComponentTreeReader implements ContentHandler {
 
-    private static final int DEEPEST = 4;
+    private static final int MAX_DEPTH = 4;
 
-    private final Lines lines;
-    private final Deque<Component> open = new ArrayDeque<>();
+    private final ContentLines lines;
+    private final Deque<Component> openComponents = new ArrayDeque<>();
     private Component calendar;
     private String property;
     private Map<String, String> parameters;
     private String value;
 
     /** Content lines seen: each event that begins one counts it. */
-    private int seen;
+    private int linesSeen;
 
-    private TreeReader(Lines lines) {
+    private ComponentTreeReader(ContentLines lines) {
         this.lines = lines;
     }
 
     static Component read(String text) {
-        Lines lines = new Lines(text);
-        TreeReader reader = new TreeReader(lines);
+        ContentLines lines = new ContentLines(text);
+        ComponentTreeReader reader = new ComponentTreeReader(lines);
         try {
             new CalendarParserImpl().parse(new StringReader(lines.unfolded()), reader);
         } catch (ParserException e) {
             String what = String.valueOf(e.getMessage()).replaceFirst("^Error at line \\d+:", "");
             throw new InvalidCalendarException(
-                    lines.number(reader.seen), "VCALENDAR", "cannot be read: " + what);
+                    lines.lineNumber(reader.linesSeen), "VCALENDAR", "cannot be read: " + what);
         } catch (IOException e) {
             throw new InvalidCalendarException(
-                    lines.number(reader.seen), "VCALENDAR", "cannot be read");
+                    lines.lineNumber(reader.linesSeen), "VCALENDAR", "cannot be read");
         }
         if (reader.calendar == null) {
             throw new InvalidCalendarException(1, "VCALENDAR", "is missing");
@@ -53,40 +53,40 @@
         return reader.calendar;
     }
 
-    private int next() {
-        return lines.number(seen++);
+    private int nextLineNumber() {
+        return lines.lineNumber(linesSeen++);
     }
 
     @Override
     public void startCalendar() {
-        int line = next();
+        int line = nextLineNumber();
         if (calendar != null) {
             throw new InvalidCalendarException(line, "VCALENDAR", "is there twice");
         }
         calendar = new Component("VCALENDAR", line);
-        open.push(calendar);
+        openComponents.push(calendar);
     }
 
     @Override
     public void endCalendar() {
-        next();
-        open.pop();
+        nextLineNumber();
+        openComponents.pop();
     }
 
     @Override
     public void startComponent(String name) {
-        Component c = new Component(name.toUpperCase(Locale.ROOT), next());
-        if (open.size() == DEEPEST) {
+        Component c = new Component(name.toUpperCase(Locale.ROOT), nextLineNumber());
+        if (openComponents.size() == MAX_DEPTH) {
             throw new InvalidCalendarException(c.line, c.name, "lies too deep");
         }
-        open.element().within.add(c);
-        open.push(c);
+        openComponents.element().children.add(c);
+        openComponents.push(c);
     }
 
     @Override
     public void endComponent(String name) {
-        next();
-        open.pop();
+        nextLineNumber();
+        openComponents.pop();
     }
 
     @Override
@@ -97,20 +97,23 @@
     }
 
     @Override
-    public void parameter(String name, String given) {
-        boolean quoted = given.length() > 1 && given.startsWith("\"") && given.endsWith("\"");
+    public void parameter(String name, String newValue) {
+        boolean quoted =
+                newValue.length() > 1 && newValue.startsWith("\"") && newValue.endsWith("\"");
         parameters.put(
                 name.toUpperCase(Locale.ROOT),
-                quoted ? given.substring(1, given.length() - 1) : given);
+                quoted ? newValue.substring(1, newValue.length() - 1) : newValue);
     }
 
     @Override
-    public void propertyValue(String given) {
-        value = given;
+    public void propertyValue(String newValue) {
+        value = newValue;
     }
 
     @Override
     public void endProperty(String name) {
-        open.element().add(new Component.Property(property, next(), parameters, value));
+        openComponents
+                .element()
+                .add(new Component.Property(property, nextLineNumber(), parameters, value));
     }
 }
--- a/calendar/src/main/java/postgrade/calendar/Lines.java
+++ b/calendar/src/main/java/postgrade/calendar/ContentLines.java
@@ -10,48 +10,50 @@
  * faults are told by it. The library's parser reads what is left here; it would take a line without
  * a colon together with the next.
  */
-final class Lines {
+final class ContentLines {
 
-    private static final Pattern HEAD =
+    private static final Pattern NAME_AND_PARAMETERS =
             Pattern.compile(
                     "[A-Za-z0-9-]+(;[A-Za-z0-9-]+=(\"[^\"]*\"|[^\",;:]*)(,(\"[^\"]*\"|[^\",;:]*))*+)*+");
-    private static final int LONGEST = 65_536;
+    private static final int MAX_LINE_LENGTH = 65_536;
 
     /** A pattern's groups are read by recursion, so what it is given must be short. */
-    private static final int LONGEST_HEAD = 1_000;
+    private static final int MAX_HEAD_LENGTH = 1_000;
 
     private final List<String> lines = new ArrayList<>();
-    private final List<Integer> numbers = new ArrayList<>();
+    private final List<Integer> lineNumbers = new ArrayList<>();
 
-    Lines(String text) {
+    ContentLines(String text) {
         StringBuilder line = new StringBuilder();
-        int begun = 0;
+        int firstLineNumber = 0;
         int number = 0;
-        for (int at = 0; at < text.length(); ) {
-            int end = text.indexOf('\n', at);
+        for (int position = 0; position < text.length(); ) {
+            int end = text.indexOf('\n', position);
             end = end < 0 ? text.length() : end;
             String physical =
-                    text.substring(at, end > at && text.charAt(end - 1) == '\r' ? end - 1 : end);
-            at = end + 1;
+                    text.substring(
+                            position,
+                            end > position && text.charAt(end - 1) == '\r' ? end - 1 : end);
+            position = end + 1;
             number++;
-            if (begun > 0
+            if (firstLineNumber > 0
                     && !physical.isEmpty()
                     && (physical.charAt(0) == ' ' || physical.charAt(0) == '\t')) {
                 line.append(physical, 1, physical.length());
-                if (line.length() > LONGEST) {
+                if (line.length() > MAX_LINE_LENGTH) {
                     throw new InvalidCalendarException(
-                            begun,
-                            name(line.toString()),
-                            "is longer than " + LONGEST + " characters");
+                            firstLineNumber,
+                            propertyName(line.toString()),
+                            "is longer than " + MAX_LINE_LENGTH + " characters");
                 }
                 continue;
             }
-            add(line, begun);
+            add(line, firstLineNumber);
             line.setLength(0);
             line.append(physical);
-            begun = number;
+            firstLineNumber = number;
         }
-        add(line, begun);
+        add(line, firstLineNumber);
     }
 
     private void add(StringBuilder line, int number) {
@@ -62,22 +64,24 @@
         for (int i = 0; i < content.length(); i++) {
             if (content.charAt(i) < ' ' && content.charAt(i) != '\t') {
                 throw new InvalidCalendarException(
-                        number, name(content), "holds a control character");
+                        number, propertyName(content), "holds a control character");
             }
         }
-        int colon = colon(content);
-        if (colon < 0 || !HEAD.matcher(content.substring(0, colon)).matches()) {
+        int colon = colonIndex(content);
+        if (colon < 0 || !NAME_AND_PARAMETERS.matcher(content.substring(0, colon)).matches()) {
             throw new InvalidCalendarException(
-                    number, name(content), "is no content line: name, parameters, colon, value");
+                    number,
+                    propertyName(content),
+                    "is no content line: name, parameters, colon, value");
         }
         lines.add(content);
-        numbers.add(number);
+        lineNumbers.add(number);
     }
 
     /** Where the value begins; -1 where there is none. */
-    private static int colon(String content) {
+    private static int colonIndex(String content) {
         boolean quoted = false;
-        for (int i = 0; i < Math.min(LONGEST_HEAD, content.length()); i++) {
+        for (int i = 0; i < Math.min(MAX_HEAD_LENGTH, content.length()); i++) {
             char c = content.charAt(i);
             quoted ^= c == '"';
             if (c == ':' && !quoted) {
@@ -87,7 +91,7 @@
         return -1;
     }
 
-    private static String name(String content) {
+    private static String propertyName(String content) {
         int end = 0;
         while (end < content.length()
                 && end < 40
@@ -98,8 +102,10 @@
     }
 
     /** Of the i-th content line, or the last where there are fewer. */
-    int number(int i) {
-        return numbers.isEmpty() ? 1 : numbers.get(Math.max(0, Math.min(i, numbers.size() - 1)));
+    int lineNumber(int i) {
+        return lineNumbers.isEmpty()
+                ? 1
+                : lineNumbers.get(Math.max(0, Math.min(i, lineNumbers.size() - 1)));
     }
 
     String unfolded() {
--- a/calendar/src/main/java/postgrade/calendar/EventReader.java
+++ b/calendar/src/main/java/postgrade/calendar/EventReader.java
@@ -8,10 +8,10 @@
 import java.util.Map;
 import java.util.Set;
 import postgrade.calendar.Component.Property;
-import postgrade.calendar.Values.Time;
+import postgrade.calendar.ValueReader.Time;
 import postgrade.window.MaintenanceEvent;
 import postgrade.window.MaintenanceEvent.EventDuration;
-import postgrade.window.MaintenanceEvent.Extra;
+import postgrade.window.MaintenanceEvent.ExtraInstance;
 import postgrade.window.Recurrence;
 
 /**
@@ -20,165 +20,176 @@
  */
 final class EventReader {
 
-    private static final int LONGEST_TITLE = 80;
+    private static final int MAX_TITLE_LENGTH = 80;
 
-    private final Component c;
-    private final Values values;
+    private final Component component;
+    private final ValueReader values;
     private final Time start;
 
-    EventReader(Component c, Values values) {
-        this.c = c;
+    EventReader(Component component, ValueReader values) {
+        this.component = component;
         this.values = values;
-        start = values.time(c.needed("DTSTART"));
+        start = values.time(component.required("DTSTART"));
     }
 
     String uid() {
-        return c.needed("UID").value();
+        return component.required("UID").value();
     }
 
     int line() {
-        return c.line;
+        return component.line;
     }
 
     /** Null for a master. */
-    Long replaces(Map<String, EventReader> masters) {
-        Property p = c.one("RECURRENCE-ID");
+    Long replacedInstance(Map<String, EventReader> masters) {
+        Property p = component.optional("RECURRENCE-ID");
         if (p == null) {
             return null;
         }
         if (p.parameters().containsKey("RANGE")) {
-            throw p.faulty("has RANGE, which is not supported: end the rule and begin another");
+            throw p.invalid("has RANGE, which is not supported: end the rule and begin another");
         }
         for (String none : new String[] {"RRULE", "RDATE", "EXDATE"}) {
-            if (!c.all(none).isEmpty()) {
-                throw c.all(none).get(0).faulty("has no place beside RECURRENCE-ID");
+            if (!component.all(none).isEmpty()) {
+                throw component.all(none).get(0).invalid("has no place beside RECURRENCE-ID");
             }
         }
         EventReader master = masters.get(uid());
         Time at = values.time(p);
         if (master != null && at.allDay() != master.start.allDay()) {
-            throw p.faulty(
+            throw p.invalid(
                     "must be a date where the master's DTSTART is one, and a time where it is not");
         }
-        return at.when().millis();
+        return at.when().toEpochMillis();
     }
 
     /** Closes nothing: called off, or said to take no time. */
-    boolean closesNothing() {
-        Property status = c.one("STATUS");
-        Property transparent = c.one("TRANSP");
+    boolean keepsSiteOpen() {
+        Property status = component.optional("STATUS");
+        Property transparent = component.optional("TRANSP");
         return status != null && status.value().equalsIgnoreCase("CANCELLED")
                 || transparent != null && transparent.value().equalsIgnoreCase("TRANSPARENT");
     }
 
     MaintenanceEvent event(Set<Long> replaced) {
-        EventDuration length = length();
+        EventDuration duration = duration();
         List<Recurrence> rules = new ArrayList<>();
-        for (Property p : c.all("RRULE")) {
+        for (Property p : component.all("RRULE")) {
             rules.add(RuleReader.read(p, start, values));
         }
-        if (!c.all("EXRULE").isEmpty()) {
-            throw c.all("EXRULE").get(0).faulty("is not supported");
+        if (!component.all("EXRULE").isEmpty()) {
+            throw component.all("EXRULE").get(0).invalid("is not supported");
         }
-        List<Extra> extras = new ArrayList<>();
-        for (Property p : c.all("RDATE")) {
+        List<ExtraInstance> extras = new ArrayList<>();
+        for (Property p : component.all("RDATE")) {
             for (String one : p.value().split(",", -1)) {
-                extras.add(extra(p.with(one), length));
+                extras.add(extraInstance(p.withValue(one), duration));
             }
         }
-        Set<Long> without = new HashSet<>(replaced);
-        for (Property p : c.all("EXDATE")) {
+        Set<Long> excludedStarts = new HashSet<>(replaced);
+        for (Property p : component.all("EXDATE")) {
             for (String one : p.value().split(",", -1)) {
-                without.add(sameKind(p.with(one)).when().millis());
+                excludedStarts.add(timeOfSameType(p.withValue(one)).when().toEpochMillis());
             }
         }
         return new MaintenanceEvent(
-                title(), c.line, start.when(), length, rules, extras, Set.copyOf(without));
+                title(),
+                component.line,
+                start.when(),
+                duration,
+                rules,
+                extras,
+                Set.copyOf(excludedStarts));
     }
 
-    private Extra extra(Property p, EventDuration length) {
-        if (!p.kind("DATE-TIME").equals("PERIOD")) {
-            return new Extra(sameKind(p).when(), length, p.line());
+    private ExtraInstance extraInstance(Property p, EventDuration duration) {
+        if (!p.valueType("DATE-TIME").equals("PERIOD")) {
+            return new ExtraInstance(timeOfSameType(p).when(), duration, p.line());
         }
-        String[] both = p.value().split("/", -1);
-        if (both.length != 2) {
-            throw p.faulty("must be a period such as 20260101T180000Z/PT1H");
+        String[] bounds = p.value().split("/", -1);
+        if (bounds.length != 2) {
+            throw p.invalid("must be a period such as 20260101T180000Z/PT1H");
         }
-        Time from = values.time(p.with(both[0]), false);
-        if (both[1].startsWith("P") || both[1].startsWith("-")) {
-            return new Extra(from.when(), Values.length(p, both[1]), p.line());
+        Time from = values.time(p.withValue(bounds[0]), false);
+        if (bounds[1].startsWith("P") || bounds[1].startsWith("-")) {
+            return new ExtraInstance(from.when(), ValueReader.duration(p, bounds[1]), p.line());
         }
-        long millis = values.time(p.with(both[1]), false).when().millis() - from.when().millis();
+        long millis =
+                values.time(p.withValue(bounds[1]), false).when().toEpochMillis()
+                        - from.when().toEpochMillis();
         if (millis < 0) {
-            throw p.faulty("ends before it begins");
+            throw p.invalid("ends before it begins");
         }
-        return new Extra(from.when(), Values.bounded(p, 0, millis), p.line());
+        return new ExtraInstance(from.when(), ValueReader.boundedDuration(p, 0, millis), p.line());
     }
 
-    private Time sameKind(Property p) {
+    private Time timeOfSameType(Property p) {
         Time time = values.time(p);
         if (time.allDay() != start.allDay()) {
-            throw p.faulty("must be a date where DTSTART is one, and a time where it is not");
+            throw p.invalid("must be a date where DTSTART is one, and a time where it is not");
         }
         return time;
     }
 
-    private EventDuration length() {
-        Property end = c.one("DTEND");
-        Property duration = c.one("DURATION");
+    private EventDuration duration() {
+        Property end = component.optional("DTEND");
+        Property duration = component.optional("DURATION");
         if (duration != null) {
             if (end != null) {
-                throw duration.faulty("stands beside DTEND");
+                throw duration.invalid("stands beside DTEND");
             }
-            EventDuration length = Values.length(duration, duration.value());
-            if (start.allDay() && length.millis() > 0) {
-                throw duration.faulty("must be in days or weeks where DTSTART is a date");
+            EventDuration result = ValueReader.duration(duration, duration.value());
+            if (start.allDay() && result.millis() > 0) {
+                throw duration.invalid("must be in days or weeks where DTSTART is a date");
             }
-            return length;
+            return result;
         }
         if (end == null) {
             return start.allDay() ? EventDuration.ofDays(1) : EventDuration.exactly(0);
         }
-        Time until = sameKind(end);
-        long millis = until.when().millis() - start.when().millis();
+        Time until = timeOfSameType(end);
+        long millis = until.when().toEpochMillis() - start.when().toEpochMillis();
         if (millis < 0) {
-            throw end.faulty("lies before DTSTART");
+            throw end.invalid("lies before DTSTART");
         }
         if (start.allDay()) {
-            return Values.bounded(
+            return ValueReader.boundedDuration(
                     end, ChronoUnit.DAYS.between(start.when().local(), until.when().local()), 0);
         }
-        return Values.bounded(end, 0, millis);
+        return ValueReader.boundedDuration(end, 0, millis);
     }
 
     private String title() {
         String text =
-                c.text("SUMMARY", uid()).replaceAll("\\\\[nN]", " ").replaceAll("\\\\(.)", "$1");
-        return text.length() <= LONGEST_TITLE ? text : text.substring(0, LONGEST_TITLE);
+                component
+                        .valueOrDefault("SUMMARY", uid())
+                        .replaceAll("\\\\[nN]", " ")
+                        .replaceAll("\\\\(.)", "$1");
+        return text.length() <= MAX_TITLE_LENGTH ? text : text.substring(0, MAX_TITLE_LENGTH);
     }
 
     /** Masters by their UID, and what replaces which instance of them. */
     static List<MaintenanceEvent> events(List<EventReader> all) {
         Map<String, EventReader> masters = new HashMap<>();
         for (EventReader e : all) {
-            if (e.c.one("RECURRENCE-ID") == null && masters.put(e.uid(), e) != null) {
-                throw e.c.needed("UID").faulty("is that of an earlier event");
+            if (e.component.optional("RECURRENCE-ID") == null && masters.put(e.uid(), e) != null) {
+                throw e.component.required("UID").invalid("is that of an earlier event");
             }
         }
         Map<String, Set<Long>> replaced = new HashMap<>();
         for (EventReader e : all) {
-            Long instance = e.replaces(masters);
+            Long instance = e.replacedInstance(masters);
             if (instance != null
                     && !replaced.computeIfAbsent(e.uid(), u -> new HashSet<>()).add(instance)) {
-                throw e.c.needed("RECURRENCE-ID").faulty("is that of an earlier event");
+                throw e.component.required("RECURRENCE-ID").invalid("is that of an earlier event");
             }
         }
         List<MaintenanceEvent> events = new ArrayList<>();
         for (EventReader e : all) {
-            boolean master = e.c.one("RECURRENCE-ID") == null;
+            boolean master = e.component.optional("RECURRENCE-ID") == null;
             MaintenanceEvent event =
                     e.event(master ? replaced.getOrDefault(e.uid(), Set.of()) : Set.of());
-            if (!e.closesNothing()) {
+            if (!e.keepsSiteOpen()) {
                 events.add(event);
             }
         }
--- a/calendar/src/main/java/postgrade/calendar/RuleReader.java
+++ b/calendar/src/main/java/postgrade/calendar/RuleReader.java
@@ -10,10 +10,10 @@
 import net.fortuna.ical4j.model.Recur;
 import net.fortuna.ical4j.model.WeekDay;
 import postgrade.calendar.Component.Property;
-import postgrade.calendar.Values.Time;
+import postgrade.calendar.ValueReader.Time;
 import postgrade.window.Recurrence;
-import postgrade.window.Recurrence.Day;
-import postgrade.window.Recurrence.Every;
+import postgrade.window.Recurrence.Frequency;
+import postgrade.window.Recurrence.NthWeekday;
 
 /**
  * A rule of recurrence: the library reads its parts, here they are held against each other. What
@@ -21,46 +21,46 @@
  */
 final class RuleReader {
 
-    private static final int MOST_INTERVAL = 100_000;
+    private static final int MAX_INTERVAL = 100_000;
 
-    private final Property p;
-    private final Set<String> names = new HashSet<>();
+    private final Property property;
+    private final Set<String> partNames = new HashSet<>();
 
-    private RuleReader(Property p) {
-        this.p = p;
+    private RuleReader(Property property) {
+        this.property = property;
     }
 
-    static Recurrence read(Property p, Time first, Values values) {
-        return new RuleReader(p).read(first, values);
+    static Recurrence read(Property property, Time first, ValueReader values) {
+        return new RuleReader(property).read(first, values);
     }
 
-    private Recurrence read(Time first, Values values) {
+    private Recurrence read(Time first, ValueReader values) {
         String until = null;
-        for (String part : p.value().split(";", -1)) {
+        for (String part : property.value().split(";", -1)) {
             int equals = part.indexOf('=');
             if (equals < 1 || equals == part.length() - 1) {
-                throw p.faulty("has a part without a name or value: '" + part + "'");
+                throw property.invalid("has a part without a name or value: '" + part + "'");
             }
             String name = part.substring(0, equals);
-            if (!names.add(name)) {
-                throw p.faulty("has " + name + " twice");
+            if (!partNames.add(name)) {
+                throw property.invalid("has " + name + " twice");
             }
             if (name.equals("UNTIL")) {
                 until = part.substring(equals + 1);
             } else if (name.equals("INTERVAL") || name.equals("COUNT")) {
-                positive(name, part.substring(equals + 1));
+                checkPositive(name, part.substring(equals + 1));
             } else if (name.equals("RSCALE") || name.equals("SKIP")) {
-                throw p.faulty("has " + name + ", which is not supported");
+                throw property.invalid("has " + name + ", which is not supported");
             }
         }
-        if (until != null && names.contains("COUNT")) {
-            throw p.faulty("has both COUNT and UNTIL");
+        if (until != null && partNames.contains("COUNT")) {
+            throw property.invalid("has both COUNT and UNTIL");
         }
         Recur<?> recur;
         try {
-            recur = new Recur<>(p.value());
+            recur = new Recur<>(property.value());
         } catch (IllegalArgumentException | DateTimeException e) {
-            throw p.faulty(
+            throw property.invalid(
                     "is no rule: "
                             + String.valueOf(e.getMessage())
                                     .replaceAll("Optional\\[(.*)]", "$1")
@@ -68,7 +68,7 @@
         }
         Recurrence rule =
                 new Recurrence(
-                        every(recur),
+                        frequency(recur),
                         Math.max(1, recur.getInterval()),
                         Math.max(0, recur.getCount()),
                         until == null ? Long.MAX_VALUE : until(until, first, values),
@@ -76,115 +76,126 @@
                                 ? DayOfWeek.MONDAY
                                 : WeekDay.getDayOfWeek(recur.getWeekStartDay()),
                         recur.getMonthList().stream().mapToInt(this::month).distinct().toArray(),
-                        figures(recur.getWeekNoList()),
-                        figures(recur.getYearDayList()),
-                        figures(recur.getMonthDayList()),
+                        sortedDistinct(recur.getWeekNoList()),
+                        sortedDistinct(recur.getYearDayList()),
+                        sortedDistinct(recur.getMonthDayList()),
                         days(recur),
-                        figures(recur.getHourList()),
-                        figures(recur.getMinuteList()),
-                        figures(recur.getSecondList()),
-                        figures(recur.getSetPosList()),
-                        p.line());
-        together(rule, first);
+                        sortedDistinct(recur.getHourList()),
+                        sortedDistinct(recur.getMinuteList()),
+                        sortedDistinct(recur.getSecondList()),
+                        sortedDistinct(recur.getSetPosList()),
+                        property.line());
+        checkCombination(rule, first);
         return rule;
     }
 
-    private void positive(String name, String value) {
+    private void checkPositive(String name, String value) {
         if (!value.matches("[0-9]{1,9}") || Integer.parseInt(value) == 0) {
-            throw p.faulty("has " + name + " that is no whole number above 0: " + value);
+            throw property.invalid("has " + name + " that is no whole number above 0: " + value);
         }
-        if (name.equals("INTERVAL") && Integer.parseInt(value) > MOST_INTERVAL) {
-            throw p.faulty("has INTERVAL above " + MOST_INTERVAL);
+        if (name.equals("INTERVAL") && Integer.parseInt(value) > MAX_INTERVAL) {
+            throw property.invalid("has INTERVAL above " + MAX_INTERVAL);
         }
     }
 
-    private static Every every(Recur<?> recur) {
+    private static Frequency frequency(Recur<?> recur) {
         return switch (recur.getFrequency()) {
-            case SECONDLY -> Every.SECOND;
-            case MINUTELY -> Every.MINUTE;
-            case HOURLY -> Every.HOUR;
-            case DAILY -> Every.DAY;
-            case WEEKLY -> Every.WEEK;
-            case MONTHLY -> Every.MONTH;
-            case YEARLY -> Every.YEAR;
+            case SECONDLY -> Frequency.SECOND;
+            case MINUTELY -> Frequency.MINUTE;
+            case HOURLY -> Frequency.HOUR;
+            case DAILY -> Frequency.DAY;
+            case WEEKLY -> Frequency.WEEK;
+            case MONTHLY -> Frequency.MONTH;
+            case YEARLY -> Frequency.YEAR;
         };
     }
 
     private int month(Month month) {
         if (month.isLeapMonth()) {
-            throw p.faulty("has a leap month, which is not supported");
+            throw property.invalid("has a leap month, which is not supported");
         }
         return month.getMonthOfYear();
     }
 
-    private static int[] figures(List<Integer> given) {
+    private static int[] sortedDistinct(List<Integer> given) {
         // Each once: lists are multiplied with each other.
         return given.stream().mapToInt(Integer::intValue).distinct().sorted().toArray();
     }
 
-    private List<Day> days(Recur<?> recur) {
-        Set<Day> days = new LinkedHashSet<>();
+    private List<NthWeekday> days(Recur<?> recur) {
+        Set<NthWeekday> days = new LinkedHashSet<>();
         for (WeekDay d : recur.getDayList()) {
             if (Math.abs(d.getOffset()) > 53) {
-                throw p.faulty("has BYDAY beyond the 53rd of a year: " + d);
+                throw property.invalid("has BYDAY beyond the 53rd of a year: " + d);
             }
-            days.add(new Day(d.getOffset(), WeekDay.getDayOfWeek(d)));
+            days.add(new NthWeekday(d.getOffset(), WeekDay.getDayOfWeek(d)));
         }
         return List.copyOf(days);
     }
 
-    private long until(String text, Time first, Values values) {
-        refuse(
+    private long until(String text, Time first, ValueReader values) {
+        rejectIf(
                 first.allDay() && text.contains("T"),
                 "has UNTIL that is a time though DTSTART is a date");
-        refuse(
+        rejectIf(
                 !first.allDay() && !text.contains("T"),
                 "has UNTIL that is a date though DTSTART is a time");
-        Time until = values.time(p.with(text), first.allDay());
+        Time until = values.time(property.withValue(text), first.allDay());
         if (!first.allDay() && until.utc() == first.floating()) {
-            throw p.faulty(
+            throw property.invalid(
                     first.floating()
                             ? "has UNTIL in UTC though DTSTART is floating"
                             : "has UNTIL that is not in UTC though DTSTART is fixed in time");
         }
-        return until.when().millis();
+        return until.when().toEpochMillis();
     }
 
-    private void together(Recurrence r, Time first) {
-        Every every = r.every();
-        boolean byDay = r.days().stream().anyMatch(d -> d.nth() != 0);
-        refuse(
-                byDay && every != Every.MONTH && every != Every.YEAR,
+    private void checkCombination(Recurrence rule, Time first) {
+        Frequency frequency = rule.frequency();
+        boolean numberedWeekdays = rule.weekdays().stream().anyMatch(d -> d.nth() != 0);
+        rejectIf(
+                numberedWeekdays && frequency != Frequency.MONTH && frequency != Frequency.YEAR,
                 "numbers its BYDAY outside months and years");
-        refuse(byDay && r.weeks().length > 0, "numbers its BYDAY together with BYWEEKNO");
-        refuse(r.weeks().length > 0 && every != Every.YEAR, "has BYWEEKNO outside FREQ=YEARLY");
-        refuse(
-                r.yearDays().length > 0
-                        && (every == Every.DAY || every == Every.WEEK || every == Every.MONTH),
+        rejectIf(
+                numberedWeekdays && rule.weekNumbers().length > 0,
+                "numbers its BYDAY together with BYWEEKNO");
+        rejectIf(
+                rule.weekNumbers().length > 0 && frequency != Frequency.YEAR,
+                "has BYWEEKNO outside FREQ=YEARLY");
+        rejectIf(
+                rule.yearDays().length > 0
+                        && (frequency == Frequency.DAY
+                                || frequency == Frequency.WEEK
+                                || frequency == Frequency.MONTH),
                 "has BYYEARDAY with FREQ=DAILY, WEEKLY or MONTHLY");
-        refuse(r.monthDays().length > 0 && every == Every.WEEK, "has BYMONTHDAY with FREQ=WEEKLY");
-        refuse(
+        rejectIf(
+                rule.monthDays().length > 0 && frequency == Frequency.WEEK,
+                "has BYMONTHDAY with FREQ=WEEKLY");
+        rejectIf(
                 first.allDay()
-                        && (every.compareTo(Every.DAY) < 0
-                                || r.hours().length + r.minutes().length + r.seconds().length > 0),
+                        && (frequency.compareTo(Frequency.DAY) < 0
+                                || rule.hours().length
+                                                + rule.minutes().length
+                                                + rule.seconds().length
+                                        > 0),
                 "names times of day though DTSTART is a date");
-        refuse(
-                r.positions().length > 0
-                        && r.months().length
-                                        + r.weeks().length
-                                        + r.yearDays().length
-                                        + r.monthDays().length
-                                        + r.days().size()
-                                        + r.hours().length
-                                        + r.minutes().length
-                                        + r.seconds().length
+        rejectIf(
+                rule.positions().length > 0
+                        && rule.months().length
+                                        + rule.weekNumbers().length
+                                        + rule.yearDays().length
+                                        + rule.monthDays().length
+                                        + rule.weekdays().size()
+                                        + rule.hours().length
+                                        + rule.minutes().length
+                                        + rule.seconds().length
                                 == 0,
                 "has BYSETPOS alone");
     }
 
-    private void refuse(boolean faulty, String what) {
-        if (faulty) {
-            throw p.faulty(what);
+    private void rejectIf(boolean invalid, String what) {
+        if (invalid) {
+            throw property.invalid(what);
         }
     }
 }
--- a/calendar/src/main/java/postgrade/calendar/Values.java
+++ b/calendar/src/main/java/postgrade/calendar/ValueReader.java
@@ -16,9 +16,9 @@
 import postgrade.window.MaintenanceEvent.ZonedTime;
 
 /** Times, zones and durations as they stand in values. */
-final class Values {
+final class ValueReader {
 
-    private static final Set<String> KNOWN =
+    private static final Set<String> KNOWN_ZONES =
             ZoneId.getAvailableZoneIds().stream()
                     .filter(z -> z.indexOf('~') < 0)
                     .collect(Collectors.toUnmodifiableSet());
@@ -29,16 +29,16 @@
                     "\\+?P(?:(\\d{1,6})W|(?:(\\d{1,6})D)?(T(?=\\d)(?:(\\d{1,6})H)?(?:(\\d{1,8})M)?(?:(\\d{1,9})S)?)?)");
     private static final Pattern OFFSET = Pattern.compile("([+-])(\\d{2})(\\d{2})(\\d{2})?");
 
-    private final ZoneRules site;
-    private final Map<String, ZoneRules> own;
+    private final ZoneRules siteZone;
+    private final Map<String, ZoneRules> calendarZones;
 
     /**
      * @param own the zones that the calendar itself defines; they go before those that the machine
      *     knows
      */
-    Values(ZoneRules site, Map<String, ZoneRules> own) {
-        this.site = site;
-        this.own = own;
+    ValueReader(ZoneRules siteZone, Map<String, ZoneRules> calendarZones) {
+        this.siteZone = siteZone;
+        this.calendarZones = calendarZones;
     }
 
     /**
@@ -47,25 +47,25 @@
     record Time(ZonedTime when, boolean allDay, boolean utc, boolean floating) {}
 
     Time time(Property p) {
-        return time(p, p.kind("DATE-TIME").equals("DATE"));
+        return time(p, p.valueType("DATE-TIME").equals("DATE"));
     }
 
     Time time(Property p, boolean allDay) {
-        String kind = p.kind(allDay ? "DATE" : "DATE-TIME");
+        String kind = p.valueType(allDay ? "DATE" : "DATE-TIME");
         String zone = p.parameters().get("TZID");
         if (allDay) {
             if (zone != null) {
-                throw p.faulty("is a date and must have no TZID");
+                throw p.invalid("is a date and must have no TZID");
             }
             return new Time(
-                    new ZonedTime(date(p, p.value()).atStartOfDay(), site), true, false, true);
+                    new ZonedTime(date(p, p.value()).atStartOfDay(), siteZone), true, false, true);
         }
         if (!kind.equals("DATE-TIME") && !kind.equals("PERIOD")) {
-            throw p.faulty("has a VALUE that is not known here: " + kind);
+            throw p.invalid("has a VALUE that is not known here: " + kind);
         }
         Matcher m = TIME.matcher(p.value());
         if (!m.matches()) {
-            throw p.faulty(
+            throw p.invalid(
                     DATE.matcher(p.value()).matches()
                             ? "is a date, so it needs VALUE=DATE"
                             : "must be a time such as 20260101T180000 or 20260101T180000Z");
@@ -79,16 +79,16 @@
                                     Integer.parseInt(m.group(3)),
                                     Integer.parseInt(m.group(4)));
         } catch (DateTimeException e) {
-            throw p.faulty("is no time of day: " + p.value());
+            throw p.invalid("is no time of day: " + p.value());
         }
         if (!m.group(5).isEmpty()) {
             if (zone != null) {
-                throw p.faulty("is in UTC and must have no TZID");
+                throw p.invalid("is in UTC and must have no TZID");
             }
             return new Time(new ZonedTime(local, ZoneOffset.UTC.getRules()), false, true, false);
         }
         return new Time(
-                new ZonedTime(local, zone == null ? site : zone(p, zone)),
+                new ZonedTime(local, zone == null ? siteZone : zone(p, zone)),
                 false,
                 false,
                 zone == null);
@@ -97,7 +97,7 @@
     private static LocalDate date(Property p, String text) {
         Matcher m = DATE.matcher(text);
         if (!m.matches()) {
-            throw p.faulty("must be a date such as 20260101");
+            throw p.invalid("must be a date such as 20260101");
         }
         int year = Integer.parseInt(m.group(1));
         try {
@@ -108,16 +108,16 @@
         } catch (DateTimeException e) {
             // Falls through to the one sentence.
         }
-        throw p.faulty("is no date of the calendar: " + text);
+        throw p.invalid("is no date of the calendar: " + text);
     }
 
     private ZoneRules zone(Property p, String id) {
-        ZoneRules defined = own.get(id);
+        ZoneRules defined = calendarZones.get(id);
         if (defined != null) {
             return defined;
         }
-        if (!known(id)) {
-            throw p.faulty("names a zone that is not known: " + id);
+        if (!isKnownZone(id)) {
+            throw p.invalid("names a zone that is not known: " + id);
         }
         return ZoneId.of(id).getRules();
     }
@@ -126,27 +126,27 @@
      * The machine's zones, never a network's; those the library registers with it (each start
      * others) are no zones.
      */
-    static boolean known(String id) {
-        return KNOWN.contains(id);
+    static boolean isKnownZone(String id) {
+        return KNOWN_ZONES.contains(id);
     }
 
     /** Weeks and days are nominal, the rest is exact. */
-    static EventDuration length(Property p, String text) {
+    static EventDuration duration(Property p, String text) {
         Matcher m = DURATION.matcher(text);
         if (!m.matches() || text.endsWith("P")) {
-            throw p.faulty(
+            throw p.invalid(
                     text.startsWith("-")
                             ? "must not be negative"
                             : "must be a duration such as P1D, PT90M or P1DT2H");
         }
         long days = number(m, 1) * 7 + number(m, 2);
         long millis = 1000 * (number(m, 4) * 3600 + number(m, 5) * 60 + number(m, 6));
-        return bounded(p, days, millis);
+        return boundedDuration(p, days, millis);
     }
 
-    static EventDuration bounded(Property p, long days, long millis) {
-        if (days + millis / 86_400_000 > EventDuration.MOST_DAYS) {
-            throw p.faulty("makes it last longer than " + EventDuration.MOST_DAYS + " days");
+    static EventDuration boundedDuration(Property p, long days, long millis) {
+        if (days + millis / 86_400_000 > EventDuration.MAX_DAYS) {
+            throw p.invalid("makes it last longer than " + EventDuration.MAX_DAYS + " days");
         }
         return new EventDuration((int) days, millis);
     }
@@ -163,6 +163,6 @@
                 return ZoneOffset.ofTotalSeconds(m.group(1).equals("-") ? -seconds : seconds);
             }
         }
-        throw p.faulty("must be an offset such as +0100");
+        throw p.invalid("must be an offset such as +0100");
     }
 }
--- a/calendar/src/main/java/postgrade/calendar/ZoneReader.java
+++ b/calendar/src/main/java/postgrade/calendar/ZoneReader.java
@@ -12,15 +12,15 @@
 import java.util.Set;
 import java.util.TreeMap;
 import postgrade.calendar.Component.Property;
+import postgrade.window.ExpansionBudget;
 import postgrade.window.Intervals;
 import postgrade.window.InvalidCalendarException;
 import postgrade.window.MaintenanceEvent;
 import postgrade.window.MaintenanceEvent.EventDuration;
-import postgrade.window.MaintenanceEvent.Extra;
+import postgrade.window.MaintenanceEvent.ExtraInstance;
 import postgrade.window.MaintenanceEvent.ZonedTime;
 import postgrade.window.Recurrence;
 import postgrade.window.SiteCalendar;
-import postgrade.window.Steps;
 
 /**
  * The zones that a calendar defines: each observance's onsets are worked out like events, in the
@@ -29,10 +29,12 @@
 final class ZoneReader {
 
     /** Onsets before are not asked for; after the last year the offset stays as it is. */
-    private static final long FROM = Instant.parse("1900-01-01T00:00:00Z").toEpochMilli();
+    private static final long FIRST_ONSET_MILLIS =
+            Instant.parse("1900-01-01T00:00:00Z").toEpochMilli();
 
-    private static final long TO = Instant.parse("2200-01-01T00:00:00Z").toEpochMilli();
-    private static final int MOST = 20;
+    private static final long LAST_ONSET_MILLIS =
+            Instant.parse("2200-01-01T00:00:00Z").toEpochMilli();
+    private static final int MAX_ZONES = 20;
 
     private ZoneReader() {}
 
@@ -40,40 +42,48 @@
 
     static Map<String, ZoneRules> zones(Component calendar) {
         Map<String, ZoneRules> zones = new HashMap<>();
-        Steps steps = new Steps();
-        for (Component c : calendar.within) {
+        ExpansionBudget budget = new ExpansionBudget();
+        for (Component c : calendar.children) {
             if (c.name.equals("VTIMEZONE")) {
-                Property id = c.needed("TZID");
-                if (zones.put(id.value(), rules(c, steps)) != null) {
-                    throw id.faulty("defines the same zone twice");
+                Property id = c.required("TZID");
+                if (zones.put(id.value(), rules(c, budget)) != null) {
+                    throw id.invalid("defines the same zone twice");
                 }
-                if (zones.size() > MOST) {
+                if (zones.size() > MAX_ZONES) {
                     throw new InvalidCalendarException(
-                            c.line, "VTIMEZONE", "is there more than " + MOST + " times");
+                            c.line, "VTIMEZONE", "is there more than " + MAX_ZONES + " times");
                 }
             }
         }
         return zones;
     }
 
-    private static ZoneRules rules(Component zone, Steps steps) {
+    private static ZoneRules rules(Component zone, ExpansionBudget budget) {
         TreeMap<Long, Onset> onsets = new TreeMap<>();
         Onset first = null;
         long firstAt = Long.MAX_VALUE;
-        for (Component c : zone.within) {
+        for (Component c : zone.children) {
             if (!c.name.equals("STANDARD") && !c.name.equals("DAYLIGHT")) {
                 throw new InvalidCalendarException(c.line, c.name, "has no place in VTIMEZONE");
             }
             Onset onset =
                     new Onset(
-                            Values.offset(c.needed("TZOFFSETFROM")),
-                            Values.offset(c.needed("TZOFFSETTO")));
+                            ValueReader.offset(c.required("TZOFFSETFROM")),
+                            ValueReader.offset(c.required("TZOFFSETTO")));
             MaintenanceEvent event = event(c, onset.before);
-            if (event.start().millis() < firstAt) {
+            if (event.start().toEpochMillis() < firstAt) {
                 first = onset;
-                firstAt = event.start().millis();
+                firstAt = event.start().toEpochMillis();
             }
-            Intervals at = SiteCalendar.compile("", "", List.of(event), FROM, TO, steps).closed();
+            Intervals at =
+                    SiteCalendar.compile(
+                                    "",
+                                    "",
+                                    List.of(event),
+                                    FIRST_ONSET_MILLIS,
+                                    LAST_ONSET_MILLIS,
+                                    budget)
+                            .closed();
             for (int i = 0; i < at.size(); i++) {
                 onsets.put(at.from(i), onset);
             }
@@ -88,7 +98,7 @@
     private static ZoneRules rules(Onset first, long firstAt, TreeMap<Long, Onset> onsets) {
         // What began before 1900 holds then; a zone that begins later was in the offset before its
         // first onset.
-        ZoneOffset base = firstAt < FROM ? first.after : first.before;
+        ZoneOffset base = firstAt < FIRST_ONSET_MILLIS ? first.after : first.before;
         ZoneOffset now = base;
         List<ZoneOffsetTransition> transitions = new ArrayList<>();
         for (Map.Entry<Long, Onset> e : onsets.entrySet()) {
@@ -107,24 +117,24 @@
     }
 
     private static MaintenanceEvent event(Component c, ZoneOffset before) {
-        Values values = new Values(before.getRules(), Map.of());
-        Property p = c.needed("DTSTART");
-        Values.Time start = values.time(p);
+        ValueReader values = new ValueReader(before.getRules(), Map.of());
+        Property p = c.required("DTSTART");
+        ValueReader.Time start = values.time(p);
         if (start.allDay() || !start.floating()) {
-            throw p.faulty("of an observance must be a local time without zone");
+            throw p.invalid("of an observance must be a local time without zone");
         }
         List<Recurrence> rules = new ArrayList<>();
         for (Property rule : c.all("RRULE")) {
             // An observance's UNTIL is in UTC though its start is local.
             rules.add(
                     RuleReader.read(
-                            rule, new Values.Time(start.when(), false, true, false), values));
+                            rule, new ValueReader.Time(start.when(), false, true, false), values));
         }
-        List<Extra> extras = new ArrayList<>();
+        List<ExtraInstance> extras = new ArrayList<>();
         for (Property dates : c.all("RDATE")) {
             for (String date : dates.value().split(",", -1)) {
-                ZonedTime when = values.time(dates.with(date)).when();
-                extras.add(new Extra(when, EventDuration.exactly(1), dates.line()));
+                ZonedTime when = values.time(dates.withValue(date)).when();
+                extras.add(new ExtraInstance(when, EventDuration.exactly(1), dates.line()));
             }
         }
         return new MaintenanceEvent(
--- a/calendar/src/test/java/postgrade/calendar/CalendarReaderTest.java
+++ b/calendar/src/test/java/postgrade/calendar/CalendarReaderTest.java
@@ -12,25 +12,25 @@
 /** What calendars say is when the site is closed. */
 public class CalendarReaderTest {
 
-    private static String told(String zone, String from, String to, String... lines) {
-        String text =
+    private static String closedTimes(String zone, String from, String to, String... lines) {
+        String calendarText =
                 "BEGIN:VCALENDAR\nVERSION:2.0\n" + String.join("\n", lines) + "\nEND:VCALENDAR\n";
         Intervals all =
                 SiteCalendar.compile(
                                 "a",
                                 "1",
-                                CalendarReader.read(zone, text),
+                                CalendarReader.read(zone, calendarText),
                                 Instant.parse(from + ":00Z").toEpochMilli(),
                                 Instant.parse(to + ":00Z").toEpochMilli())
                         .closed();
-        StringBuilder told = new StringBuilder();
+        StringBuilder text = new StringBuilder();
         for (int i = 0; i < all.size(); i++) {
-            told.append(i == 0 ? "" : " ")
+            text.append(i == 0 ? "" : " ")
                     .append(Instant.ofEpochMilli(all.from(i)).toString(), 5, 16)
                     .append('/')
                     .append(Instant.ofEpochMilli(all.to(i)).toString(), 5, 16);
         }
-        return told.toString();
+        return text.toString();
     }
 
     private static String event(String uid, String... lines) {
@@ -38,17 +38,17 @@
     }
 
     @Test
-    public void datesAndFloatingTimesAreTheSitesZonedOnesTheirOwn() {
+    public void datesAndFloatingTimesUseSiteZoneAndZonedTimesTheirOwn() {
         assertEquals(
                 "10-24T22:00/10-25T23:00",
-                told(
+                closedTimes(
                         "Europe/Zagreb",
                         "2026-10-20T00:00",
                         "2026-10-30T00:00",
                         event("a", "DTSTART;VALUE=DATE:20261025")));
         assertEquals(
                 "10-24T07:00/10-24T08:00 10-24T10:00/10-24T11:00 10-24T12:00/10-24T13:00",
-                told(
+                closedTimes(
                         "America/New_York",
                         "2026-10-20T00:00",
                         "2026-10-30T00:00",
@@ -61,32 +61,32 @@
     }
 
     @Test
-    public void aNominalDayIsNotTwentyFourHoursAndAnEndIsExact() {
+    public void nominalDayIsNot24HoursAndExplicitEndIsExact() {
         String start = "DTSTART;TZID=Europe/Zagreb:20261024T120000";
         assertEquals(
                 "10-24T10:00/10-25T11:00",
-                told(
+                closedTimes(
                         "UTC",
                         "2026-10-20T00:00",
                         "2026-10-30T00:00",
                         event("a", start, "DURATION:P1D")));
         assertEquals(
                 "10-24T10:00/10-25T10:00",
-                told(
+                closedTimes(
                         "UTC",
                         "2026-10-20T00:00",
                         "2026-10-30T00:00",
                         event("a", start, "DURATION:PT24H")));
         assertEquals(
                 "10-24T10:00/10-25T13:00",
-                told(
+                closedTimes(
                         "UTC",
                         "2026-10-20T00:00",
                         "2026-10-30T00:00",
                         event("a", start, "DURATION:P1DT2H")));
         assertEquals(
                 "03-27T11:00/03-28T11:00",
-                told(
+                closedTimes(
                         "UTC",
                         "2027-03-27T00:00",
                         "2027-03-28T11:00",
@@ -98,10 +98,10 @@
     }
 
     @Test
-    public void instancesAreLeftOutAddedAndMoved() {
+    public void instancesAreExcludedAddedAndMoved() {
         assertEquals(
                 "01-01T06:00/01-01T07:00 01-03T09:00/01-03T09:30 01-05T06:00/01-05T07:00 01-09T00:00/01-09T02:00",
-                told(
+                closedTimes(
                         "UTC",
                         "2026-01-01T00:00",
                         "2026-02-01T00:00",
@@ -131,7 +131,7 @@
     }
 
     @Test
-    public void aCalendarsOwnZoneGoesBeforeTheMachines() {
+    public void calendarZoneTakesPrecedenceOverSystemZone() {
         String zone =
                 "BEGIN:VTIMEZONE\nTZID:Europe/Zagreb\nBEGIN:STANDARD\nDTSTART:20001029T040000\n"
                         + "TZOFFSETFROM:+0500\nTZOFFSETTO:+0400\nRRULE:FREQ=YEARLY;BYMONTH=10;BYDAY=-1SU\nEND:STANDARD\n"
@@ -141,7 +141,7 @@
                         + "END:DAYLIGHT\nEND:VTIMEZONE";
         assertEquals(
                 "10-24T05:00/10-25T06:00",
-                told(
+                closedTimes(
                         "Europe/Zagreb",
                         "2026-10-20T00:00",
                         "2026-10-30T00:00",
@@ -150,9 +150,9 @@
     }
 
     @Test
-    public void aRuleWithoutEndAndTheLibrarysOwnZonesAreNotAskedFor() {
+    public void unboundedRulesAreExpandedAndZoneUpdatesAreDisabled() {
         assertTrue(
-                told(
+                closedTimes(
                                 "UTC",
                                 "2090-02-27T00:00",
                                 "2096-03-02T00:00",
--- a/calendar/src/test/java/postgrade/calendar/FaultyCalendarsTest.java
+++ b/calendar/src/test/java/postgrade/calendar/InvalidCalendarTest.java
@@ -9,7 +9,7 @@
 import postgrade.calendar.CalendarLoader.CheckResult;
 
 /** Faulty calendars are turned down whole, with the line and property at fault. */
-public class FaultyCalendarsTest {
+public class InvalidCalendarTest {
 
     private static final long NOW = Instant.parse("2026-06-01T00:00:00Z").toEpochMilli();
 
@@ -24,7 +24,7 @@
                 "a", "Europe/Zagreb", BEFORE + lines + "\r\nEND:VEVENT\r\nEND:VCALENDAR\r\n", NOW);
     }
 
-    private static void down(String lines, int line, String property, String sentence) {
+    private static void assertInvalid(String lines, int line, String property, String sentence) {
         CheckResult r = check(lines);
         String shown = lines.substring(0, Math.min(200, lines.length()));
         assertFalse(shown, r.ok());
@@ -34,7 +34,7 @@
     }
 
     @Test
-    public void badRules() {
+    public void invalidRules() {
         for (String[] rule :
                 new String[][] {
                     {"FREQ=FORTNIGHTLY", "FORTNIGHTLY"},
@@ -56,53 +56,58 @@
                     {"FREQ=DAILY;BYSECOND=60", "60"},
                     {"FREQ=DAILY;INTERVAL=9999999999", "INTERVAL"}
                 }) {
-            down(START + "RRULE:" + rule[0], 6, "RRULE", rule[1]);
+            assertInvalid(START + "RRULE:" + rule[0], 6, "RRULE", rule[1]);
         }
     }
 
     @Test
-    public void unknownZonesAndTimesThatAreNone() {
-        down("DTSTART;TZID=Europe/Atlantis:20260101T000000", 5, "DTSTART", "Europe/Atlantis");
-        down("DTSTART:20260230T000000", 5, "DTSTART", "no date");
-        down("DTSTART:20260101", 5, "DTSTART", "VALUE=DATE");
-        down("DTSTART:20260101T250000Z", 5, "DTSTART", "time of day");
-        down("DTSTART;TZID=Europe/Zagreb:20260101T000000Z", 5, "DTSTART", "no TZID");
-        down("SUMMARY:no start", 3, "DTSTART", "missing");
-        down(START + "DTEND:20251231T000000Z", 6, "DTEND", "before");
-        down(START + "DURATION:-PT1H", 6, "DURATION", "negative");
-        down(START + "DURATION:P1DT", 6, "DURATION", "duration");
-        down(START + "EXDATE;VALUE=DATE:20260101", 6, "EXDATE", "date");
-        down(START + "DTSTART:20260101T000000Z", 6, "DTSTART", "twice");
+    public void unknownZonesAndInvalidTimes() {
+        assertInvalid(
+                "DTSTART;TZID=Europe/Atlantis:20260101T000000", 5, "DTSTART", "Europe/Atlantis");
+        assertInvalid("DTSTART:20260230T000000", 5, "DTSTART", "no date");
+        assertInvalid("DTSTART:20260101", 5, "DTSTART", "VALUE=DATE");
+        assertInvalid("DTSTART:20260101T250000Z", 5, "DTSTART", "time of day");
+        assertInvalid("DTSTART;TZID=Europe/Zagreb:20260101T000000Z", 5, "DTSTART", "no TZID");
+        assertInvalid("SUMMARY:no start", 3, "DTSTART", "missing");
+        assertInvalid(START + "DTEND:20251231T000000Z", 6, "DTEND", "before");
+        assertInvalid(START + "DURATION:-PT1H", 6, "DURATION", "negative");
+        assertInvalid(START + "DURATION:P1DT", 6, "DURATION", "duration");
+        assertInvalid(START + "EXDATE;VALUE=DATE:20260101", 6, "EXDATE", "date");
+        assertInvalid(START + "DTSTART:20260101T000000Z", 6, "DTSTART", "twice");
         assertEquals("zone", CalendarLoader.check("a", "Mars/Base", BEFORE, NOW).property());
     }
 
     @Test
-    public void tooMuch() {
-        down(START + "DURATION:PT1S\r\nRRULE:FREQ=SECONDLY;INTERVAL=2", 7, "RRULE", "occurrences");
-        down(
+    public void limitsAreEnforced() {
+        assertInvalid(
+                START + "DURATION:PT1S\r\nRRULE:FREQ=SECONDLY;INTERVAL=2",
+                7,
+                "RRULE",
+                "occurrences");
+        assertInvalid(
                 START + "DURATION:PT1S\r\nRRULE:FREQ=SECONDLY;COUNT=2000000;BYMONTH=2",
                 7,
                 "RRULE",
                 "steps");
-        down(
+        assertInvalid(
                 "DTSTART:20300101T000000Z\r\nDURATION:PT1S\r\nRRULE:FREQ=SECONDLY",
                 7,
                 "RRULE",
                 "occurrences");
-        down(START + "X-LONG:" + "x".repeat(10_000_000), 1, "VCALENDAR", "longer than");
-        down(
+        assertInvalid(START + "X-LONG:" + "x".repeat(10_000_000), 1, "VCALENDAR", "longer than");
+        assertInvalid(
                 START + "X-LONG:" + ("x".repeat(10_000) + "\r\n ").repeat(7),
                 6,
                 "X-LONG",
                 "longer than");
-        down(START + "X" + ";A=b".repeat(10_000) + ":1", 6, "X", "no content line");
+        assertInvalid(START + "X" + ";A=b".repeat(10_000) + ":1", 6, "X", "no content line");
     }
 
     @Test
-    public void brokenText() {
-        down(START + "DURATION PT1H", 6, "DURATION", "no content line");
-        down(START + "SUMMARY:folded\r\n  on\r\nRRULE:FREQ=NEVER", 8, "RRULE", "NEVER");
-        down(START + "BEGIN:VALARM\r\nTRIGGER:-PT1H", 8, "VCALENDAR", "cannot be read");
+    public void malformedText() {
+        assertInvalid(START + "DURATION PT1H", 6, "DURATION", "no content line");
+        assertInvalid(START + "SUMMARY:folded\r\n  on\r\nRRULE:FREQ=NEVER", 8, "RRULE", "NEVER");
+        assertInvalid(START + "BEGIN:VALARM\r\nTRIGGER:-PT1H", 8, "VCALENDAR", "cannot be read");
         for (String text : new String[] {"", "hello", "BEGIN:VCALENDAR\r\n", BEFORE, "\0"}) {
             assertFalse(text, CalendarLoader.check("a", "Europe/Zagreb", text, NOW).ok());
         }
--- a/calendar/src/test/java/postgrade/calendar/oracle/Text.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/CalendarWriter.java
@@ -4,12 +4,12 @@
 import java.time.format.DateTimeFormatter;
 import java.util.List;
 import java.util.stream.Collectors;
-import postgrade.calendar.oracle.Made.Rule;
-import postgrade.calendar.oracle.Made.Stamp;
-import postgrade.calendar.oracle.Made.Works;
+import postgrade.calendar.oracle.GeneratedCase.LocalStamp;
+import postgrade.calendar.oracle.GeneratedCase.Maintenance;
+import postgrade.calendar.oracle.GeneratedCase.Rule;
 
 /** A case as iCalendar. */
-final class Text {
+final class CalendarWriter {
 
     private static final DateTimeFormatter TIME = DateTimeFormatter.ofPattern("uuuuMMdd'T'HHmmss");
     private static final DateTimeFormatter DATE = DateTimeFormatter.ofPattern("uuuuMMdd");
@@ -17,19 +17,19 @@
 
     private final StringBuilder out = new StringBuilder();
 
-    static String of(Made m) {
-        Text t = new Text();
+    static String of(GeneratedCase m) {
+        CalendarWriter t = new CalendarWriter();
         t.line("BEGIN:VCALENDAR").line("VERSION:2.0");
         if (m.ownZone != null) {
             t.zone(m.ownZone);
         }
-        for (int i = 0; i < m.works.size(); i++) {
-            t.works("w" + i, m.works.get(i));
+        for (int i = 0; i < m.events.size(); i++) {
+            t.maintenance("w" + i, m.events.get(i));
         }
         return t.line("END:VCALENDAR").out.toString();
     }
 
-    private Text line(String text) {
+    private CalendarWriter line(String text) {
         // Folded, as lines may be.
         for (int at = 0; at < text.length(); at += 60) {
             out.append(at == 0 ? "" : " ")
@@ -39,20 +39,21 @@
         return this;
     }
 
-    private void zone(int[] z) {
+    private void zone(int[] definition) {
         line("BEGIN:VTIMEZONE").line("TZID:Own");
         for (int i = 0; i < 2; i++) {
             String name = i == 0 ? "DAYLIGHT" : "STANDARD";
-            LocalDateTime onset = Zones.onset(1990, z[2 + 2 * i], z[3 + 2 * i]);
+            LocalDateTime onset =
+                    GeneratedZones.onset(1990, definition[2 + 2 * i], definition[3 + 2 * i]);
             line("BEGIN:" + name)
                     .line("DTSTART:" + TIME.format(onset))
-                    .line("TZOFFSETFROM:" + offset(z[i]))
-                    .line("TZOFFSETTO:" + offset(z[1 - i]))
+                    .line("TZOFFSETFROM:" + offset(definition[i]))
+                    .line("TZOFFSETTO:" + offset(definition[1 - i]))
                     .line(
                             "RRULE:FREQ=YEARLY;BYMONTH="
-                                    + z[2 + 2 * i]
+                                    + definition[2 + 2 * i]
                                     + ";BYDAY="
-                                    + z[3 + 2 * i]
+                                    + definition[3 + 2 * i]
                                     + "SU")
                     .line("END:" + name);
         }
@@ -64,11 +65,14 @@
         return String.format("%s%02d%02d", seconds < 0 ? "-" : "+", s / 3600, s / 60 % 60);
     }
 
-    private void works(String uid, Works w) {
+    private void maintenance(String uid, Maintenance w) {
         line("BEGIN:VEVENT").line("UID:" + uid).line(stamp("DTSTART", w.start));
-        if (w.asEnd) {
+        if (w.statesEnd) {
             LocalDateTime end = w.start.local().plusDays(w.days).plusSeconds(w.seconds);
-            line(stamp("DTEND", new Stamp(end, w.start.zoneId(), w.start.zone(), w.start.date())));
+            line(
+                    stamp(
+                            "DTEND",
+                            new LocalStamp(end, w.start.zoneId(), w.start.zone(), w.start.date())));
         } else {
             line(
                     "DURATION:P"
@@ -79,9 +83,9 @@
             line("RRULE:" + rule(w.rule));
         }
         w.extra.forEach(s -> line(stamp("RDATE", s)));
-        w.without.forEach(s -> line(stamp("EXDATE", s)));
+        w.excluded.forEach(s -> line(stamp("EXDATE", s)));
         line("END:VEVENT");
-        for (Stamp[] pair : w.moved) {
+        for (LocalStamp[] pair : w.moved) {
             line("BEGIN:VEVENT")
                     .line("UID:" + uid)
                     .line(stamp("RECURRENCE-ID", pair[0]))
@@ -91,7 +95,7 @@
         }
     }
 
-    private static String stamp(String name, Stamp s) {
+    private static String stamp(String name, LocalStamp s) {
         if (s.date()) {
             return name + ";VALUE=DATE:" + DATE.format(s.local());
         }
@@ -102,7 +106,7 @@
                 + time(s);
     }
 
-    private static String time(Stamp s) {
+    private static String time(LocalStamp s) {
         return s.date()
                 ? DATE.format(s.local())
                 : TIME.format(s.local()) + ("Z".equals(s.zoneId()) ? "Z" : "");
--- a/calendar/src/test/java/postgrade/calendar/oracle/Comparison.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/Comparison.java
@@ -16,31 +16,40 @@
     private Comparison() {}
 
     /** Null where they agree; else what differs. */
-    static String differs(Made m, Mutation mutation) {
+    static String findDifference(GeneratedCase generated, Mutation mutation) {
         SiteCalendar calendar;
         try {
-            List<MaintenanceEvent> events = CalendarReader.read(m.siteZone, m.text());
-            calendar = SiteCalendar.compile("a", "1", events, m.from, m.to);
+            List<MaintenanceEvent> events =
+                    CalendarReader.read(generated.siteZone, generated.text());
+            calendar = SiteCalendar.compile("a", "1", events, generated.from, generated.to);
         } catch (InvalidCalendarException e) {
             return "turned down: line " + e.line() + ": " + e.description();
         }
-        StartPlan plan = new StartPlan(m.earliest, m.deadline, m.lasts, List.of("a"));
-        StartWindows.Result answer = StartWindows.query(plan, s -> calendar, m.now, m.error);
+        StartPlan plan =
+                new StartPlan(
+                        generated.earliestStart,
+                        generated.deadline,
+                        generated.durationMillis,
+                        List.of("a"));
+        StartWindows.Result answer =
+                StartWindows.query(plan, s -> calendar, generated.now, generated.clockErrorMillis);
         Intervals starts = answer.anySite();
-        Oracle oracle = new Oracle(m, mutation);
+        Oracle oracle = new Oracle(generated, mutation);
         // Wherever either of them may change its mind, and a millisecond to each side.
         TreeSet<Long> points =
                 new TreeSet<>(
                         List.of(
-                                m.now,
-                                m.earliest,
-                                m.deadline - m.lasts,
-                                m.from + m.error,
-                                m.to - m.error - m.lasts));
+                                generated.now,
+                                generated.earliestStart,
+                                generated.deadline - generated.durationMillis,
+                                generated.from + generated.clockErrorMillis,
+                                generated.to
+                                        - generated.clockErrorMillis
+                                        - generated.durationMillis));
         for (long[] c : oracle.closed) {
-            points.add(c[0] - m.error - m.lasts);
-            points.add(c[0] - m.error);
-            points.add(c[1] + m.error);
+            points.add(c[0] - generated.clockErrorMillis - generated.durationMillis);
+            points.add(c[0] - generated.clockErrorMillis);
+            points.add(c[1] + generated.clockErrorMillis);
         }
         for (int i = 0; i < starts.size(); i++) {
             points.add(starts.from(i));
@@ -49,24 +58,27 @@
         long first = StartWindows.NEVER;
         for (long point : points) {
             for (long at = point - 1; at <= point + 1; at++) {
-                boolean may = oracle.may(at);
-                if (may && first == StartWindows.NEVER) {
+                boolean expected = oracle.mayStart(at);
+                if (expected && first == StartWindows.NEVER) {
                     first = at;
                 }
-                if (may != starts.contains(at)) {
+                if (expected != starts.contains(at)) {
                     return "a start at "
                             + at
                             + ": "
                             + starts.contains(at)
                             + ", by the oracle "
-                            + may;
+                            + expected;
                 }
             }
         }
-        long opens = StartWindows.opens(plan, s -> calendar, m.now, m.error);
+        long opens =
+                StartWindows.nextOpening(
+                        plan, s -> calendar, generated.now, generated.clockErrorMillis);
         if (opens != first
                 || answer.opensAt() != first
-                || StartWindows.able(plan, calendar, m.now, m.error) != oracle.may(m.now)) {
+                || StartWindows.mayStart(plan, calendar, generated.now, generated.clockErrorMillis)
+                        != oracle.mayStart(generated.now)) {
             return "opens at " + opens + " and " + answer.opensAt() + ", by the oracle " + first;
         }
         return null;
--- a/calendar/src/test/java/postgrade/calendar/oracle/Days.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/DayMatcher.java
@@ -4,47 +4,49 @@
 import java.time.LocalDateTime;
 import java.time.ZoneOffset;
 import java.util.List;
-import postgrade.calendar.oracle.Made.Freq;
-import postgrade.calendar.oracle.Made.Rule;
+import postgrade.calendar.oracle.GeneratedCase.Freq;
+import postgrade.calendar.oracle.GeneratedCase.Rule;
 
 /** Whether a rule names a day, each part asked by counting days. */
-final class Days {
+final class DayMatcher {
 
-    private Days() {}
+    private DayMatcher() {}
 
-    static boolean named(Rule r, LocalDateTime first, LocalDate day, Mutation mutation) {
-        boolean open =
-                r.weekNo.isEmpty()
-                        && r.yearDay.isEmpty()
-                        && r.monthDay.isEmpty()
-                        && r.day.isEmpty();
-        boolean yearly = r.freq == Freq.YEARLY;
-        if (open && yearly && r.month.isEmpty() && !sameMonth(first, day, mutation)) {
+    static boolean matches(Rule rule, LocalDateTime first, LocalDate day, Mutation mutation) {
+        boolean dayUnspecified =
+                rule.weekNo.isEmpty()
+                        && rule.yearDay.isEmpty()
+                        && rule.monthDay.isEmpty()
+                        && rule.day.isEmpty();
+        boolean yearly = rule.freq == Freq.YEARLY;
+        if (dayUnspecified && yearly && rule.month.isEmpty() && !sameMonth(first, day, mutation)) {
             return false;
         }
-        if (open && (yearly || r.freq == Freq.MONTHLY) && !sameDay(first, day, yearly, mutation)) {
+        if (dayUnspecified
+                && (yearly || rule.freq == Freq.MONTHLY)
+                && !sameDay(first, day, yearly, mutation)) {
             return false;
         }
         boolean weekday =
-                open && r.freq == Freq.WEEKLY
-                        || !r.weekNo.isEmpty()
-                                && r.day.isEmpty()
-                                && r.yearDay.isEmpty()
-                                && r.monthDay.isEmpty();
+                dayUnspecified && rule.freq == Freq.WEEKLY
+                        || !rule.weekNo.isEmpty()
+                                && rule.day.isEmpty()
+                                && rule.yearDay.isEmpty()
+                                && rule.monthDay.isEmpty();
         if (weekday && day.getDayOfWeek() != first.getDayOfWeek()) {
             return false;
         }
-        return (r.month.isEmpty() || r.month.contains(day.getMonthValue()))
-                && either(
-                        r.monthDay,
+        return (rule.month.isEmpty() || rule.month.contains(day.getMonthValue()))
+                && matchesFromEitherEnd(
+                        rule.monthDay,
                         day.getDayOfMonth(),
                         -daysTo(day, day.plusMonths(1).withDayOfMonth(1)))
-                && either(
-                        r.yearDay,
+                && matchesFromEitherEnd(
+                        rule.yearDay,
                         daysTo(LocalDate.of(day.getYear(), 1, 1), day) + 1,
                         -daysTo(day, LocalDate.of(day.getYear() + 1, 1, 1)))
-                && week(r, day, mutation)
-                && weekday(r, day);
+                && matchesWeek(rule, day, mutation)
+                && matchesWeekday(rule, day);
     }
 
     private static boolean leapDay(LocalDateTime first, Mutation mutation) {
@@ -70,7 +72,7 @@
         return (int) (to.toEpochDay() - from.toEpochDay());
     }
 
-    private static boolean either(List<Integer> given, int value, int fromEnd) {
+    private static boolean matchesFromEitherEnd(List<Integer> given, int value, int fromEnd) {
         return given.isEmpty() || given.contains(value) || given.contains(fromEnd);
     }
 
@@ -84,7 +86,7 @@
     }
 
     /** A week is of the year that its fourth day lies in. */
-    private static boolean week(Rule r, LocalDate day, Mutation mutation) {
+    private static boolean matchesWeek(Rule r, LocalDate day, Mutation mutation) {
         if (r.weekNo.isEmpty()) {
             return true;
         }
@@ -99,10 +101,10 @@
         for (LocalDate d = fourth.plusDays(7); d.getYear() == fourth.getYear(); d = d.plusDays(7)) {
             fromEnd--;
         }
-        return either(r.weekNo, number, fromEnd);
+        return matchesFromEitherEnd(r.weekNo, number, fromEnd);
     }
 
-    private static boolean weekday(Rule r, LocalDate day) {
+    private static boolean matchesWeekday(Rule r, LocalDate day) {
         if (r.day.isEmpty()) {
             return true;
         }
@@ -125,7 +127,7 @@
         return false;
     }
 
-    static long period(Rule r, LocalDateTime t, Mutation mutation) {
+    static long periodNumber(Rule r, LocalDateTime t, Mutation mutation) {
         return switch (r.freq) {
             case YEARLY -> t.getYear();
             case MONTHLY -> t.getYear() * 12L + t.getMonthValue();
--- a/calendar/src/test/java/postgrade/calendar/oracle/Made.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/GeneratedCase.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /** A generated case: plain fields that the oracle reads, rendered as text for the product. */
-final class Made {
+final class GeneratedCase {
 
     enum Freq {
         SECONDLY,
@@ -21,14 +21,14 @@
     /**
      * @param zone null for floating and dates
      */
-    record Stamp(LocalDateTime local, String zoneId, Zone zone, boolean date) {}
+    record LocalStamp(LocalDateTime local, String zoneId, ReferenceZone zone, boolean date) {}
 
     /** Fields of a rule as they stand in it; empty where they do not. */
     static final class Rule {
         Freq freq;
         int interval = 1;
         int count;
-        Stamp until;
+        LocalStamp until;
         DayOfWeek weekStart = DayOfWeek.MONDAY;
         List<Integer> month = new ArrayList<>();
         List<Integer> weekNo = new ArrayList<>();
@@ -41,17 +41,17 @@
         List<Integer> setPos = new ArrayList<>();
     }
 
-    static final class Works {
-        Stamp start;
+    static final class Maintenance {
+        LocalStamp start;
         int days;
         long seconds;
-        boolean asEnd;
+        boolean statesEnd;
         Rule rule;
-        List<Stamp> extra = new ArrayList<>();
-        List<Stamp> without = new ArrayList<>();
+        List<LocalStamp> extra = new ArrayList<>();
+        List<LocalStamp> excluded = new ArrayList<>();
 
         /** Instances moved: from the first of a pair to the second, with a length in seconds. */
-        List<Stamp[]> moved = new ArrayList<>();
+        List<LocalStamp[]> moved = new ArrayList<>();
 
         long movedSeconds;
     }
@@ -64,16 +64,16 @@
      */
     int[] ownZone;
 
-    List<Works> works = new ArrayList<>();
+    List<Maintenance> events = new ArrayList<>();
     long from;
     long to;
     long now;
-    long earliest;
+    long earliestStart;
     long deadline;
-    long lasts;
-    long error;
+    long durationMillis;
+    long clockErrorMillis;
 
     String text() {
-        return Text.of(this);
+        return CalendarWriter.of(this);
     }
 }
--- a/calendar/src/test/java/postgrade/calendar/oracle/Zones.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/GeneratedZones.java
@@ -9,9 +9,9 @@
  * The zone that a generated calendar defines: summer and standard time, each from a Sunday of a
  * month at two o'clock.
  */
-final class Zones {
+final class GeneratedZones {
 
-    private Zones() {}
+    private GeneratedZones() {}
 
     /** By counting days; the nth Sunday, from the end where negative. */
     static LocalDateTime onset(int year, int month, int nth) {
@@ -30,18 +30,23 @@
      * @param z standard and summer offset, then month and Sunday of each onset: of summer time, of
      *     standard time
      */
-    static Zone own(int[] z) {
-        Zone zone = new Zone(z[2] < z[4] ? z[0] : z[1]);
+    static ReferenceZone build(int[] definition) {
+        ReferenceZone zone =
+                new ReferenceZone(definition[2] < definition[4] ? definition[0] : definition[1]);
         for (int year = 1990; year < 2110; year++) {
-            LocalDateTime summer = onset(year, z[2], z[3]);
-            LocalDateTime standard = onset(year, z[4], z[5]);
+            LocalDateTime summer = onset(year, definition[2], definition[3]);
+            LocalDateTime standard = onset(year, definition[4], definition[5]);
             // Months differ, so which comes first is plain.
-            if (z[2] < z[4]) {
-                zone.change(summer.toEpochSecond(ZoneOffset.UTC) - z[0], z[1]);
-                zone.change(standard.toEpochSecond(ZoneOffset.UTC) - z[1], z[0]);
+            if (definition[2] < definition[4]) {
+                zone.addTransition(
+                        summer.toEpochSecond(ZoneOffset.UTC) - definition[0], definition[1]);
+                zone.addTransition(
+                        standard.toEpochSecond(ZoneOffset.UTC) - definition[1], definition[0]);
             } else {
-                zone.change(standard.toEpochSecond(ZoneOffset.UTC) - z[1], z[0]);
-                zone.change(summer.toEpochSecond(ZoneOffset.UTC) - z[0], z[1]);
+                zone.addTransition(
+                        standard.toEpochSecond(ZoneOffset.UTC) - definition[1], definition[0]);
+                zone.addTransition(
+                        summer.toEpochSecond(ZoneOffset.UTC) - definition[0], definition[1]);
             }
         }
         return zone;
--- a/calendar/src/test/java/postgrade/calendar/oracle/Oracle.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/Oracle.java
@@ -9,10 +9,10 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.stream.Collectors;
-import postgrade.calendar.oracle.Made.Freq;
-import postgrade.calendar.oracle.Made.Rule;
-import postgrade.calendar.oracle.Made.Stamp;
-import postgrade.calendar.oracle.Made.Works;
+import postgrade.calendar.oracle.GeneratedCase.Freq;
+import postgrade.calendar.oracle.GeneratedCase.LocalStamp;
+import postgrade.calendar.oracle.GeneratedCase.Maintenance;
+import postgrade.calendar.oracle.GeneratedCase.Rule;
 
 /**
  * By brute force: walks every day, hour, minute or second from the first instance on and asks
@@ -20,91 +20,94 @@
  */
 final class Oracle {
 
-    private final Made m;
-    private final Zone site;
+    private final GeneratedCase generated;
+    private final ReferenceZone site;
     private final Mutation mutation;
 
     /** Pairs of begin and end. */
     final List<long[]> closed = new ArrayList<>();
 
-    Oracle(Made m, Mutation mutation) {
-        this.m = m;
+    Oracle(GeneratedCase generated, Mutation mutation) {
+        this.generated = generated;
         this.mutation = mutation;
-        site = Zone.of(m.siteZone);
-        m.works.forEach(this::add);
+        site = ReferenceZone.of(generated.siteZone);
+        generated.events.forEach(this::add);
     }
 
-    private long at(Stamp s) {
+    private long at(LocalStamp s) {
         return (s.zone() == null ? site : s.zone()).instant(s.local(), mutation);
     }
 
-    private void add(Works w) {
-        Set<Long> without = new TreeSet<>();
+    private void add(Maintenance event) {
+        Set<Long> excluded = new TreeSet<>();
         if (mutation != Mutation.LEFT_OUT_KEPT) {
-            w.without.forEach(s -> without.add(at(s)));
+            event.excluded.forEach(s -> excluded.add(at(s)));
         }
-        for (Stamp[] pair : w.moved) {
+        for (LocalStamp[] pair : event.moved) {
             if (mutation != Mutation.MOVED_KEPT) {
-                without.add(at(pair[0]));
+                excluded.add(at(pair[0]));
             }
             long from = at(pair[1]);
             closed.add(
                     new long[] {
                         from,
-                        pair[1].date() ? at(plusDays(pair[1], 1)) : from + w.movedSeconds * 1000
+                        pair[1].date() ? at(plusDays(pair[1], 1)) : from + event.movedSeconds * 1000
                     });
         }
-        List<Stamp> starts = new ArrayList<>(List.of(w.start));
-        if (w.rule != null) {
-            named(w).forEach(
+        List<LocalStamp> starts = new ArrayList<>(List.of(event.start));
+        if (event.rule != null) {
+            ruleTimes(event)
+                    .forEach(
                             l ->
                                     starts.add(
-                                            new Stamp(
+                                            new LocalStamp(
                                                     l,
-                                                    w.start.zoneId(),
-                                                    w.start.zone(),
-                                                    w.start.date())));
+                                                    event.start.zoneId(),
+                                                    event.start.zone(),
+                                                    event.start.date())));
         }
-        starts.addAll(w.extra);
-        for (Stamp s : starts) {
-            if (!without.contains(at(s))) {
-                closed.add(new long[] {at(s), end(w, s)});
+        starts.addAll(event.extra);
+        for (LocalStamp s : starts) {
+            if (!excluded.contains(at(s))) {
+                closed.add(new long[] {at(s), end(event, s)});
             }
         }
         closed.removeIf(c -> c[0] >= c[1]);
     }
 
-    private static Stamp plusDays(Stamp s, int days) {
-        return new Stamp(s.local().plusDays(days), s.zoneId(), s.zone(), s.date());
+    private static LocalStamp plusDays(LocalStamp s, int days) {
+        return new LocalStamp(s.local().plusDays(days), s.zoneId(), s.zone(), s.date());
     }
 
-    private long end(Works w, Stamp s) {
-        if (w.asEnd && !w.start.date()) {
-            Stamp end =
-                    new Stamp(
-                            w.start.local().plusDays(w.days).plusSeconds(w.seconds),
-                            w.start.zoneId(),
-                            w.start.zone(),
+    private long end(Maintenance event, LocalStamp s) {
+        if (event.statesEnd && !event.start.date()) {
+            LocalStamp end =
+                    new LocalStamp(
+                            event.start.local().plusDays(event.days).plusSeconds(event.seconds),
+                            event.start.zoneId(),
+                            event.start.zone(),
                             false);
-            return at(s) + at(end) - at(w.start);
+            return at(s) + at(end) - at(event.start);
         }
         long from =
-                w.days == 0
+                event.days == 0
                         ? at(s)
                         : mutation == Mutation.NOMINAL_AS_EXACT
-                                ? at(s) + w.days * 86_400_000L
-                                : at(plusDays(s, w.days));
-        return from + w.seconds * 1000;
+                                ? at(s) + event.days * 86_400_000L
+                                : at(plusDays(s, event.days));
+        return from + event.seconds * 1000;
     }
 
     /** Local times after the first that the rule names, up to the horizon. */
-    private List<LocalDateTime> named(Works w) {
-        Rule r = w.rule;
-        LocalDateTime first = w.start.local();
+    private List<LocalDateTime> ruleTimes(Maintenance event) {
+        Rule r = event.rule;
+        LocalDateTime first = event.start.local();
         LocalDateTime last =
-                (w.start.zone() == null ? site : w.start.zone()).local(m.to).plusDays(4);
+                (event.start.zone() == null ? site : event.start.zone())
+                        .local(generated.to)
+                        .plusDays(4);
         List<LocalDateTime> all = new ArrayList<>();
-        List<LocalDateTime> group = new ArrayList<>();
+        List<LocalDateTime> periodTimes = new ArrayList<>();
         long period = Long.MIN_VALUE;
         // From before the period that holds the first, since positions count from its begin.
         LocalDate from =
@@ -116,73 +119,84 @@
         // And to the end of the last period.
         LocalDate to = last.toLocalDate().plusDays(r.setPos.isEmpty() ? 0 : 370);
         for (LocalDate day = from; !day.isAfter(to); day = day.plusDays(1)) {
-            if (!Days.named(r, first, day, mutation)) {
+            if (!DayMatcher.matches(r, first, day, mutation)) {
                 continue;
             }
             for (LocalDateTime t : times(r, first, day)) {
-                long p = Days.period(r, t, mutation);
-                if (Math.floorMod(p - Days.period(r, first, mutation), (long) r.interval) != 0) {
+                long p = DayMatcher.periodNumber(r, t, mutation);
+                if (Math.floorMod(
+                                p - DayMatcher.periodNumber(r, first, mutation), (long) r.interval)
+                        != 0) {
                     continue;
                 }
                 if (p != period) {
-                    all.addAll(chosen(r, group));
-                    group.clear();
+                    all.addAll(selectPositions(r, periodTimes));
+                    periodTimes.clear();
                     period = p;
                 }
-                group.add(t);
+                periodTimes.add(t);
             }
         }
-        all.addAll(chosen(r, group));
-        return ended(
-                w,
+        all.addAll(selectPositions(r, periodTimes));
+        return applyEnd(
+                event,
                 all.stream()
                         .filter(t -> t.isAfter(first) && !t.isAfter(last))
                         .collect(Collectors.toList()));
     }
 
-    private List<LocalDateTime> chosen(Rule r, List<LocalDateTime> group) {
+    private List<LocalDateTime> selectPositions(Rule r, List<LocalDateTime> periodTimes) {
         if (r.setPos.isEmpty()) {
-            return List.copyOf(group);
+            return List.copyOf(periodTimes);
         }
         Set<LocalDateTime> chosen = new TreeSet<>();
-        for (int i = 0; i < group.size(); i++) {
-            int fromEnd = mutation == Mutation.POSITIONS_FROM_FIRST ? i : i - group.size();
+        for (int i = 0; i < periodTimes.size(); i++) {
+            int fromEnd = mutation == Mutation.POSITIONS_FROM_FIRST ? i : i - periodTimes.size();
             if (r.setPos.contains(i + 1) || r.setPos.contains(fromEnd)) {
-                chosen.add(group.get(i));
+                chosen.add(periodTimes.get(i));
             }
         }
         return List.copyOf(chosen);
     }
 
-    private List<LocalDateTime> ended(Works w, List<LocalDateTime> all) {
-        Rule r = w.rule;
+    private List<LocalDateTime> applyEnd(Maintenance event, List<LocalDateTime> all) {
+        Rule r = event.rule;
         if (r.until != null) {
             long until = at(r.until);
             all.removeIf(
                     t -> {
                         long at =
-                                at(new Stamp(t, w.start.zoneId(), w.start.zone(), w.start.date()));
+                                at(
+                                        new LocalStamp(
+                                                t,
+                                                event.start.zoneId(),
+                                                event.start.zone(),
+                                                event.start.date()));
                         return mutation == Mutation.UNTIL_EXCLUDED ? at >= until : at > until;
                     });
         }
-        int most =
+        int limit =
                 r.count == 0
                         ? all.size()
                         : r.count - (mutation == Mutation.COUNT_WITHOUT_FIRST ? 0 : 1);
-        return all.subList(0, Math.min(most, all.size()));
+        return all.subList(0, Math.min(limit, all.size()));
     }
 
     /** Every time of the day that the rule may name, in order. */
     private static List<LocalDateTime> times(Rule r, LocalDateTime first, LocalDate day) {
         List<LocalDateTime> all = new ArrayList<>();
         List<Integer> hours =
-                r.freq.compareTo(Freq.HOURLY) <= 0 ? each(r.hour, 24) : or(r.hour, first.getHour());
+                r.freq.compareTo(Freq.HOURLY) <= 0
+                        ? allOrGiven(r.hour, 24)
+                        : orDefault(r.hour, first.getHour());
         List<Integer> minutes =
                 r.freq.compareTo(Freq.MINUTELY) <= 0
-                        ? each(r.minute, 60)
-                        : or(r.minute, first.getMinute());
+                        ? allOrGiven(r.minute, 60)
+                        : orDefault(r.minute, first.getMinute());
         List<Integer> seconds =
-                r.freq == Freq.SECONDLY ? each(r.second, 60) : or(r.second, first.getSecond());
+                r.freq == Freq.SECONDLY
+                        ? allOrGiven(r.second, 60)
+                        : orDefault(r.second, first.getSecond());
         for (int h : hours) {
             for (int min : minutes) {
                 for (int s : seconds) {
@@ -205,14 +219,14 @@
         return all;
     }
 
-    private static List<Integer> or(List<Integer> given, int otherwise) {
+    private static List<Integer> orDefault(List<Integer> given, int defaultValue) {
         List<Integer> sorted =
-                new ArrayList<>(given.isEmpty() ? List.of(otherwise) : new TreeSet<>(given));
+                new ArrayList<>(given.isEmpty() ? List.of(defaultValue) : new TreeSet<>(given));
         Collections.sort(sorted);
         return sorted;
     }
 
-    private static List<Integer> each(List<Integer> given, int below) {
+    private static List<Integer> allOrGiven(List<Integer> given, int below) {
         List<Integer> all = new ArrayList<>();
         for (int i = 0; i < below; i++) {
             if (given.isEmpty() || given.contains(i)) {
@@ -223,19 +237,21 @@
     }
 
     /** Whether the job may start then: asked of each stretch of maintenance in turn. */
-    boolean may(long start) {
-        long error = mutation == Mutation.NO_ERROR ? 0 : m.error;
-        if (start < m.now
-                || start < m.earliest
-                || start + m.lasts > m.deadline
-                || start - m.error < m.from
-                || start + m.lasts + m.error > m.to) {
+    boolean mayStart(long start) {
+        long error = mutation == Mutation.NO_ERROR ? 0 : generated.clockErrorMillis;
+        if (start < generated.now
+                || start < generated.earliestStart
+                || start + generated.durationMillis > generated.deadline
+                || start - generated.clockErrorMillis < generated.from
+                || start + generated.durationMillis + generated.clockErrorMillis > generated.to) {
             return false;
         }
         for (long[] c : closed) {
-            boolean begun =
+            boolean mutatedBefore =
                     mutation == Mutation.STARTS_IN_ITS_BEGIN ? start <= c[0] - error : false;
-            boolean before = start + m.lasts <= c[0] - error && start < c[0] - error || begun;
+            boolean before =
+                    start + generated.durationMillis <= c[0] - error && start < c[0] - error
+                            || mutatedBefore;
             boolean after =
                     start >= c[1] + error + (mutation == Mutation.LAST_MILLISECOND_OPEN ? 1 : 0);
             if (!before && !after) {
--- a/calendar/src/test/java/postgrade/calendar/oracle/OracleMain.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/OracleMain.java
@@ -27,8 +27,8 @@
                                 for (long i = next.getAndIncrement();
                                         i < cases;
                                         i = next.getAndIncrement()) {
-                                    Made made = Cases.make(seed, i);
-                                    String differs = Comparison.differs(made, mutation);
+                                    GeneratedCase made = CaseGenerator.generate(seed, i);
+                                    String differs = Comparison.findDifference(made, mutation);
                                     if (differs != null && differing.getAndIncrement() < 3) {
                                         System.out.println(
                                                 "case "
--- a/calendar/src/test/java/postgrade/calendar/oracle/OracleTest.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/OracleTest.java
@@ -7,10 +7,10 @@
 import java.time.LocalDateTime;
 import java.time.ZoneOffset;
 import org.junit.Test;
-import postgrade.calendar.oracle.Made.Freq;
-import postgrade.calendar.oracle.Made.Rule;
-import postgrade.calendar.oracle.Made.Stamp;
-import postgrade.calendar.oracle.Made.Works;
+import postgrade.calendar.oracle.GeneratedCase.Freq;
+import postgrade.calendar.oracle.GeneratedCase.LocalStamp;
+import postgrade.calendar.oracle.GeneratedCase.Maintenance;
+import postgrade.calendar.oracle.GeneratedCase.Rule;
 
 /** The product against brute force, and the oracle against faults put into it. */
 public class OracleTest {
@@ -18,13 +18,13 @@
     private static final int CASES = 2_000;
 
     /** The first case that tells an UNTIL at the very instant of an instance. */
-    private static final int UNTIL_MATTERS = 3_211;
+    private static final int FIRST_UNTIL_CASE = 3_211;
 
     @Test
-    public void theProductAndTheOracleAgreeOnEveryCase() {
+    public void implementationAgreesWithOracle() {
         for (int i = 0; i < CASES; i++) {
-            Made made = Cases.make(1, i);
-            String differs = Comparison.differs(made, Mutation.NONE);
+            GeneratedCase made = CaseGenerator.generate(1, i);
+            String differs = Comparison.findDifference(made, Mutation.NONE);
             if (differs != null) {
                 assertNull(
                         "case "
@@ -41,36 +41,40 @@
     }
 
     @Test
-    public void eachFaultPutIntoTheOracleIsFound() {
+    public void everyMutationOfOracleIsDetected() {
         for (Mutation mutation : Mutation.values()) {
             if (mutation != Mutation.NONE && mutation != Mutation.LEAP_DAY_AS_MARCH) {
                 boolean found = false;
-                int first = mutation == Mutation.UNTIL_EXCLUDED ? UNTIL_MATTERS : 0;
+                int first = mutation == Mutation.UNTIL_EXCLUDED ? FIRST_UNTIL_CASE : 0;
                 for (int i = first; !found && i < first + CASES; i++) {
-                    found = Comparison.differs(Cases.make(1, i), mutation) != null;
+                    found =
+                            Comparison.findDifference(CaseGenerator.generate(1, i), mutation)
+                                    != null;
                 }
                 assertTrue(mutation + " made no difference", found);
             }
         }
-        Made leap = leapDay();
-        assertNull(Comparison.differs(leap, Mutation.NONE));
-        assertNotNull(Comparison.differs(leap, Mutation.LEAP_DAY_AS_MARCH));
+        GeneratedCase leap = leapDayCase();
+        assertNull(Comparison.findDifference(leap, Mutation.NONE));
+        assertNotNull(Comparison.findDifference(leap, Mutation.LEAP_DAY_AS_MARCH));
     }
 
     /** Works each 29 February, asked for round the first day of a March without one. */
-    private static Made leapDay() {
-        Made m = new Made();
+    private static GeneratedCase leapDayCase() {
+        GeneratedCase m = new GeneratedCase();
         m.siteZone = "UTC";
-        Works w = new Works();
-        w.start = new Stamp(LocalDateTime.of(2024, 2, 29, 6, 0), "Z", Zone.of("UTC"), false);
+        Maintenance w = new Maintenance();
+        w.start =
+                new LocalStamp(
+                        LocalDateTime.of(2024, 2, 29, 6, 0), "Z", ReferenceZone.of("UTC"), false);
         w.seconds = 3600;
         w.rule = new Rule();
         w.rule.freq = Freq.YEARLY;
-        m.works.add(w);
+        m.events.add(w);
         m.from = LocalDateTime.of(2026, 2, 27, 0, 0).toEpochSecond(ZoneOffset.UTC) * 1000;
         m.to = m.from + 4 * 86_400_000;
         m.now = m.from;
-        m.earliest = m.from;
+        m.earliestStart = m.from;
         m.deadline = m.to;
         return m;
     }
--- a/calendar/src/test/java/postgrade/calendar/oracle/QueryBench.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/QueryBench.java
@@ -32,18 +32,18 @@
         SplittableRandom random = new SplittableRandom(9);
         int bytes = 0;
         long began = cpu();
-        int stretches = 0;
+        int closures = 0;
         for (int s = 0; s < sites; s++) {
             String text = text(random, rules);
             bytes += text.length();
             SiteCalendar c = CalendarLoader.load("s" + s, "1", ZONES[s % ZONES.length], text, NOW);
             calendars.put(c.site(), c);
-            stretches += c.closed().size();
+            closures += c.closed().size();
         }
         System.out.printf(
                 "%d sites, %d rules each: read and worked out in %.1f ms of CPU a site, %,d bytes and "
                         + "%,d closed stretches a site over 101 days%n",
-                sites, rules, (cpu() - began) / 1e6 / sites, bytes / sites, stretches / sites);
+                sites, rules, (cpu() - began) / 1e6 / sites, bytes / sites, closures / sites);
         List<String> all = new ArrayList<>(calendars.keySet());
         for (int round = 0; round < 2; round++) {
             String when = round == 0 ? "first round" : "second round";
@@ -51,7 +51,7 @@
                     when + ", next opening over all sites",
                     queries,
                     random,
-                    (at, p) -> StartWindows.opens(p, calendars::get, at, 50),
+                    (at, p) -> StartWindows.nextOpening(p, calendars::get, at, 50),
                     all,
                     DAY / 4);
             time(
@@ -72,7 +72,7 @@
                     when + ", one worker's site",
                     queries,
                     random,
-                    (at, p) -> StartWindows.able(p, calendars.get("s7"), at, 50) ? 1 : 0,
+                    (at, p) -> StartWindows.mayStart(p, calendars.get("s7"), at, 50) ? 1 : 0,
                     all,
                     DAY / 4);
         }
@@ -93,20 +93,23 @@
             Query query,
             List<String> sites,
             long span) {
-        long[] took = new long[queries];
+        long[] durationsNs = new long[queries];
         long sum = 0;
         for (int i = 0; i < queries; i++) {
             long at = NOW + random.nextLong(60 * DAY);
             StartPlan plan =
                     new StartPlan(at, at + span, 60_000 + random.nextInt(3_600_000), sites);
-            long from = System.nanoTime();
+            long startNs = System.nanoTime();
             sum += query.ask(at, plan);
-            took[i] = System.nanoTime() - from;
+            durationsNs[i] = System.nanoTime() - startNs;
         }
-        Arrays.sort(took);
+        Arrays.sort(durationsNs);
         System.out.printf(
                 "%-70s p50 %8.2f us  p99 %8.2f us  (%x)%n",
-                name, took[queries / 2] / 1e3, took[queries * 99 / 100] / 1e3, sum & 0xffff);
+                name,
+                durationsNs[queries / 2] / 1e3,
+                durationsNs[queries * 99 / 100] / 1e3,
+                sum & 0xffff);
     }
 
     /**
--- a/calendar/src/test/java/postgrade/calendar/oracle/Zone.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/ReferenceZone.java
@@ -15,36 +15,37 @@
  * A zone as the list of its changes, all of them up to 2110; local times are looked for among the
  * stretches between.
  */
-final class Zone {
+final class ReferenceZone {
 
-    private static final Map<String, Zone> KNOWN = new ConcurrentHashMap<>();
+    private static final Map<String, ReferenceZone> CACHE = new ConcurrentHashMap<>();
     private static final Instant END = Instant.parse("2110-01-01T00:00:00Z");
 
     /** Seconds since 1970 at which each offset begins; the first holds from ever. */
-    final List<Long> at = new ArrayList<>();
+    final List<Long> transitions = new ArrayList<>();
 
     private final List<Integer> offsets = new ArrayList<>();
 
-    Zone(int first) {
-        at.add(Long.MIN_VALUE);
+    ReferenceZone(int first) {
+        transitions.add(Long.MIN_VALUE);
         offsets.add(first);
     }
 
-    void change(long when, int offset) {
-        at.add(when);
+    void addTransition(long second, int offset) {
+        transitions.add(second);
         offsets.add(offset);
     }
 
-    static Zone of(String id) {
-        return KNOWN.computeIfAbsent(
+    static ReferenceZone of(String id) {
+        return CACHE.computeIfAbsent(
                 id,
                 i -> {
                     ZoneRules rules = ZoneId.of(i).getRules();
-                    Zone zone = new Zone(rules.getOffset(Instant.MIN).getTotalSeconds());
+                    ReferenceZone zone =
+                            new ReferenceZone(rules.getOffset(Instant.MIN).getTotalSeconds());
                     for (ZoneOffsetTransition t = rules.nextTransition(Instant.MIN);
                             t != null && t.getInstant().isBefore(END);
                             t = rules.nextTransition(t.getInstant())) {
-                        zone.change(t.toEpochSecond(), t.getOffsetAfter().getTotalSeconds());
+                        zone.addTransition(t.toEpochSecond(), t.getOffsetAfter().getTotalSeconds());
                     }
                     return zone;
                 });
@@ -59,8 +60,8 @@
         long found = Long.MIN_VALUE;
         for (int i = from; i <= to; i++) {
             long instant = wall - offsets.get(i);
-            long end = i + 1 < at.size() ? at.get(i + 1) : Long.MAX_VALUE;
-            if (instant >= at.get(i)
+            long end = i + 1 < transitions.size() ? transitions.get(i + 1) : Long.MAX_VALUE;
+            if (instant >= transitions.get(i)
                     && instant < end
                     && (found == Long.MIN_VALUE || mutation == Mutation.SECOND_OF_FOLD)) {
                 found = instant;
@@ -69,7 +70,8 @@
         for (int i = from + 1; found == Long.MIN_VALUE && i <= to; i++) {
             // In the gap at this change: its instant by the offset before is not before it, by the
             // one after it is.
-            if (wall - offsets.get(i - 1) >= at.get(i) && wall - offsets.get(i) < at.get(i)) {
+            if (wall - offsets.get(i - 1) >= transitions.get(i)
+                    && wall - offsets.get(i) < transitions.get(i)) {
                 found = wall - offsets.get(mutation == Mutation.OFFSET_AFTER_GAP ? i : i - 1);
             }
         }
@@ -83,7 +85,7 @@
     }
 
     private int index(long seconds) {
-        int found = java.util.Collections.binarySearch(at, seconds);
+        int found = java.util.Collections.binarySearch(transitions, seconds);
         return found >= 0 ? found : -found - 2;
     }
 }
--- a/core/src/main/java/postgrade/window/CalendarLookup.java
+++ b/core/src/main/java/postgrade/window/CalendarLookup.java
@@ -11,10 +11,10 @@
      * It is this time, by the process's monotonic clock: what is known may have become too old
      * since it was last told.
      */
-    default void at(long nowMicros) {}
+    default void observeTime(long nowMicros) {}
 
     /** Why it is not known. */
-    default String why(String site) {
+    default String unavailableReason(String site) {
         return "its calendar is not known";
     }
 }
--- a/core/src/main/java/postgrade/window/CalendarPart.java
+++ b/core/src/main/java/postgrade/window/CalendarPart.java
@@ -32,18 +32,18 @@
      * for 4.1% younger than the log has gone on. And what the leader had measured when a view was
      * taken may follow in two steps: one on its way, and one not told yet.
      */
-    public static final long LEAST_AHEAD_MICROS =
+    public static final long MIN_ACTIVATION_DELAY_MICROS =
             MAX_VIEW_AGE_MICROS
                     + MAX_VIEW_AGE_MICROS / 20
                     + 2 * ReplicatedStateMachine.MAX_ADVANCE_MICROS;
 
     public static final long MAX_ACTIVATION_DELAY_MICROS = 366L * 86_400_000_000L;
-    public static final int MOST_TEXT_BYTES = 256 * 1024;
-    public static final int MOST_SITES = 200;
-    public static final long MOST_BYTES = 8L << 20;
+    public static final int MAX_TEXT_BYTES = 256 * 1024;
+    public static final int MAX_SITES = 200;
+    public static final long MAX_TOTAL_BYTES = 8L << 20;
 
-    static final String SITE = "site:";
-    static final String TEXT = "text:";
+    static final String SITE_PREFIX = "site:";
+    static final String TEXT_PREFIX = "text:";
 
     @Override
     public String name() {
@@ -51,11 +51,11 @@
     }
 
     @Override
-    public Answer apply(Rows rows, Moment at, Command c) {
-        return switch (c.verb()) {
-            case "put" -> put(rows, at, c.args());
-            case "drop" -> drop(rows, site(c.args()));
-            default -> Answer.unknown("verb " + c.verb() + " is not known");
+    public Answer apply(Rows rows, Moment at, Command command) {
+        return switch (command.verb()) {
+            case "put" -> put(rows, at, command.args());
+            case "drop" -> drop(rows, site(command.args()));
+            default -> Answer.unknown("verb " + command.verb() + " is not known");
         };
     }
 
@@ -67,17 +67,20 @@
             throw new InvalidFieldException("zone", "must be at most 64 characters long");
         }
         int bytes = text.getBytes(StandardCharsets.UTF_8).length;
-        if (bytes > MOST_TEXT_BYTES) {
+        if (bytes > MAX_TEXT_BYTES) {
             throw new InvalidFieldException(
-                    "text", "must be at most " + MOST_TEXT_BYTES + " bytes long");
+                    "text", "must be at most " + MAX_TEXT_BYTES + " bytes long");
         }
-        long ahead =
+        long delayMicros =
                 args.has("inMicros")
-                        ? args.integer("inMicros", LEAST_AHEAD_MICROS, MAX_ACTIVATION_DELAY_MICROS)
-                        : LEAST_AHEAD_MICROS;
-        Row known = rows.get(NAME, SITE + site);
-        Row before = known == null ? Row.EMPTY : known;
-        String latest = before.text("next", before.text("current", ""));
+                        ? args.integer(
+                                "inMicros",
+                                MIN_ACTIVATION_DELAY_MICROS,
+                                MAX_ACTIVATION_DELAY_MICROS)
+                        : MIN_ACTIVATION_DELAY_MICROS;
+        Row existing = rows.get(NAME, SITE_PREFIX + site);
+        Row siteRow = existing == null ? Row.EMPTY : existing;
+        String latest = siteRow.text("next", siteRow.text("current", ""));
         if (args.has("expects") && !args.text("expects").equals(latest)) {
             return Answer.conflict(
                     "expects names another version than the latest of "
@@ -85,30 +88,34 @@
                             + ", which is "
                             + (latest.isEmpty() ? "none" : latest));
         }
-        if (known == null && sites(rows) >= MOST_SITES) {
-            return Answer.conflict("site " + site + " would be more than " + MOST_SITES);
+        if (existing == null && siteCount(rows) >= MAX_SITES) {
+            return Answer.conflict("site " + site + " would be more than " + MAX_SITES);
         }
-        if (held(rows) + bytes > MOST_BYTES) {
-            return Answer.conflict("text would bring all calendars over " + MOST_BYTES + " bytes");
+        if (totalTextBytes(rows) + bytes > MAX_TOTAL_BYTES) {
+            return Answer.conflict(
+                    "text would bring all calendars over " + MAX_TOTAL_BYTES + " bytes");
         }
         // One that waits to count never has; nobody's decision rests on it alone.
-        before = withoutNext(rows, site, before);
+        siteRow = discardNext(rows, site, siteRow);
         String version = Long.toString(at.fence());
-        long counts = at.micros() + ahead;
+        long effectiveFrom = at.micros() + delayMicros;
         rows.put(
                 NAME,
-                TEXT + site + ":" + version,
+                TEXT_PREFIX + site + ":" + version,
                 Row.of("zone", zone, "text", text, "bytes", bytes));
-        rows.put(NAME, SITE + site, before.with("next", version, "countsFrom", counts));
+        rows.put(
+                NAME,
+                SITE_PREFIX + site,
+                siteRow.with("next", version, "countsFrom", effectiveFrom));
         return Answer.done(
-                "version " + version + " of " + site + " counts in " + ahead / 1000 + " ms",
+                "version " + version + " of " + site + " counts in " + delayMicros / 1000 + " ms",
                 Row.of(
                         "version",
                         version,
                         "countsFrom",
-                        counts,
+                        effectiveFrom,
                         "inMicros",
-                        ahead,
+                        delayMicros,
                         "replaces",
                         latest));
     }
@@ -118,43 +125,43 @@
      * has to know in time.
      */
     private static Answer drop(Rows rows, String site) {
-        Row known = rows.get(NAME, SITE + site);
-        if (known == null) {
+        Row existing = rows.get(NAME, SITE_PREFIX + site);
+        if (existing == null) {
             return Answer.unknown("site " + site + " has no calendar");
         }
-        withoutNext(rows, site, known);
-        if (known.has("current")) {
-            rows.remove(NAME, TEXT + site + ":" + known.text("current"));
+        discardNext(rows, site, existing);
+        if (existing.has("current")) {
+            rows.remove(NAME, TEXT_PREFIX + site + ":" + existing.text("current"));
         }
-        rows.remove(NAME, SITE + site);
+        rows.remove(NAME, SITE_PREFIX + site);
         return Answer.done("site " + site + " has no calendar any more", Row.EMPTY);
     }
 
-    private static Row withoutNext(Rows rows, String site, Row before) {
-        if (!before.has("next")) {
-            return before;
+    private static Row discardNext(Rows rows, String site, Row siteRow) {
+        if (!siteRow.has("next")) {
+            return siteRow;
         }
-        rows.remove(NAME, TEXT + site + ":" + before.text("next"));
-        return before.has("current") ? Row.of("current", before.text("current")) : Row.EMPTY;
+        rows.remove(NAME, TEXT_PREFIX + site + ":" + siteRow.text("next"));
+        return siteRow.has("current") ? Row.of("current", siteRow.text("current")) : Row.EMPTY;
     }
 
     @Override
     public void advance(Rows rows, Moment at) {
         for (Map.Entry<String, Row> e : rows.ofPart(NAME).entrySet()) {
             Row row = e.getValue();
-            if (e.getKey().startsWith(SITE)
+            if (e.getKey().startsWith(SITE_PREFIX)
                     && row.has("next")
                     && row.integer("countsFrom") <= at.micros()) {
-                promote(rows, e.getKey().substring(SITE.length()), row);
+                promote(rows, e.getKey().substring(SITE_PREFIX.length()), row);
             }
         }
     }
 
     private static void promote(Rows rows, String site, Row row) {
         if (row.has("current")) {
-            rows.remove(NAME, TEXT + site + ":" + row.text("current"));
+            rows.remove(NAME, TEXT_PREFIX + site + ":" + row.text("current"));
         }
-        rows.put(NAME, SITE + site, Row.of("current", row.text("next")));
+        rows.put(NAME, SITE_PREFIX + site, Row.of("current", row.text("next")));
     }
 
     private static String site(Row args) {
@@ -166,11 +173,11 @@
         return site;
     }
 
-    private static long sites(Rows rows) {
-        return rows.ofPart(NAME).keySet().stream().filter(k -> k.startsWith(SITE)).count();
+    private static long siteCount(Rows rows) {
+        return rows.ofPart(NAME).keySet().stream().filter(k -> k.startsWith(SITE_PREFIX)).count();
     }
 
-    private static long held(Rows rows) {
+    private static long totalTextBytes(Rows rows) {
         return rows.ofPart(NAME).values().stream().mapToLong(r -> r.integer("bytes", 0)).sum();
     }
 }
--- a/core/src/main/java/postgrade/window/CalendarRegistry.java
+++ b/core/src/main/java/postgrade/window/CalendarRegistry.java
@@ -26,11 +26,11 @@
 
     private record Versions(String current, String next) {}
 
-    private final long mostViewAgeMicros;
+    private final long maxViewAgeMicros;
     private View view = View.NONE;
     private long nowMicros;
     private Map<String, Versions> sites = Map.of();
-    private final Map<String, SiteCalendar> workedOut = new HashMap<>();
+    private final Map<String, SiteCalendar> compiled = new HashMap<>();
     private final Map<String, String> unreadable = new HashMap<>();
 
     /** What is in force by site; without those that are not worked out yet. */
@@ -39,14 +39,14 @@
     /**
      * @param mostViewAgeMicros with an older view nothing that needs a window starts
      */
-    public CalendarRegistry(long mostViewAgeMicros) {
-        if (mostViewAgeMicros <= 0 || mostViewAgeMicros > CalendarPart.MAX_VIEW_AGE_MICROS) {
+    public CalendarRegistry(long maxViewAgeMicros) {
+        if (maxViewAgeMicros <= 0 || maxViewAgeMicros > CalendarPart.MAX_VIEW_AGE_MICROS) {
             throw new IllegalArgumentException(
                     "the view's age must lie between 1 and "
                             + CalendarPart.MAX_VIEW_AGE_MICROS
                             + " us");
         }
-        this.mostViewAgeMicros = mostViewAgeMicros;
+        this.maxViewAgeMicros = maxViewAgeMicros;
     }
 
     /** The view as it is now, by this process's monotonic clock; called again as time goes on. */
@@ -56,7 +56,7 @@
             boolean changed = latest.moment().fence() != view.moment().fence();
             view = latest;
             if (changed) {
-                read();
+                readView();
             }
         }
     }
@@ -66,53 +66,55 @@
      * find it too old.
      */
     @Override
-    public void at(long now) {
+    public void observeTime(long now) {
         nowMicros = Math.max(nowMicros, now);
     }
 
-    private void read() {
+    private void readView() {
         Map<String, Versions> latest = new HashMap<>();
-        Set<String> held = new HashSet<>();
+        Set<String> referenced = new HashSet<>();
         view.rows()
                 .ofPart(CalendarPart.NAME)
                 .forEach(
                         (key, row) -> {
-                            if (key.startsWith(CalendarPart.SITE)) {
-                                String site = key.substring(CalendarPart.SITE.length());
-                                Versions v =
+                            if (key.startsWith(CalendarPart.SITE_PREFIX)) {
+                                String site = key.substring(CalendarPart.SITE_PREFIX.length());
+                                Versions versions =
                                         new Versions(
                                                 row.text("current", null), row.text("next", null));
-                                latest.put(site, v);
-                                held.add(site + ":" + v.current);
-                                held.add(site + ":" + v.next);
+                                latest.put(site, versions);
+                                referenced.add(site + ":" + versions.current);
+                                referenced.add(site + ":" + versions.next);
                             }
                         });
         if (!latest.equals(sites)) {
             sites = latest;
-            workedOut.keySet().retainAll(held);
-            unreadable.keySet().retainAll(held);
+            compiled.keySet().retainAll(referenced);
+            unreadable.keySet().retainAll(referenced);
             inForce.clear();
-            sites.keySet().forEach(this::join);
+            sites.keySet().forEach(this::updateInForce);
         }
     }
 
-    private void join(String site) {
-        Versions v = sites.get(site);
-        SiteCalendar current = v.current == null ? null : workedOut.get(site + ":" + v.current);
-        SiteCalendar next = v.next == null ? null : workedOut.get(site + ":" + v.next);
-        if (v.current != null && current == null || v.next != null && next == null) {
+    private void updateInForce(String site) {
+        Versions versions = sites.get(site);
+        SiteCalendar current =
+                versions.current == null ? null : compiled.get(site + ":" + versions.current);
+        SiteCalendar next = versions.next == null ? null : compiled.get(site + ":" + versions.next);
+        if (versions.current != null && current == null || versions.next != null && next == null) {
             inForce.remove(site);
         } else {
-            inForce.put(site, current == null ? next : next == null ? current : current.and(next));
+            inForce.put(
+                    site, current == null ? next : next == null ? current : current.merge(next));
         }
     }
 
     /** Whether the view may be used at this time. */
-    public boolean fresh() {
-        return view.known() && view.ageMicros(nowMicros) <= mostViewAgeMicros;
+    public boolean isViewFresh() {
+        return view.known() && view.ageMicros(nowMicros) <= maxViewAgeMicros;
     }
 
-    View latest() {
+    View latestView() {
         return view;
     }
 
@@ -131,14 +133,17 @@
     public List<PendingCalendar> pending(long nowMillis, long horizon) {
         List<PendingCalendar> all = new ArrayList<>();
         sites.forEach(
-                (site, v) -> {
-                    for (String version : new String[] {v.current, v.next}) {
+                (site, versions) -> {
+                    for (String version : new String[] {versions.current, versions.next}) {
                         String key = site + ":" + version;
-                        SiteCalendar known = workedOut.get(key);
+                        SiteCalendar known = compiled.get(key);
                         if (version != null
                                 && !unreadable.containsKey(key)
-                                && (known == null || known.knownTo() - nowMillis < horizon / 2)) {
-                            Row row = view.rows().get(CalendarPart.NAME, CalendarPart.TEXT + key);
+                                && (known == null
+                                        || known.horizonEnd() - nowMillis < horizon / 2)) {
+                            Row row =
+                                    view.rows()
+                                            .get(CalendarPart.NAME, CalendarPart.TEXT_PREFIX + key);
                             all.add(
                                     new PendingCalendar(
                                             site, version, row.text("zone"), row.text("text")));
@@ -150,56 +155,57 @@
 
     /** One wanted has been worked out; of a version that is gone by now nothing is kept. */
     public void addCompiled(SiteCalendar calendar) {
-        keep(calendar.site(), calendar.version(), calendar, null);
+        store(calendar.site(), calendar.version(), calendar, null);
     }
 
     /**
      * One wanted cannot be read here, say since this machine does not know its zone. Its site stays
      * unknown.
      */
-    public void markUnreadable(PendingCalendar wanted, String why) {
-        keep(wanted.site, wanted.version, null, why);
+    public void markUnreadable(PendingCalendar calendar, String why) {
+        store(calendar.site, calendar.version, null, why);
     }
 
-    private void keep(String site, String version, SiteCalendar calendar, String why) {
-        Versions v = sites.get(site);
-        if (v == null || !version.equals(v.current) && !version.equals(v.next)) {
+    private void store(String site, String version, SiteCalendar calendar, String why) {
+        Versions versions = sites.get(site);
+        if (versions == null
+                || !version.equals(versions.current) && !version.equals(versions.next)) {
             return;
         }
         if (calendar != null) {
-            workedOut.put(site + ":" + version, calendar);
+            compiled.put(site + ":" + version, calendar);
         } else {
-            workedOut.remove(site + ":" + version);
+            compiled.remove(site + ":" + version);
             unreadable.put(site + ":" + version, why);
         }
-        join(site);
+        updateInForce(site);
     }
 
     @Override
     public SiteCalendar forSite(String site) {
         // A site without a calendar is unknown, not open: after all state is lost nothing may start
         // inside maintenance.
-        return fresh() ? inForce.get(site) : null;
+        return isViewFresh() ? inForce.get(site) : null;
     }
 
     @Override
-    public String why(String site) {
-        if (!fresh()) {
+    public String unavailableReason(String site) {
+        if (!isViewFresh()) {
             return view.known()
                     ? "the view of the calendars is "
                             + viewAgeMicros() / 1000
                             + " ms old, at most "
-                            + mostViewAgeMicros / 1000
+                            + maxViewAgeMicros / 1000
                             + " may be"
                     : "no view of the calendars has come yet";
         }
-        Versions v = sites.get(site);
-        if (v == null) {
+        Versions versions = sites.get(site);
+        if (versions == null) {
             return "it has no calendar; one that is never closed needs an empty one";
         }
         String fault =
                 unreadable.getOrDefault(
-                        site + ":" + v.current, unreadable.get(site + ":" + v.next));
+                        site + ":" + versions.current, unreadable.get(site + ":" + versions.next));
         return fault == null
                 ? "its calendar is being read"
                 : "its calendar cannot be read here: " + fault;
--- a/core/src/main/java/postgrade/window/Deadline.java
+++ b/core/src/main/java/postgrade/window/Deadline.java
@@ -13,22 +13,22 @@
      * Fixed when the job comes, with its earliest start, else a daily deadline would move on as it
      * passes.
      */
-    long resolveMillis(long earliest);
+    long resolveMillis(long earliestStart);
 
     Deadline NONE = new Fixed(Long.MAX_VALUE);
 
-    record Fixed(long time) implements Deadline {
+    record Fixed(long instantMillis) implements Deadline {
         @Override
-        public long resolveMillis(long earliest) {
-            return time;
+        public long resolveMillis(long earliestStart) {
+            return instantMillis;
         }
     }
 
     /** Such as 18:00 Europe/Zagreb. */
-    record Daily(LocalTime time, ZoneRules zone) implements Deadline {
+    record Daily(LocalTime timeOfDay, ZoneRules zone) implements Deadline {
         @Override
-        public long resolveMillis(long earliest) {
-            return LocalTimes.next(time, zone, earliest);
+        public long resolveMillis(long earliestStart) {
+            return LocalTimes.nextOccurrence(timeOfDay, zone, earliestStart);
         }
     }
 }
--- a/core/src/main/java/postgrade/window/DurationHistograms.java
+++ b/core/src/main/java/postgrade/window/DurationHistograms.java
@@ -10,57 +10,60 @@
  */
 public final class DurationHistograms {
 
-    private static final int STEPS = 8;
-    private static final int BUCKETS = 40 * STEPS;
-    private static final int ENOUGH = 20;
-    private static final int MOST = 4_096;
+    private static final int BUCKETS_PER_DOUBLING = 8;
+    private static final int BUCKETS = 40 * BUCKETS_PER_DOUBLING;
+    private static final int MIN_SAMPLES = 20;
+    private static final int MAX_SAMPLES = 4_096;
 
     private final Map<String, int[]> counts = new HashMap<>();
 
     public void recordDuration(String jobClass, long millis) {
-        int[] of = counts.computeIfAbsent(jobClass, c -> new int[BUCKETS + 1]);
-        of[bucket(Math.max(0, millis))]++;
-        if (++of[BUCKETS] >= MOST) {
-            of[BUCKETS] = 0;
+        int[] histogram = counts.computeIfAbsent(jobClass, c -> new int[BUCKETS + 1]);
+        histogram[bucketOf(Math.max(0, millis))]++;
+        if (++histogram[BUCKETS] >= MAX_SAMPLES) {
+            histogram[BUCKETS] = 0;
             for (int i = 0; i < BUCKETS; i++) {
-                of[i] /= 2;
-                of[BUCKETS] += of[i];
+                histogram[i] /= 2;
+                histogram[BUCKETS] += histogram[i];
             }
         }
     }
 
     /** -1 where too little was learnt. */
     public long quantile(String jobClass, double quantile) {
-        int[] of = counts.get(jobClass);
-        if (of == null || of[BUCKETS] < ENOUGH) {
+        int[] histogram = counts.get(jobClass);
+        if (histogram == null || histogram[BUCKETS] < MIN_SAMPLES) {
             return -1;
         }
-        long rank = (long) Math.ceil(quantile * of[BUCKETS]);
+        long rank = (long) Math.ceil(quantile * histogram[BUCKETS]);
         long seen = 0;
         for (int i = 0; i < BUCKETS; i++) {
-            seen += of[i];
-            if (of[i] > 0 && seen >= rank) {
-                return upper(i);
+            seen += histogram[i];
+            if (histogram[i] > 0 && seen >= rank) {
+                return upperBound(i);
             }
         }
         return -1;
     }
 
     /** Below 8 ms one step each, then eight to each doubling. */
-    private static int bucket(long millis) {
-        if (millis < STEPS) {
+    private static int bucketOf(long millis) {
+        if (millis < BUCKETS_PER_DOUBLING) {
             return (int) millis;
         }
         int doublings = 63 - Long.numberOfLeadingZeros(millis) - 3;
         return Math.min(
-                BUCKETS - 1, (doublings + 1) * STEPS + (int) (millis >>> doublings) - STEPS);
+                BUCKETS - 1,
+                (doublings + 1) * BUCKETS_PER_DOUBLING
+                        + (int) (millis >>> doublings)
+                        - BUCKETS_PER_DOUBLING);
     }
 
-    private static long upper(int bucket) {
-        if (bucket < STEPS) {
+    private static long upperBound(int bucket) {
+        if (bucket < BUCKETS_PER_DOUBLING) {
             return bucket;
         }
-        int doublings = bucket / STEPS - 1;
-        return ((long) (bucket % STEPS + STEPS + 1) << doublings) - 1;
+        int doublings = bucket / BUCKETS_PER_DOUBLING - 1;
+        return ((long) (bucket % BUCKETS_PER_DOUBLING + BUCKETS_PER_DOUBLING + 1) << doublings) - 1;
     }
 }
--- a/core/src/main/java/postgrade/window/Intervals.java
+++ b/core/src/main/java/postgrade/window/Intervals.java
@@ -39,7 +39,7 @@
     }
 
     /** The first one that ends after this time; {@link #size()} where there is none. */
-    public int endingAfter(long time) {
+    public int firstEndingAfter(long time) {
         int low = 0;
         int high = to.length;
         while (low < high) {
@@ -54,7 +54,7 @@
     }
 
     public boolean contains(long time) {
-        int i = endingAfter(time);
+        int i = firstEndingAfter(time);
         return i < from.length && from[i] <= time;
     }
 
@@ -80,7 +80,7 @@
     }
 
     /** Gathers stretches in any order; empty ones are passed over. */
-    public static final class Gathering {
+    public static final class Builder {
         private long[] from = new long[16];
         private long[] to = new long[16];
         private int size;
@@ -104,7 +104,7 @@
         }
 
         /** For stretches that were added in order and do not touch: no more work is done. */
-        Intervals asAdded() {
+        Intervals buildSorted() {
             return size == 0 ? NONE : new Intervals(from, to, size);
         }
 
@@ -112,12 +112,12 @@
          * What any of them covers. Begins and ends may be sorted apart: only how many are open
          * matters.
          */
-        public Intervals union() {
+        public Intervals buildUnion() {
             long[] begins = Arrays.copyOf(from, size);
             long[] ends = Arrays.copyOf(to, size);
             Arrays.sort(begins);
             Arrays.sort(ends);
-            Gathering merged = new Gathering();
+            Builder merged = new Builder();
             int open = 0;
             long since = 0;
             for (int b = 0, e = 0; e < size; ) {
@@ -133,7 +133,7 @@
                     }
                 }
             }
-            return merged.asAdded();
+            return merged.buildSorted();
         }
     }
 }
--- a/core/src/main/java/postgrade/window/JobClassWindow.java
+++ b/core/src/main/java/postgrade/window/JobClassWindow.java
@@ -16,7 +16,7 @@
 public record JobClassWindow(
         String name,
         List<String> sites,
-        LocalTime from,
+        LocalTime dailyStart,
         ZoneRules zone,
         Deadline deadline,
         double quantile,
@@ -43,29 +43,35 @@
     /**
      * The plan of a job that comes now: in the present round where it still fits, else in the next.
      */
-    public StartPlan plan(long now, long lasts) {
-        if (from == null) {
-            StartPlan today = new StartPlan(now, deadline.resolveMillis(now), lasts, sites);
-            return today.startsEnd() > now || !(deadline instanceof Deadline.Daily)
-                    ? today
-                    : after(today, now);
+    public StartPlan plan(long now, long durationMillis) {
+        if (dailyStart == null) {
+            StartPlan fromNow =
+                    new StartPlan(now, deadline.resolveMillis(now), durationMillis, sites);
+            return fromNow.latestStartExclusive() > now || !(deadline instanceof Deadline.Daily)
+                    ? fromNow
+                    : nextDailyPlan(fromNow, now);
         }
-        long began = LocalTimes.previous(from, zone, now);
-        StartPlan present = new StartPlan(began, deadline.resolveMillis(began), lasts, sites);
-        if (present.startsEnd() > now) {
-            return present;
+        long previousStart = LocalTimes.previousOccurrence(dailyStart, zone, now);
+        StartPlan current =
+                new StartPlan(
+                        previousStart,
+                        deadline.resolveMillis(previousStart),
+                        durationMillis,
+                        sites);
+        if (current.latestStartExclusive() > now) {
+            return current;
         }
-        long begins = LocalTimes.next(from, zone, now + 1);
-        return new StartPlan(begins, deadline.resolveMillis(begins), lasts, sites);
+        long nextStart = LocalTimes.nextOccurrence(dailyStart, zone, now + 1);
+        return new StartPlan(nextStart, deadline.resolveMillis(nextStart), durationMillis, sites);
     }
 
     /** The round after this one. */
-    public StartPlan after(StartPlan plan, long now) {
+    public StartPlan nextDailyPlan(StartPlan plan, long now) {
         if (!(deadline instanceof Deadline.Daily)) {
             return plan;
         }
         long later = Math.max(now, plan.deadline() + 1);
-        return from == null
+        return dailyStart == null
                 ? new StartPlan(later, deadline.resolveMillis(later), plan.durationMillis(), sites)
                 : plan(later, plan.durationMillis());
     }
--- a/core/src/main/java/postgrade/window/LocalTimes.java
+++ b/core/src/main/java/postgrade/window/LocalTimes.java
@@ -16,42 +16,43 @@
 
     private LocalTimes() {}
 
-    public static long millis(LocalDateTime local, ZoneRules zone) {
-        ZoneOffsetTransition change = zone.isFixedOffset() ? null : zone.getTransition(local);
+    public static long toEpochMillis(LocalDateTime local, ZoneRules zone) {
+        ZoneOffsetTransition transition = zone.isFixedOffset() ? null : zone.getTransition(local);
         // In a gap and in a fold alike: the offset before the change.
-        ZoneOffset offset = change != null ? change.getOffsetBefore() : zone.getOffset(local);
+        ZoneOffset offset =
+                transition != null ? transition.getOffsetBefore() : zone.getOffset(local);
         return local.toEpochSecond(offset) * 1000 + local.getNano() / 1_000_000;
     }
 
-    public static LocalDateTime local(long millis, ZoneRules zone) {
+    public static LocalDateTime toLocal(long millis, ZoneRules zone) {
         java.time.Instant instant = java.time.Instant.ofEpochMilli(millis);
         return LocalDateTime.ofEpochSecond(
                 instant.getEpochSecond(), instant.getNano(), zone.getOffset(instant));
     }
 
     /** The first time, not before the given one, at which clocks there come to this time of day. */
-    public static long next(LocalTime time, ZoneRules zone, long notBefore) {
-        LocalDate day = local(notBefore, zone).toLocalDate();
+    public static long nextOccurrence(LocalTime time, ZoneRules zone, long notBefore) {
+        LocalDate day = toLocal(notBefore, zone).toLocalDate();
         long best = Long.MAX_VALUE;
         // The day before matters where a gap pushes its time past midnight; days after where a
         // whole day is left out.
         for (int i = -2; i <= 3; i++) {
-            long at = millis(day.plusDays(i).atTime(time), zone);
-            if (at >= notBefore && at < best) {
-                best = at;
+            long candidate = toEpochMillis(day.plusDays(i).atTime(time), zone);
+            if (candidate >= notBefore && candidate < best) {
+                best = candidate;
             }
         }
         return best;
     }
 
     /** The last time, not after the given one, at which clocks there came to this time of day. */
-    public static long previous(LocalTime time, ZoneRules zone, long notAfter) {
-        LocalDate day = local(notAfter, zone).toLocalDate();
+    public static long previousOccurrence(LocalTime time, ZoneRules zone, long notAfter) {
+        LocalDate day = toLocal(notAfter, zone).toLocalDate();
         long best = Long.MIN_VALUE;
         for (int i = -3; i <= 2; i++) {
-            long at = millis(day.plusDays(i).atTime(time), zone);
-            if (at <= notAfter && at > best) {
-                best = at;
+            long candidate = toEpochMillis(day.plusDays(i).atTime(time), zone);
+            if (candidate <= notAfter && candidate > best) {
+                best = candidate;
             }
         }
         return best;
--- a/core/src/main/java/postgrade/window/MaintenanceEvent.java
+++ b/core/src/main/java/postgrade/window/MaintenanceEvent.java
@@ -16,27 +16,27 @@
         String title,
         int line,
         ZonedTime start,
-        EventDuration length,
+        EventDuration duration,
         List<Recurrence> rules,
-        List<Extra> extras,
-        Set<Long> without) {
+        List<ExtraInstance> extras,
+        Set<Long> excludedStarts) {
 
     /** A local time in its zone; floating times have been given their site's. */
     public record ZonedTime(LocalDateTime local, ZoneRules zone) {
-        public long millis() {
-            return LocalTimes.millis(local, zone);
+        public long toEpochMillis() {
+            return LocalTimes.toEpochMillis(local, zone);
         }
     }
 
     /** A further instance. */
-    public record Extra(ZonedTime start, EventDuration length, int line) {}
+    public record ExtraInstance(ZonedTime start, EventDuration duration, int line) {}
 
     /**
      * Whole days by the calendar, then an exact time: one day may last 23 hours, 24 hours never do.
      */
     public record EventDuration(int days, long millis) {
 
-        public static final int MOST_DAYS = 3_660;
+        public static final int MAX_DAYS = 3_660;
 
         public static EventDuration exactly(long millis) {
             return new EventDuration(0, millis);
@@ -46,20 +46,21 @@
             return new EventDuration(days, 0);
         }
 
-        long end(ZonedTime start) {
+        long endOf(ZonedTime start) {
             long from =
                     days == 0
-                            ? start.millis()
-                            : LocalTimes.millis(start.local().plusDays(days), start.zone());
-            return Math.max(start.millis(), from + millis);
+                            ? start.toEpochMillis()
+                            : LocalTimes.toEpochMillis(start.local().plusDays(days), start.zone());
+            return Math.max(start.toEpochMillis(), from + millis);
         }
     }
 
-    public static MaintenanceEvent once(String title, ZonedTime start, EventDuration length) {
-        return new MaintenanceEvent(title, 0, start, length, List.of(), List.of(), Set.of());
+    public static MaintenanceEvent once(String title, ZonedTime start, EventDuration duration) {
+        return new MaintenanceEvent(title, 0, start, duration, List.of(), List.of(), Set.of());
     }
 
-    public MaintenanceEvent recurring(Recurrence rule) {
-        return new MaintenanceEvent(title, line, start, length, List.of(rule), extras, without);
+    public MaintenanceEvent withRule(Recurrence rule) {
+        return new MaintenanceEvent(
+                title, line, start, duration, List.of(rule), extras, excludedStarts);
     }
 }
--- a/core/src/main/java/postgrade/window/Recurrence.java
+++ b/core/src/main/java/postgrade/window/Recurrence.java
@@ -15,23 +15,23 @@
  * @param line of the calendar, for faults
  */
 public record Recurrence(
-        Every every,
+        Frequency frequency,
         int interval,
         int count,
         long untilMillis,
         DayOfWeek weekStart,
         int[] months,
-        int[] weeks,
+        int[] weekNumbers,
         int[] yearDays,
         int[] monthDays,
-        List<Day> days,
+        List<NthWeekday> weekdays,
         int[] hours,
         int[] minutes,
         int[] seconds,
         int[] positions,
         int line) {
 
-    public enum Every {
+    public enum Frequency {
         SECOND,
         MINUTE,
         HOUR,
@@ -45,41 +45,41 @@
      * @param nth 0 for each such day; else the nth of the month or year, from its end where
      *     negative
      */
-    public record Day(int nth, DayOfWeek day) {}
+    public record NthWeekday(int nth, DayOfWeek weekday) {}
 
-    private static final int[] ANY = {};
+    private static final int[] UNRESTRICTED = {};
 
-    public static Recurrence every(Every every, int interval) {
+    public static Recurrence of(Frequency frequency, int interval) {
         return new Recurrence(
-                every,
+                frequency,
                 interval,
                 0,
                 Long.MAX_VALUE,
                 DayOfWeek.MONDAY,
-                ANY,
-                ANY,
-                ANY,
-                ANY,
+                UNRESTRICTED,
+                UNRESTRICTED,
+                UNRESTRICTED,
+                UNRESTRICTED,
                 List.of(),
-                ANY,
-                ANY,
-                ANY,
-                ANY,
+                UNRESTRICTED,
+                UNRESTRICTED,
+                UNRESTRICTED,
+                UNRESTRICTED,
                 0);
     }
 
-    public Recurrence times(int newCount) {
+    public Recurrence withCount(int newCount) {
         return new Recurrence(
-                every,
+                frequency,
                 interval,
                 newCount,
                 untilMillis,
                 weekStart,
                 months,
-                weeks,
+                weekNumbers,
                 yearDays,
                 monthDays,
-                days,
+                weekdays,
                 hours,
                 minutes,
                 seconds,
@@ -87,18 +87,18 @@
                 line);
     }
 
-    public Recurrence on(List<Day> newDays) {
+    public Recurrence withWeekdays(List<NthWeekday> newWeekdays) {
         return new Recurrence(
-                every,
+                frequency,
                 interval,
                 count,
                 untilMillis,
                 weekStart,
                 months,
-                weeks,
+                weekNumbers,
                 yearDays,
                 monthDays,
-                newDays,
+                newWeekdays,
                 hours,
                 minutes,
                 seconds,
@@ -107,9 +107,9 @@
     }
 
     /** The beginning of the period the first instance lies in, by local time. */
-    LocalDateTime firstPeriod(LocalDateTime first) {
+    LocalDateTime firstPeriodStart(LocalDateTime first) {
         LocalDateTime midnight = first.toLocalDate().atStartOfDay();
-        return switch (every) {
+        return switch (frequency) {
             case SECOND -> first.withNano(0);
             case MINUTE -> first.withNano(0).withSecond(0);
             case HOUR -> midnight.withHour(first.getHour());
@@ -123,26 +123,26 @@
         };
     }
 
-    LocalDateTime period(LocalDateTime firstPeriod, long index) {
-        long by = index * interval;
-        return switch (every) {
-            case SECOND -> firstPeriod.plusSeconds(by);
-            case MINUTE -> firstPeriod.plusMinutes(by);
-            case HOUR -> firstPeriod.plusHours(by);
-            case DAY -> firstPeriod.plusDays(by);
-            case WEEK -> firstPeriod.plusWeeks(by);
-            case MONTH -> firstPeriod.plusMonths(by);
-            case YEAR -> firstPeriod.plusYears(by);
+    LocalDateTime periodStart(LocalDateTime firstPeriod, long index) {
+        long offset = index * interval;
+        return switch (frequency) {
+            case SECOND -> firstPeriod.plusSeconds(offset);
+            case MINUTE -> firstPeriod.plusMinutes(offset);
+            case HOUR -> firstPeriod.plusHours(offset);
+            case DAY -> firstPeriod.plusDays(offset);
+            case WEEK -> firstPeriod.plusWeeks(offset);
+            case MONTH -> firstPeriod.plusMonths(offset);
+            case YEAR -> firstPeriod.plusYears(offset);
         };
     }
 
     /** Less than or as many periods as lie between: where to begin without walking there. */
-    long periodsUpTo(LocalDateTime firstPeriod, LocalDateTime time) {
+    long periodsBetween(LocalDateTime firstPeriod, LocalDateTime time) {
         if (!time.isAfter(firstPeriod)) {
             return 0;
         }
         java.time.temporal.ChronoUnit unit =
-                switch (every) {
+                switch (frequency) {
                     case SECOND -> java.time.temporal.ChronoUnit.SECONDS;
                     case MINUTE -> java.time.temporal.ChronoUnit.MINUTES;
                     case HOUR -> java.time.temporal.ChronoUnit.HOURS;
--- a/core/src/main/java/postgrade/window/SiteCalendar.java
+++ b/core/src/main/java/postgrade/window/SiteCalendar.java
@@ -13,8 +13,8 @@
 
     private final String site;
     private final String version;
-    private final long from;
-    private final long to;
+    private final long horizonStart;
+    private final long horizonEnd;
     private final Intervals closed;
 
     /**
@@ -25,7 +25,7 @@
 
     private final long[] spanTo;
     private final int[] spanEvent;
-    private final int[] groups;
+    private final int[] firstSpanOfClosure;
     private final List<MaintenanceEvent> events;
 
     private SiteCalendar(
@@ -37,27 +37,27 @@
             Spans spans) {
         this.site = site;
         this.version = version;
-        this.from = from;
-        this.to = to;
+        this.horizonStart = from;
+        this.horizonEnd = to;
         this.events = List.copyOf(events);
         spans.sort();
         spanFrom = spans.from;
         spanTo = spans.to;
         spanEvent = spans.event;
-        Intervals.Gathering all = new Intervals.Gathering();
+        Intervals.Builder all = new Intervals.Builder();
         for (int i = 0; i < spanFrom.length; i++) {
             all.add(spanFrom[i], spanTo[i]);
         }
-        closed = all.union();
-        groups = new int[closed.size() + 1];
+        closed = all.buildUnion();
+        firstSpanOfClosure = new int[closed.size() + 1];
         int span = 0;
         for (int i = 0; i < closed.size(); i++) {
-            groups[i] = span;
+            firstSpanOfClosure[i] = span;
             while (span < spanFrom.length && spanFrom[span] < closed.to(i)) {
                 span++;
             }
         }
-        groups[closed.size()] = spanFrom.length;
+        firstSpanOfClosure[closed.size()] = spanFrom.length;
     }
 
     /**
@@ -67,7 +67,7 @@
      */
     public static SiteCalendar compile(
             String site, String version, List<MaintenanceEvent> events, long from, long to) {
-        return compile(site, version, events, from, to, new Steps());
+        return compile(site, version, events, from, to, new ExpansionBudget());
     }
 
     /** The same, with bounds on the work that others share. */
@@ -77,24 +77,24 @@
             List<MaintenanceEvent> events,
             long from,
             long to,
-            Steps steps) {
+            ExpansionBudget budget) {
         Spans spans = new Spans();
         for (int i = 0; i < events.size(); i++) {
             int event = i;
-            Expansion.of(
-                    events.get(i), from, to, steps, (begin, end) -> spans.add(begin, end, event));
+            InstanceExpander.expand(
+                    events.get(i), from, to, budget, (begin, end) -> spans.add(begin, end, event));
         }
         return new SiteCalendar(site, version, from, to, events, spans);
     }
 
     /** A site that is never closed. */
-    public static SiteCalendar open(String site) {
+    public static SiteCalendar alwaysOpen(String site) {
         return new SiteCalendar(
                 site, "", Long.MIN_VALUE / 4, Long.MAX_VALUE / 4, List.of(), new Spans());
     }
 
     /** Closed where either is; known where both are. */
-    public SiteCalendar and(SiteCalendar other) {
+    public SiteCalendar merge(SiteCalendar other) {
         Spans both = new Spans();
         for (int i = 0; i < spanFrom.length; i++) {
             both.add(spanFrom[i], spanTo[i], spanEvent[i]);
@@ -107,8 +107,8 @@
         return new SiteCalendar(
                 site,
                 version + "+" + other.version,
-                Math.max(from, other.from),
-                Math.min(to, other.to),
+                Math.max(horizonStart, other.horizonStart),
+                Math.min(horizonEnd, other.horizonEnd),
                 all,
                 both);
     }
@@ -122,13 +122,13 @@
     }
 
     /** Before this it tells nothing. */
-    public long knownFrom() {
-        return from;
+    public long horizonStart() {
+        return horizonStart;
     }
 
     /** From this on it tells nothing. */
-    public long knownTo() {
-        return to;
+    public long horizonEnd() {
+        return horizonEnd;
     }
 
     /** When the site is closed, within what is known. */
@@ -137,10 +137,10 @@
     }
 
     /** What closes it in the i-th closed stretch: the events, each named once. */
-    public String why(int i) {
+    public String closureReason(int closure) {
         StringBuilder text = new StringBuilder();
         java.util.BitSet named = new java.util.BitSet();
-        for (int s = groups[i]; s < groups[i + 1]; s++) {
+        for (int s = firstSpanOfClosure[closure]; s < firstSpanOfClosure[closure + 1]; s++) {
             if (!named.get(spanEvent[s])) {
                 named.set(spanEvent[s]);
                 MaintenanceEvent event = events.get(spanEvent[s]);
--- a/core/src/main/java/postgrade/window/SiteStarts.java
+++ b/core/src/main/java/postgrade/window/SiteStartTimes.java
@@ -9,49 +9,54 @@
  * with maintenance made longer by the clock's error at both ends: {@code start + lasts <= begin -
  * error} or {@code start >= end + error}.
  */
-public final class SiteStarts {
+public final class SiteStartTimes {
 
     private final StartPlan plan;
     private final SiteCalendar calendar;
     private final long now;
-    private final long error;
+    private final long clockErrorMillis;
     private final Intervals starts;
 
-    SiteStarts(StartPlan plan, SiteCalendar calendar, long now, long error) {
+    SiteStartTimes(StartPlan plan, SiteCalendar calendar, long now, long clockErrorMillis) {
         this.plan = plan;
         this.calendar = calendar;
         this.now = now;
-        this.error = error;
-        Intervals.Gathering open = new Intervals.Gathering();
-        long end = end();
-        long at = begin();
+        this.clockErrorMillis = clockErrorMillis;
+        Intervals.Builder open = new Intervals.Builder();
+        long end = rangeEnd();
+        long at = rangeStart();
         Intervals closed = calendar.closed();
-        for (int i = closed.endingAfter(at - error); at < end && i < closed.size(); i++) {
-            long out = lastStart(closed.from(i));
-            if (out >= end) {
+        for (int i = closed.firstEndingAfter(at - clockErrorMillis);
+                at < end && i < closed.size();
+                i++) {
+            long blocked = blockedFrom(closed.from(i));
+            if (blocked >= end) {
                 break;
             }
-            open.add(at, out);
-            at = Math.max(at, closed.to(i) + error);
+            open.add(at, blocked);
+            at = Math.max(at, closed.to(i) + clockErrorMillis);
         }
         open.add(at, end);
-        starts = open.asAdded();
+        starts = open.buildSorted();
     }
 
     /**
      * From here on a start is excluded by maintenance that begins then. A job that takes no time
      * may end in a begin.
      */
-    private long lastStart(long closes) {
-        return closes - error - Math.max(0, plan.durationMillis() - 1);
+    private long blockedFrom(long maintenanceStart) {
+        return maintenanceStart - clockErrorMillis - Math.max(0, plan.durationMillis() - 1);
     }
 
-    private long begin() {
-        return Math.max(Math.max(plan.earliestStart(), now), calendar.knownFrom() + error);
+    private long rangeStart() {
+        return Math.max(
+                Math.max(plan.earliestStart(), now), calendar.horizonStart() + clockErrorMillis);
     }
 
-    private long end() {
-        return Math.min(plan.startsEnd(), calendar.knownTo() - error - plan.durationMillis() + 1);
+    private long rangeEnd() {
+        return Math.min(
+                plan.latestStartExclusive(),
+                calendar.horizonEnd() - clockErrorMillis - plan.durationMillis() + 1);
     }
 
     /**
@@ -59,17 +64,22 @@
      *
      * @return the time itself, a later one, or {@link StartWindows#NEVER}
      */
-    static long next(StartPlan plan, SiteCalendar calendar, long time, long error) {
+    static long nextStart(StartPlan plan, SiteCalendar calendar, long time, long clockErrorMillis) {
         Intervals closed = calendar.closed();
-        long at = Math.max(Math.max(plan.earliestStart(), time), calendar.knownFrom() + error);
+        long at =
+                Math.max(
+                        Math.max(plan.earliestStart(), time),
+                        calendar.horizonStart() + clockErrorMillis);
         long end =
-                Math.min(plan.startsEnd(), calendar.knownTo() - error - plan.durationMillis() + 1);
-        long before = error + Math.max(0, plan.durationMillis() - 1);
-        for (int i = closed.endingAfter(at - error); at < end; i++) {
-            if (i == closed.size() || closed.from(i) - before > at) {
+                Math.min(
+                        plan.latestStartExclusive(),
+                        calendar.horizonEnd() - clockErrorMillis - plan.durationMillis() + 1);
+        long blockedBefore = clockErrorMillis + Math.max(0, plan.durationMillis() - 1);
+        for (int i = closed.firstEndingAfter(at - clockErrorMillis); at < end; i++) {
+            if (i == closed.size() || closed.from(i) - blockedBefore > at) {
                 return at;
             }
-            at = Math.max(at, closed.to(i) + error);
+            at = Math.max(at, closed.to(i) + clockErrorMillis);
         }
         return StartWindows.NEVER;
     }
@@ -108,38 +118,42 @@
                             Reason.TOO_EARLY,
                             "before its earliest start"));
         }
-        if (from < begin()) {
+        if (from < rangeStart()) {
             all.add(
                     new Exclusion(
                             from,
-                            Math.min(to, begin()),
+                            Math.min(to, rangeStart()),
                             site,
                             Reason.BEYOND_HORIZON,
                             "before what is worked out"));
         }
         Intervals closed = calendar.closed();
-        for (int i = closed.endingAfter(begin() - error); i < closed.size(); i++) {
-            long begin = Math.max(begin(), lastStart(closed.from(i)));
-            long end = Math.min(end(), closed.to(i) + error);
+        for (int i = closed.firstEndingAfter(rangeStart() - clockErrorMillis);
+                i < closed.size();
+                i++) {
+            long begin = Math.max(rangeStart(), blockedFrom(closed.from(i)));
+            long end = Math.min(rangeEnd(), closed.to(i) + clockErrorMillis);
             if (begin >= end) {
                 break;
             }
-            all.add(new Exclusion(begin, end, site, Reason.MAINTENANCE, calendar.why(i)));
+            all.add(new Exclusion(begin, end, site, Reason.MAINTENANCE, calendar.closureReason(i)));
         }
-        long known = Math.max(from, calendar.knownTo() - error - plan.durationMillis() + 1);
-        if (known < Math.min(to, plan.startsEnd())) {
+        long known =
+                Math.max(
+                        from, calendar.horizonEnd() - clockErrorMillis - plan.durationMillis() + 1);
+        if (known < Math.min(to, plan.latestStartExclusive())) {
             all.add(
                     new Exclusion(
                             known,
-                            Math.min(to, plan.startsEnd()),
+                            Math.min(to, plan.latestStartExclusive()),
                             site,
                             Reason.BEYOND_HORIZON,
                             "after what is worked out"));
         }
-        if (Math.max(from, plan.startsEnd()) < to) {
+        if (Math.max(from, plan.latestStartExclusive()) < to) {
             all.add(
                     new Exclusion(
-                            Math.max(from, plan.startsEnd()),
+                            Math.max(from, plan.latestStartExclusive()),
                             to,
                             null,
                             Reason.TOO_LATE,
--- a/core/src/main/java/postgrade/window/StartPlan.java
+++ b/core/src/main/java/postgrade/window/StartPlan.java
@@ -16,22 +16,22 @@
     /** Guards sums of times against running over. */
     public static final long MAX_DURATION_MILLIS = 3_660L * 86_400_000;
 
-    private static final long FARTHEST = 400_000_000_000_000L;
+    private static final long MAX_ABS_TIME_MILLIS = 400_000_000_000_000L;
 
     public StartPlan {
         if (durationMillis < 0 || durationMillis > MAX_DURATION_MILLIS) {
             throw new IllegalArgumentException(
                     "lasts must lie between 0 and " + MAX_DURATION_MILLIS + " ms");
         }
-        far("earliest", earliestStart);
+        checkRange("earliest", earliestStart);
         if (deadline != Long.MAX_VALUE) {
-            far("deadline", deadline);
+            checkRange("deadline", deadline);
         }
         sites = List.copyOf(sites);
     }
 
-    private static void far(String name, long time) {
-        if (time < -FARTHEST || time > FARTHEST) {
+    private static void checkRange(String name, long time) {
+        if (time < -MAX_ABS_TIME_MILLIS || time > MAX_ABS_TIME_MILLIS) {
             throw new IllegalArgumentException(name + " must lie within the years -9999 to 9999");
         }
     }
@@ -40,7 +40,7 @@
      * The first time at which it would end too late; half-open, so it may start at the millisecond
      * before.
      */
-    long startsEnd() {
+    long latestStartExclusive() {
         return deadline == Long.MAX_VALUE ? Long.MAX_VALUE / 4 : deadline - durationMillis + 1;
     }
 }
--- a/core/src/main/java/postgrade/window/StartWindows.java
+++ b/core/src/main/java/postgrade/window/StartWindows.java
@@ -24,7 +24,7 @@
      * @param closes the end of that opening
      */
     public record Result(
-            List<SiteStarts> bySite,
+            List<SiteStartTimes> bySite,
             List<Exclusion> unknownSites,
             Intervals anySite,
             long opensAt,
@@ -53,36 +53,47 @@
      * @param now nothing starts before this
      * @param error how far the wall clock may be off
      */
-    public static Result query(StartPlan plan, CalendarLookup calendars, long now, long error) {
-        List<SiteStarts> starts = new ArrayList<>(plan.sites().size());
-        List<Exclusion> unknown = new ArrayList<>();
-        Intervals.Gathering all = new Intervals.Gathering();
+    public static Result query(
+            StartPlan plan, CalendarLookup calendars, long now, long clockErrorMillis) {
+        List<SiteStartTimes> bySite = new ArrayList<>(plan.sites().size());
+        List<Exclusion> unknownSites = new ArrayList<>();
+        Intervals.Builder all = new Intervals.Builder();
         for (String site : plan.sites()) {
             SiteCalendar calendar = calendars.forSite(site);
             if (calendar == null) {
-                unknown.add(new Exclusion(now, NEVER, site, Reason.UNKNOWN, calendars.why(site)));
+                unknownSites.add(
+                        new Exclusion(
+                                now,
+                                NEVER,
+                                site,
+                                Reason.UNKNOWN,
+                                calendars.unavailableReason(site)));
                 continue;
             }
-            SiteStarts s = new SiteStarts(plan, calendar, now, error);
-            starts.add(s);
-            all.add(s.starts());
+            SiteStartTimes siteStarts = new SiteStartTimes(plan, calendar, now, clockErrorMillis);
+            bySite.add(siteStarts);
+            all.add(siteStarts.starts());
         }
-        Intervals together = starts.size() == 1 ? starts.get(0).starts() : all.union();
-        return together.isEmpty()
-                ? new Result(starts, unknown, together, NEVER, NEVER)
-                : new Result(starts, unknown, together, together.from(0), together.to(0));
+        Intervals anySite = bySite.size() == 1 ? bySite.get(0).starts() : all.buildUnion();
+        return anySite.isEmpty()
+                ? new Result(bySite, unknownSites, anySite, NEVER, NEVER)
+                : new Result(bySite, unknownSites, anySite, anySite.from(0), anySite.to(0));
     }
 
     /**
      * The first time, from now on, at which it may start somewhere; {@link #NEVER} where there is
      * none.
      */
-    public static long opens(StartPlan plan, CalendarLookup calendars, long now, long error) {
+    public static long nextOpening(
+            StartPlan plan, CalendarLookup calendars, long now, long clockErrorMillis) {
         long first = NEVER;
         for (String site : plan.sites()) {
             SiteCalendar calendar = calendars.forSite(site);
             if (calendar != null) {
-                first = Math.min(first, SiteStarts.next(plan, calendar, now, error));
+                first =
+                        Math.min(
+                                first,
+                                SiteStartTimes.nextStart(plan, calendar, now, clockErrorMillis));
                 if (first <= now) {
                     return first;
                 }
@@ -92,7 +103,9 @@
     }
 
     /** Whether it may start there at this time. */
-    public static boolean able(StartPlan plan, SiteCalendar calendar, long time, long error) {
-        return calendar != null && SiteStarts.next(plan, calendar, time, error) == time;
+    public static boolean mayStart(
+            StartPlan plan, SiteCalendar calendar, long time, long clockErrorMillis) {
+        return calendar != null
+                && SiteStartTimes.nextStart(plan, calendar, time, clockErrorMillis) == time;
     }
 }
--- a/core/src/main/java/postgrade/window/WindowConstraints.java
+++ b/core/src/main/java/postgrade/window/WindowConstraints.java
@@ -22,25 +22,25 @@
             byZone = Map.copyOf(byZone);
         }
 
-        String of(WorkerInfo w) {
-            String site = byKind.get(w.kind());
-            return site == null ? byZone.get(w.zone()) : site;
+        String siteOf(WorkerInfo worker) {
+            String site = byKind.get(worker.kind());
+            return site == null ? byZone.get(worker.zone()) : site;
         }
     }
 
-    private static final int MOST_PLANS = 20_000;
-    private static final long MILLI = 1_000_000;
+    private static final int MAX_PLANS = 20_000;
+    private static final long NANOS_PER_MILLI = 1_000_000;
 
     /** With no opening in sight, and while the calendars are not known here. */
-    private static final long NO_OPENING_MILLIS = 3_600_000;
+    private static final long NO_OPENING_RETRY_MILLIS = 3_600_000;
 
-    private static final long UNKNOWN_MILLIS = 1_000;
-    private static final long UNKNOWN_SPREAD_MILLIS = 8_000;
+    private static final long UNKNOWN_CALENDAR_RETRY_MILLIS = 1_000;
+    private static final long UNKNOWN_CALENDAR_SPREAD_MILLIS = 8_000;
 
     private final Map<String, JobClassWindow> classes = new HashMap<>();
     private final SiteMapping sites;
     private final CalendarLookup calendars;
-    private final DurationHistograms lengths;
+    private final DurationHistograms durations;
     private final long clockErrorMillis;
     private final long seed;
 
@@ -54,24 +54,24 @@
 
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<String, StartPlan> eldest) {
-                    return size() > MOST_PLANS;
+                    return size() > MAX_PLANS;
                 }
             };
 
-    private long toldNs;
-    private long toldMillis;
+    private long wallClockSetAtNs;
+    private long wallClockMillis;
 
     public WindowConstraints(
             List<JobClassWindow> classes,
             SiteMapping sites,
             CalendarLookup calendars,
-            DurationHistograms lengths,
+            DurationHistograms durations,
             long clockErrorMillis,
             long seed) {
         classes.forEach(c -> this.classes.put(c.name(), c));
         this.sites = sites;
         this.calendars = calendars;
-        this.lengths = lengths;
+        this.durations = durations;
         this.clockErrorMillis = clockErrorMillis;
         this.seed = seed;
     }
@@ -81,8 +81,8 @@
      * be set.
      */
     public void setWallClock(long nowNs, long millis) {
-        toldNs = nowNs;
-        toldMillis = millis;
+        wallClockSetAtNs = nowNs;
+        wallClockMillis = millis;
     }
 
     /**
@@ -99,8 +99,8 @@
 
     /** What the class of a job gives to one that comes now; null for a class without windows. */
     public StartPlan planForClass(long nowMillis, String jobClass) {
-        JobClassWindow c = classes.get(jobClass);
-        return c == null ? null : c.plan(nowMillis, lasts(c));
+        JobClassWindow window = classes.get(jobClass);
+        return window == null ? null : window.plan(nowMillis, expectedDurationMillis(window));
     }
 
     /** The job has its answer. */
@@ -109,78 +109,88 @@
     }
 
     private long wallMillis(long nowNs) {
-        return toldMillis + Math.floorDiv(nowNs - toldNs, MILLI);
+        return wallClockMillis + Math.floorDiv(nowNs - wallClockSetAtNs, NANOS_PER_MILLI);
     }
 
-    private long now(long nowNs) {
-        calendars.at(Math.floorDiv(nowNs, 1_000));
+    private long observeTime(long nowNs) {
+        calendars.observeTime(Math.floorDiv(nowNs, 1_000));
         return wallMillis(nowNs);
     }
 
-    private StartPlan plan(long now, Job job) {
-        StartPlan own = plans.get(job.id());
-        if (own != null) {
-            return own;
+    private StartPlan planFor(long now, Job job) {
+        StartPlan ownPlan = plans.get(job.id());
+        if (ownPlan != null) {
+            return ownPlan;
         }
         return planForClass(now, job.jobClass());
     }
 
-    private long lasts(JobClassWindow c) {
-        return c.quantile() == 0
-                ? c.declaredMillis()
+    private long expectedDurationMillis(JobClassWindow window) {
+        return window.quantile() == 0
+                ? window.declaredMillis()
                 : Math.min(
                         StartPlan.MAX_DURATION_MILLIS,
-                        Math.max(c.declaredMillis(), lengths.quantile(c.name(), c.quantile())));
+                        Math.max(
+                                window.declaredMillis(),
+                                durations.quantile(window.name(), window.quantile())));
     }
 
     @Override
     public long startDelayNs(long nowNs, Job job) {
-        long now = now(nowNs);
-        boolean own = plans.containsKey(job.id());
-        StartPlan plan = plan(now, job);
+        long now = observeTime(nowNs);
+        boolean ownPlan = plans.containsKey(job.id());
+        StartPlan plan = planFor(now, job);
         if (plan == null) {
             return 0;
         }
-        if (StartWindows.opens(plan, calendars, now, clockErrorMillis) == now) {
+        if (StartWindows.nextOpening(plan, calendars, now, clockErrorMillis) == now) {
             plans.put(job.id(), plan);
             return 0;
         }
         plans.remove(job.id());
-        return Math.max(1, opensInMillis(now, plan, job, own) * MILLI);
+        return Math.max(1, retryInMillis(now, plan, job, ownPlan) * NANOS_PER_MILLI);
     }
 
     /**
      * @param own the plan is the job's, whose deadline does not move on to the class's next round
      */
-    private long opensInMillis(long now, StartPlan plan, Job job, boolean own) {
-        StartWindows.Result answer = StartWindows.query(plan, calendars, now, clockErrorMillis);
-        if (answer.bySite().isEmpty()) {
-            return Spread.millis(UNKNOWN_MILLIS, 2 * UNKNOWN_SPREAD_MILLIS, seed, job.id());
+    private long retryInMillis(long now, StartPlan plan, Job job, boolean ownPlan) {
+        StartWindows.Result result = StartWindows.query(plan, calendars, now, clockErrorMillis);
+        if (result.bySite().isEmpty()) {
+            return RetrySpread.retryInMillis(
+                    UNKNOWN_CALENDAR_RETRY_MILLIS,
+                    2 * UNKNOWN_CALENDAR_SPREAD_MILLIS,
+                    seed,
+                    job.id());
         }
-        JobClassWindow c = own ? null : classes.get(job.jobClass());
-        if (answer.opensAt() == StartWindows.NEVER && c != null) {
-            answer = StartWindows.query(c.after(plan, now), calendars, now, clockErrorMillis);
+        JobClassWindow window = ownPlan ? null : classes.get(job.jobClass());
+        if (result.opensAt() == StartWindows.NEVER && window != null) {
+            result =
+                    StartWindows.query(
+                            window.nextDailyPlan(plan, now), calendars, now, clockErrorMillis);
         }
-        return answer.opensAt() == StartWindows.NEVER
-                ? Spread.millis(NO_OPENING_MILLIS, NO_OPENING_MILLIS, seed, job.id())
-                : Spread.millis(
-                        answer.opensAt() - now,
-                        answer.closesAt() - answer.opensAt(),
+        return result.opensAt() == StartWindows.NEVER
+                ? RetrySpread.retryInMillis(
+                        NO_OPENING_RETRY_MILLIS, NO_OPENING_RETRY_MILLIS, seed, job.id())
+                : RetrySpread.retryInMillis(
+                        result.opensAt() - now,
+                        result.closesAt() - result.opensAt(),
                         seed,
                         job.id());
     }
 
     @Override
     public double usableShare(long nowNs, Job job, WorkerInfo worker) {
-        long now = now(nowNs);
-        StartPlan plan = plan(now, job);
+        long now = observeTime(nowNs);
+        StartPlan plan = planFor(now, job);
         if (plan == null) {
             return 1;
         }
-        String site = sites.of(worker);
+        String site = sites.siteOf(worker);
         return site != null
                         && plan.sites().contains(site)
-                        && StartWindows.able(plan, calendars.forSite(site), now, clockErrorMillis)
+                        && StartWindows.mayStart(
+                                plan, calendars.forSite(site), now, clockErrorMillis)
                 ? 1
                 : 0;
     }
--- a/core/src/test/java/postgrade/window/CalendarPartTest.java
+++ b/core/src/test/java/postgrade/window/CalendarPartTest.java
@@ -25,20 +25,20 @@
 /** Calendars as shared versions, and what a process makes of its view of them. */
 public class CalendarPartTest {
 
-    private static final long AHEAD = CalendarPart.LEAST_AHEAD_MICROS;
+    private static final long ACTIVATION_DELAY_MICROS = CalendarPart.MIN_ACTIVATION_DELAY_MICROS;
     private static final StartPlan PLAN = new StartPlan(0, Long.MAX_VALUE, 10, List.of("a"));
 
     private final ReplicatedStateMachine machine =
             new ReplicatedStateMachine(1, List.of(new CalendarPart()));
     private long index;
 
-    private Answer ask(String verb, Object... args) {
+    private Answer apply(String verb, Object... args) {
         return machine.apply(
                 ++index, new Command("", "p", 1, CalendarPart.NAME, verb, Row.of(args)));
     }
 
     private Answer put(String text) {
-        return ask("put", "site", "a", "zone", "UTC", "text", text);
+        return apply("put", "site", "a", "zone", "UTC", "text", text);
     }
 
     private void advance(long micros) {
@@ -65,10 +65,10 @@
                                         MaintenanceEvent.once(
                                                 w.text(),
                                                 new MaintenanceEvent.ZonedTime(
-                                                        LocalTimes.local(
+                                                        LocalTimes.toLocal(
                                                                 Long.parseLong(s[0]),
-                                                                Times.zone("UTC")),
-                                                        Times.zone("UTC")),
+                                                                TestTimes.zone("UTC")),
+                                                        TestTimes.zone("UTC")),
                                                 EventDuration.exactly(
                                                         Long.parseLong(s[1])
                                                                 - Long.parseLong(s[0]))))
@@ -81,10 +81,10 @@
     }
 
     @Test
-    public void aVersionCountsFromATimeAheadAndTheFormerGoesThen() {
+    public void newVersionTakesEffectAfterDelayAndReplacesFormer() {
         String first = put("1000-2000").fields().text("version");
         assertEquals("next", first, machine.rows().get("calendar", "site:a").text("next"));
-        advance(AHEAD - 1);
+        advance(ACTIVATION_DELAY_MICROS - 1);
         assertFalse(machine.rows().get("calendar", "site:a").has("current"));
         advance(1);
         assertEquals(Row.of("current", first), machine.rows().get("calendar", "site:a"));
@@ -94,15 +94,15 @@
                 "the one that waited is replaced",
                 machine.rows().get("calendar", "text:a:" + second));
         assertEquals(first, machine.rows().get("calendar", "site:a").text("current"));
-        advance(AHEAD);
+        advance(ACTIVATION_DELAY_MICROS);
         assertEquals(Row.of("current", third), machine.rows().get("calendar", "site:a"));
         assertEquals(2, machine.rows().count("calendar"));
     }
 
     @Test
-    public void noVersionCountsWhileAViewFromBeforeItMayStillBeUsed() {
+    public void newVersionTakesEffectOnlyAfterOlderViewsExpire() {
         put("1000-2000");
-        advance(AHEAD);
+        advance(ACTIVATION_DELAY_MICROS);
         String former = machine.rows().get("calendar", "site:a").text("current");
         put("3000-4000");
         // A view from just before, used by a slow clock beside a fast leader that had two steps to
@@ -113,55 +113,65 @@
     }
 
     @Test
-    public void badCallsAreTurnedDownByField() {
+    public void invalidCommandsAreRejectedNamingTheField() {
         assertTrue(
-                ask("put", "site", "a b", "zone", "UTC", "text", "x").text().startsWith("site "));
-        assertTrue(ask("put", "site", "a", "text", "x").text().startsWith("zone "));
+                apply("put", "site", "a b", "zone", "UTC", "text", "x").text().startsWith("site "));
+        assertTrue(apply("put", "site", "a", "text", "x").text().startsWith("zone "));
         assertTrue(put("x".repeat(300_000)).text().startsWith("text "));
         assertTrue(
-                ask("put", "site", "a", "zone", "UTC", "text", "x", "inMicros", AHEAD - 1)
+                apply(
+                                "put",
+                                "site",
+                                "a",
+                                "zone",
+                                "UTC",
+                                "text",
+                                "x",
+                                "inMicros",
+                                ACTIVATION_DELAY_MICROS - 1)
                         .text()
                         .startsWith("inMicros "));
-        assertEquals(Status.UNKNOWN, ask("drop", "site", "a").status());
+        assertEquals(Status.UNKNOWN, apply("drop", "site", "a").status());
         put("1-2");
         assertEquals(
                 Status.CONFLICT,
-                ask("put", "site", "a", "zone", "UTC", "text", "x", "expects", "7").status());
-        assertEquals(Status.DONE, ask("drop", "site", "a").status());
+                apply("put", "site", "a", "zone", "UTC", "text", "x", "expects", "7").status());
+        assertEquals(Status.DONE, apply("drop", "site", "a").status());
         assertEquals(0, machine.rows().count("calendar"));
     }
 
     @Test
-    public void allTogetherAreBounded() {
+    public void totalTextSizeIsBounded() {
         for (int i = 0; i < 40; i++) {
-            ask("put", "site", "s" + i, "zone", "UTC", "text", "x".repeat(256 * 1024));
+            apply("put", "site", "s" + i, "zone", "UTC", "text", "x".repeat(256 * 1024));
         }
-        assertEquals(2 * CalendarPart.MOST_BYTES / (256 * 1024), machine.rows().count("calendar"));
+        assertEquals(
+                2 * CalendarPart.MAX_TOTAL_BYTES / (256 * 1024), machine.rows().count("calendar"));
     }
 
     @Test
-    public void bothVersionsCloseTheSiteUntilTheViewSaysThatTheFormerIsOver() {
+    public void currentAndNextVersionCloseSiteUntilNextTakesEffect() {
         CalendarRegistry known = new CalendarRegistry(1_000_000);
-        assertFalse("no view, no start", StartWindows.able(PLAN, known.forSite("a"), 1500, 0));
+        assertFalse("no view, no start", StartWindows.mayStart(PLAN, known.forSite("a"), 1500, 0));
         known.updateView(view(0), 0);
         assertNull("no calendar, no start", known.forSite("a"));
         put("1000-2000");
-        advance(AHEAD);
+        advance(ACTIVATION_DELAY_MICROS);
         put("3000-4000");
         known.updateView(view(0), 0);
         assertNull("not read yet", known.forSite("a"));
         readAll(known);
         assertEquals("[1000,2000) [3000,4000)", known.forSite("a").closed().toString());
-        advance(AHEAD);
+        advance(ACTIVATION_DELAY_MICROS);
         known.updateView(view(0), 0);
         assertEquals("[3000,4000)", known.forSite("a").closed().toString());
         known.updateView(view(0), 1_000_001);
         assertNull("the view is too old", known.forSite("a"));
-        assertTrue(known.why("a"), known.why("a").contains("ms old"));
+        assertTrue(known.unavailableReason("a"), known.unavailableReason("a").contains("ms old"));
     }
 
     @Test
-    public void aProcessThatWasStoppedFindsItsViewTooOldBeforeItIsToldTheTime() {
+    public void resumedProcessDetectsExpiredViewBeforeNextUpdate() {
         put("5000-6000");
         CalendarRegistry known = new CalendarRegistry(1_000_000);
         known.updateView(view(0), 0);
@@ -181,13 +191,13 @@
     }
 
     @Test
-    public void aTextThatCannotBeReadHereKeepsTheSiteShut() {
+    public void unreadableCalendarKeepsSiteClosed() {
         put("1000-2000");
         CalendarRegistry known = new CalendarRegistry(1_000_000);
         known.updateView(view(0), 0);
         known.markUnreadable(known.pending(0, 0).get(0), "DTSTART names a zone that is not known");
         assertNull(known.forSite("a"));
-        assertTrue(known.why("a").contains("DTSTART"));
+        assertTrue(known.unavailableReason("a").contains("DTSTART"));
         assertEquals(List.of(), known.pending(0, 0));
         put("5000-6000");
         known.updateView(view(0), 0);
@@ -200,41 +210,43 @@
      * is in force.
      */
     @Test
-    public void noProcessStartsInsideMaintenanceOfTheVersionInForceWhileCalendarsChange() {
+    public void noStartInsideMaintenanceInForceWhileCalendarsChange() {
         int started = 0;
         for (int seed = 0; seed < 300; seed++) {
-            started += changes(new Random(seed), CalendarPart.MAX_VIEW_AGE_MICROS);
+            started += runRandomChanges(new Random(seed), CalendarPart.MAX_VIEW_AGE_MICROS);
         }
         assertTrue("enough starts: " + started, started > 3_000);
     }
 
-    private int changes(Random random, long bound) {
-        CalendarPartTest of = new CalendarPartTest();
-        CalendarRegistry known = new CalendarRegistry(bound);
-        double leader = 0.98 + 0.04 * random.nextDouble();
-        double process = 0.98 + 0.04 * random.nextDouble();
+    private int runRandomChanges(Random random, long maxViewAgeMicros) {
+        CalendarPartTest replica = new CalendarPartTest();
+        CalendarRegistry known = new CalendarRegistry(maxViewAgeMicros);
+        double leaderClockRate = 0.98 + 0.04 * random.nextDouble();
+        double processClockRate = 0.98 + 0.04 * random.nextDouble();
         int started = 0;
-        for (long real = 0, logged = 0; real < 120_000_000; real += 250_000) {
-            long due = (long) (real * leader) - logged;
+        for (long realMicros = 0, advancedMicros = 0;
+                realMicros < 120_000_000;
+                realMicros += 250_000) {
+            long dueMicros = (long) (realMicros * leaderClockRate) - advancedMicros;
             if (random.nextInt(4) == 0) {
-                of.advance(Math.min(due, ReplicatedStateMachine.MAX_ADVANCE_MICROS));
-                logged += due;
+                replica.advance(Math.min(dueMicros, ReplicatedStateMachine.MAX_ADVANCE_MICROS));
+                advancedMicros += dueMicros;
             }
             if (random.nextInt(20) == 0) {
                 long from = random.nextInt(30);
-                of.put(from + "-" + (from + 1 + random.nextInt(30)));
+                replica.put(from + "-" + (from + 1 + random.nextInt(30)));
             }
-            long now = (long) (real * process);
+            long now = (long) (realMicros * processClockRate);
             if (random.nextInt(30) == 0) {
-                known.updateView(of.view(now), now);
+                known.updateView(replica.view(now), now);
                 readAll(known);
             } else {
-                known.updateView(known.latest(), now);
+                known.updateView(known.latestView(), now);
             }
-            Row site = of.machine.rows().get("calendar", "site:a");
+            Row site = replica.machine.rows().get("calendar", "site:a");
             String inForce = site == null ? null : site.text("current", null);
             long wall = random.nextInt(60);
-            if (StartWindows.able(
+            if (StartWindows.mayStart(
                     new StartPlan(0, Long.MAX_VALUE, 1, List.of("a")),
                     known.forSite("a"),
                     wall,
@@ -243,12 +255,12 @@
                 String text =
                         inForce == null
                                 ? null
-                                : of.machine
+                                : replica.machine
                                         .rows()
                                         .get("calendar", "text:a:" + inForce)
                                         .text("text");
                 assertFalse(
-                        "at " + real,
+                        "at " + realMicros,
                         text != null
                                 && read(new PendingCalendar("a", inForce, "UTC", text))
                                         .closed()
--- a/core/src/test/java/postgrade/window/WindowsTest.java
+++ b/core/src/test/java/postgrade/window/StartWindowsTest.java
@@ -3,10 +3,10 @@
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertTrue;
-import static postgrade.window.Times.HOUR;
-import static postgrade.window.Times.ZAGREB;
-import static postgrade.window.Times.utc;
-import static postgrade.window.Times.zone;
+import static postgrade.window.TestTimes.HOUR;
+import static postgrade.window.TestTimes.ZAGREB;
+import static postgrade.window.TestTimes.utc;
+import static postgrade.window.TestTimes.zone;
 
 import java.time.LocalTime;
 import java.util.ArrayList;
@@ -18,7 +18,7 @@
 import postgrade.window.StartWindows.Result;
 
 /** When jobs may start. */
-public class WindowsTest {
+public class StartWindowsTest {
 
     private static final SiteCalendar NIGHT = closed("a", 1000, 2000, 3000, 4000);
     private static final SiteCalendar OTHER = closed("b", 500, 1800);
@@ -28,7 +28,7 @@
         for (int i = 0; i < fromTo.length; i += 2) {
             MaintenanceEvent.ZonedTime start =
                     new MaintenanceEvent.ZonedTime(
-                            LocalTimes.local(fromTo[i], zone("UTC")), zone("UTC"));
+                            LocalTimes.toLocal(fromTo[i], zone("UTC")), zone("UTC"));
             events.add(
                     MaintenanceEvent.once(
                             "works " + i / 2,
@@ -38,7 +38,7 @@
         return SiteCalendar.compile(site, "1", events, -1000, 10_000);
     }
 
-    private static Result ask(long earliest, long deadline, long lasts, long now, long error) {
+    private static Result query(long earliest, long deadline, long lasts, long now, long error) {
         return StartWindows.query(
                 new StartPlan(earliest, deadline, lasts, List.of("a", "b", "c")),
                 Map.of("a", NIGHT, "b", OTHER)::get,
@@ -47,18 +47,18 @@
     }
 
     @Test
-    public void aJobMayEndWhereMaintenanceBeginsAndStartWhereItEnds() {
-        Result answer = ask(0, 5000, 300, 0, 0);
+    public void jobMayEndWhereMaintenanceBeginsAndStartWhereItEnds() {
+        Result answer = query(0, 5000, 300, 0, 0);
         assertEquals("[0,701) [2000,2701) [4000,4701)", answer.bySite().get(0).starts().toString());
         assertEquals("[0,201) [1800,4701)", answer.bySite().get(1).starts().toString());
         assertEquals("[0,701) [1800,4701)", answer.anySite().toString());
         assertTrue(answer.mayStart(0));
-        assertEquals(1800, ask(0, 5000, 300, 701, 0).opensAt());
+        assertEquals(1800, query(0, 5000, 300, 701, 0).opensAt());
     }
 
     @Test
-    public void eachExclusionHasItsReason() {
-        Result answer = ask(100, 5000, 300, 0, 0);
+    public void exclusionsStateTheirReason() {
+        Result answer = query(100, 5000, 300, 0, 0);
         List<Exclusion> of = answer.bySite().get(0).exclusions();
         assertEquals(
                 List.of(Reason.TOO_EARLY, Reason.MAINTENANCE, Reason.MAINTENANCE, Reason.TOO_LATE),
@@ -70,33 +70,33 @@
     }
 
     @Test
-    public void theClocksErrorMakesMaintenanceLongerAtBothEnds() {
+    public void clockErrorExtendsMaintenanceAtBothEnds() {
         assertEquals(
                 "[0,651) [2050,2651) [4050,4701)",
-                ask(0, 5000, 300, 0, 50).bySite().get(0).starts().toString());
+                query(0, 5000, 300, 0, 50).bySite().get(0).starts().toString());
     }
 
     @Test
-    public void windowsOfOneInstantAreOpenForAMillisecondAndEmptyOnesAreNot() {
+    public void windowOfOneInstantLastsOneMillisecondAndEmptyWindowNeverOpens() {
         assertEquals(
                 "what just fits between two",
                 "[2000,2001)",
-                ask(1500, 3500, 1000, 0, 0).bySite().get(0).starts().toString());
+                query(1500, 3500, 1000, 0, 0).bySite().get(0).starts().toString());
         assertTrue(
                 "a millisecond too long",
-                ask(1500, 3500, 1001, 0, 0).bySite().get(0).starts().isEmpty());
+                query(1500, 3500, 1001, 0, 0).bySite().get(0).starts().isEmpty());
         assertEquals(
                 "due just when it would end",
                 "[100,101)",
-                ask(100, 400, 300, 0, 0).anySite().toString());
-        assertEquals(StartWindows.NEVER, ask(101, 400, 300, 0, 0).opensAt());
+                query(100, 400, 300, 0, 0).anySite().toString());
+        assertEquals(StartWindows.NEVER, query(101, 400, 300, 0, 0).opensAt());
     }
 
     @Test
-    public void aJobThatTakesNoTimeDoesNotStartInMaintenanceEither() {
+    public void zeroDurationJobDoesNotStartInMaintenance() {
         assertEquals(
                 "[900,1000) [2000,2101)",
-                ask(900, 2100, 0, 0, 0).bySite().get(0).starts().toString());
+                query(900, 2100, 0, 0, 0).bySite().get(0).starts().toString());
         assertEquals(
                 "maintenance of no length closes nothing",
                 "[0,6001)",
@@ -110,8 +110,8 @@
     }
 
     @Test
-    public void beyondTheHorizonNothingIsKnownSoNothingStarts() {
-        Result answer = ask(8000, 12_000, 500, 0, 10);
+    public void nothingStartsBeyondHorizon() {
+        Result answer = query(8000, 12_000, 500, 0, 10);
         assertEquals("[8000,9491)", answer.anySite().toString());
         assertTrue(
                 answer.exclusions()
@@ -123,27 +123,29 @@
                                         Reason.BEYOND_HORIZON,
                                         "after what is worked out")));
         assertFalse(
-                StartWindows.able(new StartPlan(0, 50_000, 500, List.of("a")), NIGHT, 9_600, 0));
+                StartWindows.mayStart(
+                        new StartPlan(0, 50_000, 500, List.of("a")), NIGHT, 9_600, 0));
     }
 
     @Test
-    public void theQuickAnswerIsTheFullOne() {
+    public void nextOpeningAgreesWithFullQuery() {
         for (long now = 0; now < 6000; now += 7) {
             for (long lasts : new long[] {0, 1, 300, 999, 1000, 1200}) {
                 StartPlan plan = new StartPlan(0, 5500, lasts, List.of("a", "b"));
                 Result full = StartWindows.query(plan, Map.of("a", NIGHT, "b", OTHER)::get, now, 3);
                 assertEquals(
                         full.opensAt(),
-                        StartWindows.opens(plan, Map.of("a", NIGHT, "b", OTHER)::get, now, 3));
+                        StartWindows.nextOpening(
+                                plan, Map.of("a", NIGHT, "b", OTHER)::get, now, 3));
                 assertEquals(
                         full.bySite().get(0).starts().contains(now),
-                        StartWindows.able(plan, NIGHT, now, 3));
+                        StartWindows.mayStart(plan, NIGHT, now, 3));
             }
         }
     }
 
     @Test
-    public void aDailyDeadlineIsTheNextOneAfterTheEarliestStart() {
+    public void dailyDeadlineIsNextOneAfterEarliestStart() {
         Deadline six = new Deadline.Daily(LocalTime.of(18, 0), ZAGREB);
         assertEquals(utc("2026-10-24T16:00:00Z"), six.resolveMillis(utc("2026-10-24T16:00:00Z")));
         assertEquals(
@@ -163,23 +165,25 @@
     }
 
     @Test
-    public void plansWithoutMaintenanceAreLeftAlone() {
+    public void plansWithoutMaintenanceStartAtOnce() {
         StartPlan plan = new StartPlan(0, Long.MAX_VALUE, 100, List.of("x"));
-        assertEquals(77, StartWindows.opens(plan, s -> SiteCalendar.open(s), 77, 1000));
-        assertEquals(HOUR, StartWindows.query(plan, s -> SiteCalendar.open(s), HOUR, 0).opensAt());
+        assertEquals(77, StartWindows.nextOpening(plan, s -> SiteCalendar.alwaysOpen(s), 77, 1000));
+        assertEquals(
+                HOUR, StartWindows.query(plan, s -> SiteCalendar.alwaysOpen(s), HOUR, 0).opensAt());
     }
 
     @Test
-    public void thoseWhoComeAgainAreSpreadOverTheOpening() {
+    public void retriesAreSpreadOverOpening() {
         int[] tenths = new int[10];
         for (int i = 0; i < 10_000; i++) {
-            long in = Spread.millis(1000, 20_000, 42, "job-" + i);
-            assertEquals(in, Spread.millis(1000, 20_000, 42, "job-" + i));
+            long in = RetrySpread.retryInMillis(1000, 20_000, 42, "job-" + i);
+            assertEquals(in, RetrySpread.retryInMillis(1000, 20_000, 42, "job-" + i));
             tenths[(int) ((in - 1000) / 1000)]++;
         }
         for (int count : tenths) {
             assertTrue("even to 15%: " + count, Math.abs(count - 1000) < 150);
         }
-        assertEquals("no opening to spread over", 1000, Spread.millis(1000, 1, 42, "x"));
+        assertEquals(
+                "no opening to spread over", 1000, RetrySpread.retryInMillis(1000, 1, 42, "x"));
     }
 }
--- a/core/src/test/java/postgrade/window/Times.java
+++ b/core/src/test/java/postgrade/window/TestTimes.java
@@ -9,12 +9,12 @@
 import postgrade.window.MaintenanceEvent.ZonedTime;
 
 /** Times as people write them. */
-final class Times {
+final class TestTimes {
 
     static final long HOUR = 3_600_000;
     static final ZoneRules ZAGREB = zone("Europe/Zagreb");
 
-    private Times() {}
+    private TestTimes() {}
 
     static ZoneRules zone(String id) {
         return ZoneId.of(id).getRules();
@@ -32,12 +32,12 @@
         return MaintenanceEvent.once("works", when(local, zone), length);
     }
 
-    static SiteCalendar compiled(String from, String to, MaintenanceEvent... events) {
+    static SiteCalendar compile(String from, String to, MaintenanceEvent... events) {
         return SiteCalendar.compile("a", "1", List.of(events), utc(from), utc(to));
     }
 
     /** As {@code from/to} in UTC, one after another. */
-    static String told(Intervals all) {
+    static String format(Intervals all) {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < all.size(); i++) {
             text.append(i == 0 ? "" : " ")
