--- a/core/src/test/java/postgrade/window/WindowAbilityTest.java
+++ b/core/src/test/java/postgrade/window/WindowConstraintsTest.java
@@ -2,11 +2,11 @@
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
-import static postgrade.window.Times.HOUR;
-import static postgrade.window.Times.ZAGREB;
-import static postgrade.window.Times.event;
-import static postgrade.window.Times.utc;
-import static postgrade.window.Times.zone;
+import static postgrade.window.TestTimes.HOUR;
+import static postgrade.window.TestTimes.ZAGREB;
+import static postgrade.window.TestTimes.event;
+import static postgrade.window.TestTimes.utc;
+import static postgrade.window.TestTimes.zone;
 
 import java.time.LocalTime;
 import java.util.List;
@@ -19,7 +19,7 @@
 import postgrade.window.WindowConstraints.SiteMapping;
 
 /** Windows as the module meets them. */
-public class WindowAbilityTest {
+public class WindowConstraintsTest {
 
     private static final long MIDNIGHT = utc("2026-06-01T00:00:00Z");
     private static final JobClassWindow NIGHTLY =
@@ -27,7 +27,7 @@
                     "route-plan", List.of("a", "b"), null, null, Deadline.NONE, 0.9, 60_000);
 
     /** Until 06:00 and from 05:00 on: the second site opens an hour before the first. */
-    private static final SiteCalendar A =
+    private static final SiteCalendar SITE_A =
             SiteCalendar.compile(
                     "a",
                     "1",
@@ -39,7 +39,7 @@
                     MIDNIGHT - 100 * HOUR,
                     MIDNIGHT + 1000 * HOUR);
 
-    private static final SiteCalendar B =
+    private static final SiteCalendar SITE_B =
             SiteCalendar.compile(
                     "b",
                     "1",
@@ -49,15 +49,16 @@
                     MIDNIGHT - 100 * HOUR,
                     MIDNIGHT + 1000 * HOUR);
 
-    private final DurationHistograms lengths = new DurationHistograms();
-    private Map<String, SiteCalendar> known = Map.of("a", A, "b", B);
-    private final WindowConstraints ability = ability(NIGHTLY);
+    private final DurationHistograms durations = new DurationHistograms();
+    private Map<String, SiteCalendar> calendars = Map.of("a", SITE_A, "b", SITE_B);
+    private final WindowConstraints constraints = constraints(NIGHTLY);
 
-    private WindowConstraints ability(JobClassWindow c) {
+    private WindowConstraints constraints(JobClassWindow c) {
         SiteMapping sites =
                 new SiteMapping(Map.of("gpu", "b"), Map.of("hall-a", "a", "hall-b", "b"));
         WindowConstraints a =
-                new WindowConstraints(List.of(c), sites, site -> known.get(site), lengths, 0, 7);
+                new WindowConstraints(
+                        List.of(c), sites, site -> calendars.get(site), durations, 0, 7);
         a.setWallClock(0, MIDNIGHT);
         return a;
     }
@@ -75,75 +76,80 @@
     }
 
     @Test
-    public void aClassWithoutWindowsIsUntouched() {
-        known = Map.of();
-        assertEquals(0, ability.startDelayNs(0, job("price", "1")));
-        assertEquals(1, ability.usableShare(0, job("price", "1"), worker("elsewhere", "x")), 0);
+    public void classWithoutWindowsIsUnaffected() {
+        calendars = Map.of();
+        assertEquals(0, constraints.startDelayNs(0, job("price", "1")));
+        assertEquals(1, constraints.usableShare(0, job("price", "1"), worker("elsewhere", "x")), 0);
     }
 
     @Test
-    public void outsideItsWindowsAJobIsToldATimeWithinTheNextOpening() {
+    public void jobOutsideItsWindowsIsDelayedIntoNextOpening() {
         for (int i = 0; i < 100; i++) {
-            long in = ability.startDelayNs(0, job("route-plan", "j" + i));
+            long in = constraints.startDelayNs(0, job("route-plan", "j" + i));
             // Site b opens at 05:00 and must be left by 05:30; half of the opening is spread over,
             // ten minutes at most.
             assertTrue("in " + in, in >= ns(5) && in < ns(5) + 600_000_000_000L);
         }
-        assertEquals(0, ability.startDelayNs(ns(5), job("route-plan", "j")));
+        assertEquals(0, constraints.startDelayNs(ns(5), job("route-plan", "j")));
     }
 
     @Test
-    public void aSiteThatClosesBeforeTheJobWouldEndIsNotAble() {
+    public void siteThatClosesBeforeJobEndsIsNotUsable() {
         Job job = job("route-plan", "j");
-        assertEquals(0, ability.usableShare(ns(5) - 1, job, worker("hall-b", "x")), 0);
-        assertEquals(1, ability.usableShare(ns(5), job, worker("hall-b", "x")), 0);
-        assertEquals("by its kind", 1, ability.usableShare(ns(5), job, worker("hall-a", "gpu")), 0);
+        assertEquals(0, constraints.usableShare(ns(5) - 1, job, worker("hall-b", "x")), 0);
+        assertEquals(1, constraints.usableShare(ns(5), job, worker("hall-b", "x")), 0);
+        assertEquals(
+                "by its kind", 1, constraints.usableShare(ns(5), job, worker("hall-a", "gpu")), 0);
         assertEquals(
                 "this one is closed still",
                 0,
-                ability.usableShare(ns(5), job, worker("hall-a", "x")),
+                constraints.usableShare(ns(5), job, worker("hall-a", "x")),
                 0);
         assertEquals(
                 "it just ends in time",
                 1,
-                ability.usableShare(ns(5.5) - 60_000_000_000L, job, worker("hall-b", "x")),
+                constraints.usableShare(ns(5.5) - 60_000_000_000L, job, worker("hall-b", "x")),
                 0);
         assertEquals(
-                0, ability.usableShare(ns(5.5) - 59_000_000_000L, job, worker("hall-b", "x")), 0);
+                0,
+                constraints.usableShare(ns(5.5) - 59_000_000_000L, job, worker("hall-b", "x")),
+                0);
         assertEquals(
                 "no site of the class",
                 0,
-                ability.usableShare(ns(7), job, worker("elsewhere", "x")),
+                constraints.usableShare(ns(7), job, worker("elsewhere", "x")),
                 0);
     }
 
     @Test
-    public void whatWasLearntMakesItLonger() {
+    public void learntDurationsExtendExpectedDuration() {
         for (int i = 0; i < 100; i++) {
-            lengths.recordDuration("route-plan", i < 85 ? 10_000 : 600_000);
+            durations.recordDuration("route-plan", i < 85 ? 10_000 : 600_000);
         }
-        long tenMinutes = lengths.quantile("route-plan", 0.9);
+        long tenMinutes = durations.quantile("route-plan", 0.9);
         assertTrue("" + tenMinutes, tenMinutes >= 600_000 && tenMinutes < 675_000);
         assertEquals(
                 0,
-                ability.usableShare(
+                constraints.usableShare(
                         ns(5.5) - 599_000_000_000L, job("route-plan", "j"), worker("hall-b", "x")),
                 0);
     }
 
     @Test
-    public void whereCalendarsAreNotKnownNothingThatNeedsAWindowStarts() {
-        known = Map.of();
-        long in = ability.startDelayNs(ns(8), job("route-plan", "1"));
+    public void nothingStartsWhileCalendarsAreUnknown() {
+        calendars = Map.of();
+        long in = constraints.startDelayNs(ns(8), job("route-plan", "1"));
         assertTrue("" + in, in >= 1_000_000_000L && in < 9_000_000_000L);
         assertEquals(
-                0, ability.usableShare(ns(8), job("route-plan", "1"), worker("hall-a", "x")), 0);
+                0,
+                constraints.usableShare(ns(8), job("route-plan", "1"), worker("hall-a", "x")),
+                0);
     }
 
     @Test
-    public void aJobsDailyDeadlineDoesNotMoveOnWhileItWaits() {
+    public void dailyDeadlineOfWaitingJobDoesNotMove() {
         WindowConstraints daily =
-                ability(
+                constraints(
                         new JobClassWindow(
                                 "route-plan",
                                 List.of("a"),
