--- a/calendar/src/main/java/postgrade/calendar/CalendarLoader.java
+++ b/calendar/src/main/java/postgrade/calendar/CalendarLoader.java
@@ -6,26 +6,33 @@
 import postgrade.window.MaintenanceEvent;
 import postgrade.window.SiteCalendar;
 
-/** Whether a calendar may be taken over. Costs up to a second for one made to; not for the loop. */
+/**
+ * Checks and compiles calendars. A calendar crafted to be costly takes up to a second, so this must
+ * not run on the event loop.
+ */
 public final class CalendarLoader {
 
-    /** How far ahead calendars are worked out. */
+    /** How far ahead calendars are compiled. */
     public static final long HORIZON_MILLIS = 100L * 86_400_000;
 
-    /** How far back: what began earlier has its end within. */
+    /**
+     * How far back calendars are compiled; an earlier start with its end in this range is included.
+     */
     public static final long LOOKBACK_MILLIS = 86_400_000;
 
     private CalendarLoader() {}
 
     /**
-     * @param line of the text, from 1; 0 where it is the zone that is faulty
-     * @param property where the fault lies; null where there is none
-     * @param sentence what is wrong; null where nothing is
-     * @param events how many were read
+     * The result of a check.
+     *
+     * @param line line of the text, from 1; 0 if the zone is invalid
+     * @param property the property at fault; null if there is no fault
+     * @param message what is wrong; null if there is no fault
+     * @param events number of events read
      */
     public record CheckResult(boolean ok, int line, String property, String message, int events) {}
 
-    /** By the machine's clock. */
+    /** Checks a calendar by the system clock. */
     public static CheckResult check(String site, String zone, String text) {
         return check(site, zone, text, System.currentTimeMillis());
     }
@@ -36,7 +43,7 @@
             compile(site, "", events, now);
             ExpansionBudget laterBudget = new ExpansionBudget();
             for (MaintenanceEvent e : events) {
-                // What begins beyond the horizon is tried as if it were within.
+                // An event that starts beyond the horizon is checked as if it were within.
                 long begins = e.start().toEpochMillis();
                 if (begins > now + HORIZON_MILLIS) {
                     SiteCalendar.compile(
@@ -50,7 +57,9 @@
     }
 
     /**
-     * @throws InvalidCalendarException where it is turned down
+     * Reads and compiles a calendar.
+     *
+     * @throws InvalidCalendarException if the calendar is rejected
      */
     public static SiteCalendar load(
             String site, String version, String zone, String text, long now) {
--- a/calendar/src/main/java/postgrade/calendar/CalendarReader.java
+++ b/calendar/src/main/java/postgrade/calendar/CalendarReader.java
@@ -8,18 +8,20 @@
 import postgrade.window.MaintenanceEvent;
 
 /**
- * Reads an iCalendar text into plain events. Whole or not at all: what is wrong is thrown with its
- * line and property.
+ * Reads an iCalendar text into maintenance events. A text is accepted or rejected as a whole; the
+ * exception carries the line and the property at fault.
  */
 public final class CalendarReader {
 
-    /** What is shared is kept whole by every process, so it is small. */
+    /**
+     * Every process keeps the whole text of each replicated calendar, so the limit is small.
+     */
     public static final int MAX_BYTES = 256 * 1024;
 
     public static final int MAX_EVENTS = 2_000;
 
     static {
-        // The library must not look for zones on a network; none of its zones are used here at all.
+        // The library must not fetch zones over the network; none of its zones are used here.
         System.setProperty("net.fortuna.ical4j.timezone.update.enabled", "false");
         System.setProperty(
                 "net.fortuna.ical4j.timezone.cache.impl",
@@ -29,8 +31,10 @@
     private CalendarReader() {}
 
     /**
-     * @param zone the site's, for dates and floating times
-     * @throws InvalidCalendarException where it is turned down
+     * Reads a calendar.
+     *
+     * @param zone the site's zone, for dates and floating times
+     * @throws InvalidCalendarException if the calendar is rejected
      */
     public static List<MaintenanceEvent> read(String zone, String text) {
         if (!ValueReader.isKnownZone(zone)) {
@@ -48,7 +52,7 @@
             switch (c.name) {
                 case "VEVENT" -> events.add(new EventReader(c, values));
                 case "VTIMEZONE", "VTODO", "VJOURNAL" -> {}
-                // Passing over what may close a site would let jobs start there.
+                // Ignoring a component that may close a site would let jobs start there.
                 default -> throw new InvalidCalendarException(c.line, c.name, "is not supported");
             }
             if (events.size() > MAX_EVENTS) {
--- a/calendar/src/main/java/postgrade/calendar/Component.java
+++ b/calendar/src/main/java/postgrade/calendar/Component.java
@@ -6,18 +6,20 @@
 import java.util.Map;
 import postgrade.window.InvalidCalendarException;
 
-/** A component of a calendar as read: its properties and the components within. */
+/** A parsed component of a calendar: its properties and child components. */
 final class Component {
 
     /**
-     * @param parameters by their names in capitals
+     * A property of a component.
+     *
+     * @param parameters by name in upper case
      */
     record Property(String name, int line, Map<String, String> parameters, String value) {
         InvalidCalendarException invalid(String what) {
             return new InvalidCalendarException(line, name, what);
         }
 
-        /** The kind of value: what VALUE says, else the given one. */
+        /** Returns the type of the value: that of the VALUE parameter, else the given default. */
         String valueType(String defaultType) {
             return parameters.getOrDefault("VALUE", defaultType).toUpperCase(java.util.Locale.ROOT);
         }
@@ -45,7 +47,7 @@
         return properties.stream().filter(p -> p.name.equals(property)).toList();
     }
 
-    /** Null where there is none. */
+    /** Returns null if the property is absent. */
     Property optional(String property) {
         List<Property> all = all(property);
         if (all.size() > 1) {
--- a/calendar/src/main/java/postgrade/calendar/ComponentTreeReader.java
+++ b/calendar/src/main/java/postgrade/calendar/ComponentTreeReader.java
@@ -13,8 +13,8 @@
 import postgrade.window.InvalidCalendarException;
 
 /**
- * The library's parser reads the text; here its events become a tree whose properties know their
- * lines.
+ * Builds a tree of components from the events of the library's parser; its properties carry their
+ * line numbers.
  */
 final class ComponentTreeReader implements ContentHandler {
 
@@ -27,7 +27,7 @@
     private Map<String, String> parameters;
     private String value;
 
-    /** Content lines seen: each event that begins one counts it. */
+    /** Number of content lines seen; each parser event that begins a line counts it. */
     private int linesSeen;
 
     private ComponentTreeReader(ContentLines lines) {
--- a/calendar/src/main/java/postgrade/calendar/ContentLines.java
+++ b/calendar/src/main/java/postgrade/calendar/ContentLines.java
@@ -6,9 +6,9 @@
 import postgrade.window.InvalidCalendarException;
 
 /**
- * The content lines of a calendar, unfolded, each with the number of its first line in the text:
- * faults are told by it. The library's parser reads what is left here; it would take a line without
- * a colon together with the next.
+ * The unfolded content lines of a calendar, each with the number of its first line in the text, by
+ * which errors are reported. Lines are checked here before the library's parser sees them, since it
+ * would join a line without a colon to the next one.
  */
 final class ContentLines {
 
@@ -17,7 +17,7 @@
                     "[A-Za-z0-9-]+(;[A-Za-z0-9-]+=(\"[^\"]*\"|[^\",;:]*)(,(\"[^\"]*\"|[^\",;:]*))*+)*+");
     private static final int MAX_LINE_LENGTH = 65_536;
 
-    /** A pattern's groups are read by recursion, so what it is given must be short. */
+    /** The regular expression matches groups by recursion, so its input must be short. */
     private static final int MAX_HEAD_LENGTH = 1_000;
 
     private final List<String> lines = new ArrayList<>();
@@ -78,7 +78,7 @@
         lineNumbers.add(number);
     }
 
-    /** Where the value begins; -1 where there is none. */
+    /** Returns the index of the colon before the value; -1 if there is none. */
     private static int colonIndex(String content) {
         boolean quoted = false;
         for (int i = 0; i < Math.min(MAX_HEAD_LENGTH, content.length()); i++) {
@@ -101,7 +101,7 @@
         return end == 0 ? "line" : content.substring(0, end);
     }
 
-    /** Of the i-th content line, or the last where there are fewer. */
+    /** Returns the line number of the i-th content line, or of the last one if there are fewer. */
     int lineNumber(int i) {
         return lineNumbers.isEmpty()
                 ? 1
--- a/calendar/src/main/java/postgrade/calendar/EventReader.java
+++ b/calendar/src/main/java/postgrade/calendar/EventReader.java
@@ -15,8 +15,8 @@
 import postgrade.window.Recurrence;
 
 /**
- * One VEVENT. Those with a RECURRENCE-ID stand for one instance of their master, which leaves that
- * one out.
+ * Reads one VEVENT. A VEVENT with a RECURRENCE-ID replaces one instance of its master, which then
+ * excludes that instance.
  */
 final class EventReader {
 
@@ -40,7 +40,7 @@
         return component.line;
     }
 
-    /** Null for a master. */
+    /** Returns the start of the instance that this event replaces; null for a master. */
     Long replacedInstance(Map<String, EventReader> masters) {
         Property p = component.optional("RECURRENCE-ID");
         if (p == null) {
@@ -63,7 +63,10 @@
         return at.when().toEpochMillis();
     }
 
-    /** Closes nothing: called off, or said to take no time. */
+    /**
+     * Returns whether the event is cancelled or marked as transparent, so that it does not close
+     * the site.
+     */
     boolean keepsSiteOpen() {
         Property status = component.optional("STATUS");
         Property transparent = component.optional("TRANSP");
@@ -168,7 +171,7 @@
         return text.length() <= MAX_TITLE_LENGTH ? text : text.substring(0, MAX_TITLE_LENGTH);
     }
 
-    /** Masters by their UID, and what replaces which instance of them. */
+    /** Groups masters by UID and applies the replacements of their instances. */
     static List<MaintenanceEvent> events(List<EventReader> all) {
         Map<String, EventReader> masters = new HashMap<>();
         for (EventReader e : all) {
--- a/calendar/src/main/java/postgrade/calendar/RuleReader.java
+++ b/calendar/src/main/java/postgrade/calendar/RuleReader.java
@@ -16,8 +16,8 @@
 import postgrade.window.Recurrence.NthWeekday;
 
 /**
- * A rule of recurrence: the library reads its parts, here they are held against each other. What
- * RFC 5545 forbids together is turned down, since what such a rule means is anyone's guess.
+ * Reads a recurrence rule: the library parses its parts, this class checks them against each other.
+ * Combinations that RFC 5545 forbids are rejected, since the meaning of such a rule is undefined.
  */
 final class RuleReader {
 
@@ -118,7 +118,7 @@
     }
 
     private static int[] sortedDistinct(List<Integer> given) {
-        // Each once: lists are multiplied with each other.
+        // Duplicates are removed, because the expansion multiplies the lists with each other.
         return given.stream().mapToInt(Integer::intValue).distinct().sorted().toArray();
     }
 
--- a/calendar/src/main/java/postgrade/calendar/ValueReader.java
+++ b/calendar/src/main/java/postgrade/calendar/ValueReader.java
@@ -15,7 +15,7 @@
 import postgrade.window.MaintenanceEvent.EventDuration;
 import postgrade.window.MaintenanceEvent.ZonedTime;
 
-/** Times, zones and durations as they stand in values. */
+/** Reads times, zones and durations from property values. */
 final class ValueReader {
 
     private static final Set<String> KNOWN_ZONES =
@@ -33,8 +33,10 @@
     private final Map<String, ZoneRules> calendarZones;
 
     /**
-     * @param own the zones that the calendar itself defines; they go before those that the machine
-     *     knows
+     * Creates a reader for one calendar.
+     *
+     * @param calendarZones the zones that the calendar itself defines; they take precedence over
+     *     those of the system
      */
     ValueReader(ZoneRules siteZone, Map<String, ZoneRules> calendarZones) {
         this.siteZone = siteZone;
@@ -42,7 +44,9 @@
     }
 
     /**
-     * @param allDay a date, which begins at midnight of the site
+     * A date or time as read.
+     *
+     * @param allDay whether the value is a date, which starts at midnight of the site
      */
     record Time(ZonedTime when, boolean allDay, boolean utc, boolean floating) {}
 
@@ -106,7 +110,7 @@
                         year, Integer.parseInt(m.group(2)), Integer.parseInt(m.group(3)));
             }
         } catch (DateTimeException e) {
-            // Falls through to the one sentence.
+            // Reported below, together with year 0.
         }
         throw p.invalid("is no date of the calendar: " + text);
     }
@@ -123,14 +127,14 @@
     }
 
     /**
-     * The machine's zones, never a network's; those the library registers with it (each start
-     * others) are no zones.
+     * Returns whether the system knows the zone. Zones that the library registers with the system,
+     * under new names at each start, are not accepted, and no zone is fetched over the network.
      */
     static boolean isKnownZone(String id) {
         return KNOWN_ZONES.contains(id);
     }
 
-    /** Weeks and days are nominal, the rest is exact. */
+    /** Reads a duration; weeks and days are nominal, the rest is exact. */
     static EventDuration duration(Property p, String text) {
         Matcher m = DURATION.matcher(text);
         if (!m.matches() || text.endsWith("P")) {
--- a/calendar/src/main/java/postgrade/calendar/ZoneReader.java
+++ b/calendar/src/main/java/postgrade/calendar/ZoneReader.java
@@ -23,12 +23,12 @@
 import postgrade.window.SiteCalendar;
 
 /**
- * The zones that a calendar defines: each observance's onsets are worked out like events, in the
- * offset before them.
+ * Reads the zones that a calendar defines: the onsets of each observance are expanded like events,
+ * in the offset that applies before them.
  */
 final class ZoneReader {
 
-    /** Onsets before are not asked for; after the last year the offset stays as it is. */
+    /** Earlier onsets are ignored; after the last year the offset stays as it is. */
     private static final long FIRST_ONSET_MILLIS =
             Instant.parse("1900-01-01T00:00:00Z").toEpochMilli();
 
@@ -96,8 +96,8 @@
     }
 
     private static ZoneRules rules(Onset first, long firstAt, TreeMap<Long, Onset> onsets) {
-        // What began before 1900 holds then; a zone that begins later was in the offset before its
-        // first onset.
+        // An observance that began before 1900 applies from the start; a zone whose first onset is
+        // later uses the offset before that onset until then.
         ZoneOffset base = firstAt < FIRST_ONSET_MILLIS ? first.after : first.before;
         ZoneOffset now = base;
         List<ZoneOffsetTransition> transitions = new ArrayList<>();
@@ -125,7 +125,7 @@
         }
         List<Recurrence> rules = new ArrayList<>();
         for (Property rule : c.all("RRULE")) {
-            // An observance's UNTIL is in UTC though its start is local.
+            // The UNTIL of an observance is in UTC although its start is local.
             rules.add(
                     RuleReader.read(
                             rule, new ValueReader.Time(start.when(), false, true, false), values));
--- a/calendar/src/test/java/postgrade/calendar/CalendarReaderTest.java
+++ b/calendar/src/test/java/postgrade/calendar/CalendarReaderTest.java
@@ -9,7 +9,7 @@
 import postgrade.window.Intervals;
 import postgrade.window.SiteCalendar;
 
-/** What calendars say is when the site is closed. */
+/** Calendar texts and the times at which they close the site. */
 public class CalendarReaderTest {
 
     private static String closedTimes(String zone, String from, String to, String... lines) {
--- a/calendar/src/test/java/postgrade/calendar/InvalidCalendarTest.java
+++ b/calendar/src/test/java/postgrade/calendar/InvalidCalendarTest.java
@@ -8,12 +8,12 @@
 import org.junit.Test;
 import postgrade.calendar.CalendarLoader.CheckResult;
 
-/** Faulty calendars are turned down whole, with the line and property at fault. */
+/** Invalid calendars are rejected as a whole, with the line and property at fault. */
 public class InvalidCalendarTest {
 
     private static final long NOW = Instant.parse("2026-06-01T00:00:00Z").toEpochMilli();
 
-    /** Lines 1 to 4 stand before what is tried, which begins at line 5. */
+    /** Lines 1 to 4 precede the lines under test, which start at line 5. */
     private static final String BEFORE =
             "BEGIN:VCALENDAR\r\nVERSION:2.0\r\nBEGIN:VEVENT\r\nUID:a\r\n";
 
--- a/calendar/src/test/java/postgrade/calendar/oracle/CalendarWriter.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/CalendarWriter.java
@@ -8,7 +8,7 @@
 import postgrade.calendar.oracle.GeneratedCase.Maintenance;
 import postgrade.calendar.oracle.GeneratedCase.Rule;
 
-/** A case as iCalendar. */
+/** Renders a case as iCalendar text. */
 final class CalendarWriter {
 
     private static final DateTimeFormatter TIME = DateTimeFormatter.ofPattern("uuuuMMdd'T'HHmmss");
@@ -30,7 +30,7 @@
     }
 
     private CalendarWriter line(String text) {
-        // Folded, as lines may be.
+        // Lines are folded, as RFC 5545 allows.
         for (int at = 0; at < text.length(); at += 60) {
             out.append(at == 0 ? "" : " ")
                     .append(text, at, Math.min(text.length(), at + 60))
--- a/calendar/src/test/java/postgrade/calendar/oracle/CaseGenerator.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/CaseGenerator.java
@@ -9,7 +9,7 @@
 import postgrade.calendar.oracle.GeneratedCase.LocalStamp;
 import postgrade.calendar.oracle.GeneratedCase.Maintenance;
 
-/** Makes cases round changes of clocks, leap days and ends of years, in every zone in turn. */
+/** Generates cases around clock changes, leap days and ends of years, for every zone in turn. */
 final class CaseGenerator {
 
     private static final List<String> ZONES =
@@ -122,7 +122,7 @@
                                 ? Freq.MINUTELY
                                 : oneIn(8) ? Freq.HOURLY : Freq.values()[between(3, 6)];
         boolean subDaily = freq.compareTo(Freq.DAILY) < 0;
-        // Near the change's time of day, so that rules meet gaps and folds.
+        // Near the time of day of the clock change, so that rules meet gaps and overlaps.
         LocalDateTime nearFocus =
                 site.local(focus)
                         .plusMinutes(between(-3, 3) * 30L)
@@ -188,7 +188,10 @@
         return (s.zone() == null ? site : s.zone()).instant(s.local(), Mutation.NONE);
     }
 
-    /** A stated end may lie before its begin where clocks go back; such a calendar is faulty. */
+    /**
+     * Returns whether a stated end is not before its start; where clocks go back it may be, and
+     * such a calendar is invalid.
+     */
     private boolean endsAfterStart(Maintenance w) {
         LocalDateTime end = w.start.local().plusDays(w.days).plusSeconds(w.seconds);
         return at(withLocal(w.start, end)) >= at(w.start);
--- a/calendar/src/test/java/postgrade/calendar/oracle/Comparison.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/Comparison.java
@@ -10,12 +10,12 @@
 import postgrade.window.StartPlan;
 import postgrade.window.StartWindows;
 
-/** One case through the product and the oracle. */
+/** Runs one case through the implementation and the oracle. */
 final class Comparison {
 
     private Comparison() {}
 
-    /** Null where they agree; else what differs. */
+    /** Returns null if they agree; else what differs. */
     static String findDifference(GeneratedCase generated, Mutation mutation) {
         SiteCalendar calendar;
         try {
@@ -35,7 +35,7 @@
                 StartWindows.query(plan, s -> calendar, generated.now, generated.clockErrorMillis);
         Intervals starts = answer.anySite();
         Oracle oracle = new Oracle(generated, mutation);
-        // Wherever either of them may change its mind, and a millisecond to each side.
+        // Every point at which the result of either may change, and a millisecond to each side.
         TreeSet<Long> points =
                 new TreeSet<>(
                         List.of(
--- a/calendar/src/test/java/postgrade/calendar/oracle/DayMatcher.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/DayMatcher.java
@@ -7,7 +7,7 @@
 import postgrade.calendar.oracle.GeneratedCase.Freq;
 import postgrade.calendar.oracle.GeneratedCase.Rule;
 
-/** Whether a rule names a day, each part asked by counting days. */
+/** Decides whether a rule matches a day, checking each part by counting days. */
 final class DayMatcher {
 
     private DayMatcher() {}
@@ -85,7 +85,7 @@
         return at;
     }
 
-    /** A week is of the year that its fourth day lies in. */
+    /** A week belongs to the year that contains its fourth day. */
     private static boolean matchesWeek(Rule r, LocalDate day, Mutation mutation) {
         if (r.weekNo.isEmpty()) {
             return true;
--- a/calendar/src/test/java/postgrade/calendar/oracle/GeneratedCase.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/GeneratedCase.java
@@ -5,7 +5,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A generated case: plain fields that the oracle reads, rendered as text for the product. */
+/**
+ * A generated case: plain fields that the oracle reads, rendered as text for the implementation.
+ */
 final class GeneratedCase {
 
     enum Freq {
@@ -19,11 +21,13 @@
     }
 
     /**
-     * @param zone null for floating and dates
+     * A local time or date with its zone.
+     *
+     * @param zone null for floating times and dates
      */
     record LocalStamp(LocalDateTime local, String zoneId, ReferenceZone zone, boolean date) {}
 
-    /** Fields of a rule as they stand in it; empty where they do not. */
+    /** The parts of a rule; empty where absent. */
     static final class Rule {
         Freq freq;
         int interval = 1;
@@ -50,7 +54,10 @@
         List<LocalStamp> extra = new ArrayList<>();
         List<LocalStamp> excluded = new ArrayList<>();
 
-        /** Instances moved: from the first of a pair to the second, with a length in seconds. */
+        /**
+         * Moved instances: each pair holds the original and the new start; the new length is in
+         * seconds.
+         */
         List<LocalStamp[]> moved = new ArrayList<>();
 
         long movedSeconds;
@@ -59,7 +66,7 @@
     String siteZone;
 
     /**
-     * Of the zone the calendar defines, or null: its standard and summer offsets in seconds and
+     * The zone that the calendar defines, or null: its standard and summer offsets in seconds and
      * when they begin.
      */
     int[] ownZone;
--- a/calendar/src/test/java/postgrade/calendar/oracle/GeneratedZones.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/GeneratedZones.java
@@ -6,14 +6,14 @@
 import java.time.ZoneOffset;
 
 /**
- * The zone that a generated calendar defines: summer and standard time, each from a Sunday of a
- * month at two o'clock.
+ * Builds the zone that a generated calendar defines: summer and standard time, each starting at two
+ * o'clock on a Sunday of a month.
  */
 final class GeneratedZones {
 
     private GeneratedZones() {}
 
-    /** By counting days; the nth Sunday, from the end where negative. */
+    /** Counts days to the nth Sunday of the month, from its end if negative. */
     static LocalDateTime onset(int year, int month, int nth) {
         LocalDate day = LocalDate.of(year, month, 1);
         if (nth < 0) {
@@ -27,8 +27,10 @@
     }
 
     /**
-     * @param z standard and summer offset, then month and Sunday of each onset: of summer time, of
-     *     standard time
+     * Builds the transitions of the zone.
+     *
+     * @param definition standard and summer offset, then month and Sunday of each onset: of summer
+     *     time, of standard time
      */
     static ReferenceZone build(int[] definition) {
         ReferenceZone zone =
@@ -36,7 +38,7 @@
         for (int year = 1990; year < 2110; year++) {
             LocalDateTime summer = onset(year, definition[2], definition[3]);
             LocalDateTime standard = onset(year, definition[4], definition[5]);
-            // Months differ, so which comes first is plain.
+            // The months differ, so their order decides which comes first.
             if (definition[2] < definition[4]) {
                 zone.addTransition(
                         summer.toEpochSecond(ZoneOffset.UTC) - definition[0], definition[1]);
--- a/calendar/src/test/java/postgrade/calendar/oracle/Mutation.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/Mutation.java
@@ -1,8 +1,8 @@
 package postgrade.calendar.oracle;
 
 /**
- * A fault put into the oracle: what differs by it must be found, else the comparison proves
- * nothing.
+ * A fault injected into the oracle. The comparison must detect the difference it makes, else it
+ * proves nothing.
  */
 enum Mutation {
     NONE,
--- a/calendar/src/test/java/postgrade/calendar/oracle/Oracle.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/Oracle.java
@@ -15,8 +15,8 @@
 import postgrade.calendar.oracle.GeneratedCase.Rule;
 
 /**
- * By brute force: walks every day, hour, minute or second from the first instance on and asks
- * whether the rule names it. Shares no code with what it judges.
+ * A brute-force reference: walks every day, hour, minute or second from the first instance on and
+ * checks whether the rule matches it. Shares no code with the implementation under test.
  */
 final class Oracle {
 
@@ -24,7 +24,7 @@
     private final ReferenceZone site;
     private final Mutation mutation;
 
-    /** Pairs of begin and end. */
+    /** Pairs of start and end. */
     final List<long[]> closed = new ArrayList<>();
 
     Oracle(GeneratedCase generated, Mutation mutation) {
@@ -98,7 +98,7 @@
         return from + event.seconds * 1000;
     }
 
-    /** Local times after the first that the rule names, up to the horizon. */
+    /** Returns the local times after the first that the rule matches, up to the horizon. */
     private List<LocalDateTime> ruleTimes(Maintenance event) {
         Rule r = event.rule;
         LocalDateTime first = event.start.local();
@@ -109,14 +109,15 @@
         List<LocalDateTime> all = new ArrayList<>();
         List<LocalDateTime> periodTimes = new ArrayList<>();
         long period = Long.MIN_VALUE;
-        // From before the period that holds the first, since positions count from its begin.
+        // Starts before the period that contains the first instance, since positions count from the
+        // start of the period.
         LocalDate from =
                 r.freq == Freq.YEARLY
                         ? LocalDate.of(first.getYear(), 1, 1)
                         : r.freq == Freq.MONTHLY
                                 ? first.toLocalDate().withDayOfMonth(1)
                                 : first.toLocalDate().minusDays(r.freq == Freq.WEEKLY ? 7 : 0);
-        // And to the end of the last period.
+        // Continues to the end of the last period.
         LocalDate to = last.toLocalDate().plusDays(r.setPos.isEmpty() ? 0 : 370);
         for (LocalDate day = from; !day.isAfter(to); day = day.plusDays(1)) {
             if (!DayMatcher.matches(r, first, day, mutation)) {
@@ -182,7 +183,7 @@
         return all.subList(0, Math.min(limit, all.size()));
     }
 
-    /** Every time of the day that the rule may name, in order. */
+    /** Returns every time of the day that the rule may match, in order. */
     private static List<LocalDateTime> times(Rule r, LocalDateTime first, LocalDate day) {
         List<LocalDateTime> all = new ArrayList<>();
         List<Integer> hours =
@@ -200,8 +201,8 @@
         for (int h : hours) {
             for (int min : minutes) {
                 for (int s : seconds) {
-                    // Most seconds are none of the rule's; asked by plain figures, as there are
-                    // many.
+                    // Most seconds do not match the rule; they are filtered by plain arithmetic,
+                    // since there are many.
                     if (r.freq != Freq.SECONDLY
                             || Math.floorMod(
                                             day.toEpochDay() * 86_400
@@ -236,7 +237,10 @@
         return all;
     }
 
-    /** Whether the job may start then: asked of each stretch of maintenance in turn. */
+    /**
+     * Returns whether the job may start at this time, checked against each maintenance interval in
+     * turn.
+     */
     boolean mayStart(long start) {
         long error = mutation == Mutation.NO_ERROR ? 0 : generated.clockErrorMillis;
         if (start < generated.now
--- a/calendar/src/test/java/postgrade/calendar/oracle/OracleMain.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/OracleMain.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Compares so many cases: {@code OracleMain CASES THREADS SEED [MUTATION]}. Exit code 1 where any
- * differs.
+ * Compares a number of cases: {@code OracleMain CASES THREADS SEED [MUTATION]}. Exits with code 1
+ * if any differs.
  */
 public final class OracleMain {
 
--- a/calendar/src/test/java/postgrade/calendar/oracle/OracleTest.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/OracleTest.java
@@ -12,12 +12,15 @@
 import postgrade.calendar.oracle.GeneratedCase.Maintenance;
 import postgrade.calendar.oracle.GeneratedCase.Rule;
 
-/** The product against brute force, and the oracle against faults put into it. */
+/**
+ * Compares the implementation with the brute-force oracle, and checks that faults injected into the
+ * oracle are detected.
+ */
 public class OracleTest {
 
     private static final int CASES = 2_000;
 
-    /** The first case that tells an UNTIL at the very instant of an instance. */
+    /** The first case with an UNTIL at the exact instant of an instance. */
     private static final int FIRST_UNTIL_CASE = 3_211;
 
     @Test
@@ -59,7 +62,7 @@
         assertNotNull(Comparison.findDifference(leap, Mutation.LEAP_DAY_AS_MARCH));
     }
 
-    /** Works each 29 February, asked for round the first day of a March without one. */
+    /** Maintenance on each 29 February, queried around 1 March of a year without one. */
     private static GeneratedCase leapDayCase() {
         GeneratedCase m = new GeneratedCase();
         m.siteZone = "UTC";
--- a/calendar/src/test/java/postgrade/calendar/oracle/QueryBench.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/QueryBench.java
@@ -13,7 +13,10 @@
 import postgrade.window.StartPlan;
 import postgrade.window.StartWindows;
 
-/** Time per query with so many sites and rules each: {@code QueryBench SITES RULES QUERIES}. */
+/**
+ * Measures the time per query for a number of sites and rules per site: {@code QueryBench SITES
+ * RULES QUERIES}.
+ */
 public final class QueryBench {
 
     private static final String[] ZONES = {
@@ -113,7 +116,8 @@
     }
 
     /**
-     * Daily, weekly and monthly works of 10 to 120 minutes at any time of the day, all without end.
+     * Returns daily, weekly and monthly maintenance of 10 to 120 minutes at any time of day, all
+     * unbounded.
      */
     private static String text(SplittableRandom random, int rules) {
         StringBuilder text = new StringBuilder("BEGIN:VCALENDAR\r\nVERSION:2.0\r\n");
--- a/calendar/src/test/java/postgrade/calendar/oracle/ReferenceZone.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/ReferenceZone.java
@@ -12,15 +12,15 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A zone as the list of its changes, all of them up to 2110; local times are looked for among the
- * stretches between.
+ * A zone as the list of all its transitions up to 2110; a local time is looked up in the intervals
+ * between them.
  */
 final class ReferenceZone {
 
     private static final Map<String, ReferenceZone> CACHE = new ConcurrentHashMap<>();
     private static final Instant END = Instant.parse("2110-01-01T00:00:00Z");
 
-    /** Seconds since 1970 at which each offset begins; the first holds from ever. */
+    /** Seconds since 1970 at which each offset begins; the first one has no beginning. */
     final List<Long> transitions = new ArrayList<>();
 
     private final List<Integer> offsets = new ArrayList<>();
@@ -51,10 +51,10 @@
                 });
     }
 
-    /** In milliseconds. */
+    /** Returns milliseconds since 1970. */
     long instant(LocalDateTime local, Mutation mutation) {
         long wall = local.toEpochSecond(ZoneOffset.UTC);
-        // Three days to each side: no change of clocks is longer.
+        // Three days to each side: no clock change is larger.
         int from = index(wall - 259_200);
         int to = index(wall + 259_200);
         long found = Long.MIN_VALUE;
@@ -68,8 +68,8 @@
             }
         }
         for (int i = from + 1; found == Long.MIN_VALUE && i <= to; i++) {
-            // In the gap at this change: its instant by the offset before is not before it, by the
-            // one after it is.
+            // In the gap at this transition: read by the offset before, the instant is not before
+            // the transition; read by the offset after, it is.
             if (wall - offsets.get(i - 1) >= transitions.get(i)
                     && wall - offsets.get(i) < transitions.get(i)) {
                 found = wall - offsets.get(mutation == Mutation.OFFSET_AFTER_GAP ? i : i - 1);
--- a/calendar/src/test/java/postgrade/calendar/oracle/RuleGenerator.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/RuleGenerator.java
@@ -9,7 +9,7 @@
 import postgrade.calendar.oracle.GeneratedCase.LocalStamp;
 import postgrade.calendar.oracle.GeneratedCase.Rule;
 
-/** Makes rules that RFC 5545 allows. */
+/** Generates rules that RFC 5545 allows. */
 final class RuleGenerator {
 
     private final SplittableRandom random;
@@ -96,7 +96,10 @@
         return rule;
     }
 
-    /** A value that fits the first instance and some others, so that most rules name something. */
+    /**
+     * Adds a value that matches the first instance and some others, so that most rules match
+     * something.
+     */
     private void addMatching(List<Integer> to, int value, int from, int up, boolean fromEnd) {
         to.add(value);
         if (oneIn(2)) {
@@ -147,7 +150,7 @@
             if (start.date() || start.zoneId() == null) {
                 rule.until = new LocalStamp(until, start.zoneId(), start.zone(), start.date());
             } else {
-                // At the very instant of an instance, as often as not.
+                // At the exact instant of an instance, in about half of the cases.
                 long at =
                         start.zone().instant(until, Mutation.NONE)
                                 + (oneIn(2) ? 0 : 1000L * between(-4000, 4000));
--- a/core/src/main/java/postgrade/window/CalendarLookup.java
+++ b/core/src/main/java/postgrade/window/CalendarLookup.java
@@ -1,19 +1,19 @@
 package postgrade.window;
 
-/** The calendars of sites as they are known in one place at one time. */
+/** The calendars of sites as one process knows them at one time. */
 @FunctionalInterface
 public interface CalendarLookup {
 
-    /** Null where it is not known, and nothing that needs a window may start there. */
+    /** Returns null where the calendar is not known; no job that needs a window may start there. */
     SiteCalendar forSite(String site);
 
     /**
-     * It is this time, by the process's monotonic clock: what is known may have become too old
-     * since it was last told.
+     * Updates the current time, by the monotonic clock of the process: known calendars may have
+     * become too old since the last update.
      */
     default void observeTime(long nowMicros) {}
 
-    /** Why it is not known. */
+    /** Returns why the calendar of a site is not known. */
     default String unavailableReason(String site) {
         return "its calendar is not known";
     }
--- a/core/src/main/java/postgrade/window/CalendarPart.java
+++ b/core/src/main/java/postgrade/window/CalendarPart.java
@@ -12,25 +12,29 @@
 import postgrade.shared.StatePart;
 
 /**
- * The sites' calendars among the shared state. A version counts from a time of the log that lies
- * further ahead than any view that may still be used is old: whoever may start jobs knows of it by
- * then.
+ * The part of the replicated state that holds the sites' maintenance calendars. A new version takes
+ * effect at a time of the log that lies further ahead than the age of any view that may still be
+ * used, so every process that may start jobs knows of the version by then.
  *
- * <p>The text has been checked by the process that asks; here it is kept whole. One row per site
- * tells the versions, and one per version holds the text, so that a change of version tells
- * followers little.
+ * <p>The process that submits a calendar has checked its text; this part stores the text unparsed.
+ * One row per site holds the version numbers and one row per version holds the text, so that a
+ * change of version sends little data to followers.
  */
 public final class CalendarPart implements StatePart {
 
     public static final String NAME = "calendar";
 
-    /** No process uses a view that is older. Not a setting: replicas must not differ in it. */
+    /**
+     * No process uses a view older than this. It is a constant and not a setting because replicas
+     * must not differ in it.
+     */
     public static final long MAX_VIEW_AGE_MICROS = 10_000_000;
 
     /**
-     * Ahead of the log's time. Clocks run up to 2% apart each way, so a process may take its view
-     * for 4.1% younger than the log has gone on. And what the leader had measured when a view was
-     * taken may follow in two steps: one on its way, and one not told yet.
+     * Minimum delay, in log time, before a new version takes effect. Clocks may run up to 2% fast
+     * or slow, so a process may take its view to be 4.1% younger than the log time that has passed.
+     * In addition, two advances of log time that the leader had measured when the view was taken
+     * may follow it: one in transit and one not yet sent.
      */
     public static final long MIN_ACTIVATION_DELAY_MICROS =
             MAX_VIEW_AGE_MICROS
@@ -95,7 +99,8 @@
             return Answer.conflict(
                     "text would bring all calendars over " + MAX_TOTAL_BYTES + " bytes");
         }
-        // One that waits to count never has; nobody's decision rests on it alone.
+        // The pending version has never been in force and no decision rests on it alone, so it can
+        // be replaced at once.
         siteRow = discardNext(rows, site, siteRow);
         String version = Long.toString(at.fence());
         long effectiveFrom = at.micros() + delayMicros;
@@ -121,8 +126,8 @@
     }
 
     /**
-     * At once: where a site has no calendar nothing that needs a window starts, which no process
-     * has to know in time.
+     * Takes effect at once: at a site without a calendar no job that needs a window starts, so no
+     * process has to know of the removal in time.
      */
     private static Answer drop(Rows rows, String site) {
         Row existing = rows.get(NAME, SITE_PREFIX + site);
--- a/core/src/main/java/postgrade/window/CalendarRegistry.java
+++ b/core/src/main/java/postgrade/window/CalendarRegistry.java
@@ -11,17 +11,17 @@
 import postgrade.shared.View;
 
 /**
- * The calendars as one process knows them by its view. Once it hears of a version that will count,
- * it keeps the former and that one both, until its view says that the former no longer counts; so
- * it need not know when just that is, and a site is closed by the version in force whichever that
- * is.
+ * The calendars that one process knows from its view of the replicated state. Once the view shows a
+ * pending version, the site is closed by both the current and the pending version until the view
+ * shows that the former is no longer in force. The process therefore need not know the exact time
+ * of the change: the site is closed by the version in force, whichever that is.
  *
- * <p>Texts are worked out by whoever asks {@link #pending}, off the loop. All methods are called on
- * the loop.
+ * <p>Texts are compiled by the caller of {@link #pending}, off the event loop. All methods are
+ * called on the event loop.
  */
 public final class CalendarRegistry implements CalendarLookup {
 
-    /** A text to be worked out. */
+    /** A calendar text to be compiled. */
     public record PendingCalendar(String site, String version, String zone, String text) {}
 
     private record Versions(String current, String next) {}
@@ -33,11 +33,13 @@
     private final Map<String, SiteCalendar> compiled = new HashMap<>();
     private final Map<String, String> unreadable = new HashMap<>();
 
-    /** What is in force by site; without those that are not worked out yet. */
+    /** The calendar in force by site; a site with a version that is not compiled yet is absent. */
     private final Map<String, SiteCalendar> inForce = new HashMap<>();
 
     /**
-     * @param mostViewAgeMicros with an older view nothing that needs a window starts
+     * Creates an empty registry.
+     *
+     * @param maxViewAgeMicros with an older view no job that needs a window starts
      */
     public CalendarRegistry(long maxViewAgeMicros) {
         if (maxViewAgeMicros <= 0 || maxViewAgeMicros > CalendarPart.MAX_VIEW_AGE_MICROS) {
@@ -49,7 +51,7 @@
         this.maxViewAgeMicros = maxViewAgeMicros;
     }
 
-    /** The view as it is now, by this process's monotonic clock; called again as time goes on. */
+    /** Updates the view and the time, by the monotonic clock of this process; called repeatedly. */
     public void updateView(View latest, long now) {
         nowMicros = now;
         if (latest != view) {
@@ -62,8 +64,8 @@
     }
 
     /**
-     * A process that was stopped goes on with a decision before it hears of its view: that too must
-     * find it too old.
+     * A process resumed after a pause may make a decision before its view is updated: that decision
+     * too must find the view too old.
      */
     @Override
     public void observeTime(long now) {
@@ -109,7 +111,7 @@
         }
     }
 
-    /** Whether the view may be used at this time. */
+    /** Returns whether the view may be used at this time. */
     public boolean isViewFresh() {
         return view.known() && view.ageMicros(nowMicros) <= maxViewAgeMicros;
     }
@@ -127,8 +129,8 @@
     }
 
     /**
-     * Texts to be worked out: those that are new, and those worked out for less than half the
-     * horizon from now on.
+     * Returns the texts to be compiled: those of new versions, and those whose compiled calendar
+     * covers less than half the horizon from now on.
      */
     public List<PendingCalendar> pending(long nowMillis, long horizon) {
         List<PendingCalendar> all = new ArrayList<>();
@@ -153,14 +155,14 @@
         return all;
     }
 
-    /** One wanted has been worked out; of a version that is gone by now nothing is kept. */
+    /** Adds a compiled calendar; ignored if its version is no longer in the view. */
     public void addCompiled(SiteCalendar calendar) {
         store(calendar.site(), calendar.version(), calendar, null);
     }
 
     /**
-     * One wanted cannot be read here, say since this machine does not know its zone. Its site stays
-     * unknown.
+     * Records that a text cannot be compiled here, for example because this machine does not know
+     * its zone. The calendar of its site stays unknown.
      */
     public void markUnreadable(PendingCalendar calendar, String why) {
         store(calendar.site, calendar.version, null, why);
@@ -183,8 +185,8 @@
 
     @Override
     public SiteCalendar forSite(String site) {
-        // A site without a calendar is unknown, not open: after all state is lost nothing may start
-        // inside maintenance.
+        // A site without a calendar is unknown, not open: after a loss of all state no job may
+        // start inside maintenance.
         return isViewFresh() ? inForce.get(site) : null;
     }
 
--- a/core/src/main/java/postgrade/window/Deadline.java
+++ b/core/src/main/java/postgrade/window/Deadline.java
@@ -4,14 +4,14 @@
 import java.time.zone.ZoneRules;
 
 /**
- * By when a job must have ended: an instant, or the next time clocks somewhere come to a time of
- * day.
+ * The time by which a job must have ended: an instant, or the next time at which clocks in a zone
+ * reach a time of day.
  */
 public sealed interface Deadline {
 
     /**
-     * Fixed when the job comes, with its earliest start, else a daily deadline would move on as it
-     * passes.
+     * Resolves the deadline to an instant, from the earliest start, once when the job arrives:
+     * resolved again later, a daily deadline would move to the next day once it has passed.
      */
     long resolveMillis(long earliestStart);
 
@@ -24,7 +24,7 @@
         }
     }
 
-    /** Such as 18:00 Europe/Zagreb. */
+    /** A daily deadline, such as 18:00 Europe/Zagreb. */
     record Daily(LocalTime timeOfDay, ZoneRules zone) implements Deadline {
         @Override
         public long resolveMillis(long earliestStart) {
--- a/core/src/main/java/postgrade/window/DurationHistograms.java
+++ b/core/src/main/java/postgrade/window/DurationHistograms.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * How long jobs of a class have taken: counts by length in steps of an eighth, halved as they grow,
- * so that what was long ago fades. A quantile is the upper end of its step, hence never too short
- * by rounding.
+ * Histograms of how long jobs of each class have taken, with eight buckets per doubling. Counts are
+ * halved as they grow, so that old durations lose weight. A quantile is the upper bound of its
+ * bucket, so rounding never makes it too short.
  */
 public final class DurationHistograms {
 
@@ -29,7 +29,7 @@
         }
     }
 
-    /** -1 where too little was learnt. */
+    /** Returns -1 if there are too few samples. */
     public long quantile(String jobClass, double quantile) {
         int[] histogram = counts.get(jobClass);
         if (histogram == null || histogram[BUCKETS] < MIN_SAMPLES) {
@@ -46,7 +46,7 @@
         return -1;
     }
 
-    /** Below 8 ms one step each, then eight to each doubling. */
+    /** One bucket per millisecond below 8 ms, then eight buckets per doubling. */
     private static int bucketOf(long millis) {
         if (millis < BUCKETS_PER_DOUBLING) {
             return (int) millis;
--- a/core/src/main/java/postgrade/window/Exclusion.java
+++ b/core/src/main/java/postgrade/window/Exclusion.java
@@ -1,23 +1,23 @@
 package postgrade.window;
 
 /**
- * Why a job may not start in a stretch of time.
+ * An interval in which a job may not start, and why.
  *
- * @param site null where it is the plan that excludes
- * @param detail one phrase for whoever reads it
+ * @param site null where the job's own plan excludes the interval
+ * @param detail one phrase for a human reader
  */
 public record Exclusion(long from, long to, String site, Reason reason, String detail) {
 
     public enum Reason {
         /** Before the job's earliest start. */
         TOO_EARLY,
-        /** It would end after its deadline. */
+        /** The job would end after its deadline. */
         TOO_LATE,
-        /** It would run into, or start in, maintenance. */
+        /** The job would overlap maintenance or start in it. */
         MAINTENANCE,
-        /** The calendar has not been worked out so far, or no longer is. */
+        /** Outside the horizon over which the calendar is compiled. */
         BEYOND_HORIZON,
-        /** The site's calendar is not known here. */
+        /** The site's calendar is not known to this process. */
         UNKNOWN
     }
 }
--- a/core/src/main/java/postgrade/window/ExpansionBudget.java
+++ b/core/src/main/java/postgrade/window/ExpansionBudget.java
@@ -1,7 +1,8 @@
 package postgrade.window;
 
 /**
- * How much work a calendar may make, so that a faulty one costs milliseconds and not the process.
+ * Bounds the work that one calendar may cause, so that a faulty one costs milliseconds and does not
+ * block the process.
  */
 public final class ExpansionBudget {
 
@@ -14,7 +15,7 @@
     private int remainingOccurrences = MAX_OCCURRENCES;
     private int ruleLine;
 
-    /** What follows is the work of this line. */
+    /** Starts the budget of the rule at this line; the steps that follow are charged to it. */
     void startRule(int line) {
         ruleLine = line;
         remainingRuleSteps = MAX_STEPS_PER_RULE;
--- a/core/src/main/java/postgrade/window/InstanceExpander.java
+++ b/core/src/main/java/postgrade/window/InstanceExpander.java
@@ -7,10 +7,10 @@
 import postgrade.window.MaintenanceEvent.ExtraInstance;
 import postgrade.window.MaintenanceEvent.ZonedTime;
 
-/** Every instance of an event that overlaps a stretch of time. */
+/** Computes every instance of an event that overlaps an interval. */
 final class InstanceExpander {
 
-    /** Further than any zone has ever put its clocks at once, with room to spare. */
+    /** Exceeds the largest change of offset that any zone has ever made. */
     private static final int ZONE_MARGIN_DAYS = 3;
 
     interface InstanceSink {
@@ -23,7 +23,7 @@
     private final ExpansionBudget budget;
     private final InstanceSink sink;
 
-    /** Two rules may name the same instance. */
+    /** Instances already reported; two rules may produce the same one. */
     private final Set<Instance> seen = new HashSet<>();
 
     private record Instance(long from, long to) {}
@@ -40,7 +40,7 @@
     static void expand(
             MaintenanceEvent event, long from, long to, ExpansionBudget budget, InstanceSink sink) {
         InstanceExpander expander = new InstanceExpander(event, from, to, budget, sink);
-        // The first is an instance whether the rule names it or not.
+        // DTSTART is an instance whether the rule matches it or not.
         expander.addInstance(event.start(), event.duration(), event.line(), "DTSTART");
         event.rules().forEach(expander::expandRule);
         for (ExtraInstance extra : event.extras()) {
@@ -53,9 +53,8 @@
         ZonedTime first = event.start();
         LocalDateTime firstPeriodStart = rule.firstPeriodStart(first.local());
         RecurrencePeriod period = new RecurrencePeriod(rule, first.local());
-        // Local times grow, their instants need not: one that a gap puts on may lie after the next.
-        // So a little
-        // further.
+        // Local times increase but their instants need not: a local time in a gap is moved forward
+        // and may lie after the next one. The loop therefore continues for a margin beyond the end.
         LocalDateTime lastStart =
                 LocalTimes.toLocal(Math.min(to, rule.untilMillis()), first.zone())
                         .plusDays(ZONE_MARGIN_DAYS);
@@ -66,7 +65,7 @@
                             + event.duration().millis() / 86_400_000
                             + ZONE_MARGIN_DAYS
                             + 1;
-            // One period earlier: the one before may end within.
+            // Starts one period earlier, since an instance of the period before may end within.
             index =
                     Math.max(
                             0,
--- a/core/src/main/java/postgrade/window/Intervals.java
+++ b/core/src/main/java/postgrade/window/Intervals.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 
 /**
- * Stretches of time, half-open, in milliseconds since 1970; sorted, none empty, none touching the
- * next. Immutable.
+ * Half-open intervals in milliseconds since 1970: sorted, none empty, none touching the next.
+ * Immutable.
  */
 public final class Intervals {
 
@@ -38,7 +38,10 @@
         return from.length == 0;
     }
 
-    /** The first one that ends after this time; {@link #size()} where there is none. */
+    /**
+     * Returns the index of the first interval that ends after the time; {@link #size()} if there is
+     * none.
+     */
     public int firstEndingAfter(long time) {
         int low = 0;
         int high = to.length;
@@ -79,7 +82,7 @@
         return text.toString();
     }
 
-    /** Gathers stretches in any order; empty ones are passed over. */
+    /** Collects intervals in any order; empty ones are ignored. */
     public static final class Builder {
         private long[] from = new long[16];
         private long[] to = new long[16];
@@ -103,14 +106,17 @@
             }
         }
 
-        /** For stretches that were added in order and do not touch: no more work is done. */
+        /**
+         * Builds from intervals that were added in order and do not touch, without sorting or
+         * merging.
+         */
         Intervals buildSorted() {
             return size == 0 ? NONE : new Intervals(from, to, size);
         }
 
         /**
-         * What any of them covers. Begins and ends may be sorted apart: only how many are open
-         * matters.
+         * Builds the union of the intervals. Starts and ends may be sorted separately, since only
+         * the number of intervals open at a time matters.
          */
         public Intervals buildUnion() {
             long[] begins = Arrays.copyOf(from, size);
--- a/core/src/main/java/postgrade/window/InvalidCalendarException.java
+++ b/core/src/main/java/postgrade/window/InvalidCalendarException.java
@@ -1,6 +1,6 @@
 package postgrade.window;
 
-/** A calendar is turned down, whole: what is wrong, and where. */
+/** Thrown when a calendar is rejected as a whole; states the fault and its location. */
 public final class InvalidCalendarException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
@@ -22,7 +22,7 @@
         return property;
     }
 
-    /** One sentence, without the line. */
+    /** Returns one sentence, without the line number. */
     public String description() {
         return property + " " + getMessage();
     }
--- a/core/src/main/java/postgrade/window/JobClassWindow.java
+++ b/core/src/main/java/postgrade/window/JobClassWindow.java
@@ -5,13 +5,13 @@
 import java.util.List;
 
 /**
- * The windows of a class of jobs, as set by operators.
+ * The start windows of a job class, as set by operators.
  *
- * @param from the time of day before which none starts, or null: at any time
- * @param zone of {@code from}
- * @param quantile of what was learnt how long they take; 0 to go by {@code declared} alone
- * @param declared how long one takes, in milliseconds; where enough was learnt the greater of both
- *     counts
+ * @param dailyStart the time of day before which no job starts, or null for any time
+ * @param zone zone of {@code dailyStart}
+ * @param quantile quantile of the learnt durations to use; 0 to use {@code declaredMillis} alone
+ * @param declaredMillis declared duration of a job, in milliseconds; where enough durations were
+ *     learnt, the greater of both counts
  */
 public record JobClassWindow(
         String name,
@@ -41,7 +41,8 @@
     }
 
     /**
-     * The plan of a job that comes now: in the present round where it still fits, else in the next.
+     * Returns the plan of a job that arrives now: within the current daily window where the job
+     * still fits, else within the next one.
      */
     public StartPlan plan(long now, long durationMillis) {
         if (dailyStart == null) {
@@ -65,7 +66,7 @@
         return new StartPlan(nextStart, deadline.resolveMillis(nextStart), durationMillis, sites);
     }
 
-    /** The round after this one. */
+    /** Returns the plan for the daily window after this one. */
     public StartPlan nextDailyPlan(StartPlan plan, long now) {
         if (!(deadline instanceof Deadline.Daily)) {
             return plan;
--- a/core/src/main/java/postgrade/window/LocalTimes.java
+++ b/core/src/main/java/postgrade/window/LocalTimes.java
@@ -8,9 +8,9 @@
 import java.time.zone.ZoneRules;
 
 /**
- * From clocks on walls to instants, by one rule throughout: a local time that happens twice means
- * the first, one that a gap leaves out is read by the offset before the gap (so it comes as much
- * later as the clocks were put on).
+ * Converts local times to instants by one rule throughout: a local time that occurs twice means the
+ * first occurrence; one that falls into a gap is read by the offset before the gap, so it moves
+ * forward by the length of the gap.
  */
 public final class LocalTimes {
 
@@ -18,7 +18,7 @@
 
     public static long toEpochMillis(LocalDateTime local, ZoneRules zone) {
         ZoneOffsetTransition transition = zone.isFixedOffset() ? null : zone.getTransition(local);
-        // In a gap and in a fold alike: the offset before the change.
+        // The offset before the transition applies both in a gap and in an overlap.
         ZoneOffset offset =
                 transition != null ? transition.getOffsetBefore() : zone.getOffset(local);
         return local.toEpochSecond(offset) * 1000 + local.getNano() / 1_000_000;
@@ -30,12 +30,15 @@
                 instant.getEpochSecond(), instant.getNano(), zone.getOffset(instant));
     }
 
-    /** The first time, not before the given one, at which clocks there come to this time of day. */
+    /**
+     * Returns the first instant, not before the given one, at which clocks in the zone reach the
+     * time of day.
+     */
     public static long nextOccurrence(LocalTime time, ZoneRules zone, long notBefore) {
         LocalDate day = toLocal(notBefore, zone).toLocalDate();
         long best = Long.MAX_VALUE;
-        // The day before matters where a gap pushes its time past midnight; days after where a
-        // whole day is left out.
+        // The day before matters where a gap pushes its time past midnight; the days after matter
+        // where a whole day is left out.
         for (int i = -2; i <= 3; i++) {
             long candidate = toEpochMillis(day.plusDays(i).atTime(time), zone);
             if (candidate >= notBefore && candidate < best) {
@@ -45,7 +48,10 @@
         return best;
     }
 
-    /** The last time, not after the given one, at which clocks there came to this time of day. */
+    /**
+     * Returns the last instant, not after the given one, at which clocks in the zone reached the
+     * time of day.
+     */
     public static long previousOccurrence(LocalTime time, ZoneRules zone, long notAfter) {
         LocalDate day = toLocal(notAfter, zone).toLocalDate();
         long best = Long.MIN_VALUE;
--- a/core/src/main/java/postgrade/window/MaintenanceEvent.java
+++ b/core/src/main/java/postgrade/window/MaintenanceEvent.java
@@ -6,11 +6,11 @@
 import java.util.Set;
 
 /**
- * One maintenance of a calendar, as plain figures: where it begins, how long it lasts, how it
- * recurs. An instance that was moved is left out here and stands as an event of its own.
+ * One maintenance event of a calendar: its start, duration and recurrence. An instance that was
+ * moved is excluded here and is an event of its own.
  *
- * @param without instants at which no instance begins
- * @param line of the calendar at which it begins, for faults and reasons
+ * @param excludedStarts instants at which no instance starts
+ * @param line line of the calendar at which the event begins, for error messages and reasons
  */
 public record MaintenanceEvent(
         String title,
@@ -21,18 +21,19 @@
         List<ExtraInstance> extras,
         Set<Long> excludedStarts) {
 
-    /** A local time in its zone; floating times have been given their site's. */
+    /** A local time in its zone; floating times carry the zone of their site. */
     public record ZonedTime(LocalDateTime local, ZoneRules zone) {
         public long toEpochMillis() {
             return LocalTimes.toEpochMillis(local, zone);
         }
     }
 
-    /** A further instance. */
+    /** An additional instance of the event. */
     public record ExtraInstance(ZonedTime start, EventDuration duration, int line) {}
 
     /**
-     * Whole days by the calendar, then an exact time: one day may last 23 hours, 24 hours never do.
+     * A number of calendar days followed by an exact time: a day may last 23 hours, 24 hours are
+     * always 24 hours.
      */
     public record EventDuration(int days, long millis) {
 
--- a/core/src/main/java/postgrade/window/Recurrence.java
+++ b/core/src/main/java/postgrade/window/Recurrence.java
@@ -5,14 +5,14 @@
 import java.util.List;
 
 /**
- * A rule of recurrence as plain figures, after RFC 5545. Its parts are taken to fit together; who
- * reads calendars checks it.
+ * A recurrence rule of RFC 5545 as plain numbers. Its parts are assumed to be consistent; the
+ * reader of the calendar checks them.
  *
- * @param count how many instances in all, the first included; 0 for no such end
- * @param untilMillis the last instant an instance may begin at; {@link Long#MAX_VALUE} for no such
- *     end
- * @param weekStart which day weeks begin with
- * @param line of the calendar, for faults
+ * @param count number of instances in all, the first included; 0 for no limit
+ * @param untilMillis the last instant at which an instance may start; {@link Long#MAX_VALUE} for no
+ *     limit
+ * @param weekStart the day on which weeks start
+ * @param line line of the calendar, for error messages
  */
 public record Recurrence(
         Frequency frequency,
@@ -42,8 +42,10 @@
     }
 
     /**
-     * @param nth 0 for each such day; else the nth of the month or year, from its end where
-     *     negative
+     * A weekday of a rule, every one or the nth.
+     *
+     * @param nth 0 for every such weekday; else the nth of the month or year, counted from its end
+     *     where negative
      */
     public record NthWeekday(int nth, DayOfWeek weekday) {}
 
@@ -106,7 +108,7 @@
                 line);
     }
 
-    /** The beginning of the period the first instance lies in, by local time. */
+    /** Returns the start, in local time, of the period that contains the first instance. */
     LocalDateTime firstPeriodStart(LocalDateTime first) {
         LocalDateTime midnight = first.toLocalDate().atStartOfDay();
         return switch (frequency) {
@@ -136,7 +138,10 @@
         };
     }
 
-    /** Less than or as many periods as lie between: where to begin without walking there. */
+    /**
+     * Returns a number of whole periods that is not greater than the number between the two times,
+     * so that expansion can skip them.
+     */
     long periodsBetween(LocalDateTime firstPeriod, LocalDateTime time) {
         if (!time.isAfter(firstPeriod)) {
             return 0;
--- a/core/src/main/java/postgrade/window/RecurrencePeriod.java
+++ b/core/src/main/java/postgrade/window/RecurrencePeriod.java
@@ -12,8 +12,8 @@
 import postgrade.window.Recurrence.NthWeekday;
 
 /**
- * One period of a rule: the local times it names there, in order. What the rule leaves open is
- * taken from the first.
+ * Computes, in order, the local times that a rule matches in one of its periods. Parts that the
+ * rule does not specify are taken from the first instance.
  */
 final class RecurrencePeriod {
 
@@ -71,7 +71,9 @@
     }
 
     /**
-     * @param first where minutes and seconds come from in rules by the hour or minute
+     * Returns the matching local times of the period that starts at {@code periodStart}.
+     *
+     * @param first supplies minutes and seconds in hourly and minutely rules
      */
     List<LocalDateTime> times(
             LocalDateTime periodStart, LocalDateTime first, ExpansionBudget budget) {
@@ -95,7 +97,8 @@
         for (LocalDate day = periodStart.toLocalDate(); day.isBefore(last); day = day.plusDays(1)) {
             budget.spend(1);
             if (!matchesAny(months, day.getMonthValue())) {
-                // A rule for one month of the year is not asked for each day of the others.
+                // Skips the rest of a month that the rule does not match instead of checking each
+                // of its days.
                 day = day.withDayOfMonth(day.lengthOfMonth());
             } else if (matches(day)) {
                 budget.spend(timesOfDay.size());
--- a/core/src/main/java/postgrade/window/RetrySpread.java
+++ b/core/src/main/java/postgrade/window/RetrySpread.java
@@ -1,9 +1,12 @@
 package postgrade.window;
 
-/** An opening is no stampede: those refused before it are told times spread over it. */
+/**
+ * Spreads the retries of jobs rejected before an opening over that opening, to avoid a burst when
+ * it opens.
+ */
 public final class RetrySpread {
 
-    /** The later half is left for those who come late or are refused again. */
+    /** The later half of an opening is left for jobs that arrive late or are rejected again. */
     private static final double SPREAD_SHARE = 0.5;
 
     private static final long MAX_SPREAD_MILLIS = 600_000;
@@ -11,18 +14,18 @@
     private RetrySpread() {}
 
     /**
-     * In how many milliseconds to come again. The same id is told the same place within an opening,
-     * so asking often gains nothing.
+     * Returns in how many milliseconds to retry. An id keeps its position within an opening, so
+     * frequent retries gain nothing.
      *
-     * @param opensIn until it opens
-     * @param length how long it stays open
+     * @param opensIn milliseconds until the opening
+     * @param openMillis how long it stays open
      */
     public static long retryInMillis(long opensIn, long openMillis, long seed, String id) {
         long width = (long) Math.min(MAX_SPREAD_MILLIS, Math.max(0, openMillis) * SPREAD_SHARE);
         return opensIn + (long) (unitHash(seed, id) * width);
     }
 
-    /** Even in [0, 1): the bits of the id mixed well, so that ids in sequence land apart. */
+    /** Hashes the id to a value uniform in [0, 1), so that consecutive ids spread out. */
     static double unitHash(long seed, String id) {
         long hash = seed * 0x9E3779B97F4A7C15L + 0x632BE59BD9B4E019L;
         for (int i = 0; i < id.length(); i++) {
--- a/core/src/main/java/postgrade/window/SiteCalendar.java
+++ b/core/src/main/java/postgrade/window/SiteCalendar.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * A version of a site's maintenance calendar, worked out over a horizon: sorted arrays, asked by
- * binary search. Making it takes milliseconds, so it is made where calendars are loaded and not
- * where jobs are decided. Immutable.
+ * A version of a site's maintenance calendar, compiled over a horizon into sorted arrays that are
+ * searched by binary search. Compilation takes milliseconds, so it happens where calendars are
+ * loaded and not where jobs are scheduled. Immutable.
  */
 public final class SiteCalendar {
 
@@ -18,8 +18,8 @@
     private final Intervals closed;
 
     /**
-     * All spans by their begin; those of the i-th closed stretch begin at its place in {@code
-     * groups}.
+     * All spans, sorted by start; the spans of the i-th closed interval start at index {@code
+     * firstSpanOfClosure[i]}.
      */
     private final long[] spanFrom;
 
@@ -61,16 +61,16 @@
     }
 
     /**
-     * Works a calendar out from one time to another.
+     * Compiles a calendar over a horizon.
      *
-     * @throws InvalidCalendarException where that takes too much
+     * @throws InvalidCalendarException if this takes too many steps or occurrences
      */
     public static SiteCalendar compile(
             String site, String version, List<MaintenanceEvent> events, long from, long to) {
         return compile(site, version, events, from, to, new ExpansionBudget());
     }
 
-    /** The same, with bounds on the work that others share. */
+    /** Compiles a calendar with a budget that is shared with other work. */
     public static SiteCalendar compile(
             String site,
             String version,
@@ -87,13 +87,13 @@
         return new SiteCalendar(site, version, from, to, events, spans);
     }
 
-    /** A site that is never closed. */
+    /** Returns the calendar of a site that is never closed. */
     public static SiteCalendar alwaysOpen(String site) {
         return new SiteCalendar(
                 site, "", Long.MIN_VALUE / 4, Long.MAX_VALUE / 4, List.of(), new Spans());
     }
 
-    /** Closed where either is; known where both are. */
+    /** Returns a calendar that is closed where either one is, over the horizon that both cover. */
     public SiteCalendar merge(SiteCalendar other) {
         Spans both = new Spans();
         for (int i = 0; i < spanFrom.length; i++) {
@@ -121,22 +121,22 @@
         return version;
     }
 
-    /** Before this it tells nothing. */
+    /** Start of the horizon; nothing is known before it. */
     public long horizonStart() {
         return horizonStart;
     }
 
-    /** From this on it tells nothing. */
+    /** End of the horizon, exclusive; nothing is known from then on. */
     public long horizonEnd() {
         return horizonEnd;
     }
 
-    /** When the site is closed, within what is known. */
+    /** Returns when the site is closed, within the horizon. */
     public Intervals closed() {
         return closed;
     }
 
-    /** What closes it in the i-th closed stretch: the events, each named once. */
+    /** Returns the titles of the events in the i-th closed interval, each listed once. */
     public String closureReason(int closure) {
         StringBuilder text = new StringBuilder();
         java.util.BitSet named = new java.util.BitSet();
--- a/core/src/main/java/postgrade/window/SiteStartTimes.java
+++ b/core/src/main/java/postgrade/window/SiteStartTimes.java
@@ -5,9 +5,9 @@
 import postgrade.window.Exclusion.Reason;
 
 /**
- * When a job may start at a site. It may while it neither overlaps maintenance nor starts in it,
- * with maintenance made longer by the clock's error at both ends: {@code start + lasts <= begin -
- * error} or {@code start >= end + error}.
+ * When a job may start at one site. A start is allowed if the job neither overlaps maintenance nor
+ * starts in it, with maintenance extended by the clock error at both ends: {@code start + duration
+ * <= begin - error} or {@code start >= end + error}.
  */
 public final class SiteStartTimes {
 
@@ -41,8 +41,8 @@
     }
 
     /**
-     * From here on a start is excluded by maintenance that begins then. A job that takes no time
-     * may end in a begin.
+     * Returns the first start time that is blocked by maintenance that begins at the given time. A
+     * job of zero duration may end at the instant at which maintenance begins.
      */
     private long blockedFrom(long maintenanceStart) {
         return maintenanceStart - clockErrorMillis - Math.max(0, plan.durationMillis() - 1);
@@ -60,7 +60,7 @@
     }
 
     /**
-     * Whether it may start at this time, and if not, when next.
+     * Returns whether the job may start at this time, and if not, when it next may.
      *
      * @return the time itself, a later one, or {@link StartWindows#NEVER}
      */
@@ -92,14 +92,14 @@
         return calendar.version();
     }
 
-    /** The times at which it may start, from now on. */
+    /** Returns the times at which the job may start, from now on. */
     public Intervals starts() {
         return starts;
     }
 
     /**
-     * Why not at other times, from the earliest start or now to the deadline, in order of their
-     * begins.
+     * Returns why the job may not start at other times, from the earliest start or now to the
+     * deadline, ordered by start.
      */
     public List<Exclusion> exclusions() {
         List<Exclusion> all = new ArrayList<>();
--- a/core/src/main/java/postgrade/window/StartPlan.java
+++ b/core/src/main/java/postgrade/window/StartPlan.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * What a job asks for, in instants.
+ * The start constraints of a job, as instants.
  *
- * @param earliest it must not start before
- * @param deadline it must have ended by; {@link Long#MAX_VALUE} for none
- * @param lasts how long it takes
- * @param sites where it may run
+ * @param earliestStart the job must not start before this
+ * @param deadline the job must have ended by this; {@link Long#MAX_VALUE} for none
+ * @param durationMillis how long the job takes
+ * @param sites where the job may run
  */
 public record StartPlan(
         long earliestStart, long deadline, long durationMillis, List<String> sites) {
 
-    /** Guards sums of times against running over. */
+    /** Prevents overflow in sums of times. */
     public static final long MAX_DURATION_MILLIS = 3_660L * 86_400_000;
 
     private static final long MAX_ABS_TIME_MILLIS = 400_000_000_000_000L;
@@ -37,8 +37,8 @@
     }
 
     /**
-     * The first time at which it would end too late; half-open, so it may start at the millisecond
-     * before.
+     * Returns the first start time at which the job would end too late; exclusive, so the job may
+     * start one millisecond earlier.
      */
     long latestStartExclusive() {
         return deadline == Long.MAX_VALUE ? Long.MAX_VALUE / 4 : deadline - durationMillis + 1;
--- a/core/src/main/java/postgrade/window/StartWindows.java
+++ b/core/src/main/java/postgrade/window/StartWindows.java
@@ -5,23 +5,26 @@
 import postgrade.window.Exclusion.Reason;
 
 /**
- * When a job may start, from its plan and the calendars of its sites. Knows no clock: all times are
- * handed in.
+ * Computes when a job may start, from its plan and the calendars of its sites. Reads no clock: all
+ * times are passed in.
  */
 public final class StartWindows {
 
-    /** No time at all. */
+    /** Stands for a time that never comes. */
     public static final long NEVER = Long.MAX_VALUE;
 
     private StartWindows() {}
 
     /**
-     * @param starts per site, in the plan's order; sites whose calendar is not known are missing
-     * @param unknown why the missing ones are
-     * @param together when it may start at one of them at least
-     * @param opens the first time from now on at which it may start, {@link #NEVER} where there is
-     *     none
-     * @param closes the end of that opening
+     * The result of a query.
+     *
+     * @param bySite start times per site, in the plan's order; sites whose calendar is not known
+     *     are absent
+     * @param unknownSites why the absent sites are not known
+     * @param anySite when the job may start at one site or more
+     * @param opensAt the first time from now on at which the job may start, {@link #NEVER} if there
+     *     is none
+     * @param closesAt the end of that opening
      */
     public record Result(
             List<SiteStartTimes> bySite,
@@ -34,13 +37,17 @@
             return opensAt == now;
         }
 
-        /** Each stretch in which it may not start somewhere, and why. Worked out when asked for. */
+        /**
+         * Returns each interval in which the job may not start at some site, and why. Computed on
+         * demand.
+         */
         public List<Exclusion> exclusions() {
             List<Exclusion> all = new ArrayList<>(unknownSites);
             bySite.forEach(
                     s ->
                             s.exclusions().stream()
-                                    // What the plan excludes is the same at every site.
+                                    // What the plan excludes is the same at every site, so it is
+                                    // listed once.
                                     .filter(e -> e.site() != null || s == bySite.get(0))
                                     .forEach(all::add));
             return all;
@@ -48,10 +55,10 @@
     }
 
     /**
-     * The full account.
+     * Returns the start times of every site and of all of them together.
      *
      * @param now nothing starts before this
-     * @param error how far the wall clock may be off
+     * @param clockErrorMillis how far the wall clock may be off
      */
     public static Result query(
             StartPlan plan, CalendarLookup calendars, long now, long clockErrorMillis) {
@@ -81,8 +88,8 @@
     }
 
     /**
-     * The first time, from now on, at which it may start somewhere; {@link #NEVER} where there is
-     * none.
+     * Returns the first time, from now on, at which the job may start at some site; {@link #NEVER}
+     * if there is none.
      */
     public static long nextOpening(
             StartPlan plan, CalendarLookup calendars, long now, long clockErrorMillis) {
@@ -102,7 +109,7 @@
         return first;
     }
 
-    /** Whether it may start there at this time. */
+    /** Returns whether the job may start at the site at this time. */
     public static boolean mayStart(
             StartPlan plan, SiteCalendar calendar, long time, long clockErrorMillis) {
         return calendar != null
--- a/core/src/main/java/postgrade/window/WindowConstraints.java
+++ b/core/src/main/java/postgrade/window/WindowConstraints.java
@@ -9,13 +9,13 @@
 import postgrade.policy.api.WorkerInfo;
 
 /**
- * Start windows before the module's decisions: a job outside its windows is refused at once and
- * told when to come again; a worker whose site closes before the job would end is not able for it.
- * Classes without windows pass untouched.
+ * Applies start windows ahead of the policy's decisions: a job outside its windows is rejected at
+ * once with a time to retry; a worker whose site closes before the job would end is not usable for
+ * it. Classes without windows are not affected.
  */
 public final class WindowConstraints implements JobConstraints {
 
-    /** Which site a worker stands at. By its kind where that is named, else by its zone. */
+    /** The site at which a worker stands: by its kind where that is mapped, else by its zone. */
     public record SiteMapping(Map<String, String> byKind, Map<String, String> byZone) {
         public SiteMapping {
             byKind = Map.copyOf(byKind);
@@ -31,7 +31,7 @@
     private static final int MAX_PLANS = 20_000;
     private static final long NANOS_PER_MILLI = 1_000_000;
 
-    /** With no opening in sight, and while the calendars are not known here. */
+    /** Retry delays: when no opening is in sight, and while the calendars are not known here. */
     private static final long NO_OPENING_RETRY_MILLIS = 3_600_000;
 
     private static final long UNKNOWN_CALENDAR_RETRY_MILLIS = 1_000;
@@ -45,8 +45,8 @@
     private final long seed;
 
     /**
-     * A job's plan is fixed when it comes: a daily deadline must not move on while it is held or
-     * sent again.
+     * The plans of jobs, each fixed when its job arrives: a daily deadline must not move while the
+     * job is held or retried.
      */
     private final Map<String, StartPlan> plans =
             new LinkedHashMap<>() {
@@ -77,8 +77,8 @@
     }
 
     /**
-     * What the clock on the wall says at a time of the monotonic one. Told often, as the former may
-     * be set.
+     * Sets the wall clock reading for a time of the monotonic clock. Called often, since the wall
+     * clock may be adjusted.
      */
     public void setWallClock(long nowNs, long millis) {
         wallClockSetAtNs = nowNs;
@@ -86,8 +86,8 @@
     }
 
     /**
-     * This job has a plan of its own, before it comes; null: it has none, whatever one of its id
-     * had that was given up on.
+     * Sets the job's own plan before the job arrives. Null means that the job has none, and
+     * discards the plan of an abandoned job with the same id.
      */
     public void setPlan(String jobId, StartPlan plan) {
         if (plan == null) {
@@ -97,13 +97,16 @@
         }
     }
 
-    /** What the class of a job gives to one that comes now; null for a class without windows. */
+    /**
+     * Returns the plan that the job class gives to a job arriving now; null for a class without
+     * windows.
+     */
     public StartPlan planForClass(long nowMillis, String jobClass) {
         JobClassWindow window = classes.get(jobClass);
         return window == null ? null : window.plan(nowMillis, expectedDurationMillis(window));
     }
 
-    /** The job has its answer. */
+    /** Discards the plan of a job that has its answer. */
     public void jobAnswered(String jobId) {
         plans.remove(jobId);
     }
@@ -152,7 +155,10 @@
     }
 
     /**
-     * @param own the plan is the job's, whose deadline does not move on to the class's next round
+     * Returns in how many milliseconds the job is to be retried.
+     *
+     * @param ownPlan whether the job brought its own plan, whose deadline does not move to the next
+     *     day of the class
      */
     private long retryInMillis(long now, StartPlan plan, Job job, boolean ownPlan) {
         StartWindows.Result result = StartWindows.query(plan, calendars, now, clockErrorMillis);
--- a/core/src/test/java/postgrade/window/CalendarPartTest.java
+++ b/core/src/test/java/postgrade/window/CalendarPartTest.java
@@ -22,7 +22,7 @@
 import postgrade.window.CalendarRegistry.PendingCalendar;
 import postgrade.window.MaintenanceEvent.EventDuration;
 
-/** Calendars as shared versions, and what a process makes of its view of them. */
+/** Versions of calendars in the replicated state, and how a process uses its view of them. */
 public class CalendarPartTest {
 
     private static final long ACTIVATION_DELAY_MICROS = CalendarPart.MIN_ACTIVATION_DELAY_MICROS;
@@ -55,7 +55,7 @@
                 machine.moment(), Rows.fromSnapshot(index, machine.snapshot().rows()), asOf);
     }
 
-    /** Texts here are plain spans: {@code from-to from-to}. */
+    /** Texts in this test are plain intervals: {@code from-to from-to}. */
     private static SiteCalendar read(PendingCalendar w) {
         List<MaintenanceEvent> events =
                 Stream.of(w.text().split(" "))
@@ -105,8 +105,8 @@
         advance(ACTIVATION_DELAY_MICROS);
         String former = machine.rows().get("calendar", "site:a").text("current");
         put("3000-4000");
-        // A view from just before, used by a slow clock beside a fast leader that had two steps to
-        // tell.
+        // A view taken just before, used by a process with a slow clock under a leader with a fast
+        // one that had two advances yet to send.
         advance(2 * ReplicatedStateMachine.MAX_ADVANCE_MICROS);
         advance((long) (CalendarPart.MAX_VIEW_AGE_MICROS * 1.02 / 0.98));
         assertEquals(former, machine.rows().get("calendar", "site:a").text("current"));
@@ -206,8 +206,8 @@
     }
 
     /**
-     * Clocks that differ by 4%, views up to their bound, changes at any time: none starts in what
-     * is in force.
+     * Guards against a start inside maintenance in force when the clocks of leader and process
+     * differ by 4%, views are used up to their maximum age and calendars change at random times.
      */
     @Test
     public void noStartInsideMaintenanceInForceWhileCalendarsChange() {
--- a/core/src/test/java/postgrade/window/InstanceExpanderTest.java
+++ b/core/src/test/java/postgrade/window/InstanceExpanderTest.java
@@ -17,7 +17,7 @@
 import postgrade.window.Recurrence.Frequency;
 import postgrade.window.Recurrence.NthWeekday;
 
-/** Days on which clocks are changed, days that are not there, and rules without end. */
+/** Expansion across clock changes, omitted days and unbounded rules. */
 public class InstanceExpanderTest {
 
     private static final Recurrence DAILY = Recurrence.of(Frequency.DAY, 1);
@@ -79,7 +79,7 @@
 
     @Test
     public void halfHourTransitionOfLordHowe() {
-        // 2026-10-04 02:00 becomes 02:30: offset +10:30 before, +11 after.
+        // At 2026-10-04 02:00 clocks go to 02:30: offset +10:30 before, +11 after.
         assertEquals(
                 "2026-10-03T13:30:00Z/2026-10-04T13:00:00Z",
                 format(
--- a/core/src/test/java/postgrade/window/StartWindowsTest.java
+++ b/core/src/test/java/postgrade/window/StartWindowsTest.java
@@ -17,7 +17,7 @@
 import postgrade.window.MaintenanceEvent.EventDuration;
 import postgrade.window.StartWindows.Result;
 
-/** When jobs may start. */
+/** When jobs may start, and why not at other times. */
 public class StartWindowsTest {
 
     private static final SiteCalendar NIGHT = closed("a", 1000, 2000, 3000, 4000);
--- a/core/src/test/java/postgrade/window/TestTimes.java
+++ b/core/src/test/java/postgrade/window/TestTimes.java
@@ -8,7 +8,7 @@
 import postgrade.window.MaintenanceEvent.EventDuration;
 import postgrade.window.MaintenanceEvent.ZonedTime;
 
-/** Times as people write them. */
+/** Converts between instants and their textual form in tests. */
 final class TestTimes {
 
     static final long HOUR = 3_600_000;
@@ -36,7 +36,7 @@
         return SiteCalendar.compile("a", "1", List.of(events), utc(from), utc(to));
     }
 
-    /** As {@code from/to} in UTC, one after another. */
+    /** Formats intervals as {@code from/to} in UTC, separated by spaces. */
     static String format(Intervals all) {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < all.size(); i++) {
--- a/core/src/test/java/postgrade/window/WindowConstraintsTest.java
+++ b/core/src/test/java/postgrade/window/WindowConstraintsTest.java
@@ -18,7 +18,7 @@
 import postgrade.window.MaintenanceEvent.EventDuration;
 import postgrade.window.WindowConstraints.SiteMapping;
 
-/** Windows as the module meets them. */
+/** Start windows as the dispatcher applies them to jobs and workers. */
 public class WindowConstraintsTest {
 
     private static final long MIDNIGHT = utc("2026-06-01T00:00:00Z");
@@ -26,7 +26,7 @@
             new JobClassWindow(
                     "route-plan", List.of("a", "b"), null, null, Deadline.NONE, 0.9, 60_000);
 
-    /** Until 06:00 and from 05:00 on: the second site opens an hour before the first. */
+    /** Site a is closed until 06:00, site b until 05:00: site b opens an hour before site a. */
     private static final SiteCalendar SITE_A =
             SiteCalendar.compile(
                     "a",
@@ -86,8 +86,8 @@
     public void jobOutsideItsWindowsIsDelayedIntoNextOpening() {
         for (int i = 0; i < 100; i++) {
             long in = constraints.startDelayNs(0, job("route-plan", "j" + i));
-            // Site b opens at 05:00 and must be left by 05:30; half of the opening is spread over,
-            // ten minutes at most.
+            // Site b opens at 05:00 and closes at 05:30; retries are spread over half of the
+            // opening, ten minutes at most.
             assertTrue("in " + in, in >= ns(5) && in < ns(5) + 600_000_000_000L);
         }
         assertEquals(0, constraints.startDelayNs(ns(5), job("route-plan", "j")));
