--- a/calendar/src/main/java/postgrade/calendar/CalendarLoader.java
+++ b/calendar/src/main/java/postgrade/calendar/CalendarLoader.java
@@ -42,17 +42,17 @@
             List<MaintenanceEvent> events = CalendarReader.read(zone, text);
             compile(site, "", events, now);
             ExpansionBudget laterBudget = new ExpansionBudget();
-            for (MaintenanceEvent e : events) {
+            for (MaintenanceEvent event : events) {
                 // An event that starts beyond the horizon is checked as if it were within.
-                long begins = e.start().toEpochMillis();
-                if (begins > now + HORIZON_MILLIS) {
+                long start = event.start().toEpochMillis();
+                if (start > now + HORIZON_MILLIS) {
                     SiteCalendar.compile(
-                            site, "", List.of(e), begins, begins + HORIZON_MILLIS, laterBudget);
+                            site, "", List.of(event), start, start + HORIZON_MILLIS, laterBudget);
                 }
             }
             return new CheckResult(true, 0, null, null, events.size());
-        } catch (InvalidCalendarException e) {
-            return new CheckResult(false, e.line(), e.property(), e.description(), 0);
+        } catch (InvalidCalendarException event) {
+            return new CheckResult(false, event.line(), event.property(), event.description(), 0);
         }
     }
 
--- a/calendar/src/main/java/postgrade/calendar/CalendarReader.java
+++ b/calendar/src/main/java/postgrade/calendar/CalendarReader.java
@@ -13,9 +13,7 @@
  */
 public final class CalendarReader {
 
-    /**
-     * Every process keeps the whole text of each replicated calendar, so the limit is small.
-     */
+    /** Every process keeps the whole text of each replicated calendar, so the limit is small. */
     public static final int MAX_BYTES = 256 * 1024;
 
     public static final int MAX_EVENTS = 2_000;
@@ -48,16 +46,18 @@
         ValueReader values =
                 new ValueReader(ZoneId.of(zone).getRules(), ZoneReader.zones(calendar));
         List<EventReader> events = new ArrayList<>();
-        for (Component c : calendar.children) {
-            switch (c.name) {
-                case "VEVENT" -> events.add(new EventReader(c, values));
+        for (Component component : calendar.children) {
+            switch (component.name) {
+                case "VEVENT" -> events.add(new EventReader(component, values));
                 case "VTIMEZONE", "VTODO", "VJOURNAL" -> {}
                 // Ignoring a component that may close a site would let jobs start there.
-                default -> throw new InvalidCalendarException(c.line, c.name, "is not supported");
+                default ->
+                        throw new InvalidCalendarException(
+                                component.line, component.name, "is not supported");
             }
             if (events.size() > MAX_EVENTS) {
                 throw new InvalidCalendarException(
-                        c.line, "VEVENT", "is there more than " + MAX_EVENTS + " times");
+                        component.line, "VEVENT", "is there more than " + MAX_EVENTS + " times");
             }
         }
         return EventReader.events(events);
--- a/calendar/src/main/java/postgrade/calendar/Component.java
+++ b/calendar/src/main/java/postgrade/calendar/Component.java
@@ -15,8 +15,8 @@
      * @param parameters by name in upper case
      */
     record Property(String name, int line, Map<String, String> parameters, String value) {
-        InvalidCalendarException invalid(String what) {
-            return new InvalidCalendarException(line, name, what);
+        InvalidCalendarException invalid(String message) {
+            return new InvalidCalendarException(line, name, message);
         }
 
         /** Returns the type of the value: that of the VALUE parameter, else the given default. */
--- a/calendar/src/main/java/postgrade/calendar/ComponentTreeReader.java
+++ b/calendar/src/main/java/postgrade/calendar/ComponentTreeReader.java
@@ -40,9 +40,10 @@
         try {
             new CalendarParserImpl().parse(new StringReader(lines.unfolded()), reader);
         } catch (ParserException e) {
-            String what = String.valueOf(e.getMessage()).replaceFirst("^Error at line \\d+:", "");
+            String message =
+                    String.valueOf(e.getMessage()).replaceFirst("^Error at line \\d+:", "");
             throw new InvalidCalendarException(
-                    lines.lineNumber(reader.linesSeen), "VCALENDAR", "cannot be read: " + what);
+                    lines.lineNumber(reader.linesSeen), "VCALENDAR", "cannot be read: " + message);
         } catch (IOException e) {
             throw new InvalidCalendarException(
                     lines.lineNumber(reader.linesSeen), "VCALENDAR", "cannot be read");
@@ -75,12 +76,12 @@
 
     @Override
     public void startComponent(String name) {
-        Component c = new Component(name.toUpperCase(Locale.ROOT), nextLineNumber());
+        Component component = new Component(name.toUpperCase(Locale.ROOT), nextLineNumber());
         if (openComponents.size() == MAX_DEPTH) {
-            throw new InvalidCalendarException(c.line, c.name, "lies too deep");
+            throw new InvalidCalendarException(component.line, component.name, "lies too deep");
         }
-        openComponents.element().children.add(c);
-        openComponents.push(c);
+        openComponents.element().children.add(component);
+        openComponents.push(component);
     }
 
     @Override
--- a/calendar/src/main/java/postgrade/calendar/ContentLines.java
+++ b/calendar/src/main/java/postgrade/calendar/ContentLines.java
@@ -30,16 +30,16 @@
         for (int position = 0; position < text.length(); ) {
             int end = text.indexOf('\n', position);
             end = end < 0 ? text.length() : end;
-            String physical =
+            String physicalLine =
                     text.substring(
                             position,
                             end > position && text.charAt(end - 1) == '\r' ? end - 1 : end);
             position = end + 1;
             number++;
             if (firstLineNumber > 0
-                    && !physical.isEmpty()
-                    && (physical.charAt(0) == ' ' || physical.charAt(0) == '\t')) {
-                line.append(physical, 1, physical.length());
+                    && !physicalLine.isEmpty()
+                    && (physicalLine.charAt(0) == ' ' || physicalLine.charAt(0) == '\t')) {
+                line.append(physicalLine, 1, physicalLine.length());
                 if (line.length() > MAX_LINE_LENGTH) {
                     throw new InvalidCalendarException(
                             firstLineNumber,
@@ -50,7 +50,7 @@
             }
             add(line, firstLineNumber);
             line.setLength(0);
-            line.append(physical);
+            line.append(physicalLine);
             firstLineNumber = number;
         }
         add(line, firstLineNumber);
--- a/calendar/src/main/java/postgrade/calendar/EventReader.java
+++ b/calendar/src/main/java/postgrade/calendar/EventReader.java
@@ -42,25 +42,26 @@
 
     /** Returns the start of the instance that this event replaces; null for a master. */
     Long replacedInstance(Map<String, EventReader> masters) {
-        Property p = component.optional("RECURRENCE-ID");
-        if (p == null) {
+        Property recurrenceId = component.optional("RECURRENCE-ID");
+        if (recurrenceId == null) {
             return null;
         }
-        if (p.parameters().containsKey("RANGE")) {
-            throw p.invalid("has RANGE, which is not supported: end the rule and begin another");
+        if (recurrenceId.parameters().containsKey("RANGE")) {
+            throw recurrenceId.invalid(
+                    "has RANGE, which is not supported: end the rule and begin another");
         }
-        for (String none : new String[] {"RRULE", "RDATE", "EXDATE"}) {
-            if (!component.all(none).isEmpty()) {
-                throw component.all(none).get(0).invalid("has no place beside RECURRENCE-ID");
+        for (String forbidden : new String[] {"RRULE", "RDATE", "EXDATE"}) {
+            if (!component.all(forbidden).isEmpty()) {
+                throw component.all(forbidden).get(0).invalid("has no place beside RECURRENCE-ID");
             }
         }
         EventReader master = masters.get(uid());
-        Time at = values.time(p);
-        if (master != null && at.allDay() != master.start.allDay()) {
-            throw p.invalid(
+        Time instance = values.time(recurrenceId);
+        if (master != null && instance.allDay() != master.start.allDay()) {
+            throw recurrenceId.invalid(
                     "must be a date where the master's DTSTART is one, and a time where it is not");
         }
-        return at.when().toEpochMillis();
+        return instance.zonedTime().toEpochMillis();
     }
 
     /**
@@ -85,20 +86,20 @@
         }
         List<ExtraInstance> extras = new ArrayList<>();
         for (Property p : component.all("RDATE")) {
-            for (String one : p.value().split(",", -1)) {
-                extras.add(extraInstance(p.withValue(one), duration));
+            for (String item : p.value().split(",", -1)) {
+                extras.add(extraInstance(p.withValue(item), duration));
             }
         }
         Set<Long> excludedStarts = new HashSet<>(replaced);
         for (Property p : component.all("EXDATE")) {
-            for (String one : p.value().split(",", -1)) {
-                excludedStarts.add(timeOfSameType(p.withValue(one)).when().toEpochMillis());
+            for (String item : p.value().split(",", -1)) {
+                excludedStarts.add(timeOfSameType(p.withValue(item)).zonedTime().toEpochMillis());
             }
         }
         return new MaintenanceEvent(
                 title(),
                 component.line,
-                start.when(),
+                start.zonedTime(),
                 duration,
                 rules,
                 extras,
@@ -107,7 +108,7 @@
 
     private ExtraInstance extraInstance(Property p, EventDuration duration) {
         if (!p.valueType("DATE-TIME").equals("PERIOD")) {
-            return new ExtraInstance(timeOfSameType(p).when(), duration, p.line());
+            return new ExtraInstance(timeOfSameType(p).zonedTime(), duration, p.line());
         }
         String[] bounds = p.value().split("/", -1);
         if (bounds.length != 2) {
@@ -115,15 +116,17 @@
         }
         Time from = values.time(p.withValue(bounds[0]), false);
         if (bounds[1].startsWith("P") || bounds[1].startsWith("-")) {
-            return new ExtraInstance(from.when(), ValueReader.duration(p, bounds[1]), p.line());
+            return new ExtraInstance(
+                    from.zonedTime(), ValueReader.duration(p, bounds[1]), p.line());
         }
         long millis =
-                values.time(p.withValue(bounds[1]), false).when().toEpochMillis()
-                        - from.when().toEpochMillis();
+                values.time(p.withValue(bounds[1]), false).zonedTime().toEpochMillis()
+                        - from.zonedTime().toEpochMillis();
         if (millis < 0) {
             throw p.invalid("ends before it begins");
         }
-        return new ExtraInstance(from.when(), ValueReader.boundedDuration(p, 0, millis), p.line());
+        return new ExtraInstance(
+                from.zonedTime(), ValueReader.boundedDuration(p, 0, millis), p.line());
     }
 
     private Time timeOfSameType(Property p) {
@@ -151,13 +154,15 @@
             return start.allDay() ? EventDuration.ofDays(1) : EventDuration.exactly(0);
         }
         Time until = timeOfSameType(end);
-        long millis = until.when().toEpochMillis() - start.when().toEpochMillis();
+        long millis = until.zonedTime().toEpochMillis() - start.zonedTime().toEpochMillis();
         if (millis < 0) {
             throw end.invalid("lies before DTSTART");
         }
         if (start.allDay()) {
             return ValueReader.boundedDuration(
-                    end, ChronoUnit.DAYS.between(start.when().local(), until.when().local()), 0);
+                    end,
+                    ChronoUnit.DAYS.between(start.zonedTime().local(), until.zonedTime().local()),
+                    0);
         }
         return ValueReader.boundedDuration(end, 0, millis);
     }
@@ -172,27 +177,31 @@
     }
 
     /** Groups masters by UID and applies the replacements of their instances. */
-    static List<MaintenanceEvent> events(List<EventReader> all) {
+    static List<MaintenanceEvent> events(List<EventReader> readers) {
         Map<String, EventReader> masters = new HashMap<>();
-        for (EventReader e : all) {
-            if (e.component.optional("RECURRENCE-ID") == null && masters.put(e.uid(), e) != null) {
-                throw e.component.required("UID").invalid("is that of an earlier event");
+        for (EventReader reader : readers) {
+            if (reader.component.optional("RECURRENCE-ID") == null
+                    && masters.put(reader.uid(), reader) != null) {
+                throw reader.component.required("UID").invalid("is that of an earlier event");
             }
         }
         Map<String, Set<Long>> replaced = new HashMap<>();
-        for (EventReader e : all) {
-            Long instance = e.replacedInstance(masters);
+        for (EventReader reader : readers) {
+            Long instance = reader.replacedInstance(masters);
             if (instance != null
-                    && !replaced.computeIfAbsent(e.uid(), u -> new HashSet<>()).add(instance)) {
-                throw e.component.required("RECURRENCE-ID").invalid("is that of an earlier event");
+                    && !replaced.computeIfAbsent(reader.uid(), u -> new HashSet<>())
+                            .add(instance)) {
+                throw reader.component
+                        .required("RECURRENCE-ID")
+                        .invalid("is that of an earlier event");
             }
         }
         List<MaintenanceEvent> events = new ArrayList<>();
-        for (EventReader e : all) {
-            boolean master = e.component.optional("RECURRENCE-ID") == null;
+        for (EventReader reader : readers) {
+            boolean master = reader.component.optional("RECURRENCE-ID") == null;
             MaintenanceEvent event =
-                    e.event(master ? replaced.getOrDefault(e.uid(), Set.of()) : Set.of());
-            if (!e.keepsSiteOpen()) {
+                    reader.event(master ? replaced.getOrDefault(reader.uid(), Set.of()) : Set.of());
+            if (!reader.keepsSiteOpen()) {
                 events.add(event);
             }
         }
--- a/calendar/src/main/java/postgrade/calendar/RuleReader.java
+++ b/calendar/src/main/java/postgrade/calendar/RuleReader.java
@@ -79,7 +79,7 @@
                         sortedDistinct(recur.getWeekNoList()),
                         sortedDistinct(recur.getYearDayList()),
                         sortedDistinct(recur.getMonthDayList()),
-                        days(recur),
+                        weekdays(recur),
                         sortedDistinct(recur.getHourList()),
                         sortedDistinct(recur.getMinuteList()),
                         sortedDistinct(recur.getSecondList()),
@@ -117,20 +117,20 @@
         return month.getMonthOfYear();
     }
 
-    private static int[] sortedDistinct(List<Integer> given) {
+    private static int[] sortedDistinct(List<Integer> values) {
         // Duplicates are removed, because the expansion multiplies the lists with each other.
-        return given.stream().mapToInt(Integer::intValue).distinct().sorted().toArray();
+        return values.stream().mapToInt(Integer::intValue).distinct().sorted().toArray();
     }
 
-    private List<NthWeekday> days(Recur<?> recur) {
-        Set<NthWeekday> days = new LinkedHashSet<>();
-        for (WeekDay d : recur.getDayList()) {
-            if (Math.abs(d.getOffset()) > 53) {
-                throw property.invalid("has BYDAY beyond the 53rd of a year: " + d);
+    private List<NthWeekday> weekdays(Recur<?> recur) {
+        Set<NthWeekday> weekdays = new LinkedHashSet<>();
+        for (WeekDay weekday : recur.getDayList()) {
+            if (Math.abs(weekday.getOffset()) > 53) {
+                throw property.invalid("has BYDAY beyond the 53rd of a year: " + weekday);
             }
-            days.add(new NthWeekday(d.getOffset(), WeekDay.getDayOfWeek(d)));
+            weekdays.add(new NthWeekday(weekday.getOffset(), WeekDay.getDayOfWeek(weekday)));
         }
-        return List.copyOf(days);
+        return List.copyOf(weekdays);
     }
 
     private long until(String text, Time first, ValueReader values) {
@@ -147,7 +147,7 @@
                             ? "has UNTIL in UTC though DTSTART is floating"
                             : "has UNTIL that is not in UTC though DTSTART is fixed in time");
         }
-        return until.when().toEpochMillis();
+        return until.zonedTime().toEpochMillis();
     }
 
     private void checkCombination(Recurrence rule, Time first) {
@@ -193,9 +193,9 @@
                 "has BYSETPOS alone");
     }
 
-    private void rejectIf(boolean invalid, String what) {
+    private void rejectIf(boolean invalid, String message) {
         if (invalid) {
-            throw property.invalid(what);
+            throw property.invalid(message);
         }
     }
 }
--- a/calendar/src/main/java/postgrade/calendar/ValueReader.java
+++ b/calendar/src/main/java/postgrade/calendar/ValueReader.java
@@ -48,14 +48,14 @@
      *
      * @param allDay whether the value is a date, which starts at midnight of the site
      */
-    record Time(ZonedTime when, boolean allDay, boolean utc, boolean floating) {}
+    record Time(ZonedTime zonedTime, boolean allDay, boolean utc, boolean floating) {}
 
     Time time(Property p) {
         return time(p, p.valueType("DATE-TIME").equals("DATE"));
     }
 
     Time time(Property p, boolean allDay) {
-        String kind = p.valueType(allDay ? "DATE" : "DATE-TIME");
+        String valueType = p.valueType(allDay ? "DATE" : "DATE-TIME");
         String zone = p.parameters().get("TZID");
         if (allDay) {
             if (zone != null) {
@@ -64,11 +64,11 @@
             return new Time(
                     new ZonedTime(date(p, p.value()).atStartOfDay(), siteZone), true, false, true);
         }
-        if (!kind.equals("DATE-TIME") && !kind.equals("PERIOD")) {
-            throw p.invalid("has a VALUE that is not known here: " + kind);
+        if (!valueType.equals("DATE-TIME") && !valueType.equals("PERIOD")) {
+            throw p.invalid("has a VALUE that is not known here: " + valueType);
         }
-        Matcher m = TIME.matcher(p.value());
-        if (!m.matches()) {
+        Matcher matcher = TIME.matcher(p.value());
+        if (!matcher.matches()) {
             throw p.invalid(
                     DATE.matcher(p.value()).matches()
                             ? "is a date, so it needs VALUE=DATE"
@@ -77,15 +77,15 @@
         LocalDateTime local;
         try {
             local =
-                    date(p, m.group(1))
+                    date(p, matcher.group(1))
                             .atTime(
-                                    Integer.parseInt(m.group(2)),
-                                    Integer.parseInt(m.group(3)),
-                                    Integer.parseInt(m.group(4)));
+                                    Integer.parseInt(matcher.group(2)),
+                                    Integer.parseInt(matcher.group(3)),
+                                    Integer.parseInt(matcher.group(4)));
         } catch (DateTimeException e) {
             throw p.invalid("is no time of day: " + p.value());
         }
-        if (!m.group(5).isEmpty()) {
+        if (!matcher.group(5).isEmpty()) {
             if (zone != null) {
                 throw p.invalid("is in UTC and must have no TZID");
             }
@@ -99,15 +99,17 @@
     }
 
     private static LocalDate date(Property p, String text) {
-        Matcher m = DATE.matcher(text);
-        if (!m.matches()) {
+        Matcher matcher = DATE.matcher(text);
+        if (!matcher.matches()) {
             throw p.invalid("must be a date such as 20260101");
         }
-        int year = Integer.parseInt(m.group(1));
+        int year = Integer.parseInt(matcher.group(1));
         try {
             if (year > 0) {
                 return LocalDate.of(
-                        year, Integer.parseInt(m.group(2)), Integer.parseInt(m.group(3)));
+                        year,
+                        Integer.parseInt(matcher.group(2)),
+                        Integer.parseInt(matcher.group(3)));
             }
         } catch (DateTimeException e) {
             // Reported below, together with year 0.
@@ -136,15 +138,16 @@
 
     /** Reads a duration; weeks and days are nominal, the rest is exact. */
     static EventDuration duration(Property p, String text) {
-        Matcher m = DURATION.matcher(text);
-        if (!m.matches() || text.endsWith("P")) {
+        Matcher matcher = DURATION.matcher(text);
+        if (!matcher.matches() || text.endsWith("P")) {
             throw p.invalid(
                     text.startsWith("-")
                             ? "must not be negative"
                             : "must be a duration such as P1D, PT90M or P1DT2H");
         }
-        long days = number(m, 1) * 7 + number(m, 2);
-        long millis = 1000 * (number(m, 4) * 3600 + number(m, 5) * 60 + number(m, 6));
+        long days = number(matcher, 1) * 7 + number(matcher, 2);
+        long millis =
+                1000 * (number(matcher, 4) * 3600 + number(matcher, 5) * 60 + number(matcher, 6));
         return boundedDuration(p, days, millis);
     }
 
@@ -155,16 +158,20 @@
         return new EventDuration((int) days, millis);
     }
 
-    private static long number(Matcher m, int group) {
-        return m.group(group) == null ? 0 : Long.parseLong(m.group(group));
+    private static long number(Matcher matcher, int group) {
+        return matcher.group(group) == null ? 0 : Long.parseLong(matcher.group(group));
     }
 
     static ZoneOffset offset(Property p) {
-        Matcher m = OFFSET.matcher(p.value());
-        if (m.matches()) {
-            int seconds = (int) (number(m, 2) * 3600 + number(m, 3) * 60 + number(m, 4));
-            if (seconds <= 18 * 3600 && number(m, 3) < 60 && number(m, 4) < 60) {
-                return ZoneOffset.ofTotalSeconds(m.group(1).equals("-") ? -seconds : seconds);
+        Matcher matcher = OFFSET.matcher(p.value());
+        if (matcher.matches()) {
+            int seconds =
+                    (int)
+                            (number(matcher, 2) * 3600
+                                    + number(matcher, 3) * 60
+                                    + number(matcher, 4));
+            if (seconds <= 18 * 3600 && number(matcher, 3) < 60 && number(matcher, 4) < 60) {
+                return ZoneOffset.ofTotalSeconds(matcher.group(1).equals("-") ? -seconds : seconds);
             }
         }
         throw p.invalid("must be an offset such as +0100");
--- a/calendar/src/main/java/postgrade/calendar/ZoneReader.java
+++ b/calendar/src/main/java/postgrade/calendar/ZoneReader.java
@@ -43,15 +43,17 @@
     static Map<String, ZoneRules> zones(Component calendar) {
         Map<String, ZoneRules> zones = new HashMap<>();
         ExpansionBudget budget = new ExpansionBudget();
-        for (Component c : calendar.children) {
-            if (c.name.equals("VTIMEZONE")) {
-                Property id = c.required("TZID");
-                if (zones.put(id.value(), rules(c, budget)) != null) {
+        for (Component component : calendar.children) {
+            if (component.name.equals("VTIMEZONE")) {
+                Property id = component.required("TZID");
+                if (zones.put(id.value(), rules(component, budget)) != null) {
                     throw id.invalid("defines the same zone twice");
                 }
                 if (zones.size() > MAX_ZONES) {
                     throw new InvalidCalendarException(
-                            c.line, "VTIMEZONE", "is there more than " + MAX_ZONES + " times");
+                            component.line,
+                            "VTIMEZONE",
+                            "is there more than " + MAX_ZONES + " times");
                 }
             }
         }
@@ -62,20 +64,21 @@
         TreeMap<Long, Onset> onsets = new TreeMap<>();
         Onset first = null;
         long firstAt = Long.MAX_VALUE;
-        for (Component c : zone.children) {
-            if (!c.name.equals("STANDARD") && !c.name.equals("DAYLIGHT")) {
-                throw new InvalidCalendarException(c.line, c.name, "has no place in VTIMEZONE");
+        for (Component observance : zone.children) {
+            if (!observance.name.equals("STANDARD") && !observance.name.equals("DAYLIGHT")) {
+                throw new InvalidCalendarException(
+                        observance.line, observance.name, "has no place in VTIMEZONE");
             }
             Onset onset =
                     new Onset(
-                            ValueReader.offset(c.required("TZOFFSETFROM")),
-                            ValueReader.offset(c.required("TZOFFSETTO")));
-            MaintenanceEvent event = event(c, onset.before);
+                            ValueReader.offset(observance.required("TZOFFSETFROM")),
+                            ValueReader.offset(observance.required("TZOFFSETTO")));
+            MaintenanceEvent event = event(observance, onset.before);
             if (event.start().toEpochMillis() < firstAt) {
                 first = onset;
                 firstAt = event.start().toEpochMillis();
             }
-            Intervals at =
+            Intervals onsetTimes =
                     SiteCalendar.compile(
                                     "",
                                     "",
@@ -84,8 +87,8 @@
                                     LAST_ONSET_MILLIS,
                                     budget)
                             .closed();
-            for (int i = 0; i < at.size(); i++) {
-                onsets.put(at.from(i), onset);
+            for (int i = 0; i < onsetTimes.size(); i++) {
+                onsets.put(onsetTimes.from(i), onset);
             }
         }
         if (first == null) {
@@ -99,45 +102,53 @@
         // An observance that began before 1900 applies from the start; a zone whose first onset is
         // later uses the offset before that onset until then.
         ZoneOffset base = firstAt < FIRST_ONSET_MILLIS ? first.after : first.before;
-        ZoneOffset now = base;
+        ZoneOffset current = base;
         List<ZoneOffsetTransition> transitions = new ArrayList<>();
         for (Map.Entry<Long, Onset> e : onsets.entrySet()) {
             ZoneOffset after = e.getValue().after;
-            if (!after.equals(now)) {
+            if (!after.equals(current)) {
                 transitions.add(
                         ZoneOffsetTransition.of(
                                 LocalDateTime.ofEpochSecond(
-                                        Math.floorDiv(e.getKey(), 1000L), 0, now),
-                                now,
+                                        Math.floorDiv(e.getKey(), 1000L), 0, current),
+                                current,
                                 after));
-                now = after;
+                current = after;
             }
         }
         return ZoneRules.of(base, base, List.of(), transitions, List.of());
     }
 
-    private static MaintenanceEvent event(Component c, ZoneOffset before) {
+    private static MaintenanceEvent event(Component observance, ZoneOffset before) {
         ValueReader values = new ValueReader(before.getRules(), Map.of());
-        Property p = c.required("DTSTART");
-        ValueReader.Time start = values.time(p);
+        Property property = observance.required("DTSTART");
+        ValueReader.Time start = values.time(property);
         if (start.allDay() || !start.floating()) {
-            throw p.invalid("of an observance must be a local time without zone");
+            throw property.invalid("of an observance must be a local time without zone");
         }
         List<Recurrence> rules = new ArrayList<>();
-        for (Property rule : c.all("RRULE")) {
+        for (Property rule : observance.all("RRULE")) {
             // The UNTIL of an observance is in UTC although its start is local.
             rules.add(
                     RuleReader.read(
-                            rule, new ValueReader.Time(start.when(), false, true, false), values));
+                            rule,
+                            new ValueReader.Time(start.zonedTime(), false, true, false),
+                            values));
         }
         List<ExtraInstance> extras = new ArrayList<>();
-        for (Property dates : c.all("RDATE")) {
+        for (Property dates : observance.all("RDATE")) {
             for (String date : dates.value().split(",", -1)) {
-                ZonedTime when = values.time(dates.withValue(date)).when();
+                ZonedTime when = values.time(dates.withValue(date)).zonedTime();
                 extras.add(new ExtraInstance(when, EventDuration.exactly(1), dates.line()));
             }
         }
         return new MaintenanceEvent(
-                c.name, c.line, start.when(), EventDuration.exactly(1), rules, extras, Set.of());
+                observance.name,
+                observance.line,
+                start.zonedTime(),
+                EventDuration.exactly(1),
+                rules,
+                extras,
+                Set.of());
     }
 }
--- a/calendar/src/test/java/postgrade/calendar/CalendarReaderTest.java
+++ b/calendar/src/test/java/postgrade/calendar/CalendarReaderTest.java
@@ -15,7 +15,7 @@
     private static String closedTimes(String zone, String from, String to, String... lines) {
         String calendarText =
                 "BEGIN:VCALENDAR\nVERSION:2.0\n" + String.join("\n", lines) + "\nEND:VCALENDAR\n";
-        Intervals all =
+        Intervals closed =
                 SiteCalendar.compile(
                                 "a",
                                 "1",
@@ -24,11 +24,11 @@
                                 Instant.parse(to + ":00Z").toEpochMilli())
                         .closed();
         StringBuilder text = new StringBuilder();
-        for (int i = 0; i < all.size(); i++) {
+        for (int i = 0; i < closed.size(); i++) {
             text.append(i == 0 ? "" : " ")
-                    .append(Instant.ofEpochMilli(all.from(i)).toString(), 5, 16)
+                    .append(Instant.ofEpochMilli(closed.from(i)).toString(), 5, 16)
                     .append('/')
-                    .append(Instant.ofEpochMilli(all.to(i)).toString(), 5, 16);
+                    .append(Instant.ofEpochMilli(closed.to(i)).toString(), 5, 16);
         }
         return text.toString();
     }
--- a/calendar/src/test/java/postgrade/calendar/InvalidCalendarTest.java
+++ b/calendar/src/test/java/postgrade/calendar/InvalidCalendarTest.java
@@ -14,23 +14,23 @@
     private static final long NOW = Instant.parse("2026-06-01T00:00:00Z").toEpochMilli();
 
     /** Lines 1 to 4 precede the lines under test, which start at line 5. */
-    private static final String BEFORE =
+    private static final String HEADER =
             "BEGIN:VCALENDAR\r\nVERSION:2.0\r\nBEGIN:VEVENT\r\nUID:a\r\n";
 
     private static final String START = "DTSTART:20260101T000000Z\r\n";
 
     private static CheckResult check(String lines) {
         return CalendarLoader.check(
-                "a", "Europe/Zagreb", BEFORE + lines + "\r\nEND:VEVENT\r\nEND:VCALENDAR\r\n", NOW);
+                "a", "Europe/Zagreb", HEADER + lines + "\r\nEND:VEVENT\r\nEND:VCALENDAR\r\n", NOW);
     }
 
     private static void assertInvalid(String lines, int line, String property, String sentence) {
-        CheckResult r = check(lines);
-        String shown = lines.substring(0, Math.min(200, lines.length()));
-        assertFalse(shown, r.ok());
-        assertEquals(shown + ": " + r.message(), line, r.line());
-        assertEquals(shown, property, r.property());
-        assertTrue(shown + ": " + r.message(), r.message().contains(sentence));
+        CheckResult result = check(lines);
+        String excerpt = lines.substring(0, Math.min(200, lines.length()));
+        assertFalse(excerpt, result.ok());
+        assertEquals(excerpt + ": " + result.message(), line, result.line());
+        assertEquals(excerpt, property, result.property());
+        assertTrue(excerpt + ": " + result.message(), result.message().contains(sentence));
     }
 
     @Test
@@ -74,7 +74,7 @@
         assertInvalid(START + "DURATION:P1DT", 6, "DURATION", "duration");
         assertInvalid(START + "EXDATE;VALUE=DATE:20260101", 6, "EXDATE", "date");
         assertInvalid(START + "DTSTART:20260101T000000Z", 6, "DTSTART", "twice");
-        assertEquals("zone", CalendarLoader.check("a", "Mars/Base", BEFORE, NOW).property());
+        assertEquals("zone", CalendarLoader.check("a", "Mars/Base", HEADER, NOW).property());
     }
 
     @Test
@@ -108,10 +108,10 @@
         assertInvalid(START + "DURATION PT1H", 6, "DURATION", "no content line");
         assertInvalid(START + "SUMMARY:folded\r\n  on\r\nRRULE:FREQ=NEVER", 8, "RRULE", "NEVER");
         assertInvalid(START + "BEGIN:VALARM\r\nTRIGGER:-PT1H", 8, "VCALENDAR", "cannot be read");
-        for (String text : new String[] {"", "hello", "BEGIN:VCALENDAR\r\n", BEFORE, "\0"}) {
+        for (String text : new String[] {"", "hello", "BEGIN:VCALENDAR\r\n", HEADER, "\0"}) {
             assertFalse(text, CalendarLoader.check("a", "Europe/Zagreb", text, NOW).ok());
         }
-        String whole = BEFORE + START + "END:VEVENT\r\nEND:VCALENDAR\r\n";
+        String whole = HEADER + START + "END:VEVENT\r\nEND:VCALENDAR\r\n";
         assertTrue(CalendarLoader.check("a", "Europe/Zagreb", whole, NOW).ok());
         assertFalse(
                 "two of them", CalendarLoader.check("a", "Europe/Zagreb", whole + whole, NOW).ok());
--- a/calendar/src/test/java/postgrade/calendar/oracle/CalendarWriter.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/CalendarWriter.java
@@ -17,16 +17,16 @@
 
     private final StringBuilder out = new StringBuilder();
 
-    static String of(GeneratedCase m) {
-        CalendarWriter t = new CalendarWriter();
-        t.line("BEGIN:VCALENDAR").line("VERSION:2.0");
-        if (m.ownZone != null) {
-            t.zone(m.ownZone);
+    static String of(GeneratedCase generated) {
+        CalendarWriter writer = new CalendarWriter();
+        writer.line("BEGIN:VCALENDAR").line("VERSION:2.0");
+        if (generated.ownZone != null) {
+            writer.zone(generated.ownZone);
         }
-        for (int i = 0; i < m.events.size(); i++) {
-            t.maintenance("w" + i, m.events.get(i));
+        for (int i = 0; i < generated.events.size(); i++) {
+            writer.maintenance("w" + i, generated.events.get(i));
         }
-        return t.line("END:VCALENDAR").out.toString();
+        return writer.line("END:VCALENDAR").out.toString();
     }
 
     private CalendarWriter line(String text) {
@@ -65,32 +65,41 @@
         return String.format("%s%02d%02d", seconds < 0 ? "-" : "+", s / 3600, s / 60 % 60);
     }
 
-    private void maintenance(String uid, Maintenance w) {
-        line("BEGIN:VEVENT").line("UID:" + uid).line(stamp("DTSTART", w.start));
-        if (w.statesEnd) {
-            LocalDateTime end = w.start.local().plusDays(w.days).plusSeconds(w.seconds);
+    private void maintenance(String uid, Maintenance event) {
+        line("BEGIN:VEVENT").line("UID:" + uid).line(stamp("DTSTART", event.start));
+        if (event.statesEnd) {
+            LocalDateTime end = event.start.local().plusDays(event.days).plusSeconds(event.seconds);
             line(
                     stamp(
                             "DTEND",
-                            new LocalStamp(end, w.start.zoneId(), w.start.zone(), w.start.date())));
+                            new LocalStamp(
+                                    end,
+                                    event.start.zoneId(),
+                                    event.start.zone(),
+                                    event.start.date())));
         } else {
             line(
                     "DURATION:P"
-                            + (w.days > 0 ? w.days + "D" : "")
-                            + (w.seconds > 0 || w.days == 0 ? "T" + w.seconds + "S" : ""));
+                            + (event.days > 0 ? event.days + "D" : "")
+                            + (event.seconds > 0 || event.days == 0
+                                    ? "T" + event.seconds + "S"
+                                    : ""));
         }
-        if (w.rule != null) {
-            line("RRULE:" + rule(w.rule));
+        if (event.rule != null) {
+            line("RRULE:" + rule(event.rule));
         }
-        w.extra.forEach(s -> line(stamp("RDATE", s)));
-        w.excluded.forEach(s -> line(stamp("EXDATE", s)));
+        event.extra.forEach(s -> line(stamp("RDATE", s)));
+        event.excluded.forEach(s -> line(stamp("EXDATE", s)));
         line("END:VEVENT");
-        for (LocalStamp[] pair : w.moved) {
+        for (LocalStamp[] move : event.moved) {
             line("BEGIN:VEVENT")
                     .line("UID:" + uid)
-                    .line(stamp("RECURRENCE-ID", pair[0]))
-                    .line(stamp("DTSTART", pair[1]))
-                    .line(pair[1].date() ? "DURATION:P1D" : "DURATION:PT" + w.movedSeconds + "S")
+                    .line(stamp("RECURRENCE-ID", move[0]))
+                    .line(stamp("DTSTART", move[1]))
+                    .line(
+                            move[1].date()
+                                    ? "DURATION:P1D"
+                                    : "DURATION:PT" + event.movedSeconds + "S")
                     .line("END:VEVENT");
         }
     }
@@ -112,31 +121,34 @@
                 : TIME.format(s.local()) + ("Z".equals(s.zoneId()) ? "Z" : "");
     }
 
-    private static String rule(Rule r) {
-        StringBuilder t = new StringBuilder("FREQ=" + r.freq);
-        t.append(r.interval > 1 ? ";INTERVAL=" + r.interval : "")
-                .append(r.count > 0 ? ";COUNT=" + r.count : "")
-                .append(r.until != null ? ";UNTIL=" + time(r.until) : "")
+    private static String rule(Rule rule) {
+        StringBuilder text = new StringBuilder("FREQ=" + rule.freq);
+        text.append(rule.interval > 1 ? ";INTERVAL=" + rule.interval : "")
+                .append(rule.count > 0 ? ";COUNT=" + rule.count : "")
+                .append(rule.until != null ? ";UNTIL=" + time(rule.until) : "")
                 .append(";WKST=")
-                .append(DAYS[r.weekStart.getValue()]);
-        list(t, "BYMONTH", r.month);
-        list(t, "BYWEEKNO", r.weekNo);
-        list(t, "BYYEARDAY", r.yearDay);
-        list(t, "BYMONTHDAY", r.monthDay);
-        list(t, "BYDAY", r.day.stream().map(d -> (d[0] == 0 ? "" : d[0]) + DAYS[d[1]]).toList());
-        list(t, "BYHOUR", r.hour);
-        list(t, "BYMINUTE", r.minute);
-        list(t, "BYSECOND", r.second);
-        list(t, "BYSETPOS", r.setPos);
-        return t.toString();
+                .append(DAYS[rule.weekStart.getValue()]);
+        list(text, "BYMONTH", rule.month);
+        list(text, "BYWEEKNO", rule.weekNo);
+        list(text, "BYYEARDAY", rule.yearDay);
+        list(text, "BYMONTHDAY", rule.monthDay);
+        list(
+                text,
+                "BYDAY",
+                rule.day.stream().map(d -> (d[0] == 0 ? "" : d[0]) + DAYS[d[1]]).toList());
+        list(text, "BYHOUR", rule.hour);
+        list(text, "BYMINUTE", rule.minute);
+        list(text, "BYSECOND", rule.second);
+        list(text, "BYSETPOS", rule.setPos);
+        return text.toString();
     }
 
-    private static void list(StringBuilder t, String name, List<?> all) {
-        if (!all.isEmpty()) {
-            t.append(';')
+    private static void list(StringBuilder text, String name, List<?> values) {
+        if (!values.isEmpty()) {
+            text.append(';')
                     .append(name)
                     .append('=')
-                    .append(all.stream().map(String::valueOf).collect(Collectors.joining(",")));
+                    .append(values.stream().map(String::valueOf).collect(Collectors.joining(",")));
         }
     }
 }
--- a/calendar/src/test/java/postgrade/calendar/oracle/CaseGenerator.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/CaseGenerator.java
@@ -19,7 +19,7 @@
     private final SplittableRandom random;
     private final GeneratedCase generated = new GeneratedCase();
     private ReferenceZone site;
-    private ReferenceZone own;
+    private ReferenceZone ownZone;
     private long focus;
 
     private CaseGenerator(long seed, long number) {
@@ -31,8 +31,8 @@
         return new CaseGenerator(seed, number).generate();
     }
 
-    private int between(int from, int to) {
-        return random.nextInt(from, to + 1);
+    private int between(int min, int max) {
+        return random.nextInt(min, max + 1);
     }
 
     private boolean oneIn(int odds) {
@@ -54,7 +54,7 @@
                         north ? between(9, 11) : between(2, 5),
                         -between(1, 3)
                     };
-            own = GeneratedZones.build(generated.ownZone);
+            ownZone = GeneratedZones.build(generated.ownZone);
             if (oneIn(2)) {
                 int year = 2000 + between(0, 50);
                 focus =
@@ -69,7 +69,7 @@
         for (int i = between(1, 3); i > 0; i--) {
             generated.events.add(maintenance());
         }
-        plan();
+        generatePlan();
         return generated;
     }
 
@@ -98,8 +98,8 @@
         if (kind == 2) {
             return new LocalStamp(whole, null, null, false);
         }
-        if (own != null && kind < 6) {
-            return new LocalStamp(whole, "Own", own, false);
+        if (ownZone != null && kind < 6) {
+            return new LocalStamp(whole, "Own", ownZone, false);
         }
         String id = kind < 8 ? generated.siteZone : ZONES.get(random.nextInt(ZONES.size()));
         return new LocalStamp(whole, id, ReferenceZone.of(id), false);
@@ -114,7 +114,7 @@
     }
 
     private Maintenance maintenance() {
-        Maintenance w = new Maintenance();
+        Maintenance event = new Maintenance();
         Freq freq =
                 oneIn(1000)
                         ? Freq.SECONDLY
@@ -141,50 +141,54 @@
         if (freq == Freq.YEARLY && local.getYear() > 1972) {
             local = oneIn(2) ? nearFocus.minusYears(between(0, 5)) : local;
         }
-        w.start = stamp(local, subDaily ? between(1, 9) : between(0, 9));
-        w.days = w.start.date() ? between(0, 2) : oneIn(3) ? between(0, 2) : 0;
-        w.seconds =
-                w.start.date() || oneIn(8)
+        event.start = stamp(local, subDaily ? between(1, 9) : between(0, 9));
+        event.days = event.start.date() ? between(0, 2) : oneIn(3) ? between(0, 2) : 0;
+        event.seconds =
+                event.start.date() || oneIn(8)
                         ? 0
                         : oneIn(3)
                                 ? between(1, 40_000)
                                 : oneIn(2) ? 1800L * between(1, 6) : between(1, 90);
         if (subDaily) {
-            w.days = 0;
-            w.seconds = Math.min(w.seconds, 900);
+            event.days = 0;
+            event.seconds = Math.min(event.seconds, 900);
         }
-        w.statesEnd = oneIn(3) && !(w.start.date() && w.days == 0) && endsAfterStart(w);
+        event.statesEnd =
+                oneIn(3) && !(event.start.date() && event.days == 0) && endsAfterStart(event);
         if (!oneIn(5)) {
-            w.rule = new RuleGenerator(random, w.start, freq).generate();
+            event.rule = new RuleGenerator(random, event.start, freq).generate();
         }
-        int changes = oneIn(2) ? 0 : between(1, 3);
-        for (int i = 0; i < changes; i++) {
+        int modifications = oneIn(2) ? 0 : between(1, 3);
+        for (int i = 0; i < modifications; i++) {
             LocalDateTime instance =
                     freq == Freq.WEEKLY
-                            ? w.start.local().plusWeeks(between(0, 8))
+                            ? event.start.local().plusWeeks(between(0, 8))
                             : freq == Freq.HOURLY
-                                    ? w.start.local().plusHours(between(0, 60))
-                                    : w.start.local().plusDays(between(0, 20));
+                                    ? event.start.local().plusHours(between(0, 60))
+                                    : event.start.local().plusDays(between(0, 20));
             LocalDateTime other = nearFocus.plusMinutes(between(-2000, 2000));
             switch (between(0, 2)) {
-                case 0 -> w.excluded.add(withLocal(w.start, instance));
-                case 1 -> w.extra.add(withLocal(w.start, other));
+                case 0 -> event.excluded.add(withLocal(event.start, instance));
+                case 1 -> event.extra.add(withLocal(event.start, other));
                 default -> {
-                    w.movedSeconds = between(0, 9000);
-                    if (w.moved.stream()
-                            .noneMatch(p -> at(p[0]) == at(withLocal(w.start, instance)))) {
-                        w.moved.add(
+                    event.movedSeconds = between(0, 9000);
+                    if (event.moved.stream()
+                            .noneMatch(
+                                    p ->
+                                            instant(p[0])
+                                                    == instant(withLocal(event.start, instance)))) {
+                        event.moved.add(
                                 new LocalStamp[] {
-                                    withLocal(w.start, instance), withLocal(w.start, other)
+                                    withLocal(event.start, instance), withLocal(event.start, other)
                                 });
                     }
                 }
             }
         }
-        return w;
+        return event;
     }
 
-    private long at(LocalStamp s) {
+    private long instant(LocalStamp s) {
         return (s.zone() == null ? site : s.zone()).instant(s.local(), Mutation.NONE);
     }
 
@@ -192,12 +196,12 @@
      * Returns whether a stated end is not before its start; where clocks go back it may be, and
      * such a calendar is invalid.
      */
-    private boolean endsAfterStart(Maintenance w) {
-        LocalDateTime end = w.start.local().plusDays(w.days).plusSeconds(w.seconds);
-        return at(withLocal(w.start, end)) >= at(w.start);
+    private boolean endsAfterStart(Maintenance event) {
+        LocalDateTime end = event.start.local().plusDays(event.days).plusSeconds(event.seconds);
+        return instant(withLocal(event.start, end)) >= instant(event.start);
     }
 
-    private void plan() {
+    private void generatePlan() {
         generated.durationMillis =
                 oneIn(8)
                         ? 0
--- a/calendar/src/test/java/postgrade/calendar/oracle/Comparison.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/Comparison.java
@@ -31,9 +31,9 @@
                         generated.deadline,
                         generated.durationMillis,
                         List.of("a"));
-        StartWindows.Result answer =
+        StartWindows.Result result =
                 StartWindows.query(plan, s -> calendar, generated.now, generated.clockErrorMillis);
-        Intervals starts = answer.anySite();
+        Intervals starts = result.anySite();
         Oracle oracle = new Oracle(generated, mutation);
         // Every point at which the result of either may change, and a millisecond to each side.
         TreeSet<Long> points =
@@ -55,31 +55,36 @@
             points.add(starts.from(i));
             points.add(starts.to(i));
         }
-        long first = StartWindows.NEVER;
+        long firstExpected = StartWindows.NEVER;
         for (long point : points) {
-            for (long at = point - 1; at <= point + 1; at++) {
-                boolean expected = oracle.mayStart(at);
-                if (expected && first == StartWindows.NEVER) {
-                    first = at;
+            for (long start = point - 1; start <= point + 1; start++) {
+                boolean expected = oracle.mayStart(start);
+                if (expected && firstExpected == StartWindows.NEVER) {
+                    firstExpected = start;
                 }
-                if (expected != starts.contains(at)) {
+                if (expected != starts.contains(start)) {
                     return "a start at "
-                            + at
+                            + start
                             + ": "
-                            + starts.contains(at)
+                            + starts.contains(start)
                             + ", by the oracle "
                             + expected;
                 }
             }
         }
-        long opens =
+        long nextOpening =
                 StartWindows.nextOpening(
                         plan, s -> calendar, generated.now, generated.clockErrorMillis);
-        if (opens != first
-                || answer.opensAt() != first
+        if (nextOpening != firstExpected
+                || result.opensAt() != firstExpected
                 || StartWindows.mayStart(plan, calendar, generated.now, generated.clockErrorMillis)
                         != oracle.mayStart(generated.now)) {
-            return "opens at " + opens + " and " + answer.opensAt() + ", by the oracle " + first;
+            return "opens at "
+                    + nextOpening
+                    + " and "
+                    + result.opensAt()
+                    + ", by the oracle "
+                    + firstExpected;
         }
         return null;
     }
--- a/calendar/src/test/java/postgrade/calendar/oracle/DayMatcher.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/DayMatcher.java
@@ -76,8 +76,8 @@
         return given.isEmpty() || given.contains(value) || given.contains(fromEnd);
     }
 
-    private static long weekStart(Rule r, LocalDate day, Mutation mutation) {
-        int start = mutation == Mutation.WEEKS_FROM_SUNDAY ? 7 : r.weekStart.getValue();
+    private static long weekStart(Rule rule, LocalDate day, Mutation mutation) {
+        int start = mutation == Mutation.WEEKS_FROM_SUNDAY ? 7 : rule.weekStart.getValue();
         long at = day.toEpochDay();
         while (LocalDate.ofEpochDay(at).getDayOfWeek().getValue() != start) {
             at--;
@@ -86,11 +86,11 @@
     }
 
     /** A week belongs to the year that contains its fourth day. */
-    private static boolean matchesWeek(Rule r, LocalDate day, Mutation mutation) {
-        if (r.weekNo.isEmpty()) {
+    private static boolean matchesWeek(Rule rule, LocalDate day, Mutation mutation) {
+        if (rule.weekNo.isEmpty()) {
             return true;
         }
-        LocalDate fourth = LocalDate.ofEpochDay(weekStart(r, day, mutation) + 3);
+        LocalDate fourth = LocalDate.ofEpochDay(weekStart(rule, day, mutation) + 3);
         int number = 1;
         for (LocalDate d = fourth.minusDays(7);
                 d.getYear() == fourth.getYear();
@@ -101,15 +101,15 @@
         for (LocalDate d = fourth.plusDays(7); d.getYear() == fourth.getYear(); d = d.plusDays(7)) {
             fromEnd--;
         }
-        return matchesFromEitherEnd(r.weekNo, number, fromEnd);
+        return matchesFromEitherEnd(rule.weekNo, number, fromEnd);
     }
 
-    private static boolean matchesWeekday(Rule r, LocalDate day) {
-        if (r.day.isEmpty()) {
+    private static boolean matchesWeekday(Rule rule, LocalDate day) {
+        if (rule.day.isEmpty()) {
             return true;
         }
-        boolean ofYear = r.freq == Freq.YEARLY && r.month.isEmpty();
-        for (int[] d : r.day) {
+        boolean ofYear = rule.freq == Freq.YEARLY && rule.month.isEmpty();
+        for (int[] d : rule.day) {
             if (d[1] == day.getDayOfWeek().getValue()) {
                 int step = d[0] > 0 ? -7 : 7;
                 int nth = 1;
@@ -127,18 +127,19 @@
         return false;
     }
 
-    static long periodNumber(Rule r, LocalDateTime t, Mutation mutation) {
-        return switch (r.freq) {
-            case YEARLY -> t.getYear();
-            case MONTHLY -> t.getYear() * 12L + t.getMonthValue();
+    static long periodNumber(Rule rule, LocalDateTime time, Mutation mutation) {
+        return switch (rule.freq) {
+            case YEARLY -> time.getYear();
+            case MONTHLY -> time.getYear() * 12L + time.getMonthValue();
             case WEEKLY ->
                     Math.floorDiv(
-                            weekStart(r, t.toLocalDate(), mutation) - (r.weekStart.getValue() - 4),
+                            weekStart(rule, time.toLocalDate(), mutation)
+                                    - (rule.weekStart.getValue() - 4),
                             7L);
-            case DAILY -> t.toLocalDate().toEpochDay();
-            case HOURLY -> Math.floorDiv(t.toEpochSecond(ZoneOffset.UTC), 3600L);
-            case MINUTELY -> Math.floorDiv(t.toEpochSecond(ZoneOffset.UTC), 60L);
-            case SECONDLY -> t.toEpochSecond(ZoneOffset.UTC);
+            case DAILY -> time.toLocalDate().toEpochDay();
+            case HOURLY -> Math.floorDiv(time.toEpochSecond(ZoneOffset.UTC), 3600L);
+            case MINUTELY -> Math.floorDiv(time.toEpochSecond(ZoneOffset.UTC), 60L);
+            case SECONDLY -> time.toEpochSecond(ZoneOffset.UTC);
         };
     }
 }
--- a/calendar/src/test/java/postgrade/calendar/oracle/Oracle.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/Oracle.java
@@ -34,24 +34,26 @@
         generated.events.forEach(this::add);
     }
 
-    private long at(LocalStamp s) {
+    private long instant(LocalStamp s) {
         return (s.zone() == null ? site : s.zone()).instant(s.local(), mutation);
     }
 
     private void add(Maintenance event) {
         Set<Long> excluded = new TreeSet<>();
         if (mutation != Mutation.LEFT_OUT_KEPT) {
-            event.excluded.forEach(s -> excluded.add(at(s)));
+            event.excluded.forEach(s -> excluded.add(instant(s)));
         }
-        for (LocalStamp[] pair : event.moved) {
+        for (LocalStamp[] move : event.moved) {
             if (mutation != Mutation.MOVED_KEPT) {
-                excluded.add(at(pair[0]));
+                excluded.add(instant(move[0]));
             }
-            long from = at(pair[1]);
+            long from = instant(move[1]);
             closed.add(
                     new long[] {
                         from,
-                        pair[1].date() ? at(plusDays(pair[1], 1)) : from + event.movedSeconds * 1000
+                        move[1].date()
+                                ? instant(plusDays(move[1], 1))
+                                : from + event.movedSeconds * 1000
                     });
         }
         List<LocalStamp> starts = new ArrayList<>(List.of(event.start));
@@ -68,8 +70,8 @@
         }
         starts.addAll(event.extra);
         for (LocalStamp s : starts) {
-            if (!excluded.contains(at(s))) {
-                closed.add(new long[] {at(s), end(event, s)});
+            if (!excluded.contains(instant(s))) {
+                closed.add(new long[] {instant(s), end(event, s)});
             }
         }
         closed.removeIf(c -> c[0] >= c[1]);
@@ -87,73 +89,76 @@
                             event.start.zoneId(),
                             event.start.zone(),
                             false);
-            return at(s) + at(end) - at(event.start);
+            return instant(s) + instant(end) - instant(event.start);
         }
         long from =
                 event.days == 0
-                        ? at(s)
+                        ? instant(s)
                         : mutation == Mutation.NOMINAL_AS_EXACT
-                                ? at(s) + event.days * 86_400_000L
-                                : at(plusDays(s, event.days));
+                                ? instant(s) + event.days * 86_400_000L
+                                : instant(plusDays(s, event.days));
         return from + event.seconds * 1000;
     }
 
     /** Returns the local times after the first that the rule matches, up to the horizon. */
     private List<LocalDateTime> ruleTimes(Maintenance event) {
-        Rule r = event.rule;
-        LocalDateTime first = event.start.local();
+        Rule rule = event.rule;
+        LocalDateTime firstStart = event.start.local();
         LocalDateTime last =
                 (event.start.zone() == null ? site : event.start.zone())
                         .local(generated.to)
                         .plusDays(4);
         List<LocalDateTime> all = new ArrayList<>();
         List<LocalDateTime> periodTimes = new ArrayList<>();
-        long period = Long.MIN_VALUE;
+        long currentPeriod = Long.MIN_VALUE;
         // Starts before the period that contains the first instance, since positions count from the
         // start of the period.
         LocalDate from =
-                r.freq == Freq.YEARLY
-                        ? LocalDate.of(first.getYear(), 1, 1)
-                        : r.freq == Freq.MONTHLY
-                                ? first.toLocalDate().withDayOfMonth(1)
-                                : first.toLocalDate().minusDays(r.freq == Freq.WEEKLY ? 7 : 0);
+                rule.freq == Freq.YEARLY
+                        ? LocalDate.of(firstStart.getYear(), 1, 1)
+                        : rule.freq == Freq.MONTHLY
+                                ? firstStart.toLocalDate().withDayOfMonth(1)
+                                : firstStart
+                                        .toLocalDate()
+                                        .minusDays(rule.freq == Freq.WEEKLY ? 7 : 0);
         // Continues to the end of the last period.
-        LocalDate to = last.toLocalDate().plusDays(r.setPos.isEmpty() ? 0 : 370);
+        LocalDate to = last.toLocalDate().plusDays(rule.setPos.isEmpty() ? 0 : 370);
         for (LocalDate day = from; !day.isAfter(to); day = day.plusDays(1)) {
-            if (!DayMatcher.matches(r, first, day, mutation)) {
+            if (!DayMatcher.matches(rule, firstStart, day, mutation)) {
                 continue;
             }
-            for (LocalDateTime t : times(r, first, day)) {
-                long p = DayMatcher.periodNumber(r, t, mutation);
+            for (LocalDateTime t : times(rule, firstStart, day)) {
+                long p = DayMatcher.periodNumber(rule, t, mutation);
                 if (Math.floorMod(
-                                p - DayMatcher.periodNumber(r, first, mutation), (long) r.interval)
+                                p - DayMatcher.periodNumber(rule, firstStart, mutation),
+                                (long) rule.interval)
                         != 0) {
                     continue;
                 }
-                if (p != period) {
-                    all.addAll(selectPositions(r, periodTimes));
+                if (p != currentPeriod) {
+                    all.addAll(selectPositions(rule, periodTimes));
                     periodTimes.clear();
-                    period = p;
+                    currentPeriod = p;
                 }
                 periodTimes.add(t);
             }
         }
-        all.addAll(selectPositions(r, periodTimes));
+        all.addAll(selectPositions(rule, periodTimes));
         return applyEnd(
                 event,
                 all.stream()
-                        .filter(t -> t.isAfter(first) && !t.isAfter(last))
+                        .filter(t -> t.isAfter(firstStart) && !t.isAfter(last))
                         .collect(Collectors.toList()));
     }
 
-    private List<LocalDateTime> selectPositions(Rule r, List<LocalDateTime> periodTimes) {
-        if (r.setPos.isEmpty()) {
+    private List<LocalDateTime> selectPositions(Rule rule, List<LocalDateTime> periodTimes) {
+        if (rule.setPos.isEmpty()) {
             return List.copyOf(periodTimes);
         }
         Set<LocalDateTime> chosen = new TreeSet<>();
         for (int i = 0; i < periodTimes.size(); i++) {
             int fromEnd = mutation == Mutation.POSITIONS_FROM_FIRST ? i : i - periodTimes.size();
-            if (r.setPos.contains(i + 1) || r.setPos.contains(fromEnd)) {
+            if (rule.setPos.contains(i + 1) || rule.setPos.contains(fromEnd)) {
                 chosen.add(periodTimes.get(i));
             }
         }
@@ -161,13 +166,13 @@
     }
 
     private List<LocalDateTime> applyEnd(Maintenance event, List<LocalDateTime> all) {
-        Rule r = event.rule;
-        if (r.until != null) {
-            long until = at(r.until);
+        Rule rule = event.rule;
+        if (rule.until != null) {
+            long until = instant(rule.until);
             all.removeIf(
                     t -> {
                         long at =
-                                at(
+                                instant(
                                         new LocalStamp(
                                                 t,
                                                 event.start.zoneId(),
@@ -177,40 +182,40 @@
                     });
         }
         int limit =
-                r.count == 0
+                rule.count == 0
                         ? all.size()
-                        : r.count - (mutation == Mutation.COUNT_WITHOUT_FIRST ? 0 : 1);
+                        : rule.count - (mutation == Mutation.COUNT_WITHOUT_FIRST ? 0 : 1);
         return all.subList(0, Math.min(limit, all.size()));
     }
 
     /** Returns every time of the day that the rule may match, in order. */
-    private static List<LocalDateTime> times(Rule r, LocalDateTime first, LocalDate day) {
+    private static List<LocalDateTime> times(Rule rule, LocalDateTime first, LocalDate day) {
         List<LocalDateTime> all = new ArrayList<>();
         List<Integer> hours =
-                r.freq.compareTo(Freq.HOURLY) <= 0
-                        ? allOrGiven(r.hour, 24)
-                        : orDefault(r.hour, first.getHour());
+                rule.freq.compareTo(Freq.HOURLY) <= 0
+                        ? allOrGiven(rule.hour, 24)
+                        : orDefault(rule.hour, first.getHour());
         List<Integer> minutes =
-                r.freq.compareTo(Freq.MINUTELY) <= 0
-                        ? allOrGiven(r.minute, 60)
-                        : orDefault(r.minute, first.getMinute());
+                rule.freq.compareTo(Freq.MINUTELY) <= 0
+                        ? allOrGiven(rule.minute, 60)
+                        : orDefault(rule.minute, first.getMinute());
         List<Integer> seconds =
-                r.freq == Freq.SECONDLY
-                        ? allOrGiven(r.second, 60)
-                        : orDefault(r.second, first.getSecond());
+                rule.freq == Freq.SECONDLY
+                        ? allOrGiven(rule.second, 60)
+                        : orDefault(rule.second, first.getSecond());
         for (int h : hours) {
             for (int min : minutes) {
                 for (int s : seconds) {
                     // Most seconds do not match the rule; they are filtered by plain arithmetic,
                     // since there are many.
-                    if (r.freq != Freq.SECONDLY
+                    if (rule.freq != Freq.SECONDLY
                             || Math.floorMod(
                                             day.toEpochDay() * 86_400
                                                     + h * 3600
                                                     + min * 60
                                                     + s
                                                     - first.toEpochSecond(ZoneOffset.UTC),
-                                            (long) r.interval)
+                                            (long) rule.interval)
                                     == 0) {
                         all.add(day.atTime(h, min, s));
                     }
--- a/calendar/src/test/java/postgrade/calendar/oracle/OracleMain.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/OracleMain.java
@@ -27,18 +27,19 @@
                                 for (long i = next.getAndIncrement();
                                         i < cases;
                                         i = next.getAndIncrement()) {
-                                    GeneratedCase made = CaseGenerator.generate(seed, i);
-                                    String differs = Comparison.findDifference(made, mutation);
-                                    if (differs != null && differing.getAndIncrement() < 3) {
+                                    GeneratedCase generated = CaseGenerator.generate(seed, i);
+                                    String difference =
+                                            Comparison.findDifference(generated, mutation);
+                                    if (difference != null && differing.getAndIncrement() < 3) {
                                         System.out.println(
                                                 "case "
                                                         + i
                                                         + ": "
-                                                        + differs
+                                                        + difference
                                                         + ", site in "
-                                                        + made.siteZone
+                                                        + generated.siteZone
                                                         + "\n"
-                                                        + made.text());
+                                                        + generated.text());
                                     }
                                 }
                             });
--- a/calendar/src/test/java/postgrade/calendar/oracle/OracleTest.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/OracleTest.java
@@ -26,19 +26,19 @@
     @Test
     public void implementationAgreesWithOracle() {
         for (int i = 0; i < CASES; i++) {
-            GeneratedCase made = CaseGenerator.generate(1, i);
-            String differs = Comparison.findDifference(made, Mutation.NONE);
-            if (differs != null) {
+            GeneratedCase generated = CaseGenerator.generate(1, i);
+            String difference = Comparison.findDifference(generated, Mutation.NONE);
+            if (difference != null) {
                 assertNull(
                         "case "
                                 + i
                                 + ", "
-                                + differs
+                                + difference
                                 + ", site in "
-                                + made.siteZone
+                                + generated.siteZone
                                 + "\n"
-                                + made.text(),
-                        differs);
+                                + generated.text(),
+                        difference);
             }
         }
     }
@@ -64,21 +64,21 @@
 
     /** Maintenance on each 29 February, queried around 1 March of a year without one. */
     private static GeneratedCase leapDayCase() {
-        GeneratedCase m = new GeneratedCase();
-        m.siteZone = "UTC";
-        Maintenance w = new Maintenance();
-        w.start =
+        GeneratedCase generated = new GeneratedCase();
+        generated.siteZone = "UTC";
+        Maintenance event = new Maintenance();
+        event.start =
                 new LocalStamp(
                         LocalDateTime.of(2024, 2, 29, 6, 0), "Z", ReferenceZone.of("UTC"), false);
-        w.seconds = 3600;
-        w.rule = new Rule();
-        w.rule.freq = Freq.YEARLY;
-        m.events.add(w);
-        m.from = LocalDateTime.of(2026, 2, 27, 0, 0).toEpochSecond(ZoneOffset.UTC) * 1000;
-        m.to = m.from + 4 * 86_400_000;
-        m.now = m.from;
-        m.earliestStart = m.from;
-        m.deadline = m.to;
-        return m;
+        event.seconds = 3600;
+        event.rule = new Rule();
+        event.rule.freq = Freq.YEARLY;
+        generated.events.add(event);
+        generated.from = LocalDateTime.of(2026, 2, 27, 0, 0).toEpochSecond(ZoneOffset.UTC) * 1000;
+        generated.to = generated.from + 4 * 86_400_000;
+        generated.now = generated.from;
+        generated.earliestStart = generated.from;
+        generated.deadline = generated.to;
+        return generated;
     }
 }
--- a/calendar/src/test/java/postgrade/calendar/oracle/ReferenceZone.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/ReferenceZone.java
@@ -53,13 +53,13 @@
 
     /** Returns milliseconds since 1970. */
     long instant(LocalDateTime local, Mutation mutation) {
-        long wall = local.toEpochSecond(ZoneOffset.UTC);
+        long localSecond = local.toEpochSecond(ZoneOffset.UTC);
         // Three days to each side: no clock change is larger.
-        int from = index(wall - 259_200);
-        int to = index(wall + 259_200);
+        int from = index(localSecond - 259_200);
+        int to = index(localSecond + 259_200);
         long found = Long.MIN_VALUE;
         for (int i = from; i <= to; i++) {
-            long instant = wall - offsets.get(i);
+            long instant = localSecond - offsets.get(i);
             long end = i + 1 < transitions.size() ? transitions.get(i + 1) : Long.MAX_VALUE;
             if (instant >= transitions.get(i)
                     && instant < end
@@ -70,9 +70,11 @@
         for (int i = from + 1; found == Long.MIN_VALUE && i <= to; i++) {
             // In the gap at this transition: read by the offset before, the instant is not before
             // the transition; read by the offset after, it is.
-            if (wall - offsets.get(i - 1) >= transitions.get(i)
-                    && wall - offsets.get(i) < transitions.get(i)) {
-                found = wall - offsets.get(mutation == Mutation.OFFSET_AFTER_GAP ? i : i - 1);
+            if (localSecond - offsets.get(i - 1) >= transitions.get(i)
+                    && localSecond - offsets.get(i) < transitions.get(i)) {
+                found =
+                        localSecond
+                                - offsets.get(mutation == Mutation.OFFSET_AFTER_GAP ? i : i - 1);
             }
         }
         return found * 1000 + local.getNano() / 1_000_000;
--- a/calendar/src/test/java/postgrade/calendar/oracle/RuleGenerator.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/RuleGenerator.java
@@ -22,18 +22,18 @@
         rule.freq = freq;
     }
 
-    private int between(int from, int to) {
-        return random.nextInt(from, to + 1);
+    private int between(int min, int max) {
+        return random.nextInt(min, max + 1);
     }
 
     private boolean oneIn(int odds) {
         return random.nextInt(odds) == 0;
     }
 
-    private void addRandom(List<Integer> to, int from, int up, boolean fromEnd) {
+    private void addRandom(List<Integer> values, int min, int max, boolean fromEnd) {
         for (int i = between(1, 3); i > 0; i--) {
-            int value = between(from, up);
-            to.add(fromEnd && oneIn(3) ? -value : value);
+            int value = between(min, max);
+            values.add(fromEnd && oneIn(3) ? -value : value);
         }
     }
 
@@ -100,14 +100,14 @@
      * Adds a value that matches the first instance and some others, so that most rules match
      * something.
      */
-    private void addMatching(List<Integer> to, int value, int from, int up, boolean fromEnd) {
-        to.add(value);
+    private void addMatching(List<Integer> values, int value, int min, int max, boolean fromEnd) {
+        values.add(value);
         if (oneIn(2)) {
-            addRandom(to, from, up, fromEnd);
+            addRandom(values, min, max, fromEnd);
         }
         if (oneIn(4)) {
-            to.remove(0);
-            addRandom(to, from, up, fromEnd);
+            values.remove(0);
+            addRandom(values, min, max, fromEnd);
         }
     }
 
--- a/core/src/main/java/postgrade/window/CalendarRegistry.java
+++ b/core/src/main/java/postgrade/window/CalendarRegistry.java
@@ -133,26 +133,26 @@
      * covers less than half the horizon from now on.
      */
     public List<PendingCalendar> pending(long nowMillis, long horizon) {
-        List<PendingCalendar> all = new ArrayList<>();
+        List<PendingCalendar> result = new ArrayList<>();
         sites.forEach(
                 (site, versions) -> {
                     for (String version : new String[] {versions.current, versions.next}) {
                         String key = site + ":" + version;
-                        SiteCalendar known = compiled.get(key);
+                        SiteCalendar existing = compiled.get(key);
                         if (version != null
                                 && !unreadable.containsKey(key)
-                                && (known == null
-                                        || known.horizonEnd() - nowMillis < horizon / 2)) {
+                                && (existing == null
+                                        || existing.horizonEnd() - nowMillis < horizon / 2)) {
                             Row row =
                                     view.rows()
                                             .get(CalendarPart.NAME, CalendarPart.TEXT_PREFIX + key);
-                            all.add(
+                            result.add(
                                     new PendingCalendar(
                                             site, version, row.text("zone"), row.text("text")));
                         }
                     }
                 });
-        return all;
+        return result;
     }
 
     /** Adds a compiled calendar; ignored if its version is no longer in the view. */
@@ -164,11 +164,11 @@
      * Records that a text cannot be compiled here, for example because this machine does not know
      * its zone. The calendar of its site stays unknown.
      */
-    public void markUnreadable(PendingCalendar calendar, String why) {
-        store(calendar.site, calendar.version, null, why);
+    public void markUnreadable(PendingCalendar calendar, String reason) {
+        store(calendar.site, calendar.version, null, reason);
     }
 
-    private void store(String site, String version, SiteCalendar calendar, String why) {
+    private void store(String site, String version, SiteCalendar calendar, String reason) {
         Versions versions = sites.get(site);
         if (versions == null
                 || !version.equals(versions.current) && !version.equals(versions.next)) {
@@ -178,7 +178,7 @@
             compiled.put(site + ":" + version, calendar);
         } else {
             compiled.remove(site + ":" + version);
-            unreadable.put(site + ":" + version, why);
+            unreadable.put(site + ":" + version, reason);
         }
         updateInForce(site);
     }
@@ -205,11 +205,11 @@
         if (versions == null) {
             return "it has no calendar; one that is never closed needs an empty one";
         }
-        String fault =
+        String error =
                 unreadable.getOrDefault(
                         site + ":" + versions.current, unreadable.get(site + ":" + versions.next));
-        return fault == null
+        return error == null
                 ? "its calendar is being read"
-                : "its calendar cannot be read here: " + fault;
+                : "its calendar cannot be read here: " + error;
     }
 }
--- a/core/src/main/java/postgrade/window/DurationHistograms.java
+++ b/core/src/main/java/postgrade/window/DurationHistograms.java
@@ -36,10 +36,10 @@
             return -1;
         }
         long rank = (long) Math.ceil(quantile * histogram[BUCKETS]);
-        long seen = 0;
+        long cumulative = 0;
         for (int i = 0; i < BUCKETS; i++) {
-            seen += histogram[i];
-            if (histogram[i] > 0 && seen >= rank) {
+            cumulative += histogram[i];
+            if (histogram[i] > 0 && cumulative >= rank) {
                 return upperBound(i);
             }
         }
--- a/core/src/main/java/postgrade/window/InstanceExpander.java
+++ b/core/src/main/java/postgrade/window/InstanceExpander.java
@@ -97,12 +97,12 @@
         }
     }
 
-    private void addInstance(ZonedTime start, EventDuration length, int line, String property) {
+    private void addInstance(ZonedTime start, EventDuration duration, int line, String property) {
         long begin = start.toEpochMillis();
         if (begin >= to || event.excludedStarts().contains(begin)) {
             return;
         }
-        long end = length.endOf(start);
+        long end = duration.endOf(start);
         if (end > from && end > begin && seen.add(new Instance(begin, end))) {
             budget.countOccurrence(line, property);
             sink.accept(begin, end);
--- a/core/src/main/java/postgrade/window/Intervals.java
+++ b/core/src/main/java/postgrade/window/Intervals.java
@@ -100,9 +100,9 @@
             to[size++] = end;
         }
 
-        public void add(Intervals all) {
-            for (int i = 0; i < all.size(); i++) {
-                add(all.from[i], all.to[i]);
+        public void add(Intervals intervals) {
+            for (int i = 0; i < intervals.size(); i++) {
+                add(intervals.from[i], intervals.to[i]);
             }
         }
 
@@ -125,17 +125,17 @@
             Arrays.sort(ends);
             Builder merged = new Builder();
             int open = 0;
-            long since = 0;
+            long start = 0;
             for (int b = 0, e = 0; e < size; ) {
                 if (b < size && begins[b] <= ends[e]) {
                     if (open++ == 0) {
-                        since = begins[b];
+                        start = begins[b];
                     }
                     b++;
                 } else {
                     long end = ends[e++];
                     if (--open == 0) {
-                        merged.add(since, end);
+                        merged.add(start, end);
                     }
                 }
             }
--- a/core/src/main/java/postgrade/window/InvalidCalendarException.java
+++ b/core/src/main/java/postgrade/window/InvalidCalendarException.java
@@ -7,8 +7,8 @@
     private final int line;
     private final String property;
 
-    public InvalidCalendarException(int line, String property, String what) {
-        super(what, null, false, false);
+    public InvalidCalendarException(int line, String property, String message) {
+        super(message, null, false, false);
         this.line = line;
         this.property = property;
     }
--- a/core/src/main/java/postgrade/window/MaintenanceEvent.java
+++ b/core/src/main/java/postgrade/window/MaintenanceEvent.java
@@ -48,11 +48,11 @@
         }
 
         long endOf(ZonedTime start) {
-            long from =
+            long daysEnd =
                     days == 0
                             ? start.toEpochMillis()
                             : LocalTimes.toEpochMillis(start.local().plusDays(days), start.zone());
-            return Math.max(start.toEpochMillis(), from + millis);
+            return Math.max(start.toEpochMillis(), daysEnd + millis);
         }
     }
 
--- a/core/src/main/java/postgrade/window/RecurrencePeriod.java
+++ b/core/src/main/java/postgrade/window/RecurrencePeriod.java
@@ -55,19 +55,19 @@
     }
 
     private List<LocalTime> timesOfDay(LocalDateTime first) {
-        TreeSet<LocalTime> all = new TreeSet<>();
+        TreeSet<LocalTime> result = new TreeSet<>();
         for (int hour : orDefault(rule.hours(), first.getHour())) {
             for (int minute : orDefault(rule.minutes(), first.getMinute())) {
                 for (int second : orDefault(rule.seconds(), first.getSecond())) {
-                    all.add(LocalTime.of(hour, minute, second));
+                    result.add(LocalTime.of(hour, minute, second));
                 }
             }
         }
-        return List.copyOf(all);
+        return List.copyOf(result);
     }
 
-    private static int[] orDefault(int[] given, int defaultValue) {
-        return given.length > 0 ? given : new int[] {defaultValue};
+    private static int[] orDefault(int[] values, int defaultValue) {
+        return values.length > 0 ? values : new int[] {defaultValue};
     }
 
     /**
@@ -77,22 +77,22 @@
      */
     List<LocalDateTime> times(
             LocalDateTime periodStart, LocalDateTime first, ExpansionBudget budget) {
-        List<LocalDateTime> all = new ArrayList<>();
+        List<LocalDateTime> result = new ArrayList<>();
         switch (rule.frequency()) {
-            case YEAR -> addTimesOfDays(periodStart, periodStart.plusYears(1), budget, all);
-            case MONTH -> addTimesOfDays(periodStart, periodStart.plusMonths(1), budget, all);
-            case WEEK -> addTimesOfDays(periodStart, periodStart.plusWeeks(1), budget, all);
-            case DAY -> addTimesOfDays(periodStart, periodStart.plusDays(1), budget, all);
-            default -> addSubDailyTimes(periodStart, first, budget, all);
+            case YEAR -> addTimesOfDays(periodStart, periodStart.plusYears(1), budget, result);
+            case MONTH -> addTimesOfDays(periodStart, periodStart.plusMonths(1), budget, result);
+            case WEEK -> addTimesOfDays(periodStart, periodStart.plusWeeks(1), budget, result);
+            case DAY -> addTimesOfDays(periodStart, periodStart.plusDays(1), budget, result);
+            default -> addSubDailyTimes(periodStart, first, budget, result);
         }
-        return rule.positions().length == 0 ? all : selectPositions(all);
+        return rule.positions().length == 0 ? result : selectPositions(result);
     }
 
     private void addTimesOfDays(
             LocalDateTime periodStart,
             LocalDateTime periodEnd,
             ExpansionBudget budget,
-            List<LocalDateTime> all) {
+            List<LocalDateTime> result) {
         LocalDate last = periodEnd.toLocalDate();
         for (LocalDate day = periodStart.toLocalDate(); day.isBefore(last); day = day.plusDays(1)) {
             budget.spend(1);
@@ -103,7 +103,7 @@
             } else if (matches(day)) {
                 budget.spend(timesOfDay.size());
                 for (LocalTime time : timesOfDay) {
-                    all.add(day.atTime(time));
+                    result.add(day.atTime(time));
                 }
             }
         }
@@ -113,7 +113,7 @@
             LocalDateTime periodStart,
             LocalDateTime first,
             ExpansionBudget budget,
-            List<LocalDateTime> all) {
+            List<LocalDateTime> result) {
         budget.spend(1);
         if (!matches(periodStart.toLocalDate())
                 || !matchesAny(rule.hours(), periodStart.getHour())) {
@@ -127,11 +127,11 @@
                 }
             }
             budget.spend(sorted.size());
-            all.addAll(sorted);
+            result.addAll(sorted);
         } else if (matchesAny(rule.minutes(), periodStart.getMinute())) {
             if (rule.frequency() == Frequency.SECOND) {
                 if (matchesAny(rule.seconds(), periodStart.getSecond())) {
-                    all.add(periodStart);
+                    result.add(periodStart);
                 }
                 return;
             }
@@ -139,7 +139,7 @@
             for (int second : orDefault(rule.seconds(), first.getSecond())) {
                 sorted.add(periodStart.withSecond(second));
             }
-            all.addAll(sorted);
+            result.addAll(sorted);
         }
     }
 
@@ -160,33 +160,33 @@
         boolean ofYear = rule.frequency() == Frequency.YEAR && rule.months().length == 0;
         int position = ofYear ? date.getDayOfYear() : date.getDayOfMonth();
         int length = ofYear ? date.lengthOfYear() : date.lengthOfMonth();
-        for (NthWeekday d : weekdays) {
-            if (d.weekday() == weekday
-                    && (d.nth() == 0
-                            || d.nth() == (position - 1) / 7 + 1
-                            || d.nth() == -((length - position) / 7 + 1))) {
+        for (NthWeekday candidate : weekdays) {
+            if (candidate.weekday() == weekday
+                    && (candidate.nth() == 0
+                            || candidate.nth() == (position - 1) / 7 + 1
+                            || candidate.nth() == -((length - position) / 7 + 1))) {
                 return true;
             }
         }
         return false;
     }
 
-    private List<LocalDateTime> selectPositions(List<LocalDateTime> all) {
+    private List<LocalDateTime> selectPositions(List<LocalDateTime> times) {
         TreeSet<LocalDateTime> selected = new TreeSet<>();
         for (int position : rule.positions()) {
-            int index = position > 0 ? position - 1 : all.size() + position;
-            if (index >= 0 && index < all.size()) {
-                selected.add(all.get(index));
+            int index = position > 0 ? position - 1 : times.size() + position;
+            if (index >= 0 && index < times.size()) {
+                selected.add(times.get(index));
             }
         }
         return List.copyOf(selected);
     }
 
-    private static boolean matchesAny(int[] given, int value) {
-        if (given.length == 0) {
+    private static boolean matchesAny(int[] allowed, int value) {
+        if (allowed.length == 0) {
             return true;
         }
-        for (int g : given) {
+        for (int g : allowed) {
             if (g == value) {
                 return true;
             }
@@ -194,7 +194,7 @@
         return false;
     }
 
-    private static boolean matchesFromEitherEnd(int[] given, int value, int length) {
-        return matchesAny(given, value) || matchesAny(given, value - length - 1);
+    private static boolean matchesFromEitherEnd(int[] allowed, int value, int length) {
+        return matchesAny(allowed, value) || matchesAny(allowed, value - length - 1);
     }
 }
--- a/core/src/main/java/postgrade/window/SiteCalendar.java
+++ b/core/src/main/java/postgrade/window/SiteCalendar.java
@@ -31,14 +31,14 @@
     private SiteCalendar(
             String site,
             String version,
-            long from,
-            long to,
+            long horizonStart,
+            long horizonEnd,
             List<MaintenanceEvent> events,
             Spans spans) {
         this.site = site;
         this.version = version;
-        this.horizonStart = from;
-        this.horizonEnd = to;
+        this.horizonStart = horizonStart;
+        this.horizonEnd = horizonEnd;
         this.events = List.copyOf(events);
         spans.sort();
         spanFrom = spans.from;
@@ -66,8 +66,12 @@
      * @throws InvalidCalendarException if this takes too many steps or occurrences
      */
     public static SiteCalendar compile(
-            String site, String version, List<MaintenanceEvent> events, long from, long to) {
-        return compile(site, version, events, from, to, new ExpansionBudget());
+            String site,
+            String version,
+            List<MaintenanceEvent> events,
+            long horizonStart,
+            long horizonEnd) {
+        return compile(site, version, events, horizonStart, horizonEnd, new ExpansionBudget());
     }
 
     /** Compiles a calendar with a budget that is shared with other work. */
@@ -75,16 +79,20 @@
             String site,
             String version,
             List<MaintenanceEvent> events,
-            long from,
-            long to,
+            long horizonStart,
+            long horizonEnd,
             ExpansionBudget budget) {
         Spans spans = new Spans();
         for (int i = 0; i < events.size(); i++) {
-            int event = i;
+            int eventIndex = i;
             InstanceExpander.expand(
-                    events.get(i), from, to, budget, (begin, end) -> spans.add(begin, end, event));
+                    events.get(i),
+                    horizonStart,
+                    horizonEnd,
+                    budget,
+                    (begin, end) -> spans.add(begin, end, eventIndex));
         }
-        return new SiteCalendar(site, version, from, to, events, spans);
+        return new SiteCalendar(site, version, horizonStart, horizonEnd, events, spans);
     }
 
     /** Returns the calendar of a site that is never closed. */
@@ -95,22 +103,22 @@
 
     /** Returns a calendar that is closed where either one is, over the horizon that both cover. */
     public SiteCalendar merge(SiteCalendar other) {
-        Spans both = new Spans();
+        Spans mergedSpans = new Spans();
         for (int i = 0; i < spanFrom.length; i++) {
-            both.add(spanFrom[i], spanTo[i], spanEvent[i]);
+            mergedSpans.add(spanFrom[i], spanTo[i], spanEvent[i]);
         }
         for (int i = 0; i < other.spanFrom.length; i++) {
-            both.add(other.spanFrom[i], other.spanTo[i], events.size() + other.spanEvent[i]);
+            mergedSpans.add(other.spanFrom[i], other.spanTo[i], events.size() + other.spanEvent[i]);
         }
-        List<MaintenanceEvent> all = new ArrayList<>(events);
-        all.addAll(other.events);
+        List<MaintenanceEvent> mergedEvents = new ArrayList<>(events);
+        mergedEvents.addAll(other.events);
         return new SiteCalendar(
                 site,
                 version + "+" + other.version,
                 Math.max(horizonStart, other.horizonStart),
                 Math.min(horizonEnd, other.horizonEnd),
-                all,
-                both);
+                mergedEvents,
+                mergedSpans);
     }
 
     public String site() {
@@ -139,10 +147,10 @@
     /** Returns the titles of the events in the i-th closed interval, each listed once. */
     public String closureReason(int closure) {
         StringBuilder text = new StringBuilder();
-        java.util.BitSet named = new java.util.BitSet();
+        java.util.BitSet listed = new java.util.BitSet();
         for (int s = firstSpanOfClosure[closure]; s < firstSpanOfClosure[closure + 1]; s++) {
-            if (!named.get(spanEvent[s])) {
-                named.set(spanEvent[s]);
+            if (!listed.get(spanEvent[s])) {
+                listed.set(spanEvent[s]);
                 MaintenanceEvent event = events.get(spanEvent[s]);
                 text.append(text.length() == 0 ? "" : ", ")
                         .append(event.title())
@@ -160,7 +168,7 @@
         private int[] event = new int[16];
         private int size;
 
-        void add(long begin, long end, int ofEvent) {
+        void add(long begin, long end, int eventIndex) {
             if (size == from.length) {
                 from = Arrays.copyOf(from, 2 * size);
                 to = Arrays.copyOf(to, 2 * size);
@@ -168,24 +176,24 @@
             }
             from[size] = begin;
             to[size] = end;
-            event[size++] = ofEvent;
+            event[size++] = eventIndex;
         }
 
         void sort() {
             Integer[] order = new Integer[size];
             Arrays.setAll(order, i -> i);
             Arrays.sort(order, (a, b) -> Long.compare(from[a], from[b]));
-            long[] f = new long[size];
-            long[] t = new long[size];
-            int[] e = new int[size];
+            long[] sortedFrom = new long[size];
+            long[] sortedTo = new long[size];
+            int[] sortedEvent = new int[size];
             for (int i = 0; i < size; i++) {
-                f[i] = from[order[i]];
-                t[i] = to[order[i]];
-                e[i] = event[order[i]];
+                sortedFrom[i] = from[order[i]];
+                sortedTo[i] = to[order[i]];
+                sortedEvent[i] = event[order[i]];
             }
-            from = f;
-            to = t;
-            event = e;
+            from = sortedFrom;
+            to = sortedTo;
+            event = sortedEvent;
         }
     }
 }
--- a/core/src/main/java/postgrade/window/SiteStartTimes.java
+++ b/core/src/main/java/postgrade/window/SiteStartTimes.java
@@ -22,22 +22,22 @@
         this.calendar = calendar;
         this.now = now;
         this.clockErrorMillis = clockErrorMillis;
-        Intervals.Builder open = new Intervals.Builder();
+        Intervals.Builder builder = new Intervals.Builder();
         long end = rangeEnd();
-        long at = rangeStart();
+        long candidate = rangeStart();
         Intervals closed = calendar.closed();
-        for (int i = closed.firstEndingAfter(at - clockErrorMillis);
-                at < end && i < closed.size();
+        for (int i = closed.firstEndingAfter(candidate - clockErrorMillis);
+                candidate < end && i < closed.size();
                 i++) {
             long blocked = blockedFrom(closed.from(i));
             if (blocked >= end) {
                 break;
             }
-            open.add(at, blocked);
-            at = Math.max(at, closed.to(i) + clockErrorMillis);
+            builder.add(candidate, blocked);
+            candidate = Math.max(candidate, closed.to(i) + clockErrorMillis);
         }
-        open.add(at, end);
-        starts = open.buildSorted();
+        builder.add(candidate, end);
+        starts = builder.buildSorted();
     }
 
     /**
@@ -66,7 +66,7 @@
      */
     static long nextStart(StartPlan plan, SiteCalendar calendar, long time, long clockErrorMillis) {
         Intervals closed = calendar.closed();
-        long at =
+        long candidate =
                 Math.max(
                         Math.max(plan.earliestStart(), time),
                         calendar.horizonStart() + clockErrorMillis);
@@ -75,11 +75,11 @@
                         plan.latestStartExclusive(),
                         calendar.horizonEnd() - clockErrorMillis - plan.durationMillis() + 1);
         long blockedBefore = clockErrorMillis + Math.max(0, plan.durationMillis() - 1);
-        for (int i = closed.firstEndingAfter(at - clockErrorMillis); at < end; i++) {
-            if (i == closed.size() || closed.from(i) - blockedBefore > at) {
-                return at;
+        for (int i = closed.firstEndingAfter(candidate - clockErrorMillis); candidate < end; i++) {
+            if (i == closed.size() || closed.from(i) - blockedBefore > candidate) {
+                return candidate;
             }
-            at = Math.max(at, closed.to(i) + clockErrorMillis);
+            candidate = Math.max(candidate, closed.to(i) + clockErrorMillis);
         }
         return StartWindows.NEVER;
     }
@@ -102,7 +102,7 @@
      * deadline, ordered by start.
      */
     public List<Exclusion> exclusions() {
-        List<Exclusion> all = new ArrayList<>();
+        List<Exclusion> exclusions = new ArrayList<>();
         String site = site();
         long from = Math.max(plan.earliestStart(), now);
         long to =
@@ -110,7 +110,7 @@
                         ? Long.MAX_VALUE / 4
                         : Math.max(from, plan.deadline() + 1);
         if (now < plan.earliestStart()) {
-            all.add(
+            exclusions.add(
                     new Exclusion(
                             now,
                             plan.earliestStart(),
@@ -119,7 +119,7 @@
                             "before its earliest start"));
         }
         if (from < rangeStart()) {
-            all.add(
+            exclusions.add(
                     new Exclusion(
                             from,
                             Math.min(to, rangeStart()),
@@ -136,22 +136,23 @@
             if (begin >= end) {
                 break;
             }
-            all.add(new Exclusion(begin, end, site, Reason.MAINTENANCE, calendar.closureReason(i)));
+            exclusions.add(
+                    new Exclusion(begin, end, site, Reason.MAINTENANCE, calendar.closureReason(i)));
         }
-        long known =
+        long unknownFrom =
                 Math.max(
                         from, calendar.horizonEnd() - clockErrorMillis - plan.durationMillis() + 1);
-        if (known < Math.min(to, plan.latestStartExclusive())) {
-            all.add(
+        if (unknownFrom < Math.min(to, plan.latestStartExclusive())) {
+            exclusions.add(
                     new Exclusion(
-                            known,
+                            unknownFrom,
                             Math.min(to, plan.latestStartExclusive()),
                             site,
                             Reason.BEYOND_HORIZON,
                             "after what is worked out"));
         }
         if (Math.max(from, plan.latestStartExclusive()) < to) {
-            all.add(
+            exclusions.add(
                     new Exclusion(
                             Math.max(from, plan.latestStartExclusive()),
                             to,
@@ -159,6 +160,6 @@
                             Reason.TOO_LATE,
                             "would end after its deadline"));
         }
-        return all;
+        return exclusions;
     }
 }
--- a/core/src/main/java/postgrade/window/StartWindows.java
+++ b/core/src/main/java/postgrade/window/StartWindows.java
@@ -42,15 +42,15 @@
          * demand.
          */
         public List<Exclusion> exclusions() {
-            List<Exclusion> all = new ArrayList<>(unknownSites);
+            List<Exclusion> exclusions = new ArrayList<>(unknownSites);
             bySite.forEach(
                     s ->
                             s.exclusions().stream()
                                     // What the plan excludes is the same at every site, so it is
                                     // listed once.
                                     .filter(e -> e.site() != null || s == bySite.get(0))
-                                    .forEach(all::add));
-            return all;
+                                    .forEach(exclusions::add));
+            return exclusions;
         }
     }
 
@@ -64,7 +64,7 @@
             StartPlan plan, CalendarLookup calendars, long now, long clockErrorMillis) {
         List<SiteStartTimes> bySite = new ArrayList<>(plan.sites().size());
         List<Exclusion> unknownSites = new ArrayList<>();
-        Intervals.Builder all = new Intervals.Builder();
+        Intervals.Builder union = new Intervals.Builder();
         for (String site : plan.sites()) {
             SiteCalendar calendar = calendars.forSite(site);
             if (calendar == null) {
@@ -79,9 +79,9 @@
             }
             SiteStartTimes siteStarts = new SiteStartTimes(plan, calendar, now, clockErrorMillis);
             bySite.add(siteStarts);
-            all.add(siteStarts.starts());
+            union.add(siteStarts.starts());
         }
-        Intervals anySite = bySite.size() == 1 ? bySite.get(0).starts() : all.buildUnion();
+        Intervals anySite = bySite.size() == 1 ? bySite.get(0).starts() : union.buildUnion();
         return anySite.isEmpty()
                 ? new Result(bySite, unknownSites, anySite, NEVER, NEVER)
                 : new Result(bySite, unknownSites, anySite, anySite.from(0), anySite.to(0));
@@ -93,20 +93,20 @@
      */
     public static long nextOpening(
             StartPlan plan, CalendarLookup calendars, long now, long clockErrorMillis) {
-        long first = NEVER;
+        long earliest = NEVER;
         for (String site : plan.sites()) {
             SiteCalendar calendar = calendars.forSite(site);
             if (calendar != null) {
-                first =
+                earliest =
                         Math.min(
-                                first,
+                                earliest,
                                 SiteStartTimes.nextStart(plan, calendar, now, clockErrorMillis));
-                if (first <= now) {
-                    return first;
+                if (earliest <= now) {
+                    return earliest;
                 }
             }
         }
-        return first;
+        return earliest;
     }
 
     /** Returns whether the job may start at the site at this time. */
--- a/core/src/main/java/postgrade/window/WindowConstraints.java
+++ b/core/src/main/java/postgrade/window/WindowConstraints.java
@@ -120,12 +120,12 @@
         return wallMillis(nowNs);
     }
 
-    private StartPlan planFor(long now, Job job) {
-        StartPlan ownPlan = plans.get(job.id());
-        if (ownPlan != null) {
-            return ownPlan;
+    private StartPlan planFor(long nowMillis, Job job) {
+        StartPlan fixedPlan = plans.get(job.id());
+        if (fixedPlan != null) {
+            return fixedPlan;
         }
-        return planForClass(now, job.jobClass());
+        return planForClass(nowMillis, job.jobClass());
     }
 
     private long expectedDurationMillis(JobClassWindow window) {
@@ -140,28 +140,29 @@
 
     @Override
     public long startDelayNs(long nowNs, Job job) {
-        long now = observeTime(nowNs);
-        boolean ownPlan = plans.containsKey(job.id());
-        StartPlan plan = planFor(now, job);
+        long nowMillis = observeTime(nowNs);
+        boolean planFixed = plans.containsKey(job.id());
+        StartPlan plan = planFor(nowMillis, job);
         if (plan == null) {
             return 0;
         }
-        if (StartWindows.nextOpening(plan, calendars, now, clockErrorMillis) == now) {
+        if (StartWindows.nextOpening(plan, calendars, nowMillis, clockErrorMillis) == nowMillis) {
             plans.put(job.id(), plan);
             return 0;
         }
         plans.remove(job.id());
-        return Math.max(1, retryInMillis(now, plan, job, ownPlan) * NANOS_PER_MILLI);
+        return Math.max(1, retryInMillis(nowMillis, plan, job, planFixed) * NANOS_PER_MILLI);
     }
 
     /**
      * Returns in how many milliseconds the job is to be retried.
      *
-     * @param ownPlan whether the job brought its own plan, whose deadline does not move to the next
-     *     day of the class
+     * @param planFixed whether the plan is already fixed for the job, so that its deadline does not
+     *     move to the next day of the class
      */
-    private long retryInMillis(long now, StartPlan plan, Job job, boolean ownPlan) {
-        StartWindows.Result result = StartWindows.query(plan, calendars, now, clockErrorMillis);
+    private long retryInMillis(long nowMillis, StartPlan plan, Job job, boolean planFixed) {
+        StartWindows.Result result =
+                StartWindows.query(plan, calendars, nowMillis, clockErrorMillis);
         if (result.bySite().isEmpty()) {
             return RetrySpread.retryInMillis(
                     UNKNOWN_CALENDAR_RETRY_MILLIS,
@@ -169,17 +170,20 @@
                     seed,
                     job.id());
         }
-        JobClassWindow window = ownPlan ? null : classes.get(job.jobClass());
+        JobClassWindow window = planFixed ? null : classes.get(job.jobClass());
         if (result.opensAt() == StartWindows.NEVER && window != null) {
             result =
                     StartWindows.query(
-                            window.nextDailyPlan(plan, now), calendars, now, clockErrorMillis);
+                            window.nextDailyPlan(plan, nowMillis),
+                            calendars,
+                            nowMillis,
+                            clockErrorMillis);
         }
         return result.opensAt() == StartWindows.NEVER
                 ? RetrySpread.retryInMillis(
                         NO_OPENING_RETRY_MILLIS, NO_OPENING_RETRY_MILLIS, seed, job.id())
                 : RetrySpread.retryInMillis(
-                        result.opensAt() - now,
+                        result.opensAt() - nowMillis,
                         result.closesAt() - result.opensAt(),
                         seed,
                         job.id());
@@ -187,8 +191,8 @@
 
     @Override
     public double usableShare(long nowNs, Job job, WorkerInfo worker) {
-        long now = observeTime(nowNs);
-        StartPlan plan = planFor(now, job);
+        long nowMillis = observeTime(nowNs);
+        StartPlan plan = planFor(nowMillis, job);
         if (plan == null) {
             return 1;
         }
@@ -196,7 +200,7 @@
         return site != null
                         && plan.sites().contains(site)
                         && StartWindows.mayStart(
-                                plan, calendars.forSite(site), now, clockErrorMillis)
+                                plan, calendars.forSite(site), nowMillis, clockErrorMillis)
                 ? 1
                 : 0;
     }
--- a/core/src/test/java/postgrade/window/CalendarPartTest.java
+++ b/core/src/test/java/postgrade/window/CalendarPartTest.java
@@ -42,11 +42,15 @@
     }
 
     private void advance(long micros) {
-        for (long left = micros; left > 0; left -= ReplicatedStateMachine.MAX_ADVANCE_MICROS) {
+        for (long remaining = micros;
+                remaining > 0;
+                remaining -= ReplicatedStateMachine.MAX_ADVANCE_MICROS) {
             machine.apply(
                     ++index,
                     ReplicatedStateMachine.advance(
-                            "p", 1, Math.min(left, ReplicatedStateMachine.MAX_ADVANCE_MICROS)));
+                            "p",
+                            1,
+                            Math.min(remaining, ReplicatedStateMachine.MAX_ADVANCE_MICROS)));
         }
     }
 
@@ -56,14 +60,14 @@
     }
 
     /** Texts in this test are plain intervals: {@code from-to from-to}. */
-    private static SiteCalendar read(PendingCalendar w) {
+    private static SiteCalendar compile(PendingCalendar pending) {
         List<MaintenanceEvent> events =
-                Stream.of(w.text().split(" "))
+                Stream.of(pending.text().split(" "))
                         .map(s -> s.split("-"))
                         .map(
                                 s ->
                                         MaintenanceEvent.once(
-                                                w.text(),
+                                                pending.text(),
                                                 new MaintenanceEvent.ZonedTime(
                                                         LocalTimes.toLocal(
                                                                 Long.parseLong(s[0]),
@@ -73,11 +77,12 @@
                                                         Long.parseLong(s[1])
                                                                 - Long.parseLong(s[0]))))
                         .toList();
-        return SiteCalendar.compile(w.site(), w.version(), events, -1_000_000_000, 1_000_000_000);
+        return SiteCalendar.compile(
+                pending.site(), pending.version(), events, -1_000_000_000, 1_000_000_000);
     }
 
-    private static void readAll(CalendarRegistry known) {
-        known.pending(0, 0).forEach(w -> known.addCompiled(read(w)));
+    private static void compilePending(CalendarRegistry registry) {
+        registry.pending(0, 0).forEach(w -> registry.addCompiled(compile(w)));
     }
 
     @Test
@@ -151,58 +156,63 @@
 
     @Test
     public void currentAndNextVersionCloseSiteUntilNextTakesEffect() {
-        CalendarRegistry known = new CalendarRegistry(1_000_000);
-        assertFalse("no view, no start", StartWindows.mayStart(PLAN, known.forSite("a"), 1500, 0));
-        known.updateView(view(0), 0);
-        assertNull("no calendar, no start", known.forSite("a"));
+        CalendarRegistry registry = new CalendarRegistry(1_000_000);
+        assertFalse(
+                "no view, no start", StartWindows.mayStart(PLAN, registry.forSite("a"), 1500, 0));
+        registry.updateView(view(0), 0);
+        assertNull("no calendar, no start", registry.forSite("a"));
         put("1000-2000");
         advance(ACTIVATION_DELAY_MICROS);
         put("3000-4000");
-        known.updateView(view(0), 0);
-        assertNull("not read yet", known.forSite("a"));
-        readAll(known);
-        assertEquals("[1000,2000) [3000,4000)", known.forSite("a").closed().toString());
+        registry.updateView(view(0), 0);
+        assertNull("not read yet", registry.forSite("a"));
+        compilePending(registry);
+        assertEquals("[1000,2000) [3000,4000)", registry.forSite("a").closed().toString());
         advance(ACTIVATION_DELAY_MICROS);
-        known.updateView(view(0), 0);
-        assertEquals("[3000,4000)", known.forSite("a").closed().toString());
-        known.updateView(view(0), 1_000_001);
-        assertNull("the view is too old", known.forSite("a"));
-        assertTrue(known.unavailableReason("a"), known.unavailableReason("a").contains("ms old"));
+        registry.updateView(view(0), 0);
+        assertEquals("[3000,4000)", registry.forSite("a").closed().toString());
+        registry.updateView(view(0), 1_000_001);
+        assertNull("the view is too old", registry.forSite("a"));
+        assertTrue(
+                registry.unavailableReason("a"),
+                registry.unavailableReason("a").contains("ms old"));
     }
 
     @Test
     public void resumedProcessDetectsExpiredViewBeforeNextUpdate() {
         put("5000-6000");
-        CalendarRegistry known = new CalendarRegistry(1_000_000);
-        known.updateView(view(0), 0);
-        readAll(known);
-        JobClassWindow c = new JobClassWindow("c", List.of("a"), null, null, Deadline.NONE, 0, 10);
-        WindowConstraints ability =
+        CalendarRegistry registry = new CalendarRegistry(1_000_000);
+        registry.updateView(view(0), 0);
+        compilePending(registry);
+        JobClassWindow window =
+                new JobClassWindow("c", List.of("a"), null, null, Deadline.NONE, 0, 10);
+        WindowConstraints constraints =
                 new WindowConstraints(
-                        List.of(c),
+                        List.of(window),
                         new WindowConstraints.SiteMapping(Map.of(), Map.of()),
-                        known,
+                        registry,
                         new DurationHistograms(),
                         0,
                         1);
         Job job = new Job("j", "c", null, null, 1, 1, 0);
-        assertEquals(0, ability.startDelayNs(1_000_000_000L, job));
-        assertTrue(ability.startDelayNs(1_000_001_000L, job) > 0);
+        assertEquals(0, constraints.startDelayNs(1_000_000_000L, job));
+        assertTrue(constraints.startDelayNs(1_000_001_000L, job) > 0);
     }
 
     @Test
     public void unreadableCalendarKeepsSiteClosed() {
         put("1000-2000");
-        CalendarRegistry known = new CalendarRegistry(1_000_000);
-        known.updateView(view(0), 0);
-        known.markUnreadable(known.pending(0, 0).get(0), "DTSTART names a zone that is not known");
-        assertNull(known.forSite("a"));
-        assertTrue(known.unavailableReason("a").contains("DTSTART"));
-        assertEquals(List.of(), known.pending(0, 0));
+        CalendarRegistry registry = new CalendarRegistry(1_000_000);
+        registry.updateView(view(0), 0);
+        registry.markUnreadable(
+                registry.pending(0, 0).get(0), "DTSTART names a zone that is not known");
+        assertNull(registry.forSite("a"));
+        assertTrue(registry.unavailableReason("a").contains("DTSTART"));
+        assertEquals(List.of(), registry.pending(0, 0));
         put("5000-6000");
-        known.updateView(view(0), 0);
-        readAll(known);
-        assertNotNull("another version mends it", known.forSite("a"));
+        registry.updateView(view(0), 0);
+        compilePending(registry);
+        assertNotNull("another version mends it", registry.forSite("a"));
     }
 
     /**
@@ -220,7 +230,7 @@
 
     private int runRandomChanges(Random random, long maxViewAgeMicros) {
         CalendarPartTest replica = new CalendarPartTest();
-        CalendarRegistry known = new CalendarRegistry(maxViewAgeMicros);
+        CalendarRegistry registry = new CalendarRegistry(maxViewAgeMicros);
         double leaderClockRate = 0.98 + 0.04 * random.nextDouble();
         double processClockRate = 0.98 + 0.04 * random.nextDouble();
         int started = 0;
@@ -238,18 +248,18 @@
             }
             long now = (long) (realMicros * processClockRate);
             if (random.nextInt(30) == 0) {
-                known.updateView(replica.view(now), now);
-                readAll(known);
+                registry.updateView(replica.view(now), now);
+                compilePending(registry);
             } else {
-                known.updateView(known.latestView(), now);
+                registry.updateView(registry.latestView(), now);
             }
             Row site = replica.machine.rows().get("calendar", "site:a");
             String inForce = site == null ? null : site.text("current", null);
-            long wall = random.nextInt(60);
+            long wallMillis = random.nextInt(60);
             if (StartWindows.mayStart(
                     new StartPlan(0, Long.MAX_VALUE, 1, List.of("a")),
-                    known.forSite("a"),
-                    wall,
+                    registry.forSite("a"),
+                    wallMillis,
                     0)) {
                 started++;
                 String text =
@@ -262,9 +272,9 @@
                 assertFalse(
                         "at " + realMicros,
                         text != null
-                                && read(new PendingCalendar("a", inForce, "UTC", text))
+                                && compile(new PendingCalendar("a", inForce, "UTC", text))
                                         .closed()
-                                        .contains(wall));
+                                        .contains(wallMillis));
             }
         }
         return started;
--- a/core/src/test/java/postgrade/window/StartWindowsTest.java
+++ b/core/src/test/java/postgrade/window/StartWindowsTest.java
@@ -20,8 +20,8 @@
 /** When jobs may start, and why not at other times. */
 public class StartWindowsTest {
 
-    private static final SiteCalendar NIGHT = closed("a", 1000, 2000, 3000, 4000);
-    private static final SiteCalendar OTHER = closed("b", 500, 1800);
+    private static final SiteCalendar SITE_A = closed("a", 1000, 2000, 3000, 4000);
+    private static final SiteCalendar SITE_B = closed("b", 500, 1800);
 
     private static SiteCalendar closed(String site, long... fromTo) {
         List<MaintenanceEvent> events = new ArrayList<>();
@@ -38,35 +38,41 @@
         return SiteCalendar.compile(site, "1", events, -1000, 10_000);
     }
 
-    private static Result query(long earliest, long deadline, long lasts, long now, long error) {
+    private static Result query(
+            long earliestStart,
+            long deadline,
+            long durationMillis,
+            long now,
+            long clockErrorMillis) {
         return StartWindows.query(
-                new StartPlan(earliest, deadline, lasts, List.of("a", "b", "c")),
-                Map.of("a", NIGHT, "b", OTHER)::get,
+                new StartPlan(earliestStart, deadline, durationMillis, List.of("a", "b", "c")),
+                Map.of("a", SITE_A, "b", SITE_B)::get,
                 now,
-                error);
+                clockErrorMillis);
     }
 
     @Test
     public void jobMayEndWhereMaintenanceBeginsAndStartWhereItEnds() {
-        Result answer = query(0, 5000, 300, 0, 0);
-        assertEquals("[0,701) [2000,2701) [4000,4701)", answer.bySite().get(0).starts().toString());
-        assertEquals("[0,201) [1800,4701)", answer.bySite().get(1).starts().toString());
-        assertEquals("[0,701) [1800,4701)", answer.anySite().toString());
-        assertTrue(answer.mayStart(0));
+        Result result = query(0, 5000, 300, 0, 0);
+        assertEquals("[0,701) [2000,2701) [4000,4701)", result.bySite().get(0).starts().toString());
+        assertEquals("[0,201) [1800,4701)", result.bySite().get(1).starts().toString());
+        assertEquals("[0,701) [1800,4701)", result.anySite().toString());
+        assertTrue(result.mayStart(0));
         assertEquals(1800, query(0, 5000, 300, 701, 0).opensAt());
     }
 
     @Test
     public void exclusionsStateTheirReason() {
-        Result answer = query(100, 5000, 300, 0, 0);
-        List<Exclusion> of = answer.bySite().get(0).exclusions();
+        Result result = query(100, 5000, 300, 0, 0);
+        List<Exclusion> siteExclusions = result.bySite().get(0).exclusions();
         assertEquals(
                 List.of(Reason.TOO_EARLY, Reason.MAINTENANCE, Reason.MAINTENANCE, Reason.TOO_LATE),
-                of.stream().map(Exclusion::reason).toList());
+                siteExclusions.stream().map(Exclusion::reason).toList());
         assertEquals(
-                new Exclusion(2701, 4000, "a", Reason.MAINTENANCE, "works 1 (line 0)"), of.get(2));
-        assertEquals("c", answer.unknownSites().get(0).site());
-        assertEquals(1 + 4 + 1, answer.exclusions().size());
+                new Exclusion(2701, 4000, "a", Reason.MAINTENANCE, "works 1 (line 0)"),
+                siteExclusions.get(2));
+        assertEquals("c", result.unknownSites().get(0).site());
+        assertEquals(1 + 4 + 1, result.exclusions().size());
     }
 
     @Test
@@ -111,10 +117,10 @@
 
     @Test
     public void nothingStartsBeyondHorizon() {
-        Result answer = query(8000, 12_000, 500, 0, 10);
-        assertEquals("[8000,9491)", answer.anySite().toString());
+        Result result = query(8000, 12_000, 500, 0, 10);
+        assertEquals("[8000,9491)", result.anySite().toString());
         assertTrue(
-                answer.exclusions()
+                result.exclusions()
                         .contains(
                                 new Exclusion(
                                         9491,
@@ -124,34 +130,35 @@
                                         "after what is worked out")));
         assertFalse(
                 StartWindows.mayStart(
-                        new StartPlan(0, 50_000, 500, List.of("a")), NIGHT, 9_600, 0));
+                        new StartPlan(0, 50_000, 500, List.of("a")), SITE_A, 9_600, 0));
     }
 
     @Test
     public void nextOpeningAgreesWithFullQuery() {
         for (long now = 0; now < 6000; now += 7) {
-            for (long lasts : new long[] {0, 1, 300, 999, 1000, 1200}) {
-                StartPlan plan = new StartPlan(0, 5500, lasts, List.of("a", "b"));
-                Result full = StartWindows.query(plan, Map.of("a", NIGHT, "b", OTHER)::get, now, 3);
+            for (long durationMillis : new long[] {0, 1, 300, 999, 1000, 1200}) {
+                StartPlan plan = new StartPlan(0, 5500, durationMillis, List.of("a", "b"));
+                Result full =
+                        StartWindows.query(plan, Map.of("a", SITE_A, "b", SITE_B)::get, now, 3);
                 assertEquals(
                         full.opensAt(),
                         StartWindows.nextOpening(
-                                plan, Map.of("a", NIGHT, "b", OTHER)::get, now, 3));
+                                plan, Map.of("a", SITE_A, "b", SITE_B)::get, now, 3));
                 assertEquals(
                         full.bySite().get(0).starts().contains(now),
-                        StartWindows.mayStart(plan, NIGHT, now, 3));
+                        StartWindows.mayStart(plan, SITE_A, now, 3));
             }
         }
     }
 
     @Test
     public void dailyDeadlineIsNextOneAfterEarliestStart() {
-        Deadline six = new Deadline.Daily(LocalTime.of(18, 0), ZAGREB);
-        assertEquals(utc("2026-10-24T16:00:00Z"), six.resolveMillis(utc("2026-10-24T16:00:00Z")));
+        Deadline sixPm = new Deadline.Daily(LocalTime.of(18, 0), ZAGREB);
+        assertEquals(utc("2026-10-24T16:00:00Z"), sixPm.resolveMillis(utc("2026-10-24T16:00:00Z")));
         assertEquals(
                 "clocks have gone back",
                 utc("2026-10-25T17:00:00Z"),
-                six.resolveMillis(utc("2026-10-24T16:00:00.001Z")));
+                sixPm.resolveMillis(utc("2026-10-24T16:00:00.001Z")));
         assertEquals(
                 "the first of two",
                 utc("2026-10-25T00:30:00Z"),
@@ -176,9 +183,9 @@
     public void retriesAreSpreadOverOpening() {
         int[] tenths = new int[10];
         for (int i = 0; i < 10_000; i++) {
-            long in = RetrySpread.retryInMillis(1000, 20_000, 42, "job-" + i);
-            assertEquals(in, RetrySpread.retryInMillis(1000, 20_000, 42, "job-" + i));
-            tenths[(int) ((in - 1000) / 1000)]++;
+            long retryInMillis = RetrySpread.retryInMillis(1000, 20_000, 42, "job-" + i);
+            assertEquals(retryInMillis, RetrySpread.retryInMillis(1000, 20_000, 42, "job-" + i));
+            tenths[(int) ((retryInMillis - 1000) / 1000)]++;
         }
         for (int count : tenths) {
             assertTrue("even to 15%: " + count, Math.abs(count - 1000) < 150);
--- a/core/src/test/java/postgrade/window/TestTimes.java
+++ b/core/src/test/java/postgrade/window/TestTimes.java
@@ -37,13 +37,13 @@
     }
 
     /** Formats intervals as {@code from/to} in UTC, separated by spaces. */
-    static String format(Intervals all) {
+    static String format(Intervals intervals) {
         StringBuilder text = new StringBuilder();
-        for (int i = 0; i < all.size(); i++) {
+        for (int i = 0; i < intervals.size(); i++) {
             text.append(i == 0 ? "" : " ")
-                    .append(Instant.ofEpochMilli(all.from(i)))
+                    .append(Instant.ofEpochMilli(intervals.from(i)))
                     .append('/')
-                    .append(Instant.ofEpochMilli(all.to(i)));
+                    .append(Instant.ofEpochMilli(intervals.to(i)));
         }
         return text.toString();
     }
--- a/core/src/test/java/postgrade/window/WindowConstraintsTest.java
+++ b/core/src/test/java/postgrade/window/WindowConstraintsTest.java
@@ -53,14 +53,14 @@
     private Map<String, SiteCalendar> calendars = Map.of("a", SITE_A, "b", SITE_B);
     private final WindowConstraints constraints = constraints(NIGHTLY);
 
-    private WindowConstraints constraints(JobClassWindow c) {
+    private WindowConstraints constraints(JobClassWindow window) {
         SiteMapping sites =
                 new SiteMapping(Map.of("gpu", "b"), Map.of("hall-a", "a", "hall-b", "b"));
-        WindowConstraints a =
+        WindowConstraints result =
                 new WindowConstraints(
-                        List.of(c), sites, site -> calendars.get(site), durations, 0, 7);
-        a.setWallClock(0, MIDNIGHT);
-        return a;
+                        List.of(window), sites, site -> calendars.get(site), durations, 0, 7);
+        result.setWallClock(0, MIDNIGHT);
+        return result;
     }
 
     private static Job job(String jobClass, String id) {
@@ -85,10 +85,10 @@
     @Test
     public void jobOutsideItsWindowsIsDelayedIntoNextOpening() {
         for (int i = 0; i < 100; i++) {
-            long in = constraints.startDelayNs(0, job("route-plan", "j" + i));
+            long delayNs = constraints.startDelayNs(0, job("route-plan", "j" + i));
             // Site b opens at 05:00 and closes at 05:30; retries are spread over half of the
             // opening, ten minutes at most.
-            assertTrue("in " + in, in >= ns(5) && in < ns(5) + 600_000_000_000L);
+            assertTrue("in " + delayNs, delayNs >= ns(5) && delayNs < ns(5) + 600_000_000_000L);
         }
         assertEquals(0, constraints.startDelayNs(ns(5), job("route-plan", "j")));
     }
@@ -138,8 +138,8 @@
     @Test
     public void nothingStartsWhileCalendarsAreUnknown() {
         calendars = Map.of();
-        long in = constraints.startDelayNs(ns(8), job("route-plan", "1"));
-        assertTrue("" + in, in >= 1_000_000_000L && in < 9_000_000_000L);
+        long delayNs = constraints.startDelayNs(ns(8), job("route-plan", "1"));
+        assertTrue("" + delayNs, delayNs >= 1_000_000_000L && delayNs < 9_000_000_000L);
         assertEquals(
                 0,
                 constraints.usableShare(ns(8), job("route-plan", "1"), worker("hall-a", "x")),
@@ -148,7 +148,7 @@
 
     @Test
     public void dailyDeadlineOfWaitingJobDoesNotMove() {
-        WindowConstraints daily =
+        WindowConstraints dailyConstraints =
                 constraints(
                         new JobClassWindow(
                                 "route-plan",
@@ -160,21 +160,24 @@
                                 60_000));
         Job early = job("route-plan", "early");
         // 18:00 in Zagreb is 16:00 UTC.
-        assertEquals(0, daily.startDelayNs(ns(15.9), early));
-        assertEquals(1, daily.usableShare(ns(15.9), early, worker("hall-a", "x")), 0);
+        assertEquals(0, dailyConstraints.startDelayNs(ns(15.9), early));
+        assertEquals(1, dailyConstraints.usableShare(ns(15.9), early, worker("hall-a", "x")), 0);
         assertEquals(
                 "too late to end in time",
                 0,
-                daily.usableShare(ns(15.99), early, worker("hall-a", "x")),
+                dailyConstraints.usableShare(ns(15.99), early, worker("hall-a", "x")),
                 0);
         assertEquals(
                 "nor once the day is over",
                 0,
-                daily.usableShare(ns(32), early, worker("hall-a", "x")),
+                dailyConstraints.usableShare(ns(32), early, worker("hall-a", "x")),
                 0);
-        long in = daily.startDelayNs(ns(15.99), job("route-plan", "late"));
-        assertTrue("from 10:00 the next day", in >= ns(32 - 15.99) && in < ns(32.2 - 15.99));
+        long delayNs = dailyConstraints.startDelayNs(ns(15.99), job("route-plan", "late"));
+        assertTrue(
+                "from 10:00 the next day", delayNs >= ns(32 - 15.99) && delayNs < ns(32.2 - 15.99));
         assertEquals(
-                "its next day has come", 0, daily.startDelayNs(ns(32), job("route-plan", "late")));
+                "its next day has come",
+                0,
+                dailyConstraints.startDelayNs(ns(32), job("route-plan", "late")));
     }
 }
