--- a/calendar/src/test/java/postgrade/calendar/InvalidCalendarTest.java
+++ b/calendar/src/test/java/postgrade/calendar/InvalidCalendarTest.java
@@ -114,10 +114,11 @@
         String whole = HEADER + START + "END:VEVENT\r\nEND:VCALENDAR\r\n";
         assertTrue(CalendarLoader.check("a", "Europe/Zagreb", whole, NOW).ok());
         assertFalse(
-                "two of them", CalendarLoader.check("a", "Europe/Zagreb", whole + whole, NOW).ok());
+                "two calendars in one text",
+                CalendarLoader.check("a", "Europe/Zagreb", whole + whole, NOW).ok());
         for (int cut = 0; cut < whole.length() - 2; cut++) {
             assertFalse(
-                    "cut at " + cut,
+                    "truncated at " + cut,
                     CalendarLoader.check("a", "Europe/Zagreb", whole.substring(0, cut), NOW).ok());
         }
     }
--- a/calendar/src/test/java/postgrade/calendar/oracle/Comparison.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/Comparison.java
@@ -23,7 +23,7 @@
                     CalendarReader.read(generated.siteZone, generated.text());
             calendar = SiteCalendar.compile("a", "1", events, generated.from, generated.to);
         } catch (InvalidCalendarException e) {
-            return "turned down: line " + e.line() + ": " + e.description();
+            return "rejected: line " + e.line() + ": " + e.description();
         }
         StartPlan plan =
                 new StartPlan(
--- a/calendar/src/test/java/postgrade/calendar/oracle/OracleTest.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/OracleTest.java
@@ -54,7 +54,7 @@
                             Comparison.findDifference(CaseGenerator.generate(1, i), mutation)
                                     != null;
                 }
-                assertTrue(mutation + " made no difference", found);
+                assertTrue(mutation + " was not detected", found);
             }
         }
         GeneratedCase leap = leapDayCase();
--- a/core/src/main/java/postgrade/window/CalendarRegistry.java
+++ b/core/src/main/java/postgrade/window/CalendarRegistry.java
@@ -44,7 +44,7 @@
     public CalendarRegistry(long maxViewAgeMicros) {
         if (maxViewAgeMicros <= 0 || maxViewAgeMicros > CalendarPart.MAX_VIEW_AGE_MICROS) {
             throw new IllegalArgumentException(
-                    "the view's age must lie between 1 and "
+                    "the maximum view age must lie between 1 and "
                             + CalendarPart.MAX_VIEW_AGE_MICROS
                             + " us");
         }
--- a/core/src/main/java/postgrade/window/JobClassWindow.java
+++ b/core/src/main/java/postgrade/window/JobClassWindow.java
@@ -28,7 +28,7 @@
         }
         if (declaredMillis < 0 || declaredMillis > StartPlan.MAX_DURATION_MILLIS) {
             throw new IllegalArgumentException(
-                    "declared of class "
+                    "declared duration of class "
                             + name
                             + " must lie between 0 and "
                             + StartPlan.MAX_DURATION_MILLIS);
--- a/core/src/test/java/postgrade/window/CalendarPartTest.java
+++ b/core/src/test/java/postgrade/window/CalendarPartTest.java
@@ -96,7 +96,7 @@
         String second = put("3000-4000").fields().text("version");
         String third = put("5000-6000").fields().text("version");
         assertNull(
-                "the one that waited is replaced",
+                "the pending version is replaced",
                 machine.rows().get("calendar", "text:a:" + second));
         assertEquals(first, machine.rows().get("calendar", "site:a").text("current"));
         advance(ACTIVATION_DELAY_MICROS);
@@ -158,14 +158,15 @@
     public void currentAndNextVersionCloseSiteUntilNextTakesEffect() {
         CalendarRegistry registry = new CalendarRegistry(1_000_000);
         assertFalse(
-                "no view, no start", StartWindows.mayStart(PLAN, registry.forSite("a"), 1500, 0));
+                "no start without a view",
+                StartWindows.mayStart(PLAN, registry.forSite("a"), 1500, 0));
         registry.updateView(view(0), 0);
-        assertNull("no calendar, no start", registry.forSite("a"));
+        assertNull("no start without a calendar", registry.forSite("a"));
         put("1000-2000");
         advance(ACTIVATION_DELAY_MICROS);
         put("3000-4000");
         registry.updateView(view(0), 0);
-        assertNull("not read yet", registry.forSite("a"));
+        assertNull("not compiled yet", registry.forSite("a"));
         compilePending(registry);
         assertEquals("[1000,2000) [3000,4000)", registry.forSite("a").closed().toString());
         advance(ACTIVATION_DELAY_MICROS);
@@ -212,7 +213,7 @@
         put("5000-6000");
         registry.updateView(view(0), 0);
         compilePending(registry);
-        assertNotNull("another version mends it", registry.forSite("a"));
+        assertNotNull("a new version replaces the unreadable one", registry.forSite("a"));
     }
 
     /**
@@ -225,7 +226,7 @@
         for (int seed = 0; seed < 300; seed++) {
             started += runRandomChanges(new Random(seed), CalendarPart.MAX_VIEW_AGE_MICROS);
         }
-        assertTrue("enough starts: " + started, started > 3_000);
+        assertTrue("too few starts: " + started, started > 3_000);
     }
 
     private int runRandomChanges(Random random, long maxViewAgeMicros) {
--- a/core/src/test/java/postgrade/window/InstanceExpanderTest.java
+++ b/core/src/test/java/postgrade/window/InstanceExpanderTest.java
@@ -176,7 +176,7 @@
         assertEquals("RRULE", fault.property());
         assertTrue(fault.description(), fault.description().contains("over 100000 occurrences"));
         assertThrows(
-                "as many steps without one",
+                "step limit without any occurrence",
                 InvalidCalendarException.class,
                 () ->
                         compile(
--- a/core/src/test/java/postgrade/window/StartWindowsTest.java
+++ b/core/src/test/java/postgrade/window/StartWindowsTest.java
@@ -85,14 +85,14 @@
     @Test
     public void windowOfOneInstantLastsOneMillisecondAndEmptyWindowNeverOpens() {
         assertEquals(
-                "what just fits between two",
+                "fits exactly between two events",
                 "[2000,2001)",
                 query(1500, 3500, 1000, 0, 0).bySite().get(0).starts().toString());
         assertTrue(
-                "a millisecond too long",
+                "one millisecond too long",
                 query(1500, 3500, 1001, 0, 0).bySite().get(0).starts().isEmpty());
         assertEquals(
-                "due just when it would end",
+                "ends exactly at the deadline",
                 "[100,101)",
                 query(100, 400, 300, 0, 0).anySite().toString());
         assertEquals(StartWindows.NEVER, query(101, 400, 300, 0, 0).opensAt());
@@ -104,7 +104,7 @@
                 "[900,1000) [2000,2101)",
                 query(900, 2100, 0, 0, 0).bySite().get(0).starts().toString());
         assertEquals(
-                "maintenance of no length closes nothing",
+                "maintenance of zero duration closes nothing",
                 "[0,6001)",
                 StartWindows.query(
                                 new StartPlan(0, 6000, 0, List.of("a")),
@@ -160,12 +160,12 @@
                 utc("2026-10-25T17:00:00Z"),
                 sixPm.resolveMillis(utc("2026-10-24T16:00:00.001Z")));
         assertEquals(
-                "the first of two",
+                "first of two occurrences",
                 utc("2026-10-25T00:30:00Z"),
                 new Deadline.Daily(LocalTime.of(2, 30), ZAGREB)
                         .resolveMillis(utc("2026-10-24T22:00:00Z")));
         assertEquals(
-                "a day left out",
+                "omitted day",
                 utc("2011-12-30T20:00:00Z"),
                 new Deadline.Daily(LocalTime.of(10, 0), zone("Pacific/Apia"))
                         .resolveMillis(utc("2011-12-30T12:00:00Z")));
@@ -188,9 +188,11 @@
             tenths[(int) ((retryInMillis - 1000) / 1000)]++;
         }
         for (int count : tenths) {
-            assertTrue("even to 15%: " + count, Math.abs(count - 1000) < 150);
+            assertTrue("not uniform within 15%: " + count, Math.abs(count - 1000) < 150);
         }
         assertEquals(
-                "no opening to spread over", 1000, RetrySpread.retryInMillis(1000, 1, 42, "x"));
+                "opening too short to spread over",
+                1000,
+                RetrySpread.retryInMillis(1000, 1, 42, "x"));
     }
 }
--- a/core/src/test/java/postgrade/window/WindowConstraintsTest.java
+++ b/core/src/test/java/postgrade/window/WindowConstraintsTest.java
@@ -88,7 +88,9 @@
             long delayNs = constraints.startDelayNs(0, job("route-plan", "j" + i));
             // Site b opens at 05:00 and closes at 05:30; retries are spread over half of the
             // opening, ten minutes at most.
-            assertTrue("in " + delayNs, delayNs >= ns(5) && delayNs < ns(5) + 600_000_000_000L);
+            assertTrue(
+                    "start delay " + delayNs,
+                    delayNs >= ns(5) && delayNs < ns(5) + 600_000_000_000L);
         }
         assertEquals(0, constraints.startDelayNs(ns(5), job("route-plan", "j")));
     }
@@ -99,14 +101,17 @@
         assertEquals(0, constraints.usableShare(ns(5) - 1, job, worker("hall-b", "x")), 0);
         assertEquals(1, constraints.usableShare(ns(5), job, worker("hall-b", "x")), 0);
         assertEquals(
-                "by its kind", 1, constraints.usableShare(ns(5), job, worker("hall-a", "gpu")), 0);
+                "site is mapped by kind",
+                1,
+                constraints.usableShare(ns(5), job, worker("hall-a", "gpu")),
+                0);
         assertEquals(
-                "this one is closed still",
+                "site a is still closed",
                 0,
                 constraints.usableShare(ns(5), job, worker("hall-a", "x")),
                 0);
         assertEquals(
-                "it just ends in time",
+                "ends exactly when the site closes",
                 1,
                 constraints.usableShare(ns(5.5) - 60_000_000_000L, job, worker("hall-b", "x")),
                 0);
@@ -115,7 +120,7 @@
                 constraints.usableShare(ns(5.5) - 59_000_000_000L, job, worker("hall-b", "x")),
                 0);
         assertEquals(
-                "no site of the class",
+                "worker at no site of the class",
                 0,
                 constraints.usableShare(ns(7), job, worker("elsewhere", "x")),
                 0);
@@ -168,7 +173,7 @@
                 dailyConstraints.usableShare(ns(15.99), early, worker("hall-a", "x")),
                 0);
         assertEquals(
-                "nor once the day is over",
+                "nor on the next day",
                 0,
                 dailyConstraints.usableShare(ns(32), early, worker("hall-a", "x")),
                 0);
@@ -176,7 +181,7 @@
         assertTrue(
                 "from 10:00 the next day", delayNs >= ns(32 - 15.99) && delayNs < ns(32.2 - 15.99));
         assertEquals(
-                "its next day has come",
+                "the next day's window is open",
                 0,
                 dailyConstraints.startDelayNs(ns(32), job("route-plan", "late")));
     }
