--- a/sharing/src/main/java/postgrade/sharing/SharingFinder.java
+++ b/sharing/src/main/java/postgrade/sharing/SharingExtensionFactory.java
@@ -13,34 +13,35 @@
 import postgrade.script.ScriptError;
 import postgrade.shared.ReplicatedState;
 import postgrade.shared.StatePart;
-import postgrade.sharing.session.Opener;
+import postgrade.sharing.session.StateOpener;
 import postgrade.sharing.settings.SharingSettingsFile;
 
 /** Puts shared state beside a dispatcher that is told of a file for it. */
-public final class SharingFinder implements DispatcherExtension.Factory {
+public final class SharingExtensionFactory implements DispatcherExtension.Factory {
 
     @Override
     public DispatcherExtension.Configuration read(Path file, String dispatcher) {
-        SharingSettingsFile.Contents both;
+        SharingSettingsFile.Contents contents;
         try {
-            both = SharingSettingsFile.read(file, dispatcher);
+            contents = SharingSettingsFile.read(file, dispatcher);
         } catch (ScriptError e) {
             throw new IllegalArgumentException(e.getMessage(), e);
         }
         return host -> {
-            ExecutorService aside =
+            ExecutorService blockingExecutor =
                     Executors.newSingleThreadExecutor(
                             task -> {
                                 Thread thread = new Thread(task, "sharing-aside");
                                 thread.setDaemon(true);
                                 return thread;
                             });
-            return new Shared(host, both.sharing(), opener(both.quorum()), aside);
+            return new SharingExtension(
+                    host, contents.sharing(), opener(contents.quorum()), blockingExecutor);
         };
     }
 
-    private static Opener opener(QuorumSettings settings) {
-        return new Opener() {
+    private static StateOpener opener(QuorumSettings settings) {
+        return new StateOpener() {
             @Override
             public ReplicatedState open(
                     List<StatePart> parts, LongSupplier nowMicros, Executor onLoop)
@@ -49,7 +50,7 @@
             }
 
             @Override
-            public ReplicatedState beside(LongSupplier nowMicros, Executor onLoop)
+            public ReplicatedState openObserver(LongSupplier nowMicros, Executor onLoop)
                     throws IOException {
                 return Quorum.openObserver(settings, nowMicros, onLoop);
             }
--- a/sharing/src/main/java/postgrade/sharing/calls/CalendarCalls.java
+++ b/sharing/src/main/java/postgrade/sharing/endpoints/CalendarEndpoint.java
@@ -1,4 +1,4 @@
-package postgrade.sharing.calls;
+package postgrade.sharing.endpoints;
 
 import com.eclipsesource.json.JsonObject;
 import java.util.Map;
@@ -12,71 +12,78 @@
 import postgrade.window.CalendarPart;
 
 /** Takes a site's maintenance calendar: checked whole, aside, before anybody else hears of it. */
-public final class CalendarCalls {
+public final class CalendarEndpoint {
 
     /**
      * A calendar of the greatest length, with the marks that JSON puts before ends of lines and
      * quotes.
      */
-    private static final int MOST_BODY = 384 << 10;
+    private static final int MAX_BODY_BYTES = 384 << 10;
 
     private static final java.util.Set<String> FIELDS =
             java.util.Set.of("site", "zone", "text", "inMs", "expects");
 
     private final Host host;
-    private final ReplicatedState sharing;
-    private final Answers answers;
-    private final Executor aside;
+    private final ReplicatedState state;
+    private final Responses responses;
+    private final Executor blockingExecutor;
     private boolean checking;
 
-    private CalendarCalls(Host host, ReplicatedState sharing, Answers answers, Executor aside) {
+    private CalendarEndpoint(
+            Host host, ReplicatedState state, Responses responses, Executor blockingExecutor) {
         this.host = host;
-        this.sharing = sharing;
-        this.answers = answers;
-        this.aside = aside;
+        this.state = state;
+        this.responses = responses;
+        this.blockingExecutor = blockingExecutor;
     }
 
     /**
      * @param aside where a calendar is worked out, which may take a second
      */
-    public static void addTo(Calls calls, Host host, ReplicatedState sharing, Executor aside) {
-        CalendarCalls c = new CalendarCalls(host, sharing, calls.answers(), aside);
-        calls.add("PUT", "/calendar", MOST_BODY, c::put);
+    public static void addTo(
+            OperatorEndpoints endpoints,
+            Host host,
+            ReplicatedState state,
+            Executor blockingExecutor) {
+        CalendarEndpoint endpoint =
+                new CalendarEndpoint(host, state, endpoints.responses(), blockingExecutor);
+        endpoints.add("PUT", "/calendar", MAX_BODY_BYTES, endpoint::put);
     }
 
     private void put(byte[] body, Reply reply) {
-        JsonObject object = Body.object(body);
-        String requestId = Body.requestId(object);
-        Map<String, String> fields = Body.fields(object);
+        JsonObject object = RequestBody.parse(body);
+        String requestId = RequestBody.requestId(object);
+        Map<String, String> fields = RequestBody.fieldTexts(object);
         fields.keySet().stream()
                 .filter(f -> !FIELDS.contains(f))
                 .findFirst()
                 .ifPresent(
                         f -> {
-                            throw new Body.Bad(f + " is not a field of a calendar");
+                            throw new RequestBody.InvalidRequestException(
+                                    f + " is not a field of a calendar");
                         });
-        String site = Body.needed(object, "site");
-        String text = Body.needed(object, "text");
+        String site = RequestBody.requiredText(object, "site");
+        String text = RequestBody.requiredText(object, "text");
         if (text.isEmpty()) {
-            decide(requestId, "drop", Row.of("site", site), reply);
+            submit(requestId, "drop", Row.of("site", site), reply);
             return;
         }
-        String zone = Body.needed(object, "zone");
+        String zone = RequestBody.requiredText(object, "zone");
         Row args = Row.of("site", site, "zone", zone, "text", text);
         if (fields.containsKey("inMs")) {
-            long most = CalendarPart.MAX_ACTIVATION_DELAY_MICROS / 1000;
-            args = args.with("inMicros", new Row(fields).integer("inMs", 0, most) * 1000);
+            long maxMillis = CalendarPart.MAX_ACTIVATION_DELAY_MICROS / 1000;
+            args = args.with("inMicros", new Row(fields).integer("inMs", 0, maxMillis) * 1000);
         }
         if (fields.containsKey("expects")) {
             args = args.with("expects", fields.get("expects"));
         }
         if (checking) {
-            answers.notNow(reply, "another calendar is being checked", 1_000_000);
+            responses.unavailable(reply, "another calendar is being checked", 1_000_000);
             return;
         }
         checking = true;
-        Row asked = args;
-        aside.execute(
+        Row commandArgs = args;
+        blockingExecutor.execute(
                 () -> {
                     String fault = fault(site, zone, text);
                     host.loopExecutor()
@@ -84,9 +91,9 @@
                                     () -> {
                                         checking = false;
                                         if (fault == null) {
-                                            decide(requestId, "put", asked, reply);
+                                            submit(requestId, "put", commandArgs, reply);
                                         } else {
-                                            answers.bad(reply, 400, fault);
+                                            responses.error(reply, 400, fault);
                                         }
                                     });
                 });
@@ -94,19 +101,21 @@
 
     private static String fault(String site, String zone, String text) {
         try {
-            CalendarLoader.CheckResult r = CalendarLoader.check(site, zone, text);
-            return r.ok()
+            CalendarLoader.CheckResult result = CalendarLoader.check(site, zone, text);
+            return result.ok()
                     ? null
-                    : (r.line() == 0 ? "" : "text line " + r.line() + ": ") + r.message();
+                    : (result.line() == 0 ? "" : "text line " + result.line() + ": ")
+                            + result.message();
         } catch (RuntimeException | StackOverflowError e) {
             return "text cannot be read: " + e;
         }
     }
 
-    private void decide(String requestId, String verb, Row args, Reply reply) {
-        ReplicatedState.Standing us = sharing.standing();
-        answers.decide(
-                new Command(requestId, us.name(), us.incarnation(), CalendarPart.NAME, verb, args),
+    private void submit(String requestId, String verb, Row args, Reply reply) {
+        ReplicatedState.Standing self = state.standing();
+        responses.submit(
+                new Command(
+                        requestId, self.name(), self.incarnation(), CalendarPart.NAME, verb, args),
                 reply);
     }
 }
--- a/sharing/src/main/java/postgrade/sharing/calls/Body.java
+++ b/sharing/src/main/java/postgrade/sharing/endpoints/RequestBody.java
@@ -1,4 +1,4 @@
-package postgrade.sharing.calls;
+package postgrade.sharing.endpoints;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
@@ -9,23 +9,23 @@
 import java.util.TreeMap;
 
 /** The fields of a call, as text. What is wrong is one sentence that names the field. */
-final class Body {
+final class RequestBody {
 
     private static final String REQUEST_ID = "requestId";
-    private static final int LONGEST_ID = 100;
+    private static final int MAX_ID_LENGTH = 100;
 
-    private Body() {}
+    private RequestBody() {}
 
     /** A call that cannot be taken. */
-    static final class Bad extends RuntimeException {
+    static final class InvalidRequestException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
-        Bad(String sentence) {
-            super(sentence, null, false, false);
+        InvalidRequestException(String message) {
+            super(message, null, false, false);
         }
     }
 
-    static JsonObject object(byte[] body) {
+    static JsonObject parse(byte[] body) {
         JsonValue json;
         try {
             json =
@@ -35,24 +35,24 @@
                                     .decode(java.nio.ByteBuffer.wrap(body))
                                     .toString());
         } catch (CharacterCodingException e) {
-            throw new Bad("body is not UTF-8");
+            throw new InvalidRequestException("body is not UTF-8");
         } catch (RuntimeException | StackOverflowError e) {
-            throw new Bad("body is not JSON: " + e.getMessage());
+            throw new InvalidRequestException("body is not JSON: " + e.getMessage());
         }
         if (!json.isObject()) {
-            throw new Bad("body has to be an object");
+            throw new InvalidRequestException("body has to be an object");
         }
         JsonObject object = json.asObject();
         for (String name : object.names()) {
             if (object.names().stream().filter(name::equals).count() > 1) {
-                throw new Bad(name + " stands there twice");
+                throw new InvalidRequestException(name + " stands there twice");
             }
         }
         return object;
     }
 
     /** All fields but the request's id; whole numbers and truth values as text. */
-    static Map<String, String> fields(JsonObject object) {
+    static Map<String, String> fieldTexts(JsonObject object) {
         Map<String, String> fields = new TreeMap<>();
         for (JsonObject.Member m : object) {
             if (!m.getName().equals(REQUEST_ID)) {
@@ -72,7 +72,7 @@
         if (v.isNumber()) {
             return v.toString();
         }
-        throw new Bad(name + " has to be text, a number or a truth value");
+        throw new InvalidRequestException(name + " has to be text, a number or a truth value");
     }
 
     /** The same for a repeated call; empty where the caller gives none. */
@@ -81,16 +81,18 @@
         if (id == null) {
             return "";
         }
-        if (!id.isString() || id.asString().isEmpty() || id.asString().length() > LONGEST_ID) {
-            throw new Bad(REQUEST_ID + " has to be text of 1 to " + LONGEST_ID + " characters");
+        if (!id.isString() || id.asString().isEmpty() || id.asString().length() > MAX_ID_LENGTH) {
+            throw new InvalidRequestException(
+                    REQUEST_ID + " has to be text of 1 to " + MAX_ID_LENGTH + " characters");
         }
         return id.asString();
     }
 
-    static String needed(JsonObject object, String name) {
+    static String requiredText(JsonObject object, String name) {
         JsonValue v = object.get(name);
         if (v == null || !v.isString()) {
-            throw new Bad(name + (v == null ? " is missing" : " has to be text"));
+            throw new InvalidRequestException(
+                    name + (v == null ? " is missing" : " has to be text"));
         }
         return v.asString();
     }
--- a/sharing/src/main/java/postgrade/sharing/calls/SharingCall.java
+++ b/sharing/src/main/java/postgrade/sharing/endpoints/SharingStatusEndpoint.java
@@ -1,4 +1,4 @@
-package postgrade.sharing.calls;
+package postgrade.sharing.endpoints;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
@@ -8,29 +8,29 @@
 import postgrade.member.Member;
 import postgrade.shared.ReplicatedState;
 import postgrade.shared.View;
-import postgrade.sharing.progress.Progress;
-import postgrade.sharing.session.Session;
+import postgrade.sharing.progress.RecoveryProgress;
+import postgrade.sharing.session.MembershipSession;
 
 /** How this process stands to the others. */
-public final class SharingCall {
+public final class SharingStatusEndpoint {
 
-    private SharingCall() {}
+    private SharingStatusEndpoint() {}
 
     /**
      * @param memory tells why what was learnt cannot be kept, or null
      */
     public static void addTo(
-            Calls calls,
-            ReplicatedState sharing,
-            Session session,
-            Progress progress,
-            java.util.function.Supplier<String> memory) {
-        calls.add(
+            OperatorEndpoints endpoints,
+            ReplicatedState state,
+            MembershipSession session,
+            RecoveryProgress progress,
+            java.util.function.Supplier<String> snapshotFault) {
+        endpoints.add(
                 "GET",
                 "/sharing",
                 (body, reply) -> {
-                    View view = sharing.view();
-                    ReplicatedState.Standing us = sharing.standing();
+                    View view = state.view();
+                    ReplicatedState.Standing self = state.standing();
                     JsonArray members = Json.array();
                     Member.all(view.rows())
                             .forEach(
@@ -45,27 +45,27 @@
                                                             .add("share", m.share() / 1e6)));
                     JsonObject json =
                             Json.object()
-                                    .add("name", us.name())
-                                    .add("incarnation", us.incarnation())
-                                    .add("role", us.role().name().toLowerCase(Locale.ROOT))
-                                    .add("leader", text(us.leader()))
-                                    .add("voters", us.voters())
+                                    .add("name", self.name())
+                                    .add("incarnation", self.incarnation())
+                                    .add("role", self.role().name().toLowerCase(Locale.ROOT))
+                                    .add("leader", text(self.leader()))
+                                    .add("voters", self.voters())
                                     .add("index", view.moment().index())
                                     .add("logMs", view.moment().micros() / 1000)
                                     .add("alive", Member.alive(view.rows(), view.moment().micros()))
                                     .add("members", members)
-                                    .add("share", session.factor())
-                                    .add("joined", session.joined())
+                                    .add("share", session.rateFactor())
+                                    .add("joined", session.isJoined())
                                     .add("phase", progress.phase().text())
                                     .add("phases", progress.phases())
                                     .add(
                                             "fault",
                                             text(
-                                                    us.fault() == null
-                                                            ? session.refused()
-                                                            : us.fault()))
-                                    .add("memoryFault", text(memory.get()));
-                    calls.answers().done(reply, json);
+                                                    self.fault() == null
+                                                            ? session.rejectionReason()
+                                                            : self.fault()))
+                                    .add("memoryFault", text(snapshotFault.get()));
+                    endpoints.responses().ok(reply, json);
                 });
     }
 
--- a/sharing/src/main/java/postgrade/sharing/calls/WindowCalls.java
+++ b/sharing/src/main/java/postgrade/sharing/endpoints/WindowEndpoint.java
@@ -1,4 +1,4 @@
-package postgrade.sharing.calls;
+package postgrade.sharing.endpoints;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
@@ -13,7 +13,7 @@
 import java.util.Set;
 import postgrade.extension.Host;
 import postgrade.operator.AdditionalEndpoints.Reply;
-import postgrade.sharing.window.Opening;
+import postgrade.sharing.window.DispatcherWindows;
 import postgrade.window.Deadline;
 import postgrade.window.Exclusion;
 import postgrade.window.Intervals;
@@ -22,48 +22,59 @@
 import postgrade.window.StartWindows;
 
 /** When a job may start: by its class, or by a plan of its own. */
-public final class WindowCalls {
+public final class WindowEndpoint {
 
     private static final Set<String> FIELDS =
             Set.of("class", "earliest", "deadline", "lastsMs", "sites", "requestId");
 
     /** Guards the answer's length; what comes later is asked for with a later earliest start. */
-    private static final int MOST_TOLD = 200;
+    private static final int MAX_ENTRIES = 200;
 
     private final Host host;
-    private final Opening opening;
-    private final Answers answers;
+    private final DispatcherWindows startWindows;
+    private final Responses responses;
 
-    private WindowCalls(Host host, Opening opening, Answers answers) {
+    private WindowEndpoint(Host host, DispatcherWindows startWindows, Responses responses) {
         this.host = host;
-        this.opening = opening;
-        this.answers = answers;
+        this.startWindows = startWindows;
+        this.responses = responses;
     }
 
-    public static void addTo(Calls calls, Host host, Opening opening) {
-        calls.add("POST", "/windows", new WindowCalls(host, opening, calls.answers())::ask);
+    public static void addTo(
+            OperatorEndpoints endpoints, Host host, DispatcherWindows startWindows) {
+        endpoints.add(
+                "POST",
+                "/windows",
+                new WindowEndpoint(host, startWindows, endpoints.responses())::query);
     }
 
-    private void ask(byte[] body, Reply reply) {
-        JsonObject object = Body.object(body);
+    private void query(byte[] body, Reply reply) {
+        JsonObject object = RequestBody.parse(body);
         object.names().stream()
                 .filter(f -> !FIELDS.contains(f))
                 .findFirst()
                 .ifPresent(
                         f -> {
-                            throw new Body.Bad(f + " is not a field of a plan");
+                            throw new RequestBody.InvalidRequestException(
+                                    f + " is not a field of a plan");
                         });
         long now = host.unixMillis().getAsLong();
         StartPlan plan = plan(object, now);
         if (plan == null) {
-            answers.bad(reply, 404, "class " + Body.needed(object, "class") + " has no windows");
+            responses.error(
+                    reply,
+                    404,
+                    "class " + RequestBody.requiredText(object, "class") + " has no windows");
             return;
         }
         StartWindows.Result answer =
                 StartWindows.query(
-                        plan, opening.calendars(), now, opening.settings().clockErrorMillis());
+                        plan,
+                        startWindows.calendars(),
+                        now,
+                        startWindows.settings().clockErrorMillis());
         if (answer.bySite().isEmpty() && !answer.unknownSites().isEmpty()) {
-            answers.notNow(
+            responses.unavailable(
                     reply,
                     "sites: of none is the calendar known: "
                             + answer.unknownSites().get(0).detail(),
@@ -80,8 +91,8 @@
                                                 .add("version", s.version())
                                                 .add("starts", intervals(s.starts()))));
         JsonArray exclusions = Json.array();
-        answer.exclusions().stream().limit(MOST_TOLD).forEach(e -> exclusions.add(exclusion(e)));
-        answers.done(
+        answer.exclusions().stream().limit(MAX_ENTRIES).forEach(e -> exclusions.add(exclusion(e)));
+        responses.ok(
                 reply,
                 Json.object()
                         .add("mayStart", answer.mayStart(now))
@@ -96,23 +107,24 @@
 
     private StartPlan plan(JsonObject object, long now) {
         if (object.get("class") != null) {
-            String name = Body.needed(object, "class");
-            JobClassWindow c =
-                    opening.settings().classes().stream()
+            String name = RequestBody.requiredText(object, "class");
+            JobClassWindow windowClass =
+                    startWindows.settings().classes().stream()
                             .filter(w -> w.name().equals(name))
                             .findFirst()
                             .orElse(null);
-            return c == null
+            return windowClass == null
                     ? null
-                    : c.plan(
+                    : windowClass.plan(
                             now,
                             lasts(
                                     object,
                                     Math.max(
-                                            c.declaredMillis(),
-                                            c.quantile() == 0
+                                            windowClass.declaredMillis(),
+                                            windowClass.quantile() == 0
                                                     ? 0
-                                                    : opening.learntMillis(name, c.quantile()))));
+                                                    : startWindows.learntDurationMillis(
+                                                            name, windowClass.quantile()))));
         }
         try {
             long earliest =
@@ -125,34 +137,40 @@
                     lasts(object, -1),
                     sites(object.get("sites")));
         } catch (IllegalArgumentException e) {
-            throw new Body.Bad(e.getMessage());
+            throw new RequestBody.InvalidRequestException(e.getMessage());
         }
     }
 
-    private static long lasts(JsonObject object, long otherwise) {
+    private static long lasts(JsonObject object, long defaultMillis) {
         JsonValue v = object.get("lastsMs");
-        if (v == null && otherwise >= 0) {
-            return otherwise;
+        if (v == null && defaultMillis >= 0) {
+            return defaultMillis;
         }
         if (v == null || !v.isNumber() || v.asDouble() != Math.rint(v.asDouble())) {
-            throw new Body.Bad(
+            throw new RequestBody.InvalidRequestException(
                     "lastsMs " + (v == null ? "is missing" : "has to be a whole number"));
         }
         double lasts = v.asDouble();
         if (lasts < 0 || lasts > StartPlan.MAX_DURATION_MILLIS) {
-            throw new Body.Bad("lastsMs must lie between 0 and " + StartPlan.MAX_DURATION_MILLIS);
+            throw new RequestBody.InvalidRequestException(
+                    "lastsMs must lie between 0 and " + StartPlan.MAX_DURATION_MILLIS);
         }
         return (long) lasts;
     }
 
     private static List<String> sites(JsonValue v) {
-        if (v == null || !v.isArray() || v.asArray().isEmpty() || v.asArray().size() > MOST_TOLD) {
-            throw new Body.Bad("sites has to be a list of 1 to " + MOST_TOLD + " names");
+        if (v == null
+                || !v.isArray()
+                || v.asArray().isEmpty()
+                || v.asArray().size() > MAX_ENTRIES) {
+            throw new RequestBody.InvalidRequestException(
+                    "sites has to be a list of 1 to " + MAX_ENTRIES + " names");
         }
         List<String> sites = new ArrayList<>();
         for (JsonValue site : v.asArray()) {
             if (!site.isString() || sites.contains(site.asString())) {
-                throw new Body.Bad("sites has to be a list of names, each once");
+                throw new RequestBody.InvalidRequestException(
+                        "sites has to be a list of names, each once");
             }
             sites.add(site.asString());
         }
@@ -169,10 +187,10 @@
         JsonObject daily = v.asObject();
         try {
             return new Deadline.Daily(
-                    LocalTime.parse(Body.needed(daily, "time")),
-                    ZoneId.of(Body.needed(daily, "zone")).getRules());
+                    LocalTime.parse(RequestBody.requiredText(daily, "time")),
+                    ZoneId.of(RequestBody.requiredText(daily, "zone")).getRules());
         } catch (DateTimeException e) {
-            throw new Body.Bad(
+            throw new RequestBody.InvalidRequestException(
                     "deadline has to be a time such as 18:00 and a zone such as Europe/Zagreb: "
                             + e.getMessage());
         }
@@ -186,7 +204,8 @@
         } catch (DateTimeException | ArithmeticException e) {
             // Falls through to the one sentence.
         }
-        throw new Body.Bad(field + " has to be an instant such as 2026-12-02T06:00:00Z");
+        throw new RequestBody.InvalidRequestException(
+                field + " has to be an instant such as 2026-12-02T06:00:00Z");
     }
 
     private static JsonValue time(long millis) {
@@ -195,10 +214,10 @@
                 : Json.value(Instant.ofEpochMilli(millis).toString());
     }
 
-    private static JsonArray intervals(Intervals all) {
+    private static JsonArray intervals(Intervals intervals) {
         JsonArray array = Json.array();
-        for (int i = 0; i < all.size() && i < MOST_TOLD; i++) {
-            array.add(Json.array().add(time(all.from(i))).add(time(all.to(i))));
+        for (int i = 0; i < intervals.size() && i < MAX_ENTRIES; i++) {
+            array.add(Json.array().add(time(intervals.from(i))).add(time(intervals.to(i))));
         }
         return array;
     }
--- a/sharing/src/main/java/postgrade/sharing/lease/Reserving.java
+++ b/sharing/src/main/java/postgrade/sharing/lease/Reservations.java
@@ -22,20 +22,20 @@
  * Reservations beside a dispatcher: their say in the module's choices, and the fleet as the shared
  * state has it.
  */
-public final class Reserving {
+public final class Reservations {
 
-    private static final long EVERY_MICROS = 500_000;
-    private static final long WITHIN_MICROS = 1_000_000;
+    private static final long SYNC_INTERVAL_MICROS = 500_000;
+    private static final long SUBMIT_TIMEOUT_MICROS = 1_000_000;
 
     /** A large fleet is told over some rounds, so that it never crowds the log. */
-    private static final int MOST_AT_ONCE = 50;
+    private static final int MAX_COMMANDS_PER_ROUND = 50;
 
     private final Host host;
-    private final ReplicatedState sharing;
+    private final ReplicatedState state;
     private final FleetSync.AcceleratorConfig accelerators;
-    private final LeaseConstraints ability;
-    private int asking;
-    private long dueMicros;
+    private final LeaseConstraints constraints;
+    private int commandsInFlight;
+    private long nextSyncMicros;
     private long decidedFence;
 
     /**
@@ -43,48 +43,48 @@
      * @param reserving classes whose jobs use reserved accelerators
      * @throws IllegalArgumentException for a class that there is not, or that must not run twice
      */
-    public Reserving(
+    public Reservations(
             Host host,
-            ReplicatedState sharing,
+            ReplicatedState state,
             FleetSync.AcceleratorConfig accelerators,
-            Set<String> reserving,
+            Set<String> reservingClasses,
             boolean lends) {
         this.host = host;
-        this.sharing = sharing;
+        this.state = state;
         this.accelerators = accelerators;
-        Map<String, Idempotency> effects = new HashMap<>();
-        host.settings().classes.forEach(c -> effects.put(c.name(), c.idempotency()));
-        ability =
+        Map<String, Idempotency> idempotencyByClass = new HashMap<>();
+        host.settings().classes.forEach(c -> idempotencyByClass.put(c.name(), c.idempotency()));
+        constraints =
                 new LeaseConstraints(
-                        sharing::view,
+                        state::view,
                         LeaseTimes.DEFAULT,
-                        new LeaseConstraints.Rules(reserving, effects, lends));
+                        new LeaseConstraints.Rules(reservingClasses, idempotencyByClass, lends));
     }
 
-    public JobConstraints ability() {
-        return ability;
+    public JobConstraints constraints() {
+        return constraints;
     }
 
     /** What goes to the worker with a job, or null. */
     public String fence(String jobClass, String tenant, String worker) {
-        return ability.fenceFor(host.timers().nowMicros() * 1000, jobClass, tenant, worker);
+        return constraints.fenceFor(host.timers().nowMicros() * 1000, jobClass, tenant, worker);
     }
 
     /** Called again and again: whoever leads tells the state what discovery says of the workers. */
     public void tick() {
         long now = host.timers().nowMicros();
-        View view = sharing.view();
-        ReplicatedState.Standing us = sharing.standing();
-        if (us.incarnation() == 0
-                || now < dueMicros
-                || asking > 0
-                || !us.name().equals(us.leader())
+        View view = state.view();
+        ReplicatedState.Standing self = state.standing();
+        if (self.incarnation() == 0
+                || now < nextSyncMicros
+                || commandsInFlight > 0
+                || !self.name().equals(self.leader())
                 || view.moment().fence() < decidedFence) {
             return;
         }
-        dueMicros = now + EVERY_MICROS;
+        nextSyncMicros = now + SYNC_INTERVAL_MICROS;
         List<WorkerInfo> workers = new ArrayList<>();
-        Set<String> out = new HashSet<>();
+        Set<String> outOfService = new HashSet<>();
         for (Host.WorkerStatus w : host.workers()) {
             workers.add(
                     new WorkerInfo(
@@ -96,25 +96,30 @@
                             w.weight(),
                             w.startedMillis() * 1_000_000));
             if (w.inMaintenance()) {
-                out.add(w.id());
+                outOfService.add(w.id());
             }
         }
         if (workers.isEmpty()) {
             return; // Before discovery has told, nothing is known to be gone.
         }
-        List<Command> due =
+        List<Command> commands =
                 FleetSync.pendingCommands(
-                        view.rows(), workers, out, accelerators, us.name(), us.incarnation());
-        due.stream()
-                .limit(MOST_AT_ONCE)
+                        view.rows(),
+                        workers,
+                        outOfService,
+                        accelerators,
+                        self.name(),
+                        self.incarnation());
+        commands.stream()
+                .limit(MAX_COMMANDS_PER_ROUND)
                 .forEach(
                         c -> {
-                            asking++;
-                            sharing.submit(
+                            commandsInFlight++;
+                            state.submit(
                                     c,
-                                    WITHIN_MICROS,
+                                    SUBMIT_TIMEOUT_MICROS,
                                     reply -> {
-                                        asking--;
+                                        commandsInFlight--;
                                         if (reply.decided() && reply.moment() != null) {
                                             decidedFence =
                                                     Math.max(decidedFence, reply.moment().fence());
--- a/sharing/src/main/java/postgrade/sharing/pace/Connecting.java
+++ b/sharing/src/main/java/postgrade/sharing/pacing/ConnectionPacing.java
@@ -1,4 +1,4 @@
-package postgrade.sharing.pace;
+package postgrade.sharing.pacing;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -14,82 +14,84 @@
  * long as another that has one can take the job; a job waits for that once, to the module's next
  * look, and never longer.
  */
-public final class Connecting implements JobConstraints {
+public final class ConnectionPacing implements JobConstraints {
 
     /** A worker that holds fewer of our calls can take one more. */
-    private static final int FEW = 2;
+    private static final int SPARE_CAPACITY_CALLS = 2;
 
-    private static final int MOST_WAITING = 1000;
+    private static final int MAX_TRACKED_JOBS = 1000;
 
     private final Host host;
-    private final ConnectionPacer openings;
+    private final ConnectionPacer pacer;
 
     /**
      * Classes that cannot go just anywhere: what is reserved for them, or their sites, may have no
      * connection.
      */
-    private final Set<String> bound;
+    private final Set<String> exemptClasses;
 
-    private final Map<String, Long> waiting =
+    private final Map<String, Long> firstAskedNs =
             new LinkedHashMap<>() {
                 private static final long serialVersionUID = 1L;
 
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
-                    return size() > MOST_WAITING;
+                    return size() > MAX_TRACKED_JOBS;
                 }
             };
-    private Job asked;
-    private long askedNs;
-    private boolean othersCan;
+    private Job cachedJob;
+    private long cachedNowNs;
+    private boolean cachedWait;
 
-    public Connecting(Host host, double multiple, Set<String> bound) {
+    public ConnectionPacing(Host host, double rateMultiple, Set<String> exemptClasses) {
         this.host = host;
-        this.bound = Set.copyOf(bound);
+        this.exemptClasses = Set.copyOf(exemptClasses);
         int places = Math.max(1, host.settings().dispatcherCount);
-        openings =
+        pacer =
                 new ConnectionPacer(
                         places,
                         Math.floorMod(host.name().hashCode(), places),
-                        multiple,
+                        rateMultiple,
                         host.maxIdleMicros());
     }
 
     /**
      * @param alive members by the view, 0 where it does not tell
      */
-    public void look(int alive) {
-        openings.update(host.timers().nowMicros(), alive, host.maxIdleMicros());
+    public void update(int aliveMembers) {
+        pacer.update(host.timers().nowMicros(), aliveMembers, host.maxIdleMicros());
     }
 
     /** One is to be opened, and must be if nothing else can carry the request. */
-    public boolean mayConnect(String worker, boolean must) {
-        return openings.tryConnect(host.timers().nowMicros(), worker, must);
+    public boolean mayConnect(String worker, boolean required) {
+        return pacer.tryConnect(host.timers().nowMicros(), worker, required);
     }
 
     @Override
     public double usableShare(long nowNs, Job job, WorkerInfo worker) {
-        return bound.contains(job.jobClass())
+        return exemptClasses.contains(job.jobClass())
                         || host.isConnected(worker.id())
-                        || openings.mayConnect(host.timers().nowMicros(), worker.id())
-                        || !othersCan(nowNs, job)
+                        || pacer.mayConnect(host.timers().nowMicros(), worker.id())
+                        || !shouldWait(nowNs, job)
                 ? 1
                 : 0;
     }
 
     /** Asked for each worker, and told by one look at all of them for a job. */
-    private boolean othersCan(long nowNs, Job job) {
-        if (job != asked || nowNs != askedNs) {
-            asked = job;
-            askedNs = nowNs;
-            Long since = waiting.putIfAbsent(job.id(), nowNs);
-            othersCan = (since == null || since == nowNs) && host.anyConnectedWithCallsBelow(FEW);
+    private boolean shouldWait(long nowNs, Job job) {
+        if (job != cachedJob || nowNs != cachedNowNs) {
+            cachedJob = job;
+            cachedNowNs = nowNs;
+            Long firstAsked = firstAskedNs.putIfAbsent(job.id(), nowNs);
+            cachedWait =
+                    (firstAsked == null || firstAsked == nowNs)
+                            && host.anyConnectedWithCallsBelow(SPARE_CAPACITY_CALLS);
         }
-        return othersCan;
+        return cachedWait;
     }
 
     /** Connections opened against the pace, since nothing else could carry a request. */
-    public long forced() {
-        return openings.forcedCount();
+    public long forcedCount() {
+        return pacer.forcedCount();
     }
 }
--- a/sharing/src/main/java/postgrade/sharing/progress/Admission.java
+++ b/sharing/src/main/java/postgrade/sharing/progress/RampAdmission.java
@@ -12,27 +12,27 @@
  * While workers are cold after a return, takes in what they can do; the rest is told to come later,
  * spread out.
  */
-public final class Admission implements JobConstraints {
+public final class RampAdmission implements JobConstraints {
 
-    private static final double NANOS = 1e3;
-    private static final long LEAST_MICROS = 300_000;
+    private static final double NANOS_PER_MICRO = 1e3;
+    private static final long MIN_RETRY_AFTER_MICROS = 300_000;
 
     /** Even a few callers do not come back in one moment. */
-    private static final long LEAST_WIDTH_MICROS = 300_000;
+    private static final long MIN_SPREAD_MICROS = 300_000;
 
-    private static final long MOST_MICROS = 2_000_000;
+    private static final long MAX_RETRY_AFTER_MICROS = 2_000_000;
 
-    private final Progress progress;
+    private final RecoveryProgress progress;
     private final LongSupplier nowMicros;
     private final DoubleSupplier ratePerS;
     private final long seed;
-    private final RecentDemand crowd = new RecentDemand();
+    private final RecentDemand demand = new RecentDemand();
 
     /**
      * @param ratePerS of jobs within all shares here, once all is admitted
      */
-    public Admission(
-            Progress progress, LongSupplier nowMicros, DoubleSupplier ratePerS, long seed) {
+    public RampAdmission(
+            RecoveryProgress progress, LongSupplier nowMicros, DoubleSupplier ratePerS, long seed) {
         this.progress = progress;
         this.nowMicros = nowMicros;
         this.ratePerS = ratePerS;
@@ -47,18 +47,18 @@
             return 0;
         }
         boolean admitted = ramp.admits(now, job.id());
-        crowd.recordRequest(now, !admitted);
+        demand.recordRequest(now, !admitted);
         return admitted
                 ? 0
                 : (long)
                         (RetryAfterSpread.retryAfterMicros(
                                         job.id(),
                                         seed,
-                                        LEAST_MICROS,
+                                        MIN_RETRY_AFTER_MICROS,
                                         Math.max(
-                                                LEAST_WIDTH_MICROS,
-                                                crowd.spreadMicros(ratePerS.getAsDouble())),
-                                        MOST_MICROS)
-                                * NANOS);
+                                                MIN_SPREAD_MICROS,
+                                                demand.spreadMicros(ratePerS.getAsDouble())),
+                                        MAX_RETRY_AFTER_MICROS)
+                                * NANOS_PER_MICRO);
     }
 }
--- a/sharing/src/main/java/postgrade/sharing/progress/Progress.java
+++ b/sharing/src/main/java/postgrade/sharing/progress/RecoveryProgress.java
@@ -26,46 +26,46 @@
  * Measures how far this process has come back, by what is served, and says so in the log and to
  * operators.
  */
-public final class Progress implements RequestObserver {
+public final class RecoveryProgress implements RequestObserver {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Progress.class);
-    private static final double NANOS = 1e3;
-    private static final long MEANS_MICROS = 5_000_000;
+    private static final Logger LOG = LoggerFactory.getLogger(RecoveryProgress.class);
+    private static final double NANOS_PER_MICRO = 1e3;
+    private static final long REFRESH_INTERVAL_MICROS = 5_000_000;
 
     private final Host host;
     private final Recovery recovery;
-    private final ServedWorth worth;
+    private final ServedWorth servedWorth;
     private final long startedMicros;
     private AdmissionRamp ramp;
-    private final Map<String, Double> meanMicros = new HashMap<>();
+    private final Map<String, Double> meanServiceMicros = new HashMap<>();
     private Map<String, JobClass> classes = Map.of();
-    private long meansDueMicros;
-    private int said;
-    private boolean remembers;
-    private int alive;
+    private long nextRefreshMicros;
+    private int loggedSteps;
+    private boolean hasSnapshot;
+    private int aliveMembers;
 
-    public Progress(Host host, Recovery.Bounds bounds) {
+    public RecoveryProgress(Host host, Recovery.Bounds bounds) {
         this.host = host;
         startedMicros = host.timers().nowMicros();
         recovery = new Recovery(startedMicros, bounds);
-        worth = new ServedWorth(startedMicros);
+        servedWorth = new ServedWorth(startedMicros);
         refresh(startedMicros);
     }
 
     /** A former process's snapshot is trusted. */
-    public void remember(double served) {
-        remembers = true;
-        worth.setBaseline(served);
+    public void restoreBaseline(double servedShare) {
+        hasSnapshot = true;
+        servedWorth.setBaseline(servedShare);
     }
 
     /**
      * @param able what the known workers can do now, as a part of what they can once all are warm
      */
-    public void ramp(double able) {
-        ramp = new AdmissionRamp(host.timers().nowMicros(), able);
+    public void startRamp(double warmShare) {
+        ramp = new AdmissionRamp(host.timers().nowMicros(), warmShare);
     }
 
-    public boolean ramps() {
+    public boolean isRamping() {
         return ramp != null && ramp.admittedShare(host.timers().nowMicros()) < 1;
     }
 
@@ -75,63 +75,63 @@
     }
 
     /** Worth in time over the longer time; NaN where nothing was asked. */
-    public double usual() {
-        return worth.longTermShare();
+    public double longTermServedShare() {
+        return servedWorth.longTermShare();
     }
 
     /**
      * @param members that live by the view, 0 where it does not tell
      */
-    public void look(long viewAgeMicros, boolean joined, int members) {
+    public void update(long viewAgeMicros, boolean joined, int members) {
         long now = host.timers().nowMicros();
-        if (now >= meansDueMicros) {
+        if (now >= nextRefreshMicros) {
             refresh(now);
         }
-        if (members < alive) {
-            worth.recordFault(now);
+        if (members < aliveMembers) {
+            servedWorth.recordFault(now);
             recovery.recordFault();
         }
-        alive = members;
-        RecoveryPhase was = recovery.phase();
-        RecoveryPhase is =
+        aliveMembers = members;
+        RecoveryPhase before = recovery.phase();
+        RecoveryPhase after =
                 recovery.update(
                         now,
                         new Observation(
-                                remembers,
+                                hasSnapshot,
                                 ramp != null,
                                 viewAgeMicros,
                                 joined,
                                 ramp == null ? 0 : ramp.admittedShare(now),
-                                worth.recentShare(now),
-                                worth.baseline()));
-        if (is == RecoveryPhase.FULL && was != RecoveryPhase.FULL) {
-            worth.clearBaseline();
+                                servedWorth.recentShare(now),
+                                servedWorth.baseline()));
+        if (after == RecoveryPhase.FULL && before != RecoveryPhase.FULL) {
+            servedWorth.clearBaseline();
         }
-        say();
+        logNewSteps();
     }
 
-    private void say() {
+    private void logNewSteps() {
         List<Step> steps = recovery.steps();
-        for (Step s : steps.subList(Math.min(said, steps.size()), steps.size())) {
-            long after = (s.atMicros() - startedMicros) / 1000;
+        for (Step s : steps.subList(Math.min(loggedSteps, steps.size()), steps.size())) {
+            long afterMillis = (s.atMicros() - startedMicros) / 1000;
             Events.info(LOG, "comeback.phase")
                     .addKeyValue("phase", s.phase().text())
-                    .addKeyValue("after_ms", after)
+                    .addKeyValue("after_ms", afterMillis)
                     .addKeyValue("cause", s.cause())
-                    .log(s.phase().text() + " after " + after + " ms: " + s.cause());
+                    .log(s.phase().text() + " after " + afterMillis + " ms: " + s.cause());
         }
-        said = steps.size();
+        loggedSteps = steps.size();
     }
 
     private void refresh(long now) {
-        meansDueMicros = now + MEANS_MICROS;
+        nextRefreshMicros = now + REFRESH_INTERVAL_MICROS;
         Map<String, JobClass> byName = new HashMap<>();
         host.settings().classes.forEach(c -> byName.put(c.name(), c));
         classes = byName;
         if (classes.values().stream().anyMatch(c -> c.objectivePerServiceTime() > 0)) {
-            for (PolicyStateEntry l : host.exportPolicyState()) {
-                if (l.category().equals("class") && l.values().length > 0) {
-                    meanMicros.put(l.name(), l.values()[0] / NANOS);
+            for (PolicyStateEntry entry : host.exportPolicyState()) {
+                if (entry.category().equals("class") && entry.values().length > 0) {
+                    meanServiceMicros.put(entry.name(), entry.values()[0] / NANOS_PER_MICRO);
                 }
             }
         }
@@ -139,14 +139,15 @@
 
     @Override
     public void requestAnswered(AnsweredRequest answered) {
-        JobClass c = classes.get(answered.jobClass());
-        if (c != null) {
-            double aim =
-                    c.latencyObjectiveNs() / NANOS
-                            + c.objectivePerServiceTime()
-                                    * meanMicros.getOrDefault(answered.jobClass(), 0.0);
-            boolean inTime = answered.isServed() && answered.afterMicros() <= aim;
-            worth.add(host.timers().nowMicros(), c.priorityWeight(), inTime);
+        JobClass jobClass = classes.get(answered.jobClass());
+        if (jobClass != null) {
+            double objectiveMicros =
+                    jobClass.latencyObjectiveNs() / NANOS_PER_MICRO
+                            + jobClass.objectivePerServiceTime()
+                                    * meanServiceMicros.getOrDefault(answered.jobClass(), 0.0);
+            boolean withinObjective =
+                    answered.isServed() && answered.afterMicros() <= objectiveMicros;
+            servedWorth.add(host.timers().nowMicros(), jobClass.priorityWeight(), withinObjective);
         }
     }
 
--- a/sharing/src/main/java/postgrade/sharing/session/Late.java
+++ b/sharing/src/main/java/postgrade/sharing/session/DeferredState.java
@@ -18,34 +18,39 @@
  * nothing is decided. While another process of this dispatcher has store and place this one follows
  * beside it, with a view of its own, and opens its own once that process has ended.
  */
-public final class Late implements ReplicatedState {
+public final class DeferredState implements ReplicatedState {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Late.class);
-    private static final long AGAIN_MICROS = 2_000_000;
+    private static final Logger LOG = LoggerFactory.getLogger(DeferredState.class);
+    private static final long RETRY_INTERVAL_MICROS = 2_000_000;
 
     private final Host host;
     private final List<StatePart> parts;
-    private final Opener opener;
-    private final Executor aside;
+    private final StateOpener opener;
+    private final Executor blockingExecutor;
     private final String name;
-    private ReplicatedState sharing;
+    private ReplicatedState own;
 
     /** Followed beside the other process, and until the own view is as new. */
-    private ReplicatedState beside;
+    private ReplicatedState observer;
 
     private String fault = "not opened yet";
     private boolean opening;
     private boolean closed;
-    private long notBeforeMicros;
+    private long nextAttemptMicros;
 
     /**
      * @param name by which this process shares, as a former one has told it
      * @param aside where it is opened, since that takes its time
      */
-    public Late(Host host, String name, List<StatePart> parts, Opener opener, Executor aside) {
+    public DeferredState(
+            Host host,
+            String name,
+            List<StatePart> parts,
+            StateOpener opener,
+            Executor blockingExecutor) {
         this.host = host;
         this.name = name;
-        this.aside = aside;
+        this.blockingExecutor = blockingExecutor;
         this.parts = List.copyOf(parts);
         this.opener = opener;
     }
@@ -53,41 +58,41 @@
     /** Looks whether it can be opened now. Called again and again. */
     public void tick() {
         long now = host.timers().nowMicros();
-        if (sharing != null && beside != null && ownIsAsNew()) {
-            beside.close();
-            beside = null;
+        if (own != null && observer != null && ownViewCaughtUp()) {
+            observer.close();
+            observer = null;
         }
-        if (sharing != null || opening || closed || now < notBeforeMicros) {
+        if (own != null || opening || closed || now < nextAttemptMicros) {
             return;
         }
-        boolean alone = host.isOnlyProcess();
-        if (!alone) {
+        boolean onlyProcess = host.isOnlyProcess();
+        if (!onlyProcess) {
             fault = "another process of this dispatcher still has its place";
         }
-        if (alone || beside == null) {
+        if (onlyProcess || observer == null) {
             opening = true;
-            aside.execute(() -> open(alone));
+            blockingExecutor.execute(() -> open(onlyProcess));
         }
     }
 
-    private boolean ownIsAsNew() {
-        return sharing.view().known() && sharing.view().asOfMicros() >= beside.view().asOfMicros();
+    private boolean ownViewCaughtUp() {
+        return own.view().known() && own.view().asOfMicros() >= observer.view().asOfMicros();
     }
 
     /** Off the loop: files and sockets. */
-    private void open(boolean alone) {
+    private void open(boolean onlyProcess) {
         try {
             ReplicatedState opened =
-                    alone
+                    onlyProcess
                             ? opener.open(parts, host.monotonicMicros(), host.loopExecutor())
-                            : opener.beside(host.monotonicMicros(), host.loopExecutor());
-            host.loopExecutor().execute(() -> opened(opened, alone));
+                            : opener.openObserver(host.monotonicMicros(), host.loopExecutor());
+            host.loopExecutor().execute(() -> opened(opened, onlyProcess));
         } catch (IOException | RuntimeException e) {
-            host.loopExecutor().execute(() -> failed(e));
+            host.loopExecutor().execute(() -> openFailed(e));
         }
     }
 
-    private void opened(ReplicatedState opened, boolean alone) {
+    private void opened(ReplicatedState opened, boolean onlyProcess) {
         opening = false;
         if (opened == null) {
             return;
@@ -96,26 +101,30 @@
             opened.close();
             return;
         }
-        if (!alone) {
-            beside = opened;
+        if (!onlyProcess) {
+            observer = opened;
             Events.info(LOG, "sharing.beside")
                     .log(
                             "following the shared state beside the process that has this one's"
                                     + " place");
             return;
         }
-        sharing = opened;
+        own = opened;
         fault = null;
-        Standing s = opened.standing();
+        Standing standing = opened.standing();
         Events.info(LOG, "sharing.opened")
-                .addKeyValue("name", s.name())
-                .addKeyValue("incarnation", s.incarnation())
-                .log("state is shared as " + s.name() + ", incarnation " + s.incarnation());
+                .addKeyValue("name", standing.name())
+                .addKeyValue("incarnation", standing.incarnation())
+                .log(
+                        "state is shared as "
+                                + standing.name()
+                                + ", incarnation "
+                                + standing.incarnation());
     }
 
-    private void failed(Exception e) {
+    private void openFailed(Exception e) {
         opening = false;
-        notBeforeMicros = host.timers().nowMicros() + AGAIN_MICROS;
+        nextAttemptMicros = host.timers().nowMicros() + RETRY_INTERVAL_MICROS;
         String why = e.getMessage() == null ? e.toString() : e.getMessage();
         if (!why.equals(fault)) {
             Events.warn(LOG, "sharing.not-opened")
@@ -126,51 +135,52 @@
     }
 
     public boolean isOpen() {
-        return sharing != null;
+        return own != null;
     }
 
     @Override
     public View view() {
-        if (beside != null && (sharing == null || !ownIsAsNew())) {
-            return beside.view();
+        if (observer != null && (own == null || !ownViewCaughtUp())) {
+            return observer.view();
         }
-        return sharing == null ? View.NONE : sharing.view();
+        return own == null ? View.NONE : own.view();
     }
 
     @Override
     public void submit(Command command, long withinMicros, Consumer<Reply> done) {
-        ReplicatedState way = sharing == null ? beside : sharing;
-        if (way == null) {
-            host.loopExecutor().execute(() -> done.accept(new Reply(null, null, AGAIN_MICROS)));
+        ReplicatedState target = own == null ? observer : own;
+        if (target == null) {
+            host.loopExecutor()
+                    .execute(() -> done.accept(new Reply(null, null, RETRY_INTERVAL_MICROS)));
         } else {
-            way.submit(command, withinMicros, done);
+            target.submit(command, withinMicros, done);
         }
     }
 
     /** Without an incarnation until it has its own place. */
     @Override
     public Standing standing() {
-        if (sharing != null) {
-            return sharing.standing();
+        if (own != null) {
+            return own.standing();
         }
-        Standing other = beside == null ? null : beside.standing();
+        Standing observed = observer == null ? null : observer.standing();
         return new Standing(
                 name,
                 0,
                 Role.OBSERVER,
-                other == null ? null : other.leader(),
-                other == null ? 0 : other.voters(),
+                observed == null ? null : observed.leader(),
+                observed == null ? 0 : observed.voters(),
                 fault);
     }
 
     @Override
     public void close() {
         closed = true;
-        if (beside != null) {
-            beside.close();
+        if (observer != null) {
+            observer.close();
         }
-        if (sharing != null) {
-            sharing.close();
+        if (own != null) {
+            own.close();
         }
     }
 }
--- a/sharing/src/main/java/postgrade/sharing/session/Former.java
+++ b/sharing/src/main/java/postgrade/sharing/session/HandOverState.java
@@ -18,35 +18,43 @@
  * @param name by which it is a member @param incarnation under which it is one, 0 where it is none
  * @param out workers that it holds to be out @param words of operators that are not decided yet
  */
-public record Former(String name, long incarnation, Set<String> out, List<Word> words) {
+public record HandOverState(
+        String name,
+        long incarnation,
+        Set<String> outOfService,
+        List<PendingChange> pendingChanges) {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Former.class);
+    private static final Logger LOG = LoggerFactory.getLogger(HandOverState.class);
 
     /**
      * @param requestId by which it is asked for, also by the next process, so that it has its
      *     effect once
      */
-    public record Word(String worker, boolean out, String requestId) {}
+    public record PendingChange(String worker, boolean out, String requestId) {}
 
     /** Null where nothing was told, or what was told is not understood. */
-    public static Former of(String told) {
-        if (told == null || told.isEmpty()) {
+    public static HandOverState parse(String text) {
+        if (text == null || text.isEmpty()) {
             return null;
         }
         try {
-            JsonObject json = Json.parse(told).asObject();
-            Set<String> out = new TreeSet<>();
-            json.get("out").asArray().forEach(w -> out.add(w.asString()));
-            List<Word> words = new ArrayList<>();
+            JsonObject json = Json.parse(text).asObject();
+            Set<String> outOfService = new TreeSet<>();
+            json.get("out").asArray().forEach(w -> outOfService.add(w.asString()));
+            List<PendingChange> pendingChanges = new ArrayList<>();
             for (JsonValue w : json.get("words").asArray()) {
-                JsonArray a = w.asArray();
-                words.add(new Word(a.get(0).asString(), a.get(1).asBoolean(), a.get(2).asString()));
+                JsonArray change = w.asArray();
+                pendingChanges.add(
+                        new PendingChange(
+                                change.get(0).asString(),
+                                change.get(1).asBoolean(),
+                                change.get(2).asString()));
             }
-            return new Former(
+            return new HandOverState(
                     json.get("name").asString(),
                     Long.parseLong(json.get("incarnation").asString()),
-                    out,
-                    words);
+                    outOfService,
+                    pendingChanges);
         } catch (RuntimeException e) {
             Events.warn(LOG, "sharing.former-not-understood")
                     .addKeyValue("why", e.toString())
@@ -55,17 +63,18 @@
         }
     }
 
-    public String text() {
-        JsonArray outs = Json.array();
-        out.forEach(outs::add);
-        JsonArray all = Json.array();
-        words.forEach(w -> all.add(Json.array().add(w.worker).add(w.out).add(w.requestId)));
+    public String toJson() {
+        JsonArray outOfServiceArray = Json.array();
+        outOfService.forEach(outOfServiceArray::add);
+        JsonArray changesArray = Json.array();
+        pendingChanges.forEach(
+                w -> changesArray.add(Json.array().add(w.worker).add(w.out).add(w.requestId)));
         // As text: a reader that takes numbers for doubles would lose the last digits.
         return Json.object()
                 .add("name", name)
                 .add("incarnation", Long.toString(incarnation))
-                .add("out", outs)
-                .add("words", all)
+                .add("out", outOfServiceArray)
+                .add("words", changesArray)
                 .toString();
     }
 }
--- a/sharing/src/main/java/postgrade/sharing/session/Opener.java
+++ b/sharing/src/main/java/postgrade/sharing/session/StateOpener.java
@@ -9,19 +9,20 @@
 
 /** Opens what shares the state. May be called on any thread, and take its time. */
 @FunctionalInterface
-public interface Opener {
+public interface StateOpener {
 
     /**
      * @param onLoop where its answers come back
      */
-    ReplicatedState open(List<StatePart> parts, LongSupplier nowMicros, Executor onLoop)
+    ReplicatedState open(List<StatePart> parts, LongSupplier nowMicros, Executor loopExecutor)
             throws IOException;
 
     /**
      * Follows beside the process that has this one's place, and takes nothing from it; null where
      * that is not to be had.
      */
-    default ReplicatedState beside(LongSupplier nowMicros, Executor onLoop) throws IOException {
+    default ReplicatedState openObserver(LongSupplier nowMicros, Executor loopExecutor)
+            throws IOException {
         return null;
     }
 }
--- a/sharing/src/main/java/postgrade/sharing/settings/SharingSettings.java
+++ b/sharing/src/main/java/postgrade/sharing/settings/SharingSettings.java
@@ -22,17 +22,17 @@
  *     them
  */
 public record SharingSettings(
-        Path memory,
-        long memoryEveryMicros,
+        Path snapshotFolder,
+        long snapshotIntervalMicros,
         int places,
         long leaseMicros,
         long lingerMicros,
         long floorShare,
         long cutOffShare,
-        long viewAgeMicros,
+        long maxViewAgeMicros,
         Map<String, Integer> accelerators,
         long acceleratorsVersion,
         Set<String> reservingClasses,
-        boolean lends,
+        boolean lendsReserved,
         WindowSettings windows,
-        double returnMultiple) {}
+        double connectRateMultiple) {}
--- a/sharing/src/main/java/postgrade/sharing/settings/SharingSettingsFile.java
+++ b/sharing/src/main/java/postgrade/sharing/settings/SharingSettingsFile.java
@@ -50,11 +50,11 @@
                     "sites_by_zone",
                     "clock_error_ms",
                     "return_multiple");
-    private static final double MICROS = 1e6;
-    private static final long MOST = 1_000_000_000L;
+    private static final double MICROS_PER_SECOND = 1e6;
+    private static final long MAX_VERSION = 1_000_000_000L;
 
     /** A class with windows, as the script made it. */
-    private record Made(JobClassWindow window) implements Values.HostObject {
+    private record WindowValue(JobClassWindow window) implements Values.HostObject {
         @Override
         public String typeName() {
             return "window";
@@ -102,22 +102,23 @@
         }
     }
 
-    private SharingSettings settings(QuorumSettings q) {
-        String memory = text("memory");
-        Path folder = memory != null ? Path.of(memory).resolve(q.name()) : q.store();
+    private SharingSettings settings(QuorumSettings quorum) {
+        String folderName = optionalString("memory");
+        Path folder =
+                folderName != null ? Path.of(folderName).resolve(quorum.name()) : quorum.store();
         return new SharingSettings(
                 folder,
-                (long) (number("memory_every_s", 2, 0.1, 3600) * MICROS),
+                (long) (number("memory_every_s", 2, 0.1, 3600) * MICROS_PER_SECOND),
                 (int) number("places", 0, 0, 1000),
-                (long) (number("lease_s", 6, 4, 3600) * MICROS),
-                (long) (number("linger_s", 20, 0, 3600) * MICROS),
+                (long) (number("lease_s", 6, 4, 3600) * MICROS_PER_SECOND),
+                (long) (number("linger_s", 20, 0, 3600) * MICROS_PER_SECOND),
                 share("floor"),
                 share("cut_off"),
-                q.maxViewAgeMicros(),
-                counts(),
-                (long) number("accelerators_version", 1, 1, MOST),
-                reserving(),
-                truth("lends"),
+                quorum.maxViewAgeMicros(),
+                accelerators(),
+                (long) number("accelerators_version", 1, 1, MAX_VERSION),
+                reservingClasses(),
+                bool("lends"),
                 windows(),
                 number("return_multiple", 2, 1, 1000));
     }
@@ -126,7 +127,7 @@
         return (long) (number(key, 0.25, 0.001, 1) * MembershipTerms.EVEN_SHARE);
     }
 
-    private Map<String, Integer> counts() {
+    private Map<String, Integer> accelerators() {
         Map<String, Integer> counts = new HashMap<>();
         dict("accelerators")
                 .forEach(
@@ -143,7 +144,7 @@
         return counts;
     }
 
-    private Set<String> reserving() {
+    private Set<String> reservingClasses() {
         Set<String> names = new HashSet<>();
         list("reserving").forEach(v -> names.add(string("reserving", v)));
         return names;
@@ -152,44 +153,46 @@
     private WindowSettings windows() {
         List<JobClassWindow> classes = new ArrayList<>();
         for (Object v : list("windows")) {
-            if (!(v instanceof Made made)) {
+            if (!(v instanceof WindowValue value)) {
                 throw new IllegalArgumentException(
                         "windows: must hold window(...), not " + Values.type(v));
             }
-            classes.add(made.window);
+            classes.add(value.window);
         }
         return new WindowSettings(
                 classes,
-                texts("sites_by_kind"),
-                texts("sites_by_zone"),
+                stringDict("sites_by_kind"),
+                stringDict("sites_by_zone"),
                 (long) number("clock_error_ms", 1000, 0, 3_600_000));
     }
 
-    private static Made window(Object[] a) {
-        String zone = a[4] == null ? "UTC" : argument("zone", a[4]);
+    private static WindowValue window(Object[] args) {
+        String zone = args[4] == null ? "UTC" : argument("zone", args[4]);
         try {
             ZoneRules rules = ZoneId.of(zone).getRules();
             List<String> sites = new ArrayList<>();
-            if (!(a[1] instanceof Sequence s)) {
+            if (!(args[1] instanceof Sequence s)) {
                 throw Script.error("window: sites must be a list");
             }
             for (int i = 0; i < s.size(); i++) {
                 sites.add(argument("sites", s.get(i)));
             }
-            LocalTime from = a[2] == null ? null : LocalTime.parse(argument("from_time", a[2]));
+            LocalTime from =
+                    args[2] == null ? null : LocalTime.parse(argument("from_time", args[2]));
             Deadline until =
-                    a[3] == null
+                    args[3] == null
                             ? Deadline.NONE
-                            : new Deadline.Daily(LocalTime.parse(argument("until", a[3])), rules);
-            return new Made(
+                            : new Deadline.Daily(
+                                    LocalTime.parse(argument("until", args[3])), rules);
+            return new WindowValue(
                     new JobClassWindow(
-                            argument("job_class", a[0]),
+                            argument("job_class", args[0]),
                             sites,
                             from,
                             rules,
                             until,
-                            a[6] == null ? 0 : within("quantile", a[6], 0, 1),
-                            a[5] == null ? 0 : (long) within("lasts_ms", a[5], 0, 1e12)));
+                            args[6] == null ? 0 : checkRange("quantile", args[6], 0, 1),
+                            args[5] == null ? 0 : (long) checkRange("lasts_ms", args[5], 0, 1e12)));
         } catch (DateTimeException | IllegalArgumentException e) {
             throw Script.error("window: " + e.getMessage());
         }
@@ -204,7 +207,7 @@
 
     // ---- Values of the script.
 
-    private String text(String key) {
+    private String optionalString(String key) {
         Object v = script.global(key);
         return v == null ? null : string(key, v);
     }
@@ -216,7 +219,7 @@
         throw new IllegalArgumentException(key + ": must be a string, not " + Values.type(v));
     }
 
-    private boolean truth(String key) {
+    private boolean bool(String key) {
         Object v = script.global(key);
         if (v != null && !(v instanceof Boolean)) {
             throw new IllegalArgumentException(
@@ -225,37 +228,37 @@
         return v != null && (Boolean) v;
     }
 
-    private double number(String key, double otherwise, double least, double most) {
+    private double number(String key, double defaultValue, double min, double max) {
         Object v = script.global(key);
-        return v == null ? otherwise : within(key, v, least, most);
+        return v == null ? defaultValue : checkRange(key, v, min, max);
     }
 
-    private static double within(String key, Object v, double least, double most) {
+    private static double checkRange(String key, Object v, double min, double max) {
         if (!(v instanceof Long || v instanceof Double || v instanceof BigInteger)) {
             throw new IllegalArgumentException(key + ": must be a number, not " + Values.type(v));
         }
         double d = ((Number) v).doubleValue();
-        if (!(d >= least && d <= most)) {
+        if (!(d >= min && d <= max)) {
             throw new IllegalArgumentException(
-                    key + ": must lie between " + plain(least) + " and " + plain(most));
+                    key + ": must lie between " + format(min) + " and " + format(max));
         }
         return d;
     }
 
-    private static String plain(double d) {
+    private static String format(double d) {
         return d == Math.rint(d) ? Long.toString((long) d) : Double.toString(d);
     }
 
     private List<Object> list(String key) {
         Object v = script.global(key);
-        List<Object> all = new ArrayList<>();
+        List<Object> values = new ArrayList<>();
         if (v != null && !(v instanceof Sequence)) {
             throw new IllegalArgumentException(key + ": must be a list, not " + Values.type(v));
         }
         for (int i = 0; v != null && i < ((Sequence) v).size(); i++) {
-            all.add(((Sequence) v).get(i));
+            values.add(((Sequence) v).get(i));
         }
-        return all;
+        return values;
     }
 
     private Map<String, Object> dict(String key) {
@@ -263,18 +266,18 @@
         if (v != null && !(v instanceof DictValue)) {
             throw new IllegalArgumentException(key + ": must be a dict, not " + Values.type(v));
         }
-        Map<String, Object> all = new HashMap<>();
+        Map<String, Object> entries = new HashMap<>();
         if (v != null) {
             ((DictValue) v)
                     .keyList()
-                    .forEach(k -> all.put(string(key, k), ((DictValue) v).getOrNull(k)));
+                    .forEach(k -> entries.put(string(key, k), ((DictValue) v).getOrNull(k)));
         }
-        return all;
+        return entries;
     }
 
-    private Map<String, String> texts(String key) {
-        Map<String, String> all = new HashMap<>();
-        dict(key).forEach((k, v) -> all.put(k, string(key, v)));
-        return all;
+    private Map<String, String> stringDict(String key) {
+        Map<String, String> strings = new HashMap<>();
+        dict(key).forEach((k, v) -> strings.put(k, string(key, v)));
+        return strings;
     }
 }
--- a/sharing/src/main/java/postgrade/sharing/memory/MemoryFile.java
+++ b/sharing/src/main/java/postgrade/sharing/snapshot/SnapshotFile.java
@@ -1,4 +1,4 @@
-package postgrade.sharing.memory;
+package postgrade.sharing.snapshot;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -21,20 +21,20 @@
  * there is always a whole one: the former or the new. One that cannot be used is kept aside for
  * whoever looks into it.
  */
-public final class MemoryFile {
+public final class SnapshotFile {
 
-    private static final Logger LOG = LoggerFactory.getLogger(MemoryFile.class);
-    private static final String NAME = "learnt.memory";
-    private static final String ASIDE = ".unusable";
+    private static final Logger LOG = LoggerFactory.getLogger(SnapshotFile.class);
+    private static final String FILE_NAME = "learnt.memory";
+    private static final String UNUSABLE_SUFFIX = ".unusable";
 
     /** Guards the start against a file that somebody else has put there. */
-    private static final long MOST_BYTES = 16 << 20;
+    private static final long MAX_BYTES = 16 << 20;
 
     private final Path file;
     private final String dispatcher;
 
-    public MemoryFile(Path folder, String dispatcher) {
-        this.file = folder.resolve(NAME);
+    public SnapshotFile(Path folder, String dispatcher) {
+        this.file = folder.resolve(FILE_NAME);
         this.dispatcher = dispatcher;
     }
 
@@ -46,13 +46,13 @@
     public LearntSnapshot read(long unixMicros) {
         try {
             long size = Files.size(file);
-            if (size > MOST_BYTES) {
-                aside("too_large", "it has " + size + " bytes");
+            if (size > MAX_BYTES) {
+                setAside("too_large", "it has " + size + " bytes");
                 return null;
             }
             return LearntSnapshotFormat.read(Files.readAllBytes(file), dispatcher, unixMicros);
         } catch (UnusableSnapshotException e) {
-            aside(e.fault().name().toLowerCase(java.util.Locale.ROOT), e.getMessage());
+            setAside(e.fault().name().toLowerCase(java.util.Locale.ROOT), e.getMessage());
         } catch (NoSuchFileException e) {
             LOG.debug("no snapshot of what was learnt", e);
         } catch (IOException e) {
@@ -63,29 +63,29 @@
         return null;
     }
 
-    private void aside(String fault, String why) {
-        Path kept = file.resolveSibling(NAME + ASIDE);
-        String where;
+    private void setAside(String fault, String reason) {
+        Path target = file.resolveSibling(FILE_NAME + UNUSABLE_SUFFIX);
+        String outcome;
         try {
-            Files.move(file, kept, StandardCopyOption.REPLACE_EXISTING);
-            where = "kept as " + kept;
+            Files.move(file, target, StandardCopyOption.REPLACE_EXISTING);
+            outcome = "kept as " + target;
         } catch (IOException e) {
-            where = "it could not be kept aside: " + e;
+            outcome = "it could not be kept aside: " + e;
         }
         Events.warn(LOG, "memory.unusable")
                 .addKeyValue("fault", fault)
-                .addKeyValue("why", why)
-                .log("the snapshot " + file + " is not used: " + why + "; " + where);
+                .addKeyValue("why", reason)
+                .log("the snapshot " + file + " is not used: " + reason + "; " + outcome);
     }
 
     /** Off the loop: waits for the disk. */
-    public void write(LearntSnapshot memory) throws IOException {
+    public void write(LearntSnapshot snapshot) throws IOException {
         Files.createDirectories(file.getParent());
-        Path next = file.resolveSibling(NAME + ".next");
-        ByteBuffer bytes = ByteBuffer.wrap(LearntSnapshotFormat.write(memory));
+        Path temporary = file.resolveSibling(FILE_NAME + ".next");
+        ByteBuffer bytes = ByteBuffer.wrap(LearntSnapshotFormat.write(snapshot));
         try (FileChannel out =
                 FileChannel.open(
-                        next,
+                        temporary,
                         StandardOpenOption.CREATE,
                         StandardOpenOption.WRITE,
                         StandardOpenOption.TRUNCATE_EXISTING)) {
@@ -95,7 +95,7 @@
             out.force(true);
         }
         try {
-            Files.move(next, file, StandardCopyOption.ATOMIC_MOVE);
+            Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE);
         } catch (AtomicMoveNotSupportedException e) {
             throw new IOException("the folder's file system cannot rename in one step", e);
         }
--- a/sharing/src/main/java/postgrade/sharing/window/Opening.java
+++ b/sharing/src/main/java/postgrade/sharing/window/DispatcherWindows.java
@@ -22,26 +22,27 @@
 /**
  * Start windows beside a dispatcher. Calendars are worked out aside, as a large one takes a while.
  */
-public final class Opening {
+public final class DispatcherWindows {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Opening.class);
+    private static final Logger LOG = LoggerFactory.getLogger(DispatcherWindows.class);
 
     /** Whoever hears of a new calendar later has to know by this that its view is too old. */
-    private static final long MOST_VIEW_AGE_MICROS = 5_000_000;
+    private static final long MAX_VIEW_AGE_MICROS = 5_000_000;
 
     private final Host host;
-    private final ReplicatedState sharing;
-    private final Executor aside;
+    private final ReplicatedState state;
+    private final Executor blockingExecutor;
     private final WindowSettings settings;
-    private final CalendarRegistry calendars = new CalendarRegistry(MOST_VIEW_AGE_MICROS);
-    private final DurationHistograms lengths = new DurationHistograms();
-    private final WindowConstraints ability;
-    private final Set<String> underWay = new HashSet<>();
+    private final CalendarRegistry calendars = new CalendarRegistry(MAX_VIEW_AGE_MICROS);
+    private final DurationHistograms durations = new DurationHistograms();
+    private final WindowConstraints constraints;
+    private final Set<String> loading = new HashSet<>();
 
-    public Opening(Host host, ReplicatedState sharing, Executor aside, WindowSettings settings) {
+    public DispatcherWindows(
+            Host host, ReplicatedState state, Executor blockingExecutor, WindowSettings settings) {
         this.host = host;
-        this.sharing = sharing;
-        this.aside = aside;
+        this.state = state;
+        this.blockingExecutor = blockingExecutor;
         this.settings = settings;
         settings.classes()
                 .forEach(
@@ -52,25 +53,27 @@
                                         "windows: there is no class " + c.name());
                             }
                         });
-        ability =
+        constraints =
                 new WindowConstraints(
                         settings.classes(),
                         new WindowConstraints.SiteMapping(
                                 settings.sitesByKind(), settings.sitesByZone()),
                         calendars,
-                        lengths,
+                        durations,
                         settings.clockErrorMillis(),
                         host.name().hashCode());
         tick();
     }
 
-    public JobConstraints ability() {
-        return ability;
+    public JobConstraints constraints() {
+        return constraints;
     }
 
     /** The headers by which a job brings a plan of its own; null where no windows are set. */
-    public ExtensionHeaders claims() {
-        return settings.any() ? new PlanHeaders(settings, ability, host.unixMillis()) : null;
+    public ExtensionHeaders extensionHeaders() {
+        return settings.isConfigured()
+                ? new PlanHeaders(settings, constraints, host.unixMillis())
+                : null;
     }
 
     public CalendarLookup calendars() {
@@ -85,39 +88,45 @@
      * How long jobs of this class are to be taken to last, in milliseconds, for an operator's
      * question.
      */
-    public long learntMillis(String jobClass, double quantile) {
-        return lengths.quantile(jobClass, quantile);
+    public long learntDurationMillis(String jobClass, double quantile) {
+        return durations.quantile(jobClass, quantile);
     }
 
     /** A job of this class ran for so long. */
-    public void ran(String jobClass, long micros) {
-        lengths.recordDuration(jobClass, micros / 1000);
+    public void recordDuration(String jobClass, long micros) {
+        durations.recordDuration(jobClass, micros / 1000);
     }
 
-    public void answered(String jobId) {
-        ability.jobAnswered(jobId);
+    public void requestAnswered(String jobId) {
+        constraints.jobAnswered(jobId);
     }
 
     /** Called again and again: the wall clock may be set, and views come. */
     public void tick() {
         long now = host.timers().nowMicros();
-        long wall = host.unixMillis().getAsLong();
-        ability.setWallClock(now * 1000, wall);
-        calendars.updateView(sharing.view(), now);
+        long wallMillis = host.unixMillis().getAsLong();
+        constraints.setWallClock(now * 1000, wallMillis);
+        calendars.updateView(state.view(), now);
         List<CalendarRegistry.PendingCalendar> wanted =
-                calendars.pending(wall, CalendarLoader.HORIZON_MILLIS);
-        for (CalendarRegistry.PendingCalendar w : wanted) {
-            if (underWay.add(w.site() + ":" + w.version())) {
-                aside.execute(() -> workOut(w, wall));
+                calendars.pending(wallMillis, CalendarLoader.HORIZON_MILLIS);
+        for (CalendarRegistry.PendingCalendar calendar : wanted) {
+            if (loading.add(calendar.site() + ":" + calendar.version())) {
+                blockingExecutor.execute(() -> load(calendar, wallMillis));
             }
         }
     }
 
-    private void workOut(CalendarRegistry.PendingCalendar w, long wall) {
+    private void load(CalendarRegistry.PendingCalendar wanted, long wallMillis) {
         SiteCalendar calendar;
         String why;
         try {
-            calendar = CalendarLoader.load(w.site(), w.version(), w.zone(), w.text(), wall);
+            calendar =
+                    CalendarLoader.load(
+                            wanted.site(),
+                            wanted.version(),
+                            wanted.zone(),
+                            wanted.text(),
+                            wallMillis);
             why = null;
         } catch (InvalidCalendarException e) {
             calendar = null;
@@ -126,28 +135,30 @@
             calendar = null;
             why = e.toString();
         }
-        SiteCalendar done = calendar;
+        SiteCalendar loaded = calendar;
         String fault = why;
         host.loopExecutor()
                 .execute(
                         () -> {
-                            underWay.remove(w.site() + ":" + w.version());
-                            if (done != null) {
-                                calendars.addCompiled(done);
+                            loading.remove(wanted.site() + ":" + wanted.version());
+                            if (loaded != null) {
+                                calendars.addCompiled(loaded);
                             } else {
-                                calendars.markUnreadable(w, fault);
+                                calendars.markUnreadable(wanted, fault);
                             }
                             Events.info(
                                             LOG,
-                                            done == null ? "calendar.unreadable" : "calendar.known")
-                                    .addKeyValue("site", w.site())
-                                    .addKeyValue("version", w.version())
+                                            loaded == null
+                                                    ? "calendar.unreadable"
+                                                    : "calendar.known")
+                                    .addKeyValue("site", wanted.site())
+                                    .addKeyValue("version", wanted.version())
                                     .log(
                                             "calendar "
-                                                    + w.version()
+                                                    + wanted.version()
                                                     + " of "
-                                                    + w.site()
-                                                    + (done == null
+                                                    + wanted.site()
+                                                    + (loaded == null
                                                             ? " cannot be read here: " + fault
                                                             : " is known"));
                         });
--- a/sharing/src/main/java/postgrade/sharing/window/PlanHeaders.java
+++ b/sharing/src/main/java/postgrade/sharing/window/PlanHeaders.java
@@ -30,20 +30,20 @@
             Set.of("x-window-earliest", "x-window-deadline", "x-window-lasts", "x-window-sites");
 
     /** Guards against what Java takes for a number besides. */
-    private static final Pattern LENGTH = Pattern.compile("([0-9]{1,18})([mu])");
+    private static final Pattern DURATION = Pattern.compile("([0-9]{1,18})([mu])");
 
-    private static final Pattern LOCAL =
+    private static final Pattern TIME_AND_ZONE =
             Pattern.compile("([0-9]{2}:[0-9]{2}(?::[0-9]{2})?) ([!-~]{1,64})");
-    private static final long MICROS = 1_000;
+    private static final long MICROS_PER_MILLI = 1_000;
     private static final long ANY_TIME = 0;
 
-    private final Set<String> known;
-    private final WindowConstraints ability;
+    private final Set<String> knownSites;
+    private final WindowConstraints constraints;
     private final LongSupplier unixMillis;
 
-    PlanHeaders(WindowSettings settings, WindowConstraints ability, LongSupplier unixMillis) {
-        known = settings.sites();
-        this.ability = ability;
+    PlanHeaders(WindowSettings settings, WindowConstraints constraints, LongSupplier unixMillis) {
+        knownSites = settings.allSites();
+        this.constraints = constraints;
         this.unixMillis = unixMillis;
     }
 
@@ -56,43 +56,45 @@
     public Consumer<String> read(String jobClass, UnaryOperator<String> value) {
         StartPlan plan =
                 NAMES.stream().allMatch(n -> value.apply(n) == null) ? null : plan(jobClass, value);
-        return id -> ability.setPlan(id, plan);
+        return id -> constraints.setPlan(id, plan);
     }
 
     private StartPlan plan(String jobClass, UnaryOperator<String> value) {
         long now = unixMillis.getAsLong();
-        StartPlan ofClass = ability.planForClass(now, jobClass);
+        StartPlan classPlan = constraints.planForClass(now, jobClass);
         String from = value.apply("x-window-earliest");
         // Not now, as the module hears of the job by another look at the clock, which may be set
         // back between.
-        long earliest = from == null ? ANY_TIME : instant(EARLIEST, from);
+        long earliest = from == null ? ANY_TIME : parseInstant(EARLIEST, from);
         String until = value.apply("x-window-deadline");
         long deadline =
-                until == null ? Long.MAX_VALUE : deadline(until, from == null ? now : earliest);
-        long lasts = lasts(value.apply("x-window-lasts"), ofClass);
-        List<String> sites = sites(value.apply("x-window-sites"), ofClass);
-        if (ofClass != null) {
+                until == null
+                        ? Long.MAX_VALUE
+                        : parseDeadline(until, from == null ? now : earliest);
+        long lasts = parseDuration(value.apply("x-window-lasts"), classPlan);
+        List<String> sites = parseSites(value.apply("x-window-sites"), classPlan);
+        if (classPlan != null) {
             earliest =
                     Math.max(
                             earliest,
-                            ofClass.earliestStart() > now ? ofClass.earliestStart() : ANY_TIME);
-            deadline = Math.min(deadline, ofClass.deadline());
-            lasts = Math.max(lasts, ofClass.durationMillis());
+                            classPlan.earliestStart() > now ? classPlan.earliestStart() : ANY_TIME);
+            deadline = Math.min(deadline, classPlan.deadline());
+            lasts = Math.max(lasts, classPlan.durationMillis());
         }
         return new StartPlan(earliest, deadline, lasts, sites);
     }
 
-    private static IllegalArgumentException bad(String header, String what) {
-        return new IllegalArgumentException(header + " " + what);
+    private static IllegalArgumentException invalid(String header, String problem) {
+        return new IllegalArgumentException(header + " " + problem);
     }
 
-    private static long instant(String header, String text) {
+    private static long parseInstant(String header, String text) {
         try {
             long millis = Instant.parse(text).toEpochMilli();
             new StartPlan(millis, millis, 0, List.of()); // Its bounds.
             return millis;
         } catch (DateTimeException | ArithmeticException | IllegalArgumentException e) {
-            throw bad(
+            throw invalid(
                     header,
                     "has to be an instant such as 2026-12-02T06:00:00Z"
                             + (header.equals(DEADLINE)
@@ -101,27 +103,27 @@
         }
     }
 
-    private static long deadline(String text, long earliest) {
-        Matcher local = LOCAL.matcher(text);
+    private static long parseDeadline(String text, long earliest) {
+        Matcher local = TIME_AND_ZONE.matcher(text);
         if (!local.matches()) {
-            return instant(DEADLINE, text);
+            return parseInstant(DEADLINE, text);
         }
         try {
             return new Deadline.Daily(
                             LocalTime.parse(local.group(1)), ZoneId.of(local.group(2)).getRules())
                     .resolveMillis(earliest);
         } catch (DateTimeException e) {
-            throw bad(DEADLINE, "has no such time or zone: " + e.getMessage());
+            throw invalid(DEADLINE, "has no such time or zone: " + e.getMessage());
         }
     }
 
-    private static long lasts(String text, StartPlan ofClass) {
-        if (text == null && ofClass != null) {
-            return ofClass.durationMillis();
+    private static long parseDuration(String text, StartPlan classPlan) {
+        if (text == null && classPlan != null) {
+            return classPlan.durationMillis();
         }
-        Matcher m = text == null ? null : LENGTH.matcher(text);
+        Matcher m = text == null ? null : DURATION.matcher(text);
         if (m == null || !m.matches()) {
-            throw bad(
+            throw invalid(
                     LASTS,
                     text == null
                             ? "is missing, and the class has no windows"
@@ -130,32 +132,34 @@
         long number = Long.parseLong(m.group(1));
         // Rounded up: it must have ended in time.
         long millis =
-                m.group(2).equals("m") ? number : number / MICROS + (number % MICROS == 0 ? 0 : 1);
+                m.group(2).equals("m")
+                        ? number
+                        : number / MICROS_PER_MILLI + (number % MICROS_PER_MILLI == 0 ? 0 : 1);
         if (millis > StartPlan.MAX_DURATION_MILLIS) {
-            throw bad(LASTS, "must not be longer than " + StartPlan.MAX_DURATION_MILLIS + "m");
+            throw invalid(LASTS, "must not be longer than " + StartPlan.MAX_DURATION_MILLIS + "m");
         }
         return millis;
     }
 
-    private List<String> sites(String text, StartPlan ofClass) {
-        if (text == null && ofClass != null) {
-            return ofClass.sites();
+    private List<String> parseSites(String text, StartPlan classPlan) {
+        if (text == null && classPlan != null) {
+            return classPlan.sites();
         }
         if (text == null) {
-            throw bad(SITES, "is missing, and the class has no windows");
+            throw invalid(SITES, "is missing, and the class has no windows");
         }
         List<String> sites = new ArrayList<>();
         for (String part : text.split(",", -1)) {
             String site = part.strip();
-            if (!known.contains(site) || sites.contains(site)) {
-                throw bad(
+            if (!knownSites.contains(site) || sites.contains(site)) {
+                throw invalid(
                         SITES,
                         sites.contains(site)
                                 ? "names " + site + " twice"
                                 : "names \"" + site + "\", which is no site here");
             }
-            if (ofClass != null && !ofClass.sites().contains(site)) {
-                throw bad(SITES, "names " + site + ", where jobs of this class may not run");
+            if (classPlan != null && !classPlan.sites().contains(site)) {
+                throw invalid(SITES, "names " + site + ", where jobs of this class may not run");
             }
             sites.add(site);
         }
--- a/sharing/src/main/java/postgrade/sharing/window/WindowSettings.java
+++ b/sharing/src/main/java/postgrade/sharing/window/WindowSettings.java
@@ -19,12 +19,12 @@
         Map<String, String> sitesByZone,
         long clockErrorMillis) {
 
-    public boolean any() {
+    public boolean isConfigured() {
         return !classes.isEmpty() || !sitesByKind.isEmpty() || !sitesByZone.isEmpty();
     }
 
     /** All that are named anywhere. */
-    public Set<String> sites() {
+    public Set<String> allSites() {
         Set<String> all = new TreeSet<>(sitesByKind.values());
         all.addAll(sitesByZone.values());
         classes.forEach(c -> all.addAll(c.sites()));
--- a/sharing/src/test/java/postgrade/sharing/FakeHost.java
+++ b/sharing/src/test/java/postgrade/sharing/FakeHost.java
@@ -30,25 +30,25 @@
                                     : Long.compare(a.number, b.number));
     private final String name;
     private long now = 86_400_000_000L;
-    private long count;
-    double share = 1;
-    double leastShare = 1;
+    private long nextNumber;
+    double rateFactor = 1;
+    double minRateFactor = 1;
     long unixMillis = 1_800_000_000_000L;
-    boolean alone = true;
-    boolean tookOver;
-    String former = "";
-    List<PolicyStateEntry> learnt = List.of();
-    final List<PolicyStateEntry> told = new ArrayList<>();
+    boolean onlyProcess = true;
+    boolean startedByHandOver;
+    String predecessorState = "";
+    List<PolicyStateEntry> policyState = List.of();
+    final List<PolicyStateEntry> imported = new ArrayList<>();
     final Map<String, WorkerStatus> workers = new LinkedHashMap<>();
-    final Set<String> out = new TreeSet<>();
+    final Set<String> inMaintenance = new TreeSet<>();
     final Set<String> connected = new TreeSet<>();
-    int calls;
+    int callsPerConnection;
 
     FakeHost(String name) {
         this.name = name;
     }
 
-    void worker(String id, long startedMillis) {
+    void addWorker(String id, long startedMillis) {
         workers.put(id, new WorkerStatus(id, "a", "m", 1, startedMillis, true, false));
     }
 
@@ -65,7 +65,7 @@
     }
 
     /** Stopped and continued: the clocks have gone on, and nothing has run. */
-    void sleep(long micros) {
+    void suspend(long micros) {
         now += micros;
         unixMillis += micros / 1000;
     }
@@ -99,7 +99,7 @@
 
     @Override
     public Timer at(long whenMicros, Runnable task) {
-        Due d = new Due(whenMicros, count++, task);
+        Due d = new Due(whenMicros, nextNumber++, task);
         due.add(d);
         return () -> due.remove(d);
     }
@@ -121,27 +121,27 @@
 
     @Override
     public List<PolicyStateEntry> exportPolicyState() {
-        return learnt;
+        return policyState;
     }
 
     @Override
     public void importPolicyState(List<PolicyStateEntry> all) {
-        told.addAll(all);
+        imported.addAll(all);
     }
 
     @Override
     public boolean startedByHandOver() {
-        return tookOver;
+        return startedByHandOver;
     }
 
     @Override
     public String predecessorState() {
-        return former;
+        return predecessorState;
     }
 
     @Override
     public boolean isOnlyProcess() {
-        return alone;
+        return onlyProcess;
     }
 
     @Override
@@ -161,7 +161,7 @@
 
     @Override
     public boolean anyConnectedWithCallsBelow(int fewerThan) {
-        return !connected.isEmpty() && calls < fewerThan;
+        return !connected.isEmpty() && callsPerConnection < fewerThan;
     }
 
     @Override
@@ -171,17 +171,17 @@
 
     @Override
     public boolean enterMaintenance(String worker) {
-        return out.add(worker);
+        return inMaintenance.add(worker);
     }
 
     @Override
     public boolean exitMaintenance(String worker) {
-        return out.remove(worker);
+        return inMaintenance.remove(worker);
     }
 
     @Override
     public void setRateFactor(double factor) {
-        share = factor;
-        leastShare = Math.min(leastShare, factor);
+        rateFactor = factor;
+        minRateFactor = Math.min(minRateFactor, factor);
     }
 }
--- a/sharing/src/test/java/postgrade/sharing/FakeQuorum.java
+++ b/sharing/src/test/java/postgrade/sharing/FakeQuorum.java
@@ -12,7 +12,7 @@
 import postgrade.shared.Rows;
 import postgrade.shared.StatePart;
 import postgrade.shared.View;
-import postgrade.sharing.session.Opener;
+import postgrade.sharing.session.StateOpener;
 
 /**
  * One machine that decides at once, as long as it is reached; each process has its own view of it.
@@ -22,18 +22,18 @@
     private ReplicatedStateMachine machine;
     private long index;
     private long incarnations;
-    final Set<String> cutOff = new HashSet<>();
+    final Set<String> unreachable = new HashSet<>();
 
     /** Their pulls get no answer, though what they ask for is decided. */
-    final Set<FakeHost> blind = new HashSet<>();
+    final Set<FakeHost> withoutUpdates = new HashSet<>();
 
     /** What they open has no view yet; what they follow beside another process has. */
-    final Set<FakeHost> late = new HashSet<>();
+    final Set<FakeHost> withoutOwnView = new HashSet<>();
 
-    boolean lost;
+    boolean quorumLost;
     String leader = "v1";
 
-    private void decide(Command c, Consumer<ReplicatedState.Reply> done) {
+    private void apply(Command c, Consumer<ReplicatedState.Reply> done) {
         postgrade.shared.Answer answer = machine.apply(++index, c);
         if (done != null) {
             done.accept(new ReplicatedState.Reply(answer, machine.moment(), 0));
@@ -42,32 +42,32 @@
 
     /** The log's time goes on as the hosts' does. */
     void advance(long micros) {
-        if (machine != null && !lost) {
-            decide(ReplicatedStateMachine.advance("leader", 1, micros), null);
+        if (machine != null && !quorumLost) {
+            apply(ReplicatedStateMachine.advance("leader", 1, micros), null);
         }
     }
 
-    Opener as(FakeHost host) {
-        return new Opener() {
+    StateOpener openerFor(FakeHost host) {
+        return new StateOpener() {
             @Override
             public ReplicatedState open(
                     List<StatePart> parts, LongSupplier nowMicros, Executor onLoop) {
-                return new Own(host, parts, ++incarnations);
+                return new Connection(host, parts, ++incarnations);
             }
 
             @Override
-            public ReplicatedState beside(LongSupplier nowMicros, Executor onLoop) {
-                return new Own(host, List.of(), 0);
+            public ReplicatedState openObserver(LongSupplier nowMicros, Executor onLoop) {
+                return new Connection(host, List.of(), 0);
             }
         };
     }
 
-    private final class Own implements ReplicatedState {
+    private final class Connection implements ReplicatedState {
         private final FakeHost host;
         private final long incarnation;
         private View view = View.NONE;
 
-        Own(FakeHost host, List<StatePart> parts, long incarnation) {
+        Connection(FakeHost host, List<StatePart> parts, long incarnation) {
             this.host = host;
             this.incarnation = incarnation;
             if (machine == null && !parts.isEmpty()) {
@@ -75,13 +75,15 @@
             }
         }
 
-        private boolean reached() {
-            return machine != null && !lost && !cutOff.contains(host.name());
+        private boolean isReachable() {
+            return machine != null && !quorumLost && !unreachable.contains(host.name());
         }
 
         @Override
         public View view() {
-            if (reached() && !blind.contains(host) && !(incarnation > 0 && late.contains(host))) {
+            if (isReachable()
+                    && !withoutUpdates.contains(host)
+                    && !(incarnation > 0 && withoutOwnView.contains(host))) {
                 view =
                         new View(
                                 machine.moment(),
@@ -93,8 +95,8 @@
 
         @Override
         public void submit(Command command, long withinMicros, Consumer<Reply> done) {
-            if (reached()) {
-                host.loopExecutor().execute(() -> decide(command, done));
+            if (isReachable()) {
+                host.loopExecutor().execute(() -> apply(command, done));
             } else {
                 host.at(
                         host.nowMicros() + withinMicros,
@@ -105,7 +107,12 @@
         @Override
         public Standing standing() {
             return new Standing(
-                    host.name(), incarnation, Role.OBSERVER, reached() ? leader : null, 3, null);
+                    host.name(),
+                    incarnation,
+                    Role.OBSERVER,
+                    isReachable() ? leader : null,
+                    3,
+                    null);
         }
 
         @Override
--- a/sharing/src/test/java/postgrade/sharing/PlanHeadersTest.java
+++ b/sharing/src/test/java/postgrade/sharing/PlanHeadersTest.java
@@ -33,7 +33,7 @@
 
     private final FakeQuorum quorum = new FakeQuorum();
     private final FakeHost host = new FakeHost("a");
-    private Shared shared;
+    private SharingExtension extension;
 
     private static SharingSettings settings(WindowSettings windows) {
         return new SharingSettings(
@@ -54,12 +54,12 @@
     }
 
     @Before
-    public void calendars() {
+    public void putCalendars() {
         JobClassWindow price =
                 new JobClassWindow(
                         "price", List.of("zagreb"), null, null, Deadline.NONE, 0, 60_000);
-        shared =
-                new Shared(
+        extension =
+                new SharingExtension(
                         host,
                         settings(
                                 new WindowSettings(
@@ -67,11 +67,12 @@
                                         Map.of(),
                                         Map.of("a", "zagreb", "b", "split"),
                                         0)),
-                        quorum.as(host),
+                        quorum.openerFor(host),
                         Runnable::run);
         run(2);
         for (String site : List.of("zagreb", "split")) {
-            shared.operatorEndpoints()
+            extension
+                    .operatorEndpoints()
                     .handle(
                             "PUT",
                             "/calendar",
@@ -102,9 +103,9 @@
     }
 
     /** When a job with these headers opens, in seconds from now. */
-    private double opens(String id, String jobClass, String... namesAndValues) {
-        shared.extensionHeaders().read(jobClass, headers(namesAndValues)::get).accept(id);
-        return shared.jobConstraints().startDelayNs(host.nowMicros() * 1000, job(id, jobClass))
+    private double startDelaySeconds(String id, String jobClass, String... namesAndValues) {
+        extension.extensionHeaders().read(jobClass, headers(namesAndValues)::get).accept(id);
+        return extension.jobConstraints().startDelayNs(host.nowMicros() * 1000, job(id, jobClass))
                 / (double) SECOND_NS;
     }
 
@@ -112,8 +113,9 @@
         return new Job(id, jobClass, "t", null, SECOND_NS, 1, 0);
     }
 
-    private double part(String id, String jobClass, String zone) {
-        return shared.jobConstraints()
+    private double usableShare(String id, String jobClass, String zone) {
+        return extension
+                .jobConstraints()
                 .usableShare(
                         host.nowMicros() * 1000,
                         job(id, jobClass),
@@ -121,16 +123,16 @@
     }
 
     @Test
-    public void aJobOfAClassWithoutWindowsGoesByItsHeadersAndAllOthersAreUntouched() {
-        assertEquals(0, opens("j1", "confirm"), 0);
-        assertEquals(1, part("j1", "confirm", "c"), 0);
-        assertEquals(0, opens("j1", "confirm", "lasts", "1000m", "sites", "split"), 0);
-        assertEquals(1, part("j1", "confirm", "b"), 0);
-        assertEquals("not at another site", 0, part("j1", "confirm", "a"), 0);
+    public void headersSetThePlanOfAJobOfAClassWithoutWindows() {
+        assertEquals(0, startDelaySeconds("j1", "confirm"), 0);
+        assertEquals(1, usableShare("j1", "confirm", "c"), 0);
+        assertEquals(0, startDelaySeconds("j1", "confirm", "lasts", "1000m", "sites", "split"), 0);
+        assertEquals(1, usableShare("j1", "confirm", "b"), 0);
+        assertEquals("not at another site", 0, usableShare("j1", "confirm", "a"), 0);
         assertEquals(
                 "one hour on, and its share of the spread",
                 3600,
-                opens(
+                startDelaySeconds(
                         "j2",
                         "confirm",
                         "earliest",
@@ -141,7 +143,7 @@
                         "zagreb, split"),
                 700);
         assertTrue(
-                opens(
+                startDelaySeconds(
                                 "j2",
                                 "confirm",
                                 "earliest",
@@ -154,7 +156,7 @@
         assertEquals(
                 "18:00 in Zagreb is 8 h 59 min ahead",
                 0,
-                opens(
+                startDelaySeconds(
                         "j3",
                         "confirm",
                         "deadline",
@@ -165,7 +167,7 @@
                         "split"),
                 0);
         assertTrue(
-                opens(
+                startDelaySeconds(
                                 "j3",
                                 "confirm",
                                 "deadline",
@@ -176,7 +178,7 @@
                                 "split")
                         > 0);
         assertTrue(
-                opens(
+                startDelaySeconds(
                                 "j3",
                                 "confirm",
                                 "deadline",
@@ -186,26 +188,33 @@
                                 "sites",
                                 "split")
                         > 0);
-        assertEquals("given up on and sent again without", 0, opens("j1", "confirm"), 0);
-        assertEquals(1, part("j1", "confirm", "c"), 0);
+        assertEquals(
+                "given up on and sent again without", 0, startDelaySeconds("j1", "confirm"), 0);
+        assertEquals(1, usableShare("j1", "confirm", "c"), 0);
     }
 
     @Test
-    public void whatIsSetForItsClassBindsAJobAllTheSame() {
+    public void classSettingsLimitThePlanOfTheHeaders() {
         assertEquals(
                 "it needs 60 s of its class's, whatever it says",
                 1,
-                opens("k1", "price", "deadline", "2027-01-15T08:01:00Z", "lasts", "1m") > 0 ? 1 : 0,
+                startDelaySeconds("k1", "price", "deadline", "2027-01-15T08:01:00Z", "lasts", "1m")
+                                > 0
+                        ? 1
+                        : 0,
+                0);
+        assertEquals(
+                0,
+                startDelaySeconds("k2", "price", "deadline", "2027-01-15T09:00:00Z", "lasts", "1m"),
                 0);
-        assertEquals(0, opens("k2", "price", "deadline", "2027-01-15T09:00:00Z", "lasts", "1m"), 0);
-        assertEquals(1, part("k2", "price", "a"), 0);
-        assertEquals(0, part("k2", "price", "b"), 0);
-        bad("X-Window-Sites names split, where", "price", "sites", "split");
+        assertEquals(1, usableShare("k2", "price", "a"), 0);
+        assertEquals(0, usableShare("k2", "price", "b"), 0);
+        assertRejected("X-Window-Sites names split, where", "price", "sites", "split");
     }
 
-    private void bad(String sentence, String jobClass, String... namesAndValues) {
+    private void assertRejected(String sentence, String jobClass, String... namesAndValues) {
         try {
-            shared.extensionHeaders().read(jobClass, headers(namesAndValues)::get);
+            extension.extensionHeaders().read(jobClass, headers(namesAndValues)::get);
             fail(sentence);
         } catch (IllegalArgumentException e) {
             assertTrue(e.getMessage(), e.getMessage().startsWith(sentence));
@@ -213,7 +222,7 @@
     }
 
     @Test
-    public void aBadValueIsNamedByItsHeader() {
+    public void errorsNameTheHeader() {
         for (String time :
                 List.of(
                         "",
@@ -222,34 +231,48 @@
                         "2027-02-30T00:00:00Z",
                         "+99999-01-15T00:00:00Z",
                         "18:00 Europe/Zagreb")) {
-            bad("X-Window-Earliest has to be an instant", "price", "earliest", time);
+            assertRejected("X-Window-Earliest has to be an instant", "price", "earliest", time);
         }
         for (String time : List.of("", "18:00", "18:00 ", "6 pm Europe/Zagreb")) {
-            bad("X-Window-Deadline has to be an instant", "price", "deadline", time);
+            assertRejected("X-Window-Deadline has to be an instant", "price", "deadline", time);
         }
-        bad("X-Window-Deadline has no such", "price", "deadline", "25:00 Europe/Zagreb");
-        bad("X-Window-Deadline has no such", "price", "deadline", "18:00 Europe/Atlantis");
+        assertRejected("X-Window-Deadline has no such", "price", "deadline", "25:00 Europe/Zagreb");
+        assertRejected(
+                "X-Window-Deadline has no such", "price", "deadline", "18:00 Europe/Atlantis");
         for (String length : List.of("", "5", "-5m", "1e3m", "5 m", "NaNm", "5s")) {
-            bad("X-Window-Lasts has to be", "price", "lasts", length);
+            assertRejected("X-Window-Lasts has to be", "price", "lasts", length);
         }
-        bad("X-Window-Lasts must not be longer", "price", "lasts", "999999999999999999m");
-        bad("X-Window-Lasts is missing", "confirm", "sites", "split");
-        bad("X-Window-Sites is missing", "confirm", "lasts", "5m");
-        bad("X-Window-Sites names \"\"", "price", "sites", "zagreb,");
-        bad("X-Window-Sites names \"osijek\", which", "confirm", "lasts", "5m", "sites", "osijek");
-        bad("X-Window-Sites names split twice", "confirm", "lasts", "5m", "sites", "split,split");
+        assertRejected(
+                "X-Window-Lasts must not be longer", "price", "lasts", "999999999999999999m");
+        assertRejected("X-Window-Lasts is missing", "confirm", "sites", "split");
+        assertRejected("X-Window-Sites is missing", "confirm", "lasts", "5m");
+        assertRejected("X-Window-Sites names \"\"", "price", "sites", "zagreb,");
+        assertRejected(
+                "X-Window-Sites names \"osijek\", which",
+                "confirm",
+                "lasts",
+                "5m",
+                "sites",
+                "osijek");
+        assertRejected(
+                "X-Window-Sites names split twice",
+                "confirm",
+                "lasts",
+                "5m",
+                "sites",
+                "split,split");
     }
 
     @Test
-    public void withoutWindowsNoHeaderIsLookedAt() {
+    public void noHeadersAreReadWithoutWindows() {
         assertNull(
-                new Shared(
+                new SharingExtension(
                                 new FakeHost("b"),
                                 settings(WindowSettings.NONE),
-                                quorum.as(host),
+                                quorum.openerFor(host),
                                 Runnable::run)
                         .extensionHeaders());
-        ExtensionHeaders read = shared.extensionHeaders();
+        ExtensionHeaders read = extension.extensionHeaders();
         assertEquals(
                 Set.of(
                         "x-window-earliest",
--- a/sharing/src/test/java/postgrade/sharing/SharedTest.java
+++ b/sharing/src/test/java/postgrade/sharing/SharingExtensionTest.java
@@ -25,13 +25,13 @@
 /**
  * Two dispatchers' companions on one state: shares, workers out, operators' calls. Time is virtual.
  */
-public class SharedTest {
+public class SharingExtensionTest {
 
     private static final long SECOND = 1_000_000;
     private static final SharingSettings SETTINGS = settings(WindowSettings.NONE);
 
     private final FakeQuorum quorum = new FakeQuorum();
-    private final Map<FakeHost, Shared> all = new LinkedHashMap<>();
+    private final Map<FakeHost, SharingExtension> extensions = new LinkedHashMap<>();
 
     private static SharingSettings settings(WindowSettings windows) {
         return new SharingSettings(
@@ -57,13 +57,14 @@
 
     private FakeHost start(String name, SharingSettings settings) {
         FakeHost host = new FakeHost(name);
-        all.put(host, new Shared(host, settings, quorum.as(host), Runnable::run));
+        extensions.put(
+                host, new SharingExtension(host, settings, quorum.openerFor(host), Runnable::run));
         return host;
     }
 
     private void run(long micros) {
-        for (long passed = 0; passed < micros; passed += SECOND / 10) {
-            all.keySet().forEach(h -> h.run(SECOND / 10));
+        for (long elapsed = 0; elapsed < micros; elapsed += SECOND / 10) {
+            extensions.keySet().forEach(h -> h.run(SECOND / 10));
             quorum.advance(SECOND / 10);
         }
     }
@@ -72,7 +73,8 @@
 
     private Answered call(FakeHost host, String method, String path, String body) {
         Answered[] answered = new Answered[1];
-        all.get(host)
+        extensions
+                .get(host)
                 .operatorEndpoints()
                 .handle(
                         method,
@@ -89,98 +91,98 @@
     }
 
     @Test
-    public void theRatesAreSplitOverWhoLivesAndOneCutOffFallsBackByItsOwnClock() {
+    public void ratesAreSplitAmongLiveMembersAndAnUnreachableMemberFallsBack() {
         FakeHost a = start("a");
-        assertEquals("not joined yet", 0.25, a.share, 0);
+        assertEquals("not joined yet", 0.25, a.rateFactor, 0);
         FakeHost b = start("b");
         // A place that nobody was seen in is kept for a while: it may be cut off.
         run(30 * SECOND);
-        assertEquals(1, a.share, 0.01);
-        assertEquals(1, b.share, 0.01);
-        quorum.cutOff.add("b");
+        assertEquals(1, a.rateFactor, 0.01);
+        assertEquals(1, b.rateFactor, 0.01);
+        quorum.unreachable.add("b");
         for (int i = 0; i < 400; i++) {
             run(SECOND / 10);
             assertTrue(
-                    "the sum is never above the whole: " + a.share + " " + b.share,
-                    a.share + b.share <= 2.0001);
+                    "the sum is never above the whole: " + a.rateFactor + " " + b.rateFactor,
+                    a.rateFactor + b.rateFactor <= 2.0001);
         }
-        assertEquals(1.75, a.share, 0.01);
-        assertEquals(0.25, b.share, 0);
-        quorum.cutOff.clear();
+        assertEquals(1.75, a.rateFactor, 0.01);
+        assertEquals(0.25, b.rateFactor, 0);
+        quorum.unreachable.clear();
         for (int i = 0; i < 200; i++) {
             run(SECOND / 10);
-            assertTrue(a.share + " " + b.share, a.share + b.share <= 2.0001);
+            assertTrue(a.rateFactor + " " + b.rateFactor, a.rateFactor + b.rateFactor <= 2.0001);
         }
-        assertEquals(1, a.share, 0.01);
-        assertEquals(1, b.share, 0.01);
+        assertEquals(1, a.rateFactor, 0.01);
+        assertEquals(1, b.rateFactor, 0.01);
     }
 
     @Test
-    public void afterAPauseItsShareHasFallenBeforeAnythingIsTakenIn() {
+    public void shareIsReducedAfterAPauseBeforeRequestsAreAdmitted() {
         FakeHost a = start("a");
         run(30 * SECOND);
-        assertEquals(1.75, a.share, 0.01);
-        quorum.cutOff.add("a"); // Its view is the one from before.
-        a.sleep(60 * SECOND);
-        all.get(a).iterationStarted();
-        assertEquals(0.25, a.share, 0);
+        assertEquals(1.75, a.rateFactor, 0.01);
+        quorum.unreachable.add("a"); // Its view is the one from before.
+        a.suspend(60 * SECOND);
+        extensions.get(a).iterationStarted();
+        assertEquals(0.25, a.rateFactor, 0);
     }
 
     @Test
-    public void workersOutAreOutEverywhereAndForOneThatStartsWithNothing() {
+    public void workersInMaintenanceAreSharedWithAllAndWithNewMembers() {
         FakeHost a = start("a");
         FakeHost b = start("b");
         run(SECOND);
         a.enterMaintenance("w1");
-        all.get(a).workerMaintenanceChanged("w1", true);
+        extensions.get(a).workerMaintenanceChanged("w1", true);
         run(SECOND);
-        assertEquals(Set.of("w1"), b.out);
-        all.remove(a);
+        assertEquals(Set.of("w1"), b.inMaintenance);
+        extensions.remove(a);
         FakeHost again = start("a");
         run(SECOND);
-        assertEquals(Set.of("w1"), again.out);
-        quorum.lost = true;
+        assertEquals(Set.of("w1"), again.inMaintenance);
+        quorum.quorumLost = true;
         b.exitMaintenance("w1");
-        all.get(b).workerMaintenanceChanged("w1", false);
+        extensions.get(b).workerMaintenanceChanged("w1", false);
         run(3 * SECOND);
-        assertTrue("done here, and told when it can be", b.out.isEmpty());
-        assertEquals(Set.of("w1"), again.out);
-        quorum.lost = false;
+        assertTrue("done here, and told when it can be", b.inMaintenance.isEmpty());
+        assertEquals(Set.of("w1"), again.inMaintenance);
+        quorum.quorumLost = false;
         run(3 * SECOND);
-        assertTrue(b.out.isEmpty() && again.out.isEmpty());
+        assertTrue(b.inMaintenance.isEmpty() && again.inMaintenance.isEmpty());
     }
 
     @Test
-    public void anUpgradesNewProcessWaitsForThePlaceOfTheOldOne() {
+    public void newProcessJoinsOnlyAfterTheOldOneHasEnded() {
         FakeHost b = new FakeHost("b");
-        b.alone = false;
-        all.put(b, new Shared(b, SETTINGS, quorum.as(b), Runnable::run));
+        b.onlyProcess = false;
+        extensions.put(b, new SharingExtension(b, SETTINGS, quorum.openerFor(b), Runnable::run));
         run(3 * SECOND);
         assertTrue(
                 call(b, "GET", "/sharing", "")
                         .json
                         .getString("fault", "")
                         .contains("another process"));
-        b.alone = true;
+        b.onlyProcess = true;
         run(3 * SECOND);
         JsonObject now = call(b, "GET", "/sharing", "").json;
         assertTrue(now.toString(), now.get("fault").isNull() && now.getBoolean("joined", false));
     }
 
     @Test
-    public void whatCannotBeOpenedIsTriedAgainAndServedWithoutMeanwhile() {
+    public void opensAgainAfterAFailureAndServesWithoutSharedState() {
         FakeHost a = new FakeHost("a");
         boolean[] full = {true};
-        all.put(
+        extensions.put(
                 a,
-                new Shared(
+                new SharingExtension(
                         a,
                         SETTINGS,
                         (parts, now, loop) -> {
                             if (full[0]) {
                                 throw new java.io.IOException("no space left on device");
                             }
-                            return quorum.as(a).open(parts, now, loop);
+                            return quorum.openerFor(a).open(parts, now, loop);
                         },
                         Runnable::run));
         run(5 * SECOND);
@@ -201,11 +203,11 @@
     }
 
     @Test
-    public void getSharingTellsHowItStands() {
+    public void getSharingReportsTheStatus() {
         FakeHost a = start("a");
         run(SECOND);
-        a.worker("w1", 0);
-        all.get(a).workerListChanged();
+        a.addWorker("w1", 0);
+        extensions.get(a).workerListChanged();
         run(5 * SECOND);
         JsonObject json = call(a, "GET", "/sharing", "").json;
         assertEquals("a", json.getString("name", ""));
@@ -216,7 +218,7 @@
         assertEquals(4, json.get("phases").asArray().size());
         assertTrue(json.getLong("viewAgeMs", -1) >= 0);
         assertTrue(json.get("index").asLong() > 0);
-        quorum.lost = true;
+        quorum.quorumLost = true;
         run(5 * SECOND);
         json = call(a, "GET", "/sharing", "").json;
         assertTrue(
@@ -225,12 +227,12 @@
     }
 
     @Test
-    public void aReservationShrinksTheWorkerForOthersAndGivesTheHolderItsFenceUntilTheViewIsOld() {
+    public void reservationLimitsOthersAndFencesTheHolderUntilTheViewIsStale() {
         quorum.leader = "a";
         FakeHost a = start("a");
         FakeHost b = start("b");
-        a.worker("w1", 7000);
-        b.worker("w1", 7000);
+        a.addWorker("w1", 7000);
+        b.addWorker("w1", 7000);
         run(2 * SECOND);
         String ask = "{'requestId':'r1','holder':'shop','site':'a','accelerators':3,'ttlMs':20000}";
         Answered got = call(b, "PUT", "/reservations/acquire", ask);
@@ -245,7 +247,7 @@
         Job own = new Job("1", "price", "shop", null, 1, 1, 0);
         Job other = new Job("2", "price", "t", null, 1, 1, 0);
         Job confirm = new Job("3", "confirm", "t", null, 1, 1, 0);
-        JobConstraints ability = all.get(a).jobConstraints();
+        JobConstraints ability = extensions.get(a).jobConstraints();
         assertEquals(1, ability.usableShare(a.nowMicros() * 1000, own, w1), 0);
         assertEquals(0.25, ability.usableShare(a.nowMicros() * 1000, other, w1), 0);
         assertEquals(
@@ -253,11 +255,11 @@
                 1,
                 ability.usableShare(a.nowMicros() * 1000, confirm, w1),
                 0);
-        assertEquals("7=" + got.json.get("fence"), all.get(a).fence("price", "shop", "w1"));
-        assertEquals(null, all.get(a).fence("price", "t", "w1"));
-        quorum.cutOff.add("a");
+        assertEquals("7=" + got.json.get("fence"), extensions.get(a).fence("price", "shop", "w1"));
+        assertEquals(null, extensions.get(a).fence("price", "t", "w1"));
+        quorum.unreachable.add("a");
         run(3 * SECOND);
-        assertEquals("its view is too old", null, all.get(a).fence("price", "shop", "w1"));
+        assertEquals("its view is too old", null, extensions.get(a).fence("price", "shop", "w1"));
         Answered release =
                 call(b, "PUT", "/reservations/release", "{'holder':'shop','site':'a','fence':1}");
         assertEquals(409, release.status);
@@ -289,7 +291,7 @@
     }
 
     @Test
-    public void noJobOfAClassWithWindowsStartsWithoutACalendarInMaintenanceOrByAnOldView() {
+    public void windowedJobsStartOnlyWithACalendarOutsideMaintenanceAndWithAFreshView() {
         WindowSettings windows =
                 new WindowSettings(
                         List.of(
@@ -308,7 +310,7 @@
                 start("a", settings(windows)); // It is 2027-01-15 08:00 UTC, 9 o'clock in Zagreb.
         FakeHost b = start("b", settings(windows));
         run(2 * SECOND);
-        JobConstraints ability = all.get(a).jobConstraints();
+        JobConstraints ability = extensions.get(a).jobConstraints();
         Job job = new Job("1", "price", "t", null, 1, 1, 0);
         Job free = new Job("2", "confirm", "t", null, 1, 1, 0);
         assertTrue(ability.startDelayNs(a.nowMicros() * 1000, job) > 0);
@@ -357,7 +359,7 @@
                 closed.get("exclusions").asArray().get(0).asObject().getString("reason", ""));
         run(1800 * SECOND);
         assertEquals(0, ability.startDelayNs(a.nowMicros() * 1000, job));
-        quorum.cutOff.add("a");
+        quorum.unreachable.add("a");
         run(6 * SECOND);
         assertTrue(
                 "another calendar may count by now",
@@ -395,7 +397,7 @@
     }
 
     @Test
-    public void aBadCallIsNamedAndWhatCannotBeDecidedIsNotGuessed() {
+    public void invalidCallsNameTheFieldAndUndecidedCallsAreUnavailable() {
         FakeHost a = start("a");
         run(SECOND);
         String path = "/reservations/acquire";
@@ -414,12 +416,12 @@
             assertTrue(
                     answer.json.get("viewAgeMs").isNumber() && answer.json.get("era").isNumber());
         }
-        quorum.lost = true;
+        quorum.quorumLost = true;
         Answered none =
                 call(a, "PUT", path, "{'holder':'s','site':'a','accelerators':1,'ttlMs':1000}");
         assertEquals(503, none.status);
         assertEquals(700_000, none.retryAfterMicros);
-        assertEquals(Set.of(), all.get(a).operatorEndpoints().allowedMethods("/nowhere"));
-        assertFalse(all.get(a).operatorEndpoints().allowedMethods("/sharing").isEmpty());
+        assertEquals(Set.of(), extensions.get(a).operatorEndpoints().allowedMethods("/nowhere"));
+        assertFalse(extensions.get(a).operatorEndpoints().allowedMethods("/sharing").isEmpty());
     }
 }
--- a/sharing/src/test/java/postgrade/sharing/SharingPlanTest.java
+++ b/sharing/src/test/java/postgrade/sharing/SharingSettingsFileTest.java
@@ -14,7 +14,7 @@
 import postgrade.sharing.settings.SharingSettingsFile;
 
 /** The file that operators write: what it may say, and what is said of it where it is faulty. */
-public class SharingPlanTest {
+public class SharingSettingsFileTest {
 
     private static final String VOTERS = "voters = [voter('a', '127.0.0.1', 7301)]\nstore = 's'\n";
 
@@ -26,13 +26,13 @@
     }
 
     @Test
-    public void theShippedFileIsRightAlsoWithAllThatItLeavesOut() throws Exception {
+    public void shippedFileIsValidAsItIsAndWithAllSettingsUncommented() throws Exception {
         Path shipped = Path.of("..", "deploy", "sharing.star");
         SharingSettingsFile.Contents plain = SharingSettingsFile.read(shipped, "a");
-        assertEquals(Path.of("var", "sharing", "a"), plain.sharing().memory());
+        assertEquals(Path.of("var", "sharing", "a"), plain.sharing().snapshotFolder());
         assertEquals(
                 Path.of("var", "sharing", "n7"),
-                SharingSettingsFile.read(shipped, "n7").sharing().memory());
+                SharingSettingsFile.read(shipped, "n7").sharing().snapshotFolder());
         String all = Files.readString(shipped);
         String from = all.substring(all.indexOf("# ---- What `serve`"));
         // A line that begins with a name and = is a setting commented out, as are those that go on
@@ -50,14 +50,14 @@
         SharingSettingsFile.Contents full = SharingSettingsFile.read(file(in.toString()), "a");
         assertEquals(plain.sharing().leaseMicros(), full.sharing().leaseMicros());
         assertEquals(plain.sharing().floorShare(), full.sharing().floorShare());
-        assertEquals(plain.sharing().memory(), full.sharing().memory());
+        assertEquals(plain.sharing().snapshotFolder(), full.sharing().snapshotFolder());
         assertEquals(4, (int) full.sharing().accelerators().get("route-box"));
         assertEquals(List.of("zagreb-south"), full.sharing().windows().classes().get(0).sites());
         assertEquals(60_000, full.sharing().windows().classes().get(0).declaredMillis());
     }
 
     @Test
-    public void whatIsFaultyIsNamedByFileAndKey() throws Exception {
+    public void errorsNameTheFileAndTheKey() throws Exception {
         String[][] faulty = {
             {"lease_s = 1", "sharing.star: lease_s: must lie between 4 and 3600"},
             {"floor = 'x'", "sharing.star: floor: must be a number, not string"},
@@ -89,10 +89,10 @@
     }
 
     @Test
-    public void aDispatcherFindsItByItself() throws Exception {
+    public void factoryIsFoundByServiceLoader() throws Exception {
         DispatcherExtension.Factory finder =
                 ServiceLoader.load(DispatcherExtension.Factory.class).findFirst().orElseThrow();
-        assertEquals(SharingFinder.class, finder.getClass());
+        assertEquals(SharingExtensionFactory.class, finder.getClass());
         Path file = file("pull_ms = [");
         assertThrows(IllegalArgumentException.class, () -> finder.read(file, "a"));
     }
--- a/sharing/src/test/java/postgrade/sharing/MemoryTest.java
+++ b/sharing/src/test/java/postgrade/sharing/SnapshotStoreTest.java
@@ -22,14 +22,14 @@
 import postgrade.log.EventLogs;
 import postgrade.policy.api.PolicyStateEntry;
 import postgrade.recovery.LearntSnapshot;
-import postgrade.sharing.memory.Keeper;
-import postgrade.sharing.memory.MemoryFile;
+import postgrade.sharing.snapshot.SnapshotFile;
+import postgrade.sharing.snapshot.SnapshotStore;
 
 /**
  * What a process learnt outlives it, as far as it may be trusted; what may not is named and kept
  * aside.
  */
-public class MemoryTest {
+public class SnapshotStoreTest {
 
     private static final long SECOND = 1_000_000;
 
@@ -37,21 +37,21 @@
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
 
     @Before
-    public void hear() {
+    public void captureLog() {
         EventLogs.configure(EventLogs.Format.TEXT);
         EventLogs.setOutput(new PrintStream(log, true));
     }
 
     @After
-    public void unhear() {
+    public void restoreLog() {
         EventLogs.setOutput(System.err);
     }
 
     private FakeHost host() {
         FakeHost host = new FakeHost("n1");
-        host.worker("w1", 1000);
-        host.worker("w2", 2000);
-        host.learnt =
+        host.addWorker("w1", 1000);
+        host.addWorker("w2", 2000);
+        host.policyState =
                 List.of(
                         new PolicyStateEntry("class", "price", new double[] {5e6, 100, 1}),
                         new PolicyStateEntry(
@@ -62,17 +62,17 @@
         return host;
     }
 
-    private Keeper keeper(FakeHost host) {
-        return new Keeper(host, file(), SECOND, () -> 0.9, () -> Set.of("w9"));
+    private SnapshotStore store(FakeHost host) {
+        return new SnapshotStore(host, file(), SECOND, () -> 0.9, () -> Set.of("w9"));
     }
 
-    private MemoryFile file() {
-        return new MemoryFile(folder.getRoot().toPath().resolve("m"), "n1");
+    private SnapshotFile file() {
+        return new SnapshotFile(folder.getRoot().toPath().resolve("m"), "n1");
     }
 
-    private void kept() throws InterruptedException {
+    private void writeSnapshot() throws InterruptedException {
         FakeHost host = host();
-        Keeper keeper = keeper(host);
+        SnapshotStore keeper = store(host);
         host.run(SECOND);
         keeper.tick();
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
@@ -88,50 +88,52 @@
     }
 
     @Test
-    public void figuresComeBackByAgeThoseOfARestartedWorkerDoNotAndTokensAreNoFullBurst()
-            throws Exception {
-        kept();
+    public void restoresEntriesByAgeButNotThoseOfRestartedWorkers() throws Exception {
+        writeSnapshot();
         FakeHost later = host();
         later.workers.clear();
         later.unixMillis += 61_000;
-        Keeper keeper = keeper(later);
-        LearntSnapshot memory = keeper.recall();
+        SnapshotStore keeper = store(later);
+        LearntSnapshot memory = keeper.load();
         assertEquals(0.9, memory.servedShare(), 0);
-        assertEquals(Set.of("w9"), Keeper.out(memory));
-        assertEquals(List.of("class price", "tenant t"), names(later.told));
-        assertEquals("as they were", 3, later.told.get(1).values()[0], 0);
-        assertEquals("and the time since for the refill", 60e9, later.told.get(1).values()[3], 1e9);
+        assertEquals(Set.of("w9"), SnapshotStore.outOfService(memory));
+        assertEquals(List.of("class price", "tenant t"), names(later.imported));
+        assertEquals("as they were", 3, later.imported.get(1).values()[0], 0);
         assertEquals(
-                "half of what was seen a minute ago counts", 50, later.told.get(0).values()[1], 1);
-        later.worker("w1", 1000);
-        later.worker("w2", 9000);
-        keeper.listed();
-        assertEquals("worker w1", names(later.told).get(2));
-        assertEquals(3, later.told.size());
-        keeper.listed();
-        assertEquals("told once", 3, later.told.size());
+                "and the time since for the refill", 60e9, later.imported.get(1).values()[3], 1e9);
+        assertEquals(
+                "half of what was seen a minute ago counts",
+                50,
+                later.imported.get(0).values()[1],
+                1);
+        later.addWorker("w1", 1000);
+        later.addWorker("w2", 9000);
+        keeper.workerListChanged();
+        assertEquals("worker w1", names(later.imported).get(2));
+        assertEquals(3, later.imported.size());
+        keeper.workerListChanged();
+        assertEquals("told once", 3, later.imported.size());
         keeper.close();
     }
 
     @Test
-    public void thatAllSendsToColdWorkersAreThereIsToldByOneThatEndedInOrderAndOnce()
-            throws Exception {
+    public void usageCompleteEntryIsImportedOnceAndOnlyAfterACleanShutdown() throws Exception {
         FakeHost host = host();
-        host.learnt =
+        host.policyState =
                 List.of(
                         new PolicyStateEntry("cold", "w1", new double[] {1e8, 2e8}),
                         new PolicyStateEntry("up", "", new double[] {5e9}));
-        Keeper first = keeper(host);
+        SnapshotStore first = store(host);
         first.close();
         for (List<String> told : List.of(List.of("cold w1", "up "), List.of("cold w1"))) {
             FakeHost later = host();
-            Keeper keeper = keeper(later); // It is killed before it has written anything.
-            keeper.recall();
-            keeper.listed();
-            assertEquals(told, names(later.told));
+            SnapshotStore keeper = store(later); // It is killed before it has written anything.
+            keeper.load();
+            keeper.workerListChanged();
+            assertEquals(told, names(later.imported));
         }
         host.run(SECOND);
-        Keeper killed = keeper(host);
+        SnapshotStore killed = store(host);
         host.run(SECOND);
         killed.tick();
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
@@ -148,46 +150,46 @@
     }
 
     @Test
-    public void whoTookOverFromARunningProcessKnowsBetter() throws Exception {
-        kept();
+    public void snapshotIsIgnoredAfterAHandOver() throws Exception {
+        writeSnapshot();
         FakeHost later = host();
-        later.tookOver = true;
-        Keeper keeper = keeper(later);
-        assertNull(keeper.recall());
-        assertTrue(later.told.isEmpty());
+        later.startedByHandOver = true;
+        SnapshotStore keeper = store(later);
+        assertNull(keeper.load());
+        assertTrue(later.imported.isEmpty());
         keeper.close();
     }
 
-    private void unusable(String cause, byte[] bytes) throws IOException {
+    private void assertUnusable(String cause, byte[] bytes) throws IOException {
         Files.write(file().path(), bytes);
         log.reset();
         assertNull(cause, file().read(1_800_000_010_000_000L));
-        String said = log.toString(StandardCharsets.UTF_8);
-        assertEquals(said, 1, said.lines().count());
-        assertTrue(said, said.contains(cause));
+        String logged = log.toString(StandardCharsets.UTF_8);
+        assertEquals(logged, 1, logged.lines().count());
+        assertTrue(logged, logged.contains(cause));
         assertFalse(Files.exists(file().path()));
-        Path aside = file().path().resolveSibling("learnt.memory.unusable");
+        Path setAside = file().path().resolveSibling("learnt.memory.unusable");
         assertEquals(
                 new String(bytes, StandardCharsets.ISO_8859_1),
-                new String(Files.readAllBytes(aside), StandardCharsets.ISO_8859_1));
+                new String(Files.readAllBytes(setAside), StandardCharsets.ISO_8859_1));
         assertNull("the next start has none", file().read(1_800_000_010_000_000L));
     }
 
     @Test
-    public void whatCannotBeTrustedIsNamedInOneLineAndKeptAside() throws Exception {
-        kept();
+    public void unusableSnapshotIsLoggedInOneLineAndSetAside() throws Exception {
+        writeSnapshot();
         byte[] good = Files.readAllBytes(file().path());
-        unusable("bytes", java.util.Arrays.copyOf(good, good.length - 7));
+        assertUnusable("bytes", java.util.Arrays.copyOf(good, good.length - 7));
         byte[] flipped = good.clone();
         flipped[good.length - 9] ^= 4;
-        unusable("checksum", flipped);
-        unusable(
+        assertUnusable("checksum", flipped);
+        assertUnusable(
                 "does not begin with",
                 "something else entirely\n".getBytes(StandardCharsets.UTF_8));
-        unusable("bytes", new byte[17 << 20]);
+        assertUnusable("bytes", new byte[17 << 20]);
         Files.write(file().path(), good);
         log.reset();
-        assertNull(new MemoryFile(file().path().getParent(), "n2").read(1_800_000_010_000_000L));
+        assertNull(new SnapshotFile(file().path().getParent(), "n2").read(1_800_000_010_000_000L));
         assertTrue(log.toString(StandardCharsets.UTF_8).contains("dispatcher is n1, not n2"));
         Files.write(file().path(), good);
         log.reset();
@@ -196,11 +198,11 @@
     }
 
     @Test
-    public void aFolderThatCannotBeWrittenIsSaidAndTheNextWriteSucceeds() throws Exception {
+    public void writeFailureIsReportedAndALaterWriteSucceeds() throws Exception {
         Path blocked = folder.getRoot().toPath().resolve("m");
         Files.writeString(blocked, "a file stands where the folder is to be");
         FakeHost host = host();
-        Keeper keeper = keeper(host);
+        SnapshotStore keeper = store(host);
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (keeper.fault() == null && System.nanoTime() < end) {
             host.run(SECOND);
