--- a/sharing/src/main/java/postgrade/sharing/CompositeConstraints.java
+++ b/sharing/src/main/java/postgrade/sharing/CompositeConstraints.java
@@ -6,8 +6,8 @@
 import postgrade.policy.api.WorkerInfo;
 
 /**
- * Several that have a say: a job starts when all let it, and a worker is as small as all of them
- * make it together.
+ * Combines several constraints: the start delay of a job is the longest of theirs, and the usable
+ * share of a worker is the product of theirs.
  */
 final class CompositeConstraints implements JobConstraints {
 
--- a/sharing/src/main/java/postgrade/sharing/SharingExtension.java
+++ b/sharing/src/main/java/postgrade/sharing/SharingExtension.java
@@ -50,15 +50,16 @@
 import postgrade.sharing.window.DispatcherWindows;
 import postgrade.window.CalendarPart;
 
-/** Puts the parts of sharing together, beside one dispatcher. */
+/** Joins one dispatcher to the shared state and assembles the components that use it. */
 final class SharingExtension implements DispatcherExtension {
 
     private static final Logger LOG = LoggerFactory.getLogger(SharingExtension.class);
     private static final long TICK_INTERVAL_MICROS = 50_000;
 
     /**
-     * Above the longest time to a first view that was seen with a quorum there, on a machine ten
-     * times overfull.
+     * How long the dispatcher waits for its first view. This is longer than the longest time to a
+     * first view that occurred with a quorum present, on a machine with ten times the load that it
+     * can carry.
      */
     private static final long INIT_TIMEOUT_MICROS = 10_000_000;
 
@@ -81,11 +82,13 @@
     private String lastFailure;
     private boolean closed;
 
-    /** A view has come, and all parts have gone by it. */
+    /** A view has arrived, and all components have been updated from it. */
     private boolean initialized;
 
     /**
-     * @param aside where files and sockets are opened
+     * Opens the shared state and starts the periodic tick.
+     *
+     * @param blockingExecutor runs the opening of files and sockets, which may block
      */
     SharingExtension(
             Host host, SharingSettings settings, StateOpener opener, Executor blockingExecutor) {
@@ -197,7 +200,8 @@
             return;
         }
         boolean viewKnown = state.view().known();
-        // Due again whatever happens now: a share that is not looked at any more would never fall.
+        // Reschedules first, whatever fails below: a share that is no longer updated would never
+        // fall.
         host.timers().at(host.timers().nowMicros() + TICK_INTERVAL_MICROS, this::tick);
         for (Runnable task : tickTasks) {
             try {
@@ -215,27 +219,31 @@
     }
 
     /**
-     * One that has kept nothing would go by the list alone, and send to workers that operators took
-     * out long ago.
+     * Returns how long the dispatcher waits for its first view. Without a snapshot it waits longer:
+     * it would rely on the discovery list alone and send jobs to workers that operators put into
+     * maintenance long ago.
      */
     @Override
     public long initTimeoutMicros() {
         return hasSnapshot ? INIT_TIMEOUT_WITH_SNAPSHOT_MICROS : INIT_TIMEOUT_MICROS;
     }
 
-    /** Guards the log: what fails at each tick is said once. */
+    /**
+     * Logs a failure once rather than at each tick, so that a persistent failure does not flood the
+     * log.
+     */
     private void logFailure(RuntimeException e) {
         if (!e.toString().equals(lastFailure)) {
             lastFailure = e.toString();
             Events.error(LOG, "sharing.failed")
                     .setCause(e)
-                    .log("a part of sharing failed; the others go on");
+                    .log("a component of sharing failed; the others continue");
         }
     }
 
     /**
-     * The process that has the place has the file too: two that write it would leave neither's
-     * whole.
+     * Writes the snapshot only in the process that owns the membership: two processes writing the
+     * same file would corrupt it.
      */
     private void tickSnapshotStore() {
         if (host.isOnlyProcess() || state.isOpen()) {
@@ -253,7 +261,7 @@
                 .toJson();
     }
 
-    /** Of jobs within the tenants' shares, at this process. */
+    /** Returns the rate of jobs, within the quotas of all tenants, that this process may admit. */
     private double ratePerS() {
         PolicySettings s = host.settings();
         double totalRatePerS = 0;
@@ -280,8 +288,8 @@
     }
 
     /**
-     * Guards the others' shares: after a pause of this process its own has fallen before anything
-     * is taken in by it.
+     * Updates the share before anything is admitted, so that after a pause this process does not
+     * use a share that other members have been granted meanwhile.
      */
     @Override
     public void iterationStarted() {
@@ -334,7 +342,7 @@
         }
     }
 
-    /** What the workers can do now, as a part of what they can once all are warm. */
+    /** Returns the capacity of the workers now, relative to their capacity once all are warm. */
     private double warmShare() {
         PolicySettings s = host.settings();
         long slowStartMillis = s.slowStartNs / 1_000_000;
@@ -372,7 +380,7 @@
         state.close();
     }
 
-    /** For tests. */
+    /** Returns the workers in maintenance; used by tests. */
     Set<String> outOfService() {
         return maintenance.outOfService();
     }
--- a/sharing/src/main/java/postgrade/sharing/SharingExtensionFactory.java
+++ b/sharing/src/main/java/postgrade/sharing/SharingExtensionFactory.java
@@ -16,7 +16,10 @@
 import postgrade.sharing.session.StateOpener;
 import postgrade.sharing.settings.SharingSettingsFile;
 
-/** Puts shared state beside a dispatcher that is told of a file for it. */
+/**
+ * Creates the extension that joins a dispatcher to the shared state, for dispatchers that are
+ * configured with a settings file for it.
+ */
 public final class SharingExtensionFactory implements DispatcherExtension.Factory {
 
     @Override
--- a/sharing/src/main/java/postgrade/sharing/endpoints/CalendarEndpoint.java
+++ b/sharing/src/main/java/postgrade/sharing/endpoints/CalendarEndpoint.java
@@ -11,12 +11,15 @@
 import postgrade.shared.Row;
 import postgrade.window.CalendarPart;
 
-/** Takes a site's maintenance calendar: checked whole, aside, before anybody else hears of it. */
+/**
+ * Accepts the maintenance calendar of a site. It is checked completely, on another thread, before
+ * it is submitted to the other members.
+ */
 public final class CalendarEndpoint {
 
     /**
-     * A calendar of the greatest length, with the marks that JSON puts before ends of lines and
-     * quotes.
+     * Fits a calendar of the greatest length, including the escapes that JSON adds for line breaks
+     * and quotes.
      */
     private static final int MAX_BODY_BYTES = 384 << 10;
 
@@ -38,7 +41,9 @@
     }
 
     /**
-     * @param aside where a calendar is worked out, which may take a second
+     * Adds the endpoint.
+     *
+     * @param blockingExecutor runs the check of a calendar, which may take a second
      */
     public static void addTo(
             OperatorEndpoints endpoints,
--- a/sharing/src/main/java/postgrade/sharing/endpoints/OperatorEndpoints.java
+++ b/sharing/src/main/java/postgrade/sharing/endpoints/OperatorEndpoints.java
@@ -9,12 +9,12 @@
 import postgrade.shared.ReplicatedState;
 import postgrade.shared.Row;
 
-/** Operators' calls of sharing, by path. */
+/** The operator endpoints of sharing, by path and method. */
 public final class OperatorEndpoints implements AdditionalEndpoints {
 
     private static final int DEFAULT_MAX_BODY_BYTES = 64 << 10;
 
-    /** One call, made in one way. */
+    /** Handles the calls of one method and path. */
     interface Handler {
         void handle(byte[] body, Reply reply);
     }
--- a/sharing/src/main/java/postgrade/sharing/endpoints/RequestBody.java
+++ b/sharing/src/main/java/postgrade/sharing/endpoints/RequestBody.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The fields of a call, as text. What is wrong is one sentence that names the field. */
+/** Parses the body of an operator's call. Each error is one sentence that names the field. */
 final class RequestBody {
 
     private static final String REQUEST_ID = "requestId";
@@ -16,7 +16,7 @@
 
     private RequestBody() {}
 
-    /** A call that cannot be taken. */
+    /** A call whose body is invalid. */
     static final class InvalidRequestException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
@@ -51,7 +51,7 @@
         return object;
     }
 
-    /** All fields but the request's id; whole numbers and truth values as text. */
+    /** Returns all fields except the request id as text, whole numbers and booleans included. */
     static Map<String, String> fieldTexts(JsonObject object) {
         Map<String, String> fields = new TreeMap<>();
         for (JsonObject.Member m : object) {
@@ -75,7 +75,10 @@
         throw new InvalidRequestException(name + " has to be text, a number or a truth value");
     }
 
-    /** The same for a repeated call; empty where the caller gives none. */
+    /**
+     * Returns the request id, which is the same for a repeated call; empty if the caller gives
+     * none.
+     */
     static String requestId(JsonObject object) {
         JsonValue id = object.get(REQUEST_ID);
         if (id == null) {
--- a/sharing/src/main/java/postgrade/sharing/endpoints/ReservationEndpoints.java
+++ b/sharing/src/main/java/postgrade/sharing/endpoints/ReservationEndpoints.java
@@ -7,7 +7,7 @@
 import postgrade.shared.ReplicatedState;
 import postgrade.shared.View;
 
-/** Reservations of accelerators. */
+/** Endpoints to list, acquire, renew and release reservations of accelerators. */
 public final class ReservationEndpoints {
 
     private final ReplicatedState state;
--- a/sharing/src/main/java/postgrade/sharing/endpoints/Responses.java
+++ b/sharing/src/main/java/postgrade/sharing/endpoints/Responses.java
@@ -8,14 +8,15 @@
 import postgrade.shared.ReplicatedState;
 import postgrade.shared.View;
 
-/** Answers operators' calls; each answer tells the era and how old the view is. */
+/** Answers operators' calls; each answer contains the era and the age of the view. */
 final class Responses {
 
     private static final long SUBMIT_TIMEOUT_MICROS = 1_000_000;
     private static final long DEFAULT_RETRY_AFTER_MICROS = 1_000_000;
 
     /**
-     * Guards the daily calls: those that wait for the quorum never take all places of the listener.
+     * Limits the calls that wait for the quorum, so that they never use up all connections of the
+     * operator listener, which the routine calls need.
      */
     private static final int MAX_PENDING = 6;
 
@@ -36,7 +37,7 @@
         reply.answer(status, 0, withViewState(Json.object().add("error", message)));
     }
 
-    /** It cannot be decided now. */
+    /** Answers that the call cannot be decided now and when to retry. */
     void unavailable(Reply reply, String message, long retryAfterMicros) {
         reply.answer(
                 503,
@@ -57,7 +58,7 @@
                 : Json.NULL;
     }
 
-    /** Has a command decided and tells what came of it. */
+    /** Submits a command and answers with its outcome. */
     void submit(Command command, Reply reply) {
         if (pending >= MAX_PENDING) {
             unavailable(reply, "too many calls wait for a decision", DEFAULT_RETRY_AFTER_MICROS);
@@ -95,7 +96,9 @@
                 });
     }
 
-    /** Whole numbers go as such, as long as every reader keeps them exactly. */
+    /**
+     * Returns whole numbers as JSON numbers, up to the length that every reader represents exactly.
+     */
     static JsonValue jsonValue(String text) {
         return text.matches("-?(0|[1-9][0-9]{0,14})")
                 ? Json.value(Long.parseLong(text))
--- a/sharing/src/main/java/postgrade/sharing/endpoints/SharingStatusEndpoint.java
+++ b/sharing/src/main/java/postgrade/sharing/endpoints/SharingStatusEndpoint.java
@@ -11,13 +11,15 @@
 import postgrade.sharing.progress.RecoveryProgress;
 import postgrade.sharing.session.MembershipSession;
 
-/** How this process stands to the others. */
+/** Reports the membership and the view of this process. */
 public final class SharingStatusEndpoint {
 
     private SharingStatusEndpoint() {}
 
     /**
-     * @param memory tells why what was learnt cannot be kept, or null
+     * Adds the endpoint.
+     *
+     * @param snapshotFault returns why what was learnt cannot be saved, or null
      */
     public static void addTo(
             OperatorEndpoints endpoints,
--- a/sharing/src/main/java/postgrade/sharing/endpoints/WindowEndpoint.java
+++ b/sharing/src/main/java/postgrade/sharing/endpoints/WindowEndpoint.java
@@ -21,13 +21,15 @@
 import postgrade.window.StartPlan;
 import postgrade.window.StartWindows;
 
-/** When a job may start: by its class, or by a plan of its own. */
+/** Reports when a job may start, by its class or by a plan of its own. */
 public final class WindowEndpoint {
 
     private static final Set<String> FIELDS =
             Set.of("class", "earliest", "deadline", "lastsMs", "sites", "requestId");
 
-    /** Guards the answer's length; what comes later is asked for with a later earliest start. */
+    /**
+     * Limits the length of the answer; later entries can be queried with a later earliest start.
+     */
     private static final int MAX_ENTRIES = 200;
 
     private final Host host;
@@ -202,7 +204,7 @@
                 return Instant.parse(v.asString()).toEpochMilli();
             }
         } catch (DateTimeException | ArithmeticException e) {
-            // Falls through to the one sentence.
+            // Reported with the common message below.
         }
         throw new RequestBody.InvalidRequestException(
                 field + " has to be an instant such as 2026-12-02T06:00:00Z");
--- a/sharing/src/main/java/postgrade/sharing/lease/Reservations.java
+++ b/sharing/src/main/java/postgrade/sharing/lease/Reservations.java
@@ -19,15 +19,18 @@
 import postgrade.shared.View;
 
 /**
- * Reservations beside a dispatcher: their say in the module's choices, and the fleet as the shared
- * state has it.
+ * Connects reservations to a dispatcher: provides their constraints to the policy, and synchronises
+ * the fleet into the shared state.
  */
 public final class Reservations {
 
     private static final long SYNC_INTERVAL_MICROS = 500_000;
     private static final long SUBMIT_TIMEOUT_MICROS = 1_000_000;
 
-    /** A large fleet is told over some rounds, so that it never crowds the log. */
+    /**
+     * A large fleet is synchronised over several rounds, so that it does not flood the replicated
+     * log.
+     */
     private static final int MAX_COMMANDS_PER_ROUND = 50;
 
     private final Host host;
@@ -39,9 +42,12 @@
     private long decidedFence;
 
     /**
-     * @param accelerators which kinds of workers have how many
-     * @param reserving classes whose jobs use reserved accelerators
-     * @throws IllegalArgumentException for a class that there is not, or that must not run twice
+     * Creates the constraints from the settings of the dispatcher.
+     *
+     * @param accelerators the number of accelerators per kind of worker
+     * @param reservingClasses classes whose jobs use reserved accelerators
+     * @param lends whether reserved accelerators are lent to other jobs
+     * @throws IllegalArgumentException for an unknown class, or one whose jobs must not run twice
      */
     public Reservations(
             Host host,
@@ -65,12 +71,15 @@
         return constraints;
     }
 
-    /** What goes to the worker with a job, or null. */
+    /** Returns the fencing token that is sent to the worker with a job, or null. */
     public String fence(String jobClass, String tenant, String worker) {
         return constraints.fenceFor(host.timers().nowMicros() * 1000, jobClass, tenant, worker);
     }
 
-    /** Called again and again: whoever leads tells the state what discovery says of the workers. */
+    /**
+     * Submits what discovery reports about the workers, if this process is the leader. Called
+     * periodically.
+     */
     public void tick() {
         long now = host.timers().nowMicros();
         View view = state.view();
@@ -100,7 +109,7 @@
             }
         }
         if (workers.isEmpty()) {
-            return; // Before discovery has told, nothing is known to be gone.
+            return; // Before the first discovery result no worker can be said to be gone.
         }
         List<Command> commands =
                 FleetSync.pendingCommands(
--- a/sharing/src/main/java/postgrade/sharing/pacing/ConnectionPacing.java
+++ b/sharing/src/main/java/postgrade/sharing/pacing/ConnectionPacing.java
@@ -10,13 +10,13 @@
 import postgrade.recovery.ConnectionPacer;
 
 /**
- * Paces new connections to workers. A worker without one is passed over until its gate opens, as
- * long as another that has one can take the job; a job waits for that once, to the module's next
- * look, and never longer.
+ * Limits the rate of new connections to workers. A worker without a connection is skipped until the
+ * pacer admits one, as long as a connected worker can take the job. A job waits for that only once,
+ * until the policy's next decision, and never longer.
  */
 public final class ConnectionPacing implements JobConstraints {
 
-    /** A worker that holds fewer of our calls can take one more. */
+    /** A worker with fewer calls of this process in flight can take one more. */
     private static final int SPARE_CAPACITY_CALLS = 2;
 
     private static final int MAX_TRACKED_JOBS = 1000;
@@ -25,8 +25,8 @@
     private final ConnectionPacer pacer;
 
     /**
-     * Classes that cannot go just anywhere: what is reserved for them, or their sites, may have no
-     * connection.
+     * Classes that are not delayed: only some workers can take their jobs, by reservation or by
+     * site, and these may have no connection.
      */
     private final Set<String> exemptClasses;
 
@@ -56,13 +56,18 @@
     }
 
     /**
-     * @param alive members by the view, 0 where it does not tell
+     * Updates the rate from the view.
+     *
+     * @param aliveMembers the live members in the view, 0 if unknown
      */
     public void update(int aliveMembers) {
         pacer.update(host.timers().nowMicros(), aliveMembers, host.maxIdleMicros());
     }
 
-    /** One is to be opened, and must be if nothing else can carry the request. */
+    /**
+     * Records that a connection is about to be opened and returns whether the rate allows it. With
+     * {@code required}, it is opened in any case, because nothing else can carry the request.
+     */
     public boolean mayConnect(String worker, boolean required) {
         return pacer.tryConnect(host.timers().nowMicros(), worker, required);
     }
@@ -77,7 +82,10 @@
                 : 0;
     }
 
-    /** Asked for each worker, and told by one look at all of them for a job. */
+    /**
+     * Returns whether the job should wait for a connected worker. This is asked for each worker but
+     * computed once for a job and time.
+     */
     private boolean shouldWait(long nowNs, Job job) {
         if (job != cachedJob || nowNs != cachedNowNs) {
             cachedJob = job;
@@ -90,7 +98,10 @@
         return cachedWait;
     }
 
-    /** Connections opened against the pace, since nothing else could carry a request. */
+    /**
+     * Returns how many connections were opened above the rate because nothing else could carry a
+     * request.
+     */
     public long forcedCount() {
         return pacer.forcedCount();
     }
--- a/sharing/src/main/java/postgrade/sharing/progress/RampAdmission.java
+++ b/sharing/src/main/java/postgrade/sharing/progress/RampAdmission.java
@@ -9,15 +9,15 @@
 import postgrade.recovery.RetryAfterSpread;
 
 /**
- * While workers are cold after a return, takes in what they can do; the rest is told to come later,
- * spread out.
+ * Admits as many jobs as the workers can serve while they are in slow start after a recovery, and
+ * delays the rest with a spread of retry times.
  */
 public final class RampAdmission implements JobConstraints {
 
     private static final double NANOS_PER_MICRO = 1e3;
     private static final long MIN_RETRY_AFTER_MICROS = 300_000;
 
-    /** Even a few callers do not come back in one moment. */
+    /** Even a few clients must not all retry at the same moment. */
     private static final long MIN_SPREAD_MICROS = 300_000;
 
     private static final long MAX_RETRY_AFTER_MICROS = 2_000_000;
@@ -29,7 +29,10 @@
     private final RecentDemand demand = new RecentDemand();
 
     /**
-     * @param ratePerS of jobs within all shares here, once all is admitted
+     * Creates the admission control for one process.
+     *
+     * @param ratePerS the rate of jobs within all quotas at this process once everything is
+     *     admitted
      */
     public RampAdmission(
             RecoveryProgress progress, LongSupplier nowMicros, DoubleSupplier ratePerS, long seed) {
--- a/sharing/src/main/java/postgrade/sharing/progress/RecoveryProgress.java
+++ b/sharing/src/main/java/postgrade/sharing/progress/RecoveryProgress.java
@@ -23,8 +23,8 @@
 import postgrade.recovery.ServedWorth;
 
 /**
- * Measures how far this process has come back, by what is served, and says so in the log and to
- * operators.
+ * Measures how far this process has recovered, by the share of the requested worth that it serves,
+ * and reports it in the log and to operators.
  */
 public final class RecoveryProgress implements RequestObserver {
 
@@ -52,14 +52,17 @@
         refresh(startedMicros);
     }
 
-    /** A former process's snapshot is trusted. */
+    /** Sets the served share from the trusted snapshot of a former process as the baseline. */
     public void restoreBaseline(double servedShare) {
         hasSnapshot = true;
         servedWorth.setBaseline(servedShare);
     }
 
     /**
-     * @param able what the known workers can do now, as a part of what they can once all are warm
+     * Starts the admission ramp.
+     *
+     * @param warmShare the capacity of the known workers now, relative to their capacity once all
+     *     are warm
      */
     public void startRamp(double warmShare) {
         ramp = new AdmissionRamp(host.timers().nowMicros(), warmShare);
@@ -69,18 +72,25 @@
         return ramp != null && ramp.admittedShare(host.timers().nowMicros()) < 1;
     }
 
-    /** Null before the workers are known. */
+    /** Returns the admission ramp; null until the workers are known. */
     public AdmissionRamp ramp() {
         return ramp;
     }
 
-    /** Worth in time over the longer time; NaN where nothing was asked. */
+    /**
+     * Returns the share of the requested worth that was served within its objective, over the
+     * longer period; NaN if nothing was requested.
+     */
     public double longTermServedShare() {
         return servedWorth.longTermShare();
     }
 
     /**
-     * @param members that live by the view, 0 where it does not tell
+     * Updates the phase of the recovery.
+     *
+     * @param viewAgeMicros the age of the view of the shared state
+     * @param joined whether this process is a member
+     * @param members the live members in the view, 0 if unknown
      */
     public void update(long viewAgeMicros, boolean joined, int members) {
         long now = host.timers().nowMicros();
@@ -163,7 +173,7 @@
         return recovery.phase();
     }
 
-    /** All phases with their times, for operators. */
+    /** Returns all phases with their times, for operators. */
     public JsonArray phases() {
         JsonArray all = Json.array();
         recovery.steps()
--- a/sharing/src/main/java/postgrade/sharing/session/DeferredState.java
+++ b/sharing/src/main/java/postgrade/sharing/session/DeferredState.java
@@ -14,9 +14,10 @@
 import postgrade.shared.View;
 
 /**
- * Shared state that may come later, or not at all: while it cannot be opened there is no view, and
- * nothing is decided. While another process of this dispatcher has store and place this one follows
- * beside it, with a view of its own, and opens its own once that process has ended.
+ * Shared state that may become available later, or never: until it can be opened there is no view
+ * and nothing is decided. While another process of this dispatcher holds the store and the
+ * membership, this process follows the state as an observer, with a view of its own, and opens its
+ * own state once that process has ended.
  */
 public final class DeferredState implements ReplicatedState {
 
@@ -30,7 +31,10 @@
     private final String name;
     private ReplicatedState own;
 
-    /** Followed beside the other process, and until the own view is as new. */
+    /**
+     * Open while another process holds the membership, and until this process's own view is as
+     * recent.
+     */
     private ReplicatedState observer;
 
     private String fault = "not opened yet";
@@ -39,8 +43,11 @@
     private long nextAttemptMicros;
 
     /**
-     * @param name by which this process shares, as a former one has told it
-     * @param aside where it is opened, since that takes its time
+     * Creates the state without opening it; {@link #tick} does that.
+     *
+     * @param name the member name of this process, as handed over by its predecessor if there was
+     *     one
+     * @param blockingExecutor runs the opening, which may block
      */
     public DeferredState(
             Host host,
@@ -55,7 +62,7 @@
         this.opener = opener;
     }
 
-    /** Looks whether it can be opened now. Called again and again. */
+    /** Opens the state if that is possible now. Called periodically. */
     public void tick() {
         long now = host.timers().nowMicros();
         if (own != null && observer != null && ownViewCaughtUp()) {
@@ -79,7 +86,7 @@
         return own.view().known() && own.view().asOfMicros() >= observer.view().asOfMicros();
     }
 
-    /** Off the loop: files and sockets. */
+    /** Runs off the event loop, as it opens files and sockets. */
     private void open(boolean onlyProcess) {
         try {
             ReplicatedState opened =
@@ -105,8 +112,8 @@
             observer = opened;
             Events.info(LOG, "sharing.beside")
                     .log(
-                            "following the shared state beside the process that has this one's"
-                                    + " place");
+                            "following the shared state as an observer while another process has"
+                                    + " its place");
             return;
         }
         own = opened;
@@ -116,7 +123,7 @@
                 .addKeyValue("name", standing.name())
                 .addKeyValue("incarnation", standing.incarnation())
                 .log(
-                        "state is shared as "
+                        "opened the shared state as "
                                 + standing.name()
                                 + ", incarnation "
                                 + standing.incarnation());
@@ -129,7 +136,10 @@
         if (!why.equals(fault)) {
             Events.warn(LOG, "sharing.not-opened")
                     .addKeyValue("why", why)
-                    .log("state cannot be shared (" + why + "); serving without, trying again");
+                    .log(
+                            "cannot open the shared state ("
+                                    + why
+                                    + "); serving without it, trying again");
         }
         fault = why;
     }
@@ -157,7 +167,7 @@
         }
     }
 
-    /** Without an incarnation until it has its own place. */
+    /** Returns incarnation 0 until this process has a membership of its own. */
     @Override
     public Standing standing() {
         if (own != null) {
--- a/sharing/src/main/java/postgrade/sharing/session/HandOverState.java
+++ b/sharing/src/main/java/postgrade/sharing/session/HandOverState.java
@@ -13,10 +13,12 @@
 import postgrade.log.Events;
 
 /**
- * What a process of a dispatcher tells the next one of its part in the shared state.
+ * What a process of a dispatcher hands over to the next one about its part in the shared state.
  *
- * @param name by which it is a member @param incarnation under which it is one, 0 where it is none
- * @param out workers that it holds to be out @param words of operators that are not decided yet
+ * @param name the name under which it is a member
+ * @param incarnation the incarnation under which it is a member, 0 if it is not a member
+ * @param outOfService the workers that it holds to be in maintenance
+ * @param pendingChanges maintenance changes by operators that the quorum has not decided yet
  */
 public record HandOverState(
         String name,
@@ -27,12 +29,17 @@
     private static final Logger LOG = LoggerFactory.getLogger(HandOverState.class);
 
     /**
-     * @param requestId by which it is asked for, also by the next process, so that it has its
-     *     effect once
+     * A maintenance change that has not been decided yet.
+     *
+     * @param requestId the id of the command; the next process sends the same one, so that the
+     *     change takes effect only once
      */
-    public record PendingChange(String worker, boolean out, String requestId) {}
+    public record PendingChange(String worker, boolean outOfService, String requestId) {}
 
-    /** Null where nothing was told, or what was told is not understood. */
+    /**
+     * Parses the state that a running process handed over. Returns null if there is none, or if it
+     * cannot be parsed.
+     */
     public static HandOverState parse(String text) {
         if (text == null || text.isEmpty()) {
             return null;
@@ -40,10 +47,10 @@
         try {
             JsonObject json = Json.parse(text).asObject();
             Set<String> outOfService = new TreeSet<>();
-            json.get("out").asArray().forEach(w -> outOfService.add(w.asString()));
+            json.get("out").asArray().forEach(worker -> outOfService.add(worker.asString()));
             List<PendingChange> pendingChanges = new ArrayList<>();
-            for (JsonValue w : json.get("words").asArray()) {
-                JsonArray change = w.asArray();
+            for (JsonValue element : json.get("words").asArray()) {
+                JsonArray change = element.asArray();
                 pendingChanges.add(
                         new PendingChange(
                                 change.get(0).asString(),
@@ -58,7 +65,10 @@
         } catch (RuntimeException e) {
             Events.warn(LOG, "sharing.former-not-understood")
                     .addKeyValue("why", e.toString())
-                    .log("what the running process told of sharing was not understood (" + e + ")");
+                    .log(
+                            "cannot parse the sharing state that the running process handed over ("
+                                    + e
+                                    + ")");
             return null;
         }
     }
@@ -68,8 +78,14 @@
         outOfService.forEach(outOfServiceArray::add);
         JsonArray changesArray = Json.array();
         pendingChanges.forEach(
-                w -> changesArray.add(Json.array().add(w.worker).add(w.out).add(w.requestId)));
-        // As text: a reader that takes numbers for doubles would lose the last digits.
+                change ->
+                        changesArray.add(
+                                Json.array()
+                                        .add(change.worker)
+                                        .add(change.outOfService)
+                                        .add(change.requestId)));
+        // The incarnation is written as text: a reader that parses numbers as doubles would lose
+        // its last digits.
         return Json.object()
                 .add("name", name)
                 .add("incarnation", Long.toString(incarnation))
--- a/sharing/src/main/java/postgrade/sharing/session/MaintenanceSync.java
+++ b/sharing/src/main/java/postgrade/sharing/session/MaintenanceSync.java
@@ -14,24 +14,28 @@
 import postgrade.shared.View;
 
 /**
- * Workers out, here and in the shared state. What operators say here is told until it is decided;
- * what the state says is done here. While a word of our own is under way it goes before what the
- * view still says.
+ * Synchronises the workers in maintenance between this process and the shared state. Changes by
+ * operators at this process are submitted until they are decided; changes in the shared state are
+ * applied here. While a change of this process is pending, it takes precedence over what the view
+ * still shows.
  */
 public final class MaintenanceSync {
 
     private static final long SUBMIT_TIMEOUT_MICROS = 1_000_000;
 
-    /** Said here and not decided yet. */
+    /**
+     * A change by an operator at this process that the quorum has not decided, or that the view
+     * does not show yet.
+     */
     private static final class LocalChange {
-        private final boolean out;
+        private final boolean outOfService;
         private final String requestId;
         private boolean inFlight;
         private boolean decided;
         private long visibleFromFence;
 
-        LocalChange(boolean out, String requestId) {
-            this.out = out;
+        LocalChange(boolean outOfService, String requestId) {
+            this.outOfService = outOfService;
             this.requestId = requestId;
         }
     }
@@ -48,47 +52,56 @@
         this.state = state;
     }
 
-    /** They were out when this process last ran. It holds until a view says otherwise. */
+    /**
+     * Restores the workers that were in maintenance when this process last ran. They stay so until
+     * a view shows otherwise.
+     */
     public void restore(Set<String> workers) {
         workers.forEach(
-                w -> {
-                    outOfService.add(w);
-                    host.enterMaintenance(w);
+                worker -> {
+                    outOfService.add(worker);
+                    host.enterMaintenance(worker);
                 });
     }
 
     /**
-     * A process that lives, or has just ended, has told this one of it. What is not decided yet is
-     * asked for here too.
+     * Adopts the state of a process that is still running or has just ended. Changes that have not
+     * been decided are submitted by this process too.
      */
     public void adopt(HandOverState predecessor) {
         restore(predecessor.outOfService());
         predecessor
                 .pendingChanges()
                 .forEach(
-                        w -> {
-                            localChanges.put(w.worker(), new LocalChange(w.out(), w.requestId()));
-                            updateOutOfService(w.worker(), w.out());
+                        change -> {
+                            localChanges.put(
+                                    change.worker(),
+                                    new LocalChange(change.outOfService(), change.requestId()));
+                            updateOutOfService(change.worker(), change.outOfService());
                         });
     }
 
-    /** What operators have said here and no view tells yet, for the next process. */
+    /** Returns the changes by operators that no view shows yet, for the next process. */
     public List<HandOverState.PendingChange> pendingChanges() {
         return localChanges.entrySet().stream()
                 .map(
                         e ->
                                 new HandOverState.PendingChange(
-                                        e.getKey(), e.getValue().out, e.getValue().requestId))
+                                        e.getKey(),
+                                        e.getValue().outOfService,
+                                        e.getValue().requestId))
                 .toList();
     }
 
-    /** Those that this process holds to be out, for its memory. */
+    /** Returns the workers that this process holds to be in maintenance, for its snapshot. */
     public Set<String> outOfService() {
         return Set.copyOf(outOfService);
     }
 
-    /** An operator has said so here, and it is done here. */
-    public void changedByOperator(String worker, boolean out) {
+    /**
+     * Records a change that an operator made at this process, and that is already in effect here.
+     */
+    public void changedByOperator(String worker, boolean isOutOfService) {
         String id =
                 state.standing().name()
                         + "-"
@@ -97,38 +110,38 @@
                         + ++changeCount
                         + "-"
                         + Long.toHexString(host.monotonicMicros().getAsLong());
-        localChanges.put(worker, new LocalChange(out, id));
-        updateOutOfService(worker, out);
+        localChanges.put(worker, new LocalChange(isOutOfService, id));
+        updateOutOfService(worker, isOutOfService);
         tick();
     }
 
-    private void updateOutOfService(String worker, boolean out) {
-        if (out) {
+    private void updateOutOfService(String worker, boolean isOutOfService) {
+        if (isOutOfService) {
             outOfService.add(worker);
         } else {
             outOfService.remove(worker);
         }
     }
 
-    /** Called again and again. */
+    /** Applies the latest view and submits pending changes. Called periodically. */
     public void tick() {
         View view = state.view();
         localChanges
                 .values()
                 .removeIf(
-                        w ->
-                                w.decided
+                        change ->
+                                change.decided
                                         && view.known()
-                                        && view.moment().fence() >= w.visibleFromFence);
+                                        && view.moment().fence() >= change.visibleFromFence);
         if (view.known() && view.rows() != appliedRows) {
             appliedRows = view.rows();
             applyView(OutOfServicePart.outOfService(appliedRows));
         }
         if (view.known()) {
             localChanges.forEach(
-                    (worker, w) -> {
-                        if (!w.inFlight && !w.decided) {
-                            submit(worker, w);
+                    (worker, change) -> {
+                        if (!change.inFlight && !change.decided) {
+                            submit(worker, change);
                         }
                     });
         }
@@ -153,7 +166,7 @@
         String name = state.standing().name();
         long incarnation = state.standing().incarnation();
         Command command =
-                change.out
+                change.outOfService
                         ? OutOfServicePart.takeOutOfService(
                                 change.requestId, name, incarnation, worker)
                         : OutOfServicePart.returnToService(
@@ -165,15 +178,15 @@
                     change.inFlight = false;
                     if (reply.decided()) {
                         change.decided = true;
-                        // The view may be older than the word: until it has come so far it is not
-                        // gone by.
+                        // The view may be older than this decision: it is ignored for this worker
+                        // until it has caught up.
                         change.visibleFromFence =
                                 reply.moment() == null ? 0 : reply.moment().fence();
                         if (reply.answer().status() == Status.FAULTY
                                 || reply.answer().status() == Status.CONFLICT) {
-                            change.visibleFromFence =
-                                    Long.MAX_VALUE; // It cannot be told; what was said here
-                            // stays here.
+                            // The change was rejected and cannot be shared; it stays in effect at
+                            // this process.
+                            change.visibleFromFence = Long.MAX_VALUE;
                         }
                     }
                 });
--- a/sharing/src/main/java/postgrade/sharing/session/MembershipSession.java
+++ b/sharing/src/main/java/postgrade/sharing/session/MembershipSession.java
@@ -13,14 +13,14 @@
 import postgrade.shared.View;
 
 /**
- * This process among the members: joins, renews its lease, and serves by the share that its view
+ * The membership of this process: joins, renews its lease, and applies the share that its view
  * grants.
  */
 public final class MembershipSession {
 
     private static final Logger LOG = LoggerFactory.getLogger(MembershipSession.class);
 
-    /** A lease lives through the loss of some renewals. */
+    /** Several renewals per lease, so that the lease survives the loss of some of them. */
     private static final int RENEWALS_PER_LEASE = 6;
 
     private final Host host;
@@ -31,8 +31,8 @@
     private EffectiveShare ownShare;
 
     /**
-     * By the membership of the process that this one takes the place of, until it has its own; null
-     * where there is none.
+     * The share of the predecessor's membership, used until this process has a membership of its
+     * own; null if there is no predecessor.
      */
     private EffectiveShare predecessorShare;
 
@@ -44,8 +44,11 @@
     private double rateFactor = 1;
 
     /**
-     * @param former what a running process of this dispatcher has told, or null
-     * @param fallback share of one that is cut off for long, in millionths of the even share
+     * Creates a session that has not joined yet.
+     *
+     * @param predecessor the state that a running process of this dispatcher handed over, or null
+     * @param fallbackShare the share of a member that has been unreachable for long, in millionths
+     *     of the even share
      */
     public MembershipSession(
             Host host,
@@ -69,8 +72,8 @@
     }
 
     /**
-     * What it is granted falls as its view grows old: asked before anything is taken in, as after a
-     * pause.
+     * Updates the rate factor. The granted share falls as the view ages, so this is called before
+     * anything is admitted, in particular after a pause.
      */
     public void updateRateFactor() {
         View view = state.view();
@@ -84,7 +87,7 @@
         } else {
             rateFactor = ownShare.factor(view, now);
             if (ownShare.appliedGrantIndex() > 0) {
-                predecessorShare = null; // Its own row has come.
+                predecessorShare = null; // The view shows this process's own row.
             } else {
                 rateFactor = Math.max(rateFactor, inherited);
             }
@@ -92,7 +95,10 @@
         host.setRateFactor(rateFactor);
     }
 
-    /** Called again and again: what it is granted changes as its view grows old. */
+    /**
+     * Renews the lease or joins when that is due, and updates the rate factor, as the granted share
+     * changes while the view ages. Called periodically.
+     */
     public void tick() {
         long incarnation = state.standing().incarnation();
         if (incarnation == 0) {
@@ -111,7 +117,7 @@
             ended = true;
             rejectionReason = "a later start of this name has taken its place";
             Events.warn(LOG, "sharing.replaced")
-                    .log(rejectionReason + "; serving by the least share");
+                    .log(rejectionReason + "; serving at the minimum share");
         } else if (view.known() && !requestInFlight && now >= nextRequestMicros) {
             submit(
                     joined
@@ -125,9 +131,10 @@
     }
 
     /**
-     * Guards the sum of the rates: a second process of this dispatcher goes by this membership too,
-     * by a view that may be older. While it lives no lesser share is told to be gone by, so the
-     * rest stays reserved to the end of its lease.
+     * Returns the grant to confirm with a renewal. While a second process of this dispatcher runs,
+     * it uses this membership too, perhaps from an older view. No grant is confirmed until it has
+     * ended, so that the rest stays reserved to the end of its lease and the sum of all rates stays
+     * within the limit.
      */
     private long grantToConfirm() {
         return host.isOnlyProcess() ? ownShare.appliedGrantIndex() : 0;
@@ -161,24 +168,20 @@
                     if (reason != null && !reason.equals(rejectionReason)) {
                         Events.warn(LOG, "sharing.not-joined")
                                 .addKeyValue("why", reason)
-                                .log("not among the members: " + reason);
+                                .log("not a member: " + reason);
                     }
                     rejectionReason = reason;
                     if (!done) {
-                        nextRequestMicros =
-                                joined
-                                        ? now
-                                        : nextRequestMicros; // A renewal that finds no member: join
-                                                             // anew at
-                        // once.
+                        // A renewal that finds no member: join again at once.
+                        nextRequestMicros = joined ? now : nextRequestMicros;
                     }
                     joined = done;
                 });
     }
 
     /**
-     * The process ends; its place is kept for a while. One that another process of this dispatcher
-     * goes by is not left.
+     * Leaves the membership at the end of the process; the members keep its place for a while. A
+     * membership that another process of this dispatcher uses is kept.
      */
     public void leave() {
         if (joined && !ended && host.isOnlyProcess()) {
@@ -198,8 +201,8 @@
     }
 
     /**
-     * Under which incarnation this dispatcher is a member, by this process or the one before; 0
-     * where it is not.
+     * Returns the incarnation under which this dispatcher is a member, through this process or its
+     * predecessor; 0 if it is not a member.
      */
     public long incarnation() {
         return joined
@@ -207,7 +210,7 @@
                 : predecessorShare == null ? 0 : predecessorShare.incarnation();
     }
 
-    /** The part of its even share by which it serves. */
+    /** Returns the multiple of the even share that this process may use. */
     public double rateFactor() {
         return rateFactor;
     }
@@ -216,7 +219,7 @@
         return terms;
     }
 
-    /** Why it is not among the members, or null. */
+    /** Returns why this process is not a member, or null. */
     public String rejectionReason() {
         return rejectionReason;
     }
--- a/sharing/src/main/java/postgrade/sharing/session/StateOpener.java
+++ b/sharing/src/main/java/postgrade/sharing/session/StateOpener.java
@@ -7,19 +7,21 @@
 import postgrade.shared.ReplicatedState;
 import postgrade.shared.StatePart;
 
-/** Opens what shares the state. May be called on any thread, and take its time. */
+/** Opens the shared state. May be called on any thread, and may block. */
 @FunctionalInterface
 public interface StateOpener {
 
     /**
-     * @param onLoop where its answers come back
+     * Opens the state of a member.
+     *
+     * @param loopExecutor runs the callbacks of the state
      */
     ReplicatedState open(List<StatePart> parts, LongSupplier nowMicros, Executor loopExecutor)
             throws IOException;
 
     /**
-     * Follows beside the process that has this one's place, and takes nothing from it; null where
-     * that is not to be had.
+     * Opens a read-only observer while another process holds this one's membership, without taking
+     * anything over from it. Returns null if that is not supported.
      */
     default ReplicatedState openObserver(LongSupplier nowMicros, Executor loopExecutor)
             throws IOException {
--- a/sharing/src/main/java/postgrade/sharing/settings/SharingSettingsFile.java
+++ b/sharing/src/main/java/postgrade/sharing/settings/SharingSettingsFile.java
@@ -26,10 +26,7 @@
 import postgrade.window.Deadline;
 import postgrade.window.JobClassWindow;
 
-/**
- * Reads {@code deploy/sharing.star}: with whom a process shares, and what it does with the shared
- * state.
- */
+/** Reads {@code deploy/sharing.star}: which processes share the state, and how this one uses it. */
 public final class SharingSettingsFile {
 
     private static final Set<String> KEYS =
@@ -53,7 +50,7 @@
     private static final double MICROS_PER_SECOND = 1e6;
     private static final long MAX_VERSION = 1_000_000_000L;
 
-    /** A class with windows, as the script made it. */
+    /** A class with windows, as a value of the script. */
     private record WindowValue(JobClassWindow window) implements Values.HostObject {
         @Override
         public String typeName() {
@@ -76,12 +73,14 @@
         this.script = script;
     }
 
-    /** What one file says. */
+    /** The settings of one file. */
     public record Contents(QuorumSettings quorum, SharingSettings sharing) {}
 
     /**
-     * @param dispatcher name of the process, where the file does not say another
-     * @throws IllegalArgumentException with one sentence that names file and key
+     * Reads and checks a settings file.
+     *
+     * @param dispatcher the name of the process if the file does not set one
+     * @throws IllegalArgumentException with one sentence that names the file and the key
      */
     public static Contents read(Path file, String dispatcher) {
         Map<String, Object> names = new HashMap<>(SharingFile.scriptFunctions());
@@ -205,7 +204,7 @@
         throw Script.error("window: " + name + " must be a string, not " + Values.type(v));
     }
 
-    // ---- Values of the script.
+    // ---- Access to the globals of the script.
 
     private String optionalString(String key) {
         Object v = script.global(key);
--- a/sharing/src/main/java/postgrade/sharing/snapshot/SnapshotFile.java
+++ b/sharing/src/main/java/postgrade/sharing/snapshot/SnapshotFile.java
@@ -17,9 +17,9 @@
 import postgrade.recovery.UnusableSnapshotException;
 
 /**
- * Where a process keeps what it learnt. Written beside, forced to the disk and renamed, so that
- * there is always a whole one: the former or the new. One that cannot be used is kept aside for
- * whoever looks into it.
+ * The file in which a process saves what it learnt. It is written to a temporary file, forced to
+ * the disk and renamed, so that there is always a complete file: the former or the new one. A file
+ * that cannot be used is moved aside for inspection.
  */
 public final class SnapshotFile {
 
@@ -27,7 +27,7 @@
     private static final String FILE_NAME = "learnt.memory";
     private static final String UNUSABLE_SUFFIX = ".unusable";
 
-    /** Guards the start against a file that somebody else has put there. */
+    /** Bounds the memory and time that the start spends on a file that something else wrote. */
     private static final long MAX_BYTES = 16 << 20;
 
     private final Path file;
@@ -42,7 +42,7 @@
         return file;
     }
 
-    /** What was kept, or null: then there was none, or it was no use and the log says why. */
+    /** Returns the saved snapshot, or null if there is none or it is unusable; the log says why. */
     public LearntSnapshot read(long unixMicros) {
         try {
             long size = Files.size(file);
@@ -54,11 +54,16 @@
         } catch (UnusableSnapshotException e) {
             setAside(e.fault().name().toLowerCase(java.util.Locale.ROOT), e.getMessage());
         } catch (NoSuchFileException e) {
-            LOG.debug("no snapshot of what was learnt", e);
+            LOG.debug("no snapshot of what was learnt exists", e);
         } catch (IOException e) {
             Events.warn(LOG, "memory.not-read")
                     .addKeyValue("why", e.toString())
-                    .log("the snapshot " + file + " cannot be read (" + e + "); starting without");
+                    .log(
+                            "the snapshot "
+                                    + file
+                                    + " cannot be read ("
+                                    + e
+                                    + "); starting without it");
         }
         return null;
     }
@@ -70,7 +75,7 @@
             Files.move(file, target, StandardCopyOption.REPLACE_EXISTING);
             outcome = "kept as " + target;
         } catch (IOException e) {
-            outcome = "it could not be kept aside: " + e;
+            outcome = "it could not be moved aside: " + e;
         }
         Events.warn(LOG, "memory.unusable")
                 .addKeyValue("fault", fault)
@@ -78,7 +83,7 @@
                 .log("the snapshot " + file + " is not used: " + reason + "; " + outcome);
     }
 
-    /** Off the loop: waits for the disk. */
+    /** Writes the snapshot. Called off the event loop, as it waits for the disk. */
     public void write(LearntSnapshot snapshot) throws IOException {
         Files.createDirectories(file.getParent());
         Path temporary = file.resolveSibling(FILE_NAME + ".next");
@@ -100,7 +105,7 @@
             throw new IOException("the folder's file system cannot rename in one step", e);
         }
         try (FileChannel folder = FileChannel.open(file.getParent(), StandardOpenOption.READ)) {
-            folder.force(true); // The rename itself lasts, too.
+            folder.force(true); // Makes the rename itself durable.
         }
     }
 }
--- a/sharing/src/main/java/postgrade/sharing/snapshot/SnapshotStore.java
+++ b/sharing/src/main/java/postgrade/sharing/snapshot/SnapshotStore.java
@@ -20,23 +20,26 @@
 import postgrade.recovery.LearntSnapshot;
 
 /**
- * Keeps what this process learns, and tells the module at its start what a former one had learnt.
- * The loop makes an immutable copy now and then; one thread writes it. While that thread waits for
- * a slow disk, copies are passed over.
+ * Saves what this process learns, and imports what a former process had learnt into the policy at
+ * the start. The event loop makes an immutable copy periodically, and one thread writes it. While
+ * that thread waits for a slow disk, further copies are skipped.
  */
 public final class SnapshotStore {
 
     private static final Logger LOG = LoggerFactory.getLogger(SnapshotStore.class);
 
-    /** Workers out stand among the figures under this word; the module never sees it. */
+    /**
+     * Category of the entries for workers in maintenance; these are not imported into the policy.
+     */
     private static final String OUT_OF_SERVICE = "out";
 
     private static final String WORKER = "worker";
     private static final String SLOW_START = "cold";
 
     /**
-     * That its sends to cold workers are all there: told by the last word alone, as what follows
-     * any other is lost by a crash.
+     * Category of the entry that says that the record of work sent to workers in slow start is
+     * complete. Only the snapshot at the end of a process contains it: what is sent after any other
+     * snapshot is lost in a crash.
      */
     private static final String USAGE_COMPLETE_FOR = "up";
 
@@ -54,11 +57,15 @@
     private volatile String fault;
     private long nextWriteMicros;
 
-    /** What was kept of workers, until the list tells which of them are the same still. */
+    /** The entries for workers, until discovery reports which workers have not restarted since. */
     private LearntSnapshot pendingWorkerEntries;
 
     /**
-     * @param served worth in time of late, as a part of what was asked for; NaN where not known
+     * Starts the thread that writes snapshots.
+     *
+     * @param servedShare the recent share of the requested worth that was served within its
+     *     objective; NaN if unknown
+     * @param outOfService the workers in maintenance
      */
     public SnapshotStore(
             Host host,
@@ -77,8 +84,8 @@
     }
 
     /**
-     * What a former process had learnt, or null. The module is told what may be trusted, unless it
-     * knows better.
+     * Loads the snapshot of a former process and imports into the policy what can be trusted of it.
+     * Returns null if there is none, or if this process has received newer state by hand-over.
      */
     public LearntSnapshot load() {
         LearntSnapshot snapshot = file.read(unixMicros());
@@ -94,7 +101,7 @@
         List<LearntSnapshot.Entry> importableNow = new ArrayList<>();
         List<LearntSnapshot.Entry> workerEntries = new ArrayList<>();
         for (LearntSnapshot.Entry entry : snapshot.entries()) {
-            // That the sends are all there counts no sooner than the sends.
+            // The completeness entry must not take effect before the entries that it is about.
             (isWorkerEntry(entry.learnt()) || entry.learnt().category().equals(USAGE_COMPLETE_FOR)
                             ? workerEntries
                             : importableNow)
@@ -108,7 +115,7 @@
                 .addKeyValue("figures", snapshot.entries().size())
                 .addKeyValue("age_ms", snapshot.ageMicros(unixMicros()) / 1000)
                 .log(
-                        "going by what was learnt "
+                        "using what was learnt "
                                 + snapshot.ageMicros(unixMicros()) / 1000
                                 + " ms ago, "
                                 + snapshot.entries().size()
@@ -118,13 +125,14 @@
 
     private static List<LearntSnapshot.Entry> withoutUsageComplete(LearntSnapshot snapshot) {
         return snapshot.entries().stream()
-                .filter(f -> !f.learnt().category().equals(USAGE_COMPLETE_FOR))
+                .filter(entry -> !entry.learnt().category().equals(USAGE_COMPLETE_FOR))
                 .toList();
     }
 
     /**
-     * Guards the next process: this one may die before it has written, and what it sends till then
-     * is in no file.
+     * Rewrites the snapshot without the completeness entry. This process may die before its first
+     * write, and what it sends until then would be missing from the snapshot that the next process
+     * loads.
      */
     private boolean removeUsageComplete(LearntSnapshot snapshot) {
         try {
@@ -135,12 +143,12 @@
         }
     }
 
-    /** Workers that were out. */
+    /** Returns the workers that were in maintenance when the snapshot was written. */
     public static Set<String> outOfService(LearntSnapshot snapshot) {
         Set<String> workers = new HashSet<>();
         snapshot.entries().stream()
-                .filter(f -> f.learnt().category().equals(OUT_OF_SERVICE))
-                .forEach(f -> workers.add(f.learnt().name()));
+                .filter(entry -> entry.learnt().category().equals(OUT_OF_SERVICE))
+                .forEach(entry -> workers.add(entry.learnt().name()));
         return workers;
     }
 
@@ -155,8 +163,8 @@
     }
 
     /**
-     * Discovery has told of the workers: the module hears what was learnt of those that have not
-     * started since.
+     * Imports the entries for workers that have not restarted since, once discovery has reported
+     * the workers.
      */
     public void workerListChanged() {
         if (pendingWorkerEntries != null && !host.workers().isEmpty()) {
@@ -176,7 +184,7 @@
         return host.unixMillis().getAsLong() * 1000;
     }
 
-    /** Called again and again. */
+    /** Writes a snapshot if that is due. Called periodically. */
     public void tick() {
         long now = host.timers().nowMicros();
         if (now >= nextWriteMicros) {
@@ -198,15 +206,16 @@
                         host.exportPolicyState(),
                         startedMillisByWorker());
         List<LearntSnapshot.Entry> entries = new ArrayList<>();
-        // First, so that no bound cuts them off.
+        // Workers in maintenance go first, so that a limit on the number of entries never cuts them
+        // off.
         outOfService
                 .get()
                 .forEach(
-                        w ->
+                        worker ->
                                 entries.add(
                                         new LearntSnapshot.Entry(
                                                 new PolicyStateEntry(
-                                                        OUT_OF_SERVICE, w, new double[] {0}),
+                                                        OUT_OF_SERVICE, worker, new double[] {0}),
                                                 0)));
         entries.addAll(learnt.entries());
         return withEntries(learnt, entries);
@@ -237,25 +246,25 @@
             Events.warn(LOG, "memory.not-written")
                     .addKeyValue("why", reason)
                     .log(
-                            "what was learnt cannot be kept in "
+                            "cannot write what was learnt to "
                                     + file.path()
                                     + " ("
                                     + reason
                                     + "); trying again");
         } else if (reason == null && fault != null) {
-            Events.info(LOG, "memory.written").log("what was learnt is kept again");
+            Events.info(LOG, "memory.written").log("what was learnt can be written again");
         }
         fault = reason;
     }
 
-    /** Why it cannot be kept, or null. */
+    /** Returns why the last snapshot could not be written, or null. */
     public String fault() {
         return fault;
     }
 
     /**
-     * The last word, at the end of the process. Waits a little for it, as nobody is served any
-     * more.
+     * Writes the final snapshot at the end of the process. Waits briefly for the write, since no
+     * client is served any more.
      */
     public void close() {
         if (!writePending) {
--- a/sharing/src/main/java/postgrade/sharing/window/DispatcherWindows.java
+++ b/sharing/src/main/java/postgrade/sharing/window/DispatcherWindows.java
@@ -20,13 +20,17 @@
 import postgrade.window.WindowConstraints;
 
 /**
- * Start windows beside a dispatcher. Calendars are worked out aside, as a large one takes a while.
+ * Applies start windows to a dispatcher. Calendars are loaded on another thread, as a large one
+ * takes a while.
  */
 public final class DispatcherWindows {
 
     private static final Logger LOG = LoggerFactory.getLogger(DispatcherWindows.class);
 
-    /** Whoever hears of a new calendar later has to know by this that its view is too old. */
+    /**
+     * With a view older than this no job that needs a window starts. A process that has not seen a
+     * new calendar by then must know that its view is too old.
+     */
     private static final long MAX_VIEW_AGE_MICROS = 5_000_000;
 
     private final Host host;
@@ -69,7 +73,10 @@
         return constraints;
     }
 
-    /** The headers by which a job brings a plan of its own; null where no windows are set. */
+    /**
+     * Returns the headers by which a job brings a plan of its own; null if no windows are
+     * configured.
+     */
     public ExtensionHeaders extensionHeaders() {
         return settings.isConfigured()
                 ? new PlanHeaders(settings, constraints, host.unixMillis())
@@ -85,14 +92,14 @@
     }
 
     /**
-     * How long jobs of this class are to be taken to last, in milliseconds, for an operator's
-     * question.
+     * Returns how long jobs of this class are expected to take, in milliseconds, for an operator's
+     * query.
      */
     public long learntDurationMillis(String jobClass, double quantile) {
         return durations.quantile(jobClass, quantile);
     }
 
-    /** A job of this class ran for so long. */
+    /** Records how long a job of this class ran. */
     public void recordDuration(String jobClass, long micros) {
         durations.recordDuration(jobClass, micros / 1000);
     }
@@ -101,7 +108,10 @@
         constraints.jobAnswered(jobId);
     }
 
-    /** Called again and again: the wall clock may be set, and views come. */
+    /**
+     * Updates the wall clock, which may be set, and the view, and loads calendars that are missing.
+     * Called periodically.
+     */
     public void tick() {
         long now = host.timers().nowMicros();
         long wallMillis = host.unixMillis().getAsLong();
--- a/sharing/src/main/java/postgrade/sharing/window/PlanHeaders.java
+++ b/sharing/src/main/java/postgrade/sharing/window/PlanHeaders.java
@@ -18,7 +18,8 @@
 import postgrade.window.WindowConstraints;
 
 /**
- * Reads a job's own plan from its headers. What operators set for its class binds it all the same.
+ * Reads a job's own plan from its headers. The limits that operators set for its class apply in
+ * addition.
  */
 final class PlanHeaders implements ExtensionHeaders {
 
@@ -29,7 +30,7 @@
     private static final Set<String> NAMES =
             Set.of("x-window-earliest", "x-window-deadline", "x-window-lasts", "x-window-sites");
 
-    /** Guards against what Java takes for a number besides. */
+    /** Java's number parsers accept other forms too, which this pattern rejects. */
     private static final Pattern DURATION = Pattern.compile("([0-9]{1,18})([mu])");
 
     private static final Pattern TIME_AND_ZONE =
@@ -63,8 +64,8 @@
         long now = unixMillis.getAsLong();
         StartPlan classPlan = constraints.planForClass(now, jobClass);
         String from = value.apply("x-window-earliest");
-        // Not now, as the module hears of the job by another look at the clock, which may be set
-        // back between.
+        // Not the current time: the policy reads the clock again when it receives the job, and the
+        // clock may have been set back in between.
         long earliest = from == null ? ANY_TIME : parseInstant(EARLIEST, from);
         String until = value.apply("x-window-deadline");
         long deadline =
@@ -91,7 +92,7 @@
     private static long parseInstant(String header, String text) {
         try {
             long millis = Instant.parse(text).toEpochMilli();
-            new StartPlan(millis, millis, 0, List.of()); // Its bounds.
+            new StartPlan(millis, millis, 0, List.of()); // Checks the bounds.
             return millis;
         } catch (DateTimeException | ArithmeticException | IllegalArgumentException e) {
             throw invalid(
@@ -130,7 +131,7 @@
                             : "has to be a whole number with the unit m or u, such as 90000m");
         }
         long number = Long.parseLong(m.group(1));
-        // Rounded up: it must have ended in time.
+        // Rounded up: the job must have ended in time.
         long millis =
                 m.group(2).equals("m")
                         ? number
--- a/sharing/src/main/java/postgrade/sharing/window/WindowSettings.java
+++ b/sharing/src/main/java/postgrade/sharing/window/WindowSettings.java
@@ -7,11 +7,12 @@
 import postgrade.window.JobClassWindow;
 
 /**
- * Start windows as set by operators.
+ * Start windows as configured by operators.
  *
- * @param sitesByKind and {@code sitesByZone}: at which site a worker stands, by its kind where that
- *     is named
- * @param clockErrorMillis how far this machine's wall clock may be off
+ * @param classes the classes that have windows
+ * @param sitesByKind the site of a worker by its kind; takes precedence over its zone
+ * @param sitesByZone the site of a worker by its zone
+ * @param clockErrorMillis the largest error of this machine's wall clock
  */
 public record WindowSettings(
         List<JobClassWindow> classes,
@@ -23,7 +24,7 @@
         return !classes.isEmpty() || !sitesByKind.isEmpty() || !sitesByZone.isEmpty();
     }
 
-    /** All that are named anywhere. */
+    /** Returns all sites that any setting names. */
     public Set<String> allSites() {
         Set<String> all = new TreeSet<>(sitesByKind.values());
         all.addAll(sitesByZone.values());
--- a/sharing/src/test/java/postgrade/sharing/ConnectionPacingTest.java
+++ b/sharing/src/test/java/postgrade/sharing/ConnectionPacingTest.java
@@ -13,16 +13,19 @@
 import postgrade.policy.api.WorkerPhase;
 import postgrade.sharing.pacing.ConnectionPacing;
 
-/** New connections to workers are paced, and no job waits for one longer than to the next look. */
+/**
+ * New connections to workers are limited in rate, and no job waits for one longer than until the
+ * policy's next decision.
+ */
 public class ConnectionPacingTest {
 
     private static final int WORKERS = 16;
 
     /**
-     * As the host keeps connections for 4 s, two processes at twice steady make one each in 2 s at
-     * a worker.
+     * The host keeps idle connections for 4 s, so two processes at twice the steady rate open one
+     * connection each in 2 s per worker.
      */
-    private static final long MAX_IDLE_MICROS = 4_000_000;
+    private static final long IDLE_MICROS = 4_000_000;
 
     private final FakeHost host = new FakeHost("a");
     private final ConnectionPacing pacing = new ConnectionPacing(host, 2, Set.of("confirm"));
@@ -40,12 +43,13 @@
         return pacing.usableShare(host.nowMicros() * 1000, job, worker(w));
     }
 
-    /** A job every 10 ms goes to some worker that is able for it, as the module would send it. */
+    /**
+     * Sends a job every 10 ms to a worker that may take it, as the policy would, and returns the
+     * times of new connections.
+     */
     private List<Long> connectTimes(long micros) {
-        host.run(
-                10
-                        * MAX_IDLE_MICROS); // A process that starts slowly: while nobody is served
-                                            // no gate opens.
+        // A process that starts slowly: no gate opens before the first request.
+        host.run(10 * IDLE_MICROS);
         List<Long> times = new ArrayList<>();
         for (long t = 0; t < micros; t += 10_000) {
             host.run(10_000);
@@ -67,63 +71,66 @@
 
     @Test
     public void connectsToAllWorkersWithinItsShareOfTheRate() {
-        List<Long> times = connectTimes(MAX_IDLE_MICROS);
-        assertEquals("all in the end", WORKERS, times.size());
-        int maxWithinWindow = 0;
+        List<Long> times = connectTimes(IDLE_MICROS);
+        assertEquals("all workers are connected", WORKERS, times.size());
+        int peak = 0;
         for (long from : times) {
-            maxWithinWindow =
+            peak =
                     Math.max(
-                            maxWithinWindow,
+                            peak,
                             (int)
                                     times.stream()
-                                            .filter(
-                                                    t ->
-                                                            t >= from
-                                                                    && t
-                                                                            < from
-                                                                                    + MAX_IDLE_MICROS
-                                                                                            / 8)
+                                            .filter(t -> t >= from && t < from + IDLE_MICROS / 8)
                                             .count());
         }
-        // A quarter of the time between two at a worker brings a quarter of the workers, about; by
-        // phases, one more or two.
-        assertTrue("at most " + maxWithinWindow, maxWithinWindow <= WORKERS / 4 + 3);
-        assertTrue("only the first had to be", pacing.forcedCount() <= 1);
+        // A quarter of the interval per worker allows about a quarter of the workers; the phases
+        // add one or two.
+        assertTrue("at most " + peak, peak <= WORKERS / 4 + 3);
+        assertTrue("only the first was forced", pacing.forcedCount() <= 1);
     }
 
     @Test
     public void jobWaitsForAGateOnceAndOnlyIfAnotherWorkerCanServeIt() {
         Job first = job("price");
-        assertEquals("there is no other", 1, usableShare(first, 0), 0);
+        assertEquals("no other worker is connected", 1, usableShare(first, 0), 0);
         pacing.mayConnect("w0", true);
         host.connected.add("w0");
         int gatedWorker = 1;
         while (usableShare(job("price"), gatedWorker) > 0) {
-            assertTrue("the gates of most are shut at first", ++gatedWorker < WORKERS);
+            assertTrue("the gates of most workers are closed at first", ++gatedWorker < WORKERS);
         }
         Job second = job("price");
         assertEquals(1, usableShare(second, 0), 0);
         assertEquals(0, usableShare(second, gatedWorker), 0);
         assertEquals(
-                "what is bound to some workers waits for none",
+                "a job of an exempt class never waits",
                 1,
                 usableShare(job("confirm"), gatedWorker),
                 0);
         host.run(50_000);
-        assertEquals("at the next look it goes anywhere", 1, usableShare(second, gatedWorker), 0);
+        assertEquals(
+                "at the next decision any worker may take it",
+                1,
+                usableShare(second, gatedWorker),
+                0);
         host.callsPerConnection = 2;
-        assertEquals("those connected have enough", 1, usableShare(job("price"), gatedWorker), 0);
+        assertEquals(
+                "the connected worker has no spare capacity",
+                1,
+                usableShare(job("price"), gatedWorker),
+                0);
     }
 
     @Test
     public void forcedConnectionsDelayLaterOnes() {
         pacing.mayConnect("w1", false);
-        host.run(MAX_IDLE_MICROS);
+        host.run(IDLE_MICROS);
         assertTrue(pacing.mayConnect("w1", true));
         assertFalse(pacing.mayConnect("w1", true));
-        host.run(MAX_IDLE_MICROS / 2);
-        assertFalse("one is owed", pacing.mayConnect("w1", false));
-        host.run(MAX_IDLE_MICROS / 2);
+        host.run(IDLE_MICROS / 2);
+        assertFalse(
+                "the forced connection counts against the rate", pacing.mayConnect("w1", false));
+        host.run(IDLE_MICROS / 2);
         assertTrue(pacing.mayConnect("w1", false));
     }
 }
--- a/sharing/src/test/java/postgrade/sharing/FakeHost.java
+++ b/sharing/src/test/java/postgrade/sharing/FakeHost.java
@@ -17,7 +17,7 @@
 import postgrade.policy.api.PolicyStateEntry;
 import postgrade.policy.api.Tenant;
 
-/** A dispatcher on virtual time, of which only what its companion sees is there. */
+/** A dispatcher on virtual time that has only what its extension uses. */
 final class FakeHost implements Host, Timers {
 
     private record Due(long when, long number, Runnable task) {}
@@ -52,7 +52,7 @@
         workers.put(id, new WorkerStatus(id, "a", "m", 1, startedMillis, true, false));
     }
 
-    /** Runs what is due within this time. */
+    /** Advances the clocks by this time and runs the timers that expire meanwhile. */
     void run(long micros) {
         long end = now + micros;
         while (!due.isEmpty() && due.peek().when <= end) {
@@ -64,7 +64,9 @@
         unixMillis += micros / 1000;
     }
 
-    /** Stopped and continued: the clocks have gone on, and nothing has run. */
+    /**
+     * Advances the clocks without running any timers, as when the process is stopped and continued.
+     */
     void suspend(long micros) {
         now += micros;
         unixMillis += micros / 1000;
--- a/sharing/src/test/java/postgrade/sharing/FakeQuorum.java
+++ b/sharing/src/test/java/postgrade/sharing/FakeQuorum.java
@@ -15,7 +15,8 @@
 import postgrade.sharing.session.StateOpener;
 
 /**
- * One machine that decides at once, as long as it is reached; each process has its own view of it.
+ * A quorum of one replicated state machine that decides at once while it is reachable. Each process
+ * has its own view of it.
  */
 final class FakeQuorum {
 
@@ -24,10 +25,10 @@
     private long incarnations;
     final Set<String> unreachable = new HashSet<>();
 
-    /** Their pulls get no answer, though what they ask for is decided. */
+    /** Hosts whose views are not updated, although their commands are decided. */
     final Set<FakeHost> withoutUpdates = new HashSet<>();
 
-    /** What they open has no view yet; what they follow beside another process has. */
+    /** Hosts whose own connection has no view yet, while their observer connection has one. */
     final Set<FakeHost> withoutOwnView = new HashSet<>();
 
     boolean quorumLost;
@@ -40,7 +41,7 @@
         }
     }
 
-    /** The log's time goes on as the hosts' does. */
+    /** Advances the log's time together with the hosts' time. */
     void advance(long micros) {
         if (machine != null && !quorumLost) {
             apply(ReplicatedStateMachine.advance("leader", 1, micros), null);
@@ -51,12 +52,12 @@
         return new StateOpener() {
             @Override
             public ReplicatedState open(
-                    List<StatePart> parts, LongSupplier nowMicros, Executor onLoop) {
+                    List<StatePart> parts, LongSupplier nowMicros, Executor loopExecutor) {
                 return new Connection(host, parts, ++incarnations);
             }
 
             @Override
-            public ReplicatedState openObserver(LongSupplier nowMicros, Executor onLoop) {
+            public ReplicatedState openObserver(LongSupplier nowMicros, Executor loopExecutor) {
                 return new Connection(host, List.of(), 0);
             }
         };
--- a/sharing/src/test/java/postgrade/sharing/PlanHeadersTest.java
+++ b/sharing/src/test/java/postgrade/sharing/PlanHeadersTest.java
@@ -23,8 +23,8 @@
 import postgrade.window.JobClassWindow;
 
 /**
- * A job's own plan by its headers, over its class's windows. It is 2027-01-15 08:00 UTC, 9 o'clock
- * in Zagreb.
+ * A job's own plan from its headers, combined with its class's windows. The time is 2027-01-15
+ * 08:00 UTC, 9 o'clock in Zagreb.
  */
 public class PlanHeadersTest {
 
@@ -102,7 +102,7 @@
         return all;
     }
 
-    /** When a job with these headers opens, in seconds from now. */
+    /** Returns the start delay of a job with these headers, in seconds. */
     private double startDelaySeconds(String id, String jobClass, String... namesAndValues) {
         extension.extensionHeaders().read(jobClass, headers(namesAndValues)::get).accept(id);
         return extension.jobConstraints().startDelayNs(host.nowMicros() * 1000, job(id, jobClass))
@@ -130,7 +130,7 @@
         assertEquals(1, usableShare("j1", "confirm", "b"), 0);
         assertEquals("not at another site", 0, usableShare("j1", "confirm", "a"), 0);
         assertEquals(
-                "one hour on, and its share of the spread",
+                "in one hour, plus its part of the spread",
                 3600,
                 startDelaySeconds(
                         "j2",
@@ -189,14 +189,17 @@
                                 "split")
                         > 0);
         assertEquals(
-                "given up on and sent again without", 0, startDelaySeconds("j1", "confirm"), 0);
+                "cancelled, then sent again without headers",
+                0,
+                startDelaySeconds("j1", "confirm"),
+                0);
         assertEquals(1, usableShare("j1", "confirm", "c"), 0);
     }
 
     @Test
     public void classSettingsLimitThePlanOfTheHeaders() {
         assertEquals(
-                "it needs 60 s of its class's, whatever it says",
+                "its class sets 60 s, whatever its header says",
                 1,
                 startDelaySeconds("k1", "price", "deadline", "2027-01-15T08:01:00Z", "lasts", "1m")
                                 > 0
@@ -281,9 +284,6 @@
                         "x-window-sites"),
                 read.names());
         assertEquals(
-                "and no claim, no plan",
-                0,
-                JobConstraints.NONE.startDelayNs(0, job("x", "price")),
-                0);
+                "no header, no plan", 0, JobConstraints.NONE.startDelayNs(0, job("x", "price")), 0);
     }
 }
--- a/sharing/src/test/java/postgrade/sharing/ProcessHandOverTest.java
+++ b/sharing/src/test/java/postgrade/sharing/ProcessHandOverTest.java
@@ -19,8 +19,8 @@
 import postgrade.window.JobClassWindow;
 
 /**
- * Two processes of one dispatcher and their companions, beside another dispatcher's, on one state.
- * Time is virtual.
+ * The hand-over between two processes of one dispatcher, next to another dispatcher with the same
+ * shared state. Time is virtual.
  */
 public class ProcessHandOverTest {
 
@@ -89,7 +89,7 @@
         return Json.parse(answer[0]).asObject();
     }
 
-    /** A new process is linked with the old one, which tells what it knows. */
+    /** Starts a new process that is linked with the old one and receives its hand-over state. */
     private void upgrade() {
         newProcess = new FakeHost("a");
         newProcess.run(oldProcess.nowMicros() - newProcess.nowMicros());
@@ -116,18 +116,19 @@
         assertEquals(1, oldProcess.rateFactor, 0.01);
         upgrade();
         run(SECOND / 2);
-        assertEquals("each takes half of it, by the link", 1, newProcess.rateFactor, 0.01);
-        JobConstraints ability = extensions.get(newProcess).jobConstraints();
+        assertEquals(
+                "both use the same share, and the link halves it", 1, newProcess.rateFactor, 0.01);
+        JobConstraints constraints = extensions.get(newProcess).jobConstraints();
         Job job = new Job("1", "price", "t", null, 1, 1, 0);
         assertEquals(
-                "it knows the calendars",
+                "the calendars are known",
                 0,
-                ability.startDelayNs(newProcess.nowMicros() * 1000, job));
-        JsonObject told = call(newProcess, "GET", "/sharing", "");
-        assertTrue(told.toString(), told.getBoolean("joined", false));
+                constraints.startDelayNs(newProcess.nowMicros() * 1000, job));
+        JsonObject status = call(newProcess, "GET", "/sharing", "");
+        assertTrue(status.toString(), status.getBoolean("joined", false));
         for (int i = 0; i < 100; i++) {
             run(SECOND / 10);
-            assertEquals("the old one keeps its place", 1, oldProcess.rateFactor, 0.01);
+            assertEquals("the old process keeps its share", 1, oldProcess.rateFactor, 0.01);
         }
         newProcess.minRateFactor = 1;
         quorum.withoutOwnView.add(newProcess);
@@ -137,18 +138,25 @@
                 quorum.withoutOwnView.clear();
             }
             run(SECOND / 10);
-            assertTrue("no dip: " + newProcess.minRateFactor, newProcess.minRateFactor > 0.99);
+            assertTrue(
+                    "the share must not fall: " + newProcess.minRateFactor,
+                    newProcess.minRateFactor > 0.99);
             assertTrue(
                     newProcess.rateFactor + " " + otherDispatcher.rateFactor,
                     newProcess.rateFactor + otherDispatcher.rateFactor <= 2.0001);
             assertEquals(
-                    "at each moment", 0, ability.startDelayNs(newProcess.nowMicros() * 1000, job));
+                    "jobs can always start",
+                    0,
+                    constraints.startDelayNs(newProcess.nowMicros() * 1000, job));
         }
-        told = call(newProcess, "GET", "/sharing", "");
+        status = call(newProcess, "GET", "/sharing", "");
         assertTrue(
-                told.toString(),
-                told.get("fault").isNull() && told.get("members").asArray().size() == 2);
-        assertEquals("the place is the new one's", "3", told.get("incarnation").toString());
+                status.toString(),
+                status.get("fault").isNull() && status.get("members").asArray().size() == 2);
+        assertEquals(
+                "the new process has its own incarnation",
+                "3",
+                status.get("incarnation").toString());
     }
 
     @Test
@@ -167,8 +175,8 @@
             run(SECOND / 10);
             assertSumWithinLimit((oldProcess.rateFactor + newProcess.rateFactor) / 2);
         }
-        assertEquals("it has been taken back", 1, oldProcess.rateFactor, 0.01);
-        assertEquals("and this one has not heard of it", 1.75, newProcess.rateFactor, 0.01);
+        assertEquals("the share has been revoked", 1, oldProcess.rateFactor, 0.01);
+        assertEquals("and the new process has not seen it", 1.75, newProcess.rateFactor, 0.01);
         stopOldProcess();
         for (int i = 0; i < 200; i++) {
             run(SECOND / 10);
@@ -204,7 +212,10 @@
 
     private void assertSumWithinLimit(double shareOfA) {
         assertTrue(
-                "the sum is never above the whole: " + shareOfA + " " + otherDispatcher.rateFactor,
+                "the sum of the shares exceeds the total: "
+                        + shareOfA
+                        + " "
+                        + otherDispatcher.rateFactor,
                 shareOfA + otherDispatcher.rateFactor <= 2.0001);
     }
 
--- a/sharing/src/test/java/postgrade/sharing/SharingExtensionTest.java
+++ b/sharing/src/test/java/postgrade/sharing/SharingExtensionTest.java
@@ -23,7 +23,8 @@
 import postgrade.window.JobClassWindow;
 
 /**
- * Two dispatchers' companions on one state: shares, workers out, operators' calls. Time is virtual.
+ * The extensions of two dispatchers on one shared state: shares, workers in maintenance and
+ * operator endpoints. Time is virtual.
  */
 public class SharingExtensionTest {
 
@@ -81,7 +82,7 @@
                         path,
                         body.replace('\'', '"').getBytes(StandardCharsets.UTF_8),
                         (status, again, json) -> {
-                            assertEquals("answered once", null, answered[0]);
+                            assertEquals("must be answered only once", null, answered[0]);
                             answered[0] = new Answered(status, again, Json.parse(json).asObject());
                         });
         for (int i = 0; answered[0] == null && i < 20; i++) {
@@ -93,9 +94,9 @@
     @Test
     public void ratesAreSplitAmongLiveMembersAndAnUnreachableMemberFallsBack() {
         FakeHost a = start("a");
-        assertEquals("not joined yet", 0.25, a.rateFactor, 0);
+        assertEquals("has not joined yet", 0.25, a.rateFactor, 0);
         FakeHost b = start("b");
-        // A place that nobody was seen in is kept for a while: it may be cut off.
+        // A place that was never taken is kept for a while, as its member may be unreachable.
         run(30 * SECOND);
         assertEquals(1, a.rateFactor, 0.01);
         assertEquals(1, b.rateFactor, 0.01);
@@ -103,7 +104,7 @@
         for (int i = 0; i < 400; i++) {
             run(SECOND / 10);
             assertTrue(
-                    "the sum is never above the whole: " + a.rateFactor + " " + b.rateFactor,
+                    "the sum of the shares exceeds the total: " + a.rateFactor + " " + b.rateFactor,
                     a.rateFactor + b.rateFactor <= 2.0001);
         }
         assertEquals(1.75, a.rateFactor, 0.01);
@@ -122,7 +123,7 @@
         FakeHost a = start("a");
         run(30 * SECOND);
         assertEquals(1.75, a.rateFactor, 0.01);
-        quorum.unreachable.add("a"); // Its view is the one from before.
+        quorum.unreachable.add("a"); // Its view stays the one from before the pause.
         a.suspend(60 * SECOND);
         extensions.get(a).iterationStarted();
         assertEquals(0.25, a.rateFactor, 0);
@@ -145,7 +146,8 @@
         b.exitMaintenance("w1");
         extensions.get(b).workerMaintenanceChanged("w1", false);
         run(3 * SECOND);
-        assertTrue("done here, and told when it can be", b.inMaintenance.isEmpty());
+        assertTrue(
+                "in effect here, and submitted once the quorum is back", b.inMaintenance.isEmpty());
         assertEquals(Set.of("w1"), again.inMaintenance);
         quorum.quorumLost = false;
         run(3 * SECOND);
@@ -239,7 +241,10 @@
         assertEquals(got.json.toString(), 200, got.status);
         assertEquals("granted", got.json.getString("state", ""));
         Answered again = call(a, "PUT", "/reservations/acquire", ask);
-        assertEquals("once, whoever is asked", got.json.get("fence"), again.json.get("fence"));
+        assertEquals(
+                "granted once, whichever dispatcher is asked",
+                got.json.get("fence"),
+                again.json.get("fence"));
         run(SECOND);
         assertEquals(
                 1, call(a, "GET", "/reservations", "").json.get("reservations").asArray().size());
@@ -247,19 +252,19 @@
         Job own = new Job("1", "price", "shop", null, 1, 1, 0);
         Job other = new Job("2", "price", "t", null, 1, 1, 0);
         Job confirm = new Job("3", "confirm", "t", null, 1, 1, 0);
-        JobConstraints ability = extensions.get(a).jobConstraints();
-        assertEquals(1, ability.usableShare(a.nowMicros() * 1000, own, w1), 0);
-        assertEquals(0.25, ability.usableShare(a.nowMicros() * 1000, other, w1), 0);
+        JobConstraints constraints = extensions.get(a).jobConstraints();
+        assertEquals(1, constraints.usableShare(a.nowMicros() * 1000, own, w1), 0);
+        assertEquals(0.25, constraints.usableShare(a.nowMicros() * 1000, other, w1), 0);
         assertEquals(
-                "never depends on sharing",
+                "a class that must not repeat never depends on sharing",
                 1,
-                ability.usableShare(a.nowMicros() * 1000, confirm, w1),
+                constraints.usableShare(a.nowMicros() * 1000, confirm, w1),
                 0);
         assertEquals("7=" + got.json.get("fence"), extensions.get(a).fence("price", "shop", "w1"));
         assertEquals(null, extensions.get(a).fence("price", "t", "w1"));
         quorum.unreachable.add("a");
         run(3 * SECOND);
-        assertEquals("its view is too old", null, extensions.get(a).fence("price", "shop", "w1"));
+        assertEquals("the view is too old", null, extensions.get(a).fence("price", "shop", "w1"));
         Answered release =
                 call(b, "PUT", "/reservations/release", "{'holder':'shop','site':'a','fence':1}");
         assertEquals(409, release.status);
@@ -306,15 +311,15 @@
                         Map.of(),
                         Map.of("a", "zagreb"),
                         1000);
-        FakeHost a =
-                start("a", settings(windows)); // It is 2027-01-15 08:00 UTC, 9 o'clock in Zagreb.
+        // The time is 2027-01-15 08:00 UTC, 9 o'clock in Zagreb.
+        FakeHost a = start("a", settings(windows));
         FakeHost b = start("b", settings(windows));
         run(2 * SECOND);
-        JobConstraints ability = extensions.get(a).jobConstraints();
+        JobConstraints constraints = extensions.get(a).jobConstraints();
         Job job = new Job("1", "price", "t", null, 1, 1, 0);
         Job free = new Job("2", "confirm", "t", null, 1, 1, 0);
-        assertTrue(ability.startDelayNs(a.nowMicros() * 1000, job) > 0);
-        assertEquals(0, ability.startDelayNs(a.nowMicros() * 1000, free));
+        assertTrue(constraints.startDelayNs(a.nowMicros() * 1000, job) > 0);
+        assertEquals(0, constraints.startDelayNs(a.nowMicros() * 1000, free));
         assertEquals(503, call(b, "POST", "/windows", "{'class':'price'}").status);
         Answered bad =
                 call(
@@ -331,17 +336,17 @@
                 call(b, "PUT", "/calendar", calendar("20270115T090200", "20270115T093000", ""))
                         .status);
         run(SECOND);
-        assertEquals(0, ability.startDelayNs(a.nowMicros() * 1000, job));
+        assertEquals(0, constraints.startDelayNs(a.nowMicros() * 1000, job));
         assertEquals(
                 1,
-                ability.usableShare(
+                constraints.usableShare(
                         a.nowMicros() * 1000,
                         job,
                         new WorkerInfo("w", "a", "m", 0, WorkerPhase.READY, 1, 0)),
                 0);
         assertEquals(
                 0,
-                ability.usableShare(
+                constraints.usableShare(
                         a.nowMicros() * 1000,
                         job,
                         new WorkerInfo("w", "b", "m", 0, WorkerPhase.READY, 1, 0)),
@@ -350,20 +355,20 @@
         assertEquals("2027-01-15T08:00:59.001Z", open.getString("closes", ""));
         run(60 * SECOND);
         assertTrue(
-                "it would run into the maintenance",
-                ability.startDelayNs(a.nowMicros() * 1000, job) > 0);
+                "the job would overlap the maintenance",
+                constraints.startDelayNs(a.nowMicros() * 1000, job) > 0);
         JsonObject closed = call(a, "POST", "/windows", "{'class':'price'}").json;
         assertEquals("2027-01-15T08:30:01Z", closed.getString("opens", ""));
         assertEquals(
                 "maintenance",
                 closed.get("exclusions").asArray().get(0).asObject().getString("reason", ""));
         run(1800 * SECOND);
-        assertEquals(0, ability.startDelayNs(a.nowMicros() * 1000, job));
+        assertEquals(0, constraints.startDelayNs(a.nowMicros() * 1000, job));
         quorum.unreachable.add("a");
         run(6 * SECOND);
         assertTrue(
-                "another calendar may count by now",
-                ability.startDelayNs(a.nowMicros() * 1000, job) > 0);
+                "another calendar may be in force by now",
+                constraints.startDelayNs(a.nowMicros() * 1000, job) > 0);
         assertEquals(404, call(b, "POST", "/windows", "{'class':'confirm'}").status);
         assertEquals(
                 200,
--- a/sharing/src/test/java/postgrade/sharing/SharingSettingsFileTest.java
+++ b/sharing/src/test/java/postgrade/sharing/SharingSettingsFileTest.java
@@ -13,7 +13,7 @@
 import postgrade.extension.DispatcherExtension;
 import postgrade.sharing.settings.SharingSettingsFile;
 
-/** The file that operators write: what it may say, and what is said of it where it is faulty. */
+/** The settings file of sharing: accepted settings and error messages. */
 public class SharingSettingsFileTest {
 
     private static final String VOTERS = "voters = [voter('a', '127.0.0.1', 7301)]\nstore = 's'\n";
@@ -35,8 +35,8 @@
                 SharingSettingsFile.read(shipped, "n7").sharing().snapshotFolder());
         String all = Files.readString(shipped);
         String from = all.substring(all.indexOf("# ---- What `serve`"));
-        // A line that begins with a name and = is a setting commented out, as are those that go on
-        // in brackets.
+        // A comment of the form "name = value" is a setting that is commented out, and so are the
+        // lines that continue it in brackets.
         StringBuilder in = new StringBuilder();
         boolean open = false;
         for (String line : from.lines().toList()) {
--- a/sharing/src/test/java/postgrade/sharing/SnapshotStoreTest.java
+++ b/sharing/src/test/java/postgrade/sharing/SnapshotStoreTest.java
@@ -26,8 +26,8 @@
 import postgrade.sharing.snapshot.SnapshotStore;
 
 /**
- * What a process learnt outlives it, as far as it may be trusted; what may not is named and kept
- * aside.
+ * What a process learnt is restored from its snapshot as far as it can be trusted; an unusable
+ * snapshot is logged and set aside.
  */
 public class SnapshotStoreTest {
 
@@ -72,15 +72,15 @@
 
     private void writeSnapshot() throws InterruptedException {
         FakeHost host = host();
-        SnapshotStore keeper = store(host);
+        SnapshotStore store = store(host);
         host.run(SECOND);
-        keeper.tick();
+        store.tick();
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (!Files.exists(file().path()) && System.nanoTime() < end) {
             Thread.onSpinWait();
         }
-        keeper.close();
-        assertNull(keeper.fault());
+        store.close();
+        assertNull(store.fault());
     }
 
     private static List<String> names(List<PolicyStateEntry> all) {
@@ -93,27 +93,30 @@
         FakeHost later = host();
         later.workers.clear();
         later.unixMillis += 61_000;
-        SnapshotStore keeper = store(later);
-        LearntSnapshot memory = keeper.load();
-        assertEquals(0.9, memory.servedShare(), 0);
-        assertEquals(Set.of("w9"), SnapshotStore.outOfService(memory));
+        SnapshotStore store = store(later);
+        LearntSnapshot snapshot = store.load();
+        assertEquals(0.9, snapshot.servedShare(), 0);
+        assertEquals(Set.of("w9"), SnapshotStore.outOfService(snapshot));
         assertEquals(List.of("class price", "tenant t"), names(later.imported));
-        assertEquals("as they were", 3, later.imported.get(1).values()[0], 0);
+        assertEquals("tokens as saved", 3, later.imported.get(1).values()[0], 0);
         assertEquals(
-                "and the time since for the refill", 60e9, later.imported.get(1).values()[3], 1e9);
+                "and the elapsed time for the refill",
+                60e9,
+                later.imported.get(1).values()[3],
+                1e9);
         assertEquals(
-                "half of what was seen a minute ago counts",
+                "half of the observations of a minute ago count",
                 50,
                 later.imported.get(0).values()[1],
                 1);
         later.addWorker("w1", 1000);
         later.addWorker("w2", 9000);
-        keeper.workerListChanged();
+        store.workerListChanged();
         assertEquals("worker w1", names(later.imported).get(2));
         assertEquals(3, later.imported.size());
-        keeper.workerListChanged();
-        assertEquals("told once", 3, later.imported.size());
-        keeper.close();
+        store.workerListChanged();
+        assertEquals("imported once", 3, later.imported.size());
+        store.close();
     }
 
     @Test
@@ -125,12 +128,12 @@
                         new PolicyStateEntry("up", "", new double[] {5e9}));
         SnapshotStore first = store(host);
         first.close();
-        for (List<String> told : List.of(List.of("cold w1", "up "), List.of("cold w1"))) {
+        for (List<String> expected : List.of(List.of("cold w1", "up "), List.of("cold w1"))) {
             FakeHost later = host();
-            SnapshotStore keeper = store(later); // It is killed before it has written anything.
-            keeper.load();
-            keeper.workerListChanged();
-            assertEquals(told, names(later.imported));
+            SnapshotStore store = store(later); // Killed before it has written anything.
+            store.load();
+            store.workerListChanged();
+            assertEquals(expected, names(later.imported));
         }
         host.run(SECOND);
         SnapshotStore killed = store(host);
@@ -154,10 +157,10 @@
         writeSnapshot();
         FakeHost later = host();
         later.startedByHandOver = true;
-        SnapshotStore keeper = store(later);
-        assertNull(keeper.load());
+        SnapshotStore store = store(later);
+        assertNull(store.load());
         assertTrue(later.imported.isEmpty());
-        keeper.close();
+        store.close();
     }
 
     private void assertUnusable(String cause, byte[] bytes) throws IOException {
@@ -200,22 +203,22 @@
     @Test
     public void writeFailureIsReportedAndALaterWriteSucceeds() throws Exception {
         Path blocked = folder.getRoot().toPath().resolve("m");
-        Files.writeString(blocked, "a file stands where the folder is to be");
+        Files.writeString(blocked, "a file in place of the folder");
         FakeHost host = host();
-        SnapshotStore keeper = store(host);
+        SnapshotStore store = store(host);
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (keeper.fault() == null && System.nanoTime() < end) {
+        while (store.fault() == null && System.nanoTime() < end) {
             host.run(SECOND);
-            keeper.tick();
+            store.tick();
         }
-        assertTrue(keeper.fault() != null);
+        assertTrue(store.fault() != null);
         Files.delete(blocked);
-        while (keeper.fault() != null && System.nanoTime() < end) {
+        while (store.fault() != null && System.nanoTime() < end) {
             host.run(SECOND);
-            keeper.tick();
+            store.tick();
         }
-        assertNull(keeper.fault());
-        keeper.close();
+        assertNull(store.fault());
+        store.close();
         assertTrue(file().read(host.unixMillis * 1000) != null);
     }
 }
