--- a/daemon/src/test/java/postgrade/daemon/ArchitecturePageTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ArchitecturePageTest.java
@@ -31,7 +31,7 @@
 
     /** Packages of core that the platform's jar does not include. */
     private static final Set<String> NOT_IN_THE_JAR =
-            Set.of("shared", "member", "comeback", "lease", "window");
+            Set.of("shared", "member", "recovery", "lease", "window");
 
     private static final JavaClasses CLASSES =
             new ClassFileImporter()
