--- a/quorum/src/main/java/postgrade/quorum/Quorum.java
+++ b/quorum/src/main/java/postgrade/quorum/Quorum.java
@@ -10,14 +10,14 @@
 import java.util.function.LongSupplier;
 import org.slf4j.event.Level;
 import postgrade.log.EventLogs;
-import postgrade.quorum.engine.EraBegin;
-import postgrade.quorum.engine.Faults;
+import postgrade.quorum.engine.EraInitializer;
+import postgrade.quorum.engine.FaultStatus;
 import postgrade.quorum.engine.Voter;
-import postgrade.quorum.follow.Following;
+import postgrade.quorum.follow.StateClient;
 import postgrade.quorum.settings.QuorumSettings;
 import postgrade.quorum.store.Incarnations;
-import postgrade.quorum.wire.Links;
 import postgrade.quorum.wire.Server;
+import postgrade.quorum.wire.VoterConnections;
 import postgrade.shared.Command;
 import postgrade.shared.Part;
 import postgrade.shared.Sharing;
@@ -29,25 +29,25 @@
 public final class Quorum implements Sharing {
 
     /** Held, since loggers that nobody holds forget their level. */
-    private static final java.util.logging.Logger GRPC =
+    private static final java.util.logging.Logger GRPC_LOGGER =
             java.util.logging.Logger.getLogger("io.grpc");
 
     private final QuorumSettings settings;
-    final EventLoopGroup events;
-    private final Links links;
-    private final Faults faults;
-    private final Faults followFaults;
+    final EventLoopGroup eventLoops;
+    private final VoterConnections connections;
+    private final FaultStatus voterFault;
+    private final FaultStatus followerFault;
     private final Voter voter;
     private final Server server;
-    private final Following following;
+    private final StateClient follower;
 
     private Quorum(
             QuorumSettings settings, List<Part> parts, LongSupplier nowMicros, Executor onLoop)
             throws IOException {
         this.settings = settings;
-        faults = new Faults(settings.name());
-        followFaults = new Faults(settings.name());
-        events =
+        voterFault = new FaultStatus(settings.name());
+        followerFault = new FaultStatus(settings.name());
+        eventLoops =
                 new NioEventLoopGroup(
                         1,
                         task -> {
@@ -55,22 +55,28 @@
                             t.setDaemon(true);
                             return t;
                         });
-        links = new Links(settings, events);
-        voter = settings.votes() ? new Voter(settings, parts, nowMicros, links, faults) : null;
+        connections = new VoterConnections(settings, eventLoops);
+        voter =
+                settings.isVoter()
+                        ? new Voter(settings, parts, nowMicros, connections, voterFault)
+                        : null;
         try {
             server =
                     voter == null
                             ? null
-                            : new Server(settings.voter(settings.name()), events, voter.desk());
+                            : new Server(
+                                    settings.voter(settings.name()),
+                                    eventLoops,
+                                    voter.requestHandler());
         } catch (IOException e) {
-            events.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
+            eventLoops.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
             throw e;
         }
-        following = new Following(settings, nowMicros, links, voter, followFaults, onLoop);
+        follower = new StateClient(settings, nowMicros, connections, voter, followerFault, onLoop);
         if (voter != null) {
             voter.start();
         }
-        following.start();
+        follower.start();
     }
 
     /**
@@ -84,7 +90,7 @@
     public static Quorum open(
             QuorumSettings settings, List<Part> parts, LongSupplier nowMicros, Executor onLoop)
             throws IOException {
-        quiet();
+        quietLibraryLoggers();
         long incarnation =
                 settings.incarnation() > 0
                         ? settings.incarnation()
@@ -92,11 +98,11 @@
         return new Quorum(settings.withIncarnation(incarnation), parts, nowMicros, onLoop);
     }
 
-    private static void quiet() {
+    private static void quietLibraryLoggers() {
         EventLogs.setLoggerLevel(
                 "io.microraft.", Level.ERROR); // It tells each vote; what counts is told here.
         EventLogs.setLoggerLevel("io.grpc.", Level.ERROR);
-        GRPC.setLevel(
+        GRPC_LOGGER.setLevel(
                 java.util.logging.Level.SEVERE); // A peer that went away is no event of its own.
     }
 
@@ -106,8 +112,8 @@
      */
     public static Quorum openObserver(
             QuorumSettings settings, LongSupplier nowMicros, Executor onLoop) throws IOException {
-        quiet();
-        return new Quorum(settings.beside(), List.of(), nowMicros, onLoop);
+        quietLibraryLoggers();
+        return new Quorum(settings.asObserver(), List.of(), nowMicros, onLoop);
     }
 
     /**
@@ -117,51 +123,51 @@
      * @return null where it was done, or one sentence about what stands against it
      */
     public static String beginEra(QuorumSettings settings, long era) throws IOException {
-        return EraBegin.begin(settings, era);
+        return EraInitializer.begin(settings, era);
     }
 
     @Override
     public View view() {
-        return following.view();
+        return follower.view();
     }
 
     @Override
     public void ask(Command command, long withinMicros, Consumer<Reply> done) {
-        following.ask(command, withinMicros, done);
+        follower.submit(command, withinMicros, done);
     }
 
     @Override
     public Standing standing() {
-        boolean votes = voter != null && voter.votes();
+        boolean votes = voter != null && voter.isVoting();
         String leader =
-                following.leader() != null || voter == null ? following.leader() : voter.leader();
+                follower.leader() != null || voter == null ? follower.leader() : voter.leader();
         return new Standing(
                 settings.name(),
                 settings.incarnation(),
                 votes ? Role.VOTER : Role.OBSERVER,
                 leader,
-                following.voters(),
-                faults.now() != null ? faults.now() : followFaults.now());
+                follower.voters(),
+                voterFault.current() != null ? voterFault.current() : followerFault.current());
     }
 
     @Override
     public void close() {
-        following.close();
+        follower.close();
         if (server != null) {
             server.close();
         }
-        links.close();
+        connections.close();
         // A voter still answers who waits as it ends. Were the transport's thread gone by then, the
         // answer would throw.
         if (voter != null) {
-            voter.close(this::endTransport);
+            voter.close(this::shutDownTransport);
         } else {
-            endTransport();
+            shutDownTransport();
         }
     }
 
-    private void endTransport() {
-        events.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS);
+    private void shutDownTransport() {
+        eventLoops.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS);
     }
 
     /**
@@ -170,7 +176,7 @@
      * end of the transport's thread tells.
      */
     public boolean awaitClosed(long millis) throws InterruptedException {
-        return events.awaitTermination(millis, TimeUnit.MILLISECONDS)
+        return eventLoops.awaitTermination(millis, TimeUnit.MILLISECONDS)
                 && (voter == null || voter.awaitClosed(millis));
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/engine/CommitStall.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/CommitStallLog.java
@@ -10,27 +10,27 @@
  * Logs how far a leader's log is where it has not moved on for long: what tells a slow disk here, a
  * slow follower and a fault of the engine apart afterwards.
  */
-final class CommitStall {
+final class CommitStallLog {
 
-    private static final Logger LOG = LoggerFactory.getLogger(CommitStall.class);
+    private static final Logger LOG = LoggerFactory.getLogger(CommitStallLog.class);
 
-    private CommitStall() {}
+    private CommitStallLog() {}
 
     /**
      * @param slowestWriteMillis the longest that the store has taken to write lately
      */
-    static void tell(String process, RaftNode node, long slowestWriteMillis) {
+    static void log(String process, RaftNode node, long slowestWriteMillis) {
         node.getReport()
                 .thenAccept(
-                        report -> tell(process, report.getResult().getLog(), slowestWriteMillis));
+                        report -> log(process, report.getResult().getLog(), slowestWriteMillis));
     }
 
-    private static void tell(String process, RaftLogStats log, long slowestWriteMillis) {
+    private static void log(String process, RaftLogStats stats, long slowestWriteMillis) {
         Events.warn(LOG, "sharing.commit-stalled")
                 .addKeyValue("process", process)
-                .addKeyValue("last", log.getLastLogOrSnapshotIndex())
-                .addKeyValue("committed", log.getCommitIndex())
-                .addKeyValue("followers", log.getFollowerMatchIndices().toString())
+                .addKeyValue("last", stats.getLastLogOrSnapshotIndex())
+                .addKeyValue("committed", stats.getCommitIndex())
+                .addKeyValue("followers", stats.getFollowerMatchIndices().toString())
                 .addKeyValue("slowest_write_ms", slowestWriteMillis)
                 .log("an entry was neither committed nor refused in time");
     }
--- a/quorum/src/main/java/postgrade/quorum/engine/Elections.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/Elections.java
@@ -7,7 +7,7 @@
 import io.microraft.model.message.RaftMessage;
 import java.util.Random;
 import java.util.function.LongSupplier;
-import postgrade.quorum.wire.RaftShapes;
+import postgrade.quorum.wire.RaftCodec;
 import postgrade.quorum.wire.proto.RaftMsg;
 
 /**
@@ -20,26 +20,26 @@
      * How long votes are waited for, and the spread of it, in the engine's time: a heartbeat is a
      * second of it.
      */
-    static final int VOTE_MILLIS = 3000;
+    static final int VOTE_TIMEOUT_MILLIS = 3000;
 
-    private static final int MOST_ROUNDS = 6;
+    private static final int MAX_BACKOFF_ROUNDS = 6;
 
     private final LeaderStickiness stickiness;
     private final LongSupplier nowMicros;
-    private final VoteLog log;
-    private final Spread spread = new Spread();
-    private boolean waitsForLeader;
+    private final VoteLog voteLog;
+    private final ElectionJitter jitter = new ElectionJitter();
+    private boolean awaitingLeader;
 
     Elections(String process, LeaderStickiness stickiness, LongSupplier nowMicros) {
         this.stickiness = stickiness;
         this.nowMicros = nowMicros;
-        log = new VoteLog(process);
-        waitsForLeader = sticksToLeader();
+        voteLog = new VoteLog(process);
+        awaitingLeader = sticksToLeader();
     }
 
     /** Where the engine draws the pauses between its rounds from. */
-    Random spread() {
-        return spread;
+    Random jitter() {
+        return jitter;
     }
 
     private boolean sticksToLeader() {
@@ -51,45 +51,45 @@
      *
      * @param leader whom this voter follows, or null
      */
-    boolean lets(RaftMessage message, RaftEndpoint target, String leader) {
+    boolean permitSend(RaftMessage message, RaftEndpoint target, String leader) {
         if (message instanceof PreVoteRequest && sticksToLeader()) {
             return false;
         }
-        log.sent(message, target.getId(), leader);
+        voteLog.logSent(message, target.getId(), leader);
         return true;
     }
 
     /** Whether a message asks for a vote that this voter does not give yet. */
-    boolean refuses(RaftMsg message, String leader) {
-        boolean refused = RaftShapes.asksForVote(message) && sticksToLeader();
+    boolean refuseVoteRequest(RaftMsg message, String leader) {
+        boolean refused = RaftCodec.isVoteRequest(message) && sticksToLeader();
         if (refused) {
-            log.refused(message, leader);
+            voteLog.logRefused(message, leader);
         }
         return refused;
     }
 
     /** A leader is there: later rounds are spread as first ones are. */
-    void leaderIsKnown() {
-        spread.rounds = 0;
+    void onLeaderKnown() {
+        jitter.round = 0;
     }
 
     /** The peers tell that they follow nobody. */
-    void nobodyLeads(RaftNodeImpl node) {
+    void onNoLeader(RaftNodeImpl node) {
         stickiness.release();
-        askOnceFree(node);
+        startElectionOnceReleased(node);
     }
 
     /**
      * The leader that was waited for has not shown itself: votes are asked for at once, as the
      * engine's own next round may be far off.
      */
-    void askOnceFree(RaftNodeImpl node) {
-        if (!waitsForLeader || sticksToLeader()) {
+    void startElectionOnceReleased(RaftNodeImpl node) {
+        if (!awaitingLeader || sticksToLeader()) {
             return;
         }
-        waitsForLeader = false;
+        awaitingLeader = false;
         if (node.state().role() == RaftRole.FOLLOWER && node.state().leader() == null) {
-            spread.rounds = 0;
+            jitter.round = 0;
             node.runPreVote();
         }
     }
@@ -99,14 +99,14 @@
      * two that tie would go on tying. Each round waits longer, so that a disk that is slow just now
      * does not outlast all of them.
      */
-    private static final class Spread extends Random {
+    private static final class ElectionJitter extends Random {
         private static final long serialVersionUID = 1L;
-        private int rounds;
+        private int round;
 
         @Override
         public int nextInt(int bound) {
-            rounds = Math.min(MOST_ROUNDS, rounds + 1);
-            return super.nextInt(VOTE_MILLIS * rounds);
+            round = Math.min(MAX_BACKOFF_ROUNDS, round + 1);
+            return super.nextInt(VOTE_TIMEOUT_MILLIS * round);
         }
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/engine/EngineThread.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/EngineThread.java
@@ -21,18 +21,18 @@
 final class EngineThread implements RaftNodeExecutor {
 
     /** Lets the engine's clock begin long after zero, which it takes for never. */
-    private static final long BEGIN_MILLIS = 1_000_000_000_000L;
+    private static final long CLOCK_ORIGIN_MILLIS = 1_000_000_000_000L;
 
-    private final ScheduledThreadPoolExecutor pool;
-    private final double speed;
-    private final TaskFailures failures;
+    private final ScheduledThreadPoolExecutor executor;
+    private final double timeScale;
+    private final TaskFailureLog failures;
     private volatile Thread thread;
 
     EngineThread(String name, int heartbeatMillis) {
-        speed = 1000.0 / heartbeatMillis;
+        timeScale = 1000.0 / heartbeatMillis;
         String threadName = "quorum-engine-" + name;
-        failures = new TaskFailures(threadName);
-        pool =
+        failures = new TaskFailureLog(threadName);
+        executor =
                 new ScheduledThreadPoolExecutor(
                         1,
                         task -> {
@@ -41,8 +41,8 @@
                             thread = t;
                             return t;
                         });
-        pool.setRemoveOnCancelPolicy(true);
-        pool.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
+        executor.setRemoveOnCancelPolicy(true);
+        executor.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
     }
 
     /** The engine's clock, after the process's own monotonic one. */
@@ -50,7 +50,7 @@
         return new Clock() {
             @Override
             public long millis() {
-                return BEGIN_MILLIS + (long) (nowMicros.getAsLong() / 1000.0 * speed);
+                return CLOCK_ORIGIN_MILLIS + (long) (nowMicros.getAsLong() / 1000.0 * timeScale);
             }
 
             @Override
@@ -82,7 +82,7 @@
     @Override
     public void submit(Runnable task) {
         try {
-            pool.execute(failures.told(task));
+            executor.execute(failures.withLogging(task));
         } catch (RejectedExecutionException e) {
             // Closed: nobody waits for it any more.
         }
@@ -90,28 +90,28 @@
 
     @Override
     public void schedule(Runnable task, long delay, TimeUnit unit) {
-        afterMicros(task, (long) (unit.toMicros(delay) / speed));
+        scheduleMicros(task, (long) (unit.toMicros(delay) / timeScale));
     }
 
     /** As long as that of ours, told to the engine. */
-    Duration engineTime(long millis) {
-        return Duration.ofMillis((long) (millis * speed));
+    Duration toEngineTime(long millis) {
+        return Duration.ofMillis((long) (millis * timeScale));
     }
 
     /** In the process's own time. */
-    Future<?> afterMicros(Runnable task, long micros) {
+    Future<?> scheduleMicros(Runnable task, long micros) {
         try {
-            return pool.schedule(failures.told(task), micros, TimeUnit.MICROSECONDS);
+            return executor.schedule(failures.withLogging(task), micros, TimeUnit.MICROSECONDS);
         } catch (RejectedExecutionException e) {
             return CompletableFuture.completedFuture(null); // Closed.
         }
     }
 
     void close() {
-        pool.shutdown();
+        executor.shutdown();
     }
 
     boolean awaitClosed(long millis) throws InterruptedException {
-        return pool.awaitTermination(millis, TimeUnit.MILLISECONDS);
+        return executor.awaitTermination(millis, TimeUnit.MILLISECONDS);
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/engine/EraBegin.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/EraInitializer.java
@@ -12,7 +12,7 @@
 import postgrade.quorum.settings.QuorumSettings;
 import postgrade.quorum.store.VoterStore;
 import postgrade.quorum.wire.Endpoint;
-import postgrade.quorum.wire.Links;
+import postgrade.quorum.wire.VoterConnections;
 import postgrade.quorum.wire.proto.HelloReply;
 import postgrade.quorum.wire.proto.HelloRequest;
 
@@ -21,88 +21,95 @@
  * one voter in it; the others are taken in by it as any voter is whose store is new. So there is
  * one beginning, not three that might differ.
  */
-public final class EraBegin {
+public final class EraInitializer {
 
-    private static final long MOST_ERA = 1L << 22;
+    private static final long ERA_LIMIT = 1L << 22;
 
     /**
      * Each call ends by itself in time; that is told late on a busy machine, which is no answer
      * against an era.
      */
-    private static final long TOLD_MILLIS = 60_000;
+    private static final long CALLBACK_ALLOWANCE_MILLIS = 60_000;
 
-    private EraBegin() {}
+    private EraInitializer() {}
 
     /** What stands against it, or null where it has been done. */
     public static String begin(QuorumSettings settings, long era) throws IOException {
-        if (!settings.votes()) {
+        if (!settings.isVoter()) {
             return "name: " + settings.name() + " is no voter, and an era begins at one";
         }
-        if (era < 1 || era >= MOST_ERA) {
-            return "era: must lie between 1 and " + (MOST_ERA - 1);
+        if (era < 1 || era >= ERA_LIMIT) {
+            return "era: must lie between 1 and " + (ERA_LIMIT - 1);
         }
         if (VoterStore.exists(settings.store())) {
-            VoterStore here = VoterStore.open(settings.store());
-            VoterStore.Facts facts = here.facts();
-            here.close();
-            if (facts.era() >= era) {
-                return "era: the store is in era " + facts.era() + ", a new one must lie above";
+            VoterStore existing = VoterStore.open(settings.store());
+            VoterStore.Metadata metadata = existing.metadata();
+            existing.close();
+            if (metadata.era() >= era) {
+                return "era: the store is in era " + metadata.era() + ", a new one must lie above";
             }
         }
-        for (HelloReply r : others(settings).values()) {
-            if (r.getEra() >= era) {
+        for (HelloReply reply : greetOtherVoters(settings).values()) {
+            if (reply.getEra() >= era) {
                 return "era: "
-                        + r.getName()
+                        + reply.getName()
                         + " is in era "
-                        + r.getEra()
+                        + reply.getEra()
                         + ", a new one must lie above";
             }
-            if (!r.getLeader().isEmpty()) {
+            if (!reply.getLeader().isEmpty()) {
                 return "era: "
-                        + r.getName()
+                        + reply.getName()
                         + " is served by "
-                        + r.getLeader()
+                        + reply.getLeader()
                         + " in era "
-                        + r.getEra()
+                        + reply.getEra()
                         + ", which need not end";
             }
         }
         if (VoterStore.exists(settings.store())) {
-            VoterStore here = VoterStore.open(settings.store());
-            String aside = VoterStore.FILE + "." + here.facts().self().identity();
-            here.close();
-            Files.move(settings.store().resolve(VoterStore.FILE), settings.store().resolve(aside));
+            VoterStore existing = VoterStore.open(settings.store());
+            String asideName = VoterStore.FILE + "." + existing.metadata().self().identity();
+            existing.close();
+            Files.move(
+                    settings.store().resolve(VoterStore.FILE), settings.store().resolve(asideName));
         }
-        Endpoint self = new Endpoint(settings.name(), Voter.identity());
+        Endpoint self = new Endpoint(settings.name(), Voter.newIdentity());
         VoterStore.create(
                         settings.store(),
-                        new VoterStore.Facts(
-                                self, era + "-" + Voter.identity(), era, List.of(self.toString())))
+                        new VoterStore.Metadata(
+                                self,
+                                era + "-" + Voter.newIdentity(),
+                                era,
+                                List.of(self.toString())))
                 .close();
         return null;
     }
 
-    private static Map<String, HelloReply> others(QuorumSettings settings) throws IOException {
-        EventLoopGroup events = new NioEventLoopGroup(1);
+    private static Map<String, HelloReply> greetOtherVoters(QuorumSettings settings)
+            throws IOException {
+        EventLoopGroup eventLoops = new NioEventLoopGroup(1);
         EngineThread thread = new EngineThread(settings.name(), settings.heartbeatIntervalMillis());
-        Links links = new Links(settings, events);
-        CompletableFuture<Greeting> answers = new CompletableFuture<>();
+        VoterConnections connections = new VoterConnections(settings, eventLoops);
+        CompletableFuture<PeerReplies> answers = new CompletableFuture<>();
         try {
-            new Peers(settings, links, thread)
-                    .greet(
+            new PeerStatus(settings, connections, thread)
+                    .sendHello(
                             HelloRequest.newBuilder().setName(settings.name()).build(),
                             settings.requestTimeoutMillis(),
                             answers::complete);
-            return answers.get(settings.requestTimeoutMillis() + TOLD_MILLIS, TimeUnit.MILLISECONDS)
+            return answers.get(
+                            settings.requestTimeoutMillis() + CALLBACK_ALLOWANCE_MILLIS,
+                            TimeUnit.MILLISECONDS)
                     .replies();
         } catch (InterruptedException
                 | java.util.concurrent.ExecutionException
                 | TimeoutException e) {
             throw new IOException("the other voters could not be asked", e);
         } finally {
-            links.close();
+            connections.close();
             thread.close();
-            events.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
+            eventLoops.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
         }
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/engine/Faults.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/FaultStatus.java
@@ -8,32 +8,32 @@
  * What keeps a process apart from the others: one sentence for operators, one line of the log at
  * each change.
  */
-public final class Faults {
+public final class FaultStatus {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Faults.class);
+    private static final Logger LOG = LoggerFactory.getLogger(FaultStatus.class);
 
     private final String name;
     private volatile String fault;
 
-    public Faults(String name) {
+    public FaultStatus(String name) {
         this.name = name;
     }
 
     /** Null, or what is wrong now. */
-    public String now() {
+    public String current() {
         return fault;
     }
 
-    public void set(String what) {
-        if (!what.equals(fault)) {
-            fault = what;
-            Events.warn(LOG, "sharing.fault").addKeyValue("process", name).log(what);
+    public void set(String description) {
+        if (!description.equals(fault)) {
+            fault = description;
+            Events.warn(LOG, "sharing.fault").addKeyValue("process", name).log(description);
         }
     }
 
     /** This one is over; any other stays. */
-    public void clear(String what) {
-        if (what.equals(fault)) {
+    public void clear(String description) {
+        if (description.equals(fault)) {
             clear();
         }
     }
--- a/quorum/src/main/java/postgrade/quorum/engine/Reads.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/LinearizableReads.java
@@ -12,8 +12,8 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import postgrade.log.Events;
-import postgrade.quorum.wire.Links;
 import postgrade.quorum.wire.Methods;
+import postgrade.quorum.wire.VoterConnections;
 import postgrade.quorum.wire.proto.ReadReply;
 import postgrade.quorum.wire.proto.ReadRequest;
 
@@ -23,73 +23,77 @@
  * question put after it was given. A round that is not answered ends by its time limit, so that no
  * lost answer keeps later readers waiting.
  */
-final class Reads {
+final class LinearizableReads {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Reads.class);
+    private static final Logger LOG = LoggerFactory.getLogger(LinearizableReads.class);
 
     /** Rounds are at least so far apart, whatever is asked. */
-    private static final long PACE_MICROS = 50_000;
+    private static final long MIN_ROUND_INTERVAL_MICROS = 50_000;
 
-    private static final int MOST_WAITING = 512;
+    private static final int MAX_WAITING_READERS = 512;
 
     /** A follower's round waits for the leader's answer, and then for its own log to reach it. */
-    private static final int WAITS_OF_A_ROUND = 2;
+    private static final int REQUEST_TIMEOUTS_PER_ROUND = 2;
 
     static final long REFUSED = -1;
 
     private final EngineThread thread;
-    private final Links links;
+    private final VoterConnections connections;
     private final String group;
-    private final long requestMillis;
+    private final long requestTimeoutMillis;
     private List<LongConsumer> waiting = new ArrayList<>();
-    private boolean running;
+    private boolean roundInProgress;
 
-    Reads(EngineThread thread, Links links, String group, long requestMillis) {
+    LinearizableReads(
+            EngineThread thread,
+            VoterConnections connections,
+            String group,
+            long requestTimeoutMillis) {
         this.thread = thread;
-        this.links = links;
+        this.connections = connections;
         this.group = group;
-        this.requestMillis = requestMillis;
+        this.requestTimeoutMillis = requestTimeoutMillis;
     }
 
     /** {@code done} gets the index once this replica has applied it, or {@link #REFUSED}. */
     void confirm(RaftNode node, LongConsumer done) {
-        if (waiting.size() >= MOST_WAITING) {
+        if (waiting.size() >= MAX_WAITING_READERS) {
             done.accept(REFUSED);
             return;
         }
         waiting.add(done);
-        if (!running) {
-            begin(node);
+        if (!roundInProgress) {
+            startRound(node);
         }
     }
 
-    private void begin(RaftNode node) {
-        running = true;
+    private void startRound(RaftNode node) {
+        roundInProgress = true;
         Round round = new Round(node, waiting);
         waiting = new ArrayList<>();
-        round.begin();
+        round.start();
     }
 
-    private void ended(RaftNode node) {
-        thread.afterMicros(
+    private void scheduleNextRound(RaftNode node) {
+        thread.scheduleMicros(
                 () -> {
-                    running = false;
+                    roundInProgress = false;
                     if (!waiting.isEmpty()) {
-                        begin(node);
+                        startRound(node);
                     }
                 },
-                PACE_MICROS);
+                MIN_ROUND_INTERVAL_MICROS);
     }
 
     /** Gives up whoever waits. */
     void close() {
-        List<LongConsumer> left = waiting;
+        List<LongConsumer> remaining = waiting;
         waiting = new ArrayList<>();
-        tell(left, REFUSED);
+        notifyReaders(remaining, REFUSED);
     }
 
     /** One reader that cannot be told keeps nobody else from the answer. */
-    private static void tell(List<LongConsumer> readers, long index) {
+    private static void notifyReaders(List<LongConsumer> readers, long index) {
         for (LongConsumer reader : readers) {
             try {
                 reader.accept(index);
@@ -105,21 +109,21 @@
     private final class Round {
         private final RaftNode node;
         private final List<LongConsumer> readers;
-        private final long beganNanos = System.nanoTime();
-        private Future<?> limit;
-        private boolean over;
+        private final long startedNanos = System.nanoTime();
+        private Future<?> timeout;
+        private boolean ended;
 
         Round(RaftNode node, List<LongConsumer> readers) {
             this.node = node;
             this.readers = readers;
         }
 
-        void begin() {
-            long limitMicros = WAITS_OF_A_ROUND * requestMillis * 1000;
-            limit = thread.afterMicros(this::giveUp, limitMicros);
-            Endpoints leader = new Endpoints(node);
+        void start() {
+            long timeoutMicros = REQUEST_TIMEOUTS_PER_ROUND * requestTimeoutMillis * 1000;
+            timeout = thread.scheduleMicros(this::timeOut, timeoutMicros);
+            KnownLeader leader = new KnownLeader(node);
             try {
-                if (leader.self()) {
+                if (leader.isSelf()) {
                     askQuorum();
                 } else if (leader.name() != null) {
                     askLeader(leader.name());
@@ -148,53 +152,53 @@
         }
 
         private void askLeader(String leader) {
-            links.call(
+            connections.call(
                     leader,
                     Methods.READ,
                     ReadRequest.newBuilder().setGroup(group).build(),
-                    requestMillis,
-                    (reply, status) -> thread.execute(() -> leaderAnswered(reply)));
+                    requestTimeoutMillis,
+                    (reply, status) -> thread.execute(() -> onLeaderReply(reply)));
         }
 
-        private void leaderAnswered(ReadReply reply) {
+        private void onLeaderReply(ReadReply reply) {
             if (reply == null || !reply.getConfirmed()) {
                 end(REFUSED);
                 return;
             }
             long index = reply.getIndex();
-            node.waitFor(index, thread.engineTime(requestMillis))
+            node.waitFor(index, thread.toEngineTime(requestTimeoutMillis))
                     .whenComplete(
                             (applied, failure) ->
                                     thread.execute(() -> end(failure == null ? index : REFUSED)));
         }
 
         /** Nothing that this voter asked has told of an end. */
-        private void giveUp() {
-            if (!over) {
+        private void timeOut() {
+            if (!ended) {
                 Events.warn(LOG, "sharing.read-lost")
                         .addKeyValue("group", group)
-                        .addKeyValue("leads", new Endpoints(node).self())
+                        .addKeyValue("leads", new KnownLeader(node).isSelf())
                         .addKeyValue("readers", readers.size())
-                        .addKeyValue("waited_ms", (System.nanoTime() - beganNanos) / 1_000_000)
+                        .addKeyValue("waited_ms", (System.nanoTime() - startedNanos) / 1_000_000)
                         .log("a round of reads was never answered, and is given up");
                 end(REFUSED);
             }
         }
 
         private void end(long index) {
-            if (over) {
+            if (ended) {
                 return; // Late: it counts for nobody any more.
             }
-            over = true;
-            limit.cancel(false);
-            ended(node);
-            tell(readers, index);
+            ended = true;
+            timeout.cancel(false);
+            scheduleNextRound(node);
+            notifyReaders(readers, index);
         }
     }
 
     /** Who leads, as this replica knows it. */
-    record Endpoints(RaftNode node) {
-        boolean self() {
+    record KnownLeader(RaftNode node) {
+        boolean isSelf() {
             return node.getLocalEndpoint().equals(node.getTerm().getLeaderEndpoint());
         }
 
--- a/quorum/src/main/java/postgrade/quorum/engine/LogClock.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/LogClock.java
@@ -20,47 +20,52 @@
  */
 final class LogClock {
 
-    private static final int NONE = -1;
+    private static final int NO_TERM = -1;
 
     /** An entry not heard of for so many times the most that one tells is taken for lost. */
-    private static final int LOST_AFTER = 4;
+    private static final int LOST_AFTER_MAX_ADVANCES = 4;
 
     private final String name;
     private final long incarnation;
     private final LongSupplier nowMicros;
-    private final long most;
-    private final long step;
+    private final long maxAdvanceMicros;
+    private final long minAdvanceMicros;
 
     /** Up to where the time of this term is logged. */
-    private long from;
+    private long loggedUntilMicros;
 
-    private int term = NONE;
-    private boolean asked;
+    private int term = NO_TERM;
+    private boolean pending;
 
     /** When the latest entry was proposed. */
-    private long askedMicros;
+    private long proposedMicros;
 
     /** How many entries were proposed: an answer counts for the latest alone. */
-    private int entries;
+    private int proposals;
 
     /** The latest entry failed so that it may be committed all the same. */
-    private boolean undecided;
+    private boolean indeterminate;
 
     /** An entry of this leadership is committed, and with it all that was before. */
-    private boolean begun;
-
-    LogClock(String name, long incarnation, LongSupplier nowMicros, long most, long step) {
+    private boolean committedInTerm;
+
+    LogClock(
+            String name,
+            long incarnation,
+            LongSupplier nowMicros,
+            long maxAdvanceMicros,
+            long minAdvanceMicros) {
         this.name = name;
         this.incarnation = incarnation;
         this.nowMicros = nowMicros;
-        this.step = step;
-        this.most = Math.min(most, Machine.MOST_ADVANCE_MICROS);
+        this.minAdvanceMicros = minAdvanceMicros;
+        this.maxAdvanceMicros = Math.min(maxAdvanceMicros, Machine.MOST_ADVANCE_MICROS);
     }
 
     /** Who leads has changed: what was measured so far counts no more. */
     void reset() {
-        term = NONE;
-        asked = false;
+        term = NO_TERM;
+        pending = false;
     }
 
     /**
@@ -77,44 +82,52 @@
         long now = nowMicros.getAsLong();
         if (term != current) {
             term = current;
-            from = now;
-            asked = false;
-            begun = false;
+            loggedUntilMicros = now;
+            pending = false;
+            committedInTerm = false;
         }
-        boolean lost = asked && !undecided && now - askedMicros > LOST_AFTER * most;
+        boolean lost =
+                pending
+                        && !indeterminate
+                        && now - proposedMicros > LOST_AFTER_MAX_ADVANCES * maxAdvanceMicros;
         if (lost) {
-            from = askedMicros;
-            asked = false;
+            loggedUntilMicros = proposedMicros;
+            pending = false;
         }
-        if (!asked && (!begun || now > from && now - from >= step)) {
-            ask(node, current, now);
+        if (!pending
+                && (!committedInTerm
+                        || now > loggedUntilMicros
+                                && now - loggedUntilMicros >= minAdvanceMicros)) {
+            propose(node, current, now);
         }
         return lost;
     }
 
-    private void ask(RaftNode node, int current, long now) {
-        asked = true;
-        undecided = false;
-        askedMicros = now;
-        int entry = ++entries;
-        long by = begun ? Math.min(most, now - from) : 0;
-        node.replicate(Machine.advance(name, incarnation, by))
+    private void propose(RaftNode node, int current, long now) {
+        pending = true;
+        indeterminate = false;
+        proposedMicros = now;
+        int proposal = ++proposals;
+        long advanceMicros =
+                committedInTerm ? Math.min(maxAdvanceMicros, now - loggedUntilMicros) : 0;
+        node.replicate(Machine.advance(name, incarnation, advanceMicros))
                 .whenComplete(
                         (done, e) -> {
-                            if (term != current || entry != entries) {
+                            if (term != current || proposal != proposals) {
                                 return;
                             }
                             if (e == null) {
-                                from = now;
-                                begun = true;
-                                asked = false;
+                                loggedUntilMicros = now;
+                                committedInTerm = true;
+                                pending = false;
                             } else if (cause(e) instanceof CannotReplicateException) {
-                                asked = false; // It never came into the log: the next one tells the
+                                pending =
+                                        false; // It never came into the log: the next one tells the
                                 // same time.
                             }
                             // Else it may be committed yet: nothing more is told in this term by
                             // this measure.
-                            undecided = asked;
+                            indeterminate = pending;
                         });
     }
 
--- a/quorum/src/main/java/postgrade/quorum/engine/Greeting.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/PeerReplies.java
@@ -11,7 +11,7 @@
  * @param timedOut the voters that could be reached, or may be there, and did not answer in time;
  *     one whose process does not run is not among them
  */
-record Greeting(Map<String, HelloReply> replies, Set<String> timedOut) {
+record PeerReplies(Map<String, HelloReply> replies, Set<String> timedOut) {
 
     /**
      * Whether a voter other than this one may lead the group now: one says that it does, or that it
--- a/quorum/src/main/java/postgrade/quorum/engine/Peers.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/PeerStatus.java
@@ -10,41 +10,41 @@
 import java.util.function.Consumer;
 import postgrade.quorum.settings.QuorumSettings;
 import postgrade.quorum.settings.QuorumSettings.Voter;
-import postgrade.quorum.wire.Links;
 import postgrade.quorum.wire.Methods;
+import postgrade.quorum.wire.VoterConnections;
 import postgrade.quorum.wire.proto.HelloReply;
 import postgrade.quorum.wire.proto.HelloRequest;
 
 /** What the other voters say of themselves, and what follows from it. */
-final class Peers {
+final class PeerStatus {
 
     private final QuorumSettings settings;
-    private final Links links;
+    private final VoterConnections connections;
     private final EngineThread thread;
 
-    Peers(QuorumSettings settings, Links links, EngineThread thread) {
+    PeerStatus(QuorumSettings settings, VoterConnections connections, EngineThread thread) {
         this.settings = settings;
-        this.links = links;
+        this.connections = connections;
         this.thread = thread;
     }
 
     /** Asks all; {@code done} gets what came in time, once each has answered or will not. */
-    void greet(HelloRequest hello, long withinMillis, Consumer<Greeting> done) {
+    void sendHello(HelloRequest hello, long timeoutMillis, Consumer<PeerReplies> done) {
         List<Voter> others =
                 settings.voters().stream().filter(v -> !v.name().equals(settings.name())).toList();
         Map<String, HelloReply> replies = new HashMap<>();
         Set<String> timedOut = new HashSet<>();
-        Greeting greeting = new Greeting(replies, timedOut);
-        int[] left = {others.size()};
+        PeerReplies peerReplies = new PeerReplies(replies, timedOut);
+        int[] unanswered = {others.size()};
         if (others.isEmpty()) {
-            thread.submit(() -> done.accept(greeting));
+            thread.submit(() -> done.accept(peerReplies));
         }
         for (Voter v : others) {
-            links.call(
+            connections.call(
                     v.name(),
                     Methods.HELLO,
                     hello,
-                    withinMillis,
+                    timeoutMillis,
                     (reply, status) ->
                             thread.submit(
                                     () -> {
@@ -53,8 +53,8 @@
                                         } else if (status.getCode() != Status.Code.UNAVAILABLE) {
                                             timedOut.add(v.name());
                                         }
-                                        if (--left[0] == 0) {
-                                            done.accept(greeting);
+                                        if (--unanswered[0] == 0) {
+                                            done.accept(peerReplies);
                                         }
                                     }));
         }
@@ -63,7 +63,7 @@
     /**
      * One in the latest era, one that knows a leader before others; null where none has a store.
      */
-    static HelloReply latest(Map<String, HelloReply> replies) {
+    static HelloReply latestEraReply(Map<String, HelloReply> replies) {
         HelloReply latest = null;
         for (HelloReply r : replies.values()) {
             if (!r.getGroup().isEmpty()
@@ -79,7 +79,7 @@
     }
 
     /** A voter that keeps another log of the same era, or null. */
-    static String others(Map<String, HelloReply> replies, long era, String group) {
+    static String voterInOtherGroup(Map<String, HelloReply> replies, long era, String group) {
         return replies.values().stream()
                 .filter(
                         r ->
@@ -95,49 +95,54 @@
      * Whether the leader counts this identity no more, by a later list of members than the one it
      * is in.
      */
-    static boolean retired(Map<String, HelloReply> replies, Group group) {
-        var mine = group.node.getCommittedMembers();
-        return mine.getMembers().contains(group.facts.self())
+    static boolean isRetired(Map<String, HelloReply> replies, RaftGroup group) {
+        var committed = group.node.getCommittedMembers();
+        return committed.getMembers().contains(group.metadata.self())
                 && replies.values().stream()
                         .anyMatch(
                                 r ->
                                         r.getLeads()
-                                                && r.getGroup().equals(group.facts.group())
-                                                && r.getMembersIndex() > mine.getLogIndex()
+                                                && r.getGroup().equals(group.metadata.group())
+                                                && r.getMembersIndex() > committed.getLogIndex()
                                                 && !r.getMembersList()
-                                                        .contains(group.facts.self().toString()));
+                                                        .contains(
+                                                                group.metadata.self().toString()));
     }
 
     /** What an operator must know where no voter that answers has a store. */
-    static String noneIsThere(QuorumSettings settings, Map<String, HelloReply> replies) {
-        int silent = settings.voters().size() - 1 - replies.size();
+    static String noStoreFault(QuorumSettings settings, Map<String, HelloReply> replies) {
+        int unreachable = settings.voters().size() - 1 - replies.size();
         return "no store here, and none of the voters that answer has one ("
-                + silent
+                + unreachable
                 + " do not answer): "
                 + "an era has to be begun";
     }
 
     /** What is missing where nobody leads; null while it may just be an election. */
-    static String lost(QuorumSettings settings, Map<String, HelloReply> replies, Group group) {
-        List<String> gone = new ArrayList<>();
-        List<String> there = new ArrayList<>();
-        for (var m : group.node.getEffectiveMembers().getVotingMembers()) {
-            postgrade.quorum.wire.Endpoint e = postgrade.quorum.wire.Endpoint.of(m);
-            HelloReply r = replies.get(e.name());
-            if (e.equals(group.facts.self()) || r != null && r.getIdentity().equals(e.identity())) {
-                there.add(e.name());
+    static String lostQuorumFault(
+            QuorumSettings settings, Map<String, HelloReply> replies, RaftGroup group) {
+        List<String> missing = new ArrayList<>();
+        List<String> present = new ArrayList<>();
+        for (var member : group.node.getEffectiveMembers().getVotingMembers()) {
+            postgrade.quorum.wire.Endpoint endpoint = postgrade.quorum.wire.Endpoint.of(member);
+            HelloReply reply = replies.get(endpoint.name());
+            if (endpoint.equals(group.metadata.self())
+                    || reply != null && reply.getIdentity().equals(endpoint.identity())) {
+                present.add(endpoint.name());
             } else {
-                gone.add(e.name() + (r == null ? " does not answer" : " has lost its store"));
+                missing.add(
+                        endpoint.name()
+                                + (reply == null ? " does not answer" : " has lost its store"));
             }
         }
-        int all = there.size() + gone.size();
-        return there.size() > all / 2
+        int total = present.size() + missing.size();
+        return present.size() > total / 2
                 ? null
                 : "no quorum: "
-                        + there.size()
+                        + present.size()
                         + " of "
-                        + all
+                        + total
                         + " voters are there; "
-                        + String.join(", ", gone);
+                        + String.join(", ", missing);
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/engine/Group.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/RaftGroup.java
@@ -17,10 +17,10 @@
 import postgrade.quorum.settings.QuorumSettings;
 import postgrade.quorum.store.VoterStore;
 import postgrade.quorum.wire.Endpoint;
-import postgrade.quorum.wire.Links;
-import postgrade.quorum.wire.LogShapes;
-import postgrade.quorum.wire.RaftShapes;
-import postgrade.quorum.wire.Shapes;
+import postgrade.quorum.wire.LogCodec;
+import postgrade.quorum.wire.RaftCodec;
+import postgrade.quorum.wire.StateCodec;
+import postgrade.quorum.wire.VoterConnections;
 import postgrade.quorum.wire.proto.AskReply;
 import postgrade.quorum.wire.proto.PullReply;
 import postgrade.quorum.wire.proto.PullRequest;
@@ -33,60 +33,62 @@
  * One era's log as this voter keeps it: engine, store and replica. All is called on the engine's
  * thread.
  */
-final class Group {
+final class RaftGroup {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Group.class);
-    private static final int SNAPSHOT_EVERY = 2000;
-    private static final int MOST_PENDING = 1000;
-    private static final int BATCH = 200;
+    private static final Logger LOG = LoggerFactory.getLogger(RaftGroup.class);
+    private static final int ENTRIES_PER_SNAPSHOT = 2000;
+    private static final int MAX_PENDING_ENTRIES = 1000;
+    private static final int APPEND_BATCH_SIZE = 200;
 
     /**
      * The log's time is told so seldom, as each entry is synced at all voters: most of what an idle
      * one does.
      */
-    private static final int HEARTBEATS_OF_A_STEP = 2;
+    private static final int HEARTBEATS_PER_TIME_ENTRY = 2;
 
     private final QuorumSettings settings;
     private final EngineThread thread;
-    private final Links links;
+    private final VoterConnections connections;
     private final VoterStore store;
     private final Replica replica;
     private final LogClock clock;
-    private final long advanceMicros;
+    private final long tickIntervalMicros;
     private final Elections elections;
-    private boolean silent;
+    private boolean terminated;
     private String leader;
-    final VoterStore.Facts facts;
+    final VoterStore.Metadata metadata;
     final RaftNode node;
-    final Reads reads;
-    final Admission admission;
+    final LinearizableReads reads;
+    final VoterAdmission admission;
 
-    Group(
+    RaftGroup(
             QuorumSettings settings,
             List<Part> parts,
             LongSupplier nowMicros,
             EngineThread thread,
-            Links links,
+            VoterConnections connections,
             VoterStore store,
             Elections elections)
             throws IOException {
         this.settings = settings;
         this.elections = elections;
         this.thread = thread;
-        this.links = links;
+        this.connections = connections;
         this.store = store;
-        facts = store.facts();
-        replica = new Replica(facts.era(), parts);
-        advanceMicros = settings.heartbeatIntervalMillis() * 1000L;
+        metadata = store.metadata();
+        replica = new Replica(metadata.era(), parts);
+        tickIntervalMicros = settings.heartbeatIntervalMillis() * 1000L;
         clock =
                 new LogClock(
                         settings.name(),
                         settings.incarnation(),
                         nowMicros,
                         settings.electionTimeoutMillis() * 1000L,
-                        HEARTBEATS_OF_A_STEP * advanceMicros);
-        reads = new Reads(thread, links, facts.group(), settings.requestTimeoutMillis());
-        admission = new Admission(settings, thread, thread.clock(nowMicros));
+                        HEARTBEATS_PER_TIME_ENTRY * tickIntervalMicros);
+        reads =
+                new LinearizableReads(
+                        thread, connections, metadata.group(), settings.requestTimeoutMillis());
+        admission = new VoterAdmission(settings, thread, thread.clock(nowMicros));
         RaftConfig config =
                 RaftConfig.newBuilder()
                         .setLeaderHeartbeatPeriodSecs(1)
@@ -95,29 +97,29 @@
                                         2,
                                         settings.electionTimeoutMillis()
                                                 / settings.heartbeatIntervalMillis()))
-                        .setLeaderElectionTimeoutMillis(Elections.VOTE_MILLIS)
-                        .setCommitCountToTakeSnapshot(SNAPSHOT_EVERY)
-                        .setMaxPendingLogEntryCount(MOST_PENDING)
-                        .setAppendEntriesRequestBatchSize(BATCH)
+                        .setLeaderElectionTimeoutMillis(Elections.VOTE_TIMEOUT_MILLIS)
+                        .setCommitCountToTakeSnapshot(ENTRIES_PER_SNAPSHOT)
+                        .setMaxPendingLogEntryCount(MAX_PENDING_ENTRIES)
+                        .setAppendEntriesRequestBatchSize(APPEND_BATCH_SIZE)
                         .setTransferSnapshotsFromFollowersEnabled(false)
                         .setRaftNodeReportPublishPeriodSecs(60)
                         .build();
         RaftNode.RaftNodeBuilder builder =
                 RaftNode.newBuilder()
-                        .setGroupId(facts.group())
+                        .setGroupId(metadata.group())
                         .setConfig(config)
-                        .setRandom(elections.spread())
+                        .setRandom(elections.jitter())
                         .setExecutor(thread)
                         .setClock(thread.clock(nowMicros))
                         .setStateMachine(replica)
                         .setStore(store)
-                        .setRaftNodeReportListener(r -> changed(r.getReason()))
+                        .setRaftNodeReportListener(r -> onReport(r.getReason()))
                         .setTransport(
                                 new Transport() {
                                     @Override
                                     public void send(
                                             io.microraft.RaftEndpoint target, RaftMessage m) {
-                                        leave(target, m);
+                                        sendToPeer(target, m);
                                     }
 
                                     @Override
@@ -125,24 +127,25 @@
                                         return true;
                                     }
                                 });
-        RestoredRaftState restored = store.restored();
+        RestoredRaftState restored = store.restore();
         node =
                 restored != null
                         ? builder.setRestoredState(restored).build()
-                        : builder.setLocalEndpoint(facts.self())
-                                .setInitialGroupMembers(LogShapes.endpoints(facts.initial()))
+                        : builder.setLocalEndpoint(metadata.self())
+                                .setInitialGroupMembers(LogCodec.endpoints(metadata.initial()))
                                 .build();
     }
 
-    private void leave(io.microraft.RaftEndpoint target, RaftMessage message) {
-        if (!silent && elections.lets(message, target, leaderName())) {
-            links.send(Endpoint.of(target), RaftShapes.write(message, target.getId().toString()));
+    private void sendToPeer(io.microraft.RaftEndpoint target, RaftMessage message) {
+        if (!terminated && elections.permitSend(message, target, leaderName())) {
+            connections.send(
+                    Endpoint.of(target), RaftCodec.encode(message, target.getId().toString()));
         }
     }
 
     /** The peers tell that they follow nobody. */
-    void nobodyLeads() {
-        elections.nobodyLeads((RaftNodeImpl) node);
+    void onNoLeader() {
+        elections.onNoLeader((RaftNodeImpl) node);
     }
 
     void start() {
@@ -151,43 +154,44 @@
     }
 
     private void tick() {
-        if (silent) {
+        if (terminated) {
             return;
         }
         try {
-            OpenPreVote.close(node);
+            StalePreVote.restartIfLeaderSilent(node);
             if (clock.tick(node)) {
-                CommitStall.tell(settings.name(), node, store.slowestMillis());
+                CommitStallLog.log(settings.name(), node, store.slowestMillis());
             }
-            elections.askOnceFree((RaftNodeImpl) node);
+            elections.startElectionOnceReleased((RaftNodeImpl) node);
         } finally {
-            thread.afterMicros(this::tick, advanceMicros); // One that fails is not the last.
+            thread.scheduleMicros(
+                    this::tick, tickIntervalMicros); // One that fails is not the last.
         }
     }
 
-    private void changed(RaftNodeReportReason reason) {
+    private void onReport(RaftNodeReportReason reason) {
         if (node == null || reason != RaftNodeReportReason.ROLE_CHANGE) {
             return;
         }
         clock.reset();
-        String now = leaderName();
-        if (now != null) {
-            elections.leaderIsKnown();
+        String currentLeader = leaderName();
+        if (currentLeader != null) {
+            elections.onLeaderKnown();
         }
-        if (now != null && !now.equals(leader)) {
+        if (currentLeader != null && !currentLeader.equals(leader)) {
             Events.info(LOG, "sharing.leader")
                     .addKeyValue("process", settings.name())
-                    .addKeyValue("leader", now)
+                    .addKeyValue("leader", currentLeader)
                     .addKeyValue("term", node.getTerm().getTerm())
-                    .addKeyValue("era", facts.era())
-                    .log(now + " leads");
+                    .addKeyValue("era", metadata.era())
+                    .log(currentLeader + " leads");
         }
-        leader = now;
+        leader = currentLeader;
     }
 
     /** Nothing leaves this process any more: not a vote, not an acknowledgement. */
-    void silence() {
-        silent = true;
+    void terminate() {
+        terminated = true;
         try {
             reads.close();
         } finally {
@@ -196,32 +200,32 @@
     }
 
     String leaderName() {
-        return new Reads.Endpoints(node).name();
+        return new LinearizableReads.KnownLeader(node).name();
     }
 
-    boolean leads() {
-        return new Reads.Endpoints(node).self();
+    boolean isLeader() {
+        return new LinearizableReads.KnownLeader(node).isSelf();
     }
 
     /** Whether this voter counts, by what is committed. */
-    boolean votes() {
-        return node.getCommittedMembers().getVotingMembers().contains(facts.self());
+    boolean isVoter() {
+        return node.getCommittedMembers().getVotingMembers().contains(metadata.self());
     }
 
     void handle(RaftMsg m) {
-        if (silent
-                || !m.getGroup().equals(facts.group())
-                || !m.getTo().equals(facts.self().toString())) {
+        if (terminated
+                || !m.getGroup().equals(metadata.group())
+                || !m.getTo().equals(metadata.self().toString())) {
             return; // Meant for another log, or for the identity before this one.
         }
-        if (elections.refuses(m, leaderName())) {
-            links.send(
+        if (elections.refuseVoteRequest(m, leaderName())) {
+            connections.send(
                     Endpoint.of(m.getSender()),
-                    RaftShapes.refusal(m, facts.self().toString(), node.getTerm().getTerm()));
+                    RaftCodec.refusal(m, metadata.self().toString(), node.getTerm().getTerm()));
             return;
         }
-        if (counts(m, node.getTerm().getTerm())) {
-            node.handle(RaftShapes.read(m));
+        if (isCurrent(m, node.getTerm().getTerm())) {
+            node.handle(RaftCodec.decode(m));
         }
     }
 
@@ -229,8 +233,8 @@
      * Guards the engine, which counts an answer to an earlier leadership of ours for the one of
      * now.
      */
-    static boolean counts(RaftMsg m, int term) {
-        return !RaftShapes.answersLeader(m) || m.getTerm() >= term;
+    static boolean isCurrent(RaftMsg m, int term) {
+        return !RaftCodec.isResponseToLeader(m) || m.getTerm() >= term;
     }
 
     /** Has the leader's quorum confirm, then tells what changed since the asker's index. */
@@ -240,34 +244,35 @@
                 index -> {
                     PullReply.Builder reply =
                             PullReply.newBuilder()
-                                    .setGroup(facts.group())
+                                    .setGroup(metadata.group())
                                     .setVoters(
                                             node.getCommittedMembers().getVotingMembers().size());
                     if (leaderName() != null) {
                         reply.setLeader(leaderName());
                     }
-                    if (index == Reads.REFUSED) {
+                    if (index == LinearizableReads.REFUSED) {
                         answer.accept(reply.setFault("no quorum").build());
                         return;
                     }
                     boolean resumed =
-                            request.getIndex() > 0 && request.getGroup().equals(facts.group());
-                    Pages.fill(reply, replica.machine, request, resumed);
+                            request.getIndex() > 0 && request.getGroup().equals(metadata.group());
+                    StatePages.fill(reply, replica.machine, request, resumed);
                     answer.accept(reply.build());
                 });
     }
 
-    void decide(Command c, Consumer<AskReply> answer) {
-        node.<Replica.Decided>replicate(c)
+    void replicate(Command c, Consumer<AskReply> answer) {
+        node.<Replica.Applied>replicate(c)
                 .whenComplete(
                         (o, e) -> {
-                            AskReply.Builder reply = AskReply.newBuilder().setGroup(facts.group());
+                            AskReply.Builder reply =
+                                    AskReply.newBuilder().setGroup(metadata.group());
                             if (leaderName() != null) {
                                 reply.setLeader(leaderName());
                             }
                             if (e == null) {
-                                reply.setAnswer(Shapes.answer(o.getResult().answer()))
-                                        .setMoment(Shapes.moment(o.getResult().moment()));
+                                reply.setAnswer(StateCodec.answer(o.getResult().answer()))
+                                        .setMoment(StateCodec.moment(o.getResult().moment()));
                             }
                             answer.accept(reply.build());
                         });
--- a/quorum/src/main/java/postgrade/quorum/engine/Replica.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/Replica.java
@@ -3,7 +3,7 @@
 import io.microraft.statemachine.StateMachine;
 import java.util.List;
 import java.util.function.Consumer;
-import postgrade.quorum.wire.LogShapes;
+import postgrade.quorum.wire.LogCodec;
 import postgrade.shared.Answer;
 import postgrade.shared.Command;
 import postgrade.shared.Machine;
@@ -22,7 +22,7 @@
                 }
             };
 
-    record Decided(Answer answer, Moment moment) {}
+    record Applied(Answer answer, Moment moment) {}
 
     final Machine machine;
 
@@ -34,23 +34,23 @@
     public Object runOperation(long index, Object operation) {
         if (operation instanceof Command c) {
             Answer answer = machine.apply(index, c);
-            return new Decided(answer, machine.moment());
+            return new Applied(answer, machine.moment());
         }
         return null; // A read, or the first entry of a term.
     }
 
     @Override
     public void takeSnapshot(long index, Consumer<Object> chunks) {
-        Pages.split(machine.save(), chunks);
+        StatePages.split(machine.save(), chunks);
     }
 
     @Override
     public void installSnapshot(long index, List<Object> chunks) {
-        machine.load(Pages.join(chunks));
+        machine.load(StatePages.join(chunks));
     }
 
     @Override
     public Object getNewTermOperation() {
-        return LogShapes.NEW_TERM;
+        return LogCodec.NEW_TERM;
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/engine/OpenPreVote.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/StalePreVote.java
@@ -10,12 +10,12 @@
  * silent. Where its log is the longest, nobody else can be elected either, and the quorum stands
  * for ever. Found by killing leaders under load.
  */
-final class OpenPreVote {
+final class StalePreVote {
 
-    private OpenPreVote() {}
+    private StalePreVote() {}
 
     /** Does what the engine does of itself where no pre-vote is open. On the engine's thread. */
-    static void close(RaftNode node) {
+    static void restartIfLeaderSilent(RaftNode node) {
         if (node instanceof RaftNodeImpl n
                 && n.state().role() == RaftRole.FOLLOWER
                 && n.state().leader() != null
--- a/quorum/src/main/java/postgrade/quorum/engine/InTime.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/TimeLimitedAnswer.java
@@ -8,32 +8,34 @@
  * knows that the way to this voter is good, and does not give the connection up, on which the votes
  * go too. All on the engine's thread.
  */
-final class InTime<T> implements Consumer<T> {
+final class TimeLimitedAnswer<T> implements Consumer<T> {
 
     private final Consumer<T> answer;
-    private Future<?> late;
+    private Future<?> timeout;
     private boolean answered;
 
-    private InTime(Consumer<T> answer) {
+    private TimeLimitedAnswer(Consumer<T> answer) {
         this.answer = answer;
     }
 
     /**
      * @param waitMillis how long the asker waits; it is told somewhat sooner
      */
-    static <T> Consumer<T> within(
-            EngineThread thread, long waitMillis, T otherwise, Consumer<T> answer) {
-        InTime<T> once = new InTime<>(answer);
-        once.late = thread.afterMicros(() -> once.accept(otherwise), Math.max(1, waitMillis) * 800);
-        return once;
+    static <T> Consumer<T> withTimeout(
+            EngineThread thread, long timeoutMillis, T fallback, Consumer<T> answer) {
+        TimeLimitedAnswer<T> limited = new TimeLimitedAnswer<>(answer);
+        limited.timeout =
+                thread.scheduleMicros(
+                        () -> limited.accept(fallback), Math.max(1, timeoutMillis) * 800);
+        return limited;
     }
 
     @Override
-    public void accept(T with) {
+    public void accept(T value) {
         if (!answered) {
             answered = true;
-            late.cancel(false);
-            answer.accept(with);
+            timeout.cancel(false);
+            answer.accept(value);
         }
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/engine/VoteLog.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/VoteLog.java
@@ -30,18 +30,18 @@
      *
      * @param leader whom this voter follows, or null
      */
-    void sent(RaftMessage message, Object to, String leader) {
+    void logSent(RaftMessage message, Object target, String leader) {
         if (message instanceof PreVoteResponse response && response.isGranted()) {
-            log("grants a pre-vote to " + to, message.getTerm(), leader);
+            log("grants a pre-vote to " + target, message.getTerm(), leader);
         } else if (message instanceof VoteResponse response && response.isGranted()) {
-            log("grants its vote to " + to, message.getTerm(), leader);
+            log("grants its vote to " + target, message.getTerm(), leader);
         } else if (message instanceof VoteRequest) {
-            log("asks " + to + " for its vote", message.getTerm(), leader);
+            log("asks " + target + " for its vote", message.getTerm(), leader);
         }
     }
 
     /** A request for a vote is refused as this voter has just come back. */
-    void refused(RaftMsg request, String leader) {
+    void logRefused(RaftMsg request, String leader) {
         String text = "has just come back and refuses a vote to " + request.getSender();
         log(text, request.getTerm(), leader);
     }
--- a/quorum/src/main/java/postgrade/quorum/engine/Voter.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/Voter.java
@@ -14,8 +14,8 @@
 import postgrade.quorum.settings.QuorumSettings;
 import postgrade.quorum.store.VoterStore;
 import postgrade.quorum.wire.Endpoint;
-import postgrade.quorum.wire.Links;
 import postgrade.quorum.wire.Server;
+import postgrade.quorum.wire.VoterConnections;
 import postgrade.quorum.wire.proto.HelloReply;
 import postgrade.quorum.wire.proto.HelloRequest;
 import postgrade.shared.Part;
@@ -28,45 +28,45 @@
 public final class Voter {
 
     private static final Logger LOG = LoggerFactory.getLogger(Voter.class);
-    private static final long AGAIN_MICROS = 2_000_000;
+    private static final long REOPEN_DELAY_MICROS = 2_000_000;
 
     private final QuorumSettings settings;
     private final List<Part> parts;
     private final LongSupplier nowMicros;
-    private final Links links;
+    private final VoterConnections connections;
     private final EngineThread thread;
-    private final Faults faults;
-    private final Peers peers;
-    private final Desk desk;
+    private final FaultStatus faultStatus;
+    private final PeerStatus peers;
+    private final VoterRequestHandler requestHandler;
     private VoterStore store;
-    private Group group;
+    private RaftGroup group;
     private boolean closed;
-    private volatile boolean votes;
+    private volatile boolean voting;
     private volatile String leader;
 
     public Voter(
             QuorumSettings settings,
             List<Part> parts,
             LongSupplier nowMicros,
-            Links links,
-            Faults faults) {
+            VoterConnections connections,
+            FaultStatus faultStatus) {
         this.settings = settings;
         this.parts = parts;
         this.nowMicros = nowMicros;
-        this.links = links;
-        this.faults = faults;
+        this.connections = connections;
+        this.faultStatus = faultStatus;
         thread = new EngineThread(settings.name(), settings.heartbeatIntervalMillis());
-        peers = new Peers(settings, links, thread);
-        desk = new Desk(this, settings, nowMicros, links, thread);
+        peers = new PeerStatus(settings, connections, thread);
+        requestHandler = new VoterRequestHandler(this, settings, nowMicros, connections, thread);
     }
 
     /** Where it answers others, and this process's own follower. */
-    public Server.Desk desk() {
-        return desk;
+    public Server.RequestHandler requestHandler() {
+        return requestHandler;
     }
 
     /** The log that it keeps now, or null. */
-    Group group() {
+    RaftGroup group() {
         return group;
     }
 
@@ -79,13 +79,13 @@
         thread.submit(
                 () -> {
                     open();
-                    greet();
+                    pollPeers();
                 });
     }
 
     /** Whether it counts as a voter now. */
-    public boolean votes() {
-        return votes;
+    public boolean isVoting() {
+        return voting;
     }
 
     /** Who leads, as far as this voter knows, or null. */
@@ -100,7 +100,7 @@
         try {
             if (!VoterStore.exists(settings.store())) {
                 Files.createDirectories(settings.store());
-                faults.set(
+                faultStatus.set(
                         "no store in "
                                 + settings.store()
                                 + ": waiting for a quorum to be taken in by");
@@ -108,12 +108,12 @@
             }
             store = VoterStore.open(settings.store());
             VoterStore opened = store;
-            peers.greet(
+            peers.sendHello(
                     hello(false),
                     settings.electionTimeoutMillis(),
-                    greeting -> checked(opened, greeting));
+                    peerReplies -> onStoreChecked(opened, peerReplies));
         } catch (IOException e) {
-            failed(e.getMessage());
+            onStoreFailure(e.getMessage());
         }
     }
 
@@ -121,228 +121,240 @@
      * The peers have told what they saw of this voter: it goes on only where the store holds all of
      * that.
      */
-    private void checked(VoterStore opened, Greeting greeting) {
+    private void onStoreChecked(VoterStore opened, PeerReplies peerReplies) {
         if (closed || store != opened || group != null) {
             return;
         }
         try {
             int term = store.term();
-            for (HelloReply r : greeting.replies().values()) {
-                if (r.getEra() > store.facts().era()) {
-                    retire(
+            for (HelloReply reply : peerReplies.replies().values()) {
+                if (reply.getEra() > store.metadata().era()) {
+                    retireStore(
                             "is of era "
-                                    + store.facts().era()
+                                    + store.metadata().era()
                                     + ", and "
-                                    + r.getName()
+                                    + reply.getName()
                                     + " is in era "
-                                    + r.getEra());
+                                    + reply.getEra());
                     return;
                 }
-                if (r.getGroup().equals(store.facts().group())
-                        && Known.moreThan(r, store.boot(), term, store.lastIndex())) {
-                    retire("is an older copy: " + r.getName() + " has seen later promises of it");
+                if (reply.getGroup().equals(store.metadata().group())
+                        && PeerPromises.exceedsStore(
+                                reply, store.boot(), term, store.lastIndex())) {
+                    retireStore(
+                            "is an older copy: "
+                                    + reply.getName()
+                                    + " has seen later promises of it");
                     return;
                 }
             }
-            begin(greeting);
-            faults.clear();
+            startGroup(peerReplies);
+            faultStatus.clear();
         } catch (IOException | RuntimeException e) {
-            failed(e.getMessage());
+            onStoreFailure(e.getMessage());
         }
     }
 
-    private void begin(Greeting greeting) throws IOException {
-        store.onFailure(why -> thread.submit(() -> failed(why)));
-        store.countBoot();
+    private void startGroup(PeerReplies peerReplies) throws IOException {
+        store.onFailure(reason -> thread.submit(() -> onStoreFailure(reason)));
+        store.incrementBoot();
         group =
-                new Group(
+                new RaftGroup(
                         settings,
                         parts,
                         nowMicros,
                         thread,
-                        links,
+                        connections,
                         store,
-                        new Elections(settings.name(), stickiness(greeting), nowMicros));
+                        new Elections(settings.name(), stickiness(peerReplies), nowMicros));
         group.start();
         Events.info(LOG, "sharing.opened")
                 .addKeyValue("process", settings.name())
-                .addKeyValue("identity", group.facts.self().identity())
-                .addKeyValue("era", group.facts.era())
-                .log("opened the store of era " + group.facts.era());
+                .addKeyValue("identity", group.metadata.self().identity())
+                .addKeyValue("era", group.metadata.era())
+                .log("opened the store of era " + group.metadata.era());
     }
 
-    private LeaderStickiness stickiness(Greeting greeting) {
-        return greeting.mayHaveLeader(store.facts().group(), settings.name())
+    private LeaderStickiness stickiness(PeerReplies peerReplies) {
+        return peerReplies.mayHaveLeader(store.metadata().group(), settings.name())
                 ? LeaderStickiness.until(
                         nowMicros.getAsLong() + settings.electionTimeoutMillis() * 1000L)
                 : LeaderStickiness.none();
     }
 
     /** Votes no more, and tries later to open what is on the disk. */
-    private void failed(String why) {
+    private void onStoreFailure(String reason) {
         if (closed) {
             return;
         }
-        faults.set(why + "; it votes no more");
-        letGo();
-        thread.afterMicros(this::open, AGAIN_MICROS);
+        faultStatus.set(reason + "; it votes no more");
+        closeGroupAndStore();
+        thread.scheduleMicros(this::open, REOPEN_DELAY_MICROS);
     }
 
-    private void letGo() {
-        votes = false;
-        Group silenced = group;
-        VoterStore left = store;
+    private void closeGroupAndStore() {
+        voting = false;
+        RaftGroup openGroup = group;
+        VoterStore openStore = store;
         group = null;
         store = null;
         try {
-            if (silenced != null) {
-                silenced.silence();
+            if (openGroup != null) {
+                openGroup.terminate();
             }
         } finally {
-            if (left != null) {
-                left.close();
+            if (openStore != null) {
+                openStore.close();
             }
         }
     }
 
     /** Puts the store aside for good: this process comes back under another identity. */
-    private void retire(String why) {
-        String aside = VoterStore.FILE + "." + store.facts().self().identity();
-        letGo();
+    private void retireStore(String reason) {
+        String asideName = VoterStore.FILE + "." + store.metadata().self().identity();
+        closeGroupAndStore();
         try {
             Path file = settings.store().resolve(VoterStore.FILE);
-            Files.move(file, settings.store().resolve(aside));
-            faults.set(
+            Files.move(file, settings.store().resolve(asideName));
+            faultStatus.set(
                     "the store "
-                            + why
+                            + reason
                             + "; it is kept as "
-                            + aside
+                            + asideName
                             + ", waiting to be taken in anew");
         } catch (IOException e) {
-            faults.set("the store " + why + ", and cannot be put aside: " + e.getMessage());
+            faultStatus.set("the store " + reason + ", and cannot be put aside: " + e.getMessage());
         }
     }
 
     private HelloRequest hello(boolean join) {
-        HelloRequest.Builder b = HelloRequest.newBuilder().setName(settings.name()).setJoin(join);
+        HelloRequest.Builder request =
+                HelloRequest.newBuilder().setName(settings.name()).setJoin(join);
         if (store != null) {
-            VoterStore.Facts f = store.facts();
-            b.setIdentity(f.self().identity())
-                    .setGroup(f.group())
-                    .setEra(f.era())
+            VoterStore.Metadata metadata = store.metadata();
+            request.setIdentity(metadata.self().identity())
+                    .setGroup(metadata.group())
+                    .setEra(metadata.era())
                     .setBoot(store.boot());
         }
-        return b.build();
+        return request.build();
     }
 
     /**
      * Asks the peers again and again what they are: that is how eras, and voters that come back,
      * are found.
      */
-    private void greet() {
+    private void pollPeers() {
         if (closed) {
             return;
         }
         leader = group == null ? null : group.leaderName();
-        votes = group != null && group.votes();
-        boolean join = group != null && !votes;
-        long pause =
+        voting = group != null && group.isVoter();
+        boolean join = group != null && !voting;
+        long pauseMillis =
                 group == null || join || leader == null
                         ? settings.electionTimeoutMillis() / 4
                         : settings.electionTimeoutMillis();
-        thread.afterMicros(this::greet, pause * 1000L); // One that fails is not the last.
-        peers.greet(hello(join), settings.electionTimeoutMillis(), this::greeted);
+        thread.scheduleMicros(
+                this::pollPeers, pauseMillis * 1000L); // One that fails is not the last.
+        peers.sendHello(hello(join), settings.electionTimeoutMillis(), this::onPeerReplies);
     }
 
-    private void greeted(Greeting greeting) {
+    private void onPeerReplies(PeerReplies peerReplies) {
         if (closed) {
             return;
         }
-        Map<String, HelloReply> replies = greeting.replies();
+        Map<String, HelloReply> replies = peerReplies.replies();
         try {
-            HelloReply latest = Peers.latest(replies);
+            HelloReply latest = PeerStatus.latestEraReply(replies);
             if (store == null) {
                 if (latest != null && !VoterStore.exists(settings.store())) {
-                    join(greeting, latest);
+                    join(peerReplies, latest);
                 } else if (latest == null && !VoterStore.exists(settings.store())) {
-                    faults.set(Peers.noneIsThere(settings, replies));
+                    faultStatus.set(PeerStatus.noStoreFault(settings, replies));
                 }
                 return;
             }
             if (group == null) {
                 return;
             }
-            if (!greeting.mayHaveLeader(group.facts.group(), settings.name())) {
-                group.nobodyLeads();
+            if (!peerReplies.mayHaveLeader(group.metadata.group(), settings.name())) {
+                group.onNoLeader();
             }
-            if (latest != null && latest.getEra() > group.facts.era()) {
-                retire(
+            if (latest != null && latest.getEra() > group.metadata.era()) {
+                retireStore(
                         "is of era "
-                                + group.facts.era()
+                                + group.metadata.era()
                                 + ", and "
                                 + latest.getName()
                                 + " is in era "
                                 + latest.getEra());
-            } else if (Peers.others(replies, group.facts.era(), group.facts.group()) != null) {
-                faults.set(
+            } else if (PeerStatus.voterInOtherGroup(
+                            replies, group.metadata.era(), group.metadata.group())
+                    != null) {
+                faultStatus.set(
                         "two eras "
-                                + group.facts.era()
+                                + group.metadata.era()
                                 + " at once: "
-                                + Peers.others(replies, group.facts.era(), group.facts.group())
+                                + PeerStatus.voterInOtherGroup(
+                                        replies, group.metadata.era(), group.metadata.group())
                                 + " is in another");
-            } else if (Peers.retired(replies, group)) {
-                retire("was replaced: the others have taken in another of this name");
+            } else if (PeerStatus.isRetired(replies, group)) {
+                retireStore("was replaced: the others have taken in another of this name");
             } else if (group.leaderName() == null) {
-                String lost = Peers.lost(settings, replies, group);
+                String lost = PeerStatus.lostQuorumFault(settings, replies, group);
                 if (lost != null) {
-                    faults.set(lost);
+                    faultStatus.set(lost);
                 }
             } else if (store.slowestMillis() > settings.electionTimeoutMillis()) {
-                faults.set("the store is slow: a write took longer than an election");
-            } else if (faults.now() != null && group.votes()) {
-                faults.clear();
+                faultStatus.set("the store is slow: a write took longer than an election");
+            } else if (faultStatus.current() != null && group.isVoter()) {
+                faultStatus.clear();
             }
-            store.forgetSlowest();
-            for (HelloReply r : replies.values()) {
-                if (!r.getIdentity().isEmpty() && r.getGroup().equals(group.facts.group())) {
-                    store.seenBoot(r.getName() + "/" + r.getIdentity(), r.getBoot());
+            store.resetSlowest();
+            for (HelloReply reply : replies.values()) {
+                if (!reply.getIdentity().isEmpty()
+                        && reply.getGroup().equals(group.metadata.group())) {
+                    store.recordSeenBoot(
+                            reply.getName() + "/" + reply.getIdentity(), reply.getBoot());
                 }
             }
         } catch (IOException e) {
-            failed(e.getMessage());
+            onStoreFailure(e.getMessage());
         }
     }
 
-    private void join(Greeting greeting, HelloReply latest) throws IOException {
-        Map<String, HelloReply> replies = greeting.replies();
-        if (Peers.others(replies, latest.getEra(), latest.getGroup()) != null) {
-            faults.set(
+    private void join(PeerReplies peerReplies, HelloReply latest) throws IOException {
+        Map<String, HelloReply> replies = peerReplies.replies();
+        if (PeerStatus.voterInOtherGroup(replies, latest.getEra(), latest.getGroup()) != null) {
+            faultStatus.set(
                     "two eras "
                             + latest.getEra()
                             + " at once: "
                             + latest.getName()
                             + " and "
-                            + Peers.others(replies, latest.getEra(), latest.getGroup())
+                            + PeerStatus.voterInOtherGroup(
+                                    replies, latest.getEra(), latest.getGroup())
                             + " are in different ones");
             return;
         }
         store =
                 VoterStore.create(
                         settings.store(),
-                        new VoterStore.Facts(
-                                new Endpoint(settings.name(), identity()),
+                        new VoterStore.Metadata(
+                                new Endpoint(settings.name(), newIdentity()),
                                 latest.getGroup(),
                                 latest.getEra(),
                                 latest.getInitialList()));
-        begin(greeting);
-        faults.set("new here: waiting to be taken in as a voter");
+        startGroup(peerReplies);
+        faultStatus.set("new here: waiting to be taken in as a voter");
     }
 
     /** Never the same again. */
-    public static String identity() {
-        byte[] b = new byte[6];
-        new SecureRandom().nextBytes(b);
-        return HexFormat.of().formatHex(b);
+    public static String newIdentity() {
+        byte[] bytes = new byte[6];
+        new SecureRandom().nextBytes(bytes);
+        return HexFormat.of().formatHex(bytes);
     }
 
     /**
@@ -351,15 +363,15 @@
      * @param ended told on its thread once all that waited here is answered, whatever went wrong at
      *     its end
      */
-    public void close(Runnable ended) {
+    public void close(Runnable onClosed) {
         thread.submit(
                 () -> {
                     closed = true;
                     try {
-                        letGo();
+                        closeGroupAndStore();
                     } finally {
                         thread.close();
-                        ended.run();
+                        onClosed.run();
                     }
                 });
     }
--- a/quorum/src/main/java/postgrade/quorum/engine/Admission.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/VoterAdmission.java
@@ -18,65 +18,68 @@
  * the settings name, and none votes that could have forgotten a vote. Each of the newcomer's
  * questions takes one step on.
  */
-final class Admission {
+final class VoterAdmission {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Admission.class);
+    private static final Logger LOG = LoggerFactory.getLogger(VoterAdmission.class);
 
     /** So many entries behind is caught up: the log's time goes on all the while. */
-    private static final long BEHIND = 50;
+    private static final long MAX_CATCH_UP_LAG = 50;
 
-    private static final int TELL_TWICE = 20;
+    private static final int DUPLICATE_NAME_LOG_EVERY = 20;
 
     /** A step not heard of for so many election timeouts is taken for lost. */
-    private static final long LOST_AFTER = 4;
+    private static final long LOST_AFTER_ELECTION_TIMEOUTS = 4;
 
     private final QuorumSettings settings;
     private final EngineThread thread;
     private final Clock clock;
 
     /** When the step that has not ended was begun, by the engine's clock; 0 where there is none. */
-    private long busySinceMillis;
+    private long pendingSinceMillis;
 
-    private int twice;
+    private int duplicateNameRequests;
 
-    Admission(QuorumSettings settings, EngineThread thread, Clock clock) {
+    VoterAdmission(QuorumSettings settings, EngineThread thread, Clock clock) {
         this.settings = settings;
         this.thread = thread;
         this.clock = clock;
     }
 
-    void asked(RaftNode node, Endpoint newcomer) {
-        if (isBusy(node)
+    void onJoinRequest(RaftNode node, Endpoint newcomer) {
+        if (isStepPending(node)
                 || settings.voter(newcomer.name()) == null
                 || newcomer.equals(node.getLocalEndpoint())) {
             return;
         }
-        busySinceMillis = clock.millis();
+        pendingSinceMillis = clock.millis();
         node.getReport()
                 .whenComplete(
                         (r, e) ->
                                 thread.execute(
                                         () -> {
-                                            busySinceMillis = 0;
+                                            pendingSinceMillis = 0;
                                             if (e == null) {
-                                                step(node, newcomer, r.getResult());
+                                                advance(node, newcomer, r.getResult());
                                             }
                                         }));
     }
 
     /** A step of which nothing was heard for long ends here: the engine allows no two changes. */
-    private boolean isBusy(RaftNode node) {
-        long timeout = LOST_AFTER * node.getConfig().getLeaderHeartbeatTimeoutSecs() * 1000;
-        return busySinceMillis > 0 && clock.millis() - busySinceMillis < timeout;
+    private boolean isStepPending(RaftNode node) {
+        long timeout =
+                LOST_AFTER_ELECTION_TIMEOUTS
+                        * node.getConfig().getLeaderHeartbeatTimeoutSecs()
+                        * 1000;
+        return pendingSinceMillis > 0 && clock.millis() - pendingSinceMillis < timeout;
     }
 
-    private void step(RaftNode node, Endpoint newcomer, RaftNodeReport report) {
+    private void advance(RaftNode node, Endpoint newcomer, RaftNodeReport report) {
         var members = node.getCommittedMembers();
         if (node.getEffectiveMembers().getLogIndex() != members.getLogIndex()
                 || members.getVotingMembers().contains(newcomer)) {
             return; // One change at a time.
         }
-        Optional<RaftEndpoint> former =
+        Optional<RaftEndpoint> previous =
                 members.getMembers().stream()
                         .filter(
                                 m ->
@@ -84,9 +87,9 @@
                                                 && e.name().equals(newcomer.name())
                                                 && !e.equals(newcomer))
                         .findFirst();
-        if (former.isPresent() && heard(node, report, former.get())) {
+        if (previous.isPresent() && answeredRecently(node, report, previous.get())) {
             // It may have gone a moment ago, so it is told only where it goes on.
-            if (++twice % TELL_TWICE != 0) {
+            if (++duplicateNameRequests % DUPLICATE_NAME_LOG_EVERY != 0) {
                 return;
             }
             Events.warn(LOG, "sharing.twice")
@@ -97,16 +100,29 @@
                                     + "; it is not taken in");
             return;
         }
-        if (former.isPresent() && !members.getVotingMembers().contains(former.get())) {
-            change(node, former.get(), MembershipChangeMode.REMOVE_MEMBER, "it never came to vote");
+        if (previous.isPresent() && !members.getVotingMembers().contains(previous.get())) {
+            changeMembership(
+                    node,
+                    previous.get(),
+                    MembershipChangeMode.REMOVE_MEMBER,
+                    "it never came to vote");
         } else if (!members.getMembers().contains(newcomer)) {
-            change(node, newcomer, MembershipChangeMode.ADD_LEARNER, "it learns the log");
-        } else if (report.getLog().getFollowerMatchIndices().getOrDefault(newcomer, 0L) + BEHIND
+            changeMembership(node, newcomer, MembershipChangeMode.ADD_LEARNER, "it learns the log");
+        } else if (report.getLog().getFollowerMatchIndices().getOrDefault(newcomer, 0L)
+                        + MAX_CATCH_UP_LAG
                 >= report.getLog().getCommitIndex()) {
-            if (former.isPresent()) {
-                change(node, former.get(), MembershipChangeMode.REMOVE_MEMBER, "its store is gone");
+            if (previous.isPresent()) {
+                changeMembership(
+                        node,
+                        previous.get(),
+                        MembershipChangeMode.REMOVE_MEMBER,
+                        "its store is gone");
             } else {
-                change(node, newcomer, MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER, "it votes");
+                changeMembership(
+                        node,
+                        newcomer,
+                        MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER,
+                        "it votes");
             }
         }
     }
@@ -115,28 +131,30 @@
      * Whether the former identity answered lately: then its process lives, and another has taken
      * its name.
      */
-    private boolean heard(RaftNode node, RaftNodeReport report, RaftEndpoint former) {
+    private boolean answeredRecently(RaftNode node, RaftNodeReport report, RaftEndpoint previous) {
         long timeout = node.getConfig().getLeaderHeartbeatTimeoutSecs() * 1000;
-        return report.getHeartbeatTimestamps().getOrDefault(former, 0L) + timeout > clock.millis();
+        return report.getHeartbeatTimestamps().getOrDefault(previous, 0L) + timeout
+                > clock.millis();
     }
 
-    private void change(RaftNode node, RaftEndpoint who, MembershipChangeMode how, String why) {
-        busySinceMillis = clock.millis();
-        node.changeMembership(who, how, node.getCommittedMembers().getLogIndex())
+    private void changeMembership(
+            RaftNode node, RaftEndpoint endpoint, MembershipChangeMode mode, String reason) {
+        pendingSinceMillis = clock.millis();
+        node.changeMembership(endpoint, mode, node.getCommittedMembers().getLogIndex())
                 .whenComplete(
                         (r, e) ->
                                 thread.execute(
                                         () -> {
-                                            busySinceMillis = 0;
+                                            pendingSinceMillis = 0;
                                             if (e == null) {
                                                 Events.info(LOG, "sharing.voters")
-                                                        .addKeyValue("voter", who.getId())
-                                                        .addKeyValue("why", why)
+                                                        .addKeyValue("voter", endpoint.getId())
+                                                        .addKeyValue("why", reason)
                                                         .log(
                                                                 "voters changed: "
-                                                                        + who.getId()
+                                                                        + endpoint.getId()
                                                                         + ", "
-                                                                        + why);
+                                                                        + reason);
                                             }
                                         }));
     }
--- a/quorum/src/main/java/postgrade/quorum/engine/Desk.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/VoterRequestHandler.java
@@ -7,10 +7,10 @@
 import postgrade.quorum.settings.QuorumSettings;
 import postgrade.quorum.store.VoterStore;
 import postgrade.quorum.wire.Endpoint;
-import postgrade.quorum.wire.Links;
 import postgrade.quorum.wire.Methods;
 import postgrade.quorum.wire.Server;
-import postgrade.quorum.wire.Shapes;
+import postgrade.quorum.wire.StateCodec;
+import postgrade.quorum.wire.VoterConnections;
 import postgrade.quorum.wire.proto.AskReply;
 import postgrade.quorum.wire.proto.AskRequest;
 import postgrade.quorum.wire.proto.HelloReply;
@@ -25,28 +25,28 @@
  * What a voter answers: to its peers, and to whoever follows or asks. All is done on the engine's
  * thread.
  */
-final class Desk implements Server.Desk {
+final class VoterRequestHandler implements Server.RequestHandler {
 
-    private static final int MOST_PULLERS = 1000;
+    private static final int MAX_TRACKED_PULLERS = 1000;
 
     private final Voter voter;
     private final QuorumSettings settings;
     private final LongSupplier nowMicros;
-    private final Links links;
+    private final VoterConnections connections;
     private final EngineThread thread;
-    private final Known known = new Known();
-    private final Map<String, Long> pulled = new HashMap<>();
+    private final PeerPromises promises = new PeerPromises();
+    private final Map<String, Long> lastPullMicros = new HashMap<>();
 
-    Desk(
+    VoterRequestHandler(
             Voter voter,
             QuorumSettings settings,
             LongSupplier nowMicros,
-            Links links,
+            VoterConnections connections,
             EngineThread thread) {
         this.voter = voter;
         this.settings = settings;
         this.nowMicros = nowMicros;
-        this.links = links;
+        this.connections = connections;
         this.thread = thread;
     }
 
@@ -54,8 +54,8 @@
     public void raft(RaftMsg message) {
         thread.submit(
                 () -> {
-                    known.heard(message);
-                    Group group = voter.group();
+                    promises.record(message);
+                    RaftGroup group = voter.group();
                     if (group != null) {
                         group.handle(message);
                     }
@@ -66,19 +66,20 @@
     public void pull(PullRequest request, Consumer<PullReply> answer) {
         thread.submit(
                 () -> {
-                    Group group = voter.group();
+                    RaftGroup group = voter.group();
                     long now = nowMicros.getAsLong();
-                    long least = settings.pullIntervalMillis() * 1000L / 4;
-                    if (pulled.size() > MOST_PULLERS) {
-                        pulled.clear(); // Guards against names without end; whoever is real is
+                    long minIntervalMicros = settings.pullIntervalMillis() * 1000L / 4;
+                    if (lastPullMicros.size() > MAX_TRACKED_PULLERS) {
+                        lastPullMicros
+                                .clear(); // Guards against names without end; whoever is real is
                         // known again at once.
                     }
-                    Long before = pulled.put(request.getName(), now);
-                    if (group == null || request.getEra() > group.facts.era()) {
+                    Long previousMicros = lastPullMicros.put(request.getName(), now);
+                    if (group == null || request.getEra() > group.metadata.era()) {
                         answer.accept(
                                 PullReply.newBuilder().setFault("no store of that era").build());
-                    } else if (before != null
-                            && now - before < least
+                    } else if (previousMicros != null
+                            && now - previousMicros < minIntervalMicros
                             && request.getAfterPart().isEmpty()) {
                         answer.accept(
                                 PullReply.newBuilder()
@@ -87,7 +88,7 @@
                     } else {
                         group.pull(
                                 request,
-                                InTime.within(
+                                TimeLimitedAnswer.withTimeout(
                                         thread,
                                         settings.requestTimeoutMillis(),
                                         PullReply.newBuilder()
@@ -102,14 +103,14 @@
     public void read(ReadRequest request, Consumer<ReadReply> answer) {
         thread.submit(
                 () -> {
-                    Group group = voter.group();
+                    RaftGroup group = voter.group();
                     if (group == null
-                            || !group.leads()
-                            || !group.facts.group().equals(request.getGroup())) {
+                            || !group.isLeader()
+                            || !group.metadata.group().equals(request.getGroup())) {
                         answer.accept(ReadReply.getDefaultInstance());
                     } else {
-                        Consumer<ReadReply> inTime =
-                                InTime.within(
+                        Consumer<ReadReply> limitedAnswer =
+                                TimeLimitedAnswer.withTimeout(
                                         thread,
                                         settings.requestTimeoutMillis(),
                                         ReadReply.getDefaultInstance(),
@@ -117,9 +118,10 @@
                         group.reads.confirm(
                                 group.node,
                                 index ->
-                                        inTime.accept(
+                                        limitedAnswer.accept(
                                                 ReadReply.newBuilder()
-                                                        .setConfirmed(index != Reads.REFUSED)
+                                                        .setConfirmed(
+                                                                index != LinearizableReads.REFUSED)
                                                         .setIndex(Math.max(0, index))
                                                         .build()));
                     }
@@ -130,13 +132,13 @@
     public void ask(AskRequest request, Consumer<AskReply> answer) {
         thread.submit(
                 () -> {
-                    Group group = voter.group();
-                    if (group == null || request.getEra() > group.facts.era()) {
+                    RaftGroup group = voter.group();
+                    if (group == null || request.getEra() > group.metadata.era()) {
                         answer.accept(AskReply.getDefaultInstance());
-                    } else if (group.leads()) {
-                        group.decide(
-                                Shapes.command(request.getCommand()),
-                                InTime.within(
+                    } else if (group.isLeader()) {
+                        group.replicate(
+                                StateCodec.command(request.getCommand()),
+                                TimeLimitedAnswer.withTimeout(
                                         thread,
                                         Math.min(
                                                 settings.requestTimeoutMillis(),
@@ -144,7 +146,7 @@
                                         AskReply.getDefaultInstance(),
                                         answer));
                     } else if (group.leaderName() != null && !request.getForwarded()) {
-                        links.call(
+                        connections.call(
                                 group.leaderName(),
                                 Methods.ASK,
                                 request.toBuilder().setForwarded(true).build(),
@@ -166,39 +168,39 @@
     public void hello(HelloRequest request, Consumer<HelloReply> answer) {
         thread.submit(
                 () -> {
-                    Group group = voter.group();
+                    RaftGroup group = voter.group();
                     VoterStore store = voter.store();
-                    HelloReply.Builder b = HelloReply.newBuilder().setName(settings.name());
+                    HelloReply.Builder reply = HelloReply.newBuilder().setName(settings.name());
                     if (store != null) {
-                        VoterStore.Facts f = store.facts();
+                        VoterStore.Metadata metadata = store.metadata();
                         String endpoint = request.getName() + "/" + request.getIdentity();
-                        b.setIdentity(f.self().identity())
-                                .setGroup(f.group())
-                                .setEra(f.era())
+                        reply.setIdentity(metadata.self().identity())
+                                .setGroup(metadata.group())
+                                .setEra(metadata.era())
                                 .setBoot(store.boot())
-                                .addAllInitial(f.initial())
+                                .addAllInitial(metadata.initial())
                                 .setSeenBoot(store.seenBoot(endpoint));
-                        known.tell(endpoint, b);
+                        promises.addTo(endpoint, reply);
                     }
                     if (group != null) {
                         group.node
                                 .getCommittedMembers()
                                 .getMembers()
-                                .forEach(m -> b.addMembers(m.getId().toString()));
-                        b.setMembersIndex(group.node.getCommittedMembers().getLogIndex())
-                                .setLeads(group.leads());
+                                .forEach(m -> reply.addMembers(m.getId().toString()));
+                        reply.setMembersIndex(group.node.getCommittedMembers().getLogIndex())
+                                .setLeads(group.isLeader());
                         if (group.leaderName() != null) {
-                            b.setLeader(group.leaderName());
+                            reply.setLeader(group.leaderName());
                         }
                         if (request.getJoin()
-                                && group.leads()
-                                && request.getGroup().equals(group.facts.group())) {
-                            group.admission.asked(
+                                && group.isLeader()
+                                && request.getGroup().equals(group.metadata.group())) {
+                            group.admission.onJoinRequest(
                                     group.node,
                                     new Endpoint(request.getName(), request.getIdentity()));
                         }
                     }
-                    answer.accept(b.build());
+                    answer.accept(reply.build());
                 });
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/follow/Follower.java
+++ b/quorum/src/main/java/postgrade/quorum/follow/Follower.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.LongSupplier;
-import postgrade.quorum.engine.Faults;
+import postgrade.quorum.engine.FaultStatus;
 import postgrade.quorum.settings.QuorumSettings;
 import postgrade.quorum.wire.proto.PullReply;
 import postgrade.quorum.wire.proto.PullRequest;
@@ -17,16 +17,16 @@
 public final class Follower {
 
     /** The longest pause after failures, in pulls. */
-    private static final int MOST_PAUSE = 8;
+    private static final int MAX_BACKOFF_PULLS = 8;
 
     /**
      * A process that had to turn to another voter looks for its first one again after so many
      * pulls.
      */
-    private static final int RETURN_AFTER = 40;
+    private static final int PULLS_BEFORE_RETURN = 40;
 
-    private static final int MOST_FAILURES = 5;
-    static final String NO_VIEW =
+    private static final int FAILURES_BEFORE_FAULT = 5;
+    static final String NO_VIEW_FAULT =
             "no voter confirms a view: there is no quorum, or none can be reached";
 
     /** Between two pages, so that others are served meanwhile. */
@@ -34,35 +34,35 @@
 
     private final QuorumSettings settings;
     private final LongSupplier nowMicros;
-    private final FollowThread thread;
-    private final List<Way> ways;
-    private final Eras eras;
-    private final Faults faults;
+    private final FollowerThread thread;
+    private final List<VoterChannel> channels;
+    private final CurrentEra currentEra;
+    private final FaultStatus faultStatus;
     private final SplittableRandom random;
     private volatile View view = View.NONE;
-    private final Gathering gathering = new Gathering(View.NONE);
+    private final ViewAssembler viewAssembler = new ViewAssembler(View.NONE);
     private volatile String leader;
     private volatile int voters;
-    private int at;
-    private int failures;
+    private int channelIndex;
+    private int consecutiveFailures;
     private int pulls;
-    private int sent;
-    private int good;
+    private int latestPullNumber;
+    private int consecutiveSuccesses;
 
     Follower(
             QuorumSettings settings,
             LongSupplier nowMicros,
-            FollowThread thread,
-            List<Way> ways,
-            Eras eras,
-            Faults faults,
+            FollowerThread thread,
+            List<VoterChannel> channels,
+            CurrentEra currentEra,
+            FaultStatus faultStatus,
             long seed) {
         this.settings = settings;
         this.nowMicros = nowMicros;
         this.thread = thread;
-        this.ways = ways;
-        this.eras = eras;
-        this.faults = faults;
+        this.channels = channels;
+        this.currentEra = currentEra;
+        this.faultStatus = faultStatus;
         random = new SplittableRandom(seed);
     }
 
@@ -79,88 +79,97 @@
     }
 
     void start() {
-        thread.after(
+        thread.schedule(
                 this::pull, (long) (random.nextDouble() * settings.pullIntervalMillis() * 1000));
     }
 
     private void pull() {
-        if (++pulls % RETURN_AFTER == 0) {
-            at = 0;
+        if (++pulls % PULLS_BEFORE_RETURN == 0) {
+            channelIndex = 0;
         }
-        Way way = ways.get(at % ways.size());
-        int number = ++sent;
-        long asOf = nowMicros.getAsLong();
+        VoterChannel channel = channels.get(channelIndex % channels.size());
+        int pullNumber = ++latestPullNumber;
+        long asOfMicros = nowMicros.getAsLong();
         PullRequest request =
-                gathering
-                        .asks()
+                viewAssembler
+                        .nextRequest()
                         .setName(settings.name())
-                        .setEra(eras.era())
-                        .setGroup(eras.group())
+                        .setEra(currentEra.era())
+                        .setGroup(currentEra.group())
                         .build();
-        boolean[] over = {false};
+        boolean[] handled = {false};
         // First, so that a pull that fails is not the last. A voter in this process has no deadline
         // of its own.
-        thread.after(
-                () -> answered(way, number, over, asOf, null),
+        thread.schedule(
+                () -> onReply(channel, pullNumber, handled, asOfMicros, null),
                 settings.requestTimeoutMillis() * 1000L + 50_000);
-        way.pull(
+        channel.pull(
                 request,
                 settings.requestTimeoutMillis(),
-                reply -> thread.run(() -> answered(way, number, over, asOf, reply)));
+                reply ->
+                        thread.execute(
+                                () -> onReply(channel, pullNumber, handled, asOfMicros, reply)));
     }
 
-    private void answered(Way way, int number, boolean[] over, long asOf, PullReply reply) {
-        if (over[0] || number != sent) {
+    private void onReply(
+            VoterChannel channel,
+            int pullNumber,
+            boolean[] handled,
+            long asOfMicros,
+            PullReply reply) {
+        if (handled[0] || pullNumber != latestPullNumber) {
             return;
         }
-        over[0] = true;
+        handled[0] = true;
         if (reply != null && reply.getBusyMillis() > 0) {
-            next(reply.getBusyMillis());
+            scheduleNextPull(reply.getBusyMillis());
             return;
         }
-        if (reply == null || !reply.hasMoment() || !eras.takes(way.voter(), reply.getGroup())) {
-            failed();
+        if (reply == null
+                || !reply.hasMoment()
+                || !currentEra.accept(channel.voter(), reply.getGroup())) {
+            onFailure();
             return;
         }
-        boolean taken = false;
+        boolean accepted = false;
         try {
-            take(asOf, reply);
-            taken = true;
+            acceptPage(asOfMicros, reply);
+            accepted = true;
         } finally {
-            if (!taken) {
-                failed(); // Guards the pulls to come: no answer, whatever it is, ends them.
+            if (!accepted) {
+                onFailure(); // Guards the pulls to come: no answer, whatever it is, ends them.
             }
         }
-        if (gathering.goesOn()) {
-            thread.after(this::pull, PAGE_PAUSE_MICROS);
+        if (viewAssembler.expectsMore()) {
+            thread.schedule(this::pull, PAGE_PAUSE_MICROS);
             return;
         }
-        long spent = (nowMicros.getAsLong() - asOf) / 1000;
-        next(Math.max(1, settings.pullIntervalMillis() - spent));
+        long elapsedMillis = (nowMicros.getAsLong() - asOfMicros) / 1000;
+        scheduleNextPull(Math.max(1, settings.pullIntervalMillis() - elapsedMillis));
     }
 
-    private void failed() {
+    private void onFailure() {
         leader = null;
-        failures++;
-        at++;
-        if (failures == MOST_FAILURES) {
-            faults.set(NO_VIEW);
+        consecutiveFailures++;
+        channelIndex++;
+        if (consecutiveFailures == FAILURES_BEFORE_FAULT) {
+            faultStatus.set(NO_VIEW_FAULT);
         }
-        next(
+        scheduleNextPull(
                 pauseMillis(
                         settings.pullIntervalMillis(),
-                        failures,
-                        view.known() ? 0 : 2 * ways.size()));
+                        consecutiveFailures,
+                        view.known() ? 0 : 2 * channels.size()));
     }
 
-    private void take(long asOf, PullReply reply) {
-        View told = gathering.take(asOf, reply);
-        view = told == null ? view : told;
-        faults.clear(NO_VIEW);
-        good = failures > 0 ? 0 : good + 1;
-        failures = 0;
-        if (good == RETURN_AFTER) {
-            faults.clear(); // Not at the first good answer: two eras may take turns.
+    private void acceptPage(long asOfMicros, PullReply reply) {
+        View assembled = viewAssembler.accept(asOfMicros, reply);
+        view = assembled == null ? view : assembled;
+        faultStatus.clear(NO_VIEW_FAULT);
+        consecutiveSuccesses = consecutiveFailures > 0 ? 0 : consecutiveSuccesses + 1;
+        consecutiveFailures = 0;
+        if (consecutiveSuccesses == PULLS_BEFORE_RETURN) {
+            faultStatus.clear(); // Not at the first good answer: two eras may take turns.
         }
         leader = reply.getLeader().isEmpty() ? null : reply.getLeader();
         voters = reply.getVoters();
@@ -173,14 +182,16 @@
      *
      * @param quick so many failures are followed by a short pause
      */
-    static long pauseMillis(int pullMillis, int failures, int quick) {
-        return failures <= quick
+    static long pauseMillis(int pullMillis, int failures, int quickRetries) {
+        return failures <= quickRetries
                 ? pullMillis / 4
-                : (long) pullMillis * Math.min(MOST_PAUSE, 1 << Math.min(failures - quick - 1, 3));
+                : (long) pullMillis
+                        * Math.min(
+                                MAX_BACKOFF_PULLS, 1 << Math.min(failures - quickRetries - 1, 3));
     }
 
     /** The pause is spread, so that processes that began together do not stay together. */
-    private void next(long millis) {
-        thread.after(this::pull, (long) (millis * 1000 * (0.8 + 0.4 * random.nextDouble())));
+    private void scheduleNextPull(long millis) {
+        thread.schedule(this::pull, (long) (millis * 1000 * (0.8 + 0.4 * random.nextDouble())));
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/follow/FollowThread.java
+++ b/quorum/src/main/java/postgrade/quorum/follow/FollowerThread.java
@@ -3,21 +3,21 @@
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
-import postgrade.quorum.engine.TaskFailures;
+import postgrade.quorum.engine.TaskFailureLog;
 
 /**
  * The thread on which a process follows and asks; not the loop, and not the one that writes a
  * voter's log.
  */
-public final class FollowThread {
+public final class FollowerThread {
 
-    private final ScheduledThreadPoolExecutor pool;
-    private final TaskFailures failures;
+    private final ScheduledThreadPoolExecutor executor;
+    private final TaskFailureLog failures;
 
-    public FollowThread(String name) {
+    public FollowerThread(String name) {
         String threadName = "quorum-follow-" + name;
-        failures = new TaskFailures(threadName);
-        pool =
+        failures = new TaskFailureLog(threadName);
+        executor =
                 new ScheduledThreadPoolExecutor(
                         1,
                         task -> {
@@ -25,22 +25,22 @@
                             t.setDaemon(true);
                             return t;
                         });
-        pool.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
+        executor.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
     }
 
-    void run(Runnable task) {
-        after(task, 0);
+    void execute(Runnable task) {
+        schedule(task, 0);
     }
 
-    void after(Runnable task, long micros) {
+    void schedule(Runnable task, long micros) {
         try {
-            pool.schedule(failures.told(task), micros, TimeUnit.MICROSECONDS);
+            executor.schedule(failures.withLogging(task), micros, TimeUnit.MICROSECONDS);
         } catch (RejectedExecutionException e) {
             // Closed: nobody waits for it any more.
         }
     }
 
     public void close() {
-        pool.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/follow/Following.java
+++ b/quorum/src/main/java/postgrade/quorum/follow/StateClient.java
@@ -5,56 +5,60 @@
 import java.util.concurrent.Executor;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import postgrade.quorum.engine.Faults;
+import postgrade.quorum.engine.FaultStatus;
 import postgrade.quorum.engine.Voter;
 import postgrade.quorum.settings.QuorumSettings;
-import postgrade.quorum.wire.Links;
+import postgrade.quorum.wire.VoterConnections;
 import postgrade.shared.Command;
 import postgrade.shared.Sharing.Reply;
 import postgrade.shared.View;
 
 /** What every process does, voter or not: follows, and asks. */
-public final class Following {
+public final class StateClient {
 
-    private final FollowThread thread;
+    private final FollowerThread thread;
     private final Follower follower;
-    private final Asker asker;
+    private final CommandSubmitter commandSubmitter;
 
     /**
      * @param voter the one in this process, or null
      */
-    public Following(
+    public StateClient(
             QuorumSettings settings,
             LongSupplier nowMicros,
-            Links links,
+            VoterConnections connections,
             Voter voter,
-            Faults faults,
+            FaultStatus faultStatus,
             Executor onLoop) {
-        thread = new FollowThread(settings.name());
-        List<Way> ways = ways(settings, links, voter);
-        Eras eras = new Eras(faults);
+        thread = new FollowerThread(settings.name());
+        List<VoterChannel> channels = channels(settings, connections, voter);
+        CurrentEra currentEra = new CurrentEra(faultStatus);
         long seed = settings.name().hashCode() * 31L + settings.incarnation();
-        follower = new Follower(settings, nowMicros, thread, ways, eras, faults, seed);
-        asker = new Asker(settings, nowMicros, thread, ways, eras, onLoop, seed + 1);
+        follower =
+                new Follower(settings, nowMicros, thread, channels, currentEra, faultStatus, seed);
+        commandSubmitter =
+                new CommandSubmitter(
+                        settings, nowMicros, thread, channels, currentEra, onLoop, seed + 1);
     }
 
     /**
      * One's own voter first; the others in an order that differs by process, so that they share the
      * pulls.
      */
-    private static List<Way> ways(QuorumSettings settings, Links links, Voter voter) {
-        List<Way> ways = new ArrayList<>();
+    private static List<VoterChannel> channels(
+            QuorumSettings settings, VoterConnections connections, Voter voter) {
+        List<VoterChannel> channels = new ArrayList<>();
         if (voter != null) {
-            ways.add(Way.within(settings.name(), voter.desk()));
+            channels.add(VoterChannel.local(settings.name(), voter.requestHandler()));
         }
         int first = Math.floorMod(settings.name().hashCode(), settings.voters().size());
         for (int i = 0; i < settings.voters().size(); i++) {
             String name = settings.voters().get((first + i) % settings.voters().size()).name();
             if (!name.equals(settings.name())) {
-                ways.add(Way.over(links, name));
+                channels.add(VoterChannel.remote(connections, name));
             }
         }
-        return ways;
+        return channels;
     }
 
     public void start() {
@@ -73,12 +77,12 @@
         return follower.voters();
     }
 
-    public void ask(Command command, long withinMicros, Consumer<Reply> done) {
-        asker.ask(command, withinMicros, done);
+    public void submit(Command command, long timeoutMicros, Consumer<Reply> done) {
+        commandSubmitter.submit(command, timeoutMicros, done);
     }
 
     public void close() {
-        asker.close();
+        commandSubmitter.close();
         thread.close();
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/follow/Way.java
+++ b/quorum/src/main/java/postgrade/quorum/follow/VoterChannel.java
@@ -1,9 +1,9 @@
 package postgrade.quorum.follow;
 
 import java.util.function.Consumer;
-import postgrade.quorum.wire.Links;
 import postgrade.quorum.wire.Methods;
 import postgrade.quorum.wire.Server;
+import postgrade.quorum.wire.VoterConnections;
 import postgrade.quorum.wire.proto.AskReply;
 import postgrade.quorum.wire.proto.AskRequest;
 import postgrade.quorum.wire.proto.PullReply;
@@ -13,7 +13,7 @@
  * A way to a voter: over the wire, or to the one in this process. Answers are null where none came
  * in time.
  */
-interface Way {
+interface VoterChannel {
 
     String voter();
 
@@ -21,8 +21,8 @@
 
     void ask(AskRequest request, long withinMillis, Consumer<AskReply> done);
 
-    static Way over(Links links, String voter) {
-        return new Way() {
+    static VoterChannel remote(VoterConnections connections, String voter) {
+        return new VoterChannel() {
             @Override
             public String voter() {
                 return voter;
@@ -30,7 +30,7 @@
 
             @Override
             public void pull(PullRequest request, long withinMillis, Consumer<PullReply> done) {
-                links.call(
+                connections.call(
                         voter,
                         Methods.PULL,
                         request,
@@ -40,7 +40,7 @@
 
             @Override
             public void ask(AskRequest request, long withinMillis, Consumer<AskReply> done) {
-                links.call(
+                connections.call(
                         voter,
                         Methods.ASK,
                         request,
@@ -50,8 +50,8 @@
         };
     }
 
-    static Way within(String name, Server.Desk voter) {
-        return new Way() {
+    static VoterChannel local(String name, Server.RequestHandler handler) {
+        return new VoterChannel() {
             @Override
             public String voter() {
                 return name;
@@ -59,12 +59,12 @@
 
             @Override
             public void pull(PullRequest request, long withinMillis, Consumer<PullReply> done) {
-                voter.pull(request, done);
+                handler.pull(request, done);
             }
 
             @Override
             public void ask(AskRequest request, long withinMillis, Consumer<AskReply> done) {
-                voter.ask(request, done);
+                handler.ask(request, done);
             }
         };
     }
--- a/quorum/src/main/java/postgrade/quorum/settings/QuorumSettings.java
+++ b/quorum/src/main/java/postgrade/quorum/settings/QuorumSettings.java
@@ -36,64 +36,70 @@
     public static final int DEFAULT_PULL_INTERVAL_MILLIS = 250;
     public static final int DEFAULT_HEARTBEAT_INTERVAL_MILLIS = 100;
     public static final int DEFAULT_ELECTION_TIMEOUT_MILLIS = 800;
-    private static final int MOST_VOTERS = 5;
-    private static final int MOST_NAME = 64;
-    private static final String BESIDE = ".beside";
+    private static final int MAX_VOTERS = 5;
+    private static final int MAX_NAME_LENGTH = 64;
+    private static final String OBSERVER_SUFFIX = ".beside";
 
     /** Where a voter listens. */
     public record Voter(String name, String host, int port) {
         public Voter {
-            named("voters: name", name);
+            requireName("voters: name", name);
             if (port < 1 || port > 65_535) {
-                throw new Faulty("voters", name + ": port must lie between 1 and 65535");
+                throw new InvalidQuorumSettingException(
+                        "voters", name + ": port must lie between 1 and 65535");
             }
             try {
                 if (!InetAddress.getByName(host).isLoopbackAddress()) {
-                    throw new Faulty(
+                    throw new InvalidQuorumSettingException(
                             "voters", name + ": host must be a loopback address, not " + host);
                 }
             } catch (UnknownHostException e) {
-                throw new Faulty("voters", name + ": host " + host + " is not known");
+                throw new InvalidQuorumSettingException(
+                        "voters", name + ": host " + host + " is not known");
             }
         }
     }
 
     /** A setting that cannot be used; the message begins with its key. */
-    public static final class Faulty extends IllegalArgumentException {
+    public static final class InvalidQuorumSettingException extends IllegalArgumentException {
         private static final long serialVersionUID = 1L;
 
-        public Faulty(String key, String what) {
-            super(key + ": " + what);
+        public InvalidQuorumSettingException(String key, String problem) {
+            super(key + ": " + problem);
         }
     }
 
     public QuorumSettings {
-        named("name", name);
+        requireName("name", name);
         if (incarnation < 0) {
-            throw new Faulty("incarnation", "must not be negative");
+            throw new InvalidQuorumSettingException("incarnation", "must not be negative");
         }
         voters = List.copyOf(voters);
-        if (voters.isEmpty() || voters.size() > MOST_VOTERS || voters.size() % 2 == 0) {
-            throw new Faulty("voters", "must be 3 or 5, or 1 to try out, not " + voters.size());
+        if (voters.isEmpty() || voters.size() > MAX_VOTERS || voters.size() % 2 == 0) {
+            throw new InvalidQuorumSettingException(
+                    "voters", "must be 3 or 5, or 1 to try out, not " + voters.size());
         }
         Set<String> names = new HashSet<>();
         Set<String> places = new HashSet<>();
         for (Voter v : voters) {
             if (!names.add(v.name)) {
-                throw new Faulty("voters", "the name " + v.name + " stands there twice");
+                throw new InvalidQuorumSettingException(
+                        "voters", "the name " + v.name + " stands there twice");
             }
             if (!places.add(v.host + ":" + v.port)) {
-                throw new Faulty("voters", "two of them listen on " + v.host + ":" + v.port);
+                throw new InvalidQuorumSettingException(
+                        "voters", "two of them listen on " + v.host + ":" + v.port);
             }
         }
         if (names.contains(name) && store == null) {
-            throw new Faulty("store", "is missing, and " + name + " is a voter");
+            throw new InvalidQuorumSettingException(
+                    "store", "is missing, and " + name + " is a voter");
         }
-        within("heartbeat_ms", heartbeatIntervalMillis, 10, 10_000);
-        within("election_ms", electionTimeoutMillis, 2L * heartbeatIntervalMillis, 60_000);
-        within("pull_ms", pullIntervalMillis, 10, 10_000);
-        within("request_ms", requestTimeoutMillis, 10, 60_000);
-        within("view_age_ms", maxViewAgeMicros / 1000, 2L * pullIntervalMillis, 600_000);
+        requireBetween("heartbeat_ms", heartbeatIntervalMillis, 10, 10_000);
+        requireBetween("election_ms", electionTimeoutMillis, 2L * heartbeatIntervalMillis, 60_000);
+        requireBetween("pull_ms", pullIntervalMillis, 10, 10_000);
+        requireBetween("request_ms", requestTimeoutMillis, 10, 60_000);
+        requireBetween("view_age_ms", maxViewAgeMicros / 1000, 2L * pullIntervalMillis, 600_000);
     }
 
     /** With the customary bounds. */
@@ -110,10 +116,10 @@
                 DEFAULT_ELECTION_TIMEOUT_MILLIS);
     }
 
-    public QuorumSettings withIncarnation(long taken) {
+    public QuorumSettings withIncarnation(long newIncarnation) {
         return new QuorumSettings(
                 name,
-                taken,
+                newIncarnation,
                 voters,
                 store,
                 maxViewAgeMicros,
@@ -124,18 +130,19 @@
     }
 
     /** Under a name that is no voter's, as voters bound the pulls of each name. */
-    public QuorumSettings beside() {
-        String other =
+    public QuorumSettings asObserver() {
+        String observerName =
                 name.substring(
                                 0,
                                 Math.min(
-                                        name.length(), MOST_NAME - BESIDE.length() - voters.size()))
-                        + BESIDE;
-        while (voter(other) != null) {
-            other += "-";
+                                        name.length(),
+                                        MAX_NAME_LENGTH - OBSERVER_SUFFIX.length() - voters.size()))
+                        + OBSERVER_SUFFIX;
+        while (voter(observerName) != null) {
+            observerName += "-";
         }
         return new QuorumSettings(
-                other,
+                observerName,
                 0,
                 voters,
                 null,
@@ -146,24 +153,26 @@
                 electionTimeoutMillis);
     }
 
-    public boolean votes() {
+    public boolean isVoter() {
         return voter(name) != null;
     }
 
     /** The voter of that name, or null. */
-    public Voter voter(String named) {
-        return voters.stream().filter(v -> v.name.equals(named)).findFirst().orElse(null);
+    public Voter voter(String voterName) {
+        return voters.stream().filter(v -> v.name.equals(voterName)).findFirst().orElse(null);
     }
 
-    private static void named(String key, String name) {
-        if (name == null || !name.matches("[A-Za-z0-9._-]{1," + MOST_NAME + "}")) {
-            throw new Faulty(key, "must be 1 to 64 letters, digits, dots, dashes or underscores");
+    private static void requireName(String key, String name) {
+        if (name == null || !name.matches("[A-Za-z0-9._-]{1," + MAX_NAME_LENGTH + "}")) {
+            throw new InvalidQuorumSettingException(
+                    key, "must be 1 to 64 letters, digits, dots, dashes or underscores");
         }
     }
 
-    private static void within(String key, long value, long least, long most) {
-        if (value < least || value > most) {
-            throw new Faulty(key, "must lie between " + least + " and " + most + ", not " + value);
+    private static void requireBetween(String key, long value, long min, long max) {
+        if (value < min || value > max) {
+            throw new InvalidQuorumSettingException(
+                    key, "must lie between " + min + " and " + max + ", not " + value);
         }
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/settings/SharingFile.java
+++ b/quorum/src/main/java/postgrade/quorum/settings/SharingFile.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import postgrade.quorum.settings.QuorumSettings.Faulty;
+import postgrade.quorum.settings.QuorumSettings.InvalidQuorumSettingException;
 import postgrade.quorum.settings.QuorumSettings.Voter;
 import postgrade.script.Module;
 import postgrade.script.Script;
@@ -33,7 +33,7 @@
                     "heartbeat_ms",
                     "election_ms");
 
-    private record Made(Voter voter) implements HostObject {
+    private record VoterValue(Voter voter) implements HostObject {
         @Override
         public String typeName() {
             return "voter";
@@ -72,7 +72,10 @@
 
     /** What a script of this kind may call. */
     public static Map<String, Object> scriptFunctions() {
-        return Map.of("voter", Script.function("voter", "name host port", a -> new Made(voter(a))));
+        return Map.of(
+                "voter",
+                Script.function(
+                        "voter", "name host port", arguments -> new VoterValue(voter(arguments))));
     }
 
     /**
@@ -80,35 +83,42 @@
      *
      * @param others keys that somebody else reads
      */
-    public static QuorumSettings read(Module script, Path file, String name, Set<String> others) {
-        return new SharingFile(script, file.getFileName().toString()).settings(name, others);
+    public static QuorumSettings read(
+            Module script, Path file, String name, Set<String> otherKeys) {
+        return new SharingFile(script, file.getFileName().toString()).settings(name, otherKeys);
     }
 
-    private static Voter voter(Object[] a) {
-        if (!(a[0] instanceof String name) || !(a[1] instanceof String host)) {
+    private static Voter voter(Object[] arguments) {
+        if (!(arguments[0] instanceof String name) || !(arguments[1] instanceof String host)) {
             throw Script.error("voter: name and host must be strings");
         }
         try {
-            return new Voter(name, host, (int) Math.min(Integer.MAX_VALUE, whole("port", a[2])));
-        } catch (Faulty e) {
+            return new Voter(
+                    name,
+                    host,
+                    (int) Math.min(Integer.MAX_VALUE, wholeNumber("port", arguments[2])));
+        } catch (InvalidQuorumSettingException e) {
             throw Script.error(e.getMessage());
         }
     }
 
-    private QuorumSettings settings(String given, Set<String> others) {
+    private QuorumSettings settings(String givenName, Set<String> otherKeys) {
         for (String global : script.globals()) {
             Object value = script.global(global);
             if (!KEYS.contains(global)
-                    && !others.contains(global)
+                    && !otherKeys.contains(global)
                     && !global.startsWith("_")
                     && !Values.type(value).equals("function")) {
-                throw faulty(new Faulty(global, "is no setting; names of one's own begin with _"));
+                throw withFileName(
+                        new InvalidQuorumSettingException(
+                                global, "is no setting; names of one's own begin with _"));
             }
         }
         try {
-            String name = given != null ? given : text("name");
+            String name = givenName != null ? givenName : text("name");
             if (name == null) {
-                throw new Faulty("name", "is missing: this process needs a name of its own");
+                throw new InvalidQuorumSettingException(
+                        "name", "is missing: this process needs a name of its own");
             }
             String store = text("store");
             return new QuorumSettings(
@@ -121,28 +131,29 @@
                     (int) number("pull_ms", QuorumSettings.DEFAULT_PULL_INTERVAL_MILLIS),
                     (int) number("heartbeat_ms", QuorumSettings.DEFAULT_HEARTBEAT_INTERVAL_MILLIS),
                     (int) number("election_ms", QuorumSettings.DEFAULT_ELECTION_TIMEOUT_MILLIS));
-        } catch (Faulty e) {
-            throw faulty(e);
+        } catch (InvalidQuorumSettingException e) {
+            throw withFileName(e);
         } catch (java.nio.file.InvalidPathException e) {
-            throw faulty(new Faulty("store", "is not a folder's name"));
+            throw withFileName(
+                    new InvalidQuorumSettingException("store", "is not a folder's name"));
         }
     }
 
     private List<Voter> voters() {
         Object value = script.global("voters");
         if (!(value instanceof Sequence sequence)) {
-            throw new Faulty(
+            throw new InvalidQuorumSettingException(
                     "voters",
                     value == null ? "is missing" : "must be a list, not " + Values.type(value));
         }
         List<Voter> voters = new ArrayList<>();
         for (int i = 0; i < sequence.size(); i++) {
-            if (!(sequence.get(i) instanceof Made made)) {
-                throw new Faulty(
+            if (!(sequence.get(i) instanceof VoterValue voterValue)) {
+                throw new InvalidQuorumSettingException(
                         "voters",
                         "must hold voter(name, host, port), not " + Values.type(sequence.get(i)));
             }
-            voters.add(made.voter);
+            voters.add(voterValue.voter);
         }
         return voters;
     }
@@ -150,17 +161,18 @@
     private String text(String key) {
         Object value = script.global(key);
         if (value != null && !(value instanceof String)) {
-            throw new Faulty(key, "must be a string, not " + Values.type(value));
+            throw new InvalidQuorumSettingException(
+                    key, "must be a string, not " + Values.type(value));
         }
         return (String) value;
     }
 
-    private long number(String key, long otherwise) {
+    private long number(String key, long defaultValue) {
         Object value = script.global(key);
-        return value == null ? otherwise : whole(key, value);
+        return value == null ? defaultValue : wholeNumber(key, value);
     }
 
-    private static long whole(String key, Object value) {
+    private static long wholeNumber(String key, Object value) {
         if (value instanceof Long || value instanceof Integer) {
             // Guards the casts that follow: what is too large stays too large.
             return Math.max(-1, Math.min(Integer.MAX_VALUE, ((Number) value).longValue()));
@@ -168,10 +180,11 @@
         if (value instanceof BigInteger) {
             return Integer.MAX_VALUE;
         }
-        throw new Faulty(key, "must be a whole number, not " + Values.type(value));
+        throw new InvalidQuorumSettingException(
+                key, "must be a whole number, not " + Values.type(value));
     }
 
-    private IllegalArgumentException faulty(Faulty e) {
+    private IllegalArgumentException withFileName(InvalidQuorumSettingException e) {
         return new IllegalArgumentException(file + ": " + e.getMessage());
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/store/Incarnations.java
+++ b/quorum/src/main/java/postgrade/quorum/store/Incarnations.java
@@ -18,24 +18,24 @@
     /**
      * @param folder may be null: then the wall's time alone counts
      */
-    public static long next(Path folder, long wallMillis) {
+    public static long next(Path folder, long wallClockMillis) {
         if (folder == null) {
-            return wallMillis;
+            return wallClockMillis;
         }
         Path file = folder.resolve(FILE);
-        long before = 0;
+        long previous = 0;
         try {
-            before = Long.parseLong(Files.readString(file).strip());
+            previous = Long.parseLong(Files.readString(file).strip());
         } catch (IOException | NumberFormatException e) {
             // None yet, or torn: the wall's time is as good as for a process without a folder.
         }
-        long next = Math.max(before + 1, wallMillis);
+        long next = Math.max(previous + 1, wallClockMillis);
         try {
             Files.createDirectories(folder);
-            Path whole = folder.resolve(FILE + ".new");
-            Files.writeString(whole, next + "\n");
+            Path newFile = folder.resolve(FILE + ".new");
+            Files.writeString(newFile, next + "\n");
             Files.move(
-                    whole,
+                    newFile,
                     file,
                     StandardCopyOption.ATOMIC_MOVE,
                     StandardCopyOption.REPLACE_EXISTING);
--- a/quorum/src/main/java/postgrade/quorum/store/VoterStore.java
+++ b/quorum/src/main/java/postgrade/quorum/store/VoterStore.java
@@ -21,7 +21,7 @@
 import org.h2.mvstore.MVStore;
 import org.h2.mvstore.MVStoreException;
 import postgrade.quorum.wire.Endpoint;
-import postgrade.quorum.wire.LogShapes;
+import postgrade.quorum.wire.LogCodec;
 import postgrade.quorum.wire.proto.Chunk;
 import postgrade.quorum.wire.proto.Entry;
 import postgrade.quorum.wire.proto.Members;
@@ -40,23 +40,23 @@
 
     public static final String FILE = "voter.mv";
     private static final int FORMAT = 1;
-    private static final long CHUNKS = 10_000;
+    private static final long CHUNK_KEYS_PER_SNAPSHOT = 10_000;
 
-    private final MVStore mv;
-    private final MVMap<String, String> facts;
+    private final MVStore mvStore;
+    private final MVMap<String, String> metadata;
     private final MVMap<String, byte[]> state;
     private final MVMap<Long, byte[]> log;
     private final MVMap<Long, byte[]> chunks;
-    private Consumer<String> failed = why -> {};
-    private String fault;
+    private Consumer<String> failureListener = why -> {};
+    private String failure;
     private long slowestNanos;
 
-    private VoterStore(MVStore mv) {
-        this.mv = mv;
-        facts = mv.openMap("facts");
-        state = mv.openMap("state");
-        log = mv.openMap("log");
-        chunks = mv.openMap("chunks");
+    private VoterStore(MVStore mvStore) {
+        this.mvStore = mvStore;
+        metadata = mvStore.openMap("facts");
+        state = mvStore.openMap("state");
+        log = mvStore.openMap("log");
+        chunks = mvStore.openMap("chunks");
     }
 
     public static boolean exists(Path folder) {
@@ -70,10 +70,10 @@
         if (!exists(folder)) {
             throw new IOException("no store in " + folder);
         }
-        VoterStore store = file(folder);
-        String format = store.facts.get("format");
+        VoterStore store = openFile(folder);
+        String format = store.metadata.get("format");
         if (!String.valueOf(FORMAT).equals(format)) {
-            store.mv.closeImmediately();
+            store.mvStore.closeImmediately();
             throw new IOException(
                     "the store has format " + format + ", this program knows " + FORMAT);
         }
@@ -81,24 +81,24 @@
     }
 
     /** A new store, of a new identity; the first members are those with which its era began. */
-    public static VoterStore create(Path folder, Facts facts) throws IOException {
+    public static VoterStore create(Path folder, Metadata metadata) throws IOException {
         Files.createDirectories(folder);
         if (exists(folder)) {
             throw new IOException("there is a store in " + folder + " already");
         }
-        VoterStore store = file(folder);
-        store.facts.put("format", String.valueOf(FORMAT));
-        store.facts.put("name", facts.self().name());
-        store.facts.put("identity", facts.self().identity());
-        store.facts.put("group", facts.group());
-        store.facts.put("era", String.valueOf(facts.era()));
-        store.facts.put("boot", "0");
-        store.facts.put("initial", String.join(" ", facts.initial()));
-        store.write(() -> {});
+        VoterStore store = openFile(folder);
+        store.metadata.put("format", String.valueOf(FORMAT));
+        store.metadata.put("name", metadata.self().name());
+        store.metadata.put("identity", metadata.self().identity());
+        store.metadata.put("group", metadata.group());
+        store.metadata.put("era", String.valueOf(metadata.era()));
+        store.metadata.put("boot", "0");
+        store.metadata.put("initial", String.join(" ", metadata.initial()));
+        store.commitAndSync(() -> {});
         return store;
     }
 
-    private static VoterStore file(Path folder) throws IOException {
+    private static VoterStore openFile(Path folder) throws IOException {
         try {
             // Commits come from here alone, each followed by a sync; nothing is written behind our
             // back.
@@ -119,40 +119,40 @@
      * @param group names the era's one log; another log of the same era has another name
      * @param initial members with which the log began
      */
-    public record Facts(Endpoint self, String group, long era, List<String> initial) {}
-
-    public Facts facts() {
-        return new Facts(
-                new Endpoint(facts.get("name"), facts.get("identity")),
-                facts.get("group"),
-                Long.parseLong(facts.get("era")),
-                List.of(facts.get("initial").split(" ")));
+    public record Metadata(Endpoint self, String group, long era, List<String> initial) {}
+
+    public Metadata metadata() {
+        return new Metadata(
+                new Endpoint(metadata.get("name"), metadata.get("identity")),
+                metadata.get("group"),
+                Long.parseLong(metadata.get("era")),
+                List.of(metadata.get("initial").split(" ")));
     }
 
     /** How often it was opened to vote. */
     public long boot() {
-        return Long.parseLong(facts.get("boot"));
+        return Long.parseLong(metadata.get("boot"));
     }
 
-    public void countBoot() throws IOException {
-        write(() -> facts.put("boot", String.valueOf(boot() + 1)));
+    public void incrementBoot() throws IOException {
+        commitAndSync(() -> metadata.put("boot", String.valueOf(boot() + 1)));
     }
 
     /** The highest start that this voter has heard of a peer. */
     public long seenBoot(String endpoint) {
-        return Long.parseLong(facts.getOrDefault("seen " + endpoint, "0"));
+        return Long.parseLong(metadata.getOrDefault("seen " + endpoint, "0"));
     }
 
-    public void seenBoot(String endpoint, long boot) throws IOException {
+    public void recordSeenBoot(String endpoint, long boot) throws IOException {
         if (boot > seenBoot(endpoint)) {
-            write(() -> facts.put("seen " + endpoint, String.valueOf(boot)));
+            commitAndSync(() -> metadata.put("seen " + endpoint, String.valueOf(boot)));
         }
     }
 
     public long lastIndex() {
         return Math.max(
                 log.isEmpty() ? 0 : log.lastKey(),
-                chunks.isEmpty() ? 0 : chunks.lastKey() / CHUNKS);
+                chunks.isEmpty() ? 0 : chunks.lastKey() / CHUNK_KEYS_PER_SNAPSHOT);
     }
 
     public int term() throws IOException {
@@ -161,23 +161,23 @@
     }
 
     /** Told once, by the call that could not write. */
-    public void onFailure(Consumer<String> told) {
-        failed = told;
+    public void onFailure(Consumer<String> listener) {
+        failureListener = listener;
     }
 
     /** Null, or why nothing is written any more. */
-    public String fault() {
-        return fault;
+    public String failure() {
+        return failure;
     }
 
     /** What the engine begins from; null where it has never begun. */
-    public RestoredRaftState restored() throws IOException {
+    public RestoredRaftState restore() throws IOException {
         byte[] self = state.get("self");
         byte[] initial = state.get("initial");
         if (self == null || initial == null) {
             return null;
         }
-        Self s = Self.parseFrom(self);
+        Self storedSelf = Self.parseFrom(self);
         DefaultRaftModelFactory model = new DefaultRaftModelFactory();
         Term term =
                 state.containsKey("term")
@@ -191,14 +191,14 @@
             if (key != next) {
                 throw new IOException("the store's log lacks entry " + next);
             }
-            entries.add(LogShapes.entry(Entry.parseFrom(log.get(key))));
+            entries.add(LogCodec.entry(Entry.parseFrom(log.get(key))));
         }
         return new RestoredRaftState(
                 model.createRaftEndpointPersistentStateBuilder()
-                        .setLocalEndpoint(Endpoint.of(s.getEndpoint()))
-                        .setVoting(s.getVoting())
+                        .setLocalEndpoint(Endpoint.of(storedSelf.getEndpoint()))
+                        .setVoting(storedSelf.getVoting())
                         .build(),
-                LogShapes.members(Members.parseFrom(initial)),
+                LogCodec.members(Members.parseFrom(initial)),
                 model.createRaftTermPersistentStateBuilder()
                         .setTerm(term.getTerm())
                         .setVotedFor(
@@ -215,15 +215,16 @@
             throws InvalidProtocolBufferException {
         for (Long key = chunks.lastKey();
                 key != null;
-                key = chunks.lowerKey(key / CHUNKS * CHUNKS)) {
-            long index = key / CHUNKS;
+                key = chunks.lowerKey(key / CHUNK_KEYS_PER_SNAPSHOT * CHUNK_KEYS_PER_SNAPSHOT)) {
+            long index = key / CHUNK_KEYS_PER_SNAPSHOT;
             List<SnapshotChunk> all = new ArrayList<>();
-            for (Iterator<Long> keys = chunks.keyIterator(index * CHUNKS); keys.hasNext(); ) {
+            for (Iterator<Long> keys = chunks.keyIterator(index * CHUNK_KEYS_PER_SNAPSHOT);
+                    keys.hasNext(); ) {
                 long chunk = keys.next();
-                if (chunk / CHUNKS != index) {
+                if (chunk / CHUNK_KEYS_PER_SNAPSHOT != index) {
                     break;
                 }
-                all.add(LogShapes.chunk(Chunk.parseFrom(chunks.get(chunk))));
+                all.add(LogCodec.chunk(Chunk.parseFrom(chunks.get(chunk))));
             }
             if (all.size() == all.get(0).getSnapshotChunkCount()) {
                 return model.createSnapshotEntryBuilder()
@@ -239,7 +240,7 @@
 
     @Override
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState s) throws IOException {
-        write(
+        commitAndSync(
                 () ->
                         state.put(
                                 "self",
@@ -253,12 +254,12 @@
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members)
             throws IOException {
-        write(() -> state.put("initial", LogShapes.members(members).toByteArray()));
+        commitAndSync(() -> state.put("initial", LogCodec.members(members).toByteArray()));
     }
 
     @Override
     public void persistAndFlushTerm(RaftTermPersistentState t) throws IOException {
-        write(
+        commitAndSync(
                 () ->
                         state.put(
                                 "term",
@@ -274,35 +275,40 @@
 
     @Override
     public void persistLogEntries(List<LogEntry> entries) throws IOException {
-        change(() -> entries.forEach(e -> log.put(e.getIndex(), LogShapes.entry(e).toByteArray())));
+        modify(() -> entries.forEach(e -> log.put(e.getIndex(), LogCodec.entry(e).toByteArray())));
     }
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk c) throws IOException {
-        change(
+        modify(
                 () ->
                         chunks.put(
-                                c.getIndex() * CHUNKS + c.getSnapshotChunkIndex(),
-                                LogShapes.chunk(c).toByteArray()));
+                                c.getIndex() * CHUNK_KEYS_PER_SNAPSHOT + c.getSnapshotChunkIndex(),
+                                LogCodec.chunk(c).toByteArray()));
     }
 
     @Override
     public void truncateLogEntriesFrom(long index) throws IOException {
-        change(() -> remove(log, index, Long.MAX_VALUE));
+        modify(() -> remove(log, index, Long.MAX_VALUE));
     }
 
     @Override
     public void truncateLogEntriesUntil(long index) throws IOException {
-        change(
+        modify(
                 () -> {
                     remove(log, 0, index);
-                    remove(chunks, 0, index * CHUNKS - 1);
+                    remove(chunks, 0, index * CHUNK_KEYS_PER_SNAPSHOT - 1);
                 });
     }
 
     @Override
     public void deleteSnapshotChunks(long index, int count) throws IOException {
-        change(() -> remove(chunks, index * CHUNKS, index * CHUNKS + CHUNKS - 1));
+        modify(
+                () ->
+                        remove(
+                                chunks,
+                                index * CHUNK_KEYS_PER_SNAPSHOT,
+                                index * CHUNK_KEYS_PER_SNAPSHOT + CHUNK_KEYS_PER_SNAPSHOT - 1));
     }
 
     private static void remove(MVMap<Long, byte[]> map, long from, long until) {
@@ -315,17 +321,17 @@
 
     @Override
     public void flush() throws IOException {
-        write(() -> {});
+        commitAndSync(() -> {});
     }
 
-    private void write(Runnable what) throws IOException {
-        change(
+    private void commitAndSync(Runnable change) throws IOException {
+        modify(
                 () -> {
-                    long from = System.nanoTime();
-                    what.run();
-                    mv.commit();
-                    mv.sync();
-                    slowestNanos = Math.max(slowestNanos, System.nanoTime() - from);
+                    long startNanos = System.nanoTime();
+                    change.run();
+                    mvStore.commit();
+                    mvStore.sync();
+                    slowestNanos = Math.max(slowestNanos, System.nanoTime() - startNanos);
                 });
     }
 
@@ -334,25 +340,25 @@
         return slowestNanos / 1_000_000;
     }
 
-    public void forgetSlowest() {
+    public void resetSlowest() {
         slowestNanos = 0;
     }
 
-    private void change(Runnable what) throws IOException {
-        if (fault != null) {
-            throw new IOException(fault);
+    private void modify(Runnable change) throws IOException {
+        if (failure != null) {
+            throw new IOException(failure);
         }
         try {
-            what.run();
+            change.run();
         } catch (RuntimeException e) {
-            fault = "the store cannot be written: " + e.getMessage();
-            failed.accept(fault);
-            throw new IOException(fault, e);
+            failure = "the store cannot be written: " + e.getMessage();
+            failureListener.accept(failure);
+            throw new IOException(failure, e);
         }
     }
 
     /** Closes the file; what was flushed stays. */
     public void close() {
-        mv.closeImmediately();
+        mvStore.closeImmediately();
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/wire/LogShapes.java
+++ b/quorum/src/main/java/postgrade/quorum/wire/LogCodec.java
@@ -19,7 +19,7 @@
 import postgrade.shared.Machine;
 
 /** Entries and snapshots of the log, as they go over the wire and into the store. */
-public final class LogShapes {
+public final class LogCodec {
 
     /** The first entry of a leader's term: commits what stood before it, and changes nothing. */
     public static final Object NEW_TERM =
@@ -32,13 +32,13 @@
 
     static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
 
-    private LogShapes() {}
+    private LogCodec() {}
 
     public static Entry entry(LogEntry e) {
         Entry.Builder b = Entry.newBuilder().setIndex(e.getIndex()).setTerm(e.getTerm());
         Object operation = e.getOperation();
         if (operation instanceof Command c) {
-            b.setCommand(Shapes.command(c));
+            b.setCommand(StateCodec.command(c));
         } else if (operation instanceof UpdateRaftGroupMembersOp op) {
             b.setChange(
                     MemberChange.newBuilder()
@@ -57,7 +57,7 @@
     public static LogEntry entry(Entry m) {
         Object operation =
                 switch (m.getOperationCase()) {
-                    case COMMAND -> Shapes.command(m.getCommand());
+                    case COMMAND -> StateCodec.command(m.getCommand());
                     case CHANGE ->
                             MODEL.createUpdateRaftGroupMembersOpBuilder()
                                     .setMembers(endpoints(m.getChange().getMembersList()))
@@ -99,7 +99,7 @@
                 .setNumber(c.getSnapshotChunkIndex())
                 .setCount(c.getSnapshotChunkCount())
                 .setMembers(members(c.getGroupMembersView()))
-                .setRows(Shapes.snapshot((Machine.Snapshot) c.getOperation()))
+                .setRows(StateCodec.snapshot((Machine.Snapshot) c.getOperation()))
                 .build();
     }
 
@@ -110,7 +110,7 @@
                 .setSnapshotChunkIndex(m.getNumber())
                 .setSnapshotChunkCount(m.getCount())
                 .setGroupMembersView(members(m.getMembers()))
-                .setOperation(Shapes.snapshot(m.getRows()))
+                .setOperation(StateCodec.snapshot(m.getRows()))
                 .build();
     }
 
--- a/quorum/src/main/java/postgrade/quorum/wire/Methods.java
+++ b/quorum/src/main/java/postgrade/quorum/wire/Methods.java
@@ -27,7 +27,7 @@
     static final String SERVICE = "postgrade.Quorum";
 
     /** Guards the receiver: a snapshot is the largest message. */
-    static final int MOST_BYTES = 64 << 20;
+    static final int MAX_MESSAGE_BYTES = 64 << 20;
 
     /** A stream of consensus messages, one way; answers come on the other's stream. */
     static final MethodDescriptor<RaftMsg, None> RAFT =
--- a/quorum/src/main/java/postgrade/quorum/wire/RaftShapes.java
+++ b/quorum/src/main/java/postgrade/quorum/wire/RaftCodec.java
@@ -1,6 +1,6 @@
 package postgrade.quorum.wire;
 
-import static postgrade.quorum.wire.LogShapes.MODEL;
+import static postgrade.quorum.wire.LogCodec.MODEL;
 
 import io.microraft.RaftEndpoint;
 import io.microraft.model.message.AppendEntriesFailureResponse;
@@ -17,45 +17,47 @@
 import postgrade.quorum.wire.proto.RaftMsg;
 
 /** Messages of the consensus engine as they go over the wire. */
-public final class RaftShapes {
+public final class RaftCodec {
 
-    private static final int APPEND = 1;
-    private static final int APPENDED = 2;
-    private static final int NOT_APPENDED = 3;
-    private static final int INSTALL = 4;
-    private static final int INSTALLED = 5;
-    private static final int PRE_VOTE = 6;
-    private static final int PRE_VOTED = 7;
-    private static final int VOTE = 8;
-    private static final int VOTED = 9;
-    private static final int ELECT = 10;
+    private static final int APPEND_ENTRIES = 1;
+    private static final int APPEND_SUCCESS = 2;
+    private static final int APPEND_FAILURE = 3;
+    private static final int INSTALL_SNAPSHOT = 4;
+    private static final int INSTALL_SNAPSHOT_RESPONSE = 5;
+    private static final int PRE_VOTE_REQUEST = 6;
+    private static final int PRE_VOTE_RESPONSE = 7;
+    private static final int VOTE_REQUEST = 8;
+    private static final int VOTE_RESPONSE = 9;
+    private static final int TRIGGER_ELECTION = 10;
 
-    private RaftShapes() {}
+    private RaftCodec() {}
 
     /** Whether it answers what a leader sent. */
-    public static boolean answersLeader(RaftMsg m) {
-        return m.getKind() == APPENDED || m.getKind() == NOT_APPENDED || m.getKind() == INSTALLED;
+    public static boolean isResponseToLeader(RaftMsg m) {
+        return m.getKind() == APPEND_SUCCESS
+                || m.getKind() == APPEND_FAILURE
+                || m.getKind() == INSTALL_SNAPSHOT_RESPONSE;
     }
 
     /**
      * Whether it asks for a vote, or for the word that one would be given. A leader that hands over
      * is not meant: its successor asks with its consent.
      */
-    public static boolean asksForVote(RaftMsg m) {
-        return m.getKind() == PRE_VOTE || m.getKind() == VOTE && m.getFlag();
+    public static boolean isVoteRequest(RaftMsg m) {
+        return m.getKind() == PRE_VOTE_REQUEST || m.getKind() == VOTE_REQUEST && m.getFlag();
     }
 
     /**
      * Whether it asks or tells how a vote would be cast. Its term is the one that the vote would be
      * for, which neither side has entered.
      */
-    public static boolean isOfPreVote(RaftMsg m) {
-        return m.getKind() == PRE_VOTE || m.getKind() == PRE_VOTED;
+    public static boolean isPreVote(RaftMsg m) {
+        return m.getKind() == PRE_VOTE_REQUEST || m.getKind() == PRE_VOTE_RESPONSE;
     }
 
     /** Whether it answers one that asks for a vote. */
-    public static boolean answersVote(RaftMsg m) {
-        return m.getKind() == PRE_VOTED || m.getKind() == VOTED;
+    public static boolean isVoteResponse(RaftMsg m) {
+        return m.getKind() == PRE_VOTE_RESPONSE || m.getKind() == VOTE_RESPONSE;
     }
 
     /**
@@ -70,11 +72,11 @@
                 .setTo(request.getSender())
                 .setSender(from)
                 .setTerm(term)
-                .setKind(request.getKind() == PRE_VOTE ? PRE_VOTED : VOTED)
+                .setKind(request.getKind() == PRE_VOTE_REQUEST ? PRE_VOTE_RESPONSE : VOTE_RESPONSE)
                 .build();
     }
 
-    public static RaftMsg write(RaftMessage m, String to) {
+    public static RaftMsg encode(RaftMessage m, String to) {
         RaftMsg.Builder b =
                 RaftMsg.newBuilder()
                         .setGroup(m.getGroupId().toString())
@@ -82,67 +84,71 @@
                         .setSender(m.getSender().getId().toString())
                         .setTerm(m.getTerm());
         if (m instanceof AppendEntriesRequest r) {
-            b.setKind(APPEND)
+            b.setKind(APPEND_ENTRIES)
                     .setLogTerm(r.getPreviousLogTerm())
                     .setLogIndex(r.getPreviousLogIndex())
                     .setCommit(r.getCommitIndex())
                     .setQuery(r.getQuerySequenceNumber())
                     .setFlow(r.getFlowControlSequenceNumber());
-            r.getLogEntries().forEach(e -> b.addEntries(LogShapes.entry(e)));
+            r.getLogEntries().forEach(e -> b.addEntries(LogCodec.entry(e)));
         } else if (m instanceof AppendEntriesSuccessResponse r) {
-            b.setKind(APPENDED)
+            b.setKind(APPEND_SUCCESS)
                     .setLogIndex(r.getLastLogIndex())
                     .setQuery(r.getQuerySequenceNumber())
                     .setFlow(r.getFlowControlSequenceNumber());
         } else if (m instanceof AppendEntriesFailureResponse r) {
-            b.setKind(NOT_APPENDED)
+            b.setKind(APPEND_FAILURE)
                     .setLogIndex(r.getExpectedNextIndex())
                     .setQuery(r.getQuerySequenceNumber())
                     .setFlow(r.getFlowControlSequenceNumber());
         } else if (m instanceof InstallSnapshotRequest r) {
-            b.setKind(INSTALL)
+            b.setKind(INSTALL_SNAPSHOT)
                     .setFlag(r.isSenderLeader())
                     .setLogTerm(r.getSnapshotTerm())
                     .setLogIndex(r.getSnapshotIndex())
                     .setChunkCount(r.getTotalSnapshotChunkCount())
-                    .addAllHolders(LogShapes.ids(r.getSnapshottedMembers()))
-                    .setMembers(LogShapes.members(r.getGroupMembersView()))
+                    .addAllHolders(LogCodec.ids(r.getSnapshottedMembers()))
+                    .setMembers(LogCodec.members(r.getGroupMembersView()))
                     .setQuery(r.getQuerySequenceNumber())
                     .setFlow(r.getFlowControlSequenceNumber());
             if (r.getSnapshotChunk() != null) {
-                b.setChunk(LogShapes.chunk(r.getSnapshotChunk()));
+                b.setChunk(LogCodec.chunk(r.getSnapshotChunk()));
             }
         } else if (m instanceof InstallSnapshotResponse r) {
-            b.setKind(INSTALLED)
+            b.setKind(INSTALL_SNAPSHOT_RESPONSE)
                     .setLogIndex(r.getSnapshotIndex())
                     .setChunkNumber(r.getRequestedSnapshotChunkIndex())
                     .setQuery(r.getQuerySequenceNumber())
                     .setFlow(r.getFlowControlSequenceNumber());
         } else if (m instanceof PreVoteRequest r) {
-            b.setKind(PRE_VOTE).setLogTerm(r.getLastLogTerm()).setLogIndex(r.getLastLogIndex());
+            b.setKind(PRE_VOTE_REQUEST)
+                    .setLogTerm(r.getLastLogTerm())
+                    .setLogIndex(r.getLastLogIndex());
         } else if (m instanceof PreVoteResponse r) {
-            b.setKind(PRE_VOTED).setFlag(r.isGranted());
+            b.setKind(PRE_VOTE_RESPONSE).setFlag(r.isGranted());
         } else if (m instanceof VoteRequest r) {
-            b.setKind(VOTE)
+            b.setKind(VOTE_REQUEST)
                     .setLogTerm(r.getLastLogTerm())
                     .setLogIndex(r.getLastLogIndex())
                     .setFlag(r.isSticky());
         } else if (m instanceof VoteResponse r) {
-            b.setKind(VOTED).setFlag(r.isGranted());
+            b.setKind(VOTE_RESPONSE).setFlag(r.isGranted());
         } else if (m instanceof TriggerLeaderElectionRequest r) {
-            b.setKind(ELECT).setLogTerm(r.getLastLogTerm()).setLogIndex(r.getLastLogIndex());
+            b.setKind(TRIGGER_ELECTION)
+                    .setLogTerm(r.getLastLogTerm())
+                    .setLogIndex(r.getLastLogIndex());
         } else {
             throw new IllegalArgumentException("no such message: " + m);
         }
         return b.build();
     }
 
-    public static RaftMessage read(RaftMsg m) {
+    public static RaftMessage decode(RaftMsg m) {
         String group = m.getGroup();
         RaftEndpoint sender = Endpoint.of(m.getSender());
         int term = m.getTerm();
         return switch (m.getKind()) {
-            case APPEND ->
+            case APPEND_ENTRIES ->
                     MODEL.createAppendEntriesRequestBuilder()
                             .setGroupId(group)
                             .setSender(sender)
@@ -151,11 +157,11 @@
                             .setPreviousLogIndex(m.getLogIndex())
                             .setCommitIndex(m.getCommit())
                             .setLogEntries(
-                                    m.getEntriesList().stream().map(LogShapes::entry).toList())
+                                    m.getEntriesList().stream().map(LogCodec::entry).toList())
                             .setQuerySequenceNumber(m.getQuery())
                             .setFlowControlSequenceNumber(m.getFlow())
                             .build();
-            case APPENDED ->
+            case APPEND_SUCCESS ->
                     MODEL.createAppendEntriesSuccessResponseBuilder()
                             .setGroupId(group)
                             .setSender(sender)
@@ -164,7 +170,7 @@
                             .setQuerySequenceNumber(m.getQuery())
                             .setFlowControlSequenceNumber(m.getFlow())
                             .build();
-            case NOT_APPENDED ->
+            case APPEND_FAILURE ->
                     MODEL.createAppendEntriesFailureResponseBuilder()
                             .setGroupId(group)
                             .setSender(sender)
@@ -173,7 +179,7 @@
                             .setQuerySequenceNumber(m.getQuery())
                             .setFlowControlSequenceNumber(m.getFlow())
                             .build();
-            case INSTALL ->
+            case INSTALL_SNAPSHOT ->
                     MODEL.createInstallSnapshotRequestBuilder()
                             .setGroupId(group)
                             .setSender(sender)
@@ -182,13 +188,13 @@
                             .setSnapshotTerm(m.getLogTerm())
                             .setSnapshotIndex(m.getLogIndex())
                             .setTotalSnapshotChunkCount(m.getChunkCount())
-                            .setSnapshotChunk(m.hasChunk() ? LogShapes.chunk(m.getChunk()) : null)
-                            .setSnapshottedMembers(LogShapes.endpoints(m.getHoldersList()))
-                            .setGroupMembersView(LogShapes.members(m.getMembers()))
+                            .setSnapshotChunk(m.hasChunk() ? LogCodec.chunk(m.getChunk()) : null)
+                            .setSnapshottedMembers(LogCodec.endpoints(m.getHoldersList()))
+                            .setGroupMembersView(LogCodec.members(m.getMembers()))
                             .setQuerySequenceNumber(m.getQuery())
                             .setFlowControlSequenceNumber(m.getFlow())
                             .build();
-            case INSTALLED ->
+            case INSTALL_SNAPSHOT_RESPONSE ->
                     MODEL.createInstallSnapshotResponseBuilder()
                             .setGroupId(group)
                             .setSender(sender)
@@ -198,13 +204,14 @@
                             .setQuerySequenceNumber(m.getQuery())
                             .setFlowControlSequenceNumber(m.getFlow())
                             .build();
-            default -> election(m, group, sender, term);
+            default -> decodeElection(m, group, sender, term);
         };
     }
 
-    private static RaftMessage election(RaftMsg m, String group, RaftEndpoint sender, int term) {
+    private static RaftMessage decodeElection(
+            RaftMsg m, String group, RaftEndpoint sender, int term) {
         return switch (m.getKind()) {
-            case PRE_VOTE ->
+            case PRE_VOTE_REQUEST ->
                     MODEL.createPreVoteRequestBuilder()
                             .setGroupId(group)
                             .setSender(sender)
@@ -212,14 +219,14 @@
                             .setLastLogTerm(m.getLogTerm())
                             .setLastLogIndex(m.getLogIndex())
                             .build();
-            case PRE_VOTED ->
+            case PRE_VOTE_RESPONSE ->
                     MODEL.createPreVoteResponseBuilder()
                             .setGroupId(group)
                             .setSender(sender)
                             .setTerm(term)
                             .setGranted(m.getFlag())
                             .build();
-            case VOTE ->
+            case VOTE_REQUEST ->
                     MODEL.createVoteRequestBuilder()
                             .setGroupId(group)
                             .setSender(sender)
@@ -228,14 +235,14 @@
                             .setLastLogIndex(m.getLogIndex())
                             .setSticky(m.getFlag())
                             .build();
-            case VOTED ->
+            case VOTE_RESPONSE ->
                     MODEL.createVoteResponseBuilder()
                             .setGroupId(group)
                             .setSender(sender)
                             .setTerm(term)
                             .setGranted(m.getFlag())
                             .build();
-            case ELECT ->
+            case TRIGGER_ELECTION ->
                     MODEL.createTriggerLeaderElectionRequestBuilder()
                             .setGroupId(group)
                             .setSender(sender)
--- a/quorum/src/main/java/postgrade/quorum/wire/Server.java
+++ b/quorum/src/main/java/postgrade/quorum/wire/Server.java
@@ -28,7 +28,7 @@
     /**
      * What a voter does with what it is asked; each {@code answer} is called once, on any thread.
      */
-    public interface Desk {
+    public interface RequestHandler {
         void raft(RaftMsg message);
 
         void pull(PullRequest request, Consumer<PullReply> answer);
@@ -46,37 +46,38 @@
 
     private final io.grpc.Server server;
 
-    public Server(Voter at, EventLoopGroup events, Desk desk) throws IOException {
+    public Server(Voter address, EventLoopGroup eventLoops, RequestHandler handler)
+            throws IOException {
         ServerServiceDefinition service =
                 ServerServiceDefinition.builder(Methods.SERVICE)
                         .addMethod(
                                 Methods.RAFT,
                                 ServerCalls.asyncClientStreamingCall(
-                                        answer -> new RaftStream(desk, answer)))
-                        .addMethod(Methods.PULL, unary(desk::pull))
-                        .addMethod(Methods.READ, unary(desk::read))
-                        .addMethod(Methods.ASK, unary(desk::ask))
-                        .addMethod(Methods.HELLO, unary(desk::hello))
+                                        answer -> new RaftStream(handler, answer)))
+                        .addMethod(Methods.PULL, unary(handler::pull))
+                        .addMethod(Methods.READ, unary(handler::read))
+                        .addMethod(Methods.ASK, unary(handler::ask))
+                        .addMethod(Methods.HELLO, unary(handler::hello))
                         .build();
         server =
-                NettyServerBuilder.forAddress(new InetSocketAddress(at.host(), at.port()))
-                        .bossEventLoopGroup(events)
-                        .workerEventLoopGroup(events)
+                NettyServerBuilder.forAddress(new InetSocketAddress(address.host(), address.port()))
+                        .bossEventLoopGroup(eventLoops)
+                        .workerEventLoopGroup(eventLoops)
                         .channelType(NioServerSocketChannel.class)
                         .directExecutor()
-                        .maxInboundMessageSize(Methods.MOST_BYTES)
+                        .maxInboundMessageSize(Methods.MAX_MESSAGE_BYTES)
                         .addService(service)
                         .build();
         server.start();
     }
 
-    private static <A, B> io.grpc.ServerCallHandler<A, B> unary(Unary<A, B> does) {
+    private static <A, B> io.grpc.ServerCallHandler<A, B> unary(Unary<A, B> handler) {
         return ServerCalls.asyncUnaryCall(
-                (A request, StreamObserver<B> to) -> {
-                    ServerCallStreamObserver<B> answer = (ServerCallStreamObserver<B>) to;
+                (A request, StreamObserver<B> observer) -> {
+                    ServerCallStreamObserver<B> answer = (ServerCallStreamObserver<B>) observer;
                     answer.setOnCancelHandler(
                             () -> {}); // Whoever gave up waiting is no error here.
-                    does.call(
+                    handler.call(
                             request,
                             reply -> {
                                 synchronized (answer) {
@@ -90,18 +91,18 @@
     }
 
     private static final class RaftStream implements StreamObserver<RaftMsg> {
-        private final Desk desk;
+        private final RequestHandler handler;
         private final StreamObserver<None> answer;
 
-        RaftStream(Desk desk, StreamObserver<None> answer) {
-            this.desk = desk;
+        RaftStream(RequestHandler handler, StreamObserver<None> answer) {
+            this.handler = handler;
             this.answer = answer;
             ((ServerCallStreamObserver<None>) answer).setOnCancelHandler(() -> {});
         }
 
         @Override
         public void onNext(RaftMsg message) {
-            desk.raft(message);
+            handler.raft(message);
         }
 
         @Override
--- a/quorum/src/main/java/postgrade/quorum/wire/Shapes.java
+++ b/quorum/src/main/java/postgrade/quorum/wire/StateCodec.java
@@ -17,9 +17,9 @@
 import postgrade.shared.Rows.Change;
 
 /** What the shared state is made of, as it goes over the wire and into the store. */
-public final class Shapes {
+public final class StateCodec {
 
-    private Shapes() {}
+    private StateCodec() {}
 
     public static RowMsg row(Row row) {
         return RowMsg.newBuilder().putAllValues(row.values()).build();
@@ -75,9 +75,9 @@
     }
 
     public static List<ChangeMsg> changes(Collection<Change> changes) {
-        List<ChangeMsg> told = new ArrayList<>(changes.size());
-        changes.forEach(c -> told.add(change(c)));
-        return told;
+        List<ChangeMsg> messages = new ArrayList<>(changes.size());
+        changes.forEach(c -> messages.add(change(c)));
+        return messages;
     }
 
     public static ChangeMsg change(Change c) {
@@ -86,17 +86,17 @@
         return c.row() == null ? b.setRemoved(true).build() : b.setRow(row(c.row())).build();
     }
 
-    public static List<Change> told(List<ChangeMsg> changes) {
-        List<Change> read = new ArrayList<>(changes.size());
-        for (ChangeMsg m : changes) {
-            read.add(
+    public static List<Change> parseChanges(List<ChangeMsg> messages) {
+        List<Change> parsed = new ArrayList<>(messages.size());
+        for (ChangeMsg m : messages) {
+            parsed.add(
                     new Change(
                             m.getIndex(),
                             m.getPart(),
                             m.getKey(),
                             m.getRemoved() ? null : row(m.getRow())));
         }
-        return read;
+        return parsed;
     }
 
     public static SnapshotMsg snapshot(Machine.Snapshot s) {
@@ -107,6 +107,6 @@
     }
 
     public static Machine.Snapshot snapshot(SnapshotMsg m) {
-        return new Machine.Snapshot(moment(m.getMoment()), told(m.getRowsList()));
+        return new Machine.Snapshot(moment(m.getMoment()), parseChanges(m.getRowsList()));
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/wire/Links.java
+++ b/quorum/src/main/java/postgrade/quorum/wire/VoterConnections.java
@@ -24,36 +24,36 @@
  * Connections to the voters, one each, opened when first needed. Any thread may use it; nothing
  * here waits, and answers come on the transport's thread.
  */
-public final class Links {
+public final class VoterConnections {
 
     /** Pauses between tries to connect are ours, not the library's, which grow to minutes. */
-    private static final long RECONNECT_MICROS = 100_000;
+    private static final long RECONNECT_INTERVAL_MICROS = 100_000;
 
-    private static final int MOST_UNANSWERED = 3;
+    private static final int MAX_UNANSWERED_CALLS = 3;
 
     /** What a stream holds that is not open yet, or has not drained. */
-    private static final int MOST_HELD = 64;
+    private static final int MAX_QUEUED_MESSAGES = 64;
 
     private final QuorumSettings settings;
-    private final EventLoopGroup events;
-    private final Map<String, Link> links = new HashMap<>();
+    private final EventLoopGroup eventLoops;
+    private final Map<String, Connection> connections = new HashMap<>();
     private boolean closed;
 
     /** How long a connection says nothing before it is given up. */
-    long silentNanos = 1_000_000_000L;
+    long minSilenceNanos = 1_000_000_000L;
 
-    private static final class Link {
+    private static final class Connection {
         ManagedChannel channel;
         ClientCall<RaftMsg, None> stream;
-        int held;
-        long triedNanos;
-        int unanswered;
-        long heardNanos = System.nanoTime();
+        int queuedMessages;
+        long lastReconnectNanos;
+        int unansweredCalls;
+        long lastAnswerNanos = System.nanoTime();
     }
 
-    public Links(QuorumSettings settings, EventLoopGroup events) {
+    public VoterConnections(QuorumSettings settings, EventLoopGroup eventLoops) {
         this.settings = settings;
-        this.events = events;
+        this.eventLoops = eventLoops;
     }
 
     /**
@@ -65,34 +65,35 @@
         if (closed || voter == null) {
             return;
         }
-        Link link = link(voter);
-        if (link.stream == null) {
-            open(link);
+        Connection connection = connection(voter);
+        if (connection.stream == null) {
+            openStream(connection);
         }
-        if (link.stream == null) {
+        if (connection.stream == null) {
             return; // It failed at once.
         }
         // A new stream is not ready at first, though its connection may be: what it drops then is
         // what it was opened for,
         // such as a vote's question, which the engine asks again only a round later. One that does
         // not drain must not grow.
-        link.held = link.stream.isReady() ? 0 : link.held + 1;
-        if (link.held <= MOST_HELD) {
-            link.stream.sendMessage(message);
+        connection.queuedMessages = connection.stream.isReady() ? 0 : connection.queuedMessages + 1;
+        if (connection.queuedMessages <= MAX_QUEUED_MESSAGES) {
+            connection.stream.sendMessage(message);
         }
     }
 
-    private void open(Link link) {
-        ClientCall<RaftMsg, None> call = link.channel.newCall(Methods.RAFT, CallOptions.DEFAULT);
-        link.held = 0;
-        link.stream = call; // Before it starts: it may end within its start.
+    private void openStream(Connection connection) {
+        ClientCall<RaftMsg, None> call =
+                connection.channel.newCall(Methods.RAFT, CallOptions.DEFAULT);
+        connection.queuedMessages = 0;
+        connection.stream = call; // Before it starts: it may end within its start.
         call.start(
                 new ClientCall.Listener<None>() {
                     @Override
                     public void onClose(Status status, Metadata trailers) {
-                        synchronized (Links.this) {
-                            if (link.stream == call) {
-                                link.stream = null;
+                        synchronized (VoterConnections.this) {
+                            if (connection.stream == call) {
+                                connection.stream = null;
                             }
                         }
                     }
@@ -108,12 +109,12 @@
             String voter,
             MethodDescriptor<A, B> method,
             A request,
-            long withinMillis,
+            long timeoutMillis,
             BiConsumer<B, Status> done) {
         ManagedChannel channel;
         synchronized (this) {
-            Voter v = settings.voter(voter);
-            channel = closed || v == null ? null : link(v).channel;
+            Voter address = settings.voter(voter);
+            channel = closed || address == null ? null : connection(address).channel;
         }
         if (channel == null) {
             done.accept(null, Status.UNAVAILABLE);
@@ -123,7 +124,7 @@
                 channel.newCall(
                         method,
                         CallOptions.DEFAULT.withDeadlineAfter(
-                                Math.max(1, withinMillis), TimeUnit.MILLISECONDS));
+                                Math.max(1, timeoutMillis), TimeUnit.MILLISECONDS));
         call.start(
                 new ClientCall.Listener<B>() {
                     private B answer;
@@ -131,13 +132,13 @@
                     @Override
                     public void onMessage(B message) {
                         answer = message;
-                        answered(voter, channel);
+                        onAnswer(voter, channel);
                     }
 
                     @Override
                     public void onClose(Status status, Metadata trailers) {
                         if (status.getCode() == Status.Code.DEADLINE_EXCEEDED) {
-                            unanswered(voter, channel);
+                            onDeadlineExceeded(voter, channel);
                         }
                         done.accept(status.isOk() ? answer : null, status);
                     }
@@ -148,11 +149,11 @@
         call.request(2);
     }
 
-    private synchronized void answered(String voter, ManagedChannel channel) {
-        Link link = links.get(voter);
-        if (link != null && link.channel == channel) {
-            link.unanswered = 0;
-            link.heardNanos = System.nanoTime();
+    private synchronized void onAnswer(String voter, ManagedChannel channel) {
+        Connection connection = connections.get(voter);
+        if (connection != null && connection.channel == channel) {
+            connection.unansweredCalls = 0;
+            connection.lastAnswerNanos = System.nanoTime();
         }
     }
 
@@ -161,47 +162,48 @@
      * may lie behind a cut that nobody tells. Not sooner: a busy machine answers late, and a new
      * connection would make it busier.
      */
-    private synchronized void unanswered(String voter, ManagedChannel channel) {
-        Link link = links.get(voter);
-        if (link != null
-                && link.channel == channel
-                && ++link.unanswered >= MOST_UNANSWERED
-                && System.nanoTime() - link.heardNanos > silentNanos) {
-            links.remove(voter);
+    private synchronized void onDeadlineExceeded(String voter, ManagedChannel channel) {
+        Connection connection = connections.get(voter);
+        if (connection != null
+                && connection.channel == channel
+                && ++connection.unansweredCalls >= MAX_UNANSWERED_CALLS
+                && System.nanoTime() - connection.lastAnswerNanos > minSilenceNanos) {
+            connections.remove(voter);
             channel.shutdownNow();
         }
     }
 
-    private Link link(Voter v) {
-        Link link =
-                links.computeIfAbsent(
-                        v.name(),
+    private Connection connection(Voter voter) {
+        Connection connection =
+                connections.computeIfAbsent(
+                        voter.name(),
                         n -> {
-                            Link fresh = new Link();
-                            fresh.channel =
+                            Connection created = new Connection();
+                            created.channel =
                                     NettyChannelBuilder.forAddress(
-                                                    new InetSocketAddress(v.host(), v.port()))
+                                                    new InetSocketAddress(
+                                                            voter.host(), voter.port()))
                                             .usePlaintext()
-                                            .eventLoopGroup(events)
+                                            .eventLoopGroup(eventLoops)
                                             .channelType(NioSocketChannel.class)
                                             .directExecutor()
-                                            .maxInboundMessageSize(Methods.MOST_BYTES)
+                                            .maxInboundMessageSize(Methods.MAX_MESSAGE_BYTES)
                                             .disableRetry()
                                             .build();
-                            return fresh;
+                            return created;
                         });
         long now = System.nanoTime();
-        if (now - link.triedNanos > RECONNECT_MICROS * 1000
-                && link.channel.getState(false) == ConnectivityState.TRANSIENT_FAILURE) {
-            link.triedNanos = now;
-            link.channel.resetConnectBackoff();
+        if (now - connection.lastReconnectNanos > RECONNECT_INTERVAL_MICROS * 1000
+                && connection.channel.getState(false) == ConnectivityState.TRANSIENT_FAILURE) {
+            connection.lastReconnectNanos = now;
+            connection.channel.resetConnectBackoff();
         }
-        return link;
+        return connection;
     }
 
     public synchronized void close() {
         closed = true;
-        links.values().forEach(l -> l.channel.shutdownNow());
-        links.clear();
+        connections.values().forEach(l -> l.channel.shutdownNow());
+        connections.clear();
     }
 }
--- a/quorum/src/test/java/postgrade/quorum/Cluster.java
+++ b/quorum/src/test/java/postgrade/quorum/Cluster.java
@@ -32,12 +32,12 @@
 final class Cluster implements AutoCloseable {
 
     /** For what must come: it bounds what hangs, and judges nobody's pace. */
-    static final long LONG_MICROS = 100_000_000;
+    static final long AMPLE_TIMEOUT_MICROS = 100_000_000;
 
-    private static final long DEADLINE_MILLIS = 120_000;
+    private static final long AWAIT_TIMEOUT_MILLIS = 120_000;
 
     /** Counts what it was told to add, by key. */
-    static final class Sums implements Part {
+    static final class SumPart implements Part {
         @Override
         public String name() {
             return "sums";
@@ -55,15 +55,15 @@
 
     final Path folder;
     final List<Voter> voters = new ArrayList<>();
-    final Map<String, Quorum> open = new TreeMap<>();
-    private final List<Socket> holders = new ArrayList<>();
+    final Map<String, Quorum> processes = new TreeMap<>();
+    private final List<Socket> portHolders = new ArrayList<>();
     final ExecutorService loop = Executors.newSingleThreadExecutor();
 
     Cluster() {
         try {
             folder = Files.createTempDirectory("quorum");
             for (String name : List.of("a", "b", "c")) {
-                voters.add(new Voter(name, "127.0.0.1", hold()));
+                voters.add(new Voter(name, "127.0.0.1", reservePort()));
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -74,9 +74,9 @@
      * A port that stays ours while its voter is away: a socket is bound to it and never listens, so
      * the system gives it to nobody else, and lets the voter listen beside it.
      */
-    private int hold() throws IOException {
+    private int reservePort() throws IOException {
         Socket holder = new Socket();
-        holders.add(holder);
+        portHolders.add(holder);
         holder.setReuseAddress(true);
         holder.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         return holder.getLocalPort();
@@ -88,24 +88,24 @@
     }
 
     /** Three voters of a first era, all of which count. */
-    static Cluster begun() throws IOException {
-        Cluster c = new Cluster();
-        String against = Quorum.beginEra(c.settings("a"), 1);
-        if (against != null) {
-            throw new IllegalStateException(against);
+    static Cluster startWithFirstEra() throws IOException {
+        Cluster cluster = new Cluster();
+        String refusal = Quorum.beginEra(cluster.settings("a"), 1);
+        if (refusal != null) {
+            throw new IllegalStateException(refusal);
         }
-        c.start("a", "b", "c");
-        c.awaitAll("a", "b", "c");
-        return c;
+        cluster.start("a", "b", "c");
+        cluster.awaitAll("a", "b", "c");
+        return cluster;
     }
 
     void start(String... names) throws IOException {
         for (String name : names) {
-            open.put(
+            processes.put(
                     name,
                     Quorum.open(
                             settings(name),
-                            List.of(new Sums()),
+                            List.of(new SumPart()),
                             () -> System.nanoTime() / 1000,
                             loop));
         }
@@ -113,10 +113,10 @@
 
     void stop(String... names) {
         for (String name : names) {
-            Quorum q = open.remove(name);
+            Quorum q = processes.remove(name);
             q.close();
             try {
-                if (!q.awaitClosed(DEADLINE_MILLIS)) {
+                if (!q.awaitClosed(AWAIT_TIMEOUT_MILLIS)) {
                     throw new AssertionError(name + " was not closed");
                 }
             } catch (InterruptedException e) {
@@ -125,7 +125,7 @@
         }
     }
 
-    void wipe(String name) {
+    void deleteStore(String name) {
         try (Stream<Path> files = Files.walk(folder.resolve(name))) {
             files.sorted(Comparator.reverseOrder()).forEach(f -> f.toFile().delete());
         } catch (IOException e) {
@@ -139,43 +139,43 @@
             await(
                     name + " votes",
                     () ->
-                            open.get(name).standing().role() == Quorum.Role.VOTER
-                                    && open.get(name).standing().voters() == 3
-                                    && open.get(name).standing().leader() != null);
+                            processes.get(name).standing().role() == Quorum.Role.VOTER
+                                    && processes.get(name).standing().voters() == 3
+                                    && processes.get(name).standing().leader() != null);
         }
     }
 
-    static Command add(String id, String key, long by) {
+    static Command addCommand(String id, String key, long by) {
         return new Command(id, "test", 1, "sums", "add", Row.of("key", key, "by", by));
     }
 
-    Reply ask(String through, Command c, long withinMicros) {
+    Reply submit(String process, Command command, long timeoutMicros) {
         CompletableFuture<Reply> reply = new CompletableFuture<>();
-        loop.execute(() -> open.get(through).ask(c, withinMicros, reply::complete));
+        loop.execute(() -> processes.get(process).ask(command, timeoutMicros, reply::complete));
         try {
-            return reply.get(DEADLINE_MILLIS, TimeUnit.MILLISECONDS);
+            return reply.get(AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (Exception e) {
             throw new AssertionError("no reply", e);
         }
     }
 
-    long sum(String seenBy, String key) {
-        Row row = open.get(seenBy).view().rows().get("sums", key);
+    long sum(String process, String key) {
+        Row row = processes.get(process).view().rows().get("sums", key);
         return row == null ? 0 : row.whole("sum");
     }
 
-    void await(String what, BooleanSupplier there) {
-        long until = System.nanoTime() + DEADLINE_MILLIS * 1_000_000;
-        while (!there.getAsBoolean()) {
-            if (System.nanoTime() > until) {
-                StringBuilder told = new StringBuilder();
-                open.forEach(
+    void await(String what, BooleanSupplier condition) {
+        long deadlineNanos = System.nanoTime() + AWAIT_TIMEOUT_MILLIS * 1_000_000;
+        while (!condition.getAsBoolean()) {
+            if (System.nanoTime() > deadlineNanos) {
+                StringBuilder states = new StringBuilder();
+                processes.forEach(
                         (n, q) ->
-                                told.append('\n')
+                                states.append('\n')
                                         .append(q.standing())
                                         .append(' ')
                                         .append(q.view().moment()));
-                throw new AssertionError("waited in vain: " + what + told);
+                throw new AssertionError("waited in vain: " + what + states);
             }
             try {
                 Thread.sleep(5);
@@ -187,10 +187,10 @@
 
     @Override
     public void close() {
-        stop(open.keySet().toArray(new String[0]));
+        stop(processes.keySet().toArray(new String[0]));
         loop.shutdown();
-        wipe("");
-        for (Socket holder : holders) {
+        deleteStore("");
+        for (Socket holder : portHolders) {
             try {
                 holder.close();
             } catch (IOException e) {
