--- a/quorum/src/test/java/postgrade/quorum/FullDisk.java
+++ b/quorum/src/test/java/postgrade/quorum/FullDiskProcess.java
@@ -11,17 +11,17 @@
  * A process whose files may not grow beyond what its shell allows: writes until the store refuses,
  * then reads.
  */
-public final class FullDisk {
+public final class FullDiskProcess {
 
-    private FullDisk() {}
+    private FullDiskProcess() {}
 
     public static void main(String[] args) throws Exception {
         Path folder = Path.of(args[0]);
         Endpoint self = new Endpoint("a", "1");
         VoterStore store =
-                VoterStore.create(folder, new VoterStore.Facts(self, "1-x", 1, List.of("a/1")));
-        String[] told = {"nothing"};
-        store.onFailure(why -> told[0] = why);
+                VoterStore.create(folder, new VoterStore.Metadata(self, "1-x", 1, List.of("a/1")));
+        String[] failure = {"nothing"};
+        store.onFailure(why -> failure[0] = why);
         var model = new DefaultRaftModelFactory();
         store.persistAndFlushLocalEndpoint(
                 model.createRaftEndpointPersistentStateBuilder()
@@ -43,7 +43,7 @@
                                         .setIndex(flushed + 1)
                                         .setTerm(1)
                                         .setOperation(
-                                                Cluster.add(
+                                                Cluster.addCommand(
                                                         "r" + flushed,
                                                         "key-" + "x".repeat(2000),
                                                         1))
@@ -52,7 +52,7 @@
                 flushed++;
             }
         } catch (IOException e) {
-            System.out.println("refused: " + told[0].startsWith("the store cannot be written"));
+            System.out.println("refused: " + failure[0].startsWith("the store cannot be written"));
         }
         try {
             store.flush();
@@ -61,10 +61,10 @@
             System.out.println("later flush: refused");
         }
         store.close();
-        VoterStore again = VoterStore.open(folder);
-        long there = again.restored().getLogEntries().size();
+        VoterStore reopened = VoterStore.open(folder);
+        long recovered = reopened.restore().getLogEntries().size();
         System.out.println(
-                "some flushed: " + (flushed > 0) + ", lost: " + Math.max(0, flushed - there));
-        again.close();
+                "some flushed: " + (flushed > 0) + ", lost: " + Math.max(0, flushed - recovered));
+        reopened.close();
     }
 }
--- a/quorum/src/test/java/postgrade/quorum/QuorumTest.java
+++ b/quorum/src/test/java/postgrade/quorum/QuorumTest.java
@@ -12,19 +12,22 @@
 public class QuorumTest {
 
     @Test
-    public void aCommandIsDecidedOnceOverAChangeOfLeader() throws Exception {
+    public void commandIsAppliedOnceAcrossLeaderChange() throws Exception {
         long begun = System.nanoTime();
-        try (Cluster c = Cluster.begun()) {
-            Reply first = c.ask("b", Cluster.add("r1", "k", 5), Cluster.LONG_MICROS);
+        try (Cluster c = Cluster.startWithFirstEra()) {
+            Reply first =
+                    c.submit("b", Cluster.addCommand("r1", "k", 5), Cluster.AMPLE_TIMEOUT_MICROS);
             assertEquals(Answer.Status.DONE, first.answer().status());
-            String leader = c.open.get("b").standing().leader();
+            String leader = c.processes.get("b").standing().leader();
             c.stop(leader);
-            String other = c.open.keySet().iterator().next();
-            Reply again = c.ask(other, Cluster.add("r1", "k", 5), Cluster.LONG_MICROS);
+            String other = c.processes.keySet().iterator().next();
+            Reply again =
+                    c.submit(other, Cluster.addCommand("r1", "k", 5), Cluster.AMPLE_TIMEOUT_MICROS);
             assertTrue(again.decided());
             assertEquals(first.answer(), again.answer());
             c.await("the view tells it", () -> c.sum(other, "k") == 5);
-            Reply more = c.ask(other, Cluster.add("r2", "k", 2), Cluster.LONG_MICROS);
+            Reply more =
+                    c.submit(other, Cluster.addCommand("r2", "k", 2), Cluster.AMPLE_TIMEOUT_MICROS);
             assertEquals(7, more.answer().fields().whole("sum"));
             assertTrue(more.moment().after(first.moment()));
             assertTrue(
@@ -34,85 +37,99 @@
     }
 
     @Test
-    public void anObserverCatchesUpBySnapshotAndByChanges() throws Exception {
-        try (Cluster c = Cluster.begun()) {
+    public void observerCatchesUpBySnapshotAndByChanges() throws Exception {
+        try (Cluster c = Cluster.startWithFirstEra()) {
             for (int i = 0; i < 20; i++) {
-                c.ask("a", Cluster.add("s" + i, "k" + i, i), Cluster.LONG_MICROS);
+                c.submit(
+                        "a", Cluster.addCommand("s" + i, "k" + i, i), Cluster.AMPLE_TIMEOUT_MICROS);
             }
             c.start("o");
             c.await("the snapshot came", () -> c.sum("o", "k19") == 19);
-            c.ask("o", Cluster.add("t", "k19", 1), Cluster.LONG_MICROS);
+            c.submit("o", Cluster.addCommand("t", "k19", 1), Cluster.AMPLE_TIMEOUT_MICROS);
             c.await("the change came", () -> c.sum("o", "k19") == 20);
-            long micros = c.open.get("o").view().moment().micros();
+            long micros = c.processes.get("o").view().moment().micros();
             c.await(
                     "the log's time goes on",
-                    () -> c.open.get("o").view().moment().micros() > micros + 200_000);
+                    () -> c.processes.get("o").view().moment().micros() > micros + 200_000);
             c.await(
                     "its view is young",
-                    () -> c.open.get("o").view().ageMicros(System.nanoTime() / 1000) < 2_000_000);
+                    () ->
+                            c.processes.get("o").view().ageMicros(System.nanoTime() / 1000)
+                                    < 2_000_000);
         }
     }
 
     @Test
-    public void withoutAQuorumNothingIsDecidedAndViewsAge() throws Exception {
-        try (Cluster c = Cluster.begun()) {
+    public void withoutQuorumNothingIsDecidedAndViewsAge() throws Exception {
+        try (Cluster c = Cluster.startWithFirstEra()) {
             c.start("o");
-            c.await("o sees", () -> c.open.get("o").view().known());
+            c.await("o sees", () -> c.processes.get("o").view().known());
             c.stop("a", "b");
-            Reply none = c.ask("o", Cluster.add("r1", "k", 5), 1_500_000);
+            Reply none = c.submit("o", Cluster.addCommand("r1", "k", 5), 1_500_000);
             assertFalse(none.decided());
             assertTrue(none.retryAfterMicros() > 0);
-            long asOf = c.open.get("o").view().asOfMicros();
+            long asOf = c.processes.get("o").view().asOfMicros();
             c.await(
                     "c says so",
                     () ->
-                            c.open.get("c").standing().fault() != null
-                                    && c.open.get("c")
+                            c.processes.get("c").standing().fault() != null
+                                    && c.processes
+                                            .get("c")
                                             .standing()
                                             .fault()
                                             .startsWith("no quorum: 1 of 3"));
-            assertEquals(asOf, c.open.get("o").view().asOfMicros());
+            assertEquals(asOf, c.processes.get("o").view().asOfMicros());
             c.start("a");
-            Reply decided = c.ask("o", Cluster.add("r1", "k", 5), Cluster.LONG_MICROS);
+            Reply decided =
+                    c.submit("o", Cluster.addCommand("r1", "k", 5), Cluster.AMPLE_TIMEOUT_MICROS);
             assertEquals(5, decided.answer().fields().whole("sum"));
             c.await("the view tells it once", () -> c.sum("o", "k") == 5);
         }
     }
 
     @Test
-    public void allComeBackFromTheirStores() throws Exception {
-        try (Cluster c = Cluster.begun()) {
+    public void allVotersRestartFromTheirStores() throws Exception {
+        try (Cluster c = Cluster.startWithFirstEra()) {
             long fence =
-                    c.ask("a", Cluster.add("r1", "k", 5), Cluster.LONG_MICROS)
+                    c.submit("a", Cluster.addCommand("r1", "k", 5), Cluster.AMPLE_TIMEOUT_MICROS)
                             .answer()
                             .fields()
                             .whole("fence");
             c.stop("a", "b", "c");
             c.start("a", "b", "c");
-            Reply again = c.ask("c", Cluster.add("r1", "k", 5), Cluster.LONG_MICROS);
+            Reply again =
+                    c.submit("c", Cluster.addCommand("r1", "k", 5), Cluster.AMPLE_TIMEOUT_MICROS);
             assertEquals(fence, again.answer().fields().whole("fence"));
             c.awaitAll("a", "b", "c");
         }
     }
 
     @Test
-    public void votersThatCameBackUnderALeaderReplaceIt() throws Exception {
-        try (Cluster c = Cluster.begun()) {
-            String leader = c.open.get("a").standing().leader();
+    public void restartedVotersReplaceTheirLeader() throws Exception {
+        try (Cluster c = Cluster.startWithFirstEra()) {
+            String leader = c.processes.get("a").standing().leader();
             String[] others =
-                    c.open.keySet().stream().filter(n -> !n.equals(leader)).toArray(String[]::new);
+                    c.processes.keySet().stream()
+                            .filter(n -> !n.equals(leader))
+                            .toArray(String[]::new);
             for (String other : others) {
                 c.stop(other);
                 c.start(other);
                 c.await(
                         other + " follows",
                         () ->
-                                c.open.get(other).view().known()
-                                        && leader.equals(c.open.get(other).standing().leader()));
+                                c.processes.get(other).view().known()
+                                        && leader.equals(
+                                                c.processes.get(other).standing().leader()));
             }
             c.awaitAll(others);
             c.stop(leader);
-            assertTrue(c.ask(others[0], Cluster.add("r1", "k", 5), Cluster.LONG_MICROS).decided());
+            assertTrue(
+                    c.submit(
+                                    others[0],
+                                    Cluster.addCommand("r1", "k", 5),
+                                    Cluster.AMPLE_TIMEOUT_MICROS)
+                            .decided());
         }
     }
 }
--- a/quorum/src/test/java/postgrade/quorum/SharingFileTest.java
+++ b/quorum/src/test/java/postgrade/quorum/SharingFileTest.java
@@ -23,18 +23,18 @@
     @Rule public final TemporaryFolder folder = new TemporaryFolder();
 
     @Test
-    public void theShippedFileServesVotersAndObservers() {
+    public void shippedFileConfiguresVotersAndObservers() {
         Path shipped = Path.of("..", "deploy", "sharing.star");
         QuorumSettings a = SharingFile.read(shipped, "a", line -> {});
-        assertTrue(a.votes());
+        assertTrue(a.isVoter());
         assertEquals(Path.of("var/sharing/a"), a.store());
         assertEquals(2_000_000, a.maxViewAgeMicros());
-        assertFalse(SharingFile.read(shipped, "gateway-7", line -> {}).votes());
+        assertFalse(SharingFile.read(shipped, "gateway-7", line -> {}).isVoter());
     }
 
     @Test
-    public void whatIsFaultyIsNamedByFileAndKey() throws Exception {
-        Map<String, String> faulty =
+    public void errorsNameFileAndKey() throws Exception {
+        Map<String, String> errorsByScript =
                 Map.of(
                         VOTERS + "store = 's'",
                         "sharing.star: name: is missing: this process needs a name of its own",
@@ -52,15 +52,15 @@
                         "sharing.star: voters: must hold voter(name, host, port), not string",
                         "name = 'o'\nvoters = [voter('a', '127.0.0.1', 1), voter('b', '127.0.0.1', 2)]",
                         "sharing.star: voters: must be 3 or 5, or 1 to try out, not 2");
-        for (Map.Entry<String, String> e : faulty.entrySet()) {
-            assertEquals(e.getValue(), complaint(e.getKey()));
+        for (Map.Entry<String, String> e : errorsByScript.entrySet()) {
+            assertEquals(e.getValue(), errorMessage(e.getKey()));
         }
         assertEquals(
                 "sharing.star:2:16: voters: a: host must be a loopback address, not 192.0.2.1",
-                complaint("name = 'o'\nvoters = [voter('a', '192.0.2.1', 7301)]"));
+                errorMessage("name = 'o'\nvoters = [voter('a', '192.0.2.1', 7301)]"));
     }
 
-    private String complaint(String text) throws Exception {
+    private String errorMessage(String text) throws Exception {
         Path file = folder.getRoot().toPath().resolve("sharing.star");
         Files.writeString(file, text + "\n");
         return assertThrows(RuntimeException.class, () -> SharingFile.read(file)).getMessage();
--- a/quorum/src/test/java/postgrade/quorum/StoreTest.java
+++ b/quorum/src/test/java/postgrade/quorum/VoterStoreTest.java
@@ -15,15 +15,15 @@
 import postgrade.shared.Sharing.Reply;
 
 /** Stores that are wiped, copied back, or cannot be written. */
-public class StoreTest {
+public class VoterStoreTest {
 
     @Test
-    public void aWipedVoterCountsOnlyOnceItWasTakenIn() throws Exception {
-        try (Cluster c = Cluster.begun()) {
-            c.ask("a", Cluster.add("r1", "k", 5), Cluster.LONG_MICROS);
-            String before = identity(c, "b");
+    public void wipedVoterVotesOnlyAfterAdmission() throws Exception {
+        try (Cluster c = Cluster.startWithFirstEra()) {
+            c.submit("a", Cluster.addCommand("r1", "k", 5), Cluster.AMPLE_TIMEOUT_MICROS);
+            String previousIdentity = identity(c, "b");
             c.stop("b", "c");
-            c.wipe("b");
+            c.deleteStore("b");
             c.start("b");
             // With two left that are not the majority of those who promised, nothing may be
             // decided.
@@ -32,62 +32,63 @@
                     () ->
                             fault(c, "b").startsWith("no store")
                                     || fault(c, "b").startsWith("new here"));
-            assertTrue(!c.ask("a", Cluster.add("r2", "k", 1), 2_000_000).decided());
-            assertEquals(Quorum.Role.OBSERVER, c.open.get("b").standing().role());
+            assertTrue(!c.submit("a", Cluster.addCommand("r2", "k", 1), 2_000_000).decided());
+            assertEquals(Quorum.Role.OBSERVER, c.processes.get("b").standing().role());
             c.start("c");
             c.awaitAll("a", "b", "c");
             assertEquals(
                     6,
-                    c.ask("b", Cluster.add("r2", "k", 1), Cluster.LONG_MICROS)
+                    c.submit("b", Cluster.addCommand("r2", "k", 1), Cluster.AMPLE_TIMEOUT_MICROS)
                             .answer()
                             .fields()
                             .whole("sum"));
             c.stop("a");
             assertTrue(
                     "a and the newcomer's pair decide",
-                    c.ask("b", Cluster.add("r3", "k", 1), Cluster.LONG_MICROS).decided());
+                    c.submit("b", Cluster.addCommand("r3", "k", 1), Cluster.AMPLE_TIMEOUT_MICROS)
+                            .decided());
             c.stop("b");
-            assertTrue(!before.equals(identity(c, "b")));
+            assertTrue(!previousIdentity.equals(identity(c, "b")));
         }
     }
 
     @Test
-    public void afterATotalLossOnlyANewEraServesAndItsFencesLieAbove() throws Exception {
-        try (Cluster c = Cluster.begun()) {
+    public void afterTotalLossOnlyANewEraServesWithHigherFences() throws Exception {
+        try (Cluster c = Cluster.startWithFirstEra()) {
             long fence =
-                    c.ask("a", Cluster.add("r1", "k", 5), Cluster.LONG_MICROS)
+                    c.submit("a", Cluster.addCommand("r1", "k", 5), Cluster.AMPLE_TIMEOUT_MICROS)
                             .answer()
                             .fields()
                             .whole("fence");
             c.start("o");
-            c.await("o sees era 1", () -> c.open.get("o").view().moment().era() == 1);
+            c.await("o sees era 1", () -> c.processes.get("o").view().moment().era() == 1);
             c.stop("a", "b", "c");
-            keep(c, "c");
-            c.wipe("a");
-            c.wipe("b");
-            c.wipe("c");
+            backUpStore(c, "c");
+            c.deleteStore("a");
+            c.deleteStore("b");
+            c.deleteStore("c");
             c.start("a", "b", "c");
             c.await(
                     "a says so",
                     () -> fault(c, "a").startsWith("no store here, and none of the voters"));
-            assertTrue(!c.ask("o", Cluster.add("r1", "k", 5), 1_000_000).decided());
+            assertTrue(!c.submit("o", Cluster.addCommand("r1", "k", 5), 1_000_000).decided());
             c.stop("a");
             assertTrue(Quorum.beginEra(c.settings("a"), 0).startsWith("era: must lie"));
             assertNull(Quorum.beginEra(c.settings("a"), 2));
             assertNotNull("an era begins once", Quorum.beginEra(c.settings("a"), 2));
             c.start("a");
             c.awaitAll("a", "b", "c");
-            Reply r = c.ask("o", Cluster.add("r1", "k", 5), Cluster.LONG_MICROS);
+            Reply r = c.submit("o", Cluster.addCommand("r1", "k", 5), Cluster.AMPLE_TIMEOUT_MICROS);
             assertTrue(r.answer().fields().whole("fence") > fence);
-            c.await("o sees era 2", () -> c.open.get("o").view().moment().era() == 2);
+            c.await("o sees era 2", () -> c.processes.get("o").view().moment().era() == 2);
             // A voter of the former era comes back with its store.
             c.stop("c");
-            c.wipe("c");
+            c.deleteStore("c");
             Files.createDirectories(c.folder.resolve("c"));
             Files.copy(c.folder.resolve("kept"), c.folder.resolve("c").resolve(VoterStore.FILE));
             c.start("c");
             c.awaitAll("c");
-            assertEquals(2, c.open.get("c").view().moment().era());
+            assertEquals(2, c.processes.get("c").view().moment().era());
         }
     }
 
@@ -96,8 +97,8 @@
      * process from its start.
      */
     @Test
-    public void aVoterThatWasClosedHasLetGoOfItsPort() throws Exception {
-        try (Cluster c = Cluster.begun()) {
+    public void closedVoterReleasesItsPort() throws Exception {
+        try (Cluster c = Cluster.startWithFirstEra()) {
             for (int i = 0; i < 40; i++) {
                 c.stop("b");
                 c.start("b");
@@ -107,14 +108,14 @@
     }
 
     @Test
-    public void anOlderCopyOfAStoreIsFoundAndNotVotedWith() throws Exception {
-        try (Cluster c = Cluster.begun()) {
+    public void olderStoreCopyIsDetectedAndDoesNotVote() throws Exception {
+        try (Cluster c = Cluster.startWithFirstEra()) {
             c.stop("b");
-            keep(c, "b");
-            String before = identity(c, "b");
+            backUpStore(c, "b");
+            String previousIdentity = identity(c, "b");
             c.start("b");
             c.awaitAll("b");
-            c.ask("b", Cluster.add("r1", "k", 5), Cluster.LONG_MICROS);
+            c.submit("b", Cluster.addCommand("r1", "k", 5), Cluster.AMPLE_TIMEOUT_MICROS);
             c.stop("b");
             Files.copy(
                     c.folder.resolve("kept"),
@@ -124,7 +125,10 @@
             c.awaitAll("a", "b", "c");
             assertTrue(
                     "the copy is kept aside",
-                    Files.exists(c.folder.resolve("b").resolve(VoterStore.FILE + "." + before)));
+                    Files.exists(
+                            c.folder
+                                    .resolve("b")
+                                    .resolve(VoterStore.FILE + "." + previousIdentity)));
         }
     }
 
@@ -132,9 +136,9 @@
      * Guards against a store that is put aside as an older copy though nothing in it is missing.
      */
     @Test
-    public void aVoterThatComesBackAgainAndAgainUnderOneLeaderKeepsItsStore() throws Exception {
-        try (Cluster c = Cluster.begun()) {
-            String voter = "a".equals(c.open.get("a").standing().leader()) ? "b" : "a";
+    public void repeatedRestartsUnderOneLeaderKeepTheStore() throws Exception {
+        try (Cluster c = Cluster.startWithFirstEra()) {
+            String voter = "a".equals(c.processes.get("a").standing().leader()) ? "b" : "a";
             for (int i = 0; i < 3; i++) {
                 c.stop(voter);
                 c.start(voter);
@@ -152,24 +156,26 @@
     }
 
     @Test
-    public void aStoreThatCannotBeOpenedOrWrittenStopsTheVoteNotTheProcess() throws Exception {
-        try (Cluster c = Cluster.begun()) {
+    public void unusableStoreStopsVotingButNotTheProcess() throws Exception {
+        try (Cluster c = Cluster.startWithFirstEra()) {
             c.stop("b");
             Path store = c.folder.resolve("b").resolve(VoterStore.FILE);
-            byte[] whole = Files.readAllBytes(store);
+            byte[] validBytes = Files.readAllBytes(store);
             Files.write(store, new byte[] {1, 2, 3});
             c.start("b");
             c.await("b says so", () -> fault(c, "b").contains("it votes no more"));
-            assertEquals(Quorum.Role.OBSERVER, c.open.get("b").standing().role());
-            assertTrue(c.ask("b", Cluster.add("r1", "k", 5), Cluster.LONG_MICROS).decided());
+            assertEquals(Quorum.Role.OBSERVER, c.processes.get("b").standing().role());
+            assertTrue(
+                    c.submit("b", Cluster.addCommand("r1", "k", 5), Cluster.AMPLE_TIMEOUT_MICROS)
+                            .decided());
             c.await("b follows", () -> c.sum("b", "k") == 5);
-            Files.write(store, whole);
+            Files.write(store, validBytes);
             c.awaitAll("b");
         }
     }
 
     @Test
-    public void twoErasOfOneNumberAreFoundAndSaid() throws Exception {
+    public void duplicateErasAreDetectedAndReported() throws Exception {
         try (Cluster c = new Cluster()) {
             assertNull(Quorum.beginEra(c.settings("a"), 1));
             assertNull("a does not run, so nobody can tell", Quorum.beginEra(c.settings("b"), 1));
@@ -180,12 +186,14 @@
                             fault(c, "a").startsWith("two eras 1 at once")
                                     && fault(c, "b").startsWith("two eras 1 at once"));
             assertEquals(
-                    "c joins neither", Quorum.Role.OBSERVER, c.open.get("c").standing().role());
+                    "c joins neither",
+                    Quorum.Role.OBSERVER,
+                    c.processes.get("c").standing().role());
         }
     }
 
     @Test
-    public void whatWasFlushedOutlivesAFullDisk() throws Exception {
+    public void flushedEntriesSurviveAFullDisk() throws Exception {
         Path folder = Files.createTempDirectory("full");
         Process full =
                 new ProcessBuilder(
@@ -194,23 +202,23 @@
                                 "ulimit -f 2000; exec \"$0\" -cp \"$1\" \"$2\" \"$3\"",
                                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                                 System.getProperty("java.class.path"),
-                                FullDisk.class.getName(),
+                                FullDiskProcess.class.getName(),
                                 folder.toString())
                         .redirectError(ProcessBuilder.Redirect.INHERIT)
                         .start();
-        String told = new String(full.getInputStream().readAllBytes());
+        String output = new String(full.getInputStream().readAllBytes());
         assertEquals(0, full.waitFor());
-        assertEquals("refused: true\nlater flush: refused\nsome flushed: true, lost: 0\n", told);
+        assertEquals("refused: true\nlater flush: refused\nsome flushed: true, lost: 0\n", output);
         Files.delete(folder.resolve(VoterStore.FILE));
         Files.delete(folder);
     }
 
     private static String fault(Cluster c, String name) {
-        String fault = c.open.get(name).standing().fault();
+        String fault = c.processes.get(name).standing().fault();
         return fault == null ? "" : fault;
     }
 
-    private static void keep(Cluster c, String name) throws Exception {
+    private static void backUpStore(Cluster c, String name) throws Exception {
         Files.copy(c.folder.resolve(name).resolve(VoterStore.FILE), c.folder.resolve("kept"));
     }
 
@@ -219,7 +227,7 @@
         Files.copy(c.folder.resolve(name).resolve(VoterStore.FILE), copy.resolve(VoterStore.FILE));
         VoterStore store = VoterStore.open(copy);
         try {
-            return store.facts().self().identity();
+            return store.metadata().self().identity();
         } finally {
             store.close();
             Files.delete(copy.resolve(VoterStore.FILE));
--- a/quorum/src/test/java/postgrade/quorum/bench/One.java
+++ b/quorum/src/test/java/postgrade/quorum/bench/One.java
@@ -23,7 +23,7 @@
 
     private One() {}
 
-    private static final class Members implements Part {
+    private static final class MembersPart implements Part {
         @Override
         public String name() {
             return "members";
@@ -43,13 +43,14 @@
         QuorumSettings settings = SharingFile.read(Path.of(args[0]), args[1], System.err::println);
         Executor loop = Executors.newSingleThreadExecutor();
         Quorum quorum =
-                Quorum.open(settings, List.of(new Members()), () -> System.nanoTime() / 1000, loop);
-        long pause = Long.parseLong(args[2]);
-        long last = 0;
+                Quorum.open(
+                        settings, List.of(new MembersPart()), () -> System.nanoTime() / 1000, loop);
+        long pauseMillis = Long.parseLong(args[2]);
+        long lastDecidedNanos = 0;
         while (true) {
-            Thread.sleep(pause == 0 ? 1000 : pause);
-            if (pause > 0) {
-                long sent = System.nanoTime();
+            Thread.sleep(pauseMillis == 0 ? 1000 : pauseMillis);
+            if (pauseMillis > 0) {
+                long sentNanos = System.nanoTime();
                 java.util.concurrent.CompletableFuture<Boolean> done =
                         new java.util.concurrent.CompletableFuture<>();
                 loop.execute(
@@ -65,16 +66,17 @@
                                         1_000_000,
                                         r -> done.complete(r.decided())));
                 if (done.get()) {
-                    long now = System.nanoTime();
+                    long nowNanos = System.nanoTime();
                     System.out.println(
                             "decided after "
-                                    + (now - sent) / 1000
+                                    + (nowNanos - sentNanos) / 1000
                                     + " us, gap "
-                                    + (last == 0 ? 0 : now - last) / 1_000_000
+                                    + (lastDecidedNanos == 0 ? 0 : nowNanos - lastDecidedNanos)
+                                            / 1_000_000
                                     + " ms, view age "
-                                    + quorum.view().ageMicros(now / 1000) / 1000
+                                    + quorum.view().ageMicros(nowNanos / 1000) / 1000
                                     + " ms");
-                    last = now;
+                    lastDecidedNanos = nowNanos;
                 }
             } else {
                 System.out.println(
--- a/quorum/src/test/java/postgrade/quorum/engine/ReadsTest.java
+++ b/quorum/src/test/java/postgrade/quorum/engine/LinearizableReadsTest.java
@@ -17,7 +17,7 @@
 import postgrade.quorum.wire.Endpoint;
 
 /** Rounds of reads at a leader whose engine answers what the test tells it, or never. */
-public class ReadsTest {
+public class LinearizableReadsTest {
 
     private static final int HEARTBEAT_MILLIS = 10;
     private static final long SHORT_MILLIS = 20;
@@ -25,9 +25,10 @@
 
     private final Endpoint self = new Endpoint("a", "1");
     private final EngineThread thread = new EngineThread("a", HEARTBEAT_MILLIS);
-    private Reads reads = reads(LONG_MILLIS);
-    private final BlockingQueue<CompletableFuture<Object>> asked = new LinkedBlockingQueue<>();
-    private volatile RuntimeException engineFault;
+    private LinearizableReads reads = newReads(LONG_MILLIS);
+    private final BlockingQueue<CompletableFuture<Object>> quorumQueries =
+            new LinkedBlockingQueue<>();
+    private volatile RuntimeException engineFailure;
 
     private final RaftTerm term =
             new RaftTerm() {
@@ -47,9 +48,9 @@
                 }
             };
 
-    private final RaftNode node = proxy(RaftNode.class, this::engineDoes);
+    private final RaftNode node = proxy(RaftNode.class, this::callEngine);
 
-    private Object engineDoes(String method) {
+    private Object callEngine(String method) {
         return switch (method) {
             case "getTerm" -> term;
             case "getLocalEndpoint" -> self;
@@ -59,31 +60,31 @@
     }
 
     private Object query() {
-        if (engineFault != null) {
-            throw engineFault;
+        if (engineFailure != null) {
+            throw engineFailure;
         }
         CompletableFuture<Object> answer = new CompletableFuture<>();
-        asked.add(answer);
+        quorumQueries.add(answer);
         return answer;
     }
 
-    private interface Does {
+    private interface MethodHandler {
         Object call(String method);
     }
 
-    private static <T> T proxy(Class<T> type, Does does) {
+    private static <T> T proxy(Class<T> type, MethodHandler handler) {
         return type.cast(
                 Proxy.newProxyInstance(
                         type.getClassLoader(),
                         new Class<?>[] {type},
-                        (proxy, method, args) -> does.call(method.getName())));
+                        (proxy, method, args) -> handler.call(method.getName())));
     }
 
-    private Reads reads(long requestMillis) {
-        return new Reads(thread, null, "1-test", requestMillis);
+    private LinearizableReads newReads(long requestMillis) {
+        return new LinearizableReads(thread, null, "1-test", requestMillis);
     }
 
-    private static Ordered<?> at(long index) {
+    private static Ordered<?> ordered(long index) {
         return proxy(Ordered.class, method -> index);
     }
 
@@ -97,15 +98,15 @@
         thread.submit(() -> reads.confirm(node, reader));
     }
 
-    private CompletableFuture<Object> nextQuestion() throws InterruptedException {
-        CompletableFuture<Object> question = asked.poll(20, TimeUnit.SECONDS);
-        if (question == null) {
+    private CompletableFuture<Object> nextQuery() throws InterruptedException {
+        CompletableFuture<Object> query = quorumQueries.poll(20, TimeUnit.SECONDS);
+        if (query == null) {
             throw new AssertionError("the quorum was not asked");
         }
-        return question;
+        return query;
     }
 
-    private static long of(CompletableFuture<Long> index) throws Exception {
+    private static long await(CompletableFuture<Long> index) throws Exception {
         return index.get(20, TimeUnit.SECONDS);
     }
 
@@ -116,48 +117,50 @@
 
     /** Guards against one lost answer that stops all later reads at the leader, and so at all. */
     @Test
-    public void aRoundThatIsNeverAnsweredKeepsNoLaterReaderWaiting() throws Exception {
-        reads = reads(SHORT_MILLIS);
+    public void unansweredRoundDoesNotBlockLaterReaders() throws Exception {
+        reads = newReads(SHORT_MILLIS);
         CompletableFuture<Long> lost = confirm();
-        CompletableFuture<Object> neverAnswered = nextQuestion();
-        assertEquals(Reads.REFUSED, of(lost));
-        long index = Reads.REFUSED;
-        while (index == Reads.REFUSED) { // A machine that stalls may be late for the short limit.
+        CompletableFuture<Object> neverAnswered = nextQuery();
+        assertEquals(LinearizableReads.REFUSED, await(lost));
+        long index = LinearizableReads.REFUSED;
+        while (index
+                == LinearizableReads
+                        .REFUSED) { // A machine that stalls may be late for the short limit.
             CompletableFuture<Long> next = confirm();
-            CompletableFuture<Object> question = nextQuestion();
-            neverAnswered.complete(at(7));
-            question.complete(at(8));
-            index = of(next);
+            CompletableFuture<Object> query = nextQuery();
+            neverAnswered.complete(ordered(7));
+            query.complete(ordered(8));
+            index = await(next);
         }
         assertEquals("not what was answered before it was asked", 8, index);
     }
 
     /** Guards against the same by a reader's own exception. */
     @Test
-    public void aReaderThatThrowsKeepsNobodyElseFromTheAnswer() throws Exception {
+    public void throwingReaderDoesNotBlockOthers() throws Exception {
         confirm();
-        CompletableFuture<Object> first = nextQuestion();
+        CompletableFuture<Object> first = nextQuery();
         confirm(
                 index -> {
                     throw new IllegalStateException("its connection has ended");
                 });
         CompletableFuture<Long> behind = confirm();
-        first.complete(at(1));
-        nextQuestion().complete(at(2));
-        assertEquals(2, of(behind));
+        first.complete(ordered(1));
+        nextQuery().complete(ordered(2));
+        assertEquals(2, await(behind));
         CompletableFuture<Long> later = confirm();
-        nextQuestion().complete(at(3));
-        assertEquals(3, of(later));
+        nextQuery().complete(ordered(3));
+        assertEquals(3, await(later));
     }
 
     /** Guards against the same by an engine that throws when it is asked. */
     @Test
-    public void anEngineThatThrowsRefusesTheRoundAlone() throws Exception {
-        engineFault = new IllegalStateException("a fault of the engine");
-        assertEquals(Reads.REFUSED, of(confirm()));
-        engineFault = null;
+    public void throwingEngineFailsOnlyItsRound() throws Exception {
+        engineFailure = new IllegalStateException("a fault of the engine");
+        assertEquals(LinearizableReads.REFUSED, await(confirm()));
+        engineFailure = null;
         CompletableFuture<Long> later = confirm();
-        nextQuestion().complete(at(4));
-        assertEquals(4, of(later));
+        nextQuery().complete(ordered(4));
+        assertEquals(4, await(later));
     }
 }
--- a/quorum/src/test/java/postgrade/quorum/engine/LogClockTest.java
+++ b/quorum/src/test/java/postgrade/quorum/engine/LogClockTest.java
@@ -18,16 +18,16 @@
 /** The log's time by a clock of ours and an engine that answers when it is told. */
 public class LogClockTest {
 
-    private static final long MOST = 500_000;
+    private static final long MAX_ADVANCE_MICROS = 500_000;
     private final Endpoint self = new Endpoint("a", "1");
-    private final List<Command> asked = new ArrayList<>();
+    private final List<Command> proposed = new ArrayList<>();
     private CompletableFuture<Object> answer;
     private RaftEndpoint leader = self;
     private int term = 1;
-    private long now = 1_000_000;
-    private final LogClock clock = new LogClock("a", 1, () -> now, MOST, 0);
+    private long nowMicros = 1_000_000;
+    private final LogClock clock = new LogClock("a", 1, () -> nowMicros, MAX_ADVANCE_MICROS, 0);
 
-    private final RaftTerm terms =
+    private final RaftTerm raftTerm =
             new RaftTerm() {
                 @Override
                 public int getTerm() {
@@ -52,10 +52,10 @@
                             new Class<?>[] {RaftNode.class},
                             (proxy, method, args) ->
                                     switch (method.getName()) {
-                                        case "getTerm" -> terms;
+                                        case "getTerm" -> raftTerm;
                                         case "getLocalEndpoint" -> self;
                                         case "replicate" -> {
-                                            asked.add((Command) args[0]);
+                                            proposed.add((Command) args[0]);
                                             answer = new CompletableFuture<>();
                                             yield answer;
                                         }
@@ -63,98 +63,99 @@
                                     });
 
     private void tickAfter(long micros) {
-        now += micros;
+        nowMicros += micros;
         clock.tick(node);
     }
 
-    private long told() {
-        return asked.stream().mapToLong(c -> c.args().whole("by")).sum();
+    private long loggedMicros() {
+        return proposed.stream().mapToLong(c -> c.args().whole("by")).sum();
     }
 
     /** A leader's first entry tells no time: it commits what was before. */
-    private void leadsAnew() {
-        int before = asked.size();
+    private void becomeLeader() {
+        int before = proposed.size();
         tickAfter(0);
-        assertEquals(before + 1, asked.size());
-        assertEquals(0, asked.get(before).args().whole("by"));
+        assertEquals(before + 1, proposed.size());
+        assertEquals(0, proposed.get(before).args().whole("by"));
         answer.complete(null);
     }
 
     @Test
-    public void eachMomentIsToldOnceAndOnlyWhileLeading() {
-        leadsAnew();
+    public void timeIsLoggedOnceAndOnlyWhileLeading() {
+        becomeLeader();
         tickAfter(100_000);
-        assertEquals(100_000, told());
+        assertEquals(100_000, loggedMicros());
         tickAfter(50_000);
-        assertEquals("the first is not decided yet", 2, asked.size());
+        assertEquals("the first is not decided yet", 2, proposed.size());
         answer.complete(null);
         tickAfter(50_000);
-        assertEquals(200_000, told());
+        assertEquals(200_000, loggedMicros());
         answer.complete(null);
         leader = new Endpoint("b", "1");
         tickAfter(300_000);
         leader = self;
         term = 3;
-        now += 300_000;
-        leadsAnew();
+        nowMicros += 300_000;
+        becomeLeader();
         tickAfter(100_000);
-        assertEquals("what others led is not told", 300_000, told());
+        assertEquals("what others led is not told", 300_000, loggedMicros());
     }
 
     @Test
-    public void aLeaderThatSleptTellsOnlySoMuch() {
-        leadsAnew();
+    public void advanceAfterSleepIsBounded() {
+        becomeLeader();
         tickAfter(60_000_000);
-        assertEquals(MOST, told());
+        assertEquals(MAX_ADVANCE_MICROS, loggedMicros());
         answer.complete(null);
         tickAfter(100_000);
-        assertEquals("what was not told is lost", MOST + 100_000, told());
+        assertEquals("what was not told is lost", MAX_ADVANCE_MICROS + 100_000, loggedMicros());
     }
 
     @Test
-    public void timeIsToldInStepsAndNoneIsLostByThat() {
-        LogClock steps = new LogClock("a", 1, () -> now, MOST, 200_000);
+    public void timeAdvancesInStepsWithoutLoss() {
+        LogClock steppedClock = new LogClock("a", 1, () -> nowMicros, MAX_ADVANCE_MICROS, 200_000);
         for (int i = 0; i < 9; i++) {
-            steps.tick(node);
+            steppedClock.tick(node);
             answer.complete(null);
-            now += 100_000;
+            nowMicros += 100_000;
         }
-        assertEquals("the first entry, and one for each two ticks", 5, asked.size());
-        assertEquals(800_000, told());
+        assertEquals("the first entry, and one for each two ticks", 5, proposed.size());
+        assertEquals(800_000, loggedMicros());
     }
 
     /** Guards against one lost answer of the engine's that stops the log's time for good. */
     @Test
-    public void anEntryThatIsNeverAnsweredStopsNoTimeAndIsNotToldAgain() {
-        leadsAnew();
+    public void lostEntryDoesNotStopTimeAndIsNotRepeated() {
+        becomeLeader();
         tickAfter(100_000);
         CompletableFuture<Object> neverAnswered = answer;
-        tickAfter(4 * MOST);
-        assertEquals(100_000, told());
+        tickAfter(4 * MAX_ADVANCE_MICROS);
+        assertEquals(100_000, loggedMicros());
         tickAfter(1);
-        assertEquals("it may be committed, and what came behind it is bounded", 600_000, told());
+        assertEquals(
+                "it may be committed, and what came behind it is bounded", 600_000, loggedMicros());
         neverAnswered.complete(null);
         tickAfter(100_000);
-        assertEquals("a late answer counts for nothing", 600_000, told());
+        assertEquals("a late answer counts for nothing", 600_000, loggedMicros());
         answer.complete(null);
         tickAfter(100_000);
-        assertEquals(800_000, told());
+        assertEquals(800_000, loggedMicros());
     }
 
     @Test
-    public void whatMayBeCommittedYetIsNotToldAgain() {
-        leadsAnew();
+    public void indeterminateEntryIsNotRepeated() {
+        becomeLeader();
         tickAfter(100_000);
         answer.completeExceptionally(new CannotReplicateException(self));
         tickAfter(100_000);
-        assertEquals("never came into the log: 100 and then 200 ms", 300_000, told());
+        assertEquals("never came into the log: 100 and then 200 ms", 300_000, loggedMicros());
         answer.completeExceptionally(new IndeterminateStateException(self));
         tickAfter(100_000);
-        assertEquals(300_000, told());
+        assertEquals(300_000, loggedMicros());
         clock.reset();
-        now += 100_000;
-        leadsAnew();
+        nowMicros += 100_000;
+        becomeLeader();
         tickAfter(100_000);
-        assertEquals("from where it leads anew", 400_000, told());
+        assertEquals("from where it leads anew", 400_000, loggedMicros());
     }
 }
--- a/quorum/src/test/java/postgrade/quorum/engine/KnownTest.java
+++ b/quorum/src/test/java/postgrade/quorum/engine/PeerPromisesTest.java
@@ -8,29 +8,29 @@
 import io.microraft.model.message.RaftMessage;
 import org.junit.Test;
 import postgrade.quorum.wire.Endpoint;
-import postgrade.quorum.wire.RaftShapes;
+import postgrade.quorum.wire.RaftCodec;
 import postgrade.quorum.wire.proto.HelloReply;
 
 /** Which of a voter's messages its store has to hold when it comes back. */
-public class KnownTest {
+public class PeerPromisesTest {
 
     private static final String GROUP = "1-test";
 
     private final RaftModelFactory model = new DefaultRaftModelFactory();
     private final Endpoint voter = new Endpoint("b", "2");
-    private final Known known = new Known();
+    private final PeerPromises promises = new PeerPromises();
 
-    private void hears(RaftMessage message) {
-        known.heard(RaftShapes.write(message, "a/1"));
+    private void receive(RaftMessage message) {
+        promises.record(RaftCodec.encode(message, "a/1"));
     }
 
-    private boolean hasSeenMoreThan(int term, long lastIndex) {
+    private boolean exceedsStore(int term, long lastIndex) {
         HelloReply.Builder reply = HelloReply.newBuilder();
-        known.tell(voter.toString(), reply);
-        return Known.moreThan(reply.build(), 1, term, lastIndex);
+        promises.addTo(voter.toString(), reply);
+        return PeerPromises.exceedsStore(reply.build(), 1, term, lastIndex);
     }
 
-    private RaftMessage vote(int term) {
+    private RaftMessage voteRequest(int term) {
         return model.createVoteRequestBuilder()
                 .setGroupId(GROUP)
                 .setSender(voter)
@@ -41,36 +41,36 @@
 
     /** Guards against a store taken for an older copy after a vote that never came about. */
     @Test
-    public void aPreVoteIsNoPromise() {
-        hears(vote(3));
-        hears(
+    public void preVoteIsNoPromise() {
+        receive(voteRequest(3));
+        receive(
                 model.createPreVoteRequestBuilder()
                         .setGroupId(GROUP)
                         .setSender(voter)
                         .setTerm(4)
                         .build());
-        hears(
+        receive(
                 model.createPreVoteResponseBuilder()
                         .setGroupId(GROUP)
                         .setSender(voter)
                         .setTerm(5)
                         .setGranted(true)
                         .build());
-        assertFalse(hasSeenMoreThan(3, 0));
-        assertTrue("the vote it asked for is one", hasSeenMoreThan(2, 9));
+        assertFalse(exceedsStore(3, 0));
+        assertTrue("the vote it asked for is one", exceedsStore(2, 9));
     }
 
     @Test
-    public void anAcknowledgedEntryIsOne() {
-        hears(
+    public void acknowledgedEntryIsAPromise() {
+        receive(
                 model.createAppendEntriesSuccessResponseBuilder()
                         .setGroupId(GROUP)
                         .setSender(voter)
                         .setTerm(3)
                         .setLastLogIndex(7)
                         .build());
-        assertTrue(hasSeenMoreThan(3, 6));
-        assertFalse(hasSeenMoreThan(3, 7));
-        assertFalse(hasSeenMoreThan(4, 0));
+        assertTrue(exceedsStore(3, 6));
+        assertFalse(exceedsStore(3, 7));
+        assertFalse(exceedsStore(4, 0));
     }
 }
--- a/quorum/src/test/java/postgrade/quorum/engine/ReturningVoterTest.java
+++ b/quorum/src/test/java/postgrade/quorum/engine/RestartedVoterTest.java
@@ -22,7 +22,7 @@
 import postgrade.quorum.settings.QuorumSettings;
 import postgrade.quorum.store.VoterStore;
 import postgrade.quorum.wire.Endpoint;
-import postgrade.quorum.wire.RaftShapes;
+import postgrade.quorum.wire.RaftCodec;
 import postgrade.quorum.wire.proto.HelloReply;
 import postgrade.quorum.wire.proto.HelloRequest;
 import postgrade.quorum.wire.proto.RaftMsg;
@@ -31,7 +31,7 @@
  * A voter that has just come back, on a clock that stands still unless the test moves it, between
  * two scripted peers. Guards against a rolling restart that deposes a healthy leader.
  */
-public class ReturningVoterTest {
+public class RestartedVoterTest {
 
     private static final String GROUP = "1-test";
     private static final int HEARTBEAT_MILLIS = 10;
@@ -64,7 +64,7 @@
     private void start() throws Exception {
         Path store = folder.getRoot().toPath();
         List<String> members = List.of(a.toString(), b.toString(), c.toString());
-        VoterStore.create(store, new VoterStore.Facts(b, GROUP, 1, members)).close();
+        VoterStore.create(store, new VoterStore.Metadata(b, GROUP, 1, members)).close();
         QuorumSettings settings =
                 new QuorumSettings(
                         "b",
@@ -81,21 +81,22 @@
                         settings,
                         List.of(),
                         nowMicros::get,
-                        peers.links(settings),
-                        new Faults("b"));
+                        peers.connections(settings),
+                        new FaultStatus("b"));
         voter.start();
-        while (greeting().getMembersCount() == 0) {
+        while (askHello().getMembersCount() == 0) {
             Thread.onSpinWait(); // Each turn waits for the voter's own answer.
         }
     }
 
-    private HelloReply greeting() throws Exception {
+    private HelloReply askHello() throws Exception {
         CompletableFuture<HelloReply> reply = new CompletableFuture<>();
-        voter.desk().hello(HelloRequest.newBuilder().setName("c").build(), reply::complete);
+        voter.requestHandler()
+                .hello(HelloRequest.newBuilder().setName("c").build(), reply::complete);
         return reply.get(20, TimeUnit.SECONDS);
     }
 
-    private HelloReply.Builder hello(Endpoint peer) {
+    private HelloReply.Builder peerHello(Endpoint peer) {
         return HelloReply.newBuilder()
                 .setName(peer.name())
                 .setIdentity(peer.identity())
@@ -103,12 +104,12 @@
                 .setEra(1);
     }
 
-    private HelloReply follows(Endpoint peer, Endpoint leader) {
-        return hello(peer).setLeader(leader.name()).setLeads(peer.equals(leader)).build();
+    private HelloReply peerFollowing(Endpoint peer, Endpoint leader) {
+        return peerHello(peer).setLeader(leader.name()).setLeads(peer.equals(leader)).build();
     }
 
-    private RaftMsg preVote() {
-        return RaftShapes.write(
+    private RaftMsg preVoteRequest() {
+        return RaftCodec.encode(
                 model.createPreVoteRequestBuilder()
                         .setGroupId(GROUP)
                         .setSender(c)
@@ -119,8 +120,8 @@
                 b.toString());
     }
 
-    private RaftMsg vote(boolean sticky) {
-        return RaftShapes.write(
+    private RaftMsg voteRequest(boolean sticky) {
+        return RaftCodec.encode(
                 model.createVoteRequestBuilder()
                         .setGroupId(GROUP)
                         .setSender(c)
@@ -133,98 +134,99 @@
     }
 
     /** The voter's answer, and that it has asked for nothing itself by then. */
-    private boolean grants(RaftMsg request) throws Exception {
-        voter.desk().raft(request);
-        RaftMsg first = peers.next(c);
-        assertTrue("an answer, not a request of its own: " + first, RaftShapes.answersVote(first));
+    private boolean grantsVote(RaftMsg request) throws Exception {
+        voter.requestHandler().raft(request);
+        RaftMsg first = peers.nextMessage(c);
+        assertTrue(
+                "an answer, not a request of its own: " + first, RaftCodec.isVoteResponse(first));
         assertEquals(b.toString(), first.getSender());
         return first.getFlag();
     }
 
-    private void asksForPreVote(Endpoint peer) throws Exception {
-        RaftMessage request = RaftShapes.read(peers.next(peer));
+    private void assertPreVoteRequested(Endpoint peer) throws Exception {
+        RaftMessage request = RaftCodec.decode(peers.nextMessage(peer));
         assertTrue(request.toString(), request instanceof PreVoteRequest);
     }
 
     @Test
-    public void whileALeaderIsThereItNeitherAsksForVotesNorGrantsThem() throws Exception {
-        peers.says(a, follows(a, a));
-        peers.says(c, hello(c).build());
+    public void neitherRequestsNorGrantsVotesUnderALeader() throws Exception {
+        peers.setHello(a, peerFollowing(a, a));
+        peers.setHello(c, peerHello(c).build());
         start();
-        assertFalse(grants(preVote()));
-        assertFalse(grants(vote(true)));
+        assertFalse(grantsVote(preVoteRequest()));
+        assertFalse(grantsVote(voteRequest(true)));
     }
 
     /** The leader may be slow to answer; whoever follows it knows that it lives. */
     @Test
-    public void aLeaderThatAnotherFollowsIsThere() throws Exception {
-        peers.says(a, hello(a).build());
-        peers.says(c, follows(c, a));
+    public void leaderFollowedByAPeerCountsAsAlive() throws Exception {
+        peers.setHello(a, peerHello(a).build());
+        peers.setHello(c, peerFollowing(c, a));
         start();
-        assertFalse(grants(preVote()));
+        assertFalse(grantsVote(preVoteRequest()));
     }
 
     @Test
-    public void aLeaderThatIsNotHeardOfForAnElectionTimeIsReplaced() throws Exception {
-        peers.says(a, follows(a, a));
-        peers.says(c, hello(c).build());
+    public void leaderSilentForAnElectionTimeoutIsReplaced() throws Exception {
+        peers.setHello(a, peerFollowing(a, a));
+        peers.setHello(c, peerHello(c).build());
         start();
-        assertFalse(grants(preVote()));
+        assertFalse(grantsVote(preVoteRequest()));
         nowMicros.addAndGet(ELECTION_MILLIS * 1000L);
-        asksForPreVote(a);
-        voter.desk().raft(preVote());
-        assertTrue(peers.nextOf(c, RaftShapes::answersVote).getFlag());
+        assertPreVoteRequested(a);
+        voter.requestHandler().raft(preVoteRequest());
+        assertTrue(peers.nextMatching(c, RaftCodec::isVoteResponse).getFlag());
     }
 
     /** All start together: nobody leads, and there is nothing to wait for. */
     @Test
-    public void withoutALeaderItAsksForVotesAtOnceAndGrantsThem() throws Exception {
-        peers.says(a, hello(a).build());
-        peers.says(c, hello(c).build());
+    public void requestsAndGrantsVotesAtOnceWithoutALeader() throws Exception {
+        peers.setHello(a, peerHello(a).build());
+        peers.setHello(c, peerHello(c).build());
         start();
-        asksForPreVote(a);
-        voter.desk().raft(preVote());
-        assertTrue(peers.nextOf(c, RaftShapes::answersVote).getFlag());
+        assertPreVoteRequested(a);
+        voter.requestHandler().raft(preVoteRequest());
+        assertTrue(peers.nextMatching(c, RaftCodec::isVoteResponse).getFlag());
     }
 
     /** It led until it went: the others name it until an election time is over. */
     @Test
-    public void aVoterThatLedItselfWaitsForNobody() throws Exception {
-        peers.says(a, follows(a, b));
-        peers.says(c, follows(c, b));
+    public void formerLeaderDoesNotWaitForItself() throws Exception {
+        peers.setHello(a, peerFollowing(a, b));
+        peers.setHello(c, peerFollowing(c, b));
         start();
-        asksForPreVote(a);
+        assertPreVoteRequested(a);
     }
 
     @Test
-    public void aPeerThatDoesNotAnswerInTimeMayLead() throws Exception {
-        peers.says(c, hello(c).build());
+    public void unresponsivePeerMayBeLeader() throws Exception {
+        peers.setHello(c, peerHello(c).build());
         start();
-        assertFalse(grants(preVote()));
+        assertFalse(grantsVote(preVoteRequest()));
     }
 
     @Test
-    public void oncePeersSayThatNobodyLeadsItWaitsNoLonger() throws Exception {
-        peers.says(c, hello(c).build());
+    public void stopsWaitingOncePeersReportNoLeader() throws Exception {
+        peers.setHello(c, peerHello(c).build());
         start();
-        assertFalse(grants(preVote()));
-        peers.says(a, hello(a).build());
-        asksForPreVote(a);
+        assertFalse(grantsVote(preVoteRequest()));
+        peers.setHello(a, peerHello(a).build());
+        assertPreVoteRequested(a);
     }
 
     /** A leader that hands over asks for votes itself. */
     @Test
-    public void aHandedOverLeadershipIsVotedFor() throws Exception {
-        peers.says(a, follows(a, a));
-        peers.says(c, hello(c).build());
+    public void grantsVoteForLeadershipTransfer() throws Exception {
+        peers.setHello(a, peerFollowing(a, a));
+        peers.setHello(c, peerHello(c).build());
         start();
-        assertTrue(grants(vote(false)));
+        assertTrue(grantsVote(voteRequest(false)));
     }
 
     /** Only requests for votes are meant: all else passes. */
     @Test
-    public void theClassesOfMessagesAreKnownByTheirKind() {
-        assertTrue(RaftShapes.read(preVote()) instanceof PreVoteRequest);
-        assertTrue(RaftShapes.read(vote(true)) instanceof VoteRequest);
+    public void messageKindsDecodeToTheirTypes() {
+        assertTrue(RaftCodec.decode(preVoteRequest()) instanceof PreVoteRequest);
+        assertTrue(RaftCodec.decode(voteRequest(true)) instanceof VoteRequest);
     }
 }
--- a/quorum/src/test/java/postgrade/quorum/engine/ScriptedPeers.java
+++ b/quorum/src/test/java/postgrade/quorum/engine/ScriptedPeers.java
@@ -18,8 +18,8 @@
 import postgrade.quorum.settings.QuorumSettings;
 import postgrade.quorum.settings.QuorumSettings.Voter;
 import postgrade.quorum.wire.Endpoint;
-import postgrade.quorum.wire.Links;
 import postgrade.quorum.wire.Server;
+import postgrade.quorum.wire.VoterConnections;
 import postgrade.quorum.wire.proto.AskReply;
 import postgrade.quorum.wire.proto.AskRequest;
 import postgrade.quorum.wire.proto.HelloReply;
@@ -36,21 +36,21 @@
  */
 final class ScriptedPeers implements AutoCloseable {
 
-    private static final int MOST_TRIES = 100;
+    private static final int MAX_PORT_ATTEMPTS = 100;
 
-    private final EventLoopGroup events = new NioEventLoopGroup(1);
+    private final EventLoopGroup eventLoops = new NioEventLoopGroup(1);
     private final Map<String, Peer> peers = new TreeMap<>();
-    private Links links;
+    private VoterConnections connections;
 
-    private static final class Peer implements Server.Desk {
-        private final BlockingQueue<RaftMsg> heard = new LinkedBlockingQueue<>();
+    private static final class Peer implements Server.RequestHandler {
+        private final BlockingQueue<RaftMsg> received = new LinkedBlockingQueue<>();
         private volatile HelloReply hello;
         private Voter address;
         private Server server;
 
         @Override
         public void raft(RaftMsg message) {
-            heard.add(message);
+            received.add(message);
         }
 
         @Override
@@ -72,18 +72,18 @@
 
     ScriptedPeers(Endpoint... endpoints) throws IOException {
         for (Endpoint endpoint : endpoints) {
-            peers.put(endpoint.name(), listening(endpoint.name()));
+            peers.put(endpoint.name(), startPeer(endpoint.name()));
         }
     }
 
-    private Peer listening(String name) throws IOException {
+    private Peer startPeer(String name) throws IOException {
         Peer peer = new Peer();
         for (int i = 0; peer.server == null; i++) {
             peer.address = new Voter(name, "127.0.0.1", freePort());
             try {
-                peer.server = new Server(peer.address, events, peer);
+                peer.server = new Server(peer.address, eventLoops, peer);
             } catch (IOException e) {
-                if (i >= MOST_TRIES) {
+                if (i >= MAX_PORT_ATTEMPTS) {
                     throw e;
                 }
             }
@@ -97,7 +97,7 @@
             try (ServerSocket s = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
                 return s.getLocalPort();
             } catch (IOException e) {
-                if (i >= MOST_TRIES) {
+                if (i >= MAX_PORT_ATTEMPTS) {
                     throw e;
                 }
             }
@@ -112,19 +112,19 @@
         return voters;
     }
 
-    Links links(QuorumSettings settings) {
-        links = new Links(settings, events);
-        return links;
+    VoterConnections connections(QuorumSettings settings) {
+        connections = new VoterConnections(settings, eventLoops);
+        return connections;
     }
 
     /** From now on the peer answers this; one that was told nothing never answers. */
-    void says(Endpoint peer, HelloReply hello) {
+    void setHello(Endpoint peer, HelloReply hello) {
         peers.get(peer.name()).hello = hello;
     }
 
     /** What the peer has heard next. */
-    RaftMsg next(Endpoint peer) throws InterruptedException {
-        RaftMsg message = peers.get(peer.name()).heard.poll(20, TimeUnit.SECONDS);
+    RaftMsg nextMessage(Endpoint peer) throws InterruptedException {
+        RaftMsg message = peers.get(peer.name()).received.poll(20, TimeUnit.SECONDS);
         if (message == null) {
             throw new AssertionError(peer + " has heard nothing");
         }
@@ -132,20 +132,20 @@
     }
 
     /** The next such message that the peer has heard. */
-    RaftMsg nextOf(Endpoint peer, Predicate<RaftMsg> such) throws InterruptedException {
-        RaftMsg message = next(peer);
-        while (!such.test(message)) {
-            message = next(peer);
+    RaftMsg nextMatching(Endpoint peer, Predicate<RaftMsg> filter) throws InterruptedException {
+        RaftMsg message = nextMessage(peer);
+        while (!filter.test(message)) {
+            message = nextMessage(peer);
         }
         return message;
     }
 
     @Override
     public void close() {
-        if (links != null) {
-            links.close();
+        if (connections != null) {
+            connections.close();
         }
         peers.values().forEach(peer -> peer.server.close());
-        events.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
+        eventLoops.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 }
--- a/quorum/src/test/java/postgrade/quorum/engine/PagesTest.java
+++ b/quorum/src/test/java/postgrade/quorum/engine/StatePagesTest.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.Test;
-import postgrade.quorum.follow.Gathering;
+import postgrade.quorum.follow.ViewAssembler;
 import postgrade.quorum.wire.proto.PullReply;
 import postgrade.shared.Answer;
 import postgrade.shared.Command;
@@ -18,13 +18,13 @@
 import postgrade.shared.View;
 
 /** A state larger than any message, told page by page while it goes on. */
-public class PagesTest {
+public class StatePagesTest {
 
     private static final int ROWS = 4500;
     private static final String TEXT = "x".repeat(16 << 10);
-    private static final long OLD_MOST = 64 << 20;
+    private static final long FORMER_MESSAGE_LIMIT = 64 << 20;
 
-    private static final class Texts implements Part {
+    private static final class TextsPart implements Part {
         @Override
         public String name() {
             return "texts";
@@ -41,9 +41,9 @@
         }
     }
 
-    private final Machine machine = new Machine(1, List.of(new Texts()));
-    private Gathering gathering = new Gathering(View.NONE);
-    private long told;
+    private final Machine machine = new Machine(1, List.of(new TextsPart()));
+    private ViewAssembler viewAssembler = new ViewAssembler(View.NONE);
+    private long receivedBytes;
     private int pages;
 
     private void change(String verb, int key) {
@@ -53,93 +53,96 @@
                         "", "test", 1, "texts", verb, Row.of("key", String.format("k%05d", key))));
     }
 
-    private View page() {
+    private View nextPage() {
         PullReply.Builder reply = PullReply.newBuilder().setGroup("1-g");
-        Pages.fill(reply, machine, gathering.asks().build(), pages++ > 0);
+        StatePages.fill(reply, machine, viewAssembler.nextRequest().build(), pages++ > 0);
         PullReply page = reply.build();
-        told += page.getSerializedSize();
+        receivedBytes += page.getSerializedSize();
         assertTrue(
                 "a page of " + page.getSerializedSize(),
-                page.getSerializedSize() < Pages.BYTES + TEXT.length() + 1000);
-        return gathering.take(1_000_000 + pages, page);
+                page.getSerializedSize() < StatePages.PAGE_BYTES + TEXT.length() + 1000);
+        return viewAssembler.accept(1_000_000 + pages, page);
     }
 
-    private View whole() {
+    private View pullView() {
         View view = null;
         while (view == null) {
-            view = page();
+            view = nextPage();
         }
         return view;
     }
 
-    private void asTheMachine(View view) {
+    private void assertMatchesMachine(View view) {
         assertEquals(machine.moment(), view.moment());
         assertEquals(machine.rows().of("texts"), view.rows().of("texts"));
     }
 
     @Test
-    public void aStateAboveTheOldLimitComesWholeWhileItChanges() {
+    public void stateAboveFormerLimitArrivesCompleteWhileChanging() {
         for (int i = 0; i < ROWS; i++) {
             change("put", i);
         }
-        for (View view = null; view == null || told < OLD_MOST; ) {
-            view = page();
-            assertTrue("half a view was published", view == null || told > OLD_MOST);
+        for (View view = null; view == null || receivedBytes < FORMER_MESSAGE_LIMIT; ) {
+            view = nextPage();
+            assertTrue(
+                    "half a view was published",
+                    view == null || receivedBytes > FORMER_MESSAGE_LIMIT);
             change("put", pages % 7); // Behind the cursor.
             change("remove", 20 + pages);
             change("put", ROWS + pages);
         }
-        View view = whole();
-        asTheMachine(view);
+        View view = pullView();
+        assertMatchesMachine(view);
         assertEquals("of the pull that brought it", 1_000_000 + pages, view.asOfMicros());
-        long before = told;
+        long before = receivedBytes;
         change("put", 3);
         change("remove", 4);
-        asTheMachine(whole());
-        assertTrue("only what changed", told - before < 3 * TEXT.length());
+        assertMatchesMachine(pullView());
+        assertTrue("only what changed", receivedBytes - before < 3 * TEXT.length());
     }
 
     @Test
-    public void whereTheChangesAreForgottenItBeginsAnew() {
+    public void restartsWhereChangesAreNoLongerKnown() {
         for (int i = 0; i < 100; i++) {
             change("put", i);
         }
-        assertEquals("the first page is no view", null, page());
+        assertEquals("the first page is no view", null, nextPage());
         for (int i = 0; i < 5000; i++) {
             change("put", 200);
             change("remove", 200);
         }
-        asTheMachine(whole());
+        assertMatchesMachine(pullView());
     }
 
     @Test
-    public void anotherLogOrAnOlderStateIsNotMixedIn() {
+    public void otherLogOrOlderStateIsNotMixedIn() {
         for (int i = 0; i < 100; i++) {
             change("put", i);
         }
-        page();
+        nextPage();
         PullReply.Builder other = PullReply.newBuilder().setGroup("2-h");
-        Machine later = new Machine(2, List.of(new Texts()));
+        Machine later = new Machine(2, List.of(new TextsPart()));
         later.apply(1, new Command("", "test", 1, "texts", "put", Row.of("key", "only")));
-        Pages.fill(other, later, gathering.asks().build(), false);
-        assertEquals(null, gathering.take(5, other.build()));
-        Pages.fill(other.clear().setGroup("2-h"), later, gathering.asks().build(), false);
-        View view = gathering.take(6, other.build());
+        StatePages.fill(other, later, viewAssembler.nextRequest().build(), false);
+        assertEquals(null, viewAssembler.accept(5, other.build()));
+        StatePages.fill(
+                other.clear().setGroup("2-h"), later, viewAssembler.nextRequest().build(), false);
+        View view = viewAssembler.accept(6, other.build());
         assertEquals(later.rows().of("texts"), view.rows().of("texts"));
-        assertEquals("an earlier moment", null, page());
+        assertEquals("an earlier moment", null, nextPage());
     }
 
     @Test
-    public void aSnapshotInPiecesIsTheSame() {
+    public void splitSnapshotRestoresTheSameState() {
         for (int i = 0; i < 100; i++) {
             change("put", i);
         }
-        List<Object> pieces = new ArrayList<>();
-        Pages.split(machine.save(), pieces::add);
-        assertTrue(pieces.size() > 5);
-        Machine read = new Machine(1, List.of(new Texts()));
-        read.load(Pages.join(pieces));
-        assertEquals(machine.moment(), read.moment());
-        assertEquals(machine.rows().of("texts"), read.rows().of("texts"));
+        List<Object> chunks = new ArrayList<>();
+        StatePages.split(machine.save(), chunks::add);
+        assertTrue(chunks.size() > 5);
+        Machine restored = new Machine(1, List.of(new TextsPart()));
+        restored.load(StatePages.join(chunks));
+        assertEquals(machine.moment(), restored.moment());
+        assertEquals(machine.rows().of("texts"), restored.rows().of("texts"));
     }
 }
--- a/quorum/src/test/java/postgrade/quorum/follow/FollowerTest.java
+++ b/quorum/src/test/java/postgrade/quorum/follow/FollowerTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.junit.Test;
-import postgrade.quorum.engine.Faults;
+import postgrade.quorum.engine.FaultStatus;
 import postgrade.quorum.settings.QuorumSettings;
 import postgrade.quorum.wire.proto.AskReply;
 import postgrade.quorum.wire.proto.AskRequest;
@@ -21,27 +21,27 @@
 /** How soon a process asks again for a view. */
 public class FollowerTest {
 
-    private static long untilTry(int tries, int quick) {
-        long passed = 0;
-        for (int failures = 1; failures < tries; failures++) {
-            passed += Follower.pauseMillis(250, failures, quick);
+    private static long millisBeforeAttempt(int attempt, int quickRetries) {
+        long millis = 0;
+        for (int failures = 1; failures < attempt; failures++) {
+            millis += Follower.pauseMillis(250, failures, quickRetries);
         }
-        return passed;
+        return millis;
     }
 
     /** A voter that answers no pull until it has refused so many, and each one from then on. */
-    private static final class LateVoter implements Way {
-        private static final int ANSWERED = 3;
-        private final Faults faults;
-        private int refusals;
+    private static final class RecoveringVoter implements VoterChannel {
+        private static final int EXPECTED_ANSWERS = 3;
+        private final FaultStatus faultStatus;
+        private int remainingRefusals;
         private int answers;
-        String whileRefusing;
-        String afterAnswers = "none came";
+        String faultWhileRefusing;
+        String faultAfterAnswers = "none came";
         final CountDownLatch answered = new CountDownLatch(1);
 
-        LateVoter(Faults faults, int refusals) {
-            this.faults = faults;
-            this.refusals = refusals;
+        RecoveringVoter(FaultStatus faultStatus, int refusals) {
+            this.faultStatus = faultStatus;
+            this.remainingRefusals = refusals;
         }
 
         @Override
@@ -52,15 +52,15 @@
         /** Called on the follow thread, so what was answered before has been taken in. */
         @Override
         public void pull(PullRequest request, long withinMillis, Consumer<PullReply> done) {
-            if (refusals-- > 0) {
+            if (remainingRefusals-- > 0) {
                 done.accept(null);
                 return;
             }
             if (answers == 0) {
-                whileRefusing = faults.now();
+                faultWhileRefusing = faultStatus.current();
             }
-            if (++answers == ANSWERED) {
-                afterAnswers = faults.now();
+            if (++answers == EXPECTED_ANSWERS) {
+                faultAfterAnswers = faultStatus.current();
                 answered.countDown();
             }
             done.accept(
@@ -78,9 +78,9 @@
     }
 
     /** A voter whose first answer cannot be read, and each later one can. */
-    private static final class BrokenAtFirst implements Way {
+    private static final class InvalidFirstReplyVoter implements VoterChannel {
         private int answers;
-        final CountDownLatch readable = new CountDownLatch(1);
+        final CountDownLatch secondReplySent = new CountDownLatch(1);
 
         @Override
         public String voter() {
@@ -96,7 +96,7 @@
             }
             done.accept(answer.build());
             if (answers == 2) {
-                readable.countDown();
+                secondReplySent.countDown();
             }
         }
 
@@ -108,18 +108,19 @@
 
     /** Guards against a process that pulls no view any more after one answer it cannot read. */
     @Test
-    public void anAnswerThatCannotBeReadIsNotTheLastThatIsAskedFor() throws Exception {
-        FollowThread thread = new FollowThread("f");
-        BrokenAtFirst voter = new BrokenAtFirst();
+    public void pullsContinueAfterAnUnreadableReply() throws Exception {
+        FollowerThread thread = new FollowerThread("f");
+        InvalidFirstReplyVoter voter = new InvalidFirstReplyVoter();
         try {
-            follower(thread, voter, new Faults("f")).start();
-            assertTrue(voter.readable.await(20, TimeUnit.SECONDS));
+            follower(thread, voter, new FaultStatus("f")).start();
+            assertTrue(voter.secondReplySent.await(20, TimeUnit.SECONDS));
         } finally {
             thread.close();
         }
     }
 
-    private static Follower follower(FollowThread thread, Way voter, Faults faults) {
+    private static Follower follower(
+            FollowerThread thread, VoterChannel voter, FaultStatus faultStatus) {
         QuorumSettings settings =
                 new QuorumSettings(
                         "f",
@@ -136,36 +137,36 @@
                 () -> System.nanoTime() / 1000,
                 thread,
                 List.of(voter),
-                new Eras(faults),
-                faults,
+                new CurrentEra(faultStatus),
+                faultStatus,
                 7);
     }
 
     @Test
-    public void thatNoVoterConfirmsAViewIsSaidNoLongerOnceOneHas() throws Exception {
-        Faults faults = new Faults("f");
-        FollowThread thread = new FollowThread("f");
-        LateVoter voter = new LateVoter(faults, 6);
+    public void noViewFaultClearsOnceAViewIsConfirmed() throws Exception {
+        FaultStatus faultStatus = new FaultStatus("f");
+        FollowerThread thread = new FollowerThread("f");
+        RecoveringVoter voter = new RecoveringVoter(faultStatus, 6);
         try {
-            follower(thread, voter, faults).start();
+            follower(thread, voter, faultStatus).start();
             assertTrue(voter.answered.await(20, TimeUnit.SECONDS));
         } finally {
             thread.close();
         }
-        assertEquals(Follower.NO_VIEW, voter.whileRefusing);
-        assertNull(voter.afterAnswers, voter.afterAnswers);
+        assertEquals(Follower.NO_VIEW_FAULT, voter.faultWhileRefusing);
+        assertNull(voter.faultAfterAnswers, voter.faultAfterAnswers);
     }
 
     @Test
-    public void oneWithoutAViewHasAskedThreeVotersTwiceBeforeItsPausesGrow() {
-        assertTrue("" + untilTry(7, 6), untilTry(7, 6) < 400);
+    public void withoutViewTriesThreeVotersTwiceBeforeBackingOff() {
+        assertTrue("" + millisBeforeAttempt(7, 6), millisBeforeAttempt(7, 6) < 400);
         assertEquals("and they grow from the usual one on", 250, Follower.pauseMillis(250, 7, 6));
         assertEquals(2000, Follower.pauseMillis(250, 10, 6));
         assertEquals("bounded", 2000, Follower.pauseMillis(250, 1000, 6));
     }
 
     @Test
-    public void oneWithAViewPausesLongerWithEachFailure() {
+    public void withViewBacksOffWithEachFailure() {
         assertEquals(250, Follower.pauseMillis(250, 1, 0));
         assertEquals(500, Follower.pauseMillis(250, 2, 0));
         assertEquals(2000, Follower.pauseMillis(250, 4, 0));
--- a/quorum/src/test/java/postgrade/quorum/wire/LinksTest.java
+++ b/quorum/src/test/java/postgrade/quorum/wire/VoterConnectionsTest.java
@@ -35,17 +35,17 @@
  * One side of the wire, against a voter that keeps what it hears and answers only its peers'
  * greeting.
  */
-public class LinksTest {
+public class VoterConnectionsTest {
 
-    private final EventLoopGroup events = new NioEventLoopGroup(1);
-    private final BlockingQueue<RaftMsg> heard = new LinkedBlockingQueue<>();
+    private final EventLoopGroup eventLoops = new NioEventLoopGroup(1);
+    private final BlockingQueue<RaftMsg> received = new LinkedBlockingQueue<>();
     private Server server;
-    private Links links;
+    private VoterConnections connections;
 
-    private final class Quiet implements Server.Desk {
+    private final class HelloOnlyHandler implements Server.RequestHandler {
         @Override
         public void raft(RaftMsg message) {
-            heard.add(message);
+            received.add(message);
         }
 
         @Override
@@ -69,46 +69,49 @@
             try (ServerSocket s = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
                 s.close();
                 Voter b = new Voter("b", "127.0.0.1", port);
-                server = new Server(b, events, new Quiet());
-                links = new Links(QuorumSettings.withDefaults("x", List.of(b), null), events);
+                server = new Server(b, eventLoops, new HelloOnlyHandler());
+                connections =
+                        new VoterConnections(
+                                QuorumSettings.withDefaults("x", List.of(b), null), eventLoops);
             } catch (IOException e) {
                 // Taken: another.
             }
         }
     }
 
-    private <A, B> B call(io.grpc.MethodDescriptor<A, B> method, A request, long within)
+    private <A, B> B call(io.grpc.MethodDescriptor<A, B> method, A request, long timeoutMillis)
             throws Exception {
         CompletableFuture<B> answer = new CompletableFuture<>();
-        links.call("b", method, request, within, (reply, status) -> answer.complete(reply));
+        connections.call(
+                "b", method, request, timeoutMillis, (reply, status) -> answer.complete(reply));
         return answer.get(20, TimeUnit.SECONDS);
     }
 
     @After
     public void close() {
-        links.close();
+        connections.close();
         server.close();
-        events.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
+        eventLoops.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 
     @Test
-    public void theFirstMessageOfAStreamArrivesOnAConnectionThatStands() throws Exception {
+    public void firstMessageOfAStreamArrivesOnAnOpenConnection() throws Exception {
         open();
         assertNotNull(call(Methods.HELLO, HelloRequest.getDefaultInstance(), 20_000));
-        links.send(new Endpoint("b", "1"), RaftMsg.newBuilder().setTerm(1).build());
+        connections.send(new Endpoint("b", "1"), RaftMsg.newBuilder().setTerm(1).build());
         // Behind it, so that it is known lost without waiting for it.
         assertNotNull(call(Methods.HELLO, HelloRequest.getDefaultInstance(), 20_000));
-        links.send(new Endpoint("b", "1"), RaftMsg.newBuilder().setTerm(2).build());
-        assertEquals(1, heard.poll(20, TimeUnit.SECONDS).getTerm());
-        assertEquals(2, heard.poll(20, TimeUnit.SECONDS).getTerm());
+        connections.send(new Endpoint("b", "1"), RaftMsg.newBuilder().setTerm(2).build());
+        assertEquals(1, received.poll(20, TimeUnit.SECONDS).getTerm());
+        assertEquals(2, received.poll(20, TimeUnit.SECONDS).getTerm());
     }
 
     @Test
-    public void whatIsNotDecidedInTimeCostsNoConnection() throws Exception {
+    public void callTimeoutsDoNotCloseTheConnection() throws Exception {
         open();
-        links.silentNanos = Long.MAX_VALUE;
+        connections.minSilenceNanos = Long.MAX_VALUE;
         CompletableFuture<PullReply> waits = new CompletableFuture<>();
-        links.call(
+        connections.call(
                 "b",
                 Methods.PULL,
                 PullRequest.getDefaultInstance(),
