--- a/quorum/src/main/java/postgrade/quorum/BeginEra.java
+++ b/quorum/src/main/java/postgrade/quorum/BeginEra.java
@@ -7,7 +7,7 @@
 import postgrade.quorum.settings.SharingFile;
 import postgrade.script.ScriptError;
 
-/** The operator's step that begins an era, as a command: {@code FILE NAME ERA}. */
+/** Command that begins an era at one voter: {@code FILE NAME ERA}. */
 public final class BeginEra {
 
     private static final int REFUSED = 1;
@@ -25,8 +25,10 @@
     }
 
     /**
-     * @return the exit code: 0 where the era has begun, 1 where something stands against it, 2 for
-     *     faulty input
+     * Begins the era and reports the outcome.
+     *
+     * @return the exit code: 0 if the era has begun, 1 if it was refused or failed, 2 for invalid
+     *     arguments or settings
      */
     public static int run(Path file, String name, String era, PrintStream out, PrintStream err) {
         QuorumSettings settings;
@@ -57,7 +59,7 @@
                             + "; start it, and the other voters are taken in as they come");
             return 0;
         } catch (IOException e) {
-            err.println("era " + number + " could not be begun: " + e.getMessage());
+            err.println("era " + number + " could not begin: " + e.getMessage());
             return REFUSED;
         }
     }
--- a/quorum/src/main/java/postgrade/quorum/Quorum.java
+++ b/quorum/src/main/java/postgrade/quorum/Quorum.java
@@ -24,11 +24,14 @@
 import postgrade.shared.View;
 
 /**
- * Shared state by a quorum of voters, for one process: a voter itself, or an observer that follows.
+ * State shared through a quorum of voters, as one process takes part in it: as a voter or as an
+ * observer that follows the voters.
  */
 public final class Quorum implements Sharing {
 
-    /** Held, since loggers that nobody holds forget their level. */
+    /**
+     * Strong reference: java.util.logging keeps loggers weakly and would forget the level set here.
+     */
     private static final java.util.logging.Logger GRPC_LOGGER =
             java.util.logging.Logger.getLogger("io.grpc");
 
@@ -80,12 +83,12 @@
     }
 
     /**
-     * Begins to share. It does not wait for the others, and a store that cannot be used is told by
-     * {@link #standing}.
+     * Opens the shared state. Does not wait for other processes; a store that cannot be used is
+     * reported by {@link #standing}.
      *
-     * @param nowMicros this process's monotonic clock, read by any thread
-     * @param onLoop takes what is to run on the process's loop
-     * @throws IOException where a voter cannot listen
+     * @param nowMicros this process's monotonic clock, callable from any thread
+     * @param onLoop runs tasks on the process's event loop
+     * @throws IOException if a voter cannot listen on its port
      */
     public static Quorum open(
             QuorumSettings settings, List<Part> parts, LongSupplier nowMicros, Executor onLoop)
@@ -100,15 +103,15 @@
 
     private static void quietLibraryLoggers() {
         EventLogs.setLoggerLevel(
-                "io.microraft.", Level.ERROR); // It tells each vote; what counts is told here.
+                "io.microraft.", Level.ERROR); // Logs every vote; this module logs what matters.
         EventLogs.setLoggerLevel("io.grpc.", Level.ERROR);
         GRPC_LOGGER.setLevel(
-                java.util.logging.Level.SEVERE); // A peer that went away is no event of its own.
+                java.util.logging.Level.SEVERE); // A disconnected peer is not worth a log line.
     }
 
     /**
-     * Follows beside the process of these settings, which lives: without its vote, its store and
-     * its incarnation.
+     * Opens an observer next to the running process of these settings, without its vote, its store
+     * and its incarnation.
      */
     public static Quorum openObserver(
             QuorumSettings settings, LongSupplier nowMicros, Executor onLoop) throws IOException {
@@ -117,10 +120,11 @@
     }
 
     /**
-     * Begins an era at this voter, whose process must not run: the first one of an installation, or
-     * the next after a total loss. The others are taken in as they come.
+     * Begins an era at this voter, whose process must not be running: the first era of an
+     * installation, or the next one after a total loss. The other voters are admitted as they
+     * start.
      *
-     * @return null where it was done, or one sentence about what stands against it
+     * @return null if the era has begun, else one sentence that says why it was refused
      */
     public static String beginEra(QuorumSettings settings, long era) throws IOException {
         return EraInitializer.begin(settings, era);
@@ -157,8 +161,8 @@
             server.close();
         }
         connections.close();
-        // A voter still answers who waits as it ends. Were the transport's thread gone by then, the
-        // answer would throw.
+        // The voter still answers waiting callers while it shuts down; if the transport's thread
+        // had ended by then, answering would throw.
         if (voter != null) {
             voter.close(this::shutDownTransport);
         } else {
@@ -171,9 +175,9 @@
     }
 
     /**
-     * Whether a voter's store is closed and its port free by now; for whoever opens it next. A
-     * channel that is closed goes on listening until its selector has looked once more, so only the
-     * end of the transport's thread tells.
+     * Waits until a voter's store is closed and its port is free, so that both can be opened again.
+     * A closed channel keeps listening until its selector has run once more, so only the end of the
+     * transport's thread shows that the port is free.
      */
     public boolean awaitClosed(long millis) throws InterruptedException {
         return eventLoops.awaitTermination(millis, TimeUnit.MILLISECONDS)
--- a/quorum/src/main/java/postgrade/quorum/engine/CommitStallLog.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/CommitStallLog.java
@@ -7,8 +7,8 @@
 import postgrade.log.Events;
 
 /**
- * Logs how far a leader's log is where it has not moved on for long: what tells a slow disk here, a
- * slow follower and a fault of the engine apart afterwards.
+ * Logs the positions of a leader's log when it has not advanced for long, so that a slow disk, a
+ * slow follower and a fault of the consensus engine can be told apart afterwards.
  */
 final class CommitStallLog {
 
@@ -17,7 +17,9 @@
     private CommitStallLog() {}
 
     /**
-     * @param slowestWriteMillis the longest that the store has taken to write lately
+     * Logs the leader's log indexes as soon as the engine reports them.
+     *
+     * @param slowestWriteMillis the longest recent write of the store
      */
     static void log(String process, RaftNode node, long slowestWriteMillis) {
         node.getReport()
@@ -32,6 +34,6 @@
                 .addKeyValue("committed", stats.getCommitIndex())
                 .addKeyValue("followers", stats.getFollowerMatchIndices().toString())
                 .addKeyValue("slowest_write_ms", slowestWriteMillis)
-                .log("an entry was neither committed nor refused in time");
+                .log("a log entry was neither committed nor rejected in time");
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/engine/Elections.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/Elections.java
@@ -11,14 +11,15 @@
 import postgrade.quorum.wire.proto.RaftMsg;
 
 /**
- * What this voter adds to the engine's elections: it waits for a leader that was there when it came
- * back, spreads the rounds, and logs its part. On the engine's thread.
+ * What this voter adds to the elections of the consensus engine: after a restart it waits for the
+ * leader that was there, it randomises the pauses between rounds, and it logs its votes. Used on
+ * the engine's thread.
  */
 final class Elections {
 
     /**
-     * How long votes are waited for, and the spread of it, in the engine's time: a heartbeat is a
-     * second of it.
+     * Vote timeout, and range of its random part, in the engine's time, in which a heartbeat
+     * interval lasts one second.
      */
     static final int VOTE_TIMEOUT_MILLIS = 3000;
 
@@ -37,7 +38,7 @@
         awaitingLeader = sticksToLeader();
     }
 
-    /** Where the engine draws the pauses between its rounds from. */
+    /** The source of the engine's random pauses between election rounds. */
     Random jitter() {
         return jitter;
     }
@@ -47,9 +48,9 @@
     }
 
     /**
-     * Whether a message of the engine's may leave; what leaves is logged.
+     * Whether a message of the engine may be sent; logs it if so.
      *
-     * @param leader whom this voter follows, or null
+     * @param leader the leader that this voter follows, or null
      */
     boolean permitSend(RaftMessage message, RaftEndpoint target, String leader) {
         if (message instanceof PreVoteRequest && sticksToLeader()) {
@@ -59,7 +60,7 @@
         return true;
     }
 
-    /** Whether a message asks for a vote that this voter does not give yet. */
+    /** Whether a message requests a vote that this voter must not grant yet. */
     boolean refuseVoteRequest(RaftMsg message, String leader) {
         boolean refused = RaftCodec.isVoteRequest(message) && sticksToLeader();
         if (refused) {
@@ -68,19 +69,21 @@
         return refused;
     }
 
-    /** A leader is there: later rounds are spread as first ones are. */
+    /**
+     * Resets the backoff once a leader is known, so that later elections start with short pauses.
+     */
     void onLeaderKnown() {
         jitter.round = 0;
     }
 
-    /** The peers tell that they follow nobody. */
+    /** Called when the peers report that they follow no leader. */
     void onNoLeader(RaftNodeImpl node) {
         stickiness.release();
         startElectionOnceReleased(node);
     }
 
     /**
-     * The leader that was waited for has not shown itself: votes are asked for at once, as the
+     * Starts an election at once if the leader that this voter waited for has not appeared, as the
      * engine's own next round may be far off.
      */
     void startElectionOnceReleased(RaftNodeImpl node) {
@@ -95,9 +98,9 @@
     }
 
     /**
-     * Spreads elections. The engine's own spread is a tenth of its second, a hundredth of ours, and
-     * two that tie would go on tying. Each round waits longer, so that a disk that is slow just now
-     * does not outlast all of them.
+     * Random pauses between election rounds. The engine's own random part is a tenth of its second,
+     * which is a hundredth of a second here, so two candidates that tie would keep tying. Each
+     * round waits longer, so that a temporarily slow disk does not outlast all rounds.
      */
     private static final class ElectionJitter extends Random {
         private static final long serialVersionUID = 1L;
--- a/quorum/src/main/java/postgrade/quorum/engine/EngineThread.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/EngineThread.java
@@ -14,13 +14,13 @@
 import java.util.function.LongSupplier;
 
 /**
- * The one thread of a voter: consensus, its store, and what it serves. The engine counts in whole
- * seconds; here a second of its own lasts one heartbeat, for its tasks as for its clock, so that a
- * dead leader is replaced in less than two seconds of ours.
+ * The single thread of a voter, for consensus, its store and its requests. The engine counts in
+ * whole seconds; here one of its seconds lasts one heartbeat interval, for its tasks and its clock
+ * alike, so that a dead leader is replaced in less than two real seconds.
  */
 final class EngineThread implements RaftNodeExecutor {
 
-    /** Lets the engine's clock begin long after zero, which it takes for never. */
+    /** Start of the engine's clock, far above zero, since the engine takes zero as never. */
     private static final long CLOCK_ORIGIN_MILLIS = 1_000_000_000_000L;
 
     private final ScheduledThreadPoolExecutor executor;
@@ -45,7 +45,7 @@
         executor.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
     }
 
-    /** The engine's clock, after the process's own monotonic one. */
+    /** The engine's clock, derived from the process's monotonic clock. */
     Clock clock(LongSupplier nowMicros) {
         return new Clock() {
             @Override
@@ -84,7 +84,7 @@
         try {
             executor.execute(failures.withLogging(task));
         } catch (RejectedExecutionException e) {
-            // Closed: nobody waits for it any more.
+            // Shut down: nobody waits for the task any more.
         }
     }
 
@@ -93,17 +93,17 @@
         scheduleMicros(task, (long) (unit.toMicros(delay) / timeScale));
     }
 
-    /** As long as that of ours, told to the engine. */
+    /** Converts a real duration to the engine's time. */
     Duration toEngineTime(long millis) {
         return Duration.ofMillis((long) (millis * timeScale));
     }
 
-    /** In the process's own time. */
+    /** Runs a task after a delay in real time. */
     Future<?> scheduleMicros(Runnable task, long micros) {
         try {
             return executor.schedule(failures.withLogging(task), micros, TimeUnit.MICROSECONDS);
         } catch (RejectedExecutionException e) {
-            return CompletableFuture.completedFuture(null); // Closed.
+            return CompletableFuture.completedFuture(null); // Shut down.
         }
     }
 
--- a/quorum/src/main/java/postgrade/quorum/engine/EraInitializer.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/EraInitializer.java
@@ -17,26 +17,26 @@
 import postgrade.quorum.wire.proto.HelloRequest;
 
 /**
- * Begins an era: an operator's step, at one voter whose process does not run. It makes a store with
- * one voter in it; the others are taken in by it as any voter is whose store is new. So there is
- * one beginning, not three that might differ.
+ * Begins an era, on an operator's command, at one voter whose process is not running. It creates a
+ * store with this voter as the only member; that voter then admits the others like any voter with a
+ * new store. So an era has one beginning, not three that might differ.
  */
 public final class EraInitializer {
 
     private static final long ERA_LIMIT = 1L << 22;
 
     /**
-     * Each call ends by itself in time; that is told late on a busy machine, which is no answer
-     * against an era.
+     * Allowance for the callbacks: each call ends by its own time limit, but a busy machine may
+     * report that late, which does not stand against the era.
      */
     private static final long CALLBACK_ALLOWANCE_MILLIS = 60_000;
 
     private EraInitializer() {}
 
-    /** What stands against it, or null where it has been done. */
+    /** Begins the era. Returns null on success, else the reason for the refusal. */
     public static String begin(QuorumSettings settings, long era) throws IOException {
         if (!settings.isVoter()) {
-            return "name: " + settings.name() + " is no voter, and an era begins at one";
+            return "name: " + settings.name() + " is not a voter; an era can only begin at a voter";
         }
         if (era < 1 || era >= ERA_LIMIT) {
             return "era: must lie between 1 and " + (ERA_LIMIT - 1);
@@ -46,7 +46,9 @@
             VoterStore.Metadata metadata = existing.metadata();
             existing.close();
             if (metadata.era() >= era) {
-                return "era: the store is in era " + metadata.era() + ", a new one must lie above";
+                return "era: the store is already in era "
+                        + metadata.era()
+                        + "; the new era must be greater";
             }
         }
         for (HelloReply reply : greetOtherVoters(settings).values()) {
@@ -55,16 +57,16 @@
                         + reply.getName()
                         + " is in era "
                         + reply.getEra()
-                        + ", a new one must lie above";
+                        + "; the new era must be greater";
             }
             if (!reply.getLeader().isEmpty()) {
                 return "era: "
                         + reply.getName()
-                        + " is served by "
+                        + " reports the leader "
                         + reply.getLeader()
                         + " in era "
                         + reply.getEra()
-                        + ", which need not end";
+                        + "; that era still has a leader";
             }
         }
         if (VoterStore.exists(settings.store())) {
@@ -105,7 +107,7 @@
         } catch (InterruptedException
                 | java.util.concurrent.ExecutionException
                 | TimeoutException e) {
-            throw new IOException("the other voters could not be asked", e);
+            throw new IOException("no replies from the other voters within the time limit", e);
         } finally {
             connections.close();
             thread.close();
--- a/quorum/src/main/java/postgrade/quorum/engine/FaultStatus.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/FaultStatus.java
@@ -5,8 +5,8 @@
 import postgrade.log.Events;
 
 /**
- * What keeps a process apart from the others: one sentence for operators, one line of the log at
- * each change.
+ * The current fault that keeps a process from taking part: one sentence for operators, and one log
+ * line at each change.
  */
 public final class FaultStatus {
 
@@ -19,7 +19,7 @@
         this.name = name;
     }
 
-    /** Null, or what is wrong now. */
+    /** The current fault, or null. */
     public String current() {
         return fault;
     }
@@ -31,7 +31,7 @@
         }
     }
 
-    /** This one is over; any other stays. */
+    /** Clears this fault; any other stays. */
     public void clear(String description) {
         if (description.equals(fault)) {
             clear();
@@ -43,7 +43,7 @@
             fault = null;
             Events.info(LOG, "sharing.well")
                     .addKeyValue("process", name)
-                    .log("nothing keeps it apart any more");
+                    .log("the fault is cleared");
         }
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/engine/LeaderStickiness.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/LeaderStickiness.java
@@ -1,12 +1,12 @@
 package postgrade.quorum.engine;
 
 /**
- * Leader stickiness of a voter that has just come back. It counts as having heard from the leader a
- * moment ago, whether or not a message of the leader has reached it yet: for one election timeout
- * it neither asks for votes nor grants them. Guards against two such voters that elect one of
- * themselves over a leader that is alive.
+ * Leader stickiness of a restarted voter. It acts as if it had just heard from the leader, whether
+ * or not a message of the leader has reached it yet: for one election timeout it neither requests
+ * nor grants votes. Guards against two restarted voters that elect one of themselves although a
+ * leader is alive.
  *
- * <p>Where the peers tell that nobody leads there is nothing to wait for.
+ * <p>If the peers report that there is no leader, there is nothing to wait for.
  */
 final class LeaderStickiness {
 
@@ -14,7 +14,9 @@
     private boolean released;
 
     /**
-     * @param untilMicros on the process's own monotonic clock
+     * Creates the state.
+     *
+     * @param untilMicros end of the waiting time on the process's monotonic clock
      */
     private LeaderStickiness(long untilMicros, boolean released) {
         this.untilMicros = untilMicros;
@@ -26,17 +28,17 @@
         return new LeaderStickiness(micros, false);
     }
 
-    /** For a voter whose peers follow nobody. */
+    /** For a voter whose peers follow no leader. */
     static LeaderStickiness none() {
         return new LeaderStickiness(0, true);
     }
 
-    /** Whether a leader is still taken to be there. */
+    /** Whether a leader is still assumed to be alive. */
     boolean holds(long nowMicros) {
         return !released && nowMicros < untilMicros;
     }
 
-    /** The peers follow nobody. */
+    /** Ends the waiting, as the peers follow no leader. */
     void release() {
         released = true;
     }
--- a/quorum/src/main/java/postgrade/quorum/engine/LinearizableReads.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/LinearizableReads.java
@@ -18,21 +18,24 @@
 import postgrade.quorum.wire.proto.ReadRequest;
 
 /**
- * Confirms by the quorum up to where a reader must have read. All readers that wait share one
- * round; a round begins only after the one before has ended, so that no answer counts for a
- * question put after it was given. A round that is not answered ends by its time limit, so that no
- * lost answer keeps later readers waiting.
+ * Confirms through the quorum the index up to which a reader must have read. All waiting readers
+ * share one round. A round starts only after the previous one has ended, so that no answer serves a
+ * reader that asked after the answer was given. A round without an answer ends by a timeout, so
+ * that a lost answer does not block later readers.
  */
 final class LinearizableReads {
 
     private static final Logger LOG = LoggerFactory.getLogger(LinearizableReads.class);
 
-    /** Rounds are at least so far apart, whatever is asked. */
+    /** Minimum interval between rounds, however many readers ask. */
     private static final long MIN_ROUND_INTERVAL_MICROS = 50_000;
 
     private static final int MAX_WAITING_READERS = 512;
 
-    /** A follower's round waits for the leader's answer, and then for its own log to reach it. */
+    /**
+     * A follower's round waits for the leader's answer and then for its own log to reach that
+     * index.
+     */
     private static final int REQUEST_TIMEOUTS_PER_ROUND = 2;
 
     static final long REFUSED = -1;
@@ -55,7 +58,10 @@
         this.requestTimeoutMillis = requestTimeoutMillis;
     }
 
-    /** {@code done} gets the index once this replica has applied it, or {@link #REFUSED}. */
+    /**
+     * Passes {@code done} the confirmed index once this replica has applied it, or {@link
+     * #REFUSED}.
+     */
     void confirm(RaftNode node, LongConsumer done) {
         if (waiting.size() >= MAX_WAITING_READERS) {
             done.accept(REFUSED);
@@ -85,14 +91,14 @@
                 MIN_ROUND_INTERVAL_MICROS);
     }
 
-    /** Gives up whoever waits. */
+    /** Refuses all waiting readers. */
     void close() {
         List<LongConsumer> remaining = waiting;
         waiting = new ArrayList<>();
         notifyReaders(remaining, REFUSED);
     }
 
-    /** One reader that cannot be told keeps nobody else from the answer. */
+    /** Notifies all readers; one that throws does not keep the others from the answer. */
     private static void notifyReaders(List<LongConsumer> readers, long index) {
         for (LongConsumer reader : readers) {
             try {
@@ -100,12 +106,14 @@
             } catch (RuntimeException e) {
                 Events.warn(LOG, "sharing.reader-failed")
                         .setCause(e)
-                        .log("a reader could not be told the index that it may read up to");
+                        .log("a reader failed when it was notified of the confirmed index");
             }
         }
     }
 
-    /** One question to the quorum for all who had asked when it was put. Ends exactly once. */
+    /**
+     * One query to the quorum for all readers that were waiting when it started. Ends exactly once.
+     */
     private final class Round {
         private final RaftNode node;
         private final List<LongConsumer> readers;
@@ -133,7 +141,7 @@
             } catch (RuntimeException e) {
                 Events.warn(LOG, "sharing.read-failed")
                         .setCause(e)
-                        .log("the quorum could not be asked");
+                        .log("the quorum could not be queried");
                 end(REFUSED);
             }
         }
@@ -172,7 +180,7 @@
                                     thread.execute(() -> end(failure == null ? index : REFUSED)));
         }
 
-        /** Nothing that this voter asked has told of an end. */
+        /** Ends the round if neither the quorum nor the leader has answered in time. */
         private void timeOut() {
             if (!ended) {
                 Events.warn(LOG, "sharing.read-lost")
@@ -180,14 +188,14 @@
                         .addKeyValue("leads", new KnownLeader(node).isSelf())
                         .addKeyValue("readers", readers.size())
                         .addKeyValue("waited_ms", (System.nanoTime() - startedNanos) / 1_000_000)
-                        .log("a round of reads was never answered, and is given up");
+                        .log("a round of reads got no answer in time and was refused");
                 end(REFUSED);
             }
         }
 
         private void end(long index) {
             if (ended) {
-                return; // Late: it counts for nobody any more.
+                return; // A late answer: the readers already have theirs.
             }
             ended = true;
             timeout.cancel(false);
@@ -196,7 +204,7 @@
         }
     }
 
-    /** Who leads, as this replica knows it. */
+    /** The leader that this replica knows. */
     record KnownLeader(RaftNode node) {
         boolean isSelf() {
             return node.getLocalEndpoint().equals(node.getTerm().getLeaderEndpoint());
--- a/quorum/src/main/java/postgrade/quorum/engine/LogClock.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/LogClock.java
@@ -6,23 +6,26 @@
 import postgrade.shared.Machine;
 
 /**
- * Moves the log's time on, while this voter leads, by what its own monotonic clock has measured.
+ * Advances the log's time, while this voter leads, by what its own monotonic clock has measured.
  *
- * <p>No moment is logged twice, and none that nobody led. Within a term only its leader's entries
- * are committed, and each tells the time from where the last committed one ended. A leader begins
- * to measure when it sees that it leads, which is after a majority has turned from the one before:
- * that one's entries were proposed earlier. What was asked for and may yet be committed is never
- * told again; an entry of which nothing is heard for so long that it is taken for lost counts as
- * committed, so that the time is at most late and never stands still. A leader that slept tells at
- * most {@code most}: what it slept beyond is lost to the log, so that nothing expires for want of
- * renewals that it could not take. Its first entry tells no time: what leaders before it left
- * uncommitted commits with that, and no time from before may be counted behind it.
+ * <p>No period of time is logged twice, and none in which nobody led. Within a term only its
+ * leader's entries are committed, and each advances the time from where the last committed one
+ * ended. A leader starts measuring when it sees that it leads. By then a majority has left the
+ * previous leader, so that leader's entries were proposed earlier. A period that was proposed and
+ * may yet be committed is never proposed again. An entry without an outcome for so long that it is
+ * taken for lost counts as committed, so that the time may be late but never stands still. A leader
+ * that was suspended advances by at most {@code maxAdvanceMicros}; the rest is not logged, so that
+ * nothing expires for lack of renewals that the leader could not receive. The first entry of a
+ * leader does not advance the time: it commits what earlier leaders left uncommitted, and no
+ * earlier period may be counted after that.
  */
 final class LogClock {
 
     private static final int NO_TERM = -1;
 
-    /** An entry not heard of for so many times the most that one tells is taken for lost. */
+    /**
+     * Multiple of the maximum advance after which an entry without an outcome is taken for lost.
+     */
     private static final int LOST_AFTER_MAX_ADVANCES = 4;
 
     private final String name;
@@ -31,7 +34,7 @@
     private final long maxAdvanceMicros;
     private final long minAdvanceMicros;
 
-    /** Up to where the time of this term is logged. */
+    /** Local time up to which this term's time is logged. */
     private long loggedUntilMicros;
 
     private int term = NO_TERM;
@@ -40,13 +43,13 @@
     /** When the latest entry was proposed. */
     private long proposedMicros;
 
-    /** How many entries were proposed: an answer counts for the latest alone. */
+    /** Number of entries proposed; only the outcome of the latest one counts. */
     private int proposals;
 
-    /** The latest entry failed so that it may be committed all the same. */
+    /** Whether the latest entry failed in a way that leaves open whether it is committed. */
     private boolean indeterminate;
 
-    /** An entry of this leadership is committed, and with it all that was before. */
+    /** Whether an entry of this term is committed, and with it all earlier entries. */
     private boolean committedInTerm;
 
     LogClock(
@@ -62,16 +65,16 @@
         this.maxAdvanceMicros = Math.min(maxAdvanceMicros, Machine.MOST_ADVANCE_MICROS);
     }
 
-    /** Who leads has changed: what was measured so far counts no more. */
+    /** Discards the measurement after a change of leader. */
     void reset() {
         term = NO_TERM;
         pending = false;
     }
 
     /**
-     * Proposes what is due.
+     * Proposes an entry if one is due.
      *
-     * @return whether the entry before was taken for lost
+     * @return whether the previous entry was taken for lost
      */
     boolean tick(RaftNode node) {
         if (!node.getLocalEndpoint().equals(node.getTerm().getLeaderEndpoint())) {
@@ -121,12 +124,10 @@
                                 committedInTerm = true;
                                 pending = false;
                             } else if (cause(e) instanceof CannotReplicateException) {
-                                pending =
-                                        false; // It never came into the log: the next one tells the
-                                // same time.
+                                pending = false; // Not logged; covered by the next.
                             }
-                            // Else it may be committed yet: nothing more is told in this term by
-                            // this measure.
+                            // Otherwise it may still be committed, so this period is not proposed
+                            // again within this term.
                             indeterminate = pending;
                         });
     }
--- a/quorum/src/main/java/postgrade/quorum/engine/PeerPromises.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/PeerPromises.java
@@ -7,24 +7,26 @@
 import postgrade.quorum.wire.proto.RaftMsg;
 
 /**
- * What a voter has seen of its peers' promises, by identity: told to a peer that comes back, so
- * that it finds out when its store is an older copy of what it has promised on.
+ * The votes and acknowledgements that a voter has seen from its peers, by identity. A restarted
+ * peer is sent them, so that it can detect that its store is an older copy.
  */
 final class PeerPromises {
 
     /**
-     * @param index the highest entry acknowledged within that term; within one term a log never
-     *     gets shorter
+     * Highest promise of one peer.
+     *
+     * @param index the highest entry acknowledged within that term; a log never gets shorter within
+     *     one term
      */
     private record Promise(int term, long index) {}
 
     private static final int APPEND_SUCCESS = 2;
     private final Map<String, Promise> promises = new HashMap<>();
 
-    /** Takes in what the sender has promised; a message that promises nothing is passed over. */
+    /** Records what the sender has promised; ignores messages that promise nothing. */
     void record(RaftMsg m) {
         if (RaftCodec.isPreVote(m)) {
-            return; // Its term is one that may come, and that the sender has not written down.
+            return; // A pre-vote carries a prospective term, which the sender has not persisted.
         }
         long index = m.getKind() == APPEND_SUCCESS ? m.getLogIndex() : 0;
         promises.merge(
@@ -45,7 +47,7 @@
         }
     }
 
-    /** Whether a peer has seen more of this voter than its store holds. */
+    /** Whether a peer has seen more from this voter than its store holds. */
     static boolean exceedsStore(HelloReply reply, long boot, int term, long lastIndex) {
         return reply.getSeenBoot() > boot
                 || reply.getSeenTerm() > term
--- a/quorum/src/main/java/postgrade/quorum/engine/PeerReplies.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/PeerReplies.java
@@ -5,19 +5,20 @@
 import postgrade.quorum.wire.proto.HelloReply;
 
 /**
- * What the other voters said when they were asked what they are.
+ * The replies of the other voters to one round of hello requests.
  *
- * @param replies by the name of the voter
- * @param timedOut the voters that could be reached, or may be there, and did not answer in time;
- *     one whose process does not run is not among them
+ * @param replies by voter name
+ * @param timedOut the voters that are or may be reachable but did not answer in time; a voter whose
+ *     process is not running is not among them
  */
 record PeerReplies(Map<String, HelloReply> replies, Set<String> timedOut) {
 
     /**
-     * Whether a voter other than this one may lead the group now: one says that it does, or that it
-     * follows one, or has said nothing.
+     * Whether another voter may lead the group now: a peer says that it leads or follows one, or
+     * has not answered.
      *
-     * @param self this voter's name; peers go on naming it for a while where it led before
+     * @param self this voter's name, which peers keep reporting for a while if it led before its
+     *     restart
      */
     boolean mayHaveLeader(String group, String self) {
         return !timedOut.isEmpty()
--- a/quorum/src/main/java/postgrade/quorum/engine/PeerStatus.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/PeerStatus.java
@@ -15,7 +15,7 @@
 import postgrade.quorum.wire.proto.HelloReply;
 import postgrade.quorum.wire.proto.HelloRequest;
 
-/** What the other voters say of themselves, and what follows from it. */
+/** Queries the other voters and derives faults from their replies. */
 final class PeerStatus {
 
     private final QuorumSettings settings;
@@ -28,7 +28,10 @@
         this.thread = thread;
     }
 
-    /** Asks all; {@code done} gets what came in time, once each has answered or will not. */
+    /**
+     * Sends a hello to all other voters; {@code done} gets the replies once each has answered or
+     * failed.
+     */
     void sendHello(HelloRequest hello, long timeoutMillis, Consumer<PeerReplies> done) {
         List<Voter> others =
                 settings.voters().stream().filter(v -> !v.name().equals(settings.name())).toList();
@@ -61,7 +64,8 @@
     }
 
     /**
-     * One in the latest era, one that knows a leader before others; null where none has a store.
+     * A reply from the latest era, preferring one that knows a leader; null if no voter has a
+     * store.
      */
     static HelloReply latestEraReply(Map<String, HelloReply> replies) {
         HelloReply latest = null;
@@ -78,7 +82,7 @@
         return latest;
     }
 
-    /** A voter that keeps another log of the same era, or null. */
+    /** The name of a voter that keeps another log of the same era, or null. */
     static String voterInOtherGroup(Map<String, HelloReply> replies, long era, String group) {
         return replies.values().stream()
                 .filter(
@@ -92,8 +96,8 @@
     }
 
     /**
-     * Whether the leader counts this identity no more, by a later list of members than the one it
-     * is in.
+     * Whether the leader's member list, if newer than this voter's, no longer contains this
+     * identity.
      */
     static boolean isRetired(Map<String, HelloReply> replies, RaftGroup group) {
         var committed = group.node.getCommittedMembers();
@@ -109,7 +113,7 @@
                                                                 group.metadata.self().toString()));
     }
 
-    /** What an operator must know where no voter that answers has a store. */
+    /** The fault reported to operators when no voter that answers has a store. */
     static String noStoreFault(QuorumSettings settings, Map<String, HelloReply> replies) {
         int unreachable = settings.voters().size() - 1 - replies.size();
         return "no store here, and none of the voters that answer has one ("
@@ -118,7 +122,7 @@
                 + "an era has to be begun";
     }
 
-    /** What is missing where nobody leads; null while it may just be an election. */
+    /** The fault reported when there is no leader; null while it may just be an election. */
     static String lostQuorumFault(
             QuorumSettings settings, Map<String, HelloReply> replies, RaftGroup group) {
         List<String> missing = new ArrayList<>();
--- a/quorum/src/main/java/postgrade/quorum/engine/RaftGroup.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/RaftGroup.java
@@ -30,8 +30,8 @@
 import postgrade.shared.Part;
 
 /**
- * One era's log as this voter keeps it: engine, store and replica. All is called on the engine's
- * thread.
+ * The log of one era at this voter: consensus engine, store and replica. Used on the engine's
+ * thread only.
  */
 final class RaftGroup {
 
@@ -41,8 +41,8 @@
     private static final int APPEND_BATCH_SIZE = 200;
 
     /**
-     * The log's time is told so seldom, as each entry is synced at all voters: most of what an idle
-     * one does.
+     * Interval of entries that advance the log's time. Each is synced at all voters, which is most
+     * of the work of an idle voter, so not every heartbeat gets one.
      */
     private static final int HEARTBEATS_PER_TIME_ENTRY = 2;
 
@@ -143,7 +143,7 @@
         }
     }
 
-    /** The peers tell that they follow nobody. */
+    /** Called when the peers report that they follow no leader. */
     void onNoLeader() {
         elections.onNoLeader((RaftNodeImpl) node);
     }
@@ -164,8 +164,7 @@
             }
             elections.startElectionOnceReleased((RaftNodeImpl) node);
         } finally {
-            thread.scheduleMicros(
-                    this::tick, tickIntervalMicros); // One that fails is not the last.
+            thread.scheduleMicros(this::tick, tickIntervalMicros); // Also after a failure.
         }
     }
 
@@ -184,18 +183,18 @@
                     .addKeyValue("leader", currentLeader)
                     .addKeyValue("term", node.getTerm().getTerm())
                     .addKeyValue("era", metadata.era())
-                    .log(currentLeader + " leads");
+                    .log(currentLeader + " is the leader");
         }
         leader = currentLeader;
     }
 
-    /** Nothing leaves this process any more: not a vote, not an acknowledgement. */
+    /** Stops this group: from now on it sends no vote and no acknowledgement. */
     void terminate() {
         terminated = true;
         try {
             reads.close();
         } finally {
-            node.terminate(); // Also where a waiting reader could not be told.
+            node.terminate(); // Also after a failure to notify a waiting reader.
         }
     }
 
@@ -207,7 +206,7 @@
         return new LinearizableReads.KnownLeader(node).isSelf();
     }
 
-    /** Whether this voter counts, by what is committed. */
+    /** Whether this voter is a voting member by the committed member list. */
     boolean isVoter() {
         return node.getCommittedMembers().getVotingMembers().contains(metadata.self());
     }
@@ -216,7 +215,7 @@
         if (terminated
                 || !m.getGroup().equals(metadata.group())
                 || !m.getTo().equals(metadata.self().toString())) {
-            return; // Meant for another log, or for the identity before this one.
+            return; // Addressed to another log or to an earlier identity.
         }
         if (elections.refuseVoteRequest(m, leaderName())) {
             connections.send(
@@ -230,14 +229,14 @@
     }
 
     /**
-     * Guards the engine, which counts an answer to an earlier leadership of ours for the one of
-     * now.
+     * Guards against a fault of the engine, which takes answers to an earlier leadership of this
+     * voter as answers to the current one.
      */
     static boolean isCurrent(RaftMsg m, int term) {
         return !RaftCodec.isResponseToLeader(m) || m.getTerm() >= term;
     }
 
-    /** Has the leader's quorum confirm, then tells what changed since the asker's index. */
+    /** Has the quorum confirm an index, then sends the changes since the index of the request. */
     void pull(PullRequest request, Consumer<PullReply> answer) {
         reads.confirm(
                 node,
--- a/quorum/src/main/java/postgrade/quorum/engine/Replica.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/Replica.java
@@ -10,10 +10,10 @@
 import postgrade.shared.Moment;
 import postgrade.shared.Part;
 
-/** Core's machine as the engine drives it. */
+/** Adapts the state machine of the shared state to the consensus engine. */
 final class Replica implements StateMachine {
 
-    /** A question to the machine that changes nothing and is no entry of the log. */
+    /** A query that changes nothing and is not an entry of the log. */
     static final Object READ =
             new Object() {
                 @Override
--- a/quorum/src/main/java/postgrade/quorum/engine/StatePages.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/StatePages.java
@@ -13,13 +13,13 @@
 import postgrade.shared.Rows.Change;
 
 /**
- * Splits what is told of the state, so that no message grows with it. A page is what changed since
- * an index, in the order of part and key, from where the page before ended; nothing is held between
- * two pages.
+ * Splits the shared state into pages, so that message size does not grow with it. A page holds
+ * changes since an index, ordered by part and key, starting after the end of the previous page; the
+ * voter keeps nothing between two pages.
  */
 public final class StatePages {
 
-    /** A page ends with the change that reaches this. */
+    /** A page ends with the change that reaches this size. */
     public static final int PAGE_BYTES = 256 << 10;
 
     private static final Comparator<Change> ORDER =
@@ -28,7 +28,8 @@
     private StatePages() {}
 
     /**
-     * Fills in what has changed since the request's index, or all there is where that is not known.
+     * Adds the changes since the request's index, or the full state if those changes are no longer
+     * known.
      */
     public static void fill(
             PullReply.Builder reply, Machine machine, PullRequest request, boolean resumed) {
@@ -39,8 +40,8 @@
                     StateCodec.changes(changes == null ? machine.rows().all() : changes));
             return;
         }
-        // The whole told in place of changes begins anew: what was asked for goes on from
-        // elsewhere.
+        // If the full state replaces the changes, paging starts over, as the position in the
+        // request belongs to the changes.
         boolean continued =
                 !request.getAfterPart().isEmpty() && (changes != null || request.getIndex() == 0);
         Change after =
@@ -63,15 +64,15 @@
     }
 
     /**
-     * As {@code Rows.all} has them, and one for each key: the row that is there, else its removal.
+     * Ordered like {@code Rows.all}, with one change per key: the current row, else its removal.
      */
     private static List<Change> latestByKey(List<Change> changes) {
         TreeMap<Change, Change> latest = new TreeMap<>(ORDER);
-        changes.forEach(c -> latest.put(c, c)); // Rows come behind removals.
+        changes.forEach(c -> latest.put(c, c)); // Rows come after removals.
         return new ArrayList<>(latest.values());
     }
 
-    /** A snapshot in pieces of about that size, each with its moment. */
+    /** Splits a snapshot into chunks of about the page size, each with the snapshot's moment. */
     static void split(Machine.Snapshot snapshot, Consumer<Object> chunkConsumer) {
         List<Change> rows = new ArrayList<>();
         int bytes = 0;
--- a/quorum/src/main/java/postgrade/quorum/engine/TaskFailureLog.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/TaskFailureLog.java
@@ -6,8 +6,8 @@
 import postgrade.log.Events;
 
 /**
- * Tells of tasks that ended by an exception, which an executor keeps to itself. One line a second
- * at most, with the number of those that were left out. Any thread may use it.
+ * Logs tasks that ended with an exception, which executors swallow. Writes at most one line per
+ * second, with the number of failures suppressed since the last one. Thread-safe.
  */
 public final class TaskFailureLog {
 
@@ -20,13 +20,15 @@
     private int suppressed;
 
     /**
-     * @param thread the name of the one whose tasks these are
+     * Creates a log for the tasks of one thread.
+     *
+     * @param threadName the name of that thread
      */
     public TaskFailureLog(String threadName) {
         this.threadName = threadName;
     }
 
-    /** The same task, whose failure is told before the executor swallows it. */
+    /** Wraps a task so that its exception is logged before the executor swallows it. */
     public Runnable withLogging(Runnable task) {
         return () -> {
             try {
@@ -48,7 +50,7 @@
                 .addKeyValue("thread", threadName)
                 .addKeyValue("left_out", suppressed)
                 .setCause(cause)
-                .log("a task of " + threadName + " failed");
+                .log("a task on thread " + threadName + " failed");
         everLogged = true;
         lastLoggedNanos = now;
         suppressed = 0;
--- a/quorum/src/main/java/postgrade/quorum/engine/TimeLimitedAnswer.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/TimeLimitedAnswer.java
@@ -4,9 +4,9 @@
 import java.util.function.Consumer;
 
 /**
- * Answers once: with what came of a question, or after a while that nothing has. Whoever asks then
- * knows that the way to this voter is good, and does not give the connection up, on which the votes
- * go too. All on the engine's thread.
+ * Answers exactly once: with the outcome of a request, or with a fallback after a timeout. The
+ * caller then knows that its connection to this voter works and does not close it; the connection
+ * also carries the votes. Used on the engine's thread.
  */
 final class TimeLimitedAnswer<T> implements Consumer<T> {
 
@@ -19,7 +19,9 @@
     }
 
     /**
-     * @param waitMillis how long the asker waits; it is told somewhat sooner
+     * Wraps an answer with a timeout.
+     *
+     * @param timeoutMillis how long the caller waits; the fallback is sent somewhat earlier
      */
     static <T> Consumer<T> withTimeout(
             EngineThread thread, long timeoutMillis, T fallback, Consumer<T> answer) {
--- a/quorum/src/main/java/postgrade/quorum/engine/VoteLog.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/VoteLog.java
@@ -10,9 +10,9 @@
 import postgrade.quorum.wire.proto.RaftMsg;
 
 /**
- * Logs this voter's part in elections, so that a change of leader can be traced afterwards: which
- * votes it asks for and grants, and which it refuses as it has just come back. What goes on for as
- * long as there is no quorum is left out.
+ * Logs this voter's part in elections, so that a change of leader can be traced afterwards: the
+ * votes it requests and grants, and those it refuses because it has just restarted. Messages that
+ * repeat for as long as there is no quorum are left out.
  */
 final class VoteLog {
 
@@ -26,9 +26,9 @@
     }
 
     /**
-     * A message of the engine's leaves.
+     * Logs a message that the engine sends, if it is part of an election.
      *
-     * @param leader whom this voter follows, or null
+     * @param leader the leader that this voter follows, or null
      */
     void logSent(RaftMessage message, Object target, String leader) {
         if (message instanceof PreVoteResponse response && response.isGranted()) {
@@ -40,9 +40,9 @@
         }
     }
 
-    /** A request for a vote is refused as this voter has just come back. */
+    /** Logs that a vote request is refused because this voter has just restarted. */
     void logRefused(RaftMsg request, String leader) {
-        String text = "has just come back and refuses a vote to " + request.getSender();
+        String text = "has just restarted and refuses a vote to " + request.getSender();
         log(text, request.getTerm(), leader);
     }
 
--- a/quorum/src/main/java/postgrade/quorum/engine/Voter.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/Voter.java
@@ -21,9 +21,10 @@
 import postgrade.shared.Part;
 
 /**
- * A process that votes, or is to. It opens its store, asks its peers whether that is all it had
- * promised on, and votes; without a store it waits to be taken in under a new identity; with one
- * that cannot be written it votes no more until the store can be opened again.
+ * A process that votes, or is to become a voter. It opens its store, asks its peers whether the
+ * store holds all that it has promised, and then votes. Without a store it waits to be admitted
+ * under a new identity. If its store cannot be written, it stops voting until the store can be
+ * opened again.
  */
 public final class Voter {
 
@@ -60,17 +61,17 @@
         requestHandler = new VoterRequestHandler(this, settings, nowMicros, connections, thread);
     }
 
-    /** Where it answers others, and this process's own follower. */
+    /** Handles the requests of other processes and of this process's own follower. */
     public Server.RequestHandler requestHandler() {
         return requestHandler;
     }
 
-    /** The log that it keeps now, or null. */
+    /** The open group, or null. */
     RaftGroup group() {
         return group;
     }
 
-    /** The store that is open now, or null. */
+    /** The open store, or null. */
     VoterStore store() {
         return store;
     }
@@ -83,12 +84,12 @@
                 });
     }
 
-    /** Whether it counts as a voter now. */
+    /** Whether this process currently counts as a voter. */
     public boolean isVoting() {
         return voting;
     }
 
-    /** Who leads, as far as this voter knows, or null. */
+    /** The leader that this voter knows, or null. */
     public String leader() {
         return leader;
     }
@@ -118,8 +119,8 @@
     }
 
     /**
-     * The peers have told what they saw of this voter: it goes on only where the store holds all of
-     * that.
+     * Continues after the peers have reported what they saw from this voter, provided that the
+     * store holds all of it.
      */
     private void onStoreChecked(VoterStore opened, PeerReplies peerReplies) {
         if (closed || store != opened || group != null) {
@@ -182,7 +183,7 @@
                 : LeaderStickiness.none();
     }
 
-    /** Votes no more, and tries later to open what is on the disk. */
+    /** Stops voting and tries later to open the store on disk. */
     private void onStoreFailure(String reason) {
         if (closed) {
             return;
@@ -209,7 +210,7 @@
         }
     }
 
-    /** Puts the store aside for good: this process comes back under another identity. */
+    /** Moves the store aside for good; this process then joins under another identity. */
     private void retireStore(String reason) {
         String asideName = VoterStore.FILE + "." + store.metadata().self().identity();
         closeGroupAndStore();
@@ -240,10 +241,7 @@
         return request.build();
     }
 
-    /**
-     * Asks the peers again and again what they are: that is how eras, and voters that come back,
-     * are found.
-     */
+    /** Polls the peers periodically, which is how new eras and restarted voters are found. */
     private void pollPeers() {
         if (closed) {
             return;
@@ -256,7 +254,7 @@
                         ? settings.electionTimeoutMillis() / 4
                         : settings.electionTimeoutMillis();
         thread.scheduleMicros(
-                this::pollPeers, pauseMillis * 1000L); // One that fails is not the last.
+                this::pollPeers, pauseMillis * 1000L); // Rescheduled before anything can fail.
         peers.sendHello(hello(join), settings.electionTimeoutMillis(), this::onPeerReplies);
     }
 
@@ -350,7 +348,7 @@
         faultStatus.set("new here: waiting to be taken in as a voter");
     }
 
-    /** Never the same again. */
+    /** Returns a new random identity. */
     public static String newIdentity() {
         byte[] bytes = new byte[6];
         new SecureRandom().nextBytes(bytes);
@@ -358,10 +356,10 @@
     }
 
     /**
-     * Ends it, with the store closed.
+     * Closes the group and the store.
      *
-     * @param ended told on its thread once all that waited here is answered, whatever went wrong at
-     *     its end
+     * @param onClosed called on the engine's thread once all waiting callers have been answered,
+     *     whatever fails during the shutdown
      */
     public void close(Runnable onClosed) {
         thread.submit(
--- a/quorum/src/main/java/postgrade/quorum/engine/VoterAdmission.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/VoterAdmission.java
@@ -13,28 +13,31 @@
 import postgrade.quorum.wire.Endpoint;
 
 /**
- * Takes in voters whose store is new, at the leader. The newcomer learns the log first; then the
- * identity that its name had before goes, and then it votes. So there are never more voters than
- * the settings name, and none votes that could have forgotten a vote. Each of the newcomer's
- * questions takes one step on.
+ * Admits voters with a new store, at the leader. The newcomer first learns the log, then the
+ * previous identity of its name is removed, and then the newcomer becomes a voter. So there are
+ * never more voters than the settings name, and none of them may have forgotten a vote. Each join
+ * request of the newcomer advances this by one step.
  */
 final class VoterAdmission {
 
     private static final Logger LOG = LoggerFactory.getLogger(VoterAdmission.class);
 
-    /** So many entries behind is caught up: the log's time goes on all the while. */
+    /**
+     * A learner at most this many entries behind counts as caught up, since the log's time keeps
+     * adding entries.
+     */
     private static final long MAX_CATCH_UP_LAG = 50;
 
     private static final int DUPLICATE_NAME_LOG_EVERY = 20;
 
-    /** A step not heard of for so many election timeouts is taken for lost. */
+    /** A step without an outcome for so many election timeouts is taken for lost. */
     private static final long LOST_AFTER_ELECTION_TIMEOUTS = 4;
 
     private final QuorumSettings settings;
     private final EngineThread thread;
     private final Clock clock;
 
-    /** When the step that has not ended was begun, by the engine's clock; 0 where there is none. */
+    /** When the pending step began, by the engine's clock; 0 if there is none. */
     private long pendingSinceMillis;
 
     private int duplicateNameRequests;
@@ -64,7 +67,10 @@
                                         }));
     }
 
-    /** A step of which nothing was heard for long ends here: the engine allows no two changes. */
+    /**
+     * Whether a step is pending. Allows only one step at a time, as the engine allows no two
+     * membership changes at once; a step without an outcome for long no longer counts.
+     */
     private boolean isStepPending(RaftNode node) {
         long timeout =
                 LOST_AFTER_ELECTION_TIMEOUTS
@@ -88,16 +94,16 @@
                                                 && !e.equals(newcomer))
                         .findFirst();
         if (previous.isPresent() && answeredRecently(node, report, previous.get())) {
-            // It may have gone a moment ago, so it is told only where it goes on.
+            // The previous process may just have ended, so only repeated requests are logged.
             if (++duplicateNameRequests % DUPLICATE_NAME_LOG_EVERY != 0) {
                 return;
             }
             Events.warn(LOG, "sharing.twice")
                     .addKeyValue("voter", newcomer.name())
                     .log(
-                            "a second process calls itself "
+                            "a second process uses the name "
                                     + newcomer.name()
-                                    + "; it is not taken in");
+                                    + "; it is not admitted");
             return;
         }
         if (previous.isPresent() && !members.getVotingMembers().contains(previous.get())) {
@@ -105,9 +111,10 @@
                     node,
                     previous.get(),
                     MembershipChangeMode.REMOVE_MEMBER,
-                    "it never came to vote");
+                    "never became a voter");
         } else if (!members.getMembers().contains(newcomer)) {
-            changeMembership(node, newcomer, MembershipChangeMode.ADD_LEARNER, "it learns the log");
+            changeMembership(
+                    node, newcomer, MembershipChangeMode.ADD_LEARNER, "added as a learner");
         } else if (report.getLog().getFollowerMatchIndices().getOrDefault(newcomer, 0L)
                         + MAX_CATCH_UP_LAG
                 >= report.getLog().getCommitIndex()) {
@@ -116,20 +123,20 @@
                         node,
                         previous.get(),
                         MembershipChangeMode.REMOVE_MEMBER,
-                        "its store is gone");
+                        "replaced after the loss of its store");
             } else {
                 changeMembership(
                         node,
                         newcomer,
                         MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER,
-                        "it votes");
+                        "promoted to voter");
             }
         }
     }
 
     /**
-     * Whether the former identity answered lately: then its process lives, and another has taken
-     * its name.
+     * Whether the previous identity answered recently: then its process is alive, and another
+     * process uses its name.
      */
     private boolean answeredRecently(RaftNode node, RaftNodeReport report, RaftEndpoint previous) {
         long timeout = node.getConfig().getLeaderHeartbeatTimeoutSecs() * 1000;
--- a/quorum/src/main/java/postgrade/quorum/engine/VoterRequestHandler.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/VoterRequestHandler.java
@@ -22,7 +22,7 @@
 import postgrade.quorum.wire.proto.ReadRequest;
 
 /**
- * What a voter answers: to its peers, and to whoever follows or asks. All is done on the engine's
+ * Handles the requests of peers, followers and command submitters at a voter, on the engine's
  * thread.
  */
 final class VoterRequestHandler implements Server.RequestHandler {
@@ -69,10 +69,10 @@
                     RaftGroup group = voter.group();
                     long now = nowMicros.getAsLong();
                     long minIntervalMicros = settings.pullIntervalMillis() * 1000L / 4;
+                    // Bounds the number of names; a real follower is tracked again at its next
+                    // pull.
                     if (lastPullMicros.size() > MAX_TRACKED_PULLERS) {
-                        lastPullMicros
-                                .clear(); // Guards against names without end; whoever is real is
-                        // known again at once.
+                        lastPullMicros.clear();
                     }
                     Long previousMicros = lastPullMicros.put(request.getName(), now);
                     if (group == null || request.getEra() > group.metadata.era()) {
--- a/quorum/src/main/java/postgrade/quorum/follow/CommandSubmitter.java
+++ b/quorum/src/main/java/postgrade/quorum/follow/CommandSubmitter.java
@@ -13,8 +13,8 @@
 import postgrade.shared.Sharing.Reply;
 
 /**
- * Has commands decided: asks the leader where it is known, else any voter, with the same id until
- * the time is up.
+ * Submits commands: to the leader if it is known, else to any voter, retrying with the same id
+ * until the timeout.
  */
 public final class CommandSubmitter {
 
@@ -57,8 +57,8 @@
     }
 
     private Reply undecidedReply() {
-        // One election, spread, so that whoever was left without an answer does not come back at
-        // once.
+        // One election timeout plus a random part, so that callers left without an answer do not
+        // all retry at once.
         long electionMicros = settings.electionTimeoutMillis() * 1000L;
         return new Reply(null, null, electionMicros + random.nextLong(electionMicros));
     }
--- a/quorum/src/main/java/postgrade/quorum/follow/CurrentEra.java
+++ b/quorum/src/main/java/postgrade/quorum/follow/CurrentEra.java
@@ -3,8 +3,8 @@
 import postgrade.quorum.engine.FaultStatus;
 
 /**
- * Which era a process takes answers from: the latest that it has heard of, and of that one log
- * only. Written and read on the follow thread.
+ * The era and log from which a process accepts answers: the latest era it has seen, and only one
+ * log of that era. Used on the follower thread.
  */
 public final class CurrentEra {
 
@@ -24,7 +24,10 @@
         return group;
     }
 
-    /** Whether an answer of that log counts; says so where it cannot. */
+    /**
+     * Whether an answer of that log is accepted; reports a fault if it is from an earlier era or
+     * from another log of the same era.
+     */
     boolean accept(String voter, String answeredGroup) {
         long answeredEra = eraOf(answeredGroup);
         if (answeredEra < era) {
@@ -41,7 +44,7 @@
         return true;
     }
 
-    /** The era by a log's name. */
+    /** Returns the era that a log's name begins with, or 0 if the name is malformed. */
     public static long eraOf(String group) {
         int separator = group.indexOf('-');
         try {
--- a/quorum/src/main/java/postgrade/quorum/follow/Follower.java
+++ b/quorum/src/main/java/postgrade/quorum/follow/Follower.java
@@ -10,18 +10,18 @@
 import postgrade.shared.View;
 
 /**
- * Keeps the view: pulls what has changed, from one voter as long as it answers, then from the next.
- * A view counts from when its pull was sent, and only where the leader's quorum confirmed after
- * that.
+ * Keeps the view up to date: pulls changes from one voter as long as it answers, then from the
+ * next. A view's age counts from when its pull was sent, and a view is accepted only if the
+ * leader's quorum confirmed it after that.
  */
 public final class Follower {
 
-    /** The longest pause after failures, in pulls. */
+    /** Longest pause after failures, as a multiple of the pull interval. */
     private static final int MAX_BACKOFF_PULLS = 8;
 
     /**
-     * A process that had to turn to another voter looks for its first one again after so many
-     * pulls.
+     * Number of pulls after which a process that switched to another voter tries its first one
+     * again.
      */
     private static final int PULLS_BEFORE_RETURN = 40;
 
@@ -29,7 +29,7 @@
     static final String NO_VIEW_FAULT =
             "no voter confirms a view: there is no quorum, or none can be reached";
 
-    /** Between two pages, so that others are served meanwhile. */
+    /** Pause between two pages, so that the voter can serve other requests meanwhile. */
     private static final long PAGE_PAUSE_MICROS = 1_000;
 
     private final QuorumSettings settings;
@@ -98,8 +98,8 @@
                         .setGroup(currentEra.group())
                         .build();
         boolean[] handled = {false};
-        // First, so that a pull that fails is not the last. A voter in this process has no deadline
-        // of its own.
+        // Scheduled first, so that pulling continues if this pull fails. A call to the voter in
+        // this process has no deadline of its own.
         thread.schedule(
                 () -> onReply(channel, pullNumber, handled, asOfMicros, null),
                 settings.requestTimeoutMillis() * 1000L + 50_000);
@@ -137,7 +137,7 @@
             accepted = true;
         } finally {
             if (!accepted) {
-                onFailure(); // Guards the pulls to come: no answer, whatever it is, ends them.
+                onFailure(); // Keeps pulling even if the answer cannot be processed.
             }
         }
         if (viewAssembler.expectsMore()) {
@@ -169,18 +169,18 @@
         consecutiveSuccesses = consecutiveFailures > 0 ? 0 : consecutiveSuccesses + 1;
         consecutiveFailures = 0;
         if (consecutiveSuccesses == PULLS_BEFORE_RETURN) {
-            faultStatus.clear(); // Not at the first good answer: two eras may take turns.
+            faultStatus.clear(); // Not at the first success: voters of two eras may answer in turn.
         }
         leader = reply.getLeader().isEmpty() ? null : reply.getLeader();
         voters = reply.getVoters();
     }
 
     /**
-     * One that has no view yet asks the next voter soon, each twice: the first may be down, and the
-     * first call of a process is slow. From then on it is no more impatient than others, and no
-     * less.
+     * The pause after a failed pull. A process without a view retries soon, trying each voter
+     * twice, as the first may be down and the first call of a process is slow. After that, it backs
+     * off like any other.
      *
-     * @param quick so many failures are followed by a short pause
+     * @param quickRetries number of failures that are followed by a short pause
      */
     static long pauseMillis(int pullMillis, int failures, int quickRetries) {
         return failures <= quickRetries
@@ -190,7 +190,7 @@
                                 MAX_BACKOFF_PULLS, 1 << Math.min(failures - quickRetries - 1, 3));
     }
 
-    /** The pause is spread, so that processes that began together do not stay together. */
+    /** Randomises the pause, so that processes started together do not pull in step. */
     private void scheduleNextPull(long millis) {
         thread.schedule(this::pull, (long) (millis * 1000 * (0.8 + 0.4 * random.nextDouble())));
     }
--- a/quorum/src/main/java/postgrade/quorum/follow/FollowerThread.java
+++ b/quorum/src/main/java/postgrade/quorum/follow/FollowerThread.java
@@ -6,8 +6,8 @@
 import postgrade.quorum.engine.TaskFailureLog;
 
 /**
- * The thread on which a process follows and asks; not the loop, and not the one that writes a
- * voter's log.
+ * The thread on which a process pulls views and submits commands, separate from the event loop and
+ * from the thread that writes a voter's log.
  */
 public final class FollowerThread {
 
@@ -36,7 +36,7 @@
         try {
             executor.schedule(failures.withLogging(task), micros, TimeUnit.MICROSECONDS);
         } catch (RejectedExecutionException e) {
-            // Closed: nobody waits for it any more.
+            // Shut down: nobody waits for the task any more.
         }
     }
 
--- a/quorum/src/main/java/postgrade/quorum/follow/StateClient.java
+++ b/quorum/src/main/java/postgrade/quorum/follow/StateClient.java
@@ -13,7 +13,10 @@
 import postgrade.shared.Sharing.Reply;
 import postgrade.shared.View;
 
-/** What every process does, voter or not: follows, and asks. */
+/**
+ * The part of the shared state that runs in every process, voter or not: pulls views and submits
+ * commands.
+ */
 public final class StateClient {
 
     private final FollowerThread thread;
@@ -21,7 +24,9 @@
     private final CommandSubmitter commandSubmitter;
 
     /**
-     * @param voter the one in this process, or null
+     * Creates the client.
+     *
+     * @param voter the voter in this process, or null
      */
     public StateClient(
             QuorumSettings settings,
@@ -42,8 +47,8 @@
     }
 
     /**
-     * One's own voter first; the others in an order that differs by process, so that they share the
-     * pulls.
+     * The process's own voter comes first; the order of the others differs by process, to spread
+     * the pulls.
      */
     private static List<VoterChannel> channels(
             QuorumSettings settings, VoterConnections connections, Voter voter) {
--- a/quorum/src/main/java/postgrade/quorum/follow/ViewAssembler.java
+++ b/quorum/src/main/java/postgrade/quorum/follow/ViewAssembler.java
@@ -12,10 +12,10 @@
 import postgrade.shared.View;
 
 /**
- * Puts a view together from pages. The state goes on while they come, so a pass over it that took
- * several pages is followed by one over what has changed since its first: whatever changed after
- * that is told once more. A pass of one page is the state of one moment, and only that makes a
- * view. What has come is kept over lost answers and changes of the voter.
+ * Assembles a view from pages. The state keeps changing while pages arrive, so a pass of several
+ * pages is followed by a pass over the changes since the first page of it: whatever changed after
+ * that page is sent again. Only a pass of one page shows the state at one moment and completes a
+ * view. Pages received so far are kept when an answer is lost or the voter changes.
  */
 public final class ViewAssembler {
 
@@ -24,15 +24,15 @@
     private boolean fullState;
     private String group = "";
 
-    /** What was told so far covers all up to here. */
+    /** The changes received so far cover everything up to this index. */
     private long baseIndex;
 
-    /** Of the latest page. */
+    /** Moment of the latest page. */
     private Moment latestMoment = Moment.NONE;
 
     private boolean accepted;
 
-    /** Of the first page of this pass. */
+    /** Moment of the first page of this pass. */
     private Moment firstPageMoment;
 
     private String lastPart = "";
@@ -60,7 +60,7 @@
         return !lastPart.isEmpty() || !changes.isEmpty();
     }
 
-    /** Whether a page has just come and others are to follow. */
+    /** Whether a page was just accepted and more are to follow. */
     public boolean expectsMore() {
         return accepted && isPartial();
     }
@@ -73,20 +73,20 @@
                 .setAfterKey(lastKey);
     }
 
-    /** Takes a page; the view where it is the last that was needed, else null. */
+    /** Accepts a page. Returns the view if this page completes it, else null. */
     public View accept(long asOfMicros, PullReply page) {
         Moment moment = StateCodec.moment(page.getMoment());
         accepted = moment.fence() >= latestMoment.fence();
         if (!accepted) {
-            return null; // Guards against a voter that has forgotten: what was seen is not unseen.
+            return null; // Guards against a voter that has lost state: the view never goes back.
         }
         if (isPartial() && !page.getGroup().equals(group)) {
-            reset(View.NONE); // Another log: this page may go on in the midst of it.
+            reset(View.NONE); // Another log, which this page may show from its middle on.
             accepted = false;
             return null;
         }
         if (page.getWhole() && baseIndex > 0) {
-            reset(View.NONE); // The changes are no longer known singly.
+            reset(View.NONE); // The individual changes are no longer known.
         }
         latestMoment = moment;
         group = page.getGroup();
--- a/quorum/src/main/java/postgrade/quorum/follow/VoterChannel.java
+++ b/quorum/src/main/java/postgrade/quorum/follow/VoterChannel.java
@@ -10,8 +10,7 @@
 import postgrade.quorum.wire.proto.PullRequest;
 
 /**
- * A way to a voter: over the wire, or to the one in this process. Answers are null where none came
- * in time.
+ * A channel to a voter, remote or in this process. Callbacks get null if no answer came in time.
  */
 interface VoterChannel {
 
--- a/quorum/src/main/java/postgrade/quorum/settings/QuorumSettings.java
+++ b/quorum/src/main/java/postgrade/quorum/settings/QuorumSettings.java
@@ -8,17 +8,20 @@
 import java.util.Set;
 
 /**
- * How a process shares state.
+ * Settings of a process that shares state.
  *
- * @param name of this process, the same after each start; a voter if it is one of the voters' names
- * @param incarnation higher at each start; 0 has one taken when the process opens
- * @param voters three to five of them vote; one alone is for trying out
+ * @param name of this process, the same after each restart; a voter if it is one of the voters'
+ *     names
+ * @param incarnation higher at each start; 0 if it is to be chosen when the process opens the
+ *     shared state
+ * @param voters three or five voters; a single one is for trials
  * @param store folder of a voter's log; an observer needs none
- * @param viewAgeMicros a view older than this gives no privilege
- * @param requestMillis the most that one call between processes may take
- * @param pullMillis how often a view is renewed
- * @param heartbeatMillis how often a leader shows that it is there, and moves the log's time on
- * @param electionMillis a leader unheard of for so long is replaced
+ * @param maxViewAgeMicros a process grants nothing from a view older than this
+ * @param requestTimeoutMillis maximum duration of a call between processes
+ * @param pullIntervalMillis interval at which the view is renewed
+ * @param heartbeatIntervalMillis interval of a leader's heartbeats, at which it may also advance
+ *     the log's time
+ * @param electionTimeoutMillis a leader that is silent for this long is replaced
  */
 public record QuorumSettings(
         String name,
@@ -40,7 +43,7 @@
     private static final int MAX_NAME_LENGTH = 64;
     private static final String OBSERVER_SUFFIX = ".beside";
 
-    /** Where a voter listens. */
+    /** Address on which a voter listens. */
     public record Voter(String name, String host, int port) {
         public Voter {
             requireName("voters: name", name);
@@ -55,12 +58,12 @@
                 }
             } catch (UnknownHostException e) {
                 throw new InvalidQuorumSettingException(
-                        "voters", name + ": host " + host + " is not known");
+                        "voters", name + ": host " + host + " cannot be resolved");
             }
         }
     }
 
-    /** A setting that cannot be used; the message begins with its key. */
+    /** Reports a setting that cannot be used; the message begins with its key. */
     public static final class InvalidQuorumSettingException extends IllegalArgumentException {
         private static final long serialVersionUID = 1L;
 
@@ -77,18 +80,18 @@
         voters = List.copyOf(voters);
         if (voters.isEmpty() || voters.size() > MAX_VOTERS || voters.size() % 2 == 0) {
             throw new InvalidQuorumSettingException(
-                    "voters", "must be 3 or 5, or 1 to try out, not " + voters.size());
+                    "voters", "must be 3 or 5 voters, or 1 for a trial, not " + voters.size());
         }
         Set<String> names = new HashSet<>();
         Set<String> places = new HashSet<>();
         for (Voter v : voters) {
             if (!names.add(v.name)) {
                 throw new InvalidQuorumSettingException(
-                        "voters", "the name " + v.name + " stands there twice");
+                        "voters", "the name " + v.name + " is used twice");
             }
             if (!places.add(v.host + ":" + v.port)) {
                 throw new InvalidQuorumSettingException(
-                        "voters", "two of them listen on " + v.host + ":" + v.port);
+                        "voters", "two voters listen on " + v.host + ":" + v.port);
             }
         }
         if (names.contains(name) && store == null) {
@@ -102,7 +105,7 @@
         requireBetween("view_age_ms", maxViewAgeMicros / 1000, 2L * pullIntervalMillis, 600_000);
     }
 
-    /** With the customary bounds. */
+    /** Settings with the default limits. */
     public static QuorumSettings withDefaults(String name, List<Voter> voters, Path store) {
         return new QuorumSettings(
                 name,
@@ -129,7 +132,10 @@
                 electionTimeoutMillis);
     }
 
-    /** Under a name that is no voter's, as voters bound the pulls of each name. */
+    /**
+     * Settings of an observer under a name that no voter has, as voters limit the pull rate of each
+     * name.
+     */
     public QuorumSettings asObserver() {
         String observerName =
                 name.substring(
--- a/quorum/src/main/java/postgrade/quorum/settings/SharingFile.java
+++ b/quorum/src/main/java/postgrade/quorum/settings/SharingFile.java
@@ -16,9 +16,9 @@
 import postgrade.script.Values.HostObject;
 
 /**
- * Reads how a process shares from a script, such as {@code deploy/sharing.star}. One file may serve
- * several processes: each is told its name when it is started, and keeps its store in a folder of
- * that name. What is faulty is told with file and key, and with the line where the script made it.
+ * Reads the sharing settings of a process from a script, such as {@code deploy/sharing.star}. One
+ * file may serve several processes: each gets its name at start and keeps its store in a folder of
+ * that name. Errors name file and key, and the line if the script itself raised them.
  */
 public final class SharingFile {
 
@@ -53,7 +53,7 @@
         this.file = file;
     }
 
-    /** Reads a file that says the process's name itself. */
+    /** Reads a file that sets the process's name itself. */
     public static QuorumSettings read(Path file) {
         return read(file, null, line -> {});
     }
@@ -61,16 +61,16 @@
     /**
      * Reads a file.
      *
-     * @param name of this process, instead of what the file says; may be null
+     * @param name of this process, overriding the one in the file; may be null
      * @param printer takes what the script prints
      * @throws IllegalArgumentException with one sentence that names file and key
-     * @throws postgrade.script.ScriptError where the script itself is faulty
+     * @throws postgrade.script.ScriptError if the script itself fails
      */
     public static QuorumSettings read(Path file, String name, Consumer<String> printer) {
         return read(Script.run(file, scriptFunctions(), printer), file, name, Set.of());
     }
 
-    /** What a script of this kind may call. */
+    /** The functions that such a script may call. */
     public static Map<String, Object> scriptFunctions() {
         return Map.of(
                 "voter",
@@ -79,9 +79,9 @@
     }
 
     /**
-     * Reads from a script that has run, which may hold settings of others.
+     * Reads from a script that has run, which may also hold settings of other modules.
      *
-     * @param others keys that somebody else reads
+     * @param otherKeys keys that other modules read
      */
     public static QuorumSettings read(
             Module script, Path file, String name, Set<String> otherKeys) {
@@ -134,8 +134,7 @@
         } catch (InvalidQuorumSettingException e) {
             throw withFileName(e);
         } catch (java.nio.file.InvalidPathException e) {
-            throw withFileName(
-                    new InvalidQuorumSettingException("store", "is not a folder's name"));
+            throw withFileName(new InvalidQuorumSettingException("store", "is not a valid path"));
         }
     }
 
@@ -174,7 +173,7 @@
 
     private static long wholeNumber(String key, Object value) {
         if (value instanceof Long || value instanceof Integer) {
-            // Guards the casts that follow: what is too large stays too large.
+            // Keeps the later casts from overflowing: values out of range stay out of range.
             return Math.max(-1, Math.min(Integer.MAX_VALUE, ((Number) value).longValue()));
         }
         if (value instanceof BigInteger) {
--- a/quorum/src/main/java/postgrade/quorum/store/Incarnations.java
+++ b/quorum/src/main/java/postgrade/quorum/store/Incarnations.java
@@ -6,8 +6,8 @@
 import java.nio.file.StandardCopyOption;
 
 /**
- * Numbers a process's starts: each is higher than the one before, also where the wall clock was set
- * back.
+ * Numbers the starts of a process: each number is higher than the previous one, even if the wall
+ * clock was set back.
  */
 public final class Incarnations {
 
@@ -16,7 +16,9 @@
     private Incarnations() {}
 
     /**
-     * @param folder may be null: then the wall's time alone counts
+     * Returns the next number and stores it.
+     *
+     * @param folder where the number is stored; if null, the wall clock alone decides
      */
     public static long next(Path folder, long wallClockMillis) {
         if (folder == null) {
@@ -27,7 +29,7 @@
         try {
             previous = Long.parseLong(Files.readString(file).strip());
         } catch (IOException | NumberFormatException e) {
-            // None yet, or torn: the wall's time is as good as for a process without a folder.
+            // None yet, or truncated: the wall clock decides, as for a process without a folder.
         }
         long next = Math.max(previous + 1, wallClockMillis);
         try {
@@ -40,7 +42,7 @@
                     StandardCopyOption.ATOMIC_MOVE,
                     StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
-            // A full or read-only disk keeps no process from serving.
+            // A full or read-only disk must not keep a process from serving.
         }
         return next;
     }
--- a/quorum/src/main/java/postgrade/quorum/store/VoterStore.java
+++ b/quorum/src/main/java/postgrade/quorum/store/VoterStore.java
@@ -29,12 +29,12 @@
 import postgrade.quorum.wire.proto.Term;
 
 /**
- * What a voter must not forget: its log, its term and its vote, on disk before anyone is told. One
- * thread uses it.
+ * Persistent state of a voter: its log, its term and its vote, written to disk before a promise is
+ * sent. Used by one thread.
  *
- * <p>Once a write has failed, nothing is written or promised any more: {@code failed} is told, and
- * each later call fails too. What stands on the disk then is known again only after the file was
- * opened anew.
+ * <p>After a failed write nothing more is written or promised: the failure listener is called, and
+ * each later call fails too. What the disk holds is known again only after the file has been
+ * reopened.
  */
 public final class VoterStore implements RaftStore {
 
@@ -63,9 +63,7 @@
         return Files.exists(folder.resolve(FILE));
     }
 
-    /**
-     * Opens what is there. The file is held alone: a second process that opens it is turned away.
-     */
+    /** Opens the existing store. The file is locked: a second process that opens it is refused. */
     public static VoterStore open(Path folder) throws IOException {
         if (!exists(folder)) {
             throw new IOException("no store in " + folder);
@@ -80,7 +78,9 @@
         return store;
     }
 
-    /** A new store, of a new identity; the first members are those with which its era began. */
+    /**
+     * Creates a store for a new identity; the initial members are those with which its era began.
+     */
     public static VoterStore create(Path folder, Metadata metadata) throws IOException {
         Files.createDirectories(folder);
         if (exists(folder)) {
@@ -100,8 +100,8 @@
 
     private static VoterStore openFile(Path folder) throws IOException {
         try {
-            // Commits come from here alone, each followed by a sync; nothing is written behind our
-            // back.
+            // Only this class commits, and each commit is followed by a sync; nothing is written
+            // in the background.
             return new VoterStore(
                     new MVStore.Builder()
                             .fileName(folder.resolve(FILE).toString())
@@ -114,9 +114,9 @@
     }
 
     /**
-     * What a store is for.
+     * What a store belongs to.
      *
-     * @param group names the era's one log; another log of the same era has another name
+     * @param group name of the era's log; another log of the same era has another name
      * @param initial members with which the log began
      */
     public record Metadata(Endpoint self, String group, long era, List<String> initial) {}
@@ -129,7 +129,7 @@
                 List.of(metadata.get("initial").split(" ")));
     }
 
-    /** How often it was opened to vote. */
+    /** How often the store was opened for voting. */
     public long boot() {
         return Long.parseLong(metadata.get("boot"));
     }
@@ -138,7 +138,7 @@
         commitAndSync(() -> metadata.put("boot", String.valueOf(boot() + 1)));
     }
 
-    /** The highest start that this voter has heard of a peer. */
+    /** The highest boot count that this voter has seen from a peer. */
     public long seenBoot(String endpoint) {
         return Long.parseLong(metadata.getOrDefault("seen " + endpoint, "0"));
     }
@@ -160,17 +160,17 @@
         return term == null ? 0 : Term.parseFrom(term).getTerm();
     }
 
-    /** Told once, by the call that could not write. */
+    /** Sets the listener that the first failed write calls, once. */
     public void onFailure(Consumer<String> listener) {
         failureListener = listener;
     }
 
-    /** Null, or why nothing is written any more. */
+    /** The reason why nothing is written any more, or null. */
     public String failure() {
         return failure;
     }
 
-    /** What the engine begins from; null where it has never begun. */
+    /** The state from which the engine resumes; null if it has never started. */
     public RestoredRaftState restore() throws IOException {
         byte[] self = state.get("self");
         byte[] initial = state.get("initial");
@@ -210,7 +210,7 @@
                 entries);
     }
 
-    /** The latest of which every chunk is there. */
+    /** The latest snapshot of which every chunk is present. */
     private SnapshotEntry snapshot(DefaultRaftModelFactory model)
             throws InvalidProtocolBufferException {
         for (Long key = chunks.lastKey();
@@ -335,7 +335,7 @@
                 });
     }
 
-    /** The longest that a write has taken since that was last forgotten. */
+    /** The longest write since the last {@link #resetSlowest}. */
     public long slowestMillis() {
         return slowestNanos / 1_000_000;
     }
@@ -357,7 +357,7 @@
         }
     }
 
-    /** Closes the file; what was flushed stays. */
+    /** Closes the file; flushed data stays. */
     public void close() {
         mvStore.closeImmediately();
     }
--- a/quorum/src/main/java/postgrade/quorum/wire/Endpoint.java
+++ b/quorum/src/main/java/postgrade/quorum/wire/Endpoint.java
@@ -3,9 +3,8 @@
 import io.microraft.RaftEndpoint;
 
 /**
- * A voter as its peers count it: its name from the settings and the identity of its store. A store
- * that was wiped comes back with another identity, so a vote given by the one cannot be taken for a
- * vote of the other.
+ * A voter as its peers know it: its name from the settings and the identity of its store. A voter
+ * whose store was deleted gets another identity, so votes of the two cannot be confused.
  */
 public record Endpoint(String name, String identity) implements RaftEndpoint {
 
--- a/quorum/src/main/java/postgrade/quorum/wire/LogCodec.java
+++ b/quorum/src/main/java/postgrade/quorum/wire/LogCodec.java
@@ -18,10 +18,10 @@
 import postgrade.shared.Command;
 import postgrade.shared.Machine;
 
-/** Entries and snapshots of the log, as they go over the wire and into the store. */
+/** Encodes log entries and snapshots for the wire and the store. */
 public final class LogCodec {
 
-    /** The first entry of a leader's term: commits what stood before it, and changes nothing. */
+    /** The first entry of a leader's term: commits earlier entries and changes nothing. */
     public static final Object NEW_TERM =
             new Object() {
                 @Override
--- a/quorum/src/main/java/postgrade/quorum/wire/Methods.java
+++ b/quorum/src/main/java/postgrade/quorum/wire/Methods.java
@@ -21,15 +21,15 @@
 import postgrade.quorum.wire.proto.ReadReply;
 import postgrade.quorum.wire.proto.ReadRequest;
 
-/** The calls between processes. */
+/** The RPC methods between processes. */
 public final class Methods {
 
     static final String SERVICE = "postgrade.Quorum";
 
-    /** Guards the receiver: a snapshot is the largest message. */
+    /** Limit for received messages; a snapshot is the largest one. */
     static final int MAX_MESSAGE_BYTES = 64 << 20;
 
-    /** A stream of consensus messages, one way; answers come on the other's stream. */
+    /** One-way stream of consensus messages; answers come on the peer's own stream. */
     static final MethodDescriptor<RaftMsg, None> RAFT =
             method("Raft", MethodType.CLIENT_STREAMING, RaftMsg.parser(), None.parser());
 
--- a/quorum/src/main/java/postgrade/quorum/wire/RaftCodec.java
+++ b/quorum/src/main/java/postgrade/quorum/wire/RaftCodec.java
@@ -16,7 +16,7 @@
 import io.microraft.model.message.VoteResponse;
 import postgrade.quorum.wire.proto.RaftMsg;
 
-/** Messages of the consensus engine as they go over the wire. */
+/** Encodes the messages of the consensus engine for the wire. */
 public final class RaftCodec {
 
     private static final int APPEND_ENTRIES = 1;
@@ -32,7 +32,7 @@
 
     private RaftCodec() {}
 
-    /** Whether it answers what a leader sent. */
+    /** Whether this is a response to a leader's message. */
     public static boolean isResponseToLeader(RaftMsg m) {
         return m.getKind() == APPEND_SUCCESS
                 || m.getKind() == APPEND_FAILURE
@@ -40,31 +40,31 @@
     }
 
     /**
-     * Whether it asks for a vote, or for the word that one would be given. A leader that hands over
-     * is not meant: its successor asks with its consent.
+     * Whether this requests a vote or a pre-vote. Vote requests of a leadership transfer do not
+     * count, as the old leader has agreed to them.
      */
     public static boolean isVoteRequest(RaftMsg m) {
         return m.getKind() == PRE_VOTE_REQUEST || m.getKind() == VOTE_REQUEST && m.getFlag();
     }
 
     /**
-     * Whether it asks or tells how a vote would be cast. Its term is the one that the vote would be
-     * for, which neither side has entered.
+     * Whether this is a pre-vote request or response. Its term is the prospective one, which
+     * neither side has entered.
      */
     public static boolean isPreVote(RaftMsg m) {
         return m.getKind() == PRE_VOTE_REQUEST || m.getKind() == PRE_VOTE_RESPONSE;
     }
 
-    /** Whether it answers one that asks for a vote. */
+    /** Whether this is a response to a vote or pre-vote request. */
     public static boolean isVoteResponse(RaftMsg m) {
         return m.getKind() == PRE_VOTE_RESPONSE || m.getKind() == VOTE_RESPONSE;
     }
 
     /**
-     * The answer to one that asks for a vote: it gets none.
+     * Builds the response that refuses a vote request.
      *
      * @param from the voter that refuses
-     * @param term that it is in
+     * @param term the term of that voter
      */
     public static RaftMsg refusal(RaftMsg request, String from, int term) {
         return RaftMsg.newBuilder()
@@ -251,7 +251,7 @@
                             .setLastLogIndex(m.getLogIndex())
                             .build();
             default ->
-                    throw new IllegalArgumentException("no such kind of message: " + m.getKind());
+                    throw new IllegalArgumentException("unknown kind of message: " + m.getKind());
         };
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/wire/Server.java
+++ b/quorum/src/main/java/postgrade/quorum/wire/Server.java
@@ -22,11 +22,15 @@
 import postgrade.quorum.wire.proto.ReadReply;
 import postgrade.quorum.wire.proto.ReadRequest;
 
-/** Where a voter listens. Calls come on the transport's thread and must be handed on at once. */
+/**
+ * Serves the RPC methods of a voter. Calls arrive on the transport's thread and must be handed on
+ * at once.
+ */
 public final class Server {
 
     /**
-     * What a voter does with what it is asked; each {@code answer} is called once, on any thread.
+     * Handles the requests that a voter receives; each {@code answer} is called once, on any
+     * thread.
      */
     public interface RequestHandler {
         void raft(RaftMsg message);
@@ -76,7 +80,7 @@
                 (A request, StreamObserver<B> observer) -> {
                     ServerCallStreamObserver<B> answer = (ServerCallStreamObserver<B>) observer;
                     answer.setOnCancelHandler(
-                            () -> {}); // Whoever gave up waiting is no error here.
+                            () -> {}); // A caller that stopped waiting is not an error.
                     handler.call(
                             request,
                             reply -> {
@@ -107,7 +111,7 @@
 
         @Override
         public void onError(Throwable t) {
-            // The peer opens another.
+            // The peer opens a new stream.
         }
 
         @Override
--- a/quorum/src/main/java/postgrade/quorum/wire/StateCodec.java
+++ b/quorum/src/main/java/postgrade/quorum/wire/StateCodec.java
@@ -16,7 +16,7 @@
 import postgrade.shared.Row;
 import postgrade.shared.Rows.Change;
 
-/** What the shared state is made of, as it goes over the wire and into the store. */
+/** Encodes the shared state for the wire and the store. */
 public final class StateCodec {
 
     private StateCodec() {}
--- a/quorum/src/main/java/postgrade/quorum/wire/VoterConnections.java
+++ b/quorum/src/main/java/postgrade/quorum/wire/VoterConnections.java
@@ -21,17 +21,20 @@
 import postgrade.quorum.wire.proto.RaftMsg;
 
 /**
- * Connections to the voters, one each, opened when first needed. Any thread may use it; nothing
- * here waits, and answers come on the transport's thread.
+ * One connection per voter, opened when first needed. Thread-safe and non-blocking; answers arrive
+ * on the transport's thread.
  */
 public final class VoterConnections {
 
-    /** Pauses between tries to connect are ours, not the library's, which grow to minutes. */
+    /**
+     * Minimum interval between reconnects. Replaces the backoff of the library, which grows to
+     * minutes.
+     */
     private static final long RECONNECT_INTERVAL_MICROS = 100_000;
 
     private static final int MAX_UNANSWERED_CALLS = 3;
 
-    /** What a stream holds that is not open yet, or has not drained. */
+    /** Maximum number of messages queued on a stream that is not open yet or does not drain. */
     private static final int MAX_QUEUED_MESSAGES = 64;
 
     private final QuorumSettings settings;
@@ -39,7 +42,7 @@
     private final Map<String, Connection> connections = new HashMap<>();
     private boolean closed;
 
-    /** How long a connection says nothing before it is given up. */
+    /** Minimum time without an answer before a connection is closed. */
     long minSilenceNanos = 1_000_000_000L;
 
     private static final class Connection {
@@ -57,7 +60,7 @@
     }
 
     /**
-     * Sends a consensus message, or drops it where the way is not free: the engine sends again what
+     * Sends a consensus message, or drops it if the stream does not drain; the engine resends what
      * it must.
      */
     public synchronized void send(Endpoint to, RaftMsg message) {
@@ -70,12 +73,12 @@
             openStream(connection);
         }
         if (connection.stream == null) {
-            return; // It failed at once.
+            return; // The stream failed at once.
         }
-        // A new stream is not ready at first, though its connection may be: what it drops then is
-        // what it was opened for,
-        // such as a vote's question, which the engine asks again only a round later. One that does
-        // not drain must not grow.
+        // A new stream is not ready at first, even on an open connection. Dropping messages then
+        // would lose the message it was opened for, such as a vote request, which the engine
+        // repeats only a round later. The queue of a stream that does not drain must stay
+        // bounded.
         connection.queuedMessages = connection.stream.isReady() ? 0 : connection.queuedMessages + 1;
         if (connection.queuedMessages <= MAX_QUEUED_MESSAGES) {
             connection.stream.sendMessage(message);
@@ -86,7 +89,7 @@
         ClientCall<RaftMsg, None> call =
                 connection.channel.newCall(Methods.RAFT, CallOptions.DEFAULT);
         connection.queuedMessages = 0;
-        connection.stream = call; // Before it starts: it may end within its start.
+        connection.stream = call; // Set before the start, as the call may end within it.
         call.start(
                 new ClientCall.Listener<None>() {
                     @Override
@@ -103,7 +106,8 @@
     }
 
     /**
-     * Calls a voter. {@code done} gets the answer, or null and why none came; always exactly once.
+     * Calls a voter. Calls {@code done} exactly once, with the answer, or with null and the status
+     * that says why there is none.
      */
     public <A, B> void call(
             String voter,
@@ -158,9 +162,9 @@
     }
 
     /**
-     * A connection on which no answer came again and again, for a second at least, is given up: it
-     * may lie behind a cut that nobody tells. Not sooner: a busy machine answers late, and a new
-     * connection would make it busier.
+     * Closes a connection on which several calls in a row got no answer for at least a second: it
+     * may be behind a network partition that no reset reveals. Not sooner, since a busy machine
+     * answers late and a new connection would add to its load.
      */
     private synchronized void onDeadlineExceeded(String voter, ManagedChannel channel) {
         Connection connection = connections.get(voter);
--- a/quorum/src/test/java/postgrade/quorum/Cluster.java
+++ b/quorum/src/test/java/postgrade/quorum/Cluster.java
@@ -31,12 +31,12 @@
 /** Voters and observers in this process, over real connections, each with a store of its own. */
 final class Cluster implements AutoCloseable {
 
-    /** For what must come: it bounds what hangs, and judges nobody's pace. */
+    /** Upper bound for outcomes that must come: it catches hangs and does not judge speed. */
     static final long AMPLE_TIMEOUT_MICROS = 100_000_000;
 
     private static final long AWAIT_TIMEOUT_MILLIS = 120_000;
 
-    /** Counts what it was told to add, by key. */
+    /** Sums the amounts that commands add, by key. */
     static final class SumPart implements Part {
         @Override
         public String name() {
@@ -71,8 +71,9 @@
     }
 
     /**
-     * A port that stays ours while its voter is away: a socket is bound to it and never listens, so
-     * the system gives it to nobody else, and lets the voter listen beside it.
+     * Reserves a port for a voter, also while the voter is stopped: a socket is bound to it and
+     * never listens, so the system gives the port to nobody else and still lets the voter listen on
+     * it.
      */
     private int reservePort() throws IOException {
         Socket holder = new Socket();
@@ -87,7 +88,7 @@
                 name, 0, voters, folder.resolve(name), 2_000_000, 500, 50, 50, 800);
     }
 
-    /** Three voters of a first era, all of which count. */
+    /** Starts three voters in a first era and waits until all of them vote. */
     static Cluster startWithFirstEra() throws IOException {
         Cluster cluster = new Cluster();
         String refusal = Quorum.beginEra(cluster.settings("a"), 1);
@@ -117,7 +118,7 @@
             q.close();
             try {
                 if (!q.awaitClosed(AWAIT_TIMEOUT_MILLIS)) {
-                    throw new AssertionError(name + " was not closed");
+                    throw new AssertionError(name + " did not close");
                 }
             } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
@@ -133,7 +134,7 @@
         }
     }
 
-    /** Until all of them vote, and see that all three do. */
+    /** Waits until these voters vote and see all three voters. */
     void awaitAll(String... names) {
         for (String name : names) {
             await(
@@ -175,7 +176,7 @@
                                         .append(q.standing())
                                         .append(' ')
                                         .append(q.view().moment()));
-                throw new AssertionError("waited in vain: " + what + states);
+                throw new AssertionError("timed out waiting until: " + what + states);
             }
             try {
                 Thread.sleep(5);
--- a/quorum/src/test/java/postgrade/quorum/FullDiskProcess.java
+++ b/quorum/src/test/java/postgrade/quorum/FullDiskProcess.java
@@ -8,8 +8,8 @@
 import postgrade.quorum.wire.Endpoint;
 
 /**
- * A process whose files may not grow beyond what its shell allows: writes until the store refuses,
- * then reads.
+ * Process whose shell limits the size of its files: writes entries until the store refuses, then
+ * reopens the store and counts them.
  */
 public final class FullDiskProcess {
 
--- a/quorum/src/test/java/postgrade/quorum/QuorumTest.java
+++ b/quorum/src/test/java/postgrade/quorum/QuorumTest.java
@@ -8,7 +8,7 @@
 import postgrade.shared.Answer;
 import postgrade.shared.Sharing.Reply;
 
-/** Commands and views while voters come and go. */
+/** Commands and views while voters stop and restart. */
 public class QuorumTest {
 
     @Test
@@ -25,13 +25,13 @@
                     c.submit(other, Cluster.addCommand("r1", "k", 5), Cluster.AMPLE_TIMEOUT_MICROS);
             assertTrue(again.decided());
             assertEquals(first.answer(), again.answer());
-            c.await("the view tells it", () -> c.sum(other, "k") == 5);
+            c.await("the view shows the sum", () -> c.sum(other, "k") == 5);
             Reply more =
                     c.submit(other, Cluster.addCommand("r2", "k", 2), Cluster.AMPLE_TIMEOUT_MICROS);
             assertEquals(7, more.answer().fields().whole("sum"));
             assertTrue(more.moment().after(first.moment()));
             assertTrue(
-                    "the log's time never runs ahead",
+                    "the log's time never runs ahead of real time",
                     more.moment().micros() < (System.nanoTime() - begun) / 1000);
         }
     }
@@ -44,15 +44,15 @@
                         "a", Cluster.addCommand("s" + i, "k" + i, i), Cluster.AMPLE_TIMEOUT_MICROS);
             }
             c.start("o");
-            c.await("the snapshot came", () -> c.sum("o", "k19") == 19);
+            c.await("the observer has the snapshot", () -> c.sum("o", "k19") == 19);
             c.submit("o", Cluster.addCommand("t", "k19", 1), Cluster.AMPLE_TIMEOUT_MICROS);
-            c.await("the change came", () -> c.sum("o", "k19") == 20);
+            c.await("the observer has the change", () -> c.sum("o", "k19") == 20);
             long micros = c.processes.get("o").view().moment().micros();
             c.await(
-                    "the log's time goes on",
+                    "the log's time advances",
                     () -> c.processes.get("o").view().moment().micros() > micros + 200_000);
             c.await(
-                    "its view is young",
+                    "its view is fresh",
                     () ->
                             c.processes.get("o").view().ageMicros(System.nanoTime() / 1000)
                                     < 2_000_000);
@@ -63,14 +63,14 @@
     public void withoutQuorumNothingIsDecidedAndViewsAge() throws Exception {
         try (Cluster c = Cluster.startWithFirstEra()) {
             c.start("o");
-            c.await("o sees", () -> c.processes.get("o").view().known());
+            c.await("o has a view", () -> c.processes.get("o").view().known());
             c.stop("a", "b");
             Reply none = c.submit("o", Cluster.addCommand("r1", "k", 5), 1_500_000);
             assertFalse(none.decided());
             assertTrue(none.retryAfterMicros() > 0);
             long asOf = c.processes.get("o").view().asOfMicros();
             c.await(
-                    "c says so",
+                    "c reports the lost quorum",
                     () ->
                             c.processes.get("c").standing().fault() != null
                                     && c.processes
@@ -83,7 +83,7 @@
             Reply decided =
                     c.submit("o", Cluster.addCommand("r1", "k", 5), Cluster.AMPLE_TIMEOUT_MICROS);
             assertEquals(5, decided.answer().fields().whole("sum"));
-            c.await("the view tells it once", () -> c.sum("o", "k") == 5);
+            c.await("the view shows the sum once", () -> c.sum("o", "k") == 5);
         }
     }
 
--- a/quorum/src/test/java/postgrade/quorum/SharingFileTest.java
+++ b/quorum/src/test/java/postgrade/quorum/SharingFileTest.java
@@ -51,7 +51,7 @@
                         "name = 'o'\nvoters = ['a']",
                         "sharing.star: voters: must hold voter(name, host, port), not string",
                         "name = 'o'\nvoters = [voter('a', '127.0.0.1', 1), voter('b', '127.0.0.1', 2)]",
-                        "sharing.star: voters: must be 3 or 5, or 1 to try out, not 2");
+                        "sharing.star: voters: must be 3 or 5 voters, or 1 for a trial, not 2");
         for (Map.Entry<String, String> e : errorsByScript.entrySet()) {
             assertEquals(e.getValue(), errorMessage(e.getKey()));
         }
--- a/quorum/src/test/java/postgrade/quorum/VoterShutdownTest.java
+++ b/quorum/src/test/java/postgrade/quorum/VoterShutdownTest.java
@@ -19,7 +19,7 @@
 import postgrade.quorum.wire.VoterConnections;
 import postgrade.quorum.wire.proto.PullRequest;
 
-/** The end of a voter, crossed with what it has yet to answer. */
+/** Shutdown of a voter that still has requests to answer. */
 public class VoterShutdownTest {
 
     private static final long TIMEOUT_MILLIS = 20_000;
@@ -29,7 +29,10 @@
     private final CountDownLatch unblockEngine = new CountDownLatch(1);
     private volatile boolean blockNextRead;
 
-    /** The process's clock; the engine's thread is held where it next reads it. */
+    /**
+     * The process's clock; blocks the engine's thread at its next reading after {@link
+     * #blockEngine}.
+     */
     private long nowMicros() {
         if (blockNextRead && Thread.currentThread().getName().equals("quorum-engine-a")) {
             blockNextRead = false;
@@ -63,7 +66,7 @@
         cluster.await("it leads", () -> "a".equals(quorum.standing().leader()));
         blockEngine();
         quorum.close();
-        assertFalse("the voter has not ended", quorum.eventLoops.isShuttingDown());
+        assertFalse("the voter has not shut down yet", quorum.eventLoops.isShuttingDown());
         unblockEngine.countDown();
         assertTrue("not closed", quorum.awaitClosed(TIMEOUT_MILLIS));
     }
@@ -84,8 +87,8 @@
             voter.start();
             cluster.await("it leads", () -> "a".equals(voter.leader()));
             blockEngine();
-            // The first begins a round of reads, the second waits for the next one; the end comes
-            // right behind them.
+            // The first pull starts a round of reads, the second waits for the next round; the
+            // shutdown is queued right behind them.
             voter.requestHandler().pull(PullRequest.newBuilder().setName("x").build(), reply -> {});
             voter.requestHandler()
                     .pull(
@@ -97,8 +100,8 @@
             voter.close(ended::countDown);
             unblockEngine.countDown();
             assertTrue("not closed", voter.awaitClosed(TIMEOUT_MILLIS));
-            assertTrue("not told", ended.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
-            VoterStore.open(settings.store()).close(); // Nobody holds it any more.
+            assertTrue("not notified", ended.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+            VoterStore.open(settings.store()).close(); // Fails if the file is still locked.
         } finally {
             connections.close();
             eventLoops.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
--- a/quorum/src/test/java/postgrade/quorum/VoterStoreTest.java
+++ b/quorum/src/test/java/postgrade/quorum/VoterStoreTest.java
@@ -14,7 +14,7 @@
 import postgrade.quorum.store.VoterStore;
 import postgrade.shared.Sharing.Reply;
 
-/** Stores that are wiped, copied back, or cannot be written. */
+/** Stores that are deleted, restored from a copy, or cannot be written. */
 public class VoterStoreTest {
 
     @Test
@@ -25,10 +25,10 @@
             c.stop("b", "c");
             c.deleteStore("b");
             c.start("b");
-            // With two left that are not the majority of those who promised, nothing may be
-            // decided.
+            // The two running voters are not a majority of those that made promises, so nothing
+            // may be decided.
             c.await(
-                    "b says what it waits for",
+                    "b reports what it waits for",
                     () ->
                             fault(c, "b").startsWith("no store")
                                     || fault(c, "b").startsWith("new here"));
@@ -44,7 +44,7 @@
                             .whole("sum"));
             c.stop("a");
             assertTrue(
-                    "a and the newcomer's pair decide",
+                    "b and c decide without a",
                     c.submit("b", Cluster.addCommand("r3", "k", 1), Cluster.AMPLE_TIMEOUT_MICROS)
                             .decided());
             c.stop("b");
@@ -61,7 +61,7 @@
                             .fields()
                             .whole("fence");
             c.start("o");
-            c.await("o sees era 1", () -> c.processes.get("o").view().moment().era() == 1);
+            c.await("o has a view of era 1", () -> c.processes.get("o").view().moment().era() == 1);
             c.stop("a", "b", "c");
             backUpStore(c, "c");
             c.deleteStore("a");
@@ -69,7 +69,7 @@
             c.deleteStore("c");
             c.start("a", "b", "c");
             c.await(
-                    "a says so",
+                    "a reports the missing store",
                     () -> fault(c, "a").startsWith("no store here, and none of the voters"));
             assertTrue(!c.submit("o", Cluster.addCommand("r1", "k", 5), 1_000_000).decided());
             c.stop("a");
@@ -80,8 +80,8 @@
             c.awaitAll("a", "b", "c");
             Reply r = c.submit("o", Cluster.addCommand("r1", "k", 5), Cluster.AMPLE_TIMEOUT_MICROS);
             assertTrue(r.answer().fields().whole("fence") > fence);
-            c.await("o sees era 2", () -> c.processes.get("o").view().moment().era() == 2);
-            // A voter of the former era comes back with its store.
+            c.await("o has a view of era 2", () -> c.processes.get("o").view().moment().era() == 2);
+            // A voter of the previous era restarts with its store.
             c.stop("c");
             c.deleteStore("c");
             Files.createDirectories(c.folder.resolve("c"));
@@ -93,8 +93,8 @@
     }
 
     /**
-     * It listens again at once: a port that is let go of a moment after the end would keep a
-     * process from its start.
+     * The voter must be able to listen again at once: a port that is released only some time after
+     * the shutdown would keep a process from starting.
      */
     @Test
     public void closedVoterReleasesItsPort() throws Exception {
@@ -124,7 +124,7 @@
             c.start("b");
             c.awaitAll("a", "b", "c");
             assertTrue(
-                    "the copy is kept aside",
+                    "the copy is kept under another name",
                     Files.exists(
                             c.folder
                                     .resolve("b")
@@ -132,9 +132,7 @@
         }
     }
 
-    /**
-     * Guards against a store that is put aside as an older copy though nothing in it is missing.
-     */
+    /** Guards against moving a complete store aside as an older copy. */
     @Test
     public void repeatedRestartsUnderOneLeaderKeepTheStore() throws Exception {
         try (Cluster c = Cluster.startWithFirstEra()) {
@@ -146,7 +144,7 @@
             }
             try (Stream<Path> files = Files.list(c.folder.resolve(voter))) {
                 assertEquals(
-                        "nothing is put aside",
+                        "no store was moved aside",
                         List.of(),
                         files.map(file -> file.getFileName().toString())
                                 .filter(name -> name.startsWith(VoterStore.FILE + "."))
@@ -163,7 +161,9 @@
             byte[] validBytes = Files.readAllBytes(store);
             Files.write(store, new byte[] {1, 2, 3});
             c.start("b");
-            c.await("b says so", () -> fault(c, "b").contains("it votes no more"));
+            c.await(
+                    "b reports that it does not vote",
+                    () -> fault(c, "b").contains("it votes no more"));
             assertEquals(Quorum.Role.OBSERVER, c.processes.get("b").standing().role());
             assertTrue(
                     c.submit("b", Cluster.addCommand("r1", "k", 5), Cluster.AMPLE_TIMEOUT_MICROS)
@@ -178,10 +178,12 @@
     public void duplicateErasAreDetectedAndReported() throws Exception {
         try (Cluster c = new Cluster()) {
             assertNull(Quorum.beginEra(c.settings("a"), 1));
-            assertNull("a does not run, so nobody can tell", Quorum.beginEra(c.settings("b"), 1));
+            assertNull(
+                    "a does not run, so b cannot detect its era",
+                    Quorum.beginEra(c.settings("b"), 1));
             c.start("a", "b", "c");
             c.await(
-                    "both say so",
+                    "both report the duplicate era",
                     () ->
                             fault(c, "a").startsWith("two eras 1 at once")
                                     && fault(c, "b").startsWith("two eras 1 at once"));
--- a/quorum/src/test/java/postgrade/quorum/bench/One.java
+++ b/quorum/src/test/java/postgrade/quorum/bench/One.java
@@ -15,9 +15,9 @@
 import postgrade.shared.Rows;
 
 /**
- * One process for measuring: opens sharing and does nothing else, or renews a row every so many
- * milliseconds as a member would. Arguments: settings file, name, milliseconds between commands (0
- * for none).
+ * Main class for measurements: opens the shared state in one process and stays idle, or renews a
+ * row at a fixed interval as a member would. Arguments: settings file, name, milliseconds between
+ * commands (0 for none).
  */
 public final class One {
 
--- a/quorum/src/test/java/postgrade/quorum/engine/AnswerHandlingTest.java
+++ b/quorum/src/test/java/postgrade/quorum/engine/AnswerHandlingTest.java
@@ -12,7 +12,7 @@
 import org.junit.Test;
 import postgrade.quorum.wire.proto.RaftMsg;
 
-/** Which answers count, and that one comes. */
+/** Which messages count for the current leadership, and that a caller gets exactly one answer. */
 public class AnswerHandlingTest {
 
     private static final int APPEND_ENTRIES = 1;
@@ -29,11 +29,9 @@
         assertFalse(RaftGroup.isCurrent(message(APPEND_SUCCESS, 4), 5));
         assertFalse(RaftGroup.isCurrent(message(APPEND_FAILURE, 4), 5));
         assertTrue(RaftGroup.isCurrent(message(APPEND_SUCCESS, 5), 5));
+        assertTrue("it reveals a later term", RaftGroup.isCurrent(message(APPEND_FAILURE, 6), 5));
         assertTrue(
-                "it tells us of a later leader",
-                RaftGroup.isCurrent(message(APPEND_FAILURE, 6), 5));
-        assertTrue(
-                "its sender has to hear that it leads no more",
+                "its sender has to learn that it no longer leads",
                 RaftGroup.isCurrent(message(APPEND_ENTRIES, 4), 5));
         assertTrue(RaftGroup.isCurrent(message(VOTE_RESPONSE, 4), 5));
     }
@@ -54,7 +52,7 @@
                     thread.scheduleMicros(() -> done.complete(null), 5_000);
                 });
         done.get(20, TimeUnit.SECONDS);
-        assertEquals("told once", List.of("decided"), received);
+        assertEquals("answered once", List.of("decided"), received);
         thread.close();
     }
 }
--- a/quorum/src/test/java/postgrade/quorum/engine/LinearizableReadsTest.java
+++ b/quorum/src/test/java/postgrade/quorum/engine/LinearizableReadsTest.java
@@ -16,7 +16,7 @@
 import org.junit.Test;
 import postgrade.quorum.wire.Endpoint;
 
-/** Rounds of reads at a leader whose engine answers what the test tells it, or never. */
+/** Rounds of reads at a leader whose engine answers as the test scripts it, or never. */
 public class LinearizableReadsTest {
 
     private static final int HEARTBEAT_MILLIS = 10;
@@ -101,7 +101,7 @@
     private CompletableFuture<Object> nextQuery() throws InterruptedException {
         CompletableFuture<Object> query = quorumQueries.poll(20, TimeUnit.SECONDS);
         if (query == null) {
-            throw new AssertionError("the quorum was not asked");
+            throw new AssertionError("the quorum was not queried");
         }
         return query;
     }
@@ -115,7 +115,10 @@
         thread.close();
     }
 
-    /** Guards against one lost answer that stops all later reads at the leader, and so at all. */
+    /**
+     * Guards against one lost answer that blocks all later reads at the leader, and with them all
+     * views.
+     */
     @Test
     public void unansweredRoundDoesNotBlockLaterReaders() throws Exception {
         reads = newReads(SHORT_MILLIS);
@@ -123,19 +126,18 @@
         CompletableFuture<Object> neverAnswered = nextQuery();
         assertEquals(LinearizableReads.REFUSED, await(lost));
         long index = LinearizableReads.REFUSED;
-        while (index
-                == LinearizableReads
-                        .REFUSED) { // A machine that stalls may be late for the short limit.
+        // A stalled machine may miss the short timeout.
+        while (index == LinearizableReads.REFUSED) {
             CompletableFuture<Long> next = confirm();
             CompletableFuture<Object> query = nextQuery();
             neverAnswered.complete(ordered(7));
             query.complete(ordered(8));
             index = await(next);
         }
-        assertEquals("not what was answered before it was asked", 8, index);
+        assertEquals("not an answer given before the query", 8, index);
     }
 
-    /** Guards against the same by a reader's own exception. */
+    /** Guards against a reader whose exception blocks all later reads. */
     @Test
     public void throwingReaderDoesNotBlockOthers() throws Exception {
         confirm();
@@ -153,7 +155,7 @@
         assertEquals(3, await(later));
     }
 
-    /** Guards against the same by an engine that throws when it is asked. */
+    /** Guards against an exception of the engine that blocks all later reads. */
     @Test
     public void throwingEngineFailsOnlyItsRound() throws Exception {
         engineFailure = new IllegalStateException("a fault of the engine");
--- a/quorum/src/test/java/postgrade/quorum/engine/LogClockTest.java
+++ b/quorum/src/test/java/postgrade/quorum/engine/LogClockTest.java
@@ -15,7 +15,7 @@
 import postgrade.quorum.wire.Endpoint;
 import postgrade.shared.Command;
 
-/** The log's time by a clock of ours and an engine that answers when it is told. */
+/** The log's time with a test clock and an engine that answers when the test says so. */
 public class LogClockTest {
 
     private static final long MAX_ADVANCE_MICROS = 500_000;
@@ -71,7 +71,7 @@
         return proposed.stream().mapToLong(c -> c.args().whole("by")).sum();
     }
 
-    /** A leader's first entry tells no time: it commits what was before. */
+    /** The first entry of a leader does not advance the time: it commits earlier entries. */
     private void becomeLeader() {
         int before = proposed.size();
         tickAfter(0);
@@ -86,7 +86,7 @@
         tickAfter(100_000);
         assertEquals(100_000, loggedMicros());
         tickAfter(50_000);
-        assertEquals("the first is not decided yet", 2, proposed.size());
+        assertEquals("the previous entry is still pending", 2, proposed.size());
         answer.complete(null);
         tickAfter(50_000);
         assertEquals(200_000, loggedMicros());
@@ -98,7 +98,7 @@
         nowMicros += 300_000;
         becomeLeader();
         tickAfter(100_000);
-        assertEquals("what others led is not told", 300_000, loggedMicros());
+        assertEquals("time under other leaders is not logged", 300_000, loggedMicros());
     }
 
     @Test
@@ -108,7 +108,10 @@
         assertEquals(MAX_ADVANCE_MICROS, loggedMicros());
         answer.complete(null);
         tickAfter(100_000);
-        assertEquals("what was not told is lost", MAX_ADVANCE_MICROS + 100_000, loggedMicros());
+        assertEquals(
+                "time beyond the maximum is not logged later",
+                MAX_ADVANCE_MICROS + 100_000,
+                loggedMicros());
     }
 
     @Test
@@ -119,11 +122,11 @@
             answer.complete(null);
             nowMicros += 100_000;
         }
-        assertEquals("the first entry, and one for each two ticks", 5, proposed.size());
+        assertEquals("the first entry, and one for every two ticks", 5, proposed.size());
         assertEquals(800_000, loggedMicros());
     }
 
-    /** Guards against one lost answer of the engine's that stops the log's time for good. */
+    /** Guards against one lost answer of the engine that stops the log's time for good. */
     @Test
     public void lostEntryDoesNotStopTimeAndIsNotRepeated() {
         becomeLeader();
@@ -133,10 +136,10 @@
         assertEquals(100_000, loggedMicros());
         tickAfter(1);
         assertEquals(
-                "it may be committed, and what came behind it is bounded", 600_000, loggedMicros());
+                "it may be committed, and the next advance is bounded", 600_000, loggedMicros());
         neverAnswered.complete(null);
         tickAfter(100_000);
-        assertEquals("a late answer counts for nothing", 600_000, loggedMicros());
+        assertEquals("a late answer is ignored", 600_000, loggedMicros());
         answer.complete(null);
         tickAfter(100_000);
         assertEquals(800_000, loggedMicros());
@@ -148,7 +151,8 @@
         tickAfter(100_000);
         answer.completeExceptionally(new CannotReplicateException(self));
         tickAfter(100_000);
-        assertEquals("never came into the log: 100 and then 200 ms", 300_000, loggedMicros());
+        assertEquals(
+                "never entered the log, so 100 ms are followed by 200 ms", 300_000, loggedMicros());
         answer.completeExceptionally(new IndeterminateStateException(self));
         tickAfter(100_000);
         assertEquals(300_000, loggedMicros());
@@ -156,6 +160,6 @@
         nowMicros += 100_000;
         becomeLeader();
         tickAfter(100_000);
-        assertEquals("from where it leads anew", 400_000, loggedMicros());
+        assertEquals("measured from the new leadership", 400_000, loggedMicros());
     }
 }
--- a/quorum/src/test/java/postgrade/quorum/engine/PeerPromisesTest.java
+++ b/quorum/src/test/java/postgrade/quorum/engine/PeerPromisesTest.java
@@ -11,7 +11,7 @@
 import postgrade.quorum.wire.RaftCodec;
 import postgrade.quorum.wire.proto.HelloReply;
 
-/** Which of a voter's messages its store has to hold when it comes back. */
+/** Which messages of a voter its store has to hold after a restart. */
 public class PeerPromisesTest {
 
     private static final String GROUP = "1-test";
@@ -39,7 +39,9 @@
                 .build();
     }
 
-    /** Guards against a store taken for an older copy after a vote that never came about. */
+    /**
+     * Guards against a store that is taken for an older copy after a vote that never took place.
+     */
     @Test
     public void preVoteIsNoPromise() {
         receive(voteRequest(3));
@@ -57,7 +59,7 @@
                         .setGranted(true)
                         .build());
         assertFalse(exceedsStore(3, 0));
-        assertTrue("the vote it asked for is one", exceedsStore(2, 9));
+        assertTrue("the vote request is a promise", exceedsStore(2, 9));
     }
 
     @Test
--- a/quorum/src/test/java/postgrade/quorum/engine/RestartedVoterTest.java
+++ b/quorum/src/test/java/postgrade/quorum/engine/RestartedVoterTest.java
@@ -28,8 +28,8 @@
 import postgrade.quorum.wire.proto.RaftMsg;
 
 /**
- * A voter that has just come back, on a clock that stands still unless the test moves it, between
- * two scripted peers. Guards against a rolling restart that deposes a healthy leader.
+ * A restarted voter between two scripted peers, on a clock that moves only when the test says so.
+ * Guards against a rolling restart that deposes a healthy leader.
  */
 public class RestartedVoterTest {
 
@@ -85,7 +85,7 @@
                         new FaultStatus("b"));
         voter.start();
         while (askHello().getMembersCount() == 0) {
-            Thread.onSpinWait(); // Each turn waits for the voter's own answer.
+            Thread.onSpinWait(); // Each iteration waits for the voter's own answer.
         }
     }
 
@@ -133,7 +133,9 @@
                 b.toString());
     }
 
-    /** The voter's answer, and that it has asked for nothing itself by then. */
+    /**
+     * Returns whether the voter grants a vote, and checks that it has requested none itself before.
+     */
     private boolean grantsVote(RaftMsg request) throws Exception {
         voter.requestHandler().raft(request);
         RaftMsg first = peers.nextMessage(c);
@@ -157,7 +159,7 @@
         assertFalse(grantsVote(voteRequest(true)));
     }
 
-    /** The leader may be slow to answer; whoever follows it knows that it lives. */
+    /** The leader may be slow to answer, but a peer that follows it shows that it is alive. */
     @Test
     public void leaderFollowedByAPeerCountsAsAlive() throws Exception {
         peers.setHello(a, peerHello(a).build());
@@ -178,7 +180,7 @@
         assertTrue(peers.nextMatching(c, RaftCodec::isVoteResponse).getFlag());
     }
 
-    /** All start together: nobody leads, and there is nothing to wait for. */
+    /** All voters start together: there is no leader to wait for. */
     @Test
     public void requestsAndGrantsVotesAtOnceWithoutALeader() throws Exception {
         peers.setHello(a, peerHello(a).build());
@@ -189,7 +191,10 @@
         assertTrue(peers.nextMatching(c, RaftCodec::isVoteResponse).getFlag());
     }
 
-    /** It led until it went: the others name it until an election time is over. */
+    /**
+     * The voter led before its restart, and its peers report it as leader until an election timeout
+     * is over.
+     */
     @Test
     public void formerLeaderDoesNotWaitForItself() throws Exception {
         peers.setHello(a, peerFollowing(a, b));
@@ -214,7 +219,7 @@
         assertPreVoteRequested(a);
     }
 
-    /** A leader that hands over asks for votes itself. */
+    /** The successor in a leadership transfer requests votes itself. */
     @Test
     public void grantsVoteForLeadershipTransfer() throws Exception {
         peers.setHello(a, peerFollowing(a, a));
@@ -223,7 +228,7 @@
         assertTrue(grantsVote(voteRequest(false)));
     }
 
-    /** Only requests for votes are meant: all else passes. */
+    /** Only vote and pre-vote requests are refused; all other messages pass. */
     @Test
     public void messageKindsDecodeToTheirTypes() {
         assertTrue(RaftCodec.decode(preVoteRequest()) instanceof PreVoteRequest);
--- a/quorum/src/test/java/postgrade/quorum/engine/ScriptedPeers.java
+++ b/quorum/src/test/java/postgrade/quorum/engine/ScriptedPeers.java
@@ -31,8 +31,8 @@
 import postgrade.quorum.wire.proto.ReadRequest;
 
 /**
- * Voters of which only the wire is there: they keep the consensus messages that they hear, and
- * answer what the test has scripted.
+ * Peers that consist of a server only: they record the consensus messages that they receive and
+ * answer hello requests as scripted.
  */
 final class ScriptedPeers implements AutoCloseable {
 
@@ -104,7 +104,7 @@
         }
     }
 
-    /** The voters of the group: these, and the one that is tested, at which nobody calls. */
+    /** The voters of the group: these peers and the voter under test, which nobody calls. */
     List<Voter> voters(String tested) throws IOException {
         List<Voter> voters = new ArrayList<>();
         peers.values().forEach(peer -> voters.add(peer.address));
@@ -117,21 +117,21 @@
         return connections;
     }
 
-    /** From now on the peer answers this; one that was told nothing never answers. */
+    /** Sets the peer's answer to hello requests; without one it never answers. */
     void setHello(Endpoint peer, HelloReply hello) {
         peers.get(peer.name()).hello = hello;
     }
 
-    /** What the peer has heard next. */
+    /** Waits for the next message that the peer receives. */
     RaftMsg nextMessage(Endpoint peer) throws InterruptedException {
         RaftMsg message = peers.get(peer.name()).received.poll(20, TimeUnit.SECONDS);
         if (message == null) {
-            throw new AssertionError(peer + " has heard nothing");
+            throw new AssertionError(peer + " has received nothing");
         }
         return message;
     }
 
-    /** The next such message that the peer has heard. */
+    /** Waits for the next message that the peer receives and the filter accepts. */
     RaftMsg nextMatching(Endpoint peer, Predicate<RaftMsg> filter) throws InterruptedException {
         RaftMsg message = nextMessage(peer);
         while (!filter.test(message)) {
--- a/quorum/src/test/java/postgrade/quorum/engine/StatePagesTest.java
+++ b/quorum/src/test/java/postgrade/quorum/engine/StatePagesTest.java
@@ -17,7 +17,7 @@
 import postgrade.shared.Rows;
 import postgrade.shared.View;
 
-/** A state larger than any message, told page by page while it goes on. */
+/** A state larger than any message, sent page by page while it changes. */
 public class StatePagesTest {
 
     private static final int ROWS = 4500;
@@ -59,7 +59,7 @@
         PullReply page = reply.build();
         receivedBytes += page.getSerializedSize();
         assertTrue(
-                "a page of " + page.getSerializedSize(),
+                "size of the page: " + page.getSerializedSize(),
                 page.getSerializedSize() < StatePages.PAGE_BYTES + TEXT.length() + 1000);
         return viewAssembler.accept(1_000_000 + pages, page);
     }
@@ -85,20 +85,20 @@
         for (View view = null; view == null || receivedBytes < FORMER_MESSAGE_LIMIT; ) {
             view = nextPage();
             assertTrue(
-                    "half a view was published",
+                    "an incomplete view was published",
                     view == null || receivedBytes > FORMER_MESSAGE_LIMIT);
-            change("put", pages % 7); // Behind the cursor.
+            change("put", pages % 7); // Before the position of the next page.
             change("remove", 20 + pages);
             change("put", ROWS + pages);
         }
         View view = pullView();
         assertMatchesMachine(view);
-        assertEquals("of the pull that brought it", 1_000_000 + pages, view.asOfMicros());
+        assertEquals("time of the pull that completed it", 1_000_000 + pages, view.asOfMicros());
         long before = receivedBytes;
         change("put", 3);
         change("remove", 4);
         assertMatchesMachine(pullView());
-        assertTrue("only what changed", receivedBytes - before < 3 * TEXT.length());
+        assertTrue("only the changes were sent", receivedBytes - before < 3 * TEXT.length());
     }
 
     @Test
@@ -106,7 +106,7 @@
         for (int i = 0; i < 100; i++) {
             change("put", i);
         }
-        assertEquals("the first page is no view", null, nextPage());
+        assertEquals("the first page does not complete a view", null, nextPage());
         for (int i = 0; i < 5000; i++) {
             change("put", 200);
             change("remove", 200);
@@ -129,7 +129,7 @@
                 other.clear().setGroup("2-h"), later, viewAssembler.nextRequest().build(), false);
         View view = viewAssembler.accept(6, other.build());
         assertEquals(later.rows().of("texts"), view.rows().of("texts"));
-        assertEquals("an earlier moment", null, nextPage());
+        assertEquals("a page of an earlier moment is ignored", null, nextPage());
     }
 
     @Test
--- a/quorum/src/test/java/postgrade/quorum/follow/CurrentEraTest.java
+++ b/quorum/src/test/java/postgrade/quorum/follow/CurrentEraTest.java
@@ -27,7 +27,7 @@
         assertTrue(currentEra.accept("a", "3-aa"));
         assertFalse(currentEra.accept("b", "3-bb"));
         assertEquals("two eras 3 at once: b is in another", faultStatus.current());
-        assertFalse("no era at all", currentEra.accept("c", ""));
+        assertFalse("a group without an era", currentEra.accept("c", ""));
         assertTrue(currentEra.accept("a", "3-aa"));
     }
 }
--- a/quorum/src/test/java/postgrade/quorum/follow/FollowerTest.java
+++ b/quorum/src/test/java/postgrade/quorum/follow/FollowerTest.java
@@ -18,7 +18,7 @@
 import postgrade.quorum.wire.proto.PullReply;
 import postgrade.quorum.wire.proto.PullRequest;
 
-/** How soon a process asks again for a view. */
+/** When a process pulls a view again, and which faults it reports meanwhile. */
 public class FollowerTest {
 
     private static long millisBeforeAttempt(int attempt, int quickRetries) {
@@ -29,14 +29,14 @@
         return millis;
     }
 
-    /** A voter that answers no pull until it has refused so many, and each one from then on. */
+    /** A voter that refuses a number of pulls and answers all later ones. */
     private static final class RecoveringVoter implements VoterChannel {
         private static final int EXPECTED_ANSWERS = 3;
         private final FaultStatus faultStatus;
         private int remainingRefusals;
         private int answers;
         String faultWhileRefusing;
-        String faultAfterAnswers = "none came";
+        String faultAfterAnswers = "no answers";
         final CountDownLatch answered = new CountDownLatch(1);
 
         RecoveringVoter(FaultStatus faultStatus, int refusals) {
@@ -49,7 +49,7 @@
             return "v1";
         }
 
-        /** Called on the follow thread, so what was answered before has been taken in. */
+        /** Called on the follower thread, so earlier answers have been processed. */
         @Override
         public void pull(PullRequest request, long withinMillis, Consumer<PullReply> done) {
             if (remainingRefusals-- > 0) {
@@ -73,11 +73,11 @@
 
         @Override
         public void ask(AskRequest request, long withinMillis, Consumer<AskReply> done) {
-            throw new AssertionError("nothing is asked");
+            throw new AssertionError("no command is expected");
         }
     }
 
-    /** A voter whose first answer cannot be read, and each later one can. */
+    /** A voter whose first answer cannot be processed, while later ones can. */
     private static final class InvalidFirstReplyVoter implements VoterChannel {
         private int answers;
         final CountDownLatch secondReplySent = new CountDownLatch(1);
@@ -92,7 +92,7 @@
             PullReply.Builder answer =
                     PullReply.newBuilder().setGroup("1-g").setMoment(MomentMsg.newBuilder());
             if (++answers == 1) {
-                answer.setMore(true); // After which row the next page begins is not said.
+                answer.setMore(true); // Without a last row the next page has no start.
             }
             done.accept(answer.build());
             if (answers == 2) {
@@ -102,11 +102,11 @@
 
         @Override
         public void ask(AskRequest request, long withinMillis, Consumer<AskReply> done) {
-            throw new AssertionError("nothing is asked");
+            throw new AssertionError("no command is expected");
         }
     }
 
-    /** Guards against a process that pulls no view any more after one answer it cannot read. */
+    /** Guards against a process that stops pulling after one answer that it cannot process. */
     @Test
     public void pullsContinueAfterAnUnreadableReply() throws Exception {
         FollowerThread thread = new FollowerThread("f");
@@ -160,7 +160,7 @@
     @Test
     public void withoutViewTriesThreeVotersTwiceBeforeBackingOff() {
         assertTrue("" + millisBeforeAttempt(7, 6), millisBeforeAttempt(7, 6) < 400);
-        assertEquals("and they grow from the usual one on", 250, Follower.pauseMillis(250, 7, 6));
+        assertEquals("backoff starts at the pull interval", 250, Follower.pauseMillis(250, 7, 6));
         assertEquals(2000, Follower.pauseMillis(250, 10, 6));
         assertEquals("bounded", 2000, Follower.pauseMillis(250, 1000, 6));
     }
--- a/quorum/src/test/java/postgrade/quorum/wire/VoterConnectionsTest.java
+++ b/quorum/src/test/java/postgrade/quorum/wire/VoterConnectionsTest.java
@@ -31,10 +31,7 @@
 import postgrade.quorum.wire.proto.ReadReply;
 import postgrade.quorum.wire.proto.ReadRequest;
 
-/**
- * One side of the wire, against a voter that keeps what it hears and answers only its peers'
- * greeting.
- */
+/** Connections to a voter that records consensus messages and answers only hello requests. */
 public class VoterConnectionsTest {
 
     private final EventLoopGroup eventLoops = new NioEventLoopGroup(1);
@@ -74,7 +71,7 @@
                         new VoterConnections(
                                 QuorumSettings.withDefaults("x", List.of(b), null), eventLoops);
             } catch (IOException e) {
-                // Taken: another.
+                // The port is taken: try another.
             }
         }
     }
@@ -99,7 +96,7 @@
         open();
         assertNotNull(call(Methods.HELLO, HelloRequest.getDefaultInstance(), 20_000));
         connections.send(new Endpoint("b", "1"), RaftMsg.newBuilder().setTerm(1).build());
-        // Behind it, so that it is known lost without waiting for it.
+        // Sent after the message, so that a lost message shows without waiting for it.
         assertNotNull(call(Methods.HELLO, HelloRequest.getDefaultInstance(), 20_000));
         connections.send(new Endpoint("b", "1"), RaftMsg.newBuilder().setTerm(2).build());
         assertEquals(1, received.poll(20, TimeUnit.SECONDS).getTerm());
