--- a/quorum/src/main/java/postgrade/quorum/BeginEra.java
+++ b/quorum/src/main/java/postgrade/quorum/BeginEra.java
@@ -44,9 +44,9 @@
             return USAGE;
         }
         try {
-            String against = Quorum.beginEra(settings, number);
-            if (against != null) {
-                err.println(against);
+            String refusal = Quorum.beginEra(settings, number);
+            if (refusal != null) {
+                err.println(refusal);
                 return REFUSED;
             }
             out.println(
--- a/quorum/src/main/java/postgrade/quorum/Quorum.java
+++ b/quorum/src/main/java/postgrade/quorum/Quorum.java
@@ -136,19 +136,19 @@
     }
 
     @Override
-    public void ask(Command command, long withinMicros, Consumer<Reply> done) {
-        follower.submit(command, withinMicros, done);
+    public void ask(Command command, long timeoutMicros, Consumer<Reply> done) {
+        follower.submit(command, timeoutMicros, done);
     }
 
     @Override
     public Standing standing() {
-        boolean votes = voter != null && voter.isVoting();
+        boolean voting = voter != null && voter.isVoting();
         String leader =
                 follower.leader() != null || voter == null ? follower.leader() : voter.leader();
         return new Standing(
                 settings.name(),
                 settings.incarnation(),
-                votes ? Role.VOTER : Role.OBSERVER,
+                voting ? Role.VOTER : Role.OBSERVER,
                 leader,
                 follower.voters(),
                 voterFault.current() != null ? voterFault.current() : followerFault.current());
--- a/quorum/src/main/java/postgrade/quorum/engine/EngineThread.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/EngineThread.java
@@ -28,8 +28,8 @@
     private final TaskFailureLog failures;
     private volatile Thread thread;
 
-    EngineThread(String name, int heartbeatMillis) {
-        timeScale = 1000.0 / heartbeatMillis;
+    EngineThread(String name, int heartbeatIntervalMillis) {
+        timeScale = 1000.0 / heartbeatIntervalMillis;
         String threadName = "quorum-engine-" + name;
         failures = new TaskFailureLog(threadName);
         executor =
--- a/quorum/src/main/java/postgrade/quorum/engine/EraInitializer.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/EraInitializer.java
@@ -51,7 +51,7 @@
                         + "; the new era must be greater";
             }
         }
-        for (HelloReply reply : greetOtherVoters(settings).values()) {
+        for (HelloReply reply : askOtherVoters(settings).values()) {
             if (reply.getEra() >= era) {
                 return "era: "
                         + reply.getName()
@@ -71,10 +71,11 @@
         }
         if (VoterStore.exists(settings.store())) {
             VoterStore existing = VoterStore.open(settings.store());
-            String asideName = VoterStore.FILE + "." + existing.metadata().self().identity();
+            String retiredName = VoterStore.FILE + "." + existing.metadata().self().identity();
             existing.close();
             Files.move(
-                    settings.store().resolve(VoterStore.FILE), settings.store().resolve(asideName));
+                    settings.store().resolve(VoterStore.FILE),
+                    settings.store().resolve(retiredName));
         }
         Endpoint self = new Endpoint(settings.name(), Voter.newIdentity());
         VoterStore.create(
@@ -88,7 +89,7 @@
         return null;
     }
 
-    private static Map<String, HelloReply> greetOtherVoters(QuorumSettings settings)
+    private static Map<String, HelloReply> askOtherVoters(QuorumSettings settings)
             throws IOException {
         EventLoopGroup eventLoops = new NioEventLoopGroup(1);
         EngineThread thread = new EngineThread(settings.name(), settings.heartbeatIntervalMillis());
--- a/quorum/src/main/java/postgrade/quorum/engine/LogClock.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/LogClock.java
@@ -81,49 +81,50 @@
             reset();
             return false;
         }
-        int current = node.getTerm().getTerm();
-        long now = nowMicros.getAsLong();
-        if (term != current) {
-            term = current;
-            loggedUntilMicros = now;
+        int currentTerm = node.getTerm().getTerm();
+        long currentMicros = nowMicros.getAsLong();
+        if (term != currentTerm) {
+            term = currentTerm;
+            loggedUntilMicros = currentMicros;
             pending = false;
             committedInTerm = false;
         }
         boolean lost =
                 pending
                         && !indeterminate
-                        && now - proposedMicros > LOST_AFTER_MAX_ADVANCES * maxAdvanceMicros;
+                        && currentMicros - proposedMicros
+                                > LOST_AFTER_MAX_ADVANCES * maxAdvanceMicros;
         if (lost) {
             loggedUntilMicros = proposedMicros;
             pending = false;
         }
         if (!pending
                 && (!committedInTerm
-                        || now > loggedUntilMicros
-                                && now - loggedUntilMicros >= minAdvanceMicros)) {
-            propose(node, current, now);
+                        || currentMicros > loggedUntilMicros
+                                && currentMicros - loggedUntilMicros >= minAdvanceMicros)) {
+            propose(node, currentTerm, currentMicros);
         }
         return lost;
     }
 
-    private void propose(RaftNode node, int current, long now) {
+    private void propose(RaftNode node, int currentTerm, long currentMicros) {
         pending = true;
         indeterminate = false;
-        proposedMicros = now;
+        proposedMicros = currentMicros;
         int proposal = ++proposals;
         long advanceMicros =
-                committedInTerm ? Math.min(maxAdvanceMicros, now - loggedUntilMicros) : 0;
+                committedInTerm ? Math.min(maxAdvanceMicros, currentMicros - loggedUntilMicros) : 0;
         node.replicate(Machine.advance(name, incarnation, advanceMicros))
                 .whenComplete(
-                        (done, e) -> {
-                            if (term != current || proposal != proposals) {
+                        (done, failure) -> {
+                            if (term != currentTerm || proposal != proposals) {
                                 return;
                             }
-                            if (e == null) {
-                                loggedUntilMicros = now;
+                            if (failure == null) {
+                                loggedUntilMicros = currentMicros;
                                 committedInTerm = true;
                                 pending = false;
-                            } else if (cause(e) instanceof CannotReplicateException) {
+                            } else if (cause(failure) instanceof CannotReplicateException) {
                                 pending = false; // Not logged; covered by the next.
                             }
                             // Otherwise it may still be committed, so this period is not proposed
@@ -132,7 +133,7 @@
                         });
     }
 
-    private static Throwable cause(Throwable e) {
-        return e.getCause() == null ? e : e.getCause();
+    private static Throwable cause(Throwable failure) {
+        return failure.getCause() == null ? failure : failure.getCause();
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/engine/PeerPromises.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/PeerPromises.java
@@ -24,14 +24,14 @@
     private final Map<String, Promise> promises = new HashMap<>();
 
     /** Records what the sender has promised; ignores messages that promise nothing. */
-    void record(RaftMsg m) {
-        if (RaftCodec.isPreVote(m)) {
+    void record(RaftMsg message) {
+        if (RaftCodec.isPreVote(message)) {
             return; // A pre-vote carries a prospective term, which the sender has not persisted.
         }
-        long index = m.getKind() == APPEND_SUCCESS ? m.getLogIndex() : 0;
+        long index = message.getKind() == APPEND_SUCCESS ? message.getLogIndex() : 0;
         promises.merge(
-                m.getSender(),
-                new Promise(m.getTerm(), index),
+                message.getSender(),
+                new Promise(message.getTerm(), index),
                 (known, latest) ->
                         latest.term > known.term
                                 ? latest
--- a/quorum/src/main/java/postgrade/quorum/engine/PeerStatus.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/PeerStatus.java
@@ -34,7 +34,9 @@
      */
     void sendHello(HelloRequest hello, long timeoutMillis, Consumer<PeerReplies> done) {
         List<Voter> others =
-                settings.voters().stream().filter(v -> !v.name().equals(settings.name())).toList();
+                settings.voters().stream()
+                        .filter(voter -> !voter.name().equals(settings.name()))
+                        .toList();
         Map<String, HelloReply> replies = new HashMap<>();
         Set<String> timedOut = new HashSet<>();
         PeerReplies peerReplies = new PeerReplies(replies, timedOut);
@@ -42,19 +44,19 @@
         if (others.isEmpty()) {
             thread.submit(() -> done.accept(peerReplies));
         }
-        for (Voter v : others) {
+        for (Voter voter : others) {
             connections.call(
-                    v.name(),
+                    voter.name(),
                     Methods.HELLO,
                     hello,
                     timeoutMillis,
                     (reply, status) ->
                             thread.submit(
                                     () -> {
-                                        if (reply != null && reply.getName().equals(v.name())) {
-                                            replies.put(v.name(), reply);
+                                        if (reply != null && reply.getName().equals(voter.name())) {
+                                            replies.put(voter.name(), reply);
                                         } else if (status.getCode() != Status.Code.UNAVAILABLE) {
-                                            timedOut.add(v.name());
+                                            timedOut.add(voter.name());
                                         }
                                         if (--unanswered[0] == 0) {
                                             done.accept(peerReplies);
@@ -69,14 +71,14 @@
      */
     static HelloReply latestEraReply(Map<String, HelloReply> replies) {
         HelloReply latest = null;
-        for (HelloReply r : replies.values()) {
-            if (!r.getGroup().isEmpty()
+        for (HelloReply reply : replies.values()) {
+            if (!reply.getGroup().isEmpty()
                     && (latest == null
-                            || r.getEra() > latest.getEra()
-                            || r.getEra() == latest.getEra()
+                            || reply.getEra() > latest.getEra()
+                            || reply.getEra() == latest.getEra()
                                     && latest.getLeader().isEmpty()
-                                    && !r.getLeader().isEmpty())) {
-                latest = r;
+                                    && !reply.getLeader().isEmpty())) {
+                latest = reply;
             }
         }
         return latest;
@@ -86,10 +88,10 @@
     static String voterInOtherGroup(Map<String, HelloReply> replies, long era, String group) {
         return replies.values().stream()
                 .filter(
-                        r ->
-                                r.getEra() == era
-                                        && !r.getGroup().isEmpty()
-                                        && !r.getGroup().equals(group))
+                        reply ->
+                                reply.getEra() == era
+                                        && !reply.getGroup().isEmpty()
+                                        && !reply.getGroup().equals(group))
                 .map(HelloReply::getName)
                 .findFirst()
                 .orElse(null);
@@ -104,11 +106,11 @@
         return committed.getMembers().contains(group.metadata.self())
                 && replies.values().stream()
                         .anyMatch(
-                                r ->
-                                        r.getLeads()
-                                                && r.getGroup().equals(group.metadata.group())
-                                                && r.getMembersIndex() > committed.getLogIndex()
-                                                && !r.getMembersList()
+                                reply ->
+                                        reply.getLeads()
+                                                && reply.getGroup().equals(group.metadata.group())
+                                                && reply.getMembersIndex() > committed.getLogIndex()
+                                                && !reply.getMembersList()
                                                         .contains(
                                                                 group.metadata.self().toString()));
     }
--- a/quorum/src/main/java/postgrade/quorum/engine/RaftGroup.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/RaftGroup.java
@@ -211,20 +211,21 @@
         return node.getCommittedMembers().getVotingMembers().contains(metadata.self());
     }
 
-    void handle(RaftMsg m) {
+    void handle(RaftMsg message) {
         if (terminated
-                || !m.getGroup().equals(metadata.group())
-                || !m.getTo().equals(metadata.self().toString())) {
+                || !message.getGroup().equals(metadata.group())
+                || !message.getTo().equals(metadata.self().toString())) {
             return; // Addressed to another log or to an earlier identity.
         }
-        if (elections.refuseVoteRequest(m, leaderName())) {
+        if (elections.refuseVoteRequest(message, leaderName())) {
             connections.send(
-                    Endpoint.of(m.getSender()),
-                    RaftCodec.refusal(m, metadata.self().toString(), node.getTerm().getTerm()));
+                    Endpoint.of(message.getSender()),
+                    RaftCodec.refusal(
+                            message, metadata.self().toString(), node.getTerm().getTerm()));
             return;
         }
-        if (isCurrent(m, node.getTerm().getTerm())) {
-            node.handle(RaftCodec.decode(m));
+        if (isCurrent(message, node.getTerm().getTerm())) {
+            node.handle(RaftCodec.decode(message));
         }
     }
 
@@ -232,8 +233,8 @@
      * Guards against a fault of the engine, which takes answers to an earlier leadership of this
      * voter as answers to the current one.
      */
-    static boolean isCurrent(RaftMsg m, int term) {
-        return !RaftCodec.isResponseToLeader(m) || m.getTerm() >= term;
+    static boolean isCurrent(RaftMsg message, int term) {
+        return !RaftCodec.isResponseToLeader(message) || message.getTerm() >= term;
     }
 
     /** Has the quorum confirm an index, then sends the changes since the index of the request. */
@@ -260,18 +261,18 @@
                 });
     }
 
-    void replicate(Command c, Consumer<AskReply> answer) {
-        node.<Replica.Applied>replicate(c)
+    void replicate(Command command, Consumer<AskReply> answer) {
+        node.<Replica.Applied>replicate(command)
                 .whenComplete(
-                        (o, e) -> {
+                        (ordered, failure) -> {
                             AskReply.Builder reply =
                                     AskReply.newBuilder().setGroup(metadata.group());
                             if (leaderName() != null) {
                                 reply.setLeader(leaderName());
                             }
-                            if (e == null) {
-                                reply.setAnswer(StateCodec.answer(o.getResult().answer()))
-                                        .setMoment(StateCodec.moment(o.getResult().moment()));
+                            if (failure == null) {
+                                reply.setAnswer(StateCodec.answer(ordered.getResult().answer()))
+                                        .setMoment(StateCodec.moment(ordered.getResult().moment()));
                             }
                             answer.accept(reply.build());
                         });
--- a/quorum/src/main/java/postgrade/quorum/engine/Replica.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/Replica.java
@@ -32,8 +32,8 @@
 
     @Override
     public Object runOperation(long index, Object operation) {
-        if (operation instanceof Command c) {
-            Answer answer = machine.apply(index, c);
+        if (operation instanceof Command command) {
+            Answer answer = machine.apply(index, command);
             return new Applied(answer, machine.moment());
         }
         return null; // A read, or the first entry of a term.
--- a/quorum/src/main/java/postgrade/quorum/engine/StatePages.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/StatePages.java
@@ -49,15 +49,15 @@
                         ? new Change(0, request.getAfterPart(), request.getAfterKey(), null)
                         : null;
         int bytes = 0;
-        for (Change c : changes == null ? machine.rows().all() : latestByKey(changes)) {
-            if (after != null && ORDER.compare(c, after) <= 0) {
+        for (Change change : changes == null ? machine.rows().all() : latestByKey(changes)) {
+            if (after != null && ORDER.compare(change, after) <= 0) {
                 continue;
             }
             if (bytes >= PAGE_BYTES) {
                 reply.setMore(true);
                 return;
             }
-            ChangeMsg message = StateCodec.change(c);
+            ChangeMsg message = StateCodec.change(change);
             bytes += message.getSerializedSize();
             reply.addChanges(message);
         }
@@ -76,14 +76,14 @@
     static void split(Machine.Snapshot snapshot, Consumer<Object> chunkConsumer) {
         List<Change> rows = new ArrayList<>();
         int bytes = 0;
-        for (Change c : snapshot.rows()) {
+        for (Change change : snapshot.rows()) {
             if (bytes >= PAGE_BYTES) {
                 chunkConsumer.accept(new Machine.Snapshot(snapshot.moment(), List.copyOf(rows)));
                 rows.clear();
                 bytes = 0;
             }
-            rows.add(c);
-            bytes += StateCodec.change(c).getSerializedSize();
+            rows.add(change);
+            bytes += StateCodec.change(change).getSerializedSize();
         }
         chunkConsumer.accept(new Machine.Snapshot(snapshot.moment(), List.copyOf(rows)));
     }
--- a/quorum/src/main/java/postgrade/quorum/engine/TaskFailureLog.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/TaskFailureLog.java
@@ -41,8 +41,8 @@
     }
 
     private synchronized void log(Throwable cause) {
-        long now = System.nanoTime();
-        if (everLogged && now - lastLoggedNanos < LOG_INTERVAL_NANOS) {
+        long nowNanos = System.nanoTime();
+        if (everLogged && nowNanos - lastLoggedNanos < LOG_INTERVAL_NANOS) {
             suppressed++;
             return;
         }
@@ -52,7 +52,7 @@
                 .setCause(cause)
                 .log("a task on thread " + threadName + " failed");
         everLogged = true;
-        lastLoggedNanos = now;
+        lastLoggedNanos = nowNanos;
         suppressed = 0;
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/engine/Voter.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/Voter.java
@@ -212,16 +212,16 @@
 
     /** Moves the store aside for good; this process then joins under another identity. */
     private void retireStore(String reason) {
-        String asideName = VoterStore.FILE + "." + store.metadata().self().identity();
+        String retiredName = VoterStore.FILE + "." + store.metadata().self().identity();
         closeGroupAndStore();
         try {
             Path file = settings.store().resolve(VoterStore.FILE);
-            Files.move(file, settings.store().resolve(asideName));
+            Files.move(file, settings.store().resolve(retiredName));
             faultStatus.set(
                     "the store "
                             + reason
                             + "; it is kept as "
-                            + asideName
+                            + retiredName
                             + ", waiting to be taken in anew");
         } catch (IOException e) {
             faultStatus.set("the store " + reason + ", and cannot be put aside: " + e.getMessage());
@@ -300,9 +300,9 @@
             } else if (PeerStatus.isRetired(replies, group)) {
                 retireStore("was replaced: the others have taken in another of this name");
             } else if (group.leaderName() == null) {
-                String lost = PeerStatus.lostQuorumFault(settings, replies, group);
-                if (lost != null) {
-                    faultStatus.set(lost);
+                String quorumFault = PeerStatus.lostQuorumFault(settings, replies, group);
+                if (quorumFault != null) {
+                    faultStatus.set(quorumFault);
                 }
             } else if (store.slowestMillis() > settings.electionTimeoutMillis()) {
                 faultStatus.set("the store is slow: a write took longer than an election");
--- a/quorum/src/main/java/postgrade/quorum/follow/Follower.java
+++ b/quorum/src/main/java/postgrade/quorum/follow/Follower.java
@@ -182,10 +182,10 @@
      *
      * @param quickRetries number of failures that are followed by a short pause
      */
-    static long pauseMillis(int pullMillis, int failures, int quickRetries) {
+    static long pauseMillis(int pullIntervalMillis, int failures, int quickRetries) {
         return failures <= quickRetries
-                ? pullMillis / 4
-                : (long) pullMillis
+                ? pullIntervalMillis / 4
+                : (long) pullIntervalMillis
                         * Math.min(
                                 MAX_BACKOFF_PULLS, 1 << Math.min(failures - quickRetries - 1, 3));
     }
--- a/quorum/src/main/java/postgrade/quorum/follow/ViewAssembler.java
+++ b/quorum/src/main/java/postgrade/quorum/follow/ViewAssembler.java
@@ -42,11 +42,11 @@
         reset(previous);
     }
 
-    private void reset(View from) {
-        previous = from;
+    private void reset(View base) {
+        previous = base;
         changes = new ArrayList<>();
         fullState = false;
-        baseIndex = from.known() ? from.moment().index() : 0;
+        baseIndex = base.known() ? base.moment().index() : 0;
         startPass();
     }
 
--- a/quorum/src/main/java/postgrade/quorum/follow/VoterChannel.java
+++ b/quorum/src/main/java/postgrade/quorum/follow/VoterChannel.java
@@ -16,9 +16,9 @@
 
     String voter();
 
-    void pull(PullRequest request, long withinMillis, Consumer<PullReply> done);
+    void pull(PullRequest request, long timeoutMillis, Consumer<PullReply> done);
 
-    void ask(AskRequest request, long withinMillis, Consumer<AskReply> done);
+    void ask(AskRequest request, long timeoutMillis, Consumer<AskReply> done);
 
     static VoterChannel remote(VoterConnections connections, String voter) {
         return new VoterChannel() {
@@ -28,22 +28,22 @@
             }
 
             @Override
-            public void pull(PullRequest request, long withinMillis, Consumer<PullReply> done) {
+            public void pull(PullRequest request, long timeoutMillis, Consumer<PullReply> done) {
                 connections.call(
                         voter,
                         Methods.PULL,
                         request,
-                        withinMillis,
+                        timeoutMillis,
                         (reply, status) -> done.accept(reply));
             }
 
             @Override
-            public void ask(AskRequest request, long withinMillis, Consumer<AskReply> done) {
+            public void ask(AskRequest request, long timeoutMillis, Consumer<AskReply> done) {
                 connections.call(
                         voter,
                         Methods.ASK,
                         request,
-                        withinMillis,
+                        timeoutMillis,
                         (reply, status) -> done.accept(reply));
             }
         };
@@ -57,12 +57,12 @@
             }
 
             @Override
-            public void pull(PullRequest request, long withinMillis, Consumer<PullReply> done) {
+            public void pull(PullRequest request, long timeoutMillis, Consumer<PullReply> done) {
                 handler.pull(request, done);
             }
 
             @Override
-            public void ask(AskRequest request, long withinMillis, Consumer<AskReply> done) {
+            public void ask(AskRequest request, long timeoutMillis, Consumer<AskReply> done) {
                 handler.ask(request, done);
             }
         };
--- a/quorum/src/main/java/postgrade/quorum/settings/QuorumSettings.java
+++ b/quorum/src/main/java/postgrade/quorum/settings/QuorumSettings.java
@@ -83,15 +83,15 @@
                     "voters", "must be 3 or 5 voters, or 1 for a trial, not " + voters.size());
         }
         Set<String> names = new HashSet<>();
-        Set<String> places = new HashSet<>();
-        for (Voter v : voters) {
-            if (!names.add(v.name)) {
+        Set<String> addresses = new HashSet<>();
+        for (Voter voter : voters) {
+            if (!names.add(voter.name)) {
                 throw new InvalidQuorumSettingException(
-                        "voters", "the name " + v.name + " is used twice");
+                        "voters", "the name " + voter.name + " is used twice");
             }
-            if (!places.add(v.host + ":" + v.port)) {
+            if (!addresses.add(voter.host + ":" + voter.port)) {
                 throw new InvalidQuorumSettingException(
-                        "voters", "two voters listen on " + v.host + ":" + v.port);
+                        "voters", "two voters listen on " + voter.host + ":" + voter.port);
             }
         }
         if (names.contains(name) && store == null) {
--- a/quorum/src/main/java/postgrade/quorum/store/VoterStore.java
+++ b/quorum/src/main/java/postgrade/quorum/store/VoterStore.java
@@ -217,21 +217,21 @@
                 key != null;
                 key = chunks.lowerKey(key / CHUNK_KEYS_PER_SNAPSHOT * CHUNK_KEYS_PER_SNAPSHOT)) {
             long index = key / CHUNK_KEYS_PER_SNAPSHOT;
-            List<SnapshotChunk> all = new ArrayList<>();
+            List<SnapshotChunk> snapshotChunks = new ArrayList<>();
             for (Iterator<Long> keys = chunks.keyIterator(index * CHUNK_KEYS_PER_SNAPSHOT);
                     keys.hasNext(); ) {
-                long chunk = keys.next();
-                if (chunk / CHUNK_KEYS_PER_SNAPSHOT != index) {
+                long chunkKey = keys.next();
+                if (chunkKey / CHUNK_KEYS_PER_SNAPSHOT != index) {
                     break;
                 }
-                all.add(LogCodec.chunk(Chunk.parseFrom(chunks.get(chunk))));
+                snapshotChunks.add(LogCodec.chunk(Chunk.parseFrom(chunks.get(chunkKey))));
             }
-            if (all.size() == all.get(0).getSnapshotChunkCount()) {
+            if (snapshotChunks.size() == snapshotChunks.get(0).getSnapshotChunkCount()) {
                 return model.createSnapshotEntryBuilder()
                         .setIndex(index)
-                        .setTerm(all.get(0).getTerm())
-                        .setSnapshotChunks(all)
-                        .setGroupMembersView(all.get(0).getGroupMembersView())
+                        .setTerm(snapshotChunks.get(0).getTerm())
+                        .setSnapshotChunks(snapshotChunks)
+                        .setGroupMembersView(snapshotChunks.get(0).getGroupMembersView())
                         .build();
             }
         }
@@ -239,14 +239,16 @@
     }
 
     @Override
-    public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState s) throws IOException {
+    public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState endpointState)
+            throws IOException {
         commitAndSync(
                 () ->
                         state.put(
                                 "self",
                                 Self.newBuilder()
-                                        .setEndpoint(s.getLocalEndpoint().getId().toString())
-                                        .setVoting(s.isVoting())
+                                        .setEndpoint(
+                                                endpointState.getLocalEndpoint().getId().toString())
+                                        .setVoting(endpointState.isVoting())
                                         .build()
                                         .toByteArray()));
     }
@@ -258,17 +260,20 @@
     }
 
     @Override
-    public void persistAndFlushTerm(RaftTermPersistentState t) throws IOException {
+    public void persistAndFlushTerm(RaftTermPersistentState termState) throws IOException {
         commitAndSync(
                 () ->
                         state.put(
                                 "term",
                                 Term.newBuilder()
-                                        .setTerm(t.getTerm())
+                                        .setTerm(termState.getTerm())
                                         .setVotedFor(
-                                                t.getVotedFor() == null
+                                                termState.getVotedFor() == null
                                                         ? ""
-                                                        : t.getVotedFor().getId().toString())
+                                                        : termState
+                                                                .getVotedFor()
+                                                                .getId()
+                                                                .toString())
                                         .build()
                                         .toByteArray()));
     }
@@ -279,12 +284,13 @@
     }
 
     @Override
-    public void persistSnapshotChunk(SnapshotChunk c) throws IOException {
+    public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
         modify(
                 () ->
                         chunks.put(
-                                c.getIndex() * CHUNK_KEYS_PER_SNAPSHOT + c.getSnapshotChunkIndex(),
-                                LogCodec.chunk(c).toByteArray()));
+                                chunk.getIndex() * CHUNK_KEYS_PER_SNAPSHOT
+                                        + chunk.getSnapshotChunkIndex(),
+                                LogCodec.chunk(chunk).toByteArray()));
     }
 
     @Override
--- a/quorum/src/main/java/postgrade/quorum/wire/LogCodec.java
+++ b/quorum/src/main/java/postgrade/quorum/wire/LogCodec.java
@@ -34,83 +34,87 @@
 
     private LogCodec() {}
 
-    public static Entry entry(LogEntry e) {
-        Entry.Builder b = Entry.newBuilder().setIndex(e.getIndex()).setTerm(e.getTerm());
-        Object operation = e.getOperation();
-        if (operation instanceof Command c) {
-            b.setCommand(StateCodec.command(c));
-        } else if (operation instanceof UpdateRaftGroupMembersOp op) {
-            b.setChange(
+    public static Entry entry(LogEntry entry) {
+        Entry.Builder encoded =
+                Entry.newBuilder().setIndex(entry.getIndex()).setTerm(entry.getTerm());
+        Object operation = entry.getOperation();
+        if (operation instanceof Command command) {
+            encoded.setCommand(StateCodec.command(command));
+        } else if (operation instanceof UpdateRaftGroupMembersOp membersOperation) {
+            encoded.setChange(
                     MemberChange.newBuilder()
-                            .addAllMembers(ids(op.getMembers()))
-                            .addAllVoting(ids(op.getVotingMembers()))
-                            .setEndpoint(op.getEndpoint().getId().toString())
-                            .setMode(op.getMode().ordinal()));
+                            .addAllMembers(ids(membersOperation.getMembers()))
+                            .addAllVoting(ids(membersOperation.getVotingMembers()))
+                            .setEndpoint(membersOperation.getEndpoint().getId().toString())
+                            .setMode(membersOperation.getMode().ordinal()));
         } else if (operation == NEW_TERM) {
-            b.setNewTerm(true);
+            encoded.setNewTerm(true);
         } else {
             throw new IllegalArgumentException("no such entry: " + operation);
         }
-        return b.build();
+        return encoded.build();
     }
 
-    public static LogEntry entry(Entry m) {
+    public static LogEntry entry(Entry message) {
         Object operation =
-                switch (m.getOperationCase()) {
-                    case COMMAND -> StateCodec.command(m.getCommand());
+                switch (message.getOperationCase()) {
+                    case COMMAND -> StateCodec.command(message.getCommand());
                     case CHANGE ->
                             MODEL.createUpdateRaftGroupMembersOpBuilder()
-                                    .setMembers(endpoints(m.getChange().getMembersList()))
-                                    .setVotingMembers(endpoints(m.getChange().getVotingList()))
-                                    .setEndpoint(Endpoint.of(m.getChange().getEndpoint()))
-                                    .setMode(MembershipChangeMode.values()[m.getChange().getMode()])
+                                    .setMembers(endpoints(message.getChange().getMembersList()))
+                                    .setVotingMembers(
+                                            endpoints(message.getChange().getVotingList()))
+                                    .setEndpoint(Endpoint.of(message.getChange().getEndpoint()))
+                                    .setMode(
+                                            MembershipChangeMode.values()[
+                                                    message.getChange().getMode()])
                                     .build();
                     case NEW_TERM -> NEW_TERM;
                     case OPERATION_NOT_SET ->
                             throw new IllegalArgumentException("an entry without an operation");
                 };
         return MODEL.createLogEntryBuilder()
-                .setIndex(m.getIndex())
-                .setTerm(m.getTerm())
+                .setIndex(message.getIndex())
+                .setTerm(message.getTerm())
                 .setOperation(operation)
                 .build();
     }
 
-    public static Members members(RaftGroupMembersView v) {
+    public static Members members(RaftGroupMembersView members) {
         return Members.newBuilder()
-                .setIndex(v.getLogIndex())
-                .addAllMembers(ids(v.getMembers()))
-                .addAllVoting(ids(v.getVotingMembers()))
+                .setIndex(members.getLogIndex())
+                .addAllMembers(ids(members.getMembers()))
+                .addAllVoting(ids(members.getVotingMembers()))
                 .build();
     }
 
-    public static RaftGroupMembersView members(Members m) {
+    public static RaftGroupMembersView members(Members message) {
         return MODEL.createRaftGroupMembersViewBuilder()
-                .setLogIndex(m.getIndex())
-                .setMembers(endpoints(m.getMembersList()))
-                .setVotingMembers(endpoints(m.getVotingList()))
+                .setLogIndex(message.getIndex())
+                .setMembers(endpoints(message.getMembersList()))
+                .setVotingMembers(endpoints(message.getVotingList()))
                 .build();
     }
 
-    public static Chunk chunk(SnapshotChunk c) {
+    public static Chunk chunk(SnapshotChunk chunk) {
         return Chunk.newBuilder()
-                .setIndex(c.getIndex())
-                .setTerm(c.getTerm())
-                .setNumber(c.getSnapshotChunkIndex())
-                .setCount(c.getSnapshotChunkCount())
-                .setMembers(members(c.getGroupMembersView()))
-                .setRows(StateCodec.snapshot((Machine.Snapshot) c.getOperation()))
+                .setIndex(chunk.getIndex())
+                .setTerm(chunk.getTerm())
+                .setNumber(chunk.getSnapshotChunkIndex())
+                .setCount(chunk.getSnapshotChunkCount())
+                .setMembers(members(chunk.getGroupMembersView()))
+                .setRows(StateCodec.snapshot((Machine.Snapshot) chunk.getOperation()))
                 .build();
     }
 
-    public static SnapshotChunk chunk(Chunk m) {
+    public static SnapshotChunk chunk(Chunk message) {
         return MODEL.createSnapshotChunkBuilder()
-                .setIndex(m.getIndex())
-                .setTerm(m.getTerm())
-                .setSnapshotChunkIndex(m.getNumber())
-                .setSnapshotChunkCount(m.getCount())
-                .setGroupMembersView(members(m.getMembers()))
-                .setOperation(StateCodec.snapshot(m.getRows()))
+                .setIndex(message.getIndex())
+                .setTerm(message.getTerm())
+                .setSnapshotChunkIndex(message.getNumber())
+                .setSnapshotChunkCount(message.getCount())
+                .setGroupMembersView(members(message.getMembers()))
+                .setOperation(StateCodec.snapshot(message.getRows()))
                 .build();
     }
 
--- a/quorum/src/main/java/postgrade/quorum/wire/RaftCodec.java
+++ b/quorum/src/main/java/postgrade/quorum/wire/RaftCodec.java
@@ -33,31 +33,32 @@
     private RaftCodec() {}
 
     /** Whether this is a response to a leader's message. */
-    public static boolean isResponseToLeader(RaftMsg m) {
-        return m.getKind() == APPEND_SUCCESS
-                || m.getKind() == APPEND_FAILURE
-                || m.getKind() == INSTALL_SNAPSHOT_RESPONSE;
+    public static boolean isResponseToLeader(RaftMsg message) {
+        return message.getKind() == APPEND_SUCCESS
+                || message.getKind() == APPEND_FAILURE
+                || message.getKind() == INSTALL_SNAPSHOT_RESPONSE;
     }
 
     /**
      * Whether this requests a vote or a pre-vote. Vote requests of a leadership transfer do not
      * count, as the old leader has agreed to them.
      */
-    public static boolean isVoteRequest(RaftMsg m) {
-        return m.getKind() == PRE_VOTE_REQUEST || m.getKind() == VOTE_REQUEST && m.getFlag();
+    public static boolean isVoteRequest(RaftMsg message) {
+        return message.getKind() == PRE_VOTE_REQUEST
+                || message.getKind() == VOTE_REQUEST && message.getFlag();
     }
 
     /**
      * Whether this is a pre-vote request or response. Its term is the prospective one, which
      * neither side has entered.
      */
-    public static boolean isPreVote(RaftMsg m) {
-        return m.getKind() == PRE_VOTE_REQUEST || m.getKind() == PRE_VOTE_RESPONSE;
+    public static boolean isPreVote(RaftMsg message) {
+        return message.getKind() == PRE_VOTE_REQUEST || message.getKind() == PRE_VOTE_RESPONSE;
     }
 
     /** Whether this is a response to a vote or pre-vote request. */
-    public static boolean isVoteResponse(RaftMsg m) {
-        return m.getKind() == PRE_VOTE_RESPONSE || m.getKind() == VOTE_RESPONSE;
+    public static boolean isVoteResponse(RaftMsg message) {
+        return message.getKind() == PRE_VOTE_RESPONSE || message.getKind() == VOTE_RESPONSE;
     }
 
     /**
@@ -76,182 +77,184 @@
                 .build();
     }
 
-    public static RaftMsg encode(RaftMessage m, String to) {
-        RaftMsg.Builder b =
+    public static RaftMsg encode(RaftMessage message, String to) {
+        RaftMsg.Builder encoded =
                 RaftMsg.newBuilder()
-                        .setGroup(m.getGroupId().toString())
+                        .setGroup(message.getGroupId().toString())
                         .setTo(to)
-                        .setSender(m.getSender().getId().toString())
-                        .setTerm(m.getTerm());
-        if (m instanceof AppendEntriesRequest r) {
-            b.setKind(APPEND_ENTRIES)
-                    .setLogTerm(r.getPreviousLogTerm())
-                    .setLogIndex(r.getPreviousLogIndex())
-                    .setCommit(r.getCommitIndex())
-                    .setQuery(r.getQuerySequenceNumber())
-                    .setFlow(r.getFlowControlSequenceNumber());
-            r.getLogEntries().forEach(e -> b.addEntries(LogCodec.entry(e)));
-        } else if (m instanceof AppendEntriesSuccessResponse r) {
-            b.setKind(APPEND_SUCCESS)
-                    .setLogIndex(r.getLastLogIndex())
-                    .setQuery(r.getQuerySequenceNumber())
-                    .setFlow(r.getFlowControlSequenceNumber());
-        } else if (m instanceof AppendEntriesFailureResponse r) {
-            b.setKind(APPEND_FAILURE)
-                    .setLogIndex(r.getExpectedNextIndex())
-                    .setQuery(r.getQuerySequenceNumber())
-                    .setFlow(r.getFlowControlSequenceNumber());
-        } else if (m instanceof InstallSnapshotRequest r) {
-            b.setKind(INSTALL_SNAPSHOT)
-                    .setFlag(r.isSenderLeader())
-                    .setLogTerm(r.getSnapshotTerm())
-                    .setLogIndex(r.getSnapshotIndex())
-                    .setChunkCount(r.getTotalSnapshotChunkCount())
-                    .addAllHolders(LogCodec.ids(r.getSnapshottedMembers()))
-                    .setMembers(LogCodec.members(r.getGroupMembersView()))
-                    .setQuery(r.getQuerySequenceNumber())
-                    .setFlow(r.getFlowControlSequenceNumber());
-            if (r.getSnapshotChunk() != null) {
-                b.setChunk(LogCodec.chunk(r.getSnapshotChunk()));
+                        .setSender(message.getSender().getId().toString())
+                        .setTerm(message.getTerm());
+        if (message instanceof AppendEntriesRequest request) {
+            encoded.setKind(APPEND_ENTRIES)
+                    .setLogTerm(request.getPreviousLogTerm())
+                    .setLogIndex(request.getPreviousLogIndex())
+                    .setCommit(request.getCommitIndex())
+                    .setQuery(request.getQuerySequenceNumber())
+                    .setFlow(request.getFlowControlSequenceNumber());
+            request.getLogEntries().forEach(e -> encoded.addEntries(LogCodec.entry(e)));
+        } else if (message instanceof AppendEntriesSuccessResponse response) {
+            encoded.setKind(APPEND_SUCCESS)
+                    .setLogIndex(response.getLastLogIndex())
+                    .setQuery(response.getQuerySequenceNumber())
+                    .setFlow(response.getFlowControlSequenceNumber());
+        } else if (message instanceof AppendEntriesFailureResponse response) {
+            encoded.setKind(APPEND_FAILURE)
+                    .setLogIndex(response.getExpectedNextIndex())
+                    .setQuery(response.getQuerySequenceNumber())
+                    .setFlow(response.getFlowControlSequenceNumber());
+        } else if (message instanceof InstallSnapshotRequest request) {
+            encoded.setKind(INSTALL_SNAPSHOT)
+                    .setFlag(request.isSenderLeader())
+                    .setLogTerm(request.getSnapshotTerm())
+                    .setLogIndex(request.getSnapshotIndex())
+                    .setChunkCount(request.getTotalSnapshotChunkCount())
+                    .addAllHolders(LogCodec.ids(request.getSnapshottedMembers()))
+                    .setMembers(LogCodec.members(request.getGroupMembersView()))
+                    .setQuery(request.getQuerySequenceNumber())
+                    .setFlow(request.getFlowControlSequenceNumber());
+            if (request.getSnapshotChunk() != null) {
+                encoded.setChunk(LogCodec.chunk(request.getSnapshotChunk()));
             }
-        } else if (m instanceof InstallSnapshotResponse r) {
-            b.setKind(INSTALL_SNAPSHOT_RESPONSE)
-                    .setLogIndex(r.getSnapshotIndex())
-                    .setChunkNumber(r.getRequestedSnapshotChunkIndex())
-                    .setQuery(r.getQuerySequenceNumber())
-                    .setFlow(r.getFlowControlSequenceNumber());
-        } else if (m instanceof PreVoteRequest r) {
-            b.setKind(PRE_VOTE_REQUEST)
-                    .setLogTerm(r.getLastLogTerm())
-                    .setLogIndex(r.getLastLogIndex());
-        } else if (m instanceof PreVoteResponse r) {
-            b.setKind(PRE_VOTE_RESPONSE).setFlag(r.isGranted());
-        } else if (m instanceof VoteRequest r) {
-            b.setKind(VOTE_REQUEST)
-                    .setLogTerm(r.getLastLogTerm())
-                    .setLogIndex(r.getLastLogIndex())
-                    .setFlag(r.isSticky());
-        } else if (m instanceof VoteResponse r) {
-            b.setKind(VOTE_RESPONSE).setFlag(r.isGranted());
-        } else if (m instanceof TriggerLeaderElectionRequest r) {
-            b.setKind(TRIGGER_ELECTION)
-                    .setLogTerm(r.getLastLogTerm())
-                    .setLogIndex(r.getLastLogIndex());
+        } else if (message instanceof InstallSnapshotResponse response) {
+            encoded.setKind(INSTALL_SNAPSHOT_RESPONSE)
+                    .setLogIndex(response.getSnapshotIndex())
+                    .setChunkNumber(response.getRequestedSnapshotChunkIndex())
+                    .setQuery(response.getQuerySequenceNumber())
+                    .setFlow(response.getFlowControlSequenceNumber());
+        } else if (message instanceof PreVoteRequest request) {
+            encoded.setKind(PRE_VOTE_REQUEST)
+                    .setLogTerm(request.getLastLogTerm())
+                    .setLogIndex(request.getLastLogIndex());
+        } else if (message instanceof PreVoteResponse response) {
+            encoded.setKind(PRE_VOTE_RESPONSE).setFlag(response.isGranted());
+        } else if (message instanceof VoteRequest request) {
+            encoded.setKind(VOTE_REQUEST)
+                    .setLogTerm(request.getLastLogTerm())
+                    .setLogIndex(request.getLastLogIndex())
+                    .setFlag(request.isSticky());
+        } else if (message instanceof VoteResponse response) {
+            encoded.setKind(VOTE_RESPONSE).setFlag(response.isGranted());
+        } else if (message instanceof TriggerLeaderElectionRequest request) {
+            encoded.setKind(TRIGGER_ELECTION)
+                    .setLogTerm(request.getLastLogTerm())
+                    .setLogIndex(request.getLastLogIndex());
         } else {
-            throw new IllegalArgumentException("no such message: " + m);
+            throw new IllegalArgumentException("no such message: " + message);
         }
-        return b.build();
+        return encoded.build();
     }
 
-    public static RaftMessage decode(RaftMsg m) {
-        String group = m.getGroup();
-        RaftEndpoint sender = Endpoint.of(m.getSender());
-        int term = m.getTerm();
-        return switch (m.getKind()) {
+    public static RaftMessage decode(RaftMsg message) {
+        String group = message.getGroup();
+        RaftEndpoint sender = Endpoint.of(message.getSender());
+        int term = message.getTerm();
+        return switch (message.getKind()) {
             case APPEND_ENTRIES ->
                     MODEL.createAppendEntriesRequestBuilder()
                             .setGroupId(group)
                             .setSender(sender)
                             .setTerm(term)
-                            .setPreviousLogTerm(m.getLogTerm())
-                            .setPreviousLogIndex(m.getLogIndex())
-                            .setCommitIndex(m.getCommit())
+                            .setPreviousLogTerm(message.getLogTerm())
+                            .setPreviousLogIndex(message.getLogIndex())
+                            .setCommitIndex(message.getCommit())
                             .setLogEntries(
-                                    m.getEntriesList().stream().map(LogCodec::entry).toList())
-                            .setQuerySequenceNumber(m.getQuery())
-                            .setFlowControlSequenceNumber(m.getFlow())
+                                    message.getEntriesList().stream().map(LogCodec::entry).toList())
+                            .setQuerySequenceNumber(message.getQuery())
+                            .setFlowControlSequenceNumber(message.getFlow())
                             .build();
             case APPEND_SUCCESS ->
                     MODEL.createAppendEntriesSuccessResponseBuilder()
                             .setGroupId(group)
                             .setSender(sender)
                             .setTerm(term)
-                            .setLastLogIndex(m.getLogIndex())
-                            .setQuerySequenceNumber(m.getQuery())
-                            .setFlowControlSequenceNumber(m.getFlow())
+                            .setLastLogIndex(message.getLogIndex())
+                            .setQuerySequenceNumber(message.getQuery())
+                            .setFlowControlSequenceNumber(message.getFlow())
                             .build();
             case APPEND_FAILURE ->
                     MODEL.createAppendEntriesFailureResponseBuilder()
                             .setGroupId(group)
                             .setSender(sender)
                             .setTerm(term)
-                            .setExpectedNextIndex(m.getLogIndex())
-                            .setQuerySequenceNumber(m.getQuery())
-                            .setFlowControlSequenceNumber(m.getFlow())
+                            .setExpectedNextIndex(message.getLogIndex())
+                            .setQuerySequenceNumber(message.getQuery())
+                            .setFlowControlSequenceNumber(message.getFlow())
                             .build();
             case INSTALL_SNAPSHOT ->
                     MODEL.createInstallSnapshotRequestBuilder()
                             .setGroupId(group)
                             .setSender(sender)
                             .setTerm(term)
-                            .setSenderLeader(m.getFlag())
-                            .setSnapshotTerm(m.getLogTerm())
-                            .setSnapshotIndex(m.getLogIndex())
-                            .setTotalSnapshotChunkCount(m.getChunkCount())
-                            .setSnapshotChunk(m.hasChunk() ? LogCodec.chunk(m.getChunk()) : null)
-                            .setSnapshottedMembers(LogCodec.endpoints(m.getHoldersList()))
-                            .setGroupMembersView(LogCodec.members(m.getMembers()))
-                            .setQuerySequenceNumber(m.getQuery())
-                            .setFlowControlSequenceNumber(m.getFlow())
+                            .setSenderLeader(message.getFlag())
+                            .setSnapshotTerm(message.getLogTerm())
+                            .setSnapshotIndex(message.getLogIndex())
+                            .setTotalSnapshotChunkCount(message.getChunkCount())
+                            .setSnapshotChunk(
+                                    message.hasChunk() ? LogCodec.chunk(message.getChunk()) : null)
+                            .setSnapshottedMembers(LogCodec.endpoints(message.getHoldersList()))
+                            .setGroupMembersView(LogCodec.members(message.getMembers()))
+                            .setQuerySequenceNumber(message.getQuery())
+                            .setFlowControlSequenceNumber(message.getFlow())
                             .build();
             case INSTALL_SNAPSHOT_RESPONSE ->
                     MODEL.createInstallSnapshotResponseBuilder()
                             .setGroupId(group)
                             .setSender(sender)
                             .setTerm(term)
-                            .setSnapshotIndex(m.getLogIndex())
-                            .setRequestedSnapshotChunkIndex(m.getChunkNumber())
-                            .setQuerySequenceNumber(m.getQuery())
-                            .setFlowControlSequenceNumber(m.getFlow())
+                            .setSnapshotIndex(message.getLogIndex())
+                            .setRequestedSnapshotChunkIndex(message.getChunkNumber())
+                            .setQuerySequenceNumber(message.getQuery())
+                            .setFlowControlSequenceNumber(message.getFlow())
                             .build();
-            default -> decodeElection(m, group, sender, term);
+            default -> decodeElection(message, group, sender, term);
         };
     }
 
     private static RaftMessage decodeElection(
-            RaftMsg m, String group, RaftEndpoint sender, int term) {
-        return switch (m.getKind()) {
+            RaftMsg message, String group, RaftEndpoint sender, int term) {
+        return switch (message.getKind()) {
             case PRE_VOTE_REQUEST ->
                     MODEL.createPreVoteRequestBuilder()
                             .setGroupId(group)
                             .setSender(sender)
                             .setTerm(term)
-                            .setLastLogTerm(m.getLogTerm())
-                            .setLastLogIndex(m.getLogIndex())
+                            .setLastLogTerm(message.getLogTerm())
+                            .setLastLogIndex(message.getLogIndex())
                             .build();
             case PRE_VOTE_RESPONSE ->
                     MODEL.createPreVoteResponseBuilder()
                             .setGroupId(group)
                             .setSender(sender)
                             .setTerm(term)
-                            .setGranted(m.getFlag())
+                            .setGranted(message.getFlag())
                             .build();
             case VOTE_REQUEST ->
                     MODEL.createVoteRequestBuilder()
                             .setGroupId(group)
                             .setSender(sender)
                             .setTerm(term)
-                            .setLastLogTerm(m.getLogTerm())
-                            .setLastLogIndex(m.getLogIndex())
-                            .setSticky(m.getFlag())
+                            .setLastLogTerm(message.getLogTerm())
+                            .setLastLogIndex(message.getLogIndex())
+                            .setSticky(message.getFlag())
                             .build();
             case VOTE_RESPONSE ->
                     MODEL.createVoteResponseBuilder()
                             .setGroupId(group)
                             .setSender(sender)
                             .setTerm(term)
-                            .setGranted(m.getFlag())
+                            .setGranted(message.getFlag())
                             .build();
             case TRIGGER_ELECTION ->
                     MODEL.createTriggerLeaderElectionRequestBuilder()
                             .setGroupId(group)
                             .setSender(sender)
                             .setTerm(term)
-                            .setLastLogTerm(m.getLogTerm())
-                            .setLastLogIndex(m.getLogIndex())
+                            .setLastLogTerm(message.getLogTerm())
+                            .setLastLogIndex(message.getLogIndex())
                             .build();
             default ->
-                    throw new IllegalArgumentException("unknown kind of message: " + m.getKind());
+                    throw new IllegalArgumentException(
+                            "unknown kind of message: " + message.getKind());
         };
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/wire/StateCodec.java
+++ b/quorum/src/main/java/postgrade/quorum/wire/StateCodec.java
@@ -25,53 +25,56 @@
         return RowMsg.newBuilder().putAllValues(row.values()).build();
     }
 
-    public static Row row(RowMsg m) {
-        return new Row(m.getValuesMap());
+    public static Row row(RowMsg message) {
+        return new Row(message.getValuesMap());
     }
 
-    public static CommandMsg command(Command c) {
+    public static CommandMsg command(Command command) {
         return CommandMsg.newBuilder()
-                .setRequestId(c.requestId())
-                .setFrom(c.from())
-                .setIncarnation(c.incarnation())
-                .setPart(c.part())
-                .setVerb(c.verb())
-                .setArgs(row(c.args()))
+                .setRequestId(command.requestId())
+                .setFrom(command.from())
+                .setIncarnation(command.incarnation())
+                .setPart(command.part())
+                .setVerb(command.verb())
+                .setArgs(row(command.args()))
                 .build();
     }
 
-    public static Command command(CommandMsg m) {
+    public static Command command(CommandMsg message) {
         return new Command(
-                m.getRequestId(),
-                m.getFrom(),
-                m.getIncarnation(),
-                m.getPart(),
-                m.getVerb(),
-                row(m.getArgs()));
+                message.getRequestId(),
+                message.getFrom(),
+                message.getIncarnation(),
+                message.getPart(),
+                message.getVerb(),
+                row(message.getArgs()));
     }
 
-    public static AnswerMsg answer(Answer a) {
+    public static AnswerMsg answer(Answer answer) {
         return AnswerMsg.newBuilder()
-                .setStatus(a.status().ordinal())
-                .setText(a.text())
-                .setFields(row(a.fields()))
+                .setStatus(answer.status().ordinal())
+                .setText(answer.text())
+                .setFields(row(answer.fields()))
                 .build();
     }
 
-    public static Answer answer(AnswerMsg m) {
-        return new Answer(Answer.Status.values()[m.getStatus()], m.getText(), row(m.getFields()));
+    public static Answer answer(AnswerMsg message) {
+        return new Answer(
+                Answer.Status.values()[message.getStatus()],
+                message.getText(),
+                row(message.getFields()));
     }
 
-    public static MomentMsg moment(Moment at) {
+    public static MomentMsg moment(Moment moment) {
         return MomentMsg.newBuilder()
-                .setEra(at.era())
-                .setIndex(at.index())
-                .setMicros(at.micros())
+                .setEra(moment.era())
+                .setIndex(moment.index())
+                .setMicros(moment.micros())
                 .build();
     }
 
-    public static Moment moment(MomentMsg m) {
-        return new Moment(m.getEra(), m.getIndex(), m.getMicros());
+    public static Moment moment(MomentMsg message) {
+        return new Moment(message.getEra(), message.getIndex(), message.getMicros());
     }
 
     public static List<ChangeMsg> changes(Collection<Change> changes) {
@@ -80,33 +83,39 @@
         return messages;
     }
 
-    public static ChangeMsg change(Change c) {
-        ChangeMsg.Builder b =
-                ChangeMsg.newBuilder().setIndex(c.index()).setPart(c.part()).setKey(c.key());
-        return c.row() == null ? b.setRemoved(true).build() : b.setRow(row(c.row())).build();
+    public static ChangeMsg change(Change change) {
+        ChangeMsg.Builder encoded =
+                ChangeMsg.newBuilder()
+                        .setIndex(change.index())
+                        .setPart(change.part())
+                        .setKey(change.key());
+        return change.row() == null
+                ? encoded.setRemoved(true).build()
+                : encoded.setRow(row(change.row())).build();
     }
 
     public static List<Change> parseChanges(List<ChangeMsg> messages) {
         List<Change> parsed = new ArrayList<>(messages.size());
-        for (ChangeMsg m : messages) {
+        for (ChangeMsg message : messages) {
             parsed.add(
                     new Change(
-                            m.getIndex(),
-                            m.getPart(),
-                            m.getKey(),
-                            m.getRemoved() ? null : row(m.getRow())));
+                            message.getIndex(),
+                            message.getPart(),
+                            message.getKey(),
+                            message.getRemoved() ? null : row(message.getRow())));
         }
         return parsed;
     }
 
-    public static SnapshotMsg snapshot(Machine.Snapshot s) {
+    public static SnapshotMsg snapshot(Machine.Snapshot snapshot) {
         return SnapshotMsg.newBuilder()
-                .setMoment(moment(s.moment()))
-                .addAllRows(changes(s.rows()))
+                .setMoment(moment(snapshot.moment()))
+                .addAllRows(changes(snapshot.rows()))
                 .build();
     }
 
-    public static Machine.Snapshot snapshot(SnapshotMsg m) {
-        return new Machine.Snapshot(moment(m.getMoment()), parseChanges(m.getRowsList()));
+    public static Machine.Snapshot snapshot(SnapshotMsg message) {
+        return new Machine.Snapshot(
+                moment(message.getMoment()), parseChanges(message.getRowsList()));
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/wire/VoterConnections.java
+++ b/quorum/src/main/java/postgrade/quorum/wire/VoterConnections.java
@@ -181,7 +181,7 @@
         Connection connection =
                 connections.computeIfAbsent(
                         voter.name(),
-                        n -> {
+                        name -> {
                             Connection created = new Connection();
                             created.channel =
                                     NettyChannelBuilder.forAddress(
@@ -207,7 +207,7 @@
 
     public synchronized void close() {
         closed = true;
-        connections.values().forEach(l -> l.channel.shutdownNow());
+        connections.values().forEach(connection -> connection.channel.shutdownNow());
         connections.clear();
     }
 }
--- a/quorum/src/test/java/postgrade/quorum/Cluster.java
+++ b/quorum/src/test/java/postgrade/quorum/Cluster.java
@@ -44,11 +44,11 @@
         }
 
         @Override
-        public Answer apply(Rows rows, Moment at, Command c) {
-            long by = c.args().whole("by");
-            Row before = rows.get("sums", c.args().text("key"));
+        public Answer apply(Rows rows, Moment at, Command command) {
+            long by = command.args().whole("by");
+            Row before = rows.get("sums", command.args().text("key"));
             long sum = (before == null ? 0 : before.whole("sum")) + by;
-            rows.put("sums", c.args().text("key"), Row.of("sum", sum));
+            rows.put("sums", command.args().text("key"), Row.of("sum", sum));
             return Answer.done("", Row.of("sum", sum, "fence", at.fence()));
         }
     }
@@ -114,10 +114,10 @@
 
     void stop(String... names) {
         for (String name : names) {
-            Quorum q = processes.remove(name);
-            q.close();
+            Quorum quorum = processes.remove(name);
+            quorum.close();
             try {
-                if (!q.awaitClosed(AWAIT_TIMEOUT_MILLIS)) {
+                if (!quorum.awaitClosed(AWAIT_TIMEOUT_MILLIS)) {
                     throw new AssertionError(name + " did not close");
                 }
             } catch (InterruptedException e) {
--- a/quorum/src/test/java/postgrade/quorum/VoterStoreTest.java
+++ b/quorum/src/test/java/postgrade/quorum/VoterStoreTest.java
@@ -19,76 +19,93 @@
 
     @Test
     public void wipedVoterVotesOnlyAfterAdmission() throws Exception {
-        try (Cluster c = Cluster.startWithFirstEra()) {
-            c.submit("a", Cluster.addCommand("r1", "k", 5), Cluster.AMPLE_TIMEOUT_MICROS);
-            String previousIdentity = identity(c, "b");
-            c.stop("b", "c");
-            c.deleteStore("b");
-            c.start("b");
+        try (Cluster cluster = Cluster.startWithFirstEra()) {
+            cluster.submit("a", Cluster.addCommand("r1", "k", 5), Cluster.AMPLE_TIMEOUT_MICROS);
+            String previousIdentity = identity(cluster, "b");
+            cluster.stop("b", "c");
+            cluster.deleteStore("b");
+            cluster.start("b");
             // The two running voters are not a majority of those that made promises, so nothing
             // may be decided.
-            c.await(
+            cluster.await(
                     "b reports what it waits for",
                     () ->
-                            fault(c, "b").startsWith("no store")
-                                    || fault(c, "b").startsWith("new here"));
-            assertTrue(!c.submit("a", Cluster.addCommand("r2", "k", 1), 2_000_000).decided());
-            assertEquals(Quorum.Role.OBSERVER, c.processes.get("b").standing().role());
-            c.start("c");
-            c.awaitAll("a", "b", "c");
+                            fault(cluster, "b").startsWith("no store")
+                                    || fault(cluster, "b").startsWith("new here"));
+            assertTrue(!cluster.submit("a", Cluster.addCommand("r2", "k", 1), 2_000_000).decided());
+            assertEquals(Quorum.Role.OBSERVER, cluster.processes.get("b").standing().role());
+            cluster.start("c");
+            cluster.awaitAll("a", "b", "c");
             assertEquals(
                     6,
-                    c.submit("b", Cluster.addCommand("r2", "k", 1), Cluster.AMPLE_TIMEOUT_MICROS)
+                    cluster.submit(
+                                    "b",
+                                    Cluster.addCommand("r2", "k", 1),
+                                    Cluster.AMPLE_TIMEOUT_MICROS)
                             .answer()
                             .fields()
                             .whole("sum"));
-            c.stop("a");
+            cluster.stop("a");
             assertTrue(
                     "b and c decide without a",
-                    c.submit("b", Cluster.addCommand("r3", "k", 1), Cluster.AMPLE_TIMEOUT_MICROS)
+                    cluster.submit(
+                                    "b",
+                                    Cluster.addCommand("r3", "k", 1),
+                                    Cluster.AMPLE_TIMEOUT_MICROS)
                             .decided());
-            c.stop("b");
-            assertTrue(!previousIdentity.equals(identity(c, "b")));
+            cluster.stop("b");
+            assertTrue(!previousIdentity.equals(identity(cluster, "b")));
         }
     }
 
     @Test
     public void afterTotalLossOnlyANewEraServesWithHigherFences() throws Exception {
-        try (Cluster c = Cluster.startWithFirstEra()) {
+        try (Cluster cluster = Cluster.startWithFirstEra()) {
             long fence =
-                    c.submit("a", Cluster.addCommand("r1", "k", 5), Cluster.AMPLE_TIMEOUT_MICROS)
+                    cluster.submit(
+                                    "a",
+                                    Cluster.addCommand("r1", "k", 5),
+                                    Cluster.AMPLE_TIMEOUT_MICROS)
                             .answer()
                             .fields()
                             .whole("fence");
-            c.start("o");
-            c.await("o has a view of era 1", () -> c.processes.get("o").view().moment().era() == 1);
-            c.stop("a", "b", "c");
-            backUpStore(c, "c");
-            c.deleteStore("a");
-            c.deleteStore("b");
-            c.deleteStore("c");
-            c.start("a", "b", "c");
-            c.await(
+            cluster.start("o");
+            cluster.await(
+                    "o has a view of era 1",
+                    () -> cluster.processes.get("o").view().moment().era() == 1);
+            cluster.stop("a", "b", "c");
+            backUpStore(cluster, "c");
+            cluster.deleteStore("a");
+            cluster.deleteStore("b");
+            cluster.deleteStore("c");
+            cluster.start("a", "b", "c");
+            cluster.await(
                     "a reports the missing store",
-                    () -> fault(c, "a").startsWith("no store here, and none of the voters"));
-            assertTrue(!c.submit("o", Cluster.addCommand("r1", "k", 5), 1_000_000).decided());
-            c.stop("a");
-            assertTrue(Quorum.beginEra(c.settings("a"), 0).startsWith("era: must lie"));
-            assertNull(Quorum.beginEra(c.settings("a"), 2));
-            assertNotNull("an era begins once", Quorum.beginEra(c.settings("a"), 2));
-            c.start("a");
-            c.awaitAll("a", "b", "c");
-            Reply r = c.submit("o", Cluster.addCommand("r1", "k", 5), Cluster.AMPLE_TIMEOUT_MICROS);
-            assertTrue(r.answer().fields().whole("fence") > fence);
-            c.await("o has a view of era 2", () -> c.processes.get("o").view().moment().era() == 2);
+                    () -> fault(cluster, "a").startsWith("no store here, and none of the voters"));
+            assertTrue(!cluster.submit("o", Cluster.addCommand("r1", "k", 5), 1_000_000).decided());
+            cluster.stop("a");
+            assertTrue(Quorum.beginEra(cluster.settings("a"), 0).startsWith("era: must lie"));
+            assertNull(Quorum.beginEra(cluster.settings("a"), 2));
+            assertNotNull("an era begins once", Quorum.beginEra(cluster.settings("a"), 2));
+            cluster.start("a");
+            cluster.awaitAll("a", "b", "c");
+            Reply reply =
+                    cluster.submit(
+                            "o", Cluster.addCommand("r1", "k", 5), Cluster.AMPLE_TIMEOUT_MICROS);
+            assertTrue(reply.answer().fields().whole("fence") > fence);
+            cluster.await(
+                    "o has a view of era 2",
+                    () -> cluster.processes.get("o").view().moment().era() == 2);
             // A voter of the previous era restarts with its store.
-            c.stop("c");
-            c.deleteStore("c");
-            Files.createDirectories(c.folder.resolve("c"));
-            Files.copy(c.folder.resolve("kept"), c.folder.resolve("c").resolve(VoterStore.FILE));
-            c.start("c");
-            c.awaitAll("c");
-            assertEquals(2, c.processes.get("c").view().moment().era());
+            cluster.stop("c");
+            cluster.deleteStore("c");
+            Files.createDirectories(cluster.folder.resolve("c"));
+            Files.copy(
+                    cluster.folder.resolve("kept"),
+                    cluster.folder.resolve("c").resolve(VoterStore.FILE));
+            cluster.start("c");
+            cluster.awaitAll("c");
+            assertEquals(2, cluster.processes.get("c").view().moment().era());
         }
     }
 
@@ -98,35 +115,35 @@
      */
     @Test
     public void closedVoterReleasesItsPort() throws Exception {
-        try (Cluster c = Cluster.startWithFirstEra()) {
+        try (Cluster cluster = Cluster.startWithFirstEra()) {
             for (int i = 0; i < 40; i++) {
-                c.stop("b");
-                c.start("b");
+                cluster.stop("b");
+                cluster.start("b");
             }
-            c.awaitAll("a", "b", "c");
+            cluster.awaitAll("a", "b", "c");
         }
     }
 
     @Test
     public void olderStoreCopyIsDetectedAndDoesNotVote() throws Exception {
-        try (Cluster c = Cluster.startWithFirstEra()) {
-            c.stop("b");
-            backUpStore(c, "b");
-            String previousIdentity = identity(c, "b");
-            c.start("b");
-            c.awaitAll("b");
-            c.submit("b", Cluster.addCommand("r1", "k", 5), Cluster.AMPLE_TIMEOUT_MICROS);
-            c.stop("b");
+        try (Cluster cluster = Cluster.startWithFirstEra()) {
+            cluster.stop("b");
+            backUpStore(cluster, "b");
+            String previousIdentity = identity(cluster, "b");
+            cluster.start("b");
+            cluster.awaitAll("b");
+            cluster.submit("b", Cluster.addCommand("r1", "k", 5), Cluster.AMPLE_TIMEOUT_MICROS);
+            cluster.stop("b");
             Files.copy(
-                    c.folder.resolve("kept"),
-                    c.folder.resolve("b").resolve(VoterStore.FILE),
+                    cluster.folder.resolve("kept"),
+                    cluster.folder.resolve("b").resolve(VoterStore.FILE),
                     StandardCopyOption.REPLACE_EXISTING);
-            c.start("b");
-            c.awaitAll("a", "b", "c");
+            cluster.start("b");
+            cluster.awaitAll("a", "b", "c");
             assertTrue(
                     "the copy is kept under another name",
                     Files.exists(
-                            c.folder
+                            cluster.folder
                                     .resolve("b")
                                     .resolve(VoterStore.FILE + "." + previousIdentity)));
         }
@@ -135,14 +152,14 @@
     /** Guards against moving a complete store aside as an older copy. */
     @Test
     public void repeatedRestartsUnderOneLeaderKeepTheStore() throws Exception {
-        try (Cluster c = Cluster.startWithFirstEra()) {
-            String voter = "a".equals(c.processes.get("a").standing().leader()) ? "b" : "a";
+        try (Cluster cluster = Cluster.startWithFirstEra()) {
+            String voter = "a".equals(cluster.processes.get("a").standing().leader()) ? "b" : "a";
             for (int i = 0; i < 3; i++) {
-                c.stop(voter);
-                c.start(voter);
-                c.awaitAll(voter);
+                cluster.stop(voter);
+                cluster.start(voter);
+                cluster.awaitAll(voter);
             }
-            try (Stream<Path> files = Files.list(c.folder.resolve(voter))) {
+            try (Stream<Path> files = Files.list(cluster.folder.resolve(voter))) {
                 assertEquals(
                         "no store was moved aside",
                         List.of(),
@@ -155,42 +172,45 @@
 
     @Test
     public void unusableStoreStopsVotingButNotTheProcess() throws Exception {
-        try (Cluster c = Cluster.startWithFirstEra()) {
-            c.stop("b");
-            Path store = c.folder.resolve("b").resolve(VoterStore.FILE);
+        try (Cluster cluster = Cluster.startWithFirstEra()) {
+            cluster.stop("b");
+            Path store = cluster.folder.resolve("b").resolve(VoterStore.FILE);
             byte[] validBytes = Files.readAllBytes(store);
             Files.write(store, new byte[] {1, 2, 3});
-            c.start("b");
-            c.await(
+            cluster.start("b");
+            cluster.await(
                     "b reports that it does not vote",
-                    () -> fault(c, "b").contains("it votes no more"));
-            assertEquals(Quorum.Role.OBSERVER, c.processes.get("b").standing().role());
+                    () -> fault(cluster, "b").contains("it votes no more"));
+            assertEquals(Quorum.Role.OBSERVER, cluster.processes.get("b").standing().role());
             assertTrue(
-                    c.submit("b", Cluster.addCommand("r1", "k", 5), Cluster.AMPLE_TIMEOUT_MICROS)
+                    cluster.submit(
+                                    "b",
+                                    Cluster.addCommand("r1", "k", 5),
+                                    Cluster.AMPLE_TIMEOUT_MICROS)
                             .decided());
-            c.await("b follows", () -> c.sum("b", "k") == 5);
+            cluster.await("b follows", () -> cluster.sum("b", "k") == 5);
             Files.write(store, validBytes);
-            c.awaitAll("b");
+            cluster.awaitAll("b");
         }
     }
 
     @Test
     public void duplicateErasAreDetectedAndReported() throws Exception {
-        try (Cluster c = new Cluster()) {
-            assertNull(Quorum.beginEra(c.settings("a"), 1));
+        try (Cluster cluster = new Cluster()) {
+            assertNull(Quorum.beginEra(cluster.settings("a"), 1));
             assertNull(
                     "a does not run, so b cannot detect its era",
-                    Quorum.beginEra(c.settings("b"), 1));
-            c.start("a", "b", "c");
-            c.await(
+                    Quorum.beginEra(cluster.settings("b"), 1));
+            cluster.start("a", "b", "c");
+            cluster.await(
                     "both report the duplicate era",
                     () ->
-                            fault(c, "a").startsWith("two eras 1 at once")
-                                    && fault(c, "b").startsWith("two eras 1 at once"));
+                            fault(cluster, "a").startsWith("two eras 1 at once")
+                                    && fault(cluster, "b").startsWith("two eras 1 at once"));
             assertEquals(
                     "c joins neither",
                     Quorum.Role.OBSERVER,
-                    c.processes.get("c").standing().role());
+                    cluster.processes.get("c").standing().role());
         }
     }
 
@@ -215,18 +235,22 @@
         Files.delete(folder);
     }
 
-    private static String fault(Cluster c, String name) {
-        String fault = c.processes.get(name).standing().fault();
+    private static String fault(Cluster cluster, String name) {
+        String fault = cluster.processes.get(name).standing().fault();
         return fault == null ? "" : fault;
     }
 
-    private static void backUpStore(Cluster c, String name) throws Exception {
-        Files.copy(c.folder.resolve(name).resolve(VoterStore.FILE), c.folder.resolve("kept"));
+    private static void backUpStore(Cluster cluster, String name) throws Exception {
+        Files.copy(
+                cluster.folder.resolve(name).resolve(VoterStore.FILE),
+                cluster.folder.resolve("kept"));
     }
 
-    private static String identity(Cluster c, String name) throws Exception {
+    private static String identity(Cluster cluster, String name) throws Exception {
         Path copy = Files.createTempDirectory("identity");
-        Files.copy(c.folder.resolve(name).resolve(VoterStore.FILE), copy.resolve(VoterStore.FILE));
+        Files.copy(
+                cluster.folder.resolve(name).resolve(VoterStore.FILE),
+                copy.resolve(VoterStore.FILE));
         VoterStore store = VoterStore.open(copy);
         try {
             return store.metadata().self().identity();
--- a/quorum/src/test/java/postgrade/quorum/bench/One.java
+++ b/quorum/src/test/java/postgrade/quorum/bench/One.java
@@ -30,11 +30,11 @@
         }
 
         @Override
-        public Answer apply(Rows rows, Moment at, Command c) {
+        public Answer apply(Rows rows, Moment at, Command command) {
             rows.put(
                     "members",
-                    c.from(),
-                    Row.of("incarnation", c.incarnation(), "seen", at.micros()));
+                    command.from(),
+                    Row.of("incarnation", command.incarnation(), "seen", at.micros()));
             return Answer.done("", Row.EMPTY);
         }
     }
--- a/quorum/src/test/java/postgrade/quorum/engine/LogClockTest.java
+++ b/quorum/src/test/java/postgrade/quorum/engine/LogClockTest.java
@@ -73,10 +73,10 @@
 
     /** The first entry of a leader does not advance the time: it commits earlier entries. */
     private void becomeLeader() {
-        int before = proposed.size();
+        int proposalsBefore = proposed.size();
         tickAfter(0);
-        assertEquals(before + 1, proposed.size());
-        assertEquals(0, proposed.get(before).args().whole("by"));
+        assertEquals(proposalsBefore + 1, proposed.size());
+        assertEquals(0, proposed.get(proposalsBefore).args().whole("by"));
         answer.complete(null);
     }
 
--- a/quorum/src/test/java/postgrade/quorum/engine/StatePagesTest.java
+++ b/quorum/src/test/java/postgrade/quorum/engine/StatePagesTest.java
@@ -31,11 +31,11 @@
         }
 
         @Override
-        public Answer apply(Rows rows, Moment at, Command c) {
-            if (c.verb().equals("put")) {
-                rows.put(name(), c.args().text("key"), Row.of("text", TEXT, "n", at.index()));
+        public Answer apply(Rows rows, Moment at, Command command) {
+            if (command.verb().equals("put")) {
+                rows.put(name(), command.args().text("key"), Row.of("text", TEXT, "n", at.index()));
             } else {
-                rows.remove(name(), c.args().text("key"));
+                rows.remove(name(), command.args().text("key"));
             }
             return Answer.done("", Row.EMPTY);
         }
@@ -56,12 +56,12 @@
     private View nextPage() {
         PullReply.Builder reply = PullReply.newBuilder().setGroup("1-g");
         StatePages.fill(reply, machine, viewAssembler.nextRequest().build(), pages++ > 0);
-        PullReply page = reply.build();
-        receivedBytes += page.getSerializedSize();
+        PullReply pulledPage = reply.build();
+        receivedBytes += pulledPage.getSerializedSize();
         assertTrue(
-                "size of the page: " + page.getSerializedSize(),
-                page.getSerializedSize() < StatePages.PAGE_BYTES + TEXT.length() + 1000);
-        return viewAssembler.accept(1_000_000 + pages, page);
+                "size of the page: " + pulledPage.getSerializedSize(),
+                pulledPage.getSerializedSize() < StatePages.PAGE_BYTES + TEXT.length() + 1000);
+        return viewAssembler.accept(1_000_000 + pages, pulledPage);
     }
 
     private View pullView() {
--- a/quorum/src/test/java/postgrade/quorum/follow/FollowerTest.java
+++ b/quorum/src/test/java/postgrade/quorum/follow/FollowerTest.java
@@ -51,7 +51,7 @@
 
         /** Called on the follower thread, so earlier answers have been processed. */
         @Override
-        public void pull(PullRequest request, long withinMillis, Consumer<PullReply> done) {
+        public void pull(PullRequest request, long timeoutMillis, Consumer<PullReply> done) {
             if (remainingRefusals-- > 0) {
                 done.accept(null);
                 return;
@@ -72,7 +72,7 @@
         }
 
         @Override
-        public void ask(AskRequest request, long withinMillis, Consumer<AskReply> done) {
+        public void ask(AskRequest request, long timeoutMillis, Consumer<AskReply> done) {
             throw new AssertionError("no command is expected");
         }
     }
@@ -88,7 +88,7 @@
         }
 
         @Override
-        public void pull(PullRequest request, long withinMillis, Consumer<PullReply> done) {
+        public void pull(PullRequest request, long timeoutMillis, Consumer<PullReply> done) {
             PullReply.Builder answer =
                     PullReply.newBuilder().setGroup("1-g").setMoment(MomentMsg.newBuilder());
             if (++answers == 1) {
@@ -101,7 +101,7 @@
         }
 
         @Override
-        public void ask(AskRequest request, long withinMillis, Consumer<AskReply> done) {
+        public void ask(AskRequest request, long timeoutMillis, Consumer<AskReply> done) {
             throw new AssertionError("no command is expected");
         }
     }
