--- a/quorum/src/main/java/postgrade/quorum/engine/EraInitializer.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/EraInitializer.java
@@ -108,7 +108,7 @@
         } catch (InterruptedException
                 | java.util.concurrent.ExecutionException
                 | TimeoutException e) {
-            throw new IOException("no replies from the other voters within the time limit", e);
+            throw new IOException("the other voters could not be queried", e);
         } finally {
             connections.close();
             thread.close();
--- a/quorum/src/main/java/postgrade/quorum/engine/StatePages.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/StatePages.java
@@ -90,7 +90,7 @@
 
     static Machine.Snapshot join(List<Object> chunks) {
         List<Change> rows = new ArrayList<>();
-        chunks.forEach(p -> rows.addAll(((Machine.Snapshot) p).rows()));
+        chunks.forEach(chunk -> rows.addAll(((Machine.Snapshot) chunk).rows()));
         return new Machine.Snapshot(((Machine.Snapshot) chunks.get(0)).moment(), rows);
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/store/VoterStore.java
+++ b/quorum/src/main/java/postgrade/quorum/store/VoterStore.java
@@ -47,7 +47,7 @@
     private final MVMap<String, byte[]> state;
     private final MVMap<Long, byte[]> log;
     private final MVMap<Long, byte[]> chunks;
-    private Consumer<String> failureListener = why -> {};
+    private Consumer<String> failureListener = reason -> {};
     private String failure;
     private long slowestNanos;
 
--- a/quorum/src/test/java/postgrade/quorum/Cluster.java
+++ b/quorum/src/test/java/postgrade/quorum/Cluster.java
@@ -165,18 +165,18 @@
         return row == null ? 0 : row.whole("sum");
     }
 
-    void await(String what, BooleanSupplier condition) {
+    void await(String expectation, BooleanSupplier condition) {
         long deadlineNanos = System.nanoTime() + AWAIT_TIMEOUT_MILLIS * 1_000_000;
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > deadlineNanos) {
                 StringBuilder states = new StringBuilder();
                 processes.forEach(
-                        (n, q) ->
+                        (name, quorum) ->
                                 states.append('\n')
-                                        .append(q.standing())
+                                        .append(quorum.standing())
                                         .append(' ')
-                                        .append(q.view().moment()));
-                throw new AssertionError("timed out waiting until: " + what + states);
+                                        .append(quorum.view().moment()));
+                throw new AssertionError("timed out waiting until: " + expectation + states);
             }
             try {
                 Thread.sleep(5);
--- a/quorum/src/test/java/postgrade/quorum/FullDiskProcess.java
+++ b/quorum/src/test/java/postgrade/quorum/FullDiskProcess.java
@@ -21,7 +21,7 @@
         VoterStore store =
                 VoterStore.create(folder, new VoterStore.Metadata(self, "1-x", 1, List.of("a/1")));
         String[] failure = {"nothing"};
-        store.onFailure(why -> failure[0] = why);
+        store.onFailure(reason -> failure[0] = reason);
         var model = new DefaultRaftModelFactory();
         store.persistAndFlushLocalEndpoint(
                 model.createRaftEndpointPersistentStateBuilder()
--- a/quorum/src/test/java/postgrade/quorum/VoterShutdownTest.java
+++ b/quorum/src/test/java/postgrade/quorum/VoterShutdownTest.java
@@ -96,11 +96,11 @@
                             reply -> {
                                 throw new RejectedExecutionException("its connection has ended");
                             });
-            CountDownLatch ended = new CountDownLatch(1);
-            voter.close(ended::countDown);
+            CountDownLatch voterClosed = new CountDownLatch(1);
+            voter.close(voterClosed::countDown);
             unblockEngine.countDown();
             assertTrue("not closed", voter.awaitClosed(TIMEOUT_MILLIS));
-            assertTrue("not notified", ended.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+            assertTrue("not notified", voterClosed.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
             VoterStore.open(settings.store()).close(); // Fails if the file is still locked.
         } finally {
             connections.close();
--- a/quorum/src/test/java/postgrade/quorum/engine/LinearizableReadsTest.java
+++ b/quorum/src/test/java/postgrade/quorum/engine/LinearizableReadsTest.java
@@ -19,13 +19,13 @@
 /** Rounds of reads at a leader whose engine answers as the test scripts it, or never. */
 public class LinearizableReadsTest {
 
-    private static final int HEARTBEAT_MILLIS = 10;
-    private static final long SHORT_MILLIS = 20;
-    private static final long LONG_MILLIS = 60_000;
+    private static final int HEARTBEAT_INTERVAL_MILLIS = 10;
+    private static final long SHORT_TIMEOUT_MILLIS = 20;
+    private static final long LONG_TIMEOUT_MILLIS = 60_000;
 
     private final Endpoint self = new Endpoint("a", "1");
-    private final EngineThread thread = new EngineThread("a", HEARTBEAT_MILLIS);
-    private LinearizableReads reads = newReads(LONG_MILLIS);
+    private final EngineThread thread = new EngineThread("a", HEARTBEAT_INTERVAL_MILLIS);
+    private LinearizableReads reads = newReads(LONG_TIMEOUT_MILLIS);
     private final BlockingQueue<CompletableFuture<Object>> quorumQueries =
             new LinkedBlockingQueue<>();
     private volatile RuntimeException engineFailure;
@@ -80,8 +80,8 @@
                         (proxy, method, args) -> handler.call(method.getName())));
     }
 
-    private LinearizableReads newReads(long requestMillis) {
-        return new LinearizableReads(thread, null, "1-test", requestMillis);
+    private LinearizableReads newReads(long requestTimeoutMillis) {
+        return new LinearizableReads(thread, null, "1-test", requestTimeoutMillis);
     }
 
     private static Ordered<?> ordered(long index) {
@@ -121,7 +121,7 @@
      */
     @Test
     public void unansweredRoundDoesNotBlockLaterReaders() throws Exception {
-        reads = newReads(SHORT_MILLIS);
+        reads = newReads(SHORT_TIMEOUT_MILLIS);
         CompletableFuture<Long> lost = confirm();
         CompletableFuture<Object> neverAnswered = nextQuery();
         assertEquals(LinearizableReads.REFUSED, await(lost));
--- a/quorum/src/test/java/postgrade/quorum/engine/RestartedVoterTest.java
+++ b/quorum/src/test/java/postgrade/quorum/engine/RestartedVoterTest.java
@@ -34,8 +34,8 @@
 public class RestartedVoterTest {
 
     private static final String GROUP = "1-test";
-    private static final int HEARTBEAT_MILLIS = 10;
-    private static final int ELECTION_MILLIS = 400;
+    private static final int HEARTBEAT_INTERVAL_MILLIS = 10;
+    private static final int ELECTION_TIMEOUT_MILLIS = 400;
 
     private final RaftModelFactory model = new DefaultRaftModelFactory();
     private final Endpoint a = new Endpoint("a", "1");
@@ -74,8 +74,8 @@
                         2_000_000,
                         500,
                         50,
-                        HEARTBEAT_MILLIS,
-                        ELECTION_MILLIS);
+                        HEARTBEAT_INTERVAL_MILLIS,
+                        ELECTION_TIMEOUT_MILLIS);
         voter =
                 new Voter(
                         settings,
@@ -174,7 +174,7 @@
         peers.setHello(c, peerHello(c).build());
         start();
         assertFalse(grantsVote(preVoteRequest()));
-        nowMicros.addAndGet(ELECTION_MILLIS * 1000L);
+        nowMicros.addAndGet(ELECTION_TIMEOUT_MILLIS * 1000L);
         assertPreVoteRequested(a);
         voter.requestHandler().raft(preVoteRequest());
         assertTrue(peers.nextMatching(c, RaftCodec::isVoteResponse).getFlag());
--- a/quorum/src/test/java/postgrade/quorum/engine/StatePagesTest.java
+++ b/quorum/src/test/java/postgrade/quorum/engine/StatePagesTest.java
@@ -56,12 +56,12 @@
     private View nextPage() {
         PullReply.Builder reply = PullReply.newBuilder().setGroup("1-g");
         StatePages.fill(reply, machine, viewAssembler.nextRequest().build(), pages++ > 0);
-        PullReply pulledPage = reply.build();
-        receivedBytes += pulledPage.getSerializedSize();
+        PullReply page = reply.build();
+        receivedBytes += page.getSerializedSize();
         assertTrue(
-                "size of the page: " + pulledPage.getSerializedSize(),
-                pulledPage.getSerializedSize() < StatePages.PAGE_BYTES + TEXT.length() + 1000);
-        return viewAssembler.accept(1_000_000 + pages, pulledPage);
+                "size of the page: " + page.getSerializedSize(),
+                page.getSerializedSize() < StatePages.PAGE_BYTES + TEXT.length() + 1000);
+        return viewAssembler.accept(1_000_000 + pages, page);
     }
 
     private View pullView() {
