--- a/quorum/src/main/java/postgrade/quorum/engine/PeerPromises.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/PeerPromises.java
@@ -24,7 +24,7 @@
     private final Map<String, Promise> promises = new HashMap<>();
 
     /** Records what the sender has promised; ignores messages that promise nothing. */
-    void record(RaftMsg message) {
+    void observe(RaftMsg message) {
         if (RaftCodec.isPreVote(message)) {
             return; // A pre-vote carries a prospective term, which the sender has not persisted.
         }
--- a/quorum/src/main/java/postgrade/quorum/engine/VoterRequestHandler.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/VoterRequestHandler.java
@@ -54,7 +54,7 @@
     public void raft(RaftMsg message) {
         thread.submit(
                 () -> {
-                    promises.record(message);
+                    promises.observe(message);
                     RaftGroup group = voter.group();
                     if (group != null) {
                         group.handle(message);
--- a/quorum/src/test/java/postgrade/quorum/engine/PeerPromisesTest.java
+++ b/quorum/src/test/java/postgrade/quorum/engine/PeerPromisesTest.java
@@ -21,7 +21,7 @@
     private final PeerPromises promises = new PeerPromises();
 
     private void receive(RaftMessage message) {
-        promises.record(RaftCodec.encode(message, "a/1"));
+        promises.observe(RaftCodec.encode(message, "a/1"));
     }
 
     private boolean exceedsStore(int term, long lastIndex) {
