--- a/core/src/main/java/postgrade/lease/Ask.java
+++ b/core/src/main/java/postgrade/lease/Ask.java
@@ -30,10 +30,10 @@
                 who.holder,
                 who.site,
                 who.kind,
-                args.whole("accelerators", 1, MOST_ACCELERATORS),
+                args.integer("accelerators", 1, MOST_ACCELERATORS),
                 who.incarnation,
-                args.whole("ttlMs", LEAST_TTL_MS, MOST_TTL_MS) * 1000,
-                args.has("neededInMs") ? args.whole("neededInMs", 0, MOST_TTL_MS) * 1000 : 0);
+                args.integer("ttlMs", LEAST_TTL_MS, MOST_TTL_MS) * 1000,
+                args.has("neededInMs") ? args.integer("neededInMs", 0, MOST_TTL_MS) * 1000 : 0);
     }
 
     /** Who and what alone. */
@@ -41,14 +41,14 @@
         String site = args.has("site") ? name(args, "site") : "";
         String kind = args.has("kind") ? name(args, "kind") : "";
         if (site.isEmpty() && kind.isEmpty()) {
-            throw new Row.Refused("site", "or kind must be named");
+            throw new Row.InvalidFieldException("site", "or kind must be named");
         }
         return new Ask(
                 name(args, "holder"),
                 site,
                 kind,
                 0,
-                args.has("incarnation") ? args.whole("incarnation", 0, Long.MAX_VALUE) : 0,
+                args.has("incarnation") ? args.integer("incarnation", 0, Long.MAX_VALUE) : 0,
                 0,
                 0);
     }
@@ -58,10 +58,10 @@
                 row.text("holder"),
                 row.text("site"),
                 row.text("kind"),
-                row.whole("accelerators"),
-                row.whole("incarnation"),
-                row.whole("ttl"),
-                row.whole("neededIn"));
+                row.integer("accelerators"),
+                row.integer("incarnation"),
+                row.integer("ttl"),
+                row.integer("neededIn"));
     }
 
     Row row() {
@@ -100,7 +100,8 @@
                             || "._:-".indexOf(c) >= 0;
         }
         if (!plain) {
-            throw new Row.Refused(field, "must be 1 to 64 letters, digits or any of . _ : -");
+            throw new Row.InvalidFieldException(
+                    field, "must be 1 to 64 letters, digits or any of . _ : -");
         }
         return name;
     }
--- a/core/src/main/java/postgrade/lease/Book.java
+++ b/core/src/main/java/postgrade/lease/Book.java
@@ -47,7 +47,7 @@
     }
 
     List<Held> held() {
-        return rows.of(HELD).values().stream().map(Held::of).toList();
+        return rows.ofPart(HELD).values().stream().map(Held::of).toList();
     }
 
     void put(Held held) {
@@ -56,9 +56,10 @@
 
     List<Place> line() {
         List<Place> line = new ArrayList<>();
-        rows.of(WAITING)
+        rows.ofPart(WAITING)
                 .forEach(
-                        (key, row) -> line.add(new Place(key, Ask.ofRow(row), row.whole("until"))));
+                        (key, row) ->
+                                line.add(new Place(key, Ask.ofRow(row), row.integer("until"))));
         return line;
     }
 
@@ -76,13 +77,13 @@
 
     List<Rest> resting() {
         List<Rest> all = new ArrayList<>();
-        rows.of(RESTING)
+        rows.ofPart(RESTING)
                 .forEach(
                         (key, row) ->
                                 all.add(
                                         new Rest(
                                                 key,
-                                                row.whole("until"),
+                                                row.integer("until"),
                                                 Allotment.of(row.text("allotment")))));
         return all;
     }
@@ -120,7 +121,7 @@
 
     List<Unit> units() {
         List<Unit> units = new ArrayList<>();
-        rows.of(UNITS).forEach((worker, row) -> units.add(Unit.of(worker, row)));
+        rows.ofPart(UNITS).forEach((worker, row) -> units.add(Unit.of(worker, row)));
         return units;
     }
 
--- a/core/src/main/java/postgrade/lease/Capacity.java
+++ b/core/src/main/java/postgrade/lease/Capacity.java
@@ -29,8 +29,8 @@
         String worker = Ask.name(args, "worker");
         String site = Ask.name(args, "site");
         String kind = Ask.name(args, "kind");
-        long accelerators = args.whole("accelerators", 0, Allotment.MOST_PER_WORKER);
-        long version = args.whole("version", 0, Long.MAX_VALUE);
+        long accelerators = args.integer("accelerators", 0, Allotment.MOST_PER_WORKER);
+        long version = args.integer("version", 0, Long.MAX_VALUE);
         Unit was = book.unit(worker);
         if (was == null && book.unitCount() >= MOST_UNITS) {
             return Answer.conflict(
@@ -85,7 +85,7 @@
      */
     Answer presence(Row args) {
         String worker = Ask.name(args, "worker");
-        long start = args.whole("start", 0, Long.MAX_VALUE);
+        long start = args.integer("start", 0, Long.MAX_VALUE);
         State state;
         try {
             state = State.valueOf(args.text("state"));
@@ -122,13 +122,13 @@
      */
     Answer part(Row args) {
         String kind = Ask.name(args, "kind");
-        long perMille = args.whole("perMille", 0, 1000);
-        long version = args.whole("version", 0, Long.MAX_VALUE);
+        long perMille = args.integer("perMille", 0, 1000);
+        long version = args.integer("version", 0, Long.MAX_VALUE);
         Row was = book.part(kind);
         Row now = Row.of("perMille", perMille, "version", version);
         if (!now.equals(was)) {
-            if (was != null && version <= was.whole("version")) {
-                return Answer.conflict("version must be above " + was.whole("version"));
+            if (was != null && version <= was.integer("version")) {
+                return Answer.conflict("version must be above " + was.integer("version"));
             }
             book.part(kind, now);
         }
--- a/core/src/main/java/postgrade/lease/Fleet.java
+++ b/core/src/main/java/postgrade/lease/FleetSync.java
@@ -18,15 +18,15 @@
  * with the other. Whoever leads asks this; that two processes with different lists ask for it does
  * no harm, as starts and states only go on.
  */
-public final class Fleet {
+public final class FleetSync {
 
     /**
      * @param perKind accelerators of a worker of each kind that has some @param version of these
      *     figures
      */
-    public record Accelerators(Map<String, Integer> perKind, long version) {}
+    public record AcceleratorConfig(Map<String, Integer> perKind, long version) {}
 
-    private Fleet() {}
+    private FleetSync() {}
 
     /**
      * What is to be told.
@@ -34,11 +34,11 @@
      * @param workers the whole list as discovery has it
      * @param out workers that operators have taken out
      */
-    public static List<Command> due(
+    public static List<Command> pendingCommands(
             Rows rows,
             Collection<WorkerInfo> workers,
             Set<String> out,
-            Accelerators accelerators,
+            AcceleratorConfig accelerators,
             String from,
             long incarnation) {
         Map<String, Unit> known = new HashMap<>();
--- a/core/src/main/java/postgrade/lease/Granting.java
+++ b/core/src/main/java/postgrade/lease/Granting.java
@@ -65,7 +65,7 @@
                         .mapToLong(Unit::accelerators)
                         .sum();
         Row part = book.part(kind);
-        return part == null ? has : has * part.whole("perMille") / WHOLE;
+        return part == null ? has : has * part.integer("perMille") / WHOLE;
     }
 
     /**
--- a/core/src/main/java/postgrade/lease/Held.java
+++ b/core/src/main/java/postgrade/lease/Held.java
@@ -15,9 +15,9 @@
     static Held of(Row row) {
         return new Held(
                 Ask.ofRow(row),
-                row.whole("fence"),
-                row.whole("since"),
-                row.whole("until"),
+                row.integer("fence"),
+                row.integer("since"),
+                row.integer("until"),
                 Allotment.of(row.text("allotment")));
     }
 
--- a/core/src/main/java/postgrade/lease/LeaseAbility.java
+++ b/core/src/main/java/postgrade/lease/LeaseConstraints.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Supplier;
-import postgrade.lease.Reservations.Use;
+import postgrade.lease.ReservationView.Use;
 import postgrade.policy.api.Idempotency;
 import postgrade.policy.api.Job;
 import postgrade.policy.api.JobConstraints;
@@ -17,7 +17,7 @@
  * takes the privilege away and never makes a worker unable: it costs features and no answer. Jobs
  * that must not run twice are never limited by any of this.
  */
-public final class LeaseAbility implements JobConstraints {
+public final class LeaseConstraints implements JobConstraints {
 
     /**
      * However much of a worker is reserved, so much of it is there for jobs that need no
@@ -59,32 +59,32 @@
     }
 
     private final Supplier<View> views;
-    private final Times times;
+    private final LeaseTimes times;
     private final Rules rules;
-    private Reservations reservations;
+    private ReservationView reservations;
 
-    public LeaseAbility(Supplier<View> views, Times times, Rules rules) {
+    public LeaseConstraints(Supplier<View> views, LeaseTimes times, Rules rules) {
         this.views = views;
         this.times = times;
         this.rules = rules;
-        reservations = new Reservations(View.NONE, times);
+        reservations = new ReservationView(View.NONE, times);
     }
 
     /**
      * Of the latest view. One that merely confirms the former rows is indexed again all the same:
      * views are few.
      */
-    Reservations reservations() {
+    ReservationView reservations() {
         View view = views.get();
         if (view != reservations.view()) {
-            reservations = new Reservations(view, times);
+            reservations = new ReservationView(view, times);
         }
         return reservations;
     }
 
     @Override
     public double usableShare(long nowNs, Job job, WorkerInfo worker) {
-        Reservations all = reservations();
+        ReservationView all = reservations();
         long accelerators = all.accelerators(worker.id());
         if (accelerators == 0 || rules.effects.get(job.jobClass()) == Idempotency.NOT_IDEMPOTENT) {
             return 1;
@@ -116,7 +116,7 @@
      * Whether this job is over before the holder's first, so that what is reserved may be used
      * meanwhile.
      */
-    private boolean lent(Reservations all, long nowMicros, Job job, Use use) {
+    private boolean lent(ReservationView all, long nowMicros, Job job, Use use) {
         return rules.lends
                 && all.fresh(nowMicros)
                 && rules.effects.get(job.jobClass()) == Idempotency.IDEMPOTENT
--- a/core/src/main/java/postgrade/lease/LeasePart.java
+++ b/core/src/main/java/postgrade/lease/LeasePart.java
@@ -5,9 +5,9 @@
 import postgrade.shared.Answer;
 import postgrade.shared.Command;
 import postgrade.shared.Moment;
-import postgrade.shared.Part;
 import postgrade.shared.Row;
 import postgrade.shared.Rows;
+import postgrade.shared.StatePart;
 
 /**
  * Reservations of accelerators in the shared state: who asks gets a place in the line, and the line
@@ -15,14 +15,14 @@
  * worker's loss, rests for the grace before it is granted anew, since dispatchers with an older
  * view go on using it for that long.
  */
-public final class LeasePart implements Part {
+public final class LeasePart implements StatePart {
 
     public static final String NAME = "lease";
     private static final int MOST_ROWS = 2000;
 
-    private final Times times;
+    private final LeaseTimes times;
 
-    public LeasePart(Times times) {
+    public LeasePart(LeaseTimes times) {
         this.times = times;
     }
 
@@ -96,7 +96,7 @@
 
     private Answer acquire(Book book, Moment at, Row args) {
         Ask ask = Ask.of(args);
-        boolean waits = args.whole("wait", 1) != 0;
+        boolean waits = args.integer("wait", 1) != 0;
         Held held = book.held(ask.key());
         if (held != null) {
             return again(book, at, held, ask);
@@ -214,7 +214,7 @@
             book.put(new Place(place.key(), known, Book.NEXT));
             return standing(book, at, args);
         }
-        if (args.whole("fence") != held.fence()) {
+        if (args.integer("fence") != held.fence()) {
             return Answer.conflict("fence is not that of the present grant");
         }
         Held renewed = held.until(Book.NEXT);
@@ -228,7 +228,7 @@
      */
     private Answer release(Book book, Moment at, Row args) {
         Ask who = Ask.named(args);
-        boolean force = args.whole("force", 0) != 0;
+        boolean force = args.integer("force", 0) != 0;
         Held held = book.held(who.key());
         if (held == null) {
             Place place = book.place(who.key());
@@ -239,7 +239,7 @@
                 book.leave(place);
                 return Answer.done("left the line", Row.EMPTY);
             }
-            return args.has("fence") && book.justEnded(who.key(), args.whole("fence"))
+            return args.has("fence") && book.justEnded(who.key(), args.integer("fence"))
                     ? Answer.done("had ended", Row.EMPTY)
                     : Answer.unknown(
                             "holder " + who.holder() + " holds nothing here and does not wait");
@@ -247,7 +247,7 @@
         if (!force && who.incarnation() < held.ask().incarnation()) {
             return older(held.ask());
         }
-        if (!force && args.whole("fence") != held.fence()) {
+        if (!force && args.integer("fence") != held.fence()) {
             return Answer.conflict("fence is not that of the present grant");
         }
         end(book, at, held, Book.NEXT);
--- a/core/src/main/java/postgrade/lease/Times.java
+++ b/core/src/main/java/postgrade/lease/LeaseTimes.java
@@ -1,6 +1,6 @@
 package postgrade.lease;
 
-import postgrade.shared.Machine;
+import postgrade.shared.ReplicatedStateMachine;
 
 /**
  * The times that keep two holders apart, and the inequality between them. Every process has the
@@ -18,17 +18,17 @@
  *
  * docs/reservations.md derives it.
  */
-public record Times(
+public record LeaseTimes(
         long graceMicros, long viewBoundMicros, double clockRatio, long uncommittedMicros) {
 
     /**
      * A second and a half to go on without word; three seconds of rest; no entry counts more than
      * the machine lets it.
      */
-    public static final Times USUAL =
-            new Times(3_000_000, 1_500_000, 1.03, Machine.MOST_ADVANCE_MICROS);
+    public static final LeaseTimes DEFAULT =
+            new LeaseTimes(3_000_000, 1_500_000, 1.03, ReplicatedStateMachine.MAX_ADVANCE_MICROS);
 
-    public Times {
+    public LeaseTimes {
         if (viewBoundMicros <= 0 || clockRatio < 1 || uncommittedMicros < 0) {
             throw new IllegalArgumentException("times must be positive and clockRatio at least 1");
         }
@@ -54,7 +54,7 @@
      * @param standstillMicros for how long the log's time stood or fell behind: nobody led, or
      *     commits took long
      */
-    public long unusedWithinMicros(long ttlMicros, long stepMicros, long standstillMicros) {
+    public long maxUseAfterRenewalMicros(long ttlMicros, long stepMicros, long standstillMicros) {
         return (long) Math.ceil((ttlMicros + 2 * stepMicros + viewBoundMicros) * clockRatio)
                 + standstillMicros;
     }
--- a/core/src/main/java/postgrade/lease/Leases.java
+++ b/core/src/main/java/postgrade/lease/ReservationCommands.java
@@ -11,7 +11,7 @@
  * What operators' calls are made of: commands from the fields of a call, and the reservations as
  * fields. Pure.
  */
-public final class Leases {
+public final class ReservationCommands {
 
     private static final List<String> FIELDS =
             List.of(
@@ -26,14 +26,14 @@
                     "neededInMs",
                     "force");
 
-    private Leases() {}
+    private ReservationCommands() {}
 
     /**
      * A command of an operator's call.
      *
      * @param verb acquire, renew or release
      * @param fields of the call, by name; whole numbers as text
-     * @throws Row.Refused naming a field that there is not
+     * @throws Row.InvalidFieldException naming a field that there is not
      */
     public static Command command(
             String verb,
@@ -43,7 +43,7 @@
             Map<String, String> fields) {
         for (String name : fields.keySet()) {
             if (!FIELDS.contains(name)) {
-                throw new Row.Refused(name, "is not a field of a reservation");
+                throw new Row.InvalidFieldException(name, "is not a field of a reservation");
             }
         }
         return new Command(requestId, from, incarnation, LeasePart.NAME, verb, new Row(fields));
--- a/core/src/main/java/postgrade/lease/Reservations.java
+++ b/core/src/main/java/postgrade/lease/ReservationView.java
@@ -13,18 +13,18 @@
  * holder's privilege is used while the view is fresh by this process's own clock, which ends before
  * anybody else may be granted the same.
  */
-public final class Reservations {
+public final class ReservationView {
 
     /** A holder's accelerators of one worker under one grant. */
     public record Use(String holder, long mask, long fence, long neededMicros) {}
 
     private final View view;
-    private final Times times;
+    private final LeaseTimes times;
     private final Map<String, Unit> units = new HashMap<>();
     private final Map<String, List<Use>> byWorker = new HashMap<>();
     private final Set<String> holders = new HashSet<>();
 
-    public Reservations(View view, Times times) {
+    public ReservationView(View view, LeaseTimes times) {
         this.view = view;
         this.times = times;
         Book book = new Book(view.rows());
--- a/core/src/main/java/postgrade/lease/Unit.java
+++ b/core/src/main/java/postgrade/lease/Unit.java
@@ -31,9 +31,9 @@
                 worker,
                 row.text("site"),
                 row.text("kind"),
-                row.whole("accelerators"),
-                row.whole("version"),
-                row.whole("start"),
+                row.integer("accelerators"),
+                row.integer("version"),
+                row.integer("start"),
                 State.valueOf(row.text("state")));
     }
 
--- a/core/src/main/java/postgrade/member/Shares.java
+++ b/core/src/main/java/postgrade/member/EffectiveShare.java
@@ -10,21 +10,22 @@
  * long as its place is kept; then by the floor, or by its fallback once its view is older than a
  * lease. It is all told from the view's age, so it holds for one that is cut off or was paused.
  */
-public class Shares {
+public class EffectiveShare {
 
     /** Clocks of two machines run apart by this part at most. */
-    public static final double MOST_DRIFT = 0.02;
+    public static final double MAX_CLOCK_DRIFT = 0.02;
 
     /**
      * What a leader measured and may not have been decided when a view was taken: one step on its
      * way, and one of which the leader has not said anything yet. {@link
      * postgrade.shared.Machine#MOST_ADVANCE_MICROS} each.
      */
-    public static final long BACKLOG_MICROS = 2 * postgrade.shared.Machine.MOST_ADVANCE_MICROS;
+    public static final long MAX_UNCOMMITTED_MICROS =
+            2 * postgrade.shared.ReplicatedStateMachine.MAX_ADVANCE_MICROS;
 
     private final String name;
     private final long incarnation;
-    private final Terms terms;
+    private final MembershipTerms terms;
     private final long fallback;
     private long goneBy;
     private View last = View.NONE;
@@ -36,9 +37,10 @@
      * @param fallback when long cut off, in millionths of the even share; what lies above the floor
      *     is the bound
      */
-    public Shares(String name, long incarnation, Terms terms, long fallback) {
-        if (fallback < 1 || fallback > Terms.EVEN) {
-            throw new IllegalArgumentException("fallback must lie between 1 and " + Terms.EVEN);
+    public EffectiveShare(String name, long incarnation, MembershipTerms terms, long fallback) {
+        if (fallback < 1 || fallback > MembershipTerms.EVEN_SHARE) {
+            throw new IllegalArgumentException(
+                    "fallback must lie between 1 and " + MembershipTerms.EVEN_SHARE);
         }
         this.name = name;
         this.incarnation = incarnation;
@@ -46,7 +48,7 @@
         this.fallback = fallback;
     }
 
-    public Shares(String name, long incarnation, Terms terms) {
+    public EffectiveShare(String name, long incarnation, MembershipTerms terms) {
         this(name, incarnation, terms, terms.floor());
     }
 
@@ -62,20 +64,20 @@
             }
             last = view;
         }
-        return share(nowMicros) / (double) Terms.EVEN;
+        return share(nowMicros) / (double) MembershipTerms.EVEN_SHARE;
     }
 
     private long share(long nowMicros) {
         if (own == null || own.incarnation() != incarnation) {
             return Math.min(fallback, terms.floor()); // Others may be using this place's rest.
         }
-        goneBy = own.grant();
-        long latest = latest(nowMicros);
-        if (latest < own.until()) {
+        goneBy = own.grantIndex();
+        long latest = latestLogMicros(nowMicros);
+        if (latest < own.leaseEndMicros()) {
             return own.share();
         }
-        if (latest < own.until() + terms.lingerMicros()) {
-            return Math.min(own.share(), Terms.EVEN);
+        if (latest < own.leaseEndMicros() + terms.lingerMicros()) {
+            return Math.min(own.share(), MembershipTerms.EVEN_SHARE);
         }
         // One that sees the others is not cut off, only late: its place has been given away, and it
         // knows.
@@ -83,21 +85,23 @@
     }
 
     /** The log's time is not later than this. */
-    long latest(long nowMicros) {
-        return latest(last, nowMicros);
+    long latestLogMicros(long nowMicros) {
+        return latestLogMicros(last, nowMicros);
     }
 
     /** The log's time is not later than this, for whoever has this view and a clock of its own. */
-    public static long latest(View view, long nowMicros) {
+    public static long latestLogMicros(View view, long nowMicros) {
         long age = Math.max(0, view.ageMicros(nowMicros));
-        return view.moment().micros() + (long) Math.ceil(age * (1 + MOST_DRIFT)) + BACKLOG_MICROS;
+        return view.moment().micros()
+                + (long) Math.ceil(age * (1 + MAX_CLOCK_DRIFT))
+                + MAX_UNCOMMITTED_MICROS;
     }
 
     /**
      * The grant that {@link #factor} went by last, to be told with the next renewal; 0 before there
      * was one.
      */
-    public long goneBy() {
+    public long appliedGrantIndex() {
         return goneBy;
     }
 
@@ -106,7 +110,7 @@
     }
 
     /** A later start of the same name has taken this one's place. */
-    public boolean replaced() {
+    public boolean isReplaced() {
         return own != null && own.incarnation() > incarnation;
     }
 }
--- a/core/src/main/java/postgrade/member/Member.java
+++ b/core/src/main/java/postgrade/member/Member.java
@@ -18,11 +18,11 @@
 public record Member(
         String name,
         long incarnation,
-        long until,
+        long leaseEndMicros,
         long share,
-        long grant,
-        long held,
-        long heldUntil) {
+        long grantIndex,
+        long revokedShare,
+        long revokedUntilMicros) {
 
     static final String PART = "member";
     private static final String TERMS = "member.terms";
@@ -30,24 +30,34 @@
     static Member of(String name, Row row) {
         return new Member(
                 name,
-                row.whole("incarnation"),
-                row.whole("until"),
-                row.whole("share"),
-                row.whole("grant"),
-                row.whole("held", 0),
-                row.whole("heldUntil", 0));
+                row.integer("incarnation"),
+                row.integer("until"),
+                row.integer("share"),
+                row.integer("grant"),
+                row.integer("held", 0),
+                row.integer("heldUntil", 0));
     }
 
     Row row() {
         Row row =
-                Row.of("incarnation", incarnation, "until", until, "share", share, "grant", grant);
-        return held == 0 ? row : row.with("held", held, "heldUntil", heldUntil);
+                Row.of(
+                        "incarnation",
+                        incarnation,
+                        "until",
+                        leaseEndMicros,
+                        "share",
+                        share,
+                        "grant",
+                        grantIndex);
+        return revokedShare == 0
+                ? row
+                : row.with("held", revokedShare, "heldUntil", revokedUntilMicros);
     }
 
     /** All that ever joined and were not forgotten since, by name. */
     public static List<Member> all(Rows rows) {
         List<Member> all = new ArrayList<>();
-        rows.of(PART).forEach((name, row) -> all.add(of(name, row)));
+        rows.ofPart(PART).forEach((name, row) -> all.add(of(name, row)));
         return all;
     }
 
@@ -58,12 +68,12 @@
     }
 
     /** What the members agreed on; null before the first joined. */
-    public static Terms terms(Rows rows) {
+    public static MembershipTerms terms(Rows rows) {
         Row row = rows.get(TERMS, "");
-        return row == null ? null : Terms.of(row);
+        return row == null ? null : MembershipTerms.of(row);
     }
 
-    static void terms(Rows rows, Terms terms) {
+    static void terms(Rows rows, MembershipTerms terms) {
         rows.put(TERMS, "", terms.row());
     }
 
@@ -73,20 +83,20 @@
     }
 
     public boolean alive(long micros) {
-        return micros < until;
+        return micros < leaseEndMicros;
     }
 
     /** Silent, but its place is still kept for it. */
-    public boolean lingers(long micros, Terms terms) {
-        return !alive(micros) && micros < until + terms.lingerMicros();
+    public boolean lingers(long micros, MembershipTerms terms) {
+        return !alive(micros) && micros < leaseEndMicros + terms.lingerMicros();
     }
 
     /** The most that the process may be using while the log stands at this time. */
-    long reserved(long micros, Terms terms) {
+    long reserved(long micros, MembershipTerms terms) {
         if (alive(micros)) {
-            return micros < heldUntil ? Math.max(share, held) : share;
+            return micros < revokedUntilMicros ? Math.max(share, revokedShare) : share;
         }
-        return lingers(micros, terms) ? Math.min(share, Terms.EVEN) : terms.floor();
+        return lingers(micros, terms) ? Math.min(share, MembershipTerms.EVEN_SHARE) : terms.floor();
     }
 
     Member with(long newShare, long at) {
@@ -94,19 +104,26 @@
         return new Member(
                 name,
                 incarnation,
-                until,
+                leaseEndMicros,
                 newShare,
                 at,
-                less ? Math.max(held, share) : held,
-                less ? Math.max(heldUntil, until) : heldUntil);
+                less ? Math.max(revokedShare, share) : revokedShare,
+                less ? Math.max(revokedUntilMicros, leaseEndMicros) : revokedUntilMicros);
     }
 
-    Member until(long later) {
-        return new Member(name, incarnation, Math.max(until, later), share, grant, held, heldUntil);
+    Member withLeaseEnd(long later) {
+        return new Member(
+                name,
+                incarnation,
+                Math.max(leaseEndMicros, later),
+                share,
+                grantIndex,
+                revokedShare,
+                revokedUntilMicros);
     }
 
     /** It goes by its present share: nothing greater is in use any more. */
-    Member settled() {
-        return new Member(name, incarnation, until, share, grant, 0, 0);
+    Member withoutRevokedShare() {
+        return new Member(name, incarnation, leaseEndMicros, share, grantIndex, 0, 0);
     }
 }
--- a/core/src/main/java/postgrade/member/MemberPart.java
+++ b/core/src/main/java/postgrade/member/MembershipPart.java
@@ -6,16 +6,16 @@
 import postgrade.shared.Answer;
 import postgrade.shared.Command;
 import postgrade.shared.Moment;
-import postgrade.shared.Part;
 import postgrade.shared.Row;
 import postgrade.shared.Rows;
+import postgrade.shared.StatePart;
 
 /**
  * Who lives, and with which share. A process joins once it knows the state, renews its lease in
  * good time, and leaves when it ends; its row tells it its share. Whoever goes by an older
  * incarnation than the name has is turned down.
  */
-public class MemberPart implements Part {
+public class MembershipPart implements StatePart {
 
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9._:-]{1,100}");
 
@@ -25,12 +25,12 @@
     }
 
     /** Asked for once, and again whenever a renewal is answered UNKNOWN. */
-    public static Command join(String name, long incarnation, Terms terms) {
+    public static Command join(String name, long incarnation, MembershipTerms terms) {
         return new Command("", name, incarnation, Member.PART, "join", terms.row());
     }
 
     /**
-     * @param grant the one gone by, from {@link Shares#goneBy()}
+     * @param grant the one gone by, from {@link EffectiveShare#appliedGrantIndex()}
      */
     public static Command renew(String name, long incarnation, long grant) {
         return new Command("", name, incarnation, Member.PART, "renew", Row.of("grant", grant));
@@ -72,8 +72,8 @@
     }
 
     private Answer join(Rows rows, Moment at, Command c, Member m) {
-        Terms asked = Terms.of(c.args());
-        Terms terms = Member.terms(rows);
+        MembershipTerms asked = MembershipTerms.of(c.args());
+        MembershipTerms terms = Member.terms(rows);
         if (terms != null && !terms.equals(asked)) {
             if (Member.all(rows).stream()
                     .anyMatch(o -> o.alive(at.micros()) || o.lingers(at.micros(), terms))) {
@@ -81,7 +81,7 @@
                         asked.difference(terms) + " differs from what the members agreed on");
             }
             // Nobody uses more than its floor any more; the former places go with the former terms.
-            rows.of(Member.PART).keySet().forEach(name -> rows.remove(Member.PART, name));
+            rows.ofPart(Member.PART).keySet().forEach(name -> rows.remove(Member.PART, name));
             m = null;
         }
         if (m == null && rows.count(Member.PART) >= asked.places() && !makeRoom(rows, at, asked)) {
@@ -94,7 +94,7 @@
             return stored(
                     rows,
                     at,
-                    back(m, at, asked).until(until),
+                    back(m, at, asked).withLeaseEnd(until),
                     asked); // A join that came twice, or late.
         }
         // A former incarnation of the name has ended before this one joins, so what it held is this
@@ -108,20 +108,20 @@
                         : new Member(
                                 c.from(),
                                 c.incarnation(),
-                                Math.max(m.until(), until),
+                                Math.max(m.leaseEndMicros(), until),
                                 Math.min(m.share(), m.reserved(at.micros(), asked)),
                                 at.index(),
-                                m.alive(at.micros()) ? m.held() : 0,
-                                m.alive(at.micros()) ? m.heldUntil() : 0);
+                                m.alive(at.micros()) ? m.revokedShare() : 0,
+                                m.alive(at.micros()) ? m.revokedUntilMicros() : 0);
         return stored(rows, at, joined, asked);
     }
 
     /** Forgets the one that is gone for longest. */
-    private static boolean makeRoom(Rows rows, Moment at, Terms terms) {
+    private static boolean makeRoom(Rows rows, Moment at, MembershipTerms terms) {
         Member longest =
                 Member.all(rows).stream()
                         .filter(m -> !m.alive(at.micros()) && !m.lingers(at.micros(), terms))
-                        .min(Comparator.comparingLong(Member::until))
+                        .min(Comparator.comparingLong(Member::leaseEndMicros))
                         .orElse(null);
         if (longest != null) {
             rows.remove(Member.PART, longest.name());
@@ -130,20 +130,23 @@
     }
 
     private Answer renew(Rows rows, Moment at, Command c, Member m) {
-        Terms terms = Member.terms(rows);
-        long grant = c.args().whole("grant");
-        Member now = m.alive(at.micros()) && grant == m.grant() ? m.settled() : back(m, at, terms);
-        return stored(rows, at, now.until(at.micros() + terms.leaseMicros()), terms);
+        MembershipTerms terms = Member.terms(rows);
+        long grant = c.args().integer("grant");
+        Member now =
+                m.alive(at.micros()) && grant == m.grantIndex()
+                        ? m.withoutRevokedShare()
+                        : back(m, at, terms);
+        return stored(rows, at, now.withLeaseEnd(at.micros() + terms.leaseMicros()), terms);
     }
 
     /** One whose lease was over begins with what was kept for it. */
-    private static Member back(Member m, Moment at, Terms terms) {
+    private static Member back(Member m, Moment at, MembershipTerms terms) {
         return m.alive(at.micros())
                 ? m
                 : new Member(
                         m.name(),
                         m.incarnation(),
-                        m.until(),
+                        m.leaseEndMicros(),
                         Math.min(m.share(), m.reserved(at.micros(), terms)),
                         at.index(),
                         0,
@@ -155,33 +158,40 @@
                 new Member(
                         m.name(),
                         m.incarnation(),
-                        Math.min(m.until(), at.micros()),
-                        Math.min(m.share(), Terms.EVEN),
+                        Math.min(m.leaseEndMicros(), at.micros()),
+                        Math.min(m.share(), MembershipTerms.EVEN_SHARE),
                         at.index(),
                         0,
                         0);
         return stored(rows, at, left, Member.terms(rows));
     }
 
-    private Answer stored(Rows rows, Moment at, Member m, Terms terms) {
+    private Answer stored(Rows rows, Moment at, Member m, MembershipTerms terms) {
         rows.put(Member.PART, m.name(), m.row());
         settle(rows, at, terms);
         Member now = Member.of(rows, m.name());
         return Answer.done(
-                "", Row.of("until", now.until(), "share", now.share(), "grant", now.grant()));
+                "",
+                Row.of(
+                        "until",
+                        now.leaseEndMicros(),
+                        "share",
+                        now.share(),
+                        "grant",
+                        now.grantIndex()));
     }
 
     @Override
     public void advance(Rows rows, Moment at) {
-        Terms terms = Member.terms(rows);
+        MembershipTerms terms = Member.terms(rows);
         if (terms != null) {
             settle(rows, at, terms);
         }
     }
 
-    private void settle(Rows rows, Moment at, Terms terms) {
+    private void settle(Rows rows, Moment at, MembershipTerms terms) {
         List<Member> before = Member.all(rows);
-        List<Member> after = split(terms, at, before).done();
+        List<Member> after = allocation(terms, at, before).done();
         for (int i = 0;
                 i < after.size();
                 i++) { // Both by name. Most of the time nothing has changed.
@@ -192,7 +202,7 @@
     }
 
     /** Tests put another in its place to see that checkers notice. */
-    Split split(Terms terms, Moment at, List<Member> before) {
-        return new Split(terms, at, before);
+    ShareAllocation allocation(MembershipTerms terms, Moment at, List<Member> before) {
+        return new ShareAllocation(terms, at, before);
     }
 }
--- a/core/src/main/java/postgrade/member/Terms.java
+++ b/core/src/main/java/postgrade/member/MembershipTerms.java
@@ -7,7 +7,7 @@
  * with other terms is told which differ.
  *
  * <p>Shares count in millionths of the even share, that is of one place's part of every rate:
- * {@link #EVEN} times the places is the whole.
+ * {@link #EVEN_SHARE} times the places is the whole.
  *
  * @param places over how many processes the rates are split at most
  * @param leaseMicros how long a share above the even one may be used after it was last renewed, by
@@ -17,37 +17,38 @@
  * @param floor what each place keeps for ever, so that one that comes back or is long cut off has
  *     something to serve by
  */
-public record Terms(int places, long leaseMicros, long lingerMicros, long floor) {
+public record MembershipTerms(int places, long leaseMicros, long lingerMicros, long floor) {
 
-    public static final long EVEN = 1_000_000;
+    public static final long EVEN_SHARE = 1_000_000;
     private static final int MOST_PLACES = 1000;
-    private static final long SHORTEST_LEASE = 2 * Shares.BACKLOG_MICROS;
+    private static final long SHORTEST_LEASE = 2 * EffectiveShare.MAX_UNCOMMITTED_MICROS;
     private static final long LONGEST = 3_600_000_000L;
 
-    public Terms {
+    public MembershipTerms {
         check("places", places, 1, MOST_PLACES);
         check("leaseMicros", leaseMicros, SHORTEST_LEASE, LONGEST);
         check("lingerMicros", lingerMicros, 0, LONGEST);
-        check("floor", floor, 1, EVEN);
+        check("floor", floor, 1, EVEN_SHARE);
     }
 
     /** Six seconds of lease, twenty of linger, a quarter of the even share as floor. */
-    public static Terms of(int places) {
-        return new Terms(places, 6_000_000, 20_000_000, EVEN / 4);
+    public static MembershipTerms of(int places) {
+        return new MembershipTerms(places, 6_000_000, 20_000_000, EVEN_SHARE / 4);
     }
 
     private static void check(String field, long value, long least, long most) {
         if (value < least || value > most) {
-            throw new Row.Refused(field, "must lie between " + least + " and " + most);
+            throw new Row.InvalidFieldException(
+                    field, "must lie between " + least + " and " + most);
         }
     }
 
-    static Terms of(Row row) {
-        return new Terms(
-                (int) row.whole("places", 1, MOST_PLACES),
-                row.whole("leaseMicros"),
-                row.whole("lingerMicros"),
-                row.whole("floor"));
+    static MembershipTerms of(Row row) {
+        return new MembershipTerms(
+                (int) row.integer("places", 1, MOST_PLACES),
+                row.integer("leaseMicros"),
+                row.integer("lingerMicros"),
+                row.integer("floor"));
     }
 
     Row row() {
@@ -63,11 +64,11 @@
     }
 
     long whole() {
-        return places * EVEN;
+        return places * EVEN_SHARE;
     }
 
     /** The name of the first that differs, or null. */
-    String difference(Terms other) {
+    String difference(MembershipTerms other) {
         return places != other.places
                 ? "places"
                 : leaseMicros != other.leaseMicros
--- a/core/src/main/java/postgrade/member/OutPart.java
+++ b/core/src/main/java/postgrade/member/OutOfServicePart.java
@@ -4,15 +4,15 @@
 import postgrade.shared.Answer;
 import postgrade.shared.Command;
 import postgrade.shared.Moment;
-import postgrade.shared.Part;
 import postgrade.shared.Row;
 import postgrade.shared.Rows;
+import postgrade.shared.StatePart;
 
 /**
  * Workers that operators have taken out, until they put them back: known to whoever comes later,
  * whatever its disk.
  */
-public final class OutPart implements Part {
+public final class OutOfServicePart implements StatePart {
 
     static final String PART = "out";
 
@@ -26,24 +26,27 @@
         return PART;
     }
 
-    public static Command takeOut(String requestId, String from, long incarnation, String worker) {
+    public static Command takeOutOfService(
+            String requestId, String from, long incarnation, String worker) {
         return new Command(requestId, from, incarnation, PART, "exit", Row.of("worker", worker));
     }
 
-    public static Command putBack(String requestId, String from, long incarnation, String worker) {
+    public static Command returnToService(
+            String requestId, String from, long incarnation, String worker) {
         return new Command(requestId, from, incarnation, PART, "enter", Row.of("worker", worker));
     }
 
     /** Those that are out. */
-    public static Set<String> out(Rows rows) {
-        return rows.of(PART).keySet();
+    public static Set<String> outOfService(Rows rows) {
+        return rows.ofPart(PART).keySet();
     }
 
     @Override
     public Answer apply(Rows rows, Moment at, Command c) {
         String worker = c.args().text("worker");
         if (worker.isEmpty() || worker.length() > LONGEST_ID) {
-            throw new Row.Refused("worker", "must have 1 to " + LONGEST_ID + " characters");
+            throw new Row.InvalidFieldException(
+                    "worker", "must have 1 to " + LONGEST_ID + " characters");
         }
         Row out = rows.get(PART, worker);
         switch (c.verb()) {
--- a/core/src/main/java/postgrade/member/Split.java
+++ b/core/src/main/java/postgrade/member/ShareAllocation.java
@@ -12,13 +12,13 @@
  * is reserved for nobody is granted. So a share that grows waits until others were seen to shrink
  * or their leases are over.
  */
-class Split {
+class ShareAllocation {
 
-    private final Terms terms;
+    private final MembershipTerms terms;
     private final Moment at;
     private final SortedMap<String, Member> members = new TreeMap<>();
 
-    Split(Terms terms, Moment at, List<Member> before) {
+    ShareAllocation(MembershipTerms terms, Moment at, List<Member> before) {
         this.terms = terms;
         this.at = at;
         before.forEach(m -> members.put(m.name(), after(m)));
@@ -28,19 +28,19 @@
     private Member after(Member m) {
         long now = at.micros();
         if (!m.alive(now)) {
-            long most = m.lingers(now, terms) ? Terms.EVEN : terms.floor();
-            if (m.share() > most || m.held() > 0) {
+            long most = m.lingers(now, terms) ? MembershipTerms.EVEN_SHARE : terms.floor();
+            if (m.share() > most || m.revokedShare() > 0) {
                 return new Member(
                         m.name(),
                         m.incarnation(),
-                        m.until(),
+                        m.leaseEndMicros(),
                         Math.min(m.share(), most),
                         at.index(),
                         0,
                         0);
             }
         }
-        return now >= m.heldUntil() && m.held() > 0 ? m.settled() : m;
+        return now >= m.revokedUntilMicros() && m.revokedShare() > 0 ? m.withoutRevokedShare() : m;
     }
 
     /** The members as they stand afterwards. */
@@ -101,7 +101,7 @@
      */
     private long unseen() {
         long lastUsed = (at.era() > 1 ? terms.leaseMicros() : 0) + terms.lingerMicros();
-        return at.micros() < lastUsed ? Terms.EVEN : terms.floor();
+        return at.micros() < lastUsed ? MembershipTerms.EVEN_SHARE : terms.floor();
     }
 
     /**
--- a/core/src/main/java/postgrade/comeback/Ramp.java
+++ b/core/src/main/java/postgrade/recovery/AdmissionRamp.java
@@ -1,11 +1,11 @@
-package postgrade.comeback;
+package postgrade.recovery;
 
 /**
  * How much of what is within the shares a process takes in while it comes back. It begins with what
  * its warm workers can do, grows as long as workers take what they are sent, and goes back when
  * they are full.
  */
-public final class Ramp {
+public final class AdmissionRamp {
 
     private static final long WINDOW_MICROS = 100_000;
     private static final double GROW = 1.35;
@@ -26,14 +26,14 @@
      * @param able what the known workers can do now, as a part of what they can do once all are
      *     warm
      */
-    public Ramp(long nowMicros, double able) {
+    public AdmissionRamp(long nowMicros, double able) {
         start = Math.max(LEAST, Math.min(1, Double.isNaN(able) ? LEAST : able));
         part = start;
         windowAt = nowMicros;
     }
 
     /** A worker took a job, or said that it is full. */
-    public void answered(boolean saidFull) {
+    public void recordAnswer(boolean saidFull) {
         if (saidFull) {
             full++;
         } else {
@@ -42,7 +42,7 @@
     }
 
     /** Part of the jobs to take in; 1 once it is over, and then for good. */
-    public double part(long nowMicros) {
+    public double admittedShare(long nowMicros) {
         if (nowMicros - windowAt >= WINDOW_MICROS && part < 1) {
             windowAt = nowMicros;
             if (full > FULL_PART * (full + taken)) {
@@ -58,6 +58,6 @@
 
     /** Whether this job is among those taken in; the same for whoever asks again. */
     public boolean admits(long nowMicros, String requestId) {
-        return Returning.spread(requestId, 0) < part(nowMicros);
+        return RetryAfterSpread.uniformHash(requestId, 0) < admittedShare(nowMicros);
     }
 }
--- a/core/src/main/java/postgrade/comeback/Memory.java
+++ b/core/src/main/java/postgrade/recovery/LearntSnapshot.java
@@ -1,4 +1,4 @@
-package postgrade.comeback;
+package postgrade.recovery;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -13,40 +13,41 @@
  * @param savedMicros Unix time of writing
  * @param served worth in time as a part of the worth asked for, then; NaN where not known
  */
-public record Memory(String dispatcher, long savedMicros, double served, List<Figure> figures) {
+public record LearntSnapshot(
+        String dispatcher, long savedMicros, double servedShare, List<Entry> entries) {
 
     /**
      * @param startedMillis of the worker of which it was learnt, by discovery; 0 for anything but a
      *     worker
      */
-    public record Figure(PolicyStateEntry learnt, long startedMillis) {
-        public Figure {
+    public record Entry(PolicyStateEntry learnt, long startedMillis) {
+        public Entry {
             Objects.requireNonNull(learnt, "learnt");
         }
     }
 
-    public Memory {
-        figures = List.copyOf(figures);
+    public LearntSnapshot {
+        entries = List.copyOf(entries);
     }
 
     /**
      * @param startedMillis of each worker now, by its id
      */
-    public static Memory of(
+    public static LearntSnapshot capture(
             String dispatcher,
             long nowMicros,
             double served,
             List<PolicyStateEntry> learnt,
             Map<String, Long> startedMillis) {
-        List<Figure> figures = new ArrayList<>();
+        List<Entry> figures = new ArrayList<>();
         for (PolicyStateEntry l : learnt) {
             if (!Trust.ofWorker(l)) {
-                figures.add(new Figure(l, 0));
+                figures.add(new Entry(l, 0));
             } else if (startedMillis.containsKey(l.name())) {
-                figures.add(new Figure(l, startedMillis.get(l.name())));
+                figures.add(new Entry(l, startedMillis.get(l.name())));
             }
         }
-        return new Memory(dispatcher, nowMicros, served, figures);
+        return new LearntSnapshot(dispatcher, nowMicros, served, figures);
     }
 
     /** How old it is; a clock that was set back a little makes it new, not of the future. */
@@ -59,9 +60,9 @@
      *
      * @param startedMillis of each worker now, by its id, as discovery tells
      */
-    public List<PolicyStateEntry> trusted(long nowMicros, Map<String, Long> startedMillis) {
+    public List<PolicyStateEntry> trustedEntries(long nowMicros, Map<String, Long> startedMillis) {
         List<PolicyStateEntry> trusted = new ArrayList<>();
-        for (Figure f : figures) {
+        for (Entry f : entries) {
             Long started = startedMillis.get(f.learnt().name());
             // A worker that is not listed, or has started since, is not the one of which this was
             // learnt.
--- a/core/src/main/java/postgrade/comeback/MemoryFormat.java
+++ b/core/src/main/java/postgrade/recovery/LearntSnapshotFormat.java
@@ -1,18 +1,18 @@
-package postgrade.comeback;
+package postgrade.recovery;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.zip.CRC32C;
-import postgrade.comeback.Memory.Figure;
-import postgrade.comeback.Unusable.Fault;
 import postgrade.policy.api.PolicyStateEntry;
+import postgrade.recovery.LearntSnapshot.Entry;
+import postgrade.recovery.UnusableSnapshotException.Fault;
 
 /**
  * A snapshot as bytes: a head line with version, checksum and length, then lines of words. All of
  * it is ASCII, so that an operator can read it. The head stays as it is in later versions; the
  * checksum covers version, length and body.
  */
-public final class MemoryFormat {
+public final class LearntSnapshotFormat {
 
     static final int VERSION = 1;
 
@@ -27,15 +27,19 @@
     /** Clocks that were set back by less are nothing to worry about. */
     private static final long AHEAD_MICROS = 5_000_000;
 
-    private MemoryFormat() {}
+    private LearntSnapshotFormat() {}
 
     /** Figures beyond the bounds are left out, those told first stay. */
-    public static byte[] write(Memory m) {
+    public static byte[] write(LearntSnapshot m) {
         StringBuilder body = new StringBuilder();
         body.append("dispatcher ").append(Words.escape(m.dispatcher())).append('\n');
-        body.append("saved ").append(m.savedMicros()).append(' ').append(m.served()).append('\n');
+        body.append("saved ")
+                .append(m.savedMicros())
+                .append(' ')
+                .append(m.servedShare())
+                .append('\n');
         int written = 0;
-        for (Figure f : m.figures()) {
+        for (Entry f : m.entries()) {
             String line = line(f);
             if (written++ == MOST_FIGURES
                     || body.length() + line.length() > MOST_BYTES - LONGEST_HEAD) {
@@ -56,7 +60,7 @@
                         + text);
     }
 
-    private static String line(Figure f) {
+    private static String line(Entry f) {
         StringBuilder line =
                 new StringBuilder(Words.escape(f.learnt().category()))
                         .append(' ')
@@ -81,15 +85,16 @@
      * @param dispatcher who reads; another's snapshot is of no use to it
      * @param nowMicros Unix time
      */
-    public static Memory read(byte[] bytes, String dispatcher, long nowMicros) throws Unusable {
-        Memory m = parse(body(bytes));
+    public static LearntSnapshot read(byte[] bytes, String dispatcher, long nowMicros)
+            throws UnusableSnapshotException {
+        LearntSnapshot m = parse(body(bytes));
         if (!m.dispatcher().equals(dispatcher)) {
-            throw new Unusable(
+            throw new UnusableSnapshotException(
                     Fault.OTHER_DISPATCHER,
                     "dispatcher is " + m.dispatcher() + ", not " + dispatcher);
         }
         if (m.savedMicros() > nowMicros + AHEAD_MICROS) {
-            throw new Unusable(
+            throw new UnusableSnapshotException(
                     Fault.FROM_THE_FUTURE,
                     "saved lies " + (m.savedMicros() - nowMicros) / 1_000_000 + " s in the future");
         }
@@ -97,17 +102,19 @@
     }
 
     /** The body, once head and checksum are right. */
-    private static String body(byte[] bytes) throws Unusable {
+    private static String body(byte[] bytes) throws UnusableSnapshotException {
         if (bytes.length > MOST_BYTES) {
-            throw new Unusable(Fault.TOO_LARGE, "it has more than " + MOST_BYTES + " bytes");
+            throw new UnusableSnapshotException(
+                    Fault.TOO_LARGE, "it has more than " + MOST_BYTES + " bytes");
         }
         String all = Words.text(bytes);
         int end = all.indexOf('\n');
         if (!all.startsWith(MAGIC) && !MAGIC.startsWith(all)) {
-            throw new Unusable(Fault.NOT_A_SNAPSHOT, "it does not begin with " + MAGIC);
+            throw new UnusableSnapshotException(
+                    Fault.NOT_A_SNAPSHOT, "it does not begin with " + MAGIC);
         }
         if (end < 0) {
-            throw new Unusable(Fault.TORN, "its first line does not end");
+            throw new UnusableSnapshotException(Fault.TORN, "its first line does not end");
         }
         String[] head = all.substring(0, end).split(" ", -1);
         String body = all.substring(end + 1);
@@ -117,47 +124,48 @@
             version = Integer.parseInt(head[1]);
             length = Integer.parseInt(head[3]);
         } catch (NumberFormatException | ArrayIndexOutOfBoundsException e) {
-            throw new Unusable(Fault.FLIPPED, "its first line is damaged");
+            throw new UnusableSnapshotException(Fault.FLIPPED, "its first line is damaged");
         }
         if (body.length() != length) {
-            throw new Unusable(Fault.TORN, "it has " + body.length() + " of " + length + " bytes");
+            throw new UnusableSnapshotException(
+                    Fault.TORN, "it has " + body.length() + " of " + length + " bytes");
         }
         if (!all.substring(0, end)
                 .equals(MAGIC + " " + version + " " + checksum(version, body) + " " + length)) {
-            throw new Unusable(Fault.FLIPPED, "its checksum does not match");
+            throw new UnusableSnapshotException(Fault.FLIPPED, "its checksum does not match");
         }
         if (version > VERSION) {
-            throw new Unusable(
+            throw new UnusableSnapshotException(
                     Fault.LATER_FORMAT, "its format " + version + " is later than " + VERSION);
         }
         return body;
     }
 
-    private static Memory parse(String body) throws Unusable {
+    private static LearntSnapshot parse(String body) throws UnusableSnapshotException {
         String[] lines = body.split("\n", -1);
         try {
             String[] saved = lines[1].split(" ", -1);
-            List<Figure> figures = new ArrayList<>();
+            List<Entry> figures = new ArrayList<>();
             for (int i = 2; i < lines.length - 1; i++) {
                 figures.add(figure(lines[i].split(" ", -1)));
             }
             if (figures.size() > MOST_FIGURES) {
-                throw new Unusable(
+                throw new UnusableSnapshotException(
                         Fault.TOO_LARGE, "it has more than " + MOST_FIGURES + " figures");
             }
-            return new Memory(
+            return new LearntSnapshot(
                     Words.plain(lines[0].split(" ", -1)[1]),
                     Long.parseLong(saved[1]),
                     Double.parseDouble(saved[2]),
                     figures);
         } catch (NumberFormatException | IndexOutOfBoundsException e) {
-            throw new Unusable(
+            throw new UnusableSnapshotException(
                     Fault.MALFORMED,
                     "its checksum matches, but its lines are not those of a snapshot");
         }
     }
 
-    private static Figure figure(String[] words) {
+    private static Entry figure(String[] words) {
         double[] figures = new double[words.length - 3];
         for (int i = 0; i < figures.length; i++) {
             figures[i] = Double.parseDouble(words[i + 3]);
@@ -165,7 +173,7 @@
                 throw new NumberFormatException();
             }
         }
-        return new Figure(
+        return new Entry(
                 new PolicyStateEntry(Words.plain(words[0]), Words.plain(words[1]), figures),
                 Long.parseLong(words[2]));
     }
--- a/core/src/main/java/postgrade/comeback/Gate.java
+++ b/core/src/main/java/postgrade/recovery/Pacer.java
@@ -1,11 +1,11 @@
-package postgrade.comeback;
+package postgrade.recovery;
 
 /**
  * Lets something happen at most so often, evenly spaced. Two gates of the same pace whose phases
  * differ are never open at the same moment, so what many processes do at once is spread without a
  * word between them.
  */
-public final class Gate {
+public final class Pacer {
 
     private double perMicro;
     private double tokens;
@@ -15,7 +15,7 @@
      * @param perSecond how often at most
      * @param phase part of the time between two, from 0 to below 1, that passes before the first
      */
-    public Gate(long nowMicros, double perSecond, double phase) {
+    public Pacer(long nowMicros, double perSecond, double phase) {
         if (!(perSecond >= 0) || !(phase >= 0) || phase >= 1) {
             throw new IllegalArgumentException(
                     "perSecond must not be negative, phase lie from 0 to below 1");
@@ -26,7 +26,7 @@
     }
 
     /** More or fewer live than before. */
-    public void pace(long nowMicros, double perSecond) {
+    public void setRate(long nowMicros, double perSecond) {
         refill(nowMicros);
         perMicro = Math.max(0, perSecond) / 1e6;
     }
@@ -37,7 +37,7 @@
     }
 
     /** True if it may happen now, and then it has. */
-    public boolean take(long nowMicros) {
+    public boolean tryAcquire(long nowMicros) {
         refill(nowMicros);
         if (tokens < 1 - 1e-9) {
             return false;
@@ -47,7 +47,7 @@
     }
 
     /** It has happened, whether or not it might: what follows waits for longer. */
-    public void force(long nowMicros) {
+    public void forceAcquire(long nowMicros) {
         refill(nowMicros);
         tokens = Math.max(-1, tokens - 1);
     }
--- a/core/src/main/java/postgrade/comeback/Crowd.java
+++ b/core/src/main/java/postgrade/recovery/RecentDemand.java
@@ -1,7 +1,7 @@
-package postgrade.comeback;
+package postgrade.recovery;
 
 /** Who asks of late, and who was turned away: a second's worth, fading. */
-public final class Crowd {
+public final class RecentDemand {
 
     private static final double LATELY_MICROS = 1e6;
 
@@ -14,7 +14,7 @@
     private double refused;
     private long atMicros;
 
-    public void asked(long nowMicros, boolean turnedAway) {
+    public void record(long nowMicros, boolean turnedAway) {
         double keep = Math.exp(-Math.max(0, nowMicros - atMicros) / LATELY_MICROS);
         asked = asked * keep + 1;
         refused = refused * keep + (turnedAway ? 1 : 0);
@@ -26,7 +26,8 @@
      *
      * @param ratePerS what may be taken in once the ramp is over
      */
-    public long widthMicros(double ratePerS) {
-        return Returning.widthMicros(refused, Math.max(ratePerS * LEAST_SPARE, ratePerS - asked));
+    public long spreadMicros(double ratePerS) {
+        return RetryAfterSpread.spreadMicros(
+                refused, Math.max(ratePerS * LEAST_SPARE, ratePerS - asked));
     }
 }
--- a/core/src/main/java/postgrade/comeback/Recovery.java
+++ b/core/src/main/java/postgrade/recovery/Recovery.java
@@ -1,4 +1,4 @@
-package postgrade.comeback;
+package postgrade.recovery;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -28,7 +28,7 @@
      *     asked
      * @param before the same before the fault; NaN where nobody knows
      */
-    public record Seen(
+    public record Observation(
             boolean remembers,
             boolean listKnown,
             long viewAgeMicros,
@@ -51,45 +51,49 @@
     public record Bounds(long viewBoundMicros, long patienceMicros, long holdMicros) {}
 
     /** A phase, since when, and why. */
-    public record Step(Phase phase, long atMicros, String cause) {}
+    public record Step(RecoveryPhase phase, long atMicros, String cause) {}
 
-    private record Way(Phase from, Phase to, String cause, BiPredicate<Recovery, Seen> open) {}
+    private record Way(
+            RecoveryPhase from,
+            RecoveryPhase to,
+            String cause,
+            BiPredicate<Recovery, Observation> open) {}
 
     private static final List<Way> WAYS =
             List.of(
                     new Way(
-                            Phase.EMPTY,
-                            Phase.REMEMBERING,
+                            RecoveryPhase.EMPTY,
+                            RecoveryPhase.REMEMBERING,
                             "own snapshot is trusted",
                             (r, s) -> s.remembers),
                     new Way(
-                            Phase.EMPTY,
-                            Phase.CATCHING_UP,
+                            RecoveryPhase.EMPTY,
+                            RecoveryPhase.CATCHING_UP,
                             "workers are known",
                             (r, s) -> s.listKnown),
                     new Way(
-                            Phase.REMEMBERING,
-                            Phase.CATCHING_UP,
+                            RecoveryPhase.REMEMBERING,
+                            RecoveryPhase.CATCHING_UP,
                             "workers are known",
                             (r, s) -> s.listKnown),
                     new Way(
-                            Phase.CATCHING_UP,
-                            Phase.RAMPING,
+                            RecoveryPhase.CATCHING_UP,
+                            RecoveryPhase.RAMPING,
                             "view is new and the share granted",
                             (r, s) -> s.joined && s.viewAgeMicros <= r.bounds.viewBoundMicros),
                     new Way(
-                            Phase.CATCHING_UP,
-                            Phase.RAMPING,
+                            RecoveryPhase.CATCHING_UP,
+                            RecoveryPhase.RAMPING,
                             "no word from the quorum in time",
                             (r, s) -> r.inPhaseMicros() >= r.bounds.patienceMicros),
                     new Way(
-                            Phase.RAMPING,
-                            Phase.FULL,
+                            RecoveryPhase.RAMPING,
+                            RecoveryPhase.FULL,
                             "as much is served as before",
                             (r, s) -> r.asBeforeMicros() >= r.bounds.holdMicros),
                     new Way(
-                            Phase.FULL,
-                            Phase.RAMPING,
+                            RecoveryPhase.FULL,
+                            RecoveryPhase.RAMPING,
                             "a fault was seen and less is served",
                             (r, s) -> r.faulted && !s.asBefore()));
 
@@ -103,19 +107,19 @@
         this.bounds = bounds;
         this.nowMicros = nowMicros;
         fallenShortAt = nowMicros;
-        steps.add(new Step(Phase.EMPTY, nowMicros, "started"));
+        steps.add(new Step(RecoveryPhase.EMPTY, nowMicros, "started"));
     }
 
     /**
      * Others died or were cut off: what is served from now on is measured against what was served
      * until now.
      */
-    public void fault() {
+    public void recordFault() {
         faulted = true;
     }
 
     /** Looks at what there is now; several phases may be passed at once. */
-    public Phase look(long now, Seen seen) {
+    public RecoveryPhase update(long now, Observation seen) {
         nowMicros = now;
         if (seen.admitted < 1 || !seen.asBefore()) {
             fallenShortAt = now;
@@ -125,12 +129,12 @@
                 steps.remove(1); // The start stays.
             }
             steps.add(new Step(way.to, now, way.cause));
-            faulted = faulted && way.to != Phase.RAMPING;
+            faulted = faulted && way.to != RecoveryPhase.RAMPING;
         }
         return phase();
     }
 
-    private Way next(Seen seen) {
+    private Way next(Observation seen) {
         return WAYS.stream()
                 .filter(w -> w.from == phase() && w.open.test(this, seen))
                 .findFirst()
@@ -149,7 +153,7 @@
         return steps.get(steps.size() - 1);
     }
 
-    public Phase phase() {
+    public RecoveryPhase phase() {
         return last().phase;
     }
 
--- a/core/src/main/java/postgrade/comeback/Phase.java
+++ b/core/src/main/java/postgrade/recovery/RecoveryPhase.java
@@ -1,7 +1,7 @@
-package postgrade.comeback;
+package postgrade.recovery;
 
 /** How far a process has come back after a start or a fault. */
-public enum Phase {
+public enum RecoveryPhase {
     /** Knows nothing but its settings. */
     EMPTY,
     /** Goes by what it learnt before, as far as that may be trusted. */
--- a/core/src/main/java/postgrade/comeback/Returning.java
+++ b/core/src/main/java/postgrade/recovery/RetryAfterSpread.java
@@ -1,15 +1,15 @@
-package postgrade.comeback;
+package postgrade.recovery;
 
 /**
  * When refused callers are told to come back: not together, and not faster than they can be taken
  * in.
  */
-public final class Returning {
+public final class RetryAfterSpread {
 
-    private Returning() {}
+    private RetryAfterSpread() {}
 
     /** From 0 to below 1, evenly over ids, always the same for an id and seed. */
-    static double spread(String requestId, long seed) {
+    static double uniformHash(String requestId, long seed) {
         long z = seed * 0x9e3779b97f4a7c15L;
         for (int i = 0; i < requestId.length(); i++) {
             z = (z ^ requestId.charAt(i)) * 0x100000001b3L;
@@ -22,7 +22,7 @@
     /**
      * Over so long those refused of late can be taken in, at this rate beside what comes anyway.
      */
-    public static long widthMicros(double refused, double sparePerS) {
+    public static long spreadMicros(double refused, double sparePerS) {
         return sparePerS <= 0
                 ? Long.MAX_VALUE
                 : (long) Math.min(Long.MAX_VALUE / 2, refused / sparePerS * 1e6);
@@ -33,13 +33,13 @@
      * @param widthMicros spread over so long after that
      * @param mostMicros callers do not wait longer
      */
-    public static long afterMicros(
+    public static long retryAfterMicros(
             String requestId, long seed, long leastMicros, long widthMicros, long mostMicros) {
         long least =
                 Math.min(
                         leastMicros,
                         mostMicros / 2); // Some width stays, however late the first may come.
         long width = Math.max(0, Math.min(widthMicros, mostMicros - least));
-        return least + (long) (spread(requestId, seed) * width);
+        return least + (long) (uniformHash(requestId, seed) * width);
     }
 }
--- a/core/src/main/java/postgrade/comeback/Worth.java
+++ b/core/src/main/java/postgrade/recovery/ServedWorth.java
@@ -1,10 +1,10 @@
-package postgrade.comeback;
+package postgrade.recovery;
 
 /**
  * How much of what callers asked for was served in time, weighed by worth: of late, and over longer
  * before a fault.
  */
-public final class Worth {
+public final class ServedWorth {
 
     private static final double LATELY_MICROS = 2e6;
     private static final double LONG_MICROS = 30e6;
@@ -14,15 +14,15 @@
     private double askedLong;
     private double inTimeLong;
     private long atMicros;
-    private double before = Double.NaN;
+    private double baseline = Double.NaN;
 
-    public Worth(long nowMicros) {
+    public ServedWorth(long nowMicros) {
         atMicros = nowMicros;
     }
 
     /** What was served before this process began, as its snapshot tells. */
-    public void remember(double part) {
-        before = part;
+    public void setBaseline(double part) {
+        baseline = part;
     }
 
     /** A job has its final answer. */
@@ -51,30 +51,30 @@
      * From now on it is measured against what was served so far. Several faults in a row count from
      * the first.
      */
-    public void fault(long nowMicros) {
+    public void recordFault(long nowMicros) {
         fade(nowMicros);
-        if (Double.isNaN(before) && askedLong > 0) {
-            before = inTimeLong / askedLong;
+        if (Double.isNaN(baseline) && askedLong > 0) {
+            baseline = inTimeLong / askedLong;
         }
     }
 
     /** Service is full again. */
-    public void recovered() {
-        before = Double.NaN;
+    public void clearBaseline() {
+        baseline = Double.NaN;
     }
 
     /** Of late; NaN where nothing was asked. */
-    public double served(long nowMicros) {
+    public double recentShare(long nowMicros) {
         fade(nowMicros);
         return askedLately < 1e-9 ? Double.NaN : inTimeLately / askedLately;
     }
 
     /** Over the longer time; NaN where nothing was asked. */
-    public double usual() {
+    public double longTermShare() {
         return askedLong < 1e-9 ? Double.NaN : inTimeLong / askedLong;
     }
 
-    public double before() {
-        return before;
+    public double baseline() {
+        return baseline;
     }
 }
--- a/core/src/main/java/postgrade/comeback/Stampede.java
+++ b/core/src/main/java/postgrade/recovery/ThunderingHerdLimits.java
@@ -1,4 +1,4 @@
-package postgrade.comeback;
+package postgrade.recovery;
 
 /**
  * Bounds for a time in which most come back at once: whatever loads others is done at most so many
@@ -9,10 +9,10 @@
  * @param places how many processes there are when all live
  * @param place of this one among them, from 0
  */
-public record Stampede(Steady steady, double multiple, int places, int place) {
+public record ThunderingHerdLimits(SteadyRates steady, double multiple, int places, int place) {
 
     /** What loads others: discovery, the quorum, and each worker. */
-    public enum Kind {
+    public enum LoadKind {
         LIST,
         PULL,
         CONNECT,
@@ -24,9 +24,9 @@
      * Rates of a second when nothing happens, of all processes together; the last three for each
      * worker.
      */
-    public record Steady(
+    public record SteadyRates(
             double lists, double pulls, double connects, double coldSends, double probes) {
-        public Steady {
+        public SteadyRates {
             for (double d : new double[] {lists, pulls, connects, coldSends, probes}) {
                 if (!(d >= 0) || Double.isInfinite(d)) {
                     throw new IllegalArgumentException("steady rates must be numbers of 0 or more");
@@ -34,7 +34,7 @@
             }
         }
 
-        double of(Kind kind) {
+        double of(LoadKind kind) {
             return switch (kind) {
                 case LIST -> lists;
                 case PULL -> pulls;
@@ -45,7 +45,7 @@
         }
     }
 
-    public Stampede {
+    public ThunderingHerdLimits {
         if (!(multiple >= 1) || places < 1 || place < 0 || place >= places) {
             throw new IllegalArgumentException(
                     "multiple must be at least 1, place lie from 0 to below places");
@@ -57,30 +57,31 @@
      *
      * @param alive as the view tells, 0 where it does not
      */
-    public double perSecond(Kind kind, int alive) {
+    public double perSecond(LoadKind kind, int alive) {
         int sharers = alive < 1 || alive > places ? places : alive;
         return multiple * steady.of(kind) / sharers;
     }
 
     /** The most that all together do of it within such a time, whatever happens. */
-    public double most(Kind kind, long withinMicros) {
+    public double maxWithin(LoadKind kind, long withinMicros) {
         return multiple * steady.of(kind) * withinMicros / 1e6 + places;
     }
 
     /** Begins closed by the process's own phase, so that all begin one after another. */
-    public Gate gate(long nowMicros, Kind kind, int alive) {
-        return gate(nowMicros, kind, alive, "");
+    public Pacer pacer(long nowMicros, LoadKind kind, int alive) {
+        return pacer(nowMicros, kind, alive, "");
     }
 
     /**
      * @param worker another order for each worker, so that they are not all called on in the same
      *     one, nor two at once
      */
-    public Gate gate(long nowMicros, Kind kind, int alive, String worker) {
+    public Pacer pacer(long nowMicros, LoadKind kind, int alive, String worker) {
         int turn = Math.floorMod(place + worker.hashCode(), places);
-        return new Gate(
+        return new Pacer(
                 nowMicros,
                 perSecond(kind, alive),
-                (turn + (worker.isEmpty() ? 0.5 : Returning.spread(worker, 1))) / places);
+                (turn + (worker.isEmpty() ? 0.5 : RetryAfterSpread.uniformHash(worker, 1)))
+                        / places);
     }
 }
--- a/core/src/main/java/postgrade/comeback/Trust.java
+++ b/core/src/main/java/postgrade/recovery/Trust.java
@@ -1,4 +1,4 @@
-package postgrade.comeback;
+package postgrade.recovery;
 
 import postgrade.policy.api.PolicyStateEntry;
 
--- a/core/src/main/java/postgrade/comeback/Unusable.java
+++ b/core/src/main/java/postgrade/recovery/UnusableSnapshotException.java
@@ -1,7 +1,7 @@
-package postgrade.comeback;
+package postgrade.recovery;
 
 /** A snapshot that must not be gone by, and why. */
-public final class Unusable extends Exception {
+public final class UnusableSnapshotException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
@@ -19,7 +19,7 @@
 
     private final Fault fault;
 
-    Unusable(Fault fault, String sentence) {
+    UnusableSnapshotException(Fault fault, String sentence) {
         super(sentence, null, false, false);
         this.fault = fault;
     }
--- a/core/src/main/java/postgrade/comeback/Words.java
+++ b/core/src/main/java/postgrade/recovery/Words.java
@@ -1,4 +1,4 @@
-package postgrade.comeback;
+package postgrade.recovery;
 
 /**
  * Words of ASCII without blanks, for names of any characters. An empty name is a lone backslash.
--- a/core/src/main/java/postgrade/shared/Sharing.java
+++ b/core/src/main/java/postgrade/shared/ReplicatedState.java
@@ -6,7 +6,7 @@
  * Shared state as a process uses it. Nothing here waits: not for a disk, a lock or another process.
  * All is called on the process's loop, and every answer comes back on the loop.
  */
-public interface Sharing {
+public interface ReplicatedState {
 
     /** The latest view; {@link View#NONE} until one has come. */
     View view();
@@ -16,7 +16,7 @@
      * it is no longer known whether the command will be carried out, and the same request id may be
      * sent again to find out.
      */
-    void ask(Command command, long withinMicros, Consumer<Reply> done);
+    void submit(Command command, long withinMicros, Consumer<Reply> done);
 
     /** How this process stands to the others, for operators. */
     Standing standing();
--- a/core/src/main/java/postgrade/shared/Machine.java
+++ b/core/src/main/java/postgrade/shared/ReplicatedStateMachine.java
@@ -15,7 +15,7 @@
  * <p>A command with a request id has its effect once: the first answer is kept among the rows and
  * told again, also by another leader after this one and to whoever asks it through another process.
  */
-public final class Machine {
+public final class ReplicatedStateMachine {
 
     /**
      * The part whose one command moves the log's time on. Proposed by whoever leads, by what its
@@ -27,7 +27,7 @@
      * The most that one entry moves the time on: a leader that slept says so in small steps, or not
      * at all.
      */
-    public static final long MOST_ADVANCE_MICROS = 1_000_000;
+    public static final long MAX_ADVANCE_MICROS = 1_000_000;
 
     private static final String REQUESTS = "request";
 
@@ -47,7 +47,7 @@
                 Comparator.comparingLong(Kept::micros).thenComparing(Kept::requestId);
     }
 
-    private final Map<String, Part> parts = new TreeMap<>();
+    private final Map<String, StatePart> parts = new TreeMap<>();
     private Rows rows = new Rows();
 
     /**
@@ -58,7 +58,7 @@
 
     private Moment at;
 
-    public Machine(long era, List<Part> parts) {
+    public ReplicatedStateMachine(long era, List<StatePart> parts) {
         at = new Moment(era, 0, 0);
         parts.forEach(p -> this.parts.put(p.name(), p));
     }
@@ -93,14 +93,14 @@
                     ? answer(before)
                     : Answer.conflict("requestId was used for another call");
         }
-        Part part = parts.get(c.part());
+        StatePart part = parts.get(c.part());
         Answer answer;
         try {
             answer =
                     part == null
                             ? Answer.unknown("part " + c.part() + " is not known")
                             : part.apply(rows, at, c);
-        } catch (Row.Refused e) {
+        } catch (Row.InvalidFieldException e) {
             answer = Answer.faulty(e.getMessage());
         }
         if (!c.requestId().isEmpty()) {
@@ -115,7 +115,7 @@
     }
 
     private Answer clock(Command c) {
-        long by = Math.max(0, Math.min(MOST_ADVANCE_MICROS, c.args().whole("by", 0)));
+        long by = Math.max(0, Math.min(MAX_ADVANCE_MICROS, c.args().integer("by", 0)));
         long before = at.micros();
         at = new Moment(at.era(), at.index(), before + by);
         if (at.micros() / FORGET_EVERY_MICROS > before / FORGET_EVERY_MICROS
@@ -159,14 +159,14 @@
     /** All there is to know, for a replica that comes later. */
     public record Snapshot(Moment moment, List<Change> rows) {}
 
-    public Snapshot save() {
+    public Snapshot snapshot() {
         return new Snapshot(at, rows.all());
     }
 
-    public void load(Snapshot snapshot) {
+    public void restore(Snapshot snapshot) {
         at = snapshot.moment();
-        rows = Rows.of(at.index(), snapshot.rows());
+        rows = Rows.fromSnapshot(at.index(), snapshot.rows());
         kept.clear();
-        rows.of(REQUESTS).forEach((id, row) -> kept.add(new Kept(row.whole("at"), id)));
+        rows.ofPart(REQUESTS).forEach((id, row) -> kept.add(new Kept(row.integer("at"), id)));
     }
 }
--- a/core/src/main/java/postgrade/shared/Row.java
+++ b/core/src/main/java/postgrade/shared/Row.java
@@ -40,7 +40,7 @@
     public String text(String name) {
         String value = values.get(name);
         if (value == null) {
-            throw new Refused(name, "is missing");
+            throw new InvalidFieldException(name, "is missing");
         }
         return value;
     }
@@ -49,28 +49,28 @@
         return values.getOrDefault(name, otherwise);
     }
 
-    public long whole(String name) {
+    public long integer(String name) {
         try {
             return Long.parseLong(text(name));
         } catch (NumberFormatException e) {
-            throw new Refused(name, "must be a whole number");
+            throw new InvalidFieldException(name, "must be a whole number");
         }
     }
 
-    public long whole(String name, long otherwise) {
-        return has(name) ? whole(name) : otherwise;
+    public long integer(String name, long otherwise) {
+        return has(name) ? integer(name) : otherwise;
     }
 
     /** A whole number within bounds, both included. */
-    public long whole(String name, long least, long most) {
-        long value = whole(name);
+    public long integer(String name, long least, long most) {
+        long value = integer(name);
         if (value < least || value > most) {
-            throw new Refused(name, "must lie between " + least + " and " + most);
+            throw new InvalidFieldException(name, "must lie between " + least + " and " + most);
         }
         return value;
     }
 
-    public double number(String name) {
+    public double decimal(String name) {
         try {
             double value = Double.parseDouble(text(name));
             if (Double.isFinite(value)) {
@@ -79,7 +79,7 @@
         } catch (NumberFormatException e) {
             // Falls through to the one sentence.
         }
-        throw new Refused(name, "must be a number");
+        throw new InvalidFieldException(name, "must be a number");
     }
 
     @Override
@@ -98,10 +98,10 @@
     }
 
     /** A command that names something faulty. */
-    public static final class Refused extends RuntimeException {
+    public static final class InvalidFieldException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
-        public Refused(String field, String what) {
+        public InvalidFieldException(String field, String what) {
             super(field + " " + what, null, false, false);
         }
     }
--- a/core/src/main/java/postgrade/shared/Rows.java
+++ b/core/src/main/java/postgrade/shared/Rows.java
@@ -42,7 +42,7 @@
     }
 
     /** A part's rows in the order of their keys, as they are now. */
-    public SortedMap<String, Row> of(String part) {
+    public SortedMap<String, Row> ofPart(String part) {
         SortedMap<String, Row> copy = new TreeMap<>();
         parts.getOrDefault(part, Collections.emptySortedMap())
                 .forEach((key, held) -> copy.put(key, held.row));
@@ -73,7 +73,7 @@
      * What has changed after that index, in no order; null where that is no longer known and the
      * whole is needed.
      */
-    public List<Change> since(long from) {
+    public List<Change> changesSince(long from) {
         if (from < floor) {
             return null;
         }
@@ -107,7 +107,7 @@
      * These rows and no others, as a snapshot told them; earlier changes are no longer known
      * singly.
      */
-    public static Rows of(long index, List<Change> snapshot) {
+    public static Rows fromSnapshot(long index, List<Change> snapshot) {
         Rows rows = new Rows();
         rows.floor = index;
         rows.index = index;
@@ -116,7 +116,7 @@
     }
 
     /** A copy with these changes, for a follower. */
-    public Rows with(long upTo, List<Change> changes) {
+    public Rows withChanges(long upTo, List<Change> changes) {
         Rows copy = new Rows();
         parts.forEach((part, rows) -> copy.parts.put(part, new TreeMap<>(rows)));
         copy.floor = upTo;
--- a/core/src/main/java/postgrade/shared/Part.java
+++ b/core/src/main/java/postgrade/shared/StatePart.java
@@ -5,14 +5,14 @@
  * stands in its rows, so that a snapshot, a replay and a view are the same for every part. The same
  * rows, moment and command always give the same rows and answer.
  */
-public interface Part {
+public interface StatePart {
 
     /** Names its rows and commands. */
     String name();
 
     /**
-     * Carries a command out. {@link Row.Refused} becomes an answer FAULTY; it must be thrown before
-     * rows change.
+     * Carries a command out. {@link Row.InvalidFieldException} becomes an answer FAULTY; it must be
+     * thrown before rows change.
      */
     Answer apply(Rows rows, Moment at, Command command);
 
--- a/core/src/main/java/postgrade/window/CalendarPart.java
+++ b/core/src/main/java/postgrade/window/CalendarPart.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 import postgrade.shared.Answer;
 import postgrade.shared.Command;
-import postgrade.shared.Machine;
 import postgrade.shared.Moment;
-import postgrade.shared.Part;
+import postgrade.shared.ReplicatedStateMachine;
 import postgrade.shared.Row;
-import postgrade.shared.Row.Refused;
+import postgrade.shared.Row.InvalidFieldException;
 import postgrade.shared.Rows;
+import postgrade.shared.StatePart;
 
 /**
  * The sites' calendars among the shared state. A version counts from a time of the log that lies
@@ -20,7 +20,7 @@
  * tells the versions, and one per version holds the text, so that a change of version tells
  * followers little.
  */
-public final class CalendarPart implements Part {
+public final class CalendarPart implements StatePart {
 
     public static final String NAME = "calendar";
 
@@ -33,7 +33,9 @@
      * taken may follow in two steps: one on its way, and one not told yet.
      */
     public static final long LEAST_AHEAD_MICROS =
-            LONGEST_VIEW_MICROS + LONGEST_VIEW_MICROS / 20 + 2 * Machine.MOST_ADVANCE_MICROS;
+            LONGEST_VIEW_MICROS
+                    + LONGEST_VIEW_MICROS / 20
+                    + 2 * ReplicatedStateMachine.MAX_ADVANCE_MICROS;
 
     public static final long MOST_AHEAD_MICROS = 366L * 86_400_000_000L;
     public static final int MOST_TEXT_BYTES = 256 * 1024;
@@ -62,15 +64,16 @@
         String text = args.text("text");
         String zone = args.text("zone");
         if (zone.length() > 64) {
-            throw new Refused("zone", "must be at most 64 characters long");
+            throw new InvalidFieldException("zone", "must be at most 64 characters long");
         }
         int bytes = text.getBytes(StandardCharsets.UTF_8).length;
         if (bytes > MOST_TEXT_BYTES) {
-            throw new Refused("text", "must be at most " + MOST_TEXT_BYTES + " bytes long");
+            throw new InvalidFieldException(
+                    "text", "must be at most " + MOST_TEXT_BYTES + " bytes long");
         }
         long ahead =
                 args.has("inMicros")
-                        ? args.whole("inMicros", LEAST_AHEAD_MICROS, MOST_AHEAD_MICROS)
+                        ? args.integer("inMicros", LEAST_AHEAD_MICROS, MOST_AHEAD_MICROS)
                         : LEAST_AHEAD_MICROS;
         Row known = rows.get(NAME, SITE + site);
         Row before = known == null ? Row.EMPTY : known;
@@ -137,11 +140,11 @@
 
     @Override
     public void advance(Rows rows, Moment at) {
-        for (Map.Entry<String, Row> e : rows.of(NAME).entrySet()) {
+        for (Map.Entry<String, Row> e : rows.ofPart(NAME).entrySet()) {
             Row row = e.getValue();
             if (e.getKey().startsWith(SITE)
                     && row.has("next")
-                    && row.whole("countsFrom") <= at.micros()) {
+                    && row.integer("countsFrom") <= at.micros()) {
                 promote(rows, e.getKey().substring(SITE.length()), row);
             }
         }
@@ -157,17 +160,17 @@
     private static String site(Row args) {
         String site = args.text("site");
         if (!site.matches("[A-Za-z0-9._-]{1,64}")) {
-            throw new Refused(
+            throw new InvalidFieldException(
                     "site", "must be 1 to 64 letters, digits, dots, dashes or underscores");
         }
         return site;
     }
 
     private static long sites(Rows rows) {
-        return rows.of(NAME).keySet().stream().filter(k -> k.startsWith(SITE)).count();
+        return rows.ofPart(NAME).keySet().stream().filter(k -> k.startsWith(SITE)).count();
     }
 
     private static long held(Rows rows) {
-        return rows.of(NAME).values().stream().mapToLong(r -> r.whole("bytes", 0)).sum();
+        return rows.ofPart(NAME).values().stream().mapToLong(r -> r.integer("bytes", 0)).sum();
     }
 }
--- a/core/src/main/java/postgrade/window/KnownCalendars.java
+++ b/core/src/main/java/postgrade/window/KnownCalendars.java
@@ -74,7 +74,7 @@
         Map<String, Versions> latest = new HashMap<>();
         Set<String> held = new HashSet<>();
         view.rows()
-                .of(CalendarPart.NAME)
+                .ofPart(CalendarPart.NAME)
                 .forEach(
                         (key, row) -> {
                             if (key.startsWith(CalendarPart.SITE)) {
--- a/core/src/test/java/postgrade/LayeringTest.java
+++ b/core/src/test/java/postgrade/LayeringTest.java
@@ -107,7 +107,7 @@
                 "postgrade.settings..",
                 "postgrade.shared..",
                 "postgrade.member..",
-                "postgrade.comeback..",
+                "postgrade.recovery..",
                 "postgrade.lease..",
                 "postgrade.window..");
     }
@@ -121,7 +121,7 @@
                 "postgrade.settings..",
                 "postgrade.shared..",
                 "postgrade.member..",
-                "postgrade.comeback..",
+                "postgrade.recovery..",
                 "postgrade.lease..",
                 "postgrade.window..");
     }
--- a/core/src/test/java/postgrade/lease/LeaseAbilityTest.java
+++ b/core/src/test/java/postgrade/lease/LeaseAbilityTest.java
@@ -14,7 +14,7 @@
 import postgrade.policy.api.WorkerInfo;
 import postgrade.policy.api.WorkerPhase;
 import postgrade.shared.Command;
-import postgrade.shared.Machine;
+import postgrade.shared.ReplicatedStateMachine;
 import postgrade.shared.Row;
 import postgrade.shared.Rows;
 import postgrade.shared.View;
@@ -32,18 +32,19 @@
     private static final WorkerInfo PLAIN =
             new WorkerInfo("w-9", "zagreb", "till", 0, WorkerPhase.READY, 1, 0);
     private static final long FRESH = 1_000_000_000L;
-    private static final long OLD = FRESH + Times.USUAL.viewBoundMicros() * 1000 + 1000;
+    private static final long OLD = FRESH + LeaseTimes.DEFAULT.viewBoundMicros() * 1000 + 1000;
 
-    private final Machine machine = new Machine(1, List.of(new LeasePart(Times.USUAL)));
+    private final ReplicatedStateMachine machine =
+            new ReplicatedStateMachine(1, List.of(new LeasePart(LeaseTimes.DEFAULT)));
     private long index;
     private View view = View.NONE;
     private long fence;
 
-    private LeaseAbility ability(boolean lends) {
-        return new LeaseAbility(
+    private LeaseConstraints ability(boolean lends) {
+        return new LeaseConstraints(
                 () -> view,
-                Times.USUAL,
-                new LeaseAbility.Rules(
+                LeaseTimes.DEFAULT,
+                new LeaseConstraints.Rules(
                         Set.of("replan"),
                         Map.of(
                                 "replan",
@@ -63,7 +64,7 @@
         fence =
                 machine.apply(++index, new Command("", "n", 1, "lease", verb, Row.of(args)))
                         .fields()
-                        .whole("fence", 0);
+                        .integer("fence", 0);
     }
 
     @Before
@@ -104,15 +105,19 @@
                 3000,
                 "neededInMs",
                 60_000);
-        view = new View(machine.moment(), Rows.of(index, machine.save().rows()), FRESH / 1000);
+        view =
+                new View(
+                        machine.moment(),
+                        Rows.fromSnapshot(index, machine.snapshot().rows()),
+                        FRESH / 1000);
     }
 
     @Test
     public void theHoldersJobsGoToItsOwnFirstAndOthersSeeTheWorkerSmaller() {
-        LeaseAbility a = ability(false);
+        LeaseConstraints a = ability(false);
         assertEquals(1, a.usableShare(FRESH, job("replan", "ana", 1), HALF), 0);
         assertEquals(
-                LeaseAbility.ELSEWHERE, a.usableShare(FRESH, job("replan", "ana", 1), FREE), 0);
+                LeaseConstraints.ELSEWHERE, a.usableShare(FRESH, job("replan", "ana", 1), FREE), 0);
         assertEquals(0.5, a.usableShare(FRESH, job("replan", "ivo", 1), HALF), 0);
         assertEquals(1, a.usableShare(FRESH, job("replan", "ivo", 1), FREE), 0);
         assertEquals(0.5, a.usableShare(FRESH, job("slot-check", "ana", 1), HALF), 0);
@@ -124,15 +129,19 @@
 
     @Test
     public void anOldViewTakesThePrivilegeAndMakesNoWorkerUnable() {
-        LeaseAbility a = ability(true);
+        LeaseConstraints a = ability(true);
         ask("acquire", "holder", "eva", "kind", "box", "accelerators", 6, "ttlMs", 3000);
-        view = new View(machine.moment(), Rows.of(index, machine.save().rows()), FRESH / 1000);
+        view =
+                new View(
+                        machine.moment(),
+                        Rows.fromSnapshot(index, machine.snapshot().rows()),
+                        FRESH / 1000);
         assertEquals(
                 "all of it is others'", 0, a.usableShare(FRESH, job("replan", "ivo", 1), FREE), 0);
-        assertEquals(LeaseAbility.LEAST, a.usableShare(OLD, job("replan", "ivo", 1), FREE), 0);
+        assertEquals(LeaseConstraints.LEAST, a.usableShare(OLD, job("replan", "ivo", 1), FREE), 0);
         assertEquals(
-                LeaseAbility.LEAST, a.usableShare(FRESH, job("slot-check", "ivo", 1), FREE), 0);
-        assertEquals(LeaseAbility.LEAST, a.usableShare(OLD, job("replan", "ana", 1), HALF), 0);
+                LeaseConstraints.LEAST, a.usableShare(FRESH, job("slot-check", "ivo", 1), FREE), 0);
+        assertEquals(LeaseConstraints.LEAST, a.usableShare(OLD, job("replan", "ana", 1), HALF), 0);
         assertNull(a.fenceFor(OLD, "replan", "ana", "w-1"));
         view = View.NONE;
         assertEquals(1, a.usableShare(FRESH, job("replan", "ivo", 1), FREE), 0);
@@ -141,14 +150,18 @@
     @Test
     public void whatMustNotRunTwiceIsNeverLimitedAndCannotReserve() {
         ask("acquire", "holder", "eva", "kind", "box", "accelerators", 6, "ttlMs", 3000);
-        view = new View(machine.moment(), Rows.of(index, machine.save().rows()), FRESH / 1000);
+        view =
+                new View(
+                        machine.moment(),
+                        Rows.fromSnapshot(index, machine.snapshot().rows()),
+                        FRESH / 1000);
         for (long at : new long[] {FRESH, OLD}) {
             assertEquals(1, ability(true).usableShare(at, job("order-confirm", "ivo", 1), HALF), 0);
         }
         assertThrows(
                 IllegalArgumentException.class,
                 () ->
-                        new LeaseAbility.Rules(
+                        new LeaseConstraints.Rules(
                                 Set.of("order-confirm"),
                                 Map.of("order-confirm", Idempotency.NOT_IDEMPOTENT),
                                 false));
@@ -156,7 +169,7 @@
 
     @Test
     public void lentIsWhatEndsBeforeTheHoldersFirstJobAndMayBeRepeated() {
-        LeaseAbility a = ability(true);
+        LeaseConstraints a = ability(true);
         assertEquals(1, a.usableShare(FRESH, job("slot-check", "ivo", 50), HALF), 0);
         assertEquals(0.5, a.usableShare(FRESH, job("slot-check", "ivo", 60), HALF), 0);
         assertEquals(0.5, a.usableShare(FRESH, job("replan", "ivo", 1), HALF), 0);
@@ -165,8 +178,9 @@
 
     @Test
     public void discoveryTellsWhatIsThereAndALateListUndoesNothing() {
-        Machine fresh = new Machine(1, List.of(new LeasePart(Times.USUAL)));
-        var perKind = new Fleet.Accelerators(Map.of("box", 4), 1);
+        ReplicatedStateMachine fresh =
+                new ReplicatedStateMachine(1, List.of(new LeasePart(LeaseTimes.DEFAULT)));
+        var perKind = new FleetSync.AcceleratorConfig(Map.of("box", 4), 1);
         WorkerInfo back =
                 new WorkerInfo("w-1", "zagreb", "box", 0, WorkerPhase.READY, 1, 9_000_000);
         WorkerInfo leaving = new WorkerInfo("w-2", "zagreb", "box", 0, WorkerPhase.DRAINING, 1, 0);
@@ -175,7 +189,7 @@
                         List.of(HALF, FREE, PLAIN),
                         List.of(back, leaving, PLAIN),
                         List.of(HALF, FREE, PLAIN))) {
-            Fleet.due(fresh.rows(), list, Set.of(), perKind, "n", 1)
+            FleetSync.pendingCommands(fresh.rows(), list, Set.of(), perKind, "n", 1)
                     .forEach(c -> fresh.apply(++index, c));
         }
         List<Unit> units = new Book(fresh.rows()).units();
@@ -184,10 +198,13 @@
                 units.stream().map(u -> u.worker() + " " + u.start() + " " + u.state()).toList());
         assertEquals(
                 0,
-                Fleet.due(fresh.rows(), List.of(back, leaving), Set.of(), perKind, "n", 1).size());
+                FleetSync.pendingCommands(
+                                fresh.rows(), List.of(back, leaving), Set.of(), perKind, "n", 1)
+                        .size());
         assertEquals(
                 "all are missing from the list",
                 2,
-                Fleet.due(fresh.rows(), List.of(), Set.of(), perKind, "n", 1).size());
+                FleetSync.pendingCommands(fresh.rows(), List.of(), Set.of(), perKind, "n", 1)
+                        .size());
     }
 }
--- a/core/src/test/java/postgrade/lease/LeasePartTest.java
+++ b/core/src/test/java/postgrade/lease/LeasePartTest.java
@@ -10,15 +10,16 @@
 import postgrade.shared.Answer;
 import postgrade.shared.Answer.Status;
 import postgrade.shared.Command;
-import postgrade.shared.Machine;
+import postgrade.shared.ReplicatedStateMachine;
 import postgrade.shared.Row;
 
 /** Reservations as the log decides them: who gets what, in which order, and when it ends. */
 public class LeasePartTest {
 
-    private static final long GRACE_MS = Times.USUAL.graceMicros() / 1000;
+    private static final long GRACE_MS = LeaseTimes.DEFAULT.graceMicros() / 1000;
 
-    private final Machine machine = new Machine(1, List.of(new LeasePart(Times.USUAL)));
+    private final ReplicatedStateMachine machine =
+            new ReplicatedStateMachine(1, List.of(new LeasePart(LeaseTimes.DEFAULT)));
     private long index;
 
     private Answer ask(String verb, Object... args) {
@@ -61,16 +62,17 @@
 
     private void pass(long ms) {
         for (long left = ms; left > 0; left -= 100) {
-            machine.apply(++index, Machine.advance("n1", 1, 1000 * Math.min(100, left)));
+            machine.apply(
+                    ++index, ReplicatedStateMachine.advance("n1", 1, 1000 * Math.min(100, left)));
         }
     }
 
     private static long fence(Answer a) {
-        return a.fields().whole("fence");
+        return a.fields().integer("fence");
     }
 
     private String state(String holder) {
-        return Leases.list(machine.rows(), machine.moment().micros()).stream()
+        return ReservationCommands.list(machine.rows(), machine.moment().micros()).stream()
                 .filter(f -> f.get("holder").equals(holder))
                 .map(f -> f.get("state"))
                 .findFirst()
@@ -302,22 +304,25 @@
         long fence = fence(acquire("ana", 8));
         acquire("ivo", 2, "ttlMs", 60_000);
         pass(500);
-        Machine other = new Machine(1, List.of(new LeasePart(Times.USUAL)));
-        other.load(machine.save());
+        ReplicatedStateMachine other =
+                new ReplicatedStateMachine(1, List.of(new LeasePart(LeaseTimes.DEFAULT)));
+        other.restore(machine.snapshot());
         for (int i = 0; i < 60; i++) {
             Command step =
                     i == 7
-                            ? Leases.command(
+                            ? ReservationCommands.command(
                                     "release",
                                     "r",
                                     "n2",
                                     1,
                                     Map.of("holder", "ana", "site", "zagreb", "fence", "" + fence))
-                            : Machine.advance("n1", 1, 100_000);
+                            : ReplicatedStateMachine.advance("n1", 1, 100_000);
             machine.apply(++index, step);
             other.apply(index, step);
         }
-        assertEquals(Leases.list(machine.rows(), 0), Leases.list(other.rows(), 0));
+        assertEquals(
+                ReservationCommands.list(machine.rows(), 0),
+                ReservationCommands.list(other.rows(), 0));
         assertEquals("granted", state("ivo"));
     }
 }
--- a/core/src/test/java/postgrade/lease/LeaseWorld.java
+++ b/core/src/test/java/postgrade/lease/LeaseWorld.java
@@ -11,7 +11,7 @@
 import java.util.SplittableRandom;
 import postgrade.shared.Answer;
 import postgrade.shared.Command;
-import postgrade.shared.Machine;
+import postgrade.shared.ReplicatedStateMachine;
 import postgrade.shared.Row;
 import postgrade.shared.Rows;
 import postgrade.shared.View;
@@ -40,8 +40,8 @@
     private final SplittableRandom random;
     private final PriorityQueue<Task> tasks =
             new PriorityQueue<>(Comparator.comparingLong(Task::at).thenComparingLong(Task::order));
-    private final Machine machine;
-    private final Times used;
+    private final ReplicatedStateMachine machine;
+    private final LeaseTimes used;
     private final List<Spell> spells = new ArrayList<>();
     final List<String> faults = new ArrayList<>();
     private long now;
@@ -72,9 +72,9 @@
     /**
      * @param decided times that the log goes by @param used times that processes go by
      */
-    LeaseWorld(long seed, Times decided, Times used) {
+    LeaseWorld(long seed, LeaseTimes decided, LeaseTimes used) {
         random = new SplittableRandom(seed);
-        machine = new Machine(1, List.of(new LeasePart(decided)));
+        machine = new ReplicatedStateMachine(1, List.of(new LeasePart(decided)));
         this.used = used;
     }
 
@@ -163,7 +163,7 @@
             asked = true;
             propose(
                     new Entry(
-                            Machine.advance("n", 1, begun ? at - from : 0),
+                            ReplicatedStateMachine.advance("n", 1, begun ? at - from : 0),
                             a -> {
                                 from = at;
                                 begun = true;
@@ -304,7 +304,10 @@
                 between(MS / 2, 30 * MS),
                 () -> {
                     View pulled =
-                            new View(machine.moment(), Rows.of(index, machine.save().rows()), sent);
+                            new View(
+                                    machine.moment(),
+                                    Rows.fromSnapshot(index, machine.snapshot().rows()),
+                                    sent);
                     in(
                             between(MS / 2, random.nextInt(20) == 0 ? 1400 * MS : 30 * MS),
                             () -> {
@@ -414,7 +417,7 @@
                                             if (which == incarnation[holder]
                                                     && a.status() == Answer.Status.DONE
                                                     && a.fields().has("fence")) {
-                                                fence[holder] = a.fields().whole("fence");
+                                                fence[holder] = a.fields().integer("fence");
                                                 calledAt[holder] = called;
                                             } else if (a.status() == Answer.Status.UNKNOWN) {
                                                 fence[holder] = 0;
--- a/core/src/test/java/postgrade/lease/LeaseWorldTest.java
+++ b/core/src/test/java/postgrade/lease/LeaseWorldTest.java
@@ -9,10 +9,10 @@
 /** Thousands of seeds of faults; and that each mechanism is needed, as without it seeds fail. */
 public class LeaseWorldTest {
 
-    private static final Times T = Times.USUAL;
+    private static final LeaseTimes T = LeaseTimes.DEFAULT;
     private static final int SEEDS = Integer.getInteger("postgrade.seeds", 60);
 
-    private static int failing(int seeds, Times decided) {
+    private static int failing(int seeds, LeaseTimes decided) {
         int failing = 0;
         for (int seed = 0; seed < seeds; seed++) {
             LeaseWorld world = new LeaseWorld(seed, decided, T);
@@ -39,11 +39,11 @@
 
     @Test
     public void withoutTheRestSeedsFail() {
-        assertTrue(failing(20, new Times(100_000, 50_000, 1.03, 0)) > 10);
+        assertTrue(failing(20, new LeaseTimes(100_000, 50_000, 1.03, 0)) > 10);
     }
 
     @Test
     public void withTheWayToACommitLeftOutOfTheInequalitySeedsFail() {
-        assertTrue(failing(100, new Times(1_545_000, 1_500_000, 1.03, 0)) > 0);
+        assertTrue(failing(100, new LeaseTimes(1_545_000, 1_500_000, 1.03, 0)) > 0);
     }
 }
--- a/core/src/test/java/postgrade/lease/LendingTest.java
+++ b/core/src/test/java/postgrade/lease/LendingTest.java
@@ -15,7 +15,7 @@
 import postgrade.policy.api.WorkerInfo;
 import postgrade.policy.api.WorkerPhase;
 import postgrade.shared.Command;
-import postgrade.shared.Machine;
+import postgrade.shared.ReplicatedStateMachine;
 import postgrade.shared.Row;
 import postgrade.shared.Rows;
 import postgrade.shared.View;
@@ -38,7 +38,8 @@
     private record Result(double checks, double plans) {}
 
     private static Result run(long seed, boolean lends) {
-        Machine machine = new Machine(1, List.of(new LeasePart(Times.USUAL)));
+        ReplicatedStateMachine machine =
+                new ReplicatedStateMachine(1, List.of(new LeasePart(LeaseTimes.DEFAULT)));
         List<WorkerInfo> workers = new ArrayList<>();
         long index = 0;
         for (int w = 0; w < WORKERS; w++) {
@@ -82,13 +83,13 @@
                                 600_000,
                                 "neededInMs",
                                 (long) (NEEDED * 1000))));
-        Rows rows = Rows.of(index, machine.save().rows());
+        Rows rows = Rows.fromSnapshot(index, machine.snapshot().rows());
         View[] view = {View.NONE};
-        LeaseAbility ability =
-                new LeaseAbility(
+        LeaseConstraints ability =
+                new LeaseConstraints(
                         () -> view[0],
-                        Times.USUAL,
-                        new LeaseAbility.Rules(
+                        LeaseTimes.DEFAULT,
+                        new LeaseConstraints.Rules(
                                 Set.of("plan"),
                                 Map.of(
                                         "plan",
--- a/core/src/test/java/postgrade/member/MembersTest.java
+++ b/core/src/test/java/postgrade/member/MembersTest.java
@@ -14,7 +14,7 @@
 import postgrade.shared.Answer;
 import postgrade.shared.Answer.Status;
 import postgrade.shared.Command;
-import postgrade.shared.Machine;
+import postgrade.shared.ReplicatedStateMachine;
 import postgrade.shared.Rows;
 import postgrade.shared.View;
 
@@ -24,26 +24,27 @@
  */
 public class MembersTest {
 
-    private static final long E = Terms.EVEN;
-    private static final Terms TERMS = Terms.of(4);
+    private static final long E = MembershipTerms.EVEN_SHARE;
+    private static final MembershipTerms TERMS = MembershipTerms.of(4);
     private static final long STEP = 250_000;
 
-    private Machine machine = new Machine(1, List.of(new MemberPart(), new OutPart()));
+    private ReplicatedStateMachine machine =
+            new ReplicatedStateMachine(1, List.of(new MembershipPart(), new OutOfServicePart()));
     private long index;
     private long now;
-    private final Map<String, Shares> up = new HashMap<>();
+    private final Map<String, EffectiveShare> up = new HashMap<>();
 
     private Answer apply(Command c) {
         return machine.apply(++index, c);
     }
 
     private Answer join(String name, long incarnation) {
-        up.put(name, new Shares(name, incarnation, TERMS));
-        return apply(MemberPart.join(name, incarnation, TERMS));
+        up.put(name, new EffectiveShare(name, incarnation, TERMS));
+        return apply(MembershipPart.join(name, incarnation, TERMS));
     }
 
     private View view() {
-        return new View(machine.moment(), Rows.of(index, machine.save().rows()), now);
+        return new View(machine.moment(), Rows.fromSnapshot(index, machine.snapshot().rows()), now);
     }
 
     private long share(String name) {
@@ -57,11 +58,11 @@
     private void pass(long micros, String... renewing) {
         for (long end = now + micros; now < end; ) {
             now += STEP;
-            apply(Machine.advance("leader", 1, STEP));
+            apply(ReplicatedStateMachine.advance("leader", 1, STEP));
             if (now % 1_000_000 == 0) {
                 for (String name : renewing) {
                     up.get(name).factor(view(), now);
-                    apply(MemberPart.renew(name, 1, up.get(name).goneBy()));
+                    apply(MembershipPart.renew(name, 1, up.get(name).appliedGrantIndex()));
                 }
             }
         }
@@ -101,7 +102,7 @@
         assertEquals(E, share("a"));
         assertEquals("others may still use what they had", TERMS.floor(), share("d"), 3);
         up.get("a").factor(view(), now);
-        apply(MemberPart.renew("a", 1, up.get("a").goneBy()));
+        apply(MembershipPart.renew("a", 1, up.get("a").appliedGrantIndex()));
         assertEquals("what one gave up is there for it", TERMS.floor() + more - E, share("d"), 3);
         pass(1_000_000, "a", "b", "c");
         assertEquals(E, share("d"));
@@ -115,7 +116,7 @@
         assertTrue(more > E);
         join("c", 2);
         join("d", 2);
-        up.put("c", new Shares("c", 2, TERMS));
+        up.put("c", new EffectiveShare("c", 2, TERMS));
         pass(1_000_000, "a");
         long used = more + share("a") + share("c") + share("d");
         assertTrue("b may still serve with " + more, used <= 4 * E);
@@ -128,37 +129,40 @@
         four();
         pass(28_000_000, "a", "b");
         View last = view();
-        Shares a = up.get("a");
+        EffectiveShare a = up.get("a");
         assertTrue(a.factor(last, now) > 1);
-        long lease = Member.of(last.rows(), "a").until() - last.moment().micros();
-        long own = (long) ((lease - Shares.BACKLOG_MICROS) / (1 + Shares.MOST_DRIFT));
+        long lease = Member.of(last.rows(), "a").leaseEndMicros() - last.moment().micros();
+        long own =
+                (long)
+                        ((lease - EffectiveShare.MAX_UNCOMMITTED_MICROS)
+                                / (1 + EffectiveShare.MAX_CLOCK_DRIFT));
         assertTrue(a.factor(last, now + own - 10) > 1);
         assertEquals(1.0, a.factor(last, now + own + 10), 0);
         long kept =
                 (long)
-                        ((lease - Shares.BACKLOG_MICROS + TERMS.lingerMicros())
-                                / (1 + Shares.MOST_DRIFT));
+                        ((lease - EffectiveShare.MAX_UNCOMMITTED_MICROS + TERMS.lingerMicros())
+                                / (1 + EffectiveShare.MAX_CLOCK_DRIFT));
         assertEquals(1.0, a.factor(last, now + kept - 10), 0);
         assertEquals(0.25, a.factor(last, now + kept + 10), 0);
         assertEquals(
                 "as stated by the operator",
                 1.0,
-                new Shares("a", 1, TERMS, E).factor(last, now + kept + 10),
+                new EffectiveShare("a", 1, TERMS, E).factor(last, now + kept + 10),
                 0);
     }
 
     @Test
     public void oneThatIsNotKnownYetServesByTheFloor() {
-        assertEquals(0.25, new Shares("a", 1, TERMS).factor(View.NONE, now), 0);
+        assertEquals(0.25, new EffectiveShare("a", 1, TERMS).factor(View.NONE, now), 0);
         four();
-        Shares again = new Shares("a", 2, TERMS);
+        EffectiveShare again = new EffectiveShare("a", 2, TERMS);
         assertEquals("the row is its former start's", 0.25, again.factor(view(), now), 0);
         join("a", 2);
         assertEquals(1.0, again.factor(view(), now), 0);
-        up.put("a", new Shares("a", 1, TERMS));
+        up.put("a", new EffectiveShare("a", 1, TERMS));
         up.get("a").factor(view(), now);
-        assertTrue(up.get("a").replaced());
-        assertFalse(again.replaced());
+        assertTrue(up.get("a").isReplaced());
+        assertFalse(again.isReplaced());
     }
 
     @Test
@@ -167,10 +171,10 @@
         join("a", 7);
         assertEquals(
                 Answer.conflict("incarnation 1 of a is below 7"),
-                apply(MemberPart.renew("a", 1, 0)));
+                apply(MembershipPart.renew("a", 1, 0)));
         assertEquals(Status.CONFLICT, join("a", 6).status());
-        assertEquals(Status.UNKNOWN, apply(MemberPart.renew("a", 8, 0)).status());
-        assertEquals(Status.UNKNOWN, apply(MemberPart.renew("x", 1, 0)).status());
+        assertEquals(Status.UNKNOWN, apply(MembershipPart.renew("a", 8, 0)).status());
+        assertEquals(Status.UNKNOWN, apply(MembershipPart.renew("x", 1, 0)).status());
         assertEquals(Answer.conflict("name e is one more than the 4 places"), join("e", 1));
         assertEquals(Status.FAULTY, join("not a name", 1).status());
     }
@@ -178,12 +182,12 @@
     @Test
     public void otherTermsAreNamedWhileAnyoneGoesByTheFormer() {
         four();
-        Terms longer = new Terms(4, 9_000_000, 20_000_000, E / 4);
+        MembershipTerms longer = new MembershipTerms(4, 9_000_000, 20_000_000, E / 4);
         assertEquals(
                 Answer.conflict("leaseMicros differs from what the members agreed on"),
-                apply(MemberPart.join("a", 2, longer)));
+                apply(MembershipPart.join("a", 2, longer)));
         pass(30_000_000);
-        assertEquals(Status.DONE, apply(MemberPart.join("a", 2, longer)).status());
+        assertEquals(Status.DONE, apply(MembershipPart.join("a", 2, longer)).status());
         assertEquals(longer, Member.terms(machine.rows()));
     }
 
@@ -193,20 +197,20 @@
         pass(28_000_000, "a", "b", "c");
         join("d", 2);
         long before = share("d");
-        apply(MemberPart.join("a", 1, TERMS));
-        apply(MemberPart.join("b", 1, TERMS));
+        apply(MembershipPart.join("a", 1, TERMS));
+        apply(MembershipPart.join("b", 1, TERMS));
         assertEquals(before, share("d"));
     }
 
     @Test
     public void aNewEraGrantsNothingWhileSharesOfTheFormerMayBeInUse() {
-        machine = new Machine(2, List.of(new MemberPart()));
+        machine = new ReplicatedStateMachine(2, List.of(new MembershipPart()));
         List<String> three = new ArrayList<>(List.of("a", "b", "c"));
         three.forEach(n -> join(n, 1));
         assertEquals(TERMS.floor(), share("a"));
         pass(TERMS.leaseMicros(), "a", "b", "c");
         assertEquals(E, share("a"));
-        machine = new Machine(2, List.of(new MemberPart()));
+        machine = new ReplicatedStateMachine(2, List.of(new MembershipPart()));
         index = 0;
         three.forEach(n -> join(n, 1));
         join("d", 1);
@@ -215,16 +219,22 @@
 
     @Test
     public void workersOutStayOutUntilTheyArePutBack() {
-        apply(OutPart.takeOut("r1", "a", 1, "w1"));
-        assertEquals(Status.DONE, apply(OutPart.takeOut("r2", "b", 1, "w1")).status());
-        Machine next = new Machine(1, List.of(new OutPart()));
-        next.load(machine.save());
-        assertEquals(Set.of("w1"), OutPart.out(next.rows()));
+        apply(OutOfServicePart.takeOutOfService("r1", "a", 1, "w1"));
+        assertEquals(
+                Status.DONE, apply(OutOfServicePart.takeOutOfService("r2", "b", 1, "w1")).status());
+        ReplicatedStateMachine next =
+                new ReplicatedStateMachine(1, List.of(new OutOfServicePart()));
+        next.restore(machine.snapshot());
+        assertEquals(Set.of("w1"), OutOfServicePart.outOfService(next.rows()));
         assertEquals("a", next.rows().get("out", "w1").text("by"));
         assertNotNull(next.rows().get("out", "w1").text("since"));
-        assertEquals(Status.DONE, apply(OutPart.putBack("r3", "b", 1, "w1")).status());
-        assertEquals(Status.DONE, apply(OutPart.putBack("r3", "b", 1, "w1")).status());
-        assertEquals(Status.UNKNOWN, apply(OutPart.putBack("r4", "b", 1, "w1")).status());
+        assertEquals(
+                Status.DONE, apply(OutOfServicePart.returnToService("r3", "b", 1, "w1")).status());
+        assertEquals(
+                Status.DONE, apply(OutOfServicePart.returnToService("r3", "b", 1, "w1")).status());
+        assertEquals(
+                Status.UNKNOWN,
+                apply(OutOfServicePart.returnToService("r4", "b", 1, "w1")).status());
         assertEquals(
                 Answer.faulty("worker is missing"),
                 apply(new Command("", "a", 1, "out", "exit", postgrade.shared.Row.EMPTY)));
--- a/core/src/test/java/postgrade/comeback/MemoryTest.java
+++ b/core/src/test/java/postgrade/recovery/MemoryTest.java
@@ -1,4 +1,4 @@
-package postgrade.comeback;
+package postgrade.recovery;
 
 import static org.junit.Assert.assertArrayEquals;
 import static org.junit.Assert.assertEquals;
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.Test;
-import postgrade.comeback.Unusable.Fault;
 import postgrade.policy.api.PolicyStateEntry;
+import postgrade.recovery.UnusableSnapshotException.Fault;
 
 /** What a snapshot holds, what of it may be trusted, and which are not gone by. */
 public class MemoryTest {
@@ -18,8 +18,8 @@
     private static final long SAVED = 1_000_000_000L;
     private static final long HALF = Trust.HALF_MICROS;
     private static final double[] WORKER = {3, 5e9, 2, 1.5, 8, 2e6, 1e9, 1e8, 1};
-    private final Memory memory =
-            Memory.of(
+    private final LearntSnapshot memory =
+            LearntSnapshot.capture(
                     "n1",
                     SAVED,
                     0.9,
@@ -34,20 +34,21 @@
                     Map.of("w1", 5000L, "w2", 0L));
 
     private PolicyStateEntry trusted(String of, long age, long started) {
-        return memory.trusted(SAVED + age, Map.of("w1", started)).stream()
+        return memory.trustedEntries(SAVED + age, Map.of("w1", started)).stream()
                 .filter(l -> l.category().equals(of))
                 .findFirst()
                 .orElse(null);
     }
 
     @Test
-    public void itIsReadAsItWasWritten() throws Unusable {
-        Memory read = MemoryFormat.read(MemoryFormat.write(memory), "n1", SAVED);
-        assertArrayEquals(MemoryFormat.write(memory), MemoryFormat.write(read));
-        assertEquals(5, read.figures().size());
-        assertEquals("pri ce\u00e9\\", read.figures().get(0).learnt().name());
-        assertArrayEquals(WORKER, read.figures().get(2).learnt().values(), 0);
-        assertEquals(0.9, read.served(), 0);
+    public void itIsReadAsItWasWritten() throws UnusableSnapshotException {
+        LearntSnapshot read =
+                LearntSnapshotFormat.read(LearntSnapshotFormat.write(memory), "n1", SAVED);
+        assertArrayEquals(LearntSnapshotFormat.write(memory), LearntSnapshotFormat.write(read));
+        assertEquals(5, read.entries().size());
+        assertEquals("pri ce\u00e9\\", read.entries().get(0).learnt().name());
+        assertArrayEquals(WORKER, read.entries().get(2).learnt().values(), 0);
+        assertEquals(0.9, read.servedShare(), 0);
     }
 
     @Test
@@ -62,7 +63,9 @@
         assertArrayEquals(
                 new double[] {1.5, 20, 2, 60.01e9}, trusted("tenant", HALF, 5000).values(), 1e-3);
         assertArrayEquals(new double[] {60.1e9, 2}, trusted("cold", HALF, 5000).values(), 1e-3);
-        assertEquals(List.of(), memory.trusted(SAVED + Trust.MOST_MICROS + 1, Map.of("w1", 5000L)));
+        assertEquals(
+                List.of(),
+                memory.trustedEntries(SAVED + Trust.MOST_MICROS + 1, Map.of("w1", 5000L)));
         assertEquals("a clock set back", 3.0, trusted("worker", -100, 5000).values()[0], 0);
     }
 
@@ -71,21 +74,24 @@
         assertTrue(trusted("worker", 0, 5000) != null && trusted("cold", 0, 5000) != null);
         assertEquals(null, trusted("worker", 0, 5001));
         assertEquals(null, trusted("cold", 0, 5001));
-        assertEquals("the rest stays", 3, memory.trusted(SAVED, Map.of()).size());
+        assertEquals("the rest stays", 3, memory.trustedEntries(SAVED, Map.of()).size());
     }
 
     private static Fault fault(byte[] bytes, String dispatcher, long now) {
-        return assertThrows(Unusable.class, () -> MemoryFormat.read(bytes, dispatcher, now))
+        return assertThrows(
+                        UnusableSnapshotException.class,
+                        () -> LearntSnapshotFormat.read(bytes, dispatcher, now))
                 .fault();
     }
 
     @Test
     public void eachFaultIsToldByItsName() {
-        byte[] good = MemoryFormat.write(memory);
+        byte[] good = LearntSnapshotFormat.write(memory);
         assertEquals(Fault.OTHER_DISPATCHER, fault(good, "n2", SAVED));
         assertEquals(Fault.FROM_THE_FUTURE, fault(good, "n1", SAVED - 10_000_000));
         assertEquals(Fault.NOT_A_SNAPSHOT, fault(Words.bytes("{\"list\":[]}"), "n1", SAVED));
-        assertEquals(Fault.TOO_LARGE, fault(new byte[MemoryFormat.MOST_BYTES + 1], "n1", SAVED));
+        assertEquals(
+                Fault.TOO_LARGE, fault(new byte[LearntSnapshotFormat.MOST_BYTES + 1], "n1", SAVED));
         assertEquals(Fault.MALFORMED, fault(written(1, "dispatcher n1\nsaved x\n"), "n1", SAVED));
         assertEquals(Fault.LATER_FORMAT, fault(written(2, "anything"), "n1", SAVED));
     }
@@ -106,7 +112,7 @@
 
     @Test
     public void oneTornAnywhereIsNotGoneBy() {
-        byte[] good = MemoryFormat.write(memory);
+        byte[] good = LearntSnapshotFormat.write(memory);
         for (int length = 0; length < good.length; length++) {
             assertEquals("" + length, Fault.TORN, fault(Arrays.copyOf(good, length), "n1", SAVED));
         }
@@ -115,7 +121,7 @@
 
     @Test
     public void oneWithAnyBitFlippedIsNotGoneBy() {
-        byte[] good = MemoryFormat.write(memory);
+        byte[] good = LearntSnapshotFormat.write(memory);
         for (int bit = 0; bit < good.length * 8; bit++) {
             byte[] bad = good.clone();
             bad[bit / 8] ^= (byte) (1 << bit % 8);
--- a/core/src/test/java/postgrade/comeback/StampedeTest.java
+++ b/core/src/test/java/postgrade/recovery/StampedeTest.java
@@ -1,4 +1,4 @@
-package postgrade.comeback;
+package postgrade.recovery;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
@@ -6,22 +6,24 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.Test;
-import postgrade.comeback.Stampede.Kind;
-import postgrade.comeback.Stampede.Steady;
+import postgrade.recovery.ThunderingHerdLimits.LoadKind;
+import postgrade.recovery.ThunderingHerdLimits.SteadyRates;
 
 /** When most come back at once: others are not overrun, and callers do not return together. */
 public class StampedeTest {
 
-    private static final Steady STEADY = new Steady(10, 40, 5, 2, 8);
+    private static final SteadyRates STEADY = new SteadyRates(10, 40, 5, 2, 8);
     private static final int PLACES = 20;
 
     /** The most within any second over all that are there from the start, and how many in all. */
-    private static int[] peak(Kind kind, int there, int alive, String worker, long forMicros) {
+    private static int[] peak(LoadKind kind, int there, int alive, String worker, long forMicros) {
         List<Long> times = new ArrayList<>();
         for (int place = 0; place < there; place++) {
-            Gate gate = new Stampede(STEADY, 2, PLACES, place).gate(0, kind, alive, worker);
+            Pacer gate =
+                    new ThunderingHerdLimits(STEADY, 2, PLACES, place)
+                            .pacer(0, kind, alive, worker);
             for (long t = 0; t < forMicros; t += 1000) {
-                if (gate.take(t)) {
+                if (gate.tryAcquire(t)) {
                     times.add(t);
                 }
             }
@@ -41,10 +43,10 @@
 
     @Test
     public void allTogetherStayWithinTheMultipleInEverySecond() {
-        for (Kind kind : Kind.values()) {
+        for (LoadKind kind : LoadKind.values()) {
             for (String worker : List.of("", "w1", "w2")) {
                 int[] peak = peak(kind, PLACES, 0, worker, 10_000_000);
-                double steady = new Stampede(STEADY, 2, PLACES, 0).steady().of(kind);
+                double steady = new ThunderingHerdLimits(STEADY, 2, PLACES, 0).steady().of(kind);
                 assertTrue(kind + " " + peak[0], peak[0] <= 2 * steady + 1);
                 assertTrue(kind + " goes on", peak[1] >= 2 * steady * 10 - PLACES);
             }
@@ -54,48 +56,50 @@
     @Test
     public void fewerThatLiveMayEachDoMore() {
         assertTrue(
-                peak(Kind.PULL, 5, 5, "", 5_000_000)[1]
-                        > 3 * peak(Kind.PULL, 5, 20, "", 5_000_000)[1]);
-        assertEquals(4, new Stampede(STEADY, 2, PLACES, 0).perSecond(Kind.PULL, 0), 0);
-        assertEquals(16, new Stampede(STEADY, 2, PLACES, 0).perSecond(Kind.PULL, 5), 0);
+                peak(LoadKind.PULL, 5, 5, "", 5_000_000)[1]
+                        > 3 * peak(LoadKind.PULL, 5, 20, "", 5_000_000)[1]);
+        assertEquals(
+                4, new ThunderingHerdLimits(STEADY, 2, PLACES, 0).perSecond(LoadKind.PULL, 0), 0);
+        assertEquals(
+                16, new ThunderingHerdLimits(STEADY, 2, PLACES, 0).perSecond(LoadKind.PULL, 5), 0);
     }
 
     @Test
     public void aGateTellsWhenItOpens() {
-        Gate gate = new Gate(0, 2, 0.5);
+        Pacer gate = new Pacer(0, 2, 0.5);
         assertEquals(250_000, gate.waitMicros(0));
-        assertTrue(gate.take(250_000));
+        assertTrue(gate.tryAcquire(250_000));
         assertEquals(500_000, gate.waitMicros(250_000));
-        gate.pace(250_000, 4);
+        gate.setRate(250_000, 4);
         assertEquals(250_000, gate.waitMicros(250_000));
-        gate.pace(250_000, 0);
+        gate.setRate(250_000, 0);
         assertEquals(Long.MAX_VALUE, gate.waitMicros(300_000));
     }
 
     @Test
     public void admissionGrowsAsWorkersTakeAndGoesBackWhenTheyAreFull() {
-        Ramp ramp = new Ramp(0, 0.1);
-        assertEquals(0.1, ramp.part(0), 0);
-        assertEquals("nothing was sent, so nothing is known", 0.1, ramp.part(500_000), 0);
+        AdmissionRamp ramp = new AdmissionRamp(0, 0.1);
+        assertEquals(0.1, ramp.admittedShare(0), 0);
+        assertEquals("nothing was sent, so nothing is known", 0.1, ramp.admittedShare(500_000), 0);
         long t = 500_000;
-        for (; ramp.part(t) < 0.5; t += 100_000) {
-            ramp.answered(false);
+        for (; ramp.admittedShare(t) < 0.5; t += 100_000) {
+            ramp.recordAnswer(false);
         }
-        double before = ramp.part(t);
-        ramp.answered(true);
-        ramp.answered(false);
-        assertTrue(ramp.part(t + 100_000) < before);
-        for (t += 200_000; ramp.part(t) < 1; t += 100_000) {
-            ramp.answered(false);
+        double before = ramp.admittedShare(t);
+        ramp.recordAnswer(true);
+        ramp.recordAnswer(false);
+        assertTrue(ramp.admittedShare(t + 100_000) < before);
+        for (t += 200_000; ramp.admittedShare(t) < 1; t += 100_000) {
+            ramp.recordAnswer(false);
         }
         assertTrue("t " + t, t < 3_000_000);
-        ramp.answered(true);
-        assertEquals(1, ramp.part(t + 500_000), 0);
+        ramp.recordAnswer(true);
+        assertEquals(1, ramp.admittedShare(t + 500_000), 0);
     }
 
     @Test
     public void aPartOfTheJobsIsAdmittedByTheirIds() {
-        Ramp ramp = new Ramp(0, 0.3);
+        AdmissionRamp ramp = new AdmissionRamp(0, 0.3);
         int admitted = 0;
         for (int i = 0; i < 10_000; i++) {
             admitted += ramp.admits(0, Integer.toHexString(i * 7919)) ? 1 : 0;
@@ -105,12 +109,14 @@
 
     @Test
     public void refusedCallersComeBackSpreadOverWhatCanBeTakenIn() {
-        long width = Returning.widthMicros(5000, 1000);
+        long width = RetryAfterSpread.spreadMicros(5000, 1000);
         assertEquals(5_000_000, width);
         int[] perSecond = new int[6];
         for (int i = 0; i < 5000; i++) {
-            long after = Returning.afterMicros("id" + i, 7, 500_000, width, 10_000_000);
-            assertEquals(after, Returning.afterMicros("id" + i, 7, 500_000, width, 10_000_000));
+            long after = RetryAfterSpread.retryAfterMicros("id" + i, 7, 500_000, width, 10_000_000);
+            assertEquals(
+                    after,
+                    RetryAfterSpread.retryAfterMicros("id" + i, 7, 500_000, width, 10_000_000));
             perSecond[(int) ((after - 500_000) / 1_000_000)]++;
         }
         for (int second = 0; second < 5; second++) {
@@ -118,7 +124,8 @@
         }
         assertEquals(0, perSecond[5]);
         assertTrue(
-                Returning.afterMicros("x", 7, 20_000_000, Long.MAX_VALUE, 1_000_000) <= 1_000_000);
+                RetryAfterSpread.retryAfterMicros("x", 7, 20_000_000, Long.MAX_VALUE, 1_000_000)
+                        <= 1_000_000);
     }
 
     /**
@@ -127,14 +134,14 @@
      */
     @Test
     public void thoseTurnedAwayComeBackOverWhatIsLeftBesideWhatComesAnyway() {
-        Crowd crowd = new Crowd();
+        RecentDemand crowd = new RecentDemand();
         for (long t = 0; t < 5_000_000; t += 10_000) {
-            crowd.asked(t, t % 20_000 == 0);
+            crowd.record(t, t % 20_000 == 0);
         }
-        assertEquals(1e6, crowd.widthMicros(150), 0.05e6);
-        assertEquals("more that is left, sooner", 0.25e6, crowd.widthMicros(300), 0.02e6);
-        assertEquals("a tenth is taken as left at least", 5e6, crowd.widthMicros(100), 0.2e6);
-        crowd.asked(20_000_000, true);
-        assertTrue("forgotten by then", crowd.widthMicros(150) < 20_000);
+        assertEquals(1e6, crowd.spreadMicros(150), 0.05e6);
+        assertEquals("more that is left, sooner", 0.25e6, crowd.spreadMicros(300), 0.02e6);
+        assertEquals("a tenth is taken as left at least", 5e6, crowd.spreadMicros(100), 0.2e6);
+        crowd.record(20_000_000, true);
+        assertTrue("forgotten by then", crowd.spreadMicros(150) < 20_000);
     }
 }
--- a/core/src/test/java/postgrade/shared/MachineTest.java
+++ b/core/src/test/java/postgrade/shared/MachineTest.java
@@ -19,8 +19,8 @@
 public class MachineTest {
 
     /** Counts by name; a name is removed when its count passes what it may. */
-    private static final Part COUNTER =
-            new Part() {
+    private static final StatePart COUNTER =
+            new StatePart() {
                 @Override
                 public String name() {
                     return "count";
@@ -29,9 +29,9 @@
                 @Override
                 public Answer apply(Rows rows, Moment at, Command c) {
                     String key = c.args().text("name");
-                    long by = c.args().whole("by", 1, 10);
+                    long by = c.args().integer("by", 1, 10);
                     Row was = rows.get("count", key);
-                    long now = by + (was == null ? 0 : was.whole("n"));
+                    long now = by + (was == null ? 0 : was.integer("n"));
                     if (now > 10) {
                         rows.remove("count", key);
                     } else {
@@ -41,7 +41,7 @@
                 }
             };
 
-    private final Machine machine = new Machine(1, List.of(COUNTER));
+    private final ReplicatedStateMachine machine = new ReplicatedStateMachine(1, List.of(COUNTER));
     private long index;
 
     private Answer count(String id, String name, Object by) {
@@ -54,8 +54,8 @@
         Answer first = count("r1", "x", 3);
         assertEquals(first, count("r1", "x", 3));
         assertEquals("3", machine.rows().get("count", "x").text("n"));
-        Machine next = new Machine(1, List.of(COUNTER));
-        next.load(machine.save());
+        ReplicatedStateMachine next = new ReplicatedStateMachine(1, List.of(COUNTER));
+        next.restore(machine.snapshot());
         assertEquals(
                 first,
                 next.apply(
@@ -86,17 +86,24 @@
     public void timeGoesOnByTheLogAloneAndInBoundedSteps() {
         count("", "x", 1);
         assertEquals(0, machine.moment().micros());
-        machine.apply(++index, Machine.advance("a", 1, 400_000));
-        machine.apply(++index, Machine.advance("a", 1, 50 * Machine.MOST_ADVANCE_MICROS));
-        machine.apply(++index, Machine.advance("a", 1, -5));
-        assertEquals(400_000 + Machine.MOST_ADVANCE_MICROS, machine.moment().micros());
+        machine.apply(++index, ReplicatedStateMachine.advance("a", 1, 400_000));
+        machine.apply(
+                ++index,
+                ReplicatedStateMachine.advance(
+                        "a", 1, 50 * ReplicatedStateMachine.MAX_ADVANCE_MICROS));
+        machine.apply(++index, ReplicatedStateMachine.advance("a", 1, -5));
+        assertEquals(
+                400_000 + ReplicatedStateMachine.MAX_ADVANCE_MICROS, machine.moment().micros());
     }
 
     @Test
     public void answersAreForgottenAfterTenMinutesOfTheLog() {
         count("r1", "x", 1);
         for (int i = 0; i < 600; i++) {
-            machine.apply(++index, Machine.advance("a", 1, Machine.MOST_ADVANCE_MICROS));
+            machine.apply(
+                    ++index,
+                    ReplicatedStateMachine.advance(
+                            "a", 1, ReplicatedStateMachine.MAX_ADVANCE_MICROS));
         }
         assertEquals(0, machine.rows().count("request"));
     }
@@ -121,7 +128,7 @@
 
     @Test
     public void theSameAnswersAreForgottenAsByLookingAtThemAll() {
-        Machine replica = machine;
+        ReplicatedStateMachine replica = machine;
         Map<String, Long> answers = new TreeMap<>();
         Random random = new Random(7);
         int most = 0;
@@ -134,20 +141,23 @@
             answers.putIfAbsent(id, replica.moment().micros());
             if (random.nextInt(i < 10_500 ? 40 : 3) == 0) {
                 long before = replica.moment().micros();
-                replica.apply(++index, Machine.advance("a", 1, Machine.MOST_ADVANCE_MICROS));
+                replica.apply(
+                        ++index,
+                        ReplicatedStateMachine.advance(
+                                "a", 1, ReplicatedStateMachine.MAX_ADVANCE_MICROS));
                 forgetByLooking(answers, before, replica.moment().micros());
                 most = Math.max(most, answers.size());
                 if (++steps % 16 == 0) {
-                    assertEquals(answers.keySet(), replica.rows().of("request").keySet());
+                    assertEquals(answers.keySet(), replica.rows().ofPart("request").keySet());
                 }
             }
             if (i == 6000 || i == 11_000) {
-                Machine later = new Machine(1, List.of(COUNTER));
-                later.load(replica.save());
+                ReplicatedStateMachine later = new ReplicatedStateMachine(1, List.of(COUNTER));
+                later.restore(replica.snapshot());
                 replica = later;
             }
         }
-        assertEquals(answers.keySet(), replica.rows().of("request").keySet());
+        assertEquals(answers.keySet(), replica.rows().ofPart("request").keySet());
         assertEquals(10_000, most);
         assertTrue("none grew too old", answers.size() < 9000);
     }
@@ -156,26 +166,26 @@
     public void aFollowerOfChangesSeesWhatTheMachineHolds() {
         count("", "x", 1);
         count("", "y", 9);
-        Rows follower = Rows.of(index, machine.save().rows());
+        Rows follower = Rows.fromSnapshot(index, machine.snapshot().rows());
         long seen = index;
         count("", "y", 9); // Removed.
         count("", "x", 1);
         count("", "z", 1);
-        follower = follower.with(index, machine.rows().since(seen));
-        assertEquals(machine.rows().of("count"), follower.of("count"));
-        assertTrue(machine.rows().since(index).isEmpty());
+        follower = follower.withChanges(index, machine.rows().changesSince(seen));
+        assertEquals(machine.rows().ofPart("count"), follower.ofPart("count"));
+        assertTrue(machine.rows().changesSince(index).isEmpty());
     }
 
     @Test
     public void whatWasRemovedAndPutAgainStands() {
         count("", "x", 1);
-        Rows follower = Rows.of(index, machine.save().rows());
+        Rows follower = Rows.fromSnapshot(index, machine.snapshot().rows());
         long seen = index;
         count("", "x", 10);
         count("", "x", 2);
         assertEquals(
-                machine.rows().of("count"),
-                follower.with(index, machine.rows().since(seen)).of("count"));
+                machine.rows().ofPart("count"),
+                follower.withChanges(index, machine.rows().changesSince(seen)).ofPart("count"));
     }
 
     @Test
@@ -184,12 +194,12 @@
         count("", "x", 10);
         count("", "x", 1);
         long seen = index;
-        follower = follower.with(seen, machine.rows().since(0));
-        assertTrue(follower.of("count").isEmpty());
+        follower = follower.withChanges(seen, machine.rows().changesSince(0));
+        assertTrue(follower.ofPart("count").isEmpty());
         count("", "x", 10);
         assertEquals(
-                machine.rows().of("count"),
-                follower.with(index, machine.rows().since(seen)).of("count"));
+                machine.rows().ofPart("count"),
+                follower.withChanges(index, machine.rows().changesSince(seen)).ofPart("count"));
     }
 
     @Test
@@ -199,7 +209,7 @@
             count("", "n" + i, 10);
             count("", "n" + i, 1);
         }
-        assertNull(machine.rows().since(seen));
+        assertNull(machine.rows().changesSince(seen));
     }
 
     @Test
--- a/core/src/test/java/postgrade/window/CalendarPartTest.java
+++ b/core/src/test/java/postgrade/window/CalendarPartTest.java
@@ -15,7 +15,7 @@
 import postgrade.shared.Answer;
 import postgrade.shared.Answer.Status;
 import postgrade.shared.Command;
-import postgrade.shared.Machine;
+import postgrade.shared.ReplicatedStateMachine;
 import postgrade.shared.Row;
 import postgrade.shared.Rows;
 import postgrade.shared.View;
@@ -28,7 +28,8 @@
     private static final long AHEAD = CalendarPart.LEAST_AHEAD_MICROS;
     private static final Plan PLAN = new Plan(0, Long.MAX_VALUE, 10, List.of("a"));
 
-    private final Machine machine = new Machine(1, List.of(new CalendarPart()));
+    private final ReplicatedStateMachine machine =
+            new ReplicatedStateMachine(1, List.of(new CalendarPart()));
     private long index;
 
     private Answer ask(String verb, Object... args) {
@@ -41,14 +42,17 @@
     }
 
     private void advance(long micros) {
-        for (long left = micros; left > 0; left -= Machine.MOST_ADVANCE_MICROS) {
+        for (long left = micros; left > 0; left -= ReplicatedStateMachine.MAX_ADVANCE_MICROS) {
             machine.apply(
-                    ++index, Machine.advance("p", 1, Math.min(left, Machine.MOST_ADVANCE_MICROS)));
+                    ++index,
+                    ReplicatedStateMachine.advance(
+                            "p", 1, Math.min(left, ReplicatedStateMachine.MAX_ADVANCE_MICROS)));
         }
     }
 
     private View view(long asOf) {
-        return new View(machine.moment(), Rows.of(index, machine.save().rows()), asOf);
+        return new View(
+                machine.moment(), Rows.fromSnapshot(index, machine.snapshot().rows()), asOf);
     }
 
     /** Texts here are plain spans: {@code from-to from-to}. */
@@ -103,7 +107,7 @@
         put("3000-4000");
         // A view from just before, used by a slow clock beside a fast leader that had two steps to
         // tell.
-        advance(2 * Machine.MOST_ADVANCE_MICROS);
+        advance(2 * ReplicatedStateMachine.MAX_ADVANCE_MICROS);
         advance((long) (CalendarPart.LONGEST_VIEW_MICROS * 1.02 / 0.98));
         assertEquals(former, machine.rows().get("calendar", "site:a").text("current"));
     }
@@ -213,7 +217,7 @@
         for (long real = 0, logged = 0; real < 120_000_000; real += 250_000) {
             long due = (long) (real * leader) - logged;
             if (random.nextInt(4) == 0) {
-                of.advance(Math.min(due, Machine.MOST_ADVANCE_MICROS));
+                of.advance(Math.min(due, ReplicatedStateMachine.MAX_ADVANCE_MICROS));
                 logged += due;
             }
             if (random.nextInt(20) == 0) {
--- a/quorum/src/main/java/postgrade/quorum/Quorum.java
+++ b/quorum/src/main/java/postgrade/quorum/Quorum.java
@@ -19,15 +19,15 @@
 import postgrade.quorum.wire.Server;
 import postgrade.quorum.wire.VoterConnections;
 import postgrade.shared.Command;
-import postgrade.shared.Part;
-import postgrade.shared.Sharing;
+import postgrade.shared.ReplicatedState;
+import postgrade.shared.StatePart;
 import postgrade.shared.View;
 
 /**
  * State shared through a quorum of voters, as one process takes part in it: as a voter or as an
  * observer that follows the voters.
  */
-public final class Quorum implements Sharing {
+public final class Quorum implements ReplicatedState {
 
     /**
      * Strong reference: java.util.logging keeps loggers weakly and would forget the level set here.
@@ -45,7 +45,7 @@
     private final StateClient follower;
 
     private Quorum(
-            QuorumSettings settings, List<Part> parts, LongSupplier nowMicros, Executor onLoop)
+            QuorumSettings settings, List<StatePart> parts, LongSupplier nowMicros, Executor onLoop)
             throws IOException {
         this.settings = settings;
         voterFault = new FaultStatus(settings.name());
@@ -91,7 +91,7 @@
      * @throws IOException if a voter cannot listen on its port
      */
     public static Quorum open(
-            QuorumSettings settings, List<Part> parts, LongSupplier nowMicros, Executor onLoop)
+            QuorumSettings settings, List<StatePart> parts, LongSupplier nowMicros, Executor onLoop)
             throws IOException {
         quietLibraryLoggers();
         long incarnation =
@@ -136,7 +136,7 @@
     }
 
     @Override
-    public void ask(Command command, long timeoutMicros, Consumer<Reply> done) {
+    public void submit(Command command, long timeoutMicros, Consumer<Reply> done) {
         follower.submit(command, timeoutMicros, done);
     }
 
--- a/quorum/src/main/java/postgrade/quorum/engine/LogClock.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/LogClock.java
@@ -3,7 +3,7 @@
 import io.microraft.RaftNode;
 import io.microraft.exception.CannotReplicateException;
 import java.util.function.LongSupplier;
-import postgrade.shared.Machine;
+import postgrade.shared.ReplicatedStateMachine;
 
 /**
  * Advances the log's time, while this voter leads, by what its own monotonic clock has measured.
@@ -62,7 +62,8 @@
         this.incarnation = incarnation;
         this.nowMicros = nowMicros;
         this.minAdvanceMicros = minAdvanceMicros;
-        this.maxAdvanceMicros = Math.min(maxAdvanceMicros, Machine.MOST_ADVANCE_MICROS);
+        this.maxAdvanceMicros =
+                Math.min(maxAdvanceMicros, ReplicatedStateMachine.MAX_ADVANCE_MICROS);
     }
 
     /** Discards the measurement after a change of leader. */
@@ -114,7 +115,7 @@
         int proposal = ++proposals;
         long advanceMicros =
                 committedInTerm ? Math.min(maxAdvanceMicros, currentMicros - loggedUntilMicros) : 0;
-        node.replicate(Machine.advance(name, incarnation, advanceMicros))
+        node.replicate(ReplicatedStateMachine.advance(name, incarnation, advanceMicros))
                 .whenComplete(
                         (done, failure) -> {
                             if (term != currentTerm || proposal != proposals) {
--- a/quorum/src/main/java/postgrade/quorum/engine/RaftGroup.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/RaftGroup.java
@@ -27,7 +27,7 @@
 import postgrade.quorum.wire.proto.RaftMsg;
 import postgrade.shared.Command;
 import postgrade.shared.Moment;
-import postgrade.shared.Part;
+import postgrade.shared.StatePart;
 
 /**
  * The log of one era at this voter: consensus engine, store and replica. Used on the engine's
@@ -63,7 +63,7 @@
 
     RaftGroup(
             QuorumSettings settings,
-            List<Part> parts,
+            List<StatePart> parts,
             LongSupplier nowMicros,
             EngineThread thread,
             VoterConnections connections,
--- a/quorum/src/main/java/postgrade/quorum/engine/Replica.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/Replica.java
@@ -6,9 +6,9 @@
 import postgrade.quorum.wire.LogCodec;
 import postgrade.shared.Answer;
 import postgrade.shared.Command;
-import postgrade.shared.Machine;
 import postgrade.shared.Moment;
-import postgrade.shared.Part;
+import postgrade.shared.ReplicatedStateMachine;
+import postgrade.shared.StatePart;
 
 /** Adapts the state machine of the shared state to the consensus engine. */
 final class Replica implements StateMachine {
@@ -24,10 +24,10 @@
 
     record Applied(Answer answer, Moment moment) {}
 
-    final Machine machine;
+    final ReplicatedStateMachine machine;
 
-    Replica(long era, List<Part> parts) {
-        machine = new Machine(era, parts);
+    Replica(long era, List<StatePart> parts) {
+        machine = new ReplicatedStateMachine(era, parts);
     }
 
     @Override
@@ -41,12 +41,12 @@
 
     @Override
     public void takeSnapshot(long index, Consumer<Object> chunks) {
-        StatePages.split(machine.save(), chunks);
+        StatePages.split(machine.snapshot(), chunks);
     }
 
     @Override
     public void installSnapshot(long index, List<Object> chunks) {
-        machine.load(StatePages.join(chunks));
+        machine.restore(StatePages.join(chunks));
     }
 
     @Override
--- a/quorum/src/main/java/postgrade/quorum/engine/StatePages.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/StatePages.java
@@ -9,7 +9,7 @@
 import postgrade.quorum.wire.proto.ChangeMsg;
 import postgrade.quorum.wire.proto.PullReply;
 import postgrade.quorum.wire.proto.PullRequest;
-import postgrade.shared.Machine;
+import postgrade.shared.ReplicatedStateMachine;
 import postgrade.shared.Rows.Change;
 
 /**
@@ -32,8 +32,11 @@
      * known.
      */
     public static void fill(
-            PullReply.Builder reply, Machine machine, PullRequest request, boolean resumed) {
-        List<Change> changes = resumed ? machine.rows().since(request.getIndex()) : null;
+            PullReply.Builder reply,
+            ReplicatedStateMachine machine,
+            PullRequest request,
+            boolean resumed) {
+        List<Change> changes = resumed ? machine.rows().changesSince(request.getIndex()) : null;
         reply.setMoment(StateCodec.moment(machine.moment())).setWhole(changes == null);
         if (!request.getPages()) {
             reply.addAllChanges(
@@ -73,24 +76,27 @@
     }
 
     /** Splits a snapshot into chunks of about the page size, each with the snapshot's moment. */
-    static void split(Machine.Snapshot snapshot, Consumer<Object> chunkConsumer) {
+    static void split(ReplicatedStateMachine.Snapshot snapshot, Consumer<Object> chunkConsumer) {
         List<Change> rows = new ArrayList<>();
         int bytes = 0;
         for (Change change : snapshot.rows()) {
             if (bytes >= PAGE_BYTES) {
-                chunkConsumer.accept(new Machine.Snapshot(snapshot.moment(), List.copyOf(rows)));
+                chunkConsumer.accept(
+                        new ReplicatedStateMachine.Snapshot(snapshot.moment(), List.copyOf(rows)));
                 rows.clear();
                 bytes = 0;
             }
             rows.add(change);
             bytes += StateCodec.change(change).getSerializedSize();
         }
-        chunkConsumer.accept(new Machine.Snapshot(snapshot.moment(), List.copyOf(rows)));
+        chunkConsumer.accept(
+                new ReplicatedStateMachine.Snapshot(snapshot.moment(), List.copyOf(rows)));
     }
 
-    static Machine.Snapshot join(List<Object> chunks) {
+    static ReplicatedStateMachine.Snapshot join(List<Object> chunks) {
         List<Change> rows = new ArrayList<>();
-        chunks.forEach(chunk -> rows.addAll(((Machine.Snapshot) chunk).rows()));
-        return new Machine.Snapshot(((Machine.Snapshot) chunks.get(0)).moment(), rows);
+        chunks.forEach(chunk -> rows.addAll(((ReplicatedStateMachine.Snapshot) chunk).rows()));
+        return new ReplicatedStateMachine.Snapshot(
+                ((ReplicatedStateMachine.Snapshot) chunks.get(0)).moment(), rows);
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/engine/Voter.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/Voter.java
@@ -18,7 +18,7 @@
 import postgrade.quorum.wire.VoterConnections;
 import postgrade.quorum.wire.proto.HelloReply;
 import postgrade.quorum.wire.proto.HelloRequest;
-import postgrade.shared.Part;
+import postgrade.shared.StatePart;
 
 /**
  * A process that votes, or is to become a voter. It opens its store, asks its peers whether the
@@ -32,7 +32,7 @@
     private static final long REOPEN_DELAY_MICROS = 2_000_000;
 
     private final QuorumSettings settings;
-    private final List<Part> parts;
+    private final List<StatePart> parts;
     private final LongSupplier nowMicros;
     private final VoterConnections connections;
     private final EngineThread thread;
@@ -47,7 +47,7 @@
 
     public Voter(
             QuorumSettings settings,
-            List<Part> parts,
+            List<StatePart> parts,
             LongSupplier nowMicros,
             VoterConnections connections,
             FaultStatus faultStatus) {
--- a/quorum/src/main/java/postgrade/quorum/follow/CommandSubmitter.java
+++ b/quorum/src/main/java/postgrade/quorum/follow/CommandSubmitter.java
@@ -10,7 +10,7 @@
 import postgrade.quorum.wire.proto.AskReply;
 import postgrade.quorum.wire.proto.AskRequest;
 import postgrade.shared.Command;
-import postgrade.shared.Sharing.Reply;
+import postgrade.shared.ReplicatedState.Reply;
 
 /**
  * Submits commands: to the leader if it is known, else to any voter, retrying with the same id
--- a/quorum/src/main/java/postgrade/quorum/follow/StateClient.java
+++ b/quorum/src/main/java/postgrade/quorum/follow/StateClient.java
@@ -10,7 +10,7 @@
 import postgrade.quorum.settings.QuorumSettings;
 import postgrade.quorum.wire.VoterConnections;
 import postgrade.shared.Command;
-import postgrade.shared.Sharing.Reply;
+import postgrade.shared.ReplicatedState.Reply;
 import postgrade.shared.View;
 
 /**
--- a/quorum/src/main/java/postgrade/quorum/follow/ViewAssembler.java
+++ b/quorum/src/main/java/postgrade/quorum/follow/ViewAssembler.java
@@ -108,10 +108,10 @@
                 new View(
                         moment,
                         fullState
-                                ? Rows.of(moment.index(), changes)
+                                ? Rows.fromSnapshot(moment.index(), changes)
                                 : changes.isEmpty()
                                         ? previous.rows()
-                                        : previous.rows().with(moment.index(), changes),
+                                        : previous.rows().withChanges(moment.index(), changes),
                         Math.max(asOfMicros, previous.asOfMicros()));
         reset(view);
         return view;
--- a/quorum/src/main/java/postgrade/quorum/wire/LogCodec.java
+++ b/quorum/src/main/java/postgrade/quorum/wire/LogCodec.java
@@ -16,7 +16,7 @@
 import postgrade.quorum.wire.proto.MemberChange;
 import postgrade.quorum.wire.proto.Members;
 import postgrade.shared.Command;
-import postgrade.shared.Machine;
+import postgrade.shared.ReplicatedStateMachine;
 
 /** Encodes log entries and snapshots for the wire and the store. */
 public final class LogCodec {
@@ -103,7 +103,8 @@
                 .setNumber(chunk.getSnapshotChunkIndex())
                 .setCount(chunk.getSnapshotChunkCount())
                 .setMembers(members(chunk.getGroupMembersView()))
-                .setRows(StateCodec.snapshot((Machine.Snapshot) chunk.getOperation()))
+                .setRows(
+                        StateCodec.snapshot((ReplicatedStateMachine.Snapshot) chunk.getOperation()))
                 .build();
     }
 
--- a/quorum/src/main/java/postgrade/quorum/wire/StateCodec.java
+++ b/quorum/src/main/java/postgrade/quorum/wire/StateCodec.java
@@ -11,8 +11,8 @@
 import postgrade.quorum.wire.proto.SnapshotMsg;
 import postgrade.shared.Answer;
 import postgrade.shared.Command;
-import postgrade.shared.Machine;
 import postgrade.shared.Moment;
+import postgrade.shared.ReplicatedStateMachine;
 import postgrade.shared.Row;
 import postgrade.shared.Rows.Change;
 
@@ -107,15 +107,15 @@
         return parsed;
     }
 
-    public static SnapshotMsg snapshot(Machine.Snapshot snapshot) {
+    public static SnapshotMsg snapshot(ReplicatedStateMachine.Snapshot snapshot) {
         return SnapshotMsg.newBuilder()
                 .setMoment(moment(snapshot.moment()))
                 .addAllRows(changes(snapshot.rows()))
                 .build();
     }
 
-    public static Machine.Snapshot snapshot(SnapshotMsg message) {
-        return new Machine.Snapshot(
+    public static ReplicatedStateMachine.Snapshot snapshot(SnapshotMsg message) {
+        return new ReplicatedStateMachine.Snapshot(
                 moment(message.getMoment()), parseChanges(message.getRowsList()));
     }
 }
--- a/quorum/src/test/java/postgrade/quorum/Cluster.java
+++ b/quorum/src/test/java/postgrade/quorum/Cluster.java
@@ -23,10 +23,10 @@
 import postgrade.shared.Answer;
 import postgrade.shared.Command;
 import postgrade.shared.Moment;
-import postgrade.shared.Part;
+import postgrade.shared.ReplicatedState.Reply;
 import postgrade.shared.Row;
 import postgrade.shared.Rows;
-import postgrade.shared.Sharing.Reply;
+import postgrade.shared.StatePart;
 
 /** Voters and observers in this process, over real connections, each with a store of its own. */
 final class Cluster implements AutoCloseable {
@@ -37,7 +37,7 @@
     private static final long AWAIT_TIMEOUT_MILLIS = 120_000;
 
     /** Sums the amounts that commands add, by key. */
-    static final class SumPart implements Part {
+    static final class SumPart implements StatePart {
         @Override
         public String name() {
             return "sums";
@@ -45,9 +45,9 @@
 
         @Override
         public Answer apply(Rows rows, Moment at, Command command) {
-            long by = command.args().whole("by");
+            long by = command.args().integer("by");
             Row before = rows.get("sums", command.args().text("key"));
-            long sum = (before == null ? 0 : before.whole("sum")) + by;
+            long sum = (before == null ? 0 : before.integer("sum")) + by;
             rows.put("sums", command.args().text("key"), Row.of("sum", sum));
             return Answer.done("", Row.of("sum", sum, "fence", at.fence()));
         }
@@ -152,7 +152,7 @@
 
     Reply submit(String process, Command command, long timeoutMicros) {
         CompletableFuture<Reply> reply = new CompletableFuture<>();
-        loop.execute(() -> processes.get(process).ask(command, timeoutMicros, reply::complete));
+        loop.execute(() -> processes.get(process).submit(command, timeoutMicros, reply::complete));
         try {
             return reply.get(AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (Exception e) {
@@ -162,7 +162,7 @@
 
     long sum(String process, String key) {
         Row row = processes.get(process).view().rows().get("sums", key);
-        return row == null ? 0 : row.whole("sum");
+        return row == null ? 0 : row.integer("sum");
     }
 
     void await(String expectation, BooleanSupplier condition) {
--- a/quorum/src/test/java/postgrade/quorum/QuorumTest.java
+++ b/quorum/src/test/java/postgrade/quorum/QuorumTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.Test;
 import postgrade.shared.Answer;
-import postgrade.shared.Sharing.Reply;
+import postgrade.shared.ReplicatedState.Reply;
 
 /** Commands and views while voters stop and restart. */
 public class QuorumTest {
@@ -31,7 +31,7 @@
             Reply next =
                     cluster.submit(
                             other, Cluster.addCommand("r2", "k", 2), Cluster.AMPLE_TIMEOUT_MICROS);
-            assertEquals(7, next.answer().fields().whole("sum"));
+            assertEquals(7, next.answer().fields().integer("sum"));
             assertTrue(next.moment().after(first.moment()));
             assertTrue(
                     "the log's time never runs ahead of real time",
@@ -86,7 +86,7 @@
             Reply decided =
                     cluster.submit(
                             "o", Cluster.addCommand("r1", "k", 5), Cluster.AMPLE_TIMEOUT_MICROS);
-            assertEquals(5, decided.answer().fields().whole("sum"));
+            assertEquals(5, decided.answer().fields().integer("sum"));
             cluster.await("the view shows the sum once", () -> cluster.sum("o", "k") == 5);
         }
     }
@@ -101,13 +101,13 @@
                                     Cluster.AMPLE_TIMEOUT_MICROS)
                             .answer()
                             .fields()
-                            .whole("fence");
+                            .integer("fence");
             cluster.stop("a", "b", "c");
             cluster.start("a", "b", "c");
             Reply repeated =
                     cluster.submit(
                             "c", Cluster.addCommand("r1", "k", 5), Cluster.AMPLE_TIMEOUT_MICROS);
-            assertEquals(fence, repeated.answer().fields().whole("fence"));
+            assertEquals(fence, repeated.answer().fields().integer("fence"));
             cluster.awaitAll("a", "b", "c");
         }
     }
--- a/quorum/src/test/java/postgrade/quorum/VoterStoreTest.java
+++ b/quorum/src/test/java/postgrade/quorum/VoterStoreTest.java
@@ -12,7 +12,7 @@
 import java.util.stream.Stream;
 import org.junit.Test;
 import postgrade.quorum.store.VoterStore;
-import postgrade.shared.Sharing.Reply;
+import postgrade.shared.ReplicatedState.Reply;
 
 /** Stores that are deleted, restored from a copy, or cannot be written. */
 public class VoterStoreTest {
@@ -44,7 +44,7 @@
                                     Cluster.AMPLE_TIMEOUT_MICROS)
                             .answer()
                             .fields()
-                            .whole("sum"));
+                            .integer("sum"));
             cluster.stop("a");
             assertTrue(
                     "b and c decide without a",
@@ -68,7 +68,7 @@
                                     Cluster.AMPLE_TIMEOUT_MICROS)
                             .answer()
                             .fields()
-                            .whole("fence");
+                            .integer("fence");
             cluster.start("o");
             cluster.await(
                     "o has a view of era 1",
@@ -92,7 +92,7 @@
             Reply reply =
                     cluster.submit(
                             "o", Cluster.addCommand("r1", "k", 5), Cluster.AMPLE_TIMEOUT_MICROS);
-            assertTrue(reply.answer().fields().whole("fence") > fence);
+            assertTrue(reply.answer().fields().integer("fence") > fence);
             cluster.await(
                     "o has a view of era 2",
                     () -> cluster.processes.get("o").view().moment().era() == 2);
--- a/quorum/src/test/java/postgrade/quorum/bench/One.java
+++ b/quorum/src/test/java/postgrade/quorum/bench/One.java
@@ -10,9 +10,9 @@
 import postgrade.shared.Answer;
 import postgrade.shared.Command;
 import postgrade.shared.Moment;
-import postgrade.shared.Part;
 import postgrade.shared.Row;
 import postgrade.shared.Rows;
+import postgrade.shared.StatePart;
 
 /**
  * Main class for measurements: opens the shared state in one process and stays idle, or renews a
@@ -23,7 +23,7 @@
 
     private One() {}
 
-    private static final class MembersPart implements Part {
+    private static final class MembersPart implements StatePart {
         @Override
         public String name() {
             return "members";
@@ -55,7 +55,7 @@
                         new java.util.concurrent.CompletableFuture<>();
                 loop.execute(
                         () ->
-                                quorum.ask(
+                                quorum.submit(
                                         new Command(
                                                 "",
                                                 settings.name(),
--- a/quorum/src/test/java/postgrade/quorum/engine/LogClockTest.java
+++ b/quorum/src/test/java/postgrade/quorum/engine/LogClockTest.java
@@ -68,7 +68,7 @@
     }
 
     private long loggedMicros() {
-        return proposed.stream().mapToLong(c -> c.args().whole("by")).sum();
+        return proposed.stream().mapToLong(c -> c.args().integer("by")).sum();
     }
 
     /** The first entry of a leader does not advance the time: it commits earlier entries. */
@@ -76,7 +76,7 @@
         int proposalsBefore = proposed.size();
         tickAfter(0);
         assertEquals(proposalsBefore + 1, proposed.size());
-        assertEquals(0, proposed.get(proposalsBefore).args().whole("by"));
+        assertEquals(0, proposed.get(proposalsBefore).args().integer("by"));
         answer.complete(null);
     }
 
--- a/quorum/src/test/java/postgrade/quorum/engine/StatePagesTest.java
+++ b/quorum/src/test/java/postgrade/quorum/engine/StatePagesTest.java
@@ -10,11 +10,11 @@
 import postgrade.quorum.wire.proto.PullReply;
 import postgrade.shared.Answer;
 import postgrade.shared.Command;
-import postgrade.shared.Machine;
 import postgrade.shared.Moment;
-import postgrade.shared.Part;
+import postgrade.shared.ReplicatedStateMachine;
 import postgrade.shared.Row;
 import postgrade.shared.Rows;
+import postgrade.shared.StatePart;
 import postgrade.shared.View;
 
 /** A state larger than any message, sent page by page while it changes. */
@@ -24,7 +24,7 @@
     private static final String TEXT = "x".repeat(16 << 10);
     private static final long FORMER_MESSAGE_LIMIT = 64 << 20;
 
-    private static final class TextsPart implements Part {
+    private static final class TextsPart implements StatePart {
         @Override
         public String name() {
             return "texts";
@@ -41,7 +41,8 @@
         }
     }
 
-    private final Machine machine = new Machine(1, List.of(new TextsPart()));
+    private final ReplicatedStateMachine machine =
+            new ReplicatedStateMachine(1, List.of(new TextsPart()));
     private ViewAssembler viewAssembler = new ViewAssembler(View.NONE);
     private long receivedBytes;
     private int pages;
@@ -74,7 +75,7 @@
 
     private void assertMatchesMachine(View view) {
         assertEquals(machine.moment(), view.moment());
-        assertEquals(machine.rows().of("texts"), view.rows().of("texts"));
+        assertEquals(machine.rows().ofPart("texts"), view.rows().ofPart("texts"));
     }
 
     @Test
@@ -121,14 +122,14 @@
         }
         nextPage();
         PullReply.Builder other = PullReply.newBuilder().setGroup("2-h");
-        Machine later = new Machine(2, List.of(new TextsPart()));
+        ReplicatedStateMachine later = new ReplicatedStateMachine(2, List.of(new TextsPart()));
         later.apply(1, new Command("", "test", 1, "texts", "put", Row.of("key", "only")));
         StatePages.fill(other, later, viewAssembler.nextRequest().build(), false);
         assertEquals(null, viewAssembler.accept(5, other.build()));
         StatePages.fill(
                 other.clear().setGroup("2-h"), later, viewAssembler.nextRequest().build(), false);
         View view = viewAssembler.accept(6, other.build());
-        assertEquals(later.rows().of("texts"), view.rows().of("texts"));
+        assertEquals(later.rows().ofPart("texts"), view.rows().ofPart("texts"));
         assertEquals("a page of an earlier moment is ignored", null, nextPage());
     }
 
@@ -138,11 +139,11 @@
             change("put", i);
         }
         List<Object> chunks = new ArrayList<>();
-        StatePages.split(machine.save(), chunks::add);
+        StatePages.split(machine.snapshot(), chunks::add);
         assertTrue(chunks.size() > 5);
-        Machine restored = new Machine(1, List.of(new TextsPart()));
-        restored.load(StatePages.join(chunks));
+        ReplicatedStateMachine restored = new ReplicatedStateMachine(1, List.of(new TextsPart()));
+        restored.restore(StatePages.join(chunks));
         assertEquals(machine.moment(), restored.moment());
-        assertEquals(machine.rows().of("texts"), restored.rows().of("texts"));
+        assertEquals(machine.rows().ofPart("texts"), restored.rows().ofPart("texts"));
     }
 }
--- a/rig/src/main/java/postgrade/rig/jobs/Overtaking.java
+++ b/rig/src/main/java/postgrade/rig/jobs/Overtaking.java
@@ -4,7 +4,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Holds back a job and its cancellation, so that they cross: {@link ExchangeFault.Kind#OVERTAKEN}.
+ * Holds back a job and its cancellation, so that they cross: {@link
+ * ExchangeFault.LoadKind#OVERTAKEN}.
  */
 final class Overtaking {
 
--- a/rig/src/test/java/postgrade/rig/ground/Node.java
+++ b/rig/src/test/java/postgrade/rig/ground/Node.java
@@ -16,8 +16,8 @@
 import postgrade.quorum.settings.QuorumSettings;
 import postgrade.quorum.settings.QuorumSettings.Voter;
 import postgrade.shared.Command;
+import postgrade.shared.ReplicatedState;
 import postgrade.shared.Row;
-import postgrade.shared.Sharing;
 import postgrade.shared.View;
 
 /**
@@ -94,13 +94,13 @@
                             Tally.PART,
                             "add",
                             Row.of("key", words[2]));
-            quorum.ask(c, 1_500_000, reply -> tell(answered(words[1], words[2], reply)));
+            quorum.submit(c, 1_500_000, reply -> tell(answered(words[1], words[2], reply)));
         } else if (words[0].equals("rows")) {
             JsonObject rows = new JsonObject();
             quorum.view()
                     .rows()
-                    .of(Tally.PART)
-                    .forEach((key, row) -> rows.add(key, row.whole("times")));
+                    .ofPart(Tally.PART)
+                    .forEach((key, row) -> rows.add(key, row.integer("times")));
             tell(
                     new JsonObject()
                             .add("kind", "rows")
@@ -109,7 +109,7 @@
         }
     }
 
-    private static JsonObject answered(String id, String key, Sharing.Reply reply) {
+    private static JsonObject answered(String id, String key, ReplicatedState.Reply reply) {
         JsonObject o =
                 new JsonObject()
                         .add("kind", reply.decided() ? "decided" : "undecided")
@@ -133,7 +133,7 @@
         View view = quorum.view();
         if (view != last && view.known() && !view.moment().equals(last.moment())) {
             Map<String, Map<String, String>> all = new TreeMap<>();
-            view.rows().of(Tally.PART).forEach((key, row) -> all.put(key, row.values()));
+            view.rows().ofPart(Tally.PART).forEach((key, row) -> all.put(key, row.values()));
             tell(
                     new JsonObject()
                             .add("kind", "view")
@@ -142,7 +142,7 @@
                             .add("digest", Integer.toHexString(all.hashCode())));
         }
         last = view;
-        Sharing.Standing s = quorum.standing();
+        ReplicatedState.Standing s = quorum.standing();
         if (!s.toString().equals(standing)) {
             standing = s.toString();
             tell(
--- a/rig/src/test/java/postgrade/rig/lease/LeaseNode.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseNode.java
@@ -14,13 +14,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 import postgrade.lease.LeasePart;
-import postgrade.lease.Leases;
-import postgrade.lease.Reservations;
-import postgrade.lease.Times;
+import postgrade.lease.LeaseTimes;
+import postgrade.lease.ReservationCommands;
+import postgrade.lease.ReservationView;
 import postgrade.quorum.Quorum;
 import postgrade.quorum.settings.QuorumSettings;
 import postgrade.shared.Command;
-import postgrade.shared.Sharing;
+import postgrade.shared.ReplicatedState;
 import postgrade.shared.View;
 
 /**
@@ -38,17 +38,17 @@
     private static final long SAMPLE_MILLIS = 5;
     private static final long REPEAT_MICROS = 200_000;
 
-    private final Sharing sharing;
+    private final ReplicatedState sharing;
     private final LongSupplier clock;
-    private final Times times;
-    private Reservations reservations = new Reservations(View.NONE, Times.USUAL);
+    private final LeaseTimes times;
+    private ReservationView reservations = new ReservationView(View.NONE, LeaseTimes.DEFAULT);
     private Map<String, Long> grants = Map.of();
     private String using = "";
     private String standing = "";
     private long usedMicros;
     private long saidMicros;
 
-    private LeaseNode(Sharing sharing, LongSupplier clock, Times times) {
+    private LeaseNode(ReplicatedState sharing, LongSupplier clock, LeaseTimes times) {
         this.sharing = sharing;
         this.clock = clock;
         this.times = times;
@@ -73,7 +73,7 @@
                         0,
                         voters,
                         Path.of(a[1]),
-                        Times.USUAL.viewBoundMicros(),
+                        LeaseTimes.DEFAULT.viewBoundMicros(),
                         500,
                         100,
                         QuorumSettings.DEFAULT_HEARTBEAT_INTERVAL_MILLIS,
@@ -85,9 +85,13 @@
         }
         // A process that goes on with an old view, to show that the bound on its age is needed.
         boolean heedless = Boolean.getBoolean("postgrade.test.heedless");
-        Times times = heedless ? new Times(100_000_000, 60_000_000, 1.03, 1_000_000) : Times.USUAL;
+        LeaseTimes times =
+                heedless
+                        ? new LeaseTimes(100_000_000, 60_000_000, 1.03, 1_000_000)
+                        : LeaseTimes.DEFAULT;
         ScheduledExecutorService loop = Executors.newSingleThreadScheduledExecutor();
-        Quorum quorum = Quorum.open(settings, List.of(new LeasePart(Times.USUAL)), clock, loop);
+        Quorum quorum =
+                Quorum.open(settings, List.of(new LeasePart(LeaseTimes.DEFAULT)), clock, loop);
         LeaseNode node = new LeaseNode(quorum, clock, times);
         loop.scheduleWithFixedDelay(node::sample, 0, SAMPLE_MILLIS, TimeUnit.MILLISECONDS);
         BufferedReader in =
@@ -128,8 +132,8 @@
                                 LeasePart.NAME,
                                 words[2],
                                 new postgrade.shared.Row(fields))
-                        : Leases.command(words[2], words[0], "rig", 1, fields);
-        sharing.ask(
+                        : ReservationCommands.command(words[2], words[0], "rig", 1, fields);
+        sharing.submit(
                 c,
                 Long.parseLong(words[1]) * 1000,
                 reply -> {
@@ -154,7 +158,8 @@
         View view = sharing.view();
         if (view != reservations.view()) {
             Map<String, Long> seen = new TreeMap<>();
-            for (Map<String, String> f : Leases.list(view.rows(), view.moment().micros())) {
+            for (Map<String, String> f :
+                    ReservationCommands.list(view.rows(), view.moment().micros())) {
                 if (f.containsKey("fence") && !f.get("holder").startsWith(PROBE)) {
                     seen.put(f.get("holder"), Long.parseLong(f.get("fence")));
                 }
@@ -166,11 +171,11 @@
                         }
                     });
             grants = seen;
-            reservations = new Reservations(view, times);
+            reservations = new ReservationView(view, times);
         }
         StringBuilder may = new StringBuilder();
         for (String holder : grants.keySet()) {
-            for (Reservations.Use u : reservations.usable(now, holder, WORKER)) {
+            for (ReservationView.Use u : reservations.usable(now, holder, WORKER)) {
                 may.append(may.length() == 0 ? "" : " ")
                         .append(holder)
                         .append(' ')
@@ -191,7 +196,7 @@
             using = may.toString();
         }
         usedMicros = at;
-        Sharing.Standing s = sharing.standing();
+        ReplicatedState.Standing s = sharing.standing();
         String told = s.role() + " " + s.leader() + " " + s.voters();
         if (!told.equals(standing)) {
             standing = told;
--- a/sharing/src/main/java/postgrade/sharing/Shared.java
+++ b/sharing/src/main/java/postgrade/sharing/Shared.java
@@ -7,28 +7,28 @@
 import java.util.concurrent.Executor;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import postgrade.comeback.Memory;
-import postgrade.comeback.Recovery;
 import postgrade.dispatch.AnsweredRequest;
 import postgrade.dispatch.EndedAttempt;
 import postgrade.dispatch.ExtensionHeaders;
 import postgrade.dispatch.RequestObserver;
 import postgrade.extension.DispatcherExtension;
 import postgrade.extension.Host;
-import postgrade.lease.Fleet;
+import postgrade.lease.FleetSync;
 import postgrade.lease.LeasePart;
-import postgrade.lease.Times;
+import postgrade.lease.LeaseTimes;
 import postgrade.log.Events;
 import postgrade.member.Member;
-import postgrade.member.MemberPart;
-import postgrade.member.OutPart;
-import postgrade.member.Terms;
+import postgrade.member.MembershipPart;
+import postgrade.member.MembershipTerms;
+import postgrade.member.OutOfServicePart;
 import postgrade.operator.AdditionalEndpoints;
 import postgrade.policy.api.AttemptOutcome;
 import postgrade.policy.api.JobConstraints;
 import postgrade.policy.api.PolicySettings;
 import postgrade.policy.api.Tenant;
-import postgrade.shared.Part;
+import postgrade.recovery.LearntSnapshot;
+import postgrade.recovery.Recovery;
+import postgrade.shared.StatePart;
 import postgrade.shared.View;
 import postgrade.sharing.calls.CalendarCalls;
 import postgrade.sharing.calls.Calls;
@@ -89,12 +89,12 @@
      */
     Shared(Host host, SharingSettings settings, Opener opener, Executor aside) {
         this.host = host;
-        List<Part> parts =
+        List<StatePart> parts =
                 new ArrayList<>(
                         List.of(
-                                new MemberPart(),
-                                new OutPart(),
-                                new LeasePart(Times.USUAL),
+                                new MembershipPart(),
+                                new OutOfServicePart(),
+                                new LeasePart(LeaseTimes.DEFAULT),
                                 new CalendarPart()));
         Former former = Former.of(host.predecessorState());
         sharing =
@@ -121,10 +121,10 @@
                                 settings.memoryEveryMicros(),
                                 progress::usual,
                                 outs::known);
-        Memory memory = keeper == null ? null : keeper.recall();
+        LearntSnapshot memory = keeper == null ? null : keeper.recall();
         remembers = memory != null;
         if (memory != null) {
-            progress.remember(memory.served());
+            progress.remember(memory.servedShare());
             outs.remember(Keeper.out(memory));
         }
         if (former != null) {
@@ -138,7 +138,7 @@
                 new Reserving(
                         host,
                         sharing,
-                        new Fleet.Accelerators(
+                        new FleetSync.AcceleratorConfig(
                                 settings.accelerators(), settings.acceleratorsVersion()),
                         settings.reserving(),
                         settings.lends());
@@ -171,8 +171,8 @@
         tick();
     }
 
-    private static Terms terms(SharingSettings s, PolicySettings dispatchers) {
-        return new Terms(
+    private static MembershipTerms terms(SharingSettings s, PolicySettings dispatchers) {
+        return new MembershipTerms(
                 s.places() == 0 ? dispatchers.dispatcherCount : s.places(),
                 s.leaseMicros(),
                 s.lingerMicros(),
--- a/sharing/src/main/java/postgrade/sharing/SharingFinder.java
+++ b/sharing/src/main/java/postgrade/sharing/SharingFinder.java
@@ -11,8 +11,8 @@
 import postgrade.quorum.Quorum;
 import postgrade.quorum.settings.QuorumSettings;
 import postgrade.script.ScriptError;
-import postgrade.shared.Part;
-import postgrade.shared.Sharing;
+import postgrade.shared.ReplicatedState;
+import postgrade.shared.StatePart;
 import postgrade.sharing.session.Opener;
 import postgrade.sharing.settings.SharingPlan;
 
@@ -42,13 +42,15 @@
     private static Opener opener(QuorumSettings settings) {
         return new Opener() {
             @Override
-            public Sharing open(List<Part> parts, LongSupplier nowMicros, Executor onLoop)
+            public ReplicatedState open(
+                    List<StatePart> parts, LongSupplier nowMicros, Executor onLoop)
                     throws IOException {
                 return Quorum.open(settings, parts, nowMicros, onLoop);
             }
 
             @Override
-            public Sharing beside(LongSupplier nowMicros, Executor onLoop) throws IOException {
+            public ReplicatedState beside(LongSupplier nowMicros, Executor onLoop)
+                    throws IOException {
                 return Quorum.openObserver(settings, nowMicros, onLoop);
             }
         };
--- a/sharing/src/main/java/postgrade/sharing/calls/Answers.java
+++ b/sharing/src/main/java/postgrade/sharing/calls/Answers.java
@@ -5,7 +5,7 @@
 import com.eclipsesource.json.JsonValue;
 import postgrade.operator.AdditionalEndpoints.Reply;
 import postgrade.shared.Command;
-import postgrade.shared.Sharing;
+import postgrade.shared.ReplicatedState;
 import postgrade.shared.View;
 
 /** Answers operators' calls; each answer tells the era and how old the view is. */
@@ -19,11 +19,11 @@
      */
     private static final int MOST_WAITING = 6;
 
-    private final Sharing sharing;
+    private final ReplicatedState sharing;
     private final java.util.function.LongSupplier nowMicros;
     private int waiting;
 
-    Answers(Sharing sharing, java.util.function.LongSupplier nowMicros) {
+    Answers(ReplicatedState sharing, java.util.function.LongSupplier nowMicros) {
         this.sharing = sharing;
         this.nowMicros = nowMicros;
     }
@@ -62,7 +62,7 @@
             return;
         }
         waiting++;
-        sharing.ask(
+        sharing.submit(
                 command,
                 WITHIN_MICROS,
                 decided -> {
--- a/sharing/src/main/java/postgrade/sharing/calls/CalendarCalls.java
+++ b/sharing/src/main/java/postgrade/sharing/calls/CalendarCalls.java
@@ -7,8 +7,8 @@
 import postgrade.extension.Host;
 import postgrade.operator.AdditionalEndpoints.Reply;
 import postgrade.shared.Command;
+import postgrade.shared.ReplicatedState;
 import postgrade.shared.Row;
-import postgrade.shared.Sharing;
 import postgrade.window.CalendarPart;
 
 /** Takes a site's maintenance calendar: checked whole, aside, before anybody else hears of it. */
@@ -24,12 +24,12 @@
             java.util.Set.of("site", "zone", "text", "inMs", "expects");
 
     private final Host host;
-    private final Sharing sharing;
+    private final ReplicatedState sharing;
     private final Answers answers;
     private final Executor aside;
     private boolean checking;
 
-    private CalendarCalls(Host host, Sharing sharing, Answers answers, Executor aside) {
+    private CalendarCalls(Host host, ReplicatedState sharing, Answers answers, Executor aside) {
         this.host = host;
         this.sharing = sharing;
         this.answers = answers;
@@ -39,7 +39,7 @@
     /**
      * @param aside where a calendar is worked out, which may take a second
      */
-    public static void addTo(Calls calls, Host host, Sharing sharing, Executor aside) {
+    public static void addTo(Calls calls, Host host, ReplicatedState sharing, Executor aside) {
         CalendarCalls c = new CalendarCalls(host, sharing, calls.answers(), aside);
         calls.add("PUT", "/calendar", MOST_BODY, c::put);
     }
@@ -65,7 +65,7 @@
         Row args = Row.of("site", site, "zone", zone, "text", text);
         if (fields.containsKey("inMs")) {
             long most = CalendarPart.MOST_AHEAD_MICROS / 1000;
-            args = args.with("inMicros", new Row(fields).whole("inMs", 0, most) * 1000);
+            args = args.with("inMicros", new Row(fields).integer("inMs", 0, most) * 1000);
         }
         if (fields.containsKey("expects")) {
             args = args.with("expects", fields.get("expects"));
@@ -104,7 +104,7 @@
     }
 
     private void decide(String requestId, String verb, Row args, Reply reply) {
-        Sharing.Standing us = sharing.standing();
+        ReplicatedState.Standing us = sharing.standing();
         answers.decide(
                 new Command(requestId, us.name(), us.incarnation(), CalendarPart.NAME, verb, args),
                 reply);
--- a/sharing/src/main/java/postgrade/sharing/calls/Calls.java
+++ b/sharing/src/main/java/postgrade/sharing/calls/Calls.java
@@ -6,8 +6,8 @@
 import java.util.TreeSet;
 import java.util.function.LongSupplier;
 import postgrade.operator.AdditionalEndpoints;
+import postgrade.shared.ReplicatedState;
 import postgrade.shared.Row;
-import postgrade.shared.Sharing;
 
 /** Operators' calls of sharing, by path. */
 public final class Calls implements AdditionalEndpoints {
@@ -24,7 +24,7 @@
     private final Map<String, Map<String, Way>> paths = new LinkedHashMap<>();
     private final Answers answers;
 
-    public Calls(Sharing sharing, LongSupplier nowMicros) {
+    public Calls(ReplicatedState sharing, LongSupplier nowMicros) {
         answers = new Answers(sharing, nowMicros);
     }
 
@@ -63,7 +63,7 @@
     public void handle(String method, String path, byte[] body, Reply reply) {
         try {
             paths.get(path).get(method).take.take(body, reply);
-        } catch (Body.Bad | Row.Refused e) {
+        } catch (Body.Bad | Row.InvalidFieldException e) {
             answers.bad(reply, 400, e.getMessage());
         }
     }
--- a/sharing/src/main/java/postgrade/sharing/calls/ReservationCalls.java
+++ b/sharing/src/main/java/postgrade/sharing/calls/ReservationCalls.java
@@ -3,22 +3,22 @@
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
 import com.eclipsesource.json.JsonObject;
-import postgrade.lease.Leases;
-import postgrade.shared.Sharing;
+import postgrade.lease.ReservationCommands;
+import postgrade.shared.ReplicatedState;
 import postgrade.shared.View;
 
 /** Reservations of accelerators. */
 public final class ReservationCalls {
 
-    private final Sharing sharing;
+    private final ReplicatedState sharing;
     private final Answers answers;
 
-    private ReservationCalls(Sharing sharing, Answers answers) {
+    private ReservationCalls(ReplicatedState sharing, Answers answers) {
         this.sharing = sharing;
         this.answers = answers;
     }
 
-    public static void addTo(Calls calls, Sharing sharing) {
+    public static void addTo(Calls calls, ReplicatedState sharing) {
         ReservationCalls r = new ReservationCalls(sharing, calls.answers());
         for (String verb : new String[] {"acquire", "renew", "release"}) {
             calls.add(
@@ -26,10 +26,10 @@
                     "/reservations/" + verb,
                     (body, reply) -> {
                         JsonObject object = Body.object(body);
-                        Sharing.Standing us = sharing.standing();
+                        ReplicatedState.Standing us = sharing.standing();
                         calls.answers()
                                 .decide(
-                                        Leases.command(
+                                        ReservationCommands.command(
                                                 verb,
                                                 Body.requestId(object),
                                                 us.name(),
@@ -48,7 +48,7 @@
             return;
         }
         JsonArray all = Json.array();
-        Leases.list(view.rows(), view.moment().micros())
+        ReservationCommands.list(view.rows(), view.moment().micros())
                 .forEach(
                         fields -> {
                             JsonObject one = Json.object();
--- a/sharing/src/main/java/postgrade/sharing/calls/SharingCall.java
+++ b/sharing/src/main/java/postgrade/sharing/calls/SharingCall.java
@@ -6,7 +6,7 @@
 import com.eclipsesource.json.JsonValue;
 import java.util.Locale;
 import postgrade.member.Member;
-import postgrade.shared.Sharing;
+import postgrade.shared.ReplicatedState;
 import postgrade.shared.View;
 import postgrade.sharing.progress.Progress;
 import postgrade.sharing.session.Session;
@@ -21,7 +21,7 @@
      */
     public static void addTo(
             Calls calls,
-            Sharing sharing,
+            ReplicatedState sharing,
             Session session,
             Progress progress,
             java.util.function.Supplier<String> memory) {
@@ -30,7 +30,7 @@
                 "/sharing",
                 (body, reply) -> {
                     View view = sharing.view();
-                    Sharing.Standing us = sharing.standing();
+                    ReplicatedState.Standing us = sharing.standing();
                     JsonArray members = Json.array();
                     Member.all(view.rows())
                             .forEach(
--- a/sharing/src/main/java/postgrade/sharing/lease/Reserving.java
+++ b/sharing/src/main/java/postgrade/sharing/lease/Reserving.java
@@ -7,15 +7,15 @@
 import java.util.Map;
 import java.util.Set;
 import postgrade.extension.Host;
-import postgrade.lease.Fleet;
-import postgrade.lease.LeaseAbility;
-import postgrade.lease.Times;
+import postgrade.lease.FleetSync;
+import postgrade.lease.LeaseConstraints;
+import postgrade.lease.LeaseTimes;
 import postgrade.policy.api.Idempotency;
 import postgrade.policy.api.JobConstraints;
 import postgrade.policy.api.WorkerInfo;
 import postgrade.policy.api.WorkerPhase;
 import postgrade.shared.Command;
-import postgrade.shared.Sharing;
+import postgrade.shared.ReplicatedState;
 import postgrade.shared.View;
 
 /**
@@ -31,9 +31,9 @@
     private static final int MOST_AT_ONCE = 50;
 
     private final Host host;
-    private final Sharing sharing;
-    private final Fleet.Accelerators accelerators;
-    private final LeaseAbility ability;
+    private final ReplicatedState sharing;
+    private final FleetSync.AcceleratorConfig accelerators;
+    private final LeaseConstraints ability;
     private int asking;
     private long dueMicros;
     private long decidedFence;
@@ -45,8 +45,8 @@
      */
     public Reserving(
             Host host,
-            Sharing sharing,
-            Fleet.Accelerators accelerators,
+            ReplicatedState sharing,
+            FleetSync.AcceleratorConfig accelerators,
             Set<String> reserving,
             boolean lends) {
         this.host = host;
@@ -55,10 +55,10 @@
         Map<String, Idempotency> effects = new HashMap<>();
         host.settings().classes.forEach(c -> effects.put(c.name(), c.idempotency()));
         ability =
-                new LeaseAbility(
+                new LeaseConstraints(
                         sharing::view,
-                        Times.USUAL,
-                        new LeaseAbility.Rules(reserving, effects, lends));
+                        LeaseTimes.DEFAULT,
+                        new LeaseConstraints.Rules(reserving, effects, lends));
     }
 
     public JobConstraints ability() {
@@ -74,7 +74,7 @@
     public void tick() {
         long now = host.timers().nowMicros();
         View view = sharing.view();
-        Sharing.Standing us = sharing.standing();
+        ReplicatedState.Standing us = sharing.standing();
         if (us.incarnation() == 0
                 || now < dueMicros
                 || asking > 0
@@ -103,13 +103,14 @@
             return; // Before discovery has told, nothing is known to be gone.
         }
         List<Command> due =
-                Fleet.due(view.rows(), workers, out, accelerators, us.name(), us.incarnation());
+                FleetSync.pendingCommands(
+                        view.rows(), workers, out, accelerators, us.name(), us.incarnation());
         due.stream()
                 .limit(MOST_AT_ONCE)
                 .forEach(
                         c -> {
                             asking++;
-                            sharing.ask(
+                            sharing.submit(
                                     c,
                                     WITHIN_MICROS,
                                     reply -> {
--- a/sharing/src/main/java/postgrade/sharing/memory/Keeper.java
+++ b/sharing/src/main/java/postgrade/sharing/memory/Keeper.java
@@ -14,10 +14,10 @@
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import postgrade.comeback.Memory;
 import postgrade.extension.Host;
 import postgrade.log.Events;
 import postgrade.policy.api.PolicyStateEntry;
+import postgrade.recovery.LearntSnapshot;
 
 /**
  * Keeps what this process learns, and tells the module at its start what a former one had learnt.
@@ -47,7 +47,7 @@
     private final long everyMicros;
     private final DoubleSupplier served;
     private final Supplier<Set<String>> out;
-    private final BlockingQueue<Memory> toWrite = new ArrayBlockingQueue<>(1);
+    private final BlockingQueue<LearntSnapshot> toWrite = new ArrayBlockingQueue<>(1);
     private final Thread writer = new Thread(null, this::write, "memory");
     private volatile boolean busy;
     private volatile boolean closed;
@@ -55,7 +55,7 @@
     private long dueMicros;
 
     /** What was kept of workers, until the list tells which of them are the same still. */
-    private Memory ofWorkers;
+    private LearntSnapshot ofWorkers;
 
     /**
      * @param served worth in time of late, as a part of what was asked for; NaN where not known
@@ -80,44 +80,44 @@
      * What a former process had learnt, or null. The module is told what may be trusted, unless it
      * knows better.
      */
-    public Memory recall() {
-        Memory memory = file.read(unixMicros());
+    public LearntSnapshot recall() {
+        LearntSnapshot memory = file.read(unixMicros());
         if (memory == null || host.startedByHandOver()) {
             return null;
         }
-        boolean ended = memory.figures().stream().anyMatch(f -> f.learnt().category().equals(UP));
+        boolean ended = memory.entries().stream().anyMatch(f -> f.learnt().category().equals(UP));
         if (ended && !unmark(memory)) {
             memory = with(memory, unmarked(memory));
         }
-        List<Memory.Figure> others = new ArrayList<>();
-        List<Memory.Figure> workers = new ArrayList<>();
-        for (Memory.Figure f : memory.figures()) {
+        List<LearntSnapshot.Entry> others = new ArrayList<>();
+        List<LearntSnapshot.Entry> workers = new ArrayList<>();
+        for (LearntSnapshot.Entry f : memory.entries()) {
             // That the sends are all there counts no sooner than the sends.
             (ofWorker(f.learnt()) || f.learnt().category().equals(UP) ? workers : others).add(f);
         }
-        host.importPolicyState(with(memory, others).trusted(unixMicros(), Map.of()));
+        host.importPolicyState(with(memory, others).trustedEntries(unixMicros(), Map.of()));
         ofWorkers = workers.isEmpty() ? null : with(memory, workers);
         Events.info(LOG, "memory.read")
-                .addKeyValue("figures", memory.figures().size())
+                .addKeyValue("figures", memory.entries().size())
                 .addKeyValue("age_ms", memory.ageMicros(unixMicros()) / 1000)
                 .log(
                         "going by what was learnt "
                                 + memory.ageMicros(unixMicros()) / 1000
                                 + " ms ago, "
-                                + memory.figures().size()
+                                + memory.entries().size()
                                 + " figures");
         return memory;
     }
 
-    private static List<Memory.Figure> unmarked(Memory m) {
-        return m.figures().stream().filter(f -> !f.learnt().category().equals(UP)).toList();
+    private static List<LearntSnapshot.Entry> unmarked(LearntSnapshot m) {
+        return m.entries().stream().filter(f -> !f.learnt().category().equals(UP)).toList();
     }
 
     /**
      * Guards the next process: this one may die before it has written, and what it sends till then
      * is in no file.
      */
-    private boolean unmark(Memory memory) {
+    private boolean unmark(LearntSnapshot memory) {
         try {
             file.write(with(memory, unmarked(memory)));
             return true;
@@ -127,9 +127,9 @@
     }
 
     /** Workers that were out. */
-    public static Set<String> out(Memory memory) {
+    public static Set<String> out(LearntSnapshot memory) {
         Set<String> all = new HashSet<>();
-        memory.figures().stream()
+        memory.entries().stream()
                 .filter(f -> f.learnt().category().equals(OUT))
                 .forEach(f -> all.add(f.learnt().name()));
         return all;
@@ -139,8 +139,8 @@
         return l.category().equals(WORKER) || l.category().equals(COLD);
     }
 
-    private static Memory with(Memory m, List<Memory.Figure> figures) {
-        return new Memory(m.dispatcher(), m.savedMicros(), m.served(), figures);
+    private static LearntSnapshot with(LearntSnapshot m, List<LearntSnapshot.Entry> figures) {
+        return new LearntSnapshot(m.dispatcher(), m.savedMicros(), m.servedShare(), figures);
     }
 
     /**
@@ -149,7 +149,7 @@
      */
     public void listed() {
         if (ofWorkers != null && !host.workers().isEmpty()) {
-            host.importPolicyState(ofWorkers.trusted(unixMicros(), started()));
+            host.importPolicyState(ofWorkers.trustedEntries(unixMicros(), started()));
             ofWorkers = null;
         }
     }
@@ -171,37 +171,37 @@
             dueMicros = now + everyMicros;
             if (!busy) {
                 busy = true;
-                Memory copy = now();
+                LearntSnapshot copy = now();
                 toWrite.offer(with(copy, unmarked(copy)));
             }
         }
     }
 
-    private Memory now() {
-        Memory m =
-                Memory.of(
+    private LearntSnapshot now() {
+        LearntSnapshot m =
+                LearntSnapshot.capture(
                         host.name(),
                         unixMicros(),
                         served.getAsDouble(),
                         host.exportPolicyState(),
                         started());
-        List<Memory.Figure> all = new ArrayList<>();
+        List<LearntSnapshot.Entry> all = new ArrayList<>();
         // First, so that no bound cuts them off.
         out.get()
                 .forEach(
                         w ->
                                 all.add(
-                                        new Memory.Figure(
+                                        new LearntSnapshot.Entry(
                                                 new PolicyStateEntry(OUT, w, new double[] {0}),
                                                 0)));
-        all.addAll(m.figures());
+        all.addAll(m.entries());
         return with(m, all);
     }
 
     private void write() {
         try {
             while (!closed) {
-                Memory next = toWrite.poll(1, TimeUnit.SECONDS);
+                LearntSnapshot next = toWrite.poll(1, TimeUnit.SECONDS);
                 if (next != null) {
                     write(next);
                     busy = false;
@@ -212,7 +212,7 @@
         }
     }
 
-    private void write(Memory memory) {
+    private void write(LearntSnapshot memory) {
         String why = null;
         try {
             file.write(memory);
--- a/sharing/src/main/java/postgrade/sharing/memory/MemoryFile.java
+++ b/sharing/src/main/java/postgrade/sharing/memory/MemoryFile.java
@@ -11,10 +11,10 @@
 import java.nio.file.StandardOpenOption;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import postgrade.comeback.Memory;
-import postgrade.comeback.MemoryFormat;
-import postgrade.comeback.Unusable;
 import postgrade.log.Events;
+import postgrade.recovery.LearntSnapshot;
+import postgrade.recovery.LearntSnapshotFormat;
+import postgrade.recovery.UnusableSnapshotException;
 
 /**
  * Where a process keeps what it learnt. Written beside, forced to the disk and renamed, so that
@@ -43,15 +43,15 @@
     }
 
     /** What was kept, or null: then there was none, or it was no use and the log says why. */
-    public Memory read(long unixMicros) {
+    public LearntSnapshot read(long unixMicros) {
         try {
             long size = Files.size(file);
             if (size > MOST_BYTES) {
                 aside("too_large", "it has " + size + " bytes");
                 return null;
             }
-            return MemoryFormat.read(Files.readAllBytes(file), dispatcher, unixMicros);
-        } catch (Unusable e) {
+            return LearntSnapshotFormat.read(Files.readAllBytes(file), dispatcher, unixMicros);
+        } catch (UnusableSnapshotException e) {
             aside(e.fault().name().toLowerCase(java.util.Locale.ROOT), e.getMessage());
         } catch (NoSuchFileException e) {
             LOG.debug("no snapshot of what was learnt", e);
@@ -79,10 +79,10 @@
     }
 
     /** Off the loop: waits for the disk. */
-    public void write(Memory memory) throws IOException {
+    public void write(LearntSnapshot memory) throws IOException {
         Files.createDirectories(file.getParent());
         Path next = file.resolveSibling(NAME + ".next");
-        ByteBuffer bytes = ByteBuffer.wrap(MemoryFormat.write(memory));
+        ByteBuffer bytes = ByteBuffer.wrap(LearntSnapshotFormat.write(memory));
         try (FileChannel out =
                 FileChannel.open(
                         next,
