--- a/sharing/src/main/java/postgrade/sharing/pace/Connecting.java
+++ b/sharing/src/main/java/postgrade/sharing/pace/Connecting.java
@@ -3,11 +3,11 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Set;
-import postgrade.comeback.Openings;
 import postgrade.extension.Host;
 import postgrade.policy.api.Job;
 import postgrade.policy.api.JobConstraints;
 import postgrade.policy.api.WorkerInfo;
+import postgrade.recovery.ConnectionPacer;
 
 /**
  * Paces new connections to workers. A worker without one is passed over until its gate opens, as
@@ -22,7 +22,7 @@
     private static final int MOST_WAITING = 1000;
 
     private final Host host;
-    private final Openings openings;
+    private final ConnectionPacer openings;
 
     /**
      * Classes that cannot go just anywhere: what is reserved for them, or their sites, may have no
@@ -48,7 +48,7 @@
         this.bound = Set.copyOf(bound);
         int places = Math.max(1, host.settings().dispatcherCount);
         openings =
-                new Openings(
+                new ConnectionPacer(
                         places,
                         Math.floorMod(host.name().hashCode(), places),
                         multiple,
@@ -59,19 +59,19 @@
      * @param alive members by the view, 0 where it does not tell
      */
     public void look(int alive) {
-        openings.look(host.timers().nowMicros(), alive, host.maxIdleMicros());
+        openings.update(host.timers().nowMicros(), alive, host.maxIdleMicros());
     }
 
     /** One is to be opened, and must be if nothing else can carry the request. */
     public boolean mayConnect(String worker, boolean must) {
-        return openings.take(host.timers().nowMicros(), worker, must);
+        return openings.tryConnect(host.timers().nowMicros(), worker, must);
     }
 
     @Override
     public double usableShare(long nowNs, Job job, WorkerInfo worker) {
         return bound.contains(job.jobClass())
                         || host.isConnected(worker.id())
-                        || openings.open(host.timers().nowMicros(), worker.id())
+                        || openings.mayConnect(host.timers().nowMicros(), worker.id())
                         || !othersCan(nowNs, job)
                 ? 1
                 : 0;
@@ -90,6 +90,6 @@
 
     /** Connections opened against the pace, since nothing else could carry a request. */
     public long forced() {
-        return openings.forced();
+        return openings.forcedCount();
     }
 }
--- a/sharing/src/main/java/postgrade/sharing/progress/Admission.java
+++ b/sharing/src/main/java/postgrade/sharing/progress/Admission.java
@@ -2,11 +2,11 @@
 
 import java.util.function.DoubleSupplier;
 import java.util.function.LongSupplier;
-import postgrade.comeback.Crowd;
-import postgrade.comeback.Ramp;
-import postgrade.comeback.Returning;
 import postgrade.policy.api.Job;
 import postgrade.policy.api.JobConstraints;
+import postgrade.recovery.AdmissionRamp;
+import postgrade.recovery.RecentDemand;
+import postgrade.recovery.RetryAfterSpread;
 
 /**
  * While workers are cold after a return, takes in what they can do; the rest is told to come later,
@@ -26,7 +26,7 @@
     private final LongSupplier nowMicros;
     private final DoubleSupplier ratePerS;
     private final long seed;
-    private final Crowd crowd = new Crowd();
+    private final RecentDemand crowd = new RecentDemand();
 
     /**
      * @param ratePerS of jobs within all shares here, once all is admitted
@@ -41,23 +41,23 @@
 
     @Override
     public long startDelayNs(long nowNs, Job job) {
-        Ramp ramp = progress.ramp();
+        AdmissionRamp ramp = progress.ramp();
         long now = nowMicros.getAsLong();
-        if (ramp == null || ramp.part(now) >= 1) {
+        if (ramp == null || ramp.admittedShare(now) >= 1) {
             return 0;
         }
         boolean admitted = ramp.admits(now, job.id());
-        crowd.asked(now, !admitted);
+        crowd.record(now, !admitted);
         return admitted
                 ? 0
                 : (long)
-                        (Returning.afterMicros(
+                        (RetryAfterSpread.retryAfterMicros(
                                         job.id(),
                                         seed,
                                         LEAST_MICROS,
                                         Math.max(
                                                 LEAST_WIDTH_MICROS,
-                                                crowd.widthMicros(ratePerS.getAsDouble())),
+                                                crowd.spreadMicros(ratePerS.getAsDouble())),
                                         MOST_MICROS)
                                 * NANOS);
     }
--- a/sharing/src/main/java/postgrade/sharing/progress/Progress.java
+++ b/sharing/src/main/java/postgrade/sharing/progress/Progress.java
@@ -7,12 +7,6 @@
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import postgrade.comeback.Phase;
-import postgrade.comeback.Ramp;
-import postgrade.comeback.Recovery;
-import postgrade.comeback.Recovery.Seen;
-import postgrade.comeback.Recovery.Step;
-import postgrade.comeback.Worth;
 import postgrade.dispatch.AnsweredRequest;
 import postgrade.dispatch.EndedAttempt;
 import postgrade.dispatch.RequestObserver;
@@ -21,6 +15,12 @@
 import postgrade.policy.api.AttemptOutcome;
 import postgrade.policy.api.JobClass;
 import postgrade.policy.api.PolicyStateEntry;
+import postgrade.recovery.AdmissionRamp;
+import postgrade.recovery.Recovery;
+import postgrade.recovery.Recovery.Observation;
+import postgrade.recovery.Recovery.Step;
+import postgrade.recovery.RecoveryPhase;
+import postgrade.recovery.ServedWorth;
 
 /**
  * Measures how far this process has come back, by what is served, and says so in the log and to
@@ -34,9 +34,9 @@
 
     private final Host host;
     private final Recovery recovery;
-    private final Worth worth;
+    private final ServedWorth worth;
     private final long startedMicros;
-    private Ramp ramp;
+    private AdmissionRamp ramp;
     private final Map<String, Double> meanMicros = new HashMap<>();
     private Map<String, JobClass> classes = Map.of();
     private long meansDueMicros;
@@ -48,35 +48,35 @@
         this.host = host;
         startedMicros = host.timers().nowMicros();
         recovery = new Recovery(startedMicros, bounds);
-        worth = new Worth(startedMicros);
+        worth = new ServedWorth(startedMicros);
         refresh(startedMicros);
     }
 
     /** A former process's snapshot is trusted. */
     public void remember(double served) {
         remembers = true;
-        worth.remember(served);
+        worth.setBaseline(served);
     }
 
     /**
      * @param able what the known workers can do now, as a part of what they can once all are warm
      */
     public void ramp(double able) {
-        ramp = new Ramp(host.timers().nowMicros(), able);
+        ramp = new AdmissionRamp(host.timers().nowMicros(), able);
     }
 
     public boolean ramps() {
-        return ramp != null && ramp.part(host.timers().nowMicros()) < 1;
+        return ramp != null && ramp.admittedShare(host.timers().nowMicros()) < 1;
     }
 
     /** Null before the workers are known. */
-    public Ramp ramp() {
+    public AdmissionRamp ramp() {
         return ramp;
     }
 
     /** Worth in time over the longer time; NaN where nothing was asked. */
     public double usual() {
-        return worth.usual();
+        return worth.longTermShare();
     }
 
     /**
@@ -88,24 +88,24 @@
             refresh(now);
         }
         if (members < alive) {
-            worth.fault(now);
-            recovery.fault();
+            worth.recordFault(now);
+            recovery.recordFault();
         }
         alive = members;
-        Phase was = recovery.phase();
-        Phase is =
-                recovery.look(
+        RecoveryPhase was = recovery.phase();
+        RecoveryPhase is =
+                recovery.update(
                         now,
-                        new Seen(
+                        new Observation(
                                 remembers,
                                 ramp != null,
                                 viewAgeMicros,
                                 joined,
-                                ramp == null ? 0 : ramp.part(now),
-                                worth.served(now),
-                                worth.before()));
-        if (is == Phase.FULL && was != Phase.FULL) {
-            worth.recovered();
+                                ramp == null ? 0 : ramp.admittedShare(now),
+                                worth.recentShare(now),
+                                worth.baseline()));
+        if (is == RecoveryPhase.FULL && was != RecoveryPhase.FULL) {
+            worth.clearBaseline();
         }
         say();
     }
@@ -154,11 +154,11 @@
     public void attemptEnded(EndedAttempt ended) {
         AttemptOutcome outcome = ended.outcome();
         if (ramp != null && (outcome == AttemptOutcome.FULL || outcome == AttemptOutcome.SERVED)) {
-            ramp.answered(outcome == AttemptOutcome.FULL);
+            ramp.recordAnswer(outcome == AttemptOutcome.FULL);
         }
     }
 
-    public Phase phase() {
+    public RecoveryPhase phase() {
         return recovery.phase();
     }
 
--- a/sharing/src/main/java/postgrade/sharing/session/Late.java
+++ b/sharing/src/main/java/postgrade/sharing/session/Late.java
@@ -9,8 +9,8 @@
 import postgrade.extension.Host;
 import postgrade.log.Events;
 import postgrade.shared.Command;
-import postgrade.shared.Part;
-import postgrade.shared.Sharing;
+import postgrade.shared.ReplicatedState;
+import postgrade.shared.StatePart;
 import postgrade.shared.View;
 
 /**
@@ -18,20 +18,20 @@
  * nothing is decided. While another process of this dispatcher has store and place this one follows
  * beside it, with a view of its own, and opens its own once that process has ended.
  */
-public final class Late implements Sharing {
+public final class Late implements ReplicatedState {
 
     private static final Logger LOG = LoggerFactory.getLogger(Late.class);
     private static final long AGAIN_MICROS = 2_000_000;
 
     private final Host host;
-    private final List<Part> parts;
+    private final List<StatePart> parts;
     private final Opener opener;
     private final Executor aside;
     private final String name;
-    private Sharing sharing;
+    private ReplicatedState sharing;
 
     /** Followed beside the other process, and until the own view is as new. */
-    private Sharing beside;
+    private ReplicatedState beside;
 
     private String fault = "not opened yet";
     private boolean opening;
@@ -42,7 +42,7 @@
      * @param name by which this process shares, as a former one has told it
      * @param aside where it is opened, since that takes its time
      */
-    public Late(Host host, String name, List<Part> parts, Opener opener, Executor aside) {
+    public Late(Host host, String name, List<StatePart> parts, Opener opener, Executor aside) {
         this.host = host;
         this.name = name;
         this.aside = aside;
@@ -77,7 +77,7 @@
     /** Off the loop: files and sockets. */
     private void open(boolean alone) {
         try {
-            Sharing opened =
+            ReplicatedState opened =
                     alone
                             ? opener.open(parts, host.monotonicMicros(), host.loopExecutor())
                             : opener.beside(host.monotonicMicros(), host.loopExecutor());
@@ -87,7 +87,7 @@
         }
     }
 
-    private void opened(Sharing opened, boolean alone) {
+    private void opened(ReplicatedState opened, boolean alone) {
         opening = false;
         if (opened == null) {
             return;
@@ -138,12 +138,12 @@
     }
 
     @Override
-    public void ask(Command command, long withinMicros, Consumer<Reply> done) {
-        Sharing way = sharing == null ? beside : sharing;
+    public void submit(Command command, long withinMicros, Consumer<Reply> done) {
+        ReplicatedState way = sharing == null ? beside : sharing;
         if (way == null) {
             host.loopExecutor().execute(() -> done.accept(new Reply(null, null, AGAIN_MICROS)));
         } else {
-            way.ask(command, withinMicros, done);
+            way.submit(command, withinMicros, done);
         }
     }
 
--- a/sharing/src/main/java/postgrade/sharing/session/Outs.java
+++ b/sharing/src/main/java/postgrade/sharing/session/Outs.java
@@ -6,11 +6,11 @@
 import java.util.Set;
 import java.util.TreeSet;
 import postgrade.extension.Host;
-import postgrade.member.OutPart;
+import postgrade.member.OutOfServicePart;
 import postgrade.shared.Answer.Status;
 import postgrade.shared.Command;
+import postgrade.shared.ReplicatedState;
 import postgrade.shared.Rows;
-import postgrade.shared.Sharing;
 import postgrade.shared.View;
 
 /**
@@ -37,13 +37,13 @@
     }
 
     private final Host host;
-    private final Sharing sharing;
+    private final ReplicatedState sharing;
     private final Map<String, Word> words = new HashMap<>();
     private final Set<String> known = new TreeSet<>();
     private Rows seen;
     private long said;
 
-    public Outs(Host host, Sharing sharing) {
+    public Outs(Host host, ReplicatedState sharing) {
         this.host = host;
         this.sharing = sharing;
     }
@@ -113,7 +113,7 @@
                 .removeIf(w -> w.decided && view.known() && view.moment().fence() >= w.seenFrom);
         if (view.known() && view.rows() != seen) {
             seen = view.rows();
-            take(OutPart.out(seen));
+            take(OutOfServicePart.outOfService(seen));
         }
         if (view.known()) {
             words.forEach(
@@ -145,9 +145,9 @@
         long incarnation = sharing.standing().incarnation();
         Command c =
                 w.out
-                        ? OutPart.takeOut(w.requestId, name, incarnation, worker)
-                        : OutPart.putBack(w.requestId, name, incarnation, worker);
-        sharing.ask(
+                        ? OutOfServicePart.takeOutOfService(w.requestId, name, incarnation, worker)
+                        : OutOfServicePart.returnToService(w.requestId, name, incarnation, worker);
+        sharing.submit(
                 c,
                 WITHIN_MICROS,
                 reply -> {
--- a/sharing/src/main/java/postgrade/sharing/session/Session.java
+++ b/sharing/src/main/java/postgrade/sharing/session/Session.java
@@ -4,12 +4,12 @@
 import org.slf4j.LoggerFactory;
 import postgrade.extension.Host;
 import postgrade.log.Events;
-import postgrade.member.MemberPart;
-import postgrade.member.Shares;
-import postgrade.member.Terms;
+import postgrade.member.EffectiveShare;
+import postgrade.member.MembershipPart;
+import postgrade.member.MembershipTerms;
 import postgrade.shared.Answer.Status;
 import postgrade.shared.Command;
-import postgrade.shared.Sharing;
+import postgrade.shared.ReplicatedState;
 import postgrade.shared.View;
 
 /**
@@ -24,17 +24,17 @@
     private static final int RENEWALS = 6;
 
     private final Host host;
-    private final Sharing sharing;
-    private final Terms terms;
+    private final ReplicatedState sharing;
+    private final MembershipTerms terms;
     private final long fallback;
     private final long renewMicros;
-    private Shares shares;
+    private EffectiveShare shares;
 
     /**
      * By the membership of the process that this one takes the place of, until it has its own; null
      * where there is none.
      */
-    private Shares former;
+    private EffectiveShare former;
 
     private boolean joined;
     private boolean asking;
@@ -47,7 +47,12 @@
      * @param former what a running process of this dispatcher has told, or null
      * @param fallback share of one that is cut off for long, in millionths of the even share
      */
-    public Session(Host host, Sharing sharing, Former former, Terms terms, long fallback) {
+    public Session(
+            Host host,
+            ReplicatedState sharing,
+            Former former,
+            MembershipTerms terms,
+            long fallback) {
         this.host = host;
         this.sharing = sharing;
         this.terms = terms;
@@ -55,7 +60,7 @@
         this.former =
                 former == null || former.incarnation() == 0
                         ? null
-                        : new Shares(former.name(), former.incarnation(), terms, fallback);
+                        : new EffectiveShare(former.name(), former.incarnation(), terms, fallback);
         renewMicros = terms.leaseMicros() / RENEWALS;
     }
 
@@ -71,7 +76,7 @@
             factor = before;
         } else {
             factor = shares.factor(view, now);
-            if (shares.goneBy() > 0) {
+            if (shares.appliedGrantIndex() > 0) {
                 former = null; // Its own row has come.
             } else {
                 factor = Math.max(factor, before);
@@ -86,7 +91,7 @@
         if (incarnation == 0) {
             shares = null;
         } else if (shares == null) {
-            shares = new Shares(sharing.standing().name(), incarnation, terms, fallback);
+            shares = new EffectiveShare(sharing.standing().name(), incarnation, terms, fallback);
         }
         look();
         if (ended || incarnation == 0) {
@@ -94,20 +99,20 @@
         }
         View view = sharing.view();
         long now = host.timers().nowMicros();
-        if (shares.replaced()) {
+        if (shares.isReplaced()) {
             ended = true;
             refused = "a later start of this name has taken its place";
             Events.warn(LOG, "sharing.replaced").log(refused + "; serving by the least share");
         } else if (view.known() && !asking && now >= dueMicros) {
             ask(
                     joined
-                            ? MemberPart.renew(name(), incarnation, goneBy())
-                            : MemberPart.join(name(), incarnation, terms));
+                            ? MembershipPart.renew(name(), incarnation, goneBy())
+                            : MembershipPart.join(name(), incarnation, terms));
         }
     }
 
     private double floor() {
-        return Math.min(fallback, terms.floor()) / (double) Terms.EVEN;
+        return Math.min(fallback, terms.floor()) / (double) MembershipTerms.EVEN_SHARE;
     }
 
     /**
@@ -116,7 +121,7 @@
      * rest stays reserved to the end of its lease.
      */
     private long goneBy() {
-        return host.isOnlyProcess() ? shares.goneBy() : 0;
+        return host.isOnlyProcess() ? shares.appliedGrantIndex() : 0;
     }
 
     private String name() {
@@ -125,7 +130,7 @@
 
     private void ask(Command c) {
         asking = true;
-        sharing.ask(
+        sharing.submit(
                 c,
                 renewMicros,
                 reply -> {
@@ -168,15 +173,15 @@
     public void leave() {
         if (joined && !ended && host.isOnlyProcess()) {
             ended = true;
-            sharing.ask(
-                    MemberPart.leave(name(), sharing.standing().incarnation()),
+            sharing.submit(
+                    MembershipPart.leave(name(), sharing.standing().incarnation()),
                     renewMicros,
                     reply -> {});
         }
     }
 
     public boolean joined() {
-        return joined || former != null && former.goneBy() > 0 && !former.replaced();
+        return joined || former != null && former.appliedGrantIndex() > 0 && !former.isReplaced();
     }
 
     /**
@@ -194,7 +199,7 @@
         return factor;
     }
 
-    public Terms terms() {
+    public MembershipTerms terms() {
         return terms;
     }
 
--- a/sharing/src/main/java/postgrade/sharing/settings/SharingPlan.java
+++ b/sharing/src/main/java/postgrade/sharing/settings/SharingPlan.java
@@ -14,7 +14,7 @@
 import java.util.Set;
 import org.slf4j.event.Level;
 import postgrade.log.EventLogs;
-import postgrade.member.Terms;
+import postgrade.member.MembershipTerms;
 import postgrade.quorum.settings.QuorumSettings;
 import postgrade.quorum.settings.SharingFile;
 import postgrade.script.DictValue;
@@ -123,7 +123,7 @@
     }
 
     private long share(String key) {
-        return (long) (number(key, 0.25, 0.001, 1) * Terms.EVEN);
+        return (long) (number(key, 0.25, 0.001, 1) * MembershipTerms.EVEN_SHARE);
     }
 
     private Map<String, Integer> counts() {
--- a/sharing/src/main/java/postgrade/sharing/window/Opening.java
+++ b/sharing/src/main/java/postgrade/sharing/window/Opening.java
@@ -11,7 +11,7 @@
 import postgrade.extension.Host;
 import postgrade.log.Events;
 import postgrade.policy.api.JobConstraints;
-import postgrade.shared.Sharing;
+import postgrade.shared.ReplicatedState;
 import postgrade.window.Calendars;
 import postgrade.window.FaultyCalendar;
 import postgrade.window.KnownCalendars;
@@ -30,7 +30,7 @@
     private static final long MOST_VIEW_AGE_MICROS = 5_000_000;
 
     private final Host host;
-    private final Sharing sharing;
+    private final ReplicatedState sharing;
     private final Executor aside;
     private final WindowSettings settings;
     private final KnownCalendars calendars = new KnownCalendars(MOST_VIEW_AGE_MICROS);
@@ -38,7 +38,7 @@
     private final WindowAbility ability;
     private final Set<String> underWay = new HashSet<>();
 
-    public Opening(Host host, Sharing sharing, Executor aside, WindowSettings settings) {
+    public Opening(Host host, ReplicatedState sharing, Executor aside, WindowSettings settings) {
         this.host = host;
         this.sharing = sharing;
         this.aside = aside;
--- a/sharing/src/test/java/postgrade/sharing/FakeQuorum.java
+++ b/sharing/src/test/java/postgrade/sharing/FakeQuorum.java
@@ -7,10 +7,10 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import postgrade.shared.Command;
-import postgrade.shared.Machine;
-import postgrade.shared.Part;
+import postgrade.shared.ReplicatedState;
+import postgrade.shared.ReplicatedStateMachine;
 import postgrade.shared.Rows;
-import postgrade.shared.Sharing;
+import postgrade.shared.StatePart;
 import postgrade.shared.View;
 import postgrade.sharing.session.Opener;
 
@@ -19,7 +19,7 @@
  */
 final class FakeQuorum {
 
-    private Machine machine;
+    private ReplicatedStateMachine machine;
     private long index;
     private long incarnations;
     final Set<String> cutOff = new HashSet<>();
@@ -33,44 +33,45 @@
     boolean lost;
     String leader = "v1";
 
-    private void decide(Command c, Consumer<Sharing.Reply> done) {
+    private void decide(Command c, Consumer<ReplicatedState.Reply> done) {
         postgrade.shared.Answer answer = machine.apply(++index, c);
         if (done != null) {
-            done.accept(new Sharing.Reply(answer, machine.moment(), 0));
+            done.accept(new ReplicatedState.Reply(answer, machine.moment(), 0));
         }
     }
 
     /** The log's time goes on as the hosts' does. */
     void advance(long micros) {
         if (machine != null && !lost) {
-            decide(Machine.advance("leader", 1, micros), null);
+            decide(ReplicatedStateMachine.advance("leader", 1, micros), null);
         }
     }
 
     Opener as(FakeHost host) {
         return new Opener() {
             @Override
-            public Sharing open(List<Part> parts, LongSupplier nowMicros, Executor onLoop) {
+            public ReplicatedState open(
+                    List<StatePart> parts, LongSupplier nowMicros, Executor onLoop) {
                 return new Own(host, parts, ++incarnations);
             }
 
             @Override
-            public Sharing beside(LongSupplier nowMicros, Executor onLoop) {
+            public ReplicatedState beside(LongSupplier nowMicros, Executor onLoop) {
                 return new Own(host, List.of(), 0);
             }
         };
     }
 
-    private final class Own implements Sharing {
+    private final class Own implements ReplicatedState {
         private final FakeHost host;
         private final long incarnation;
         private View view = View.NONE;
 
-        Own(FakeHost host, List<Part> parts, long incarnation) {
+        Own(FakeHost host, List<StatePart> parts, long incarnation) {
             this.host = host;
             this.incarnation = incarnation;
             if (machine == null && !parts.isEmpty()) {
-                machine = new Machine(1, parts);
+                machine = new ReplicatedStateMachine(1, parts);
             }
         }
 
@@ -84,14 +85,14 @@
                 view =
                         new View(
                                 machine.moment(),
-                                Rows.of(index, machine.save().rows()),
+                                Rows.fromSnapshot(index, machine.snapshot().rows()),
                                 host.nowMicros());
             }
             return view;
         }
 
         @Override
-        public void ask(Command command, long withinMicros, Consumer<Reply> done) {
+        public void submit(Command command, long withinMicros, Consumer<Reply> done) {
             if (reached()) {
                 host.loopExecutor().execute(() -> decide(command, done));
             } else {
--- a/sharing/src/test/java/postgrade/sharing/MemoryTest.java
+++ b/sharing/src/test/java/postgrade/sharing/MemoryTest.java
@@ -19,9 +19,9 @@
 import org.junit.Rule;
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
-import postgrade.comeback.Memory;
 import postgrade.log.EventLogs;
 import postgrade.policy.api.PolicyStateEntry;
+import postgrade.recovery.LearntSnapshot;
 import postgrade.sharing.memory.Keeper;
 import postgrade.sharing.memory.MemoryFile;
 
@@ -95,8 +95,8 @@
         later.workers.clear();
         later.unixMillis += 61_000;
         Keeper keeper = keeper(later);
-        Memory memory = keeper.recall();
-        assertEquals(0.9, memory.served(), 0);
+        LearntSnapshot memory = keeper.recall();
+        assertEquals(0.9, memory.servedShare(), 0);
         assertEquals(Set.of("w9"), Keeper.out(memory));
         assertEquals(List.of("class price", "tenant t"), names(later.told));
         assertEquals("as they were", 3, later.told.get(1).values()[0], 0);
@@ -141,7 +141,7 @@
         }
         assertEquals(
                 List.of("cold", "out"),
-                file().read(host.unixMillis * 1000).figures().stream()
+                file().read(host.unixMillis * 1000).entries().stream()
                         .map(f -> f.learnt().category())
                         .sorted()
                         .toList());
--- a/sharing/src/test/java/postgrade/sharing/PlanHeadersTest.java
+++ b/sharing/src/test/java/postgrade/sharing/PlanHeadersTest.java
@@ -12,7 +12,7 @@
 import org.junit.Before;
 import org.junit.Test;
 import postgrade.dispatch.ExtensionHeaders;
-import postgrade.member.Terms;
+import postgrade.member.MembershipTerms;
 import postgrade.policy.api.Job;
 import postgrade.policy.api.JobConstraints;
 import postgrade.policy.api.WorkerInfo;
@@ -42,8 +42,8 @@
                 0,
                 6 * SECOND,
                 20 * SECOND,
-                Terms.EVEN / 4,
-                Terms.EVEN / 4,
+                MembershipTerms.EVEN_SHARE / 4,
+                MembershipTerms.EVEN_SHARE / 4,
                 2 * SECOND,
                 Map.of(),
                 1,
--- a/sharing/src/test/java/postgrade/sharing/SharedTest.java
+++ b/sharing/src/test/java/postgrade/sharing/SharedTest.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.Test;
-import postgrade.member.Terms;
+import postgrade.member.MembershipTerms;
 import postgrade.policy.api.Job;
 import postgrade.policy.api.JobConstraints;
 import postgrade.policy.api.WorkerInfo;
@@ -40,8 +40,8 @@
                 0,
                 6 * SECOND,
                 20 * SECOND,
-                Terms.EVEN / 4,
-                Terms.EVEN / 4,
+                MembershipTerms.EVEN_SHARE / 4,
+                MembershipTerms.EVEN_SHARE / 4,
                 2 * SECOND,
                 Map.of("m", 4),
                 1,
--- a/simulation/src/main/java/postgrade/simulation/check/LeaseCheck.java
+++ b/simulation/src/main/java/postgrade/simulation/check/LeaseCheck.java
@@ -45,7 +45,7 @@
         if (!lease && !c.part().equals("clock")) {
             return;
         }
-        Map<String, Row> held = rows.of("lease");
+        Map<String, Row> held = rows.ofPart("lease");
         disjoint(held);
         boolean done = lease && answer.status() == Answer.Status.DONE;
         String key = done && c.args().has("holder") ? c.args().text("holder") + "|s|" : null;
@@ -56,7 +56,7 @@
         }
         holders = new HashSet<>(held.keySet());
         if (key != null && held.containsKey(key)) {
-            renewed.put(key, new Renewed(checks.now(), at.micros(), held.get(key).whole("ttl")));
+            renewed.put(key, new Renewed(checks.now(), at.micros(), held.get(key).integer("ttl")));
         }
         held.keySet()
                 .forEach(
@@ -68,7 +68,7 @@
                                                     new Renewed(
                                                             checks.now(),
                                                             at.micros(),
-                                                            held.get(k).whole("ttl")));
+                                                            held.get(k).integer("ttl")));
                             if (at.micros() - r.logMicros > r.ttlMicros + STEPS) {
                                 checks.violation(
                                         "%s still holds %.3f s of the log after it renewed",
@@ -98,7 +98,7 @@
                         long mask = Long.parseLong(at[1], 16);
                         for (int bit = 0; mask >> bit != 0; bit++) {
                             if ((mask >> bit & 1) == 1) {
-                                granted(at[0] + "/" + bit, holder, row.whole("fence"), by);
+                                granted(at[0] + "/" + bit, holder, row.integer("fence"), by);
                             }
                         }
                     }
--- a/simulation/src/main/java/postgrade/simulation/check/LogCheck.java
+++ b/simulation/src/main/java/postgrade/simulation/check/LogCheck.java
@@ -68,8 +68,8 @@
     private static int state(Moment at, Rows rows) {
         return at.index() % 4 != 0
                 ? 0
-                : 31 * (31 * rows.of("member").hashCode() + rows.of("out").hashCode())
-                        + 7 * rows.of("lease").hashCode()
-                        + rows.of("lease.waiting").hashCode();
+                : 31 * (31 * rows.ofPart("member").hashCode() + rows.ofPart("out").hashCode())
+                        + 7 * rows.ofPart("lease").hashCode()
+                        + rows.ofPart("lease.waiting").hashCode();
     }
 }
--- a/simulation/src/main/java/postgrade/simulation/check/SessionCheck.java
+++ b/simulation/src/main/java/postgrade/simulation/check/SessionCheck.java
@@ -53,12 +53,12 @@
         if (!c.part().equals("clock")) {
             return;
         }
-        rows.of("member").forEach((name, row) -> judge(at, name, row));
+        rows.ofPart("member").forEach((name, row) -> judge(at, name, row));
     }
 
     private void judge(Moment at, String name, Row row) {
         Renewed last = renewed.get(name);
-        boolean over = at.micros() >= row.whole("until");
+        boolean over = at.micros() >= row.integer("until");
         if (last == null) {
             return;
         }
--- a/simulation/src/main/java/postgrade/simulation/model/Disk.java
+++ b/simulation/src/main/java/postgrade/simulation/model/Disk.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import postgrade.comeback.Memory;
-import postgrade.comeback.MemoryFormat;
-import postgrade.comeback.Unusable;
 import postgrade.policy.api.PolicyStateEntry;
+import postgrade.recovery.LearntSnapshot;
+import postgrade.recovery.LearntSnapshotFormat;
+import postgrade.recovery.UnusableSnapshotException;
 import postgrade.simulation.check.Checks;
 
 /**
@@ -48,8 +48,8 @@
         }
         savedAt = local;
         tokens = world.random.nextDouble() * 2;
-        Memory memory =
-                Memory.of(
+        LearntSnapshot memory =
+                LearntSnapshot.capture(
                         owner,
                         wall + local,
                         0.9,
@@ -61,7 +61,7 @@
                                         "w1",
                                         new double[] {3, 1e9, 1, 1.2, 4, 1e6, 1e9, 1e9, 0})),
                         Map.of("w1", world.now() / 20_000_000));
-        file = MemoryFormat.write(memory);
+        file = LearntSnapshotFormat.write(memory);
         written.add(Arrays.hashCode(file));
         copies.add(file);
     }
@@ -88,25 +88,25 @@
             return false;
         }
         try {
-            Memory memory = MemoryFormat.read(file, owner, wall + local);
+            LearntSnapshot memory = LearntSnapshotFormat.read(file, owner, wall + local);
             if (!written.contains(Arrays.hashCode(file))) {
                 checks.violation("%s went by a snapshot that was never written so", owner);
             }
             long started = world.now() / 20_000_000;
-            for (PolicyStateEntry l : memory.trusted(wall + local, Map.of("w1", started))) {
+            for (PolicyStateEntry l : memory.trustedEntries(wall + local, Map.of("w1", started))) {
                 judge(memory, l, started);
             }
             checks.count("snapshots gone by");
             return true;
-        } catch (Unusable e) {
+        } catch (UnusableSnapshotException e) {
             checks.count("snapshots put aside, " + e.fault());
             return false;
         }
     }
 
-    private void judge(Memory memory, PolicyStateEntry now, long started) {
-        Memory.Figure was =
-                memory.figures().stream()
+    private void judge(LearntSnapshot memory, PolicyStateEntry now, long started) {
+        LearntSnapshot.Entry was =
+                memory.entries().stream()
                         .filter(f -> f.learnt().category().equals(now.category()))
                         .findFirst()
                         .orElseThrow();
--- a/simulation/src/main/java/postgrade/simulation/model/Dispatching.java
+++ b/simulation/src/main/java/postgrade/simulation/model/Dispatching.java
@@ -4,18 +4,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import postgrade.comeback.Gate;
-import postgrade.comeback.Phase;
-import postgrade.comeback.Ramp;
-import postgrade.comeback.Recovery;
-import postgrade.comeback.Stampede;
-import postgrade.comeback.Stampede.Kind;
-import postgrade.comeback.Stampede.Steady;
+import postgrade.member.EffectiveShare;
 import postgrade.member.Member;
-import postgrade.member.MemberPart;
-import postgrade.member.OutPart;
-import postgrade.member.Shares;
-import postgrade.member.Terms;
+import postgrade.member.MembershipPart;
+import postgrade.member.MembershipTerms;
+import postgrade.member.OutOfServicePart;
+import postgrade.recovery.AdmissionRamp;
+import postgrade.recovery.Pacer;
+import postgrade.recovery.Recovery;
+import postgrade.recovery.RecoveryPhase;
+import postgrade.recovery.ThunderingHerdLimits;
+import postgrade.recovery.ThunderingHerdLimits.LoadKind;
+import postgrade.recovery.ThunderingHerdLimits.SteadyRates;
 import postgrade.shared.Answer;
 import postgrade.shared.Command;
 import postgrade.shared.Rows;
@@ -42,24 +42,24 @@
     /** What all of them go by. */
     record Plan(
             List<String> voters,
-            Terms terms,
+            MembershipTerms terms,
             long fallback,
             Mechanisms mechanisms,
             Checks checks) {}
 
     private final Plan plan;
     private final int place;
-    private final Stampede stampede;
+    private final ThunderingHerdLimits stampede;
     private final Disk disk;
     private long incarnation;
     private View view;
     private long viewTrue;
-    private Shares shares;
+    private EffectiveShare shares;
     private Privileges privileges;
     private Recovery recovery;
-    private Ramp ramp;
-    private Gate pulls;
-    private Gate lists;
+    private AdmissionRamp ramp;
+    private Pacer pulls;
+    private Pacer lists;
     private boolean listKnown;
     private boolean remembers;
     private long pulledAt;
@@ -75,8 +75,8 @@
         this.plan = plan;
         int places = plan.terms().places();
         stampede =
-                new Stampede(
-                        new Steady(places * 0.5, places * 1e6 / PULL, 0, 0, 0),
+                new ThunderingHerdLimits(
+                        new SteadyRates(places * 0.5, places * 1e6 / PULL, 0, 0, 0),
                         MULTIPLE,
                         places,
                         place);
@@ -92,9 +92,9 @@
         shares = plan.mechanisms().shares(name(), incarnation, plan.terms(), plan.fallback());
         privileges = new Privileges(name(), plan.mechanisms(), plan.checks());
         recovery = new Recovery(local(), new Recovery.Bounds(VIEW_BOUND, 5_000_000, 500_000));
-        ramp = new Ramp(local(), 0.1);
-        pulls = stampede.gate(local(), Kind.PULL, 0);
-        lists = stampede.gate(local(), Kind.LIST, 0);
+        ramp = new AdmissionRamp(local(), 0.1);
+        pulls = stampede.pacer(local(), LoadKind.PULL, 0);
+        lists = stampede.pacer(local(), LoadKind.LIST, 0);
         listKnown = false;
         pulledAt = local() - PULL;
         voter = null;
@@ -114,27 +114,29 @@
         after(TURN, this::turn);
         long now = local();
         shares.factor(view, now);
-        if (!listKnown && lists.take(now)) {
-            plan.checks().peaks.happened("list calls", stampede.most(Kind.LIST, 1_000_000));
+        if (!listKnown && lists.tryAcquire(now)) {
+            plan.checks()
+                    .peaks
+                    .happened("list calls", stampede.maxWithin(LoadKind.LIST, 1_000_000));
             after(5_000, () -> listKnown = true);
         }
-        if (now - pulledAt >= PULL && pulls.take(now)) {
+        if (now - pulledAt >= PULL && pulls.tryAcquire(now)) {
             pulledAt = now;
-            plan.checks().peaks.happened("pulls", stampede.most(Kind.PULL, 1_000_000));
+            plan.checks().peaks.happened("pulls", stampede.maxWithin(LoadKind.PULL, 1_000_000));
             pull();
         }
-        ramp.answered(world.chance(0.02));
+        ramp.recordAnswer(world.chance(0.02));
         double part =
-                recovery.phase() == Phase.RAMPING || recovery.phase() == Phase.FULL
-                        ? ramp.part(now)
+                recovery.phase() == RecoveryPhase.RAMPING || recovery.phase() == RecoveryPhase.FULL
+                        ? ramp.admittedShare(now)
                         : 0;
-        recovery.look(
+        recovery.update(
                 now,
-                new Recovery.Seen(
+                new Recovery.Observation(
                         remembers,
                         listKnown,
                         view.ageMicros(now),
-                        shares.goneBy() > 0,
+                        shares.appliedGrantIndex() > 0,
                         part,
                         SERVED * part,
                         SERVED));
@@ -162,9 +164,9 @@
         Member own = Member.of(view.rows(), name());
         shares.factor(view, local());
         if (own != null && own.incarnation() == incarnation) {
-            ask(MemberPart.renew(name(), incarnation, shares.goneBy()), a -> {});
+            ask(MembershipPart.renew(name(), incarnation, shares.appliedGrantIndex()), a -> {});
         } else if (view.known()) {
-            ask(MemberPart.join(name(), incarnation, plan.terms()), a -> {});
+            ask(MembershipPart.join(name(), incarnation, plan.terms()), a -> {});
         }
     }
 
@@ -197,12 +199,12 @@
         }
         Rows rows;
         if (p.from() < 0) {
-            rows = Rows.of(p.moment().index(), p.changes());
+            rows = Rows.fromSnapshot(p.moment().index(), p.changes());
         } else if (p.moment().era() == view.moment().era() && p.from() == view.moment().index()) {
             rows =
                     p.changes().isEmpty()
                             ? view.rows()
-                            : view.rows().with(p.moment().index(), p.changes());
+                            : view.rows().withChanges(p.moment().index(), p.changes());
         } else {
             return;
         }
@@ -211,10 +213,10 @@
             view = new View(p.moment(), rows, at.local);
             viewTrue = at.trueTime;
             plan.checks().views.taken(name(), incarnation, p.moment(), rows, at.trueTime);
-            plan.checks().out.seen(name(), OutPart.out(rows), at.trueTime);
+            plan.checks().out.seen(name(), OutOfServicePart.outOfService(rows), at.trueTime);
         }
         int alive = Member.alive(rows, p.moment().micros());
-        pulls.pace(local(), stampede.perSecond(Kind.PULL, alive));
+        pulls.setRate(local(), stampede.perSecond(LoadKind.PULL, alive));
     }
 
     /** By which part it serves at this instant. Tells also what else it may do. */
@@ -229,7 +231,7 @@
         return world.now() - viewTrue;
     }
 
-    Phase phase() {
+    RecoveryPhase phase() {
         return recovery.phase();
     }
 
--- a/simulation/src/main/java/postgrade/simulation/model/Mechanisms.java
+++ b/simulation/src/main/java/postgrade/simulation/model/Mechanisms.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 import postgrade.lease.LeasePart;
-import postgrade.lease.Times;
-import postgrade.member.MemberPart;
-import postgrade.member.OutPart;
-import postgrade.member.Shares;
-import postgrade.member.Terms;
-import postgrade.shared.Part;
+import postgrade.lease.LeaseTimes;
+import postgrade.member.EffectiveShare;
+import postgrade.member.MembershipPart;
+import postgrade.member.MembershipTerms;
+import postgrade.member.OutOfServicePart;
+import postgrade.shared.StatePart;
 import postgrade.window.CalendarPart;
 
 /**
@@ -16,20 +16,22 @@
  */
 public class Mechanisms {
 
-    public List<Part> parts() {
-        return List.of(members(), new OutPart(), new LeasePart(leaseTimes()), new CalendarPart());
+    public List<StatePart> parts() {
+        return List.of(
+                members(), new OutOfServicePart(), new LeasePart(leaseTimes()), new CalendarPart());
     }
 
-    protected Part members() {
-        return new MemberPart();
+    protected StatePart members() {
+        return new MembershipPart();
     }
 
-    public Shares shares(String name, long incarnation, Terms terms, long fallback) {
-        return new Shares(name, incarnation, terms, fallback);
+    public EffectiveShare shares(
+            String name, long incarnation, MembershipTerms terms, long fallback) {
+        return new EffectiveShare(name, incarnation, terms, fallback);
     }
 
-    public Times leaseTimes() {
-        return Times.USUAL;
+    public LeaseTimes leaseTimes() {
+        return LeaseTimes.DEFAULT;
     }
 
     public long longestViewOfCalendars() {
--- a/simulation/src/main/java/postgrade/simulation/model/Operator.java
+++ b/simulation/src/main/java/postgrade/simulation/model/Operator.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import postgrade.member.OutPart;
+import postgrade.member.OutOfServicePart;
 import postgrade.shared.Answer;
 import postgrade.shared.Command;
 import postgrade.simulation.check.Checks;
@@ -43,8 +43,8 @@
         if (over.running()) {
             Command c =
                     out
-                            ? OutPart.takeOut(is, over.name(), 1, worker)
-                            : OutPart.putBack(is, over.name(), 1, worker);
+                            ? OutOfServicePart.takeOutOfService(is, over.name(), 1, worker)
+                            : OutOfServicePart.returnToService(is, over.name(), 1, worker);
             over.ask(c, a -> answered(is, a));
         }
         world.in(
--- a/simulation/src/main/java/postgrade/simulation/model/Planner.java
+++ b/simulation/src/main/java/postgrade/simulation/model/Planner.java
@@ -55,7 +55,7 @@
 
     private void answered(long life, Answer a) {
         if (incarnation == life) {
-            fence = a.status() == Answer.Status.DONE ? a.fields().whole("fence", 0) : 0;
+            fence = a.status() == Answer.Status.DONE ? a.fields().integer("fence", 0) : 0;
         }
     }
 
--- a/simulation/src/main/java/postgrade/simulation/model/Privileges.java
+++ b/simulation/src/main/java/postgrade/simulation/model/Privileges.java
@@ -3,7 +3,7 @@
 import java.time.LocalDateTime;
 import java.time.ZoneOffset;
 import java.util.List;
-import postgrade.lease.Reservations;
+import postgrade.lease.ReservationView;
 import postgrade.shared.View;
 import postgrade.simulation.check.Checks;
 import postgrade.window.Event;
@@ -20,7 +20,7 @@
     private final Mechanisms mechanisms;
     private final Checks checks;
     private final KnownCalendars calendars;
-    private Reservations reservations;
+    private ReservationView reservations;
     private long now;
 
     Privileges(String dispatcher, Mechanisms mechanisms, Checks checks) {
@@ -28,13 +28,13 @@
         this.mechanisms = mechanisms;
         this.checks = checks;
         calendars = new KnownCalendars(mechanisms.longestViewOfCalendars());
-        reservations = new Reservations(View.NONE, mechanisms.leaseTimes());
+        reservations = new ReservationView(View.NONE, mechanisms.leaseTimes());
     }
 
     void view(View view, long local) {
         now = local;
         if (view != reservations.view()) {
-            reservations = new Reservations(view, mechanisms.leaseTimes());
+            reservations = new ReservationView(view, mechanisms.leaseTimes());
         }
         calendars.view(view, local);
         calendars
--- a/simulation/src/main/java/postgrade/simulation/model/Simulation.java
+++ b/simulation/src/main/java/postgrade/simulation/model/Simulation.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import postgrade.comeback.Phase;
-import postgrade.member.Terms;
+import postgrade.member.MembershipTerms;
+import postgrade.recovery.RecoveryPhase;
 import postgrade.simulation.check.Checks;
 
 /** One run: faults for a while, then none, and everything has to be well again. */
@@ -19,7 +19,7 @@
     final List<Dispatching> dispatchers = new ArrayList<>();
     final List<Operator> operators;
     final Checks checks;
-    final Terms terms;
+    final MembershipTerms terms;
     private final long cutOffMicros;
     private long era = 1;
 
@@ -30,12 +30,12 @@
         world = new World(seed, trace);
         long floor = world.between(100_000, 500_000);
         terms =
-                new Terms(
+                new MembershipTerms(
                         (int) world.between(3, 7),
                         world.between(5_000_000, 8_000_000),
                         world.between(2_000_000, 12_000_000),
                         floor);
-        long fallback = seed % 5 == 4 ? Terms.EVEN : floor;
+        long fallback = seed % 5 == 4 ? MembershipTerms.EVEN_SHARE : floor;
         cutOffMicros = (long) (terms.leaseMicros() / 1.0201); // By a clock that runs fast.
         checks =
                 new Checks(
@@ -150,7 +150,7 @@
                         "view of %s is %.3f s old though nothing is wrong",
                         d.name(), d.unseenMicros() / 1e6);
             }
-            if (d.phase() != Phase.FULL) {
+            if (d.phase() != RecoveryPhase.FULL) {
                 checks.violation("%s is %s though nothing is wrong", d.name(), d.phase().text());
             }
         }
--- a/simulation/src/main/java/postgrade/simulation/model/Voter.java
+++ b/simulation/src/main/java/postgrade/simulation/model/Voter.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 import postgrade.shared.Answer;
 import postgrade.shared.Command;
-import postgrade.shared.Machine;
 import postgrade.shared.Moment;
+import postgrade.shared.ReplicatedStateMachine;
 import postgrade.simulation.check.Checks;
 import postgrade.simulation.model.Message.Append;
 import postgrade.simulation.model.Message.Appended;
@@ -44,7 +44,7 @@
     private List<Entry> log = new ArrayList<>();
     private boolean wiped;
     // Gone with the process.
-    private Machine machine;
+    private ReplicatedStateMachine machine;
     private String leader;
     private long commit;
     private long applied;
@@ -96,7 +96,7 @@
 
     @Override
     void started() {
-        machine = new Machine(era, mechanisms.parts());
+        machine = new ReplicatedStateMachine(era, mechanisms.parts());
         leader = null;
         commit = 0;
         applied = 0;
@@ -148,12 +148,18 @@
             if (advanceIndex > commit) {
                 return;
             }
-            append(Machine.advance(name(), term, Math.min(passed, Machine.MOST_ADVANCE_MICROS)));
+            append(
+                    ReplicatedStateMachine.advance(
+                            name(),
+                            term,
+                            Math.min(passed, ReplicatedStateMachine.MAX_ADVANCE_MICROS)));
         } else {
-            for (; passed > 0; passed -= Machine.MOST_ADVANCE_MICROS) {
+            for (; passed > 0; passed -= ReplicatedStateMachine.MAX_ADVANCE_MICROS) {
                 append(
-                        Machine.advance(
-                                name(), term, Math.min(passed, Machine.MOST_ADVANCE_MICROS)));
+                        ReplicatedStateMachine.advance(
+                                name(),
+                                term,
+                                Math.min(passed, ReplicatedStateMachine.MAX_ADVANCE_MICROS)));
             }
         }
         measuredAt = local();
@@ -253,7 +259,9 @@
         voters.forEach(v -> next.put(v, (long) log.size()));
         measuredAt = local();
         advanceIndex =
-                append(Machine.advance(name(), term, 0)); // Commits what earlier leaders left.
+                append(
+                        ReplicatedStateMachine.advance(
+                                name(), term, 0)); // Commits what earlier leaders left.
         broadcast();
     }
 
@@ -367,11 +375,11 @@
     private void answer(Read r) {
         Moment moment = machine.moment();
         long since = r.pull.era() == era && r.pull.index() <= moment.index() ? r.pull.index() : -1;
-        var changes = since < 0 ? null : machine.rows().since(since);
+        var changes = since < 0 ? null : machine.rows().changesSince(since);
         send(
                 r.from,
                 changes == null
-                        ? new Pulled(r.pull.number(), moment, -1, machine.save().rows())
+                        ? new Pulled(r.pull.number(), moment, -1, machine.snapshot().rows())
                         : new Pulled(r.pull.number(), moment, since, changes));
     }
 }
--- a/simulation/src/test/java/postgrade/member/Broken.java
+++ b/simulation/src/test/java/postgrade/member/Broken.java
@@ -4,8 +4,8 @@
 import postgrade.shared.Answer;
 import postgrade.shared.Command;
 import postgrade.shared.Moment;
-import postgrade.shared.Part;
 import postgrade.shared.Rows;
+import postgrade.shared.StatePart;
 import postgrade.shared.View;
 
 /** Members with one mechanism switched off each, to see that the checkers notice. */
@@ -13,12 +13,13 @@
 
     private Broken() {}
 
-    private abstract static class WithSplit extends MemberPart {
-        abstract Member seen(Member m, Moment at, Terms terms);
+    private abstract static class WithSplit extends MembershipPart {
+        abstract Member seen(Member m, Moment at, MembershipTerms terms);
 
         @Override
-        Split split(Terms terms, Moment at, List<Member> before) {
-            return new Split(terms, at, before.stream().map(m -> seen(m, at, terms)).toList());
+        ShareAllocation allocation(MembershipTerms terms, Moment at, List<Member> before) {
+            return new ShareAllocation(
+                    terms, at, before.stream().map(m -> seen(m, at, terms)).toList());
         }
     }
 
@@ -26,28 +27,28 @@
      * Takes a share back and gives it away at once, without waiting until its holder was seen to go
      * by less.
      */
-    public static Part growsWithoutWaiting() {
+    public static StatePart growsWithoutWaiting() {
         return new WithSplit() {
             @Override
-            Member seen(Member m, Moment at, Terms terms) {
-                return m.settled();
+            Member seen(Member m, Moment at, MembershipTerms terms) {
+                return m.withoutRevokedShare();
             }
         };
     }
 
     /** Gives the place of a silent member away as soon as its lease is over. */
-    public static Part doesNotLinger() {
+    public static StatePart doesNotLinger() {
         return new WithSplit() {
             @Override
-            Member seen(Member m, Moment at, Terms terms) {
+            Member seen(Member m, Moment at, MembershipTerms terms) {
                 return m.alive(at.micros())
                         ? m
                         : new Member(
                                 m.name(),
                                 m.incarnation(),
-                                Math.min(m.until(), at.micros() - terms.lingerMicros()),
+                                Math.min(m.leaseEndMicros(), at.micros() - terms.lingerMicros()),
                                 m.share(),
-                                m.grant(),
+                                m.grantIndex(),
                                 0,
                                 0);
             }
@@ -55,8 +56,8 @@
     }
 
     /** An older incarnation is let in. */
-    public static Part forgetsIncarnations() {
-        return new MemberPart() {
+    public static StatePart forgetsIncarnations() {
+        return new MembershipPart() {
             @Override
             public Answer apply(Rows rows, Moment at, Command c) {
                 Member m = Member.of(rows, c.from());
@@ -67,11 +68,11 @@
                             new Member(
                                             m.name(),
                                             c.incarnation(),
-                                            m.until(),
+                                            m.leaseEndMicros(),
                                             m.share(),
-                                            m.grant(),
-                                            m.held(),
-                                            m.heldUntil())
+                                            m.grantIndex(),
+                                            m.revokedShare(),
+                                            m.revokedUntilMicros())
                                     .row());
                 }
                 return super.apply(rows, at, c);
@@ -80,37 +81,38 @@
     }
 
     /** Ends leases half a lease early. */
-    public static Part expiresEarly() {
+    public static StatePart expiresEarly() {
         return new WithSplit() {
             @Override
-            Member seen(Member m, Moment at, Terms terms) {
-                return m.until() - at.micros() > terms.leaseMicros() / 2
+            Member seen(Member m, Moment at, MembershipTerms terms) {
+                return m.leaseEndMicros() - at.micros() > terms.leaseMicros() / 2
                         ? m
                         : new Member(
                                 m.name(),
                                 m.incarnation(),
-                                Math.min(m.until(), at.micros()),
+                                Math.min(m.leaseEndMicros(), at.micros()),
                                 m.share(),
-                                m.grant(),
-                                m.held(),
-                                m.heldUntil());
+                                m.grantIndex(),
+                                m.revokedShare(),
+                                m.revokedUntilMicros());
             }
         };
     }
 
     /** Goes by the last share that it saw, however long ago. */
-    public static Shares neverFalls(String name, long incarnation, Terms terms) {
-        return new Shares(name, incarnation, terms) {
+    public static EffectiveShare neverFalls(String name, long incarnation, MembershipTerms terms) {
+        return new EffectiveShare(name, incarnation, terms) {
             @Override
-            long latest(long nowMicros) {
+            long latestLogMicros(long nowMicros) {
                 return 0;
             }
         };
     }
 
     /** Reckons as if clocks ran alike and a view told what every leader has measured. */
-    public static Shares ignoresDriftAndBacklog(String name, long incarnation, Terms terms) {
-        return new Shares(name, incarnation, terms) {
+    public static EffectiveShare ignoresDriftAndBacklog(
+            String name, long incarnation, MembershipTerms terms) {
+        return new EffectiveShare(name, incarnation, terms) {
             private View last = View.NONE;
 
             @Override
@@ -120,7 +122,7 @@
             }
 
             @Override
-            long latest(long nowMicros) {
+            long latestLogMicros(long nowMicros) {
                 return last.moment().micros() + last.ageMicros(nowMicros);
             }
         };
--- a/simulation/src/test/java/postgrade/simulation/SimulationTest.java
+++ b/simulation/src/test/java/postgrade/simulation/SimulationTest.java
@@ -11,17 +11,17 @@
 import java.util.stream.LongStream;
 import org.junit.Test;
 import postgrade.lease.LeasePart;
-import postgrade.lease.Times;
+import postgrade.lease.LeaseTimes;
 import postgrade.member.Broken;
-import postgrade.member.OutPart;
-import postgrade.member.Shares;
-import postgrade.member.Terms;
+import postgrade.member.EffectiveShare;
+import postgrade.member.MembershipTerms;
+import postgrade.member.OutOfServicePart;
 import postgrade.shared.Answer;
 import postgrade.shared.Command;
 import postgrade.shared.Moment;
-import postgrade.shared.Part;
 import postgrade.shared.Row;
 import postgrade.shared.Rows;
+import postgrade.shared.StatePart;
 import postgrade.simulation.model.Mechanisms;
 import postgrade.simulation.model.Simulation;
 import postgrade.simulation.model.Simulation.Result;
@@ -93,11 +93,11 @@
                                                 .anyMatch(v -> v.contains(violation))));
     }
 
-    private static Mechanisms members(Supplier<Part> part) {
+    private static Mechanisms members(Supplier<StatePart> part) {
         return new Mechanisms() {
             @Override
-            public List<Part> parts() {
-                return List.of(part.get(), new OutPart());
+            public List<StatePart> parts() {
+                return List.of(part.get(), new OutOfServicePart());
             }
         };
     }
@@ -131,8 +131,11 @@
                 () ->
                         new Mechanisms() {
                             @Override
-                            public Shares shares(
-                                    String name, long incarnation, Terms terms, long fallback) {
+                            public EffectiveShare shares(
+                                    String name,
+                                    long incarnation,
+                                    MembershipTerms terms,
+                                    long fallback) {
                                 return Broken.neverFalls(name, incarnation, terms);
                             }
                         });
@@ -146,8 +149,11 @@
                 () ->
                         new Mechanisms() {
                             @Override
-                            public Shares shares(
-                                    String name, long incarnation, Terms terms, long fallback) {
+                            public EffectiveShare shares(
+                                    String name,
+                                    long incarnation,
+                                    MembershipTerms terms,
+                                    long fallback) {
                                 return Broken.ignoresDriftAndBacklog(name, incarnation, terms);
                             }
                         });
@@ -196,9 +202,9 @@
     }
 
     /** A part whose rows somebody changes before each step of the log's time. */
-    private static Mechanisms meddled(Part part, BiConsumer<Rows, Moment> meddle) {
-        Part meddled =
-                new Part() {
+    private static Mechanisms meddled(StatePart part, BiConsumer<Rows, Moment> meddle) {
+        StatePart meddled =
+                new StatePart() {
                     @Override
                     public String name() {
                         return part.name();
@@ -217,7 +223,7 @@
                 };
         return new Mechanisms() {
             @Override
-            public List<Part> parts() {
+            public List<StatePart> parts() {
                 return super.parts().stream()
                         .map(p -> p.name().equals(part.name()) ? meddled : p)
                         .toList();
@@ -232,9 +238,9 @@
                 1,
                 () ->
                         meddled(
-                                new LeasePart(Times.USUAL),
+                                new LeasePart(LeaseTimes.DEFAULT),
                                 (rows, at) ->
-                                        rows.of("lease.resting")
+                                        rows.ofPart("lease.resting")
                                                 .forEach(
                                                         (key, row) ->
                                                                 rows.put(
