--- a/core/src/main/java/postgrade/recovery/RecentDemand.java
+++ b/core/src/main/java/postgrade/recovery/RecentDemand.java
@@ -14,7 +14,7 @@
     private double refused;
     private long atMicros;
 
-    public void record(long nowMicros, boolean turnedAway) {
+    public void recordRequest(long nowMicros, boolean turnedAway) {
         double keep = Math.exp(-Math.max(0, nowMicros - atMicros) / LATELY_MICROS);
         asked = asked * keep + 1;
         refused = refused * keep + (turnedAway ? 1 : 0);
--- a/core/src/test/java/postgrade/recovery/StampedeTest.java
+++ b/core/src/test/java/postgrade/recovery/StampedeTest.java
@@ -136,12 +136,12 @@
     public void thoseTurnedAwayComeBackOverWhatIsLeftBesideWhatComesAnyway() {
         RecentDemand crowd = new RecentDemand();
         for (long t = 0; t < 5_000_000; t += 10_000) {
-            crowd.record(t, t % 20_000 == 0);
+            crowd.recordRequest(t, t % 20_000 == 0);
         }
         assertEquals(1e6, crowd.spreadMicros(150), 0.05e6);
         assertEquals("more that is left, sooner", 0.25e6, crowd.spreadMicros(300), 0.02e6);
         assertEquals("a tenth is taken as left at least", 5e6, crowd.spreadMicros(100), 0.2e6);
-        crowd.record(20_000_000, true);
+        crowd.recordRequest(20_000_000, true);
         assertTrue("forgotten by then", crowd.spreadMicros(150) < 20_000);
     }
 }
