--- a/core/src/main/java/postgrade/policy/api/Tenant.java
+++ b/core/src/main/java/postgrade/policy/api/Tenant.java
@@ -1,14 +1,15 @@
 package postgrade.policy.api;
 
 /**
- * Who submits jobs.
+ * A tenant on whose behalf jobs are submitted.
  *
  * @param name unique among the tenants
- * @param ratePerS jobs a second within the tenant's quota, over all dispatchers
+ * @param ratePerS the tenant's quota in jobs per second, over all dispatchers
  */
 public record Tenant(String name, double ratePerS) {
     /** Checks the rate. */
     public Tenant {
-        Requirements.require(ratePerS > 0, "ratePerS of tenant " + name + " must be positive");
+        Preconditions.checkArgument(
+                ratePerS > 0, "ratePerS of tenant " + name + " must be positive");
     }
 }
--- a/core/src/test/java/postgrade/LayeringTest.java
+++ b/core/src/test/java/postgrade/LayeringTest.java
@@ -9,8 +9,8 @@
 import org.junit.Test;
 
 /**
- * The layers of core, as docs/architecture.md has them: it decides and remembers, and does no input
- * or output.
+ * The layers of the core module as described in docs/architecture.md. The core makes decisions and
+ * keeps state, and does no I/O.
  */
 public class LayeringTest {
 
@@ -20,7 +20,7 @@
                     .importPackages("postgrade");
 
     @Test
-    public void theCoreTouchesNoSocketsFilesThreadsOrLogs() {
+    public void coreUsesNoSocketsFilesThreadsOrLogs() {
         noClasses()
                 .should()
                 .dependOnClassesThat()
@@ -39,7 +39,7 @@
     }
 
     @Test
-    public void theCoreReadsNoClock() {
+    public void coreReadsNoClock() {
         noClasses()
                 .should()
                 .callMethod(System.class, "nanoTime")
@@ -52,11 +52,11 @@
     }
 
     /**
-     * Start windows need zones and calendars; they take the time from no clock and the zone from no
-     * machine.
+     * Start windows need time zones and calendars, but read neither the clock nor the time zone of
+     * the machine.
      */
     @Test
-    public void onlyStartWindowsKnowZonesAndTheyToReadNoClock() {
+    public void onlyStartWindowsUseTimeZonesAndTheyReadNoClock() {
         noClasses()
                 .that()
                 .resideOutsideOfPackage("postgrade.window..")
@@ -78,19 +78,19 @@
                 .check(CORE);
     }
 
-    private static void doesNotDependOn(String layer, String... others) {
+    private static void assertDoesNotDependOn(String layer, String... otherLayers) {
         noClasses()
                 .that()
                 .resideInAPackage(layer)
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage(others)
+                .resideInAnyPackage(otherLayers)
                 .check(CORE);
     }
 
     @Test
-    public void thePolicysInterfaceDependsOnNothingElse() {
-        doesNotDependOn(
+    public void policyInterfaceDependsOnNoOtherLayer() {
+        assertDoesNotDependOn(
                 "postgrade.policy.api..",
                 "postgrade.policy",
                 "postgrade.dispatch..",
@@ -99,8 +99,8 @@
     }
 
     @Test
-    public void thePolicyDependsOnItsInterfaceAlone() {
-        doesNotDependOn(
+    public void policyDependsOnItsInterfaceOnly() {
+        assertDoesNotDependOn(
                 "postgrade.policy..",
                 "postgrade.dispatch..",
                 "postgrade.endpoints..",
@@ -113,8 +113,8 @@
     }
 
     @Test
-    public void theDispatcherKnowsThePolicyByItsInterface() {
-        doesNotDependOn(
+    public void dispatcherDependsOnThePolicyInterfaceOnly() {
+        assertDoesNotDependOn(
                 "postgrade.dispatch..",
                 "postgrade.policy",
                 "postgrade.endpoints..",
@@ -127,13 +127,13 @@
     }
 
     @Test
-    public void endpointsAndSettingsKnowThePolicysInterfaceAlone() {
-        doesNotDependOn(
+    public void endpointsAndSettingsDependOnThePolicyInterfaceOnly() {
+        assertDoesNotDependOn(
                 "postgrade.endpoints..",
                 "postgrade.policy",
                 "postgrade.dispatch..",
                 "postgrade.settings..");
-        doesNotDependOn(
+        assertDoesNotDependOn(
                 "postgrade.settings..",
                 "postgrade.policy",
                 "postgrade.dispatch..",
--- a/core/src/test/java/postgrade/policy/FleetSimulation.java
+++ b/core/src/test/java/postgrade/policy/FleetSimulation.java
@@ -18,130 +18,134 @@
 import postgrade.policy.api.WorkerPhase;
 
 /**
- * Many gateways that know nothing of each other over workers with queues, on virtual time, by a
- * seed.
+ * Simulates dispatchers that do not know of each other and workers with queues, in virtual time and
+ * reproducible by seed.
  */
 final class FleetSimulation {
 
     static final long MS = 1_000_000L;
     static final long SECOND = 1_000 * MS;
 
-    /** One call that came to a worker: when, and how long it runs at full pace. */
-    record Call(long atNs, double workNs) {}
+    /** A job received by a worker: when, and its service time after slow start. */
+    record ReceivedJob(long atNs, double serviceTimeNs) {}
 
-    private record Event(long atNs, long order, Runnable does) implements Comparable<Event> {
+    private record Event(long atNs, long order, Runnable action) implements Comparable<Event> {
         @Override
-        public int compareTo(Event o) {
-            return atNs != o.atNs ? Long.compare(atNs, o.atNs) : Long.compare(order, o.order);
+        public int compareTo(Event other) {
+            return atNs != other.atNs
+                    ? Long.compare(atNs, other.atNs)
+                    : Long.compare(order, other.order);
         }
     }
 
-    /** Runs first what came first, in so many slots; while cold more slowly. */
-    final class Machine {
+    /**
+     * A worker with a FIFO queue and a number of slots; it runs jobs more slowly during slow start.
+     */
+    final class SimulatedWorker {
         final String id;
         final int slots;
-        long bornNs;
+        long startedNs;
         int running;
         final ArrayDeque<Runnable> queue = new ArrayDeque<>();
-        final List<Call> calls = new ArrayList<>();
+        final List<ReceivedJob> received = new ArrayList<>();
 
-        Machine(String id, int slots) {
+        SimulatedWorker(String id, int slots) {
             this.id = id;
             this.slots = slots;
         }
 
-        double warmth(long nowNs) {
-            return bornNs == 0
+        double slowStartShare(long nowNs) {
+            return startedNs == 0
                     ? 1
                     : Math.min(
                             1,
-                            set.slowStartInitialShare
-                                    + (1 - set.slowStartInitialShare)
-                                            * Math.max(0, nowNs - bornNs)
-                                            / set.slowStartNs);
+                            commonSettings.slowStartInitialShare
+                                    + (1 - commonSettings.slowStartInitialShare)
+                                            * Math.max(0, nowNs - startedNs)
+                                            / commonSettings.slowStartNs);
         }
 
         void restart() {
-            bornNs = now;
-            queue.clear(); // What it held ends with it, and its gateways hear of no end: their
-            // limit tells them.
-            calls.clear();
+            startedNs = now;
+            // Its jobs are lost without a report; their dispatchers notice by timeouts.
+            queue.clear();
+            received.clear();
         }
 
-        WorkerInfo listed() {
-            return new WorkerInfo(id, "z", "k", 0, WorkerPhase.READY, 1, bornNs);
+        WorkerInfo info() {
+            return new WorkerInfo(id, "z", "k", 0, WorkerPhase.READY, 1, startedNs);
         }
     }
 
-    private final class Gateway implements PolicyActions {
+    private final class Dispatcher implements PolicyActions {
         final int index;
-        TokenBucketDispatchPolicy module;
+        TokenBucketDispatchPolicy policy;
 
-        Gateway(int index) {
+        Dispatcher(int index) {
             this.index = index;
-            begin(WorkerListUpdateType.FULL);
+            start(WorkerListUpdateType.FULL);
         }
 
-        void begin(WorkerListUpdateType form) {
-            module = new TokenBucketDispatchPolicy(settings(index), random.nextLong(), this);
-            list(form);
+        void start(WorkerListUpdateType type) {
+            policy = new TokenBucketDispatchPolicy(settings(index), random.nextLong(), this);
+            updateWorkerList(type);
         }
 
-        void list(WorkerListUpdateType form) {
-            module.workersUpdated(
-                    now, form, machines.values().stream().map(Machine::listed).toList());
+        void updateWorkerList(WorkerListUpdateType type) {
+            policy.workersUpdated(
+                    now, type, workers.values().stream().map(SimulatedWorker::info).toList());
         }
 
         @Override
-        public void startAttempt(String jobId, String workerId, long limitNs) {
-            TokenBucketDispatchPolicy by = module;
+        public void startAttempt(String jobId, String workerId, long timeoutNs) {
+            TokenBucketDispatchPolicy currentPolicy = policy;
             int attempt = attempts.merge(jobId, 1, Integer::sum) - 1;
-            Machine m = machines.get(workerId);
-            double work = work(jobId);
-            m.calls.add(new Call(now, work));
-            long born = m.bornNs;
-            Runnable runs =
+            SimulatedWorker worker = workers.get(workerId);
+            double serviceTimeNs = serviceTimeNs(jobId);
+            worker.received.add(new ReceivedJob(now, serviceTimeNs));
+            long startedNs = worker.startedNs;
+            Runnable run =
                     () -> {
-                        m.running++;
-                        by.attemptStarted(now, jobId, attempt);
-                        at(
-                                now + (long) (work / m.warmth(now)),
+                        worker.running++;
+                        currentPolicy.attemptStarted(now, jobId, attempt);
+                        schedule(
+                                now + (long) (serviceTimeNs / worker.slowStartShare(now)),
                                 () -> {
-                                    if (m.bornNs == born) {
-                                        m.running--;
-                                        by.attemptFinished(
+                                    if (worker.startedNs == startedNs) {
+                                        worker.running--;
+                                        currentPolicy.attemptFinished(
                                                 now,
                                                 jobId,
                                                 attempt,
                                                 AttemptOutcome.SERVED,
                                                 true,
                                                 LoadReport.NONE);
-                                        if (!m.queue.isEmpty()) {
-                                            m.queue.poll().run();
+                                        if (!worker.queue.isEmpty()) {
+                                            worker.queue.poll().run();
                                         }
                                     }
                                 });
                     };
-            // After the module's own turn, as over a network.
-            at(
+            // Later than the current event of the policy, as over a network.
+            schedule(
                     now + MS,
                     () -> {
-                        if (m.running < m.slots) {
-                            runs.run();
+                        if (worker.running < worker.slots) {
+                            run.run();
                         } else {
-                            m.queue.add(runs);
+                            worker.queue.add(run);
                         }
                     });
         }
 
         @Override
         public void cancelAttempt(String jobId, int attempt) {
-            // Workers run what was called off all the same, in the worst case.
-            TokenBucketDispatchPolicy by = module;
-            at(
+            // In the worst case workers run cancelled jobs nevertheless.
+            TokenBucketDispatchPolicy currentPolicy = policy;
+            schedule(
                     now + MS,
                     () ->
-                            by.attemptFinished(
+                            currentPolicy.attemptFinished(
                                     now,
                                     jobId,
                                     attempt,
@@ -152,21 +156,21 @@
 
         @Override
         public void reject(String jobId, long retryAfterNs) {
-            refused++;
+            rejected++;
         }
 
         @Override
         public void fail(String jobId) {
-            refused++;
+            rejected++;
         }
 
         @Override
         public void probe(String workerId) {}
 
         @Override
-        public void startTimer(String token, long inNs) {
-            TokenBucketDispatchPolicy by = module;
-            at(now + inNs, () -> by.timerFired(now, token));
+        public void startTimer(String token, long delayNs) {
+            TokenBucketDispatchPolicy currentPolicy = policy;
+            schedule(now + delayNs, () -> currentPolicy.timerFired(now, token));
         }
 
         @Override
@@ -175,104 +179,117 @@
 
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final SplittableRandom random;
-    private final PolicySettings set;
-    private final java.util.function.IntFunction<PolicySettings> settings;
-    private final Map<String, Double> meansNs;
-    private final double cv;
-    final Map<String, Machine> machines = new HashMap<>();
-    private final List<Gateway> gateways = new ArrayList<>();
+    private final PolicySettings commonSettings;
+    private final java.util.function.IntFunction<PolicySettings> settingsByIndex;
+    private final Map<String, Double> meanServiceTimesNs;
+    private final double variationCoefficient;
+    final Map<String, SimulatedWorker> workers = new HashMap<>();
+    private final List<Dispatcher> dispatchers = new ArrayList<>();
     private final Map<String, Integer> attempts = new HashMap<>();
-    private final Map<String, Double> works = new HashMap<>();
+    private final Map<String, Double> serviceTimesNs = new HashMap<>();
     private long order;
     private long jobs;
-    long refused;
+    long rejected;
     long now;
 
     /**
-     * @param settings of each gateway, by its number
-     * @param meansNs how long jobs of each class run on the mean
-     * @param cv their deviation over their mean, lognormal
+     * @param settings the settings of each dispatcher, by its index
+     * @param meanServiceTimesNs the mean service time of each class
+     * @param variationCoefficient the coefficient of variation of the lognormal service times
      */
     FleetSimulation(
             long seed,
             java.util.function.IntFunction<PolicySettings> settings,
-            int workers,
+            int workerCount,
             int slots,
-            Map<String, Double> meansNs,
-            double cv) {
+            Map<String, Double> meanServiceTimesNs,
+            double variationCoefficient) {
         random = new SplittableRandom(seed);
-        this.settings = settings;
-        set = settings.apply(0);
-        this.meansNs = meansNs;
-        this.cv = cv;
-        for (int i = 0; i < workers; i++) {
-            machines.put("w" + i, new Machine("w" + i, slots));
+        this.settingsByIndex = settings;
+        commonSettings = settings.apply(0);
+        this.meanServiceTimesNs = meanServiceTimesNs;
+        this.variationCoefficient = variationCoefficient;
+        for (int i = 0; i < workerCount; i++) {
+            workers.put("w" + i, new SimulatedWorker("w" + i, slots));
         }
-        for (int i = 0; i < set.dispatcherCount; i++) {
-            gateways.add(new Gateway(i));
+        for (int i = 0; i < commonSettings.dispatcherCount; i++) {
+            dispatchers.add(new Dispatcher(i));
         }
     }
 
     private PolicySettings settings(int index) {
-        return settings.apply(index);
+        return settingsByIndex.apply(index);
     }
 
-    private double work(String jobId) {
-        return works.get(jobId);
+    private double serviceTimeNs(String jobId) {
+        return serviceTimesNs.get(jobId);
     }
 
-    void at(long atNs, Runnable does) {
-        events.add(new Event(atNs, order++, does));
+    void schedule(long atNs, Runnable action) {
+        events.add(new Event(atNs, order++, action));
     }
 
-    /** Jobs from now on until then, at random times; some gateways get several times the mean. */
-    void load(double perSecond, long untilNs) {
-        long next = now + (long) (-Math.log(1 - random.nextDouble()) / perSecond * SECOND);
-        if (next < untilNs) {
-            at(
-                    next,
+    /**
+     * Generates jobs at random times until {@code untilNs}; some dispatchers get several times the
+     * mean load.
+     */
+    void generateLoad(double perSecond, long untilNs) {
+        long nextNs = now + (long) (-Math.log(1 - random.nextDouble()) / perSecond * SECOND);
+        if (nextNs < untilNs) {
+            schedule(
+                    nextNs,
                     () -> {
-                        job();
-                        load(perSecond, untilNs);
+                        submitJob();
+                        generateLoad(perSecond, untilNs);
                     });
         }
     }
 
-    private void job() {
-        JobClass c = set.classes.get(random.nextInt(set.classes.size()));
+    private void submitJob() {
+        JobClass jobClass =
+                commonSettings.classes.get(random.nextInt(commonSettings.classes.size()));
         String id = "j" + jobs++;
-        double sigma2 = Math.log(1 + cv * cv);
-        works.put(id, meansNs.get(c.name()) * Math.exp(Math.sqrt(sigma2) * gauss() - sigma2 / 2));
-        double at = random.nextDouble();
-        Gateway g = gateways.get((int) (at * at * gateways.size()));
-        g.module.jobArrived(now, new Job(id, c.name(), "t", null, 5 * SECOND, 1, 0));
+        double variance = Math.log(1 + variationCoefficient * variationCoefficient);
+        serviceTimesNs.put(
+                id,
+                meanServiceTimesNs.get(jobClass.name())
+                        * Math.exp(Math.sqrt(variance) * nextGaussian() - variance / 2));
+        double position = random.nextDouble();
+        Dispatcher dispatcher = dispatchers.get((int) (position * position * dispatchers.size()));
+        dispatcher.policy.jobArrived(
+                now, new Job(id, jobClass.name(), "t", null, 5 * SECOND, 1, 0));
     }
 
-    private double gauss() {
+    private double nextGaussian() {
         return Math.sqrt(-2 * Math.log(1 - random.nextDouble()))
                 * Math.cos(2 * Math.PI * random.nextDouble());
     }
 
-    /** The worker's process starts anew; each gateway hears of it within this time. */
-    void restart(String worker, long toldWithinNs) {
-        machines.get(worker).restart();
-        for (Gateway g : gateways) {
-            at(now + random.nextLong(toldWithinNs), () -> g.list(WorkerListUpdateType.DELTA));
+    /**
+     * Restarts the worker; each dispatcher is notified at a random time within {@code
+     * notifiedWithinNs}.
+     */
+    void restartWorker(String worker, long notifiedWithinNs) {
+        workers.get(worker).restart();
+        for (Dispatcher dispatcher : dispatchers) {
+            schedule(
+                    now + random.nextLong(notifiedWithinNs),
+                    () -> dispatcher.updateWorkerList(WorkerListUpdateType.DELTA));
         }
     }
 
-    /** So large a part of the gateways begins again with nothing but the list. */
-    void restartGateways(double part) {
-        gateways.stream()
-                .filter(g -> random.nextDouble() < part)
-                .forEach(g -> g.begin(WorkerListUpdateType.CACHED));
+    /** Restarts this share of the dispatchers; they keep only the cached worker list. */
+    void restartDispatchers(double share) {
+        dispatchers.stream()
+                .filter(dispatcher -> random.nextDouble() < share)
+                .forEach(dispatcher -> dispatcher.start(WorkerListUpdateType.CACHED));
     }
 
     void run(long untilNs) {
         while (!events.isEmpty() && events.peek().atNs <= untilNs) {
-            Event e = events.poll();
-            now = e.atNs;
-            e.does.run();
+            Event event = events.poll();
+            now = event.atNs;
+            event.action.run();
         }
         now = untilNs;
     }
--- a/daemon/src/main/java/postgrade/client/ClientListener.java
+++ b/daemon/src/main/java/postgrade/client/ClientListener.java
@@ -23,97 +23,100 @@
 import postgrade.lifecycle.Lifecycle;
 import postgrade.log.Events;
 
-/** The address where consumers and the providers' call-backs connect. */
+/** The listening socket for clients and for the workers' call-backs. */
 public final class ClientListener implements Reactor.Handler {
 
     private static final Logger LOG = LoggerFactory.getLogger(ClientListener.class);
     private static final int BACKLOG = 1024;
 
-    /** The most bytes of bodies held, in part or whole; well within the heap. */
-    private static final long MOST_BYTES = 24 << 20;
+    /** The most bytes of complete and partial bodies held; well below the heap size. */
+    private static final long MAX_HELD_BYTES = 24 << 20;
 
     private static final long SWEEP_MICROS = 50_000;
 
-    /** Guards the turn: a flood of connections is accepted in parts. */
-    private static final int MOST_ACCEPTS = 64;
+    /**
+     * The most connections accepted per loop iteration, so that a flood of connections does not
+     * stall the loop.
+     */
+    private static final int MAX_ACCEPTS_PER_ITERATION = 64;
 
-    /** Consumers that wait in the backlog for longer than a moment are worth a line in the log. */
-    private static final long SHORT_MICROS = 1_000_000;
+    /** Clients that wait in the backlog for longer than this are reported in the log. */
+    private static final long SHORTAGE_LOG_MICROS = 1_000_000;
 
     final Reactor reactor;
     final Timers timers;
-    final RequestTracker gateway;
+    final RequestTracker tracker;
 
-    /** The deadline of each class, for requests that state none. */
+    /** The deadline of each job class, for requests that state none. */
     Map<String, Long> deadlineMicros;
 
     private Set<String> tenants;
-    private final BooleanSupplier able;
+    private final BooleanSupplier canServe;
     private final Lifecycle lifecycle;
-    private final Set<ConsumerConnection> connections = new LinkedHashSet<>();
+    private final Set<ClientConnection> connections = new LinkedHashSet<>();
     private final InetSocketAddress address;
     final CallBackRelay relay;
 
-    /** Null where nobody reads them. */
-    ExtensionHeaders claims;
+    /** Null if no extension reads headers. */
+    ExtensionHeaders extensionHeaders;
 
-    /** Null while nothing is accepted here. */
+    /** Null while the socket does not listen. */
     private ServerSocketChannel channel;
 
     /**
-     * Bound and not listening, so that the address is ours and consumers are turned away at once;
-     * null once it listens.
+     * Bound but not listening, which reserves the address while connection attempts are refused at
+     * once. Null once the channel listens.
      */
-    private SocketChannel held;
+    private SocketChannel reservedSocket;
 
     private SelectionKey key;
     private long bytesHeld;
     private boolean paused;
 
-    /** Of the backlog. */
-    private ArrivalTimes arrivals;
+    /** Arrival times of the backlog. */
+    private ArrivalTimes backlogArrivals;
 
-    /**
-     * Since when every place has been taken, 0 if there are places; and whether the log says so.
-     */
-    private long shortMicros;
+    /** Since when all sockets have been in use, 0 while some are free. */
+    private long shortageSinceMicros;
 
-    private boolean told;
+    private boolean shortageLogged;
 
     /**
-     * @param tenants who may submit jobs; empty where there are none
-     * @param able whether an invocation could be served now
-     * @param relay to the other processes of this dispatcher
-     * @param lifecycle decides readiness and when connections end
-     * @param holds it does not listen before consumers are taken: they turn elsewhere, as if
-     *     nothing had started here
+     * Opens the listener.
+     *
+     * @param tenants the tenants that may submit jobs; empty if none are configured
+     * @param canServe whether a request could be served now
+     * @param relay the relay to the other processes of this dispatcher
+     * @param lifecycle decides readiness and when connections close
+     * @param reserves whether to bind only and not listen until clients are accepted: until then
+     *     their connection attempts are refused, and they try other dispatchers
      */
     public ClientListener(
             InetSocketAddress address,
-            boolean holds,
+            boolean reserves,
             Map<String, Long> deadlineMicros,
             Set<String> tenants,
-            BooleanSupplier able,
+            BooleanSupplier canServe,
             Lifecycle lifecycle,
             CallBackRelay relay,
-            RequestTracker gateway,
+            RequestTracker tracker,
             Reactor reactor,
             Timers timers)
             throws IOException {
         this.reactor = reactor;
         this.timers = timers;
-        this.gateway = gateway;
+        this.tracker = tracker;
         this.deadlineMicros = deadlineMicros;
         this.tenants = tenants;
-        this.able = able;
+        this.canServe = canServe;
         this.lifecycle = lifecycle;
         this.relay = relay;
-        if (holds) {
-            held = SocketChannel.open();
-            held.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            shared(held);
-            bind(held, address);
-            this.address = (InetSocketAddress) held.getLocalAddress();
+        if (reserves) {
+            reservedSocket = SocketChannel.open();
+            reservedSocket.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+            enablePortReuse(reservedSocket);
+            bind(reservedSocket, address);
+            this.address = (InetSocketAddress) reservedSocket.getLocalAddress();
         } else {
             listen(address);
             this.address = (InetSocketAddress) channel.getLocalAddress();
@@ -122,9 +125,9 @@
     }
 
     /**
-     * Throws where any other program listens at the address already. Guards against a second
-     * dispatcher that is started by mistake: with SO_REUSEPORT the two would share the consumers
-     * and lose each other's call-backs.
+     * Throws if another program already listens at the address. Prevents a second dispatcher
+     * started by mistake: with SO_REUSEPORT the two would split the clients between them and lose
+     * each other's call-backs.
      */
     public static void requireAddressFree(InetSocketAddress address) throws IOException {
         if (address.getPort() != 0) {
@@ -141,10 +144,10 @@
         channel = ServerSocketChannel.open();
         try {
             channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            shared(channel);
+            enablePortReuse(channel);
             bind(channel, at);
             channel.configureBlocking(false);
-            arrivals = new ArrivalTimes(timers.nowMicros(), timers.nowMicros());
+            backlogArrivals = new ArrivalTimes(timers.nowMicros(), timers.nowMicros());
             key = reactor.register(channel, SelectionKey.OP_ACCEPT, this);
         } catch (IOException e) {
             channel.close();
@@ -169,37 +172,40 @@
         }
     }
 
-    /** From the first start on, or a new version could not listen beside this one. */
-    private static void shared(NetworkChannel c) throws IOException {
-        if (c.supportedOptions().contains(StandardSocketOptions.SO_REUSEPORT)) {
-            c.setOption(StandardSocketOptions.SO_REUSEPORT, true);
+    /**
+     * Must be set from the first start on; otherwise a new version could not listen beside this
+     * one.
+     */
+    private static void enablePortReuse(NetworkChannel socket) throws IOException {
+        if (socket.supportedOptions().contains(StandardSocketOptions.SO_REUSEPORT)) {
+            socket.setOption(StandardSocketOptions.SO_REUSEPORT, true);
         }
     }
 
     /**
-     * Ends or begins to listen, as the lifecycle says. Guards the connections that wait: closing
-     * the socket resets them, so all are accepted first, and the socket goes in the same moment.
-     * What does not find a place keeps it open.
+     * Starts or stops listening as the lifecycle requires. Closing the socket resets the
+     * connections in the backlog, so all of them are accepted first and the socket is closed in the
+     * same step. If there are not enough sockets to accept them, it stays open.
      */
     public void applyLifecycle() {
         try {
             if (lifecycle.acceptsConnections()
                     && channel == null
-                    && (held == null || lifecycle.hasStarted())) {
-                if (held != null && !relay.hasPeers()) {
-                    requireAddressFree(
-                            address); // Another may have come to listen since this one was started.
+                    && (reservedSocket == null || lifecycle.hasStarted())) {
+                if (reservedSocket != null && !relay.hasPeers()) {
+                    // Another process may have started to listen since this one started.
+                    requireAddressFree(address);
                 }
                 listen(address);
-                if (held != null) {
-                    held.close();
-                    held = null;
+                if (reservedSocket != null) {
+                    reservedSocket.close();
+                    reservedSocket = null;
                 }
             }
-            pause(false);
+            setAcceptingPaused(false);
             if (!lifecycle.acceptsConnections()
                     && channel != null
-                    && acceptAll(Integer.MAX_VALUE)) {
+                    && acceptPending(Integer.MAX_VALUE)) {
                 channel.close();
                 channel = null;
             }
@@ -208,23 +214,23 @@
         }
     }
 
-    /** Read from now on in each job's headers; null for none. */
-    public void setExtensionHeaders(ExtensionHeaders read) {
-        claims = read;
+    /** Sets the reader of extension headers for jobs from now on; null for none. */
+    public void setExtensionHeaders(ExtensionHeaders headers) {
+        extensionHeaders = headers;
     }
 
-    /** Other classes and tenants hold for jobs that come from now on. */
+    /** Replaces the classes and tenants for jobs that arrive from now on. */
     public void updateSettings(Map<String, Long> deadlines, Set<String> knownTenants) {
         deadlineMicros = deadlines;
         tenants = knownTenants;
     }
 
-    /** The address is held, and nothing listens there yet. */
+    /** Returns whether the address is bound but not yet listening. */
     public boolean reservesAddress() {
-        return held != null;
+        return reservedSocket != null;
     }
 
-    /** The port listened on, which the system chose where the address gave 0. */
+    /** Returns the port, which the system chose if the address gave 0. */
     public int port() throws IOException {
         return address.getPort();
     }
@@ -236,68 +242,72 @@
 
     @Override
     public void ready(SelectionKey ready) throws IOException {
-        acceptAll(MOST_ACCEPTS);
+        acceptPending(MAX_ACCEPTS_PER_ITERATION);
     }
 
-    /** Accepts what waits. True if nothing is left. */
-    private boolean acceptAll(int most) throws IOException {
+    /** Accepts pending connections. Returns true if none is left. */
+    private boolean acceptPending(int limit) throws IOException {
         long sinceMicros =
-                arrivals.beforeRead(reactor.previousWaitEndMicros(), reactor.readySinceMicros());
+                backlogArrivals.beforeRead(
+                        reactor.previousWaitEndMicros(), reactor.readySinceMicros());
         if (!lifecycle.hasStarted()) {
-            pause(true);
+            setAcceptingPaused(true);
             return false;
         }
-        for (int i = 0; i < most; i++) {
-            // Guards the connections that usual peers keep: those that have just come and may be of
-            // no use are
-            // waited for, a moment, before one of the others has to go.
-            boolean anyIdle = connections.stream().noneMatch(c -> c.fresh(timers.nowMicros()));
-            if (!reactor.sockets().canAcquireForAccept(anyIdle)) {
-                // Guards what waits in the backlog: it is left there, not accepted and closed,
-                // until there is a place.
-                pause(true);
-                shortMicros = shortMicros == 0 ? timers.nowMicros() : shortMicros;
+        for (int i = 0; i < limit; i++) {
+            // Gives new connections a short time to send a valid request before a connection of an
+            // established peer is evicted for them.
+            boolean mayEvictEstablished =
+                    connections.stream().noneMatch(c -> c.isFresh(timers.nowMicros()));
+            if (!reactor.sockets().canAcquireForAccept(mayEvictEstablished)) {
+                // Without a free socket, connections stay in the backlog instead of being accepted
+                // and closed.
+                setAcceptingPaused(true);
+                shortageSinceMicros =
+                        shortageSinceMicros == 0 ? timers.nowMicros() : shortageSinceMicros;
                 return false;
             }
             SocketChannel accepted = reactor.systemCalls().accept(channel);
             if (accepted == null) {
-                arrivals.afterRead(timers.nowMicros(), true);
+                backlogArrivals.afterRead(timers.nowMicros(), true);
                 return true;
             }
-            boolean kept = false;
-            // Only now: guards the connections that would be closed for one that has not come.
-            reactor.sockets().acquireForAccept(anyIdle);
+            boolean registered = false;
+            // Acquired only after accept has returned a connection, so that none is evicted for one
+            // that has not arrived.
+            reactor.sockets().acquireForAccept(mayEvictEstablished);
             try {
-                connections.add(new ConsumerConnection(this, accepted, sinceMicros));
-                kept = true;
+                connections.add(new ClientConnection(this, accepted, sinceMicros));
+                registered = true;
             } catch (IOException e) {
-                LOG.debug("a connection broke while it was accepted", e);
+                LOG.debug("a connection failed while it was accepted", e);
                 accepted.close();
             } finally {
-                if (!kept) {
+                if (!registered) {
                     reactor.sockets().release();
                 }
             }
         }
-        arrivals.afterRead(timers.nowMicros(), false);
+        backlogArrivals.afterRead(timers.nowMicros(), false);
         return false;
     }
 
-    private void pause(boolean now) {
-        if (now != paused && channel != null) {
-            paused = now;
-            arrivals.watch(timers.nowMicros(), !paused);
+    private void setAcceptingPaused(boolean pause) {
+        if (pause != paused && channel != null) {
+            paused = pause;
+            backlogArrivals.watch(timers.nowMicros(), !paused);
             key.interestOps(paused ? 0 : SelectionKey.OP_ACCEPT);
         }
     }
 
-    private void tellOfShortage(long nowMicros) {
+    private void logShortage(long nowMicros) {
         if (!paused) {
-            shortMicros = 0;
+            shortageSinceMicros = 0;
         }
-        boolean isShort = shortMicros != 0 && nowMicros - shortMicros >= SHORT_MICROS;
-        if (isShort != told) {
-            told = isShort;
+        boolean isShort =
+                shortageSinceMicros != 0 && nowMicros - shortageSinceMicros >= SHORTAGE_LOG_MICROS;
+        if (isShort != shortageLogged) {
+            shortageLogged = isShort;
             Events.warn(LOG, isShort ? "sockets.used-up" : "sockets.free")
                     .log(
                             isShort
@@ -306,76 +316,81 @@
         }
     }
 
-    void holds(long moreBytes) {
-        bytesHeld += moreBytes;
+    void addHeldBytes(long change) {
+        bytesHeld += change;
     }
 
     /**
-     * Guards the memory: a body on each of the sockets, all of the greatest length, would not fit.
+     * Returns whether the memory limit is exceeded: bodies of the greatest length on every socket
+     * would not fit.
      */
-    boolean holdsTooMuch() {
-        return bytesHeld > MOST_BYTES;
+    boolean exceedsMemoryLimit() {
+        return bytesHeld > MAX_HELD_BYTES;
     }
 
-    void closed(ConsumerConnection c) {
-        connections.remove(c);
-        pause(false);
+    void closed(ClientConnection connection) {
+        connections.remove(connection);
+        setAcceptingPaused(false);
     }
 
     private void sweep() {
-        boolean leaves = lifecycle.closesIdleConnections(timers.nowMicros());
-        for (ConsumerConnection c : new ArrayList<>(connections)) {
-            c.sweep(timers.nowMicros());
-            if (leaves) {
-                c.leaveIfResting(false); // So that its consumer turns elsewhere.
+        boolean closesIdle = lifecycle.closesIdleConnections(timers.nowMicros());
+        for (ClientConnection connection : new ArrayList<>(connections)) {
+            connection.sweep(timers.nowMicros());
+            if (closesIdle) {
+                connection.closeIfIdle(false); // So that its client turns to another dispatcher.
             }
         }
-        tellOfShortage(timers.nowMicros());
-        pause(false); // A provider's connection may have been closed, or one become idle.
+        logShortage(timers.nowMicros());
+        // A worker's connection may have closed, or another one become idle.
+        setAcceptingPaused(false);
         timers.at(timers.nowMicros() + SWEEP_MICROS, this::sweep);
     }
 
-    /** A call-back that came to another process of this dispatcher and was found right there. */
+    /**
+     * Handles a call-back that another process of this dispatcher received and parsed successfully.
+     */
     public void handleRelayedCallBack(byte[] body) {
-        JobEvent.of(body).tell(gateway);
+        JobEvent.parse(body).deliver(tracker);
     }
 
     boolean knowsTenant(String name) {
-        return name == null || (tenants.isEmpty() ? Fields.isName(name) : tenants.contains(name));
+        return name == null
+                || (tenants.isEmpty() ? JobHeaders.isValidName(name) : tenants.contains(name));
     }
 
-    boolean readyToServe() {
-        return lifecycle.isReady() && able.getAsBoolean();
+    boolean isReadyToServe() {
+        return lifecycle.isReady() && canServe.getAsBoolean();
     }
 
-    /** Answers to consumers end their connections now. */
-    boolean endsConnections() {
+    /** Returns whether answers to clients close their connections now. */
+    boolean closesAfterAnswer() {
         return lifecycle.closesAfterAnswer(timers.nowMicros());
     }
 
-    /** Nothing has come in part and no answer is still being written. */
+    /** Returns whether no request is partially received and no answer is still being written. */
     public boolean isIdle() {
-        return connections.stream().noneMatch(ConsumerConnection::busy);
+        return connections.stream().noneMatch(ClientConnection::isBusy);
     }
 
-    /** SIGKILL is near: requests that have come in part would be whole too late. */
+    /** Rejects partially received requests, which would be complete too late before SIGKILL. */
     public void rejectIncompleteRequests() {
-        new ArrayList<>(connections).forEach(ConsumerConnection::refuseUnfinished);
+        new ArrayList<>(connections).forEach(ClientConnection::rejectIncompleteRequest);
     }
 
     /**
-     * Ends the connections that are left, once all is answered and none is busy. What waits in the
-     * backlog, or has come and has not been read, is served first: this is to be asked again. True
-     * when no connection is left: each peer has ended its own side, which it does once it has read
-     * all, or has been given the time to.
+     * Closes the remaining connections once all requests are answered and no connection is busy.
+     * Requests that wait in the backlog or unread in a socket are served first; the caller then has
+     * to call again. Returns true when no connection is left: each peer has closed its side, which
+     * it does once it has read everything, or has timed out.
      */
     public boolean tryCloseAll() {
         try {
-            if (channel != null && !acceptAll(Integer.MAX_VALUE)) {
+            if (channel != null && !acceptPending(Integer.MAX_VALUE)) {
                 return false;
             }
-            new ArrayList<>(connections).forEach(ConsumerConnection::look);
-            if (!isIdle() || connections.stream().anyMatch(c -> c.fresh(timers.nowMicros()))) {
+            new ArrayList<>(connections).forEach(ClientConnection::readPending);
+            if (!isIdle() || connections.stream().anyMatch(c -> c.isFresh(timers.nowMicros()))) {
                 return false;
             }
             lifecycle.beginClosing();
@@ -387,15 +402,14 @@
             failed(e);
             return false;
         }
-        new ArrayList<>(connections).forEach(c -> c.leaveIfResting(true));
+        new ArrayList<>(connections).forEach(c -> c.closeIfIdle(true));
         return connections.isEmpty();
     }
 
     @Override
     public void failed(Exception e) {
-        // Guards the loop: an accept may fail for want of descriptors, and the listener must
-        // outlive it.
+        // Accept may fail for lack of file descriptors; the listener pauses and stays open.
         Events.warn(LOG, "accept.failed").setCause(e).log("accept failed");
-        pause(true);
+        setAcceptingPaused(true);
     }
 }
--- a/daemon/src/main/java/postgrade/simadapter/JsonPairs.java
+++ b/daemon/src/main/java/postgrade/simadapter/JsonPairs.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 import java.util.StringJoiner;
 
-/** Turns nested JSON settings into the flat pairs that the simulator's wire carries. */
+/** Flattens nested JSON settings into the key-value pairs used by the simulator's protocol. */
 public final class JsonPairs {
 
     private JsonPairs() {}
 
-    /** Pairs of paths and plain values, in the form that the settings' reader takes. */
+    /** Returns pairs of paths and scalar values, as the settings reader accepts them. */
     public static Map<String, String> of(JsonObject json) {
         Map<String, String> pairs = new HashMap<>();
         flatten("", json, pairs);
@@ -20,36 +20,36 @@
     }
 
     /**
-     * Objects become paths, lists of objects a count and numbered paths, plain lists comma-joined
-     * text.
+     * Objects become paths, lists of objects a count and numbered paths, and lists of scalars
+     * comma-separated text.
      */
     private static void flatten(String path, JsonValue value, Map<String, String> pairs) {
         if (value.isObject()) {
-            for (JsonObject.Member m : value.asObject()) {
+            for (JsonObject.Member member : value.asObject()) {
                 flatten(
-                        path.isEmpty() ? m.getName() : path + "." + m.getName(),
-                        m.getValue(),
+                        path.isEmpty() ? member.getName() : path + "." + member.getName(),
+                        member.getValue(),
                         pairs);
             }
-        } else if (value.isArray() && holdsObjects(value.asArray())) {
+        } else if (value.isArray() && containsObjects(value.asArray())) {
             pairs.put(path + ".count", Integer.toString(value.asArray().size()));
             for (int i = 0; i < value.asArray().size(); i++) {
                 flatten(path + "." + i, value.asArray().get(i), pairs);
             }
         } else if (value.isArray()) {
             StringJoiner joined = new StringJoiner(",");
-            value.asArray().forEach(v -> joined.add(plain(v)));
+            value.asArray().forEach(v -> joined.add(plainText(v)));
             pairs.put(path, joined.toString());
         } else if (!value.isNull()) {
-            pairs.put(path, plain(value));
+            pairs.put(path, plainText(value));
         }
     }
 
-    private static boolean holdsObjects(JsonArray array) {
+    private static boolean containsObjects(JsonArray array) {
         return !array.isEmpty() && array.get(0).isObject();
     }
 
-    private static String plain(JsonValue value) {
+    private static String plainText(JsonValue value) {
         return value.isString() ? value.asString() : value.toString();
     }
 }
--- a/daemon/src/test/java/postgrade/client/ConnectionStateTest.java
+++ b/daemon/src/test/java/postgrade/client/ConnectionStateTest.java
@@ -8,17 +8,20 @@
 
 public class ConnectionStateTest {
 
-    private static boolean leads(ConnectionState from, ConnectionState to) {
+    private static boolean isAllowed(ConnectionState from, ConnectionState to) {
         try {
-            return from.to(to) == to;
+            return from.transitionTo(to) == to;
         } catch (IllegalStateException e) {
             return false;
         }
     }
 
-    /** What is read behind our end is never sent on, and no answer follows the last one. */
+    /**
+     * Input after the end of our output must never reach a worker, and no answer may follow the
+     * last one.
+     */
     @Test
-    public void onceTheLastAnswerIsGivenNothingIsTakenAgain() {
+    public void noRequestIsReadAfterTheLastAnswer() {
         Set<ConnectionState> ending =
                 EnumSet.of(
                         ConnectionState.ANSWERING,
@@ -26,21 +29,23 @@
                         ConnectionState.CLOSED);
         for (ConnectionState from : ending) {
             for (ConnectionState to : EnumSet.complementOf(EnumSet.copyOf(ending))) {
-                assertFalse(from + " to " + to, leads(from, to));
+                assertFalse(from + " to " + to, isAllowed(from, to));
             }
         }
         assertFalse(
-                "the last one is given once",
-                leads(ConnectionState.LINGERING, ConnectionState.ANSWERING));
+                "the last answer is given once",
+                isAllowed(ConnectionState.LINGERING, ConnectionState.ANSWERING));
     }
 
-    /** One request at a time: the next is taken only once the one that waits has its answer. */
+    /**
+     * One request at a time: the next one is accepted only after the pending one has been answered.
+     */
     @Test
-    public void noRequestIsTakenOverBesideOneThatIsOwedItsAnswer() {
+    public void noRequestIsOpenedWhileAnotherAwaitsItsAnswer() {
         for (ConnectionState from : ConnectionState.values()) {
-            if (from.owes()) {
-                assertFalse(from + " to READING", leads(from, ConnectionState.READING));
-                assertFalse(from + " to OPENING", leads(from, ConnectionState.OPENING));
+            if (from.awaitsAnswer()) {
+                assertFalse(from + " to READING", isAllowed(from, ConnectionState.READING));
+                assertFalse(from + " to OPENING", isAllowed(from, ConnectionState.OPENING));
             }
         }
     }
--- a/daemon/src/test/java/postgrade/daemon/CompanionTest.java
+++ b/daemon/src/test/java/postgrade/daemon/DispatcherExtensionTest.java
@@ -23,22 +23,19 @@
 import postgrade.operator.AdditionalEndpoints;
 import postgrade.policy.api.JobConstraints;
 
-/**
- * What stands beside a dispatcher hears what goes on, has its say, and is asked what operators want
- * of it.
- */
-public class CompanionTest extends DaemonTestBase
+/** An extension is notified of events, constrains the policy and receives operators' calls. */
+public class DispatcherExtensionTest extends DaemonTestBase
         implements DispatcherExtension, AdditionalEndpoints {
 
-    private final LinkedBlockingQueue<String> heard = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<String> events = new LinkedBlockingQueue<>();
     private Host host;
-    private volatile boolean knows = true;
-    private volatile long patienceMicros = 1_000_000;
-    private volatile boolean paces;
-    private volatile long turnMicros = -1;
+    private volatile boolean initialized = true;
+    private volatile long initTimeoutMicros = 1_000_000;
+    private volatile boolean refusesConnections;
+    private volatile long iterationMicros = -1;
 
     @Before
-    public void besideTheDaemon() {
+    public void installExtension() {
         withOperatorPort = true;
         extensionConfiguration =
                 h -> {
@@ -47,7 +44,7 @@
                 };
     }
 
-    private Socket postOnceItListens(String id) throws Exception {
+    private Socket postOnceListening(String id) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(ScriptedPeer.TIMEOUT_S);
         while (true) {
             try {
@@ -59,8 +56,8 @@
         }
     }
 
-    private void hears(String what) throws InterruptedException {
-        assertEquals(what, heard.poll(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
+    private void expectEvent(String expected) throws InterruptedException {
+        assertEquals(expected, events.poll(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
     }
 
     @Override
@@ -70,25 +67,25 @@
 
     @Override
     public boolean isInitialized() {
-        return knows;
+        return initialized;
     }
 
     @Override
     public long initTimeoutMicros() {
-        return patienceMicros;
+        return initTimeoutMicros;
     }
 
     @Override
-    public boolean mayConnect(String worker, boolean must) {
-        if (paces) {
-            heard.add("connect " + worker + " " + must);
+    public boolean mayConnect(String worker, boolean forced) {
+        if (refusesConnections) {
+            events.add("connect " + worker + " " + forced);
         }
-        return !paces;
+        return !refusesConnections;
     }
 
     @Override
     public void iterationStarted() {
-        turnMicros = host.timers().nowMicros();
+        iterationMicros = host.timers().nowMicros();
     }
 
     @Override
@@ -98,22 +95,22 @@
 
     @Override
     public void workerListChanged() {
-        heard.add("listed " + host.workers().stream().map(Host.WorkerStatus::id).toList());
+        events.add("listed " + host.workers().stream().map(Host.WorkerStatus::id).toList());
     }
 
     @Override
-    public void workerMaintenanceChanged(String worker, boolean out) {
-        heard.add(worker + " " + out);
+    public void workerMaintenanceChanged(String worker, boolean inMaintenance) {
+        events.add(worker + " " + inMaintenance);
     }
 
     @Override
     public void stopping() {
-        heard.add("stopping");
+        events.add("stopping");
     }
 
     @Override
     public void close() {
-        heard.add("close");
+        events.add("close");
     }
 
     @Override
@@ -133,13 +130,13 @@
 
     @Override
     public void handle(String method, String path, byte[] body, Reply reply) {
-        // Answered in a later turn, as an answer from elsewhere would be.
+        // Answered in a later iteration, as an answer from another thread would be.
         host.loopExecutor()
                 .execute(() -> reply.answer(503, 1_200_000, "{\"length\":" + body.length + "}"));
     }
 
     @Test
-    public void itHearsOfListsOperatorsAndTheEndAndItsShareAndAbilityReachTheModule()
+    public void isNotifiedOfListsMaintenanceAndShutdownAndItsConstraintsReachThePolicy()
             throws Exception {
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         assertSame(JobConstraints.NONE, script.constraints);
@@ -149,89 +146,91 @@
                         true,
                         workerEntry("w1", workerOne.address(), "ready"),
                         workerEntry("w2", workerTwo.address(), "ready")));
-        hears("listed [w1, w2]");
+        expectEvent("listed [w1, w2]");
         script.expectEvent("list FULL [w1 READY, w2 READY]");
         assertEquals(
                 200, operatorCall(daemon, "PUT /maintenance/enter", "{\"id\":\"w1\"}").status());
-        hears("w1 true");
+        expectEvent("w1 true");
         script.expectEvent("list DELTA [w1 DRAINING]");
         host.loopExecutor().execute(() -> host.setRateFactor(1.5));
         script.expectEvent("share 1.5");
         host.loopExecutor()
                 .execute(
                         () ->
-                                heard.add(
+                                events.add(
                                         host.exitMaintenance("w1")
                                                 + " "
                                                 + host.isReady()
                                                 + " "
                                                 + host.isOnlyProcess()));
-        hears("true true true");
+        expectEvent("true true true");
         script.expectEvent("list DELTA [w1 READY]");
         awaitStopped(stopInBackground(daemon));
-        hears("stopping");
-        hears("close");
+        expectEvent("stopping");
+        expectEvent("close");
     }
 
     @Test
-    public void consumersWaitUntilItKnowsWhichWorkersAreOut() throws Exception {
-        knows = false;
-        patienceMicros = ScriptedPeer.TIMEOUT_S * 1_000_000L;
+    public void clientsAreNotAcceptedBeforeItIsInitialized() throws Exception {
+        initialized = false;
+        initTimeoutMicros = ScriptedPeer.TIMEOUT_S * 1_000_000L;
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> script.actions.reject(job.id(), 0);
-        assertThrows("they turn to others at once", ConnectException.class, this::connect);
+        assertThrows(
+                "clients turn to other dispatchers at once", ConnectException.class, this::connect);
         assertEquals(
-                "it takes no consumers yet", 503, operatorCall(daemon, "GET /status", "").status());
+                "it serves no clients yet", 503, operatorCall(daemon, "GET /status", "").status());
         host.loopExecutor().execute(() -> host.enterMaintenance("w1"));
         script.expectEvent("list DELTA [w1 DRAINING]");
         assertThrows(ConnectException.class, this::connect);
-        knows = true;
-        Socket consumer = postOnceItListens("a1");
+        initialized = true;
+        Socket client = postOnceListening("a1");
         script.expectEvent("job a1");
-        assertEquals(429, ScriptedPeer.read(consumer).status());
+        assertEquals(429, ScriptedPeer.read(client).status());
     }
 
     @Test
-    public void itIsAskedWhenATurnBeginsBeforeAnythingIsTakenIn() throws Exception {
+    public void isCalledAtTheStartOfAnIterationBeforeInputIsProcessed() throws Exception {
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob =
                 job -> {
-                    heard.add("turn " + (turnMicros == host.timers().nowMicros()));
+                    events.add("iteration " + (iterationMicros == host.timers().nowMicros()));
                     script.actions.reject(job.id(), 0);
                 };
-        Socket consumer = post("t1", "price", "15000m");
-        hears("turn true");
-        assertEquals(429, ScriptedPeer.read(consumer).status());
+        Socket client = post("t1", "price", "15000m");
+        expectEvent("iteration true");
+        assertEquals(429, ScriptedPeer.read(client).status());
     }
 
     @Test
-    public void itPacesConnectionsAndARequestThatWaitsForOneHasItAllTheSame() throws Exception {
-        paces = true;
+    public void limitsConnectionsExceptWhereARequestNeedsOne() throws Exception {
+        refusesConnections = true;
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> script.actions.startAttempt(job.id(), "w1", 0);
         post("p1", "price", "15000m");
-        hears("connect w1 true");
+        expectEvent("connect w1 true");
         ReceivedMessage first = workerOne.awaitMessage("POST");
-        post("p2", "price", "15000m"); // The first is not answered, so its connection stays in use.
-        hears("connect w1 false");
-        hears("connect w1 true");
+        // The first request is not answered, so its connection stays in use.
+        post("p2", "price", "15000m");
+        expectEvent("connect w1 false");
+        expectEvent("connect w1 true");
         ReceivedMessage second = workerOne.awaitMessage("POST");
         assertNotSame(first.socket(), second.socket());
     }
 
     @Test
-    public void butOnlySoLong() throws Exception {
-        knows = false;
-        patienceMicros = 50_000;
+    public void initializationIsWaitedForOnlyUntilItsTimeout() throws Exception {
+        initialized = false;
+        initTimeoutMicros = 50_000;
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> script.actions.reject(job.id(), 0);
-        Socket consumer = postOnceItListens("b1");
+        Socket client = postOnceListening("b1");
         script.expectEvent("job b1");
-        assertEquals(429, ScriptedPeer.read(consumer).status());
+        assertEquals(429, ScriptedPeer.read(client).status());
     }
 
     @Test
-    public void operatorsCallsBeyondTheDailyOnesAreItsOwnEachWithItsBound() throws Exception {
+    public void additionalEndpointsAreHandledWithTheirOwnBodyLimits() throws Exception {
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         ReceivedMessage answer = operatorCall(daemon, "PUT /calendar", "x".repeat(100_000));
         assertEquals("{\"length\":100000}\n", answer.body());
@@ -246,22 +245,21 @@
     }
 
     @Test
-    public void withoutAFileNothingIsLookedForAndAFileWithoutSharingInTheProgramIsAFault()
-            throws Exception {
+    public void noFileLoadsNoExtensionAndAFileWithoutOneOnTheClassPathIsAnError() throws Exception {
         Map<String, String> environment =
                 new HashMap<>(configuration(workerEntry("w1", workerOne.address(), "ready")));
         assertEquals(null, ExtensionLoader.loadConfiguration(Config.read(environment)));
         environment.put("ROUTER_SHARING", "sharing.star");
         try {
             ExtensionLoader.loadConfiguration(Config.read(environment));
-            fail("started without what was asked for");
+            fail("started without the extension that was asked for");
         } catch (Config.InvalidConfigException e) {
             assertTrue(e.getMessage(), e.getMessage().startsWith("sharing: "));
         }
     }
 
     @Test
-    public void aTestsClockRunsFastAndIsOffAndAFaultyOneIsNamed() throws Exception {
+    public void testClockAppliesDriftAndOffsetAndInvalidOnesAreReported() throws Exception {
         Clock fast = Clock.of("-60000000,20000");
         Clock plain = Clock.of("");
         long fastBefore = fast.micros();
@@ -271,12 +269,14 @@
             Thread.onSpinWait();
         }
         long plainPassed = plain.micros() - plainBefore;
-        assertTrue("2% in 200 ms are 4 ms", fast.micros() - fastBefore > plainPassed + 1_000);
+        assertTrue(
+                "a drift of 2% is 4 ms in 200 ms",
+                fast.micros() - fastBefore > plainPassed + 1_000);
         assertEquals(System.currentTimeMillis() - 60_000, fast.unixMillis(), 1_000);
-        for (String faulty : List.of("7", "a,b", "0,200000", "1,2,3")) {
+        for (String invalid : List.of("7", "a,b", "0,200000", "1,2,3")) {
             try {
-                Clock.of(faulty);
-                fail(faulty);
+                Clock.of(invalid);
+                fail(invalid);
             } catch (Config.InvalidConfigException e) {
                 assertTrue(e.getMessage(), e.getMessage().startsWith("POSTGRADE_TEST_CLOCK: "));
             }
--- a/daemon/src/test/java/postgrade/daemon/LoopHarness.java
+++ b/daemon/src/test/java/postgrade/daemon/LoopHarness.java
@@ -25,13 +25,13 @@
 import postgrade.worker.WorkerEndpoint;
 
 /**
- * The loop with all that serves clients, and a hook into one of its turns: while the loop is held,
- * and after the turn's select, peers may do what the loop has not seen when it comes to what is
- * due.
+ * The event loop with everything that serves clients, and a hook into one of its iterations. While
+ * the loop is held, and after the iteration's select, peers can act in ways that the loop has not
+ * seen when it runs the tasks that are due.
  */
 final class LoopHarness implements AutoCloseable {
 
-    /** What a peer does. */
+    /** An action of a peer. */
     interface IoAction {
         void run() throws IOException;
     }
@@ -46,32 +46,34 @@
     private final List<Socket> sockets = new ArrayList<>();
     private final Thread thread;
 
-    /** Told at the end of this turn. */
-    private CountDownLatch noted;
+    /** Counted down at the end of the current iteration. */
+    private CountDownLatch iterationEnd;
 
     /**
-     * @param places for sockets
+     * Starts the loop with the system's own socket calls.
+     *
+     * @param socketLimit the most sockets that may be open
      */
-    LoopHarness(Config config, int places) throws IOException {
-        this(config, places, SystemCalls.REAL);
+    LoopHarness(Config config, int socketLimit) throws IOException {
+        this(config, socketLimit, SystemCalls.REAL);
     }
 
-    LoopHarness(Config config, int places, SystemCalls systemCalls) throws IOException {
-        loop = new EventLoop(new SocketBudget(places), config.clock, systemCalls);
-        ScriptedPolicy[] made = new ScriptedPolicy[1];
+    LoopHarness(Config config, int socketLimit, SystemCalls systemCalls) throws IOException {
+        loop = new EventLoop(new SocketBudget(socketLimit), config.clock, systemCalls);
+        ScriptedPolicy[] policies = new ScriptedPolicy[1];
         tracker =
                 new RequestTracker(
-                        out -> made[0] = new ScriptedPolicy(out),
+                        actions -> policies[0] = new ScriptedPolicy(actions),
                         false,
                         1000,
                         loop,
                         (event, message, thrown) -> {});
-        script = made[0];
+        script = policies[0];
         workerPools =
                 new WorkerConnectionPools(
                         tracker, loop, loop, config.connectTimeoutMicros, config.idleTimeoutMicros);
         tracker.connectTransport(workerPools);
-        UpgradeCoordinator alone = new UpgradeCoordinator(null, config.name, loop, loop, null);
+        UpgradeCoordinator upgrade = new UpgradeCoordinator(null, config.name, loop, loop, null);
         listener =
                 new ClientListener(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
@@ -86,14 +88,21 @@
                         loop);
         shutdown =
                 new ShutdownSequence(
-                        loop, lifecycle, tracker, workerPools, listener, alone, null, () -> config);
+                        loop,
+                        lifecycle,
+                        tracker,
+                        workerPools,
+                        listener,
+                        upgrade,
+                        null,
+                        () -> config);
         lifecycle.markStarted();
         thread = new Thread(this::run, "loop");
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** No other process of this dispatcher runs. */
+    /** A relay for a dispatcher without other processes. */
     static final class NoPeers implements CallBackRelay {
         @Override
         public boolean hasPeers() {
@@ -102,7 +111,7 @@
 
         @Override
         public void relay(byte[] body, Consumer<Boolean> done) {
-            throw new AssertionError("nobody is there");
+            throw new AssertionError("there are no other processes");
         }
     }
 
@@ -113,9 +122,9 @@
                         @Override
                         public void runBatch() {
                             tracker.runBatch();
-                            if (noted != null) {
-                                noted.countDown();
-                                noted = null;
+                            if (iterationEnd != null) {
+                                iterationEnd.countDown();
+                                iterationEnd = null;
                             }
                         }
 
@@ -129,7 +138,7 @@
         }
     }
 
-    /** A provider, ready from the start. */
+    /** Adds a worker that is ready from the start. */
     void addWorker(String id, String host, int port) throws InterruptedException {
         runOnLoop(
                 () ->
@@ -145,7 +154,7 @@
         addWorker(id, address[0], Integer.parseInt(address[1]));
     }
 
-    /** Runs something on the loop and waits for it. */
+    /** Runs a task on the loop and waits for it. */
     void runOnLoop(Runnable task) throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
         loop.execute(
@@ -157,9 +166,9 @@
     }
 
     /**
-     * Holds the loop for so long at least that what is due by then is due in its next turn; what
-     * peers do meanwhile is ready in that turn. What they do after its select is not. Returns when
-     * that turn is over.
+     * Holds the loop for at least this long, so that tasks due by then run in its next iteration.
+     * What peers do while it is held is ready in that iteration; what they do after its select is
+     * not. Returns when that iteration is over.
      */
     void interleave(long holdMillis, IoAction whileHeld, IoAction afterSelect)
             throws InterruptedException {
@@ -170,11 +179,11 @@
                         loop.at(
                                 loop.nowMicros(),
                                 () -> {
-                                    held(holdMillis, whileHeld, failed);
+                                    runAndHold(holdMillis, whileHeld, failed);
                                     loop.execute(
                                             () -> {
-                                                held(0, afterSelect, failed);
-                                                noted = done;
+                                                runAndHold(0, afterSelect, failed);
+                                                iterationEnd = done;
                                             });
                                 }));
         assertTrue(done.await(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
@@ -183,9 +192,9 @@
         }
     }
 
-    private static void held(long millis, IoAction what, Throwable[] failed) {
+    private static void runAndHold(long millis, IoAction action, Throwable[] failed) {
         try {
-            what.run();
+            action.run();
             TimeUnit.MILLISECONDS.sleep(millis);
         } catch (IOException | InterruptedException | RuntimeException e) {
             failed[0] = e;
@@ -196,18 +205,18 @@
         return !thread.isAlive();
     }
 
-    /** Waits for the end of a turn that has begun since this call. */
+    /** Waits for the end of an iteration that began after this call. */
     void awaitIteration() throws InterruptedException {
-        for (int i = 0; i < 2; i++) { // The first may be under way.
+        for (int i = 0; i < 2; i++) { // The first one may already be running.
             CountDownLatch done = new CountDownLatch(1);
-            loop.execute(() -> noted = done);
+            loop.execute(() -> iterationEnd = done);
             assertTrue(done.await(ScriptedPeer.TIMEOUT_S, TimeUnit.SECONDS));
         }
     }
 
     void awaitEnd() throws InterruptedException {
         thread.join(TimeUnit.SECONDS.toMillis(ScriptedPeer.TIMEOUT_S));
-        assertFalse("ended", thread.isAlive());
+        assertFalse("the loop has not ended", thread.isAlive());
     }
 
     Socket connect() throws IOException {
