--- a/core/src/main/java/postgrade/lease/Allotment.java
+++ b/core/src/main/java/postgrade/lease/Allotment.java
@@ -12,30 +12,32 @@
 public final class Allotment {
 
     /** A mask has so many bits; a worker has at most as many accelerators. */
-    public static final int MOST_PER_WORKER = 62;
+    public static final int MAX_PER_WORKER = 62;
 
     public static final Allotment NONE = new Allotment(Map.of());
 
     private final SortedMap<String, Long> masks;
 
     public Allotment(Map<String, Long> masks) {
-        SortedMap<String, Long> kept = new TreeMap<>(masks);
-        kept.values().removeIf(m -> m == 0);
-        this.masks = Collections.unmodifiableSortedMap(kept);
+        SortedMap<String, Long> nonEmpty = new TreeMap<>(masks);
+        nonEmpty.values().removeIf(mask -> mask == 0);
+        this.masks = Collections.unmodifiableSortedMap(nonEmpty);
     }
 
     /** As {@link #toString} writes it: {@code w-1=3,w-2=1}, the masks in hexadecimal. */
     public static Allotment of(String text) {
         Map<String, Long> masks = new TreeMap<>();
-        for (String one : text.isEmpty() ? new String[0] : text.split(",")) {
-            int eq = one.lastIndexOf('=');
-            masks.put(one.substring(0, eq), Long.parseLong(one.substring(eq + 1), 16));
+        for (String item : text.isEmpty() ? new String[0] : text.split(",")) {
+            int separator = item.lastIndexOf('=');
+            masks.put(
+                    item.substring(0, separator),
+                    Long.parseLong(item.substring(separator + 1), 16));
         }
         return new Allotment(masks);
     }
 
     /** The lowest so many bits. */
-    static long bits(long count) {
+    static long lowestBits(long count) {
         return (1L << count) - 1;
     }
 
@@ -52,10 +54,10 @@
     }
 
     /** Only these bits of that worker are kept. */
-    Allotment within(String worker, long mask) {
-        Map<String, Long> kept = new TreeMap<>(masks);
-        kept.computeIfPresent(worker, (w, m) -> m & mask);
-        return new Allotment(kept);
+    Allotment restrictedTo(String worker, long mask) {
+        Map<String, Long> restricted = new TreeMap<>(masks);
+        restricted.computeIfPresent(worker, (w, m) -> m & mask);
+        return new Allotment(restricted);
     }
 
     @Override
--- a/core/src/main/java/postgrade/lease/FleetSync.java
+++ b/core/src/main/java/postgrade/lease/FleetSync.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import postgrade.lease.Unit.State;
+import postgrade.lease.ReservableWorker.State;
 import postgrade.policy.api.WorkerInfo;
 import postgrade.policy.api.WorkerPhase;
 import postgrade.shared.Command;
@@ -37,27 +37,27 @@
     public static List<Command> pendingCommands(
             Rows rows,
             Collection<WorkerInfo> workers,
-            Set<String> out,
-            AcceleratorConfig accelerators,
+            Set<String> outOfService,
+            AcceleratorConfig config,
             String from,
             long incarnation) {
-        Map<String, Unit> known = new HashMap<>();
-        new Book(rows).units().forEach(u -> known.put(u.worker(), u));
-        List<Command> due = new ArrayList<>();
-        for (WorkerInfo w : workers) {
-            Integer count = accelerators.perKind.get(w.kind());
-            Unit unit = known.remove(w.id());
-            if (unit == null && count == null) {
+        Map<String, ReservableWorker> known = new HashMap<>();
+        new ReservationTable(rows).workers().forEach(worker -> known.put(worker.worker(), worker));
+        List<Command> commands = new ArrayList<>();
+        for (WorkerInfo worker : workers) {
+            Integer count = config.perKind.get(worker.kind());
+            ReservableWorker knownWorker = known.remove(worker.id());
+            if (knownWorker == null && count == null) {
                 continue;
             }
-            long now = count == null ? 0 : count;
+            long accelerators = count == null ? 0 : count;
             boolean differs =
-                    unit == null
-                            || unit.accelerators() != now
-                            || !unit.site().equals(w.zone())
-                            || !unit.kind().equals(w.kind());
-            if (differs && (unit == null || accelerators.version > unit.version())) {
-                due.add(
+                    knownWorker == null
+                            || knownWorker.accelerators() != accelerators
+                            || !knownWorker.site().equals(worker.zone())
+                            || !knownWorker.kind().equals(worker.kind());
+            if (differs && (knownWorker == null || config.version > knownWorker.version())) {
+                commands.add(
                         new Command(
                                 "",
                                 from,
@@ -66,52 +66,59 @@
                                 "unit",
                                 Row.of(
                                         "worker",
-                                        w.id(),
+                                        worker.id(),
                                         "site",
-                                        w.zone(),
+                                        worker.zone(),
                                         "kind",
-                                        w.kind(),
+                                        worker.kind(),
                                         "accelerators",
-                                        now,
+                                        accelerators,
                                         "version",
-                                        accelerators.version)));
+                                        config.version)));
             }
             State state =
-                    w.phase() == WorkerPhase.GONE
+                    worker.phase() == WorkerPhase.GONE
                             ? State.GONE
-                            : out.contains(w.id())
+                            : outOfService.contains(worker.id())
                                     ? State.OUT
-                                    : w.phase() == WorkerPhase.DRAINING
+                                    : worker.phase() == WorkerPhase.DRAINING
                                             ? State.DRAINING
                                             : State.READY;
-            presence(due, unit, w.id(), w.startedNs() / 1_000_000, state, from, incarnation);
+            addPresence(
+                    commands,
+                    knownWorker,
+                    worker.id(),
+                    worker.startedNs() / 1_000_000,
+                    state,
+                    from,
+                    incarnation);
         }
         known.values()
                 .forEach(
-                        u ->
-                                presence(
-                                        due,
-                                        u,
-                                        u.worker(),
-                                        u.start(),
+                        worker ->
+                                addPresence(
+                                        commands,
+                                        worker,
+                                        worker.worker(),
+                                        worker.start(),
                                         State.GONE,
                                         from,
                                         incarnation));
-        return due;
+        return commands;
     }
 
-    private static void presence(
-            List<Command> due,
-            Unit unit,
+    private static void addPresence(
+            List<Command> commands,
+            ReservableWorker knownWorker,
             String worker,
             long start,
             State state,
             String from,
             long incarnation) {
-        long knownStart = unit == null ? 0 : unit.start();
-        State knownState = unit == null ? State.READY : unit.state();
+        long knownStart = knownWorker == null ? 0 : knownWorker.start();
+        State knownState = knownWorker == null ? State.READY : knownWorker.state();
         if (start > knownStart || start == knownStart && state.compareTo(knownState) > 0) {
-            due.add(
+            commands.add(
                     new Command(
                             "",
                             from,
--- a/core/src/main/java/postgrade/lease/Held.java
+++ b/core/src/main/java/postgrade/lease/Grant.java
@@ -7,14 +7,19 @@
  *
  * @param fence of the entry that granted it, or that gave it to the holder's next incarnation
  * @param sinceMicros and untilMicros in the log's time; it ends at the latter unless it is renewed;
- *     {@link Book#NEXT}
+ *     {@link ReservationTable#PENDING}
  * @param allotment what it still has; less than was asked for where a worker has lost accelerators
  */
-public record Held(Ask ask, long fence, long sinceMicros, long untilMicros, Allotment allotment) {
-
-    static Held of(Row row) {
-        return new Held(
-                Ask.ofRow(row),
+public record Grant(
+        ReservationRequest request,
+        long fence,
+        long sinceMicros,
+        long untilMicros,
+        Allotment allotment) {
+
+    static Grant of(Row row) {
+        return new Grant(
+                ReservationRequest.fromRow(row),
                 row.integer("fence"),
                 row.integer("since"),
                 row.integer("until"),
@@ -22,7 +27,7 @@
     }
 
     Row row() {
-        return ask.row()
+        return request.row()
                 .with(
                         "fence",
                         fence,
@@ -34,21 +39,23 @@
                         allotment);
     }
 
-    Held until(long micros) {
-        return new Held(ask, fence, sinceMicros, micros, allotment);
+    Grant withEnd(long micros) {
+        return new Grant(request, fence, sinceMicros, micros, allotment);
     }
 
-    Held with(Allotment left) {
-        return new Held(ask, fence, sinceMicros, untilMicros, left);
+    Grant withAllotment(Allotment remaining) {
+        return new Grant(request, fence, sinceMicros, untilMicros, remaining);
     }
 
     /** Before it ends unless it is renewed. */
-    long leftMicros(long logMicros) {
-        return untilMicros == Book.NEXT ? ask.ttlMicros() : untilMicros - logMicros;
+    long remainingMicros(long logMicros) {
+        return untilMicros == ReservationTable.PENDING
+                ? request.ttlMicros()
+                : untilMicros - logMicros;
     }
 
     /** When the holder's first job is to be expected, in the log's time. */
     long neededMicros() {
-        return sinceMicros + ask.neededInMicros();
+        return sinceMicros + request.neededInMicros();
     }
 }
--- a/core/src/main/java/postgrade/lease/LeaseConstraints.java
+++ b/core/src/main/java/postgrade/lease/LeaseConstraints.java
@@ -23,13 +23,13 @@
      * However much of a worker is reserved, so much of it is there for jobs that need no
      * accelerator.
      */
-    static final double LEAST = 0.05;
+    static final double MIN_USABLE_SHARE = 0.05;
 
     /**
      * A holder's jobs see other workers smaller by this: its own fill up first, and what is beyond
      * goes there.
      */
-    static final double ELSEWHERE = 0.25;
+    static final double OTHER_WORKER_FACTOR = 0.25;
 
     /**
      * What the settings say.
@@ -39,15 +39,16 @@
      * @param lends reserved accelerators to jobs that may be repeated and end before the holder
      *     needs them
      */
-    public record Rules(Set<String> reserving, Map<String, Idempotency> effects, boolean lends) {
+    public record Rules(
+            Set<String> reserving, Map<String, Idempotency> idempotency, boolean lends) {
         public Rules {
             reserving = Set.copyOf(reserving);
-            effects = Map.copyOf(effects);
+            idempotency = Map.copyOf(idempotency);
             for (String name : reserving) {
-                if (!effects.containsKey(name)) {
+                if (!idempotency.containsKey(name)) {
                     throw new IllegalArgumentException("reserving: there is no class " + name);
                 }
-                if (effects.get(name) == Idempotency.NOT_IDEMPOTENT) {
+                if (idempotency.get(name) == Idempotency.NOT_IDEMPOTENT) {
                     throw new IllegalArgumentException(
                             "reserving: "
                                     + name
@@ -84,43 +85,44 @@
 
     @Override
     public double usableShare(long nowNs, Job job, WorkerInfo worker) {
-        ReservationView all = reservations();
-        long accelerators = all.accelerators(worker.id());
-        if (accelerators == 0 || rules.effects.get(job.jobClass()) == Idempotency.NOT_IDEMPOTENT) {
+        ReservationView view = reservations();
+        long accelerators = view.accelerators(worker.id());
+        if (accelerators == 0
+                || rules.idempotency.get(job.jobClass()) == Idempotency.NOT_IDEMPOTENT) {
             return 1;
         }
         long nowMicros = nowNs / 1000;
-        boolean fresh = all.fresh(nowMicros);
+        boolean fresh = view.fresh(nowMicros);
         boolean reserving = rules.reserving.contains(job.jobClass());
-        boolean privileged = reserving && fresh && all.holds(job.tenant());
-        long others = 0;
-        boolean own = false;
-        for (Use use : all.on(worker.id())) {
+        boolean privileged = reserving && fresh && view.isHolder(job.tenant());
+        long reservedByOthers = 0;
+        boolean ownsSome = false;
+        for (Use use : view.usesOn(worker.id())) {
             if (privileged && use.holder().equals(job.tenant())) {
-                own = true;
-            } else if (!lent(all, nowMicros, job, use)) {
-                others += Long.bitCount(use.mask());
+                ownsSome = true;
+            } else if (!mayBorrow(view, nowMicros, job, use)) {
+                reservedByOthers += Long.bitCount(use.mask());
             }
         }
-        double left = Math.max(0, 1 - (double) others / accelerators);
-        if (own) {
-            return Math.max(LEAST, left);
+        double unreservedShare = Math.max(0, 1 - (double) reservedByOthers / accelerators);
+        if (ownsSome) {
+            return Math.max(MIN_USABLE_SHARE, unreservedShare);
         }
         if (!reserving || !fresh) {
-            return Math.max(LEAST, left);
+            return Math.max(MIN_USABLE_SHARE, unreservedShare);
         }
-        return privileged ? ELSEWHERE * left : left;
+        return privileged ? OTHER_WORKER_FACTOR * unreservedShare : unreservedShare;
     }
 
     /**
      * Whether this job is over before the holder's first, so that what is reserved may be used
      * meanwhile.
      */
-    private boolean lent(ReservationView all, long nowMicros, Job job, Use use) {
+    private boolean mayBorrow(ReservationView view, long nowMicros, Job job, Use use) {
         return rules.lends
-                && all.fresh(nowMicros)
-                && rules.effects.get(job.jobClass()) == Idempotency.IDEMPOTENT
-                && all.logMicros(nowMicros) + job.timeLeftNs() / 1000 * times.clockRatio()
+                && view.fresh(nowMicros)
+                && rules.idempotency.get(job.jobClass()) == Idempotency.IDEMPOTENT
+                && view.logMicros(nowMicros) + job.timeLeftNs() / 1000 * times.clockRatio()
                         < use.neededMicros();
     }
 
@@ -139,11 +141,11 @@
         }
         StringBuilder text = new StringBuilder();
         uses.forEach(
-                u ->
+                use ->
                         text.append(text.length() == 0 ? "" : ",")
-                                .append(Long.toHexString(u.mask()))
+                                .append(Long.toHexString(use.mask()))
                                 .append('=')
-                                .append(u.fence()));
+                                .append(use.fence()));
         return text.toString();
     }
 }
--- a/core/src/main/java/postgrade/lease/LeasePart.java
+++ b/core/src/main/java/postgrade/lease/LeasePart.java
@@ -1,7 +1,7 @@
 package postgrade.lease;
 
-import postgrade.lease.Book.Place;
-import postgrade.lease.Book.Rest;
+import postgrade.lease.ReservationTable.QueueEntry;
+import postgrade.lease.ReservationTable.RestingAccelerators;
 import postgrade.shared.Answer;
 import postgrade.shared.Command;
 import postgrade.shared.Moment;
@@ -18,7 +18,7 @@
 public final class LeasePart implements StatePart {
 
     public static final String NAME = "lease";
-    private static final int MOST_ROWS = 2000;
+    private static final int MAX_ROWS = 2000;
 
     private final LeaseTimes times;
 
@@ -32,226 +32,247 @@
     }
 
     @Override
-    public Answer apply(Rows rows, Moment at, Command c) {
-        Book book = new Book(rows);
-        Row args = c.args();
-        Capacity capacity = new Capacity(book, at);
+    public Answer apply(Rows rows, Moment at, Command command) {
+        ReservationTable table = new ReservationTable(rows);
+        Row args = command.args();
+        CapacityCommands capacity = new CapacityCommands(table, at);
         Answer answer =
-                switch (c.verb()) {
-                    case "acquire" -> acquire(book, at, args);
-                    case "renew" -> renew(book, at, args);
-                    case "release" -> release(book, at, args);
-                    case "unit" -> capacity.unit(args);
-                    case "presence" -> capacity.presence(args);
-                    case "part" -> capacity.part(args);
-                    default -> Answer.unknown("there is no " + c.verb() + " of reservations");
+                switch (command.verb()) {
+                    case "acquire" -> acquire(table, at, args);
+                    case "renew" -> renew(table, at, args);
+                    case "release" -> release(table, at, args);
+                    case "unit" -> capacity.setWorker(args);
+                    case "presence" -> capacity.updatePresence(args);
+                    case "part" -> capacity.setKindLimit(args);
+                    default -> Answer.unknown("there is no " + command.verb() + " of reservations");
                 };
-        if (answer.status() == Answer.Status.DONE && book.anyWaiting()) {
-            new Granting(book, at, false).run();
+        if (answer.status() == Answer.Status.DONE && table.anyWaiting()) {
+            new GrantPass(table, at, false).run();
         }
         // A place in the line may have been served by this very command.
-        return c.verb().equals("acquire") && answer.status() == Answer.Status.DONE
-                ? standing(book, at, args)
+        return command.verb().equals("acquire") && answer.status() == Answer.Status.DONE
+                ? requestState(table, at, args)
                 : answer;
     }
 
     @Override
     public void advance(Rows rows, Moment at) {
-        Book book = new Book(rows);
-        boolean changed = false;
-        for (Rest r : book.resting()) {
-            if (r.untilMicros() == Book.NEXT) {
-                book.rest(r, at.micros() + times.graceMicros());
-            } else if (r.untilMicros() <= at.micros()) {
-                book.rested(r);
-                changed = true;
+        ReservationTable table = new ReservationTable(rows);
+        boolean freed = false;
+        for (RestingAccelerators resting : table.resting()) {
+            if (resting.untilMicros() == ReservationTable.PENDING) {
+                table.setRestEnd(resting, at.micros() + times.graceMicros());
+            } else if (resting.untilMicros() <= at.micros()) {
+                table.endRest(resting);
+                freed = true;
             }
         }
-        for (Held h : book.held()) {
-            if (h.untilMicros() == Book.NEXT) {
-                book.put(h.until(at.micros() + h.ask().ttlMicros()));
-            } else if (h.untilMicros() <= at.micros()) {
-                end(book, at, h, at.micros() + times.graceMicros());
+        for (Grant grant : table.grants()) {
+            if (grant.untilMicros() == ReservationTable.PENDING) {
+                table.put(grant.withEnd(at.micros() + grant.request().ttlMicros()));
+            } else if (grant.untilMicros() <= at.micros()) {
+                endGrant(table, at, grant, at.micros() + times.graceMicros());
             }
         }
-        for (Place p : book.line()) {
-            if (p.untilMicros() == Book.NEXT) {
-                book.put(new Place(p.key(), p.ask(), at.micros() + p.ask().ttlMicros()));
-            } else if (p.untilMicros() <= at.micros()) {
-                book.leave(p);
-                changed = true;
+        for (QueueEntry entry : table.queue()) {
+            if (entry.untilMicros() == ReservationTable.PENDING) {
+                table.put(
+                        new QueueEntry(
+                                entry.key(),
+                                entry.request(),
+                                at.micros() + entry.request().ttlMicros()));
+            } else if (entry.untilMicros() <= at.micros()) {
+                table.dequeue(entry);
+                freed = true;
             }
         }
-        if (changed && book.anyWaiting()) {
-            new Granting(book, at, true).run();
+        if (freed && table.anyWaiting()) {
+            new GrantPass(table, at, true).run();
         }
     }
 
-    private static void end(Book book, Moment at, Held h, long restUntil) {
-        book.end(h);
-        book.rest(h, h.allotment(), at.index(), restUntil);
+    private static void endGrant(
+            ReservationTable table, Moment at, Grant grant, long restUntilMicros) {
+        table.removeGrant(grant);
+        table.startRest(grant, grant.allotment(), at.index(), restUntilMicros);
     }
 
     // ---- Acquire.
 
-    private Answer acquire(Book book, Moment at, Row args) {
-        Ask ask = Ask.of(args);
-        boolean waits = args.integer("wait", 1) != 0;
-        Held held = book.held(ask.key());
-        if (held != null) {
-            return again(book, at, held, ask);
+    private Answer acquire(ReservationTable table, Moment at, Row args) {
+        ReservationRequest request = ReservationRequest.fromArguments(args);
+        boolean mayWait = args.integer("wait", 1) != 0;
+        Grant grant = table.grant(request.key());
+        if (grant != null) {
+            return reacquire(table, at, grant, request);
         }
-        Place place = book.place(ask.key());
-        if (place != null) {
-            return wait(book, place, ask);
+        QueueEntry entry = table.queueEntry(request.key());
+        if (entry != null) {
+            return updateQueueEntry(table, entry, request);
         }
-        long ever = Granting.ever(book, ask, true);
-        if (ask.accelerators() > ever) {
-            return Answer.conflict("accelerators must be at most " + ever + " here");
+        long maxGrantable = GrantPass.maxGrantable(table, request, true);
+        if (request.accelerators() > maxGrantable) {
+            return Answer.conflict("accelerators must be at most " + maxGrantable + " here");
         }
-        if (book.heldAndWaiting() >= MOST_ROWS) {
+        if (table.grantAndQueueCount() >= MAX_ROWS) {
             return Answer.conflict(
-                    "holder would be one more than the " + MOST_ROWS + " that may hold or wait");
+                    "holder would be one more than the " + MAX_ROWS + " that may hold or wait");
         }
-        Place last = new Place(String.format("%019d", at.fence()), ask, Book.NEXT);
-        book.put(last);
-        new Granting(book, at, false).run();
-        if (!waits && book.held(ask.key()) == null) {
-            book.leave(last);
+        QueueEntry newEntry =
+                new QueueEntry(
+                        String.format("%019d", at.fence()), request, ReservationTable.PENDING);
+        table.put(newEntry);
+        new GrantPass(table, at, false).run();
+        if (!mayWait && table.grant(request.key()) == null) {
+            table.dequeue(newEntry);
             return Answer.conflict("accelerators: there are not so many free now");
         }
         return Answer.done("", Row.EMPTY);
     }
 
     /** Who holds it already asks again: by itself, or started anew and knowing nothing. */
-    private static Answer again(Book book, Moment at, Held held, Ask ask) {
-        Ask was = held.ask();
-        if (ask.incarnation() < was.incarnation()) {
-            return older(was);
+    private static Answer reacquire(
+            ReservationTable table, Moment at, Grant grant, ReservationRequest request) {
+        ReservationRequest previous = grant.request();
+        if (request.incarnation() < previous.incarnation()) {
+            return olderIncarnation(previous);
         }
-        if (ask.accelerators() != was.accelerators()) {
+        if (request.accelerators() != previous.accelerators()) {
             return Answer.conflict(
                     "accelerators differs from the "
-                            + was.accelerators()
+                            + previous.accelerators()
                             + " that are held; release them first");
         }
         // A new fence for a new incarnation: what the former one still has on its way is turned
         // away at the workers.
-        long fence = ask.incarnation() > was.incarnation() ? at.fence() : held.fence();
-        book.put(new Held(ask, fence, held.sinceMicros(), Book.NEXT, held.allotment()));
+        long fence = request.incarnation() > previous.incarnation() ? at.fence() : grant.fence();
+        table.put(
+                new Grant(
+                        request,
+                        fence,
+                        grant.sinceMicros(),
+                        ReservationTable.PENDING,
+                        grant.allotment()));
         return Answer.done("", Row.EMPTY);
     }
 
-    private static Answer wait(Book book, Place place, Ask ask) {
-        if (ask.incarnation() < place.ask().incarnation()) {
-            return older(place.ask());
+    private static Answer updateQueueEntry(
+            ReservationTable table, QueueEntry entry, ReservationRequest request) {
+        if (request.incarnation() < entry.request().incarnation()) {
+            return olderIncarnation(entry.request());
         }
-        if (ask.accelerators() != place.ask().accelerators()) {
+        if (request.accelerators() != entry.request().accelerators()) {
             return Answer.conflict(
                     "accelerators differs from the "
-                            + place.ask().accelerators()
+                            + entry.request().accelerators()
                             + " that are waited for; release the place first");
         }
-        book.put(new Place(place.key(), ask, Book.NEXT));
+        table.put(new QueueEntry(entry.key(), request, ReservationTable.PENDING));
         return Answer.done("", Row.EMPTY);
     }
 
-    private static Answer older(Ask known) {
+    private static Answer olderIncarnation(ReservationRequest known) {
         return Answer.conflict(
                 "incarnation is below " + known.incarnation() + ", which has come since");
     }
 
-    private static Answer standing(Book book, Moment at, Row args) {
-        Ask ask = Ask.named(args);
-        Held held = book.held(ask.key());
-        if (held != null) {
-            return Answer.done("granted", granted(held, at));
+    private static Answer requestState(ReservationTable table, Moment at, Row args) {
+        ReservationRequest identity = ReservationRequest.identity(args);
+        Grant grant = table.grant(identity.key());
+        if (grant != null) {
+            return Answer.done("granted", grantFields(grant, at));
         }
-        Place place = book.place(ask.key());
-        long before = book.line().stream().filter(p -> p.key().compareTo(place.key()) < 0).count();
+        QueueEntry entry = table.queueEntry(identity.key());
+        long aheadCount =
+                table.queue().stream()
+                        .filter(other -> other.key().compareTo(entry.key()) < 0)
+                        .count();
         return Answer.done(
                 "waiting",
                 Row.of(
                         "state",
                         "waiting",
                         "place",
-                        before + 1,
+                        aheadCount + 1,
                         "renewWithinMs",
-                        place.ask().ttlMicros() / 1000));
+                        entry.request().ttlMicros() / 1000));
     }
 
-    private static Row granted(Held held, Moment at) {
+    private static Row grantFields(Grant grant, Moment at) {
         return Row.of(
                 "state",
                 "granted",
                 "fence",
-                held.fence(),
+                grant.fence(),
                 "accelerators",
-                held.allotment().size(),
+                grant.allotment().size(),
                 "allotment",
-                held.allotment(),
+                grant.allotment(),
                 "renewWithinMs",
-                held.leftMicros(at.micros()) / 1000);
+                grant.remainingMicros(at.micros()) / 1000);
     }
 
     // ---- Renew and release.
 
-    private static Answer renew(Book book, Moment at, Row args) {
-        Ask who = Ask.named(args);
-        Held held = book.held(who.key());
-        Place place = held == null ? book.place(who.key()) : null;
-        Ask known = held != null ? held.ask() : place != null ? place.ask() : null;
+    private static Answer renew(ReservationTable table, Moment at, Row args) {
+        ReservationRequest identity = ReservationRequest.identity(args);
+        Grant grant = table.grant(identity.key());
+        QueueEntry entry = grant == null ? table.queueEntry(identity.key()) : null;
+        ReservationRequest known =
+                grant != null ? grant.request() : entry != null ? entry.request() : null;
         if (known == null) {
             return Answer.unknown(
-                    "holder " + who.holder() + " holds nothing here and does not wait");
+                    "holder " + identity.holder() + " holds nothing here and does not wait");
         }
-        if (who.incarnation() != known.incarnation()) {
-            return who.incarnation() < known.incarnation()
-                    ? older(known)
+        if (identity.incarnation() != known.incarnation()) {
+            return identity.incarnation() < known.incarnation()
+                    ? olderIncarnation(known)
                     : Answer.conflict("incarnation is not that of the grant; acquire again");
         }
-        if (place != null) {
-            book.put(new Place(place.key(), known, Book.NEXT));
-            return standing(book, at, args);
+        if (entry != null) {
+            table.put(new QueueEntry(entry.key(), known, ReservationTable.PENDING));
+            return requestState(table, at, args);
         }
-        if (args.integer("fence") != held.fence()) {
+        if (args.integer("fence") != grant.fence()) {
             return Answer.conflict("fence is not that of the present grant");
         }
-        Held renewed = held.until(Book.NEXT);
-        book.put(renewed);
-        return Answer.done("renewed", granted(renewed, at));
+        Grant renewed = grant.withEnd(ReservationTable.PENDING);
+        table.put(renewed);
+        return Answer.done("renewed", grantFields(renewed, at));
     }
 
     /**
      * A late release never ends a later grant; one that crosses the expiry finds that it came to
      * the same.
      */
-    private Answer release(Book book, Moment at, Row args) {
-        Ask who = Ask.named(args);
+    private Answer release(ReservationTable table, Moment at, Row args) {
+        ReservationRequest identity = ReservationRequest.identity(args);
         boolean force = args.integer("force", 0) != 0;
-        Held held = book.held(who.key());
-        if (held == null) {
-            Place place = book.place(who.key());
-            if (place != null) {
-                if (!force && who.incarnation() < place.ask().incarnation()) {
-                    return older(place.ask());
+        Grant grant = table.grant(identity.key());
+        if (grant == null) {
+            QueueEntry entry = table.queueEntry(identity.key());
+            if (entry != null) {
+                if (!force && identity.incarnation() < entry.request().incarnation()) {
+                    return olderIncarnation(entry.request());
                 }
-                book.leave(place);
+                table.dequeue(entry);
                 return Answer.done("left the line", Row.EMPTY);
             }
-            return args.has("fence") && book.justEnded(who.key(), args.integer("fence"))
+            return args.has("fence") && table.endedRecently(identity.key(), args.integer("fence"))
                     ? Answer.done("had ended", Row.EMPTY)
                     : Answer.unknown(
-                            "holder " + who.holder() + " holds nothing here and does not wait");
+                            "holder "
+                                    + identity.holder()
+                                    + " holds nothing here and does not wait");
         }
-        if (!force && who.incarnation() < held.ask().incarnation()) {
-            return older(held.ask());
+        if (!force && identity.incarnation() < grant.request().incarnation()) {
+            return olderIncarnation(grant.request());
         }
-        if (!force && args.integer("fence") != held.fence()) {
+        if (!force && args.integer("fence") != grant.fence()) {
             return Answer.conflict("fence is not that of the present grant");
         }
-        end(book, at, held, Book.NEXT);
+        endGrant(table, at, grant, ReservationTable.PENDING);
         return Answer.done(
-                "released", Row.of("fence", held.fence(), "freeInMs", times.graceMicros() / 1000));
+                "released", Row.of("fence", grant.fence(), "freeInMs", times.graceMicros() / 1000));
     }
 }
--- a/core/src/main/java/postgrade/lease/LeaseTimes.java
+++ b/core/src/main/java/postgrade/lease/LeaseTimes.java
@@ -54,8 +54,12 @@
      * @param standstillMicros for how long the log's time stood or fell behind: nobody led, or
      *     commits took long
      */
-    public long maxUseAfterRenewalMicros(long ttlMicros, long stepMicros, long standstillMicros) {
-        return (long) Math.ceil((ttlMicros + 2 * stepMicros + viewBoundMicros) * clockRatio)
-                + standstillMicros;
+    public long maxUseAfterRenewalMicros(
+            long ttlMicros, long advanceIntervalMicros, long stallMicros) {
+        return (long)
+                        Math.ceil(
+                                (ttlMicros + 2 * advanceIntervalMicros + viewBoundMicros)
+                                        * clockRatio)
+                + stallMicros;
     }
 }
--- a/core/src/main/java/postgrade/lease/Unit.java
+++ b/core/src/main/java/postgrade/lease/ReservableWorker.java
@@ -9,7 +9,7 @@
  * @param start the worker's latest start that was told of, in milliseconds as discovery counts
  * @param state the latest told of that start
  */
-public record Unit(
+public record ReservableWorker(
         String worker,
         String site,
         String kind,
@@ -26,8 +26,8 @@
         GONE
     }
 
-    static Unit of(String worker, Row row) {
-        return new Unit(
+    static ReservableWorker of(String worker, Row row) {
+        return new ReservableWorker(
                 worker,
                 row.text("site"),
                 row.text("kind"),
@@ -53,9 +53,9 @@
                 state);
     }
 
-    boolean matches(Ask ask) {
-        return (ask.site().isEmpty() || ask.site().equals(site))
-                && (ask.kind().isEmpty() || ask.kind().equals(kind));
+    boolean matches(ReservationRequest request) {
+        return (request.site().isEmpty() || request.site().equals(site))
+                && (request.kind().isEmpty() || request.kind().equals(kind));
     }
 
     boolean ready() {
--- a/core/src/main/java/postgrade/lease/ReservationCommands.java
+++ b/core/src/main/java/postgrade/lease/ReservationCommands.java
@@ -51,43 +51,43 @@
 
     /** Those that hold and those that wait, the latter in their order. */
     public static List<Map<String, String>> list(Rows rows, long logMicros) {
-        Book book = new Book(rows);
+        ReservationTable table = new ReservationTable(rows);
         List<Map<String, String>> all = new java.util.ArrayList<>();
-        for (Held h : book.held()) {
-            Map<String, String> fields = named(h.ask(), "granted");
-            fields.put("fence", Long.toString(h.fence()));
-            fields.put("allotment", h.allotment().toString());
-            fields.put("held", Integer.toString(h.allotment().size()));
-            fields.put("renewWithinMs", Long.toString(h.leftMicros(logMicros) / 1000));
+        for (Grant grant : table.grants()) {
+            Map<String, String> fields = commonFields(grant.request(), "granted");
+            fields.put("fence", Long.toString(grant.fence()));
+            fields.put("allotment", grant.allotment().toString());
+            fields.put("held", Integer.toString(grant.allotment().size()));
+            fields.put("renewWithinMs", Long.toString(grant.remainingMicros(logMicros) / 1000));
             all.add(fields);
         }
-        int place = 0;
-        for (Book.Place p : book.line()) {
-            Map<String, String> fields = named(p.ask(), "waiting");
-            fields.put("place", Integer.toString(++place));
+        int position = 0;
+        for (ReservationTable.QueueEntry entry : table.queue()) {
+            Map<String, String> fields = commonFields(entry.request(), "waiting");
+            fields.put("place", Integer.toString(++position));
             fields.put(
                     "renewWithinMs",
                     Long.toString(
-                            (p.untilMicros() == Book.NEXT
-                                            ? p.ask().ttlMicros()
-                                            : p.untilMicros() - logMicros)
+                            (entry.untilMicros() == ReservationTable.PENDING
+                                            ? entry.request().ttlMicros()
+                                            : entry.untilMicros() - logMicros)
                                     / 1000));
             all.add(fields);
         }
         return all;
     }
 
-    private static Map<String, String> named(Ask ask, String state) {
+    private static Map<String, String> commonFields(ReservationRequest request, String state) {
         Map<String, String> fields = new TreeMap<>();
-        fields.put("holder", ask.holder());
-        if (!ask.site().isEmpty()) {
-            fields.put("site", ask.site());
+        fields.put("holder", request.holder());
+        if (!request.site().isEmpty()) {
+            fields.put("site", request.site());
         }
-        if (!ask.kind().isEmpty()) {
-            fields.put("kind", ask.kind());
+        if (!request.kind().isEmpty()) {
+            fields.put("kind", request.kind());
         }
-        fields.put("accelerators", Long.toString(ask.accelerators()));
-        fields.put("incarnation", Long.toString(ask.incarnation()));
+        fields.put("accelerators", Long.toString(request.accelerators()));
+        fields.put("incarnation", Long.toString(request.incarnation()));
         fields.put("state", state);
         return fields;
     }
--- a/core/src/main/java/postgrade/lease/Ask.java
+++ b/core/src/main/java/postgrade/lease/ReservationRequest.java
@@ -10,7 +10,7 @@
  * @param ttlMicros how long a reservation, or a place in the line, lives without being renewed
  * @param neededInMicros how long after the grant the first of the holder's jobs is to be expected
  */
-public record Ask(
+public record ReservationRequest(
         String holder,
         String site,
         String kind,
@@ -19,32 +19,32 @@
         long ttlMicros,
         long neededInMicros) {
 
-    static final long LEAST_TTL_MS = 2000;
-    static final long MOST_TTL_MS = 3_600_000;
-    static final int MOST_ACCELERATORS = 10_000;
+    static final long MIN_TTL_MS = 2000;
+    static final long MAX_TTL_MS = 3_600_000;
+    static final int MAX_ACCELERATORS = 10_000;
 
     /** From the arguments of a command. */
-    static Ask of(Row args) {
-        Ask who = named(args);
-        return new Ask(
-                who.holder,
-                who.site,
-                who.kind,
-                args.integer("accelerators", 1, MOST_ACCELERATORS),
-                who.incarnation,
-                args.integer("ttlMs", LEAST_TTL_MS, MOST_TTL_MS) * 1000,
-                args.has("neededInMs") ? args.integer("neededInMs", 0, MOST_TTL_MS) * 1000 : 0);
+    static ReservationRequest fromArguments(Row args) {
+        ReservationRequest identity = identity(args);
+        return new ReservationRequest(
+                identity.holder,
+                identity.site,
+                identity.kind,
+                args.integer("accelerators", 1, MAX_ACCELERATORS),
+                identity.incarnation,
+                args.integer("ttlMs", MIN_TTL_MS, MAX_TTL_MS) * 1000,
+                args.has("neededInMs") ? args.integer("neededInMs", 0, MAX_TTL_MS) * 1000 : 0);
     }
 
     /** Who and what alone. */
-    static Ask named(Row args) {
-        String site = args.has("site") ? name(args, "site") : "";
-        String kind = args.has("kind") ? name(args, "kind") : "";
+    static ReservationRequest identity(Row args) {
+        String site = args.has("site") ? validName(args, "site") : "";
+        String kind = args.has("kind") ? validName(args, "kind") : "";
         if (site.isEmpty() && kind.isEmpty()) {
             throw new Row.InvalidFieldException("site", "or kind must be named");
         }
-        return new Ask(
-                name(args, "holder"),
+        return new ReservationRequest(
+                validName(args, "holder"),
                 site,
                 kind,
                 0,
@@ -53,8 +53,8 @@
                 0);
     }
 
-    static Ask ofRow(Row row) {
-        return new Ask(
+    static ReservationRequest fromRow(Row row) {
+        return new ReservationRequest(
                 row.text("holder"),
                 row.text("site"),
                 row.text("kind"),
@@ -88,18 +88,18 @@
     }
 
     /** Letters, digits and {@code . _ : -}, so that it can stand in keys and headers. */
-    static String name(Row args, String field) {
+    static String validName(Row args, String field) {
         String name = args.text(field);
-        boolean plain = !name.isEmpty() && name.length() <= 64;
-        for (int i = 0; plain && i < name.length(); i++) {
+        boolean valid = !name.isEmpty() && name.length() <= 64;
+        for (int i = 0; valid && i < name.length(); i++) {
             char c = name.charAt(i);
-            plain =
+            valid =
                     c >= 'a' && c <= 'z'
                             || c >= 'A' && c <= 'Z'
                             || c >= '0' && c <= '9'
                             || "._:-".indexOf(c) >= 0;
         }
-        if (!plain) {
+        if (!valid) {
             throw new Row.InvalidFieldException(
                     field, "must be 1 to 64 letters, digits or any of . _ : -");
         }
--- a/core/src/main/java/postgrade/lease/ReservationView.java
+++ b/core/src/main/java/postgrade/lease/ReservationView.java
@@ -20,28 +20,28 @@
 
     private final View view;
     private final LeaseTimes times;
-    private final Map<String, Unit> units = new HashMap<>();
+    private final Map<String, ReservableWorker> workers = new HashMap<>();
     private final Map<String, List<Use>> byWorker = new HashMap<>();
     private final Set<String> holders = new HashSet<>();
 
     public ReservationView(View view, LeaseTimes times) {
         this.view = view;
         this.times = times;
-        Book book = new Book(view.rows());
-        book.units().forEach(u -> units.put(u.worker(), u));
-        for (Held h : book.held()) {
-            holders.add(h.ask().holder());
-            h.allotment()
+        ReservationTable table = new ReservationTable(view.rows());
+        table.workers().forEach(worker -> workers.put(worker.worker(), worker));
+        for (Grant grant : table.grants()) {
+            holders.add(grant.request().holder());
+            grant.allotment()
                     .masks()
                     .forEach(
                             (worker, mask) ->
-                                    byWorker.computeIfAbsent(worker, w -> new ArrayList<>())
+                                    byWorker.computeIfAbsent(worker, id -> new ArrayList<>())
                                             .add(
                                                     new Use(
-                                                            h.ask().holder(),
+                                                            grant.request().holder(),
                                                             mask,
-                                                            h.fence(),
-                                                            h.neededMicros())));
+                                                            grant.fence(),
+                                                            grant.neededMicros())));
         }
     }
 
@@ -65,21 +65,21 @@
         if (holder == null || !fresh(nowMicros)) {
             return List.of();
         }
-        return on(worker).stream().filter(u -> u.holder.equals(holder)).toList();
+        return usesOn(worker).stream().filter(use -> use.holder.equals(holder)).toList();
     }
 
     /** Whoever has something at this worker by the view, however old it is. */
-    List<Use> on(String worker) {
+    List<Use> usesOn(String worker) {
         return byWorker.getOrDefault(worker, List.of());
     }
 
-    boolean holds(String holder) {
+    boolean isHolder(String holder) {
         return holder != null && holders.contains(holder);
     }
 
     /** Accelerators of a worker as the shared state knows them; 0 where it knows none. */
     long accelerators(String worker) {
-        Unit u = units.get(worker);
-        return u == null ? 0 : u.accelerators();
+        ReservableWorker known = workers.get(worker);
+        return known == null ? 0 : known.accelerators();
     }
 }
--- a/core/src/main/java/postgrade/member/EffectiveShare.java
+++ b/core/src/main/java/postgrade/member/EffectiveShare.java
@@ -27,11 +27,11 @@
     private final long incarnation;
     private final MembershipTerms terms;
     private final long fallback;
-    private long goneBy;
-    private View last = View.NONE;
+    private long appliedGrantIndex;
+    private View latestView = View.NONE;
 
     /** Its row there; null where it has not joined. */
-    private Member own;
+    private Member ownMember;
 
     /**
      * @param fallback when long cut off, in millionths of the even share; what lies above the floor
@@ -57,36 +57,37 @@
      * else is done.
      */
     public double factor(View view, long nowMicros) {
-        if (view.moment().after(last.moment())
-                || view.moment().equals(last.moment()) && view.asOfMicros() > last.asOfMicros()) {
-            if (view.rows() != last.rows()) {
-                own = Member.of(view.rows(), name);
+        if (view.moment().after(latestView.moment())
+                || view.moment().equals(latestView.moment())
+                        && view.asOfMicros() > latestView.asOfMicros()) {
+            if (view.rows() != latestView.rows()) {
+                ownMember = Member.of(view.rows(), name);
             }
-            last = view;
+            latestView = view;
         }
-        return share(nowMicros) / (double) MembershipTerms.EVEN_SHARE;
+        return currentShare(nowMicros) / (double) MembershipTerms.EVEN_SHARE;
     }
 
-    private long share(long nowMicros) {
-        if (own == null || own.incarnation() != incarnation) {
+    private long currentShare(long nowMicros) {
+        if (ownMember == null || ownMember.incarnation() != incarnation) {
             return Math.min(fallback, terms.floor()); // Others may be using this place's rest.
         }
-        goneBy = own.grantIndex();
-        long latest = latestLogMicros(nowMicros);
-        if (latest < own.leaseEndMicros()) {
-            return own.share();
+        appliedGrantIndex = ownMember.grantIndex();
+        long latestMicros = latestLogMicros(nowMicros);
+        if (latestMicros < ownMember.leaseEndMicros()) {
+            return ownMember.share();
         }
-        if (latest < own.leaseEndMicros() + terms.lingerMicros()) {
-            return Math.min(own.share(), MembershipTerms.EVEN_SHARE);
+        if (latestMicros < ownMember.leaseEndMicros() + terms.lingerMicros()) {
+            return Math.min(ownMember.share(), MembershipTerms.EVEN_SHARE);
         }
         // One that sees the others is not cut off, only late: its place has been given away, and it
         // knows.
-        return last.ageMicros(nowMicros) < terms.leaseMicros() ? terms.floor() : fallback;
+        return latestView.ageMicros(nowMicros) < terms.leaseMicros() ? terms.floor() : fallback;
     }
 
     /** The log's time is not later than this. */
     long latestLogMicros(long nowMicros) {
-        return latestLogMicros(last, nowMicros);
+        return latestLogMicros(latestView, nowMicros);
     }
 
     /** The log's time is not later than this, for whoever has this view and a clock of its own. */
@@ -102,7 +103,7 @@
      * was one.
      */
     public long appliedGrantIndex() {
-        return goneBy;
+        return appliedGrantIndex;
     }
 
     public long incarnation() {
@@ -111,6 +112,6 @@
 
     /** A later start of the same name has taken this one's place. */
     public boolean isReplaced() {
-        return own != null && own.incarnation() > incarnation;
+        return ownMember != null && ownMember.incarnation() > incarnation;
     }
 }
--- a/core/src/main/java/postgrade/member/Member.java
+++ b/core/src/main/java/postgrade/member/Member.java
@@ -79,7 +79,7 @@
 
     /** How many renewed in time: over these the rates are split. */
     public static int alive(Rows rows, long micros) {
-        return (int) all(rows).stream().filter(m -> m.alive(micros)).count();
+        return (int) all(rows).stream().filter(member -> member.alive(micros)).count();
     }
 
     public boolean alive(long micros) {
@@ -99,23 +99,23 @@
         return lingers(micros, terms) ? Math.min(share, MembershipTerms.EVEN_SHARE) : terms.floor();
     }
 
-    Member with(long newShare, long at) {
-        boolean less = newShare < share;
+    Member withShare(long newShare, long index) {
+        boolean shrinks = newShare < share;
         return new Member(
                 name,
                 incarnation,
                 leaseEndMicros,
                 newShare,
-                at,
-                less ? Math.max(revokedShare, share) : revokedShare,
-                less ? Math.max(revokedUntilMicros, leaseEndMicros) : revokedUntilMicros);
+                index,
+                shrinks ? Math.max(revokedShare, share) : revokedShare,
+                shrinks ? Math.max(revokedUntilMicros, leaseEndMicros) : revokedUntilMicros);
     }
 
-    Member withLeaseEnd(long later) {
+    Member withLeaseEnd(long newEndMicros) {
         return new Member(
                 name,
                 incarnation,
-                Math.max(leaseEndMicros, later),
+                Math.max(leaseEndMicros, newEndMicros),
                 share,
                 grantIndex,
                 revokedShare,
--- a/core/src/main/java/postgrade/member/MembershipPart.java
+++ b/core/src/main/java/postgrade/member/MembershipPart.java
@@ -32,8 +32,9 @@
     /**
      * @param grant the one gone by, from {@link EffectiveShare#appliedGrantIndex()}
      */
-    public static Command renew(String name, long incarnation, long grant) {
-        return new Command("", name, incarnation, Member.PART, "renew", Row.of("grant", grant));
+    public static Command renew(String name, long incarnation, long grantIndex) {
+        return new Command(
+                "", name, incarnation, Member.PART, "renew", Row.of("grant", grantIndex));
     }
 
     /**
@@ -45,153 +46,174 @@
     }
 
     @Override
-    public Answer apply(Rows rows, Moment at, Command c) {
-        if (!NAME.matcher(c.from()).matches()) {
+    public Answer apply(Rows rows, Moment at, Command command) {
+        if (!NAME.matcher(command.from()).matches()) {
             return Answer.faulty(
                     "name must be 1 to 100 letters, digits, dots, dashes, colons or underscores");
         }
-        Member m = Member.of(rows, c.from());
-        if (m != null && c.incarnation() < m.incarnation()) {
+        Member member = Member.of(rows, command.from());
+        if (member != null && command.incarnation() < member.incarnation()) {
             return Answer.conflict(
                     "incarnation "
-                            + c.incarnation()
+                            + command.incarnation()
                             + " of "
-                            + c.from()
+                            + command.from()
                             + " is below "
-                            + m.incarnation());
+                            + member.incarnation());
         }
-        return switch (c.verb()) {
-            case "join" -> join(rows, at, c, m);
+        return switch (command.verb()) {
+            case "join" -> join(rows, at, command, member);
             case "renew", "leave" ->
-                    m == null || c.incarnation() > m.incarnation()
+                    member == null || command.incarnation() > member.incarnation()
                             ? Answer.unknown(
-                                    "name " + c.from() + " has not joined with this incarnation")
-                            : c.verb().equals("renew") ? renew(rows, at, c, m) : leave(rows, at, m);
-            default -> Answer.unknown("verb " + c.verb() + " is not known to members");
+                                    "name "
+                                            + command.from()
+                                            + " has not joined with this incarnation")
+                            : command.verb().equals("renew")
+                                    ? renew(rows, at, command, member)
+                                    : leave(rows, at, member);
+            default -> Answer.unknown("verb " + command.verb() + " is not known to members");
         };
     }
 
-    private Answer join(Rows rows, Moment at, Command c, Member m) {
-        MembershipTerms asked = MembershipTerms.of(c.args());
+    private Answer join(Rows rows, Moment at, Command command, Member member) {
+        MembershipTerms requested = MembershipTerms.of(command.args());
         MembershipTerms terms = Member.terms(rows);
-        if (terms != null && !terms.equals(asked)) {
+        if (terms != null && !terms.equals(requested)) {
             if (Member.all(rows).stream()
-                    .anyMatch(o -> o.alive(at.micros()) || o.lingers(at.micros(), terms))) {
+                    .anyMatch(
+                            other ->
+                                    other.alive(at.micros())
+                                            || other.lingers(at.micros(), terms))) {
                 return Answer.conflict(
-                        asked.difference(terms) + " differs from what the members agreed on");
+                        requested.firstDifference(terms)
+                                + " differs from what the members agreed on");
             }
             // Nobody uses more than its floor any more; the former places go with the former terms.
             rows.ofPart(Member.PART).keySet().forEach(name -> rows.remove(Member.PART, name));
-            m = null;
+            member = null;
         }
-        if (m == null && rows.count(Member.PART) >= asked.places() && !makeRoom(rows, at, asked)) {
+        if (member == null
+                && rows.count(Member.PART) >= requested.places()
+                && !evictLongestExpired(rows, at, requested)) {
             return Answer.conflict(
-                    "name " + c.from() + " is one more than the " + asked.places() + " places");
+                    "name "
+                            + command.from()
+                            + " is one more than the "
+                            + requested.places()
+                            + " places");
         }
-        Member.terms(rows, asked);
-        long until = at.micros() + asked.leaseMicros();
-        if (m != null && m.incarnation() == c.incarnation()) {
-            return stored(
+        Member.terms(rows, requested);
+        long leaseEndMicros = at.micros() + requested.leaseMicros();
+        if (member != null && member.incarnation() == command.incarnation()) {
+            return storeAndReallocate(
                     rows,
                     at,
-                    back(m, at, asked).withLeaseEnd(until),
-                    asked); // A join that came twice, or late.
+                    resumeIfExpired(member, at, requested).withLeaseEnd(leaseEndMicros),
+                    requested); // A join that came twice, or late.
         }
         // A former incarnation of the name has ended before this one joins, so what it held is this
         // one's; also what was
         // taken back and is in use to the end of its lease: in an upgrade this one went by the
         // former's row.
         Member joined =
-                m == null
+                member == null
                         ? new Member(
-                                c.from(), c.incarnation(), until, asked.floor(), at.index(), 0, 0)
+                                command.from(),
+                                command.incarnation(),
+                                leaseEndMicros,
+                                requested.floor(),
+                                at.index(),
+                                0,
+                                0)
                         : new Member(
-                                c.from(),
-                                c.incarnation(),
-                                Math.max(m.leaseEndMicros(), until),
-                                Math.min(m.share(), m.reserved(at.micros(), asked)),
+                                command.from(),
+                                command.incarnation(),
+                                Math.max(member.leaseEndMicros(), leaseEndMicros),
+                                Math.min(member.share(), member.reserved(at.micros(), requested)),
                                 at.index(),
-                                m.alive(at.micros()) ? m.revokedShare() : 0,
-                                m.alive(at.micros()) ? m.revokedUntilMicros() : 0);
-        return stored(rows, at, joined, asked);
+                                member.alive(at.micros()) ? member.revokedShare() : 0,
+                                member.alive(at.micros()) ? member.revokedUntilMicros() : 0);
+        return storeAndReallocate(rows, at, joined, requested);
     }
 
     /** Forgets the one that is gone for longest. */
-    private static boolean makeRoom(Rows rows, Moment at, MembershipTerms terms) {
-        Member longest =
+    private static boolean evictLongestExpired(Rows rows, Moment at, MembershipTerms terms) {
+        Member longestExpired =
                 Member.all(rows).stream()
                         .filter(m -> !m.alive(at.micros()) && !m.lingers(at.micros(), terms))
                         .min(Comparator.comparingLong(Member::leaseEndMicros))
                         .orElse(null);
-        if (longest != null) {
-            rows.remove(Member.PART, longest.name());
+        if (longestExpired != null) {
+            rows.remove(Member.PART, longestExpired.name());
         }
-        return longest != null;
+        return longestExpired != null;
     }
 
-    private Answer renew(Rows rows, Moment at, Command c, Member m) {
+    private Answer renew(Rows rows, Moment at, Command command, Member member) {
         MembershipTerms terms = Member.terms(rows);
-        long grant = c.args().integer("grant");
-        Member now =
-                m.alive(at.micros()) && grant == m.grantIndex()
-                        ? m.withoutRevokedShare()
-                        : back(m, at, terms);
-        return stored(rows, at, now.withLeaseEnd(at.micros() + terms.leaseMicros()), terms);
+        long grantIndex = command.args().integer("grant");
+        Member updated =
+                member.alive(at.micros()) && grantIndex == member.grantIndex()
+                        ? member.withoutRevokedShare()
+                        : resumeIfExpired(member, at, terms);
+        return storeAndReallocate(
+                rows, at, updated.withLeaseEnd(at.micros() + terms.leaseMicros()), terms);
     }
 
     /** One whose lease was over begins with what was kept for it. */
-    private static Member back(Member m, Moment at, MembershipTerms terms) {
-        return m.alive(at.micros())
-                ? m
+    private static Member resumeIfExpired(Member member, Moment at, MembershipTerms terms) {
+        return member.alive(at.micros())
+                ? member
                 : new Member(
-                        m.name(),
-                        m.incarnation(),
-                        m.leaseEndMicros(),
-                        Math.min(m.share(), m.reserved(at.micros(), terms)),
+                        member.name(),
+                        member.incarnation(),
+                        member.leaseEndMicros(),
+                        Math.min(member.share(), member.reserved(at.micros(), terms)),
                         at.index(),
                         0,
                         0);
     }
 
-    private Answer leave(Rows rows, Moment at, Member m) {
+    private Answer leave(Rows rows, Moment at, Member member) {
         Member left =
                 new Member(
-                        m.name(),
-                        m.incarnation(),
-                        Math.min(m.leaseEndMicros(), at.micros()),
-                        Math.min(m.share(), MembershipTerms.EVEN_SHARE),
+                        member.name(),
+                        member.incarnation(),
+                        Math.min(member.leaseEndMicros(), at.micros()),
+                        Math.min(member.share(), MembershipTerms.EVEN_SHARE),
                         at.index(),
                         0,
                         0);
-        return stored(rows, at, left, Member.terms(rows));
+        return storeAndReallocate(rows, at, left, Member.terms(rows));
     }
 
-    private Answer stored(Rows rows, Moment at, Member m, MembershipTerms terms) {
-        rows.put(Member.PART, m.name(), m.row());
-        settle(rows, at, terms);
-        Member now = Member.of(rows, m.name());
+    private Answer storeAndReallocate(Rows rows, Moment at, Member member, MembershipTerms terms) {
+        rows.put(Member.PART, member.name(), member.row());
+        reallocate(rows, at, terms);
+        Member updated = Member.of(rows, member.name());
         return Answer.done(
                 "",
                 Row.of(
                         "until",
-                        now.leaseEndMicros(),
+                        updated.leaseEndMicros(),
                         "share",
-                        now.share(),
+                        updated.share(),
                         "grant",
-                        now.grantIndex()));
+                        updated.grantIndex()));
     }
 
     @Override
     public void advance(Rows rows, Moment at) {
         MembershipTerms terms = Member.terms(rows);
         if (terms != null) {
-            settle(rows, at, terms);
+            reallocate(rows, at, terms);
         }
     }
 
-    private void settle(Rows rows, Moment at, MembershipTerms terms) {
+    private void reallocate(Rows rows, Moment at, MembershipTerms terms) {
         List<Member> before = Member.all(rows);
-        List<Member> after = allocation(terms, at, before).done();
+        List<Member> after = allocation(terms, at, before).result();
         for (int i = 0;
                 i < after.size();
                 i++) { // Both by name. Most of the time nothing has changed.
--- a/core/src/main/java/postgrade/member/MembershipTerms.java
+++ b/core/src/main/java/postgrade/member/MembershipTerms.java
@@ -20,14 +20,14 @@
 public record MembershipTerms(int places, long leaseMicros, long lingerMicros, long floor) {
 
     public static final long EVEN_SHARE = 1_000_000;
-    private static final int MOST_PLACES = 1000;
-    private static final long SHORTEST_LEASE = 2 * EffectiveShare.MAX_UNCOMMITTED_MICROS;
-    private static final long LONGEST = 3_600_000_000L;
+    private static final int MAX_PLACES = 1000;
+    private static final long MIN_LEASE_MICROS = 2 * EffectiveShare.MAX_UNCOMMITTED_MICROS;
+    private static final long MAX_DURATION_MICROS = 3_600_000_000L;
 
     public MembershipTerms {
-        check("places", places, 1, MOST_PLACES);
-        check("leaseMicros", leaseMicros, SHORTEST_LEASE, LONGEST);
-        check("lingerMicros", lingerMicros, 0, LONGEST);
+        check("places", places, 1, MAX_PLACES);
+        check("leaseMicros", leaseMicros, MIN_LEASE_MICROS, MAX_DURATION_MICROS);
+        check("lingerMicros", lingerMicros, 0, MAX_DURATION_MICROS);
         check("floor", floor, 1, EVEN_SHARE);
     }
 
@@ -36,16 +36,15 @@
         return new MembershipTerms(places, 6_000_000, 20_000_000, EVEN_SHARE / 4);
     }
 
-    private static void check(String field, long value, long least, long most) {
-        if (value < least || value > most) {
-            throw new Row.InvalidFieldException(
-                    field, "must lie between " + least + " and " + most);
+    private static void check(String field, long value, long min, long max) {
+        if (value < min || value > max) {
+            throw new Row.InvalidFieldException(field, "must lie between " + min + " and " + max);
         }
     }
 
     static MembershipTerms of(Row row) {
         return new MembershipTerms(
-                (int) row.integer("places", 1, MOST_PLACES),
+                (int) row.integer("places", 1, MAX_PLACES),
                 row.integer("leaseMicros"),
                 row.integer("lingerMicros"),
                 row.integer("floor"));
@@ -63,12 +62,12 @@
                 floor);
     }
 
-    long whole() {
+    long totalShare() {
         return places * EVEN_SHARE;
     }
 
     /** The name of the first that differs, or null. */
-    String difference(MembershipTerms other) {
+    String firstDifference(MembershipTerms other) {
         return places != other.places
                 ? "places"
                 : leaseMicros != other.leaseMicros
--- a/core/src/main/java/postgrade/member/OutOfServicePart.java
+++ b/core/src/main/java/postgrade/member/OutOfServicePart.java
@@ -17,9 +17,9 @@
     static final String PART = "out";
 
     /** Guards the state against a caller that names ever new workers. */
-    private static final int MOST = 10_000;
+    private static final int MAX_WORKERS = 10_000;
 
-    private static final int LONGEST_ID = 200;
+    private static final int MAX_ID_LENGTH = 200;
 
     @Override
     public String name() {
@@ -42,32 +42,32 @@
     }
 
     @Override
-    public Answer apply(Rows rows, Moment at, Command c) {
-        String worker = c.args().text("worker");
-        if (worker.isEmpty() || worker.length() > LONGEST_ID) {
+    public Answer apply(Rows rows, Moment at, Command command) {
+        String worker = command.args().text("worker");
+        if (worker.isEmpty() || worker.length() > MAX_ID_LENGTH) {
             throw new Row.InvalidFieldException(
-                    "worker", "must have 1 to " + LONGEST_ID + " characters");
+                    "worker", "must have 1 to " + MAX_ID_LENGTH + " characters");
         }
-        Row out = rows.get(PART, worker);
-        switch (c.verb()) {
+        Row entry = rows.get(PART, worker);
+        switch (command.verb()) {
             case "exit":
-                if (out == null && rows.count(PART) >= MOST) {
+                if (entry == null && rows.count(PART) >= MAX_WORKERS) {
                     return Answer.conflict(
-                            "worker is one more than the " + MOST + " that may be out");
+                            "worker is one more than the " + MAX_WORKERS + " that may be out");
                 }
-                if (out == null) {
-                    out = Row.of("since", at.micros(), "by", c.from());
-                    rows.put(PART, worker, out);
+                if (entry == null) {
+                    entry = Row.of("since", at.micros(), "by", command.from());
+                    rows.put(PART, worker, entry);
                 }
-                return Answer.done("worker " + worker + " is out", out);
+                return Answer.done("worker " + worker + " is out", entry);
             case "enter":
-                if (out == null) {
+                if (entry == null) {
                     return Answer.unknown("worker " + worker + " is not out");
                 }
                 rows.remove(PART, worker);
-                return Answer.done("worker " + worker + " is back", out);
+                return Answer.done("worker " + worker + " is back", entry);
             default:
-                return Answer.unknown("verb " + c.verb() + " is not known to workers out");
+                return Answer.unknown("verb " + command.verb() + " is not known to workers out");
         }
     }
 }
--- a/core/src/main/java/postgrade/member/ShareAllocation.java
+++ b/core/src/main/java/postgrade/member/ShareAllocation.java
@@ -18,97 +18,100 @@
     private final Moment at;
     private final SortedMap<String, Member> members = new TreeMap<>();
 
-    ShareAllocation(MembershipTerms terms, Moment at, List<Member> before) {
+    ShareAllocation(MembershipTerms terms, Moment at, List<Member> previous) {
         this.terms = terms;
         this.at = at;
-        before.forEach(m -> members.put(m.name(), after(m)));
+        previous.forEach(member -> members.put(member.name(), applyExpiry(member)));
     }
 
     /** What changes of itself: a lease or a linger is over. */
-    private Member after(Member m) {
+    private Member applyExpiry(Member member) {
         long now = at.micros();
-        if (!m.alive(now)) {
-            long most = m.lingers(now, terms) ? MembershipTerms.EVEN_SHARE : terms.floor();
-            if (m.share() > most || m.revokedShare() > 0) {
+        if (!member.alive(now)) {
+            long limit = member.lingers(now, terms) ? MembershipTerms.EVEN_SHARE : terms.floor();
+            if (member.share() > limit || member.revokedShare() > 0) {
                 return new Member(
-                        m.name(),
-                        m.incarnation(),
-                        m.leaseEndMicros(),
-                        Math.min(m.share(), most),
+                        member.name(),
+                        member.incarnation(),
+                        member.leaseEndMicros(),
+                        Math.min(member.share(), limit),
                         at.index(),
                         0,
                         0);
             }
         }
-        return now >= m.revokedUntilMicros() && m.revokedShare() > 0 ? m.withoutRevokedShare() : m;
+        return now >= member.revokedUntilMicros() && member.revokedShare() > 0
+                ? member.withoutRevokedShare()
+                : member;
     }
 
     /** The members as they stand afterwards. */
-    List<Member> done() {
+    List<Member> result() {
         long now = at.micros();
         List<Member> alive = new ArrayList<>();
-        long kept = (terms.places() - members.size()) * unseen();
-        for (Member m : members.values()) {
-            if (m.alive(now)) {
-                alive.add(m);
+        long reserved = (terms.places() - members.size()) * reservePerUnjoinedPlace();
+        for (Member member : members.values()) {
+            if (member.alive(now)) {
+                alive.add(member);
             } else {
-                kept += m.reserved(now, terms);
+                reserved += member.reserved(now, terms);
             }
         }
-        if (!alive.isEmpty() && !quiet()) {
-            long target = Math.max(terms.floor(), (terms.whole() - kept) / alive.size());
-            alive.forEach(m -> lower(m, target));
+        if (!alive.isEmpty() && !inQuietPeriod()) {
+            long target = Math.max(terms.floor(), (terms.totalShare() - reserved) / alive.size());
+            alive.forEach(member -> lower(member, target));
             raise(alive, target);
         }
         return List.copyOf(members.values());
     }
 
-    private void lower(Member m, long target) {
-        if (m.share() > target) {
-            members.put(m.name(), m.with(target, at.index()));
+    private void lower(Member member, long target) {
+        if (member.share() > target) {
+            members.put(member.name(), member.withShare(target, at.index()));
         }
     }
 
     /** Those that have least first. */
     private void raise(List<Member> alive, long target) {
-        long free = free();
-        List<Member> least = new ArrayList<>(alive);
-        least.sort(Comparator.comparingLong(Member::share).thenComparing(Member::name));
-        for (Member was : least) {
-            Member m = members.get(was.name());
+        long unreserved = unreserved();
+        List<Member> smallestFirst = new ArrayList<>(alive);
+        smallestFirst.sort(Comparator.comparingLong(Member::share).thenComparing(Member::name));
+        for (Member candidate : smallestFirst) {
+            Member member = members.get(candidate.name());
             // What it may still use of a greater share is its own already.
-            long spare = Math.max(0, m.reserved(at.micros(), terms) - m.share());
-            long more = Math.min(target - m.share(), free + spare);
-            if (more > 0) {
-                members.put(m.name(), m.with(m.share() + more, at.index()));
-                free -= Math.max(0, more - spare);
+            long stillReserved = Math.max(0, member.reserved(at.micros(), terms) - member.share());
+            long increase = Math.min(target - member.share(), unreserved + stillReserved);
+            if (increase > 0) {
+                members.put(member.name(), member.withShare(member.share() + increase, at.index()));
+                unreserved -= Math.max(0, increase - stillReserved);
             }
         }
     }
 
     /** What is reserved for nobody. */
-    long free() {
-        long free = terms.whole() - (terms.places() - members.size()) * unseen();
-        for (Member m : members.values()) {
-            free -= m.reserved(at.micros(), terms);
+    long unreserved() {
+        long unreserved =
+                terms.totalShare() - (terms.places() - members.size()) * reservePerUnjoinedPlace();
+        for (Member member : members.values()) {
+            unreserved -= member.reserved(at.micros(), terms);
         }
-        return free;
+        return unreserved;
     }
 
     /**
      * Whoever holds a place and has not joined: it may be cut off, with a share from before the
      * era.
      */
-    private long unseen() {
-        long lastUsed = (at.era() > 1 ? terms.leaseMicros() : 0) + terms.lingerMicros();
-        return at.micros() < lastUsed ? MembershipTerms.EVEN_SHARE : terms.floor();
+    private long reservePerUnjoinedPlace() {
+        long lastUseMicros = (at.era() > 1 ? terms.leaseMicros() : 0) + terms.lingerMicros();
+        return at.micros() < lastUseMicros ? MembershipTerms.EVEN_SHARE : terms.floor();
     }
 
     /**
      * Shares of an earlier era may still be in use, of any size: nothing is granted until their
      * leases are over.
      */
-    private boolean quiet() {
+    private boolean inQuietPeriod() {
         return at.era() > 1 && at.micros() < terms.leaseMicros() && members.size() < terms.places();
     }
 }
--- a/core/src/main/java/postgrade/recovery/AdmissionRamp.java
+++ b/core/src/main/java/postgrade/recovery/AdmissionRamp.java
@@ -8,52 +8,57 @@
 public final class AdmissionRamp {
 
     private static final long WINDOW_MICROS = 100_000;
-    private static final double GROW = 1.35;
-    private static final double SHRINK = 0.7;
+    private static final double GROWTH_FACTOR = 1.35;
+    private static final double SHRINK_FACTOR = 0.7;
 
     /** This part of answers may say full; a few do on any day. */
-    private static final double FULL_PART = 0.05;
+    private static final double TOLERATED_FULL_SHARE = 0.05;
 
-    private static final double LEAST = 0.02;
+    private static final double MIN_SHARE = 0.02;
 
-    private final double start;
-    private double part;
-    private long windowAt;
-    private int taken;
-    private int full;
+    private final double initialShare;
+    private double share;
+    private long windowStartMicros;
+    private int acceptedCount;
+    private int fullCount;
 
     /**
      * @param able what the known workers can do now, as a part of what they can do once all are
      *     warm
      */
-    public AdmissionRamp(long nowMicros, double able) {
-        start = Math.max(LEAST, Math.min(1, Double.isNaN(able) ? LEAST : able));
-        part = start;
-        windowAt = nowMicros;
+    public AdmissionRamp(long nowMicros, double warmCapacityShare) {
+        initialShare =
+                Math.max(
+                        MIN_SHARE,
+                        Math.min(
+                                1,
+                                Double.isNaN(warmCapacityShare) ? MIN_SHARE : warmCapacityShare));
+        share = initialShare;
+        windowStartMicros = nowMicros;
     }
 
     /** A worker took a job, or said that it is full. */
-    public void recordAnswer(boolean saidFull) {
-        if (saidFull) {
-            full++;
+    public void recordAnswer(boolean full) {
+        if (full) {
+            fullCount++;
         } else {
-            taken++;
+            acceptedCount++;
         }
     }
 
     /** Part of the jobs to take in; 1 once it is over, and then for good. */
     public double admittedShare(long nowMicros) {
-        if (nowMicros - windowAt >= WINDOW_MICROS && part < 1) {
-            windowAt = nowMicros;
-            if (full > FULL_PART * (full + taken)) {
-                part = Math.max(LEAST, part * SHRINK);
-            } else if (taken > 0) {
-                part = Math.min(1, part * GROW);
+        if (nowMicros - windowStartMicros >= WINDOW_MICROS && share < 1) {
+            windowStartMicros = nowMicros;
+            if (fullCount > TOLERATED_FULL_SHARE * (fullCount + acceptedCount)) {
+                share = Math.max(MIN_SHARE, share * SHRINK_FACTOR);
+            } else if (acceptedCount > 0) {
+                share = Math.min(1, share * GROWTH_FACTOR);
             }
-            taken = 0;
-            full = 0;
+            acceptedCount = 0;
+            fullCount = 0;
         }
-        return part;
+        return share;
     }
 
     /** Whether this job is among those taken in; the same for whoever asks again. */
--- a/core/src/main/java/postgrade/recovery/Words.java
+++ b/core/src/main/java/postgrade/recovery/AsciiEscape.java
@@ -3,9 +3,9 @@
 /**
  * Words of ASCII without blanks, for names of any characters. An empty name is a lone backslash.
  */
-final class Words {
+final class AsciiEscape {
 
-    private Words() {}
+    private AsciiEscape() {}
 
     static String escape(String name) {
         if (name.isEmpty()) {
@@ -23,7 +23,7 @@
         return word.toString();
     }
 
-    static String plain(String word) {
+    static String unescape(String word) {
         if (word.equals("\\")) {
             return "";
         }
--- a/core/src/main/java/postgrade/recovery/ConnectionPacer.java
+++ b/core/src/main/java/postgrade/recovery/ConnectionPacer.java
@@ -17,86 +17,93 @@
      * Guards the memory against worker ids without end; those that went are forgotten first come,
      * first gone.
      */
-    private static final int MOST_WORKERS = 10_000;
+    private static final int MAX_WORKERS = 10_000;
 
-    private final int places;
-    private final int place;
+    private final int processCount;
+    private final int processIndex;
     private final double multiple;
-    private final Map<String, Pacer> gates = new HashMap<>();
+    private final Map<String, Pacer> pacers = new HashMap<>();
 
     /**
      * When it was first asked: what passed before, while nobody was served, is no time in which
      * others were spared.
      */
-    private long begunMicros = -1;
+    private long startMicros = -1;
 
-    private ThunderingHerdLimits stampede;
-    private long keptMicros;
-    private int alive;
-    private long forced;
+    private ThunderingHerdLimits limits;
+    private long idleTimeoutMicros;
+    private int liveMembers;
+    private long forcedConnections;
 
     /**
      * @param place of this process among all, from 0
      */
-    public ConnectionPacer(int places, int place, double multiple, long keptMicros) {
-        this.places = places;
-        this.place = place;
+    public ConnectionPacer(
+            int processCount, int processIndex, double multiple, long idleTimeoutMicros) {
+        this.processCount = processCount;
+        this.processIndex = processIndex;
         this.multiple = multiple;
-        kept(keptMicros);
+        setIdleTimeout(idleTimeoutMicros);
     }
 
-    private void kept(long micros) {
-        keptMicros = micros;
-        double perWorker = places * 1e6 / Math.max(1, micros);
-        stampede =
+    private void setIdleTimeout(long timeoutMicros) {
+        idleTimeoutMicros = timeoutMicros;
+        double perWorker = processCount * 1e6 / Math.max(1, timeoutMicros);
+        limits =
                 new ThunderingHerdLimits(
-                        new SteadyRates(0, 0, perWorker, 0, 0), multiple, places, place);
+                        new SteadyRates(0, 0, perWorker, 0, 0),
+                        multiple,
+                        processCount,
+                        processIndex);
     }
 
     /**
      * @param members that live, 0 where nobody knows @param idleMicros for how long an idle
      *     connection is kept now
      */
-    public void update(long nowMicros, int members, long idleMicros) {
-        if (members != alive || idleMicros != keptMicros) {
-            alive = members;
-            kept(idleMicros);
-            gates.values()
+    public void update(long nowMicros, int members, long newIdleTimeoutMicros) {
+        if (members != liveMembers || newIdleTimeoutMicros != idleTimeoutMicros) {
+            liveMembers = members;
+            setIdleTimeout(newIdleTimeoutMicros);
+            pacers.values()
                     .forEach(
-                            g -> g.setRate(nowMicros, stampede.perSecond(LoadKind.CONNECT, alive)));
+                            pacer ->
+                                    pacer.setRate(
+                                            nowMicros,
+                                            limits.perSecond(LoadKind.CONNECT, liveMembers)));
         }
     }
 
-    private Pacer gate(long nowMicros, String worker) {
-        begunMicros = begunMicros < 0 ? nowMicros : begunMicros;
-        if (gates.size() > MOST_WORKERS) {
-            gates.clear();
+    private Pacer pacer(long nowMicros, String worker) {
+        startMicros = startMicros < 0 ? nowMicros : startMicros;
+        if (pacers.size() > MAX_WORKERS) {
+            pacers.clear();
         }
         // All gates count from the start: a worker that is called on later has been left alone as
         // long.
-        return gates.computeIfAbsent(
-                worker, w -> stampede.pacer(begunMicros, LoadKind.CONNECT, alive, w));
+        return pacers.computeIfAbsent(
+                worker, id -> limits.pacer(startMicros, LoadKind.CONNECT, liveMembers, id));
     }
 
     /** Whether one may be opened now. */
     public boolean mayConnect(long nowMicros, String worker) {
-        return gate(nowMicros, worker).waitMicros(nowMicros) == 0;
+        return pacer(nowMicros, worker).waitMicros(nowMicros) == 0;
     }
 
     /** One is to be opened: true if it may, and then it is counted; it is too if it must. */
-    public boolean tryConnect(long nowMicros, String worker, boolean must) {
-        if (gate(nowMicros, worker).tryAcquire(nowMicros)) {
+    public boolean tryConnect(long nowMicros, String worker, boolean required) {
+        if (pacer(nowMicros, worker).tryAcquire(nowMicros)) {
             return true;
         }
-        if (must) {
-            forced++;
-            gate(nowMicros, worker).forceAcquire(nowMicros);
+        if (required) {
+            forcedConnections++;
+            pacer(nowMicros, worker).forceAcquire(nowMicros);
         }
         return false;
     }
 
     /** How many were opened because they must. */
     public long forcedCount() {
-        return forced;
+        return forcedConnections;
     }
 }
--- a/core/src/main/java/postgrade/recovery/LearntSnapshot.java
+++ b/core/src/main/java/postgrade/recovery/LearntSnapshot.java
@@ -40,11 +40,11 @@
             List<PolicyStateEntry> learnt,
             Map<String, Long> startedMillis) {
         List<Entry> figures = new ArrayList<>();
-        for (PolicyStateEntry l : learnt) {
-            if (!Trust.ofWorker(l)) {
-                figures.add(new Entry(l, 0));
-            } else if (startedMillis.containsKey(l.name())) {
-                figures.add(new Entry(l, startedMillis.get(l.name())));
+        for (PolicyStateEntry entry : learnt) {
+            if (!LearntStateAging.isWorkerState(entry)) {
+                figures.add(new Entry(entry, 0));
+            } else if (startedMillis.containsKey(entry.name())) {
+                figures.add(new Entry(entry, startedMillis.get(entry.name())));
             }
         }
         return new LearntSnapshot(dispatcher, nowMicros, served, figures);
@@ -62,14 +62,15 @@
      */
     public List<PolicyStateEntry> trustedEntries(long nowMicros, Map<String, Long> startedMillis) {
         List<PolicyStateEntry> trusted = new ArrayList<>();
-        for (Entry f : entries) {
-            Long started = startedMillis.get(f.learnt().name());
+        for (Entry entry : entries) {
+            Long startedNow = startedMillis.get(entry.learnt().name());
             // A worker that is not listed, or has started since, is not the one of which this was
             // learnt.
-            if (!Trust.ofWorker(f.learnt()) || started != null && started <= f.startedMillis()) {
-                PolicyStateEntry faded = Trust.aged(f.learnt(), ageMicros(nowMicros));
-                if (faded != null) {
-                    trusted.add(faded);
+            if (!LearntStateAging.isWorkerState(entry.learnt())
+                    || startedNow != null && startedNow <= entry.startedMillis()) {
+                PolicyStateEntry aged = LearntStateAging.aged(entry.learnt(), ageMicros(nowMicros));
+                if (aged != null) {
+                    trusted.add(aged);
                 }
             }
         }
--- a/core/src/main/java/postgrade/recovery/LearntSnapshotFormat.java
+++ b/core/src/main/java/postgrade/recovery/LearntSnapshotFormat.java
@@ -17,38 +17,38 @@
     static final int VERSION = 1;
 
     /** Larger ones are neither written nor read. */
-    static final int MOST_BYTES = 8 << 20;
+    static final int MAX_BYTES = 8 << 20;
 
-    private static final int MOST_FIGURES = 20_000;
-    private static final int MOST_NUMBERS = 1000;
+    private static final int MAX_ENTRIES = 20_000;
+    private static final int MAX_VALUES_PER_ENTRY = 1000;
     private static final String MAGIC = "postgrade-memory";
-    private static final int LONGEST_HEAD = 80;
+    private static final int MAX_HEADER_BYTES = 80;
 
     /** Clocks that were set back by less are nothing to worry about. */
-    private static final long AHEAD_MICROS = 5_000_000;
+    private static final long MAX_CLOCK_SKEW_MICROS = 5_000_000;
 
     private LearntSnapshotFormat() {}
 
     /** Figures beyond the bounds are left out, those told first stay. */
-    public static byte[] write(LearntSnapshot m) {
+    public static byte[] write(LearntSnapshot snapshot) {
         StringBuilder body = new StringBuilder();
-        body.append("dispatcher ").append(Words.escape(m.dispatcher())).append('\n');
+        body.append("dispatcher ").append(AsciiEscape.escape(snapshot.dispatcher())).append('\n');
         body.append("saved ")
-                .append(m.savedMicros())
+                .append(snapshot.savedMicros())
                 .append(' ')
-                .append(m.servedShare())
+                .append(snapshot.servedShare())
                 .append('\n');
         int written = 0;
-        for (Entry f : m.entries()) {
-            String line = line(f);
-            if (written++ == MOST_FIGURES
-                    || body.length() + line.length() > MOST_BYTES - LONGEST_HEAD) {
+        for (Entry entry : snapshot.entries()) {
+            String line = formatEntry(entry);
+            if (written++ == MAX_ENTRIES
+                    || body.length() + line.length() > MAX_BYTES - MAX_HEADER_BYTES) {
                 break;
             }
             body.append(line);
         }
         String text = body.toString();
-        return Words.bytes(
+        return AsciiEscape.bytes(
                 MAGIC
                         + " "
                         + VERSION
@@ -60,25 +60,25 @@
                         + text);
     }
 
-    private static String line(Entry f) {
+    private static String formatEntry(Entry entry) {
         StringBuilder line =
-                new StringBuilder(Words.escape(f.learnt().category()))
+                new StringBuilder(AsciiEscape.escape(entry.learnt().category()))
                         .append(' ')
-                        .append(Words.escape(f.learnt().name()))
+                        .append(AsciiEscape.escape(entry.learnt().name()))
                         .append(' ')
-                        .append(f.startedMillis());
-        double[] figures = f.learnt().values();
-        for (int i = 0; i < figures.length && i < MOST_NUMBERS; i++) {
-            line.append(' ').append(Double.isFinite(figures[i]) ? figures[i] : 0.0);
+                        .append(entry.startedMillis());
+        double[] values = entry.learnt().values();
+        for (int i = 0; i < values.length && i < MAX_VALUES_PER_ENTRY; i++) {
+            line.append(' ').append(Double.isFinite(values[i]) ? values[i] : 0.0);
         }
         return line.append('\n').toString();
     }
 
     private static String checksum(int version, String body) {
-        CRC32C sum = new CRC32C();
-        sum.update(Words.bytes(version + " " + body.length() + "\n"));
-        sum.update(Words.bytes(body));
-        return String.format("%08x", sum.getValue());
+        CRC32C crc = new CRC32C();
+        crc.update(AsciiEscape.bytes(version + " " + body.length() + "\n"));
+        crc.update(AsciiEscape.bytes(body));
+        return String.format("%08x", crc.getValue());
     }
 
     /**
@@ -87,42 +87,44 @@
      */
     public static LearntSnapshot read(byte[] bytes, String dispatcher, long nowMicros)
             throws UnusableSnapshotException {
-        LearntSnapshot m = parse(body(bytes));
-        if (!m.dispatcher().equals(dispatcher)) {
+        LearntSnapshot snapshot = parse(body(bytes));
+        if (!snapshot.dispatcher().equals(dispatcher)) {
             throw new UnusableSnapshotException(
                     Fault.OTHER_DISPATCHER,
-                    "dispatcher is " + m.dispatcher() + ", not " + dispatcher);
+                    "dispatcher is " + snapshot.dispatcher() + ", not " + dispatcher);
         }
-        if (m.savedMicros() > nowMicros + AHEAD_MICROS) {
+        if (snapshot.savedMicros() > nowMicros + MAX_CLOCK_SKEW_MICROS) {
             throw new UnusableSnapshotException(
                     Fault.FROM_THE_FUTURE,
-                    "saved lies " + (m.savedMicros() - nowMicros) / 1_000_000 + " s in the future");
+                    "saved lies "
+                            + (snapshot.savedMicros() - nowMicros) / 1_000_000
+                            + " s in the future");
         }
-        return m;
+        return snapshot;
     }
 
     /** The body, once head and checksum are right. */
     private static String body(byte[] bytes) throws UnusableSnapshotException {
-        if (bytes.length > MOST_BYTES) {
+        if (bytes.length > MAX_BYTES) {
             throw new UnusableSnapshotException(
-                    Fault.TOO_LARGE, "it has more than " + MOST_BYTES + " bytes");
+                    Fault.TOO_LARGE, "it has more than " + MAX_BYTES + " bytes");
         }
-        String all = Words.text(bytes);
-        int end = all.indexOf('\n');
-        if (!all.startsWith(MAGIC) && !MAGIC.startsWith(all)) {
+        String text = AsciiEscape.text(bytes);
+        int headerEnd = text.indexOf('\n');
+        if (!text.startsWith(MAGIC) && !MAGIC.startsWith(text)) {
             throw new UnusableSnapshotException(
                     Fault.NOT_A_SNAPSHOT, "it does not begin with " + MAGIC);
         }
-        if (end < 0) {
+        if (headerEnd < 0) {
             throw new UnusableSnapshotException(Fault.TORN, "its first line does not end");
         }
-        String[] head = all.substring(0, end).split(" ", -1);
-        String body = all.substring(end + 1);
+        String[] header = text.substring(0, headerEnd).split(" ", -1);
+        String body = text.substring(headerEnd + 1);
         int version;
         int length;
         try {
-            version = Integer.parseInt(head[1]);
-            length = Integer.parseInt(head[3]);
+            version = Integer.parseInt(header[1]);
+            length = Integer.parseInt(header[3]);
         } catch (NumberFormatException | ArrayIndexOutOfBoundsException e) {
             throw new UnusableSnapshotException(Fault.FLIPPED, "its first line is damaged");
         }
@@ -130,7 +132,7 @@
             throw new UnusableSnapshotException(
                     Fault.TORN, "it has " + body.length() + " of " + length + " bytes");
         }
-        if (!all.substring(0, end)
+        if (!text.substring(0, headerEnd)
                 .equals(MAGIC + " " + version + " " + checksum(version, body) + " " + length)) {
             throw new UnusableSnapshotException(Fault.FLIPPED, "its checksum does not match");
         }
@@ -144,20 +146,20 @@
     private static LearntSnapshot parse(String body) throws UnusableSnapshotException {
         String[] lines = body.split("\n", -1);
         try {
-            String[] saved = lines[1].split(" ", -1);
-            List<Entry> figures = new ArrayList<>();
+            String[] savedLine = lines[1].split(" ", -1);
+            List<Entry> entries = new ArrayList<>();
             for (int i = 2; i < lines.length - 1; i++) {
-                figures.add(figure(lines[i].split(" ", -1)));
+                entries.add(parseEntry(lines[i].split(" ", -1)));
             }
-            if (figures.size() > MOST_FIGURES) {
+            if (entries.size() > MAX_ENTRIES) {
                 throw new UnusableSnapshotException(
-                        Fault.TOO_LARGE, "it has more than " + MOST_FIGURES + " figures");
+                        Fault.TOO_LARGE, "it has more than " + MAX_ENTRIES + " figures");
             }
             return new LearntSnapshot(
-                    Words.plain(lines[0].split(" ", -1)[1]),
-                    Long.parseLong(saved[1]),
-                    Double.parseDouble(saved[2]),
-                    figures);
+                    AsciiEscape.unescape(lines[0].split(" ", -1)[1]),
+                    Long.parseLong(savedLine[1]),
+                    Double.parseDouble(savedLine[2]),
+                    entries);
         } catch (NumberFormatException | IndexOutOfBoundsException e) {
             throw new UnusableSnapshotException(
                     Fault.MALFORMED,
@@ -165,16 +167,17 @@
         }
     }
 
-    private static Entry figure(String[] words) {
-        double[] figures = new double[words.length - 3];
-        for (int i = 0; i < figures.length; i++) {
-            figures[i] = Double.parseDouble(words[i + 3]);
-            if (!Double.isFinite(figures[i])) {
+    private static Entry parseEntry(String[] words) {
+        double[] values = new double[words.length - 3];
+        for (int i = 0; i < values.length; i++) {
+            values[i] = Double.parseDouble(words[i + 3]);
+            if (!Double.isFinite(values[i])) {
                 throw new NumberFormatException();
             }
         }
         return new Entry(
-                new PolicyStateEntry(Words.plain(words[0]), Words.plain(words[1]), figures),
+                new PolicyStateEntry(
+                        AsciiEscape.unescape(words[0]), AsciiEscape.unescape(words[1]), values),
                 Long.parseLong(words[2]));
     }
 }
--- a/core/src/main/java/postgrade/recovery/Pacer.java
+++ b/core/src/main/java/postgrade/recovery/Pacer.java
@@ -7,7 +7,7 @@
  */
 public final class Pacer {
 
-    private double perMicro;
+    private double tokensPerMicro;
     private double tokens;
     private long atMicros;
 
@@ -20,7 +20,7 @@
             throw new IllegalArgumentException(
                     "perSecond must not be negative, phase lie from 0 to below 1");
         }
-        perMicro = perSecond / 1e6;
+        tokensPerMicro = perSecond / 1e6;
         tokens = 1 - phase;
         atMicros = nowMicros;
     }
@@ -28,11 +28,11 @@
     /** More or fewer live than before. */
     public void setRate(long nowMicros, double perSecond) {
         refill(nowMicros);
-        perMicro = Math.max(0, perSecond) / 1e6;
+        tokensPerMicro = Math.max(0, perSecond) / 1e6;
     }
 
     private void refill(long nowMicros) {
-        tokens = Math.min(1, tokens + Math.max(0, nowMicros - atMicros) * perMicro);
+        tokens = Math.min(1, tokens + Math.max(0, nowMicros - atMicros) * tokensPerMicro);
         atMicros = Math.max(atMicros, nowMicros);
     }
 
@@ -57,6 +57,8 @@
         refill(nowMicros);
         return tokens >= 1 - 1e-9
                 ? 0
-                : perMicro == 0 ? Long.MAX_VALUE : (long) Math.ceil((1 - tokens) / perMicro);
+                : tokensPerMicro == 0
+                        ? Long.MAX_VALUE
+                        : (long) Math.ceil((1 - tokens) / tokensPerMicro);
     }
 }
--- a/core/src/main/java/postgrade/recovery/RecentDemand.java
+++ b/core/src/main/java/postgrade/recovery/RecentDemand.java
@@ -3,21 +3,21 @@
 /** Who asks of late, and who was turned away: a second's worth, fading. */
 public final class RecentDemand {
 
-    private static final double LATELY_MICROS = 1e6;
+    private static final double DECAY_MICROS = 1e6;
 
     /**
      * So much of the rate counts as spare at least: a width without end would bring nobody back.
      */
-    private static final double LEAST_SPARE = 0.1;
+    private static final double MIN_SPARE_SHARE = 0.1;
 
-    private double asked;
-    private double refused;
+    private double requests;
+    private double rejections;
     private long atMicros;
 
-    public void record(long nowMicros, boolean turnedAway) {
-        double keep = Math.exp(-Math.max(0, nowMicros - atMicros) / LATELY_MICROS);
-        asked = asked * keep + 1;
-        refused = refused * keep + (turnedAway ? 1 : 0);
+    public void record(long nowMicros, boolean rejected) {
+        double decay = Math.exp(-Math.max(0, nowMicros - atMicros) / DECAY_MICROS);
+        requests = requests * decay + 1;
+        rejections = rejections * decay + (rejected ? 1 : 0);
         atMicros = Math.max(atMicros, nowMicros);
     }
 
@@ -28,6 +28,6 @@
      */
     public long spreadMicros(double ratePerS) {
         return RetryAfterSpread.spreadMicros(
-                refused, Math.max(ratePerS * LEAST_SPARE, ratePerS - asked));
+                rejections, Math.max(ratePerS * MIN_SPARE_SHARE, ratePerS - requests));
     }
 }
--- a/core/src/main/java/postgrade/recovery/Recovery.java
+++ b/core/src/main/java/postgrade/recovery/Recovery.java
@@ -6,14 +6,14 @@
 
 /**
  * The phases of coming back, with the times at which each was reached. All ways from one phase to
- * another stand in {@link #WAYS} and nowhere else.
+ * another stand in {@link #TRANSITIONS} and nowhere else.
  */
 public final class Recovery {
 
     /** Full service: within this part of what was served in time before the fault. */
-    public static final double WITHIN = 0.05;
+    public static final double FULL_SERVICE_TOLERANCE = 0.05;
 
-    private static final int MOST_STEPS = 100;
+    private static final int MAX_STEPS = 100;
 
     /**
      * What can be seen of this process now.
@@ -29,16 +29,18 @@
      * @param before the same before the fault; NaN where nobody knows
      */
     public record Observation(
-            boolean remembers,
-            boolean listKnown,
+            boolean snapshotTrusted,
+            boolean workersKnown,
             long viewAgeMicros,
             boolean joined,
-            double admitted,
-            double served,
-            double before) {
-
-        boolean asBefore() {
-            return Double.isNaN(served) || Double.isNaN(before) || served >= before * (1 - WITHIN);
+            double admittedShare,
+            double servedShare,
+            double baselineShare) {
+
+        boolean servesAsBefore() {
+            return Double.isNaN(servedShare)
+                    || Double.isNaN(baselineShare)
+                    || servedShare >= baselineShare * (1 - FULL_SERVICE_TOLERANCE);
         }
     }
 
@@ -48,65 +50,65 @@
      *     by its floor
      * @param holdMicros service must have been full for so long
      */
-    public record Bounds(long viewBoundMicros, long patienceMicros, long holdMicros) {}
+    public record Bounds(long viewBoundMicros, long quorumTimeoutMicros, long fullServiceMicros) {}
 
     /** A phase, since when, and why. */
     public record Step(RecoveryPhase phase, long atMicros, String cause) {}
 
-    private record Way(
+    private record Transition(
             RecoveryPhase from,
             RecoveryPhase to,
             String cause,
-            BiPredicate<Recovery, Observation> open) {}
+            BiPredicate<Recovery, Observation> condition) {}
 
-    private static final List<Way> WAYS =
+    private static final List<Transition> TRANSITIONS =
             List.of(
-                    new Way(
+                    new Transition(
                             RecoveryPhase.EMPTY,
                             RecoveryPhase.REMEMBERING,
                             "own snapshot is trusted",
-                            (r, s) -> s.remembers),
-                    new Way(
+                            (r, s) -> s.snapshotTrusted),
+                    new Transition(
                             RecoveryPhase.EMPTY,
                             RecoveryPhase.CATCHING_UP,
                             "workers are known",
-                            (r, s) -> s.listKnown),
-                    new Way(
+                            (r, s) -> s.workersKnown),
+                    new Transition(
                             RecoveryPhase.REMEMBERING,
                             RecoveryPhase.CATCHING_UP,
                             "workers are known",
-                            (r, s) -> s.listKnown),
-                    new Way(
+                            (r, s) -> s.workersKnown),
+                    new Transition(
                             RecoveryPhase.CATCHING_UP,
                             RecoveryPhase.RAMPING,
                             "view is new and the share granted",
                             (r, s) -> s.joined && s.viewAgeMicros <= r.bounds.viewBoundMicros),
-                    new Way(
+                    new Transition(
                             RecoveryPhase.CATCHING_UP,
                             RecoveryPhase.RAMPING,
                             "no word from the quorum in time",
-                            (r, s) -> r.inPhaseMicros() >= r.bounds.patienceMicros),
-                    new Way(
+                            (r, s) -> r.inPhaseMicros() >= r.bounds.quorumTimeoutMicros),
+                    new Transition(
                             RecoveryPhase.RAMPING,
                             RecoveryPhase.FULL,
                             "as much is served as before",
-                            (r, s) -> r.asBeforeMicros() >= r.bounds.holdMicros),
-                    new Way(
+                            (r, s) -> r.asBeforeMicros() >= r.bounds.fullServiceMicros),
+                    new Transition(
                             RecoveryPhase.FULL,
                             RecoveryPhase.RAMPING,
                             "a fault was seen and less is served",
-                            (r, s) -> r.faulted && !s.asBefore()));
+                            (r, s) -> r.faultPending && !s.servesAsBefore()));
 
     private final Bounds bounds;
     private final List<Step> steps = new ArrayList<>();
     private long nowMicros;
-    private long fallenShortAt;
-    private boolean faulted;
+    private long lastShortfallMicros;
+    private boolean faultPending;
 
     public Recovery(long nowMicros, Bounds bounds) {
         this.bounds = bounds;
         this.nowMicros = nowMicros;
-        fallenShortAt = nowMicros;
+        lastShortfallMicros = nowMicros;
         steps.add(new Step(RecoveryPhase.EMPTY, nowMicros, "started"));
     }
 
@@ -115,28 +117,33 @@
      * until now.
      */
     public void recordFault() {
-        faulted = true;
+        faultPending = true;
     }
 
     /** Looks at what there is now; several phases may be passed at once. */
-    public RecoveryPhase update(long now, Observation seen) {
+    public RecoveryPhase update(long now, Observation observation) {
         nowMicros = now;
-        if (seen.admitted < 1 || !seen.asBefore()) {
-            fallenShortAt = now;
+        if (observation.admittedShare < 1 || !observation.servesAsBefore()) {
+            lastShortfallMicros = now;
         }
-        for (Way way = next(seen); way != null; way = next(seen)) {
-            if (steps.size() >= MOST_STEPS) {
+        for (Transition transition = nextTransition(observation);
+                transition != null;
+                transition = nextTransition(observation)) {
+            if (steps.size() >= MAX_STEPS) {
                 steps.remove(1); // The start stays.
             }
-            steps.add(new Step(way.to, now, way.cause));
-            faulted = faulted && way.to != RecoveryPhase.RAMPING;
+            steps.add(new Step(transition.to, now, transition.cause));
+            faultPending = faultPending && transition.to != RecoveryPhase.RAMPING;
         }
         return phase();
     }
 
-    private Way next(Observation seen) {
-        return WAYS.stream()
-                .filter(w -> w.from == phase() && w.open.test(this, seen))
+    private Transition nextTransition(Observation observation) {
+        return TRANSITIONS.stream()
+                .filter(
+                        transition ->
+                                transition.from == phase()
+                                        && transition.condition.test(this, observation))
                 .findFirst()
                 .orElse(null);
     }
@@ -146,7 +153,7 @@
     }
 
     private long asBeforeMicros() {
-        return Math.min(inPhaseMicros(), nowMicros - fallenShortAt);
+        return Math.min(inPhaseMicros(), nowMicros - lastShortfallMicros);
     }
 
     private Step last() {
--- a/core/src/main/java/postgrade/recovery/RetryAfterSpread.java
+++ b/core/src/main/java/postgrade/recovery/RetryAfterSpread.java
@@ -10,22 +10,22 @@
 
     /** From 0 to below 1, evenly over ids, always the same for an id and seed. */
     static double uniformHash(String requestId, long seed) {
-        long z = seed * 0x9e3779b97f4a7c15L;
+        long hash = seed * 0x9e3779b97f4a7c15L;
         for (int i = 0; i < requestId.length(); i++) {
-            z = (z ^ requestId.charAt(i)) * 0x100000001b3L;
+            hash = (hash ^ requestId.charAt(i)) * 0x100000001b3L;
         }
-        z = (z ^ (z >>> 30)) * 0xbf58476d1ce4e5b9L;
-        z = (z ^ (z >>> 27)) * 0x94d049bb133111ebL;
-        return ((z ^ (z >>> 31)) >>> 11) * 0x1p-53;
+        hash = (hash ^ (hash >>> 30)) * 0xbf58476d1ce4e5b9L;
+        hash = (hash ^ (hash >>> 27)) * 0x94d049bb133111ebL;
+        return ((hash ^ (hash >>> 31)) >>> 11) * 0x1p-53;
     }
 
     /**
      * Over so long those refused of late can be taken in, at this rate beside what comes anyway.
      */
-    public static long spreadMicros(double refused, double sparePerS) {
+    public static long spreadMicros(double rejections, double sparePerS) {
         return sparePerS <= 0
                 ? Long.MAX_VALUE
-                : (long) Math.min(Long.MAX_VALUE / 2, refused / sparePerS * 1e6);
+                : (long) Math.min(Long.MAX_VALUE / 2, rejections / sparePerS * 1e6);
     }
 
     /**
@@ -34,12 +34,12 @@
      * @param mostMicros callers do not wait longer
      */
     public static long retryAfterMicros(
-            String requestId, long seed, long leastMicros, long widthMicros, long mostMicros) {
-        long least =
+            String requestId, long seed, long minMicros, long spreadMicros, long maxMicros) {
+        long earliest =
                 Math.min(
-                        leastMicros,
-                        mostMicros / 2); // Some width stays, however late the first may come.
-        long width = Math.max(0, Math.min(widthMicros, mostMicros - least));
-        return least + (long) (uniformHash(requestId, seed) * width);
+                        minMicros,
+                        maxMicros / 2); // Some width stays, however late the first may come.
+        long width = Math.max(0, Math.min(spreadMicros, maxMicros - earliest));
+        return earliest + (long) (uniformHash(requestId, seed) * width);
     }
 }
--- a/core/src/main/java/postgrade/recovery/ServedWorth.java
+++ b/core/src/main/java/postgrade/recovery/ServedWorth.java
@@ -6,13 +6,13 @@
  */
 public final class ServedWorth {
 
-    private static final double LATELY_MICROS = 2e6;
-    private static final double LONG_MICROS = 30e6;
+    private static final double RECENT_DECAY_MICROS = 2e6;
+    private static final double LONG_TERM_DECAY_MICROS = 30e6;
 
-    private double askedLately;
-    private double inTimeLately;
-    private double askedLong;
-    private double inTimeLong;
+    private double recentRequested;
+    private double recentInTime;
+    private double longTermRequested;
+    private double longTermInTime;
     private long atMicros;
     private double baseline = Double.NaN;
 
@@ -21,29 +21,29 @@
     }
 
     /** What was served before this process began, as its snapshot tells. */
-    public void setBaseline(double part) {
-        baseline = part;
+    public void setBaseline(double share) {
+        baseline = share;
     }
 
     /** A job has its final answer. */
     public void add(long nowMicros, double worth, boolean inTime) {
-        fade(nowMicros);
-        askedLately += worth;
-        askedLong += worth;
+        decay(nowMicros);
+        recentRequested += worth;
+        longTermRequested += worth;
         if (inTime) {
-            inTimeLately += worth;
-            inTimeLong += worth;
+            recentInTime += worth;
+            longTermInTime += worth;
         }
     }
 
-    private void fade(long nowMicros) {
-        double passed = Math.max(0, nowMicros - atMicros);
-        double shortly = Math.exp(-passed / LATELY_MICROS);
-        double slowly = Math.exp(-passed / LONG_MICROS);
-        askedLately *= shortly;
-        inTimeLately *= shortly;
-        askedLong *= slowly;
-        inTimeLong *= slowly;
+    private void decay(long nowMicros) {
+        double elapsedMicros = Math.max(0, nowMicros - atMicros);
+        double recentFactor = Math.exp(-elapsedMicros / RECENT_DECAY_MICROS);
+        double longTermFactor = Math.exp(-elapsedMicros / LONG_TERM_DECAY_MICROS);
+        recentRequested *= recentFactor;
+        recentInTime *= recentFactor;
+        longTermRequested *= longTermFactor;
+        longTermInTime *= longTermFactor;
         atMicros = Math.max(atMicros, nowMicros);
     }
 
@@ -52,9 +52,9 @@
      * the first.
      */
     public void recordFault(long nowMicros) {
-        fade(nowMicros);
-        if (Double.isNaN(baseline) && askedLong > 0) {
-            baseline = inTimeLong / askedLong;
+        decay(nowMicros);
+        if (Double.isNaN(baseline) && longTermRequested > 0) {
+            baseline = longTermInTime / longTermRequested;
         }
     }
 
@@ -65,13 +65,13 @@
 
     /** Of late; NaN where nothing was asked. */
     public double recentShare(long nowMicros) {
-        fade(nowMicros);
-        return askedLately < 1e-9 ? Double.NaN : inTimeLately / askedLately;
+        decay(nowMicros);
+        return recentRequested < 1e-9 ? Double.NaN : recentInTime / recentRequested;
     }
 
     /** Over the longer time; NaN where nothing was asked. */
     public double longTermShare() {
-        return askedLong < 1e-9 ? Double.NaN : inTimeLong / askedLong;
+        return longTermRequested < 1e-9 ? Double.NaN : longTermInTime / longTermRequested;
     }
 
     public double baseline() {
--- a/core/src/main/java/postgrade/recovery/ThunderingHerdLimits.java
+++ b/core/src/main/java/postgrade/recovery/ThunderingHerdLimits.java
@@ -9,7 +9,8 @@
  * @param places how many processes there are when all live
  * @param place of this one among them, from 0
  */
-public record ThunderingHerdLimits(SteadyRates steady, double multiple, int places, int place) {
+public record ThunderingHerdLimits(
+        SteadyRates steady, double multiple, int processCount, int processIndex) {
 
     /** What loads others: discovery, the quorum, and each worker. */
     public enum LoadKind {
@@ -46,7 +47,10 @@
     }
 
     public ThunderingHerdLimits {
-        if (!(multiple >= 1) || places < 1 || place < 0 || place >= places) {
+        if (!(multiple >= 1)
+                || processCount < 1
+                || processIndex < 0
+                || processIndex >= processCount) {
             throw new IllegalArgumentException(
                     "multiple must be at least 1, place lie from 0 to below places");
         }
@@ -58,13 +62,13 @@
      * @param alive as the view tells, 0 where it does not
      */
     public double perSecond(LoadKind kind, int alive) {
-        int sharers = alive < 1 || alive > places ? places : alive;
-        return multiple * steady.of(kind) / sharers;
+        int sharingProcesses = alive < 1 || alive > processCount ? processCount : alive;
+        return multiple * steady.of(kind) / sharingProcesses;
     }
 
     /** The most that all together do of it within such a time, whatever happens. */
     public double maxWithin(LoadKind kind, long withinMicros) {
-        return multiple * steady.of(kind) * withinMicros / 1e6 + places;
+        return multiple * steady.of(kind) * withinMicros / 1e6 + processCount;
     }
 
     /** Begins closed by the process's own phase, so that all begin one after another. */
@@ -77,11 +81,11 @@
      *     one, nor two at once
      */
     public Pacer pacer(long nowMicros, LoadKind kind, int alive, String worker) {
-        int turn = Math.floorMod(place + worker.hashCode(), places);
+        int slot = Math.floorMod(processIndex + worker.hashCode(), processCount);
         return new Pacer(
                 nowMicros,
                 perSecond(kind, alive),
-                (turn + (worker.isEmpty() ? 0.5 : RetryAfterSpread.uniformHash(worker, 1)))
-                        / places);
+                (slot + (worker.isEmpty() ? 0.5 : RetryAfterSpread.uniformHash(worker, 1)))
+                        / processCount);
     }
 }
--- a/core/src/main/java/postgrade/recovery/UnusableSnapshotException.java
+++ b/core/src/main/java/postgrade/recovery/UnusableSnapshotException.java
@@ -19,8 +19,8 @@
 
     private final Fault fault;
 
-    UnusableSnapshotException(Fault fault, String sentence) {
-        super(sentence, null, false, false);
+    UnusableSnapshotException(Fault fault, String message) {
+        super(message, null, false, false);
         this.fault = fault;
     }
 
--- a/core/src/main/java/postgrade/shared/ReplicatedState.java
+++ b/core/src/main/java/postgrade/shared/ReplicatedState.java
@@ -16,7 +16,7 @@
      * it is no longer known whether the command will be carried out, and the same request id may be
      * sent again to find out.
      */
-    void submit(Command command, long withinMicros, Consumer<Reply> done);
+    void submit(Command command, long timeoutMicros, Consumer<Reply> callback);
 
     /** How this process stands to the others, for operators. */
     Standing standing();
--- a/core/src/main/java/postgrade/shared/ReplicatedStateMachine.java
+++ b/core/src/main/java/postgrade/shared/ReplicatedStateMachine.java
@@ -32,19 +32,20 @@
     private static final String REQUESTS = "request";
 
     /** A call is not repeated later than this. Guards the state against growing for ever. */
-    private static final long KEEP_ANSWERS_MICROS = 600_000_000;
+    private static final long ANSWER_RETENTION_MICROS = 600_000_000;
 
-    private static final int MOST_ANSWERS = 10_000;
-    private static final long FORGET_EVERY_MICROS = 10_000_000;
-    private static final String FIELD = "field.";
+    private static final int MAX_ANSWERS = 10_000;
+    private static final long EVICTION_INTERVAL_MICROS = 10_000_000;
+    private static final String FIELD_PREFIX = "field.";
 
     /**
      * An answer that is kept, by when it was given; of one moment by its id, as every replica must
      * forget the same.
      */
-    private record Kept(long micros, String requestId) {
-        static final Comparator<Kept> OLDEST_FIRST =
-                Comparator.comparingLong(Kept::micros).thenComparing(Kept::requestId);
+    private record RetainedAnswer(long micros, String requestId) {
+        static final Comparator<RetainedAnswer> OLDEST_FIRST =
+                Comparator.comparingLong(RetainedAnswer::micros)
+                        .thenComparing(RetainedAnswer::requestId);
     }
 
     private final Map<String, StatePart> parts = new TreeMap<>();
@@ -54,13 +55,14 @@
      * Of the answers among the rows, so that what is to be forgotten is found without looking at
      * them all.
      */
-    private final NavigableSet<Kept> kept = new TreeSet<>(Kept.OLDEST_FIRST);
+    private final NavigableSet<RetainedAnswer> retainedAnswers =
+            new TreeSet<>(RetainedAnswer.OLDEST_FIRST);
 
-    private Moment at;
+    private Moment current;
 
     public ReplicatedStateMachine(long era, List<StatePart> parts) {
-        at = new Moment(era, 0, 0);
-        parts.forEach(p -> this.parts.put(p.name(), p));
+        current = new Moment(era, 0, 0);
+        parts.forEach(part -> this.parts.put(part.name(), part));
     }
 
     /** Moves the time on. */
@@ -69,7 +71,7 @@
     }
 
     public Moment moment() {
-        return at;
+        return current;
     }
 
     /** As they stand; they go on changing. */
@@ -78,78 +80,88 @@
     }
 
     /** Carries out one entry. Indices only grow. */
-    public Answer apply(long index, Command c) {
-        if (index <= at.index()) {
-            throw new IllegalArgumentException("entry " + index + " after entry " + at.index());
+    public Answer apply(long index, Command command) {
+        if (index <= current.index()) {
+            throw new IllegalArgumentException(
+                    "entry " + index + " after entry " + current.index());
         }
-        at = new Moment(at.era(), index, at.micros());
-        rows.at(index);
-        if (c.part().equals(CLOCK)) {
-            return clock(c);
+        current = new Moment(current.era(), index, current.micros());
+        rows.setIndex(index);
+        if (command.part().equals(CLOCK)) {
+            return applyAdvance(command);
         }
-        Row before = c.requestId().isEmpty() ? null : rows.get(REQUESTS, c.requestId());
-        if (before != null) {
-            return before.text("asked").equals(asked(c))
-                    ? answer(before)
+        Row earlier =
+                command.requestId().isEmpty() ? null : rows.get(REQUESTS, command.requestId());
+        if (earlier != null) {
+            return earlier.text("asked").equals(callSignature(command))
+                    ? fromRow(earlier)
                     : Answer.conflict("requestId was used for another call");
         }
-        StatePart part = parts.get(c.part());
+        StatePart part = parts.get(command.part());
         Answer answer;
         try {
             answer =
                     part == null
-                            ? Answer.unknown("part " + c.part() + " is not known")
-                            : part.apply(rows, at, c);
+                            ? Answer.unknown("part " + command.part() + " is not known")
+                            : part.apply(rows, current, command);
         } catch (Row.InvalidFieldException e) {
             answer = Answer.faulty(e.getMessage());
         }
-        if (!c.requestId().isEmpty()) {
-            rows.put(REQUESTS, c.requestId(), row(answer).with("asked", asked(c)));
-            kept.add(new Kept(at.micros(), c.requestId()));
+        if (!command.requestId().isEmpty()) {
+            rows.put(
+                    REQUESTS,
+                    command.requestId(),
+                    toRow(answer).with("asked", callSignature(command)));
+            retainedAnswers.add(new RetainedAnswer(current.micros(), command.requestId()));
         }
         return answer;
     }
 
-    private static String asked(Command c) {
-        return c.part() + " " + c.verb() + " " + Integer.toHexString(c.args().hashCode());
+    private static String callSignature(Command command) {
+        return command.part()
+                + " "
+                + command.verb()
+                + " "
+                + Integer.toHexString(command.args().hashCode());
     }
 
-    private Answer clock(Command c) {
-        long by = Math.max(0, Math.min(MAX_ADVANCE_MICROS, c.args().integer("by", 0)));
-        long before = at.micros();
-        at = new Moment(at.era(), at.index(), before + by);
-        if (at.micros() / FORGET_EVERY_MICROS > before / FORGET_EVERY_MICROS
-                || rows.count(REQUESTS) > MOST_ANSWERS) {
-            forgetAnswers();
+    private Answer applyAdvance(Command command) {
+        long byMicros = Math.max(0, Math.min(MAX_ADVANCE_MICROS, command.args().integer("by", 0)));
+        long previousMicros = current.micros();
+        current = new Moment(current.era(), current.index(), previousMicros + byMicros);
+        if (current.micros() / EVICTION_INTERVAL_MICROS > previousMicros / EVICTION_INTERVAL_MICROS
+                || rows.count(REQUESTS) > MAX_ANSWERS) {
+            evictAnswers();
         }
-        parts.values().forEach(p -> p.advance(rows, at));
+        parts.values().forEach(part -> part.advance(rows, current));
         return Answer.done("", Row.EMPTY);
     }
 
-    private void forgetAnswers() {
-        while (!kept.isEmpty()
-                && (kept.size() > MOST_ANSWERS
-                        || at.micros() - kept.first().micros >= KEEP_ANSWERS_MICROS)) {
-            rows.remove(REQUESTS, kept.pollFirst().requestId);
+    private void evictAnswers() {
+        while (!retainedAnswers.isEmpty()
+                && (retainedAnswers.size() > MAX_ANSWERS
+                        || current.micros() - retainedAnswers.first().micros
+                                >= ANSWER_RETENTION_MICROS)) {
+            rows.remove(REQUESTS, retainedAnswers.pollFirst().requestId);
         }
     }
 
-    private Row row(Answer a) {
+    private Row toRow(Answer answer) {
         Map<String, String> values = new TreeMap<>();
-        values.put("status", a.status().name());
-        values.put("text", a.text());
-        values.put("at", Long.toString(at.micros()));
-        a.fields().values().forEach((name, value) -> values.put(FIELD + name, value));
+        values.put("status", answer.status().name());
+        values.put("text", answer.text());
+        values.put("at", Long.toString(current.micros()));
+        answer.fields().values().forEach((name, value) -> values.put(FIELD_PREFIX + name, value));
         return new Row(values);
     }
 
-    private static Answer answer(Row row) {
+    private static Answer fromRow(Row row) {
         Map<String, String> fields = new TreeMap<>();
         row.values()
                 .forEach(
                         (name, value) -> {
-                            if (name.startsWith(FIELD)) {
-                                fields.put(name.substring(FIELD.length()), value);
+                            if (name.startsWith(FIELD_PREFIX)) {
+                                fields.put(name.substring(FIELD_PREFIX.length()), value);
                             }
                         });
         return new Answer(
@@ -160,13 +172,16 @@
     public record Snapshot(Moment moment, List<Change> rows) {}
 
     public Snapshot snapshot() {
-        return new Snapshot(at, rows.all());
+        return new Snapshot(current, rows.all());
     }
 
     public void restore(Snapshot snapshot) {
-        at = snapshot.moment();
-        rows = Rows.fromSnapshot(at.index(), snapshot.rows());
-        kept.clear();
-        rows.ofPart(REQUESTS).forEach((id, row) -> kept.add(new Kept(row.integer("at"), id)));
+        current = snapshot.moment();
+        rows = Rows.fromSnapshot(current.index(), snapshot.rows());
+        retainedAnswers.clear();
+        rows.ofPart(REQUESTS)
+                .forEach(
+                        (id, row) ->
+                                retainedAnswers.add(new RetainedAnswer(row.integer("at"), id)));
     }
 }
--- a/core/src/main/java/postgrade/shared/Row.java
+++ b/core/src/main/java/postgrade/shared/Row.java
@@ -45,8 +45,8 @@
         return value;
     }
 
-    public String text(String name, String otherwise) {
-        return values.getOrDefault(name, otherwise);
+    public String text(String name, String defaultValue) {
+        return values.getOrDefault(name, defaultValue);
     }
 
     public long integer(String name) {
@@ -57,15 +57,15 @@
         }
     }
 
-    public long integer(String name, long otherwise) {
-        return has(name) ? integer(name) : otherwise;
+    public long integer(String name, long defaultValue) {
+        return has(name) ? integer(name) : defaultValue;
     }
 
     /** A whole number within bounds, both included. */
-    public long integer(String name, long least, long most) {
+    public long integer(String name, long min, long max) {
         long value = integer(name);
-        if (value < least || value > most) {
-            throw new InvalidFieldException(name, "must lie between " + least + " and " + most);
+        if (value < min || value > max) {
+            throw new InvalidFieldException(name, "must lie between " + min + " and " + max);
         }
         return value;
     }
@@ -101,8 +101,8 @@
     public static final class InvalidFieldException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
-        public InvalidFieldException(String field, String what) {
-            super(field + " " + what, null, false, false);
+        public InvalidFieldException(String field, String problem) {
+            super(field + " " + problem, null, false, false);
         }
     }
 }
--- a/core/src/main/java/postgrade/shared/Rows.java
+++ b/core/src/main/java/postgrade/shared/Rows.java
@@ -16,36 +16,36 @@
 public final class Rows {
 
     /** Removals remembered; a follower that missed more takes the whole. */
-    private static final int MOST_REMOVALS = 4096;
+    private static final int MAX_REMOVALS = 4096;
 
     /** A row as it stands, or null for one that was removed. */
     public record Change(long index, String part, String key, Row row) {}
 
-    private record Held(long index, Row row) {}
+    private record VersionedRow(long index, Row row) {}
 
-    private final SortedMap<String, SortedMap<String, Held>> parts = new TreeMap<>();
+    private final SortedMap<String, SortedMap<String, VersionedRow>> parts = new TreeMap<>();
     private final Deque<Change> removals = new ArrayDeque<>();
 
     /** Changes before this are not told singly any more. */
-    private long floor;
+    private long oldestKnownIndex;
 
     private long index;
 
     /** All changes from now on are made by the entry of this index. */
-    void at(long entry) {
-        index = entry;
+    void setIndex(long entryIndex) {
+        index = entryIndex;
     }
 
     public Row get(String part, String key) {
-        Held held = parts.getOrDefault(part, Collections.emptySortedMap()).get(key);
-        return held == null ? null : held.row;
+        VersionedRow versioned = parts.getOrDefault(part, Collections.emptySortedMap()).get(key);
+        return versioned == null ? null : versioned.row;
     }
 
     /** A part's rows in the order of their keys, as they are now. */
     public SortedMap<String, Row> ofPart(String part) {
         SortedMap<String, Row> copy = new TreeMap<>();
         parts.getOrDefault(part, Collections.emptySortedMap())
-                .forEach((key, held) -> copy.put(key, held.row));
+                .forEach((key, versioned) -> copy.put(key, versioned.row));
         return copy;
     }
 
@@ -55,16 +55,17 @@
 
     public void put(String part, String key, Row row) {
         if (!row.equals(get(part, key))) {
-            parts.computeIfAbsent(part, p -> new TreeMap<>()).put(key, new Held(index, row));
+            parts.computeIfAbsent(part, p -> new TreeMap<>())
+                    .put(key, new VersionedRow(index, row));
         }
     }
 
     public void remove(String part, String key) {
-        SortedMap<String, Held> held = parts.get(part);
-        if (held != null && held.remove(key) != null) {
+        SortedMap<String, VersionedRow> partRows = parts.get(part);
+        if (partRows != null && partRows.remove(key) != null) {
             removals.addLast(new Change(index, part, key, null));
-            if (removals.size() > MOST_REMOVALS) {
-                floor = removals.removeFirst().index;
+            if (removals.size() > MAX_REMOVALS) {
+                oldestKnownIndex = removals.removeFirst().index;
             }
         }
     }
@@ -73,20 +74,22 @@
      * What has changed after that index, in no order; null where that is no longer known and the
      * whole is needed.
      */
-    public List<Change> changesSince(long from) {
-        if (from < floor) {
+    public List<Change> changesSince(long afterIndex) {
+        if (afterIndex < oldestKnownIndex) {
             return null;
         }
         List<Change> changes = new ArrayList<>();
         // A key that was removed and put again stands in both: the row that is there comes later
         // and wins.
-        removals.stream().filter(c -> c.index > from).forEach(changes::add);
+        removals.stream().filter(c -> c.index > afterIndex).forEach(changes::add);
         parts.forEach(
-                (part, rows) ->
-                        rows.forEach(
-                                (key, held) -> {
-                                    if (held.index > from) {
-                                        changes.add(new Change(held.index, part, key, held.row));
+                (part, partRows) ->
+                        partRows.forEach(
+                                (key, versioned) -> {
+                                    if (versioned.index > afterIndex) {
+                                        changes.add(
+                                                new Change(
+                                                        versioned.index, part, key, versioned.row));
                                     }
                                 }));
         return changes;
@@ -96,10 +99,15 @@
     public List<Change> all() {
         List<Change> changes = new ArrayList<>();
         parts.forEach(
-                (part, rows) ->
-                        rows.forEach(
-                                (key, held) ->
-                                        changes.add(new Change(held.index, part, key, held.row))));
+                (part, partRows) ->
+                        partRows.forEach(
+                                (key, versioned) ->
+                                        changes.add(
+                                                new Change(
+                                                        versioned.index,
+                                                        part,
+                                                        key,
+                                                        versioned.row))));
         return changes;
     }
 
@@ -109,34 +117,34 @@
      */
     public static Rows fromSnapshot(long index, List<Change> snapshot) {
         Rows rows = new Rows();
-        rows.floor = index;
+        rows.oldestKnownIndex = index;
         rows.index = index;
-        rows.take(snapshot);
+        rows.applyChanges(snapshot);
         return rows;
     }
 
     /** A copy with these changes, for a follower. */
     public Rows withChanges(long upTo, List<Change> changes) {
         Rows copy = new Rows();
-        parts.forEach((part, rows) -> copy.parts.put(part, new TreeMap<>(rows)));
-        copy.floor = upTo;
+        parts.forEach((part, partRows) -> copy.parts.put(part, new TreeMap<>(partRows)));
+        copy.oldestKnownIndex = upTo;
         copy.index = upTo;
-        copy.take(changes);
+        copy.applyChanges(changes);
         return copy;
     }
 
-    private void take(List<Change> changes) {
-        for (Change c : changes) {
-            if (c.row == null) {
+    private void applyChanges(List<Change> changes) {
+        for (Change change : changes) {
+            if (change.row == null) {
                 // A follower may be told of the end of what it never saw: it came and went between
                 // two pulls.
-                SortedMap<String, Held> held = parts.get(c.part);
-                if (held != null) {
-                    held.remove(c.key);
+                SortedMap<String, VersionedRow> partRows = parts.get(change.part);
+                if (partRows != null) {
+                    partRows.remove(change.key);
                 }
             } else {
-                parts.computeIfAbsent(c.part, p -> new TreeMap<>())
-                        .put(c.key, new Held(c.index, c.row));
+                parts.computeIfAbsent(change.part, p -> new TreeMap<>())
+                        .put(change.key, new VersionedRow(change.index, change.row));
             }
         }
     }
--- a/core/src/test/java/postgrade/lease/LeasePartTest.java
+++ b/core/src/test/java/postgrade/lease/LeasePartTest.java
@@ -22,12 +22,12 @@
             new ReplicatedStateMachine(1, List.of(new LeasePart(LeaseTimes.DEFAULT)));
     private long index;
 
-    private Answer ask(String verb, Object... args) {
+    private Answer apply(String verb, Object... args) {
         return machine.apply(++index, new Command("", "n1", 1, "lease", verb, Row.of(args)));
     }
 
     private Answer acquire(String holder, int accelerators, Object... more) {
-        return ask(
+        return apply(
                 "acquire",
                 (Object[])
                         Row.of(
@@ -48,7 +48,7 @@
     }
 
     private Answer call(String verb, String holder, long fence, Object... more) {
-        return ask(
+        return apply(
                 verb,
                 (Object[])
                         Row.of("holder", holder, "site", "zagreb", "fence", fence)
@@ -60,28 +60,29 @@
                                 .toArray());
     }
 
-    private void pass(long ms) {
-        for (long left = ms; left > 0; left -= 100) {
+    private void advance(long ms) {
+        for (long remaining = ms; remaining > 0; remaining -= 100) {
             machine.apply(
-                    ++index, ReplicatedStateMachine.advance("n1", 1, 1000 * Math.min(100, left)));
+                    ++index,
+                    ReplicatedStateMachine.advance("n1", 1, 1000 * Math.min(100, remaining)));
         }
     }
 
-    private static long fence(Answer a) {
-        return a.fields().integer("fence");
+    private static long fence(Answer answer) {
+        return answer.fields().integer("fence");
     }
 
     private String state(String holder) {
         return ReservationCommands.list(machine.rows(), machine.moment().micros()).stream()
-                .filter(f -> f.get("holder").equals(holder))
-                .map(f -> f.get("state"))
+                .filter(fields -> fields.get("holder").equals(holder))
+                .map(fields -> fields.get("state"))
                 .findFirst()
                 .orElse("none");
     }
 
     @Before
     public void twoWorkersWithFourAcceleratorsEach() {
-        ask(
+        apply(
                 "unit",
                 "worker",
                 "w-1",
@@ -93,7 +94,7 @@
                 4,
                 "version",
                 1);
-        ask(
+        apply(
                 "unit",
                 "worker",
                 "w-2",
@@ -108,7 +109,7 @@
     }
 
     @Test
-    public void asManyAreGrantedAsThereAreAndNoneTwice() {
+    public void grantsAreLimitedToCapacityWithoutOverlap() {
         assertEquals("w-1=f,w-2=1", acquire("ana", 5).fields().text("allotment"));
         assertEquals("w-2=e", acquire("ivo", 3).fields().text("allotment"));
         assertEquals("waiting", acquire("eva", 1).fields().text("state"));
@@ -116,76 +117,76 @@
         assertEquals(Answer.conflict("accelerators must be at most 8 here"), acquire("max", 9));
         assertEquals(
                 Answer.faulty("site or kind must be named"),
-                ask("acquire", "holder", "x", "accelerators", 1, "ttlMs", 3000));
+                apply("acquire", "holder", "x", "accelerators", 1, "ttlMs", 3000));
         assertEquals(
                 Answer.faulty("ttlMs must lie between 2000 and 3600000"),
                 acquire("x", 1, "ttlMs", 1));
     }
 
     @Test
-    public void renewedItStaysAndUnrenewedItEndsAndRestsBeforeTheNextHasIt() {
+    public void unrenewedGrantExpiresAndRestsBeforeNextGrant() {
         long fence = fence(acquire("ana", 8));
         for (int i = 0; i < 20; i++) {
-            pass(2800);
+            advance(2800);
             assertEquals(Status.DONE, call("renew", "ana", fence).status());
         }
         acquire("ivo", 1);
         for (int i = 0; i < 30; i++) {
-            pass(100);
+            advance(100);
             assertEquals("granted", state("ana"));
             call("renew", "ivo", 0);
         }
-        pass(100);
+        advance(100);
         assertEquals("none", state("ana"));
         assertEquals(Status.UNKNOWN, call("renew", "ana", fence).status());
         call("renew", "ivo", 0);
-        pass(GRACE_MS - 100);
+        advance(GRACE_MS - 100);
         assertEquals("waiting", state("ivo"));
-        pass(100);
+        advance(100);
         assertEquals("granted", state("ivo"));
     }
 
     @Test
-    public void whatAReleaseFreesRestsTooAndTheFenceOnlyGrows() {
+    public void releasedAcceleratorsRestAndFenceOnlyGrows() {
         long fence = fence(acquire("ana", 8));
         acquire("ivo", 8, "ttlMs", 60_000);
         assertEquals(Status.DONE, call("release", "ana", fence).status());
         assertEquals("had ended", call("release", "ana", fence).text());
-        pass(GRACE_MS);
+        advance(GRACE_MS);
         assertEquals("waiting", state("ivo"));
-        pass(100);
+        advance(100);
         assertTrue(fence(acquire("ivo", 8)) > fence);
         assertEquals(Status.UNKNOWN, call("release", "ana", fence).status());
     }
 
     @Test
-    public void theLineIsServedInOrderAndTheSmallOvertakeNobody() {
+    public void queueIsServedInOrderWithoutOvertaking() {
         long fence = fence(acquire("ana", 6));
         acquire("ivo", 4, "ttlMs", 60_000);
         acquire("eva", 1, "ttlMs", 60_000);
         assertEquals("two are free and ivo waits for them", "waiting", state("eva"));
         assertEquals("2", acquire("eva", 1, "ttlMs", 60_000).fields().text("place"));
         call("release", "ana", fence);
-        pass(GRACE_MS + 100);
+        advance(GRACE_MS + 100);
         assertEquals("granted", state("ivo"));
         assertEquals("granted", state("eva"));
     }
 
     @Test
-    public void whoWaitsAndIsNotHeardOfLosesItsPlace() {
+    public void unrenewedQueueEntryExpires() {
         long fence = fence(acquire("ana", 8, "ttlMs", 60_000));
         acquire("ivo", 8);
         acquire("eva", 8, "ttlMs", 60_000);
-        pass(3100);
+        advance(3100);
         assertEquals("none", state("ivo"));
         call("release", "ana", fence);
-        pass(GRACE_MS + 100);
+        advance(GRACE_MS + 100);
         assertEquals("granted", state("eva"));
     }
 
     @Test
-    public void whatCannotBeServedNowHoldsUpNobody() {
-        ask("presence", "worker", "w-2", "start", 5, "state", "DRAINING");
+    public void requestBeyondPresentWorkersBlocksNobody() {
+        apply("presence", "worker", "w-2", "start", 5, "state", "DRAINING");
         acquire("ivo", 8);
         assertEquals("waiting", state("ivo"));
         acquire("eva", 4);
@@ -193,7 +194,7 @@
     }
 
     @Test
-    public void anOldFenceAnEarlierIncarnationAndASecondPlaceAreToldApart() {
+    public void staleFenceAndOlderIncarnationAreRejected() {
         long first = fence(acquire("ana", 4, "incarnation", 1));
         assertEquals(
                 "asked twice, granted once", first, fence(acquire("ana", 4, "incarnation", 1)));
@@ -216,8 +217,8 @@
     }
 
     @Test
-    public void ofAKindOnlyItsStatedPartIsReserved() {
-        ask("part", "kind", "box", "perMille", 500, "version", 1);
+    public void kindLimitBoundsReservations() {
+        apply("part", "kind", "box", "perMille", 500, "version", 1);
         assertEquals(Answer.conflict("accelerators must be at most 4 here"), acquire("max", 5));
         acquire("ana", 3);
         acquire("ivo", 2);
@@ -225,22 +226,22 @@
         assertEquals("waiting", state("ivo"));
         assertEquals(
                 Status.CONFLICT,
-                ask("part", "kind", "box", "perMille", 900, "version", 1).status());
-        ask("part", "kind", "box", "perMille", 900, "version", 2);
+                apply("part", "kind", "box", "perMille", 900, "version", 1).status());
+        apply("part", "kind", "box", "perMille", 900, "version", 2);
         assertEquals("granted", state("ivo"));
     }
 
     @Test
-    public void aWorkerAwayStaysItsHoldersAndOneWithFewerAcceleratorsTakesThemFromThem() {
+    public void absentWorkerStaysGrantedAndLostAcceleratorsAreTakenBack() {
         acquire("ana", 4, "ttlMs", 60_000);
         long ivo = fence(acquire("ivo", 4, "ttlMs", 60_000));
-        ask("presence", "worker", "w-2", "start", 0, "state", "GONE");
-        ask("presence", "worker", "w-2", "start", 7, "state", "READY");
+        apply("presence", "worker", "w-2", "start", 0, "state", "GONE");
+        apply("presence", "worker", "w-2", "start", 7, "state", "READY");
         assertEquals("back, cold", ivo, fence(acquire("ivo", 4, "ttlMs", 60_000)));
         assertEquals(
                 Status.CONFLICT,
-                ask("presence", "worker", "w-2", "start", 0, "state", "DRAINING").status());
-        ask(
+                apply("presence", "worker", "w-2", "start", 0, "state", "DRAINING").status());
+        apply(
                 "unit",
                 "worker",
                 "w-2",
@@ -253,7 +254,7 @@
                 "version",
                 2);
         assertEquals("w-2=1", acquire("ivo", 4, "ttlMs", 60_000).fields().text("allotment"));
-        ask(
+        apply(
                 "unit",
                 "worker",
                 "w-2",
@@ -267,9 +268,9 @@
                 3);
         acquire("eva", 3, "ttlMs", 60_000);
         assertEquals("they rest first", "waiting", state("eva"));
-        pass(GRACE_MS + 100);
+        advance(GRACE_MS + 100);
         assertEquals("granted", state("eva"));
-        ask(
+        apply(
                 "unit",
                 "worker",
                 "w-1",
@@ -284,7 +285,7 @@
         assertEquals("none", state("ana"));
         assertEquals(
                 Status.CONFLICT,
-                ask(
+                apply(
                                 "unit",
                                 "worker",
                                 "w-1",
@@ -300,13 +301,13 @@
     }
 
     @Test
-    public void aSnapshotGoesOnAsTheMachineDoes() {
+    public void restoredSnapshotContinuesIdentically() {
         long fence = fence(acquire("ana", 8));
         acquire("ivo", 2, "ttlMs", 60_000);
-        pass(500);
-        ReplicatedStateMachine other =
+        advance(500);
+        ReplicatedStateMachine restored =
                 new ReplicatedStateMachine(1, List.of(new LeasePart(LeaseTimes.DEFAULT)));
-        other.restore(machine.snapshot());
+        restored.restore(machine.snapshot());
         for (int i = 0; i < 60; i++) {
             Command step =
                     i == 7
@@ -318,11 +319,11 @@
                                     Map.of("holder", "ana", "site", "zagreb", "fence", "" + fence))
                             : ReplicatedStateMachine.advance("n1", 1, 100_000);
             machine.apply(++index, step);
-            other.apply(index, step);
+            restored.apply(index, step);
         }
         assertEquals(
                 ReservationCommands.list(machine.rows(), 0),
-                ReservationCommands.list(other.rows(), 0));
+                ReservationCommands.list(restored.rows(), 0));
         assertEquals("granted", state("ivo"));
     }
 }
--- a/core/src/test/java/postgrade/lease/LeaseWorld.java
+++ b/core/src/test/java/postgrade/lease/LeaseSimulation.java
@@ -21,7 +21,7 @@
  * views, holders that ask, renew, die and come back; clocks up to 2% apart; leaders killed and
  * stopped, commits held up, processes cut off.
  */
-final class LeaseWorld {
+final class LeaseSimulation {
 
     private static final long MS = 1000;
     private static final long SECOND = 1000 * MS;
@@ -30,7 +30,7 @@
     private static final int ACCELERATORS = 4;
 
     /** One process could use an accelerator for a holder from then to then. */
-    private record Spell(long from, long to, long bit, String holder, long fence) {}
+    private record UsePeriod(long from, long to, long bit, String holder, long fence) {}
 
     private record Task(long at, long order, Runnable run) {}
 
@@ -41,21 +41,21 @@
     private final PriorityQueue<Task> tasks =
             new PriorityQueue<>(Comparator.comparingLong(Task::at).thenComparingLong(Task::order));
     private final ReplicatedStateMachine machine;
-    private final LeaseTimes used;
-    private final List<Spell> spells = new ArrayList<>();
-    final List<String> faults = new ArrayList<>();
+    private final LeaseTimes processTimes;
+    private final List<UsePeriod> usePeriods = new ArrayList<>();
+    final List<String> violations = new ArrayList<>();
     private long now;
     private long order;
     private long index;
 
     // The quorum: one leader or none, and entries on their way to a commit, in order.
-    private final Deque<Entry> onTheWay = new ArrayDeque<>();
-    private long from;
-    private boolean asked;
-    private boolean begun;
+    private final Deque<Entry> uncommitted = new ArrayDeque<>();
+    private long lastAdvanceMicros;
+    private boolean advancePending;
+    private boolean firstAdvanceCommitted;
     private int term;
-    private boolean leads;
-    private boolean stopped;
+    private boolean hasLeader;
+    private boolean leaderSuspended;
     private double leaderRate = 1;
     private long stalledUntil;
     int grants;
@@ -65,28 +65,28 @@
     // called.
     private final boolean[] alive = new boolean[HOLDERS];
     private final long[] fence = new long[HOLDERS];
-    private final long[] calledAt = new long[HOLDERS];
+    private final long[] renewalSentAt = new long[HOLDERS];
     private final long[] incarnation = new long[HOLDERS];
     private final long[] ttl = new long[HOLDERS];
 
     /**
      * @param decided times that the log goes by @param used times that processes go by
      */
-    LeaseWorld(long seed, LeaseTimes decided, LeaseTimes used) {
+    LeaseSimulation(long seed, LeaseTimes logTimes, LeaseTimes processTimes) {
         random = new SplittableRandom(seed);
-        machine = new ReplicatedStateMachine(1, List.of(new LeasePart(decided)));
-        this.used = used;
+        machine = new ReplicatedStateMachine(1, List.of(new LeasePart(logTimes)));
+        this.processTimes = processTimes;
     }
 
-    private void in(long micros, Runnable run) {
+    private void schedule(long micros, Runnable run) {
         tasks.add(new Task(now + Math.max(0, micros), order++, run));
     }
 
-    private long between(long least, long most) {
-        return random.nextLong(least, most + 1);
+    private long between(long min, long max) {
+        return random.nextLong(min, max + 1);
     }
 
-    private double rate() {
+    private double clockRate() {
         return 0.99 + 0.02 * random.nextDouble();
     }
 
@@ -108,21 +108,21 @@
                                 1)));
         elect();
         for (int p = 0; p < PROCESSES; p++) {
-            double rate = rate();
+            double rate = clockRate();
             long offset = between(0, 1_000_000 * SECOND);
-            in(between(0, 200 * MS), () -> process(rate, offset, View.NONE));
+            schedule(between(0, 200 * MS), () -> pullView(rate, offset, View.NONE));
         }
         for (int h = 0; h < HOLDERS; h++) {
             int holder = h;
-            in(between(0, 2 * SECOND), () -> begin(holder));
+            schedule(between(0, 2 * SECOND), () -> startHolder(holder));
         }
-        in(between(1 * SECOND, 4 * SECOND), this::fault);
+        schedule(between(1 * SECOND, 4 * SECOND), this::injectFault);
         while (!tasks.isEmpty() && tasks.peek().at < seconds * SECOND) {
             Task next = tasks.poll();
             now = next.at;
             next.run.run();
         }
-        overlaps();
+        checkOverlaps();
     }
 
     private Command command(String verb, Row args) {
@@ -132,157 +132,166 @@
     // ---- The quorum.
 
     private void elect() {
-        int mine = ++term;
-        leads = true;
-        stopped = false;
-        leaderRate = rate();
+        int electedTerm = ++term;
+        hasLeader = true;
+        leaderSuspended = false;
+        leaderRate = clockRate();
         // What the former leader had on its way is lost, or from its begin on kept and committed
         // with what follows.
         List<Entry> former =
-                new ArrayList<>(onTheWay).subList(0, random.nextInt(onTheWay.size() + 1));
-        onTheWay.clear();
-        former.forEach(e -> onTheWay.add(new Entry(e.command, a -> {}, e.clock)));
-        from = leaderNow();
-        begun = false; // Its first entry tells no time: what was before commits with that.
-        asked = false;
-        tick(mine);
+                new ArrayList<>(uncommitted).subList(0, random.nextInt(uncommitted.size() + 1));
+        uncommitted.clear();
+        former.forEach(
+                entry -> uncommitted.add(new Entry(entry.command, answer -> {}, entry.clock)));
+        lastAdvanceMicros = leaderNow();
+        firstAdvanceCommitted =
+                false; // Its first entry tells no time: what was before commits with that.
+        advancePending = false;
+        tick(electedTerm);
     }
 
     private long leaderNow() {
         return (long) (now * leaderRate);
     }
 
-    private void tick(int mine) {
-        if (mine != term) {
+    private void tick(int electedTerm) {
+        if (electedTerm != term) {
             return;
         }
-        if (leads && !stopped && !asked) {
+        if (hasLeader && !leaderSuspended && !advancePending) {
             // One at a time, and each from where the last one was asked for: its way to the commit
             // is counted too.
             long at = leaderNow();
-            asked = true;
+            advancePending = true;
             propose(
                     new Entry(
-                            ReplicatedStateMachine.advance("n", 1, begun ? at - from : 0),
+                            ReplicatedStateMachine.advance(
+                                    "n", 1, firstAdvanceCommitted ? at - lastAdvanceMicros : 0),
                             a -> {
-                                from = at;
-                                begun = true;
-                                asked = false;
+                                lastAdvanceMicros = at;
+                                firstAdvanceCommitted = true;
+                                advancePending = false;
                             },
                             true));
         }
-        in((long) (100 * MS / leaderRate), () -> tick(mine));
+        schedule((long) (100 * MS / leaderRate), () -> tick(electedTerm));
     }
 
-    private void propose(Entry e) {
-        if (!leads || stopped) {
+    private void propose(Entry entry) {
+        if (!hasLeader || leaderSuspended) {
             return;
         }
-        onTheWay.add(e);
-        int mine = term;
-        in(Math.max(stalledUntil - now, 0) + between(MS, 20 * MS), () -> commit(mine, e));
+        uncommitted.add(entry);
+        int proposedTerm = term;
+        schedule(
+                Math.max(stalledUntil - now, 0) + between(MS, 20 * MS),
+                () -> commit(proposedTerm, entry));
     }
 
     /** Entries commit in order: one that is through takes those before it along. */
-    private void commit(int mine, Entry e) {
-        if (mine == term && onTheWay.contains(e)) {
+    private void commit(int proposedTerm, Entry entry) {
+        if (proposedTerm == term && uncommitted.contains(entry)) {
             Entry first;
             do {
-                first = onTheWay.poll();
-                tell(mine, first, apply(first));
-            } while (first != e);
+                first = uncommitted.poll();
+                deliver(proposedTerm, first, apply(first));
+            } while (first != entry);
         }
     }
 
     /** A leader that is stopped hears of its commits once it wakes. */
-    private void tell(int mine, Entry e, Answer answer) {
-        if (mine == term && stopped) {
-            in(10 * MS, () -> tell(mine, e, answer));
-        } else if (mine == term) {
-            e.answer.accept(answer);
+    private void deliver(int proposedTerm, Entry entry, Answer answer) {
+        if (proposedTerm == term && leaderSuspended) {
+            schedule(10 * MS, () -> deliver(proposedTerm, entry, answer));
+        } else if (proposedTerm == term) {
+            entry.answer.accept(answer);
         }
     }
 
-    private Answer apply(Entry e) {
-        Map<String, Held> before = held();
-        Answer answer = machine.apply(++index, e.command);
-        Map<String, Held> after = held();
-        after.forEach((holder, h) -> grants += before.containsKey(holder) ? 0 : 1);
-        if (e.clock) {
+    private Answer apply(Entry entry) {
+        Map<String, Grant> before = grantsByHolder();
+        Answer answer = machine.apply(++index, entry.command);
+        Map<String, Grant> after = grantsByHolder();
+        after.forEach((holder, grant) -> grants += before.containsKey(holder) ? 0 : 1);
+        if (entry.clock) {
             before.forEach(
-                    (holder, h) -> {
+                    (holder, grant) -> {
                         if (!after.containsKey(holder)) {
-                            expired(Integer.parseInt(holder), h);
+                            checkExpiry(Integer.parseInt(holder), grant);
                         }
                     });
         }
-        long bits =
+        long granted =
                 after.values().stream()
-                        .mapToLong(h -> h.allotment().on("w"))
+                        .mapToLong(grant -> grant.allotment().on("w"))
                         .reduce(
                                 0,
                                 (a, b) -> {
                                     if ((a & b) != 0) {
-                                        faults.add("granted twice in the log at " + now);
+                                        violations.add("granted twice in the log at " + now);
                                     }
                                     return a | b;
                                 });
-        if (Long.bitCount(bits) > ACCELERATORS) {
-            faults.add("more granted than there are at " + now);
+        if (Long.bitCount(granted) > ACCELERATORS) {
+            violations.add("more granted than there are at " + now);
         }
         return answer;
     }
 
-    private Map<String, Held> held() {
-        Map<String, Held> held = new HashMap<>();
-        new Book(machine.rows()).held().forEach(h -> held.put(h.ask().holder(), h));
-        return held;
+    private Map<String, Grant> grantsByHolder() {
+        Map<String, Grant> grants = new HashMap<>();
+        new ReservationTable(machine.rows())
+                .grants()
+                .forEach(grant -> grants.put(grant.request().holder(), grant));
+        return grants;
     }
 
-    private void expired(int holder, Held h) {
+    private void checkExpiry(int holder, Grant grant) {
         expiries++;
-        if (fence[holder] == h.fence()
-                && now < calledAt[holder] + (ttl[holder] - used.uncommittedMicros()) / 1.03) {
-            faults.add(
+        if (fence[holder] == grant.fence()
+                && now
+                        < renewalSentAt[holder]
+                                + (ttl[holder] - processTimes.uncommittedMicros()) / 1.03) {
+            violations.add(
                     "holder "
                             + holder
                             + " expired early, "
-                            + (now - calledAt[holder])
+                            + (now - renewalSentAt[holder])
                             + " after its renewal");
         }
     }
 
-    private void fault() {
-        int mine = term;
+    private void injectFault() {
+        int currentTerm = term;
         switch (random.nextInt(4)) {
-            case 0 -> dies(mine);
+            case 0 -> killLeader(currentTerm);
             case 1 -> { // Stopped; it wakes as leader or finds another.
-                stopped = true;
-                long lasts = between(50 * MS, 3 * SECOND);
-                in(
-                        lasts,
+                leaderSuspended = true;
+                long durationMicros = between(50 * MS, 3 * SECOND);
+                schedule(
+                        durationMicros,
                         () -> {
-                            if (mine == term) {
-                                stopped = false;
+                            if (currentTerm == term) {
+                                leaderSuspended = false;
                             }
                         });
-                if (lasts > 800 * MS) {
-                    in(between(700 * MS, 800 * MS), () -> dies(mine));
+                if (durationMicros > 800 * MS) {
+                    schedule(between(700 * MS, 800 * MS), () -> killLeader(currentTerm));
                 }
             }
             case 2 -> stalledUntil = now + between(100 * MS, 6 * SECOND);
-            default -> cut = now + between(100 * MS, 8 * SECOND);
+            default -> partitionedUntil = now + between(100 * MS, 8 * SECOND);
         }
-        in(between(200 * MS, 5 * SECOND), this::fault);
+        schedule(between(200 * MS, 5 * SECOND), this::injectFault);
     }
 
-    private void dies(int mine) {
-        if (mine == term) {
-            leads = false;
-            in(
+    private void killLeader(int killedTerm) {
+        if (killedTerm == term) {
+            hasLeader = false;
+            schedule(
                     between(100 * MS, 2 * SECOND),
                     () -> {
-                        if (mine == term) {
+                        if (killedTerm == term) {
                             elect();
                         }
                     });
@@ -291,16 +300,19 @@
 
     // ---- Processes with their views.
 
-    private long cut;
+    private long partitionedUntil;
 
-    private void process(double rate, long offset, View view) {
+    private void pullView(double rate, long offset, View view) {
         long sent = (long) (now * rate) + offset;
-        boolean lost = random.nextInt(PROCESSES) == 0 && now < cut || !leads || stopped;
+        boolean lost =
+                random.nextInt(PROCESSES) == 0 && now < partitionedUntil
+                        || !hasLeader
+                        || leaderSuspended;
         if (lost) {
-            in((long) (200 * MS / rate), () -> process(rate, offset, view));
+            schedule((long) (200 * MS / rate), () -> pullView(rate, offset, view));
             return;
         }
-        in(
+        schedule(
                 between(MS / 2, 30 * MS),
                 () -> {
                     View pulled =
@@ -308,13 +320,13 @@
                                     machine.moment(),
                                     Rows.fromSnapshot(index, machine.snapshot().rows()),
                                     sent);
-                    in(
+                    schedule(
                             between(MS / 2, random.nextInt(20) == 0 ? 1400 * MS : 30 * MS),
                             () -> {
-                                note(rate, offset, pulled);
-                                in(
+                                recordUses(rate, offset, pulled);
+                                schedule(
                                         (long) (between(100 * MS, 250 * MS) / rate),
-                                        () -> process(rate, offset, pulled));
+                                        () -> pullView(rate, offset, pulled));
                             });
                 });
     }
@@ -323,59 +335,61 @@
      * From now on, and at the longest while its view is fresh by its own clock, the process uses
      * what this view tells.
      */
-    private void note(double rate, long offset, View view) {
-        long until = (long) ((view.asOfMicros() + used.viewBoundMicros() - offset) / rate);
-        for (Held h : new Book(view.rows()).held()) {
-            long mask = h.allotment().on("w");
-            for (long left = mask; left != 0; left &= left - 1) {
-                if (until > now) {
-                    spells.add(
-                            new Spell(
+    private void recordUses(double rate, long offset, View view) {
+        long untilMicros =
+                (long) ((view.asOfMicros() + processTimes.viewBoundMicros() - offset) / rate);
+        for (Grant grant : new ReservationTable(view.rows()).grants()) {
+            long mask = grant.allotment().on("w");
+            for (long remaining = mask; remaining != 0; remaining &= remaining - 1) {
+                if (untilMicros > now) {
+                    usePeriods.add(
+                            new UsePeriod(
                                     now,
-                                    until,
-                                    Long.lowestOneBit(left),
-                                    h.ask().holder(),
-                                    h.fence()));
+                                    untilMicros,
+                                    Long.lowestOneBit(remaining),
+                                    grant.request().holder(),
+                                    grant.fence()));
                 }
             }
         }
     }
 
-    private void overlaps() {
-        spells.sort(Comparator.comparingLong(Spell::from));
+    private void checkOverlaps() {
+        usePeriods.sort(Comparator.comparingLong(UsePeriod::from));
         Map<Long, Map<String, Long>> usedUntil = new HashMap<>();
-        for (Spell s : spells) {
-            Map<String, Long> byHolder = usedUntil.computeIfAbsent(s.bit, b -> new HashMap<>());
+        for (UsePeriod period : usePeriods) {
+            Map<String, Long> byHolder =
+                    usedUntil.computeIfAbsent(period.bit, b -> new HashMap<>());
             byHolder.forEach(
                     (holder, until) -> {
-                        if (!holder.equals(s.holder) && until > s.from) {
-                            faults.add(
+                        if (!holder.equals(period.holder) && until > period.from) {
+                            violations.add(
                                     "accelerator "
-                                            + s.bit
+                                            + period.bit
                                             + " used for "
-                                            + s.holder
+                                            + period.holder
                                             + " from "
-                                            + s.from
+                                            + period.from
                                             + " and for "
                                             + holder
                                             + " until "
                                             + until);
                         }
                     });
-            byHolder.merge(s.holder, s.to, Math::max);
+            byHolder.merge(period.holder, period.to, Math::max);
         }
     }
 
     // ---- Holders.
 
-    private void begin(int holder) {
+    private void startHolder(int holder) {
         alive[holder] = true;
         incarnation[holder]++;
         ttl[holder] = between(2 * SECOND, 6 * SECOND);
         fence[holder] = 0;
         int accelerators = 1 + random.nextInt(ACCELERATORS);
-        live(holder, incarnation[holder], rate(), accelerators);
-        in(
+        renewLoop(holder, incarnation[holder], clockRate(), accelerators);
+        schedule(
                 between(2 * SECOND, 20 * SECOND),
                 () -> {
                     alive[holder] = false; // Dies without a word, or leaves in order.
@@ -388,7 +402,7 @@
                                         a -> {},
                                         false));
                     }
-                    in(between(100 * MS, 12 * SECOND), () -> begin(holder));
+                    schedule(between(100 * MS, 12 * SECOND), () -> startHolder(holder));
                 });
     }
 
@@ -396,34 +410,37 @@
         return Row.of("holder", holder, "site", "z", "incarnation", incarnation[holder]);
     }
 
-    private void live(int holder, long which, double rate, int accelerators) {
-        if (!alive[holder] || which != incarnation[holder]) {
+    private void renewLoop(int holder, long forIncarnation, double rate, int accelerators) {
+        if (!alive[holder] || forIncarnation != incarnation[holder]) {
             return;
         }
-        long called = now;
-        Row ask = args(holder).with("accelerators", accelerators, "ttlMs", ttl[holder] / MS);
+        long sentAt = now;
+        Row acquireArgs =
+                args(holder).with("accelerators", accelerators, "ttlMs", ttl[holder] / MS);
         boolean renews = fence[holder] != 0 && random.nextBoolean();
-        Command c =
+        Command command =
                 renews
                         ? command("renew", args(holder).with("fence", fence[holder]))
-                        : command("acquire", ask);
-        in(
+                        : command("acquire", acquireArgs);
+        schedule(
                 between(MS, 20 * MS),
                 () ->
                         propose(
                                 new Entry(
-                                        c,
+                                        command,
                                         a -> {
-                                            if (which == incarnation[holder]
+                                            if (forIncarnation == incarnation[holder]
                                                     && a.status() == Answer.Status.DONE
                                                     && a.fields().has("fence")) {
                                                 fence[holder] = a.fields().integer("fence");
-                                                calledAt[holder] = called;
+                                                renewalSentAt[holder] = sentAt;
                                             } else if (a.status() == Answer.Status.UNKNOWN) {
                                                 fence[holder] = 0;
                                             }
                                         },
                                         false)));
-        in((long) (ttl[holder] / 4 / rate), () -> live(holder, which, rate, accelerators));
+        schedule(
+                (long) (ttl[holder] / 4 / rate),
+                () -> renewLoop(holder, forIncarnation, rate, accelerators));
     }
 }
--- a/core/src/test/java/postgrade/lease/LendingTest.java
+++ b/core/src/test/java/postgrade/lease/LendingTest.java
@@ -27,15 +27,15 @@
 
     private static final int WORKERS = 8;
     private static final int SLOTS = 4;
-    private static final double NEEDED = 120;
-    private static final double END = 180;
-    private static final double TIME_LEFT = 5;
-    private static final double AIM = 1;
+    private static final double NEEDED_AT_S = 120;
+    private static final double END_S = 180;
+    private static final double TIME_LEFT_S = 5;
+    private static final double LATENCY_OBJECTIVE_S = 1;
 
     /**
      * @param checks part of the ordinary jobs in time @param plans and of the holder's
      */
-    private record Result(double checks, double plans) {}
+    private record Result(double ordinaryInTime, double holderInTime) {}
 
     private static Result run(long seed, boolean lends) {
         ReplicatedStateMachine machine =
@@ -82,10 +82,10 @@
                                 "ttlMs",
                                 600_000,
                                 "neededInMs",
-                                (long) (NEEDED * 1000))));
+                                (long) (NEEDED_AT_S * 1000))));
         Rows rows = Rows.fromSnapshot(index, machine.snapshot().rows());
         View[] view = {View.NONE};
-        LeaseConstraints ability =
+        LeaseConstraints constraints =
                 new LeaseConstraints(
                         () -> view[0],
                         LeaseTimes.DEFAULT,
@@ -105,8 +105,8 @@
         int[] inTime = new int[2];
         // Half the fleet alone is loaded to 1.3; the whole of it to 0.65. The holder's own load is
         // light.
-        for (double t = 0; t < END; t += -Math.log(1 - random.nextDouble()) / 44) {
-            boolean plan = t > NEEDED && random.nextInt(4) == 0;
+        for (double t = 0; t < END_S; t += -Math.log(1 - random.nextDouble()) / 44) {
+            boolean plan = t > NEEDED_AT_S && random.nextInt(4) == 0;
             double seconds = -Math.log(1 - random.nextDouble()) * 0.47;
             view[0] =
                     new View(
@@ -119,61 +119,62 @@
                             plan ? "plan" : "check",
                             plan ? "ana" : "ivo",
                             null,
-                            (long) (TIME_LEFT * 1e9),
+                            (long) (TIME_LEFT_S * 1e9),
                             1,
                             0);
             int best = -1;
-            double least = Double.MAX_VALUE;
+            double leastLoad = Double.MAX_VALUE;
             for (int w = 0; w < WORKERS; w++) {
                 double now = t;
-                busyUntil.get(w).removeIf(u -> u <= now);
-                double part = ability.usableShare((long) (t * 1e9), job, workers.get(w));
+                busyUntil.get(w).removeIf(end -> end <= now);
+                double usableShare = constraints.usableShare((long) (t * 1e9), job, workers.get(w));
                 double load =
-                        part == 0
+                        usableShare == 0
                                 ? Double.MAX_VALUE
-                                : (busyUntil.get(w).size() + 1) / (SLOTS * part);
-                if (load < least) {
-                    least = load;
+                                : (busyUntil.get(w).size() + 1) / (SLOTS * usableShare);
+                if (load < leastLoad) {
+                    leastLoad = load;
                     best = w;
                 }
             }
-            PriorityQueue<Double> line = busyUntil.get(best);
-            List<Double> ends = new ArrayList<>(line);
+            PriorityQueue<Double> queue = busyUntil.get(best);
+            List<Double> ends = new ArrayList<>(queue);
             ends.sort(null);
-            double begins = ends.size() < SLOTS ? t : ends.get(ends.size() - SLOTS);
+            double startsAt = ends.size() < SLOTS ? t : ends.get(ends.size() - SLOTS);
             // Where every worker that is there for it has a line as long as its slots, it is
             // refused.
-            boolean taken = least <= 2;
-            if (taken) {
-                line.add(begins + seconds);
+            boolean accepted = leastLoad <= 2;
+            if (accepted) {
+                queue.add(startsAt + seconds);
             }
-            boolean good = taken && begins + seconds - t <= AIM + 2 * seconds;
+            boolean servedInTime =
+                    accepted && startsAt + seconds - t <= LATENCY_OBJECTIVE_S + 2 * seconds;
             all[plan ? 1 : 0]++;
-            inTime[plan ? 1 : 0] += good ? 1 : 0;
+            inTime[plan ? 1 : 0] += servedInTime ? 1 : 0;
         }
         return new Result((double) inTime[0] / all[0], (double) inTime[1] / all[1]);
     }
 
     @Test
-    public void lendingServesMoreAndTheHolderNoLess() {
-        double checks = 0;
+    public void lendingServesMoreWithoutHarmToHolder() {
+        double withoutLending = 0;
         double withLending = 0;
-        double plans = 0;
-        double plansWithLending = 0;
+        double holderWithoutLending = 0;
+        double holderWithLending = 0;
         int seeds = 20;
         for (int seed = 0; seed < seeds; seed++) {
             Result without = run(seed, false);
             Result with = run(seed, true);
-            checks += without.checks / seeds;
-            withLending += with.checks / seeds;
-            plans += without.plans / seeds;
-            plansWithLending += with.plans / seeds;
+            withoutLending += without.ordinaryInTime / seeds;
+            withLending += with.ordinaryInTime / seeds;
+            holderWithoutLending += without.holderInTime / seeds;
+            holderWithLending += with.holderInTime / seeds;
         }
         String figures =
                 String.format(
                         "others' %.3f %.3f, the holder's %.3f %.3f",
-                        checks, withLending, plans, plansWithLending);
-        assertTrue(figures, withLending > checks + 0.1);
-        assertEquals(plans, plansWithLending, 0.01);
+                        withoutLending, withLending, holderWithoutLending, holderWithLending);
+        assertTrue(figures, withLending > withoutLending + 0.1);
+        assertEquals(holderWithoutLending, holderWithLending, 0.01);
     }
 }
--- a/core/src/test/java/postgrade/member/MembersTest.java
+++ b/core/src/test/java/postgrade/member/MembershipTest.java
@@ -22,24 +22,24 @@
  * Who lives and with which share: it grows by the dead, shrinks before one returns, and falls by
  * the own clock.
  */
-public class MembersTest {
+public class MembershipTest {
 
-    private static final long E = MembershipTerms.EVEN_SHARE;
+    private static final long EVEN = MembershipTerms.EVEN_SHARE;
     private static final MembershipTerms TERMS = MembershipTerms.of(4);
-    private static final long STEP = 250_000;
+    private static final long STEP_MICROS = 250_000;
 
     private ReplicatedStateMachine machine =
             new ReplicatedStateMachine(1, List.of(new MembershipPart(), new OutOfServicePart()));
     private long index;
     private long now;
-    private final Map<String, EffectiveShare> up = new HashMap<>();
+    private final Map<String, EffectiveShare> shares = new HashMap<>();
 
     private Answer apply(Command c) {
         return machine.apply(++index, c);
     }
 
     private Answer join(String name, long incarnation) {
-        up.put(name, new EffectiveShare(name, incarnation, TERMS));
+        shares.put(name, new EffectiveShare(name, incarnation, TERMS));
         return apply(MembershipPart.join(name, incarnation, TERMS));
     }
 
@@ -55,119 +55,124 @@
      * Time passes for the log and every clock; those that are up see each entry and renew once a
      * second.
      */
-    private void pass(long micros, String... renewing) {
-        for (long end = now + micros; now < end; ) {
-            now += STEP;
-            apply(ReplicatedStateMachine.advance("leader", 1, STEP));
+    private void advance(long micros, String... renewing) {
+        for (long endMicros = now + micros; now < endMicros; ) {
+            now += STEP_MICROS;
+            apply(ReplicatedStateMachine.advance("leader", 1, STEP_MICROS));
             if (now % 1_000_000 == 0) {
                 for (String name : renewing) {
-                    up.get(name).factor(view(), now);
-                    apply(MembershipPart.renew(name, 1, up.get(name).appliedGrantIndex()));
+                    shares.get(name).factor(view(), now);
+                    apply(MembershipPart.renew(name, 1, shares.get(name).appliedGrantIndex()));
                 }
             }
         }
     }
 
-    private void four() {
-        for (String n : List.of("a", "b", "c", "d")) {
-            assertEquals(Status.DONE, join(n, 1).status());
+    private void joinFour() {
+        for (String name : List.of("a", "b", "c", "d")) {
+            assertEquals(Status.DONE, join(name, 1).status());
         }
-        pass(1_000_000, "a", "b", "c", "d");
+        advance(1_000_000, "a", "b", "c", "d");
     }
 
     @Test
-    public void whoeverLivesHasTheEvenShareFromTheStart() {
-        four();
-        assertEquals(E, share("a"));
-        assertEquals(1.0, up.get("d").factor(view(), now), 0);
+    public void liveMembersHaveEvenShareFromStart() {
+        joinFour();
+        assertEquals(EVEN, share("a"));
+        assertEquals(1.0, shares.get("d").factor(view(), now), 0);
         assertEquals(4, Member.alive(machine.rows(), machine.moment().micros()));
     }
 
     @Test
-    public void sharesStandStillWhileATenthRestartsAndGrowOnceALingerIsOver() {
-        four();
-        pass(25_000_000, "a", "b", "c");
-        assertEquals(E, share("a"));
-        pass(2_000_000, "a", "b", "c");
-        assertEquals((4 * E - TERMS.floor()) / 3, share("a"));
-        assertTrue(share("a") + share("b") + share("c") + TERMS.floor() <= 4 * E);
+    public void sharesAreUnchangedDuringRestartAndGrowAfterLinger() {
+        joinFour();
+        advance(25_000_000, "a", "b", "c");
+        assertEquals(EVEN, share("a"));
+        advance(2_000_000, "a", "b", "c");
+        assertEquals((4 * EVEN - TERMS.floor()) / 3, share("a"));
+        assertTrue(share("a") + share("b") + share("c") + TERMS.floor() <= 4 * EVEN);
     }
 
     @Test
-    public void oneThatReturnsGetsItsShareOnlyAsOthersAreSeenToHaveShrunk() {
-        four();
-        pass(28_000_000, "a", "b", "c");
-        long more = share("a");
+    public void returningMemberGetsShareOnlyAsOthersConfirmShrinking() {
+        joinFour();
+        advance(28_000_000, "a", "b", "c");
+        long largerShare = share("a");
         join("d", 2);
-        assertEquals(E, share("a"));
+        assertEquals(EVEN, share("a"));
         assertEquals("others may still use what they had", TERMS.floor(), share("d"), 3);
-        up.get("a").factor(view(), now);
-        apply(MembershipPart.renew("a", 1, up.get("a").appliedGrantIndex()));
-        assertEquals("what one gave up is there for it", TERMS.floor() + more - E, share("d"), 3);
-        pass(1_000_000, "a", "b", "c");
-        assertEquals(E, share("d"));
+        shares.get("a").factor(view(), now);
+        apply(MembershipPart.renew("a", 1, shares.get("a").appliedGrantIndex()));
+        assertEquals(
+                "what one gave up is there for it",
+                TERMS.floor() + largerShare - EVEN,
+                share("d"),
+                3);
+        advance(1_000_000, "a", "b", "c");
+        assertEquals(EVEN, share("d"));
     }
 
     @Test
-    public void whatASilentOneHeldIsGivenAwayAfterItsLeaseAlone() {
-        four();
-        pass(28_000_000, "a", "b");
-        long more = share("b");
-        assertTrue(more > E);
+    public void shareOfSilentMemberIsReassignedOnlyAfterItsLease() {
+        joinFour();
+        advance(28_000_000, "a", "b");
+        long largerShare = share("b");
+        assertTrue(largerShare > EVEN);
         join("c", 2);
         join("d", 2);
-        up.put("c", new EffectiveShare("c", 2, TERMS));
-        pass(1_000_000, "a");
-        long used = more + share("a") + share("c") + share("d");
-        assertTrue("b may still serve with " + more, used <= 4 * E);
-        pass(TERMS.leaseMicros(), "a");
-        assertEquals(E, share("b"));
+        shares.put("c", new EffectiveShare("c", 2, TERMS));
+        advance(1_000_000, "a");
+        long used = largerShare + share("a") + share("c") + share("d");
+        assertTrue("b may still serve with " + largerShare, used <= 4 * EVEN);
+        advance(TERMS.leaseMicros(), "a");
+        assertEquals(EVEN, share("b"));
     }
 
     @Test
-    public void oneThatIsCutOffFallsByItsOwnClockBeforeItsPartIsGiven() {
-        four();
-        pass(28_000_000, "a", "b");
-        View last = view();
-        EffectiveShare a = up.get("a");
-        assertTrue(a.factor(last, now) > 1);
-        long lease = Member.of(last.rows(), "a").leaseEndMicros() - last.moment().micros();
-        long own =
+    public void partitionedMemberReducesShareBeforeReassignment() {
+        joinFour();
+        advance(28_000_000, "a", "b");
+        View lastView = view();
+        EffectiveShare a = shares.get("a");
+        assertTrue(a.factor(lastView, now) > 1);
+        long lease = Member.of(lastView.rows(), "a").leaseEndMicros() - lastView.moment().micros();
+        long leaseByOwnClock =
                 (long)
                         ((lease - EffectiveShare.MAX_UNCOMMITTED_MICROS)
                                 / (1 + EffectiveShare.MAX_CLOCK_DRIFT));
-        assertTrue(a.factor(last, now + own - 10) > 1);
-        assertEquals(1.0, a.factor(last, now + own + 10), 0);
-        long kept =
+        assertTrue(a.factor(lastView, now + leaseByOwnClock - 10) > 1);
+        assertEquals(1.0, a.factor(lastView, now + leaseByOwnClock + 10), 0);
+        long lingerByOwnClock =
                 (long)
                         ((lease - EffectiveShare.MAX_UNCOMMITTED_MICROS + TERMS.lingerMicros())
                                 / (1 + EffectiveShare.MAX_CLOCK_DRIFT));
-        assertEquals(1.0, a.factor(last, now + kept - 10), 0);
-        assertEquals(0.25, a.factor(last, now + kept + 10), 0);
+        assertEquals(1.0, a.factor(lastView, now + lingerByOwnClock - 10), 0);
+        assertEquals(0.25, a.factor(lastView, now + lingerByOwnClock + 10), 0);
         assertEquals(
                 "as stated by the operator",
                 1.0,
-                new EffectiveShare("a", 1, TERMS, E).factor(last, now + kept + 10),
+                new EffectiveShare("a", 1, TERMS, EVEN)
+                        .factor(lastView, now + lingerByOwnClock + 10),
                 0);
     }
 
     @Test
-    public void oneThatIsNotKnownYetServesByTheFloor() {
+    public void unknownMemberServesAtFloor() {
         assertEquals(0.25, new EffectiveShare("a", 1, TERMS).factor(View.NONE, now), 0);
-        four();
-        EffectiveShare again = new EffectiveShare("a", 2, TERMS);
-        assertEquals("the row is its former start's", 0.25, again.factor(view(), now), 0);
+        joinFour();
+        EffectiveShare restarted = new EffectiveShare("a", 2, TERMS);
+        assertEquals("the row is its former start's", 0.25, restarted.factor(view(), now), 0);
         join("a", 2);
-        assertEquals(1.0, again.factor(view(), now), 0);
-        up.put("a", new EffectiveShare("a", 1, TERMS));
-        up.get("a").factor(view(), now);
-        assertTrue(up.get("a").isReplaced());
-        assertFalse(again.isReplaced());
+        assertEquals(1.0, restarted.factor(view(), now), 0);
+        shares.put("a", new EffectiveShare("a", 1, TERMS));
+        shares.get("a").factor(view(), now);
+        assertTrue(shares.get("a").isReplaced());
+        assertFalse(restarted.isReplaced());
     }
 
     @Test
-    public void anOlderIncarnationIsTurnedDownAndAnUnknownOneToldToJoin() {
-        four();
+    public void olderIncarnationIsRejectedAndUnknownOneMustJoin() {
+        joinFour();
         join("a", 7);
         assertEquals(
                 Answer.conflict("incarnation 1 of a is below 7"),
@@ -180,21 +185,21 @@
     }
 
     @Test
-    public void otherTermsAreNamedWhileAnyoneGoesByTheFormer() {
-        four();
-        MembershipTerms longer = new MembershipTerms(4, 9_000_000, 20_000_000, E / 4);
+    public void differingTermsAreRejectedWhileFormerAreInUse() {
+        joinFour();
+        MembershipTerms longer = new MembershipTerms(4, 9_000_000, 20_000_000, EVEN / 4);
         assertEquals(
                 Answer.conflict("leaseMicros differs from what the members agreed on"),
                 apply(MembershipPart.join("a", 2, longer)));
-        pass(30_000_000);
+        advance(30_000_000);
         assertEquals(Status.DONE, apply(MembershipPart.join("a", 2, longer)).status());
         assertEquals(longer, Member.terms(machine.rows()));
     }
 
     @Test
-    public void aJoinThatComesLateDoesNotUndoWhatIsHeldBack() {
-        four();
-        pass(28_000_000, "a", "b", "c");
+    public void lateJoinDoesNotReleaseReservedShares() {
+        joinFour();
+        advance(28_000_000, "a", "b", "c");
         join("d", 2);
         long before = share("d");
         apply(MembershipPart.join("a", 1, TERMS));
@@ -203,31 +208,31 @@
     }
 
     @Test
-    public void aNewEraGrantsNothingWhileSharesOfTheFormerMayBeInUse() {
+    public void newEraGrantsNothingWhileFormerSharesMayBeInUse() {
         machine = new ReplicatedStateMachine(2, List.of(new MembershipPart()));
         List<String> three = new ArrayList<>(List.of("a", "b", "c"));
         three.forEach(n -> join(n, 1));
         assertEquals(TERMS.floor(), share("a"));
-        pass(TERMS.leaseMicros(), "a", "b", "c");
-        assertEquals(E, share("a"));
+        advance(TERMS.leaseMicros(), "a", "b", "c");
+        assertEquals(EVEN, share("a"));
         machine = new ReplicatedStateMachine(2, List.of(new MembershipPart()));
         index = 0;
         three.forEach(n -> join(n, 1));
         join("d", 1);
-        assertEquals("all are here, so nobody goes by the former era", E, share("a"));
+        assertEquals("all are here, so nobody goes by the former era", EVEN, share("a"));
     }
 
     @Test
-    public void workersOutStayOutUntilTheyArePutBack() {
+    public void workersStayOutOfServiceUntilReturned() {
         apply(OutOfServicePart.takeOutOfService("r1", "a", 1, "w1"));
         assertEquals(
                 Status.DONE, apply(OutOfServicePart.takeOutOfService("r2", "b", 1, "w1")).status());
-        ReplicatedStateMachine next =
+        ReplicatedStateMachine restored =
                 new ReplicatedStateMachine(1, List.of(new OutOfServicePart()));
-        next.restore(machine.snapshot());
-        assertEquals(Set.of("w1"), OutOfServicePart.outOfService(next.rows()));
-        assertEquals("a", next.rows().get("out", "w1").text("by"));
-        assertNotNull(next.rows().get("out", "w1").text("since"));
+        restored.restore(machine.snapshot());
+        assertEquals(Set.of("w1"), OutOfServicePart.outOfService(restored.rows()));
+        assertEquals("a", restored.rows().get("out", "w1").text("by"));
+        assertNotNull(restored.rows().get("out", "w1").text("since"));
         assertEquals(
                 Status.DONE, apply(OutOfServicePart.returnToService("r3", "b", 1, "w1")).status());
         assertEquals(
--- a/core/src/test/java/postgrade/recovery/RecoveryTest.java
+++ b/core/src/test/java/postgrade/recovery/RecoveryTest.java
@@ -14,35 +14,38 @@
     private static final Bounds BOUNDS = new Bounds(1_000_000, 5_000_000, 500_000);
     private final Recovery recovery = new Recovery(0, BOUNDS);
 
-    private static Observation seen(boolean list, long viewAge, double admitted, double served) {
-        return new Observation(true, list, viewAge, viewAge < 1_000_000, admitted, served, 0.8);
+    private static Observation observation(
+            boolean workersKnown, long viewAge, double admitted, double served) {
+        return new Observation(
+                true, workersKnown, viewAge, viewAge < 1_000_000, admitted, served, 0.8);
     }
 
-    private RecoveryPhase look(long micros, Observation seen) {
-        return recovery.update(micros, seen);
+    private RecoveryPhase update(long micros, Observation observation) {
+        return recovery.update(micros, observation);
     }
 
     @Test
-    public void phasesArePassedOneByOneAndKeptWithTheirTimes() {
+    public void phasesAdvanceOneByOneAndKeepTheirTimes() {
         assertEquals(
                 RecoveryPhase.EMPTY,
-                look(
+                update(
                         1,
                         new Observation(
                                 false, false, Long.MAX_VALUE, false, 0, Double.NaN, Double.NaN)));
-        assertEquals(RecoveryPhase.REMEMBERING, look(2, seen(false, Long.MAX_VALUE, 0, 0)));
-        assertEquals(RecoveryPhase.CATCHING_UP, look(3, seen(true, Long.MAX_VALUE, 0, 0)));
-        assertEquals(RecoveryPhase.RAMPING, look(4, seen(true, 900_000, 0.1, 0)));
+        assertEquals(
+                RecoveryPhase.REMEMBERING, update(2, observation(false, Long.MAX_VALUE, 0, 0)));
+        assertEquals(RecoveryPhase.CATCHING_UP, update(3, observation(true, Long.MAX_VALUE, 0, 0)));
+        assertEquals(RecoveryPhase.RAMPING, update(4, observation(true, 900_000, 0.1, 0)));
         assertEquals(
                 "the ramp is over, but less is served",
                 RecoveryPhase.RAMPING,
-                look(600_000, seen(true, 0, 1, 0.75)));
-        assertEquals(RecoveryPhase.RAMPING, look(600_001, seen(true, 0, 1, 0.77)));
+                update(600_000, observation(true, 0, 1, 0.75)));
+        assertEquals(RecoveryPhase.RAMPING, update(600_001, observation(true, 0, 1, 0.77)));
         assertEquals(
                 "not for long enough",
                 RecoveryPhase.RAMPING,
-                look(1_000_000, seen(true, 0, 1, 0.77)));
-        assertEquals(RecoveryPhase.FULL, look(1_100_001, seen(true, 0, 1, 0.77)));
+                update(1_000_000, observation(true, 0, 1, 0.77)));
+        assertEquals(RecoveryPhase.FULL, update(1_100_001, observation(true, 0, 1, 0.77)));
         assertEquals(
                 List.of("empty", "remembering", "catching up", "ramping", "full"),
                 recovery.steps().stream().map(s -> s.phase().text()).toList());
@@ -50,26 +53,29 @@
     }
 
     @Test
-    public void aProcessWithoutWordFromTheQuorumServesAllTheSame() {
-        look(0, seen(true, Long.MAX_VALUE, 0, 0));
-        assertEquals(RecoveryPhase.CATCHING_UP, look(4_999_999, seen(true, Long.MAX_VALUE, 0, 0)));
-        assertEquals(RecoveryPhase.RAMPING, look(5_000_000, seen(true, Long.MAX_VALUE, 0, 0)));
+    public void processWithoutQuorumServesAfterTimeout() {
+        update(0, observation(true, Long.MAX_VALUE, 0, 0));
+        assertEquals(
+                RecoveryPhase.CATCHING_UP,
+                update(4_999_999, observation(true, Long.MAX_VALUE, 0, 0)));
+        assertEquals(
+                RecoveryPhase.RAMPING, update(5_000_000, observation(true, Long.MAX_VALUE, 0, 0)));
     }
 
     @Test
-    public void oneThatServedFullyRampsAgainOnlyAfterAFault() {
-        look(0, seen(true, 0, 1, 0.8));
-        assertEquals(RecoveryPhase.FULL, look(500_000, seen(true, 0, 1, 0.8)));
+    public void fullProcessRampsAgainOnlyAfterFault() {
+        update(0, observation(true, 0, 1, 0.8));
+        assertEquals(RecoveryPhase.FULL, update(500_000, observation(true, 0, 1, 0.8)));
         assertEquals(
                 "a bad moment is no fault",
                 RecoveryPhase.FULL,
-                look(600_000, seen(true, 0, 1, 0.5)));
+                update(600_000, observation(true, 0, 1, 0.5)));
         recovery.recordFault();
-        assertEquals(RecoveryPhase.RAMPING, look(700_000, seen(true, 0, 1, 0.5)));
+        assertEquals(RecoveryPhase.RAMPING, update(700_000, observation(true, 0, 1, 0.5)));
     }
 
     @Test
-    public void worthBeforeAFaultIsWhatIsMeasuredAgainst() {
+    public void servedWorthBeforeFaultIsTheBaseline() {
         ServedWorth worth = new ServedWorth(0);
         assertTrue(Double.isNaN(worth.recentShare(0)));
         for (long t = 0; t < 60_000_000; t += 10_000) {
