--- a/core/src/test/java/postgrade/recovery/StampedeTest.java
+++ b/core/src/test/java/postgrade/recovery/ThunderingHerdTest.java
@@ -10,74 +10,79 @@
 import postgrade.recovery.ThunderingHerdLimits.SteadyRates;
 
 /** When most come back at once: others are not overrun, and callers do not return together. */
-public class StampedeTest {
+public class ThunderingHerdTest {
 
     private static final SteadyRates STEADY = new SteadyRates(10, 40, 5, 2, 8);
-    private static final int PLACES = 20;
+    private static final int PROCESSES = 20;
 
     /** The most within any second over all that are there from the start, and how many in all. */
-    private static int[] peak(LoadKind kind, int there, int alive, String worker, long forMicros) {
+    private static int[] peak(
+            LoadKind kind, int processes, int alive, String worker, long durationMicros) {
         List<Long> times = new ArrayList<>();
-        for (int place = 0; place < there; place++) {
-            Pacer gate =
-                    new ThunderingHerdLimits(STEADY, 2, PLACES, place)
+        for (int index = 0; index < processes; index++) {
+            Pacer pacer =
+                    new ThunderingHerdLimits(STEADY, 2, PROCESSES, index)
                             .pacer(0, kind, alive, worker);
-            for (long t = 0; t < forMicros; t += 1000) {
-                if (gate.tryAcquire(t)) {
+            for (long t = 0; t < durationMicros; t += 1000) {
+                if (pacer.tryAcquire(t)) {
                     times.add(t);
                 }
             }
         }
-        int most = 0;
+        int max = 0;
         for (long from : times) {
-            most =
+            max =
                     Math.max(
-                            most,
+                            max,
                             (int)
                                     times.stream()
                                             .filter(t -> t >= from && t < from + 1_000_000)
                                             .count());
         }
-        return new int[] {most, times.size()};
+        return new int[] {max, times.size()};
     }
 
     @Test
-    public void allTogetherStayWithinTheMultipleInEverySecond() {
+    public void totalRateStaysWithinMultipleInEverySecond() {
         for (LoadKind kind : LoadKind.values()) {
             for (String worker : List.of("", "w1", "w2")) {
-                int[] peak = peak(kind, PLACES, 0, worker, 10_000_000);
-                double steady = new ThunderingHerdLimits(STEADY, 2, PLACES, 0).steady().of(kind);
+                int[] peak = peak(kind, PROCESSES, 0, worker, 10_000_000);
+                double steady = new ThunderingHerdLimits(STEADY, 2, PROCESSES, 0).steady().of(kind);
                 assertTrue(kind + " " + peak[0], peak[0] <= 2 * steady + 1);
-                assertTrue(kind + " goes on", peak[1] >= 2 * steady * 10 - PLACES);
+                assertTrue(kind + " goes on", peak[1] >= 2 * steady * 10 - PROCESSES);
             }
         }
     }
 
     @Test
-    public void fewerThatLiveMayEachDoMore() {
+    public void fewerLiveProcessesMayEachDoMore() {
         assertTrue(
                 peak(LoadKind.PULL, 5, 5, "", 5_000_000)[1]
                         > 3 * peak(LoadKind.PULL, 5, 20, "", 5_000_000)[1]);
         assertEquals(
-                4, new ThunderingHerdLimits(STEADY, 2, PLACES, 0).perSecond(LoadKind.PULL, 0), 0);
+                4,
+                new ThunderingHerdLimits(STEADY, 2, PROCESSES, 0).perSecond(LoadKind.PULL, 0),
+                0);
         assertEquals(
-                16, new ThunderingHerdLimits(STEADY, 2, PLACES, 0).perSecond(LoadKind.PULL, 5), 0);
+                16,
+                new ThunderingHerdLimits(STEADY, 2, PROCESSES, 0).perSecond(LoadKind.PULL, 5),
+                0);
     }
 
     @Test
-    public void aGateTellsWhenItOpens() {
-        Pacer gate = new Pacer(0, 2, 0.5);
-        assertEquals(250_000, gate.waitMicros(0));
-        assertTrue(gate.tryAcquire(250_000));
-        assertEquals(500_000, gate.waitMicros(250_000));
-        gate.setRate(250_000, 4);
-        assertEquals(250_000, gate.waitMicros(250_000));
-        gate.setRate(250_000, 0);
-        assertEquals(Long.MAX_VALUE, gate.waitMicros(300_000));
+    public void pacerReportsWaitUntilNextPermit() {
+        Pacer pacer = new Pacer(0, 2, 0.5);
+        assertEquals(250_000, pacer.waitMicros(0));
+        assertTrue(pacer.tryAcquire(250_000));
+        assertEquals(500_000, pacer.waitMicros(250_000));
+        pacer.setRate(250_000, 4);
+        assertEquals(250_000, pacer.waitMicros(250_000));
+        pacer.setRate(250_000, 0);
+        assertEquals(Long.MAX_VALUE, pacer.waitMicros(300_000));
     }
 
     @Test
-    public void admissionGrowsAsWorkersTakeAndGoesBackWhenTheyAreFull() {
+    public void admissionGrowsAsWorkersAcceptAndShrinksWhenFull() {
         AdmissionRamp ramp = new AdmissionRamp(0, 0.1);
         assertEquals(0.1, ramp.admittedShare(0), 0);
         assertEquals("nothing was sent, so nothing is known", 0.1, ramp.admittedShare(500_000), 0);
@@ -98,7 +103,7 @@
     }
 
     @Test
-    public void aPartOfTheJobsIsAdmittedByTheirIds() {
+    public void admittedShareIsSelectedByRequestId() {
         AdmissionRamp ramp = new AdmissionRamp(0, 0.3);
         int admitted = 0;
         for (int i = 0; i < 10_000; i++) {
@@ -108,15 +113,16 @@
     }
 
     @Test
-    public void refusedCallersComeBackSpreadOverWhatCanBeTakenIn() {
-        long width = RetryAfterSpread.spreadMicros(5000, 1000);
-        assertEquals(5_000_000, width);
+    public void rejectedClientsRetrySpreadOverSpareCapacity() {
+        long spread = RetryAfterSpread.spreadMicros(5000, 1000);
+        assertEquals(5_000_000, spread);
         int[] perSecond = new int[6];
         for (int i = 0; i < 5000; i++) {
-            long after = RetryAfterSpread.retryAfterMicros("id" + i, 7, 500_000, width, 10_000_000);
+            long after =
+                    RetryAfterSpread.retryAfterMicros("id" + i, 7, 500_000, spread, 10_000_000);
             assertEquals(
                     after,
-                    RetryAfterSpread.retryAfterMicros("id" + i, 7, 500_000, width, 10_000_000));
+                    RetryAfterSpread.retryAfterMicros("id" + i, 7, 500_000, spread, 10_000_000));
             perSecond[(int) ((after - 500_000) / 1_000_000)]++;
         }
         for (int second = 0; second < 5; second++) {
@@ -133,15 +139,15 @@
      * come back within.
      */
     @Test
-    public void thoseTurnedAwayComeBackOverWhatIsLeftBesideWhatComesAnyway() {
-        RecentDemand crowd = new RecentDemand();
+    public void retrySpreadUsesCapacityLeftByOrdinaryDemand() {
+        RecentDemand demand = new RecentDemand();
         for (long t = 0; t < 5_000_000; t += 10_000) {
-            crowd.record(t, t % 20_000 == 0);
+            demand.record(t, t % 20_000 == 0);
         }
-        assertEquals(1e6, crowd.spreadMicros(150), 0.05e6);
-        assertEquals("more that is left, sooner", 0.25e6, crowd.spreadMicros(300), 0.02e6);
-        assertEquals("a tenth is taken as left at least", 5e6, crowd.spreadMicros(100), 0.2e6);
-        crowd.record(20_000_000, true);
-        assertTrue("forgotten by then", crowd.spreadMicros(150) < 20_000);
+        assertEquals(1e6, demand.spreadMicros(150), 0.05e6);
+        assertEquals("more that is left, sooner", 0.25e6, demand.spreadMicros(300), 0.02e6);
+        assertEquals("a tenth is taken as left at least", 5e6, demand.spreadMicros(100), 0.2e6);
+        demand.record(20_000_000, true);
+        assertTrue("forgotten by then", demand.spreadMicros(150) < 20_000);
     }
 }
--- a/core/src/test/java/postgrade/shared/MachineTest.java
+++ b/core/src/test/java/postgrade/shared/ReplicatedStateMachineTest.java
@@ -16,7 +16,7 @@
  * The ground all parts stand on: once per request id, time by the log, the same from a snapshot or
  * from changes.
  */
-public class MachineTest {
+public class ReplicatedStateMachineTest {
 
     /** Counts by name; a name is removed when its count passes what it may. */
     private static final StatePart COUNTER =
@@ -50,29 +50,29 @@
     }
 
     @Test
-    public void aRepeatedRequestHasItsEffectOnceAndItsFirstAnswer() {
+    public void repeatedRequestTakesEffectOnceAndGetsFirstAnswer() {
         Answer first = count("r1", "x", 3);
         assertEquals(first, count("r1", "x", 3));
         assertEquals("3", machine.rows().get("count", "x").text("n"));
-        ReplicatedStateMachine next = new ReplicatedStateMachine(1, List.of(COUNTER));
-        next.restore(machine.snapshot());
+        ReplicatedStateMachine restored = new ReplicatedStateMachine(1, List.of(COUNTER));
+        restored.restore(machine.snapshot());
         assertEquals(
                 first,
-                next.apply(
+                restored.apply(
                         ++index,
                         new Command("r1", "a", 1, "count", "add", Row.of("name", "x", "by", 3))));
-        assertEquals("3", next.rows().get("count", "x").text("n"));
+        assertEquals("3", restored.rows().get("count", "x").text("n"));
     }
 
     @Test
-    public void aRequestIdUsedForAnotherCallIsTurnedDown() {
+    public void requestIdReusedForAnotherCallIsRejected() {
         count("r1", "x", 3);
         assertEquals(Status.CONFLICT, count("r1", "x", 4).status());
         assertEquals("3", machine.rows().get("count", "x").text("n"));
     }
 
     @Test
-    public void whatIsFaultyIsNamedAndChangesNothing() {
+    public void invalidCommandNamesFieldAndChangesNothing() {
         assertEquals(Answer.faulty("by must lie between 1 and 10"), count("", "x", 11));
         assertEquals(Answer.faulty("by must be a whole number"), count("", "x", "many"));
         assertNull(machine.rows().get("count", "x"));
@@ -83,7 +83,7 @@
     }
 
     @Test
-    public void timeGoesOnByTheLogAloneAndInBoundedSteps() {
+    public void timeAdvancesByLogOnlyInBoundedSteps() {
         count("", "x", 1);
         assertEquals(0, machine.moment().micros());
         machine.apply(++index, ReplicatedStateMachine.advance("a", 1, 400_000));
@@ -97,7 +97,7 @@
     }
 
     @Test
-    public void answersAreForgottenAfterTenMinutesOfTheLog() {
+    public void answersAreEvictedAfterTenMinutesOfLogTime() {
         count("r1", "x", 1);
         for (int i = 0; i < 600; i++) {
             machine.apply(
@@ -112,14 +112,14 @@
      * What a machine that looks at all its answers forgets at this step; replicas of both kinds
      * must hold the same.
      */
-    private static void forgetByLooking(Map<String, Long> answers, long before, long now) {
+    private static void evictByFullScan(Map<String, Long> answers, long before, long now) {
         if (now / 10_000_000 > before / 10_000_000 || answers.size() > 10_000) {
             List<Map.Entry<String, Long>> oldestFirst = new ArrayList<>(answers.entrySet());
             oldestFirst.sort(Map.Entry.comparingByValue());
-            int over = oldestFirst.size() - 10_000;
+            int excess = oldestFirst.size() - 10_000;
             for (int i = 0;
                     i < oldestFirst.size()
-                            && (i < over || now - oldestFirst.get(i).getValue() >= 600_000_000);
+                            && (i < excess || now - oldestFirst.get(i).getValue() >= 600_000_000);
                     i++) {
                 answers.remove(oldestFirst.get(i).getKey());
             }
@@ -127,11 +127,11 @@
     }
 
     @Test
-    public void theSameAnswersAreForgottenAsByLookingAtThemAll() {
+    public void evictionMatchesFullScan() {
         ReplicatedStateMachine replica = machine;
         Map<String, Long> answers = new TreeMap<>();
         Random random = new Random(7);
-        int most = 0;
+        int maxRetained = 0;
         int steps = 0;
         // Many at one moment first, up to the bound; then so few that the oldest grow too old.
         for (int i = 0; i < 13_000; i++) {
@@ -145,75 +145,77 @@
                         ++index,
                         ReplicatedStateMachine.advance(
                                 "a", 1, ReplicatedStateMachine.MAX_ADVANCE_MICROS));
-                forgetByLooking(answers, before, replica.moment().micros());
-                most = Math.max(most, answers.size());
+                evictByFullScan(answers, before, replica.moment().micros());
+                maxRetained = Math.max(maxRetained, answers.size());
                 if (++steps % 16 == 0) {
                     assertEquals(answers.keySet(), replica.rows().ofPart("request").keySet());
                 }
             }
             if (i == 6000 || i == 11_000) {
-                ReplicatedStateMachine later = new ReplicatedStateMachine(1, List.of(COUNTER));
-                later.restore(replica.snapshot());
-                replica = later;
+                ReplicatedStateMachine restored = new ReplicatedStateMachine(1, List.of(COUNTER));
+                restored.restore(replica.snapshot());
+                replica = restored;
             }
         }
         assertEquals(answers.keySet(), replica.rows().ofPart("request").keySet());
-        assertEquals(10_000, most);
+        assertEquals(10_000, maxRetained);
         assertTrue("none grew too old", answers.size() < 9000);
     }
 
     @Test
-    public void aFollowerOfChangesSeesWhatTheMachineHolds() {
+    public void followerApplyingChangesMatchesMachine() {
         count("", "x", 1);
         count("", "y", 9);
         Rows follower = Rows.fromSnapshot(index, machine.snapshot().rows());
-        long seen = index;
+        long seenIndex = index;
         count("", "y", 9); // Removed.
         count("", "x", 1);
         count("", "z", 1);
-        follower = follower.withChanges(index, machine.rows().changesSince(seen));
+        follower = follower.withChanges(index, machine.rows().changesSince(seenIndex));
         assertEquals(machine.rows().ofPart("count"), follower.ofPart("count"));
         assertTrue(machine.rows().changesSince(index).isEmpty());
     }
 
     @Test
-    public void whatWasRemovedAndPutAgainStands() {
+    public void rowRemovedAndPutAgainIsPresent() {
         count("", "x", 1);
         Rows follower = Rows.fromSnapshot(index, machine.snapshot().rows());
-        long seen = index;
+        long seenIndex = index;
         count("", "x", 10);
         count("", "x", 2);
         assertEquals(
                 machine.rows().ofPart("count"),
-                follower.withChanges(index, machine.rows().changesSince(seen)).ofPart("count"));
+                follower.withChanges(index, machine.rows().changesSince(seenIndex))
+                        .ofPart("count"));
     }
 
     @Test
-    public void whatCameAndWentBetweenTwoPullsIsNoneOfTheFollowersBusiness() {
+    public void removalOfRowNeverSeenByFollowerIsIgnored() {
         Rows follower = new Rows();
         count("", "x", 10);
         count("", "x", 1);
-        long seen = index;
-        follower = follower.withChanges(seen, machine.rows().changesSince(0));
+        long seenIndex = index;
+        follower = follower.withChanges(seenIndex, machine.rows().changesSince(0));
         assertTrue(follower.ofPart("count").isEmpty());
         count("", "x", 10);
         assertEquals(
                 machine.rows().ofPart("count"),
-                follower.withChanges(index, machine.rows().changesSince(seen)).ofPart("count"));
+                follower.withChanges(index, machine.rows().changesSince(seenIndex))
+                        .ofPart("count"));
     }
 
     @Test
-    public void aFollowerFarBehindIsToldToTakeTheWhole() {
-        long seen = index;
+    public void followerFarBehindNeedsFullState() {
+        long seenIndex = index;
         for (int i = 0; i < 5000; i++) {
             count("", "n" + i, 10);
             count("", "n" + i, 1);
         }
-        assertNull(machine.rows().changesSince(seen));
+        assertNull(machine.rows().changesSince(seenIndex));
     }
 
     @Test
-    public void fencesOfALaterEraLieAboveAllEarlierOnes() {
+    public void fencesOfLaterEraExceedAllEarlierOnes() {
         assertTrue(new Moment(2, 1, 0).fence() > new Moment(1, 1L << 39, 0).fence());
         assertTrue(new Moment(1, 8, 0).after(new Moment(1, 7, 5)));
     }
