--- a/core/src/main/java/postgrade/lease/Allotment.java
+++ b/core/src/main/java/postgrade/lease/Allotment.java
@@ -5,13 +5,10 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/**
- * Which accelerators of which workers: for each worker a mask with a bit for each of its
- * accelerators. Immutable.
- */
+/** A set of accelerators: for each worker a mask with one bit per accelerator. Immutable. */
 public final class Allotment {
 
-    /** A mask has so many bits; a worker has at most as many accelerators. */
+    /** Number of bits in a mask, and so the maximum number of accelerators of a worker. */
     public static final int MAX_PER_WORKER = 62;
 
     public static final Allotment NONE = new Allotment(Map.of());
@@ -24,7 +21,9 @@
         this.masks = Collections.unmodifiableSortedMap(nonEmpty);
     }
 
-    /** As {@link #toString} writes it: {@code w-1=3,w-2=1}, the masks in hexadecimal. */
+    /**
+     * Parses the form that {@link #toString} writes: {@code w-1=3,w-2=1}, with hexadecimal masks.
+     */
     public static Allotment of(String text) {
         Map<String, Long> masks = new TreeMap<>();
         for (String item : text.isEmpty() ? new String[0] : text.split(",")) {
@@ -36,7 +35,7 @@
         return new Allotment(masks);
     }
 
-    /** The lowest so many bits. */
+    /** A mask of that many lowest bits. */
     static long lowestBits(long count) {
         return (1L << count) - 1;
     }
@@ -53,7 +52,7 @@
         return masks.values().stream().mapToInt(Long::bitCount).sum();
     }
 
-    /** Only these bits of that worker are kept. */
+    /** A copy that keeps only these bits of that worker. */
     Allotment restrictedTo(String worker, long mask) {
         Map<String, Long> restricted = new TreeMap<>(masks);
         restricted.computeIfPresent(worker, (w, m) -> m & mask);
--- a/core/src/main/java/postgrade/lease/CapacityCommands.java
+++ b/core/src/main/java/postgrade/lease/CapacityCommands.java
@@ -7,10 +7,10 @@
 import postgrade.shared.Row;
 
 /**
- * What there is to reserve. Workers with their accelerators are set by configuration or by command,
- * each with a version that only grows, so that a late or repeated word never undoes a later one;
- * which of them are there is told from discovery, ordered by the worker's start and how far it has
- * come since.
+ * Commands that change what can be reserved. Workers and their accelerators are set by
+ * configuration or by command, each with a version that only grows, so that a late or repeated
+ * command never undoes a newer one. Their presence comes from discovery, ordered by the worker's
+ * start and by its progress through the states since.
  */
 final class CapacityCommands {
 
@@ -24,7 +24,7 @@
         this.at = at;
     }
 
-    /** A worker's accelerators. What it no longer has is lost by whoever holds it. */
+    /** Sets a worker's accelerators. A holder loses those that the worker no longer has. */
     Answer setWorker(Row args) {
         String worker = ReservationRequest.validName(args, "worker");
         String site = ReservationRequest.validName(args, "site");
@@ -64,7 +64,8 @@
     }
 
     /**
-     * Whoever holds accelerators that are gone loses them; they rest, should they come back soon.
+     * Takes accelerators that no longer exist from their holders; they rest, in case they return
+     * soon.
      */
     private void reduceGrants(String worker, long remainingMask) {
         for (Grant grant : table.grants()) {
@@ -87,8 +88,8 @@
     }
 
     /**
-     * Discovery or an operator tells of a worker. While it is away its holders keep it and nobody
-     * is granted it.
+     * Discovery or an operator reports a worker's state. While the worker is absent its holders
+     * keep it and it is granted to nobody.
      */
     Answer updatePresence(Row args) {
         String worker = ReservationRequest.validName(args, "worker");
@@ -125,8 +126,8 @@
     }
 
     /**
-     * Of a kind only so many thousandths of what is ready may be reserved at once; what is held
-     * already stays.
+     * Limits the thousandths of a kind's ready accelerators that may be reserved at once; existing
+     * grants stay.
      */
     Answer setKindLimit(Row args) {
         String kind = ReservationRequest.validName(args, "kind");
--- a/core/src/main/java/postgrade/lease/FleetSync.java
+++ b/core/src/main/java/postgrade/lease/FleetSync.java
@@ -14,25 +14,27 @@
 import postgrade.shared.Rows;
 
 /**
- * Keeps the shared state's workers true to discovery: names the commands that bring the one in line
- * with the other. Whoever leads asks this; that two processes with different lists ask for it does
- * no harm, as starts and states only go on.
+ * Keeps the workers in the replicated state in line with discovery, by naming the commands to
+ * submit. The leader calls this. If two processes with different lists submit commands this does no
+ * harm, because starts and states only advance.
  */
 public final class FleetSync {
 
     /**
-     * @param perKind accelerators of a worker of each kind that has some @param version of these
-     *     figures
+     * The configured accelerators.
+     *
+     * @param perKind accelerators per worker, for each kind that has any
+     * @param version of this configuration
      */
     public record AcceleratorConfig(Map<String, Integer> perKind, long version) {}
 
     private FleetSync() {}
 
     /**
-     * What is to be told.
+     * The commands to submit.
      *
-     * @param workers the whole list as discovery has it
-     * @param out workers that operators have taken out
+     * @param workers the complete list as discovery has it
+     * @param outOfService workers that operators have taken out of service
      */
     public static List<Command> pendingCommands(
             Rows rows,
--- a/core/src/main/java/postgrade/lease/Grant.java
+++ b/core/src/main/java/postgrade/lease/Grant.java
@@ -3,12 +3,13 @@
 import postgrade.shared.Row;
 
 /**
- * A reservation that was granted.
+ * A granted reservation.
  *
- * @param fence of the entry that granted it, or that gave it to the holder's next incarnation
- * @param sinceMicros and untilMicros in the log's time; it ends at the latter unless it is renewed;
- *     {@link ReservationTable#PENDING}
- * @param allotment what it still has; less than was asked for where a worker has lost accelerators
+ * @param fence of the entry that granted it or that passed it to the holder's next incarnation
+ * @param sinceMicros log time of the grant
+ * @param untilMicros log time at which it ends unless it is renewed, or {@link
+ *     ReservationTable#PENDING}
+ * @param allotment its present accelerators; fewer than requested if a worker has lost some
  */
 public record Grant(
         ReservationRequest request,
@@ -47,14 +48,14 @@
         return new Grant(request, fence, sinceMicros, untilMicros, remaining);
     }
 
-    /** Before it ends unless it is renewed. */
+    /** Time until it ends unless it is renewed. */
     long remainingMicros(long logMicros) {
         return untilMicros == ReservationTable.PENDING
                 ? request.ttlMicros()
                 : untilMicros - logMicros;
     }
 
-    /** When the holder's first job is to be expected, in the log's time. */
+    /** Log time at which the holder's first job is expected. */
     long neededMicros() {
         return sinceMicros + request.neededInMicros();
     }
--- a/core/src/main/java/postgrade/lease/GrantPass.java
+++ b/core/src/main/java/postgrade/lease/GrantPass.java
@@ -10,10 +10,10 @@
 import postgrade.shared.Row;
 
 /**
- * Goes down the line and grants what is free. Nobody is overtaken by who came later and wants any
- * of the same workers: what an earlier one waits for is kept from the later ones. One that could
- * not be served even if nobody held anything, since workers are away, keeps its place and holds up
- * nobody.
+ * Walks the queue and grants what is free. A later request never overtakes an earlier one that
+ * wants any of the same workers: what the earlier one waits for is held back from the later ones. A
+ * request that could not be granted even if all accelerators were free, because workers are absent,
+ * keeps its place and blocks no other.
  */
 final class GrantPass {
 
@@ -25,14 +25,14 @@
     private final List<ReservableWorker> workers;
     private final Map<String, Long> unavailable;
 
-    /** Of each kind of which a part alone may be reserved: how much of that is left. */
+    /** For each kind with a limit: how many accelerators may still be reserved. */
     private final Map<String, Long> remainingByKind = new TreeMap<>();
 
     private final Set<String> heldBackWorkers = new HashSet<>();
     private final Set<String> heldBackKinds = new HashSet<>();
 
     /**
-     * @param clock the entry is one that moves the time on
+     * @param advancesTime the current entry advances log time
      */
     GrantPass(ReservationTable table, Moment at, boolean advancesTime) {
         this.table = table;
@@ -42,7 +42,7 @@
         unavailable = table.unavailable();
         for (ReservableWorker worker : workers) {
             if (table.kindLimit(worker.kind()) != null) {
-                // Also what is held of workers that are away: they may come back.
+                // Grants on absent workers count too: the workers may return.
                 remainingByKind.computeIfAbsent(
                         worker.kind(), kind -> reservableOfKind(table, workers, kind, false));
                 deduct(remainingByKind, worker.kind(), Long.bitCount(unavailableOn(worker)));
@@ -58,7 +58,9 @@
         return unavailable.getOrDefault(worker.worker(), 0L);
     }
 
-    /** How much of a kind may be reserved, of what is ready or of all that is configured. */
+    /**
+     * How many accelerators of a kind may be reserved, of the ready ones or of all configured ones.
+     */
     private static long reservableOfKind(
             ReservationTable table,
             List<ReservableWorker> workers,
@@ -77,7 +79,7 @@
     }
 
     /**
-     * The most that one could ever be granted of this while the configured workers are all there.
+     * The most that could ever be granted to this request while all configured workers are present.
      */
     static long maxGrantable(
             ReservationTable table, ReservationRequest request, boolean includeAbsent) {
@@ -134,8 +136,8 @@
     }
 
     /**
-     * Workers in the order of their ids, the lowest accelerators of each first; null where there
-     * are too few.
+     * Takes workers in the order of their ids and the lowest accelerators of each first; null if
+     * there are too few.
      */
     private Allotment findAllotment(ReservationRequest request) {
         Map<String, Long> found = new TreeMap<>();
--- a/core/src/main/java/postgrade/lease/LeaseConstraints.java
+++ b/core/src/main/java/postgrade/lease/LeaseConstraints.java
@@ -12,32 +12,32 @@
 import postgrade.shared.View;
 
 /**
- * Reservations as the module meets them. A holder's jobs of a reserving class go to its
- * accelerators first; for all others a worker is smaller by what is reserved of it. An old view
- * takes the privilege away and never makes a worker unable: it costs features and no answer. Jobs
- * that must not run twice are never limited by any of this.
+ * Applies reservations to the choice of workers. A holder's jobs of a reserving class use its
+ * accelerators first; for all other jobs a worker's usable share is reduced by what is reserved of
+ * it. A stale view removes the privilege but never makes a worker unusable: it costs a feature and
+ * never an answer. Jobs that must not run twice are never limited by reservations.
  */
 public final class LeaseConstraints implements JobConstraints {
 
     /**
-     * However much of a worker is reserved, so much of it is there for jobs that need no
-     * accelerator.
+     * The share of a worker that remains usable for jobs that need no accelerator, however much of
+     * it is reserved.
      */
     static final double MIN_USABLE_SHARE = 0.05;
 
     /**
-     * A holder's jobs see other workers smaller by this: its own fill up first, and what is beyond
-     * goes there.
+     * Reduces other workers for a holder's jobs: its own workers fill up first and the overflow
+     * goes to the others.
      */
     static final double OTHER_WORKER_FACTOR = 0.25;
 
     /**
-     * What the settings say.
+     * The rules from the settings.
      *
      * @param reserving classes whose jobs use reserved accelerators
-     * @param effects of all classes; one that must not run twice cannot be a reserving one
-     * @param lends reserved accelerators to jobs that may be repeated and end before the holder
-     *     needs them
+     * @param idempotency of all classes; a class that must not run twice cannot be a reserving one
+     * @param lends whether reserved accelerators are lent to jobs that may be repeated and end
+     *     before the holder needs them
      */
     public record Rules(
             Set<String> reserving, Map<String, Idempotency> idempotency, boolean lends) {
@@ -72,8 +72,8 @@
     }
 
     /**
-     * Of the latest view. One that merely confirms the former rows is indexed again all the same:
-     * views are few.
+     * The reservations of the latest view. A view that only confirms the former rows is indexed
+     * again too: views arrive seldom.
      */
     ReservationView reservations() {
         View view = views.get();
@@ -115,8 +115,8 @@
     }
 
     /**
-     * Whether this job is over before the holder's first, so that what is reserved may be used
-     * meanwhile.
+     * Whether this job ends before the holder's first one, so that it may use the reserved
+     * accelerators until then.
      */
     private boolean mayBorrow(ReservationView view, long nowMicros, Job job, Use use) {
         return rules.lends
@@ -127,9 +127,9 @@
     }
 
     /**
-     * What goes to the worker with a job, so that it turns away an older grant's: {@code
-     * MASK=FENCE} for each grant, the mask of its accelerators in hexadecimal; null for a job that
-     * uses none.
+     * The fencing token that is sent to the worker with a job, so that the worker rejects jobs of
+     * an older grant: {@code MASK=FENCE} for each grant, with the hexadecimal mask of its
+     * accelerators; null for a job that uses none.
      */
     public String fenceFor(long nowNs, String jobClass, String tenant, String worker) {
         if (!rules.reserving.contains(jobClass)) {
--- a/core/src/main/java/postgrade/lease/LeasePart.java
+++ b/core/src/main/java/postgrade/lease/LeasePart.java
@@ -10,10 +10,10 @@
 import postgrade.shared.StatePart;
 
 /**
- * Reservations of accelerators in the shared state: who asks gets a place in the line, and the line
- * is served in order whenever something has become free. All that ends, by expiry, release or a
- * worker's loss, rests for the grace before it is granted anew, since dispatchers with an older
- * view go on using it for that long.
+ * Reservations of accelerators in the replicated state. A request joins a queue, which is served in
+ * order whenever accelerators become free. Accelerators of a grant that ends by expiry, by release
+ * or by the loss of a worker rest for the grace period before they are granted again, because
+ * dispatchers with an older view go on using them for that long.
  */
 public final class LeasePart implements StatePart {
 
@@ -49,7 +49,7 @@
         if (answer.status() == Answer.Status.DONE && table.anyWaiting()) {
             new GrantPass(table, at, false).run();
         }
-        // A place in the line may have been served by this very command.
+        // This command itself may have served an entry of the queue.
         return command.verb().equals("acquire") && answer.status() == Answer.Status.DONE
                 ? requestState(table, at, args)
                 : answer;
@@ -130,7 +130,10 @@
         return Answer.done("", Row.EMPTY);
     }
 
-    /** Who holds it already asks again: by itself, or started anew and knowing nothing. */
+    /**
+     * The holder repeats its request: a repetition by the same incarnation, or a restarted one
+     * without its former state.
+     */
     private static Answer reacquire(
             ReservationTable table, Moment at, Grant grant, ReservationRequest request) {
         ReservationRequest previous = grant.request();
@@ -143,8 +146,8 @@
                             + previous.accelerators()
                             + " that are held; release them first");
         }
-        // A new fence for a new incarnation: what the former one still has on its way is turned
-        // away at the workers.
+        // A new incarnation gets a new fence: workers reject what the former one still has in
+        // flight.
         long fence = request.incarnation() > previous.incarnation() ? at.fence() : grant.fence();
         table.put(
                 new Grant(
@@ -242,8 +245,8 @@
     }
 
     /**
-     * A late release never ends a later grant; one that crosses the expiry finds that it came to
-     * the same.
+     * Ends a grant or a queue entry. A late release never ends a later grant; one that arrives
+     * after the expiry is answered as done.
      */
     private Answer release(ReservationTable table, Moment at, Row args) {
         ReservationRequest identity = ReservationRequest.identity(args);
--- a/core/src/main/java/postgrade/lease/LeaseTimes.java
+++ b/core/src/main/java/postgrade/lease/LeaseTimes.java
@@ -3,16 +3,16 @@
 import postgrade.shared.ReplicatedStateMachine;
 
 /**
- * The times that keep two holders apart, and the inequality between them. Every process has the
- * same: they are part of the program and not of its settings, since voters that differed in them
- * would come to different rows.
+ * The times that keep two holders apart, and the inequality between them. They are the same in
+ * every process, as part of the program and not of its settings: voters with different values would
+ * arrive at different rows.
  *
  * <p>A process uses a holder's privilege while its view is at most {@code viewBound} old by its own
- * clock, counted from when the pull was sent. An accelerator that a holder no longer has rests for
- * {@code grace} of the log's time before anybody else gets it. With {@code clockRatio} the most by
- * which two clocks differ over the same stretch, and {@code uncommitted} the most of an entry's own
- * way to its commit that the log's time counts, a process has stopped before others are granted it
- * where
+ * clock, counted from the time at which the pull was sent. An accelerator that a holder no longer
+ * has rests for {@code grace} of log time before it is granted to another holder. Let {@code
+ * clockRatio} be the maximum ratio between two clocks over the same interval, and {@code
+ * uncommitted} the maximum part of an entry's own commit delay that log time counts. Then a process
+ * has stopped using an accelerator before another holder is granted it, provided that
  *
  * <pre>grace >= viewBound * clockRatio + uncommitted</pre>
  *
@@ -22,8 +22,8 @@
         long graceMicros, long viewBoundMicros, double clockRatio, long uncommittedMicros) {
 
     /**
-     * A second and a half to go on without word; three seconds of rest; no entry counts more than
-     * the machine lets it.
+     * Views are used for 1.5 seconds, accelerators rest for three, and no entry counts more than
+     * the state machine permits.
      */
     public static final LeaseTimes DEFAULT =
             new LeaseTimes(3_000_000, 1_500_000, 1.03, ReplicatedStateMachine.MAX_ADVANCE_MICROS);
@@ -39,20 +39,20 @@
         }
     }
 
-    /** A view this old may still be used for a privilege. */
+    /** Whether a view of this age may still be used for a privilege. */
     public boolean fresh(long ageMicros) {
         return ageMicros >= 0 && ageMicros <= viewBoundMicros;
     }
 
     /**
-     * How long after its last renewal was decided nobody uses a holder's privilege any more, by any
-     * clock.
+     * The time after the decision of its last renewal from which no process uses a holder's
+     * privilege any more, by any clock.
      *
      * @param ttlMicros its time to live
-     * @param stepMicros between two entries that move the log's time on: one until the count
-     *     begins, one at its end
-     * @param standstillMicros for how long the log's time stood or fell behind: nobody led, or
-     *     commits took long
+     * @param advanceIntervalMicros interval between two entries that advance log time: one interval
+     *     passes until the count begins and one at its end
+     * @param stallMicros how long log time stood still or fell behind, because there was no leader
+     *     or commits were slow
      */
     public long maxUseAfterRenewalMicros(
             long ttlMicros, long advanceIntervalMicros, long stallMicros) {
--- a/core/src/main/java/postgrade/lease/ReservableWorker.java
+++ b/core/src/main/java/postgrade/lease/ReservableWorker.java
@@ -3,11 +3,11 @@
 import postgrade.shared.Row;
 
 /**
- * A worker with accelerators, as the shared state knows it.
+ * A worker with accelerators, as the replicated state knows it.
  *
- * @param accelerators configured, with a version of their own that only grows
- * @param start the worker's latest start that was told of, in milliseconds as discovery counts
- * @param state the latest told of that start
+ * @param accelerators configured number, with a version that only grows
+ * @param start the latest reported start of the worker, in milliseconds as discovery counts
+ * @param state the latest state reported for that start
  */
 public record ReservableWorker(
         String worker,
@@ -18,7 +18,7 @@
         long start,
         State state) {
 
-    /** A worker goes through these in this order; a new start begins at the first. */
+    /** A worker passes through these states in this order; a new start begins at the first. */
     public enum State {
         READY,
         DRAINING,
--- a/core/src/main/java/postgrade/lease/ReservationCommands.java
+++ b/core/src/main/java/postgrade/lease/ReservationCommands.java
@@ -8,8 +8,8 @@
 import postgrade.shared.Rows;
 
 /**
- * What operators' calls are made of: commands from the fields of a call, and the reservations as
- * fields. Pure.
+ * Conversion between operators' calls and the replicated state: commands from the fields of a call,
+ * and reservations as fields. Without side effects.
  */
 public final class ReservationCommands {
 
@@ -29,11 +29,11 @@
     private ReservationCommands() {}
 
     /**
-     * A command of an operator's call.
+     * The command for an operator's call.
      *
      * @param verb acquire, renew or release
-     * @param fields of the call, by name; whole numbers as text
-     * @throws Row.InvalidFieldException naming a field that there is not
+     * @param fields of the call, by name; integers as text
+     * @throws Row.InvalidFieldException if a field is unknown
      */
     public static Command command(
             String verb,
@@ -49,7 +49,7 @@
         return new Command(requestId, from, incarnation, LeasePart.NAME, verb, new Row(fields));
     }
 
-    /** Those that hold and those that wait, the latter in their order. */
+    /** All grants and all queue entries, the latter in queue order. */
     public static List<Map<String, String>> list(Rows rows, long logMicros) {
         ReservationTable table = new ReservationTable(rows);
         List<Map<String, String>> all = new java.util.ArrayList<>();
--- a/core/src/main/java/postgrade/lease/ReservationRequest.java
+++ b/core/src/main/java/postgrade/lease/ReservationRequest.java
@@ -3,12 +3,13 @@
 import postgrade.shared.Row;
 
 /**
- * What a holder wants: accelerators of one site, of one kind or of one kind at one site.
+ * What a holder requests: accelerators of one site, of one kind, or of one kind at one site.
  *
- * @param site or kind, empty for any; one of them is named
- * @param incarnation of the holder: a planner started again has a higher one
- * @param ttlMicros how long a reservation, or a place in the line, lives without being renewed
- * @param neededInMicros how long after the grant the first of the holder's jobs is to be expected
+ * @param site empty for any; the site or the kind is named
+ * @param kind empty for any
+ * @param incarnation of the holder; a restarted planner has a higher one
+ * @param ttlMicros how long a reservation or a queue entry lives without being renewed
+ * @param neededInMicros expected time between the grant and the first of the holder's jobs
  */
 public record ReservationRequest(
         String holder,
@@ -23,7 +24,7 @@
     static final long MAX_TTL_MS = 3_600_000;
     static final int MAX_ACCELERATORS = 10_000;
 
-    /** From the arguments of a command. */
+    /** Parses the arguments of a command. */
     static ReservationRequest fromArguments(Row args) {
         ReservationRequest identity = identity(args);
         return new ReservationRequest(
@@ -36,7 +37,7 @@
                 args.has("neededInMs") ? args.integer("neededInMs", 0, MAX_TTL_MS) * 1000 : 0);
     }
 
-    /** Who and what alone. */
+    /** Parses only the holder, the site and the kind, with the incarnation. */
     static ReservationRequest identity(Row args) {
         String site = args.has("site") ? validName(args, "site") : "";
         String kind = args.has("kind") ? validName(args, "kind") : "";
@@ -82,12 +83,14 @@
                 neededInMicros);
     }
 
-    /** One holder has one reservation, or one place in the line, for each of these. */
+    /** A holder has one reservation or one queue entry per key. */
     String key() {
         return holder + "|" + site + "|" + kind;
     }
 
-    /** Letters, digits and {@code . _ : -}, so that it can stand in keys and headers. */
+    /**
+     * Accepts letters, digits and {@code . _ : -}, so that a name can stand in keys and headers.
+     */
     static String validName(Row args, String field) {
         String name = args.text(field);
         boolean valid = !name.isEmpty() && name.length() <= 64;
--- a/core/src/main/java/postgrade/lease/ReservationTable.java
+++ b/core/src/main/java/postgrade/lease/ReservationTable.java
@@ -8,8 +8,8 @@
 import postgrade.shared.Rows;
 
 /**
- * The rows of reservations, read and written by name. Row parts of their own keep what is looked at
- * often small.
+ * Typed access to the rows of reservations. They are in several parts, so that rows which are read
+ * often stay few.
  */
 final class ReservationTable {
 
@@ -20,18 +20,18 @@
     static final String KIND_LIMITS = "lease.part";
 
     /**
-     * Until an entry that moves the time on sets the end: what a command begins is counted from the
-     * next such entry. Were it counted from the one before, time from before the command would be
-     * taken off it.
+     * The end is not set until the next entry that advances log time: a duration that a command
+     * begins is counted from that entry. If it were counted from the entry before, time that passed
+     * before the command would be taken off it.
      */
     static final long PENDING = 0;
 
-    /** A place in the line; keys grow in the order of the asking. */
+    /** An entry of the queue; keys grow in the order of the requests. */
     record QueueEntry(String key, ReservationRequest request, long untilMicros) {}
 
     /**
-     * Accelerators that nobody has yet: a process with an older view may still use them for their
-     * last holder.
+     * Accelerators that belong to nobody yet: a process with an older view may still use them for
+     * their last holder.
      */
     record RestingAccelerators(String key, long untilMicros, Allotment allotment) {}
 
@@ -95,7 +95,7 @@
         return all;
     }
 
-    /** The last holder's grant of that fence ended, in whole or part. */
+    /** The grant has ended, wholly or in part, and these accelerators begin to rest. */
     void startRest(Grant grant, Allotment allotment, long entryIndex, long untilMicros) {
         if (allotment.size() > 0) {
             rows.put(
@@ -159,7 +159,7 @@
         return rows.count(WORKERS);
     }
 
-    /** Every accelerator that somebody has or that rests, by worker. */
+    /** All accelerators that are granted or resting, by worker. */
     Map<String, Long> unavailable() {
         Map<String, Long> masks = new TreeMap<>();
         grants().forEach(
--- a/core/src/main/java/postgrade/lease/ReservationView.java
+++ b/core/src/main/java/postgrade/lease/ReservationView.java
@@ -9,13 +9,13 @@
 import postgrade.shared.View;
 
 /**
- * The reservations of one view, by holder and worker. Immutable; made anew for each view. A
- * holder's privilege is used while the view is fresh by this process's own clock, which ends before
- * anybody else may be granted the same.
+ * The reservations of one view, indexed by holder and worker. Immutable; rebuilt for each view. A
+ * holder's privilege is used while the view is fresh by this process's own clock, and that ends
+ * before the same accelerators can be granted to another holder.
  */
 public final class ReservationView {
 
-    /** A holder's accelerators of one worker under one grant. */
+    /** A holder's accelerators at one worker under one grant. */
     public record Use(String holder, long mask, long fence, long neededMicros) {}
 
     private final View view;
@@ -53,14 +53,14 @@
         return view.known() && times.fresh(view.ageMicros(nowMicros));
     }
 
-    /** The log's time that it may be by now; it runs on no faster than this. */
+    /** Upper bound of the present log time. */
     long logMicros(long nowMicros) {
         return view.moment().micros()
                 + (long) (view.ageMicros(nowMicros) * times.clockRatio())
                 + times.uncommittedMicros();
     }
 
-    /** What a holder may use at a worker now; none where the view is too old. */
+    /** What a holder may use at a worker now; empty if the view is too old. */
     public List<Use> usable(long nowMicros, String holder, String worker) {
         if (holder == null || !fresh(nowMicros)) {
             return List.of();
@@ -68,7 +68,7 @@
         return usesOn(worker).stream().filter(use -> use.holder.equals(holder)).toList();
     }
 
-    /** Whoever has something at this worker by the view, however old it is. */
+    /** All uses of this worker by the view, however old the view is. */
     List<Use> usesOn(String worker) {
         return byWorker.getOrDefault(worker, List.of());
     }
@@ -77,7 +77,7 @@
         return holder != null && holders.contains(holder);
     }
 
-    /** Accelerators of a worker as the shared state knows them; 0 where it knows none. */
+    /** The accelerators of a worker by the replicated state; 0 if it is not known there. */
     long accelerators(String worker) {
         ReservableWorker known = workers.get(worker);
         return known == null ? 0 : known.accelerators();
--- a/core/src/main/java/postgrade/member/EffectiveShare.java
+++ b/core/src/main/java/postgrade/member/EffectiveShare.java
@@ -3,22 +3,23 @@
 import postgrade.shared.View;
 
 /**
- * With which part of every rate this process serves, by the view it has and its own monotonic
- * clock. Kept per process, used on its loop.
+ * Computes the share of every rate that this process may use, from its view and its own monotonic
+ * clock. One instance per process, used on its event loop.
  *
- * <p>Up to the end of its lease it goes by the share granted. Then by the even share at most, as
- * long as its place is kept; then by the floor, or by its fallback once its view is older than a
- * lease. It is all told from the view's age, so it holds for one that is cut off or was paused.
+ * <p>Until its lease ends, the process uses its granted share; then at most the even share while
+ * its place is reserved; then the floor, or its fallback once the view is older than a lease. All
+ * of this follows from the age of the view, so it also holds for a process that is partitioned or
+ * was suspended.
  */
 public class EffectiveShare {
 
-    /** Clocks of two machines run apart by this part at most. */
+    /** Upper bound of the relative drift between the clocks of two machines. */
     public static final double MAX_CLOCK_DRIFT = 0.02;
 
     /**
-     * What a leader measured and may not have been decided when a view was taken: one step on its
-     * way, and one of which the leader has not said anything yet. {@link
-     * postgrade.shared.Machine#MOST_ADVANCE_MICROS} each.
+     * Time that a leader had measured but that may not have been committed when a view was taken:
+     * one advance in flight and one not yet proposed, {@link
+     * postgrade.shared.ReplicatedStateMachine#MAX_ADVANCE_MICROS} each.
      */
     public static final long MAX_UNCOMMITTED_MICROS =
             2 * postgrade.shared.ReplicatedStateMachine.MAX_ADVANCE_MICROS;
@@ -30,12 +31,12 @@
     private long appliedGrantIndex;
     private View latestView = View.NONE;
 
-    /** Its row there; null where it has not joined. */
+    /** Its own row in the latest view; null if it has not joined. */
     private Member ownMember;
 
     /**
-     * @param fallback when long cut off, in millionths of the even share; what lies above the floor
-     *     is the bound
+     * @param fallback share while partitioned for long, in millionths of the even share; if it is
+     *     above the floor, the rates may be exceeded by the difference
      */
     public EffectiveShare(String name, long incarnation, MembershipTerms terms, long fallback) {
         if (fallback < 1 || fallback > MembershipTerms.EVEN_SHARE) {
@@ -53,8 +54,8 @@
     }
 
     /**
-     * The part of its even share by which to serve: 1 is the even share. Go by it before anything
-     * else is done.
+     * The factor to apply to its even share: 1 is the even share. Call this before acting on the
+     * view.
      */
     public double factor(View view, long nowMicros) {
         if (view.moment().after(latestView.moment())
@@ -70,7 +71,8 @@
 
     private long currentShare(long nowMicros) {
         if (ownMember == null || ownMember.incarnation() != incarnation) {
-            return Math.min(fallback, terms.floor()); // Others may be using this place's rest.
+            return Math.min(
+                    fallback, terms.floor()); // Others may be using the rest of this place's share.
         }
         appliedGrantIndex = ownMember.grantIndex();
         long latestMicros = latestLogMicros(nowMicros);
@@ -80,17 +82,17 @@
         if (latestMicros < ownMember.leaseEndMicros() + terms.lingerMicros()) {
             return Math.min(ownMember.share(), MembershipTerms.EVEN_SHARE);
         }
-        // One that sees the others is not cut off, only late: its place has been given away, and it
-        // knows.
+        // A process with a recent view is not partitioned, only late to renew: its place has been
+        // reassigned, and the view shows it.
         return latestView.ageMicros(nowMicros) < terms.leaseMicros() ? terms.floor() : fallback;
     }
 
-    /** The log's time is not later than this. */
+    /** Upper bound of the present log time. */
     long latestLogMicros(long nowMicros) {
         return latestLogMicros(latestView, nowMicros);
     }
 
-    /** The log's time is not later than this, for whoever has this view and a clock of its own. */
+    /** Upper bound of the present log time, for a process with this view and its own clock. */
     public static long latestLogMicros(View view, long nowMicros) {
         long age = Math.max(0, view.ageMicros(nowMicros));
         return view.moment().micros()
@@ -99,8 +101,8 @@
     }
 
     /**
-     * The grant that {@link #factor} went by last, to be told with the next renewal; 0 before there
-     * was one.
+     * The grant that {@link #factor} last applied, reported with the next renewal; 0 before the
+     * first grant.
      */
     public long appliedGrantIndex() {
         return appliedGrantIndex;
@@ -110,7 +112,7 @@
         return incarnation;
     }
 
-    /** A later start of the same name has taken this one's place. */
+    /** Whether a later incarnation of the same name has replaced this one. */
     public boolean isReplaced() {
         return ownMember != null && ownMember.incarnation() > incarnation;
     }
--- a/core/src/main/java/postgrade/member/Member.java
+++ b/core/src/main/java/postgrade/member/Member.java
@@ -6,14 +6,15 @@
 import postgrade.shared.Rows;
 
 /**
- * A process that joined, as its row tells it.
+ * A process that has joined, as its row describes it.
  *
  * @param incarnation grows with each start of the process
- * @param until its lease ends then, by the log's time, unless it is renewed
+ * @param leaseEndMicros log time at which its lease ends unless it is renewed
  * @param share granted, in millionths of the even share
- * @param grant the entry that last changed the share; the member tells it back once it goes by it
- * @param held more than the share where a greater one was taken back and may still be in use
- * @param heldUntil by then at the latest it is not used any more
+ * @param grantIndex the entry that last changed the share; the member reports it back once it
+ *     applies that share
+ * @param revokedShare a greater share that was revoked and may still be in use; 0 if there is none
+ * @param revokedUntilMicros log time from which the revoked share is no longer in use
  */
 public record Member(
         String name,
@@ -54,20 +55,20 @@
                 : row.with("held", revokedShare, "heldUntil", revokedUntilMicros);
     }
 
-    /** All that ever joined and were not forgotten since, by name. */
+    /** All members that joined and were not evicted since, by name. */
     public static List<Member> all(Rows rows) {
         List<Member> all = new ArrayList<>();
         rows.ofPart(PART).forEach((name, row) -> all.add(of(name, row)));
         return all;
     }
 
-    /** Null where none of that name has joined. */
+    /** The member of that name, or null if none has joined. */
     public static Member of(Rows rows, String name) {
         Row row = rows.get(PART, name);
         return row == null ? null : of(name, row);
     }
 
-    /** What the members agreed on; null before the first joined. */
+    /** The terms that the members agreed on; null before the first one joined. */
     public static MembershipTerms terms(Rows rows) {
         Row row = rows.get(TERMS, "");
         return row == null ? null : MembershipTerms.of(row);
@@ -77,7 +78,7 @@
         rows.put(TERMS, "", terms.row());
     }
 
-    /** How many renewed in time: over these the rates are split. */
+    /** The number of members whose lease has not expired; the rates are split among them. */
     public static int alive(Rows rows, long micros) {
         return (int) all(rows).stream().filter(member -> member.alive(micros)).count();
     }
@@ -86,12 +87,12 @@
         return micros < leaseEndMicros;
     }
 
-    /** Silent, but its place is still kept for it. */
+    /** Whether its lease has expired but its place is still reserved for it. */
     public boolean lingers(long micros, MembershipTerms terms) {
         return !alive(micros) && micros < leaseEndMicros + terms.lingerMicros();
     }
 
-    /** The most that the process may be using while the log stands at this time. */
+    /** The greatest share that the process may be using at this log time. */
     long reserved(long micros, MembershipTerms terms) {
         if (alive(micros)) {
             return micros < revokedUntilMicros ? Math.max(share, revokedShare) : share;
@@ -122,7 +123,7 @@
                 revokedUntilMicros);
     }
 
-    /** It goes by its present share: nothing greater is in use any more. */
+    /** The member applies its present share: no greater one is in use any more. */
     Member withoutRevokedShare() {
         return new Member(name, incarnation, leaseEndMicros, share, grantIndex, 0, 0);
     }
--- a/core/src/main/java/postgrade/member/MembershipPart.java
+++ b/core/src/main/java/postgrade/member/MembershipPart.java
@@ -11,9 +11,9 @@
 import postgrade.shared.StatePart;
 
 /**
- * Who lives, and with which share. A process joins once it knows the state, renews its lease in
- * good time, and leaves when it ends; its row tells it its share. Whoever goes by an older
- * incarnation than the name has is turned down.
+ * Membership and the shares of the members. A process joins once it has a view, renews its lease in
+ * time and leaves when it ends; its row holds its share. A command from an older incarnation than
+ * the row's is rejected.
  */
 public class MembershipPart implements StatePart {
 
@@ -24,13 +24,15 @@
         return Member.PART;
     }
 
-    /** Asked for once, and again whenever a renewal is answered UNKNOWN. */
+    /** Sent once at start, and again whenever a renewal is answered UNKNOWN. */
     public static Command join(String name, long incarnation, MembershipTerms terms) {
         return new Command("", name, incarnation, Member.PART, "join", terms.row());
     }
 
     /**
-     * @param grant the one gone by, from {@link EffectiveShare#appliedGrantIndex()}
+     * Sent in time before the lease ends.
+     *
+     * @param grantIndex the grant that is applied, from {@link EffectiveShare#appliedGrantIndex()}
      */
     public static Command renew(String name, long incarnation, long grantIndex) {
         return new Command(
@@ -38,8 +40,8 @@
     }
 
     /**
-     * The process ends and starts no job any more. Its place is kept for it for a while, as after a
-     * death.
+     * The process is ending and starts no more jobs. Its place stays reserved for a while, as after
+     * a crash.
      */
     public static Command leave(String name, long incarnation) {
         return new Command("", name, incarnation, Member.PART, "leave", Row.EMPTY);
@@ -89,7 +91,8 @@
                         requested.firstDifference(terms)
                                 + " differs from what the members agreed on");
             }
-            // Nobody uses more than its floor any more; the former places go with the former terms.
+            // No process uses more than its floor any more; the former places are dropped with the
+            // former terms.
             rows.ofPart(Member.PART).keySet().forEach(name -> rows.remove(Member.PART, name));
             member = null;
         }
@@ -110,12 +113,11 @@
                     rows,
                     at,
                     resumeIfExpired(member, at, requested).withLeaseEnd(leaseEndMicros),
-                    requested); // A join that came twice, or late.
+                    requested); // A join that was repeated or delayed.
         }
-        // A former incarnation of the name has ended before this one joins, so what it held is this
-        // one's; also what was
-        // taken back and is in use to the end of its lease: in an upgrade this one went by the
-        // former's row.
+        // A former incarnation of the name has ended before this one joins, so its share passes to
+        // this one. So does a revoked share that is in use until the end of its lease: during an
+        // upgrade this process applied the former incarnation's row.
         Member joined =
                 member == null
                         ? new Member(
@@ -137,7 +139,7 @@
         return storeAndReallocate(rows, at, joined, requested);
     }
 
-    /** Forgets the one that is gone for longest. */
+    /** Evicts the member whose lease expired first. */
     private static boolean evictLongestExpired(Rows rows, Moment at, MembershipTerms terms) {
         Member longestExpired =
                 Member.all(rows).stream()
@@ -161,7 +163,7 @@
                 rows, at, updated.withLeaseEnd(at.micros() + terms.leaseMicros()), terms);
     }
 
-    /** One whose lease was over begins with what was kept for it. */
+    /** A member whose lease has expired resumes with the share that was reserved for it. */
     private static Member resumeIfExpired(Member member, Moment at, MembershipTerms terms) {
         return member.alive(at.micros())
                 ? member
@@ -216,14 +218,14 @@
         List<Member> after = allocation(terms, at, before).result();
         for (int i = 0;
                 i < after.size();
-                i++) { // Both by name. Most of the time nothing has changed.
+                i++) { // Both lists are ordered by name. Usually nothing has changed.
             if (!after.get(i).equals(before.get(i))) {
                 rows.put(Member.PART, after.get(i).name(), after.get(i).row());
             }
         }
     }
 
-    /** Tests put another in its place to see that checkers notice. */
+    /** Overridden in tests to verify that the checkers detect a faulty allocation. */
     ShareAllocation allocation(MembershipTerms terms, Moment at, List<Member> before) {
         return new ShareAllocation(terms, at, before);
     }
--- a/core/src/main/java/postgrade/member/MembershipTerms.java
+++ b/core/src/main/java/postgrade/member/MembershipTerms.java
@@ -3,19 +3,19 @@
 import postgrade.shared.Row;
 
 /**
- * What all members have to agree on. The first that joins writes it into the log; one that comes
- * with other terms is told which differ.
+ * The terms that all members have to agree on. The first member that joins writes them to the log;
+ * a member that joins with other terms is told which one differs.
  *
- * <p>Shares count in millionths of the even share, that is of one place's part of every rate:
- * {@link #EVEN_SHARE} times the places is the whole.
+ * <p>Shares are in millionths of the even share, which is one place's part of every rate: {@link
+ * #EVEN_SHARE} times the number of places is the total.
  *
- * @param places over how many processes the rates are split at most
- * @param leaseMicros how long a share above the even one may be used after it was last renewed, by
- *     the log's time
- * @param lingerMicros how long after its lease the place of a silent member is kept at the even
- *     share
- * @param floor what each place keeps for ever, so that one that comes back or is long cut off has
- *     something to serve by
+ * @param places maximum number of processes that the rates are split among
+ * @param leaseMicros how long a share above the even one may be used after its last renewal, in log
+ *     time
+ * @param lingerMicros how long after its lease the place of a silent member stays reserved at the
+ *     even share
+ * @param floor share that each place keeps for ever, so that a process that returns or is
+ *     partitioned for long can still serve
  */
 public record MembershipTerms(int places, long leaseMicros, long lingerMicros, long floor) {
 
@@ -31,7 +31,7 @@
         check("floor", floor, 1, EVEN_SHARE);
     }
 
-    /** Six seconds of lease, twenty of linger, a quarter of the even share as floor. */
+    /** A lease of six seconds, a linger of twenty, a quarter of the even share as floor. */
     public static MembershipTerms of(int places) {
         return new MembershipTerms(places, 6_000_000, 20_000_000, EVEN_SHARE / 4);
     }
@@ -66,7 +66,7 @@
         return places * EVEN_SHARE;
     }
 
-    /** The name of the first that differs, or null. */
+    /** The name of the first field that differs, or null. */
     String firstDifference(MembershipTerms other) {
         return places != other.places
                 ? "places"
--- a/core/src/main/java/postgrade/member/OutOfServicePart.java
+++ b/core/src/main/java/postgrade/member/OutOfServicePart.java
@@ -9,14 +9,14 @@
 import postgrade.shared.StatePart;
 
 /**
- * Workers that operators have taken out, until they put them back: known to whoever comes later,
- * whatever its disk.
+ * Workers that operators have taken out of service, until they return them. Every process that
+ * joins later knows them, whatever is on its disk.
  */
 public final class OutOfServicePart implements StatePart {
 
     static final String PART = "out";
 
-    /** Guards the state against a caller that names ever new workers. */
+    /** Bounds the size of the state if a client names ever new workers. */
     private static final int MAX_WORKERS = 10_000;
 
     private static final int MAX_ID_LENGTH = 200;
@@ -36,7 +36,7 @@
         return new Command(requestId, from, incarnation, PART, "enter", Row.of("worker", worker));
     }
 
-    /** Those that are out. */
+    /** The workers that are out of service. */
     public static Set<String> outOfService(Rows rows) {
         return rows.ofPart(PART).keySet();
     }
--- a/core/src/main/java/postgrade/member/ShareAllocation.java
+++ b/core/src/main/java/postgrade/member/ShareAllocation.java
@@ -8,9 +8,9 @@
 import postgrade.shared.Moment;
 
 /**
- * Splits the whole over who lives. What a member may still be using is reserved for it; only what
- * is reserved for nobody is granted. So a share that grows waits until others were seen to shrink
- * or their leases are over.
+ * Allocates the total share among the live members. What a member may still be using is reserved
+ * for it, and only the unreserved rest is granted. A share therefore grows only after other members
+ * have confirmed a smaller one or their leases have expired.
  */
 class ShareAllocation {
 
@@ -24,7 +24,7 @@
         previous.forEach(member -> members.put(member.name(), applyExpiry(member)));
     }
 
-    /** What changes of itself: a lease or a linger is over. */
+    /** Changes caused by time alone: a lease or a linger has ended. */
     private Member applyExpiry(Member member) {
         long now = at.micros();
         if (!member.alive(now)) {
@@ -45,7 +45,7 @@
                 : member;
     }
 
-    /** The members as they stand afterwards. */
+    /** The members after the allocation. */
     List<Member> result() {
         long now = at.micros();
         List<Member> alive = new ArrayList<>();
@@ -71,14 +71,14 @@
         }
     }
 
-    /** Those that have least first. */
+    /** Raises the smallest shares first. */
     private void raise(List<Member> alive, long target) {
         long unreserved = unreserved();
         List<Member> smallestFirst = new ArrayList<>(alive);
         smallestFirst.sort(Comparator.comparingLong(Member::share).thenComparing(Member::name));
         for (Member candidate : smallestFirst) {
             Member member = members.get(candidate.name());
-            // What it may still use of a greater share is its own already.
+            // A revoked share that it may still use is already reserved for it.
             long stillReserved = Math.max(0, member.reserved(at.micros(), terms) - member.share());
             long increase = Math.min(target - member.share(), unreserved + stillReserved);
             if (increase > 0) {
@@ -88,7 +88,7 @@
         }
     }
 
-    /** What is reserved for nobody. */
+    /** The share that is reserved for no member. */
     long unreserved() {
         long unreserved =
                 terms.totalShare() - (terms.places() - members.size()) * reservePerUnjoinedPlace();
@@ -99,8 +99,8 @@
     }
 
     /**
-     * Whoever holds a place and has not joined: it may be cut off, with a share from before the
-     * era.
+     * Reserved for each place whose process has not joined: it may be partitioned and use a share
+     * from before this era.
      */
     private long reservePerUnjoinedPlace() {
         long lastUseMicros = (at.era() > 1 ? terms.leaseMicros() : 0) + terms.lingerMicros();
@@ -108,8 +108,8 @@
     }
 
     /**
-     * Shares of an earlier era may still be in use, of any size: nothing is granted until their
-     * leases are over.
+     * Shares of any size from an earlier era may still be in use: nothing is granted until their
+     * leases have ended.
      */
     private boolean inQuietPeriod() {
         return at.era() > 1 && at.micros() < terms.leaseMicros() && members.size() < terms.places();
--- a/core/src/main/java/postgrade/recovery/AdmissionRamp.java
+++ b/core/src/main/java/postgrade/recovery/AdmissionRamp.java
@@ -1,8 +1,8 @@
 package postgrade.recovery;
 
 /**
- * How much of what is within the shares a process takes in while it comes back. It begins with what
- * its warm workers can do, grows as long as workers take what they are sent, and goes back when
+ * The share of the jobs within its quotas that a process admits while it recovers. It starts with
+ * what the warm workers can serve, grows while workers accept what they are sent, and shrinks when
  * they are full.
  */
 public final class AdmissionRamp {
@@ -11,7 +11,7 @@
     private static final double GROWTH_FACTOR = 1.35;
     private static final double SHRINK_FACTOR = 0.7;
 
-    /** This part of answers may say full; a few do on any day. */
+    /** Share of answers that may report full without shrinking; a few do in normal operation. */
     private static final double TOLERATED_FULL_SHARE = 0.05;
 
     private static final double MIN_SHARE = 0.02;
@@ -23,8 +23,8 @@
     private int fullCount;
 
     /**
-     * @param able what the known workers can do now, as a part of what they can do once all are
-     *     warm
+     * @param warmCapacityShare what the known workers can serve now, as a share of what they can
+     *     serve once all are warm
      */
     public AdmissionRamp(long nowMicros, double warmCapacityShare) {
         initialShare =
@@ -37,7 +37,7 @@
         windowStartMicros = nowMicros;
     }
 
-    /** A worker took a job, or said that it is full. */
+    /** A worker accepted a job or reported that it is full. */
     public void recordAnswer(boolean full) {
         if (full) {
             fullCount++;
@@ -46,7 +46,9 @@
         }
     }
 
-    /** Part of the jobs to take in; 1 once it is over, and then for good. */
+    /**
+     * The share of the jobs to admit; 1 once the ramp has finished, and from then on permanently.
+     */
     public double admittedShare(long nowMicros) {
         if (nowMicros - windowStartMicros >= WINDOW_MICROS && share < 1) {
             windowStartMicros = nowMicros;
@@ -61,7 +63,10 @@
         return share;
     }
 
-    /** Whether this job is among those taken in; the same for whoever asks again. */
+    /**
+     * Whether this job is among the admitted ones; a repetition of the same request gets the same
+     * result.
+     */
     public boolean admits(long nowMicros, String requestId) {
         return RetryAfterSpread.uniformHash(requestId, 0) < admittedShare(nowMicros);
     }
--- a/core/src/main/java/postgrade/recovery/AsciiEscape.java
+++ b/core/src/main/java/postgrade/recovery/AsciiEscape.java
@@ -1,7 +1,8 @@
 package postgrade.recovery;
 
 /**
- * Words of ASCII without blanks, for names of any characters. An empty name is a lone backslash.
+ * Escapes arbitrary names as printable ASCII words without blanks. An empty name becomes a single
+ * backslash.
  */
 final class AsciiEscape {
 
--- a/core/src/main/java/postgrade/recovery/ConnectionPacer.java
+++ b/core/src/main/java/postgrade/recovery/ConnectionPacer.java
@@ -6,16 +6,16 @@
 import postgrade.recovery.ThunderingHerdLimits.SteadyRates;
 
 /**
- * When a process may open connections to workers, so that all together open them no faster at a
- * worker than a multiple of the steady rate. Steady is what comes of the settings: an idle
- * connection is kept for so long, so each of the processes makes anew at most one connection to
- * each worker within that time. A gate for each worker, each process at its own phase.
+ * Paces the connections that a process opens to workers, so that all processes together open them
+ * at a worker no faster than a multiple of the steady rate. The steady rate follows from the
+ * settings: an idle connection is kept for a fixed time, so each process opens at most one new
+ * connection per worker within that time. Each worker has its own pacer, and each process its own
+ * phase.
  */
 public final class ConnectionPacer {
 
     /**
-     * Guards the memory against worker ids without end; those that went are forgotten first come,
-     * first gone.
+     * Bounds memory if worker ids keep changing; beyond it all pacers are dropped and start anew.
      */
     private static final int MAX_WORKERS = 10_000;
 
@@ -25,8 +25,8 @@
     private final Map<String, Pacer> pacers = new HashMap<>();
 
     /**
-     * When it was first asked: what passed before, while nobody was served, is no time in which
-     * others were spared.
+     * Time of the first call. Time before it, when nobody was served, must not count as time in
+     * which the workers were spared.
      */
     private long startMicros = -1;
 
@@ -36,7 +36,7 @@
     private long forcedConnections;
 
     /**
-     * @param place of this process among all, from 0
+     * @param processIndex of this process among all, from 0
      */
     public ConnectionPacer(
             int processCount, int processIndex, double multiple, long idleTimeoutMicros) {
@@ -58,8 +58,10 @@
     }
 
     /**
-     * @param members that live, 0 where nobody knows @param idleMicros for how long an idle
-     *     connection is kept now
+     * Adopts the present number of live members and the idle timeout of connections.
+     *
+     * @param members number of live members, 0 if unknown
+     * @param newIdleTimeoutMicros how long an idle connection is now kept
      */
     public void update(long nowMicros, int members, long newIdleTimeoutMicros) {
         if (members != liveMembers || newIdleTimeoutMicros != idleTimeoutMicros) {
@@ -79,18 +81,21 @@
         if (pacers.size() > MAX_WORKERS) {
             pacers.clear();
         }
-        // All gates count from the start: a worker that is called on later has been left alone as
-        // long.
+        // All pacers count from the start: a worker that is contacted later has not been contacted
+        // since.
         return pacers.computeIfAbsent(
                 worker, id -> limits.pacer(startMicros, LoadKind.CONNECT, liveMembers, id));
     }
 
-    /** Whether one may be opened now. */
+    /** Whether a connection may be opened now. */
     public boolean mayConnect(long nowMicros, String worker) {
         return pacer(nowMicros, worker).waitMicros(nowMicros) == 0;
     }
 
-    /** One is to be opened: true if it may, and then it is counted; it is too if it must. */
+    /**
+     * Tries to open a connection: true if the pacer permits it. The connection is counted if it is
+     * permitted or required.
+     */
     public boolean tryConnect(long nowMicros, String worker, boolean required) {
         if (pacer(nowMicros, worker).tryAcquire(nowMicros)) {
             return true;
@@ -102,7 +107,7 @@
         return false;
     }
 
-    /** How many were opened because they must. */
+    /** Number of connections that were opened without a permit because they were required. */
     public long forcedCount() {
         return forcedConnections;
     }
--- a/core/src/main/java/postgrade/recovery/LearntSnapshot.java
+++ b/core/src/main/java/postgrade/recovery/LearntSnapshot.java
@@ -7,18 +7,21 @@
 import postgrade.policy.api.PolicyStateEntry;
 
 /**
- * What a process had learnt when its snapshot was written.
+ * What a process had learnt when the snapshot was written.
  *
- * @param dispatcher whose snapshot it is
+ * @param dispatcher the process that wrote it
  * @param savedMicros Unix time of writing
- * @param served worth in time as a part of the worth asked for, then; NaN where not known
+ * @param servedShare worth served in time as a share of the requested worth at that time; NaN if
+ *     unknown
  */
 public record LearntSnapshot(
         String dispatcher, long savedMicros, double servedShare, List<Entry> entries) {
 
     /**
-     * @param startedMillis of the worker of which it was learnt, by discovery; 0 for anything but a
-     *     worker
+     * One learnt entry of the policy state.
+     *
+     * @param startedMillis start time of the worker that it describes, as reported by discovery; 0
+     *     if it does not describe a worker
      */
     public record Entry(PolicyStateEntry learnt, long startedMillis) {
         public Entry {
@@ -31,7 +34,9 @@
     }
 
     /**
-     * @param startedMillis of each worker now, by its id
+     * Captures learnt state; entries of workers that are not listed are dropped.
+     *
+     * @param startedMillis current start time of each worker, by its id
      */
     public static LearntSnapshot capture(
             String dispatcher,
@@ -50,22 +55,22 @@
         return new LearntSnapshot(dispatcher, nowMicros, served, figures);
     }
 
-    /** How old it is; a clock that was set back a little makes it new, not of the future. */
+    /** The age of the snapshot; 0 if the clock was set back a little since it was written. */
     public long ageMicros(long nowMicros) {
         return Math.max(0, nowMicros - savedMicros);
     }
 
     /**
-     * What may still be trusted of it.
+     * The entries that may still be trusted, aged to the present.
      *
-     * @param startedMillis of each worker now, by its id, as discovery tells
+     * @param startedMillis current start time of each worker, by its id, as discovery reports it
      */
     public List<PolicyStateEntry> trustedEntries(long nowMicros, Map<String, Long> startedMillis) {
         List<PolicyStateEntry> trusted = new ArrayList<>();
         for (Entry entry : entries) {
             Long startedNow = startedMillis.get(entry.learnt().name());
-            // A worker that is not listed, or has started since, is not the one of which this was
-            // learnt.
+            // A worker that is not listed or has restarted since is not the one that this was
+            // learnt about.
             if (!LearntStateAging.isWorkerState(entry.learnt())
                     || startedNow != null && startedNow <= entry.startedMillis()) {
                 PolicyStateEntry aged = LearntStateAging.aged(entry.learnt(), ageMicros(nowMicros));
--- a/core/src/main/java/postgrade/recovery/LearntSnapshotFormat.java
+++ b/core/src/main/java/postgrade/recovery/LearntSnapshotFormat.java
@@ -8,15 +8,15 @@
 import postgrade.recovery.UnusableSnapshotException.Fault;
 
 /**
- * A snapshot as bytes: a head line with version, checksum and length, then lines of words. All of
- * it is ASCII, so that an operator can read it. The head stays as it is in later versions; the
- * checksum covers version, length and body.
+ * The byte format of a snapshot: a header line with version, checksum and length, then lines of
+ * words. It is all ASCII, so that an operator can read it. The header keeps its form in later
+ * versions; the checksum covers version, length and body.
  */
 public final class LearntSnapshotFormat {
 
     static final int VERSION = 1;
 
-    /** Larger ones are neither written nor read. */
+    /** Larger snapshots are neither written nor read. */
     static final int MAX_BYTES = 8 << 20;
 
     private static final int MAX_ENTRIES = 20_000;
@@ -24,12 +24,12 @@
     private static final String MAGIC = "postgrade-memory";
     private static final int MAX_HEADER_BYTES = 80;
 
-    /** Clocks that were set back by less are nothing to worry about. */
+    /** A clock that was set back by less than this is tolerated. */
     private static final long MAX_CLOCK_SKEW_MICROS = 5_000_000;
 
     private LearntSnapshotFormat() {}
 
-    /** Figures beyond the bounds are left out, those told first stay. */
+    /** Entries beyond the bounds are left out; the first ones are kept. */
     public static byte[] write(LearntSnapshot snapshot) {
         StringBuilder body = new StringBuilder();
         body.append("dispatcher ").append(AsciiEscape.escape(snapshot.dispatcher())).append('\n');
@@ -82,7 +82,9 @@
     }
 
     /**
-     * @param dispatcher who reads; another's snapshot is of no use to it
+     * Parses a snapshot and verifies that this process may use it.
+     *
+     * @param dispatcher the process that reads; the snapshot of another process is rejected
      * @param nowMicros Unix time
      */
     public static LearntSnapshot read(byte[] bytes, String dispatcher, long nowMicros)
@@ -91,19 +93,22 @@
         if (!snapshot.dispatcher().equals(dispatcher)) {
             throw new UnusableSnapshotException(
                     Fault.OTHER_DISPATCHER,
-                    "dispatcher is " + snapshot.dispatcher() + ", not " + dispatcher);
+                    "it was written by dispatcher "
+                            + snapshot.dispatcher()
+                            + ", not "
+                            + dispatcher);
         }
         if (snapshot.savedMicros() > nowMicros + MAX_CLOCK_SKEW_MICROS) {
             throw new UnusableSnapshotException(
                     Fault.FROM_THE_FUTURE,
-                    "saved lies "
+                    "it was saved "
                             + (snapshot.savedMicros() - nowMicros) / 1_000_000
                             + " s in the future");
         }
         return snapshot;
     }
 
-    /** The body, once head and checksum are right. */
+    /** The body, after header and checksum have been verified. */
     private static String body(byte[] bytes) throws UnusableSnapshotException {
         if (bytes.length > MAX_BYTES) {
             throw new UnusableSnapshotException(
@@ -116,7 +121,7 @@
                     Fault.NOT_A_SNAPSHOT, "it does not begin with " + MAGIC);
         }
         if (headerEnd < 0) {
-            throw new UnusableSnapshotException(Fault.TORN, "its first line does not end");
+            throw new UnusableSnapshotException(Fault.TORN, "its header line is incomplete");
         }
         String[] header = text.substring(0, headerEnd).split(" ", -1);
         String body = text.substring(headerEnd + 1);
@@ -126,7 +131,7 @@
             version = Integer.parseInt(header[1]);
             length = Integer.parseInt(header[3]);
         } catch (NumberFormatException | ArrayIndexOutOfBoundsException e) {
-            throw new UnusableSnapshotException(Fault.FLIPPED, "its first line is damaged");
+            throw new UnusableSnapshotException(Fault.FLIPPED, "its header line is damaged");
         }
         if (body.length() != length) {
             throw new UnusableSnapshotException(
@@ -138,7 +143,8 @@
         }
         if (version > VERSION) {
             throw new UnusableSnapshotException(
-                    Fault.LATER_FORMAT, "its format " + version + " is later than " + VERSION);
+                    Fault.LATER_FORMAT,
+                    "its format version " + version + " is newer than " + VERSION);
         }
         return body;
     }
@@ -153,7 +159,7 @@
             }
             if (entries.size() > MAX_ENTRIES) {
                 throw new UnusableSnapshotException(
-                        Fault.TOO_LARGE, "it has more than " + MAX_ENTRIES + " figures");
+                        Fault.TOO_LARGE, "it has more than " + MAX_ENTRIES + " entries");
             }
             return new LearntSnapshot(
                     AsciiEscape.unescape(lines[0].split(" ", -1)[1]),
@@ -162,8 +168,7 @@
                     entries);
         } catch (NumberFormatException | IndexOutOfBoundsException e) {
             throw new UnusableSnapshotException(
-                    Fault.MALFORMED,
-                    "its checksum matches, but its lines are not those of a snapshot");
+                    Fault.MALFORMED, "its checksum matches, but its body cannot be parsed");
         }
     }
 
--- a/core/src/main/java/postgrade/recovery/LearntStateAging.java
+++ b/core/src/main/java/postgrade/recovery/LearntStateAging.java
@@ -3,16 +3,16 @@
 import postgrade.policy.api.PolicyStateEntry;
 
 /**
- * How figures age. Counts of what was seen fade, so that what is seen from now on soon weighs more;
- * what is held against someone fades to nothing, a pace to the usual one; ages grow. Tokens stay as
- * they were: the bucket's own age brings the refill, and nothing ever brings a full burst.
+ * Ages learnt state. Counts of observations decay, so that new observations soon weigh more.
+ * Penalties decay to nothing and pace factors to the usual one; ages grow. Token counts stay as
+ * they were: the bucket's own age accounts for the refill, and nothing ever grants a full burst.
  */
 final class LearntStateAging {
 
-    /** What was learnt counts half after this. */
+    /** Learnt state has half its weight after this time. */
     static final long HALF_LIFE_MICROS = 60_000_000;
 
-    /** Figures of workers and buckets are of no use later. */
+    /** Learnt state older than this is not used. */
     static final long MAX_AGE_MICROS = 3_600_000_000L;
 
     private static final double NANOS_PER_MICRO = 1000;
@@ -24,7 +24,7 @@
         return entry.category().equals("worker") || entry.category().equals("cold");
     }
 
-    /** As it counts so much later; null where nothing is left of it, or it is not understood. */
+    /** The entry aged by that time; null if nothing is left of it or its form is unknown. */
     static PolicyStateEntry aged(PolicyStateEntry entry, long ageMicros) {
         if (ageMicros > MAX_AGE_MICROS) {
             return null;
@@ -77,15 +77,15 @@
     }
 
     /**
-     * Kept by one that ended in order alone, as others do not know their last sends; nothing was
-     * sent since.
+     * Written only by a process that shut down in order, since the others do not know its last
+     * sends; nothing was sent since then.
      */
     private static boolean up(double[] values, double ageNs) {
         values[0] += ageNs;
         return true;
     }
 
-    /** Each send with its age and cost: the window it counts in goes on. */
+    /** Each send with its age and cost: it stays in the window in which it counts. */
     private static boolean cold(double[] values, double ageNs) {
         for (int i = 0; i < values.length; i += COLD_SEND_FIELDS) {
             values[i] += ageNs;
--- a/core/src/main/java/postgrade/recovery/Pacer.java
+++ b/core/src/main/java/postgrade/recovery/Pacer.java
@@ -1,9 +1,9 @@
 package postgrade.recovery;
 
 /**
- * Lets something happen at most so often, evenly spaced. Two gates of the same pace whose phases
- * differ are never open at the same moment, so what many processes do at once is spread without a
- * word between them.
+ * A token bucket of size one that spaces permits evenly. Two pacers of the same rate with different
+ * phases never issue a permit at the same moment, so the actions of many processes are spread out
+ * without any coordination.
  */
 public final class Pacer {
 
@@ -12,20 +12,20 @@
     private long atMicros;
 
     /**
-     * @param perSecond how often at most
-     * @param phase part of the time between two, from 0 to below 1, that passes before the first
+     * @param perSecond maximum rate
+     * @param phase fraction of the interval, from 0 to below 1, that passes before the first permit
      */
     public Pacer(long nowMicros, double perSecond, double phase) {
         if (!(perSecond >= 0) || !(phase >= 0) || phase >= 1) {
             throw new IllegalArgumentException(
-                    "perSecond must not be negative, phase lie from 0 to below 1");
+                    "perSecond must not be negative and phase must be in [0, 1)");
         }
         tokensPerMicro = perSecond / 1e6;
         tokens = 1 - phase;
         atMicros = nowMicros;
     }
 
-    /** More or fewer live than before. */
+    /** Changes the rate, when the number of live members has changed. */
     public void setRate(long nowMicros, double perSecond) {
         refill(nowMicros);
         tokensPerMicro = Math.max(0, perSecond) / 1e6;
@@ -36,7 +36,7 @@
         atMicros = Math.max(atMicros, nowMicros);
     }
 
-    /** True if it may happen now, and then it has. */
+    /** Takes a permit if there is one; true if it was taken. */
     public boolean tryAcquire(long nowMicros) {
         refill(nowMicros);
         if (tokens < 1 - 1e-9) {
@@ -46,13 +46,13 @@
         return true;
     }
 
-    /** It has happened, whether or not it might: what follows waits for longer. */
+    /** Takes a permit even if there is none: the following ones are delayed accordingly. */
     public void forceAcquire(long nowMicros) {
         refill(nowMicros);
         tokens = Math.max(-1, tokens - 1);
     }
 
-    /** How long until it may happen; {@link Long#MAX_VALUE} for never. */
+    /** Time until the next permit; {@link Long#MAX_VALUE} for never. */
     public long waitMicros(long nowMicros) {
         refill(nowMicros);
         return tokens >= 1 - 1e-9
--- a/core/src/main/java/postgrade/recovery/RecentDemand.java
+++ b/core/src/main/java/postgrade/recovery/RecentDemand.java
@@ -1,12 +1,13 @@
 package postgrade.recovery;
 
-/** Who asks of late, and who was turned away: a second's worth, fading. */
+/** Requests and rejections of about the last second, as exponentially decaying counts. */
 public final class RecentDemand {
 
     private static final double DECAY_MICROS = 1e6;
 
     /**
-     * So much of the rate counts as spare at least: a width without end would bring nobody back.
+     * Minimum share of the rate that counts as spare: an unbounded spread would bring no client
+     * back.
      */
     private static final double MIN_SPARE_SHARE = 0.1;
 
@@ -22,9 +23,10 @@
     }
 
     /**
-     * Over so long those turned away of late can be taken in beside what comes anyway.
+     * The time within which recently rejected requests can be admitted in addition to the ordinary
+     * demand.
      *
-     * @param ratePerS what may be taken in once the ramp is over
+     * @param ratePerS the rate that may be admitted once the ramp has finished
      */
     public long spreadMicros(double ratePerS) {
         return RetryAfterSpread.spreadMicros(
--- a/core/src/main/java/postgrade/recovery/Recovery.java
+++ b/core/src/main/java/postgrade/recovery/Recovery.java
@@ -5,28 +5,31 @@
 import java.util.function.BiPredicate;
 
 /**
- * The phases of coming back, with the times at which each was reached. All ways from one phase to
- * another stand in {@link #TRANSITIONS} and nowhere else.
+ * The state machine of recovery, with the time at which each phase was reached. {@link
+ * #TRANSITIONS} holds all transitions between phases.
  */
 public final class Recovery {
 
-    /** Full service: within this part of what was served in time before the fault. */
+    /**
+     * Service counts as full within this relative distance of what was served in time before the
+     * fault.
+     */
     public static final double FULL_SERVICE_TOLERANCE = 0.05;
 
     private static final int MAX_STEPS = 100;
 
     /**
-     * What can be seen of this process now.
+     * The present condition of this process.
      *
-     * @param remembers a snapshot of its own was loaded and trusted
-     * @param listKnown it has a list of workers, told or remembered
-     * @param viewAgeMicros of the shared state; any age where nothing is shared
-     * @param joined its share was granted, or nothing is shared
-     * @param admitted part of the jobs within their share that are taken in, 1 once the ramp is
-     *     over
-     * @param served worth in time as a part of the worth asked for, of late; NaN where nothing was
-     *     asked
-     * @param before the same before the fault; NaN where nobody knows
+     * @param snapshotTrusted its own snapshot was loaded and trusted
+     * @param workersKnown it has a list of workers, from discovery or from its snapshot
+     * @param viewAgeMicros age of the replicated state; any value if no state is shared
+     * @param joined its share was granted, or no state is shared
+     * @param admittedShare share of the jobs within its quotas that are admitted, 1 once the ramp
+     *     has finished
+     * @param servedShare recent worth served in time as a share of the requested worth; NaN if
+     *     there were no requests
+     * @param baselineShare the same before the fault; NaN if unknown
      */
     public record Observation(
             boolean snapshotTrusted,
@@ -45,14 +48,16 @@
     }
 
     /**
-     * @param viewBoundMicros a view that is older does not count
-     * @param patienceMicros a process without word from the quorum serves all the same after this,
-     *     by its floor
-     * @param holdMicros service must have been full for so long
+     * Time bounds of the transitions.
+     *
+     * @param viewBoundMicros an older view does not count
+     * @param quorumTimeoutMicros without a response from the quorum for this long, a process serves
+     *     at its floor
+     * @param fullServiceMicros how long service must have been full
      */
     public record Bounds(long viewBoundMicros, long quorumTimeoutMicros, long fullServiceMicros) {}
 
-    /** A phase, since when, and why. */
+    /** A phase, the time at which it began, and the cause. */
     public record Step(RecoveryPhase phase, long atMicros, String cause) {}
 
     private record Transition(
@@ -113,14 +118,14 @@
     }
 
     /**
-     * Others died or were cut off: what is served from now on is measured against what was served
+     * Other processes died or were cut off: from now on service is compared with what was served
      * until now.
      */
     public void recordFault() {
         faultPending = true;
     }
 
-    /** Looks at what there is now; several phases may be passed at once. */
+    /** Evaluates the present condition; several transitions may follow at once. */
     public RecoveryPhase update(long now, Observation observation) {
         nowMicros = now;
         if (observation.admittedShare < 1 || !observation.servesAsBefore()) {
@@ -130,7 +135,7 @@
                 transition != null;
                 transition = nextTransition(observation)) {
             if (steps.size() >= MAX_STEPS) {
-                steps.remove(1); // The start stays.
+                steps.remove(1); // The first step, the start, is kept.
             }
             steps.add(new Step(transition.to, now, transition.cause));
             faultPending = faultPending && transition.to != RecoveryPhase.RAMPING;
--- a/core/src/main/java/postgrade/recovery/RecoveryPhase.java
+++ b/core/src/main/java/postgrade/recovery/RecoveryPhase.java
@@ -1,19 +1,19 @@
 package postgrade.recovery;
 
-/** How far a process has come back after a start or a fault. */
+/** How far a process has recovered after a start or a fault. */
 public enum RecoveryPhase {
     /** Knows nothing but its settings. */
     EMPTY,
-    /** Goes by what it learnt before, as far as that may be trusted. */
+    /** Uses what it learnt earlier, as far as that may be trusted. */
     REMEMBERING,
-    /** Has a list of workers, and waits for what the others have decided meanwhile. */
+    /** Has a list of workers and waits for what the quorum has decided meanwhile. */
     CATCHING_UP,
-    /** Serves, and takes in more as the workers can. */
+    /** Serves, and admits more as the workers can take it. */
     RAMPING,
-    /** Serves what was served before the fault. */
+    /** Serves as much as before the fault. */
     FULL;
 
-    /** As operators read it. */
+    /** The form that operators read. */
     public String text() {
         return name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ');
     }
--- a/core/src/main/java/postgrade/recovery/RetryAfterSpread.java
+++ b/core/src/main/java/postgrade/recovery/RetryAfterSpread.java
@@ -1,14 +1,14 @@
 package postgrade.recovery;
 
 /**
- * When refused callers are told to come back: not together, and not faster than they can be taken
- * in.
+ * Chooses when rejected clients may retry: not all at once, and not faster than they can be
+ * admitted.
  */
 public final class RetryAfterSpread {
 
     private RetryAfterSpread() {}
 
-    /** From 0 to below 1, evenly over ids, always the same for an id and seed. */
+    /** A hash in [0, 1), uniform over ids and deterministic for an id and seed. */
     static double uniformHash(String requestId, long seed) {
         long hash = seed * 0x9e3779b97f4a7c15L;
         for (int i = 0; i < requestId.length(); i++) {
@@ -20,7 +20,8 @@
     }
 
     /**
-     * Over so long those refused of late can be taken in, at this rate beside what comes anyway.
+     * The time within which recently rejected requests can be admitted at this rate, in addition to
+     * the ordinary demand.
      */
     public static long spreadMicros(double rejections, double sparePerS) {
         return sparePerS <= 0
@@ -29,16 +30,19 @@
     }
 
     /**
-     * @param leastMicros not before
-     * @param widthMicros spread over so long after that
-     * @param mostMicros callers do not wait longer
+     * The time after which a rejected client may retry, the same for every call with this id and
+     * seed.
+     *
+     * @param minMicros earliest time
+     * @param spreadMicros length of the interval after it over which clients are spread
+     * @param maxMicros latest time
      */
     public static long retryAfterMicros(
             String requestId, long seed, long minMicros, long spreadMicros, long maxMicros) {
         long earliest =
                 Math.min(
                         minMicros,
-                        maxMicros / 2); // Some width stays, however late the first may come.
+                        maxMicros / 2); // Some spread remains even if the earliest time is late.
         long width = Math.max(0, Math.min(spreadMicros, maxMicros - earliest));
         return earliest + (long) (uniformHash(requestId, seed) * width);
     }
--- a/core/src/main/java/postgrade/recovery/ServedWorth.java
+++ b/core/src/main/java/postgrade/recovery/ServedWorth.java
@@ -1,8 +1,8 @@
 package postgrade.recovery;
 
 /**
- * How much of what callers asked for was served in time, weighed by worth: of late, and over longer
- * before a fault.
+ * The share of the requested work, weighted by worth, that was served in time: recently, and over a
+ * longer period before a fault.
  */
 public final class ServedWorth {
 
@@ -20,7 +20,7 @@
         atMicros = nowMicros;
     }
 
-    /** What was served before this process began, as its snapshot tells. */
+    /** What was served before this process started, from its snapshot. */
     public void setBaseline(double share) {
         baseline = share;
     }
@@ -48,8 +48,8 @@
     }
 
     /**
-     * From now on it is measured against what was served so far. Several faults in a row count from
-     * the first.
+     * From now on service is compared with what was served so far. Of several faults in a row the
+     * first one counts.
      */
     public void recordFault(long nowMicros) {
         decay(nowMicros);
@@ -63,13 +63,13 @@
         baseline = Double.NaN;
     }
 
-    /** Of late; NaN where nothing was asked. */
+    /** The recent share; NaN if there were no requests. */
     public double recentShare(long nowMicros) {
         decay(nowMicros);
         return recentRequested < 1e-9 ? Double.NaN : recentInTime / recentRequested;
     }
 
-    /** Over the longer time; NaN where nothing was asked. */
+    /** The share over the longer period; NaN if there were no requests. */
     public double longTermShare() {
         return longTermRequested < 1e-9 ? Double.NaN : longTermInTime / longTermRequested;
     }
--- a/core/src/main/java/postgrade/recovery/ThunderingHerdLimits.java
+++ b/core/src/main/java/postgrade/recovery/ThunderingHerdLimits.java
@@ -1,18 +1,19 @@
 package postgrade.recovery;
 
 /**
- * Bounds for a time in which most come back at once: whatever loads others is done at most so many
- * times as often as when nothing happens, over all processes together. Each keeps to its own part,
- * from the number that live and its own place among all, so that nothing needs to be agreed.
+ * Limits for a time in which most processes restart or reconnect at once: each kind of load on
+ * others stays within a multiple of its steady rate, over all processes together. Each process
+ * keeps to its own part, which follows from the number of live members and its index, so no
+ * coordination is needed.
  *
  * @param multiple of the steady rates
- * @param places how many processes there are when all live
- * @param place of this one among them, from 0
+ * @param processCount number of processes when all are live
+ * @param processIndex of this one among them, from 0
  */
 public record ThunderingHerdLimits(
         SteadyRates steady, double multiple, int processCount, int processIndex) {
 
-    /** What loads others: discovery, the quorum, and each worker. */
+    /** The kinds of load on others: on discovery, on the quorum and on each worker. */
     public enum LoadKind {
         LIST,
         PULL,
@@ -22,7 +23,7 @@
     }
 
     /**
-     * Rates of a second when nothing happens, of all processes together; the last three for each
+     * Rates per second in normal operation, of all processes together; the last three are per
      * worker.
      */
     public record SteadyRates(
@@ -30,7 +31,8 @@
         public SteadyRates {
             for (double d : new double[] {lists, pulls, connects, coldSends, probes}) {
                 if (!(d >= 0) || Double.isInfinite(d)) {
-                    throw new IllegalArgumentException("steady rates must be numbers of 0 or more");
+                    throw new IllegalArgumentException(
+                            "steady rates must be finite and not negative");
                 }
             }
         }
@@ -52,33 +54,38 @@
                 || processIndex < 0
                 || processIndex >= processCount) {
             throw new IllegalArgumentException(
-                    "multiple must be at least 1, place lie from 0 to below places");
+                    "multiple must be at least 1 and processIndex in [0, processCount)");
         }
     }
 
     /**
-     * This process's part, a second. While nobody knows who lives, all count as alive.
+     * This process's part, per second. All processes count as live while their number is unknown.
      *
-     * @param alive as the view tells, 0 where it does not
+     * @param alive number of live members by the view, 0 if unknown
      */
     public double perSecond(LoadKind kind, int alive) {
         int sharingProcesses = alive < 1 || alive > processCount ? processCount : alive;
         return multiple * steady.of(kind) / sharingProcesses;
     }
 
-    /** The most that all together do of it within such a time, whatever happens. */
+    /** Upper bound for all processes together within such a time, in any case. */
     public double maxWithin(LoadKind kind, long withinMicros) {
         return multiple * steady.of(kind) * withinMicros / 1e6 + processCount;
     }
 
-    /** Begins closed by the process's own phase, so that all begin one after another. */
+    /**
+     * The first permit is delayed by the process's own phase, so that processes start one after
+     * another.
+     */
     public Pacer pacer(long nowMicros, LoadKind kind, int alive) {
         return pacer(nowMicros, kind, alive, "");
     }
 
     /**
-     * @param worker another order for each worker, so that they are not all called on in the same
-     *     one, nor two at once
+     * A pacer for the load on one worker.
+     *
+     * @param worker gives each worker a different order of processes, so that a process does not
+     *     contact all workers in the same order or at the same moment
      */
     public Pacer pacer(long nowMicros, LoadKind kind, int alive, String worker) {
         int slot = Math.floorMod(processIndex + worker.hashCode(), processCount);
--- a/core/src/main/java/postgrade/recovery/UnusableSnapshotException.java
+++ b/core/src/main/java/postgrade/recovery/UnusableSnapshotException.java
@@ -1,11 +1,11 @@
 package postgrade.recovery;
 
-/** A snapshot that must not be gone by, and why. */
+/** A snapshot that must not be used, and the reason. */
 public final class UnusableSnapshotException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
-    /** What is the matter; each is told from the others in the log. */
+    /** The reason; the log names each one separately. */
     public enum Fault {
         NOT_A_SNAPSHOT,
         TORN,
--- a/core/src/main/java/postgrade/shared/Answer.java
+++ b/core/src/main/java/postgrade/shared/Answer.java
@@ -1,14 +1,16 @@
 package postgrade.shared;
 
 /**
- * What came of a command: decided by the log, the same on every replica.
+ * The result of a command, decided by the log and therefore the same on every replica.
  *
- * @param text one sentence; for anything but DONE it names the field at fault
- * @param fields what was decided, such as a fence
+ * @param text one sentence; unless the status is DONE it names the field at fault
+ * @param fields the decided values, such as a fence
  */
 public record Answer(Status status, String text, Row fields) {
 
-    /** Carried out; faulty; names something that is not there; stands against what holds now. */
+    /**
+     * Carried out; invalid; names something that does not exist; conflicts with the current state.
+     */
     public enum Status {
         DONE,
         FAULTY,
--- a/core/src/main/java/postgrade/shared/Command.java
+++ b/core/src/main/java/postgrade/shared/Command.java
@@ -3,14 +3,14 @@
 import java.util.Objects;
 
 /**
- * One entry of the log: a process asks, every replica carries it out in the same order.
+ * One entry of the log: proposed by a process and applied by every replica in the same order.
  *
- * @param requestId the same for a call that is repeated, which then has its effect once; empty
- *     where repeats do no harm
- * @param from the process that asks
- * @param incarnation of that process; a process started again has a higher one
- * @param part which part of the state it concerns
- * @param verb what is asked of that part
+ * @param requestId the same for every repetition of a call, so that it takes effect once; empty
+ *     where repetitions do no harm
+ * @param from the proposing process
+ * @param incarnation of that process; it is higher after each restart
+ * @param part the part of the state that the command addresses
+ * @param verb the operation requested of that part
  */
 public record Command(
         String requestId, String from, long incarnation, String part, String verb, Row args) {
--- a/core/src/main/java/postgrade/shared/Moment.java
+++ b/core/src/main/java/postgrade/shared/Moment.java
@@ -1,21 +1,24 @@
 package postgrade.shared;
 
 /**
- * A point of the log. Time here advances by the log alone: {@code micros} is the sum of what
- * leaders have measured and logged, so every replica agrees on it and a replay comes to the same.
+ * A position in the log. Log time advances only through the log: {@code micros} is the sum of the
+ * intervals that leaders measured and logged, so every replica agrees on it and a replay yields the
+ * same value.
  *
- * @param era counts total losses; a later era was begun by an operator's explicit step
- * @param index of the entry within the log, growing, also from one era to the next
- * @param micros the log's own time
+ * @param era counts complete losses of the state; an operator begins a later era explicitly
+ * @param index of the entry in the log; it keeps growing across eras
+ * @param micros log time
  */
 public record Moment(long era, long index, long micros) {
 
-    /** Indices below this; a log of a thousand entries a second lasts 34 years. */
+    /**
+     * Indices stay below 2^40; a log of a thousand entries per second reaches that after 34 years.
+     */
     private static final int INDEX_BITS = 40;
 
     public static final Moment NONE = new Moment(0, 0, 0);
 
-    /** Grows with each entry, and every fence of a later era lies above all of an earlier one. */
+    /** Grows with each entry; every fence of a later era is above all fences of an earlier one. */
     public long fence() {
         return (era << INDEX_BITS) + index;
     }
--- a/core/src/main/java/postgrade/shared/ReplicatedState.java
+++ b/core/src/main/java/postgrade/shared/ReplicatedState.java
@@ -3,29 +3,32 @@
 import java.util.function.Consumer;
 
 /**
- * Shared state as a process uses it. Nothing here waits: not for a disk, a lock or another process.
- * All is called on the process's loop, and every answer comes back on the loop.
+ * The replicated state as one process uses it. No method blocks, neither on a disk nor on a lock
+ * nor on another process. All methods are called on the process's event loop, and callbacks run
+ * there too.
  */
 public interface ReplicatedState {
 
-    /** The latest view; {@link View#NONE} until one has come. */
+    /** The latest view; {@link View#NONE} until one has arrived. */
     View view();
 
     /**
-     * Has a command decided. {@code done} is called exactly once, within the given time: after that
-     * it is no longer known whether the command will be carried out, and the same request id may be
-     * sent again to find out.
+     * Submits a command for decision. {@code callback} is called exactly once, within the given
+     * time. After a timeout it is unknown whether the command will be applied; the same request id
+     * may be sent again to find out.
      */
     void submit(Command command, long timeoutMicros, Consumer<Reply> callback);
 
-    /** How this process stands to the others, for operators. */
+    /** The role of this process and its connection to the group, for operators. */
     Standing standing();
 
-    /** Ends what it has open; later answers do not come. */
+    /** Closes the connections; later answers are dropped. */
     void close();
 
     /**
-     * @param answer null where nothing was decided: no quorum, or no word from it in time
+     * The outcome of a submitted command.
+     *
+     * @param answer null if nothing was decided: there is no quorum, or it did not respond in time
      */
     record Reply(Answer answer, Moment moment, long retryAfterMicros) {
         public boolean decided() {
@@ -34,8 +37,11 @@
     }
 
     /**
-     * @param role voter or observer @param leader null where none is known @param fault null, or
-     *     what keeps it apart
+     * The connection of this process to the group.
+     *
+     * @param role voter or observer
+     * @param leader null if none is known
+     * @param fault null, or the reason why the process is not connected to the group
      */
     record Standing(
             String name, long incarnation, Role role, String leader, int voters, String fault) {}
--- a/core/src/main/java/postgrade/shared/ReplicatedStateMachine.java
+++ b/core/src/main/java/postgrade/shared/ReplicatedStateMachine.java
@@ -9,29 +9,30 @@
 import postgrade.shared.Rows.Change;
 
 /**
- * The replicated state machine. Each replica carries out the same commands in the same order and
- * comes to the same rows, time and answers.
+ * The replicated state machine. Each replica applies the same commands in the same order and
+ * arrives at the same rows, log time and answers.
  *
- * <p>A command with a request id has its effect once: the first answer is kept among the rows and
- * told again, also by another leader after this one and to whoever asks it through another process.
+ * <p>A command with a request id takes effect once: the first answer is kept among the rows and
+ * returned again, also by a later leader and to a client that repeats the call through another
+ * process.
  */
 public final class ReplicatedStateMachine {
 
     /**
-     * The part whose one command moves the log's time on. Proposed by whoever leads, by what its
-     * own clock measured.
+     * The part with the single command that advances log time. The leader proposes it with the
+     * interval that its own clock measured.
      */
     public static final String CLOCK = "clock";
 
     /**
-     * The most that one entry moves the time on: a leader that slept says so in small steps, or not
-     * at all.
+     * Upper bound of the time that one entry adds: a leader that was suspended adds the time in
+     * small steps, or not at all.
      */
     public static final long MAX_ADVANCE_MICROS = 1_000_000;
 
     private static final String REQUESTS = "request";
 
-    /** A call is not repeated later than this. Guards the state against growing for ever. */
+    /** Calls are not repeated later than this. Bounds the size of the state. */
     private static final long ANSWER_RETENTION_MICROS = 600_000_000;
 
     private static final int MAX_ANSWERS = 10_000;
@@ -39,8 +40,8 @@
     private static final String FIELD_PREFIX = "field.";
 
     /**
-     * An answer that is kept, by when it was given; of one moment by its id, as every replica must
-     * forget the same.
+     * A retained answer, ordered by the time it was given and then by its request id, because every
+     * replica must evict the same answers.
      */
     private record RetainedAnswer(long micros, String requestId) {
         static final Comparator<RetainedAnswer> OLDEST_FIRST =
@@ -51,10 +52,7 @@
     private final Map<String, StatePart> parts = new TreeMap<>();
     private Rows rows = new Rows();
 
-    /**
-     * Of the answers among the rows, so that what is to be forgotten is found without looking at
-     * them all.
-     */
+    /** Index of the answers among the rows, so that eviction need not scan all of them. */
     private final NavigableSet<RetainedAnswer> retainedAnswers =
             new TreeSet<>(RetainedAnswer.OLDEST_FIRST);
 
@@ -65,7 +63,7 @@
         parts.forEach(part -> this.parts.put(part.name(), part));
     }
 
-    /** Moves the time on. */
+    /** A command that advances log time. */
     public static Command advance(String from, long incarnation, long byMicros) {
         return new Command("", from, incarnation, CLOCK, "advance", Row.of("by", byMicros));
     }
@@ -74,16 +72,19 @@
         return current;
     }
 
-    /** As they stand; they go on changing. */
+    /** The live rows; they change with later commands. */
     public Rows rows() {
         return rows;
     }
 
-    /** Carries out one entry. Indices only grow. */
+    /** Applies one entry. Indices must increase. */
     public Answer apply(long index, Command command) {
         if (index <= current.index()) {
             throw new IllegalArgumentException(
-                    "entry " + index + " after entry " + current.index());
+                    "entry index "
+                            + index
+                            + " is not above the last applied index "
+                            + current.index());
         }
         current = new Moment(current.era(), index, current.micros());
         rows.setIndex(index);
@@ -168,7 +169,7 @@
                 Answer.Status.valueOf(row.text("status")), row.text("text"), new Row(fields));
     }
 
-    /** All there is to know, for a replica that comes later. */
+    /** The complete state, for a replica that joins later. */
     public record Snapshot(Moment moment, List<Change> rows) {}
 
     public Snapshot snapshot() {
--- a/core/src/main/java/postgrade/shared/Row.java
+++ b/core/src/main/java/postgrade/shared/Row.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Named values, immutable: a row of the shared state, or what a command carries. */
+/** Immutable named values: a row of the replicated state or the arguments of a command. */
 public final class Row {
 
     public static final Row EMPTY = new Row(Map.of());
@@ -15,7 +15,7 @@
         this.values = Collections.unmodifiableMap(new TreeMap<>(values));
     }
 
-    /** Alternating names and values; anything but text is written by its {@code toString}. */
+    /** Alternating names and values; values are converted with {@code toString}. */
     public static Row of(Object... namesAndValues) {
         return EMPTY.with(namesAndValues);
     }
@@ -61,7 +61,7 @@
         return has(name) ? integer(name) : defaultValue;
     }
 
-    /** A whole number within bounds, both included. */
+    /** An integer within bounds, both inclusive. */
     public long integer(String name, long min, long max) {
         long value = integer(name);
         if (value < min || value > max) {
@@ -77,7 +77,7 @@
                 return value;
             }
         } catch (NumberFormatException e) {
-            // Falls through to the one sentence.
+            // Falls through to the shared error message.
         }
         throw new InvalidFieldException(name, "must be a number");
     }
@@ -97,7 +97,7 @@
         return values.toString();
     }
 
-    /** A command that names something faulty. */
+    /** A command has a missing or invalid field. */
     public static final class InvalidFieldException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
--- a/core/src/main/java/postgrade/shared/Rows.java
+++ b/core/src/main/java/postgrade/shared/Rows.java
@@ -9,16 +9,16 @@
 import java.util.TreeMap;
 
 /**
- * The replicated state: rows by part and key. It remembers at which index each row was last
- * changed, and the latest removals, so that a follower can be told what has changed since it last
- * heard.
+ * The replicated state: rows by part and key. It records the index at which each row last changed
+ * and the most recent removals, so that a follower can be sent only what changed since its last
+ * pull.
  */
 public final class Rows {
 
-    /** Removals remembered; a follower that missed more takes the whole. */
+    /** Removals that are kept; a follower that missed more needs the full state. */
     private static final int MAX_REMOVALS = 4096;
 
-    /** A row as it stands, or null for one that was removed. */
+    /** A row in its current version, or null for a removed row. */
     public record Change(long index, String part, String key, Row row) {}
 
     private record VersionedRow(long index, Row row) {}
@@ -26,12 +26,12 @@
     private final SortedMap<String, SortedMap<String, VersionedRow>> parts = new TreeMap<>();
     private final Deque<Change> removals = new ArrayDeque<>();
 
-    /** Changes before this are not told singly any more. */
+    /** Changes before this index are no longer available individually. */
     private long oldestKnownIndex;
 
     private long index;
 
-    /** All changes from now on are made by the entry of this index. */
+    /** Subsequent changes belong to the entry of this index. */
     void setIndex(long entryIndex) {
         index = entryIndex;
     }
@@ -41,7 +41,7 @@
         return versioned == null ? null : versioned.row;
     }
 
-    /** A part's rows in the order of their keys, as they are now. */
+    /** A copy of a part's current rows, ordered by key. */
     public SortedMap<String, Row> ofPart(String part) {
         SortedMap<String, Row> copy = new TreeMap<>();
         parts.getOrDefault(part, Collections.emptySortedMap())
@@ -71,16 +71,16 @@
     }
 
     /**
-     * What has changed after that index, in no order; null where that is no longer known and the
-     * whole is needed.
+     * The changes after that index, unordered; null if they are no longer available and the full
+     * state is needed.
      */
     public List<Change> changesSince(long afterIndex) {
         if (afterIndex < oldestKnownIndex) {
             return null;
         }
         List<Change> changes = new ArrayList<>();
-        // A key that was removed and put again stands in both: the row that is there comes later
-        // and wins.
+        // A key that was removed and put again appears in both lists: the present row is added
+        // later and wins.
         removals.stream().filter(c -> c.index > afterIndex).forEach(changes::add);
         parts.forEach(
                 (part, partRows) ->
@@ -95,7 +95,7 @@
         return changes;
     }
 
-    /** Everything, for a snapshot. */
+    /** All rows, for a snapshot. */
     public List<Change> all() {
         List<Change> changes = new ArrayList<>();
         parts.forEach(
@@ -111,10 +111,7 @@
         return changes;
     }
 
-    /**
-     * These rows and no others, as a snapshot told them; earlier changes are no longer known
-     * singly.
-     */
+    /** Exactly the rows of a snapshot; earlier changes are not available individually. */
     public static Rows fromSnapshot(long index, List<Change> snapshot) {
         Rows rows = new Rows();
         rows.oldestKnownIndex = index;
@@ -123,7 +120,7 @@
         return rows;
     }
 
-    /** A copy with these changes, for a follower. */
+    /** A copy with these changes applied, for a follower. */
     public Rows withChanges(long upTo, List<Change> changes) {
         Rows copy = new Rows();
         parts.forEach((part, partRows) -> copy.parts.put(part, new TreeMap<>(partRows)));
@@ -136,8 +133,8 @@
     private void applyChanges(List<Change> changes) {
         for (Change change : changes) {
             if (change.row == null) {
-                // A follower may be told of the end of what it never saw: it came and went between
-                // two pulls.
+                // A follower may receive the removal of a row that it never saw, if the row was
+                // added and removed between two pulls.
                 SortedMap<String, VersionedRow> partRows = parts.get(change.part);
                 if (partRows != null) {
                     partRows.remove(change.key);
--- a/core/src/main/java/postgrade/shared/StatePart.java
+++ b/core/src/main/java/postgrade/shared/StatePart.java
@@ -1,23 +1,23 @@
 package postgrade.shared;
 
 /**
- * One part of the replicated state, say the reservations. It keeps nothing of its own: all it knows
- * stands in its rows, so that a snapshot, a replay and a view are the same for every part. The same
- * rows, moment and command always give the same rows and answer.
+ * One part of the replicated state, such as the reservations. It has no state of its own:
+ * everything is in its rows, so that snapshots, replays and views work the same way for every part.
+ * The same rows, moment and command always yield the same rows and answer.
  */
 public interface StatePart {
 
-    /** Names its rows and commands. */
+    /** The name of its rows and commands. */
     String name();
 
     /**
-     * Carries a command out. {@link Row.InvalidFieldException} becomes an answer FAULTY; it must be
-     * thrown before rows change.
+     * Applies a command. {@link Row.InvalidFieldException} becomes an answer FAULTY and must be
+     * thrown before any row changes.
      */
     Answer apply(Rows rows, Moment at, Command command);
 
     /**
-     * The log's time has gone on: what is over ends now. Called before any command is applied at
+     * Log time has advanced: whatever has expired ends now. Called before any command is applied at
      * that time.
      */
     default void advance(Rows rows, Moment at) {}
--- a/core/src/main/java/postgrade/shared/View.java
+++ b/core/src/main/java/postgrade/shared/View.java
@@ -1,20 +1,20 @@
 package postgrade.shared;
 
 /**
- * The shared state as one process sees it: immutable, and some time old.
+ * An immutable and possibly stale copy of the replicated state, as one process sees it.
  *
- * @param moment up to which entry it tells
+ * @param moment position of the last entry that it contains
  * @param rows not changed any more
- * @param asOfMicros by this process's own monotonic clock: whatever the quorum had decided by then
- *     is in it. It is the time at which the pull was sent that brought it or confirmed it, never
- *     the time at which the answer came
+ * @param asOfMicros time on this process's monotonic clock; the view contains everything that the
+ *     quorum had decided by then. It is the time at which the pull that brought or confirmed the
+ *     view was sent, never the time at which its response arrived
  */
 public record View(Moment moment, Rows rows, long asOfMicros) {
 
-    /** Knows nothing, and is older than any bound. */
+    /** Empty, and older than any bound. */
     public static final View NONE = new View(Moment.NONE, new Rows(), Long.MIN_VALUE / 2);
 
-    /** How old it may be. */
+    /** The maximum age of the view. */
     public long ageMicros(long nowMicros) {
         return nowMicros - asOfMicros;
     }
--- a/core/src/test/java/postgrade/lease/LeaseConstraintsTest.java
+++ b/core/src/test/java/postgrade/lease/LeaseConstraintsTest.java
@@ -20,7 +20,7 @@
 import postgrade.shared.View;
 
 /**
- * What the module is told of reservations: a view that is too old takes away a privilege, and never
+ * Reservations in the choice of workers: a view that is too old removes a privilege but never costs
  * an answer.
  */
 public class LeaseConstraintsTest {
--- a/core/src/test/java/postgrade/lease/LeasePartTest.java
+++ b/core/src/test/java/postgrade/lease/LeasePartTest.java
@@ -13,7 +13,9 @@
 import postgrade.shared.ReplicatedStateMachine;
 import postgrade.shared.Row;
 
-/** Reservations as the log decides them: who gets what, in which order, and when it ends. */
+/**
+ * Reservations as the log decides them: who is granted what, in which order, and when a grant ends.
+ */
 public class LeasePartTest {
 
     private static final long GRACE_MS = LeaseTimes.DEFAULT.graceMicros() / 1000;
--- a/core/src/test/java/postgrade/lease/LeaseSimulation.java
+++ b/core/src/test/java/postgrade/lease/LeaseSimulation.java
@@ -17,9 +17,9 @@
 import postgrade.shared.View;
 
 /**
- * One seed's world on virtual time: a leader whose commits take their way, processes that pull
- * views, holders that ask, renew, die and come back; clocks up to 2% apart; leaders killed and
- * stopped, commits held up, processes cut off.
+ * A simulation on virtual time from one seed: a leader whose commits are delayed; processes that
+ * pull views; holders that acquire, renew, die and return; clocks up to 2% apart; leaders that are
+ * killed or suspended, stalled commits and partitioned processes.
  */
 final class LeaseSimulation {
 
@@ -29,7 +29,7 @@
     private static final int HOLDERS = 4;
     private static final int ACCELERATORS = 4;
 
-    /** One process could use an accelerator for a holder from then to then. */
+    /** A period in which one process could use an accelerator for a holder. */
     private record UsePeriod(long from, long to, long bit, String holder, long fence) {}
 
     private record Task(long at, long order, Runnable run) {}
@@ -48,7 +48,7 @@
     private long order;
     private long index;
 
-    // The quorum: one leader or none, and entries on their way to a commit, in order.
+    // The quorum: at most one leader, and uncommitted entries in order.
     private final Deque<Entry> uncommitted = new ArrayDeque<>();
     private long lastAdvanceMicros;
     private boolean advancePending;
@@ -61,8 +61,8 @@
     int grants;
     int expiries;
 
-    // Holders: whether alive, the fence held, when the renewal that was acknowledged last had been
-    // called.
+    // Holders: whether each is alive, the fence that it holds, and when its last acknowledged
+    // renewal was sent.
     private final boolean[] alive = new boolean[HOLDERS];
     private final long[] fence = new long[HOLDERS];
     private final long[] renewalSentAt = new long[HOLDERS];
@@ -70,7 +70,8 @@
     private final long[] ttl = new long[HOLDERS];
 
     /**
-     * @param decided times that the log goes by @param used times that processes go by
+     * @param logTimes times that the log applies
+     * @param processTimes times that the processes apply
      */
     LeaseSimulation(long seed, LeaseTimes logTimes, LeaseTimes processTimes) {
         random = new SplittableRandom(seed);
@@ -136,8 +137,8 @@
         hasLeader = true;
         leaderSuspended = false;
         leaderRate = clockRate();
-        // What the former leader had on its way is lost, or from its begin on kept and committed
-        // with what follows.
+        // The former leader's uncommitted entries are lost, except for a prefix that is kept and
+        // committed with the new leader's entries.
         List<Entry> former =
                 new ArrayList<>(uncommitted).subList(0, random.nextInt(uncommitted.size() + 1));
         uncommitted.clear();
@@ -145,7 +146,7 @@
                 entry -> uncommitted.add(new Entry(entry.command, answer -> {}, entry.clock)));
         lastAdvanceMicros = leaderNow();
         firstAdvanceCommitted =
-                false; // Its first entry tells no time: what was before commits with that.
+                false; // The first entry adds no time: it commits the entries before it.
         advancePending = false;
         tick(electedTerm);
     }
@@ -159,8 +160,8 @@
             return;
         }
         if (hasLeader && !leaderSuspended && !advancePending) {
-            // One at a time, and each from where the last one was asked for: its way to the commit
-            // is counted too.
+            // One at a time, each from the moment at which the last one was proposed, so that its
+            // commit delay is counted too.
             long at = leaderNow();
             advancePending = true;
             propose(
@@ -188,7 +189,7 @@
                 () -> commit(proposedTerm, entry));
     }
 
-    /** Entries commit in order: one that is through takes those before it along. */
+    /** Entries commit in order: a committed entry commits those before it. */
     private void commit(int proposedTerm, Entry entry) {
         if (proposedTerm == term && uncommitted.contains(entry)) {
             Entry first;
@@ -199,7 +200,7 @@
         }
     }
 
-    /** A leader that is stopped hears of its commits once it wakes. */
+    /** A suspended leader learns of its commits once it resumes. */
     private void deliver(int proposedTerm, Entry entry, Answer answer) {
         if (proposedTerm == term && leaderSuspended) {
             schedule(10 * MS, () -> deliver(proposedTerm, entry, answer));
@@ -265,7 +266,7 @@
         int currentTerm = term;
         switch (random.nextInt(4)) {
             case 0 -> killLeader(currentTerm);
-            case 1 -> { // Stopped; it wakes as leader or finds another.
+            case 1 -> { // Suspended; on resuming it still leads or finds another leader.
                 leaderSuspended = true;
                 long durationMicros = between(50 * MS, 3 * SECOND);
                 schedule(
@@ -332,8 +333,8 @@
     }
 
     /**
-     * From now on, and at the longest while its view is fresh by its own clock, the process uses
-     * what this view tells.
+     * From now on, and at most while the view is fresh by its own clock, the process uses what this
+     * view grants.
      */
     private void recordUses(double rate, long offset, View view) {
         long untilMicros =
@@ -392,7 +393,7 @@
         schedule(
                 between(2 * SECOND, 20 * SECOND),
                 () -> {
-                    alive[holder] = false; // Dies without a word, or leaves in order.
+                    alive[holder] = false; // Crashes, or releases in order.
                     if (random.nextInt(3) == 0) {
                         propose(
                                 new Entry(
--- a/core/src/test/java/postgrade/lease/LeaseSimulationTest.java
+++ b/core/src/test/java/postgrade/lease/LeaseSimulationTest.java
@@ -6,7 +6,10 @@
 import java.util.List;
 import org.junit.Test;
 
-/** Thousands of seeds of faults; and that each mechanism is needed, as without it seeds fail. */
+/**
+ * Runs the simulation over many seeds of faults, and shows that each mechanism is needed: without
+ * it some seeds fail.
+ */
 public class LeaseSimulationTest {
 
     private static final LeaseTimes TIMES = LeaseTimes.DEFAULT;
--- a/core/src/test/java/postgrade/lease/LendingTest.java
+++ b/core/src/test/java/postgrade/lease/LendingTest.java
@@ -21,7 +21,8 @@
 import postgrade.shared.View;
 
 /**
- * Whether lending wins: half of all accelerators is reserved early and needed only after a while.
+ * Shows that lending serves more jobs when half of all accelerators is reserved early but needed
+ * only later.
  */
 public class LendingTest {
 
@@ -33,7 +34,8 @@
     private static final double LATENCY_OBJECTIVE_S = 1;
 
     /**
-     * @param checks part of the ordinary jobs in time @param plans and of the holder's
+     * @param ordinaryInTime share of the ordinary jobs that were served in time
+     * @param holderInTime the same for the holder's jobs
      */
     private record Result(double ordinaryInTime, double holderInTime) {}
 
@@ -103,7 +105,7 @@
         workers.forEach(w -> busyUntil.add(new PriorityQueue<>()));
         int[] all = new int[2];
         int[] inTime = new int[2];
-        // Half the fleet alone is loaded to 1.3; the whole of it to 0.65. The holder's own load is
+        // Half the fleet alone would have a load of 1.3, the whole fleet 0.65. The holder's load is
         // light.
         for (double t = 0; t < END_S; t += -Math.log(1 - random.nextDouble()) / 44) {
             boolean plan = t > NEEDED_AT_S && random.nextInt(4) == 0;
@@ -141,8 +143,7 @@
             List<Double> ends = new ArrayList<>(queue);
             ends.sort(null);
             double startsAt = ends.size() < SLOTS ? t : ends.get(ends.size() - SLOTS);
-            // Where every worker that is there for it has a line as long as its slots, it is
-            // refused.
+            // Rejected if every worker usable for it has a queue as long as its slots.
             boolean accepted = leastLoad <= 2;
             if (accepted) {
                 queue.add(startsAt + seconds);
--- a/core/src/test/java/postgrade/member/MembershipTest.java
+++ b/core/src/test/java/postgrade/member/MembershipTest.java
@@ -19,8 +19,8 @@
 import postgrade.shared.View;
 
 /**
- * Who lives and with which share: it grows by the dead, shrinks before one returns, and falls by
- * the own clock.
+ * Membership and shares: a share grows when other members die, shrinks before one returns, and
+ * falls by the process's own clock.
  */
 public class MembershipTest {
 
@@ -52,7 +52,7 @@
     }
 
     /**
-     * Time passes for the log and every clock; those that are up see each entry and renew once a
+     * Advances log time and every clock; the renewing members see each entry and renew once a
      * second.
      */
     private void advance(long micros, String... renewing) {
--- a/core/src/test/java/postgrade/recovery/LearntSnapshotTest.java
+++ b/core/src/test/java/postgrade/recovery/LearntSnapshotTest.java
@@ -12,7 +12,7 @@
 import postgrade.policy.api.PolicyStateEntry;
 import postgrade.recovery.UnusableSnapshotException.Fault;
 
-/** What a snapshot holds, what of it may be trusted, and which are not gone by. */
+/** What a snapshot contains, which of its entries are trusted, and which snapshots are rejected. */
 public class LearntSnapshotTest {
 
     private static final long SAVED_MICROS = 1_000_000_000L;
--- a/core/src/test/java/postgrade/recovery/RecoveryTest.java
+++ b/core/src/test/java/postgrade/recovery/RecoveryTest.java
@@ -8,7 +8,7 @@
 import postgrade.recovery.Recovery.Bounds;
 import postgrade.recovery.Recovery.Observation;
 
-/** The phases of coming back, and what counts as full service. */
+/** The phases of recovery, and what counts as full service. */
 public class RecoveryTest {
 
     private static final Bounds BOUNDS = new Bounds(1_000_000, 5_000_000, 500_000);
--- a/core/src/test/java/postgrade/recovery/ThunderingHerdTest.java
+++ b/core/src/test/java/postgrade/recovery/ThunderingHerdTest.java
@@ -9,13 +9,16 @@
 import postgrade.recovery.ThunderingHerdLimits.LoadKind;
 import postgrade.recovery.ThunderingHerdLimits.SteadyRates;
 
-/** When most come back at once: others are not overrun, and callers do not return together. */
+/**
+ * When most processes restart at once, others are not overloaded and clients do not all retry
+ * together.
+ */
 public class ThunderingHerdTest {
 
     private static final SteadyRates STEADY = new SteadyRates(10, 40, 5, 2, 8);
     private static final int PROCESSES = 20;
 
-    /** The most within any second over all that are there from the start, and how many in all. */
+    /** The maximum over any second for all processes that start together, and the total. */
     private static int[] peak(
             LoadKind kind, int processes, int alive, String worker, long durationMicros) {
         List<Long> times = new ArrayList<>();
@@ -135,8 +138,8 @@
     }
 
     /**
-     * A hundred a second come, a process may take 150: those turned away have the 50 left over to
-     * come back within.
+     * With a hundred requests per second and a capacity of 150, rejected requests have the
+     * remaining 50 per second to retry within.
      */
     @Test
     public void retrySpreadUsesCapacityLeftByOrdinaryDemand() {
--- a/core/src/test/java/postgrade/shared/ReplicatedStateMachineTest.java
+++ b/core/src/test/java/postgrade/shared/ReplicatedStateMachineTest.java
@@ -13,12 +13,12 @@
 import postgrade.shared.Answer.Status;
 
 /**
- * The ground all parts stand on: once per request id, time by the log, the same from a snapshot or
- * from changes.
+ * Guarantees that all parts rely on: one effect per request id, time that advances by the log only,
+ * and the same state from a snapshot as from changes.
  */
 public class ReplicatedStateMachineTest {
 
-    /** Counts by name; a name is removed when its count passes what it may. */
+    /** Counts by name; a name is removed when its count passes ten. */
     private static final StatePart COUNTER =
             new StatePart() {
                 @Override
@@ -109,8 +109,8 @@
     }
 
     /**
-     * What a machine that looks at all its answers forgets at this step; replicas of both kinds
-     * must hold the same.
+     * Eviction as a machine that scans all its answers does it; replicas of both kinds must hold
+     * the same answers.
      */
     private static void evictByFullScan(Map<String, Long> answers, long before, long now) {
         if (now / 10_000_000 > before / 10_000_000 || answers.size() > 10_000) {
@@ -133,7 +133,8 @@
         Random random = new Random(7);
         int maxRetained = 0;
         int steps = 0;
-        // Many at one moment first, up to the bound; then so few that the oldest grow too old.
+        // Many at one moment first, up to the bound; then so few that the oldest reach the age
+        // limit.
         for (int i = 0; i < 13_000; i++) {
             String id = Integer.toHexString(random.nextInt());
             replica.apply(
@@ -168,7 +169,7 @@
         count("", "y", 9);
         Rows follower = Rows.fromSnapshot(index, machine.snapshot().rows());
         long seenIndex = index;
-        count("", "y", 9); // Removed.
+        count("", "y", 9); // Removes the row.
         count("", "x", 1);
         count("", "z", 1);
         follower = follower.withChanges(index, machine.rows().changesSince(seenIndex));
