--- a/core/src/main/java/postgrade/recovery/ServedWorth.java
+++ b/core/src/main/java/postgrade/recovery/ServedWorth.java
@@ -20,12 +20,12 @@
         atMicros = nowMicros;
     }
 
-    /** What was served before this process started, from its snapshot. */
+    /** Sets the share that was served before this process started, from its snapshot. */
     public void setBaseline(double share) {
         baseline = share;
     }
 
-    /** A job has its final answer. */
+    /** Records a job that has its final answer. */
     public void add(long nowMicros, double worth, boolean inTime) {
         decay(nowMicros);
         recentRequested += worth;
@@ -48,7 +48,7 @@
     }
 
     /**
-     * From now on service is compared with what was served so far. Of several faults in a row the
+     * From now on service is compared with what was served so far. Of several faults in a row, the
      * first one counts.
      */
     public void recordFault(long nowMicros) {
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Service is full again. */
+    /** Drops the baseline, once service is full again. */
     public void clearBaseline() {
         baseline = Double.NaN;
     }
--- a/core/src/test/java/postgrade/lease/LeaseConstraintsTest.java
+++ b/core/src/test/java/postgrade/lease/LeaseConstraintsTest.java
@@ -149,7 +149,7 @@
                         Rows.fromSnapshot(index, machine.snapshot().rows()),
                         FRESH_NS / 1000);
         assertEquals(
-                "all of it is others'",
+                "all accelerators are reserved by others",
                 0,
                 constraints.usableShare(FRESH_NS, job("replan", "ivo", 1), UNRESERVED),
                 0);
@@ -252,7 +252,7 @@
                                 1)
                         .size());
         assertEquals(
-                "all are missing from the list",
+                "all workers are missing from the list",
                 2,
                 FleetSync.pendingCommands(fresh.rows(), List.of(), Set.of(), perKind, "n", 1)
                         .size());
--- a/core/src/test/java/postgrade/lease/LeasePartTest.java
+++ b/core/src/test/java/postgrade/lease/LeasePartTest.java
@@ -166,7 +166,7 @@
         long fence = fence(acquire("ana", 6));
         acquire("ivo", 4, "ttlMs", 60_000);
         acquire("eva", 1, "ttlMs", 60_000);
-        assertEquals("two are free and ivo waits for them", "waiting", state("eva"));
+        assertEquals("two are free but held back for ivo", "waiting", state("eva"));
         assertEquals("2", acquire("eva", 1, "ttlMs", 60_000).fields().text("place"));
         call("release", "ana", fence);
         advance(GRACE_MS + 100);
@@ -199,7 +199,9 @@
     public void staleFenceAndOlderIncarnationAreRejected() {
         long first = fence(acquire("ana", 4, "incarnation", 1));
         assertEquals(
-                "asked twice, granted once", first, fence(acquire("ana", 4, "incarnation", 1)));
+                "a repeated request keeps its grant",
+                first,
+                fence(acquire("ana", 4, "incarnation", 1)));
         assertEquals(Status.DONE, call("renew", "ana", first, "incarnation", 1).status());
         assertEquals(Status.DONE, call("renew", "ana", first, "incarnation", 1).status());
         long second = fence(acquire("ana", 4, "incarnation", 2));
@@ -239,7 +241,7 @@
         long ivo = fence(acquire("ivo", 4, "ttlMs", 60_000));
         apply("presence", "worker", "w-2", "start", 0, "state", "GONE");
         apply("presence", "worker", "w-2", "start", 7, "state", "READY");
-        assertEquals("back, cold", ivo, fence(acquire("ivo", 4, "ttlMs", 60_000)));
+        assertEquals("the worker has restarted", ivo, fence(acquire("ivo", 4, "ttlMs", 60_000)));
         assertEquals(
                 Status.CONFLICT,
                 apply("presence", "worker", "w-2", "start", 0, "state", "DRAINING").status());
@@ -269,7 +271,7 @@
                 "version",
                 3);
         acquire("eva", 3, "ttlMs", 60_000);
-        assertEquals("they rest first", "waiting", state("eva"));
+        assertEquals("the accelerators rest first", "waiting", state("eva"));
         advance(GRACE_MS + 100);
         assertEquals("granted", state("eva"));
         apply(
--- a/core/src/test/java/postgrade/lease/LeaseSimulation.java
+++ b/core/src/test/java/postgrade/lease/LeaseSimulation.java
@@ -234,7 +234,7 @@
                                     return a | b;
                                 });
         if (Long.bitCount(granted) > ACCELERATORS) {
-            violations.add("more granted than there are at " + now);
+            violations.add("more accelerators granted than exist at " + now);
         }
         return answer;
     }
@@ -258,7 +258,7 @@
                             + holder
                             + " expired early, "
                             + (now - renewalSentAt[holder])
-                            + " after its renewal");
+                            + " us after its renewal");
         }
     }
 
--- a/core/src/test/java/postgrade/lease/LendingTest.java
+++ b/core/src/test/java/postgrade/lease/LendingTest.java
@@ -173,7 +173,7 @@
         }
         String figures =
                 String.format(
-                        "others' %.3f %.3f, the holder's %.3f %.3f",
+                        "served in time without and with lending: ordinary %.3f %.3f, holder %.3f %.3f",
                         withoutLending, withLending, holderWithoutLending, holderWithLending);
         assertTrue(figures, withLending > withoutLending + 0.1);
         assertEquals(holderWithoutLending, holderWithLending, 0.01);
--- a/core/src/test/java/postgrade/member/MembershipTest.java
+++ b/core/src/test/java/postgrade/member/MembershipTest.java
@@ -100,11 +100,11 @@
         long largerShare = share("a");
         join("d", 2);
         assertEquals(EVEN, share("a"));
-        assertEquals("others may still use what they had", TERMS.floor(), share("d"), 3);
+        assertEquals("others may still use their former shares", TERMS.floor(), share("d"), 3);
         shares.get("a").factor(view(), now);
         apply(MembershipPart.renew("a", 1, shares.get("a").appliedGrantIndex()));
         assertEquals(
-                "what one gave up is there for it",
+                "a confirmed reduction is available to it",
                 TERMS.floor() + largerShare - EVEN,
                 share("d"),
                 3);
@@ -149,7 +149,7 @@
         assertEquals(1.0, a.factor(lastView, now + lingerByOwnClock - 10), 0);
         assertEquals(0.25, a.factor(lastView, now + lingerByOwnClock + 10), 0);
         assertEquals(
-                "as stated by the operator",
+                "the fallback set by the operator",
                 1.0,
                 new EffectiveShare("a", 1, TERMS, EVEN)
                         .factor(lastView, now + lingerByOwnClock + 10),
@@ -161,7 +161,11 @@
         assertEquals(0.25, new EffectiveShare("a", 1, TERMS).factor(View.NONE, now), 0);
         joinFour();
         EffectiveShare restarted = new EffectiveShare("a", 2, TERMS);
-        assertEquals("the row is its former start's", 0.25, restarted.factor(view(), now), 0);
+        assertEquals(
+                "the row belongs to its former incarnation",
+                0.25,
+                restarted.factor(view(), now),
+                0);
         join("a", 2);
         assertEquals(1.0, restarted.factor(view(), now), 0);
         shares.put("a", new EffectiveShare("a", 1, TERMS));
@@ -219,7 +223,8 @@
         index = 0;
         three.forEach(n -> join(n, 1));
         join("d", 1);
-        assertEquals("all are here, so nobody goes by the former era", EVEN, share("a"));
+        assertEquals(
+                "all have joined, so no process uses a share of the former era", EVEN, share("a"));
     }
 
     @Test
--- a/core/src/test/java/postgrade/recovery/LearntSnapshotTest.java
+++ b/core/src/test/java/postgrade/recovery/LearntSnapshotTest.java
@@ -55,7 +55,10 @@
     public void valuesDecayWithAgeAndTokensStay() {
         assertArrayEquals(
                 new double[] {2e8, 50, 0.25}, trusted("class", HALF_LIFE, 5000).values(), 1e-9);
-        assertEquals("once seen is nothing by then", null, trusted("kind", HALF_LIFE, 5000));
+        assertEquals(
+                "a single observation has decayed to nothing",
+                null,
+                trusted("kind", HALF_LIFE, 5000));
         assertArrayEquals(
                 new double[] {1.5, 0, 1, 1.25, 4, 1e6, 61e9, 60.1e9, 1},
                 trusted("worker", HALF_LIFE, 5000).values(),
@@ -70,7 +73,7 @@
                 List.of(),
                 snapshot.trustedEntries(
                         SAVED_MICROS + LearntStateAging.MAX_AGE_MICROS + 1, Map.of("w1", 5000L)));
-        assertEquals("a clock set back", 3.0, trusted("worker", -100, 5000).values()[0], 0);
+        assertEquals("the clock was set back", 3.0, trusted("worker", -100, 5000).values()[0], 0);
     }
 
     @Test
@@ -78,7 +81,10 @@
         assertTrue(trusted("worker", 0, 5000) != null && trusted("cold", 0, 5000) != null);
         assertEquals(null, trusted("worker", 0, 5001));
         assertEquals(null, trusted("cold", 0, 5001));
-        assertEquals("the rest stays", 3, snapshot.trustedEntries(SAVED_MICROS, Map.of()).size());
+        assertEquals(
+                "the other entries stay",
+                3,
+                snapshot.trustedEntries(SAVED_MICROS, Map.of()).size());
     }
 
     private static Fault fault(byte[] bytes, String dispatcher, long now) {
--- a/core/src/test/java/postgrade/recovery/RecoveryTest.java
+++ b/core/src/test/java/postgrade/recovery/RecoveryTest.java
@@ -37,12 +37,12 @@
         assertEquals(RecoveryPhase.CATCHING_UP, update(3, observation(true, Long.MAX_VALUE, 0, 0)));
         assertEquals(RecoveryPhase.RAMPING, update(4, observation(true, 900_000, 0.1, 0)));
         assertEquals(
-                "the ramp is over, but less is served",
+                "the ramp has finished, but less is served than before",
                 RecoveryPhase.RAMPING,
                 update(600_000, observation(true, 0, 1, 0.75)));
         assertEquals(RecoveryPhase.RAMPING, update(600_001, observation(true, 0, 1, 0.77)));
         assertEquals(
-                "not for long enough",
+                "service is not yet full for long enough",
                 RecoveryPhase.RAMPING,
                 update(1_000_000, observation(true, 0, 1, 0.77)));
         assertEquals(RecoveryPhase.FULL, update(1_100_001, observation(true, 0, 1, 0.77)));
@@ -67,7 +67,7 @@
         update(0, observation(true, 0, 1, 0.8));
         assertEquals(RecoveryPhase.FULL, update(500_000, observation(true, 0, 1, 0.8)));
         assertEquals(
-                "a bad moment is no fault",
+                "a short drop without a fault does not count",
                 RecoveryPhase.FULL,
                 update(600_000, observation(true, 0, 1, 0.5)));
         recovery.recordFault();
--- a/core/src/test/java/postgrade/recovery/ThunderingHerdTest.java
+++ b/core/src/test/java/postgrade/recovery/ThunderingHerdTest.java
@@ -52,7 +52,7 @@
                 int[] peak = peak(kind, PROCESSES, 0, worker, 10_000_000);
                 double steady = new ThunderingHerdLimits(STEADY, 2, PROCESSES, 0).steady().of(kind);
                 assertTrue(kind + " " + peak[0], peak[0] <= 2 * steady + 1);
-                assertTrue(kind + " goes on", peak[1] >= 2 * steady * 10 - PROCESSES);
+                assertTrue(kind + " continues at its rate", peak[1] >= 2 * steady * 10 - PROCESSES);
             }
         }
     }
@@ -88,7 +88,7 @@
     public void admissionGrowsAsWorkersAcceptAndShrinksWhenFull() {
         AdmissionRamp ramp = new AdmissionRamp(0, 0.1);
         assertEquals(0.1, ramp.admittedShare(0), 0);
-        assertEquals("nothing was sent, so nothing is known", 0.1, ramp.admittedShare(500_000), 0);
+        assertEquals("unchanged while no answers arrive", 0.1, ramp.admittedShare(500_000), 0);
         long t = 500_000;
         for (; ramp.admittedShare(t) < 0.5; t += 100_000) {
             ramp.recordAnswer(false);
@@ -148,9 +148,10 @@
             demand.record(t, t % 20_000 == 0);
         }
         assertEquals(1e6, demand.spreadMicros(150), 0.05e6);
-        assertEquals("more that is left, sooner", 0.25e6, demand.spreadMicros(300), 0.02e6);
-        assertEquals("a tenth is taken as left at least", 5e6, demand.spreadMicros(100), 0.2e6);
+        assertEquals(
+                "more spare capacity, shorter spread", 0.25e6, demand.spreadMicros(300), 0.02e6);
+        assertEquals("at least a tenth counts as spare", 5e6, demand.spreadMicros(100), 0.2e6);
         demand.record(20_000_000, true);
-        assertTrue("forgotten by then", demand.spreadMicros(150) < 20_000);
+        assertTrue("old rejections have decayed", demand.spreadMicros(150) < 20_000);
     }
 }
--- a/core/src/test/java/postgrade/shared/ReplicatedStateMachineTest.java
+++ b/core/src/test/java/postgrade/shared/ReplicatedStateMachineTest.java
@@ -27,11 +27,11 @@
                 }
 
                 @Override
-                public Answer apply(Rows rows, Moment at, Command c) {
-                    String key = c.args().text("name");
-                    long by = c.args().integer("by", 1, 10);
-                    Row was = rows.get("count", key);
-                    long now = by + (was == null ? 0 : was.integer("n"));
+                public Answer apply(Rows rows, Moment at, Command command) {
+                    String key = command.args().text("name");
+                    long by = command.args().integer("by", 1, 10);
+                    Row previous = rows.get("count", key);
+                    long now = by + (previous == null ? 0 : previous.integer("n"));
                     if (now > 10) {
                         rows.remove("count", key);
                     } else {
@@ -160,7 +160,7 @@
         }
         assertEquals(answers.keySet(), replica.rows().ofPart("request").keySet());
         assertEquals(10_000, maxRetained);
-        assertTrue("none grew too old", answers.size() < 9000);
+        assertTrue("no answer reached the age limit", answers.size() < 9000);
     }
 
     @Test
