--- a/core/src/main/java/postgrade/lease/GrantPass.java
+++ b/core/src/main/java/postgrade/lease/GrantPass.java
@@ -93,11 +93,11 @@
                                         worker.kind(), worker.accelerators(), Long::sum));
         return matchingByKind.entrySet().stream()
                 .mapToLong(
-                        e ->
+                        kindCount ->
                                 Math.min(
-                                        e.getValue(),
+                                        kindCount.getValue(),
                                         reservableOfKind(
-                                                table, workers, e.getKey(), includeAbsent)))
+                                                table, workers, kindCount.getKey(), includeAbsent)))
                 .sum();
     }
 
--- a/core/src/main/java/postgrade/recovery/LearntSnapshot.java
+++ b/core/src/main/java/postgrade/recovery/LearntSnapshot.java
@@ -41,18 +41,18 @@
     public static LearntSnapshot capture(
             String dispatcher,
             long nowMicros,
-            double served,
+            double servedShare,
             List<PolicyStateEntry> learnt,
             Map<String, Long> startedMillis) {
-        List<Entry> figures = new ArrayList<>();
+        List<Entry> entries = new ArrayList<>();
         for (PolicyStateEntry entry : learnt) {
             if (!LearntStateAging.isWorkerState(entry)) {
-                figures.add(new Entry(entry, 0));
+                entries.add(new Entry(entry, 0));
             } else if (startedMillis.containsKey(entry.name())) {
-                figures.add(new Entry(entry, startedMillis.get(entry.name())));
+                entries.add(new Entry(entry, startedMillis.get(entry.name())));
             }
         }
-        return new LearntSnapshot(dispatcher, nowMicros, served, figures);
+        return new LearntSnapshot(dispatcher, nowMicros, servedShare, entries);
     }
 
     /** The age of the snapshot; 0 if the clock was set back a little since it was written. */
--- a/core/src/main/java/postgrade/recovery/Recovery.java
+++ b/core/src/main/java/postgrade/recovery/Recovery.java
@@ -72,37 +72,45 @@
                             RecoveryPhase.EMPTY,
                             RecoveryPhase.REMEMBERING,
                             "own snapshot is trusted",
-                            (r, s) -> s.snapshotTrusted),
+                            (recovery, observation) -> observation.snapshotTrusted),
                     new Transition(
                             RecoveryPhase.EMPTY,
                             RecoveryPhase.CATCHING_UP,
                             "workers are known",
-                            (r, s) -> s.workersKnown),
+                            (recovery, observation) -> observation.workersKnown),
                     new Transition(
                             RecoveryPhase.REMEMBERING,
                             RecoveryPhase.CATCHING_UP,
                             "workers are known",
-                            (r, s) -> s.workersKnown),
+                            (recovery, observation) -> observation.workersKnown),
                     new Transition(
                             RecoveryPhase.CATCHING_UP,
                             RecoveryPhase.RAMPING,
                             "view is new and the share granted",
-                            (r, s) -> s.joined && s.viewAgeMicros <= r.bounds.viewBoundMicros),
+                            (recovery, observation) ->
+                                    observation.joined
+                                            && observation.viewAgeMicros
+                                                    <= recovery.bounds.viewBoundMicros),
                     new Transition(
                             RecoveryPhase.CATCHING_UP,
                             RecoveryPhase.RAMPING,
                             "no word from the quorum in time",
-                            (r, s) -> r.inPhaseMicros() >= r.bounds.quorumTimeoutMicros),
+                            (recovery, observation) ->
+                                    recovery.inPhaseMicros()
+                                            >= recovery.bounds.quorumTimeoutMicros),
                     new Transition(
                             RecoveryPhase.RAMPING,
                             RecoveryPhase.FULL,
                             "as much is served as before",
-                            (r, s) -> r.asBeforeMicros() >= r.bounds.fullServiceMicros),
+                            (recovery, observation) ->
+                                    recovery.servesAsBeforeMicros()
+                                            >= recovery.bounds.fullServiceMicros),
                     new Transition(
                             RecoveryPhase.FULL,
                             RecoveryPhase.RAMPING,
                             "a fault was seen and less is served",
-                            (r, s) -> r.faultPending && !s.servesAsBefore()));
+                            (recovery, observation) ->
+                                    recovery.faultPending && !observation.servesAsBefore()));
 
     private final Bounds bounds;
     private final List<Step> steps = new ArrayList<>();
@@ -154,19 +162,19 @@
     }
 
     private long inPhaseMicros() {
-        return nowMicros - last().atMicros;
+        return nowMicros - lastStep().atMicros;
     }
 
-    private long asBeforeMicros() {
+    private long servesAsBeforeMicros() {
         return Math.min(inPhaseMicros(), nowMicros - lastShortfallMicros);
     }
 
-    private Step last() {
+    private Step lastStep() {
         return steps.get(steps.size() - 1);
     }
 
     public RecoveryPhase phase() {
-        return last().phase;
+        return lastStep().phase;
     }
 
     /** All phases so far, for the log and for operators. */
--- a/core/src/main/java/postgrade/shared/Rows.java
+++ b/core/src/main/java/postgrade/shared/Rows.java
@@ -81,7 +81,7 @@
         List<Change> changes = new ArrayList<>();
         // A key that was removed and put again appears in both lists: the present row is added
         // later and wins.
-        removals.stream().filter(c -> c.index > afterIndex).forEach(changes::add);
+        removals.stream().filter(change -> change.index > afterIndex).forEach(changes::add);
         parts.forEach(
                 (part, partRows) ->
                         partRows.forEach(
--- a/core/src/test/java/postgrade/lease/LeaseSimulation.java
+++ b/core/src/test/java/postgrade/lease/LeaseSimulation.java
@@ -35,7 +35,7 @@
     private record Task(long at, long order, Runnable run) {}
 
     private record Entry(
-            Command command, java.util.function.Consumer<Answer> answer, boolean clock) {}
+            Command command, java.util.function.Consumer<Answer> callback, boolean advancesTime) {}
 
     private final SplittableRandom random;
     private final PriorityQueue<Task> tasks =
@@ -143,7 +143,9 @@
                 new ArrayList<>(uncommitted).subList(0, random.nextInt(uncommitted.size() + 1));
         uncommitted.clear();
         former.forEach(
-                entry -> uncommitted.add(new Entry(entry.command, answer -> {}, entry.clock)));
+                entry ->
+                        uncommitted.add(
+                                new Entry(entry.command, answer -> {}, entry.advancesTime)));
         lastAdvanceMicros = leaderNow();
         firstAdvanceCommitted =
                 false; // The first entry adds no time: it commits the entries before it.
@@ -168,7 +170,7 @@
                     new Entry(
                             ReplicatedStateMachine.advance(
                                     "n", 1, firstAdvanceCommitted ? at - lastAdvanceMicros : 0),
-                            a -> {
+                            answer -> {
                                 lastAdvanceMicros = at;
                                 firstAdvanceCommitted = true;
                                 advancePending = false;
@@ -205,7 +207,7 @@
         if (proposedTerm == term && leaderSuspended) {
             schedule(10 * MS, () -> deliver(proposedTerm, entry, answer));
         } else if (proposedTerm == term) {
-            entry.answer.accept(answer);
+            entry.callback.accept(answer);
         }
     }
 
@@ -214,7 +216,7 @@
         Answer answer = machine.apply(++index, entry.command);
         Map<String, Grant> after = grantsByHolder();
         after.forEach((holder, grant) -> grants += before.containsKey(holder) ? 0 : 1);
-        if (entry.clock) {
+        if (entry.advancesTime) {
             before.forEach(
                     (holder, grant) -> {
                         if (!after.containsKey(holder)) {
@@ -400,7 +402,7 @@
                                         command(
                                                 "release",
                                                 args(holder).with("fence", fence[holder])),
-                                        a -> {},
+                                        answer -> {},
                                         false));
                     }
                     schedule(between(100 * MS, 12 * SECOND), () -> startHolder(holder));
@@ -418,9 +420,9 @@
         long sentAt = now;
         Row acquireArgs =
                 args(holder).with("accelerators", accelerators, "ttlMs", ttl[holder] / MS);
-        boolean renews = fence[holder] != 0 && random.nextBoolean();
+        boolean renewing = fence[holder] != 0 && random.nextBoolean();
         Command command =
-                renews
+                renewing
                         ? command("renew", args(holder).with("fence", fence[holder]))
                         : command("acquire", acquireArgs);
         schedule(
@@ -429,13 +431,13 @@
                         propose(
                                 new Entry(
                                         command,
-                                        a -> {
+                                        answer -> {
                                             if (forIncarnation == incarnation[holder]
-                                                    && a.status() == Answer.Status.DONE
-                                                    && a.fields().has("fence")) {
-                                                fence[holder] = a.fields().integer("fence");
+                                                    && answer.status() == Answer.Status.DONE
+                                                    && answer.fields().has("fence")) {
+                                                fence[holder] = answer.fields().integer("fence");
                                                 renewalSentAt[holder] = sentAt;
-                                            } else if (a.status() == Answer.Status.UNKNOWN) {
+                                            } else if (answer.status() == Answer.Status.UNKNOWN) {
                                                 fence[holder] = 0;
                                             }
                                         },
--- a/core/src/test/java/postgrade/lease/LendingTest.java
+++ b/core/src/test/java/postgrade/lease/LendingTest.java
@@ -44,8 +44,8 @@
                 new ReplicatedStateMachine(1, List.of(new LeasePart(LeaseTimes.DEFAULT)));
         List<WorkerInfo> workers = new ArrayList<>();
         long index = 0;
-        for (int w = 0; w < WORKERS; w++) {
-            workers.add(new WorkerInfo("w" + w, "z", "k", 0, WorkerPhase.READY, 1, 0));
+        for (int workerIndex = 0; workerIndex < WORKERS; workerIndex++) {
+            workers.add(new WorkerInfo("w" + workerIndex, "z", "k", 0, WorkerPhase.READY, 1, 0));
             machine.apply(
                     ++index,
                     new Command(
@@ -56,7 +56,7 @@
                             "unit",
                             Row.of(
                                     "worker",
-                                    "w" + w,
+                                    "w" + workerIndex,
                                     "site",
                                     "z",
                                     "kind",
@@ -102,14 +102,14 @@
 
         SplittableRandom random = new SplittableRandom(seed);
         List<PriorityQueue<Double>> busyUntil = new ArrayList<>();
-        workers.forEach(w -> busyUntil.add(new PriorityQueue<>()));
-        int[] all = new int[2];
+        workers.forEach(workerIndex -> busyUntil.add(new PriorityQueue<>()));
+        int[] total = new int[2];
         int[] inTime = new int[2];
         // Half the fleet alone would have a load of 1.3, the whole fleet 0.65. The holder's load is
         // light.
         for (double t = 0; t < END_S; t += -Math.log(1 - random.nextDouble()) / 44) {
-            boolean plan = t > NEEDED_AT_S && random.nextInt(4) == 0;
-            double seconds = -Math.log(1 - random.nextDouble()) * 0.47;
+            boolean holderJob = t > NEEDED_AT_S && random.nextInt(4) == 0;
+            double serviceSeconds = -Math.log(1 - random.nextDouble()) * 0.47;
             view[0] =
                     new View(
                             new postgrade.shared.Moment(1, index, (long) (t * 1e6)),
@@ -118,42 +118,45 @@
             Job job =
                     new Job(
                             "j",
-                            plan ? "plan" : "check",
-                            plan ? "ana" : "ivo",
+                            holderJob ? "plan" : "check",
+                            holderJob ? "ana" : "ivo",
                             null,
                             (long) (TIME_LEFT_S * 1e9),
                             1,
                             0);
-            int best = -1;
+            int leastLoaded = -1;
             double leastLoad = Double.MAX_VALUE;
-            for (int w = 0; w < WORKERS; w++) {
+            for (int workerIndex = 0; workerIndex < WORKERS; workerIndex++) {
                 double now = t;
-                busyUntil.get(w).removeIf(end -> end <= now);
-                double usableShare = constraints.usableShare((long) (t * 1e9), job, workers.get(w));
+                busyUntil.get(workerIndex).removeIf(end -> end <= now);
+                double usableShare =
+                        constraints.usableShare((long) (t * 1e9), job, workers.get(workerIndex));
                 double load =
                         usableShare == 0
                                 ? Double.MAX_VALUE
-                                : (busyUntil.get(w).size() + 1) / (SLOTS * usableShare);
+                                : (busyUntil.get(workerIndex).size() + 1) / (SLOTS * usableShare);
                 if (load < leastLoad) {
                     leastLoad = load;
-                    best = w;
+                    leastLoaded = workerIndex;
                 }
             }
-            PriorityQueue<Double> queue = busyUntil.get(best);
+            PriorityQueue<Double> queue = busyUntil.get(leastLoaded);
             List<Double> ends = new ArrayList<>(queue);
             ends.sort(null);
             double startsAt = ends.size() < SLOTS ? t : ends.get(ends.size() - SLOTS);
             // Rejected if every worker usable for it has a queue as long as its slots.
             boolean accepted = leastLoad <= 2;
             if (accepted) {
-                queue.add(startsAt + seconds);
+                queue.add(startsAt + serviceSeconds);
             }
             boolean servedInTime =
-                    accepted && startsAt + seconds - t <= LATENCY_OBJECTIVE_S + 2 * seconds;
-            all[plan ? 1 : 0]++;
-            inTime[plan ? 1 : 0] += servedInTime ? 1 : 0;
+                    accepted
+                            && startsAt + serviceSeconds - t
+                                    <= LATENCY_OBJECTIVE_S + 2 * serviceSeconds;
+            total[holderJob ? 1 : 0]++;
+            inTime[holderJob ? 1 : 0] += servedInTime ? 1 : 0;
         }
-        return new Result((double) inTime[0] / all[0], (double) inTime[1] / all[1]);
+        return new Result((double) inTime[0] / total[0], (double) inTime[1] / total[1]);
     }
 
     @Test
--- a/core/src/test/java/postgrade/member/MembershipTest.java
+++ b/core/src/test/java/postgrade/member/MembershipTest.java
@@ -34,8 +34,8 @@
     private long now;
     private final Map<String, EffectiveShare> shares = new HashMap<>();
 
-    private Answer apply(Command c) {
-        return machine.apply(++index, c);
+    private Answer apply(Command command) {
+        return machine.apply(++index, command);
     }
 
     private Answer join(String name, long incarnation) {
