--- a/calendar/src/main/java/postgrade/calendar/CalendarReader.java
+++ b/calendar/src/main/java/postgrade/calendar/CalendarReader.java
@@ -4,8 +4,8 @@
 import java.time.ZoneId;
 import java.util.ArrayList;
 import java.util.List;
-import postgrade.window.Event;
-import postgrade.window.FaultyCalendar;
+import postgrade.window.InvalidCalendarException;
+import postgrade.window.MaintenanceEvent;
 
 /**
  * Reads an iCalendar text into plain events. Whole or not at all: what is wrong is thrown with its
@@ -30,15 +30,16 @@
 
     /**
      * @param zone the site's, for dates and floating times
-     * @throws FaultyCalendar where it is turned down
+     * @throws InvalidCalendarException where it is turned down
      */
-    public static List<Event> read(String zone, String text) {
+    public static List<MaintenanceEvent> read(String zone, String text) {
         if (!Values.known(zone)) {
-            throw new FaultyCalendar(0, "zone", "is not known: " + zone);
+            throw new InvalidCalendarException(0, "zone", "is not known: " + zone);
         }
         if (text.length() > MOST_BYTES
                 || text.getBytes(StandardCharsets.UTF_8).length > MOST_BYTES) {
-            throw new FaultyCalendar(1, "VCALENDAR", "is longer than " + MOST_BYTES + " bytes");
+            throw new InvalidCalendarException(
+                    1, "VCALENDAR", "is longer than " + MOST_BYTES + " bytes");
         }
         Component calendar = TreeReader.read(text);
         Values values = new Values(ZoneId.of(zone).getRules(), ZoneReader.zones(calendar));
@@ -48,10 +49,10 @@
                 case "VEVENT" -> events.add(new EventReader(c, values));
                 case "VTIMEZONE", "VTODO", "VJOURNAL" -> {}
                 // Passing over what may close a site would let jobs start there.
-                default -> throw new FaultyCalendar(c.line, c.name, "is not supported");
+                default -> throw new InvalidCalendarException(c.line, c.name, "is not supported");
             }
             if (events.size() > MOST_EVENTS) {
-                throw new FaultyCalendar(
+                throw new InvalidCalendarException(
                         c.line, "VEVENT", "is there more than " + MOST_EVENTS + " times");
             }
         }
--- a/calendar/src/main/java/postgrade/calendar/Component.java
+++ b/calendar/src/main/java/postgrade/calendar/Component.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import postgrade.window.FaultyCalendar;
+import postgrade.window.InvalidCalendarException;
 
 /** A component of a calendar as read: its properties and the components within. */
 final class Component {
@@ -13,8 +13,8 @@
      * @param parameters by their names in capitals
      */
     record Property(String name, int line, Map<String, String> parameters, String value) {
-        FaultyCalendar faulty(String what) {
-            return new FaultyCalendar(line, name, what);
+        InvalidCalendarException faulty(String what) {
+            return new InvalidCalendarException(line, name, what);
         }
 
         /** The kind of value: what VALUE says, else the given one. */
@@ -57,7 +57,7 @@
     Property needed(String property) {
         Property p = one(property);
         if (p == null) {
-            throw new FaultyCalendar(line, property, "is missing in " + name);
+            throw new InvalidCalendarException(line, property, "is missing in " + name);
         }
         return p;
     }
--- a/calendar/src/main/java/postgrade/calendar/EventReader.java
+++ b/calendar/src/main/java/postgrade/calendar/EventReader.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 import postgrade.calendar.Component.Property;
 import postgrade.calendar.Values.Time;
-import postgrade.window.Event;
-import postgrade.window.Event.Extra;
-import postgrade.window.Event.Length;
+import postgrade.window.MaintenanceEvent;
+import postgrade.window.MaintenanceEvent.EventDuration;
+import postgrade.window.MaintenanceEvent.Extra;
 import postgrade.window.Recurrence;
 
 /**
@@ -71,8 +71,8 @@
                 || transparent != null && transparent.value().equalsIgnoreCase("TRANSPARENT");
     }
 
-    Event event(Set<Long> replaced) {
-        Length length = length();
+    MaintenanceEvent event(Set<Long> replaced) {
+        EventDuration length = length();
         List<Recurrence> rules = new ArrayList<>();
         for (Property p : c.all("RRULE")) {
             rules.add(RuleReader.read(p, start, values));
@@ -92,10 +92,11 @@
                 without.add(sameKind(p.with(one)).when().millis());
             }
         }
-        return new Event(title(), c.line, start.when(), length, rules, extras, Set.copyOf(without));
+        return new MaintenanceEvent(
+                title(), c.line, start.when(), length, rules, extras, Set.copyOf(without));
     }
 
-    private Extra extra(Property p, Length length) {
+    private Extra extra(Property p, EventDuration length) {
         if (!p.kind("DATE-TIME").equals("PERIOD")) {
             return new Extra(sameKind(p).when(), length, p.line());
         }
@@ -122,21 +123,21 @@
         return time;
     }
 
-    private Length length() {
+    private EventDuration length() {
         Property end = c.one("DTEND");
         Property duration = c.one("DURATION");
         if (duration != null) {
             if (end != null) {
                 throw duration.faulty("stands beside DTEND");
             }
-            Length length = Values.length(duration, duration.value());
+            EventDuration length = Values.length(duration, duration.value());
             if (start.allDay() && length.millis() > 0) {
                 throw duration.faulty("must be in days or weeks where DTSTART is a date");
             }
             return length;
         }
         if (end == null) {
-            return start.allDay() ? Length.ofDays(1) : Length.exactly(0);
+            return start.allDay() ? EventDuration.ofDays(1) : EventDuration.exactly(0);
         }
         Time until = sameKind(end);
         long millis = until.when().millis() - start.when().millis();
@@ -157,7 +158,7 @@
     }
 
     /** Masters by their UID, and what replaces which instance of them. */
-    static List<Event> events(List<EventReader> all) {
+    static List<MaintenanceEvent> events(List<EventReader> all) {
         Map<String, EventReader> masters = new HashMap<>();
         for (EventReader e : all) {
             if (e.c.one("RECURRENCE-ID") == null && masters.put(e.uid(), e) != null) {
@@ -172,10 +173,11 @@
                 throw e.c.needed("RECURRENCE-ID").faulty("is that of an earlier event");
             }
         }
-        List<Event> events = new ArrayList<>();
+        List<MaintenanceEvent> events = new ArrayList<>();
         for (EventReader e : all) {
             boolean master = e.c.one("RECURRENCE-ID") == null;
-            Event event = e.event(master ? replaced.getOrDefault(e.uid(), Set.of()) : Set.of());
+            MaintenanceEvent event =
+                    e.event(master ? replaced.getOrDefault(e.uid(), Set.of()) : Set.of());
             if (!e.closesNothing()) {
                 events.add(event);
             }
--- a/calendar/src/main/java/postgrade/calendar/Lines.java
+++ b/calendar/src/main/java/postgrade/calendar/Lines.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.regex.Pattern;
-import postgrade.window.FaultyCalendar;
+import postgrade.window.InvalidCalendarException;
 
 /**
  * The content lines of a calendar, unfolded, each with the number of its first line in the text:
@@ -39,7 +39,7 @@
                     && (physical.charAt(0) == ' ' || physical.charAt(0) == '\t')) {
                 line.append(physical, 1, physical.length());
                 if (line.length() > LONGEST) {
-                    throw new FaultyCalendar(
+                    throw new InvalidCalendarException(
                             begun,
                             name(line.toString()),
                             "is longer than " + LONGEST + " characters");
@@ -61,12 +61,13 @@
         }
         for (int i = 0; i < content.length(); i++) {
             if (content.charAt(i) < ' ' && content.charAt(i) != '\t') {
-                throw new FaultyCalendar(number, name(content), "holds a control character");
+                throw new InvalidCalendarException(
+                        number, name(content), "holds a control character");
             }
         }
         int colon = colon(content);
         if (colon < 0 || !HEAD.matcher(content.substring(0, colon)).matches()) {
-            throw new FaultyCalendar(
+            throw new InvalidCalendarException(
                     number, name(content), "is no content line: name, parameters, colon, value");
         }
         lines.add(content);
--- a/calendar/src/main/java/postgrade/calendar/TreeReader.java
+++ b/calendar/src/main/java/postgrade/calendar/TreeReader.java
@@ -10,7 +10,7 @@
 import net.fortuna.ical4j.data.CalendarParserImpl;
 import net.fortuna.ical4j.data.ContentHandler;
 import net.fortuna.ical4j.data.ParserException;
-import postgrade.window.FaultyCalendar;
+import postgrade.window.InvalidCalendarException;
 
 /**
  * The library's parser reads the text; here its events become a tree whose properties know their
@@ -41,13 +41,14 @@
             new CalendarParserImpl().parse(new StringReader(lines.unfolded()), reader);
         } catch (ParserException e) {
             String what = String.valueOf(e.getMessage()).replaceFirst("^Error at line \\d+:", "");
-            throw new FaultyCalendar(
+            throw new InvalidCalendarException(
                     lines.number(reader.seen), "VCALENDAR", "cannot be read: " + what);
         } catch (IOException e) {
-            throw new FaultyCalendar(lines.number(reader.seen), "VCALENDAR", "cannot be read");
+            throw new InvalidCalendarException(
+                    lines.number(reader.seen), "VCALENDAR", "cannot be read");
         }
         if (reader.calendar == null) {
-            throw new FaultyCalendar(1, "VCALENDAR", "is missing");
+            throw new InvalidCalendarException(1, "VCALENDAR", "is missing");
         }
         return reader.calendar;
     }
@@ -60,7 +61,7 @@
     public void startCalendar() {
         int line = next();
         if (calendar != null) {
-            throw new FaultyCalendar(line, "VCALENDAR", "is there twice");
+            throw new InvalidCalendarException(line, "VCALENDAR", "is there twice");
         }
         calendar = new Component("VCALENDAR", line);
         open.push(calendar);
@@ -76,7 +77,7 @@
     public void startComponent(String name) {
         Component c = new Component(name.toUpperCase(Locale.ROOT), next());
         if (open.size() == DEEPEST) {
-            throw new FaultyCalendar(c.line, c.name, "lies too deep");
+            throw new InvalidCalendarException(c.line, c.name, "lies too deep");
         }
         open.element().within.add(c);
         open.push(c);
--- a/calendar/src/main/java/postgrade/calendar/Values.java
+++ b/calendar/src/main/java/postgrade/calendar/Values.java
@@ -12,8 +12,8 @@
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
 import postgrade.calendar.Component.Property;
-import postgrade.window.Event.Length;
-import postgrade.window.Event.When;
+import postgrade.window.MaintenanceEvent.EventDuration;
+import postgrade.window.MaintenanceEvent.ZonedTime;
 
 /** Times, zones and durations as they stand in values. */
 final class Values {
@@ -44,7 +44,7 @@
     /**
      * @param allDay a date, which begins at midnight of the site
      */
-    record Time(When when, boolean allDay, boolean utc, boolean floating) {}
+    record Time(ZonedTime when, boolean allDay, boolean utc, boolean floating) {}
 
     Time time(Property p) {
         return time(p, p.kind("DATE-TIME").equals("DATE"));
@@ -57,7 +57,8 @@
             if (zone != null) {
                 throw p.faulty("is a date and must have no TZID");
             }
-            return new Time(new When(date(p, p.value()).atStartOfDay(), site), true, false, true);
+            return new Time(
+                    new ZonedTime(date(p, p.value()).atStartOfDay(), site), true, false, true);
         }
         if (!kind.equals("DATE-TIME") && !kind.equals("PERIOD")) {
             throw p.faulty("has a VALUE that is not known here: " + kind);
@@ -84,10 +85,13 @@
             if (zone != null) {
                 throw p.faulty("is in UTC and must have no TZID");
             }
-            return new Time(new When(local, ZoneOffset.UTC.getRules()), false, true, false);
+            return new Time(new ZonedTime(local, ZoneOffset.UTC.getRules()), false, true, false);
         }
         return new Time(
-                new When(local, zone == null ? site : zone(p, zone)), false, false, zone == null);
+                new ZonedTime(local, zone == null ? site : zone(p, zone)),
+                false,
+                false,
+                zone == null);
     }
 
     private static LocalDate date(Property p, String text) {
@@ -127,7 +131,7 @@
     }
 
     /** Weeks and days are nominal, the rest is exact. */
-    static Length length(Property p, String text) {
+    static EventDuration length(Property p, String text) {
         Matcher m = DURATION.matcher(text);
         if (!m.matches() || text.endsWith("P")) {
             throw p.faulty(
@@ -140,11 +144,11 @@
         return bounded(p, days, millis);
     }
 
-    static Length bounded(Property p, long days, long millis) {
-        if (days + millis / 86_400_000 > Length.MOST_DAYS) {
-            throw p.faulty("makes it last longer than " + Length.MOST_DAYS + " days");
+    static EventDuration bounded(Property p, long days, long millis) {
+        if (days + millis / 86_400_000 > EventDuration.MOST_DAYS) {
+            throw p.faulty("makes it last longer than " + EventDuration.MOST_DAYS + " days");
         }
-        return new Length((int) days, millis);
+        return new EventDuration((int) days, millis);
     }
 
     private static long number(Matcher m, int group) {
--- a/calendar/src/main/java/postgrade/calendar/ZoneReader.java
+++ b/calendar/src/main/java/postgrade/calendar/ZoneReader.java
@@ -12,12 +12,12 @@
 import java.util.Set;
 import java.util.TreeMap;
 import postgrade.calendar.Component.Property;
-import postgrade.window.Event;
-import postgrade.window.Event.Extra;
-import postgrade.window.Event.Length;
-import postgrade.window.Event.When;
-import postgrade.window.FaultyCalendar;
 import postgrade.window.Intervals;
+import postgrade.window.InvalidCalendarException;
+import postgrade.window.MaintenanceEvent;
+import postgrade.window.MaintenanceEvent.EventDuration;
+import postgrade.window.MaintenanceEvent.Extra;
+import postgrade.window.MaintenanceEvent.ZonedTime;
 import postgrade.window.Recurrence;
 import postgrade.window.SiteCalendar;
 import postgrade.window.Steps;
@@ -48,7 +48,7 @@
                     throw id.faulty("defines the same zone twice");
                 }
                 if (zones.size() > MOST) {
-                    throw new FaultyCalendar(
+                    throw new InvalidCalendarException(
                             c.line, "VTIMEZONE", "is there more than " + MOST + " times");
                 }
             }
@@ -62,13 +62,13 @@
         long firstAt = Long.MAX_VALUE;
         for (Component c : zone.within) {
             if (!c.name.equals("STANDARD") && !c.name.equals("DAYLIGHT")) {
-                throw new FaultyCalendar(c.line, c.name, "has no place in VTIMEZONE");
+                throw new InvalidCalendarException(c.line, c.name, "has no place in VTIMEZONE");
             }
             Onset onset =
                     new Onset(
                             Values.offset(c.needed("TZOFFSETFROM")),
                             Values.offset(c.needed("TZOFFSETTO")));
-            Event event = event(c, onset.before);
+            MaintenanceEvent event = event(c, onset.before);
             if (event.start().millis() < firstAt) {
                 first = onset;
                 firstAt = event.start().millis();
@@ -79,7 +79,8 @@
             }
         }
         if (first == null) {
-            throw new FaultyCalendar(zone.line, "VTIMEZONE", "has neither STANDARD nor DAYLIGHT");
+            throw new InvalidCalendarException(
+                    zone.line, "VTIMEZONE", "has neither STANDARD nor DAYLIGHT");
         }
         return rules(first, firstAt, onsets);
     }
@@ -105,7 +106,7 @@
         return ZoneRules.of(base, base, List.of(), transitions, List.of());
     }
 
-    private static Event event(Component c, ZoneOffset before) {
+    private static MaintenanceEvent event(Component c, ZoneOffset before) {
         Values values = new Values(before.getRules(), Map.of());
         Property p = c.needed("DTSTART");
         Values.Time start = values.time(p);
@@ -122,10 +123,11 @@
         List<Extra> extras = new ArrayList<>();
         for (Property dates : c.all("RDATE")) {
             for (String date : dates.value().split(",", -1)) {
-                When when = values.time(dates.with(date)).when();
-                extras.add(new Extra(when, Length.exactly(1), dates.line()));
+                ZonedTime when = values.time(dates.with(date)).when();
+                extras.add(new Extra(when, EventDuration.exactly(1), dates.line()));
             }
         }
-        return new Event(c.name, c.line, start.when(), Length.exactly(1), rules, extras, Set.of());
+        return new MaintenanceEvent(
+                c.name, c.line, start.when(), EventDuration.exactly(1), rules, extras, Set.of());
     }
 }
--- a/calendar/src/test/java/postgrade/calendar/FaultyCalendarsTest.java
+++ b/calendar/src/test/java/postgrade/calendar/FaultyCalendarsTest.java
@@ -6,7 +6,7 @@
 
 import java.time.Instant;
 import org.junit.Test;
-import postgrade.calendar.CalendarCheck.Result;
+import postgrade.calendar.CalendarLoader.CheckResult;
 
 /** Faulty calendars are turned down whole, with the line and property at fault. */
 public class FaultyCalendarsTest {
@@ -19,18 +19,18 @@
 
     private static final String START = "DTSTART:20260101T000000Z\r\n";
 
-    private static Result check(String lines) {
-        return CalendarCheck.check(
+    private static CheckResult check(String lines) {
+        return CalendarLoader.check(
                 "a", "Europe/Zagreb", BEFORE + lines + "\r\nEND:VEVENT\r\nEND:VCALENDAR\r\n", NOW);
     }
 
     private static void down(String lines, int line, String property, String sentence) {
-        Result r = check(lines);
+        CheckResult r = check(lines);
         String shown = lines.substring(0, Math.min(200, lines.length()));
         assertFalse(shown, r.ok());
-        assertEquals(shown + ": " + r.sentence(), line, r.line());
+        assertEquals(shown + ": " + r.message(), line, r.line());
         assertEquals(shown, property, r.property());
-        assertTrue(shown + ": " + r.sentence(), r.sentence().contains(sentence));
+        assertTrue(shown + ": " + r.message(), r.message().contains(sentence));
     }
 
     @Test
@@ -73,7 +73,7 @@
         down(START + "DURATION:P1DT", 6, "DURATION", "duration");
         down(START + "EXDATE;VALUE=DATE:20260101", 6, "EXDATE", "date");
         down(START + "DTSTART:20260101T000000Z", 6, "DTSTART", "twice");
-        assertEquals("zone", CalendarCheck.check("a", "Mars/Base", BEFORE, NOW).property());
+        assertEquals("zone", CalendarLoader.check("a", "Mars/Base", BEFORE, NOW).property());
     }
 
     @Test
@@ -104,16 +104,16 @@
         down(START + "SUMMARY:folded\r\n  on\r\nRRULE:FREQ=NEVER", 8, "RRULE", "NEVER");
         down(START + "BEGIN:VALARM\r\nTRIGGER:-PT1H", 8, "VCALENDAR", "cannot be read");
         for (String text : new String[] {"", "hello", "BEGIN:VCALENDAR\r\n", BEFORE, "\0"}) {
-            assertFalse(text, CalendarCheck.check("a", "Europe/Zagreb", text, NOW).ok());
+            assertFalse(text, CalendarLoader.check("a", "Europe/Zagreb", text, NOW).ok());
         }
         String whole = BEFORE + START + "END:VEVENT\r\nEND:VCALENDAR\r\n";
-        assertTrue(CalendarCheck.check("a", "Europe/Zagreb", whole, NOW).ok());
+        assertTrue(CalendarLoader.check("a", "Europe/Zagreb", whole, NOW).ok());
         assertFalse(
-                "two of them", CalendarCheck.check("a", "Europe/Zagreb", whole + whole, NOW).ok());
+                "two of them", CalendarLoader.check("a", "Europe/Zagreb", whole + whole, NOW).ok());
         for (int cut = 0; cut < whole.length() - 2; cut++) {
             assertFalse(
                     "cut at " + cut,
-                    CalendarCheck.check("a", "Europe/Zagreb", whole.substring(0, cut), NOW).ok());
+                    CalendarLoader.check("a", "Europe/Zagreb", whole.substring(0, cut), NOW).ok());
         }
     }
 }
--- a/calendar/src/test/java/postgrade/calendar/oracle/Comparison.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/Comparison.java
@@ -3,12 +3,12 @@
 import java.util.List;
 import java.util.TreeSet;
 import postgrade.calendar.CalendarReader;
-import postgrade.window.Event;
-import postgrade.window.FaultyCalendar;
 import postgrade.window.Intervals;
-import postgrade.window.Plan;
+import postgrade.window.InvalidCalendarException;
+import postgrade.window.MaintenanceEvent;
 import postgrade.window.SiteCalendar;
-import postgrade.window.Windows;
+import postgrade.window.StartPlan;
+import postgrade.window.StartWindows;
 
 /** One case through the product and the oracle. */
 final class Comparison {
@@ -19,14 +19,14 @@
     static String differs(Made m, Mutation mutation) {
         SiteCalendar calendar;
         try {
-            List<Event> events = CalendarReader.read(m.siteZone, m.text());
+            List<MaintenanceEvent> events = CalendarReader.read(m.siteZone, m.text());
             calendar = SiteCalendar.compile("a", "1", events, m.from, m.to);
-        } catch (FaultyCalendar e) {
-            return "turned down: line " + e.line() + ": " + e.sentence();
+        } catch (InvalidCalendarException e) {
+            return "turned down: line " + e.line() + ": " + e.description();
         }
-        Plan plan = new Plan(m.earliest, m.deadline, m.lasts, List.of("a"));
-        Windows.Answer answer = Windows.query(plan, s -> calendar, m.now, m.error);
-        Intervals starts = answer.together();
+        StartPlan plan = new StartPlan(m.earliest, m.deadline, m.lasts, List.of("a"));
+        StartWindows.Result answer = StartWindows.query(plan, s -> calendar, m.now, m.error);
+        Intervals starts = answer.anySite();
         Oracle oracle = new Oracle(m, mutation);
         // Wherever either of them may change its mind, and a millisecond to each side.
         TreeSet<Long> points =
@@ -46,23 +46,28 @@
             points.add(starts.from(i));
             points.add(starts.to(i));
         }
-        long first = Windows.NEVER;
+        long first = StartWindows.NEVER;
         for (long point : points) {
             for (long at = point - 1; at <= point + 1; at++) {
                 boolean may = oracle.may(at);
-                if (may && first == Windows.NEVER) {
+                if (may && first == StartWindows.NEVER) {
                     first = at;
                 }
-                if (may != starts.holds(at)) {
-                    return "a start at " + at + ": " + starts.holds(at) + ", by the oracle " + may;
+                if (may != starts.contains(at)) {
+                    return "a start at "
+                            + at
+                            + ": "
+                            + starts.contains(at)
+                            + ", by the oracle "
+                            + may;
                 }
             }
         }
-        long opens = Windows.opens(plan, s -> calendar, m.now, m.error);
+        long opens = StartWindows.opens(plan, s -> calendar, m.now, m.error);
         if (opens != first
-                || answer.opens() != first
-                || Windows.able(plan, calendar, m.now, m.error) != oracle.may(m.now)) {
-            return "opens at " + opens + " and " + answer.opens() + ", by the oracle " + first;
+                || answer.opensAt() != first
+                || StartWindows.able(plan, calendar, m.now, m.error) != oracle.may(m.now)) {
+            return "opens at " + opens + " and " + answer.opensAt() + ", by the oracle " + first;
         }
         return null;
     }
--- a/calendar/src/test/java/postgrade/calendar/oracle/QueryBench.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/QueryBench.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import postgrade.calendar.CalendarCheck;
-import postgrade.window.Plan;
+import postgrade.calendar.CalendarLoader;
 import postgrade.window.SiteCalendar;
-import postgrade.window.Windows;
+import postgrade.window.StartPlan;
+import postgrade.window.StartWindows;
 
 /** Time per query with so many sites and rules each: {@code QueryBench SITES RULES QUERIES}. */
 public final class QueryBench {
@@ -36,7 +36,7 @@
         for (int s = 0; s < sites; s++) {
             String text = text(random, rules);
             bytes += text.length();
-            SiteCalendar c = CalendarCheck.load("s" + s, "1", ZONES[s % ZONES.length], text, NOW);
+            SiteCalendar c = CalendarLoader.load("s" + s, "1", ZONES[s % ZONES.length], text, NOW);
             calendars.put(c.site(), c);
             stretches += c.closed().size();
         }
@@ -51,28 +51,28 @@
                     when + ", next opening over all sites",
                     queries,
                     random,
-                    (at, p) -> Windows.opens(p, calendars::get, at, 50),
+                    (at, p) -> StartWindows.opens(p, calendars::get, at, 50),
                     all,
                     DAY / 4);
             time(
                     when + ", every start within 12 h, per site and together",
                     queries,
                     random,
-                    (at, p) -> Windows.query(p, calendars::get, at, 50).together().size(),
+                    (at, p) -> StartWindows.query(p, calendars::get, at, 50).anySite().size(),
                     all,
                     DAY / 2);
             time(
                     when + ", the same with every exclusion and its reason",
                     queries / 10,
                     random,
-                    (at, p) -> Windows.query(p, calendars::get, at, 50).exclusions().size(),
+                    (at, p) -> StartWindows.query(p, calendars::get, at, 50).exclusions().size(),
                     all,
                     DAY / 2);
             time(
                     when + ", one worker's site",
                     queries,
                     random,
-                    (at, p) -> Windows.able(p, calendars.get("s7"), at, 50) ? 1 : 0,
+                    (at, p) -> StartWindows.able(p, calendars.get("s7"), at, 50) ? 1 : 0,
                     all,
                     DAY / 4);
         }
@@ -83,7 +83,7 @@
     }
 
     private interface Query {
-        long ask(long at, Plan plan);
+        long ask(long at, StartPlan plan);
     }
 
     private static void time(
@@ -97,7 +97,8 @@
         long sum = 0;
         for (int i = 0; i < queries; i++) {
             long at = NOW + random.nextLong(60 * DAY);
-            Plan plan = new Plan(at, at + span, 60_000 + random.nextInt(3_600_000), sites);
+            StartPlan plan =
+                    new StartPlan(at, at + span, 60_000 + random.nextInt(3_600_000), sites);
             long from = System.nanoTime();
             sum += query.ask(at, plan);
             took[i] = System.nanoTime() - from;
--- a/cli/src/main/java/postgrade/cli/SettingsFiles.java
+++ b/cli/src/main/java/postgrade/cli/SettingsFiles.java
@@ -11,8 +11,8 @@
 import postgrade.load.source.Cause;
 import postgrade.load.source.Policies;
 import postgrade.quorum.settings.QuorumSettings;
-import postgrade.sharing.settings.SharingPlan;
 import postgrade.sharing.settings.SharingSettings;
+import postgrade.sharing.settings.SharingSettingsFile;
 
 /** Checks settings scripts: tells by what a file defines which program it is for. */
 final class SettingsFiles {
@@ -26,12 +26,12 @@
             return fleet(FleetPlan.of(file, line -> {}));
         }
         if (Files.readAllLines(file).stream().anyMatch(l -> l.matches("voters\\s*=.*"))) {
-            return sharing(SharingPlan.read(file, "any-name"));
+            return sharing(SharingSettingsFile.read(file, "any-name"));
         }
         return plan(Plan.of(file, line -> {}), file);
     }
 
-    private static List<Setting> sharing(SharingPlan.Both b) {
+    private static List<Setting> sharing(SharingSettingsFile.Contents b) {
         QuorumSettings q = b.quorum();
         SharingSettings s = b.sharing();
         List<Setting> all = new ArrayList<>();
@@ -76,7 +76,7 @@
                 new Setting(
                         "linger_s", Double.toString(s.lingerMicros() / 1e6), "file or default"));
         all.add(new Setting("accelerators", s.accelerators().toString(), "file or default"));
-        all.add(new Setting("reserving", s.reserving().toString(), "file or default"));
+        all.add(new Setting("reserving", s.reservingClasses().toString(), "file or default"));
         s.windows()
                 .classes()
                 .forEach(
--- a/cli/src/main/java/postgrade/cli/SharingCommand.java
+++ b/cli/src/main/java/postgrade/cli/SharingCommand.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Spec;
 import postgrade.quorum.Quorum;
 import postgrade.quorum.settings.QuorumSettings;
-import postgrade.sharing.settings.SharingPlan;
+import postgrade.sharing.settings.SharingSettingsFile;
 
 /** What operators do with the shared state while its processes do not run. */
 @Command(
@@ -54,7 +54,7 @@
 
         @Override
         public Integer call() throws IOException {
-            QuorumSettings settings = SharingPlan.read(file, name).quorum();
+            QuorumSettings settings = SharingSettingsFile.read(file, name).quorum();
             String against = Quorum.beginEra(settings, era);
             if (against != null) {
                 throw new Failed(against);
--- a/core/src/main/java/postgrade/recovery/RecentDemand.java
+++ b/core/src/main/java/postgrade/recovery/RecentDemand.java
@@ -15,7 +15,7 @@
     private double rejections;
     private long atMicros;
 
-    public void record(long nowMicros, boolean rejected) {
+    public void recordRequest(long nowMicros, boolean rejected) {
         double decay = Math.exp(-Math.max(0, nowMicros - atMicros) / DECAY_MICROS);
         requests = requests * decay + 1;
         rejections = rejections * decay + (rejected ? 1 : 0);
--- a/core/src/main/java/postgrade/window/Calendars.java
+++ b/core/src/main/java/postgrade/window/CalendarLookup.java
@@ -2,10 +2,10 @@
 
 /** The calendars of sites as they are known in one place at one time. */
 @FunctionalInterface
-public interface Calendars {
+public interface CalendarLookup {
 
     /** Null where it is not known, and nothing that needs a window may start there. */
-    SiteCalendar of(String site);
+    SiteCalendar forSite(String site);
 
     /**
      * It is this time, by the process's monotonic clock: what is known may have become too old
--- a/core/src/main/java/postgrade/window/CalendarPart.java
+++ b/core/src/main/java/postgrade/window/CalendarPart.java
@@ -25,7 +25,7 @@
     public static final String NAME = "calendar";
 
     /** No process uses a view that is older. Not a setting: replicas must not differ in it. */
-    public static final long LONGEST_VIEW_MICROS = 10_000_000;
+    public static final long MAX_VIEW_AGE_MICROS = 10_000_000;
 
     /**
      * Ahead of the log's time. Clocks run up to 2% apart each way, so a process may take its view
@@ -33,11 +33,11 @@
      * taken may follow in two steps: one on its way, and one not told yet.
      */
     public static final long LEAST_AHEAD_MICROS =
-            LONGEST_VIEW_MICROS
-                    + LONGEST_VIEW_MICROS / 20
+            MAX_VIEW_AGE_MICROS
+                    + MAX_VIEW_AGE_MICROS / 20
                     + 2 * ReplicatedStateMachine.MAX_ADVANCE_MICROS;
 
-    public static final long MOST_AHEAD_MICROS = 366L * 86_400_000_000L;
+    public static final long MAX_ACTIVATION_DELAY_MICROS = 366L * 86_400_000_000L;
     public static final int MOST_TEXT_BYTES = 256 * 1024;
     public static final int MOST_SITES = 200;
     public static final long MOST_BYTES = 8L << 20;
@@ -73,7 +73,7 @@
         }
         long ahead =
                 args.has("inMicros")
-                        ? args.integer("inMicros", LEAST_AHEAD_MICROS, MOST_AHEAD_MICROS)
+                        ? args.integer("inMicros", LEAST_AHEAD_MICROS, MAX_ACTIVATION_DELAY_MICROS)
                         : LEAST_AHEAD_MICROS;
         Row known = rows.get(NAME, SITE + site);
         Row before = known == null ? Row.EMPTY : known;
--- a/core/src/main/java/postgrade/window/KnownCalendars.java
+++ b/core/src/main/java/postgrade/window/CalendarRegistry.java
@@ -16,13 +16,13 @@
  * it need not know when just that is, and a site is closed by the version in force whichever that
  * is.
  *
- * <p>Texts are worked out by whoever asks {@link #wanted}, off the loop. All methods are called on
+ * <p>Texts are worked out by whoever asks {@link #pending}, off the loop. All methods are called on
  * the loop.
  */
-public final class KnownCalendars implements Calendars {
+public final class CalendarRegistry implements CalendarLookup {
 
     /** A text to be worked out. */
-    public record Wanted(String site, String version, String zone, String text) {}
+    public record PendingCalendar(String site, String version, String zone, String text) {}
 
     private record Versions(String current, String next) {}
 
@@ -39,18 +39,18 @@
     /**
      * @param mostViewAgeMicros with an older view nothing that needs a window starts
      */
-    public KnownCalendars(long mostViewAgeMicros) {
-        if (mostViewAgeMicros <= 0 || mostViewAgeMicros > CalendarPart.LONGEST_VIEW_MICROS) {
+    public CalendarRegistry(long mostViewAgeMicros) {
+        if (mostViewAgeMicros <= 0 || mostViewAgeMicros > CalendarPart.MAX_VIEW_AGE_MICROS) {
             throw new IllegalArgumentException(
                     "the view's age must lie between 1 and "
-                            + CalendarPart.LONGEST_VIEW_MICROS
+                            + CalendarPart.MAX_VIEW_AGE_MICROS
                             + " us");
         }
         this.mostViewAgeMicros = mostViewAgeMicros;
     }
 
     /** The view as it is now, by this process's monotonic clock; called again as time goes on. */
-    public void view(View latest, long now) {
+    public void updateView(View latest, long now) {
         nowMicros = now;
         if (latest != view) {
             boolean changed = latest.moment().fence() != view.moment().fence();
@@ -128,8 +128,8 @@
      * Texts to be worked out: those that are new, and those worked out for less than half the
      * horizon from now on.
      */
-    public List<Wanted> wanted(long nowMillis, long horizon) {
-        List<Wanted> all = new ArrayList<>();
+    public List<PendingCalendar> pending(long nowMillis, long horizon) {
+        List<PendingCalendar> all = new ArrayList<>();
         sites.forEach(
                 (site, v) -> {
                     for (String version : new String[] {v.current, v.next}) {
@@ -139,7 +139,9 @@
                                 && !unreadable.containsKey(key)
                                 && (known == null || known.knownTo() - nowMillis < horizon / 2)) {
                             Row row = view.rows().get(CalendarPart.NAME, CalendarPart.TEXT + key);
-                            all.add(new Wanted(site, version, row.text("zone"), row.text("text")));
+                            all.add(
+                                    new PendingCalendar(
+                                            site, version, row.text("zone"), row.text("text")));
                         }
                     }
                 });
@@ -147,7 +149,7 @@
     }
 
     /** One wanted has been worked out; of a version that is gone by now nothing is kept. */
-    public void workedOut(SiteCalendar calendar) {
+    public void addCompiled(SiteCalendar calendar) {
         keep(calendar.site(), calendar.version(), calendar, null);
     }
 
@@ -155,7 +157,7 @@
      * One wanted cannot be read here, say since this machine does not know its zone. Its site stays
      * unknown.
      */
-    public void unreadable(Wanted wanted, String why) {
+    public void markUnreadable(PendingCalendar wanted, String why) {
         keep(wanted.site, wanted.version, null, why);
     }
 
@@ -174,7 +176,7 @@
     }
 
     @Override
-    public SiteCalendar of(String site) {
+    public SiteCalendar forSite(String site) {
         // A site without a calendar is unknown, not open: after all state is lost nothing may start
         // inside maintenance.
         return fresh() ? inForce.get(site) : null;
--- a/core/src/main/java/postgrade/window/Deadline.java
+++ b/core/src/main/java/postgrade/window/Deadline.java
@@ -13,13 +13,13 @@
      * Fixed when the job comes, with its earliest start, else a daily deadline would move on as it
      * passes.
      */
-    long millis(long earliest);
+    long resolveMillis(long earliest);
 
-    Deadline NONE = new At(Long.MAX_VALUE);
+    Deadline NONE = new Fixed(Long.MAX_VALUE);
 
-    record At(long time) implements Deadline {
+    record Fixed(long time) implements Deadline {
         @Override
-        public long millis(long earliest) {
+        public long resolveMillis(long earliest) {
             return time;
         }
     }
@@ -27,7 +27,7 @@
     /** Such as 18:00 Europe/Zagreb. */
     record Daily(LocalTime time, ZoneRules zone) implements Deadline {
         @Override
-        public long millis(long earliest) {
+        public long resolveMillis(long earliest) {
             return LocalTimes.next(time, zone, earliest);
         }
     }
--- a/core/src/main/java/postgrade/window/LearntLengths.java
+++ b/core/src/main/java/postgrade/window/DurationHistograms.java
@@ -8,7 +8,7 @@
  * so that what was long ago fades. A quantile is the upper end of its step, hence never too short
  * by rounding.
  */
-public final class LearntLengths {
+public final class DurationHistograms {
 
     private static final int STEPS = 8;
     private static final int BUCKETS = 40 * STEPS;
@@ -17,7 +17,7 @@
 
     private final Map<String, int[]> counts = new HashMap<>();
 
-    public void took(String jobClass, long millis) {
+    public void recordDuration(String jobClass, long millis) {
         int[] of = counts.computeIfAbsent(jobClass, c -> new int[BUCKETS + 1]);
         of[bucket(Math.max(0, millis))]++;
         if (++of[BUCKETS] >= MOST) {
--- a/core/src/main/java/postgrade/window/Expansion.java
+++ b/core/src/main/java/postgrade/window/Expansion.java
@@ -3,9 +3,9 @@
 import java.time.LocalDateTime;
 import java.util.HashSet;
 import java.util.Set;
-import postgrade.window.Event.Extra;
-import postgrade.window.Event.Length;
-import postgrade.window.Event.When;
+import postgrade.window.MaintenanceEvent.EventDuration;
+import postgrade.window.MaintenanceEvent.Extra;
+import postgrade.window.MaintenanceEvent.ZonedTime;
 
 /** Every instance of an event that overlaps a stretch of time. */
 final class Expansion {
@@ -17,7 +17,7 @@
         void span(long from, long to);
     }
 
-    private final Event event;
+    private final MaintenanceEvent event;
     private final long from;
     private final long to;
     private final Steps steps;
@@ -28,7 +28,7 @@
 
     private record Span(long from, long to) {}
 
-    private Expansion(Event event, long from, long to, Steps steps, Sink sink) {
+    private Expansion(MaintenanceEvent event, long from, long to, Steps steps, Sink sink) {
         this.event = event;
         this.from = from;
         this.to = to;
@@ -36,7 +36,7 @@
         this.sink = sink;
     }
 
-    static void of(Event event, long from, long to, Steps steps, Sink sink) {
+    static void of(MaintenanceEvent event, long from, long to, Steps steps, Sink sink) {
         Expansion e = new Expansion(event, from, to, steps, sink);
         // The first is an instance whether the rule names it or not.
         e.instance(event.start(), event.length(), event.line(), "DTSTART");
@@ -48,7 +48,7 @@
 
     private void rule(Recurrence rule) {
         steps.rule(rule.line());
-        When first = event.start();
+        ZonedTime first = event.start();
         LocalDateTime begin = rule.firstPeriod(first.local());
         Period period = new Period(rule, first.local());
         // Local times grow, their instants need not: one that a gap puts on may lie after the next.
@@ -80,7 +80,7 @@
                 if (!time.isAfter(first.local())) {
                     continue;
                 }
-                When when = new When(time, first.zone());
+                ZonedTime when = new ZonedTime(time, first.zone());
                 if (when.millis() > rule.untilMillis()) {
                     continue;
                 }
@@ -92,7 +92,7 @@
         }
     }
 
-    private void instance(When start, Length length, int line, String property) {
+    private void instance(ZonedTime start, EventDuration length, int line, String property) {
         long begin = start.millis();
         if (begin >= to || event.without().contains(begin)) {
             return;
--- a/core/src/main/java/postgrade/window/Intervals.java
+++ b/core/src/main/java/postgrade/window/Intervals.java
@@ -53,7 +53,7 @@
         return low;
     }
 
-    public boolean holds(long time) {
+    public boolean contains(long time) {
         int i = endingAfter(time);
         return i < from.length && from[i] <= time;
     }
--- a/core/src/main/java/postgrade/window/FaultyCalendar.java
+++ b/core/src/main/java/postgrade/window/InvalidCalendarException.java
@@ -1,13 +1,13 @@
 package postgrade.window;
 
 /** A calendar is turned down, whole: what is wrong, and where. */
-public final class FaultyCalendar extends RuntimeException {
+public final class InvalidCalendarException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     private final int line;
     private final String property;
 
-    public FaultyCalendar(int line, String property, String what) {
+    public InvalidCalendarException(int line, String property, String what) {
         super(what, null, false, false);
         this.line = line;
         this.property = property;
@@ -23,7 +23,7 @@
     }
 
     /** One sentence, without the line. */
-    public String sentence() {
+    public String description() {
         return property + " " + getMessage();
     }
 }
--- a/core/src/main/java/postgrade/window/WindowClass.java
+++ b/core/src/main/java/postgrade/window/JobClassWindow.java
@@ -13,22 +13,25 @@
  * @param declared how long one takes, in milliseconds; where enough was learnt the greater of both
  *     counts
  */
-public record WindowClass(
+public record JobClassWindow(
         String name,
         List<String> sites,
         LocalTime from,
         ZoneRules zone,
         Deadline deadline,
         double quantile,
-        long declared) {
+        long declaredMillis) {
 
-    public WindowClass {
+    public JobClassWindow {
         if (sites.isEmpty()) {
             throw new IllegalArgumentException("sites of class " + name + " must not be empty");
         }
-        if (declared < 0 || declared > Plan.LONGEST) {
+        if (declaredMillis < 0 || declaredMillis > StartPlan.MAX_DURATION_MILLIS) {
             throw new IllegalArgumentException(
-                    "declared of class " + name + " must lie between 0 and " + Plan.LONGEST);
+                    "declared of class "
+                            + name
+                            + " must lie between 0 and "
+                            + StartPlan.MAX_DURATION_MILLIS);
         }
         if (!(quantile >= 0 && quantile <= 1)) {
             throw new IllegalArgumentException(
@@ -40,30 +43,30 @@
     /**
      * The plan of a job that comes now: in the present round where it still fits, else in the next.
      */
-    public Plan plan(long now, long lasts) {
+    public StartPlan plan(long now, long lasts) {
         if (from == null) {
-            Plan today = new Plan(now, deadline.millis(now), lasts, sites);
+            StartPlan today = new StartPlan(now, deadline.resolveMillis(now), lasts, sites);
             return today.startsEnd() > now || !(deadline instanceof Deadline.Daily)
                     ? today
                     : after(today, now);
         }
         long began = LocalTimes.previous(from, zone, now);
-        Plan present = new Plan(began, deadline.millis(began), lasts, sites);
+        StartPlan present = new StartPlan(began, deadline.resolveMillis(began), lasts, sites);
         if (present.startsEnd() > now) {
             return present;
         }
         long begins = LocalTimes.next(from, zone, now + 1);
-        return new Plan(begins, deadline.millis(begins), lasts, sites);
+        return new StartPlan(begins, deadline.resolveMillis(begins), lasts, sites);
     }
 
     /** The round after this one. */
-    public Plan after(Plan plan, long now) {
+    public StartPlan after(StartPlan plan, long now) {
         if (!(deadline instanceof Deadline.Daily)) {
             return plan;
         }
         long later = Math.max(now, plan.deadline() + 1);
         return from == null
-                ? new Plan(later, deadline.millis(later), plan.lasts(), sites)
-                : plan(later, plan.lasts());
+                ? new StartPlan(later, deadline.resolveMillis(later), plan.durationMillis(), sites)
+                : plan(later, plan.durationMillis());
     }
 }
--- a/core/src/main/java/postgrade/window/Event.java
+++ b/core/src/main/java/postgrade/window/MaintenanceEvent.java
@@ -12,41 +12,41 @@
  * @param without instants at which no instance begins
  * @param line of the calendar at which it begins, for faults and reasons
  */
-public record Event(
+public record MaintenanceEvent(
         String title,
         int line,
-        When start,
-        Length length,
+        ZonedTime start,
+        EventDuration length,
         List<Recurrence> rules,
         List<Extra> extras,
         Set<Long> without) {
 
     /** A local time in its zone; floating times have been given their site's. */
-    public record When(LocalDateTime local, ZoneRules zone) {
+    public record ZonedTime(LocalDateTime local, ZoneRules zone) {
         public long millis() {
             return LocalTimes.millis(local, zone);
         }
     }
 
     /** A further instance. */
-    public record Extra(When start, Length length, int line) {}
+    public record Extra(ZonedTime start, EventDuration length, int line) {}
 
     /**
      * Whole days by the calendar, then an exact time: one day may last 23 hours, 24 hours never do.
      */
-    public record Length(int days, long millis) {
+    public record EventDuration(int days, long millis) {
 
         public static final int MOST_DAYS = 3_660;
 
-        public static Length exactly(long millis) {
-            return new Length(0, millis);
+        public static EventDuration exactly(long millis) {
+            return new EventDuration(0, millis);
         }
 
-        public static Length ofDays(int days) {
-            return new Length(days, 0);
+        public static EventDuration ofDays(int days) {
+            return new EventDuration(days, 0);
         }
 
-        long end(When start) {
+        long end(ZonedTime start) {
             long from =
                     days == 0
                             ? start.millis()
@@ -55,11 +55,11 @@
         }
     }
 
-    public static Event once(String title, When start, Length length) {
-        return new Event(title, 0, start, length, List.of(), List.of(), Set.of());
+    public static MaintenanceEvent once(String title, ZonedTime start, EventDuration length) {
+        return new MaintenanceEvent(title, 0, start, length, List.of(), List.of(), Set.of());
     }
 
-    public Event recurring(Recurrence rule) {
-        return new Event(title, line, start, length, List.of(rule), extras, without);
+    public MaintenanceEvent recurring(Recurrence rule) {
+        return new MaintenanceEvent(title, line, start, length, List.of(rule), extras, without);
     }
 }
--- a/core/src/main/java/postgrade/window/SiteCalendar.java
+++ b/core/src/main/java/postgrade/window/SiteCalendar.java
@@ -26,10 +26,15 @@
     private final long[] spanTo;
     private final int[] spanEvent;
     private final int[] groups;
-    private final List<Event> events;
+    private final List<MaintenanceEvent> events;
 
     private SiteCalendar(
-            String site, String version, long from, long to, List<Event> events, Spans spans) {
+            String site,
+            String version,
+            long from,
+            long to,
+            List<MaintenanceEvent> events,
+            Spans spans) {
         this.site = site;
         this.version = version;
         this.from = from;
@@ -58,16 +63,21 @@
     /**
      * Works a calendar out from one time to another.
      *
-     * @throws FaultyCalendar where that takes too much
+     * @throws InvalidCalendarException where that takes too much
      */
     public static SiteCalendar compile(
-            String site, String version, List<Event> events, long from, long to) {
+            String site, String version, List<MaintenanceEvent> events, long from, long to) {
         return compile(site, version, events, from, to, new Steps());
     }
 
     /** The same, with bounds on the work that others share. */
     public static SiteCalendar compile(
-            String site, String version, List<Event> events, long from, long to, Steps steps) {
+            String site,
+            String version,
+            List<MaintenanceEvent> events,
+            long from,
+            long to,
+            Steps steps) {
         Spans spans = new Spans();
         for (int i = 0; i < events.size(); i++) {
             int event = i;
@@ -92,7 +102,7 @@
         for (int i = 0; i < other.spanFrom.length; i++) {
             both.add(other.spanFrom[i], other.spanTo[i], events.size() + other.spanEvent[i]);
         }
-        List<Event> all = new ArrayList<>(events);
+        List<MaintenanceEvent> all = new ArrayList<>(events);
         all.addAll(other.events);
         return new SiteCalendar(
                 site,
@@ -133,7 +143,7 @@
         for (int s = groups[i]; s < groups[i + 1]; s++) {
             if (!named.get(spanEvent[s])) {
                 named.set(spanEvent[s]);
-                Event event = events.get(spanEvent[s]);
+                MaintenanceEvent event = events.get(spanEvent[s]);
                 text.append(text.length() == 0 ? "" : ", ")
                         .append(event.title())
                         .append(" (line ")
--- a/core/src/main/java/postgrade/window/SiteStarts.java
+++ b/core/src/main/java/postgrade/window/SiteStarts.java
@@ -11,13 +11,13 @@
  */
 public final class SiteStarts {
 
-    private final Plan plan;
+    private final StartPlan plan;
     private final SiteCalendar calendar;
     private final long now;
     private final long error;
     private final Intervals starts;
 
-    SiteStarts(Plan plan, SiteCalendar calendar, long now, long error) {
+    SiteStarts(StartPlan plan, SiteCalendar calendar, long now, long error) {
         this.plan = plan;
         this.calendar = calendar;
         this.now = now;
@@ -43,34 +43,35 @@
      * may end in a begin.
      */
     private long lastStart(long closes) {
-        return closes - error - Math.max(0, plan.lasts() - 1);
+        return closes - error - Math.max(0, plan.durationMillis() - 1);
     }
 
     private long begin() {
-        return Math.max(Math.max(plan.earliest(), now), calendar.knownFrom() + error);
+        return Math.max(Math.max(plan.earliestStart(), now), calendar.knownFrom() + error);
     }
 
     private long end() {
-        return Math.min(plan.startsEnd(), calendar.knownTo() - error - plan.lasts() + 1);
+        return Math.min(plan.startsEnd(), calendar.knownTo() - error - plan.durationMillis() + 1);
     }
 
     /**
      * Whether it may start at this time, and if not, when next.
      *
-     * @return the time itself, a later one, or {@link Windows#NEVER}
+     * @return the time itself, a later one, or {@link StartWindows#NEVER}
      */
-    static long next(Plan plan, SiteCalendar calendar, long time, long error) {
+    static long next(StartPlan plan, SiteCalendar calendar, long time, long error) {
         Intervals closed = calendar.closed();
-        long at = Math.max(Math.max(plan.earliest(), time), calendar.knownFrom() + error);
-        long end = Math.min(plan.startsEnd(), calendar.knownTo() - error - plan.lasts() + 1);
-        long before = error + Math.max(0, plan.lasts() - 1);
+        long at = Math.max(Math.max(plan.earliestStart(), time), calendar.knownFrom() + error);
+        long end =
+                Math.min(plan.startsEnd(), calendar.knownTo() - error - plan.durationMillis() + 1);
+        long before = error + Math.max(0, plan.durationMillis() - 1);
         for (int i = closed.endingAfter(at - error); at < end; i++) {
             if (i == closed.size() || closed.from(i) - before > at) {
                 return at;
             }
             at = Math.max(at, closed.to(i) + error);
         }
-        return Windows.NEVER;
+        return StartWindows.NEVER;
     }
 
     public String site() {
@@ -93,16 +94,16 @@
     public List<Exclusion> exclusions() {
         List<Exclusion> all = new ArrayList<>();
         String site = site();
-        long from = Math.max(plan.earliest(), now);
+        long from = Math.max(plan.earliestStart(), now);
         long to =
                 plan.deadline() == Long.MAX_VALUE
                         ? Long.MAX_VALUE / 4
                         : Math.max(from, plan.deadline() + 1);
-        if (now < plan.earliest()) {
+        if (now < plan.earliestStart()) {
             all.add(
                     new Exclusion(
                             now,
-                            plan.earliest(),
+                            plan.earliestStart(),
                             null,
                             Reason.TOO_EARLY,
                             "before its earliest start"));
@@ -125,7 +126,7 @@
             }
             all.add(new Exclusion(begin, end, site, Reason.MAINTENANCE, calendar.why(i)));
         }
-        long known = Math.max(from, calendar.knownTo() - error - plan.lasts() + 1);
+        long known = Math.max(from, calendar.knownTo() - error - plan.durationMillis() + 1);
         if (known < Math.min(to, plan.startsEnd())) {
             all.add(
                     new Exclusion(
--- a/core/src/main/java/postgrade/window/Plan.java
+++ b/core/src/main/java/postgrade/window/StartPlan.java
@@ -10,18 +10,20 @@
  * @param lasts how long it takes
  * @param sites where it may run
  */
-public record Plan(long earliest, long deadline, long lasts, List<String> sites) {
+public record StartPlan(
+        long earliestStart, long deadline, long durationMillis, List<String> sites) {
 
     /** Guards sums of times against running over. */
-    public static final long LONGEST = 3_660L * 86_400_000;
+    public static final long MAX_DURATION_MILLIS = 3_660L * 86_400_000;
 
     private static final long FARTHEST = 400_000_000_000_000L;
 
-    public Plan {
-        if (lasts < 0 || lasts > LONGEST) {
-            throw new IllegalArgumentException("lasts must lie between 0 and " + LONGEST + " ms");
+    public StartPlan {
+        if (durationMillis < 0 || durationMillis > MAX_DURATION_MILLIS) {
+            throw new IllegalArgumentException(
+                    "lasts must lie between 0 and " + MAX_DURATION_MILLIS + " ms");
         }
-        far("earliest", earliest);
+        far("earliest", earliestStart);
         if (deadline != Long.MAX_VALUE) {
             far("deadline", deadline);
         }
@@ -39,6 +41,6 @@
      * before.
      */
     long startsEnd() {
-        return deadline == Long.MAX_VALUE ? Long.MAX_VALUE / 4 : deadline - lasts + 1;
+        return deadline == Long.MAX_VALUE ? Long.MAX_VALUE / 4 : deadline - durationMillis + 1;
     }
 }
--- a/core/src/main/java/postgrade/window/Steps.java
+++ b/core/src/main/java/postgrade/window/Steps.java
@@ -24,20 +24,20 @@
         left -= steps;
         leftOfRule -= steps;
         if (leftOfRule < 0) {
-            throw new FaultyCalendar(
+            throw new InvalidCalendarException(
                     line,
                     "RRULE",
                     "takes more than " + MOST_STEPS_OF_A_RULE + " steps to work out");
         }
         if (left < 0) {
-            throw new FaultyCalendar(
+            throw new InvalidCalendarException(
                     line, "RRULE", "brings the calendar over " + MOST_STEPS + " steps to work out");
         }
     }
 
     void occurrence(int ofLine, String property) {
         if (--occurrences < 0) {
-            throw new FaultyCalendar(
+            throw new InvalidCalendarException(
                     ofLine,
                     property,
                     "brings the calendar over " + MOST_OCCURRENCES + " occurrences");
--- a/core/src/main/java/postgrade/window/WindowAbility.java
+++ b/core/src/main/java/postgrade/window/WindowConstraints.java
@@ -13,11 +13,11 @@
  * told when to come again; a worker whose site closes before the job would end is not able for it.
  * Classes without windows pass untouched.
  */
-public final class WindowAbility implements JobConstraints {
+public final class WindowConstraints implements JobConstraints {
 
     /** Which site a worker stands at. By its kind where that is named, else by its zone. */
-    public record Sites(Map<String, String> byKind, Map<String, String> byZone) {
-        public Sites {
+    public record SiteMapping(Map<String, String> byKind, Map<String, String> byZone) {
+        public SiteMapping {
             byKind = Map.copyOf(byKind);
             byZone = Map.copyOf(byZone);
         }
@@ -37,10 +37,10 @@
     private static final long UNKNOWN_MILLIS = 1_000;
     private static final long UNKNOWN_SPREAD_MILLIS = 8_000;
 
-    private final Map<String, WindowClass> classes = new HashMap<>();
-    private final Sites sites;
-    private final Calendars calendars;
-    private final LearntLengths lengths;
+    private final Map<String, JobClassWindow> classes = new HashMap<>();
+    private final SiteMapping sites;
+    private final CalendarLookup calendars;
+    private final DurationHistograms lengths;
     private final long clockErrorMillis;
     private final long seed;
 
@@ -48,12 +48,12 @@
      * A job's plan is fixed when it comes: a daily deadline must not move on while it is held or
      * sent again.
      */
-    private final Map<String, Plan> plans =
+    private final Map<String, StartPlan> plans =
             new LinkedHashMap<>() {
                 private static final long serialVersionUID = 1L;
 
                 @Override
-                protected boolean removeEldestEntry(Map.Entry<String, Plan> eldest) {
+                protected boolean removeEldestEntry(Map.Entry<String, StartPlan> eldest) {
                     return size() > MOST_PLANS;
                 }
             };
@@ -61,11 +61,11 @@
     private long toldNs;
     private long toldMillis;
 
-    public WindowAbility(
-            List<WindowClass> classes,
-            Sites sites,
-            Calendars calendars,
-            LearntLengths lengths,
+    public WindowConstraints(
+            List<JobClassWindow> classes,
+            SiteMapping sites,
+            CalendarLookup calendars,
+            DurationHistograms lengths,
             long clockErrorMillis,
             long seed) {
         classes.forEach(c -> this.classes.put(c.name(), c));
@@ -80,7 +80,7 @@
      * What the clock on the wall says at a time of the monotonic one. Told often, as the former may
      * be set.
      */
-    public void wall(long nowNs, long millis) {
+    public void setWallClock(long nowNs, long millis) {
         toldNs = nowNs;
         toldMillis = millis;
     }
@@ -89,7 +89,7 @@
      * This job has a plan of its own, before it comes; null: it has none, whatever one of its id
      * had that was given up on.
      */
-    public void planned(String jobId, Plan plan) {
+    public void setPlan(String jobId, StartPlan plan) {
         if (plan == null) {
             plans.remove(jobId);
         } else {
@@ -98,13 +98,13 @@
     }
 
     /** What the class of a job gives to one that comes now; null for a class without windows. */
-    public Plan ofClass(long nowMillis, String jobClass) {
-        WindowClass c = classes.get(jobClass);
+    public StartPlan planForClass(long nowMillis, String jobClass) {
+        JobClassWindow c = classes.get(jobClass);
         return c == null ? null : c.plan(nowMillis, lasts(c));
     }
 
     /** The job has its answer. */
-    public void over(String jobId) {
+    public void jobAnswered(String jobId) {
         plans.remove(jobId);
     }
 
@@ -117,31 +117,31 @@
         return wallMillis(nowNs);
     }
 
-    private Plan plan(long now, Job job) {
-        Plan own = plans.get(job.id());
+    private StartPlan plan(long now, Job job) {
+        StartPlan own = plans.get(job.id());
         if (own != null) {
             return own;
         }
-        return ofClass(now, job.jobClass());
+        return planForClass(now, job.jobClass());
     }
 
-    private long lasts(WindowClass c) {
+    private long lasts(JobClassWindow c) {
         return c.quantile() == 0
-                ? c.declared()
+                ? c.declaredMillis()
                 : Math.min(
-                        Plan.LONGEST,
-                        Math.max(c.declared(), lengths.quantile(c.name(), c.quantile())));
+                        StartPlan.MAX_DURATION_MILLIS,
+                        Math.max(c.declaredMillis(), lengths.quantile(c.name(), c.quantile())));
     }
 
     @Override
     public long startDelayNs(long nowNs, Job job) {
         long now = now(nowNs);
         boolean own = plans.containsKey(job.id());
-        Plan plan = plan(now, job);
+        StartPlan plan = plan(now, job);
         if (plan == null) {
             return 0;
         }
-        if (Windows.opens(plan, calendars, now, clockErrorMillis) == now) {
+        if (StartWindows.opens(plan, calendars, now, clockErrorMillis) == now) {
             plans.put(job.id(), plan);
             return 0;
         }
@@ -152,32 +152,35 @@
     /**
      * @param own the plan is the job's, whose deadline does not move on to the class's next round
      */
-    private long opensInMillis(long now, Plan plan, Job job, boolean own) {
-        Windows.Answer answer = Windows.query(plan, calendars, now, clockErrorMillis);
-        if (answer.starts().isEmpty()) {
+    private long opensInMillis(long now, StartPlan plan, Job job, boolean own) {
+        StartWindows.Result answer = StartWindows.query(plan, calendars, now, clockErrorMillis);
+        if (answer.bySite().isEmpty()) {
             return Spread.millis(UNKNOWN_MILLIS, 2 * UNKNOWN_SPREAD_MILLIS, seed, job.id());
         }
-        WindowClass c = own ? null : classes.get(job.jobClass());
-        if (answer.opens() == Windows.NEVER && c != null) {
-            answer = Windows.query(c.after(plan, now), calendars, now, clockErrorMillis);
+        JobClassWindow c = own ? null : classes.get(job.jobClass());
+        if (answer.opensAt() == StartWindows.NEVER && c != null) {
+            answer = StartWindows.query(c.after(plan, now), calendars, now, clockErrorMillis);
         }
-        return answer.opens() == Windows.NEVER
+        return answer.opensAt() == StartWindows.NEVER
                 ? Spread.millis(NO_OPENING_MILLIS, NO_OPENING_MILLIS, seed, job.id())
                 : Spread.millis(
-                        answer.opens() - now, answer.closes() - answer.opens(), seed, job.id());
+                        answer.opensAt() - now,
+                        answer.closesAt() - answer.opensAt(),
+                        seed,
+                        job.id());
     }
 
     @Override
     public double usableShare(long nowNs, Job job, WorkerInfo worker) {
         long now = now(nowNs);
-        Plan plan = plan(now, job);
+        StartPlan plan = plan(now, job);
         if (plan == null) {
             return 1;
         }
         String site = sites.of(worker);
         return site != null
                         && plan.sites().contains(site)
-                        && Windows.able(plan, calendars.of(site), now, clockErrorMillis)
+                        && StartWindows.able(plan, calendars.forSite(site), now, clockErrorMillis)
                 ? 1
                 : 0;
     }
--- a/core/src/test/java/postgrade/recovery/ThunderingHerdTest.java
+++ b/core/src/test/java/postgrade/recovery/ThunderingHerdTest.java
@@ -145,13 +145,13 @@
     public void retrySpreadUsesCapacityLeftByOrdinaryDemand() {
         RecentDemand demand = new RecentDemand();
         for (long t = 0; t < 5_000_000; t += 10_000) {
-            demand.record(t, t % 20_000 == 0);
+            demand.recordRequest(t, t % 20_000 == 0);
         }
         assertEquals(1e6, demand.spreadMicros(150), 0.05e6);
         assertEquals(
                 "more spare capacity, shorter spread", 0.25e6, demand.spreadMicros(300), 0.02e6);
         assertEquals("at least a tenth counts as spare", 5e6, demand.spreadMicros(100), 0.2e6);
-        demand.record(20_000_000, true);
+        demand.recordRequest(20_000_000, true);
         assertTrue("old rejections have decayed", demand.spreadMicros(150) < 20_000);
     }
 }
--- a/core/src/test/java/postgrade/window/CalendarPartTest.java
+++ b/core/src/test/java/postgrade/window/CalendarPartTest.java
@@ -19,14 +19,14 @@
 import postgrade.shared.Row;
 import postgrade.shared.Rows;
 import postgrade.shared.View;
-import postgrade.window.Event.Length;
-import postgrade.window.KnownCalendars.Wanted;
+import postgrade.window.CalendarRegistry.PendingCalendar;
+import postgrade.window.MaintenanceEvent.EventDuration;
 
 /** Calendars as shared versions, and what a process makes of its view of them. */
 public class CalendarPartTest {
 
     private static final long AHEAD = CalendarPart.LEAST_AHEAD_MICROS;
-    private static final Plan PLAN = new Plan(0, Long.MAX_VALUE, 10, List.of("a"));
+    private static final StartPlan PLAN = new StartPlan(0, Long.MAX_VALUE, 10, List.of("a"));
 
     private final ReplicatedStateMachine machine =
             new ReplicatedStateMachine(1, List.of(new CalendarPart()));
@@ -56,28 +56,28 @@
     }
 
     /** Texts here are plain spans: {@code from-to from-to}. */
-    private static SiteCalendar read(Wanted w) {
-        List<Event> events =
+    private static SiteCalendar read(PendingCalendar w) {
+        List<MaintenanceEvent> events =
                 Stream.of(w.text().split(" "))
                         .map(s -> s.split("-"))
                         .map(
                                 s ->
-                                        Event.once(
+                                        MaintenanceEvent.once(
                                                 w.text(),
-                                                new Event.When(
+                                                new MaintenanceEvent.ZonedTime(
                                                         LocalTimes.local(
                                                                 Long.parseLong(s[0]),
                                                                 Times.zone("UTC")),
                                                         Times.zone("UTC")),
-                                                Length.exactly(
+                                                EventDuration.exactly(
                                                         Long.parseLong(s[1])
                                                                 - Long.parseLong(s[0]))))
                         .toList();
         return SiteCalendar.compile(w.site(), w.version(), events, -1_000_000_000, 1_000_000_000);
     }
 
-    private static void readAll(KnownCalendars known) {
-        known.wanted(0, 0).forEach(w -> known.workedOut(read(w)));
+    private static void readAll(CalendarRegistry known) {
+        known.pending(0, 0).forEach(w -> known.addCompiled(read(w)));
     }
 
     @Test
@@ -108,7 +108,7 @@
         // A view from just before, used by a slow clock beside a fast leader that had two steps to
         // tell.
         advance(2 * ReplicatedStateMachine.MAX_ADVANCE_MICROS);
-        advance((long) (CalendarPart.LONGEST_VIEW_MICROS * 1.02 / 0.98));
+        advance((long) (CalendarPart.MAX_VIEW_AGE_MICROS * 1.02 / 0.98));
         assertEquals(former, machine.rows().get("calendar", "site:a").text("current"));
     }
 
@@ -141,38 +141,38 @@
 
     @Test
     public void bothVersionsCloseTheSiteUntilTheViewSaysThatTheFormerIsOver() {
-        KnownCalendars known = new KnownCalendars(1_000_000);
-        assertFalse("no view, no start", Windows.able(PLAN, known.of("a"), 1500, 0));
-        known.view(view(0), 0);
-        assertNull("no calendar, no start", known.of("a"));
+        CalendarRegistry known = new CalendarRegistry(1_000_000);
+        assertFalse("no view, no start", StartWindows.able(PLAN, known.forSite("a"), 1500, 0));
+        known.updateView(view(0), 0);
+        assertNull("no calendar, no start", known.forSite("a"));
         put("1000-2000");
         advance(AHEAD);
         put("3000-4000");
-        known.view(view(0), 0);
-        assertNull("not read yet", known.of("a"));
+        known.updateView(view(0), 0);
+        assertNull("not read yet", known.forSite("a"));
         readAll(known);
-        assertEquals("[1000,2000) [3000,4000)", known.of("a").closed().toString());
+        assertEquals("[1000,2000) [3000,4000)", known.forSite("a").closed().toString());
         advance(AHEAD);
-        known.view(view(0), 0);
-        assertEquals("[3000,4000)", known.of("a").closed().toString());
-        known.view(view(0), 1_000_001);
-        assertNull("the view is too old", known.of("a"));
+        known.updateView(view(0), 0);
+        assertEquals("[3000,4000)", known.forSite("a").closed().toString());
+        known.updateView(view(0), 1_000_001);
+        assertNull("the view is too old", known.forSite("a"));
         assertTrue(known.why("a"), known.why("a").contains("ms old"));
     }
 
     @Test
     public void aProcessThatWasStoppedFindsItsViewTooOldBeforeItIsToldTheTime() {
         put("5000-6000");
-        KnownCalendars known = new KnownCalendars(1_000_000);
-        known.view(view(0), 0);
+        CalendarRegistry known = new CalendarRegistry(1_000_000);
+        known.updateView(view(0), 0);
         readAll(known);
-        WindowClass c = new WindowClass("c", List.of("a"), null, null, Deadline.NONE, 0, 10);
-        WindowAbility ability =
-                new WindowAbility(
+        JobClassWindow c = new JobClassWindow("c", List.of("a"), null, null, Deadline.NONE, 0, 10);
+        WindowConstraints ability =
+                new WindowConstraints(
                         List.of(c),
-                        new WindowAbility.Sites(Map.of(), Map.of()),
+                        new WindowConstraints.SiteMapping(Map.of(), Map.of()),
                         known,
-                        new LearntLengths(),
+                        new DurationHistograms(),
                         0,
                         1);
         Job job = new Job("j", "c", null, null, 1, 1, 0);
@@ -183,16 +183,16 @@
     @Test
     public void aTextThatCannotBeReadHereKeepsTheSiteShut() {
         put("1000-2000");
-        KnownCalendars known = new KnownCalendars(1_000_000);
-        known.view(view(0), 0);
-        known.unreadable(known.wanted(0, 0).get(0), "DTSTART names a zone that is not known");
-        assertNull(known.of("a"));
+        CalendarRegistry known = new CalendarRegistry(1_000_000);
+        known.updateView(view(0), 0);
+        known.markUnreadable(known.pending(0, 0).get(0), "DTSTART names a zone that is not known");
+        assertNull(known.forSite("a"));
         assertTrue(known.why("a").contains("DTSTART"));
-        assertEquals(List.of(), known.wanted(0, 0));
+        assertEquals(List.of(), known.pending(0, 0));
         put("5000-6000");
-        known.view(view(0), 0);
+        known.updateView(view(0), 0);
         readAll(known);
-        assertNotNull("another version mends it", known.of("a"));
+        assertNotNull("another version mends it", known.forSite("a"));
     }
 
     /**
@@ -203,14 +203,14 @@
     public void noProcessStartsInsideMaintenanceOfTheVersionInForceWhileCalendarsChange() {
         int started = 0;
         for (int seed = 0; seed < 300; seed++) {
-            started += changes(new Random(seed), CalendarPart.LONGEST_VIEW_MICROS);
+            started += changes(new Random(seed), CalendarPart.MAX_VIEW_AGE_MICROS);
         }
         assertTrue("enough starts: " + started, started > 3_000);
     }
 
     private int changes(Random random, long bound) {
         CalendarPartTest of = new CalendarPartTest();
-        KnownCalendars known = new KnownCalendars(bound);
+        CalendarRegistry known = new CalendarRegistry(bound);
         double leader = 0.98 + 0.04 * random.nextDouble();
         double process = 0.98 + 0.04 * random.nextDouble();
         int started = 0;
@@ -226,16 +226,19 @@
             }
             long now = (long) (real * process);
             if (random.nextInt(30) == 0) {
-                known.view(of.view(now), now);
+                known.updateView(of.view(now), now);
                 readAll(known);
             } else {
-                known.view(known.latest(), now);
+                known.updateView(known.latest(), now);
             }
             Row site = of.machine.rows().get("calendar", "site:a");
             String inForce = site == null ? null : site.text("current", null);
             long wall = random.nextInt(60);
-            if (Windows.able(
-                    new Plan(0, Long.MAX_VALUE, 1, List.of("a")), known.of("a"), wall, 0)) {
+            if (StartWindows.able(
+                    new StartPlan(0, Long.MAX_VALUE, 1, List.of("a")),
+                    known.forSite("a"),
+                    wall,
+                    0)) {
                 started++;
                 String text =
                         inForce == null
@@ -247,9 +250,9 @@
                 assertFalse(
                         "at " + real,
                         text != null
-                                && read(new Wanted("a", inForce, "UTC", text))
+                                && read(new PendingCalendar("a", inForce, "UTC", text))
                                         .closed()
-                                        .holds(wall));
+                                        .contains(wall));
             }
         }
         return started;
--- a/core/src/test/java/postgrade/window/ExpansionTest.java
+++ b/core/src/test/java/postgrade/window/ExpansionTest.java
@@ -13,7 +13,7 @@
 import java.time.DayOfWeek;
 import java.util.List;
 import org.junit.Test;
-import postgrade.window.Event.Length;
+import postgrade.window.MaintenanceEvent.EventDuration;
 import postgrade.window.Recurrence.Day;
 import postgrade.window.Recurrence.Every;
 
@@ -30,7 +30,7 @@
                         compiled(
                                         "2026-10-01T00:00:00Z",
                                         "2026-11-01T00:00:00Z",
-                                        event("2026-10-25T00:00", ZAGREB, Length.ofDays(1)))
+                                        event("2026-10-25T00:00", ZAGREB, EventDuration.ofDays(1)))
                                 .closed()));
         assertEquals(
                 "2026-10-24T22:00:00Z/2026-10-25T22:00:00Z",
@@ -41,7 +41,7 @@
                                         event(
                                                 "2026-10-25T00:00",
                                                 ZAGREB,
-                                                Length.exactly(24 * HOUR)))
+                                                EventDuration.exactly(24 * HOUR)))
                                 .closed()));
     }
 
@@ -53,7 +53,10 @@
                         compiled(
                                         "2026-10-25T00:00:00Z",
                                         "2026-10-26T00:00:00Z",
-                                        event("2026-10-25T02:30", ZAGREB, Length.exactly(HOUR)))
+                                        event(
+                                                "2026-10-25T02:30",
+                                                ZAGREB,
+                                                EventDuration.exactly(HOUR)))
                                 .closed()));
     }
 
@@ -66,7 +69,10 @@
                         compiled(
                                         "2027-03-27T00:00:00Z",
                                         "2027-03-30T00:00:00Z",
-                                        event("2020-01-01T02:30", ZAGREB, Length.exactly(HOUR / 4))
+                                        event(
+                                                        "2020-01-01T02:30",
+                                                        ZAGREB,
+                                                        EventDuration.exactly(HOUR / 4))
                                                 .recurring(DAILY))
                                 .closed()));
     }
@@ -83,7 +89,7 @@
                                         event(
                                                 "2026-10-04T00:00",
                                                 zone("Australia/Lord_Howe"),
-                                                Length.ofDays(1)))
+                                                EventDuration.ofDays(1)))
                                 .closed()));
     }
 
@@ -99,7 +105,7 @@
                                         event(
                                                         "2011-12-01T10:00",
                                                         zone("Pacific/Apia"),
-                                                        Length.exactly(HOUR))
+                                                        EventDuration.exactly(HOUR))
                                                 .recurring(DAILY))
                                 .closed()));
     }
@@ -112,15 +118,19 @@
                         compiled(
                                         "2025-01-01T00:00:00Z",
                                         "2036-01-01T00:00:00Z",
-                                        event("2024-02-29T00:00", zone("UTC"), Length.ofDays(1))
+                                        event(
+                                                        "2024-02-29T00:00",
+                                                        zone("UTC"),
+                                                        EventDuration.ofDays(1))
                                                 .recurring(Recurrence.every(Every.YEAR, 1)))
                                 .closed()));
     }
 
     @Test
     public void aRuleWithoutEndIsWorkedOutWithinItsHorizonAndFurtherOnLater() {
-        Event forEver =
-                event("1970-01-01T06:00", zone("UTC"), Length.exactly(HOUR)).recurring(DAILY);
+        MaintenanceEvent forEver =
+                event("1970-01-01T06:00", zone("UTC"), EventDuration.exactly(HOUR))
+                        .recurring(DAILY);
         assertEquals(
                 2,
                 compiled("2026-01-01T00:00:00Z", "2026-01-03T00:00:00Z", forEver).closed().size());
@@ -142,32 +152,38 @@
                         compiled(
                                         "2026-01-01T00:00:00Z",
                                         "2027-01-01T00:00:00Z",
-                                        event("2026-01-30T12:00", zone("UTC"), Length.exactly(HOUR))
+                                        event(
+                                                        "2026-01-30T12:00",
+                                                        zone("UTC"),
+                                                        EventDuration.exactly(HOUR))
                                                 .recurring(lastFriday))
                                 .closed()));
     }
 
     @Test
     public void aMillionOccurrencesAreTooMany() {
-        FaultyCalendar fault =
+        InvalidCalendarException fault =
                 assertThrows(
-                        FaultyCalendar.class,
+                        InvalidCalendarException.class,
                         () ->
                                 compiled(
                                         "2026-01-01T00:00:00Z",
                                         "2026-04-01T00:00:00Z",
-                                        event("2026-01-01T00:00", zone("UTC"), Length.exactly(1))
+                                        event(
+                                                        "2026-01-01T00:00",
+                                                        zone("UTC"),
+                                                        EventDuration.exactly(1))
                                                 .recurring(Recurrence.every(Every.SECOND, 1))));
         assertEquals("RRULE", fault.property());
-        assertTrue(fault.sentence(), fault.sentence().contains("over 100000 occurrences"));
+        assertTrue(fault.description(), fault.description().contains("over 100000 occurrences"));
         assertThrows(
                 "as many steps without one",
-                FaultyCalendar.class,
+                InvalidCalendarException.class,
                 () ->
                         compiled(
                                 "2026-01-01T00:00:00Z",
                                 "2026-04-01T00:00:00Z",
-                                event("2026-01-01T00:00", zone("UTC"), Length.exactly(0))
+                                event("2026-01-01T00:00", zone("UTC"), EventDuration.exactly(0))
                                         .recurring(Recurrence.every(Every.SECOND, 1))));
     }
 }
--- a/core/src/test/java/postgrade/window/Times.java
+++ b/core/src/test/java/postgrade/window/Times.java
@@ -5,8 +5,8 @@
 import java.time.ZoneId;
 import java.time.zone.ZoneRules;
 import java.util.List;
-import postgrade.window.Event.Length;
-import postgrade.window.Event.When;
+import postgrade.window.MaintenanceEvent.EventDuration;
+import postgrade.window.MaintenanceEvent.ZonedTime;
 
 /** Times as people write them. */
 final class Times {
@@ -24,15 +24,15 @@
         return Instant.parse(text).toEpochMilli();
     }
 
-    static When when(String local, ZoneRules zone) {
-        return new When(LocalDateTime.parse(local), zone);
+    static ZonedTime when(String local, ZoneRules zone) {
+        return new ZonedTime(LocalDateTime.parse(local), zone);
     }
 
-    static Event event(String local, ZoneRules zone, Length length) {
-        return Event.once("works", when(local, zone), length);
+    static MaintenanceEvent event(String local, ZoneRules zone, EventDuration length) {
+        return MaintenanceEvent.once("works", when(local, zone), length);
     }
 
-    static SiteCalendar compiled(String from, String to, Event... events) {
+    static SiteCalendar compiled(String from, String to, MaintenanceEvent... events) {
         return SiteCalendar.compile("a", "1", List.of(events), utc(from), utc(to));
     }
 
--- a/core/src/test/java/postgrade/window/WindowAbilityTest.java
+++ b/core/src/test/java/postgrade/window/WindowAbilityTest.java
@@ -15,15 +15,15 @@
 import postgrade.policy.api.Job;
 import postgrade.policy.api.WorkerInfo;
 import postgrade.policy.api.WorkerPhase;
-import postgrade.window.Event.Length;
-import postgrade.window.WindowAbility.Sites;
+import postgrade.window.MaintenanceEvent.EventDuration;
+import postgrade.window.WindowConstraints.SiteMapping;
 
 /** Windows as the module meets them. */
 public class WindowAbilityTest {
 
     private static final long MIDNIGHT = utc("2026-06-01T00:00:00Z");
-    private static final WindowClass NIGHTLY =
-            new WindowClass(
+    private static final JobClassWindow NIGHTLY =
+            new JobClassWindow(
                     "route-plan", List.of("a", "b"), null, null, Deadline.NONE, 0.9, 60_000);
 
     /** Until 06:00 and from 05:00 on: the second site opens an hour before the first. */
@@ -31,7 +31,11 @@
             SiteCalendar.compile(
                     "a",
                     "1",
-                    List.of(event("2026-05-31T22:00", zone("UTC"), Length.exactly(8 * HOUR))),
+                    List.of(
+                            event(
+                                    "2026-05-31T22:00",
+                                    zone("UTC"),
+                                    EventDuration.exactly(8 * HOUR))),
                     MIDNIGHT - 100 * HOUR,
                     MIDNIGHT + 1000 * HOUR);
 
@@ -40,20 +44,21 @@
                     "b",
                     "1",
                     List.of(
-                            event("2026-05-31T22:00", zone("UTC"), Length.exactly(7 * HOUR)),
-                            event("2026-06-01T05:30", zone("UTC"), Length.exactly(HOUR))),
+                            event("2026-05-31T22:00", zone("UTC"), EventDuration.exactly(7 * HOUR)),
+                            event("2026-06-01T05:30", zone("UTC"), EventDuration.exactly(HOUR))),
                     MIDNIGHT - 100 * HOUR,
                     MIDNIGHT + 1000 * HOUR);
 
-    private final LearntLengths lengths = new LearntLengths();
+    private final DurationHistograms lengths = new DurationHistograms();
     private Map<String, SiteCalendar> known = Map.of("a", A, "b", B);
-    private final WindowAbility ability = ability(NIGHTLY);
-
-    private WindowAbility ability(WindowClass c) {
-        Sites sites = new Sites(Map.of("gpu", "b"), Map.of("hall-a", "a", "hall-b", "b"));
-        WindowAbility a =
-                new WindowAbility(List.of(c), sites, site -> known.get(site), lengths, 0, 7);
-        a.wall(0, MIDNIGHT);
+    private final WindowConstraints ability = ability(NIGHTLY);
+
+    private WindowConstraints ability(JobClassWindow c) {
+        SiteMapping sites =
+                new SiteMapping(Map.of("gpu", "b"), Map.of("hall-a", "a", "hall-b", "b"));
+        WindowConstraints a =
+                new WindowConstraints(List.of(c), sites, site -> known.get(site), lengths, 0, 7);
+        a.setWallClock(0, MIDNIGHT);
         return a;
     }
 
@@ -115,7 +120,7 @@
     @Test
     public void whatWasLearntMakesItLonger() {
         for (int i = 0; i < 100; i++) {
-            lengths.took("route-plan", i < 85 ? 10_000 : 600_000);
+            lengths.recordDuration("route-plan", i < 85 ? 10_000 : 600_000);
         }
         long tenMinutes = lengths.quantile("route-plan", 0.9);
         assertTrue("" + tenMinutes, tenMinutes >= 600_000 && tenMinutes < 675_000);
@@ -137,9 +142,9 @@
 
     @Test
     public void aJobsDailyDeadlineDoesNotMoveOnWhileItWaits() {
-        WindowAbility daily =
+        WindowConstraints daily =
                 ability(
-                        new WindowClass(
+                        new JobClassWindow(
                                 "route-plan",
                                 List.of("a"),
                                 LocalTime.of(10, 0),
--- a/daemon/src/main/java/postgrade/daemon/Daemon.java
+++ b/daemon/src/main/java/postgrade/daemon/Daemon.java
@@ -170,7 +170,7 @@
         watch =
                 new DiscoveryWatch(
                         config.discovery, config.name, version, patience, loop, loop, this::told);
-        companion = plan == null ? null : CompanionLoader.open(plan, beside);
+        companion = plan == null ? null : ExtensionLoader.open(plan, beside);
         if (companion != null) {
             providers.setFencingTokens(companion::fence);
             providers.setConnectLimiter(companion::mayConnect);
--- a/daemon/src/main/java/postgrade/daemon/CompanionLoader.java
+++ b/daemon/src/main/java/postgrade/daemon/ExtensionLoader.java
@@ -6,12 +6,12 @@
 import postgrade.extension.Host;
 
 /** Finds what is to stand beside the dispatcher, if its configuration names any. */
-final class CompanionLoader {
+final class ExtensionLoader {
 
-    private CompanionLoader() {}
+    private ExtensionLoader() {}
 
     /** Null where nothing is named: then nothing is looked for either. */
-    static DispatcherExtension.Configuration loadPlan(Config config)
+    static DispatcherExtension.Configuration loadConfiguration(Config config)
             throws Config.InvalidConfigException {
         if (config.sharing == null) {
             return null;
--- a/daemon/src/main/java/postgrade/daemon/Main.java
+++ b/daemon/src/main/java/postgrade/daemon/Main.java
@@ -71,7 +71,7 @@
         int fault = 0;
         try {
             Config config = Config.read(System.getenv());
-            Daemon daemon = new Daemon(config, CompanionLoader.loadPlan(config));
+            Daemon daemon = new Daemon(config, ExtensionLoader.loadConfiguration(config));
             daemon.start();
             made.complete(daemon);
         } catch (Config.InvalidConfigException e) {
--- a/daemon/src/test/java/postgrade/daemon/CompanionTest.java
+++ b/daemon/src/test/java/postgrade/daemon/CompanionTest.java
@@ -40,7 +40,7 @@
     @Before
     public void besideTheDaemon() {
         withOperatorPort = true;
-        companionPlan =
+        extensionConfiguration =
                 h -> {
                     host = h;
                     return this;
@@ -250,10 +250,10 @@
             throws Exception {
         Map<String, String> environment =
                 new HashMap<>(configuration(workerEntry("w1", workerOne.address(), "ready")));
-        assertEquals(null, CompanionLoader.loadPlan(Config.read(environment)));
+        assertEquals(null, ExtensionLoader.loadConfiguration(Config.read(environment)));
         environment.put("ROUTER_SHARING", "sharing.star");
         try {
-            CompanionLoader.loadPlan(Config.read(environment));
+            ExtensionLoader.loadConfiguration(Config.read(environment));
             fail("started without what was asked for");
         } catch (Config.InvalidConfigException e) {
             assertTrue(e.getMessage(), e.getMessage().startsWith("sharing: "));
--- a/daemon/src/test/java/postgrade/daemon/DaemonTestBase.java
+++ b/daemon/src/test/java/postgrade/daemon/DaemonTestBase.java
@@ -56,7 +56,7 @@
     String listen = "127.0.0.1:0";
 
     /** What stands beside the daemon, if anything is to. */
-    DispatcherExtension.Configuration companionPlan;
+    DispatcherExtension.Configuration extensionConfiguration;
 
     /** The folder that the processes of one dispatcher share, if there is to be one. */
     Path shared;
@@ -146,7 +146,7 @@
     }
 
     void startDaemon(String... servers) throws Exception {
-        daemon = new Daemon(Config.read(configuration(servers)), companionPlan);
+        daemon = new Daemon(Config.read(configuration(servers)), extensionConfiguration);
         daemon.start();
     }
 
@@ -155,7 +155,7 @@
         daemon =
                 new Daemon(
                         Config.read(configuration(servers)),
-                        companionPlan,
+                        extensionConfiguration,
                         out -> script = new ScriptedPolicy(out),
                         PATIENCE);
         daemon.start();
--- a/daemon/src/test/java/postgrade/daemon/ExtensionHeadersTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ExtensionHeadersTest.java
@@ -22,7 +22,7 @@
 
     @Before
     public void besideTheDaemon() {
-        companionPlan = h -> this;
+        extensionConfiguration = h -> this;
     }
 
     @Override
@@ -114,7 +114,7 @@
 
     @Test
     public void whereNobodyReadsThemTheyArePassedOver() throws Exception {
-        companionPlan = null;
+        extensionConfiguration = null;
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> script.actions.reject(job.id(), 0);
         assertEquals(
--- a/rig/src/main/java/postgrade/rig/check/LogCheck.java
+++ b/rig/src/main/java/postgrade/rig/check/LogCheck.java
@@ -17,10 +17,10 @@
     /**
      * What a caller was told was done. @param key unique to the call @param index at which it was
      */
-    public record Told(String key, long era, long index) {}
+    public record Acknowledged(String key, long era, long index) {}
 
     /** A view that a process took, in the order in which it did. */
-    public record Viewed(String process, long incarnation, long era, long index) {}
+    public record ObservedView(String process, long incarnation, long era, long index) {}
 
     private LogCheck() {}
 
@@ -53,9 +53,9 @@
     /**
      * @param present how often each key stands in the end state
      */
-    public static List<Breach> durable(List<Told> told, Map<String, Long> present) {
+    public static List<Breach> durability(List<Acknowledged> told, Map<String, Long> present) {
         List<Breach> breaches = new ArrayList<>();
-        for (Told t : told) {
+        for (Acknowledged t : told) {
             long times = present.getOrDefault(t.key, 0L);
             if (times != 1) {
                 breaches.add(
@@ -73,11 +73,11 @@
         return breaches;
     }
 
-    public static List<Breach> forward(List<Viewed> viewed) {
-        Map<String, Viewed> last = new HashMap<>();
+    public static List<Breach> monotonicViews(List<ObservedView> viewed) {
+        Map<String, ObservedView> last = new HashMap<>();
         List<Breach> breaches = new ArrayList<>();
-        for (Viewed v : viewed) {
-            Viewed before = last.put(v.process + "/" + v.incarnation, v);
+        for (ObservedView v : viewed) {
+            ObservedView before = last.put(v.process + "/" + v.incarnation, v);
             if (before != null
                     && (v.era < before.era || v.era == before.era && v.index < before.index)) {
                 breaches.add(
--- a/rig/src/main/java/postgrade/rig/check/RateCheck.java
+++ b/rig/src/main/java/postgrade/rig/check/RateCheck.java
@@ -14,7 +14,7 @@
 public final class RateCheck {
 
     /** A job taken on a token by some process. */
-    public record Taken(long micros, String process, String tenant) {}
+    public record AdmittedJob(long micros, String process, String tenant) {}
 
     /**
      * @param perSecond whole rate of the tenant @param bound jobs beyond it in any span: bursts,
@@ -27,14 +27,14 @@
 
     private RateCheck() {}
 
-    public static Verdict judge(List<Taken> taken, Map<String, Limit> limits) {
-        List<Taken> inOrder = new ArrayList<>(taken);
-        inOrder.sort(Comparator.comparingLong(Taken::micros));
+    public static Verdict check(List<AdmittedJob> taken, Map<String, Limit> limits) {
+        List<AdmittedJob> inOrder = new ArrayList<>(taken);
+        inOrder.sort(Comparator.comparingLong(AdmittedJob::micros));
         Map<String, Double> beyond = new HashMap<>();
         Map<String, Long> last = new HashMap<>();
         Map<String, Double> most = new HashMap<>();
         List<Breach> breaches = new ArrayList<>();
-        for (Taken t : inOrder) {
+        for (AdmittedJob t : inOrder) {
             Limit limit = limits.get(t.tenant);
             if (limit == null) {
                 breaches.add(
--- a/rig/src/main/java/postgrade/rig/check/ShareCheck.java
+++ b/rig/src/main/java/postgrade/rig/check/ShareCheck.java
@@ -16,7 +16,7 @@
     /**
      * @param part of every rate; 0 once it is dead
      */
-    public record Took(long micros, String process, double part) {}
+    public record ShareChange(long micros, String process, double part) {}
 
     public record Verdict(List<Breach> breaches, double most, long judged) {}
 
@@ -26,15 +26,15 @@
      * @param bound by how much the sum may stand above one @param forMicros and for how long at
      *     most
      */
-    public static Verdict judge(List<Took> took, double bound, long forMicros) {
-        List<Took> inOrder = new ArrayList<>(took);
-        inOrder.sort(Comparator.comparingLong(Took::micros));
+    public static Verdict check(List<ShareChange> took, double bound, long forMicros) {
+        List<ShareChange> inOrder = new ArrayList<>(took);
+        inOrder.sort(Comparator.comparingLong(ShareChange::micros));
         Map<String, Double> parts = new HashMap<>();
         List<Breach> breaches = new ArrayList<>();
         double most = 0;
         long since = Long.MAX_VALUE;
         for (int i = 0; i < inOrder.size(); i++) {
-            Took t = inOrder.get(i);
+            ShareChange t = inOrder.get(i);
             // What stood until now stood for that long.
             if (forMicros > 0 && since != Long.MAX_VALUE && t.micros - since > forMicros) {
                 breaches.add(
--- a/rig/src/main/java/postgrade/rig/check/WindowCheck.java
+++ b/rig/src/main/java/postgrade/rig/check/WindowCheck.java
@@ -13,9 +13,9 @@
     public record Span(long from, long to) {}
 
     /** A calendar of a site, whole. It stands from then on until one with a later moment does. */
-    public record Version(String site, long inForceFrom, List<Span> maintenance) {}
+    public record CalendarVersion(String site, long inForceFrom, List<Span> maintenance) {}
 
-    public record Started(long micros, String site, String job) {}
+    public record StartedJob(long micros, String site, String job) {}
 
     private WindowCheck() {}
 
@@ -23,14 +23,14 @@
      * @param slackMicros by how much the clock of what was started may be off against that of the
      *     calendar
      */
-    public static List<Breach> judge(
-            List<Version> versions, List<Started> started, long slackMicros) {
+    public static List<Breach> check(
+            List<CalendarVersion> versions, List<StartedJob> started, long slackMicros) {
         List<Breach> breaches = new ArrayList<>();
-        for (Started s : started) {
+        for (StartedJob s : started) {
             // Within the slack round a change either version may have been the one in force: both
             // must forbid it.
-            Version early = inForce(versions, s.site, s.micros - slackMicros);
-            Version late = inForce(versions, s.site, s.micros + slackMicros);
+            CalendarVersion early = inForce(versions, s.site, s.micros - slackMicros);
+            CalendarVersion late = inForce(versions, s.site, s.micros + slackMicros);
             Span span = within(late, s.micros, slackMicros);
             if (span != null && within(early, s.micros, slackMicros) != null) {
                 breaches.add(
@@ -48,9 +48,9 @@
         return breaches;
     }
 
-    private static Version inForce(List<Version> versions, String site, long at) {
-        Version best = null;
-        for (Version v : versions) {
+    private static CalendarVersion inForce(List<CalendarVersion> versions, String site, long at) {
+        CalendarVersion best = null;
+        for (CalendarVersion v : versions) {
             if (v.site.equals(site)
                     && v.inForceFrom <= at
                     && (best == null || v.inForceFrom >= best.inForceFrom)) {
@@ -60,7 +60,7 @@
         return best;
     }
 
-    private static Span within(Version v, long at, long slack) {
+    private static Span within(CalendarVersion v, long at, long slack) {
         if (v != null) {
             for (Span s : v.maintenance) {
                 if (at >= s.from + slack && at < s.to - slack) {
--- a/rig/src/main/java/postgrade/rig/check/OutCheck.java
+++ b/rig/src/main/java/postgrade/rig/check/WorkerMaintenanceCheck.java
@@ -10,21 +10,21 @@
  * Whether nothing went to a worker that operators had taken out, from whichever process, restarted
  * or not.
  */
-public final class OutCheck {
+public final class WorkerMaintenanceCheck {
 
     /**
      * @param out or back in again; told to all by then
      */
-    public record Told(long micros, String worker, boolean out) {}
+    public record StatusChange(long micros, String worker, boolean out) {}
 
     public record Sent(long micros, String process, String worker, String job) {}
 
-    private OutCheck() {}
+    private WorkerMaintenanceCheck() {}
 
     /**
      * @param graceMicros in which what was under way may still arrive
      */
-    public static List<Breach> judge(List<Told> told, List<Sent> sent, long graceMicros) {
+    public static List<Breach> check(List<StatusChange> told, List<Sent> sent, long graceMicros) {
         Map<String, TreeMap<Long, Boolean>> known = new HashMap<>();
         told.forEach(
                 t -> known.computeIfAbsent(t.worker, w -> new TreeMap<>()).put(t.micros, t.out));
--- a/rig/src/main/java/postgrade/rig/check/lease/Leases.java
+++ b/rig/src/main/java/postgrade/rig/check/lease/LeaseModel.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.UnaryOperator;
-import postgrade.rig.check.lease.Linearizable.Call;
+import postgrade.rig.check.lease.LinearizabilityChecker.Call;
 
 /**
  * What a store of reservations has to be, told without a clock: accelerators by number, each free,
  * held under a fence or resting. That something expires or has rested is an act of the store's own,
  * which may happen once it is due.
  */
-public final class Leases {
+public final class LeaseModel {
 
     /**
      * @param held accelerators of each grant @param resting those that nobody may be granted yet
@@ -35,7 +35,7 @@
         }
     }
 
-    private Leases() {}
+    private LeaseModel() {}
 
     public static UnaryOperator<State> granted(String holder, long fence, long mask) {
         return s ->
@@ -75,7 +75,7 @@
     }
 
     /** A renewal or release that found nothing of that fence. */
-    public static UnaryOperator<State> gone(String holder, long fence) {
+    public static UnaryOperator<State> notFound(String holder, long fence) {
         return s -> s.held.containsKey(new Grant(holder, fence)) ? null : s;
     }
 
@@ -108,7 +108,7 @@
     }
 
     /** The first call that no order explains, or null. */
-    public static Call<State> judge(int accelerators, List<Call<State>> history) {
-        return Linearizable.firstOutOfOrder(State.of(accelerators), history);
+    public static Call<State> firstViolation(int accelerators, List<Call<State>> history) {
+        return LinearizabilityChecker.firstUnexplainedCall(State.of(accelerators), history);
     }
 }
--- a/rig/src/main/java/postgrade/rig/check/lease/UseCheck.java
+++ b/rig/src/main/java/postgrade/rig/check/lease/LeaseUseCheck.java
@@ -11,7 +11,7 @@
  * What processes used in holders' names, judged by one clock: never for two at once, not too long,
  * and not too short.
  */
-public final class UseCheck {
+public final class LeaseUseCheck {
 
     /** A process would have sent a job of this holder to this accelerator at that moment. */
     public record Use(long micros, String process, String accelerator, String holder, long fence) {}
@@ -32,15 +32,15 @@
             long releasedMicros) {}
 
     /** A process's view, or an answer, showed that a grant had ended. */
-    public record Gone(long micros, String process, String holder, long fence) {}
+    public record GrantEnd(long micros, String process, String holder, long fence) {}
 
-    private UseCheck() {}
+    private LeaseUseCheck() {}
 
     /**
      * Once an accelerator was used under a later fence of another holder, nobody uses it under an
      * earlier one.
      */
-    public static List<Breach> exclusion(List<Use> uses) {
+    public static List<Breach> mutualExclusion(List<Use> uses) {
         List<Use> inOrder = new ArrayList<>(uses);
         // Of one moment the later fences first: at the same time is beside each other.
         inOrder.sort(
@@ -81,7 +81,8 @@
      * Nobody uses a grant later than its time to live and this bound after it may last have been
      * renewed.
      */
-    public static List<Breach> timely(List<Use> uses, List<Grant> grants, long boundMicros) {
+    public static List<Breach> noUseAfterExpiry(
+            List<Use> uses, List<Grant> grants, long boundMicros) {
         Map<String, Grant> known = known(grants);
         List<Breach> breaches = new ArrayList<>();
         for (Use u : uses) {
@@ -109,11 +110,11 @@
      * No grant that nobody released ends before its time to live after it was last renewed, by the
      * fastest clock.
      */
-    public static List<Breach> early(
-            List<Gone> gone, List<Grant> grants, double clockRatio, long allowanceMicros) {
+    public static List<Breach> noEarlyExpiry(
+            List<GrantEnd> gone, List<Grant> grants, double clockRatio, long allowanceMicros) {
         Map<String, Grant> known = known(grants);
         List<Breach> breaches = new ArrayList<>();
-        for (Gone o : gone) {
+        for (GrantEnd o : gone) {
             Grant g = known.get(o.holder + " " + o.fence);
             if (g != null
                     && o.micros < g.releasedMicros
--- a/rig/src/main/java/postgrade/rig/check/lease/Linearizable.java
+++ b/rig/src/main/java/postgrade/rig/check/lease/LinearizabilityChecker.java
@@ -13,7 +13,7 @@
  * answer, in which an object gives those answers. The search of Wing and Gong, with the states that
  * were met kept, as Lowe does.
  */
-public final class Linearizable {
+public final class LinearizabilityChecker {
 
     /**
      * A call, or something that the object does by itself.
@@ -26,12 +26,12 @@
 
     private record Met(BitSet done, Object state) {}
 
-    private Linearizable() {}
+    private LinearizabilityChecker() {}
 
     /**
      * @return null where there is such an order, else the call that could be put nowhere
      */
-    public static <S> Call<S> firstOutOfOrder(S begin, List<Call<S>> history) {
+    public static <S> Call<S> firstUnexplainedCall(S begin, List<Call<S>> history) {
         List<Call<S>> calls = new ArrayList<>(history);
         calls.sort(Comparator.comparingLong(Call::sent));
         int n = calls.size();
--- a/rig/src/main/java/postgrade/rig/cluster/Cluster.java
+++ b/rig/src/main/java/postgrade/rig/cluster/Cluster.java
@@ -11,12 +11,12 @@
 import java.util.Map;
 import java.util.Set;
 import postgrade.fleet.net.HeldPort;
-import postgrade.rig.disk.Disk;
+import postgrade.rig.disk.DiskFaults;
 import postgrade.rig.history.History;
-import postgrade.rig.process.Program;
-import postgrade.rig.proxy.Mesh;
-import postgrade.rig.proxy.Way;
-import postgrade.rig.timetable.Step;
+import postgrade.rig.process.JavaProcess;
+import postgrade.rig.proxy.Direction;
+import postgrade.rig.proxy.ProxyMesh;
+import postgrade.rig.schedule.Step;
 
 /**
  * Processes of one kind with all that stands between and under them: a folder for each with its
@@ -26,21 +26,21 @@
 public final class Cluster implements Closeable {
 
     /** Says how a process is started; asked anew each time. */
-    public interface Recipe {
-        Program.Start of(String name) throws IOException;
+    public interface ProcessFactory {
+        JavaProcess.Builder builderFor(String name) throws IOException;
     }
 
     private final Path folder;
     private final History history;
-    private final Mesh mesh;
+    private final ProxyMesh mesh;
     private final Map<String, HeldPort> ports = new LinkedHashMap<>();
-    private final Map<String, Program> running = new LinkedHashMap<>();
+    private final Map<String, JavaProcess> running = new LinkedHashMap<>();
 
     /** Those whose place another of the same name has taken while they still ran. */
-    private final List<Program> former = new ArrayList<>();
+    private final List<JavaProcess> former = new ArrayList<>();
 
     private final Map<String, Path> copies = new LinkedHashMap<>();
-    private Recipe recipe;
+    private ProcessFactory recipe;
 
     /**
      * @param listening those that others connect to; each gets a port of its own
@@ -49,18 +49,18 @@
         this.folder = folder;
         Files.createDirectories(folder);
         history = new History(folder.resolve("history.jsonl"));
-        mesh = new Mesh(names, listening);
+        mesh = new ProxyMesh(names, listening);
         for (String name : names) {
             Files.createDirectories(store(name));
         }
         for (String name : listening) {
             HeldPort p = new HeldPort();
             ports.put(name, p);
-            mesh.listens(name, p.address());
+            mesh.setTarget(name, p.address());
         }
     }
 
-    public void recipe(Recipe of) {
+    public void setProcessFactory(ProcessFactory of) {
         recipe = of;
     }
 
@@ -68,7 +68,7 @@
         return history;
     }
 
-    public Mesh mesh() {
+    public ProxyMesh mesh() {
         return mesh;
     }
 
@@ -85,20 +85,20 @@
         return from.equals(to) ? ports.get(to).port() : mesh.between(from, to).port();
     }
 
-    public Program of(String name) {
-        Program p = running.get(name);
+    public JavaProcess process(String name) {
+        JavaProcess p = running.get(name);
         if (p == null) {
             throw new IllegalStateException(name + " was not started");
         }
         return p;
     }
 
-    public synchronized Program start(String name) throws IOException {
-        Program before = running.get(name);
+    public synchronized JavaProcess start(String name) throws IOException {
+        JavaProcess before = running.get(name);
         if (before != null && before.alive()) {
             throw new IllegalStateException(name + " runs already");
         }
-        Program p = recipe.of(name).in(history);
+        JavaProcess p = recipe.builderFor(name).start(history);
         running.put(name, p);
         return p;
     }
@@ -107,75 +107,79 @@
      * Starts a second process of that name beside the first, for an upgrade. From here on the name
      * means the new one; the former is handed back.
      */
-    public synchronized Program startBeside(String name) throws IOException {
-        Program before = of(name);
-        Program p = recipe.of(name).in(history);
+    public synchronized JavaProcess startBeside(String name) throws IOException {
+        JavaProcess before = process(name);
+        JavaProcess p = recipe.builderFor(name).start(history);
         former.add(before);
         running.put(name, p);
         return before;
     }
 
     /** Carries a step of a timetable out. */
-    public void act(Step s) throws IOException, InterruptedException {
+    public void execute(Step s) throws IOException, InterruptedException {
         history.add(
                 "rig",
                 "step",
                 new JsonObject()
-                        .add("do", s.act())
-                        .add("who", s.who())
+                        .add("do", s.action())
+                        .add("who", s.target())
                         .add("to", s.to())
-                        .add("figure", s.figure()));
-        switch (s.act()) {
-            case "kill" -> of(s.who()).kill();
-            case "start" -> start(s.who());
-            case "stop" -> of(s.who()).stop();
-            case "resume" -> of(s.who()).resume();
-            case "terminate" -> of(s.who()).terminate();
-            case "cut" -> mesh.between(s.who(), s.to()).cut();
-            case "cut_out" -> mesh.between(s.who(), s.to()).cut(Way.OUT);
-            case "cut_back" -> mesh.between(s.who(), s.to()).cut(Way.BACK);
-            case "delay" -> mesh.of(s.who(), p -> p.delay(Way.OUT, (long) (s.figure() * 1000)));
-            case "reset" -> mesh.of(s.who(), p -> p.reset());
-            case "stall" -> mesh.of(s.who(), p -> p.stall());
-            case "close_after" -> mesh.of(s.who(), p -> p.closeAfter(Way.OUT, (long) s.figure()));
-            case "isolate" -> mesh.isolate(Set.of(s.who()));
+                        .add("figure", s.amount()));
+        switch (s.action()) {
+            case "kill" -> process(s.target()).kill();
+            case "start" -> start(s.target());
+            case "stop" -> process(s.target()).stop();
+            case "resume" -> process(s.target()).resume();
+            case "terminate" -> process(s.target()).terminate();
+            case "cut" -> mesh.between(s.target(), s.to()).cut();
+            case "cut_out" -> mesh.between(s.target(), s.to()).cut(Direction.OUT);
+            case "cut_back" -> mesh.between(s.target(), s.to()).cut(Direction.BACK);
+            case "delay" ->
+                    mesh.forEachProxyOf(
+                            s.target(), p -> p.delay(Direction.OUT, (long) (s.amount() * 1000)));
+            case "reset" -> mesh.forEachProxyOf(s.target(), p -> p.reset());
+            case "stall" -> mesh.forEachProxyOf(s.target(), p -> p.stall());
+            case "close_after" ->
+                    mesh.forEachProxyOf(
+                            s.target(), p -> p.closeAfter(Direction.OUT, (long) s.amount()));
+            case "isolate" -> mesh.isolate(Set.of(s.target()));
             case "heal" -> mesh.heal();
-            case "wipe" -> Disk.wipe(store(s.who()));
-            case "flip" -> flip(s.who(), (int) Math.max(1, s.figure()), s.micros());
-            case "truncate" -> truncate(s.who(), s.figure());
-            case "keep" -> keep(s.who());
-            case "roll_back" -> rollBack(s.who());
-            default -> throw new IllegalArgumentException(s.act());
+            case "wipe" -> DiskFaults.wipe(store(s.target()));
+            case "flip" -> flipBits(s.target(), (int) Math.max(1, s.amount()), s.micros());
+            case "truncate" -> truncate(s.target(), s.amount());
+            case "keep" -> saveCopy(s.target());
+            case "roll_back" -> rollBack(s.target());
+            default -> throw new IllegalArgumentException(s.action());
         }
     }
 
     /** Turns bits over in each file of a store. */
-    public void flip(String name, int count, long seed) throws IOException {
-        for (Path p : Disk.files(store(name))) {
-            Disk.flip(p, count, seed);
+    public void flipBits(String name, int count, long seed) throws IOException {
+        for (Path p : DiskFaults.files(store(name))) {
+            DiskFaults.flipBits(p, count, seed);
         }
     }
 
     public void truncate(String name, double part) throws IOException {
-        for (Path p : Disk.files(store(name))) {
-            Disk.truncate(p, part);
+        for (Path p : DiskFaults.files(store(name))) {
+            DiskFaults.truncate(p, part);
         }
     }
 
-    public void keep(String name) throws IOException {
+    public void saveCopy(String name) throws IOException {
         Path copy = folder(name).resolve("copy");
-        Disk.copy(store(name), copy);
+        DiskFaults.copy(store(name), copy);
         copies.put(name, copy);
     }
 
     public void rollBack(String name) throws IOException {
-        Disk.rollBack(store(name), copies.get(name));
+        DiskFaults.rollBack(store(name), copies.get(name));
     }
 
     @Override
     public void close() throws IOException {
-        running.values().forEach(Program::close);
-        former.forEach(Program::close);
+        running.values().forEach(JavaProcess::close);
+        former.forEach(JavaProcess::close);
         mesh.close();
         for (HeldPort p : ports.values()) {
             p.close();
--- a/rig/src/main/java/postgrade/rig/comeback/Comeback.java
+++ b/rig/src/main/java/postgrade/rig/comeback/Comeback.java
@@ -18,11 +18,11 @@
 import postgrade.fleet.Clock;
 import postgrade.fleet.plan.FleetPlan;
 import postgrade.rig.Options;
-import postgrade.rig.disk.Disk;
-import postgrade.rig.load.Shops;
-import postgrade.rig.process.Program;
+import postgrade.rig.disk.DiskFaults;
+import postgrade.rig.load.LoadGenerator;
+import postgrade.rig.process.JavaProcess;
 import postgrade.rig.proxy.FaultProxy;
-import postgrade.rig.serve.Serving;
+import postgrade.rig.serve.DispatcherCluster;
 import postgrade.rig.serve.SharingScript;
 
 /**
@@ -91,7 +91,7 @@
 
     private void block(String mode, Path folder, FleetPlan plan, StringBuilder lines)
             throws Exception {
-        Serving.Options o = new Serving.Options();
+        DispatcherCluster.Options o = new DispatcherCluster.Options();
         o.dispatchers = options.whole("dispatchers");
         o.voters = options.whole("voters");
         o.plan = plan;
@@ -100,7 +100,7 @@
                         ? null
                         : SharingScript.proxied(options.text("more").replace(';', '\n') + "\n");
         List<Round> rounds = new ArrayList<>();
-        List<Shops.Kind> kinds = new ArrayList<>();
+        List<LoadGenerator.JobKind> kinds = new ArrayList<>();
         double rate =
                 plan.tenants.values().stream().mapToDouble(Double::doubleValue).sum()
                         * Double.parseDouble(options.text("load"));
@@ -111,7 +111,7 @@
                                 .forEach(
                                         c ->
                                                 kinds.add(
-                                                        new Shops.Kind(
+                                                        new LoadGenerator.JobKind(
                                                                 c.name(),
                                                                 tenant,
                                                                 quota,
@@ -120,10 +120,10 @@
         long outSince;
         String out = plan.workers.get(1).id();
         ScheduledExecutorService sampler = Executors.newSingleThreadScheduledExecutor();
-        try (Serving s = new Serving(folder, o);
-                Shops shops =
-                        new Shops(
-                                s.consumers(),
+        try (DispatcherCluster s = new DispatcherCluster(folder, o);
+                LoadGenerator shops =
+                        new LoadGenerator(
+                                s.clientAddresses(),
                                 kinds,
                                 random.nextInt(1 << 20),
                                 folder.resolve("clients.ledger"))) {
@@ -132,7 +132,7 @@
             }
             s.startAll();
             for (String name : o.sharing == null ? List.<String>of() : s.names()) {
-                s.until(
+                s.awaitAnswer(
                         "membership",
                         "GET",
                         name,
@@ -142,7 +142,7 @@
                         a -> a.json().getBoolean("joined", false));
             }
             for (String name : s.names()) {
-                s.until(
+                s.awaitAnswer(
                         "worker out",
                         "PUT",
                         name,
@@ -153,7 +153,7 @@
             }
             outSince = Clock.micros();
             sampler.scheduleAtFixedRate(() -> sample(s), 0, SAMPLE_MS, TimeUnit.MILLISECONDS);
-            shops.rate(rate);
+            shops.setRate(rate);
             TimeUnit.MILLISECONDS.sleep(WARM_MS);
             for (int r = 0; r < options.whole("rounds"); r++) {
                 rounds.add(round(mode, r, s, plan));
@@ -177,7 +177,7 @@
         }
     }
 
-    private static void sample(Serving s) {
+    private static void sample(DispatcherCluster s) {
         FaultProxy.Counts c = s.cluster().mesh().counts();
         s.cluster()
                 .history()
@@ -189,7 +189,7 @@
                                 .add("bytes", c.bytesOut() + c.bytesBack()));
     }
 
-    private Round round(String mode, int number, Serving s, FleetPlan plan)
+    private Round round(String mode, int number, DispatcherCluster s, FleetPlan plan)
             throws IOException, InterruptedException {
         if (!mode.equals("off")) {
             awaitMembers(s);
@@ -197,20 +197,20 @@
         long begin = Clock.micros();
         TimeUnit.MILLISECONDS.sleep(options.whole("steady_ms"));
         TreeSet<String> killed = draw(s);
-        List<Program> programs = killed.stream().map(n -> s.cluster().of(n)).toList();
+        List<JavaProcess> programs = killed.stream().map(n -> s.cluster().process(n)).toList();
         s.cluster()
                 .history()
                 .add("rig", "kill", new JsonObject().add("who", String.join(",", killed)));
         long kill = Clock.micros();
-        programs.forEach(Program::strike);
-        for (Program p : programs) {
-            p.ended();
+        programs.forEach(JavaProcess::killWithoutWaiting);
+        for (JavaProcess p : programs) {
+            p.awaitExit();
         }
         // Whoever comes back from a file believes to know this worker, which is cold by then.
         s.fleet().restart(2 + number % (plan.workers.size() - 2), 0.5);
         for (String name : killed) {
             if (mode.equals("wiped")) {
-                Disk.wipe(s.cluster().store(name));
+                DiskFaults.wipe(s.cluster().store(name));
             }
             s.cluster().start(name);
         }
@@ -227,10 +227,10 @@
      * takes its time; if another were wiped before, the majority of the stores would be lost, and
      * with it the whole state.
      */
-    private static void awaitMembers(Serving s) throws InterruptedException {
+    private static void awaitMembers(DispatcherCluster s) throws InterruptedException {
         for (String name : s.names()) {
             boolean votes = s.voters().contains(name);
-            s.until(
+            s.awaitAnswer(
                     "membership",
                     "GET",
                     name,
@@ -247,7 +247,7 @@
      * Most of all, and of the voters one: the others' log must outlive it, or all would be a loss
      * of the whole state.
      */
-    private TreeSet<String> draw(Serving s) {
+    private TreeSet<String> draw(DispatcherCluster s) {
         List<String> observers =
                 new ArrayList<>(s.names().subList(s.voters().size(), s.names().size()));
         TreeSet<String> killed = new TreeSet<>();
--- a/rig/src/main/java/postgrade/rig/comeback/Growth.java
+++ b/rig/src/main/java/postgrade/rig/comeback/Growth.java
@@ -31,7 +31,7 @@
         }
         return first == null || last.micros() == first.micros()
                 ? 0
-                : (last.whole(field) - first.whole(field))
+                : (last.number(field) - first.number(field))
                         * (double) SECOND
                         / (last.micros() - first.micros());
     }
--- a/rig/src/main/java/postgrade/rig/comeback/Judge.java
+++ b/rig/src/main/java/postgrade/rig/comeback/Judge.java
@@ -12,7 +12,7 @@
 import postgrade.fleet.check.RuleChecker;
 import postgrade.fleet.check.RuleChecker.Rule;
 import postgrade.fleet.plan.FleetPlan;
-import postgrade.rig.check.OutCheck;
+import postgrade.rig.check.WorkerMaintenanceCheck;
 import postgrade.rig.history.History;
 import postgrade.rig.history.HistoryReader;
 
@@ -92,19 +92,24 @@
             long outSince,
             Figures into)
             throws IOException {
-        List<OutCheck.Sent> sent =
+        List<WorkerMaintenanceCheck.Sent> sent =
                 workers.stream()
                         .filter(l -> l.event().equals("received"))
                         .map(
                                 l ->
-                                        new OutCheck.Sent(
+                                        new WorkerMaintenanceCheck.Sent(
                                                 l.number("first"),
                                                 "n" + (l.number("via") + 1),
                                                 l.party(),
                                                 l.id()))
                         .toList();
         into.stale +=
-                OutCheck.judge(List.of(new OutCheck.Told(outSince, out, true)), sent, 500_000)
+                WorkerMaintenanceCheck.check(
+                                List.of(
+                                        new WorkerMaintenanceCheck.StatusChange(
+                                                outSince, out, true)),
+                                sent,
+                                500_000)
                         .size();
         Map<String, Line> took = new HashMap<>();
         Set<String> died = new HashSet<>();
--- a/rig/src/main/java/postgrade/rig/cost/Cost.java
+++ b/rig/src/main/java/postgrade/rig/cost/Cost.java
@@ -11,8 +11,8 @@
 import postgrade.fleet.check.LedgerReader;
 import postgrade.fleet.plan.FleetPlan;
 import postgrade.rig.Options;
-import postgrade.rig.load.Shops;
-import postgrade.rig.serve.Serving;
+import postgrade.rig.load.LoadGenerator;
+import postgrade.rig.serve.DispatcherCluster;
 import postgrade.rig.serve.SharingScript;
 
 /**
@@ -46,7 +46,7 @@
     private final List<Block> blocks = new ArrayList<>();
 
     /** A dispatcher that is measured, and who sends to it alone. */
-    private record Subject(String mode, long pid, Shops shops, Path ledger) {}
+    private record Subject(String mode, long pid, LoadGenerator shops, Path ledger) {}
 
     /**
      * @param rate jobs a second to this one meanwhile, 0 where it idled
@@ -66,8 +66,8 @@
         Path out = Path.of(options.text("out"));
         Files.createDirectories(out);
         String text = Files.readString(Path.of(options.text("fleet")));
-        try (Serving alone = serving(out.resolve("off"), text, null);
-                Serving sharing =
+        try (DispatcherCluster alone = serving(out.resolve("off"), text, null);
+                DispatcherCluster sharing =
                         serving(
                                 out.resolve("on"),
                                 text.replaceFirst("seed = ", "seed = 7"),
@@ -77,7 +77,7 @@
             sharing.beginEra("n1", 1);
             sharing.startAll();
             for (String name : sharing.names()) {
-                sharing.until(
+                sharing.awaitAnswer(
                         "membership",
                         "GET",
                         name,
@@ -89,7 +89,7 @@
             // A voter that does not lead: the leader's own work beside is in
             // docs/measurements/quorum.md.
             String leader =
-                    sharing.until(
+                    sharing.awaitAnswer(
                                     "leader",
                                     "GET",
                                     "n1",
@@ -120,20 +120,22 @@
         System.out.print(table);
     }
 
-    private Serving serving(Path folder, String text, Serving.Script script)
+    private DispatcherCluster serving(
+            Path folder, String text, DispatcherCluster.ScriptFactory script)
             throws IOException, InterruptedException {
-        Serving.Options o = new Serving.Options();
+        DispatcherCluster.Options o = new DispatcherCluster.Options();
         o.dispatchers = options.whole("dispatchers");
         o.voters = VOTERS;
         o.plan = FleetPlan.of("fleet.star", text);
         o.sharing = script;
-        return new Serving(folder, o);
+        return new DispatcherCluster(folder, o);
     }
 
-    private void subject(String mode, Serving s, String name, Path out) throws IOException {
+    private void subject(String mode, DispatcherCluster s, String name, Path out)
+            throws IOException {
         FleetPlan plan =
                 FleetPlan.of("fleet.star", Files.readString(Path.of(options.text("fleet"))));
-        List<Shops.Kind> kinds = new ArrayList<>();
+        List<LoadGenerator.JobKind> kinds = new ArrayList<>();
         plan.tenants.forEach(
                 (tenant, quota) ->
                         plan.classes
@@ -141,7 +143,7 @@
                                 .forEach(
                                         c ->
                                                 kinds.add(
-                                                        new Shops.Kind(
+                                                        new LoadGenerator.JobKind(
                                                                 c.name(),
                                                                 tenant,
                                                                 quota,
@@ -151,9 +153,9 @@
         subjects.add(
                 new Subject(
                         mode,
-                        s.cluster().of(name).pid(),
-                        new Shops(
-                                List.of(s.consumers().get(s.names().indexOf(name))),
+                        s.cluster().process(name).pid(),
+                        new LoadGenerator(
+                                List.of(s.clientAddresses().get(s.names().indexOf(name))),
                                 kinds,
                                 subjects.size() + 1,
                                 ledger),
@@ -166,7 +168,7 @@
                         .mapToInt(Integer::parseInt)
                         .toArray();
         for (Subject s : subjects) {
-            s.shops.rate(rates[rates.length - 1]);
+            s.shops.setRate(rates[rates.length - 1]);
         }
         TimeUnit.SECONDS.sleep(options.whole("warm"));
         for (Subject s : subjects) {
@@ -182,7 +184,7 @@
     }
 
     private void block(Subject loaded, int rate) throws IOException, InterruptedException {
-        loaded.shops.rate(rate);
+        loaded.shops.setRate(rate);
         TimeUnit.SECONDS.sleep(1); // Of connections that are opened anew; not measured.
         long from = Clock.micros();
         List<ThreadTimes> before = new ArrayList<>();
--- a/rig/src/main/java/postgrade/rig/disk/Disk.java
+++ b/rig/src/main/java/postgrade/rig/disk/DiskFaults.java
@@ -12,9 +12,9 @@
 import java.util.stream.Stream;
 
 /** Faults on what a process has stored. Done while it is dead, or under it. */
-public final class Disk {
+public final class DiskFaults {
 
-    private Disk() {}
+    private DiskFaults() {}
 
     /** Nothing is left; the folder itself stays. */
     public static void wipe(Path store) throws IOException {
@@ -40,7 +40,7 @@
     }
 
     /** Turns bits of so many bytes of a file over, at places that the seed names. */
-    public static void flip(Path file, int count, long seed) throws IOException {
+    public static void flipBits(Path file, int count, long seed) throws IOException {
         SplittableRandom random = new SplittableRandom(seed);
         try (RandomAccessFile f = new RandomAccessFile(file.toFile(), "rw")) {
             for (int i = 0; i < count && f.length() > 0; i++) {
@@ -86,7 +86,7 @@
      * user the rights of files do not count: it is held up by {@link
      * postgrade.rig.process.Program.Start#fileLimit} of 0 instead.
      */
-    public static void readOnly(Path store, boolean now) throws IOException {
+    public static void setReadOnly(Path store, boolean now) throws IOException {
         try (Stream<Path> tree = Files.walk(store)) {
             for (Path p : tree.toList()) {
                 if (!p.toFile().setWritable(!now, false)) {
--- a/rig/src/main/java/postgrade/rig/history/History.java
+++ b/rig/src/main/java/postgrade/rig/history/History.java
@@ -32,7 +32,7 @@
             return fields.getString(name, "");
         }
 
-        public long whole(String name) {
+        public long number(String name) {
             return fields.getLong(name, 0);
         }
     }
@@ -52,14 +52,14 @@
                         StandardOpenOption.WRITE);
     }
 
-    public long micros() {
+    public long nowMicros() {
         return Clock.micros();
     }
 
     public Event add(String who, String kind, JsonObject fields) {
         lock.lock();
         try {
-            Event e = new Event(micros(), who, kind, fields);
+            Event e = new Event(nowMicros(), who, kind, fields);
             events.add(e);
             file.write(
                     new JsonObject()
--- a/rig/src/main/java/postgrade/rig/jobs/FaultChoice.java
+++ b/rig/src/main/java/postgrade/rig/jobs/FaultSelector.java
@@ -2,10 +2,10 @@
 
 /** Chooses what happens to an exchange. Called on threads of the proxies. */
 @FunctionalInterface
-public interface FaultChoice {
+public interface FaultSelector {
 
     /** Nothing happens to any exchange. */
-    FaultChoice NONE = exchange -> ExchangeFault.NONE;
+    FaultSelector NONE = exchange -> ExchangeFault.NONE;
 
     /**
      * An exchange that begins.
@@ -18,8 +18,8 @@
     record Exchange(int dispatcher, String worker, String subject, boolean isJob, int number) {}
 
     /** What happens to this one. */
-    ExchangeFault of(Exchange exchange);
+    ExchangeFault select(Exchange exchange);
 
     /** A fault that was chosen has come about: what it takes for that was there. */
-    default void wasPut(ExchangeFault.Kind kind) {}
+    default void faultInjected(ExchangeFault.Kind kind) {}
 }
--- a/rig/src/main/java/postgrade/rig/jobs/JobProxies.java
+++ b/rig/src/main/java/postgrade/rig/jobs/JobProxies.java
@@ -18,7 +18,7 @@
     private final Map<String, JobProxy> proxies = new HashMap<>();
     private final ScheduledExecutorService clock =
             Executors.newSingleThreadScheduledExecutor(task -> JobProxy.daemon("clock", task));
-    private FaultChoice faults = FaultChoice.NONE;
+    private FaultSelector faults = FaultSelector.NONE;
 
     /** What the proxies do goes to this history. */
     public JobProxies(History history) {
@@ -40,7 +40,7 @@
                         Integer.parseInt(address.substring(colon + 1)));
         try {
             JobProxy proxy = new JobProxy(dispatcher, worker, target, history, clock);
-            proxy.faults(faults);
+            proxy.setFaultSelector(faults);
             return proxy;
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -48,9 +48,9 @@
     }
 
     /** Faults of exchanges that begin from now on. */
-    public synchronized void faults(FaultChoice choice) {
+    public synchronized void setFaultSelector(FaultSelector choice) {
         faults = choice;
-        proxies.values().forEach(proxy -> proxy.faults(choice));
+        proxies.values().forEach(proxy -> proxy.setFaultSelector(choice));
     }
 
     @Override
--- a/rig/src/main/java/postgrade/rig/jobs/JobProxy.java
+++ b/rig/src/main/java/postgrade/rig/jobs/JobProxy.java
@@ -32,7 +32,7 @@
     private final ServerSocket listener;
     private final Set<ProxiedConnection> open = ConcurrentHashMap.newKeySet();
     private final Map<String, Overtaking> overtaken = new ConcurrentHashMap<>();
-    private volatile FaultChoice faults = FaultChoice.NONE;
+    private volatile FaultSelector faults = FaultSelector.NONE;
     private volatile boolean closed;
 
     /**
@@ -58,7 +58,7 @@
     }
 
     /** Faults of exchanges that begin from now on. */
-    public void faults(FaultChoice choice) {
+    public void setFaultSelector(FaultSelector choice) {
         faults = choice;
     }
 
@@ -98,10 +98,10 @@
     }
 
     ExchangeFault choose(RawMessage request, int number) {
-        FaultChoice.Exchange exchange =
-                new FaultChoice.Exchange(
+        FaultSelector.Exchange exchange =
+                new FaultSelector.Exchange(
                         dispatcher, worker, request.subject(), request.isJob(), number);
-        ExchangeFault fault = faults.of(exchange);
+        ExchangeFault fault = faults.select(exchange);
         if (fault.kind() != ExchangeFault.Kind.NONE) {
             history.add(
                     "proxy",
@@ -119,7 +119,7 @@
     /** A fault that was chosen has come about. */
     void wasPut(ExchangeFault fault) {
         if (fault.kind() != ExchangeFault.Kind.NONE) {
-            faults.wasPut(fault.kind());
+            faults.faultInjected(fault.kind());
         }
     }
 
--- a/rig/src/main/java/postgrade/rig/load/Shops.java
+++ b/rig/src/main/java/postgrade/rig/load/LoadGenerator.java
@@ -22,7 +22,7 @@
  * what came of them in the clients' ledger. A refused connection passes a dispatcher over for a
  * while, as a front does; nothing is sent twice.
  */
-public final class Shops implements Closeable {
+public final class LoadGenerator implements Closeable {
 
     private static final long PASSED_OVER_MICROS = 500_000;
 
@@ -34,7 +34,7 @@
     /**
      * @param weight among all kinds
      */
-    public record Kind(
+    public record JobKind(
             String jobClass,
             String tenant,
             double weight,
@@ -42,7 +42,7 @@
             boolean repeatable) {}
 
     private final List<Target> targets = new ArrayList<>();
-    private final List<Kind> kinds;
+    private final List<JobKind> kinds;
     private final SplittableRandom random;
     private final Ledger ledger;
     private final ExecutorService senders = Executors.newCachedThreadPool(daemons("shop"));
@@ -55,7 +55,8 @@
     private double owed;
     private long last;
 
-    public Shops(List<InetSocketAddress> addresses, List<Kind> kinds, long seed, Path ledger)
+    public LoadGenerator(
+            List<InetSocketAddress> addresses, List<JobKind> kinds, long seed, Path ledger)
             throws IOException {
         for (int i = 0; i < addresses.size(); i++) {
             targets.add(new Target("n" + (i + 1), addresses.get(i)));
@@ -77,7 +78,7 @@
         };
     }
 
-    public void rate(double jobsPerSecond) {
+    public void setRate(double jobsPerSecond) {
         clock.execute(() -> perSecond = jobsPerSecond);
     }
 
@@ -87,7 +88,7 @@
      *
      * @param dispatcher counted from 0
      */
-    public void admit(int dispatcher, boolean now) {
+    public void setAdmitted(int dispatcher, boolean now) {
         targets.get(dispatcher).admitted = now;
     }
 
@@ -112,9 +113,9 @@
     }
 
     private void begin(long now) {
-        double pick = random.nextDouble() * kinds.stream().mapToDouble(Kind::weight).sum();
-        Kind kind = kinds.get(kinds.size() - 1);
-        for (Kind k : kinds) {
+        double pick = random.nextDouble() * kinds.stream().mapToDouble(JobKind::weight).sum();
+        JobKind kind = kinds.get(kinds.size() - 1);
+        for (JobKind k : kinds) {
             pick -= k.weight;
             if (pick < 0) {
                 kind = k;
@@ -137,7 +138,7 @@
                         + " repeatable="
                         + kind.repeatable;
         int first = random.nextInt(targets.size());
-        Kind of = kind;
+        JobKind of = kind;
         underWay.incrementAndGet();
         senders.execute(
                 () -> {
@@ -149,7 +150,7 @@
                 });
     }
 
-    private void send(String id, Kind kind, String detail, int first) {
+    private void send(String id, JobKind kind, String detail, int first) {
         for (int i = 0; i < targets.size(); i++) {
             Target t = targets.get((first + i) % targets.size());
             if (Clock.micros() < t.passedOverUntil) {
@@ -166,7 +167,7 @@
         ledger.add(Clock.micros(), "unsent", id, "client", detail + " why=nobody_listens");
     }
 
-    private void exchange(String id, Kind kind, String detail, Target t, Target.Line line) {
+    private void exchange(String id, JobKind kind, String detail, Target t, Target.Line line) {
         long sent = 0;
         try {
             // Before its last byte leaves, as a death could come between.
@@ -211,7 +212,7 @@
 
     /** No more are begun; returns once all that are under way are over. */
     public void finish() throws InterruptedException {
-        rate(0);
+        setRate(0);
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WAIT_MS);
         do {
             TimeUnit.MILLISECONDS.sleep(20);
--- a/rig/src/main/java/postgrade/rig/process/Program.java
+++ b/rig/src/main/java/postgrade/rig/process/JavaProcess.java
@@ -24,7 +24,7 @@
  * line that is a JSON object with a text {@code kind} or {@code event} by that name, any other by
  * the name {@code line}. No process outlives the rig.
  */
-public final class Program implements Closeable {
+public final class JavaProcess implements Closeable {
 
     private static final Set<Process> RUNNING = ConcurrentHashMap.newKeySet();
 
@@ -43,7 +43,7 @@
     private final Thread reader;
     private boolean stopped;
 
-    private Program(String name, Process process, History history) {
+    private JavaProcess(String name, Process process, History history) {
         this.name = name;
         this.process = process;
         this.history = history;
@@ -54,7 +54,7 @@
     }
 
     /** What to start. */
-    public static final class Start {
+    public static final class Builder {
         private final String name;
         private final List<String> arguments = new ArrayList<>();
         private final Map<String, String> environment = new ConcurrentHashMap<>();
@@ -69,44 +69,44 @@
         private long fileBlocks = -1;
         private Path folder;
 
-        public Start(String name, String mainClass, String... arguments) {
+        public Builder(String name, String mainClass, String... arguments) {
             this.name = name;
             this.arguments.add(mainClass);
             this.arguments.addAll(List.of(arguments));
         }
 
-        public Start classPath(String path) {
+        public Builder classPath(String path) {
             classPath = path;
             return this;
         }
 
-        public Start flags(String... virtualMachine) {
+        public Builder jvmFlags(String... virtualMachine) {
             flags = List.of(virtualMachine);
             return this;
         }
 
-        public Start environment(String variable, String value) {
+        public Builder environment(String variable, String value) {
             environment.put(variable, value);
             return this;
         }
 
         /** Its monotonic clock runs off by so much, where the program has the test-only setting. */
-        public Start clock(long offsetMicros, long ratePpm) {
+        public Builder testClock(long offsetMicros, long ratePpm) {
             return environment("POSTGRADE_TEST_CLOCK", offsetMicros + "," + ratePpm);
         }
 
-        public Start folder(Path path) {
+        public Builder folder(Path path) {
             folder = path;
             return this;
         }
 
         /** No file of it grows beyond so many KiB: writes fail then as on a full disk. */
-        public Start fileLimit(long kibibytes) {
+        public Builder maxFileKib(long kibibytes) {
             fileBlocks = kibibytes;
             return this;
         }
 
-        public Program in(History history) throws IOException {
+        public JavaProcess start(History history) throws IOException {
             List<String> command = new ArrayList<>();
             if (fileBlocks >= 0) {
                 // The signal that comes with the limit is passed over, so that the write itself
@@ -131,7 +131,7 @@
             }
             Process p = b.start();
             history.add(name, "begun", new JsonObject().add("pid", p.pid()));
-            return new Program(name, p, history);
+            return new JavaProcess(name, p, history);
         }
     }
 
@@ -191,7 +191,7 @@
     }
 
     /** Gives it a line to read. */
-    public void tell(String line) throws IOException {
+    public void writeLine(String line) throws IOException {
         OutputStream out = process.getOutputStream();
         out.write((line + "\n").getBytes(StandardCharsets.UTF_8));
         out.flush();
@@ -203,11 +203,11 @@
     public void kill() throws InterruptedException {
         history.add(name, "fault.kill", new JsonObject());
         process.destroyForcibly();
-        ended();
+        awaitExit();
     }
 
     /** Kills it and does not wait, for many at once. */
-    public void strike() {
+    public void killWithoutWaiting() {
         process.destroyForcibly();
     }
 
@@ -244,7 +244,7 @@
     }
 
     /** Waits until it has ended, and all that it wrote stands in the history. */
-    public int ended() throws InterruptedException {
+    public int awaitExit() throws InterruptedException {
         if (!process.waitFor(MOST_SECONDS, TimeUnit.SECONDS)) {
             throw new IllegalStateException(name + " did not end within " + MOST_SECONDS + " s");
         }
--- a/rig/src/main/java/postgrade/rig/proxy/Way.java
+++ b/rig/src/main/java/postgrade/rig/proxy/Direction.java
@@ -1,7 +1,7 @@
 package postgrade.rig.proxy;
 
 /** Whose bytes: those of whoever connects, or those of whoever listens. */
-public enum Way {
+public enum Direction {
     OUT,
     BACK
 }
--- a/rig/src/main/java/postgrade/rig/proxy/FaultProxy.java
+++ b/rig/src/main/java/postgrade/rig/proxy/FaultProxy.java
@@ -30,17 +30,19 @@
     private final String name;
     private final ServerSocket listener;
     private final Set<Passage> open = ConcurrentHashMap.newKeySet();
-    private final Map<Way, Boolean> cut = new EnumMap<>(Map.of(Way.OUT, false, Way.BACK, false));
-    private final Map<Way, Long> delayNanos = new EnumMap<>(Map.of(Way.OUT, 0L, Way.BACK, 0L));
-    private final Map<Way, AtomicLong> bytes =
-            Map.of(Way.OUT, new AtomicLong(), Way.BACK, new AtomicLong());
+    private final Map<Direction, Boolean> cut =
+            new EnumMap<>(Map.of(Direction.OUT, false, Direction.BACK, false));
+    private final Map<Direction, Long> delayNanos =
+            new EnumMap<>(Map.of(Direction.OUT, 0L, Direction.BACK, 0L));
+    private final Map<Direction, AtomicLong> bytes =
+            Map.of(Direction.OUT, new AtomicLong(), Direction.BACK, new AtomicLong());
     private final AtomicLong connections = new AtomicLong();
     private volatile InetSocketAddress target;
     private volatile boolean refusing;
     private volatile boolean closed;
 
     /** For connections to come: so many bytes of a way, then the end. Below 0: no end. */
-    private Way endWay = Way.OUT;
+    private Direction endWay = Direction.OUT;
 
     private long endAfter = -1;
 
@@ -61,7 +63,7 @@
         return listener.getLocalPort();
     }
 
-    public void leadsTo(InetSocketAddress address) {
+    public void setTarget(InetSocketAddress address) {
         target = address;
     }
 
@@ -71,14 +73,14 @@
      * Nothing passes that way from now on, on any connection. What is sent meanwhile comes when it
      * is healed.
      */
-    public synchronized void cut(Way way) {
+    public synchronized void cut(Direction way) {
         cut.put(way, true);
         open.forEach(p -> p.gate(way).shut(true));
     }
 
     public void cut() {
-        cut(Way.OUT);
-        cut(Way.BACK);
+        cut(Direction.OUT);
+        cut(Direction.BACK);
     }
 
     /** Bytes pass again both ways, at once and to their end. */
@@ -86,7 +88,7 @@
         refusing = false;
         endAfter = -1;
         notifyAll();
-        for (Way w : Way.values()) {
+        for (Direction w : Direction.values()) {
             cut.put(w, false);
             delayNanos.put(w, 0L);
             open.stream()
@@ -100,7 +102,7 @@
     }
 
     /** What is read passes so much later; a stream of small pieces up to twice as late. */
-    public synchronized void delay(Way way, long millis) {
+    public synchronized void delay(Direction way, long millis) {
         delayNanos.put(way, millis * 1_000_000);
         open.forEach(p -> p.gate(way).delay(millis * 1_000_000));
     }
@@ -119,14 +121,14 @@
     }
 
     /** Resets connections as soon as they come; those that are open go on. */
-    public void refuse(boolean now) {
+    public void setRefusing(boolean now) {
         refusing = now;
     }
 
     /**
      * All connections, open and later ones, end once so many more bytes of that way have passed.
      */
-    public synchronized void closeAfter(Way way, long more) {
+    public synchronized void closeAfter(Direction way, long more) {
         endWay = way;
         endAfter = more;
         open.forEach(p -> p.closeAfter(way, more));
@@ -135,10 +137,11 @@
     // ---- What it sees.
 
     public Counts counts() {
-        return new Counts(connections.get(), bytes.get(Way.OUT).get(), bytes.get(Way.BACK).get());
+        return new Counts(
+                connections.get(), bytes.get(Direction.OUT).get(), bytes.get(Direction.BACK).get());
     }
 
-    public int openNow() {
+    public int openConnections() {
         return open.size();
     }
 
@@ -182,7 +185,7 @@
         }
         Passage p = new Passage(from, there, bytes, open::remove);
         synchronized (this) {
-            for (Way w : Way.values()) {
+            for (Direction w : Direction.values()) {
                 p.gate(w).shut(cut.get(w));
                 p.gate(w).delay(delayNanos.get(w));
             }
--- a/rig/src/main/java/postgrade/rig/proxy/Passage.java
+++ b/rig/src/main/java/postgrade/rig/proxy/Passage.java
@@ -14,15 +14,16 @@
 
     private static final int BUFFER = 1 << 16;
 
-    private final Map<Way, Socket> from;
-    private final Map<Way, Gate> gates = Map.of(Way.OUT, new Gate(), Way.BACK, new Gate());
-    private final Map<Way, AtomicLong> left =
+    private final Map<Direction, Socket> from;
+    private final Map<Direction, Gate> gates =
+            Map.of(Direction.OUT, new Gate(), Direction.BACK, new Gate());
+    private final Map<Direction, AtomicLong> left =
             Map.of(
-                    Way.OUT,
+                    Direction.OUT,
                     new AtomicLong(Long.MAX_VALUE),
-                    Way.BACK,
+                    Direction.BACK,
                     new AtomicLong(Long.MAX_VALUE));
-    private final Map<Way, AtomicLong> bytes;
+    private final Map<Direction, AtomicLong> bytes;
     private final Consumer<Passage> over;
     private final AtomicInteger waysOpen = new AtomicInteger(2);
     private volatile boolean stalled;
@@ -30,19 +31,19 @@
     Passage(
             Socket connecting,
             Socket listening,
-            Map<Way, AtomicLong> bytes,
+            Map<Direction, AtomicLong> bytes,
             Consumer<Passage> over) {
-        from = Map.of(Way.OUT, connecting, Way.BACK, listening);
+        from = Map.of(Direction.OUT, connecting, Direction.BACK, listening);
         this.bytes = bytes;
         this.over = over;
     }
 
-    Gate gate(Way way) {
+    Gate gate(Direction way) {
         return gates.get(way);
     }
 
     void begin(String name) {
-        for (Way w : Way.values()) {
+        for (Direction w : Direction.values()) {
             Thread t = new Thread(() -> pump(w), "proxy " + name + " " + w);
             t.setDaemon(true);
             t.start();
@@ -58,13 +59,13 @@
         return stalled;
     }
 
-    void closeAfter(Way way, long more) {
+    void closeAfter(Direction way, long more) {
         left.get(way).set(more);
     }
 
-    private void pump(Way way) {
+    private void pump(Direction way) {
         byte[] buffer = new byte[BUFFER];
-        Socket to = from.get(way == Way.OUT ? Way.BACK : Way.OUT);
+        Socket to = from.get(way == Direction.OUT ? Direction.BACK : Direction.OUT);
         try {
             InputStream in = from.get(way).getInputStream();
             OutputStream out = to.getOutputStream();
@@ -101,7 +102,7 @@
      * A side was reset. Nobody hears of it while that way is shut: whoever dies behind a cut says
      * nothing.
      */
-    private void broken(Way way) {
+    private void broken(Direction way) {
         try {
             if (gates.get(way).pass(System.nanoTime())) {
                 reset();
--- a/rig/src/main/java/postgrade/rig/proxy/Mesh.java
+++ b/rig/src/main/java/postgrade/rig/proxy/ProxyMesh.java
@@ -13,7 +13,7 @@
 import java.util.function.Predicate;
 
 /** A proxy between every ordered pair of names: whoever connects, and whoever listens. */
-public final class Mesh implements Closeable {
+public final class ProxyMesh implements Closeable {
 
     private record Pair(String from, String to) {}
 
@@ -22,7 +22,7 @@
     /**
      * @param listening those that anybody connects to; the others only connect
      */
-    public Mesh(List<String> names, List<String> listening) throws IOException {
+    public ProxyMesh(List<String> names, List<String> listening) throws IOException {
         for (String from : names) {
             for (String to : listening) {
                 if (!from.equals(to)) {
@@ -41,8 +41,8 @@
     }
 
     /** Where a name listens now: all that lead to it do so from here on. */
-    public void listens(String name, InetSocketAddress address) {
-        each(p -> p.to.equals(name), p -> p.leadsTo(address));
+    public void setTarget(String name, InetSocketAddress address) {
+        each(p -> p.to.equals(name), p -> p.setTarget(address));
     }
 
     /** Cuts every pair of which one is within and one is not, both ways. */
@@ -51,9 +51,9 @@
     }
 
     /** What these send does not arrive outside; what is sent to them does. */
-    public void mute(Set<String> within) {
-        each(p -> within.contains(p.from) && !within.contains(p.to), p -> p.cut(Way.OUT));
-        each(p -> within.contains(p.to) && !within.contains(p.from), p -> p.cut(Way.BACK));
+    public void blockOutgoing(Set<String> within) {
+        each(p -> within.contains(p.from) && !within.contains(p.to), p -> p.cut(Direction.OUT));
+        each(p -> within.contains(p.to) && !within.contains(p.from), p -> p.cut(Direction.BACK));
     }
 
     public void heal() {
@@ -61,7 +61,7 @@
     }
 
     /** Does something to every proxy that a name connects or listens through. */
-    public void of(String name, Consumer<FaultProxy> what) {
+    public void forEachProxyOf(String name, Consumer<FaultProxy> what) {
         each(p -> p.from.equals(name) || p.to.equals(name), what);
     }
 
--- a/rig/src/main/java/postgrade/rig/timetable/Timetable.java
+++ b/rig/src/main/java/postgrade/rig/schedule/FaultSchedule.java
@@ -1,4 +1,4 @@
-package postgrade.rig.timetable;
+package postgrade.rig.schedule;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -18,7 +18,7 @@
  * ({@code times}, {@code gap}, {@code jitter}); where {@code who} is a list, the seed draws one of
  * it each time. The same text always gives the same timetable.
  */
-public final class Timetable {
+public final class FaultSchedule {
 
     private static final Set<String> ACTS =
             Set.of(
@@ -67,7 +67,7 @@
     private final long seed;
     private final List<Step> steps = new ArrayList<>();
 
-    private Timetable(String name, Module m) {
+    private FaultSchedule(String name, Module m) {
         seed = m.global("seed") instanceof Long s ? s : 1;
         SplittableRandom random = new SplittableRandom(seed);
         if (!(m.global("steps") instanceof Sequence all)) {
@@ -93,8 +93,8 @@
         steps.sort(Comparator.comparingLong(Step::micros));
     }
 
-    public static Timetable of(String name, String text) {
-        return new Timetable(
+    public static FaultSchedule of(String name, String text) {
+        return new FaultSchedule(
                 name,
                 Script.run(
                         name,
@@ -104,7 +104,7 @@
                                 Script.function(
                                         "step",
                                         "at do who to? after? figure? times? gap? jitter?",
-                                        Timetable::step)),
+                                        FaultSchedule::step)),
                         l -> {}));
     }
 
--- a/rig/src/main/java/postgrade/rig/timetable/Player.java
+++ b/rig/src/main/java/postgrade/rig/schedule/FaultScheduleRunner.java
@@ -1,4 +1,4 @@
-package postgrade.rig.timetable;
+package postgrade.rig.schedule;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,7 +10,7 @@
 /**
  * Plays a timetable upon a cluster: what has a time at that time, what waits for an event after it.
  */
-public final class Player {
+public final class FaultScheduleRunner {
 
     /**
      * An event that never comes ends the run as failed; guards against a timetable that tests
@@ -18,10 +18,10 @@
      */
     private static final long EVENT_MS = 30_000;
 
-    private Player() {}
+    private FaultScheduleRunner() {}
 
     /** Returns once the last step is carried out. */
-    public static void play(Timetable timetable, Cluster on) throws Exception {
+    public static void run(FaultSchedule timetable, Cluster on) throws Exception {
         History history = on.history();
         int from = history.size();
         long begun = Clock.micros();
@@ -46,7 +46,7 @@
                     TimeUnit.MICROSECONDS.sleep(Math.min(wait, 5000));
                 } else {
                     left.remove(next);
-                    on.act(next);
+                    on.execute(next);
                 }
             }
         }
--- a/rig/src/main/java/postgrade/rig/timetable/Step.java
+++ b/rig/src/main/java/postgrade/rig/schedule/Step.java
@@ -1,4 +1,4 @@
-package postgrade.rig.timetable;
+package postgrade.rig.schedule;
 
 /**
  * One fault of a timetable.
@@ -11,4 +11,5 @@
  * @param to the other end of what lies between two; empty for all others
  * @param figure how much, where the fault has a measure
  */
-public record Step(long micros, String event, String act, String who, String to, double figure) {}
+public record Step(
+        long micros, String event, String action, String target, String to, double amount) {}
--- a/rig/src/main/java/postgrade/rig/serve/Serving.java
+++ b/rig/src/main/java/postgrade/rig/serve/DispatcherCluster.java
@@ -20,22 +20,22 @@
 import postgrade.fleet.net.HeldPort;
 import postgrade.fleet.plan.FleetPlan;
 import postgrade.rig.cluster.Cluster;
-import postgrade.rig.disk.Disk;
+import postgrade.rig.disk.DiskFaults;
 import postgrade.rig.history.History;
 import postgrade.rig.jobs.JobProxies;
-import postgrade.rig.process.Program;
+import postgrade.rig.process.JavaProcess;
 
 /**
  * Real dispatchers, {@code postgrade serve} each, before one stand-in fleet. They are named n1, n2
  * and so on.
  */
-public final class Serving implements Closeable {
+public final class DispatcherCluster implements Closeable {
 
     private static final int STEP_MS = 10;
 
     /** Writes the script by which a dispatcher shares; null where it does not. */
-    public interface Script {
-        String of(String name, Cluster cluster, List<String> voters);
+    public interface ScriptFactory {
+        String create(String name, Cluster cluster, List<String> voters);
     }
 
     /** What is to be started. */
@@ -46,7 +46,7 @@
         public int voters = 3;
 
         public FleetPlan plan;
-        public Script sharing;
+        public ScriptFactory sharing;
         public Map<String, String> environment = new HashMap<>();
         public int fleetThreads = 2;
 
@@ -54,7 +54,7 @@
         public int sockets;
 
         /** How many dispatchers the settings tell of; 0 for as many as there are. */
-        public int toldDispatchers;
+        public int configuredDispatchers;
 
         /** A proxy stands between each dispatcher and each worker. */
         public boolean proxied;
@@ -77,7 +77,8 @@
      */
     private final Path links;
 
-    public Serving(Path folder, Options options) throws IOException, InterruptedException {
+    public DispatcherCluster(Path folder, Options options)
+            throws IOException, InterruptedException {
         o = options;
         this.folder = folder;
         for (int i = 0; i < o.dispatchers; i++) {
@@ -100,7 +101,7 @@
             operators.put(names.get(i), new HeldPort());
             configure(i);
         }
-        cluster.recipe(this::recipe);
+        cluster.setProcessFactory(this::recipe);
         fleet.begin();
     }
 
@@ -109,7 +110,7 @@
      * one has an operators' port of its own, to which calls of that name go from here on; {@code
      * formerly} is a name for those to the former.
      */
-    public Program upgrade(String name, String formerly) throws IOException {
+    public JavaProcess upgrade(String name, String formerly) throws IOException {
         operators.put(formerly, operators.get(name));
         operators.put(name, new HeldPort());
         configure(names.indexOf(name));
@@ -123,22 +124,23 @@
         if (o.sockets > 0) {
             json.get("limits").asObject().set("sockets", o.sockets);
         }
-        if (o.toldDispatchers > 0) {
-            json.get("settings").asObject().set("balancers", o.toldDispatchers);
+        if (o.configuredDispatchers > 0) {
+            json.get("settings").asObject().set("balancers", o.configuredDispatchers);
         }
         if (o.sharing != null) {
             Path script = cluster.folder(name).resolve("sharing.star");
-            Files.writeString(script, o.sharing.of(name, cluster, voters));
+            Files.writeString(script, o.sharing.create(name, cluster, voters));
             json.set("sharing", script.toAbsolutePath().toString());
         }
         Files.writeString(fleet.configurationOf(index), json.toString());
     }
 
-    private Program.Start recipe(String name) throws IOException {
+    private JavaProcess.Builder recipe(String name) throws IOException {
         Path own = links.resolve(name);
         Files.createDirectories(own);
-        Program.Start s =
-                new Program.Start(name, "postgrade.cli.Postgrade", "--log-format", "json", "serve")
+        JavaProcess.Builder s =
+                new JavaProcess.Builder(
+                                name, "postgrade.cli.Postgrade", "--log-format", "json", "serve")
                         .environment(
                                 "ROUTER_CONFIG",
                                 fleet.configurationOf(names.indexOf(name))
@@ -184,14 +186,14 @@
         return folder;
     }
 
-    public List<InetSocketAddress> consumers() {
+    public List<InetSocketAddress> clientAddresses() {
         return List.copyOf(consumers.values());
     }
 
     /** The operator's step at a voter that does not run. */
     public void beginEra(String name, long era) throws IOException, InterruptedException {
-        try (Program p =
-                new Program.Start(
+        try (JavaProcess p =
+                new JavaProcess.Builder(
                                 name,
                                 "postgrade.cli.Postgrade",
                                 "sharing",
@@ -201,8 +203,8 @@
                                 name,
                                 "--era",
                                 Long.toString(era))
-                        .in(cluster.history())) {
-            if (p.ended() != 0) {
+                        .start(cluster.history())) {
+            if (p.awaitExit() != 0) {
                 throw new IllegalStateException(
                         "era " + era + " has not begun at " + name + ": " + lastOf(name));
             }
@@ -222,7 +224,7 @@
     public long awaitReady(String name, long withinMillis)
             throws IOException, InterruptedException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMillis);
-        while (System.nanoTime() < end && cluster.of(name).alive()) {
+        while (System.nanoTime() < end && cluster.process(name).alive()) {
             try (Socket s = new Socket()) {
                 s.connect(consumers.get(name), 500);
                 s.setSoTimeout(500);
@@ -249,29 +251,29 @@
         return own.subList(Math.max(0, own.size() - 5), own.size());
     }
 
-    public Call.Answer call(String method, String name, String path, String body)
+    public OperatorCall.Answer call(String method, String name, String path, String body)
             throws IOException, InterruptedException {
-        return Call.of(method, operators.get(name).address(), path, body);
+        return OperatorCall.send(method, operators.get(name).address(), path, body);
     }
 
     /**
      * Asks until the answer is the one sought; each answer that differs from the last is kept in
      * the history.
      */
-    public Call.Answer until(
+    public OperatorCall.Answer awaitAnswer(
             String what,
             String method,
             String name,
             String path,
             String body,
             long withinMillis,
-            java.util.function.Predicate<Call.Answer> sought)
+            java.util.function.Predicate<OperatorCall.Answer> sought)
             throws InterruptedException {
         long end = Clock.micros() + withinMillis * 1000;
-        Call.Answer last = null;
+        OperatorCall.Answer last = null;
         while (true) {
             try {
-                Call.Answer now = call(method, name, path, body);
+                OperatorCall.Answer now = call(method, name, path, body);
                 if (!now.equals(last)) {
                     cluster.history()
                             .add(
@@ -312,7 +314,7 @@
         for (HeldPort p : operators.values()) {
             p.close();
         }
-        Disk.wipe(links);
+        DiskFaults.wipe(links);
         Files.delete(links);
     }
 }
--- a/rig/src/main/java/postgrade/rig/serve/Call.java
+++ b/rig/src/main/java/postgrade/rig/serve/OperatorCall.java
@@ -12,7 +12,7 @@
 import java.time.Duration;
 
 /** An operator's call, and what came back. */
-public final class Call {
+public final class OperatorCall {
 
     private static final HttpClient CLIENT =
             HttpClient.newBuilder()
@@ -36,9 +36,9 @@
         }
     }
 
-    private Call() {}
+    private OperatorCall() {}
 
-    public static Answer of(String method, InetSocketAddress at, String path, String body)
+    public static Answer send(String method, InetSocketAddress at, String path, String body)
             throws IOException, InterruptedException {
         HttpRequest r =
                 HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + at.getPort() + path))
--- a/rig/src/main/java/postgrade/rig/serve/SharingScript.java
+++ b/rig/src/main/java/postgrade/rig/serve/SharingScript.java
@@ -9,12 +9,12 @@
     private SharingScript() {}
 
     /** Voters at their own ports, with nothing between. */
-    public static Serving.Script direct(String more) {
+    public static DispatcherCluster.ScriptFactory direct(String more) {
         return (name, cluster, voters) -> script(name, cluster, voters, false) + more;
     }
 
     /** Each process finds the others through the proxies between. */
-    public static Serving.Script proxied(String more) {
+    public static DispatcherCluster.ScriptFactory proxied(String more) {
         return (name, cluster, voters) -> script(name, cluster, voters, true) + more;
     }
 
--- a/rig/src/main/java/postgrade/rig/soak/RandomFaults.java
+++ b/rig/src/main/java/postgrade/rig/soak/RandomFaults.java
@@ -7,13 +7,13 @@
 import java.util.concurrent.atomic.AtomicLong;
 import postgrade.rig.jobs.ExchangeFault;
 import postgrade.rig.jobs.ExchangeFault.Kind;
-import postgrade.rig.jobs.FaultChoice;
+import postgrade.rig.jobs.FaultSelector;
 
 /**
  * Draws what happens to each exchange from the seed, the request and the worker, so that the same
  * exchange meets the same fault in each run of a seed.
  */
-final class RandomFaults implements FaultChoice {
+final class RandomFaults implements FaultSelector {
 
     private static final long PER_MILLE = 1000;
 
@@ -41,7 +41,7 @@
     }
 
     @Override
-    public ExchangeFault of(Exchange exchange) {
+    public ExchangeFault select(Exchange exchange) {
         ExchangeFault ofJob = draw(exchange, true);
         if (exchange.isJob() || ofJob.kind() == Kind.OVERTAKEN) {
             return ofJob; // A cancellation overtakes its job only where both are held for it.
@@ -65,12 +65,12 @@
     }
 
     @Override
-    public void wasPut(Kind kind) {
+    public void faultInjected(Kind kind) {
         put.get(kind).incrementAndGet();
     }
 
     /** The kinds that this seed has often and that have not come about once. */
-    List<Kind> frequentButNotPut() {
+    List<Kind> frequentButNotInjected() {
         return perMille.entrySet().stream()
                 .filter(entry -> entry.getValue() >= FREQUENT_PER_MILLE)
                 .map(Map.Entry::getKey)
--- a/rig/src/main/java/postgrade/rig/soak/Soak.java
+++ b/rig/src/main/java/postgrade/rig/soak/Soak.java
@@ -4,7 +4,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.ExecutionException;
-import postgrade.rig.disk.Disk;
+import postgrade.rig.disk.DiskFaults;
 
 /**
  * Runs the soak for a row of seeds: {@code --seeds N --first S [--out FOLDER] [--lenient]}. Writes
@@ -70,9 +70,9 @@
     static SoakResult run(long seed, SoakLimits limits, Path folder)
             throws IOException, InterruptedException, ExecutionException {
         Files.createDirectories(folder);
-        Disk.wipe(folder);
+        DiskFaults.wipe(folder);
         SoakResult result = new SoakRun(SoakPlan.of(seed), limits, folder).run();
-        System.out.println(result.line());
+        System.out.println(result.summary());
         result.violations().forEach(violation -> System.out.println("  " + violation));
         return result;
     }
--- a/rig/src/main/java/postgrade/rig/soak/SoakResult.java
+++ b/rig/src/main/java/postgrade/rig/soak/SoakResult.java
@@ -37,7 +37,7 @@
     }
 
     /** One line: the seed, the verdict, what was judged and which faults there were. */
-    String line() {
+    String summary() {
         StringBuilder text = new StringBuilder();
         text.append("seed ")
                 .append(plan.seed())
--- a/rig/src/main/java/postgrade/rig/soak/SoakRun.java
+++ b/rig/src/main/java/postgrade/rig/soak/SoakRun.java
@@ -17,8 +17,8 @@
 import postgrade.fleet.check.LedgerReader.Line;
 import postgrade.fleet.check.RuleChecker;
 import postgrade.fleet.plan.FleetPlan;
-import postgrade.rig.load.Shops;
-import postgrade.rig.serve.Serving;
+import postgrade.rig.load.LoadGenerator;
+import postgrade.rig.serve.DispatcherCluster;
 
 /** One run of the soak: starts all of it, plays the plan, and judges the ledgers. */
 final class SoakRun {
@@ -57,44 +57,44 @@
 
     SoakResult run() throws IOException, InterruptedException, ExecutionException {
         long contradicted;
-        try (Serving serving = open()) {
+        try (DispatcherCluster serving = open()) {
             serving.startAll();
-            serving.proxies().faults(exchangeFaults);
+            serving.proxies().setFaultSelector(exchangeFaults);
             play(serving);
             contradicted = contradictedEnds(serving);
             exchangeFaults
-                    .frequentButNotPut()
+                    .frequentButNotInjected()
                     .forEach(kind -> couldNotPut("exchange fault " + kind));
         }
         return judge(contradicted);
     }
 
-    private Serving open() throws IOException, InterruptedException {
-        Serving.Options options = new Serving.Options();
+    private DispatcherCluster open() throws IOException, InterruptedException {
+        DispatcherCluster.Options options = new DispatcherCluster.Options();
         options.dispatchers = plan.dispatchers();
-        options.toldDispatchers = plan.toldDispatchers();
+        options.configuredDispatchers = plan.toldDispatchers();
         options.voters = 0;
         options.proxied = true;
         options.sockets = 1024;
         options.plan = FleetPlan.of("soak.star", plan.fleet());
-        return new Serving(folder, options);
+        return new DispatcherCluster(folder, options);
     }
 
-    private void play(Serving serving)
+    private void play(DispatcherCluster serving)
             throws IOException, InterruptedException, ExecutionException {
         // A thread for each fault: one waits for the one before it at the same dispatcher.
         ScheduledExecutorService clock =
                 Executors.newScheduledThreadPool(plan.processFaults().size() + 1);
         try (IdleClients idle = new IdleClients();
-                Shops shops =
-                        new Shops(
-                                serving.consumers(),
+                LoadGenerator shops =
+                        new LoadGenerator(
+                                serving.clientAddresses(),
                                 kinds(serving),
                                 plan.seed(),
                                 folder.resolve("clients.ledger"))) {
-            idle.open(serving.consumers(), plan.idleClients());
+            idle.open(serving.clientAddresses(), plan.idleClients());
             requireConnected(idle);
-            shops.rate(plan.jobsPerSecond());
+            shops.setRate(plan.jobsPerSecond());
             List<Future<?>> faults = new ArrayList<>();
             long[] freeAtMillis = new long[plan.dispatchers()];
             for (ProcessFault fault : plan.processFaults()) {
@@ -106,7 +106,7 @@
                                 () -> put(serving, shops, fault), atMillis, TimeUnit.MILLISECONDS));
             }
             clock.schedule(() -> {}, plan.loadMillis(), TimeUnit.MILLISECONDS).get();
-            shops.rate(0);
+            shops.setRate(0);
             for (Future<?> fault : faults) {
                 fault.get();
             }
@@ -125,8 +125,8 @@
         };
     }
 
-    private static List<Shops.Kind> kinds(Serving serving) {
-        List<Shops.Kind> kinds = new ArrayList<>();
+    private static List<LoadGenerator.JobKind> kinds(DispatcherCluster serving) {
+        List<LoadGenerator.JobKind> kinds = new ArrayList<>();
         FleetPlan fleet = serving.plan();
         fleet.classes
                 .values()
@@ -135,7 +135,7 @@
                                 fleet.tenants.forEach(
                                         (tenant, rate) ->
                                                 kinds.add(
-                                                        new Shops.Kind(
+                                                        new LoadGenerator.JobKind(
                                                                 jobClass.name(),
                                                                 tenant,
                                                                 rate,
@@ -146,7 +146,7 @@
 
     // ---- Signals.
 
-    private Void put(Serving serving, Shops shops, ProcessFault fault)
+    private Void put(DispatcherCluster serving, LoadGenerator shops, ProcessFault fault)
             throws IOException, InterruptedException {
         // A restart takes its time, and longer than planned on a busy machine.
         synchronized (oneAtATime.get(fault.dispatcher())) {
@@ -155,10 +155,10 @@
         return null;
     }
 
-    private void putAlone(Serving serving, Shops shops, ProcessFault fault)
+    private void putAlone(DispatcherCluster serving, LoadGenerator shops, ProcessFault fault)
             throws IOException, InterruptedException {
         String name = serving.names().get(fault.dispatcher());
-        if (!serving.cluster().of(name).alive()) {
+        if (!serving.cluster().process(name).alive()) {
             couldNotPut(fault + ": its process had ended");
             return;
         }
@@ -169,24 +169,24 @@
                 requireHeard(serving, fault, before, "daemon.stopping");
             }
             case KILL -> {
-                note(name, serving.cluster().history().micros());
-                serving.cluster().of(name).kill();
+                note(name, serving.cluster().history().nowMicros());
+                serving.cluster().process(name).kill();
                 startAgain(serving, name);
             }
             case RELOAD -> {
                 changeConfiguration(serving, fault.dispatcher());
-                serving.cluster().of(name).hangUp();
+                serving.cluster().process(name).hangUp();
                 requireHeard(serving, fault, before, "configuration.read-again");
             }
         }
     }
 
     /** A signal that was ignored is a fault that could not be put. */
-    private void requireHeard(Serving serving, ProcessFault fault, int from, String event)
+    private void requireHeard(DispatcherCluster serving, ProcessFault fault, int from, String event)
             throws InterruptedException {
         String name = serving.names().get(fault.dispatcher());
         try {
-            serving.cluster().of(name).await(event, from, HEARD_MILLIS);
+            serving.cluster().process(name).await(event, from, HEARD_MILLIS);
         } catch (IllegalStateException e) {
             couldNotPut(fault + ": not heard");
         }
@@ -209,19 +209,19 @@
     }
 
     /** Told to end, and killed at the protocol's earliest time if it has not ended by then. */
-    private static void restart(Serving serving, Shops shops, int dispatcher)
+    private static void restart(DispatcherCluster serving, LoadGenerator shops, int dispatcher)
             throws IOException, InterruptedException {
         String name = serving.names().get(dispatcher);
-        serving.cluster().of(name).terminate();
+        serving.cluster().process(name).terminate();
         TimeUnit.MILLISECONDS.sleep(FRONT_KNOWS_MILLIS);
-        shops.admit(dispatcher, false);
+        shops.setAdmitted(dispatcher, false);
         TimeUnit.MILLISECONDS.sleep(SoakPlan.TERM_TO_KILL_MILLIS - FRONT_KNOWS_MILLIS);
-        serving.cluster().of(name).kill();
+        serving.cluster().process(name).kill();
         startAgain(serving, name);
-        shops.admit(dispatcher, true);
+        shops.setAdmitted(dispatcher, true);
     }
 
-    private static void startAgain(Serving serving, String name)
+    private static void startAgain(DispatcherCluster serving, String name)
             throws IOException, InterruptedException {
         TimeUnit.MILLISECONDS.sleep(RESTART_PAUSE_MILLIS);
         serving.cluster().start(name);
@@ -229,7 +229,8 @@
     }
 
     /** Another aim for each class, which no rule depends on. */
-    private static void changeConfiguration(Serving serving, int dispatcher) throws IOException {
+    private static void changeConfiguration(DispatcherCluster serving, int dispatcher)
+            throws IOException {
         Path file = serving.fleet().configurationOf(dispatcher);
         JsonObject configuration = Json.parse(Files.readString(file)).asObject();
         configuration
@@ -247,7 +248,7 @@
 
     // ---- The verdict.
 
-    private static long contradictedEnds(Serving serving) {
+    private static long contradictedEnds(DispatcherCluster serving) {
         return serving.cluster().history().all().stream()
                 .filter(event -> event.kind().equals("attempt.reported-after-end"))
                 .count();
--- a/rig/src/test/java/postgrade/rig/KeptFolder.java
+++ b/rig/src/test/java/postgrade/rig/KeptFolder.java
@@ -6,7 +6,7 @@
 import java.nio.file.Path;
 import org.junit.rules.TestWatcher;
 import org.junit.runner.Description;
-import postgrade.rig.disk.Disk;
+import postgrade.rig.disk.DiskFaults;
 
 /**
  * A folder for a test that stays after it, with all histories, until the test runs again: {@code
@@ -26,7 +26,7 @@
         try {
             path = Path.of("target", "rig", group, test.getMethodName()).toAbsolutePath();
             Files.createDirectories(path);
-            Disk.wipe(path);
+            DiskFaults.wipe(path);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/rig/src/test/java/postgrade/rig/check/lease/LeaseChecksTest.java
+++ b/rig/src/test/java/postgrade/rig/check/lease/LeaseChecksTest.java
@@ -9,11 +9,11 @@
 import java.util.SplittableRandom;
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.Test;
-import postgrade.rig.check.lease.Leases.State;
-import postgrade.rig.check.lease.Linearizable.Call;
-import postgrade.rig.check.lease.UseCheck.Gone;
-import postgrade.rig.check.lease.UseCheck.Grant;
-import postgrade.rig.check.lease.UseCheck.Use;
+import postgrade.rig.check.lease.LeaseModel.State;
+import postgrade.rig.check.lease.LeaseUseCheck.Grant;
+import postgrade.rig.check.lease.LeaseUseCheck.GrantEnd;
+import postgrade.rig.check.lease.LeaseUseCheck.Use;
+import postgrade.rig.check.lease.LinearizabilityChecker.Call;
 
 /** Each check is silent on a sound history and speaks where a violation is seeded into it. */
 class LeaseChecksTest {
@@ -34,12 +34,14 @@
                                 use(10, "n1", "ivo", 7),
                                 use(12, "n2", "ivo", 7),
                                 use(13, "n1", "ivo", 9)));
-        assertEquals(List.of(), UseCheck.exclusion(sound));
+        assertEquals(List.of(), LeaseUseCheck.mutualExclusion(sound));
         sound.add(use(10, "n2", "ana", 5));
-        assertEquals("exclusion", UseCheck.exclusion(sound).get(0).what());
+        assertEquals("exclusion", LeaseUseCheck.mutualExclusion(sound).get(0).what());
         assertEquals(
                 1,
-                UseCheck.exclusion(List.of(use(1, "n1", "ana", 5), use(2, "n2", "ivo", 5))).size());
+                LeaseUseCheck.mutualExclusion(
+                                List.of(use(1, "n1", "ana", 5), use(2, "n2", "ivo", 5)))
+                        .size());
     }
 
     @Test
@@ -48,17 +50,27 @@
                 List.of(
                         new Grant("ana", 5, 3000, 900, 1000, NEVER),
                         new Grant("ivo", 7, 3000, 900, 1000, 950));
-        assertEquals(List.of(), UseCheck.timely(List.of(use(5000, "n1", "ana", 5)), grants, 1000));
-        assertEquals(1, UseCheck.timely(List.of(use(5001, "n1", "ana", 5)), grants, 1000).size());
         assertEquals(
                 List.of(),
-                UseCheck.early(
-                        List.of(new Gone(3901, "n1", "ana", 5), new Gone(960, "n1", "ivo", 7)),
+                LeaseUseCheck.noUseAfterExpiry(List.of(use(5000, "n1", "ana", 5)), grants, 1000));
+        assertEquals(
+                1,
+                LeaseUseCheck.noUseAfterExpiry(List.of(use(5001, "n1", "ana", 5)), grants, 1000)
+                        .size());
+        assertEquals(
+                List.of(),
+                LeaseUseCheck.noEarlyExpiry(
+                        List.of(
+                                new GrantEnd(3901, "n1", "ana", 5),
+                                new GrantEnd(960, "n1", "ivo", 7)),
                         grants,
                         1,
                         0));
         assertEquals(
-                1, UseCheck.early(List.of(new Gone(3899, "n1", "ana", 5)), grants, 1, 0).size());
+                1,
+                LeaseUseCheck.noEarlyExpiry(
+                                List.of(new GrantEnd(3899, "n1", "ana", 5)), grants, 1, 0)
+                        .size());
     }
 
     private static Call<State> call(long sent, long answered, UnaryOperator<State> effect) {
@@ -69,45 +81,45 @@
     void grantsThatNoOrderExplainsAreSeen() {
         List<Call<State>> sound =
                 List.of(
-                        call(0, 10, Leases.granted("h", 3, 3)),
-                        call(1, 9, Leases.refused(2)),
-                        call(11, 12, Leases.renewed("h", 3)),
-                        call(20, NEVER, Leases.ended("h", 3)),
-                        call(30, NEVER, Leases.rested(3)),
-                        call(31, 40, Leases.granted("h", 8, 1)),
-                        call(35, 50, Leases.gone("h", 3)));
-        assertNull(Leases.judge(2, sound));
+                        call(0, 10, LeaseModel.granted("h", 3, 3)),
+                        call(1, 9, LeaseModel.refused(2)),
+                        call(11, 12, LeaseModel.renewed("h", 3)),
+                        call(20, NEVER, LeaseModel.ended("h", 3)),
+                        call(30, NEVER, LeaseModel.rested(3)),
+                        call(31, 40, LeaseModel.granted("h", 8, 1)),
+                        call(35, 50, LeaseModel.notFound("h", 3)));
+        assertNull(LeaseModel.firstViolation(2, sound));
         assertNotNull(
-                Leases.judge(
+                LeaseModel.firstViolation(
                         2,
                         List.of(
-                                call(0, 10, Leases.granted("h", 3, 1)),
-                                call(11, 20, Leases.granted("h", 5, 1)))),
+                                call(0, 10, LeaseModel.granted("h", 3, 1)),
+                                call(11, 20, LeaseModel.granted("h", 5, 1)))),
                 "granted twice");
         assertNotNull(
-                Leases.judge(
+                LeaseModel.firstViolation(
                         2,
                         List.of(
-                                call(0, 10, Leases.granted("h", 5, 1)),
-                                call(11, 20, Leases.granted("h", 4, 2)))),
+                                call(0, 10, LeaseModel.granted("h", 5, 1)),
+                                call(11, 20, LeaseModel.granted("h", 4, 2)))),
                 "the fence went back");
         assertNotNull(
-                Leases.judge(
+                LeaseModel.firstViolation(
                         2,
                         List.of(
-                                call(0, 10, Leases.granted("h", 5, 1)),
-                                call(11, 20, Leases.gone("h", 5)))),
+                                call(0, 10, LeaseModel.granted("h", 5, 1)),
+                                call(11, 20, LeaseModel.notFound("h", 5)))),
                 "gone, though nothing ended it");
         assertNotNull(
-                Leases.judge(
+                LeaseModel.firstViolation(
                         2,
                         List.of(
-                                call(0, 10, Leases.granted("h", 5, 3)),
-                                call(11, 20, Leases.ended("h", 5)),
-                                call(21, 22, Leases.granted("h", 9, 1)))),
+                                call(0, 10, LeaseModel.granted("h", 5, 3)),
+                                call(11, 20, LeaseModel.ended("h", 5)),
+                                call(21, 22, LeaseModel.granted("h", 9, 1)))),
                 "granted before it had rested");
         assertNotNull(
-                Leases.judge(2, List.of(call(0, 10, Leases.refused(2)))),
+                LeaseModel.firstViolation(2, List.of(call(0, 10, LeaseModel.refused(2)))),
                 "refused, though all were free");
     }
 
@@ -122,10 +134,10 @@
                 long at = 10L * i + 5;
                 UnaryOperator<State> effect =
                         switch (i % 4) {
-                            case 0 -> Leases.granted("h", ++fence, 1);
-                            case 1 -> Leases.renewed("h", fence);
-                            case 2 -> Leases.ended("h", fence);
-                            default -> Leases.rested(1);
+                            case 0 -> LeaseModel.granted("h", ++fence, 1);
+                            case 1 -> LeaseModel.renewed("h", fence);
+                            case 2 -> LeaseModel.ended("h", fence);
+                            default -> LeaseModel.rested(1);
                         };
                 history.add(
                         call(
@@ -133,9 +145,9 @@
                                 i % 4 == 3 ? NEVER : at + random.nextInt(25),
                                 effect));
             }
-            assertNull(Leases.judge(1, history), "seed " + seed);
-            history.add(call(2004, 2006, Leases.granted("h", fence + 1, 1)));
-            assertNotNull(Leases.judge(1, history), "seed " + seed);
+            assertNull(LeaseModel.firstViolation(1, history), "seed " + seed);
+            history.add(call(2004, 2006, LeaseModel.granted("h", fence + 1, 1)));
+            assertNotNull(LeaseModel.firstViolation(1, history), "seed " + seed);
         }
     }
 }
--- a/rig/src/test/java/postgrade/rig/disk/DiskTest.java
+++ b/rig/src/test/java/postgrade/rig/disk/DiskTest.java
@@ -25,8 +25,8 @@
         Arrays.fill(content, (byte) 'x');
         Files.write(file, content);
         Path copy = folder.getRoot().toPath().resolve("copy");
-        Disk.copy(store, copy);
-        Disk.flip(file, 3, 42);
+        DiskFaults.copy(store, copy);
+        DiskFaults.flipBits(file, 3, 42);
         byte[] flipped = Files.readAllBytes(file);
         assertEquals(1000, flipped.length);
         int differ = 0;
@@ -34,12 +34,12 @@
             differ += b == 'x' ? 0 : 1;
         }
         assertEquals(3, differ);
-        Disk.truncate(file, 0.25);
+        DiskFaults.truncate(file, 0.25);
         assertEquals(250, Files.size(file));
-        Disk.rollBack(store, copy);
+        DiskFaults.rollBack(store, copy);
         assertArrayEquals(content, Files.readAllBytes(file));
-        Disk.wipe(store);
-        assertEquals(List.of(), Disk.files(store));
+        DiskFaults.wipe(store);
+        assertEquals(List.of(), DiskFaults.files(store));
         assertTrue(Files.isDirectory(store));
     }
 }
--- a/rig/src/test/java/postgrade/rig/ground/Ground.java
+++ b/rig/src/test/java/postgrade/rig/ground/Ground.java
@@ -12,7 +12,7 @@
 import postgrade.rig.check.LogCheck;
 import postgrade.rig.cluster.Cluster;
 import postgrade.rig.history.History.Event;
-import postgrade.rig.process.Program;
+import postgrade.rig.process.JavaProcess;
 
 /**
  * Three voters and observers in processes of their own, a proxy between each two, and what is
@@ -32,12 +32,12 @@
     Ground(Path folder, String... observers) throws IOException {
         names.addAll(List.of(observers));
         cluster = new Cluster(folder, names, VOTERS);
-        cluster.recipe(
+        cluster.setProcessFactory(
                 name -> {
-                    Program.Start s =
-                            new Program.Start(name, Node.class.getName(), arguments(name))
+                    JavaProcess.Builder s =
+                            new JavaProcess.Builder(name, Node.class.getName(), arguments(name))
                                     .environment("HOME", folder.toString());
-                    return limits.containsKey(name) ? s.fileLimit(limits.get(name)) : s;
+                    return limits.containsKey(name) ? s.maxFileKib(limits.get(name)) : s;
                 });
     }
 
@@ -63,14 +63,14 @@
      */
     String era(String name, long era) throws IOException, InterruptedException {
         int from = cluster.history().size();
-        try (Program p =
-                new Program.Start(
+        try (JavaProcess p =
+                new JavaProcess.Builder(
                                 name,
                                 Node.class.getName(),
                                 arguments(name, "era", Long.toString(era)))
-                        .in(cluster.history())) {
+                        .start(cluster.history())) {
             String against = p.await("era", from, MOST).text("against");
-            p.ended();
+            p.awaitExit();
             return against;
         }
     }
@@ -90,7 +90,7 @@
     }
 
     Event await(String name, String kind, int from) throws InterruptedException {
-        return cluster.of(name).await(kind, from, MOST);
+        return cluster.process(name).await(kind, from, MOST);
     }
 
     void awaitStanding(String name, int from, String role, long voters)
@@ -104,7 +104,7 @@
                                 e.who().equals(name)
                                         && e.kind().equals("standing")
                                         && e.text("role").equals(role)
-                                        && e.whole("voters") == voters);
+                                        && e.number("voters") == voters);
     }
 
     /**
@@ -180,7 +180,7 @@
     /** Asks once; the event tells whether it was decided. */
     Event ask(String name, String id, String key) throws IOException, InterruptedException {
         int from = cluster.history().size();
-        cluster.of(name).tell("ask " + id + " " + key);
+        cluster.process(name).writeLine("ask " + id + " " + key);
         return cluster.history()
                 .await(
                         "answer to " + id,
@@ -224,7 +224,7 @@
                         e ->
                                 e.who().equals(name)
                                         && e.kind().equals("view")
-                                        && e.whole("index") >= index);
+                                        && e.number("index") >= index);
     }
 
     /**
@@ -234,7 +234,7 @@
     Map<String, Long> rows(String name, long index) throws IOException, InterruptedException {
         awaitView(name, index);
         int from = cluster.history().size();
-        cluster.of(name).tell("rows");
+        cluster.process(name).writeLine("rows");
         Map<String, Long> rows = new TreeMap<>();
         await(name, "rows", from)
                 .fields()
@@ -250,8 +250,8 @@
      */
     void judge(String by) throws IOException, InterruptedException {
         List<LogCheck.Applied> seen = new ArrayList<>();
-        List<LogCheck.Viewed> views = new ArrayList<>();
-        List<LogCheck.Told> told = new ArrayList<>();
+        List<LogCheck.ObservedView> views = new ArrayList<>();
+        List<LogCheck.Acknowledged> told = new ArrayList<>();
         Map<String, Long> starts = new TreeMap<>();
         long latest = 0;
         for (Event e : cluster.history().all()) {
@@ -262,26 +262,28 @@
                             new LogCheck.Applied(
                                     e.who(),
                                     starts.get(e.who()),
-                                    e.whole("era"),
-                                    e.whole("index"),
+                                    e.number("era"),
+                                    e.number("index"),
                                     e.text("digest")));
                     views.add(
-                            new LogCheck.Viewed(
+                            new LogCheck.ObservedView(
                                     e.who(),
                                     starts.get(e.who()),
-                                    e.whole("era"),
-                                    e.whole("index")));
+                                    e.number("era"),
+                                    e.number("index")));
                 }
                 case "decided" -> {
-                    told.add(new LogCheck.Told(e.text("key"), e.whole("era"), e.whole("index")));
-                    latest = Math.max(latest, e.whole("index"));
+                    told.add(
+                            new LogCheck.Acknowledged(
+                                    e.text("key"), e.number("era"), e.number("index")));
+                    latest = Math.max(latest, e.number("index"));
                 }
                 default -> {}
             }
         }
         assertEquals(List.of(), LogCheck.agreement(seen));
-        assertEquals(List.of(), LogCheck.forward(views));
-        assertEquals(List.of(), LogCheck.durable(told, rows(by, latest)));
+        assertEquals(List.of(), LogCheck.monotonicViews(views));
+        assertEquals(List.of(), LogCheck.durability(told, rows(by, latest)));
     }
 
     @Override
