--- a/rig/src/test/java/postgrade/rig/ground/GroundTest.java
+++ b/rig/src/test/java/postgrade/rig/ground/GroundTest.java
@@ -8,7 +8,7 @@
 import org.junit.Rule;
 import org.junit.Test;
 import postgrade.rig.KeptFolder;
-import postgrade.rig.disk.Disk;
+import postgrade.rig.disk.DiskFaults;
 import postgrade.rig.history.History.Event;
 
 /** Shared state in real processes, with faults on and between them. */
@@ -39,13 +39,13 @@
             }
             String leader = g.leader("o1");
             int from = g.cluster.history().size();
-            g.cluster.of(leader).tell("ask in-flight in-flight");
-            g.cluster.of(leader).kill();
+            g.cluster.process(leader).writeLine("ask in-flight in-flight");
+            g.cluster.process(leader).kill();
             Event after = g.count("o1", Ground.other(leader));
             g.decided("in-flight", "in-flight", "o1");
             g.awaitLeaderAfter(leader, "o1", from);
             g.cluster.start(leader);
-            g.awaitView(leader, after.whole("index"));
+            g.awaitView(leader, after.number("index"));
             g.judge("o1");
         }
     }
@@ -61,9 +61,9 @@
             Event kept = g.count("o1", leader);
             // Of the two that know of it one forgets, and the other is cut off: the rest would be a
             // majority by number.
-            g.cluster.of(leader).stop();
-            g.cluster.of(wiped).kill();
-            Disk.wipe(g.cluster.store(wiped));
+            g.cluster.process(leader).stop();
+            g.cluster.process(wiped).kill();
+            DiskFaults.wipe(g.cluster.store(wiped));
             g.cluster.mesh().heal();
             int from = g.cluster.history().size();
             g.cluster.start(wiped);
@@ -72,10 +72,10 @@
             for (int i = 0; i < 3; i++) {
                 assertEquals("undecided", g.ask("o1", "guess", "guess").kind());
             }
-            g.cluster.of(leader).resume();
+            g.cluster.process(leader).resume();
             g.awaitStanding(wiped, from, "VOTER", 3);
             Event guess = g.decided("guess", "guess", "o1");
-            assertTrue(g.rows("o1", guess.whole("index")).containsKey(kept.text("key")));
+            assertTrue(g.rows("o1", guess.number("index")).containsKey(kept.text("key")));
             g.judge("o1");
         }
     }
@@ -86,11 +86,11 @@
         try (Ground g = ground("o1")) {
             g.count("o1");
             String leader = g.leader("o1");
-            g.cluster.of(leader).stop();
+            g.cluster.process(leader).stop();
             Event during = g.count("o1", Ground.other(leader));
-            g.cluster.of(leader).resume();
+            g.cluster.process(leader).resume();
             Event after = g.count(leader);
-            assertTrue(after.whole("index") > during.whole("index"));
+            assertTrue(after.number("index") > during.number("index"));
             g.judge(leader);
         }
     }
@@ -107,7 +107,7 @@
             assertEquals("undecided", g.ask("o2", "cut", "cut").kind());
             g.cluster.mesh().heal();
             g.await("o2", "fresh", from);
-            g.awaitView("o2", unseen.whole("index"));
+            g.awaitView("o2", unseen.number("index"));
             g.judge("o2");
         }
     }
@@ -118,7 +118,7 @@
         try (Ground g = ground("o1")) {
             String leader = g.leader("o1");
             String muted = Ground.other(leader);
-            g.cluster.mesh().mute(Set.of(muted));
+            g.cluster.mesh().blockOutgoing(Set.of(muted));
             for (int i = 0; i < 5; i++) {
                 g.count("o1");
             }
@@ -139,9 +139,9 @@
         try (Ground g = ground("o1")) {
             Event old = g.count("o1");
             for (String v : Ground.VOTERS) {
-                g.cluster.of(v).kill();
-                g.cluster.keep(v);
-                Disk.wipe(g.cluster.store(v));
+                g.cluster.process(v).kill();
+                g.cluster.saveCopy(v);
+                DiskFaults.wipe(g.cluster.store(v));
             }
             int from = g.cluster.history().size();
             assertEquals("undecided", g.ask("o1", "none", "none").kind());
@@ -153,16 +153,16 @@
                 g.awaitStanding(v, from, "VOTER", 3);
             }
             Event fresh = g.decided("fresh", "fresh", "o1");
-            assertEquals(2, fresh.whole("era"));
+            assertEquals(2, fresh.number("era"));
             assertTrue(Long.parseLong(fresh.text("fence")) > Long.parseLong(old.text("fence")));
             // A voter that comes back with its store of the former era is not followed, nor does it
             // vote.
-            g.cluster.of("n3").kill();
+            g.cluster.process("n3").kill();
             g.cluster.rollBack("n3");
             from = g.cluster.history().size();
             g.cluster.start("n3");
             g.awaitFault("n3", from, "is of era 1");
-            assertEquals(2, g.decided("still", "still", "o1").whole("era"));
+            assertEquals(2, g.decided("still", "still", "o1").number("era"));
         }
     }
 
@@ -170,13 +170,13 @@
     public void aVoterOnAFullDiskSaysSoAndTheOthersGoOn() throws IOException, InterruptedException {
         try (Ground g = ground("o1")) {
             String full = Ground.other(g.leader("o1"));
-            g.cluster.of(full).kill();
+            g.cluster.process(full).kill();
             g.limit(full, 0);
             int from = g.cluster.history().size();
             g.cluster.start(full);
             g.awaitLastingFault(full, from, "votes no more");
             g.count("o1");
-            g.cluster.of(full).kill();
+            g.cluster.process(full).kill();
             g.limit(full, -1);
             from = g.cluster.history().size();
             g.cluster.start(full);
--- a/rig/src/test/java/postgrade/rig/jobs/AttemptEndsTest.java
+++ b/rig/src/test/java/postgrade/rig/jobs/AttemptEndsTest.java
@@ -15,8 +15,8 @@
 import postgrade.fleet.check.RuleChecker;
 import postgrade.fleet.plan.FleetPlan;
 import postgrade.rig.KeptFolder;
-import postgrade.rig.load.Shops;
-import postgrade.rig.serve.Serving;
+import postgrade.rig.load.LoadGenerator;
+import postgrade.rig.serve.DispatcherCluster;
 
 /**
  * A request that must not have two attempts out was sent again while its first attempt ran.
@@ -60,18 +60,18 @@
     private static final int TOLD_DISPATCHERS = 100;
 
     @Rule public final KeptFolder folder = new KeptFolder("attemptends");
-    private Serving serving;
+    private DispatcherCluster serving;
 
     @Before
     public void open() throws IOException, InterruptedException {
-        Serving.Options options = new Serving.Options();
+        DispatcherCluster.Options options = new DispatcherCluster.Options();
         options.dispatchers = 1;
         options.voters = 0;
         options.proxied = true;
-        options.toldDispatchers = TOLD_DISPATCHERS;
+        options.configuredDispatchers = TOLD_DISPATCHERS;
         options.plan =
                 FleetPlan.of("ends.star", String.format(FLEET, ProcessHandle.current().pid()));
-        serving = new Serving(folder.path(), options);
+        serving = new DispatcherCluster(folder.path(), options);
         serving.startAll();
     }
 
@@ -81,19 +81,20 @@
     }
 
     /** The first attempt of each request meets the fault; nothing else does. */
-    private static FaultChoice onFirstAttempts(ExchangeFault fault) {
+    private static FaultSelector onFirstAttempts(ExchangeFault fault) {
         Set<String> met = ConcurrentHashMap.newKeySet();
         return exchange ->
                 exchange.isJob() && met.add(exchange.subject()) ? fault : ExchangeFault.NONE;
     }
 
-    private Shops shops(String jobClass, boolean repeatable) throws IOException {
-        Shops.Kind kind = new Shops.Kind(jobClass, "kvart-market", 1, 20_000_000, repeatable);
+    private LoadGenerator shops(String jobClass, boolean repeatable) throws IOException {
+        LoadGenerator.JobKind kind =
+                new LoadGenerator.JobKind(jobClass, "kvart-market", 1, 20_000_000, repeatable);
         Path ledger = folder.path().resolve("clients.ledger");
-        return new Shops(serving.consumers(), List.of(kind), 1, ledger);
+        return new LoadGenerator(serving.clientAddresses(), List.of(kind), 1, ledger);
     }
 
-    private void sendJobs(Shops shops) throws Exception {
+    private void sendJobs(LoadGenerator shops) throws Exception {
         shops.send(JOBS);
         shops.finish();
         serving.fleet().flush();
@@ -111,7 +112,7 @@
         Set<String> workers = ConcurrentHashMap.newKeySet();
         // The first worker of each request alone: the attempt that follows is served.
         serving.proxies()
-                .faults(
+                .setFaultSelector(
                         exchange -> {
                             String place = exchange.subject() + " " + exchange.worker();
                             boolean first = met.add(exchange.subject()) && workers.add(place);
@@ -120,7 +121,7 @@
                                             ExchangeFault.Kind.OVERTAKEN, CROSSING_MILLIS)
                                     : ExchangeFault.NONE;
                         });
-        try (Shops shops = shops("slot-check", true)) {
+        try (LoadGenerator shops = shops("slot-check", true)) {
             sendJobs(shops);
         }
         rulesHold();
@@ -129,10 +130,10 @@
     @Test
     public void aResetThatCrossesTheAnswerLeavesOneAttemptOut() throws Exception {
         serving.proxies()
-                .faults(
+                .setFaultSelector(
                         onFirstAttempts(
                                 ExchangeFault.of(ExchangeFault.Kind.RESET_BEFORE_ANSWER, 0)));
-        try (Shops shops = shops("slot-check", true)) {
+        try (LoadGenerator shops = shops("slot-check", true)) {
             sendJobs(shops);
         }
         rulesHold();
@@ -140,10 +141,11 @@
 
     @Test
     public void aSecondAnswerOfTheExchangeBeforeLeavesOneAttemptOut() throws Exception {
-        try (Shops shops = shops("order-confirm", false)) {
+        try (LoadGenerator shops = shops("order-confirm", false)) {
             sendJobs(shops);
             serving.proxies()
-                    .faults(onFirstAttempts(ExchangeFault.of(ExchangeFault.Kind.STALE_ANSWER, 0)));
+                    .setFaultSelector(
+                            onFirstAttempts(ExchangeFault.of(ExchangeFault.Kind.STALE_ANSWER, 0)));
             sendJobs(shops);
         }
         rulesHold();
--- a/rig/src/test/java/postgrade/rig/jobs/JobProxyTest.java
+++ b/rig/src/test/java/postgrade/rig/jobs/JobProxyTest.java
@@ -41,7 +41,7 @@
         InetSocketAddress target =
                 new InetSocketAddress(worker.getInetAddress(), worker.getLocalPort());
         proxy = new JobProxy(0, "w-1", target, history, clock);
-        proxy.faults(exchange -> ExchangeFault.of(ExchangeFault.Kind.LATE_REQUEST, 50));
+        proxy.setFaultSelector(exchange -> ExchangeFault.of(ExchangeFault.Kind.LATE_REQUEST, 50));
     }
 
     @After
--- a/rig/src/test/java/postgrade/rig/lease/LeaseBench.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseBench.java
@@ -97,7 +97,10 @@
                                     .filter(e -> e.kind().equals("call"))
                                     .map(LeaseCalls.Call::of)
                                     .toList(),
-                            all.stream().filter(LeaseRun::granted).map(e -> e.whole("at")).toList(),
+                            all.stream()
+                                    .filter(LeaseRun::granted)
+                                    .map(e -> e.number("at"))
+                                    .toList(),
                             LeaseRun.ACCELERATORS,
                             false);
             System.out.println(
--- a/rig/src/test/java/postgrade/rig/lease/LeaseCalls.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseCalls.java
@@ -60,16 +60,16 @@
         static Call of(History.Event e) {
             return new Call(
                     e.text("holder"),
-                    e.whole("incarnation"),
+                    e.number("incarnation"),
                     e.text("verb"),
-                    e.whole("ttl"),
-                    (int) e.whole("accelerators"),
-                    e.whole("sent"),
-                    e.whole("ended"),
+                    e.number("ttl"),
+                    (int) e.number("accelerators"),
+                    e.number("sent"),
+                    e.number("ended"),
                     e.text("status"),
                     e.text("state"),
-                    e.whole("fence"),
-                    e.whole("mask"));
+                    e.number("fence"),
+                    e.number("mask"));
         }
     }
 
--- a/rig/src/test/java/postgrade/rig/lease/LeaseCluster.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseCluster.java
@@ -14,8 +14,8 @@
 import java.util.stream.Stream;
 import postgrade.fleet.net.HeldPort;
 import postgrade.rig.history.History;
-import postgrade.rig.process.Program;
-import postgrade.rig.proxy.Mesh;
+import postgrade.rig.process.JavaProcess;
+import postgrade.rig.proxy.ProxyMesh;
 
 /**
  * Three voters and two observers in processes of their own, a proxy between every two, clocks 2%
@@ -33,8 +33,8 @@
     private static final long PATIENCE_MILLIS = 240_000;
 
     final History history;
-    final Mesh mesh;
-    final Map<String, Program> programs = new ConcurrentHashMap<>();
+    final ProxyMesh mesh;
+    final Map<String, JavaProcess> programs = new ConcurrentHashMap<>();
     private final Map<String, HeldPort> ports = new HashMap<>();
     private final Path folder;
     private final String[] more;
@@ -47,11 +47,11 @@
         this.folder = folder;
         this.history = history;
         this.more = more;
-        mesh = new Mesh(Stream.concat(VOTERS.stream(), OBSERVERS.stream()).toList(), VOTERS);
+        mesh = new ProxyMesh(Stream.concat(VOTERS.stream(), OBSERVERS.stream()).toList(), VOTERS);
         for (String v : VOTERS) {
             HeldPort p = new HeldPort();
             ports.put(v, p);
-            mesh.listens(v, p.address());
+            mesh.setTarget(v, p.address());
         }
     }
 
@@ -92,9 +92,10 @@
         flags.addAll(List.of(more));
         programs.put(
                 name,
-                new Program.Start(name, LeaseNode.class.getName(), args.toArray(new String[0]))
-                        .flags(flags.toArray(new String[0]))
-                        .in(history));
+                new JavaProcess.Builder(
+                                name, LeaseNode.class.getName(), args.toArray(new String[0]))
+                        .jvmFlags(flags.toArray(new String[0]))
+                        .start(history));
     }
 
     /**
@@ -126,7 +127,7 @@
             if (e == null
                     || !e.kind().equals("standing")
                     || !e.text("role").equals("VOTER")
-                    || e.whole("voters") != 3
+                    || e.number("voters") != 3
                     || leader != null && !leader.equals(e.text("leader"))) {
                 return null;
             }
@@ -160,7 +161,7 @@
     /** Sends a call through a process; its answer comes as an event {@code reply} with this id. */
     void ask(String through, String id, long withinMillis, String call) {
         try {
-            programs.get(through).tell(id + " " + withinMillis + " " + call);
+            programs.get(through).writeLine(id + " " + withinMillis + " " + call);
         } catch (IOException e) {
             // It has died; no answer will come.
         }
@@ -168,7 +169,7 @@
 
     @Override
     public void close() throws IOException {
-        programs.values().forEach(Program::close);
+        programs.values().forEach(JavaProcess::close);
         mesh.close();
         for (HeldPort p : ports.values()) {
             p.close();
--- a/rig/src/test/java/postgrade/rig/lease/LeaseFaultsTest.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseFaultsTest.java
@@ -169,7 +169,7 @@
                         e.who().equals("y")
                                 && e.kind().equals("use")
                                 && e.text("now").startsWith("ana")
-                                && e.whole("at") > beyond);
+                                && e.number("at") > beyond);
         forsake();
         assertEquals(List.of(), breaches());
     }
@@ -202,7 +202,7 @@
                         .anyMatch(
                                 e ->
                                         e.kind().equals("use")
-                                                && e.whole("at") >= woke
+                                                && e.number("at") >= woke
                                                 && e.text("now").startsWith("ana")),
                 "the one that slept went on with what it knew");
         forsake();
@@ -221,7 +221,7 @@
         History.Event stopped = usesNothing("x", from);
         release(ana);
         Call ivo = awaitGrant("ivo", 4);
-        assertTrue(stopped.whole("last") < ivo.ended());
+        assertTrue(stopped.number("last") < ivo.ended());
         assertEquals(List.of(), breaches());
     }
 
--- a/rig/src/test/java/postgrade/rig/lease/LeaseRun.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseRun.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import postgrade.rig.history.History;
-import postgrade.rig.process.Program;
+import postgrade.rig.process.JavaProcess;
 
 /**
  * A cluster with holders at work and probes that show whether grants are made, and the faults
@@ -154,7 +154,7 @@
             case STOP_LEADER -> stopped(leader);
             case STOP_OBSERVER -> stopped(observer);
             case CUT_LEADER -> cut(() -> cluster.mesh.isolate(Set.of(leader)));
-            case MUTE_LEADER -> cut(() -> cluster.mesh.mute(Set.of(leader)));
+            case MUTE_LEADER -> cut(() -> cluster.mesh.blockOutgoing(Set.of(leader)));
             default -> cut(() -> cluster.mesh.isolate(Set.of(observer)));
         }
         if (f == Fault.KILL_LEADER || f == Fault.KILL_VOTER && voter.equals(leader)) {
@@ -164,7 +164,7 @@
                             from,
                             60_000,
                             r -> granted(r) && asked(r) > at);
-            withoutGrantsMicros.add(e.whole("at") - at);
+            withoutGrantsMicros.add(e.number("at") - at);
         }
         cluster.awaitWell();
         faults++;
@@ -190,7 +190,7 @@
     }
 
     private void stopped(String name) throws Exception {
-        Program p = cluster.programs.get(name);
+        JavaProcess p = cluster.programs.get(name);
         p.stop();
         Thread.sleep(random.nextLong(200, 3000));
         p.resume();
@@ -215,7 +215,7 @@
         return new LeaseVerdict(
                 all,
                 List.copyOf(calls.calls),
-                all.stream().filter(LeaseRun::granted).map(e -> e.whole("at")).toList(),
+                all.stream().filter(LeaseRun::granted).map(e -> e.number("at")).toList(),
                 ACCELERATORS,
                 !waits);
     }
--- a/rig/src/test/java/postgrade/rig/lease/LeaseVerdict.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseVerdict.java
@@ -7,13 +7,13 @@
 import java.util.TreeMap;
 import java.util.function.UnaryOperator;
 import postgrade.rig.check.Breach;
-import postgrade.rig.check.lease.Leases;
-import postgrade.rig.check.lease.Leases.State;
-import postgrade.rig.check.lease.Linearizable;
-import postgrade.rig.check.lease.UseCheck;
-import postgrade.rig.check.lease.UseCheck.Gone;
-import postgrade.rig.check.lease.UseCheck.Grant;
-import postgrade.rig.check.lease.UseCheck.Use;
+import postgrade.rig.check.lease.LeaseModel;
+import postgrade.rig.check.lease.LeaseModel.State;
+import postgrade.rig.check.lease.LeaseUseCheck;
+import postgrade.rig.check.lease.LeaseUseCheck.Grant;
+import postgrade.rig.check.lease.LeaseUseCheck.GrantEnd;
+import postgrade.rig.check.lease.LeaseUseCheck.Use;
+import postgrade.rig.check.lease.LinearizabilityChecker;
 import postgrade.rig.history.History;
 import postgrade.rig.lease.LeaseCalls.Call;
 
@@ -60,18 +60,21 @@
         for (Call c : calls) {
             take(c, lastOfHolder);
         }
-        List<Gone> gone = new ArrayList<>();
+        List<GrantEnd> gone = new ArrayList<>();
         for (History.Event e : events) {
             if (e.kind().equals("gone")) {
-                gone.add(new Gone(e.whole("at"), e.who(), e.text("holder"), e.whole("fence")));
+                gone.add(
+                        new GrantEnd(e.number("at"), e.who(), e.text("holder"), e.number("fence")));
             }
         }
-        breaches.addAll(UseCheck.exclusion(used));
-        breaches.addAll(UseCheck.early(gone, List.copyOf(grants.values()), RATIO, UNCOMMITTED));
+        breaches.addAll(LeaseUseCheck.mutualExclusion(used));
+        breaches.addAll(
+                LeaseUseCheck.noEarlyExpiry(
+                        gone, List.copyOf(grants.values()), RATIO, UNCOMMITTED));
         timely(used, probesGranted);
-        List<Linearizable.Call<State>> history = inOrder(calls, withRefusals);
+        List<LinearizabilityChecker.Call<State>> history = inOrder(calls, withRefusals);
         judgedInOrder = history.size();
-        Linearizable.Call<State> stuck = Leases.judge(accelerators, history);
+        LinearizabilityChecker.Call<State> stuck = LeaseModel.firstViolation(accelerators, history);
         if (stuck != null) {
             breaches.add(new Breach("order", stuck.sent(), "", stuck.name() + " fits nowhere"));
         }
@@ -102,8 +105,8 @@
         } else if (c.verb().equals("renew") && lastOfHolder.containsKey(c.holder()) && !c.done()) {
             Grant g = grants.get(key(c.holder(), lastOfHolder.get(c.holder())));
             breaches.addAll(
-                    UseCheck.early(
-                            List.of(new Gone(c.ended(), "answer", g.holder(), g.fence())),
+                    LeaseUseCheck.noEarlyExpiry(
+                            List.of(new GrantEnd(c.ended(), "answer", g.holder(), g.fence())),
                             List.of(g),
                             RATIO,
                             UNCOMMITTED));
@@ -136,8 +139,8 @@
                 using.remove(e.who());
             } else if (e.kind().equals("use")) {
                 String before = using.put(e.who(), e.text("now"));
-                add(uses, e.who(), e.whole("last"), before);
-                add(uses, e.who(), e.whole("at"), e.text("now"));
+                add(uses, e.who(), e.number("last"), before);
+                add(uses, e.who(), e.number("at"), e.text("now"));
             }
         }
         return uses;
@@ -168,7 +171,7 @@
                             - g.ttlMicros()
                             + withoutGrants(probes, g.lastEndMicros(), last);
             List<Use> of = List.of(new Use(last, "", "", g.holder(), g.fence()));
-            breaches.addAll(UseCheck.timely(of, List.of(g), bound));
+            breaches.addAll(LeaseUseCheck.noUseAfterExpiry(of, List.of(g), bound));
             if (g.releasedMicros() > last && last > g.lastEndMicros()) {
                 lateAndBound.add(new long[] {last - g.lastEndMicros() - g.ttlMicros(), bound});
             }
@@ -190,8 +193,9 @@
 
     // ---- One order.
 
-    private List<Linearizable.Call<State>> inOrder(List<Call> calls, boolean withRefusals) {
-        List<Linearizable.Call<State>> all = new ArrayList<>();
+    private List<LinearizabilityChecker.Call<State>> inOrder(
+            List<Call> calls, boolean withRefusals) {
+        List<LinearizabilityChecker.Call<State>> all = new ArrayList<>();
         Map<String, Long> asking = new HashMap<>();
         Map<String, Call> last = new HashMap<>();
         for (Call c : calls) {
@@ -199,48 +203,51 @@
             boolean same = before != null && c.granted() && before.fence() == c.fence();
             if (c.granted() && !same) {
                 long former = before == null ? 0 : before.fence();
-                UnaryOperator<State> granted = Leases.granted(c.holder(), c.fence(), c.mask());
-                UnaryOperator<State> over = Leases.takenOver(c.holder(), former, c.fence());
+                UnaryOperator<State> granted = LeaseModel.granted(c.holder(), c.fence(), c.mask());
+                UnaryOperator<State> over = LeaseModel.takenOver(c.holder(), former, c.fence());
                 long sent = asking.getOrDefault(c.holder(), c.sent());
                 all.add(
-                        new Linearizable.Call<>(
+                        new LinearizabilityChecker.Call<>(
                                 "grant " + c,
                                 sent,
                                 c.ended(),
                                 s ->
-                                        s.held().containsKey(new Leases.Grant(c.holder(), former))
+                                        s.held()
+                                                        .containsKey(
+                                                                new LeaseModel.Grant(
+                                                                        c.holder(), former))
                                                 ? over.apply(s)
                                                 : granted.apply(s)));
             } else if (same) {
                 all.add(
-                        new Linearizable.Call<>(
+                        new LinearizabilityChecker.Call<>(
                                 "renewal " + c,
                                 c.sent(),
                                 c.ended(),
-                                Leases.renewed(c.holder(), c.fence())));
+                                LeaseModel.renewed(c.holder(), c.fence())));
             } else if (c.verb().equals("acquire")
                     && c.status().equals("CONFLICT")
                     && withRefusals) {
                 all.add(
-                        new Linearizable.Call<>(
+                        new LinearizabilityChecker.Call<>(
                                 "refusal " + c,
                                 c.sent(),
                                 c.ended(),
-                                Leases.refused(c.accelerators())));
+                                LeaseModel.refused(c.accelerators())));
             } else if (c.verb().equals("release") && c.state().equals("released")) {
                 all.add(
-                        new Linearizable.Call<>(
+                        new LinearizabilityChecker.Call<>(
                                 "release " + c,
                                 c.sent(),
                                 c.ended(),
-                                Leases.ended(c.holder(), before.fence())));
+                                LeaseModel.ended(c.holder(), before.fence())));
             } else if (before != null && !c.verb().equals("acquire")) {
                 all.add(
-                        new Linearizable.Call<>(
+                        new LinearizabilityChecker.Call<>(
                                 "gone " + c,
                                 c.sent(),
                                 c.ended(),
-                                Leases.gone(c.holder(), before.fence())));
+                                LeaseModel.notFound(c.holder(), before.fence())));
             }
             if (c.granted()) {
                 last.put(c.holder(), c);
@@ -260,20 +267,21 @@
                                     g.lastSentMicros()
                                             + (long) ((g.ttlMicros() - UNCOMMITTED) / RATIO);
                             all.add(
-                                    new Linearizable.Call<>(
+                                    new LinearizabilityChecker.Call<>(
                                             "expiry of " + g.fence(),
                                             ends,
                                             Long.MAX_VALUE,
-                                            Leases.ended(g.holder(), g.fence())));
+                                            LeaseModel.ended(g.holder(), g.fence())));
                             long rested =
                                     Math.min(ends, g.releasedMicros())
                                             + (long) ((REST - UNCOMMITTED) / RATIO);
                             all.add(
-                                    new Linearizable.Call<>(
+                                    new LinearizabilityChecker.Call<>(
                                             "rest of " + g.fence(),
                                             rested,
                                             Long.MAX_VALUE,
-                                            Leases.rested(masks.get(key(g.holder(), g.fence())))));
+                                            LeaseModel.rested(
+                                                    masks.get(key(g.holder(), g.fence())))));
                         });
         return all;
     }
--- a/rig/src/test/java/postgrade/rig/process/ProgramTest.java
+++ b/rig/src/test/java/postgrade/rig/process/ProgramTest.java
@@ -35,15 +35,15 @@
         history.close();
     }
 
-    private Program.Start echo() {
-        return new Program.Start("e", Echo.class.getName());
+    private JavaProcess.Builder echo() {
+        return new JavaProcess.Builder("e", Echo.class.getName());
     }
 
     @Test
     public void aKilledProcessEndsAndItsHistoryIsKept() throws IOException, InterruptedException {
-        try (Program p = echo().clock(5, -20_000).in(history)) {
+        try (JavaProcess p = echo().testClock(5, -20_000).start(history)) {
             assertEquals("5,-20000", p.await("up", 0, MOST).text("clock"));
-            p.tell("one");
+            p.writeLine("one");
             assertEquals("one", p.await("said", 0, MOST).text("text"));
             p.kill();
             p.await("ended", 0, MOST);
@@ -54,10 +54,10 @@
 
     @Test
     public void aStoppedProcessGoesOnWhereItWas() throws IOException, InterruptedException {
-        try (Program p = echo().in(history)) {
+        try (JavaProcess p = echo().start(history)) {
             p.await("up", 0, MOST);
             p.stop();
-            p.tell("late");
+            p.writeLine("late");
             assertThrows(IllegalStateException.class, () -> p.await("said", 0, 200));
             p.resume();
             assertEquals("late", p.await("said", 0, MOST).text("text"));
@@ -66,7 +66,7 @@
 
     @Test
     public void aStoppedProcessIsNotLeftBehind() throws IOException, InterruptedException {
-        Program p = echo().in(history);
+        JavaProcess p = echo().start(history);
         p.await("up", 0, MOST);
         p.stop();
         p.close();
@@ -75,11 +75,11 @@
 
     @Test
     public void aFullDiskFailsWritesAndLeavesTheProcess() throws IOException, InterruptedException {
-        try (Program p = echo().fileLimit(16).in(history)) {
+        try (JavaProcess p = echo().maxFileKib(16).start(history)) {
             p.await("up", 0, MOST);
-            p.tell("write " + folder.getRoot().toPath().resolve("big"));
+            p.writeLine("write " + folder.getRoot().toPath().resolve("big"));
             p.await("full", 0, MOST);
-            p.tell("still here");
+            p.writeLine("still here");
             p.await("said", 0, MOST);
         }
     }
--- a/rig/src/test/java/postgrade/rig/proxy/FaultProxyTest.java
+++ b/rig/src/test/java/postgrade/rig/proxy/FaultProxyTest.java
@@ -31,7 +31,7 @@
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         server.setSoTimeout(MOST_MILLIS);
         proxy = new FaultProxy("p");
-        proxy.leadsTo(
+        proxy.setTarget(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort()));
     }
 
@@ -73,7 +73,7 @@
     public void whatIsCutOneWayComesWhenHealedAndTheOtherWayIsOpen() throws IOException {
         try (Socket c = client();
                 Socket s = accepted()) {
-            proxy.cut(Way.OUT);
+            proxy.cut(Direction.OUT);
             c.getOutputStream().write(new byte[] {1, 2, 3});
             s.getOutputStream().write(9);
             assertEquals(9, c.getInputStream().read());
@@ -130,7 +130,7 @@
 
     @Test
     public void itClosesAfterSoManyBytes() throws IOException {
-        proxy.closeAfter(Way.OUT, 4);
+        proxy.closeAfter(Direction.OUT, 4);
         try (Socket c = client();
                 Socket s = accepted()) {
             c.getOutputStream().write(new byte[] {1, 2, 3, 4, 5, 6});
@@ -142,7 +142,7 @@
     public void delayedBytesComeLate() throws IOException {
         try (Socket c = client();
                 Socket s = accepted()) {
-            proxy.delay(Way.OUT, 120);
+            proxy.delay(Direction.OUT, 120);
             long begun = System.nanoTime();
             c.getOutputStream().write(1);
             assertEquals(1, s.getInputStream().read());
@@ -157,14 +157,14 @@
         // Where nobody listens, and nobody else can begin to: the port that was let go of may be
         // another's by now.
         try (HeldPort nobodys = new HeldPort()) {
-            proxy.leadsTo(nobodys.address());
+            proxy.setTarget(nobodys.address());
             try (Socket c = client()) {
                 ended(c);
             }
         }
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         server.setSoTimeout(MOST_MILLIS);
-        proxy.leadsTo(
+        proxy.setTarget(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort()));
         try (Socket c = client();
                 Socket s = accepted()) {
@@ -172,7 +172,7 @@
             assertEquals(7, s.getInputStream().read());
         }
         assertEquals(port, proxy.port());
-        proxy.refuse(true);
+        proxy.setRefusing(true);
         try (Socket c = client()) {
             ended(c);
         }
--- a/rig/src/test/java/postgrade/rig/timetable/PlayerTest.java
+++ b/rig/src/test/java/postgrade/rig/schedule/PlayerTest.java
@@ -1,4 +1,4 @@
-package postgrade.rig.timetable;
+package postgrade.rig.schedule;
 
 import static org.junit.Assert.assertEquals;
 
@@ -9,7 +9,7 @@
 import postgrade.rig.cluster.Cluster;
 import postgrade.rig.history.History.Event;
 import postgrade.rig.process.Echo;
-import postgrade.rig.process.Program;
+import postgrade.rig.process.JavaProcess;
 
 public class PlayerTest {
 
@@ -17,8 +17,8 @@
 
     @Test
     public void stepsFollowTheirTimesAndEvents() throws Exception {
-        Timetable t =
-                Timetable.of(
+        FaultSchedule t =
+                FaultSchedule.of(
                         "t.star",
                         """
                 steps = [
@@ -28,11 +28,11 @@
                 ]
                 """);
         try (Cluster c = new Cluster(folder.path(), List.of("e1", "e2"), List.of())) {
-            c.recipe(name -> new Program.Start(name, Echo.class.getName()));
+            c.setProcessFactory(name -> new JavaProcess.Builder(name, Echo.class.getName()));
             c.start("e1").await("up", 0, 20_000);
             c.start("e2").await("up", 0, 20_000);
-            Player.play(t, c);
-            c.of("e2").await("ended", 0, 20_000);
+            FaultScheduleRunner.run(t, c);
+            c.process("e2").await("ended", 0, 20_000);
             List<String> faults =
                     c.history().all().stream()
                             .filter(e -> e.kind().equals("step"))
--- a/rig/src/test/java/postgrade/rig/timetable/TimetableTest.java
+++ b/rig/src/test/java/postgrade/rig/schedule/TimetableTest.java
@@ -1,4 +1,4 @@
-package postgrade.rig.timetable;
+package postgrade.rig.schedule;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertNotEquals;
@@ -20,9 +20,9 @@
 
     @Test
     public void theSameSeedGivesTheSameTimetable() {
-        Timetable t = Timetable.of("a.star", "seed = 3\n" + STEPS);
-        assertEquals(t.steps(), Timetable.of("b.star", "seed = 3\n" + STEPS).steps());
-        assertNotEquals(t.steps(), Timetable.of("c.star", "seed = 4\n" + STEPS).steps());
+        FaultSchedule t = FaultSchedule.of("a.star", "seed = 3\n" + STEPS);
+        assertEquals(t.steps(), FaultSchedule.of("b.star", "seed = 3\n" + STEPS).steps());
+        assertNotEquals(t.steps(), FaultSchedule.of("c.star", "seed = 4\n" + STEPS).steps());
         assertEquals(new Step(100_000, "n1 leader", "cut", "n1", "n2", 0), t.steps().get(0));
         assertEquals(21, t.steps().size());
     }
@@ -32,7 +32,7 @@
         ScriptError e =
                 assertThrows(
                         ScriptError.class,
-                        () -> Timetable.of("a.star", "steps = [step(1, \"burn\", \"n1\")]"));
+                        () -> FaultSchedule.of("a.star", "steps = [step(1, \"burn\", \"n1\")]"));
         assertTrue(e.getMessage(), e.getMessage().contains("there is no fault burn"));
     }
 }
--- a/rig/src/test/java/postgrade/rig/serve/ServingTest.java
+++ b/rig/src/test/java/postgrade/rig/serve/ServingTest.java
@@ -11,7 +11,7 @@
 import postgrade.fleet.check.RuleChecker;
 import postgrade.fleet.plan.FleetPlan;
 import postgrade.rig.KeptFolder;
-import postgrade.rig.load.Shops;
+import postgrade.rig.load.LoadGenerator;
 
 /**
  * Real dispatchers under load, one killed and begun again: the rig sees it, and the rules hold for
@@ -24,25 +24,26 @@
     @Test
     public void aKilledDispatcherComesBackAtItsPortAndTheRulesHold()
             throws IOException, InterruptedException {
-        Serving.Options o = new Serving.Options();
+        DispatcherCluster.Options o = new DispatcherCluster.Options();
         o.dispatchers = 2;
         o.voters = 0;
         o.plan = FleetPlan.of("t.star", FleetPlan.shippedText("zagreb"));
-        try (Serving s = new Serving(folder.path(), o)) {
+        try (DispatcherCluster s = new DispatcherCluster(folder.path(), o)) {
             s.startAll();
-            try (Shops shops =
-                    new Shops(
-                            s.consumers(),
+            try (LoadGenerator shops =
+                    new LoadGenerator(
+                            s.clientAddresses(),
                             List.of(
-                                    new Shops.Kind(
+                                    new LoadGenerator.JobKind(
                                             "slot-check", "kvart-market", 1, 20_000_000, true),
-                                    new Shops.Kind(
+                                    new LoadGenerator.JobKind(
                                             "order-confirm", "zeleni-kos", 1, 20_000_000, false)),
                             5,
                             folder.path().resolve("clients.ledger"))) {
-                shops.rate(40);
-                s.until("jobs", "GET", "n1", "/status", null, 120_000, a -> a.status() == 200);
-                s.cluster().of("n2").kill();
+                shops.setRate(40);
+                s.awaitAnswer(
+                        "jobs", "GET", "n1", "/status", null, 120_000, a -> a.status() == 200);
+                s.cluster().process("n2").kill();
                 s.cluster().start("n2");
                 long ready = s.awaitReady("n2", 120_000);
                 // Its worth is seen when the one begun again has been given jobs.
@@ -63,7 +64,8 @@
         }
     }
 
-    private void awaitReceived(Serving s, long since) throws IOException, InterruptedException {
+    private void awaitReceived(DispatcherCluster s, long since)
+            throws IOException, InterruptedException {
         long end = System.nanoTime() + 120_000_000_000L;
         while (System.nanoTime() < end) {
             s.fleet().flush();
--- a/rig/src/test/java/postgrade/rig/shared/ComingBackTest.java
+++ b/rig/src/test/java/postgrade/rig/shared/ComingBackTest.java
@@ -20,11 +20,11 @@
 import postgrade.fleet.Clock;
 import postgrade.fleet.check.LedgerReader.Line;
 import postgrade.rig.KeptFolder;
-import postgrade.rig.check.OutCheck;
 import postgrade.rig.check.ShareCheck;
-import postgrade.rig.disk.Disk;
-import postgrade.rig.process.Program;
-import postgrade.rig.serve.Call;
+import postgrade.rig.check.WorkerMaintenanceCheck;
+import postgrade.rig.disk.DiskFaults;
+import postgrade.rig.process.JavaProcess;
+import postgrade.rig.serve.OperatorCall;
 
 /**
  * Coming back: shares, workers out, and state lost, over kills and cuts of real dispatchers under
@@ -49,7 +49,7 @@
                         "",
                         "slot-check",
                         "order-confirm");
-        s.shops.rate(60);
+        s.shops.setRate(60);
     }
 
     @After
@@ -60,7 +60,7 @@
     }
 
     /** Of one that returns first: what grows is seen before what must have shrunk by then. */
-    private double sum(List<ShareCheck.Took> took, Set<String> dead, String... first)
+    private double sum(List<ShareCheck.ShareChange> took, Set<String> dead, String... first)
             throws IOException, InterruptedException {
         List<String> order = new ArrayList<>(List.of(first));
         SharedServing.ALL.stream().filter(n -> !order.contains(n)).forEach(order::add);
@@ -79,14 +79,14 @@
         long now = Clock.micros();
         parts.entrySet().stream()
                 .sorted(Map.Entry.comparingByValue())
-                .forEach(e -> took.add(new ShareCheck.Took(now, e.getKey(), e.getValue())));
+                .forEach(e -> took.add(new ShareCheck.ShareChange(now, e.getKey(), e.getValue())));
         return parts.values().stream().mapToDouble(Double::doubleValue).sum();
     }
 
     @Test
     public void sharesOfTheDeadGoToTheLivingAndBackAndNeverComeToMoreThanTheWhole()
             throws IOException, InterruptedException {
-        List<ShareCheck.Took> took = new ArrayList<>();
+        List<ShareCheck.ShareChange> took = new ArrayList<>();
         double most = 0;
         most = Math.max(most, sum(took, Set.of()));
         s.kill("n4");
@@ -121,7 +121,7 @@
         long told = Clock.micros();
         long killed = Clock.micros();
         s.kill("n4");
-        Disk.wipe(s.serving.cluster().store("n4"));
+        DiskFaults.wipe(s.serving.cluster().store("n4"));
         s.startAgain("n4");
         // It knows nothing until its first view has come, and serves by the list alone until then.
         s.awaitJoined("n4");
@@ -129,7 +129,7 @@
         long sent = s.awaitSent("n4", "slot-check", knows);
         s.awaitSent("n4", "slot-check", sent + 3_000_000);
         s.judgeRules("n4");
-        List<OutCheck.Sent> judged =
+        List<WorkerMaintenanceCheck.Sent> judged =
                 sends().stream()
                         .filter(
                                 one ->
@@ -139,27 +139,29 @@
                         .toList();
         assertEquals(
                 List.of(),
-                OutCheck.judge(
-                        List.of(new OutCheck.Told(told, WORKER, true)),
+                WorkerMaintenanceCheck.check(
+                        List.of(new WorkerMaintenanceCheck.StatusChange(told, WORKER, true)),
                         judged,
                         SharedServing.SLACK_MICROS));
     }
 
     private void awaitOut(String... names) throws InterruptedException {
         for (String name : names) {
-            s.serving.until(
+            s.serving.awaitAnswer(
                     WORKER + " out", "GET", name, "/status", null, SharedServing.MOST, a -> out(a));
         }
     }
 
     /** To a worker out nothing is sent by a dispatcher from when it knew. */
     private void judgeOut(Map<String, Long> knew) throws IOException {
-        List<OutCheck.Sent> all = sends();
+        List<WorkerMaintenanceCheck.Sent> all = sends();
         for (Map.Entry<String, Long> e : knew.entrySet()) {
             assertEquals(
                     List.of(),
-                    OutCheck.judge(
-                            List.of(new OutCheck.Told(e.getValue(), WORKER, true)),
+                    WorkerMaintenanceCheck.check(
+                            List.of(
+                                    new WorkerMaintenanceCheck.StatusChange(
+                                            e.getValue(), WORKER, true)),
                             all.stream().filter(one -> one.process().equals(e.getKey())).toList(),
                             SharedServing.SLACK_MICROS));
         }
@@ -199,7 +201,7 @@
         awaitOut(SharedServing.ALL.toArray(new String[0]));
         long told = Clock.micros();
         long place = place(s.until("place", "n1", a -> place(a) != 0).json());
-        Program old = s.serving.upgrade("n4", "n4 before");
+        JavaProcess old = s.serving.upgrade("n4", "n4 before");
         awaitOut("n4");
         s.awaitSent("n4", "slot-check", Clock.micros());
         // Once it has a view it would join, were it to; time enough for that to be decided.
@@ -210,7 +212,7 @@
                 place,
                 place(s.until("view", "n1", a -> place(a) != 0).json()));
         old.terminate();
-        old.ended();
+        old.awaitExit();
         s.until("another's place", "n1", a -> place(a) != 0 && place(a) != place);
         s.awaitSent("n4", "slot-check", Clock.micros() + 3_000_000);
         awaitOut("n4");
@@ -230,16 +232,16 @@
         return of;
     }
 
-    private static boolean out(Call.Answer a) {
+    private static boolean out(OperatorCall.Answer a) {
         return a.text().contains(WORKER);
     }
 
-    private List<OutCheck.Sent> sends() throws IOException {
-        List<OutCheck.Sent> sent = new ArrayList<>();
+    private List<WorkerMaintenanceCheck.Sent> sends() throws IOException {
+        List<WorkerMaintenanceCheck.Sent> sent = new ArrayList<>();
         for (Line l : s.workers()) {
             if (l.event().equals("received")) {
                 sent.add(
-                        new OutCheck.Sent(
+                        new WorkerMaintenanceCheck.Sent(
                                 l.number("first"), "n" + (l.number("via") + 1), l.party(), l.id()));
             }
         }
@@ -265,7 +267,7 @@
         s.awaitSent("n4", "slot-check", 0);
         s.kill("n4");
         List<Path> memories = new ArrayList<>();
-        for (Path p : Disk.files(s.serving.cluster().store("n4"))) {
+        for (Path p : DiskFaults.files(s.serving.cluster().store("n4"))) {
             // Beside it may lie what the kill cut short, which ends in .next.
             if (p.getFileName().toString().endsWith(".memory")) {
                 memories.add(p);
@@ -278,7 +280,7 @@
         String why =
                 s.serving
                         .cluster()
-                        .of("n4")
+                        .process("n4")
                         .await("memory.unusable", from, SharedServing.MOST)
                         .text("why");
         assertTrue(why, why.contains("checksum"));
@@ -292,8 +294,8 @@
         s.kill("n2");
         // Beyond what a view is good for: by then each goes by what it has without one.
         long alone = Clock.micros() + 8_000_000;
-        Call.Answer a =
-                s.serving.until(
+        OperatorCall.Answer a =
+                s.serving.awaitAnswer(
                         "no decision",
                         "PUT",
                         "n4",
--- a/rig/src/test/java/postgrade/rig/shared/ReservationsTest.java
+++ b/rig/src/test/java/postgrade/rig/shared/ReservationsTest.java
@@ -13,7 +13,7 @@
 import org.junit.Test;
 import postgrade.fleet.Clock;
 import postgrade.rig.KeptFolder;
-import postgrade.rig.serve.Call;
+import postgrade.rig.serve.OperatorCall;
 
 /**
  * Reservations by operators' calls to whole dispatchers, over a leader's death and pause, and a
@@ -53,7 +53,8 @@
     }
 
     /** All six accelerators of the site. */
-    private Call.Answer acquire(String by, String name, long ttlMs) throws InterruptedException {
+    private OperatorCall.Answer acquire(String by, String name, long ttlMs)
+            throws InterruptedException {
         return s.decided(
                 "PUT",
                 by,
@@ -61,24 +62,26 @@
                 holder(name).add("accelerators", 6).add("ttlMs", ttlMs));
     }
 
-    private Call.Answer acquire(String by, String name) throws InterruptedException {
+    private OperatorCall.Answer acquire(String by, String name) throws InterruptedException {
         return acquire(by, name, TTL_MS);
     }
 
-    private Call.Answer renew(String by, String name, String fence) throws InterruptedException {
+    private OperatorCall.Answer renew(String by, String name, String fence)
+            throws InterruptedException {
         return s.decided("PUT", by, "/reservations/renew", holder(name).add("fence", fence));
     }
 
-    private static String fence(Call.Answer a) {
+    private static String fence(OperatorCall.Answer a) {
         return a.json().get("fence") == null
                 ? ""
                 : a.json().get("fence").toString().replace("\"", "");
     }
 
     /** The site's accelerators are told to the state by dispatchers, some time after they begin. */
-    private Call.Answer first(String by, String name, long ttlMs) throws InterruptedException {
+    private OperatorCall.Answer first(String by, String name, long ttlMs)
+            throws InterruptedException {
         long end = Clock.micros() + SharedServing.MOST * 1000;
-        Call.Answer a;
+        OperatorCall.Answer a;
         do {
             a = acquire(by, name, ttlMs);
         } while (a.status() != 200 && Clock.micros() < end);
@@ -97,7 +100,7 @@
         String leader = s.leader("n4");
         s.kill(leader);
         String by = SharedServing.other(leader);
-        Call.Answer granted;
+        OperatorCall.Answer granted;
         do {
             granted = acquire(by, "two");
             assertEquals(granted.toString(), 200, granted.status());
@@ -118,14 +121,14 @@
             throws IOException, InterruptedException {
         String one = fence(first("n4", "one", PAUSED_TTL_MS));
         String leader = s.leader("n4");
-        s.serving.cluster().of(leader).stop();
+        s.serving.cluster().process(leader).stop();
         long end = Clock.micros() + 2 * PAUSED_TTL_MS * 1000;
         while (Clock.micros() < end) {
-            Call.Answer a = renew("n4", "one", one);
+            OperatorCall.Answer a = renew("n4", "one", one);
             assertEquals(a.toString(), 200, a.status());
         }
-        s.serving.cluster().of(leader).resume();
-        Call.Answer two = acquire(leader, "two");
+        s.serving.cluster().process(leader).resume();
+        OperatorCall.Answer two = acquire(leader, "two");
         assertEquals(two.toString(), "waiting", two.json().getString("state", ""));
         assertEquals(one, fence(renew(leader, "one", one)));
     }
@@ -141,8 +144,8 @@
                         .add("ttlMs", 30_000)
                         .add("requestId", "same")
                         .toString();
-        Call.Answer cut =
-                s.serving.until(
+        OperatorCall.Answer cut =
+                s.serving.awaitAnswer(
                         "refusal",
                         "PUT",
                         "n4",
@@ -151,8 +154,8 @@
                         SharedServing.MOST,
                         a -> a.status() == 503);
         assertTrue(cut.toString(), !cut.retryAfter().isEmpty());
-        Call.Answer there =
-                s.serving.until(
+        OperatorCall.Answer there =
+                s.serving.awaitAnswer(
                         "decision",
                         "PUT",
                         "n1",
@@ -166,7 +169,7 @@
                 200,
                 s.decided("PUT", "n1", "/reservations/release", holder("zero").add("fence", zero))
                         .status());
-        s.serving.until(
+        s.serving.awaitAnswer(
                 "grant",
                 "GET",
                 "n1",
@@ -184,8 +187,8 @@
                                                                 && r.asObject().get("fence")
                                                                         != null));
         s.serving.cluster().mesh().heal();
-        Call.Answer again =
-                s.serving.until(
+        OperatorCall.Answer again =
+                s.serving.awaitAnswer(
                         "decision",
                         "PUT",
                         "n4",
--- a/rig/src/test/java/postgrade/rig/shared/SharedServing.java
+++ b/rig/src/test/java/postgrade/rig/shared/SharedServing.java
@@ -12,9 +12,9 @@
 import postgrade.fleet.check.LedgerReader.Line;
 import postgrade.fleet.check.RuleChecker;
 import postgrade.fleet.plan.FleetPlan;
-import postgrade.rig.load.Shops;
-import postgrade.rig.serve.Call;
-import postgrade.rig.serve.Serving;
+import postgrade.rig.load.LoadGenerator;
+import postgrade.rig.serve.DispatcherCluster;
+import postgrade.rig.serve.OperatorCall;
 import postgrade.rig.serve.SharingScript;
 
 /**
@@ -55,31 +55,33 @@
             tenants = {"kvart-market": 60, "zeleni-kos": 60}
             """;
 
-    final Serving serving;
-    final Shops shops;
+    final DispatcherCluster serving;
+    final LoadGenerator shops;
     private final Path folder;
     private int calls;
 
     SharedServing(Path folder, String sharing, String planners, String... classes)
             throws IOException, InterruptedException {
         this.folder = folder;
-        Serving.Options o = new Serving.Options();
+        DispatcherCluster.Options o = new DispatcherCluster.Options();
         o.dispatchers = ALL.size();
         o.plan =
                 FleetPlan.of(
                         "shared.star",
                         String.format(FLEET, ProcessHandle.current().pid(), planners));
         o.sharing = SharingScript.proxied(sharing);
-        serving = new Serving(folder, o);
-        List<Shops.Kind> kinds = new java.util.ArrayList<>();
+        serving = new DispatcherCluster(folder, o);
+        List<LoadGenerator.JobKind> kinds = new java.util.ArrayList<>();
         for (String c : classes) {
             for (String tenant : o.plan.tenants.keySet()) {
                 kinds.add(
-                        new Shops.Kind(
+                        new LoadGenerator.JobKind(
                                 c, tenant, 1, 20_000_000, o.plan.classes.get(c).repeatable()));
             }
         }
-        shops = new Shops(serving.consumers(), kinds, 9, folder.resolve("clients.ledger"));
+        shops =
+                new LoadGenerator(
+                        serving.clientAddresses(), kinds, 9, folder.resolve("clients.ledger"));
         try {
             serving.beginEra("n1", 1);
             serving.startAll();
@@ -98,9 +100,10 @@
         }
     }
 
-    Call.Answer until(String what, String name, java.util.function.Predicate<JsonObject> sought)
+    OperatorCall.Answer until(
+            String what, String name, java.util.function.Predicate<JsonObject> sought)
             throws InterruptedException {
-        return serving.until(
+        return serving.awaitAnswer(
                 what,
                 "GET",
                 name,
@@ -131,14 +134,15 @@
     }
 
     /** Calls until it is decided, with one request id. */
-    Call.Answer decided(String method, String name, String path, JsonObject body)
+    OperatorCall.Answer decided(String method, String name, String path, JsonObject body)
             throws InterruptedException {
         String text = body.add("requestId", requestId()).toString();
-        return serving.until("decision", method, name, path, text, MOST, a -> a.status() != 503);
+        return serving.awaitAnswer(
+                "decision", method, name, path, text, MOST, a -> a.status() != 503);
     }
 
     void kill(String name) throws InterruptedException {
-        serving.cluster().of(name).kill();
+        serving.cluster().process(name).kill();
     }
 
     void startAgain(String name) throws IOException, InterruptedException {
@@ -178,7 +182,7 @@
     /** Waits until no process tells of this holder any more. */
     void awaitGone(String holder, String... names) throws InterruptedException {
         for (String name : names) {
-            serving.until(
+            serving.awaitAnswer(
                     holder + " gone",
                     "GET",
                     name,
--- a/rig/src/test/java/postgrade/rig/shared/StartWindowsTest.java
+++ b/rig/src/test/java/postgrade/rig/shared/StartWindowsTest.java
@@ -20,10 +20,10 @@
 import postgrade.rig.KeptFolder;
 import postgrade.rig.check.Breach;
 import postgrade.rig.check.WindowCheck;
+import postgrade.rig.check.WindowCheck.CalendarVersion;
 import postgrade.rig.check.WindowCheck.Span;
-import postgrade.rig.check.WindowCheck.Started;
-import postgrade.rig.check.WindowCheck.Version;
-import postgrade.rig.serve.Call;
+import postgrade.rig.check.WindowCheck.StartedJob;
+import postgrade.rig.serve.OperatorCall;
 
 /**
  * Start windows in whole dispatchers: a calendar's change over a restart and a cut, and a faulty
@@ -61,7 +61,7 @@
         for (String name : SharedServing.ALL) {
             awaitMayStart(name);
         }
-        s.shops.rate(60);
+        s.shops.setRate(60);
     }
 
     @After
@@ -87,7 +87,7 @@
         return c.append("END:VCALENDAR\r\n").toString();
     }
 
-    private Call.Answer put(String by, String text) throws InterruptedException {
+    private OperatorCall.Answer put(String by, String text) throws InterruptedException {
         return s.decided(
                 "PUT",
                 by,
@@ -96,7 +96,7 @@
     }
 
     private void awaitMayStart(String name) throws InterruptedException {
-        s.serving.until(
+        s.serving.awaitAnswer(
                 "opening",
                 "POST",
                 name,
@@ -113,7 +113,7 @@
     private Span announce(String by) throws InterruptedException {
         for (int tries = 0; tries < 10; tries++) {
             long from = System.currentTimeMillis() / 1000 + 15 + 3 * tries;
-            Call.Answer a = put(by, calendar(from, from + LASTS_MICROS / 1_000_000));
+            OperatorCall.Answer a = put(by, calendar(from, from + LASTS_MICROS / 1_000_000));
             assertEquals(a.toString(), 200, a.status());
             long begins = from * 1_000_000 + offset;
             if (Clock.micros() + a.json().getLong("inMicros", 0) < begins) {
@@ -126,7 +126,7 @@
     }
 
     private void judge(Span maintenance) throws IOException {
-        List<Started> started = new ArrayList<>();
+        List<StartedJob> started = new ArrayList<>();
         long others = 0;
         for (Line l : s.workers()) {
             if (l.event().equals("received")) {
@@ -134,7 +134,7 @@
                         l.number("first") >= maintenance.from()
                                 && l.number("first") < maintenance.to();
                 if ("route-plan".equals(l.value("class"))) {
-                    started.add(new Started(l.number("first"), SITE, l.id()));
+                    started.add(new StartedJob(l.number("first"), SITE, l.id()));
                 } else {
                     others += within ? 1 : 0;
                 }
@@ -142,8 +142,10 @@
         }
         assertTrue("none of a class without windows went on", others > 0);
         List<Breach> breaches =
-                WindowCheck.judge(
-                        List.of(new Version(SITE, 0, List.of(maintenance))), started, SLACK);
+                WindowCheck.check(
+                        List.of(new CalendarVersion(SITE, 0, List.of(maintenance))),
+                        started,
+                        SLACK);
         assertEquals(List.of(), breaches);
     }
 
@@ -221,8 +223,8 @@
         first.start();
         s.kill(leader);
         first.join();
-        Call.Answer one =
-                s.serving.until(
+        OperatorCall.Answer one =
+                s.serving.awaitAnswer(
                         "decision",
                         "PUT",
                         by,
@@ -234,8 +236,8 @@
         assertTrue(
                 one.toString(),
                 Clock.micros() + one.json().getLong("inMicros", 0) < maintenance.from());
-        Call.Answer again =
-                s.serving.until(
+        OperatorCall.Answer again =
+                s.serving.awaitAnswer(
                         "decision",
                         "PUT",
                         third,
@@ -258,7 +260,7 @@
         String faulty =
                 calendar(1_900_000_000L, 1_900_003_600L)
                         .replace("SUMMARY:belts", "RRULE:FREQ=SOMETIMES\r\nSUMMARY:belts");
-        Call.Answer a = put("n3", faulty);
+        OperatorCall.Answer a = put("n3", faulty);
         assertEquals(a.toString(), 400, a.status());
         assertTrue(a.toString(), a.text().contains("line 9") && a.text().contains("RRULE"));
         assertEquals(
--- a/rig/src/test/java/postgrade/rig/soak/RandomFaultsTest.java
+++ b/rig/src/test/java/postgrade/rig/soak/RandomFaultsTest.java
@@ -8,7 +8,7 @@
 import org.junit.Test;
 import postgrade.rig.jobs.ExchangeFault;
 import postgrade.rig.jobs.ExchangeFault.Kind;
-import postgrade.rig.jobs.FaultChoice.Exchange;
+import postgrade.rig.jobs.FaultSelector.Exchange;
 
 /** What the soak draws for an exchange, and whether it has come about. */
 public class RandomFaultsTest {
@@ -16,7 +16,7 @@
     private static final int REQUESTS = 1000;
 
     private static ExchangeFault of(RandomFaults faults, int request, boolean isJob) {
-        return faults.of(new Exchange(0, "w1", "request-" + request, isJob, 0));
+        return faults.select(new Exchange(0, "w1", "request-" + request, isJob, 0));
     }
 
     /** Guards against a soak in which no cancellation ever overtakes its job. */
@@ -40,9 +40,9 @@
         for (int i = 0; i < REQUESTS; i++) {
             of(faults, i, true);
         }
-        assertEquals(List.of(Kind.STALE_ANSWER), faults.frequentButNotPut());
-        faults.wasPut(Kind.STALE_ANSWER);
-        assertEquals(List.of(), faults.frequentButNotPut());
+        assertEquals(List.of(Kind.STALE_ANSWER), faults.frequentButNotInjected());
+        faults.faultInjected(Kind.STALE_ANSWER);
+        assertEquals(List.of(), faults.frequentButNotInjected());
         assertEquals(Map.of(Kind.STALE_ANSWER, 1L), faults.counts());
     }
 
@@ -59,8 +59,8 @@
                         List.of("HUP n1 @2.0: not heard"),
                         0,
                         List.of());
-        assertTrue(played.line(), !played.isClean());
-        assertTrue(played.line(), played.line().contains("NOT CLEAN"));
-        assertTrue(played.line(), played.line().contains("could not be put: HUP n1"));
+        assertTrue(played.summary(), !played.isClean());
+        assertTrue(played.summary(), played.summary().contains("NOT CLEAN"));
+        assertTrue(played.summary(), played.summary().contains("could not be put: HUP n1"));
     }
 }
--- a/rig/src/test/java/postgrade/rig/soak/SoakTest.java
+++ b/rig/src/test/java/postgrade/rig/soak/SoakTest.java
@@ -19,7 +19,7 @@
     private void rulesHold(long seed) throws Exception {
         SoakResult result = Soak.run(seed, SoakLimits.LENIENT, folder.path());
         assertEquals(List.of(), result.violations());
-        assertTrue(result.line(), result.isClean());
+        assertTrue(result.summary(), result.isClean());
     }
 
     /** Resets within messages, lost answers, repeated answers; kills and reloads. */
--- a/sharing/src/main/java/postgrade/sharing/Shared.java
+++ b/sharing/src/main/java/postgrade/sharing/Shared.java
@@ -140,10 +140,10 @@
                         sharing,
                         new FleetSync.AcceleratorConfig(
                                 settings.accelerators(), settings.acceleratorsVersion()),
-                        settings.reserving(),
+                        settings.reservingClasses(),
                         settings.lends());
         opening = new Opening(host, sharing, aside, settings.windows());
-        Set<String> bound = new HashSet<>(settings.reserving());
+        Set<String> bound = new HashSet<>(settings.reservingClasses());
         settings.windows().classes().forEach(w -> bound.add(w.name()));
         connecting = new Connecting(host, settings.returnMultiple(), bound);
         CalendarCalls.addTo(calls, host, sharing, aside);
--- a/sharing/src/main/java/postgrade/sharing/SharingFinder.java
+++ b/sharing/src/main/java/postgrade/sharing/SharingFinder.java
@@ -14,16 +14,16 @@
 import postgrade.shared.ReplicatedState;
 import postgrade.shared.StatePart;
 import postgrade.sharing.session.Opener;
-import postgrade.sharing.settings.SharingPlan;
+import postgrade.sharing.settings.SharingSettingsFile;
 
 /** Puts shared state beside a dispatcher that is told of a file for it. */
 public final class SharingFinder implements DispatcherExtension.Factory {
 
     @Override
     public DispatcherExtension.Configuration read(Path file, String dispatcher) {
-        SharingPlan.Both both;
+        SharingSettingsFile.Contents both;
         try {
-            both = SharingPlan.read(file, dispatcher);
+            both = SharingSettingsFile.read(file, dispatcher);
         } catch (ScriptError e) {
             throw new IllegalArgumentException(e.getMessage(), e);
         }
--- a/sharing/src/main/java/postgrade/sharing/calls/CalendarCalls.java
+++ b/sharing/src/main/java/postgrade/sharing/calls/CalendarCalls.java
@@ -3,7 +3,7 @@
 import com.eclipsesource.json.JsonObject;
 import java.util.Map;
 import java.util.concurrent.Executor;
-import postgrade.calendar.CalendarCheck;
+import postgrade.calendar.CalendarLoader;
 import postgrade.extension.Host;
 import postgrade.operator.AdditionalEndpoints.Reply;
 import postgrade.shared.Command;
@@ -64,7 +64,7 @@
         String zone = Body.needed(object, "zone");
         Row args = Row.of("site", site, "zone", zone, "text", text);
         if (fields.containsKey("inMs")) {
-            long most = CalendarPart.MOST_AHEAD_MICROS / 1000;
+            long most = CalendarPart.MAX_ACTIVATION_DELAY_MICROS / 1000;
             args = args.with("inMicros", new Row(fields).integer("inMs", 0, most) * 1000);
         }
         if (fields.containsKey("expects")) {
@@ -94,10 +94,10 @@
 
     private static String fault(String site, String zone, String text) {
         try {
-            CalendarCheck.Result r = CalendarCheck.check(site, zone, text);
+            CalendarLoader.CheckResult r = CalendarLoader.check(site, zone, text);
             return r.ok()
                     ? null
-                    : (r.line() == 0 ? "" : "text line " + r.line() + ": ") + r.sentence();
+                    : (r.line() == 0 ? "" : "text line " + r.line() + ": ") + r.message();
         } catch (RuntimeException | StackOverflowError e) {
             return "text cannot be read: " + e;
         }
--- a/sharing/src/main/java/postgrade/sharing/calls/WindowCalls.java
+++ b/sharing/src/main/java/postgrade/sharing/calls/WindowCalls.java
@@ -17,9 +17,9 @@
 import postgrade.window.Deadline;
 import postgrade.window.Exclusion;
 import postgrade.window.Intervals;
-import postgrade.window.Plan;
-import postgrade.window.WindowClass;
-import postgrade.window.Windows;
+import postgrade.window.JobClassWindow;
+import postgrade.window.StartPlan;
+import postgrade.window.StartWindows;
 
 /** When a job may start: by its class, or by a plan of its own. */
 public final class WindowCalls {
@@ -54,23 +54,24 @@
                             throw new Body.Bad(f + " is not a field of a plan");
                         });
         long now = host.unixMillis().getAsLong();
-        Plan plan = plan(object, now);
+        StartPlan plan = plan(object, now);
         if (plan == null) {
             answers.bad(reply, 404, "class " + Body.needed(object, "class") + " has no windows");
             return;
         }
-        Windows.Answer answer =
-                Windows.query(
+        StartWindows.Result answer =
+                StartWindows.query(
                         plan, opening.calendars(), now, opening.settings().clockErrorMillis());
-        if (answer.starts().isEmpty() && !answer.unknown().isEmpty()) {
+        if (answer.bySite().isEmpty() && !answer.unknownSites().isEmpty()) {
             answers.notNow(
                     reply,
-                    "sites: of none is the calendar known: " + answer.unknown().get(0).detail(),
+                    "sites: of none is the calendar known: "
+                            + answer.unknownSites().get(0).detail(),
                     0);
             return;
         }
         JsonArray sites = Json.array();
-        answer.starts()
+        answer.bySite()
                 .forEach(
                         s ->
                                 sites.add(
@@ -85,18 +86,18 @@
                 Json.object()
                         .add("mayStart", answer.mayStart(now))
                         .add("now", time(now))
-                        .add("opens", time(answer.opens()))
-                        .add("closes", time(answer.closes()))
-                        .add("lastsMs", plan.lasts())
-                        .add("together", intervals(answer.together()))
+                        .add("opens", time(answer.opensAt()))
+                        .add("closes", time(answer.closesAt()))
+                        .add("lastsMs", plan.durationMillis())
+                        .add("together", intervals(answer.anySite()))
                         .add("sites", sites)
                         .add("exclusions", exclusions));
     }
 
-    private Plan plan(JsonObject object, long now) {
+    private StartPlan plan(JsonObject object, long now) {
         if (object.get("class") != null) {
             String name = Body.needed(object, "class");
-            WindowClass c =
+            JobClassWindow c =
                     opening.settings().classes().stream()
                             .filter(w -> w.name().equals(name))
                             .findFirst()
@@ -108,7 +109,7 @@
                             lasts(
                                     object,
                                     Math.max(
-                                            c.declared(),
+                                            c.declaredMillis(),
                                             c.quantile() == 0
                                                     ? 0
                                                     : opening.learntMillis(name, c.quantile()))));
@@ -118,9 +119,9 @@
                     object.get("earliest") == null
                             ? now
                             : instant("earliest", object.get("earliest"));
-            return new Plan(
+            return new StartPlan(
                     earliest,
-                    deadline(object.get("deadline")).millis(earliest),
+                    deadline(object.get("deadline")).resolveMillis(earliest),
                     lasts(object, -1),
                     sites(object.get("sites")));
         } catch (IllegalArgumentException e) {
@@ -138,8 +139,8 @@
                     "lastsMs " + (v == null ? "is missing" : "has to be a whole number"));
         }
         double lasts = v.asDouble();
-        if (lasts < 0 || lasts > Plan.LONGEST) {
-            throw new Body.Bad("lastsMs must lie between 0 and " + Plan.LONGEST);
+        if (lasts < 0 || lasts > StartPlan.MAX_DURATION_MILLIS) {
+            throw new Body.Bad("lastsMs must lie between 0 and " + StartPlan.MAX_DURATION_MILLIS);
         }
         return (long) lasts;
     }
@@ -163,7 +164,7 @@
             return Deadline.NONE;
         }
         if (!v.isObject()) {
-            return new Deadline.At(instant("deadline", v));
+            return new Deadline.Fixed(instant("deadline", v));
         }
         JsonObject daily = v.asObject();
         try {
--- a/sharing/src/main/java/postgrade/sharing/progress/Admission.java
+++ b/sharing/src/main/java/postgrade/sharing/progress/Admission.java
@@ -47,7 +47,7 @@
             return 0;
         }
         boolean admitted = ramp.admits(now, job.id());
-        crowd.record(now, !admitted);
+        crowd.recordRequest(now, !admitted);
         return admitted
                 ? 0
                 : (long)
--- a/sharing/src/main/java/postgrade/sharing/settings/SharingSettings.java
+++ b/sharing/src/main/java/postgrade/sharing/settings/SharingSettings.java
@@ -32,7 +32,7 @@
         long viewAgeMicros,
         Map<String, Integer> accelerators,
         long acceleratorsVersion,
-        Set<String> reserving,
+        Set<String> reservingClasses,
         boolean lends,
         WindowSettings windows,
         double returnMultiple) {}
--- a/sharing/src/main/java/postgrade/sharing/settings/SharingPlan.java
+++ b/sharing/src/main/java/postgrade/sharing/settings/SharingSettingsFile.java
@@ -24,13 +24,13 @@
 import postgrade.script.Values;
 import postgrade.sharing.window.WindowSettings;
 import postgrade.window.Deadline;
-import postgrade.window.WindowClass;
+import postgrade.window.JobClassWindow;
 
 /**
  * Reads {@code deploy/sharing.star}: with whom a process shares, and what it does with the shared
  * state.
  */
-public final class SharingPlan {
+public final class SharingSettingsFile {
 
     private static final Set<String> KEYS =
             Set.of(
@@ -54,7 +54,7 @@
     private static final long MOST = 1_000_000_000L;
 
     /** A class with windows, as the script made it. */
-    private record Made(WindowClass window) implements Values.HostObject {
+    private record Made(JobClassWindow window) implements Values.HostObject {
         @Override
         public String typeName() {
             return "window";
@@ -72,31 +72,31 @@
 
     private final Module script;
 
-    private SharingPlan(Module script) {
+    private SharingSettingsFile(Module script) {
         this.script = script;
     }
 
     /** What one file says. */
-    public record Both(QuorumSettings quorum, SharingSettings sharing) {}
+    public record Contents(QuorumSettings quorum, SharingSettings sharing) {}
 
     /**
      * @param dispatcher name of the process, where the file does not say another
      * @throws IllegalArgumentException with one sentence that names file and key
      */
-    public static Both read(Path file, String dispatcher) {
+    public static Contents read(Path file, String dispatcher) {
         Map<String, Object> names = new HashMap<>(SharingFile.scriptFunctions());
         names.put(
                 "window",
                 Script.function(
                         "window",
                         "job_class sites from_time? until? zone? lasts_ms? quantile?",
-                        SharingPlan::window));
+                        SharingSettingsFile::window));
         Module script = Script.run(file, names, line -> {});
         QuorumSettings quorum =
                 SharingFile.read(
                         script, file, script.global("name") == null ? dispatcher : null, KEYS);
         try {
-            return new Both(quorum, new SharingPlan(script).settings(quorum));
+            return new Contents(quorum, new SharingSettingsFile(script).settings(quorum));
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException(file.getFileName() + ": " + e.getMessage(), e);
         }
@@ -150,7 +150,7 @@
     }
 
     private WindowSettings windows() {
-        List<WindowClass> classes = new ArrayList<>();
+        List<JobClassWindow> classes = new ArrayList<>();
         for (Object v : list("windows")) {
             if (!(v instanceof Made made)) {
                 throw new IllegalArgumentException(
@@ -182,7 +182,7 @@
                             ? Deadline.NONE
                             : new Deadline.Daily(LocalTime.parse(argument("until", a[3])), rules);
             return new Made(
-                    new WindowClass(
+                    new JobClassWindow(
                             argument("job_class", a[0]),
                             sites,
                             from,
--- a/sharing/src/main/java/postgrade/sharing/window/Opening.java
+++ b/sharing/src/main/java/postgrade/sharing/window/Opening.java
@@ -6,18 +6,18 @@
 import java.util.concurrent.Executor;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import postgrade.calendar.CalendarCheck;
+import postgrade.calendar.CalendarLoader;
 import postgrade.dispatch.ExtensionHeaders;
 import postgrade.extension.Host;
 import postgrade.log.Events;
 import postgrade.policy.api.JobConstraints;
 import postgrade.shared.ReplicatedState;
-import postgrade.window.Calendars;
-import postgrade.window.FaultyCalendar;
-import postgrade.window.KnownCalendars;
-import postgrade.window.LearntLengths;
+import postgrade.window.CalendarLookup;
+import postgrade.window.CalendarRegistry;
+import postgrade.window.DurationHistograms;
+import postgrade.window.InvalidCalendarException;
 import postgrade.window.SiteCalendar;
-import postgrade.window.WindowAbility;
+import postgrade.window.WindowConstraints;
 
 /**
  * Start windows beside a dispatcher. Calendars are worked out aside, as a large one takes a while.
@@ -33,9 +33,9 @@
     private final ReplicatedState sharing;
     private final Executor aside;
     private final WindowSettings settings;
-    private final KnownCalendars calendars = new KnownCalendars(MOST_VIEW_AGE_MICROS);
-    private final LearntLengths lengths = new LearntLengths();
-    private final WindowAbility ability;
+    private final CalendarRegistry calendars = new CalendarRegistry(MOST_VIEW_AGE_MICROS);
+    private final DurationHistograms lengths = new DurationHistograms();
+    private final WindowConstraints ability;
     private final Set<String> underWay = new HashSet<>();
 
     public Opening(Host host, ReplicatedState sharing, Executor aside, WindowSettings settings) {
@@ -53,9 +53,10 @@
                             }
                         });
         ability =
-                new WindowAbility(
+                new WindowConstraints(
                         settings.classes(),
-                        new WindowAbility.Sites(settings.sitesByKind(), settings.sitesByZone()),
+                        new WindowConstraints.SiteMapping(
+                                settings.sitesByKind(), settings.sitesByZone()),
                         calendars,
                         lengths,
                         settings.clockErrorMillis(),
@@ -72,7 +73,7 @@
         return settings.any() ? new PlanHeaders(settings, ability, host.unixMillis()) : null;
     }
 
-    public Calendars calendars() {
+    public CalendarLookup calendars() {
         return calendars;
     }
 
@@ -90,36 +91,37 @@
 
     /** A job of this class ran for so long. */
     public void ran(String jobClass, long micros) {
-        lengths.took(jobClass, micros / 1000);
+        lengths.recordDuration(jobClass, micros / 1000);
     }
 
     public void answered(String jobId) {
-        ability.over(jobId);
+        ability.jobAnswered(jobId);
     }
 
     /** Called again and again: the wall clock may be set, and views come. */
     public void tick() {
         long now = host.timers().nowMicros();
         long wall = host.unixMillis().getAsLong();
-        ability.wall(now * 1000, wall);
-        calendars.view(sharing.view(), now);
-        List<KnownCalendars.Wanted> wanted = calendars.wanted(wall, CalendarCheck.HORIZON);
-        for (KnownCalendars.Wanted w : wanted) {
+        ability.setWallClock(now * 1000, wall);
+        calendars.updateView(sharing.view(), now);
+        List<CalendarRegistry.PendingCalendar> wanted =
+                calendars.pending(wall, CalendarLoader.HORIZON_MILLIS);
+        for (CalendarRegistry.PendingCalendar w : wanted) {
             if (underWay.add(w.site() + ":" + w.version())) {
                 aside.execute(() -> workOut(w, wall));
             }
         }
     }
 
-    private void workOut(KnownCalendars.Wanted w, long wall) {
+    private void workOut(CalendarRegistry.PendingCalendar w, long wall) {
         SiteCalendar calendar;
         String why;
         try {
-            calendar = CalendarCheck.load(w.site(), w.version(), w.zone(), w.text(), wall);
+            calendar = CalendarLoader.load(w.site(), w.version(), w.zone(), w.text(), wall);
             why = null;
-        } catch (FaultyCalendar e) {
+        } catch (InvalidCalendarException e) {
             calendar = null;
-            why = e.sentence();
+            why = e.description();
         } catch (RuntimeException e) {
             calendar = null;
             why = e.toString();
@@ -131,9 +133,9 @@
                         () -> {
                             underWay.remove(w.site() + ":" + w.version());
                             if (done != null) {
-                                calendars.workedOut(done);
+                                calendars.addCompiled(done);
                             } else {
-                                calendars.unreadable(w, fault);
+                                calendars.markUnreadable(w, fault);
                             }
                             Events.info(
                                             LOG,
--- a/sharing/src/main/java/postgrade/sharing/window/PlanHeaders.java
+++ b/sharing/src/main/java/postgrade/sharing/window/PlanHeaders.java
@@ -14,8 +14,8 @@
 import java.util.regex.Pattern;
 import postgrade.dispatch.ExtensionHeaders;
 import postgrade.window.Deadline;
-import postgrade.window.Plan;
-import postgrade.window.WindowAbility;
+import postgrade.window.StartPlan;
+import postgrade.window.WindowConstraints;
 
 /**
  * Reads a job's own plan from its headers. What operators set for its class binds it all the same.
@@ -38,10 +38,10 @@
     private static final long ANY_TIME = 0;
 
     private final Set<String> known;
-    private final WindowAbility ability;
+    private final WindowConstraints ability;
     private final LongSupplier unixMillis;
 
-    PlanHeaders(WindowSettings settings, WindowAbility ability, LongSupplier unixMillis) {
+    PlanHeaders(WindowSettings settings, WindowConstraints ability, LongSupplier unixMillis) {
         known = settings.sites();
         this.ability = ability;
         this.unixMillis = unixMillis;
@@ -54,14 +54,14 @@
 
     @Override
     public Consumer<String> read(String jobClass, UnaryOperator<String> value) {
-        Plan plan =
+        StartPlan plan =
                 NAMES.stream().allMatch(n -> value.apply(n) == null) ? null : plan(jobClass, value);
-        return id -> ability.planned(id, plan);
+        return id -> ability.setPlan(id, plan);
     }
 
-    private Plan plan(String jobClass, UnaryOperator<String> value) {
+    private StartPlan plan(String jobClass, UnaryOperator<String> value) {
         long now = unixMillis.getAsLong();
-        Plan ofClass = ability.ofClass(now, jobClass);
+        StartPlan ofClass = ability.planForClass(now, jobClass);
         String from = value.apply("x-window-earliest");
         // Not now, as the module hears of the job by another look at the clock, which may be set
         // back between.
@@ -72,11 +72,14 @@
         long lasts = lasts(value.apply("x-window-lasts"), ofClass);
         List<String> sites = sites(value.apply("x-window-sites"), ofClass);
         if (ofClass != null) {
-            earliest = Math.max(earliest, ofClass.earliest() > now ? ofClass.earliest() : ANY_TIME);
+            earliest =
+                    Math.max(
+                            earliest,
+                            ofClass.earliestStart() > now ? ofClass.earliestStart() : ANY_TIME);
             deadline = Math.min(deadline, ofClass.deadline());
-            lasts = Math.max(lasts, ofClass.lasts());
+            lasts = Math.max(lasts, ofClass.durationMillis());
         }
-        return new Plan(earliest, deadline, lasts, sites);
+        return new StartPlan(earliest, deadline, lasts, sites);
     }
 
     private static IllegalArgumentException bad(String header, String what) {
@@ -86,7 +89,7 @@
     private static long instant(String header, String text) {
         try {
             long millis = Instant.parse(text).toEpochMilli();
-            new Plan(millis, millis, 0, List.of()); // Its bounds.
+            new StartPlan(millis, millis, 0, List.of()); // Its bounds.
             return millis;
         } catch (DateTimeException | ArithmeticException | IllegalArgumentException e) {
             throw bad(
@@ -106,15 +109,15 @@
         try {
             return new Deadline.Daily(
                             LocalTime.parse(local.group(1)), ZoneId.of(local.group(2)).getRules())
-                    .millis(earliest);
+                    .resolveMillis(earliest);
         } catch (DateTimeException e) {
             throw bad(DEADLINE, "has no such time or zone: " + e.getMessage());
         }
     }
 
-    private static long lasts(String text, Plan ofClass) {
+    private static long lasts(String text, StartPlan ofClass) {
         if (text == null && ofClass != null) {
-            return ofClass.lasts();
+            return ofClass.durationMillis();
         }
         Matcher m = text == null ? null : LENGTH.matcher(text);
         if (m == null || !m.matches()) {
@@ -128,13 +131,13 @@
         // Rounded up: it must have ended in time.
         long millis =
                 m.group(2).equals("m") ? number : number / MICROS + (number % MICROS == 0 ? 0 : 1);
-        if (millis > Plan.LONGEST) {
-            throw bad(LASTS, "must not be longer than " + Plan.LONGEST + "m");
+        if (millis > StartPlan.MAX_DURATION_MILLIS) {
+            throw bad(LASTS, "must not be longer than " + StartPlan.MAX_DURATION_MILLIS + "m");
         }
         return millis;
     }
 
-    private List<String> sites(String text, Plan ofClass) {
+    private List<String> sites(String text, StartPlan ofClass) {
         if (text == null && ofClass != null) {
             return ofClass.sites();
         }
--- a/sharing/src/main/java/postgrade/sharing/window/WindowSettings.java
+++ b/sharing/src/main/java/postgrade/sharing/window/WindowSettings.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import postgrade.window.WindowClass;
+import postgrade.window.JobClassWindow;
 
 /**
  * Start windows as set by operators.
@@ -14,7 +14,7 @@
  * @param clockErrorMillis how far this machine's wall clock may be off
  */
 public record WindowSettings(
-        List<WindowClass> classes,
+        List<JobClassWindow> classes,
         Map<String, String> sitesByKind,
         Map<String, String> sitesByZone,
         long clockErrorMillis) {
--- a/sharing/src/test/java/postgrade/sharing/PlanHeadersTest.java
+++ b/sharing/src/test/java/postgrade/sharing/PlanHeadersTest.java
@@ -20,7 +20,7 @@
 import postgrade.sharing.settings.SharingSettings;
 import postgrade.sharing.window.WindowSettings;
 import postgrade.window.Deadline;
-import postgrade.window.WindowClass;
+import postgrade.window.JobClassWindow;
 
 /**
  * A job's own plan by its headers, over its class's windows. It is 2027-01-15 08:00 UTC, 9 o'clock
@@ -55,8 +55,9 @@
 
     @Before
     public void calendars() {
-        WindowClass price =
-                new WindowClass("price", List.of("zagreb"), null, null, Deadline.NONE, 0, 60_000);
+        JobClassWindow price =
+                new JobClassWindow(
+                        "price", List.of("zagreb"), null, null, Deadline.NONE, 0, 60_000);
         shared =
                 new Shared(
                         host,
--- a/sharing/src/test/java/postgrade/sharing/SharedTest.java
+++ b/sharing/src/test/java/postgrade/sharing/SharedTest.java
@@ -20,7 +20,7 @@
 import postgrade.sharing.settings.SharingSettings;
 import postgrade.sharing.window.WindowSettings;
 import postgrade.window.Deadline;
-import postgrade.window.WindowClass;
+import postgrade.window.JobClassWindow;
 
 /**
  * Two dispatchers' companions on one state: shares, workers out, operators' calls. Time is virtual.
@@ -293,7 +293,7 @@
         WindowSettings windows =
                 new WindowSettings(
                         List.of(
-                                new WindowClass(
+                                new JobClassWindow(
                                         "price",
                                         List.of("zagreb"),
                                         null,
--- a/sharing/src/test/java/postgrade/sharing/SharingPlanTest.java
+++ b/sharing/src/test/java/postgrade/sharing/SharingPlanTest.java
@@ -11,7 +11,7 @@
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
 import postgrade.extension.DispatcherExtension;
-import postgrade.sharing.settings.SharingPlan;
+import postgrade.sharing.settings.SharingSettingsFile;
 
 /** The file that operators write: what it may say, and what is said of it where it is faulty. */
 public class SharingPlanTest {
@@ -28,11 +28,11 @@
     @Test
     public void theShippedFileIsRightAlsoWithAllThatItLeavesOut() throws Exception {
         Path shipped = Path.of("..", "deploy", "sharing.star");
-        SharingPlan.Both plain = SharingPlan.read(shipped, "a");
+        SharingSettingsFile.Contents plain = SharingSettingsFile.read(shipped, "a");
         assertEquals(Path.of("var", "sharing", "a"), plain.sharing().memory());
         assertEquals(
                 Path.of("var", "sharing", "n7"),
-                SharingPlan.read(shipped, "n7").sharing().memory());
+                SharingSettingsFile.read(shipped, "n7").sharing().memory());
         String all = Files.readString(shipped);
         String from = all.substring(all.indexOf("# ---- What `serve`"));
         // A line that begins with a name and = is a setting commented out, as are those that go on
@@ -47,13 +47,13 @@
                                 > in.chars().filter(c -> c == ')').count();
             }
         }
-        SharingPlan.Both full = SharingPlan.read(file(in.toString()), "a");
+        SharingSettingsFile.Contents full = SharingSettingsFile.read(file(in.toString()), "a");
         assertEquals(plain.sharing().leaseMicros(), full.sharing().leaseMicros());
         assertEquals(plain.sharing().floorShare(), full.sharing().floorShare());
         assertEquals(plain.sharing().memory(), full.sharing().memory());
         assertEquals(4, (int) full.sharing().accelerators().get("route-box"));
         assertEquals(List.of("zagreb-south"), full.sharing().windows().classes().get(0).sites());
-        assertEquals(60_000, full.sharing().windows().classes().get(0).declared());
+        assertEquals(60_000, full.sharing().windows().classes().get(0).declaredMillis());
     }
 
     @Test
@@ -83,7 +83,7 @@
             Path file = file(f[0]);
             assertEquals(
                     f[1],
-                    assertThrows(RuntimeException.class, () -> SharingPlan.read(file, "a"))
+                    assertThrows(RuntimeException.class, () -> SharingSettingsFile.read(file, "a"))
                             .getMessage());
         }
     }
--- a/sharing/src/test/java/postgrade/sharing/SuccessionTest.java
+++ b/sharing/src/test/java/postgrade/sharing/SuccessionTest.java
@@ -16,7 +16,7 @@
 import postgrade.sharing.settings.SharingSettings;
 import postgrade.sharing.window.WindowSettings;
 import postgrade.window.Deadline;
-import postgrade.window.WindowClass;
+import postgrade.window.JobClassWindow;
 
 /**
  * Two processes of one dispatcher and their companions, beside another dispatcher's, on one state.
@@ -41,7 +41,7 @@
                     false,
                     new WindowSettings(
                             List.of(
-                                    new WindowClass(
+                                    new JobClassWindow(
                                             "price",
                                             List.of("zagreb"),
                                             null,
--- a/simulation/src/main/java/postgrade/simulation/model/Mechanisms.java
+++ b/simulation/src/main/java/postgrade/simulation/model/Mechanisms.java
@@ -35,7 +35,7 @@
     }
 
     public long longestViewOfCalendars() {
-        return CalendarPart.LONGEST_VIEW_MICROS;
+        return CalendarPart.MAX_VIEW_AGE_MICROS;
     }
 
     /** Uses a holder's privilege however old the view is. */
--- a/simulation/src/main/java/postgrade/simulation/model/Privileges.java
+++ b/simulation/src/main/java/postgrade/simulation/model/Privileges.java
@@ -6,8 +6,8 @@
 import postgrade.lease.ReservationView;
 import postgrade.shared.View;
 import postgrade.simulation.check.Checks;
-import postgrade.window.Event;
-import postgrade.window.KnownCalendars;
+import postgrade.window.CalendarRegistry;
+import postgrade.window.MaintenanceEvent;
 import postgrade.window.SiteCalendar;
 
 /** What a dispatcher may do by its view: use a holder's accelerators, and start jobs at a site. */
@@ -19,7 +19,7 @@
     private final String dispatcher;
     private final Mechanisms mechanisms;
     private final Checks checks;
-    private final KnownCalendars calendars;
+    private final CalendarRegistry calendars;
     private ReservationView reservations;
     private long now;
 
@@ -27,7 +27,7 @@
         this.dispatcher = dispatcher;
         this.mechanisms = mechanisms;
         this.checks = checks;
-        calendars = new KnownCalendars(mechanisms.longestViewOfCalendars());
+        calendars = new CalendarRegistry(mechanisms.longestViewOfCalendars());
         reservations = new ReservationView(View.NONE, mechanisms.leaseTimes());
     }
 
@@ -36,21 +36,22 @@
         if (view != reservations.view()) {
             reservations = new ReservationView(view, mechanisms.leaseTimes());
         }
-        calendars.view(view, local);
+        calendars.updateView(view, local);
         calendars
-                .wanted(0, 0)
+                .pending(0, 0)
                 .forEach(
                         w ->
-                                calendars.workedOut(
+                                calendars.addCompiled(
                                         SiteCalendar.compile(
                                                 w.site(),
                                                 w.version(),
                                                 w.text().equals("open")
                                                         ? List.of()
                                                         : List.of(
-                                                                Event.once(
+                                                                MaintenanceEvent.once(
                                                                         "closed",
-                                                                        new Event.When(
+                                                                        new MaintenanceEvent
+                                                                                .ZonedTime(
                                                                                 LocalDateTime.of(
                                                                                                 1970,
                                                                                                 1,
@@ -61,7 +62,9 @@
                                                                                                 5),
                                                                                 ZoneOffset.UTC
                                                                                         .getRules()),
-                                                                        Event.Length.ofDays(20))),
+                                                                        MaintenanceEvent
+                                                                                .EventDuration
+                                                                                .ofDays(20))),
                                                 -FAR / 10,
                                                 FAR / 10)));
     }
@@ -76,8 +79,8 @@
                         .forEach(u -> checks.leases.used(dispatcher, worker, u.mask(), holder));
             }
         }
-        SiteCalendar calendar = calendars.of("s");
-        if (calendar != null && !calendar.closed().holds(0)) {
+        SiteCalendar calendar = calendars.forSite("s");
+        if (calendar != null && !calendar.closed().contains(0)) {
             checks.windows.starts(dispatcher);
         }
     }
