--- a/daemon/src/main/java/postgrade/client/JobEvent.java
+++ b/daemon/src/main/java/postgrade/client/JobEvent.java
@@ -8,40 +8,40 @@
 import postgrade.dispatch.ReportedState;
 import postgrade.dispatch.RequestTracker;
 
-/** A call-back by which a provider tells the fate of a job it has taken. */
+/** A call-back by which a worker reports the state of a job it has accepted. */
 record JobEvent(String id, String from, ReportedState state, double share, byte[] result) {
 
     static final String PATH = "/v1/job-events";
 
     /**
-     * Reads one; an exception says what is wrong with it. A state we do not know is null, and
-     * right.
+     * Parses a call-back; the exception says what is wrong with it. An unknown state is valid and
+     * becomes null.
      */
-    static JobEvent of(byte[] body) {
+    static JobEvent parse(byte[] body) {
         try {
             JsonObject event = Json.parse(new String(body, StandardCharsets.UTF_8)).asObject();
             return new JobEvent(
                     event.get("id").asString(),
                     event.get("from").asString(),
-                    state(event.get("state").asString()),
+                    parseState(event.get("state").asString()),
                     event.getDouble("share", 0),
-                    bytes(event.get("result")));
+                    resultBytes(event.get("result")));
         } catch (RuntimeException e) {
-            // Guards against call-backs that are not JSON or lack a field: told to the sender,
-            // never a crash.
+            // A call-back that is not JSON or lacks a field is answered with an error to the
+            // sender.
             throw new IllegalArgumentException("not a job event: id, from and state are needed", e);
         }
     }
 
     /**
-     * Passes it on. False if its job is not known here; it would be repeated for nothing if that
-     * were an error.
+     * Delivers the report. Returns false if its job is not known here, which is no error: an error
+     * would make the worker repeat the call-back in vain.
      */
-    boolean tell(RequestTracker gateway) {
-        return state == null || gateway.workerReported(id, from, state, share, result);
+    boolean deliver(RequestTracker tracker) {
+        return state == null || tracker.workerReported(id, from, state, share, result);
     }
 
-    private static ReportedState state(String name) {
+    private static ReportedState parseState(String name) {
         for (ReportedState s : ReportedState.values()) {
             if (s.name().toLowerCase(Locale.ROOT).equals(name)) {
                 return s;
@@ -50,7 +50,7 @@
         return null;
     }
 
-    private static byte[] bytes(JsonValue result) {
+    private static byte[] resultBytes(JsonValue result) {
         String text =
                 result == null || result.isNull()
                         ? ""
--- a/daemon/src/main/java/postgrade/daemon/EventLoop.java
+++ b/daemon/src/main/java/postgrade/daemon/EventLoop.java
@@ -21,7 +21,8 @@
 import postgrade.log.Events;
 
 /**
- * The one thread of the daemon: waits for channels and timers, then lets the gateway take its turn.
+ * The daemon's single thread: waits for channels and timers, then has the request tracker process
+ * its batch.
  */
 final class EventLoop implements Reactor, Timers {
 
@@ -29,167 +30,176 @@
     private static final int READ_BYTES = 64 << 10;
 
     /**
-     * Waits that fail one after another: the process ends, as its selector is of no use any more.
+     * After this many failed waits in a row the process exits, as its selector is no longer usable.
      */
-    private static final int MOST_FAILED_WAITS = 100;
+    private static final int MAX_CONSECUTIVE_FAILED_WAITS = 100;
 
-    /** A turn that took longer was late: what came meanwhile has waited for a time that counts. */
-    private static final long LATE_TURN_MICROS = 10_000;
+    /**
+     * An iteration that took longer is late: events that arrived meanwhile have waited for a time
+     * that matters.
+     */
+    private static final long LATE_ITERATION_MICROS = 10_000;
 
-    /** A wait that took longer has waited: nothing was ready when it began. */
-    private static final long WAITED_MICROS = 1_000;
+    /** A wait that took longer did block, so no channel was ready when it began. */
+    private static final long MIN_WAIT_MICROS = 1_000;
 
-    /** What takes its turn when all that was ready has been gathered. */
+    /** Called in each iteration of the loop. */
     interface IterationHandler {
-        /** The clock has been read, and nothing has been looked at by it. */
+        /** Called when the clock has been read and before anything is processed at that time. */
         default void iterationStarted() {}
 
         void runBatch();
 
-        /** More waits, so that the next turn is due at once. */
+        /** Whether work is left, so that the next iteration starts without waiting. */
         boolean hasPendingWork();
     }
 
     private final Selector selector;
     private final SocketBudget sockets;
     private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BYTES);
-    private final ReadBufferPool looks = new ReadBufferPool();
-    private final PriorityQueue<Due> timers = new PriorityQueue<>();
+    private final ReadBufferPool bufferPool = new ReadBufferPool();
+    private final PriorityQueue<ScheduledTask> timers = new PriorityQueue<>();
     private final Clock clock;
     private final SystemCalls systemCalls;
     private long nowMicros;
-    private long lastWaitMicros;
+    private long previousWaitEndMicros;
     private long readySinceMicros;
-    private int failedWaits;
-    private long timerCount;
+    private int consecutiveFailedWaits;
+    private long nextTimerNumber;
     private volatile boolean stopped;
-    private final Queue<Runnable> asked = new ConcurrentLinkedQueue<>();
+    private final Queue<Runnable> submittedTasks = new ConcurrentLinkedQueue<>();
 
     EventLoop(SocketBudget sockets, Clock clock, SystemCalls systemCalls) throws IOException {
         this.sockets = sockets;
         this.clock = clock;
         this.systemCalls = systemCalls;
         nowMicros = clock.micros();
-        lastWaitMicros = nowMicros;
+        previousWaitEndMicros = nowMicros;
         readySinceMicros = nowMicros;
         selector = Selector.open();
     }
 
-    /** What its time is read from, once a turn. */
+    /** Returns the clock that the loop reads once per iteration. */
     Clock clock() {
         return clock;
     }
 
-    void run(IterationHandler turn) throws IOException {
-        Runnable begin = turn::iterationStarted;
-        nowMicros = clock.micros(); // What came before is as good as just come.
+    void run(IterationHandler handler) throws IOException {
+        Runnable iterationStarted = handler::iterationStarted;
+        // Events from before the start count as having just arrived.
+        nowMicros = clock.micros();
         while (!stopped) {
-            long waitBeganMicros = clock.micros();
-            await(turn.hasPendingWork());
-            readClock(waitBeganMicros);
-            guarded(begin);
-            for (Runnable task = asked.poll(); task != null; task = asked.poll()) {
-                guarded(task);
+            long waitStartMicros = clock.micros();
+            waitForEvents(handler.hasPendingWork());
+            readClock(waitStartMicros);
+            runGuarded(iterationStarted);
+            for (Runnable task = submittedTasks.poll();
+                    task != null;
+                    task = submittedTasks.poll()) {
+                runGuarded(task);
             }
-            serve(new ArrayList<>(selector.selectedKeys()));
+            dispatch(new ArrayList<>(selector.selectedKeys()));
             selector.selectedKeys().clear();
-            while (!timers.isEmpty() && timers.peek().whenMicros <= nowMicros) {
-                Due due = timers.poll();
-                if (due.task != null) {
-                    guarded(due.task);
+            while (!timers.isEmpty() && timers.peek().dueMicros <= nowMicros) {
+                ScheduledTask timer = timers.poll();
+                if (timer.task != null) {
+                    runGuarded(timer.task);
                 }
             }
-            turn.runBatch();
+            handler.runBatch();
         }
         selector.close();
     }
 
     /**
-     * What is ready after a turn that was late may have been so since that turn began; else it is
-     * what has ended the wait.
+     * Determines since when channels may have been ready: after a late iteration, since that
+     * iteration began; otherwise since the wait ended.
      */
-    private void readClock(long waitBeganMicros) {
-        boolean wasLate = waitBeganMicros - nowMicros > LATE_TURN_MICROS;
-        lastWaitMicros = nowMicros;
+    private void readClock(long waitStartMicros) {
+        boolean wasLate = waitStartMicros - nowMicros > LATE_ITERATION_MICROS;
+        previousWaitEndMicros = nowMicros;
         nowMicros = clock.micros();
-        boolean waited = nowMicros - waitBeganMicros > WAITED_MICROS;
-        readySinceMicros = wasLate && !waited ? lastWaitMicros : nowMicros;
+        boolean waited = nowMicros - waitStartMicros > MIN_WAIT_MICROS;
+        readySinceMicros = wasLate && !waited ? previousWaitEndMicros : nowMicros;
     }
 
     /**
-     * Waits for channels and timers. A wait that fails ends early, and what is due is done all the
-     * same.
+     * Waits for channels and timers. A failed wait ends early, and the iteration goes on with what
+     * is due.
      */
-    private void await(boolean atOnce) throws IOException {
+    private void waitForEvents(boolean immediately) throws IOException {
         try {
-            systemCalls.select(selector, waitMillis(atOnce));
-            failedWaits = 0;
+            systemCalls.select(selector, waitMillis(immediately));
+            consecutiveFailedWaits = 0;
         } catch (IOException e) {
-            if (++failedWaits == MOST_FAILED_WAITS) {
+            if (++consecutiveFailedWaits == MAX_CONSECUTIVE_FAILED_WAITS) {
                 throw e;
             }
             Events.warn(LOG, "loop.wait-failed")
                     .setCause(e)
-                    .log("a wait for channels failed; going on");
+                    .log("waiting for channels failed; continuing");
         }
     }
 
-    /** How long nothing is due; negative if nothing ever is. */
-    private long waitMillis(boolean atOnce) {
+    /** Returns the time until the next timer is due; negative if there is none. */
+    private long waitMillis(boolean immediately) {
         while (!timers.isEmpty() && timers.peek().task == null) {
             timers.poll();
         }
-        if (atOnce) {
+        if (immediately) {
             return 0;
         }
         if (timers.isEmpty()) {
             return -1;
         }
-        long waitMicros = timers.peek().whenMicros - clock.micros();
+        long waitMicros = timers.peek().dueMicros - clock.micros();
         return waitMicros <= 0 ? 0 : (waitMicros + 999) / 1000;
     }
 
     /**
-     * Discovery goes first: what it has told must be known before anything else is looked at. The
-     * listener goes last: a connection whose request has come is not taken for a silent one when
-     * room is made for the next.
+     * Handles discovery first, so that worker updates are known before any other event is
+     * processed. The client listener comes last, so that a connection whose request has just
+     * arrived is not evicted as idle to make room for a new one.
      */
-    private void serve(List<SelectionKey> keys) {
+    private void dispatch(List<SelectionKey> keys) {
         for (Handler.Order order : Handler.Order.values()) {
             for (SelectionKey key : keys) {
                 Handler handler = (Handler) key.attachment();
                 if (handler.order() == order && key.isValid()) {
-                    serve(key, handler);
+                    dispatch(key, handler);
                 }
             }
         }
     }
 
-    private void serve(SelectionKey key, Handler handler) {
+    private void dispatch(SelectionKey key, Handler handler) {
         try {
             handler.ready(key);
         } catch (IOException | CancelledKeyException e) {
-            handler.failed(e); // An ordinary break of one connection.
+            handler.failed(e); // A broken connection is an ordinary event.
         } catch (RuntimeException e) {
-            // Guards the loop: what goes wrong with one connection ends that connection alone.
+            // A programming error in one handler must not stop the loop: only its connection is
+            // closed.
             Events.error(LOG, "connection.handler-failed")
                     .setCause(e)
                     .log("a connection's handler failed; the connection is closed");
-            guarded(() -> handler.failed(e));
+            runGuarded(() -> handler.failed(e));
         }
     }
 
-    private static void guarded(Runnable task) {
+    private static void runGuarded(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
-            Events.error(LOG, "loop.task-failed").setCause(e).log("a task of the loop failed");
+            Events.error(LOG, "loop.task-failed")
+                    .setCause(e)
+                    .log("a task on the event loop failed");
         }
     }
 
-    /** Runs a task on the loop's thread; may be called from any other. */
+    /** Runs a task on the loop's thread; may be called from any thread. */
     void execute(Runnable task) {
-        asked.add(task);
+        submittedTasks.add(task);
         selector.wakeup();
     }
 
@@ -203,10 +213,10 @@
     }
 
     @Override
-    public Timer at(long whenMicros, Runnable task) {
-        Due due = new Due(whenMicros, timerCount++, task);
-        timers.add(due);
-        return due;
+    public Timer at(long dueMicros, Runnable task) {
+        ScheduledTask timer = new ScheduledTask(dueMicros, nextTimerNumber++, task);
+        timers.add(timer);
+        return timer;
     }
 
     @Override
@@ -222,12 +232,12 @@
 
     @Override
     public ByteBuffer acquireBuffer() {
-        return looks.acquire();
+        return bufferPool.acquire();
     }
 
     @Override
     public void releaseBuffer(ByteBuffer lent) {
-        looks.release(lent);
+        bufferPool.release(lent);
     }
 
     @Override
@@ -237,7 +247,7 @@
 
     @Override
     public long previousWaitEndMicros() {
-        return lastWaitMicros;
+        return previousWaitEndMicros;
     }
 
     @Override
@@ -250,14 +260,14 @@
         return sockets;
     }
 
-    /** A timer in the heap; a cancelled one stays there, empty, until its time. */
-    private static final class Due implements Timer, Comparable<Due> {
-        private final long whenMicros;
+    /** A timer in the heap; a cancelled one stays there without its task until it is due. */
+    private static final class ScheduledTask implements Timer, Comparable<ScheduledTask> {
+        private final long dueMicros;
         private final long number;
         private Runnable task;
 
-        Due(long whenMicros, long number, Runnable task) {
-            this.whenMicros = whenMicros;
+        ScheduledTask(long dueMicros, long number, Runnable task) {
+            this.dueMicros = dueMicros;
             this.number = number;
             this.task = task;
         }
@@ -268,8 +278,8 @@
         }
 
         @Override
-        public int compareTo(Due other) {
-            int byTime = Long.compare(whenMicros, other.whenMicros);
+        public int compareTo(ScheduledTask other) {
+            int byTime = Long.compare(dueMicros, other.dueMicros);
             return byTime != 0 ? byTime : Long.compare(number, other.number);
         }
     }
--- a/daemon/src/main/java/postgrade/daemon/ExtensionLoader.java
+++ b/daemon/src/main/java/postgrade/daemon/ExtensionLoader.java
@@ -13,7 +13,7 @@
     /** Null where nothing is named: then nothing is looked for either. */
     static DispatcherExtension.Configuration loadConfiguration(Config config)
             throws Config.InvalidConfigException {
-        if (config.sharing == null) {
+        if (config.sharingScript == null) {
             return null;
         }
         DispatcherExtension.Factory finder =
@@ -23,9 +23,9 @@
                                 () ->
                                         new Config.InvalidConfigException(
                                                 "sharing",
-                                                "this program has no sharing in it; start it by ./postgrade serve"));
+                                                "this program does not include sharing; start it with ./postgrade serve"));
         try {
-            return finder.read(config.sharing, config.name);
+            return finder.read(config.sharingScript, config.name);
         } catch (IllegalArgumentException e) {
             throw new Config.InvalidConfigException("sharing", e.getMessage());
         }
--- a/daemon/src/test/java/postgrade/daemon/BadInputTest.java
+++ b/daemon/src/test/java/postgrade/daemon/BadInputTest.java
@@ -15,21 +15,22 @@
 import postgrade.lifecycle.Lifecycle;
 
 /**
- * Clients that send what they should not, on time that the test turns: each is answered and ended,
- * others are served.
+ * Clients that send invalid or incomplete requests, with time under the test's control: each must
+ * be answered and its connection closed, while other clients are served.
  */
 public class BadInputTest extends AttemptTestBase {
 
-    private static final long STEP = 500 * MILLI_MICROS;
+    private static final long STEP_MICROS = 500 * MILLI_MICROS;
     private static final String JOB = "POST /api HTTP/1.1\r\nX-Class: price\r\nX-Request-Id: ";
 
     /**
-     * What each sends, the status it is given, null where it sent nothing, and whether that is due
-     * at once.
+     * Per client: the text it sends, the expected status (null if it sends nothing), and whether
+     * the answer is due at once.
      */
     private static final Object[][] CLIENTS = {
         {"NONSENSE\r\n\r\n", 400, true},
         {"POST /api HTTP/1.1\r\nContent-Length: 70000\r\n\r\n" + "x".repeat(70_000), 413, true},
+        // Pipelined before the first one is answered.
         {
             JOB
                     + "many\r\nContent-Length: 0\r\n\r\n"
@@ -37,7 +38,7 @@
                             .repeat(3),
             400,
             true
-        }, // Ahead of the first one's answer.
+        },
         {JOB + "half\r\nContent-Length: 9\r\n\r\nhalf", 408, false},
         {"POST /api HT", 408, false},
         {"", null, false}
@@ -87,8 +88,11 @@
         return ScriptedPeer.read(s).status();
     }
 
-    /** Another client's job, the worker's word that it is done, and the answers to both. */
-    private void served(String id, Socket client, Socket callBacks, Socket worker)
+    /**
+     * Submits another client's job, reports it as done for the worker, and checks the answers to
+     * both.
+     */
+    private void assertServed(String id, Socket client, Socket callBacks, Socket worker)
             throws IOException {
         loop.runAndServe(
                 () -> ScriptedPeer.write(client, JOB + id + "\r\nContent-Length: 0\r\n\r\n"));
@@ -111,17 +115,16 @@
     }
 
     @Test
-    public void eachIsAnsweredAndEndedWithin3sOfConnectingAndGoneSoonAfterWhileOthersAreServed()
-            throws Exception {
-        Socket usual = connect();
+    public void invalidClientsAreAnsweredAndClosedWithin3sWhileOthersAreServed() throws Exception {
+        Socket validClient = connect();
         Socket callBacks = connect();
-        served("usual", usual, callBacks, null);
+        assertServed("usual", validClient, callBacks, null);
         Socket worker = sockets.get(2);
-        long before = loop.openChannels();
-        Socket[] bad = new Socket[CLIENTS.length];
-        for (int i = 0; i < bad.length; i++) {
+        long openBefore = loop.openChannels();
+        Socket[] invalidClients = new Socket[CLIENTS.length];
+        for (int i = 0; i < invalidClients.length; i++) {
             Socket s = connect();
-            bad[i] = s;
+            invalidClients[i] = s;
             String text = (String) CLIENTS[i][0];
             if (!text.isEmpty()) {
                 loop.runAndServe(() -> ScriptedPeer.write(s, text));
@@ -131,23 +134,23 @@
             }
         }
         for (int i = 0; i < 6; i++) {
-            advance(STEP);
-            served("usual" + i, usual, callBacks, worker);
+            advance(STEP_MICROS);
+            assertServed("usual" + i, validClient, callBacks, worker);
         }
-        for (int i = 0; i < bad.length; i++) { // By now, 3 s on.
+        for (int i = 0; i < invalidClients.length; i++) { // 3 s have passed by now.
             if (CLIENTS[i][1] != null) {
-                assertEquals("client " + i, CLIENTS[i][1], status(bad[i]));
+                assertEquals("client " + i, CLIENTS[i][1], status(invalidClients[i]));
             }
             assertEquals(
                     "client " + i + " has been ended, not reset",
                     -1,
-                    bad[i].getInputStream().read());
+                    invalidClients[i].getInputStream().read());
         }
-        advance(STEP);
+        advance(STEP_MICROS);
         loop.serveUntil(() -> true);
         assertEquals(
-                "none of them holds a place though it has not ended its own side",
-                before,
+                "none of them takes a place in the socket budget though it has not ended its own side",
+                openBefore,
                 loop.openChannels());
     }
 }
--- a/daemon/src/test/java/postgrade/daemon/LayeringTest.java
+++ b/daemon/src/test/java/postgrade/daemon/LayeringTest.java
@@ -7,7 +7,10 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.Test;
 
-/** The layers of the daemon, as docs/architecture.md has them: its sides do not know each other. */
+/**
+ * Checks the layers of the daemon described in docs/architecture.md: its client, worker and
+ * discovery sides do not depend on each other.
+ */
 public class LayeringTest {
 
     private static final JavaClasses DAEMON =
@@ -15,7 +18,7 @@
                     .withImportOption(new ImportOption.DoNotIncludeTests())
                     .importPackages("postgrade");
 
-    private static void apart(String from, String... others) {
+    private static void assertIndependent(String from, String... others) {
         noClasses()
                 .that()
                 .resideInAPackage(from)
@@ -26,18 +29,18 @@
     }
 
     @Test
-    public void noFrontKnowsABack() {
-        apart(
+    public void clientAndWorkerSidesAreIndependent() {
+        assertIndependent(
                 "postgrade.client..",
                 "postgrade.worker..",
                 "postgrade.discovery..",
                 "postgrade.daemon..");
-        apart(
+        assertIndependent(
                 "postgrade.worker..",
                 "postgrade.client..",
                 "postgrade.discovery..",
                 "postgrade.daemon..");
-        apart(
+        assertIndependent(
                 "postgrade.discovery..",
                 "postgrade.client..",
                 "postgrade.worker..",
@@ -46,8 +49,8 @@
     }
 
     @Test
-    public void theCodecKnowsNobody() {
-        apart(
+    public void theHttpCodecDependsOnNoOtherPackage() {
+        assertIndependent(
                 "postgrade.http..",
                 "postgrade.policy..",
                 "postgrade.endpoints..",
@@ -59,15 +62,15 @@
     }
 
     @Test
-    public void theDaemonKnowsNothingOfSharing() {
-        apart(
+    public void theDaemonDoesNotDependOnSharing() {
+        assertIndependent(
                 "postgrade..",
                 "postgrade.sharing..",
                 "postgrade.quorum..",
                 "postgrade.calendar..",
                 "io.microraft..",
                 "io.grpc..");
-        apart(
+        assertIndependent(
                 "postgrade.extension..",
                 "postgrade.daemon..",
                 "postgrade.client..",
