--- a/daemon/src/main/java/postgrade/daemon/Daemon.java
+++ b/daemon/src/main/java/postgrade/daemon/Daemon.java
@@ -195,14 +195,23 @@
                         : knownWorkers.version();
         discoveryWatch =
                 new DiscoveryWatch(
-                        config.discovery, config.name, version, patience, loop, loop, this::told);
-        companion = plan == null ? null : ExtensionLoader.open(plan, beside);
-        if (companion != null) {
-            providers.setFencingTokens(companion::fence);
-            providers.setConnectLimiter(companion::mayConnect);
-            gateway.constraintsChanged(companion.jobConstraints());
-            gateway.observer(RequestObserver.both(attemptLog, companion.requestObserver()));
-            listener.setExtensionHeaders(companion.extensionHeaders());
+                        config.discoveryAddress,
+                        config.name,
+                        version,
+                        watchTimeouts,
+                        loop,
+                        loop,
+                        this::workerListReceived);
+        extension =
+                extensionConfiguration == null
+                        ? null
+                        : ExtensionLoader.open(extensionConfiguration, extensionHost);
+        if (extension != null) {
+            workerPools.setFencingTokens(extension::fence);
+            workerPools.setConnectLimiter(extension::mayConnect);
+            requestTracker.constraintsChanged(extension.jobConstraints());
+            requestTracker.observer(RequestObserver.both(attemptLog, extension.requestObserver()));
+            listener.setExtensionHeaders(extension.extensionHeaders());
         }
         shutdown =
                 new ShutdownSequence(
--- a/daemon/src/main/java/postgrade/daemon/ExtensionLoader.java
+++ b/daemon/src/main/java/postgrade/daemon/ExtensionLoader.java
@@ -5,12 +5,12 @@
 import postgrade.extension.DispatcherExtension;
 import postgrade.extension.Host;
 
-/** Finds what is to stand beside the dispatcher, if its configuration names any. */
+/** Loads the dispatcher extension that the configuration names, if any. */
 final class ExtensionLoader {
 
     private ExtensionLoader() {}
 
-    /** Null where nothing is named: then nothing is looked for either. */
+    /** Returns null if no extension is configured; the class path is not searched then. */
     static DispatcherExtension.Configuration loadConfiguration(Config config)
             throws Config.InvalidConfigException {
         if (config.sharingScript == null) {
--- a/daemon/src/test/java/postgrade/daemon/DaemonTestBase.java
+++ b/daemon/src/test/java/postgrade/daemon/DaemonTestBase.java
@@ -56,7 +56,7 @@
     boolean withOperatorPort;
     String listen = "127.0.0.1:0";
 
-    /** What stands beside the daemon, if anything is to. */
+    /** The configuration of the daemon's extension, or null for none. */
     DispatcherExtension.Configuration extensionConfiguration;
 
     /** The directory shared by the processes of one dispatcher, or null for none. */
@@ -146,8 +146,8 @@
                 : Map.of("ROUTER_CONFIG", file.toString(), "TMPDIR", sharedDirectory.toString());
     }
 
-    void startDaemon(String... servers) throws Exception {
-        daemon = new Daemon(Config.read(configuration(servers)), extensionConfiguration);
+    void startDaemon(String... entries) throws Exception {
+        daemon = new Daemon(Config.read(configuration(entries)), extensionConfiguration);
         daemon.start();
     }
 
@@ -155,7 +155,7 @@
     void startWithScriptedPolicy(String... entries) throws Exception {
         daemon =
                 new Daemon(
-                        Config.read(configuration(servers)),
+                        Config.read(configuration(entries)),
                         extensionConfiguration,
                         out -> script = new ScriptedPolicy(out),
                         WATCH_TIMEOUTS);
--- a/daemon/src/test/java/postgrade/daemon/DispatcherExtensionTest.java
+++ b/daemon/src/test/java/postgrade/daemon/DispatcherExtensionTest.java
@@ -252,7 +252,7 @@
         environment.put("ROUTER_SHARING", "sharing.star");
         try {
             ExtensionLoader.loadConfiguration(Config.read(environment));
-            fail("started without what was asked for");
+            fail("started without the extension that was asked for");
         } catch (Config.InvalidConfigException e) {
             assertTrue(e.getMessage(), e.getMessage().startsWith("sharing: "));
         }
--- a/daemon/src/test/java/postgrade/daemon/ExtensionHeadersTest.java
+++ b/daemon/src/test/java/postgrade/daemon/ExtensionHeadersTest.java
@@ -21,7 +21,7 @@
         implements DispatcherExtension, ExtensionHeaders {
 
     @Before
-    public void besideTheDaemon() {
+    public void installExtension() {
         extensionConfiguration = h -> this;
     }
 
@@ -113,7 +113,7 @@
     }
 
     @Test
-    public void whereNobodyReadsThemTheyArePassedOver() throws Exception {
+    public void headersAreIgnoredWithoutAnExtension() throws Exception {
         extensionConfiguration = null;
         startWithScriptedPolicy(workerEntry("w1", workerOne.address(), "ready"));
         script.onJob = job -> script.actions.reject(job.id(), 0);
