--- a/core/src/main/java/postgrade/member/MembershipTerms.java
+++ b/core/src/main/java/postgrade/member/MembershipTerms.java
@@ -4,7 +4,7 @@
 
 /**
  * The terms that all members have to agree on. The first member that joins writes them to the log;
- * a member that joins with other terms is told which one differs.
+ * a join with other terms is rejected, naming the first one that differs.
  *
  * <p>Shares are in millionths of the even share, which is one place's part of every rate: {@link
  * #EVEN_SHARE} times the number of places is the total.
--- a/core/src/test/java/postgrade/lease/LeaseConstraintsTest.java
+++ b/core/src/test/java/postgrade/lease/LeaseConstraintsTest.java
@@ -227,7 +227,7 @@
                         List.of(restarted, leaving, WITHOUT_ACCELERATORS),
                         List.of(HALF_RESERVED, UNRESERVED, WITHOUT_ACCELERATORS))) {
             FleetSync.pendingCommands(fresh.rows(), list, Set.of(), perKind, "n", 1)
-                    .forEach(c -> fresh.apply(++index, c));
+                    .forEach(command -> fresh.apply(++index, command));
         }
         List<ReservableWorker> workers = new ReservationTable(fresh.rows()).workers();
         assertEquals(
--- a/core/src/test/java/postgrade/member/MembershipTest.java
+++ b/core/src/test/java/postgrade/member/MembershipTest.java
@@ -215,13 +215,13 @@
     public void newEraGrantsNothingWhileFormerSharesMayBeInUse() {
         machine = new ReplicatedStateMachine(2, List.of(new MembershipPart()));
         List<String> three = new ArrayList<>(List.of("a", "b", "c"));
-        three.forEach(n -> join(n, 1));
+        three.forEach(name -> join(name, 1));
         assertEquals(TERMS.floor(), share("a"));
         advance(TERMS.leaseMicros(), "a", "b", "c");
         assertEquals(EVEN, share("a"));
         machine = new ReplicatedStateMachine(2, List.of(new MembershipPart()));
         index = 0;
-        three.forEach(n -> join(n, 1));
+        three.forEach(name -> join(name, 1));
         join("d", 1);
         assertEquals(
                 "all have joined, so no process uses a share of the former era", EVEN, share("a"));
