--- a/core/src/main/java/postgrade/recovery/LearntSnapshotFormat.java
+++ b/core/src/main/java/postgrade/recovery/LearntSnapshotFormat.java
@@ -93,10 +93,7 @@
         if (!snapshot.dispatcher().equals(dispatcher)) {
             throw new UnusableSnapshotException(
                     Fault.OTHER_DISPATCHER,
-                    "it was written by dispatcher "
-                            + snapshot.dispatcher()
-                            + ", not "
-                            + dispatcher);
+                    "dispatcher is " + snapshot.dispatcher() + ", not " + dispatcher);
         }
         if (snapshot.savedMicros() > nowMicros + MAX_CLOCK_SKEW_MICROS) {
             throw new UnusableSnapshotException(
