--- a/sharing/src/test/java/postgrade/sharing/FakeHost.java
+++ b/sharing/src/test/java/postgrade/sharing/FakeHost.java
@@ -17,7 +17,7 @@
 import postgrade.policy.api.PolicyStateEntry;
 import postgrade.policy.api.Tenant;
 
-/** A dispatcher on virtual time, of which only what its companion sees is there. */
+/** A dispatcher on virtual time that has only what its extension uses. */
 final class FakeHost implements Host, Timers {
 
     private record Due(long when, long number, Runnable task) {}
@@ -30,29 +30,29 @@
                                     : Long.compare(a.number, b.number));
     private final String name;
     private long now = 86_400_000_000L;
-    private long count;
-    double share = 1;
-    double leastShare = 1;
+    private long nextNumber;
+    double rateFactor = 1;
+    double minRateFactor = 1;
     long unixMillis = 1_800_000_000_000L;
-    boolean alone = true;
-    boolean tookOver;
-    String former = "";
-    List<PolicyStateEntry> learnt = List.of();
-    final List<PolicyStateEntry> told = new ArrayList<>();
+    boolean onlyProcess = true;
+    boolean startedByHandOver;
+    String predecessorState = "";
+    List<PolicyStateEntry> policyState = List.of();
+    final List<PolicyStateEntry> imported = new ArrayList<>();
     final Map<String, WorkerStatus> workers = new LinkedHashMap<>();
-    final Set<String> out = new TreeSet<>();
+    final Set<String> inMaintenance = new TreeSet<>();
     final Set<String> connected = new TreeSet<>();
-    int calls;
+    int callsPerConnection;
 
     FakeHost(String name) {
         this.name = name;
     }
 
-    void worker(String id, long startedMillis) {
+    void addWorker(String id, long startedMillis) {
         workers.put(id, new WorkerStatus(id, "a", "m", 1, startedMillis, true, false));
     }
 
-    /** Runs what is due within this time. */
+    /** Advances the clocks by this time and runs the timers that expire meanwhile. */
     void run(long micros) {
         long end = now + micros;
         while (!due.isEmpty() && due.peek().when <= end) {
@@ -64,8 +64,10 @@
         unixMillis += micros / 1000;
     }
 
-    /** Stopped and continued: the clocks have gone on, and nothing has run. */
-    void sleep(long micros) {
+    /**
+     * Advances the clocks without running any timers, as when the process is stopped and continued.
+     */
+    void suspend(long micros) {
         now += micros;
         unixMillis += micros / 1000;
     }
@@ -99,7 +101,7 @@
 
     @Override
     public Timer at(long whenMicros, Runnable task) {
-        Due d = new Due(whenMicros, count++, task);
+        Due d = new Due(whenMicros, nextNumber++, task);
         due.add(d);
         return () -> due.remove(d);
     }
@@ -121,27 +123,27 @@
 
     @Override
     public List<PolicyStateEntry> exportPolicyState() {
-        return learnt;
+        return policyState;
     }
 
     @Override
     public void importPolicyState(List<PolicyStateEntry> all) {
-        told.addAll(all);
+        imported.addAll(all);
     }
 
     @Override
     public boolean startedByHandOver() {
-        return tookOver;
+        return startedByHandOver;
     }
 
     @Override
     public String predecessorState() {
-        return former;
+        return predecessorState;
     }
 
     @Override
     public boolean isOnlyProcess() {
-        return alone;
+        return onlyProcess;
     }
 
     @Override
@@ -161,7 +163,7 @@
 
     @Override
     public boolean anyConnectedWithCallsBelow(int fewerThan) {
-        return !connected.isEmpty() && calls < fewerThan;
+        return !connected.isEmpty() && callsPerConnection < fewerThan;
     }
 
     @Override
@@ -171,17 +173,17 @@
 
     @Override
     public boolean enterMaintenance(String worker) {
-        return out.add(worker);
+        return inMaintenance.add(worker);
     }
 
     @Override
     public boolean exitMaintenance(String worker) {
-        return out.remove(worker);
+        return inMaintenance.remove(worker);
     }
 
     @Override
     public void setRateFactor(double factor) {
-        share = factor;
-        leastShare = Math.min(leastShare, factor);
+        rateFactor = factor;
+        minRateFactor = Math.min(minRateFactor, factor);
     }
 }
--- a/sharing/src/test/java/postgrade/sharing/SharedTest.java
+++ b/sharing/src/test/java/postgrade/sharing/SharingExtensionTest.java
@@ -23,15 +23,16 @@
 import postgrade.window.JobClassWindow;
 
 /**
- * Two dispatchers' companions on one state: shares, workers out, operators' calls. Time is virtual.
+ * The extensions of two dispatchers on one shared state: shares, workers in maintenance and
+ * operator endpoints. Time is virtual.
  */
-public class SharedTest {
+public class SharingExtensionTest {
 
     private static final long SECOND = 1_000_000;
     private static final SharingSettings SETTINGS = settings(WindowSettings.NONE);
 
     private final FakeQuorum quorum = new FakeQuorum();
-    private final Map<FakeHost, Shared> all = new LinkedHashMap<>();
+    private final Map<FakeHost, SharingExtension> extensions = new LinkedHashMap<>();
 
     private static SharingSettings settings(WindowSettings windows) {
         return new SharingSettings(
@@ -57,13 +58,14 @@
 
     private FakeHost start(String name, SharingSettings settings) {
         FakeHost host = new FakeHost(name);
-        all.put(host, new Shared(host, settings, quorum.as(host), Runnable::run));
+        extensions.put(
+                host, new SharingExtension(host, settings, quorum.openerFor(host), Runnable::run));
         return host;
     }
 
     private void run(long micros) {
-        for (long passed = 0; passed < micros; passed += SECOND / 10) {
-            all.keySet().forEach(h -> h.run(SECOND / 10));
+        for (long elapsed = 0; elapsed < micros; elapsed += SECOND / 10) {
+            extensions.keySet().forEach(h -> h.run(SECOND / 10));
             quorum.advance(SECOND / 10);
         }
     }
@@ -72,14 +74,15 @@
 
     private Answered call(FakeHost host, String method, String path, String body) {
         Answered[] answered = new Answered[1];
-        all.get(host)
+        extensions
+                .get(host)
                 .operatorEndpoints()
                 .handle(
                         method,
                         path,
                         body.replace('\'', '"').getBytes(StandardCharsets.UTF_8),
                         (status, again, json) -> {
-                            assertEquals("answered once", null, answered[0]);
+                            assertEquals("must be answered only once", null, answered[0]);
                             answered[0] = new Answered(status, again, Json.parse(json).asObject());
                         });
         for (int i = 0; answered[0] == null && i < 20; i++) {
@@ -89,98 +92,99 @@
     }
 
     @Test
-    public void theRatesAreSplitOverWhoLivesAndOneCutOffFallsBackByItsOwnClock() {
+    public void ratesAreSplitAmongLiveMembersAndAnUnreachableMemberFallsBack() {
         FakeHost a = start("a");
-        assertEquals("not joined yet", 0.25, a.share, 0);
+        assertEquals("has not joined yet", 0.25, a.rateFactor, 0);
         FakeHost b = start("b");
-        // A place that nobody was seen in is kept for a while: it may be cut off.
+        // A place that was never taken is kept for a while, as its member may be unreachable.
         run(30 * SECOND);
-        assertEquals(1, a.share, 0.01);
-        assertEquals(1, b.share, 0.01);
-        quorum.cutOff.add("b");
+        assertEquals(1, a.rateFactor, 0.01);
+        assertEquals(1, b.rateFactor, 0.01);
+        quorum.unreachable.add("b");
         for (int i = 0; i < 400; i++) {
             run(SECOND / 10);
             assertTrue(
-                    "the sum is never above the whole: " + a.share + " " + b.share,
-                    a.share + b.share <= 2.0001);
+                    "the sum of the shares exceeds the total: " + a.rateFactor + " " + b.rateFactor,
+                    a.rateFactor + b.rateFactor <= 2.0001);
         }
-        assertEquals(1.75, a.share, 0.01);
-        assertEquals(0.25, b.share, 0);
-        quorum.cutOff.clear();
+        assertEquals(1.75, a.rateFactor, 0.01);
+        assertEquals(0.25, b.rateFactor, 0);
+        quorum.unreachable.clear();
         for (int i = 0; i < 200; i++) {
             run(SECOND / 10);
-            assertTrue(a.share + " " + b.share, a.share + b.share <= 2.0001);
+            assertTrue(a.rateFactor + " " + b.rateFactor, a.rateFactor + b.rateFactor <= 2.0001);
         }
-        assertEquals(1, a.share, 0.01);
-        assertEquals(1, b.share, 0.01);
+        assertEquals(1, a.rateFactor, 0.01);
+        assertEquals(1, b.rateFactor, 0.01);
     }
 
     @Test
-    public void afterAPauseItsShareHasFallenBeforeAnythingIsTakenIn() {
+    public void shareIsReducedAfterAPauseBeforeRequestsAreAdmitted() {
         FakeHost a = start("a");
         run(30 * SECOND);
-        assertEquals(1.75, a.share, 0.01);
-        quorum.cutOff.add("a"); // Its view is the one from before.
-        a.sleep(60 * SECOND);
-        all.get(a).iterationStarted();
-        assertEquals(0.25, a.share, 0);
+        assertEquals(1.75, a.rateFactor, 0.01);
+        quorum.unreachable.add("a"); // Its view stays the one from before the pause.
+        a.suspend(60 * SECOND);
+        extensions.get(a).iterationStarted();
+        assertEquals(0.25, a.rateFactor, 0);
     }
 
     @Test
-    public void workersOutAreOutEverywhereAndForOneThatStartsWithNothing() {
+    public void workersInMaintenanceAreSharedWithAllAndWithNewMembers() {
         FakeHost a = start("a");
         FakeHost b = start("b");
         run(SECOND);
         a.enterMaintenance("w1");
-        all.get(a).workerMaintenanceChanged("w1", true);
+        extensions.get(a).workerMaintenanceChanged("w1", true);
         run(SECOND);
-        assertEquals(Set.of("w1"), b.out);
-        all.remove(a);
+        assertEquals(Set.of("w1"), b.inMaintenance);
+        extensions.remove(a);
         FakeHost again = start("a");
         run(SECOND);
-        assertEquals(Set.of("w1"), again.out);
-        quorum.lost = true;
+        assertEquals(Set.of("w1"), again.inMaintenance);
+        quorum.quorumLost = true;
         b.exitMaintenance("w1");
-        all.get(b).workerMaintenanceChanged("w1", false);
+        extensions.get(b).workerMaintenanceChanged("w1", false);
         run(3 * SECOND);
-        assertTrue("done here, and told when it can be", b.out.isEmpty());
-        assertEquals(Set.of("w1"), again.out);
-        quorum.lost = false;
+        assertTrue(
+                "in effect here, and submitted once the quorum is back", b.inMaintenance.isEmpty());
+        assertEquals(Set.of("w1"), again.inMaintenance);
+        quorum.quorumLost = false;
         run(3 * SECOND);
-        assertTrue(b.out.isEmpty() && again.out.isEmpty());
+        assertTrue(b.inMaintenance.isEmpty() && again.inMaintenance.isEmpty());
     }
 
     @Test
-    public void anUpgradesNewProcessWaitsForThePlaceOfTheOldOne() {
+    public void newProcessJoinsOnlyAfterTheOldOneHasEnded() {
         FakeHost b = new FakeHost("b");
-        b.alone = false;
-        all.put(b, new Shared(b, SETTINGS, quorum.as(b), Runnable::run));
+        b.onlyProcess = false;
+        extensions.put(b, new SharingExtension(b, SETTINGS, quorum.openerFor(b), Runnable::run));
         run(3 * SECOND);
         assertTrue(
                 call(b, "GET", "/sharing", "")
                         .json
                         .getString("fault", "")
                         .contains("another process"));
-        b.alone = true;
+        b.onlyProcess = true;
         run(3 * SECOND);
         JsonObject now = call(b, "GET", "/sharing", "").json;
         assertTrue(now.toString(), now.get("fault").isNull() && now.getBoolean("joined", false));
     }
 
     @Test
-    public void whatCannotBeOpenedIsTriedAgainAndServedWithoutMeanwhile() {
+    public void opensAgainAfterAFailureAndServesWithoutSharedState() {
         FakeHost a = new FakeHost("a");
         boolean[] full = {true};
-        all.put(
+        extensions.put(
                 a,
-                new Shared(
+                new SharingExtension(
                         a,
                         SETTINGS,
                         (parts, now, loop) -> {
                             if (full[0]) {
                                 throw new java.io.IOException("no space left on device");
                             }
-                            return quorum.as(a).open(parts, now, loop);
+                            return quorum.openerFor(a).open(parts, now, loop);
                         },
                         Runnable::run));
         run(5 * SECOND);
@@ -201,11 +205,11 @@
     }
 
     @Test
-    public void getSharingTellsHowItStands() {
+    public void getSharingReportsTheStatus() {
         FakeHost a = start("a");
         run(SECOND);
-        a.worker("w1", 0);
-        all.get(a).workerListChanged();
+        a.addWorker("w1", 0);
+        extensions.get(a).workerListChanged();
         run(5 * SECOND);
         JsonObject json = call(a, "GET", "/sharing", "").json;
         assertEquals("a", json.getString("name", ""));
@@ -216,7 +220,7 @@
         assertEquals(4, json.get("phases").asArray().size());
         assertTrue(json.getLong("viewAgeMs", -1) >= 0);
         assertTrue(json.get("index").asLong() > 0);
-        quorum.lost = true;
+        quorum.quorumLost = true;
         run(5 * SECOND);
         json = call(a, "GET", "/sharing", "").json;
         assertTrue(
@@ -225,19 +229,22 @@
     }
 
     @Test
-    public void aReservationShrinksTheWorkerForOthersAndGivesTheHolderItsFenceUntilTheViewIsOld() {
+    public void reservationLimitsOthersAndFencesTheHolderUntilTheViewIsStale() {
         quorum.leader = "a";
         FakeHost a = start("a");
         FakeHost b = start("b");
-        a.worker("w1", 7000);
-        b.worker("w1", 7000);
+        a.addWorker("w1", 7000);
+        b.addWorker("w1", 7000);
         run(2 * SECOND);
         String ask = "{'requestId':'r1','holder':'shop','site':'a','accelerators':3,'ttlMs':20000}";
         Answered got = call(b, "PUT", "/reservations/acquire", ask);
         assertEquals(got.json.toString(), 200, got.status);
         assertEquals("granted", got.json.getString("state", ""));
         Answered again = call(a, "PUT", "/reservations/acquire", ask);
-        assertEquals("once, whoever is asked", got.json.get("fence"), again.json.get("fence"));
+        assertEquals(
+                "granted once, whichever dispatcher is asked",
+                got.json.get("fence"),
+                again.json.get("fence"));
         run(SECOND);
         assertEquals(
                 1, call(a, "GET", "/reservations", "").json.get("reservations").asArray().size());
@@ -245,19 +252,19 @@
         Job own = new Job("1", "price", "shop", null, 1, 1, 0);
         Job other = new Job("2", "price", "t", null, 1, 1, 0);
         Job confirm = new Job("3", "confirm", "t", null, 1, 1, 0);
-        JobConstraints ability = all.get(a).jobConstraints();
-        assertEquals(1, ability.usableShare(a.nowMicros() * 1000, own, w1), 0);
-        assertEquals(0.25, ability.usableShare(a.nowMicros() * 1000, other, w1), 0);
+        JobConstraints constraints = extensions.get(a).jobConstraints();
+        assertEquals(1, constraints.usableShare(a.nowMicros() * 1000, own, w1), 0);
+        assertEquals(0.25, constraints.usableShare(a.nowMicros() * 1000, other, w1), 0);
         assertEquals(
-                "never depends on sharing",
+                "a class that must not repeat never depends on sharing",
                 1,
-                ability.usableShare(a.nowMicros() * 1000, confirm, w1),
+                constraints.usableShare(a.nowMicros() * 1000, confirm, w1),
                 0);
-        assertEquals("7=" + got.json.get("fence"), all.get(a).fence("price", "shop", "w1"));
-        assertEquals(null, all.get(a).fence("price", "t", "w1"));
-        quorum.cutOff.add("a");
+        assertEquals("7=" + got.json.get("fence"), extensions.get(a).fence("price", "shop", "w1"));
+        assertEquals(null, extensions.get(a).fence("price", "t", "w1"));
+        quorum.unreachable.add("a");
         run(3 * SECOND);
-        assertEquals("its view is too old", null, all.get(a).fence("price", "shop", "w1"));
+        assertEquals("the view is too old", null, extensions.get(a).fence("price", "shop", "w1"));
         Answered release =
                 call(b, "PUT", "/reservations/release", "{'holder':'shop','site':'a','fence':1}");
         assertEquals(409, release.status);
@@ -289,7 +296,7 @@
     }
 
     @Test
-    public void noJobOfAClassWithWindowsStartsWithoutACalendarInMaintenanceOrByAnOldView() {
+    public void windowedJobsStartOnlyWithACalendarOutsideMaintenanceAndWithAFreshView() {
         WindowSettings windows =
                 new WindowSettings(
                         List.of(
@@ -304,15 +311,15 @@
                         Map.of(),
                         Map.of("a", "zagreb"),
                         1000);
-        FakeHost a =
-                start("a", settings(windows)); // It is 2027-01-15 08:00 UTC, 9 o'clock in Zagreb.
+        // The time is 2027-01-15 08:00 UTC, 9 o'clock in Zagreb.
+        FakeHost a = start("a", settings(windows));
         FakeHost b = start("b", settings(windows));
         run(2 * SECOND);
-        JobConstraints ability = all.get(a).jobConstraints();
+        JobConstraints constraints = extensions.get(a).jobConstraints();
         Job job = new Job("1", "price", "t", null, 1, 1, 0);
         Job free = new Job("2", "confirm", "t", null, 1, 1, 0);
-        assertTrue(ability.startDelayNs(a.nowMicros() * 1000, job) > 0);
-        assertEquals(0, ability.startDelayNs(a.nowMicros() * 1000, free));
+        assertTrue(constraints.startDelayNs(a.nowMicros() * 1000, job) > 0);
+        assertEquals(0, constraints.startDelayNs(a.nowMicros() * 1000, free));
         assertEquals(503, call(b, "POST", "/windows", "{'class':'price'}").status);
         Answered bad =
                 call(
@@ -329,17 +336,17 @@
                 call(b, "PUT", "/calendar", calendar("20270115T090200", "20270115T093000", ""))
                         .status);
         run(SECOND);
-        assertEquals(0, ability.startDelayNs(a.nowMicros() * 1000, job));
+        assertEquals(0, constraints.startDelayNs(a.nowMicros() * 1000, job));
         assertEquals(
                 1,
-                ability.usableShare(
+                constraints.usableShare(
                         a.nowMicros() * 1000,
                         job,
                         new WorkerInfo("w", "a", "m", 0, WorkerPhase.READY, 1, 0)),
                 0);
         assertEquals(
                 0,
-                ability.usableShare(
+                constraints.usableShare(
                         a.nowMicros() * 1000,
                         job,
                         new WorkerInfo("w", "b", "m", 0, WorkerPhase.READY, 1, 0)),
@@ -348,20 +355,20 @@
         assertEquals("2027-01-15T08:00:59.001Z", open.getString("closes", ""));
         run(60 * SECOND);
         assertTrue(
-                "it would run into the maintenance",
-                ability.startDelayNs(a.nowMicros() * 1000, job) > 0);
+                "the job would overlap the maintenance",
+                constraints.startDelayNs(a.nowMicros() * 1000, job) > 0);
         JsonObject closed = call(a, "POST", "/windows", "{'class':'price'}").json;
         assertEquals("2027-01-15T08:30:01Z", closed.getString("opens", ""));
         assertEquals(
                 "maintenance",
                 closed.get("exclusions").asArray().get(0).asObject().getString("reason", ""));
         run(1800 * SECOND);
-        assertEquals(0, ability.startDelayNs(a.nowMicros() * 1000, job));
-        quorum.cutOff.add("a");
+        assertEquals(0, constraints.startDelayNs(a.nowMicros() * 1000, job));
+        quorum.unreachable.add("a");
         run(6 * SECOND);
         assertTrue(
-                "another calendar may count by now",
-                ability.startDelayNs(a.nowMicros() * 1000, job) > 0);
+                "another calendar may be in force by now",
+                constraints.startDelayNs(a.nowMicros() * 1000, job) > 0);
         assertEquals(404, call(b, "POST", "/windows", "{'class':'confirm'}").status);
         assertEquals(
                 200,
@@ -395,7 +402,7 @@
     }
 
     @Test
-    public void aBadCallIsNamedAndWhatCannotBeDecidedIsNotGuessed() {
+    public void invalidCallsNameTheFieldAndUndecidedCallsAreUnavailable() {
         FakeHost a = start("a");
         run(SECOND);
         String path = "/reservations/acquire";
@@ -414,12 +421,12 @@
             assertTrue(
                     answer.json.get("viewAgeMs").isNumber() && answer.json.get("era").isNumber());
         }
-        quorum.lost = true;
+        quorum.quorumLost = true;
         Answered none =
                 call(a, "PUT", path, "{'holder':'s','site':'a','accelerators':1,'ttlMs':1000}");
         assertEquals(503, none.status);
         assertEquals(700_000, none.retryAfterMicros);
-        assertEquals(Set.of(), all.get(a).operatorEndpoints().allowedMethods("/nowhere"));
-        assertFalse(all.get(a).operatorEndpoints().allowedMethods("/sharing").isEmpty());
+        assertEquals(Set.of(), extensions.get(a).operatorEndpoints().allowedMethods("/nowhere"));
+        assertFalse(extensions.get(a).operatorEndpoints().allowedMethods("/sharing").isEmpty());
     }
 }
