--- a/core/src/main/java/postgrade/recovery/Recovery.java
+++ b/core/src/main/java/postgrade/recovery/Recovery.java
@@ -5,156 +5,176 @@
 import java.util.function.BiPredicate;
 
 /**
- * The phases of coming back, with the times at which each was reached. All ways from one phase to
- * another stand in {@link #WAYS} and nowhere else.
+ * The state machine of recovery, with the time at which each phase was reached. {@link
+ * #TRANSITIONS} holds all transitions between phases.
  */
 public final class Recovery {
 
-    /** Full service: within this part of what was served in time before the fault. */
-    public static final double WITHIN = 0.05;
+    /**
+     * Service counts as full within this relative distance of what was served in time before the
+     * fault.
+     */
+    public static final double FULL_SERVICE_TOLERANCE = 0.05;
 
-    private static final int MOST_STEPS = 100;
+    private static final int MAX_STEPS = 100;
 
     /**
-     * What can be seen of this process now.
+     * The present condition of this process.
      *
-     * @param remembers a snapshot of its own was loaded and trusted
-     * @param listKnown it has a list of workers, told or remembered
-     * @param viewAgeMicros of the shared state; any age where nothing is shared
-     * @param joined its share was granted, or nothing is shared
-     * @param admitted part of the jobs within their share that are taken in, 1 once the ramp is
-     *     over
-     * @param served worth in time as a part of the worth asked for, of late; NaN where nothing was
-     *     asked
-     * @param before the same before the fault; NaN where nobody knows
+     * @param snapshotTrusted its own snapshot was loaded and trusted
+     * @param workersKnown it has a list of workers, from discovery or from its snapshot
+     * @param viewAgeMicros age of the replicated state; any value if no state is shared
+     * @param joined its share was granted, or no state is shared
+     * @param admittedShare share of the jobs within its quotas that are admitted, 1 once the ramp
+     *     has finished
+     * @param servedShare recent worth served in time as a share of the requested worth; NaN if
+     *     there were no requests
+     * @param baselineShare the same before the fault; NaN if unknown
      */
     public record Observation(
-            boolean remembers,
-            boolean listKnown,
+            boolean snapshotTrusted,
+            boolean workersKnown,
             long viewAgeMicros,
             boolean joined,
-            double admitted,
-            double served,
-            double before) {
-
-        boolean asBefore() {
-            return Double.isNaN(served) || Double.isNaN(before) || served >= before * (1 - WITHIN);
+            double admittedShare,
+            double servedShare,
+            double baselineShare) {
+
+        boolean servesAsBefore() {
+            return Double.isNaN(servedShare)
+                    || Double.isNaN(baselineShare)
+                    || servedShare >= baselineShare * (1 - FULL_SERVICE_TOLERANCE);
         }
     }
 
     /**
-     * @param viewBoundMicros a view that is older does not count
-     * @param patienceMicros a process without word from the quorum serves all the same after this,
-     *     by its floor
-     * @param holdMicros service must have been full for so long
+     * Time bounds of the transitions.
+     *
+     * @param viewBoundMicros an older view does not count
+     * @param quorumTimeoutMicros without a response from the quorum for this long, a process serves
+     *     at its floor
+     * @param fullServiceMicros how long service must have been full
      */
-    public record Bounds(long viewBoundMicros, long patienceMicros, long holdMicros) {}
+    public record Bounds(long viewBoundMicros, long quorumTimeoutMicros, long fullServiceMicros) {}
 
-    /** A phase, since when, and why. */
+    /** A phase, the time at which it began, and the cause. */
     public record Step(RecoveryPhase phase, long atMicros, String cause) {}
 
-    private record Way(
+    private record Transition(
             RecoveryPhase from,
             RecoveryPhase to,
             String cause,
-            BiPredicate<Recovery, Observation> open) {}
+            BiPredicate<Recovery, Observation> condition) {}
 
-    private static final List<Way> WAYS =
+    private static final List<Transition> TRANSITIONS =
             List.of(
-                    new Way(
+                    new Transition(
                             RecoveryPhase.EMPTY,
                             RecoveryPhase.REMEMBERING,
                             "own snapshot is trusted",
-                            (r, s) -> s.remembers),
-                    new Way(
+                            (recovery, observation) -> observation.snapshotTrusted),
+                    new Transition(
                             RecoveryPhase.EMPTY,
                             RecoveryPhase.CATCHING_UP,
                             "workers are known",
-                            (r, s) -> s.listKnown),
-                    new Way(
+                            (recovery, observation) -> observation.workersKnown),
+                    new Transition(
                             RecoveryPhase.REMEMBERING,
                             RecoveryPhase.CATCHING_UP,
                             "workers are known",
-                            (r, s) -> s.listKnown),
-                    new Way(
+                            (recovery, observation) -> observation.workersKnown),
+                    new Transition(
                             RecoveryPhase.CATCHING_UP,
                             RecoveryPhase.RAMPING,
                             "view is new and the share granted",
-                            (r, s) -> s.joined && s.viewAgeMicros <= r.bounds.viewBoundMicros),
-                    new Way(
+                            (recovery, observation) ->
+                                    observation.joined
+                                            && observation.viewAgeMicros
+                                                    <= recovery.bounds.viewBoundMicros),
+                    new Transition(
                             RecoveryPhase.CATCHING_UP,
                             RecoveryPhase.RAMPING,
                             "no word from the quorum in time",
-                            (r, s) -> r.inPhaseMicros() >= r.bounds.patienceMicros),
-                    new Way(
+                            (recovery, observation) ->
+                                    recovery.inPhaseMicros()
+                                            >= recovery.bounds.quorumTimeoutMicros),
+                    new Transition(
                             RecoveryPhase.RAMPING,
                             RecoveryPhase.FULL,
                             "as much is served as before",
-                            (r, s) -> r.asBeforeMicros() >= r.bounds.holdMicros),
-                    new Way(
+                            (recovery, observation) ->
+                                    recovery.servesAsBeforeMicros()
+                                            >= recovery.bounds.fullServiceMicros),
+                    new Transition(
                             RecoveryPhase.FULL,
                             RecoveryPhase.RAMPING,
                             "a fault was seen and less is served",
-                            (r, s) -> r.faulted && !s.asBefore()));
+                            (recovery, observation) ->
+                                    recovery.faultPending && !observation.servesAsBefore()));
 
     private final Bounds bounds;
     private final List<Step> steps = new ArrayList<>();
     private long nowMicros;
-    private long fallenShortAt;
-    private boolean faulted;
+    private long lastShortfallMicros;
+    private boolean faultPending;
 
     public Recovery(long nowMicros, Bounds bounds) {
         this.bounds = bounds;
         this.nowMicros = nowMicros;
-        fallenShortAt = nowMicros;
+        lastShortfallMicros = nowMicros;
         steps.add(new Step(RecoveryPhase.EMPTY, nowMicros, "started"));
     }
 
     /**
-     * Others died or were cut off: what is served from now on is measured against what was served
+     * Other processes died or were cut off: from now on service is compared with what was served
      * until now.
      */
     public void recordFault() {
-        faulted = true;
+        faultPending = true;
     }
 
-    /** Looks at what there is now; several phases may be passed at once. */
-    public RecoveryPhase update(long now, Observation seen) {
+    /** Evaluates the present condition; several transitions may follow at once. */
+    public RecoveryPhase update(long now, Observation observation) {
         nowMicros = now;
-        if (seen.admitted < 1 || !seen.asBefore()) {
-            fallenShortAt = now;
+        if (observation.admittedShare < 1 || !observation.servesAsBefore()) {
+            lastShortfallMicros = now;
         }
-        for (Way way = next(seen); way != null; way = next(seen)) {
-            if (steps.size() >= MOST_STEPS) {
-                steps.remove(1); // The start stays.
+        for (Transition transition = nextTransition(observation);
+                transition != null;
+                transition = nextTransition(observation)) {
+            if (steps.size() >= MAX_STEPS) {
+                steps.remove(1); // The first step, the start, is kept.
             }
-            steps.add(new Step(way.to, now, way.cause));
-            faulted = faulted && way.to != RecoveryPhase.RAMPING;
+            steps.add(new Step(transition.to, now, transition.cause));
+            faultPending = faultPending && transition.to != RecoveryPhase.RAMPING;
         }
         return phase();
     }
 
-    private Way next(Observation seen) {
-        return WAYS.stream()
-                .filter(w -> w.from == phase() && w.open.test(this, seen))
+    private Transition nextTransition(Observation observation) {
+        return TRANSITIONS.stream()
+                .filter(
+                        transition ->
+                                transition.from == phase()
+                                        && transition.condition.test(this, observation))
                 .findFirst()
                 .orElse(null);
     }
 
     private long inPhaseMicros() {
-        return nowMicros - last().atMicros;
+        return nowMicros - lastStep().atMicros;
     }
 
-    private long asBeforeMicros() {
-        return Math.min(inPhaseMicros(), nowMicros - fallenShortAt);
+    private long servesAsBeforeMicros() {
+        return Math.min(inPhaseMicros(), nowMicros - lastShortfallMicros);
     }
 
-    private Step last() {
+    private Step lastStep() {
         return steps.get(steps.size() - 1);
     }
 
     public RecoveryPhase phase() {
-        return last().phase;
+        return lastStep().phase;
     }
 
     /** All phases so far, for the log and for operators. */
--- a/core/src/main/java/postgrade/recovery/ServedWorth.java
+++ b/core/src/main/java/postgrade/recovery/ServedWorth.java
@@ -1,18 +1,18 @@
 package postgrade.recovery;
 
 /**
- * How much of what callers asked for was served in time, weighed by worth: of late, and over longer
- * before a fault.
+ * The share of the requested work, weighted by worth, that was served in time: recently, and over a
+ * longer period before a fault.
  */
 public final class ServedWorth {
 
-    private static final double LATELY_MICROS = 2e6;
-    private static final double LONG_MICROS = 30e6;
+    private static final double RECENT_DECAY_MICROS = 2e6;
+    private static final double LONG_TERM_DECAY_MICROS = 30e6;
 
-    private double askedLately;
-    private double inTimeLately;
-    private double askedLong;
-    private double inTimeLong;
+    private double recentRequested;
+    private double recentInTime;
+    private double longTermRequested;
+    private double longTermInTime;
     private long atMicros;
     private double baseline = Double.NaN;
 
@@ -20,58 +20,58 @@
         atMicros = nowMicros;
     }
 
-    /** What was served before this process began, as its snapshot tells. */
-    public void setBaseline(double part) {
-        baseline = part;
+    /** Sets the share that was served before this process started, from its snapshot. */
+    public void setBaseline(double share) {
+        baseline = share;
     }
 
-    /** A job has its final answer. */
+    /** Records a job that has its final answer. */
     public void add(long nowMicros, double worth, boolean inTime) {
-        fade(nowMicros);
-        askedLately += worth;
-        askedLong += worth;
+        decay(nowMicros);
+        recentRequested += worth;
+        longTermRequested += worth;
         if (inTime) {
-            inTimeLately += worth;
-            inTimeLong += worth;
+            recentInTime += worth;
+            longTermInTime += worth;
         }
     }
 
-    private void fade(long nowMicros) {
-        double passed = Math.max(0, nowMicros - atMicros);
-        double shortly = Math.exp(-passed / LATELY_MICROS);
-        double slowly = Math.exp(-passed / LONG_MICROS);
-        askedLately *= shortly;
-        inTimeLately *= shortly;
-        askedLong *= slowly;
-        inTimeLong *= slowly;
+    private void decay(long nowMicros) {
+        double elapsedMicros = Math.max(0, nowMicros - atMicros);
+        double recentFactor = Math.exp(-elapsedMicros / RECENT_DECAY_MICROS);
+        double longTermFactor = Math.exp(-elapsedMicros / LONG_TERM_DECAY_MICROS);
+        recentRequested *= recentFactor;
+        recentInTime *= recentFactor;
+        longTermRequested *= longTermFactor;
+        longTermInTime *= longTermFactor;
         atMicros = Math.max(atMicros, nowMicros);
     }
 
     /**
-     * From now on it is measured against what was served so far. Several faults in a row count from
-     * the first.
+     * From now on service is compared with what was served so far. Of several faults in a row, the
+     * first one counts.
      */
     public void recordFault(long nowMicros) {
-        fade(nowMicros);
-        if (Double.isNaN(baseline) && askedLong > 0) {
-            baseline = inTimeLong / askedLong;
+        decay(nowMicros);
+        if (Double.isNaN(baseline) && longTermRequested > 0) {
+            baseline = longTermInTime / longTermRequested;
         }
     }
 
-    /** Service is full again. */
+    /** Drops the baseline, once service is full again. */
     public void clearBaseline() {
         baseline = Double.NaN;
     }
 
-    /** Of late; NaN where nothing was asked. */
+    /** The recent share; NaN if there were no requests. */
     public double recentShare(long nowMicros) {
-        fade(nowMicros);
-        return askedLately < 1e-9 ? Double.NaN : inTimeLately / askedLately;
+        decay(nowMicros);
+        return recentRequested < 1e-9 ? Double.NaN : recentInTime / recentRequested;
     }
 
-    /** Over the longer time; NaN where nothing was asked. */
+    /** The share over the longer period; NaN if there were no requests. */
     public double longTermShare() {
-        return askedLong < 1e-9 ? Double.NaN : inTimeLong / askedLong;
+        return longTermRequested < 1e-9 ? Double.NaN : longTermInTime / longTermRequested;
     }
 
     public double baseline() {
--- a/core/src/main/java/postgrade/shared/Rows.java
+++ b/core/src/main/java/postgrade/shared/Rows.java
@@ -9,43 +9,43 @@
 import java.util.TreeMap;
 
 /**
- * The replicated state: rows by part and key. It remembers at which index each row was last
- * changed, and the latest removals, so that a follower can be told what has changed since it last
- * heard.
+ * The replicated state: rows by part and key. It records the index at which each row last changed
+ * and the most recent removals, so that a follower can be sent only what changed since its last
+ * pull.
  */
 public final class Rows {
 
-    /** Removals remembered; a follower that missed more takes the whole. */
-    private static final int MOST_REMOVALS = 4096;
+    /** Removals that are kept; a follower that missed more needs the full state. */
+    private static final int MAX_REMOVALS = 4096;
 
-    /** A row as it stands, or null for one that was removed. */
+    /** A row in its current version, or null for a removed row. */
     public record Change(long index, String part, String key, Row row) {}
 
-    private record Held(long index, Row row) {}
+    private record VersionedRow(long index, Row row) {}
 
-    private final SortedMap<String, SortedMap<String, Held>> parts = new TreeMap<>();
+    private final SortedMap<String, SortedMap<String, VersionedRow>> parts = new TreeMap<>();
     private final Deque<Change> removals = new ArrayDeque<>();
 
-    /** Changes before this are not told singly any more. */
-    private long floor;
+    /** Changes before this index are no longer available individually. */
+    private long oldestKnownIndex;
 
     private long index;
 
-    /** All changes from now on are made by the entry of this index. */
-    void at(long entry) {
-        index = entry;
+    /** Subsequent changes belong to the entry of this index. */
+    void setIndex(long entryIndex) {
+        index = entryIndex;
     }
 
     public Row get(String part, String key) {
-        Held held = parts.getOrDefault(part, Collections.emptySortedMap()).get(key);
-        return held == null ? null : held.row;
+        VersionedRow versioned = parts.getOrDefault(part, Collections.emptySortedMap()).get(key);
+        return versioned == null ? null : versioned.row;
     }
 
-    /** A part's rows in the order of their keys, as they are now. */
+    /** A copy of a part's current rows, ordered by key. */
     public SortedMap<String, Row> ofPart(String part) {
         SortedMap<String, Row> copy = new TreeMap<>();
         parts.getOrDefault(part, Collections.emptySortedMap())
-                .forEach((key, held) -> copy.put(key, held.row));
+                .forEach((key, versioned) -> copy.put(key, versioned.row));
         return copy;
     }
 
@@ -55,88 +55,93 @@
 
     public void put(String part, String key, Row row) {
         if (!row.equals(get(part, key))) {
-            parts.computeIfAbsent(part, p -> new TreeMap<>()).put(key, new Held(index, row));
+            parts.computeIfAbsent(part, p -> new TreeMap<>())
+                    .put(key, new VersionedRow(index, row));
         }
     }
 
     public void remove(String part, String key) {
-        SortedMap<String, Held> held = parts.get(part);
-        if (held != null && held.remove(key) != null) {
+        SortedMap<String, VersionedRow> partRows = parts.get(part);
+        if (partRows != null && partRows.remove(key) != null) {
             removals.addLast(new Change(index, part, key, null));
-            if (removals.size() > MOST_REMOVALS) {
-                floor = removals.removeFirst().index;
+            if (removals.size() > MAX_REMOVALS) {
+                oldestKnownIndex = removals.removeFirst().index;
             }
         }
     }
 
     /**
-     * What has changed after that index, in no order; null where that is no longer known and the
-     * whole is needed.
+     * The changes after that index, unordered; null if they are no longer available and the full
+     * state is needed.
      */
-    public List<Change> changesSince(long from) {
-        if (from < floor) {
+    public List<Change> changesSince(long afterIndex) {
+        if (afterIndex < oldestKnownIndex) {
             return null;
         }
         List<Change> changes = new ArrayList<>();
-        // A key that was removed and put again stands in both: the row that is there comes later
-        // and wins.
-        removals.stream().filter(c -> c.index > from).forEach(changes::add);
+        // A key that was removed and put again appears in both lists: the present row is added
+        // later and wins.
+        removals.stream().filter(change -> change.index > afterIndex).forEach(changes::add);
         parts.forEach(
-                (part, rows) ->
-                        rows.forEach(
-                                (key, held) -> {
-                                    if (held.index > from) {
-                                        changes.add(new Change(held.index, part, key, held.row));
+                (part, partRows) ->
+                        partRows.forEach(
+                                (key, versioned) -> {
+                                    if (versioned.index > afterIndex) {
+                                        changes.add(
+                                                new Change(
+                                                        versioned.index, part, key, versioned.row));
                                     }
                                 }));
         return changes;
     }
 
-    /** Everything, for a snapshot. */
+    /** All rows, for a snapshot. */
     public List<Change> all() {
         List<Change> changes = new ArrayList<>();
         parts.forEach(
-                (part, rows) ->
-                        rows.forEach(
-                                (key, held) ->
-                                        changes.add(new Change(held.index, part, key, held.row))));
+                (part, partRows) ->
+                        partRows.forEach(
+                                (key, versioned) ->
+                                        changes.add(
+                                                new Change(
+                                                        versioned.index,
+                                                        part,
+                                                        key,
+                                                        versioned.row))));
         return changes;
     }
 
-    /**
-     * These rows and no others, as a snapshot told them; earlier changes are no longer known
-     * singly.
-     */
+    /** Exactly the rows of a snapshot; earlier changes are not available individually. */
     public static Rows fromSnapshot(long index, List<Change> snapshot) {
         Rows rows = new Rows();
-        rows.floor = index;
+        rows.oldestKnownIndex = index;
         rows.index = index;
-        rows.take(snapshot);
+        rows.applyChanges(snapshot);
         return rows;
     }
 
-    /** A copy with these changes, for a follower. */
+    /** A copy with these changes applied, for a follower. */
     public Rows withChanges(long upTo, List<Change> changes) {
         Rows copy = new Rows();
-        parts.forEach((part, rows) -> copy.parts.put(part, new TreeMap<>(rows)));
-        copy.floor = upTo;
+        parts.forEach((part, partRows) -> copy.parts.put(part, new TreeMap<>(partRows)));
+        copy.oldestKnownIndex = upTo;
         copy.index = upTo;
-        copy.take(changes);
+        copy.applyChanges(changes);
         return copy;
     }
 
-    private void take(List<Change> changes) {
-        for (Change c : changes) {
-            if (c.row == null) {
-                // A follower may be told of the end of what it never saw: it came and went between
-                // two pulls.
-                SortedMap<String, Held> held = parts.get(c.part);
-                if (held != null) {
-                    held.remove(c.key);
+    private void applyChanges(List<Change> changes) {
+        for (Change change : changes) {
+            if (change.row == null) {
+                // A follower may receive the removal of a row that it never saw, if the row was
+                // added and removed between two pulls.
+                SortedMap<String, VersionedRow> partRows = parts.get(change.part);
+                if (partRows != null) {
+                    partRows.remove(change.key);
                 }
             } else {
-                parts.computeIfAbsent(c.part, p -> new TreeMap<>())
-                        .put(c.key, new Held(c.index, c.row));
+                parts.computeIfAbsent(change.part, p -> new TreeMap<>())
+                        .put(change.key, new VersionedRow(change.index, change.row));
             }
         }
     }
