--- a/quorum/src/main/java/postgrade/quorum/engine/Faults.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/FaultStatus.java
@@ -5,35 +5,35 @@
 import postgrade.log.Events;
 
 /**
- * What keeps a process apart from the others: one sentence for operators, one line of the log at
- * each change.
+ * The current fault that keeps a process from taking part: one sentence for operators, and one log
+ * line at each change.
  */
-public final class Faults {
+public final class FaultStatus {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Faults.class);
+    private static final Logger LOG = LoggerFactory.getLogger(FaultStatus.class);
 
     private final String name;
     private volatile String fault;
 
-    public Faults(String name) {
+    public FaultStatus(String name) {
         this.name = name;
     }
 
-    /** Null, or what is wrong now. */
-    public String now() {
+    /** The current fault, or null. */
+    public String current() {
         return fault;
     }
 
-    public void set(String what) {
-        if (!what.equals(fault)) {
-            fault = what;
-            Events.warn(LOG, "sharing.fault").addKeyValue("process", name).log(what);
+    public void set(String description) {
+        if (!description.equals(fault)) {
+            fault = description;
+            Events.warn(LOG, "sharing.fault").addKeyValue("process", name).log(description);
         }
     }
 
-    /** This one is over; any other stays. */
-    public void clear(String what) {
-        if (what.equals(fault)) {
+    /** Clears this fault; any other stays. */
+    public void clear(String description) {
+        if (description.equals(fault)) {
             clear();
         }
     }
@@ -43,7 +43,7 @@
             fault = null;
             Events.info(LOG, "sharing.well")
                     .addKeyValue("process", name)
-                    .log("nothing keeps it apart any more");
+                    .log("the fault is cleared");
         }
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/store/Incarnations.java
+++ b/quorum/src/main/java/postgrade/quorum/store/Incarnations.java
@@ -6,8 +6,8 @@
 import java.nio.file.StandardCopyOption;
 
 /**
- * Numbers a process's starts: each is higher than the one before, also where the wall clock was set
- * back.
+ * Numbers the starts of a process: each number is higher than the previous one, even if the wall
+ * clock was set back.
  */
 public final class Incarnations {
 
@@ -16,31 +16,33 @@
     private Incarnations() {}
 
     /**
-     * @param folder may be null: then the wall's time alone counts
+     * Returns the next number and stores it.
+     *
+     * @param folder where the number is stored; if null, the wall clock alone decides
      */
-    public static long next(Path folder, long wallMillis) {
+    public static long next(Path folder, long wallClockMillis) {
         if (folder == null) {
-            return wallMillis;
+            return wallClockMillis;
         }
         Path file = folder.resolve(FILE);
-        long before = 0;
+        long previous = 0;
         try {
-            before = Long.parseLong(Files.readString(file).strip());
+            previous = Long.parseLong(Files.readString(file).strip());
         } catch (IOException | NumberFormatException e) {
-            // None yet, or torn: the wall's time is as good as for a process without a folder.
+            // None yet, or truncated: the wall clock decides, as for a process without a folder.
         }
-        long next = Math.max(before + 1, wallMillis);
+        long next = Math.max(previous + 1, wallClockMillis);
         try {
             Files.createDirectories(folder);
-            Path whole = folder.resolve(FILE + ".new");
-            Files.writeString(whole, next + "\n");
+            Path newFile = folder.resolve(FILE + ".new");
+            Files.writeString(newFile, next + "\n");
             Files.move(
-                    whole,
+                    newFile,
                     file,
                     StandardCopyOption.ATOMIC_MOVE,
                     StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
-            // A full or read-only disk keeps no process from serving.
+            // A full or read-only disk must not keep a process from serving.
         }
         return next;
     }
--- a/quorum/src/test/java/postgrade/quorum/Cluster.java
+++ b/quorum/src/test/java/postgrade/quorum/Cluster.java
@@ -31,39 +31,39 @@
 /** Voters and observers in this process, over real connections, each with a store of its own. */
 final class Cluster implements AutoCloseable {
 
-    /** For what must come: it bounds what hangs, and judges nobody's pace. */
-    static final long LONG_MICROS = 100_000_000;
+    /** Upper bound for outcomes that must come: it catches hangs and does not judge speed. */
+    static final long AMPLE_TIMEOUT_MICROS = 100_000_000;
 
-    private static final long DEADLINE_MILLIS = 120_000;
+    private static final long AWAIT_TIMEOUT_MILLIS = 120_000;
 
-    /** Counts what it was told to add, by key. */
-    static final class Sums implements StatePart {
+    /** Sums the amounts that commands add, by key. */
+    static final class SumPart implements StatePart {
         @Override
         public String name() {
             return "sums";
         }
 
         @Override
-        public Answer apply(Rows rows, Moment at, Command c) {
-            long by = c.args().integer("by");
-            Row before = rows.get("sums", c.args().text("key"));
+        public Answer apply(Rows rows, Moment at, Command command) {
+            long by = command.args().integer("by");
+            Row before = rows.get("sums", command.args().text("key"));
             long sum = (before == null ? 0 : before.integer("sum")) + by;
-            rows.put("sums", c.args().text("key"), Row.of("sum", sum));
+            rows.put("sums", command.args().text("key"), Row.of("sum", sum));
             return Answer.done("", Row.of("sum", sum, "fence", at.fence()));
         }
     }
 
     final Path folder;
     final List<Voter> voters = new ArrayList<>();
-    final Map<String, Quorum> open = new TreeMap<>();
-    private final List<Socket> holders = new ArrayList<>();
+    final Map<String, Quorum> processes = new TreeMap<>();
+    private final List<Socket> portHolders = new ArrayList<>();
     final ExecutorService loop = Executors.newSingleThreadExecutor();
 
     Cluster() {
         try {
             folder = Files.createTempDirectory("quorum");
             for (String name : List.of("a", "b", "c")) {
-                voters.add(new Voter(name, "127.0.0.1", hold()));
+                voters.add(new Voter(name, "127.0.0.1", reservePort()));
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -71,12 +71,13 @@
     }
 
     /**
-     * A port that stays ours while its voter is away: a socket is bound to it and never listens, so
-     * the system gives it to nobody else, and lets the voter listen beside it.
+     * Reserves a port for a voter, also while the voter is stopped: a socket is bound to it and
+     * never listens, so the system gives the port to nobody else and still lets the voter listen on
+     * it.
      */
-    private int hold() throws IOException {
+    private int reservePort() throws IOException {
         Socket holder = new Socket();
-        holders.add(holder);
+        portHolders.add(holder);
         holder.setReuseAddress(true);
         holder.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         return holder.getLocalPort();
@@ -87,25 +88,25 @@
                 name, 0, voters, folder.resolve(name), 2_000_000, 500, 50, 50, 800);
     }
 
-    /** Three voters of a first era, all of which count. */
-    static Cluster begun() throws IOException {
-        Cluster c = new Cluster();
-        String against = Quorum.beginEra(c.settings("a"), 1);
-        if (against != null) {
-            throw new IllegalStateException(against);
+    /** Starts three voters in a first era and waits until all of them vote. */
+    static Cluster startWithFirstEra() throws IOException {
+        Cluster cluster = new Cluster();
+        String refusal = Quorum.beginEra(cluster.settings("a"), 1);
+        if (refusal != null) {
+            throw new IllegalStateException(refusal);
         }
-        c.start("a", "b", "c");
-        c.awaitAll("a", "b", "c");
-        return c;
+        cluster.start("a", "b", "c");
+        cluster.awaitAll("a", "b", "c");
+        return cluster;
     }
 
     void start(String... names) throws IOException {
         for (String name : names) {
-            open.put(
+            processes.put(
                     name,
                     Quorum.open(
                             settings(name),
-                            List.of(new Sums()),
+                            List.of(new SumPart()),
                             () -> System.nanoTime() / 1000,
                             loop));
         }
@@ -113,11 +114,11 @@
 
     void stop(String... names) {
         for (String name : names) {
-            Quorum q = open.remove(name);
-            q.close();
+            Quorum quorum = processes.remove(name);
+            quorum.close();
             try {
-                if (!q.awaitClosed(DEADLINE_MILLIS)) {
-                    throw new AssertionError(name + " was not closed");
+                if (!quorum.awaitClosed(AWAIT_TIMEOUT_MILLIS)) {
+                    throw new AssertionError(name + " did not close");
                 }
             } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
@@ -125,7 +126,7 @@
         }
     }
 
-    void wipe(String name) {
+    void deleteStore(String name) {
         try (Stream<Path> files = Files.walk(folder.resolve(name))) {
             files.sorted(Comparator.reverseOrder()).forEach(f -> f.toFile().delete());
         } catch (IOException e) {
@@ -133,49 +134,49 @@
         }
     }
 
-    /** Until all of them vote, and see that all three do. */
+    /** Waits until these voters vote and see all three voters. */
     void awaitAll(String... names) {
         for (String name : names) {
             await(
                     name + " votes",
                     () ->
-                            open.get(name).standing().role() == Quorum.Role.VOTER
-                                    && open.get(name).standing().voters() == 3
-                                    && open.get(name).standing().leader() != null);
+                            processes.get(name).standing().role() == Quorum.Role.VOTER
+                                    && processes.get(name).standing().voters() == 3
+                                    && processes.get(name).standing().leader() != null);
         }
     }
 
-    static Command add(String id, String key, long by) {
+    static Command addCommand(String id, String key, long by) {
         return new Command(id, "test", 1, "sums", "add", Row.of("key", key, "by", by));
     }
 
-    Reply ask(String through, Command c, long withinMicros) {
+    Reply submit(String process, Command command, long timeoutMicros) {
         CompletableFuture<Reply> reply = new CompletableFuture<>();
-        loop.execute(() -> open.get(through).submit(c, withinMicros, reply::complete));
+        loop.execute(() -> processes.get(process).submit(command, timeoutMicros, reply::complete));
         try {
-            return reply.get(DEADLINE_MILLIS, TimeUnit.MILLISECONDS);
+            return reply.get(AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (Exception e) {
             throw new AssertionError("no reply", e);
         }
     }
 
-    long sum(String seenBy, String key) {
-        Row row = open.get(seenBy).view().rows().get("sums", key);
+    long sum(String process, String key) {
+        Row row = processes.get(process).view().rows().get("sums", key);
         return row == null ? 0 : row.integer("sum");
     }
 
-    void await(String what, BooleanSupplier there) {
-        long until = System.nanoTime() + DEADLINE_MILLIS * 1_000_000;
-        while (!there.getAsBoolean()) {
-            if (System.nanoTime() > until) {
-                StringBuilder told = new StringBuilder();
-                open.forEach(
-                        (n, q) ->
-                                told.append('\n')
-                                        .append(q.standing())
+    void await(String expectation, BooleanSupplier condition) {
+        long deadlineNanos = System.nanoTime() + AWAIT_TIMEOUT_MILLIS * 1_000_000;
+        while (!condition.getAsBoolean()) {
+            if (System.nanoTime() > deadlineNanos) {
+                StringBuilder states = new StringBuilder();
+                processes.forEach(
+                        (name, quorum) ->
+                                states.append('\n')
+                                        .append(quorum.standing())
                                         .append(' ')
-                                        .append(q.view().moment()));
-                throw new AssertionError("waited in vain: " + what + told);
+                                        .append(quorum.view().moment()));
+                throw new AssertionError("timed out waiting until: " + expectation + states);
             }
             try {
                 Thread.sleep(5);
@@ -187,10 +188,10 @@
 
     @Override
     public void close() {
-        stop(open.keySet().toArray(new String[0]));
+        stop(processes.keySet().toArray(new String[0]));
         loop.shutdown();
-        wipe("");
-        for (Socket holder : holders) {
+        deleteStore("");
+        for (Socket holder : portHolders) {
             try {
                 holder.close();
             } catch (IOException e) {
