--- a/rig/src/test/java/postgrade/rig/disk/DiskTest.java
+++ b/rig/src/test/java/postgrade/rig/disk/DiskFaultsTest.java
@@ -13,12 +13,12 @@
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
 
-public class DiskTest {
+public class DiskFaultsTest {
 
     @Rule public final TemporaryFolder folder = new TemporaryFolder();
 
     @Test
-    public void whatWasStoredIsSpoiltAsAskedAndRolledBack() throws IOException {
+    public void filesAreCorruptedAndRolledBackAsRequested() throws IOException {
         Path store = folder.newFolder("store").toPath();
         Path file = Files.createDirectories(store.resolve("a/b")).resolve("f");
         byte[] content = new byte[1000];
@@ -29,11 +29,11 @@
         DiskFaults.flipBits(file, 3, 42);
         byte[] flipped = Files.readAllBytes(file);
         assertEquals(1000, flipped.length);
-        int differ = 0;
+        int changedBytes = 0;
         for (byte b : flipped) {
-            differ += b == 'x' ? 0 : 1;
+            changedBytes += b == 'x' ? 0 : 1;
         }
-        assertEquals(3, differ);
+        assertEquals(3, changedBytes);
         DiskFaults.truncate(file, 0.25);
         assertEquals(250, Files.size(file));
         DiskFaults.rollBack(store, copy);
--- a/rig/src/test/java/postgrade/rig/jobs/AttemptEndsTest.java
+++ b/rig/src/test/java/postgrade/rig/jobs/AttemptEndsTest.java
@@ -54,13 +54,13 @@
     private static final int JOBS = 12;
 
     /** Jobs and cancellations that cross wait for each other for so long at most. */
-    private static final long CROSSING_MILLIS = 10_000;
+    private static final long MAX_HOLD_MILLIS = 10_000;
 
     /** Moves cost a lone dispatcher more of its retry budget than it has. */
-    private static final int TOLD_DISPATCHERS = 100;
+    private static final int CONFIGURED_DISPATCHERS = 100;
 
     @Rule public final KeptFolder folder = new KeptFolder("attemptends");
-    private DispatcherCluster serving;
+    private DispatcherCluster cluster;
 
     @Before
     public void open() throws IOException, InterruptedException {
@@ -68,86 +68,90 @@
         options.dispatchers = 1;
         options.voters = 0;
         options.proxied = true;
-        options.configuredDispatchers = TOLD_DISPATCHERS;
+        options.configuredDispatchers = CONFIGURED_DISPATCHERS;
         options.plan =
                 FleetPlan.of("ends.star", String.format(FLEET, ProcessHandle.current().pid()));
-        serving = new DispatcherCluster(folder.path(), options);
-        serving.startAll();
+        cluster = new DispatcherCluster(folder.path(), options);
+        cluster.startAll();
     }
 
     @After
     public void close() throws IOException {
-        serving.close();
+        cluster.close();
     }
 
     /** The first attempt of each request meets the fault; nothing else does. */
     private static FaultSelector onFirstAttempts(ExchangeFault fault) {
-        Set<String> met = ConcurrentHashMap.newKeySet();
+        Set<String> faultedRequests = ConcurrentHashMap.newKeySet();
         return exchange ->
-                exchange.isJob() && met.add(exchange.subject()) ? fault : ExchangeFault.NONE;
+                exchange.isJob() && faultedRequests.add(exchange.subject())
+                        ? fault
+                        : ExchangeFault.NONE;
     }
 
-    private LoadGenerator shops(String jobClass, boolean repeatable) throws IOException {
+    private LoadGenerator clients(String jobClass, boolean repeatable) throws IOException {
         LoadGenerator.JobKind kind =
                 new LoadGenerator.JobKind(jobClass, "kvart-market", 1, 20_000_000, repeatable);
         Path ledger = folder.path().resolve("clients.ledger");
-        return new LoadGenerator(serving.clientAddresses(), List.of(kind), 1, ledger);
+        return new LoadGenerator(cluster.clientAddresses(), List.of(kind), 1, ledger);
     }
 
-    private void sendJobs(LoadGenerator shops) throws Exception {
-        shops.send(JOBS);
-        shops.finish();
-        serving.fleet().flush();
+    private void sendJobs(LoadGenerator clients) throws Exception {
+        clients.send(JOBS);
+        clients.finish();
+        cluster.fleet().flush();
     }
 
-    private void rulesHold() throws IOException {
+    private void assertRulesHold() throws IOException {
         RuleChecker.Verdict verdict = RuleChecker.judge(folder.path(), 0, 60_000_000);
         assertTrue(verdict.attempts >= JOBS);
         assertEquals(List.of(), verdict.violations);
     }
 
     @Test
-    public void aCancellationThatOvertakesItsJobLeavesOneAttemptOut() throws Exception {
-        Set<String> met = ConcurrentHashMap.newKeySet();
-        Set<String> workers = ConcurrentHashMap.newKeySet();
+    public void cancellationThatOvertakesItsJobLeavesOneAttemptInFlight() throws Exception {
+        Set<String> seenRequests = ConcurrentHashMap.newKeySet();
+        Set<String> firstWorkers = ConcurrentHashMap.newKeySet();
         // The first worker of each request alone: the attempt that follows is served.
-        serving.proxies()
+        cluster.proxies()
                 .setFaultSelector(
                         exchange -> {
-                            String place = exchange.subject() + " " + exchange.worker();
-                            boolean first = met.add(exchange.subject()) && workers.add(place);
-                            return first || workers.contains(place)
+                            String requestAndWorker = exchange.subject() + " " + exchange.worker();
+                            boolean first =
+                                    seenRequests.add(exchange.subject())
+                                            && firstWorkers.add(requestAndWorker);
+                            return first || firstWorkers.contains(requestAndWorker)
                                     ? ExchangeFault.of(
-                                            ExchangeFault.Kind.OVERTAKEN, CROSSING_MILLIS)
+                                            ExchangeFault.Kind.OVERTAKEN, MAX_HOLD_MILLIS)
                                     : ExchangeFault.NONE;
                         });
-        try (LoadGenerator shops = shops("slot-check", true)) {
-            sendJobs(shops);
+        try (LoadGenerator clients = clients("slot-check", true)) {
+            sendJobs(clients);
         }
-        rulesHold();
+        assertRulesHold();
     }
 
     @Test
-    public void aResetThatCrossesTheAnswerLeavesOneAttemptOut() throws Exception {
-        serving.proxies()
+    public void resetInPlaceOfTheAnswerLeavesOneAttemptInFlight() throws Exception {
+        cluster.proxies()
                 .setFaultSelector(
                         onFirstAttempts(
                                 ExchangeFault.of(ExchangeFault.Kind.RESET_BEFORE_ANSWER, 0)));
-        try (LoadGenerator shops = shops("slot-check", true)) {
-            sendJobs(shops);
+        try (LoadGenerator clients = clients("slot-check", true)) {
+            sendJobs(clients);
         }
-        rulesHold();
+        assertRulesHold();
     }
 
     @Test
-    public void aSecondAnswerOfTheExchangeBeforeLeavesOneAttemptOut() throws Exception {
-        try (LoadGenerator shops = shops("order-confirm", false)) {
-            sendJobs(shops);
-            serving.proxies()
+    public void repeatedAnswerOfThePreviousExchangeLeavesOneAttemptInFlight() throws Exception {
+        try (LoadGenerator clients = clients("order-confirm", false)) {
+            sendJobs(clients);
+            cluster.proxies()
                     .setFaultSelector(
                             onFirstAttempts(ExchangeFault.of(ExchangeFault.Kind.STALE_ANSWER, 0)));
-            sendJobs(shops);
+            sendJobs(clients);
         }
-        rulesHold();
+        assertRulesHold();
     }
 }
--- a/rig/src/test/java/postgrade/rig/jobs/JobProxyTest.java
+++ b/rig/src/test/java/postgrade/rig/jobs/JobProxyTest.java
@@ -22,13 +22,13 @@
 /** A request that the proxy holds back, as on a connection that comes up late. */
 public class JobProxyTest {
 
-    private static final int MOST_MILLIS = 20_000;
+    private static final int TIMEOUT_MILLIS = 20_000;
     private static final byte[] JOB =
             ("POST /api HTTP/1.1\r\nHost: w\r\nX-Request-Id: 1f\r\nContent-Length: 2\r\n\r\n{}")
                     .getBytes(StandardCharsets.US_ASCII);
 
     @Rule public final TemporaryFolder folder = new TemporaryFolder();
-    private final ScheduledExecutorService clock = Executors.newSingleThreadScheduledExecutor();
+    private final ScheduledExecutorService scheduler = Executors.newSingleThreadScheduledExecutor();
     private History history;
     private ServerSocket worker;
     private JobProxy proxy;
@@ -37,10 +37,10 @@
     public void open() throws IOException {
         history = new History(folder.getRoot().toPath().resolve("history.jsonl"));
         worker = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-        worker.setSoTimeout(MOST_MILLIS);
+        worker.setSoTimeout(TIMEOUT_MILLIS);
         InetSocketAddress target =
                 new InetSocketAddress(worker.getInetAddress(), worker.getLocalPort());
-        proxy = new JobProxy(0, "w-1", target, history, clock);
+        proxy = new JobProxy(0, "w-1", target, history, scheduler);
         proxy.setFaultSelector(exchange -> ExchangeFault.of(ExchangeFault.Kind.LATE_REQUEST, 50));
     }
 
@@ -48,7 +48,7 @@
     public void close() throws IOException {
         proxy.close();
         worker.close();
-        clock.shutdownNow();
+        scheduler.shutdownNow();
         history.close();
     }
 
@@ -59,12 +59,12 @@
 
     private InputStream workerSide() throws IOException {
         Socket accepted = worker.accept();
-        accepted.setSoTimeout(MOST_MILLIS);
+        accepted.setSoTimeout(TIMEOUT_MILLIS);
         return accepted.getInputStream();
     }
 
     @Test
-    public void aRequestThatIsHeldBackComesOnceItsTimeIsOver() throws Exception {
+    public void delayedRequestIsForwardedAfterItsDelay() throws Exception {
         try (Socket dispatcher = dispatcher()) {
             dispatcher.getOutputStream().write(JOB);
             byte[] received = workerSide().readNBytes(JOB.length);
@@ -76,7 +76,7 @@
 
     /** Guards against a job that comes to its worker after its dispatcher has given it up. */
     @Test
-    public void oneWhoseDispatcherHasEndedTheConnectionMeanwhileNeverComes() throws Exception {
+    public void delayedRequestIsDroppedWhenTheDispatcherClosesTheConnection() throws Exception {
         Socket dispatcher = dispatcher();
         dispatcher.getOutputStream().write(JOB);
         dispatcher.close();
--- a/rig/src/test/java/postgrade/rig/proxy/FaultProxyTest.java
+++ b/rig/src/test/java/postgrade/rig/proxy/FaultProxyTest.java
@@ -21,7 +21,7 @@
 public class FaultProxyTest {
 
     /** Far above what is needed: it bounds what hangs, and judges nobody's pace. */
-    private static final int MOST_MILLIS = 60_000;
+    private static final int TIMEOUT_MILLIS = 60_000;
 
     private ServerSocket server;
     private FaultProxy proxy;
@@ -29,7 +29,7 @@
     @Before
     public void open() throws IOException {
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        server.setSoTimeout(MOST_MILLIS);
+        server.setSoTimeout(TIMEOUT_MILLIS);
         proxy = new FaultProxy("p");
         proxy.setTarget(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort()));
@@ -42,139 +42,140 @@
     }
 
     private Socket client() throws IOException {
-        Socket s = new Socket(InetAddress.getLoopbackAddress(), proxy.port());
-        s.setSoTimeout(MOST_MILLIS);
-        return s;
+        Socket serverSide = new Socket(InetAddress.getLoopbackAddress(), proxy.port());
+        serverSide.setSoTimeout(TIMEOUT_MILLIS);
+        return serverSide;
     }
 
     private Socket accepted() throws IOException {
-        Socket s = server.accept();
-        s.setSoTimeout(MOST_MILLIS);
-        return s;
+        Socket serverSide = server.accept();
+        serverSide.setSoTimeout(TIMEOUT_MILLIS);
+        return serverSide;
     }
 
-    private static void silent(Socket s) throws IOException {
-        s.setSoTimeout(150);
-        assertThrows(SocketTimeoutException.class, () -> s.getInputStream().read());
-        s.setSoTimeout(MOST_MILLIS);
+    private static void assertNoData(Socket serverSide) throws IOException {
+        serverSide.setSoTimeout(150);
+        assertThrows(SocketTimeoutException.class, () -> serverSide.getInputStream().read());
+        serverSide.setSoTimeout(TIMEOUT_MILLIS);
     }
 
-    private static void ended(Socket s) {
+    private static void assertReset(Socket serverSide) {
         assertThrows(
                 SocketException.class,
                 () -> {
-                    InputStream in = s.getInputStream();
+                    InputStream in = serverSide.getInputStream();
                     assertEquals(
                             "an ordinary end instead of a reset", Integer.MIN_VALUE, in.read());
                 });
     }
 
     @Test
-    public void whatIsCutOneWayComesWhenHealedAndTheOtherWayIsOpen() throws IOException {
-        try (Socket c = client();
-                Socket s = accepted()) {
+    public void bytesOfACutDirectionArriveAfterHealingAndTheOtherDirectionStaysOpen()
+            throws IOException {
+        try (Socket clientSide = client();
+                Socket serverSide = accepted()) {
             proxy.cut(Direction.OUT);
-            c.getOutputStream().write(new byte[] {1, 2, 3});
-            s.getOutputStream().write(9);
-            assertEquals(9, c.getInputStream().read());
-            silent(s);
+            clientSide.getOutputStream().write(new byte[] {1, 2, 3});
+            serverSide.getOutputStream().write(9);
+            assertEquals(9, clientSide.getInputStream().read());
+            assertNoData(serverSide);
             proxy.heal();
-            assertArrayEquals(new byte[] {1, 2, 3}, s.getInputStream().readNBytes(3));
+            assertArrayEquals(new byte[] {1, 2, 3}, serverSide.getInputStream().readNBytes(3));
             assertEquals(new FaultProxy.Counts(1, 3, 1), proxy.counts());
         }
     }
 
     @Test
-    public void anEndBehindACutIsNotHeardOf() throws IOException {
-        try (Socket c = client();
-                Socket s = accepted()) {
+    public void resetBehindACutIsForwardedOnlyAfterHealing() throws IOException {
+        try (Socket clientSide = client();
+                Socket serverSide = accepted()) {
             proxy.cut();
-            s.setSoLinger(true, 0);
-            s.close();
-            silent(c);
+            serverSide.setSoLinger(true, 0);
+            serverSide.close();
+            assertNoData(clientSide);
             proxy.heal();
-            ended(c);
+            assertReset(clientSide);
         }
     }
 
     @Test
-    public void aResetReachesBothSides() throws IOException {
-        try (Socket c = client();
-                Socket s = accepted()) {
-            c.getOutputStream().write(1);
-            assertEquals(1, s.getInputStream().read());
+    public void resetReachesBothSides() throws IOException {
+        try (Socket clientSide = client();
+                Socket serverSide = accepted()) {
+            clientSide.getOutputStream().write(1);
+            assertEquals(1, serverSide.getInputStream().read());
             proxy.reset();
-            ended(c);
-            ended(s);
+            assertReset(clientSide);
+            assertReset(serverSide);
         }
     }
 
     @Test
-    public void stalledConnectionsStaySilentWhileNewOnesAreWell() throws IOException {
-        try (Socket c = client();
-                Socket s = accepted()) {
-            c.getOutputStream().write(1);
-            assertEquals(1, s.getInputStream().read());
+    public void stalledConnectionsForwardNothingWhileNewOnesWork() throws IOException {
+        try (Socket clientSide = client();
+                Socket serverSide = accepted()) {
+            clientSide.getOutputStream().write(1);
+            assertEquals(1, serverSide.getInputStream().read());
             proxy.stall();
-            c.getOutputStream().write(2);
-            silent(s);
-            try (Socket c2 = client();
-                    Socket s2 = accepted()) {
-                c2.getOutputStream().write(3);
-                assertEquals(3, s2.getInputStream().read());
+            clientSide.getOutputStream().write(2);
+            assertNoData(serverSide);
+            try (Socket otherClientSide = client();
+                    Socket otherServerSide = accepted()) {
+                otherClientSide.getOutputStream().write(3);
+                assertEquals(3, otherServerSide.getInputStream().read());
             }
             proxy.heal();
-            silent(s);
+            assertNoData(serverSide);
         }
     }
 
     @Test
-    public void itClosesAfterSoManyBytes() throws IOException {
+    public void closesAfterTheGivenNumberOfBytes() throws IOException {
         proxy.closeAfter(Direction.OUT, 4);
-        try (Socket c = client();
-                Socket s = accepted()) {
-            c.getOutputStream().write(new byte[] {1, 2, 3, 4, 5, 6});
-            assertArrayEquals(new byte[] {1, 2, 3, 4}, s.getInputStream().readAllBytes());
+        try (Socket clientSide = client();
+                Socket serverSide = accepted()) {
+            clientSide.getOutputStream().write(new byte[] {1, 2, 3, 4, 5, 6});
+            assertArrayEquals(new byte[] {1, 2, 3, 4}, serverSide.getInputStream().readAllBytes());
         }
     }
 
     @Test
-    public void delayedBytesComeLate() throws IOException {
-        try (Socket c = client();
-                Socket s = accepted()) {
+    public void delayedBytesArriveNoEarlierThanTheDelay() throws IOException {
+        try (Socket clientSide = client();
+                Socket serverSide = accepted()) {
             proxy.delay(Direction.OUT, 120);
-            long begun = System.nanoTime();
-            c.getOutputStream().write(1);
-            assertEquals(1, s.getInputStream().read());
-            assertEquals(true, System.nanoTime() - begun >= 120_000_000);
+            long startNanos = System.nanoTime();
+            clientSide.getOutputStream().write(1);
+            assertEquals(1, serverSide.getInputStream().read());
+            assertEquals(true, System.nanoTime() - startNanos >= 120_000_000);
         }
     }
 
     @Test
-    public void thePortStaysWhileWhereItLeadsChanges() throws IOException {
+    public void portStaysTheSameWhenTheTargetChanges() throws IOException {
         int port = proxy.port();
         server.close();
         // Where nobody listens, and nobody else can begin to: the port that was let go of may be
         // another's by now.
-        try (HeldPort nobodys = new HeldPort()) {
-            proxy.setTarget(nobodys.address());
-            try (Socket c = client()) {
-                ended(c);
+        try (HeldPort unusedPort = new HeldPort()) {
+            proxy.setTarget(unusedPort.address());
+            try (Socket clientSide = client()) {
+                assertReset(clientSide);
             }
         }
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        server.setSoTimeout(MOST_MILLIS);
+        server.setSoTimeout(TIMEOUT_MILLIS);
         proxy.setTarget(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort()));
-        try (Socket c = client();
-                Socket s = accepted()) {
-            c.getOutputStream().write(7);
-            assertEquals(7, s.getInputStream().read());
+        try (Socket clientSide = client();
+                Socket serverSide = accepted()) {
+            clientSide.getOutputStream().write(7);
+            assertEquals(7, serverSide.getInputStream().read());
         }
         assertEquals(port, proxy.port());
         proxy.setRefusing(true);
-        try (Socket c = client()) {
-            ended(c);
+        try (Socket clientSide = client()) {
+            assertReset(clientSide);
         }
     }
 }
--- a/rig/src/test/java/postgrade/rig/ground/Tally.java
+++ b/rig/src/test/java/postgrade/rig/quorum/KeyCounter.java
@@ -1,4 +1,4 @@
-package postgrade.rig.ground;
+package postgrade.rig.quorum;
 
 import postgrade.shared.Answer;
 import postgrade.shared.Command;
@@ -11,7 +11,7 @@
  * The plainest part: how often each key was counted. A command lost or carried out twice shows for
  * ever.
  */
-final class Tally implements StatePart {
+final class KeyCounter implements StatePart {
 
     static final String PART = "tally";
 
@@ -21,11 +21,11 @@
     }
 
     @Override
-    public Answer apply(Rows rows, Moment at, Command c) {
-        String key = c.args().text("key");
-        Row before = rows.get(PART, key);
-        Row now = Row.of("times", before == null ? 1 : before.integer("times") + 1);
-        rows.put(PART, key, now);
-        return Answer.done("counted", now.with("fence", at.fence()));
+    public Answer apply(Rows rows, Moment at, Command command) {
+        String key = command.args().text("key");
+        Row previous = rows.get(PART, key);
+        Row updated = Row.of("times", previous == null ? 1 : previous.integer("times") + 1);
+        rows.put(PART, key, updated);
+        return Answer.done("counted", updated.with("fence", at.fence()));
     }
 }
--- a/rig/src/test/java/postgrade/rig/ground/Ground.java
+++ b/rig/src/test/java/postgrade/rig/quorum/QuorumCluster.java
@@ -1,4 +1,4 @@
-package postgrade.rig.ground;
+package postgrade.rig.quorum;
 
 import static org.junit.Assert.assertEquals;
 
@@ -18,70 +18,73 @@
  * Three voters and observers in processes of their own, a proxy between each two, and what is
  * checked of every run.
  */
-final class Ground implements Closeable {
+final class QuorumCluster implements Closeable {
 
     static final List<String> VOTERS = List.of("n1", "n2", "n3");
-    static final long MOST = 120_000;
-    private static final int TRIES = 80;
+    static final long TIMEOUT_MS = 120_000;
+    private static final int MAX_TRIES = 80;
 
     final Cluster cluster;
-    private final List<String> names = new ArrayList<>(VOTERS);
-    private final Map<String, Long> limits = new TreeMap<>();
-    private int calls;
+    private final List<String> processNames = new ArrayList<>(VOTERS);
+    private final Map<String, Long> maxFileKib = new TreeMap<>();
+    private int countedKeys;
 
-    Ground(Path folder, String... observers) throws IOException {
-        names.addAll(List.of(observers));
-        cluster = new Cluster(folder, names, VOTERS);
+    QuorumCluster(Path folder, String... observers) throws IOException {
+        processNames.addAll(List.of(observers));
+        cluster = new Cluster(folder, processNames, VOTERS);
         cluster.setProcessFactory(
                 name -> {
-                    JavaProcess.Builder s =
-                            new JavaProcess.Builder(name, Node.class.getName(), arguments(name))
+                    JavaProcess.Builder builder =
+                            new JavaProcess.Builder(
+                                            name, QuorumNode.class.getName(), arguments(name))
                                     .environment("HOME", folder.toString());
-                    return limits.containsKey(name) ? s.maxFileKib(limits.get(name)) : s;
+                    return maxFileKib.containsKey(name)
+                            ? builder.maxFileKib(maxFileKib.get(name))
+                            : builder;
                 });
     }
 
-    private String[] arguments(String name, String... before) {
-        List<String> a = new ArrayList<>(List.of(before));
-        a.add(name);
-        a.add(cluster.store(name).toString());
-        VOTERS.forEach(v -> a.add(v + "=" + cluster.port(name, v)));
-        return a.toArray(new String[0]);
+    private String[] arguments(String name, String... leading) {
+        List<String> arguments = new ArrayList<>(List.of(leading));
+        arguments.add(name);
+        arguments.add(cluster.store(name).toString());
+        VOTERS.forEach(v -> arguments.add(v + "=" + cluster.port(name, v)));
+        return arguments.toArray(new String[0]);
     }
 
     /** From its next start on no file of it grows beyond that; below 0 it may. */
-    void limit(String name, long kibibytes) {
+    void setMaxFileKib(String name, long kibibytes) {
         if (kibibytes < 0) {
-            limits.remove(name);
+            maxFileKib.remove(name);
         } else {
-            limits.put(name, kibibytes);
+            maxFileKib.put(name, kibibytes);
         }
     }
 
     /**
      * @return what stands against it, empty where it was done
      */
-    String era(String name, long era) throws IOException, InterruptedException {
+    String beginEra(String name, long era) throws IOException, InterruptedException {
         int from = cluster.history().size();
-        try (JavaProcess p =
+        try (JavaProcess process =
                 new JavaProcess.Builder(
                                 name,
-                                Node.class.getName(),
+                                QuorumNode.class.getName(),
                                 arguments(name, "era", Long.toString(era)))
                         .start(cluster.history())) {
-            String against = p.await("era", from, MOST).text("against");
-            p.awaitExit();
-            return against;
+            String refusal = process.await("era", from, TIMEOUT_MS).text("against");
+            process.awaitExit();
+            return refusal;
         }
     }
 
     /** An installation's beginning: the first era at n1, and all start. */
-    void begin() throws IOException, InterruptedException {
-        assertEquals("", era("n1", 1));
-        for (String name : names) {
+    void startAll() throws IOException, InterruptedException {
+        assertEquals("", beginEra("n1", 1));
+        for (String name : processNames) {
             cluster.start(name);
         }
-        for (String name : names) {
+        for (String name : processNames) {
             await(name, "fresh", 0);
         }
         for (String v : VOTERS) {
@@ -90,7 +93,7 @@
     }
 
     Event await(String name, String kind, int from) throws InterruptedException {
-        return cluster.process(name).await(kind, from, MOST);
+        return cluster.process(name).await(kind, from, TIMEOUT_MS);
     }
 
     void awaitStanding(String name, int from, String role, long voters)
@@ -99,7 +102,7 @@
                 .await(
                         name + " as " + role + " among " + voters,
                         from,
-                        MOST,
+                        TIMEOUT_MS,
                         e ->
                                 e.who().equals(name)
                                         && e.kind().equals("standing")
@@ -111,81 +114,85 @@
      * By its log, which has a line of each fault: a standing that is only looked at now and then
      * may pass one over.
      */
-    void awaitFault(String name, int from, String part) throws InterruptedException {
+    void awaitFault(String name, int from, String fragment) throws InterruptedException {
         cluster.history()
                 .await(
-                        name + "'s fault of " + part,
+                        name + "'s fault of " + fragment,
                         from,
-                        MOST,
+                        TIMEOUT_MS,
                         e ->
                                 e.who().equals(name)
                                         && e.kind().equals("line")
                                         && e.text("text").contains(" WARNING ")
-                                        && e.text("text").contains(part));
+                                        && e.text("text").contains(fragment));
     }
 
     /** A fault that stays, by its standing too. */
-    void awaitLastingFault(String name, int from, String part) throws InterruptedException {
-        awaitFault(name, from, part);
+    void awaitPersistentFault(String name, int from, String fragment) throws InterruptedException {
+        awaitFault(name, from, fragment);
         cluster.history()
                 .await(
-                        name + "'s lasting fault of " + part,
+                        name + "'s lasting fault of " + fragment,
                         from,
-                        MOST,
+                        TIMEOUT_MS,
                         e ->
                                 e.who().equals(name)
                                         && e.kind().equals("standing")
-                                        && e.text("fault").contains(part));
+                                        && e.text("fault").contains(fragment));
     }
 
     /** The leader as this process last told it; between two leaders it is waited for. */
-    String leader(String by) throws InterruptedException {
+    String leader(String observer) throws InterruptedException {
         List<Event> all = cluster.history().all();
         int last = all.size() - 1;
         while (last > 0
-                && !(all.get(last).who().equals(by) && all.get(last).kind().equals("standing"))) {
+                && !(all.get(last).who().equals(observer)
+                        && all.get(last).kind().equals("standing"))) {
             last--;
         }
         return cluster.history()
                 .await(
-                        by + "'s leader",
+                        observer + "'s leader",
                         Math.max(0, last),
-                        MOST,
+                        TIMEOUT_MS,
                         e ->
-                                e.who().equals(by)
+                                e.who().equals(observer)
                                         && e.kind().equals("standing")
                                         && !e.text("leader").isEmpty())
                 .text("leader");
     }
 
     /** Waits until this process has told of a leader that is not the former one, which has died. */
-    void awaitLeaderAfter(String former, String by, int from) throws InterruptedException {
+    void awaitLeaderAfter(String former, String observer, int from) throws InterruptedException {
         cluster.history()
                 .await(
-                        by + "'s leader after " + former,
+                        observer + "'s leader after " + former,
                         from,
-                        MOST,
+                        TIMEOUT_MS,
                         e ->
-                                e.who().equals(by)
+                                e.who().equals(observer)
                                         && e.kind().equals("standing")
                                         && !e.text("leader").isEmpty()
                                         && !e.text("leader").equals(former));
     }
 
     /** One other than that of all voters. */
-    static String other(String... not) {
-        return VOTERS.stream().filter(v -> !List.of(not).contains(v)).findFirst().orElseThrow();
+    static String otherVoter(String... excluded) {
+        return VOTERS.stream()
+                .filter(v -> !List.of(excluded).contains(v))
+                .findFirst()
+                .orElseThrow();
     }
 
     /** Asks once; the event tells whether it was decided. */
-    Event ask(String name, String id, String key) throws IOException, InterruptedException {
+    Event submit(String name, String id, String key) throws IOException, InterruptedException {
         int from = cluster.history().size();
         cluster.process(name).writeLine("ask " + id + " " + key);
         return cluster.history()
                 .await(
                         "answer to " + id,
                         from,
-                        MOST,
+                        TIMEOUT_MS,
                         e ->
                                 e.who().equals(name)
                                         && e.kind().endsWith("decided")
@@ -193,34 +200,36 @@
     }
 
     /** Asks again under the same id, by these in turn, until it is decided. */
-    Event decided(String id, String key, String... by) throws IOException, InterruptedException {
-        for (int i = 0; i < TRIES; i++) {
-            Event e = ask(by[i % by.length], id, key);
+    Event submitUntilDecided(String id, String key, String... recipients)
+            throws IOException, InterruptedException {
+        for (int i = 0; i < MAX_TRIES; i++) {
+            Event e = submit(recipients[i % recipients.length], id, key);
             if (e.kind().equals("decided")) {
                 return e;
             }
         }
-        throw new AssertionError(id + " was not decided in " + TRIES + " tries");
+        throw new AssertionError(id + " was not decided in " + MAX_TRIES + " tries");
     }
 
     /** A fresh key counted once by whoever is asked. */
-    Event count(String... by) throws IOException, InterruptedException {
-        calls++;
-        return decided("r" + calls, "k" + calls, by);
+    Event countNewKey(String... recipients) throws IOException, InterruptedException {
+        countedKeys++;
+        return submitUntilDecided("r" + countedKeys, "k" + countedKeys, recipients);
     }
 
     /** Waits until the view of this process, as it was last started, holds that entry. */
     void awaitView(String name, long index) throws InterruptedException {
         List<Event> all = cluster.history().all();
-        int begun = all.size() - 1;
-        while (!(all.get(begun).who().equals(name) && all.get(begun).kind().equals("begun"))) {
-            begun--;
+        int lastStart = all.size() - 1;
+        while (!(all.get(lastStart).who().equals(name)
+                && all.get(lastStart).kind().equals("begun"))) {
+            lastStart--;
         }
         cluster.history()
                 .await(
                         name + "'s view of " + index,
-                        begun,
-                        MOST,
+                        lastStart,
+                        TIMEOUT_MS,
                         e ->
                                 e.who().equals(name)
                                         && e.kind().equals("view")
@@ -248,17 +257,17 @@
      * What must hold of any run: all saw one log, nothing answered for is lost or doubled, no view
      * went back.
      */
-    void judge(String by) throws IOException, InterruptedException {
-        List<LogCheck.Applied> seen = new ArrayList<>();
+    void checkHistory(String observer) throws IOException, InterruptedException {
+        List<LogCheck.Applied> applied = new ArrayList<>();
         List<LogCheck.ObservedView> views = new ArrayList<>();
-        List<LogCheck.Acknowledged> told = new ArrayList<>();
+        List<LogCheck.Acknowledged> acknowledged = new ArrayList<>();
         Map<String, Long> starts = new TreeMap<>();
-        long latest = 0;
+        long lastIndex = 0;
         for (Event e : cluster.history().all()) {
             switch (e.kind()) {
                 case "begun" -> starts.merge(e.who(), 1L, Long::sum);
                 case "view" -> {
-                    seen.add(
+                    applied.add(
                             new LogCheck.Applied(
                                     e.who(),
                                     starts.get(e.who()),
@@ -273,17 +282,17 @@
                                     e.number("index")));
                 }
                 case "decided" -> {
-                    told.add(
+                    acknowledged.add(
                             new LogCheck.Acknowledged(
                                     e.text("key"), e.number("era"), e.number("index")));
-                    latest = Math.max(latest, e.number("index"));
+                    lastIndex = Math.max(lastIndex, e.number("index"));
                 }
                 default -> {}
             }
         }
-        assertEquals(List.of(), LogCheck.agreement(seen));
+        assertEquals(List.of(), LogCheck.agreement(applied));
         assertEquals(List.of(), LogCheck.monotonicViews(views));
-        assertEquals(List.of(), LogCheck.durability(told, rows(by, latest)));
+        assertEquals(List.of(), LogCheck.durability(acknowledged, rows(observer, lastIndex)));
     }
 
     @Override
--- a/rig/src/test/java/postgrade/rig/ground/Node.java
+++ b/rig/src/test/java/postgrade/rig/quorum/QuorumNode.java
@@ -1,4 +1,4 @@
-package postgrade.rig.ground;
+package postgrade.rig.quorum;
 
 import com.eclipsesource.json.JsonObject;
 import java.io.IOException;
@@ -25,83 +25,84 @@
  * sees on standard output. Arguments: its name, its store, and the voters as it finds them, {@code
  * n1=port}; {@code era N} before them begins an era and ends.
  */
-public final class Node {
+public final class QuorumNode {
 
     private final String name;
-    private final LongSupplier micros;
-    private final ScheduledExecutorService loop = Executors.newSingleThreadScheduledExecutor();
+    private final LongSupplier clockMicros;
+    private final ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor();
     private final QuorumSettings settings;
     private Quorum quorum;
-    private View last = View.NONE;
-    private String standing = "";
+    private View lastView = View.NONE;
+    private String lastStanding = "";
     private boolean fresh;
 
-    private Node(String name, Path store, List<Voter> voters) {
+    private QuorumNode(String name, Path store, List<Voter> voters) {
         this.name = name;
         settings = QuorumSettings.withDefaults(name, voters, store);
         String clock = System.getenv("POSTGRADE_TEST_CLOCK");
         double rate = clock == null ? 1 : 1 + Long.parseLong(clock.split(",")[1]) / 1e6;
-        long begun = System.nanoTime();
-        micros = () -> (long) ((System.nanoTime() - begun) / 1000 * rate);
+        long startNanos = System.nanoTime();
+        clockMicros = () -> (long) ((System.nanoTime() - startNanos) / 1000 * rate);
     }
 
     public static void main(String[] args) throws IOException {
-        boolean era = args[0].equals("era");
-        int from = era ? 2 : 0;
+        boolean beginEra = args[0].equals("era");
+        int firstArgument = beginEra ? 2 : 0;
         List<Voter> voters = new ArrayList<>();
-        for (int i = from + 2; i < args.length; i++) {
-            String[] at = args[i].split("=");
-            voters.add(new Voter(at[0], "127.0.0.1", Integer.parseInt(at[1])));
+        for (int i = firstArgument + 2; i < args.length; i++) {
+            String[] nameAndPort = args[i].split("=");
+            voters.add(new Voter(nameAndPort[0], "127.0.0.1", Integer.parseInt(nameAndPort[1])));
         }
-        Node node = new Node(args[from], Path.of(args[from + 1]), voters);
-        if (era) {
-            String against = Quorum.beginEra(node.settings, Long.parseLong(args[1]));
-            tell(
+        QuorumNode node =
+                new QuorumNode(args[firstArgument], Path.of(args[firstArgument + 1]), voters);
+        if (beginEra) {
+            String refusal = Quorum.beginEra(node.settings, Long.parseLong(args[1]));
+            emit(
                     new JsonObject()
                             .add("kind", "era")
-                            .add("against", against == null ? "" : against));
-            System.exit(against == null ? 0 : 1);
+                            .add("against", refusal == null ? "" : refusal));
+            System.exit(refusal == null ? 0 : 1);
         }
         node.run();
     }
 
-    private static synchronized void tell(JsonObject event) {
+    private static synchronized void emit(JsonObject event) {
         System.out.println(event);
     }
 
     private void run() throws IOException {
-        quorum = Quorum.open(settings, List.of(new Tally()), micros, loop);
-        tell(
+        quorum = Quorum.open(settings, List.of(new KeyCounter()), clockMicros, executor);
+        emit(
                 new JsonObject()
                         .add("kind", "up")
                         .add("incarnation", quorum.standing().incarnation()));
-        loop.scheduleAtFixedRate(this::look, 5, 5, TimeUnit.MILLISECONDS);
+        executor.scheduleAtFixedRate(this::emitChanges, 5, 5, TimeUnit.MILLISECONDS);
         Scanner lines = new Scanner(System.in);
         while (lines.hasNextLine()) {
             String[] words = lines.nextLine().split(" ");
-            loop.execute(() -> obey(words));
+            executor.execute(() -> execute(words));
         }
         System.exit(0); // Whoever drives it is gone.
     }
 
-    private void obey(String[] words) {
+    private void execute(String[] words) {
         if (words[0].equals("ask")) {
-            Command c =
+            Command command =
                     new Command(
                             words[1],
                             name,
                             quorum.standing().incarnation(),
-                            Tally.PART,
+                            KeyCounter.PART,
                             "add",
                             Row.of("key", words[2]));
-            quorum.submit(c, 1_500_000, reply -> tell(answered(words[1], words[2], reply)));
+            quorum.submit(command, 1_500_000, reply -> emit(replyEvent(words[1], words[2], reply)));
         } else if (words[0].equals("rows")) {
             JsonObject rows = new JsonObject();
             quorum.view()
                     .rows()
-                    .ofPart(Tally.PART)
+                    .ofPart(KeyCounter.PART)
                     .forEach((key, row) -> rows.add(key, row.integer("times")));
-            tell(
+            emit(
                     new JsonObject()
                             .add("kind", "rows")
                             .add("index", quorum.view().moment().index())
@@ -109,57 +110,60 @@
         }
     }
 
-    private static JsonObject answered(String id, String key, ReplicatedState.Reply reply) {
-        JsonObject o =
+    private static JsonObject replyEvent(String id, String key, ReplicatedState.Reply reply) {
+        JsonObject event =
                 new JsonObject()
                         .add("kind", reply.decided() ? "decided" : "undecided")
                         .add("id", id)
                         .add("key", key);
         if (reply.decided()) {
-            o.add("status", reply.answer().status().name())
+            event.add("status", reply.answer().status().name())
                     .add("times", reply.answer().fields().text("times", ""))
                     .add("fence", reply.answer().fields().text("fence", ""))
                     .add("era", reply.moment().era())
                     .add("index", reply.moment().index());
         }
-        return o;
+        return event;
     }
 
     /**
      * Each new view with a digest of all that it holds, each change of standing, and whether the
      * view is within its bound.
      */
-    private void look() {
+    private void emitChanges() {
         View view = quorum.view();
-        if (view != last && view.known() && !view.moment().equals(last.moment())) {
-            Map<String, Map<String, String>> all = new TreeMap<>();
-            view.rows().ofPart(Tally.PART).forEach((key, row) -> all.put(key, row.values()));
-            tell(
+        if (view != lastView && view.known() && !view.moment().equals(lastView.moment())) {
+            Map<String, Map<String, String>> rowsByKey = new TreeMap<>();
+            view.rows()
+                    .ofPart(KeyCounter.PART)
+                    .forEach((key, row) -> rowsByKey.put(key, row.values()));
+            emit(
                     new JsonObject()
                             .add("kind", "view")
                             .add("era", view.moment().era())
                             .add("index", view.moment().index())
-                            .add("digest", Integer.toHexString(all.hashCode())));
+                            .add("digest", Integer.toHexString(rowsByKey.hashCode())));
         }
-        last = view;
-        ReplicatedState.Standing s = quorum.standing();
-        if (!s.toString().equals(standing)) {
-            standing = s.toString();
-            tell(
+        lastView = view;
+        ReplicatedState.Standing current = quorum.standing();
+        if (!current.toString().equals(lastStanding)) {
+            lastStanding = current.toString();
+            emit(
                     new JsonObject()
                             .add("kind", "standing")
-                            .add("role", s.role().name())
-                            .add("leader", s.leader() == null ? "" : s.leader())
-                            .add("voters", s.voters())
-                            .add("fault", s.fault() == null ? "" : s.fault()));
+                            .add("role", current.role().name())
+                            .add("leader", current.leader() == null ? "" : current.leader())
+                            .add("voters", current.voters())
+                            .add("fault", current.fault() == null ? "" : current.fault()));
         }
-        boolean now =
-                view.known() && view.ageMicros(micros.getAsLong()) <= settings.maxViewAgeMicros();
-        if (now != fresh) {
-            fresh = now;
-            tell(
+        boolean nowFresh =
+                view.known()
+                        && view.ageMicros(clockMicros.getAsLong()) <= settings.maxViewAgeMicros();
+        if (nowFresh != fresh) {
+            fresh = nowFresh;
+            emit(
                     new JsonObject()
-                            .add("kind", now ? "fresh" : "stale")
+                            .add("kind", nowFresh ? "fresh" : "stale")
                             .add("index", view.moment().index()));
         }
     }
--- a/rig/src/test/java/postgrade/rig/schedule/PlayerTest.java
+++ b/rig/src/test/java/postgrade/rig/schedule/FaultScheduleRunnerTest.java
@@ -11,13 +11,13 @@
 import postgrade.rig.process.Echo;
 import postgrade.rig.process.JavaProcess;
 
-public class PlayerTest {
+public class FaultScheduleRunnerTest {
 
     @Rule public final KeptFolder folder = new KeptFolder("player");
 
     @Test
     public void stepsFollowTheirTimesAndEvents() throws Exception {
-        FaultSchedule t =
+        FaultSchedule schedule =
                 FaultSchedule.of(
                         "t.star",
                         """
@@ -27,22 +27,23 @@
                     step(0.02, "kill", "e2", after = "e1 up"),
                 ]
                 """);
-        try (Cluster c = new Cluster(folder.path(), List.of("e1", "e2"), List.of())) {
-            c.setProcessFactory(name -> new JavaProcess.Builder(name, Echo.class.getName()));
-            c.start("e1").await("up", 0, 20_000);
-            c.start("e2").await("up", 0, 20_000);
-            FaultScheduleRunner.run(t, c);
-            c.process("e2").await("ended", 0, 20_000);
+        try (Cluster cluster = new Cluster(folder.path(), List.of("e1", "e2"), List.of())) {
+            cluster.setProcessFactory(name -> new JavaProcess.Builder(name, Echo.class.getName()));
+            cluster.start("e1").await("up", 0, 20_000);
+            cluster.start("e2").await("up", 0, 20_000);
+            FaultScheduleRunner.run(schedule, cluster);
+            cluster.process("e2").await("ended", 0, 20_000);
             List<String> faults =
-                    c.history().all().stream()
+                    cluster.history().all().stream()
                             .filter(e -> e.kind().equals("step"))
                             .map(e -> e.text("do") + " " + e.text("who"))
                             .toList();
             assertEquals(List.of("kill e1", "start e1", "kill e2"), faults);
-            List<Event> of1 = c.history().all().stream().filter(e -> e.who().equals("e1")).toList();
+            List<Event> eventsOfE1 =
+                    cluster.history().all().stream().filter(e -> e.who().equals("e1")).toList();
             assertEquals(
                     List.of("begun", "up", "fault.kill", "ended", "begun", "up"),
-                    of1.stream().map(Event::kind).toList());
+                    eventsOfE1.stream().map(Event::kind).toList());
         }
     }
 }
--- a/rig/src/test/java/postgrade/rig/schedule/TimetableTest.java
+++ b/rig/src/test/java/postgrade/rig/schedule/FaultScheduleTest.java
@@ -8,7 +8,7 @@
 import org.junit.Test;
 import postgrade.script.ScriptError;
 
-public class TimetableTest {
+public class FaultScheduleTest {
 
     private static final String STEPS =
             """
@@ -19,16 +19,16 @@
             """;
 
     @Test
-    public void theSameSeedGivesTheSameTimetable() {
-        FaultSchedule t = FaultSchedule.of("a.star", "seed = 3\n" + STEPS);
-        assertEquals(t.steps(), FaultSchedule.of("b.star", "seed = 3\n" + STEPS).steps());
-        assertNotEquals(t.steps(), FaultSchedule.of("c.star", "seed = 4\n" + STEPS).steps());
-        assertEquals(new Step(100_000, "n1 leader", "cut", "n1", "n2", 0), t.steps().get(0));
-        assertEquals(21, t.steps().size());
+    public void sameSeedGivesTheSameSchedule() {
+        FaultSchedule schedule = FaultSchedule.of("a.star", "seed = 3\n" + STEPS);
+        assertEquals(schedule.steps(), FaultSchedule.of("b.star", "seed = 3\n" + STEPS).steps());
+        assertNotEquals(schedule.steps(), FaultSchedule.of("c.star", "seed = 4\n" + STEPS).steps());
+        assertEquals(new Step(100_000, "n1 leader", "cut", "n1", "n2", 0), schedule.steps().get(0));
+        assertEquals(21, schedule.steps().size());
     }
 
     @Test
-    public void aFaultyStepIsNamed() {
+    public void unknownActionIsNamedInTheError() {
         ScriptError e =
                 assertThrows(
                         ScriptError.class,
--- a/rig/src/test/java/postgrade/rig/serve/ServingTest.java
+++ b/rig/src/test/java/postgrade/rig/serve/DispatcherClusterTest.java
@@ -17,22 +17,22 @@
  * Real dispatchers under load, one killed and begun again: the rig sees it, and the rules hold for
  * all that lived on.
  */
-public class ServingTest {
+public class DispatcherClusterTest {
 
     @Rule public final KeptFolder folder = new KeptFolder("serve");
 
     @Test
-    public void aKilledDispatcherComesBackAtItsPortAndTheRulesHold()
+    public void killedDispatcherRestartsAtItsPortAndTheRulesHold()
             throws IOException, InterruptedException {
-        DispatcherCluster.Options o = new DispatcherCluster.Options();
-        o.dispatchers = 2;
-        o.voters = 0;
-        o.plan = FleetPlan.of("t.star", FleetPlan.shippedText("zagreb"));
-        try (DispatcherCluster s = new DispatcherCluster(folder.path(), o)) {
-            s.startAll();
-            try (LoadGenerator shops =
+        DispatcherCluster.Options options = new DispatcherCluster.Options();
+        options.dispatchers = 2;
+        options.voters = 0;
+        options.plan = FleetPlan.of("t.star", FleetPlan.shippedText("zagreb"));
+        try (DispatcherCluster cluster = new DispatcherCluster(folder.path(), options)) {
+            cluster.startAll();
+            try (LoadGenerator clients =
                     new LoadGenerator(
-                            s.clientAddresses(),
+                            cluster.clientAddresses(),
                             List.of(
                                     new LoadGenerator.JobKind(
                                             "slot-check", "kvart-market", 1, 20_000_000, true),
@@ -40,19 +40,19 @@
                                             "order-confirm", "zeleni-kos", 1, 20_000_000, false)),
                             5,
                             folder.path().resolve("clients.ledger"))) {
-                shops.setRate(40);
-                s.awaitAnswer(
+                clients.setRate(40);
+                cluster.awaitAnswer(
                         "jobs", "GET", "n1", "/status", null, 120_000, a -> a.status() == 200);
-                s.cluster().process("n2").kill();
-                s.cluster().start("n2");
-                long ready = s.awaitReady("n2", 120_000);
+                cluster.cluster().process("n2").kill();
+                cluster.cluster().start("n2");
+                long ready = cluster.awaitReady("n2", 120_000);
                 // Its worth is seen when the one begun again has been given jobs.
-                awaitReceived(s, ready);
-                shops.finish();
+                awaitJobFromRestarted(cluster, ready);
+                clients.finish();
             }
-            s.fleet().flush();
-            RuleChecker.Verdict v = RuleChecker.judge(folder.path(), 2_500_000, 60_000_000);
-            assertTrue(v.requests > 0 && v.attempts > 0);
+            cluster.fleet().flush();
+            RuleChecker.Verdict verdict = RuleChecker.judge(folder.path(), 2_500_000, 60_000_000);
+            assertTrue(verdict.requests > 0 && verdict.attempts > 0);
             List<String> broken =
                     LedgerReader.read(folder.path().resolve("clients.ledger")).stream()
                             .filter(l -> l.event().equals("broken") && "n2".equals(l.value("via")))
@@ -60,21 +60,21 @@
                             .toList();
             assertEquals(
                     List.of(),
-                    v.violations.stream().filter(b -> !broken.contains(b.id())).toList());
+                    verdict.violations.stream().filter(b -> !broken.contains(b.id())).toList());
         }
     }
 
-    private void awaitReceived(DispatcherCluster s, long since)
+    private void awaitJobFromRestarted(DispatcherCluster cluster, long sinceMicros)
             throws IOException, InterruptedException {
-        long end = System.nanoTime() + 120_000_000_000L;
-        while (System.nanoTime() < end) {
-            s.fleet().flush();
+        long deadlineNanos = System.nanoTime() + 120_000_000_000L;
+        while (System.nanoTime() < deadlineNanos) {
+            cluster.fleet().flush();
             if (LedgerReader.read(folder.path().resolve("workers.ledger")).stream()
                     .anyMatch(
                             l ->
                                     l.event().equals("received")
                                             && l.number("via") == 1
-                                            && l.micros() > since)) {
+                                            && l.micros() > sinceMicros)) {
                 return;
             }
             Thread.sleep(50);
--- a/rig/src/test/java/postgrade/rig/soak/RandomFaultsTest.java
+++ b/rig/src/test/java/postgrade/rig/soak/RandomFaultsTest.java
@@ -15,30 +15,30 @@
 
     private static final int REQUESTS = 1000;
 
-    private static ExchangeFault of(RandomFaults faults, int request, boolean isJob) {
+    private static ExchangeFault select(RandomFaults faults, int request, boolean isJob) {
         return faults.select(new Exchange(0, "w1", "request-" + request, isJob, 0));
     }
 
     /** Guards against a soak in which no cancellation ever overtakes its job. */
     @Test
-    public void aCancellationOvertakesWhereItsJobIsHeldForItAndNowhereElse() {
+    public void cancellationOvertakesItsJobExactlyWhenTheJobIsHeld() {
         RandomFaults faults = new RandomFaults(7, Map.of(Kind.OVERTAKEN, 100.0));
         int held = 0;
         for (int i = 0; i < REQUESTS; i++) {
-            Kind job = of(faults, i, true).kind();
-            assertEquals(job, of(faults, i, false).kind());
-            held += job == Kind.OVERTAKEN ? 1 : 0;
+            Kind jobFault = select(faults, i, true).kind();
+            assertEquals(jobFault, select(faults, i, false).kind());
+            held += jobFault == Kind.OVERTAKEN ? 1 : 0;
         }
         assertTrue("" + held, held > REQUESTS / 20);
     }
 
     /** Guards against a run that counts as clean though its fault was only drawn. */
     @Test
-    public void aKindThatIsDrawnOftenCountsOnlyOnceItHasComeAbout() {
+    public void frequentlySelectedFaultCountsOnlyOnceInjected() {
         RandomFaults faults =
                 new RandomFaults(7, Map.of(Kind.STALE_ANSWER, 50.0, Kind.LOST_ANSWER, 5.0));
         for (int i = 0; i < REQUESTS; i++) {
-            of(faults, i, true);
+            select(faults, i, true);
         }
         assertEquals(List.of(Kind.STALE_ANSWER), faults.frequentButNotInjected());
         faults.faultInjected(Kind.STALE_ANSWER);
@@ -48,8 +48,8 @@
 
     /** Guards against a run that counts as clean though a signal was ignored. */
     @Test
-    public void aFaultThatCouldNotBePutMakesItsSeedUnclean() {
-        SoakResult played =
+    public void faultThatCouldNotBeInjectedMakesTheResultUnclean() {
+        SoakResult result =
                 new SoakResult(
                         SoakPlan.of(1),
                         1,
@@ -59,8 +59,8 @@
                         List.of("HUP n1 @2.0: not heard"),
                         0,
                         List.of());
-        assertTrue(played.summary(), !played.isClean());
-        assertTrue(played.summary(), played.summary().contains("NOT CLEAN"));
-        assertTrue(played.summary(), played.summary().contains("could not be put: HUP n1"));
+        assertTrue(result.summary(), !result.isClean());
+        assertTrue(result.summary(), result.summary().contains("NOT CLEAN"));
+        assertTrue(result.summary(), result.summary().contains("could not be put: HUP n1"));
     }
 }
--- a/rig/src/test/java/postgrade/rig/soak/SoakTest.java
+++ b/rig/src/test/java/postgrade/rig/soak/SoakTest.java
@@ -16,7 +16,7 @@
 
     @Rule public final KeptFolder folder = new KeptFolder("soak");
 
-    private void rulesHold(long seed) throws Exception {
+    private void assertRulesHold(long seed) throws Exception {
         SoakResult result = Soak.run(seed, SoakLimits.LENIENT, folder.path());
         assertEquals(List.of(), result.violations());
         assertTrue(result.summary(), result.isClean());
@@ -25,24 +25,24 @@
     /** Resets within messages, lost answers, repeated answers; kills and reloads. */
     @Test
     public void seed1() throws Exception {
-        rulesHold(1);
+        assertRulesHold(1);
     }
 
     /** Resets before and after requests and answers, jobs that come late; restarts. */
     @Test
     public void seed2() throws Exception {
-        rulesHold(2);
+        assertRulesHold(2);
     }
 
     /** Cancellations that overtake their jobs; restarts beside idle clients. */
     @Test
     public void seed6() throws Exception {
-        rulesHold(6);
+        assertRulesHold(6);
     }
 
     /** Answers of earlier exchanges and late ones; kills and restarts. */
     @Test
     public void seed7() throws Exception {
-        rulesHold(7);
+        assertRulesHold(7);
     }
 }
