--- a/rig/src/test/java/postgrade/rig/KeptFolder.java
+++ b/rig/src/test/java/postgrade/rig/KeptFolder.java
@@ -9,8 +9,8 @@
 import postgrade.rig.disk.DiskFaults;
 
 /**
- * A folder for a test that stays after it, with all histories, until the test runs again: {@code
- * target/rig/GROUP/TEST}.
+ * JUnit rule that gives a test the folder {@code target/rig/GROUP/TEST}. The folder and the
+ * histories in it are kept after the test and are emptied when the test starts again.
  */
 public final class KeptFolder extends TestWatcher {
 
--- a/rig/src/test/java/postgrade/rig/jobs/AttemptEndsTest.java
+++ b/rig/src/test/java/postgrade/rig/jobs/AttemptEndsTest.java
@@ -19,24 +19,20 @@
 import postgrade.rig.serve.DispatcherCluster;
 
 /**
- * A request that must not have two attempts out was sent again while its first attempt ran.
+ * Guards against a second attempt of a request that may have only one in flight, sent while the
+ * first attempt still runs at its worker.
  *
- * <p>Seen: two requests, at two dispatchers, reached a second worker 7 ms after the first one,
- * which ran on to its end; nobody had given it up. One of them was then refused in the moment in
- * which the second connection was reset.
+ * <p>The policy moves a job that has not begun after half its objective. The job and the DELETE
+ * that cancels it travel on two connections, and the DELETE can arrive first. The worker then knows
+ * no such job and says so, and takes the job afterwards. The fault was that any answer to the
+ * DELETE ended the attempt, also to a DELETE sent before the worker was known to have the job. Two
+ * requests at two dispatchers reached a second worker 7 ms after the first, which ran on to its
+ * end; one of them was then refused just as the second connection was reset. An attempt ends only
+ * by a message that names it.
  *
- * <p>How it came about: the policy moves a job that has not begun after half its objective, which
- * both had just passed. The job's bytes and the DELETE that cancelled it went out within a moment
- * of each other, on two connections, and the DELETE came first. The worker knew nothing to drop and
- * said so; then it took the job.
- *
- * <p>Cause: any answer to the DELETE ended the attempt, also one to a DELETE that was sent before
- * the worker was known to have the job. An attempt has ended only when something says so that names
- * it.
- *
- * <p>Proof: the crossing is forced here on real processes by a proxy that holds the job back until
- * the worker has answered the DELETE. The other tests force the same mistake from other signs: a
- * reset in place of the 202 and a second answer of the exchange before.
+ * <p>The first test forces this order on real processes: a proxy holds the job back until the
+ * worker has answered the DELETE. The others provoke the same mistake by a reset in place of the
+ * 202 and by a second answer of the previous exchange.
  */
 public class AttemptEndsTest {
 
@@ -53,10 +49,13 @@
 
     private static final int JOBS = 12;
 
-    /** Jobs and cancellations that cross wait for each other for so long at most. */
+    /** Longest time for which the proxy holds a job or its cancellation back for the other one. */
     private static final long MAX_HOLD_MILLIS = 10_000;
 
-    /** Moves cost a lone dispatcher more of its retry budget than it has. */
+    /**
+     * Configured number of dispatchers, above the real one: moves cost a single dispatcher more of
+     * its retry budget than it has.
+     */
     private static final int CONFIGURED_DISPATCHERS = 100;
 
     @Rule public final KeptFolder folder = new KeptFolder("attemptends");
@@ -80,7 +79,7 @@
         cluster.close();
     }
 
-    /** The first attempt of each request meets the fault; nothing else does. */
+    /** Injects the fault into the first attempt of each request and into nothing else. */
     private static FaultSelector onFirstAttempts(ExchangeFault fault) {
         Set<String> faultedRequests = ConcurrentHashMap.newKeySet();
         return exchange ->
@@ -112,7 +111,8 @@
     public void cancellationThatOvertakesItsJobLeavesOneAttemptInFlight() throws Exception {
         Set<String> seenRequests = ConcurrentHashMap.newKeySet();
         Set<String> firstWorkers = ConcurrentHashMap.newKeySet();
-        // The first worker of each request alone: the attempt that follows is served.
+        // Only the first worker of each request has the fault, so that the following attempt is
+        // served.
         cluster.proxies()
                 .setFaultSelector(
                         exchange -> {
--- a/rig/src/test/java/postgrade/rig/jobs/JobProxyTest.java
+++ b/rig/src/test/java/postgrade/rig/jobs/JobProxyTest.java
@@ -19,7 +19,7 @@
 import org.junit.rules.TemporaryFolder;
 import postgrade.rig.history.History;
 
-/** A request that the proxy holds back, as on a connection that comes up late. */
+/** Requests that the proxy delays, as on a connection that is established late. */
 public class JobProxyTest {
 
     private static final int TIMEOUT_MILLIS = 20_000;
@@ -74,12 +74,12 @@
         }
     }
 
-    /** Guards against a job that comes to its worker after its dispatcher has given it up. */
+    /** Guards against a job that reaches its worker after its dispatcher abandoned the attempt. */
     @Test
     public void delayedRequestIsDroppedWhenTheDispatcherClosesTheConnection() throws Exception {
         Socket dispatcher = dispatcher();
         dispatcher.getOutputStream().write(JOB);
         dispatcher.close();
-        assertTrue("nothing but the end", workerSide().read() < 0);
+        assertTrue("only the end of the stream was expected", workerSide().read() < 0);
     }
 }
--- a/rig/src/test/java/postgrade/rig/process/Echo.java
+++ b/rig/src/test/java/postgrade/rig/process/Echo.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import java.util.Scanner;
 
-/** A small real process: repeats what it is told, and writes files when asked. */
+/** A small process that repeats each input line as an event and writes a file on request. */
 public final class Echo {
 
     private Echo() {}
--- a/rig/src/test/java/postgrade/rig/process/JavaProcessTest.java
+++ b/rig/src/test/java/postgrade/rig/process/JavaProcessTest.java
@@ -14,10 +14,10 @@
 import postgrade.rig.history.History;
 import postgrade.rig.history.HistoryReader;
 
-/** Faults on a real process, and what is kept of it. */
+/** Faults of a real process, and the history that is stored of it. */
 public class JavaProcessTest {
 
-    /** A virtual machine has to start within it, on a busy machine too. */
+    /** Long enough for a Java virtual machine to start on a busy machine. */
     private static final long TIMEOUT_MS = 120_000;
 
     @Rule public final TemporaryFolder folder = new TemporaryFolder();
--- a/rig/src/test/java/postgrade/rig/proxy/FaultProxyTest.java
+++ b/rig/src/test/java/postgrade/rig/proxy/FaultProxyTest.java
@@ -17,10 +17,12 @@
 import org.junit.Test;
 import postgrade.fleet.net.HeldPort;
 
-/** Each switch, seen from both ends. */
+/** Each fault of the proxy, observed from both ends of a connection. */
 public class FaultProxyTest {
 
-    /** Far above what is needed: it bounds what hangs, and judges nobody's pace. */
+    /**
+     * Bounds a test that hangs. It is far above the time needed, so slow machines do not fail it.
+     */
     private static final int TIMEOUT_MILLIS = 60_000;
 
     private ServerSocket server;
@@ -64,8 +66,7 @@
                 SocketException.class,
                 () -> {
                     InputStream in = serverSide.getInputStream();
-                    assertEquals(
-                            "an ordinary end instead of a reset", Integer.MIN_VALUE, in.read());
+                    assertEquals("end of stream instead of a reset", Integer.MIN_VALUE, in.read());
                 });
     }
 
@@ -155,8 +156,8 @@
     public void portStaysTheSameWhenTheTargetChanges() throws IOException {
         int port = proxy.port();
         server.close();
-        // Where nobody listens, and nobody else can begin to: the port that was let go of may be
-        // another's by now.
+        // A target at which nothing listens and that no other process can bind. The port released
+        // above may have been taken by another process.
         try (HeldPort unusedPort = new HeldPort()) {
             proxy.setTarget(unusedPort.address());
             try (Socket clientSide = client()) {
--- a/rig/src/test/java/postgrade/rig/quorum/KeyCounter.java
+++ b/rig/src/test/java/postgrade/rig/quorum/KeyCounter.java
@@ -8,8 +8,8 @@
 import postgrade.shared.StatePart;
 
 /**
- * The plainest part: how often each key was counted. A command lost or carried out twice shows for
- * ever.
+ * The simplest state part: counts how often each key was added. The counts show permanently whether
+ * a command was lost or applied twice.
  */
 final class KeyCounter implements StatePart {
 
--- a/rig/src/test/java/postgrade/rig/quorum/QuorumCluster.java
+++ b/rig/src/test/java/postgrade/rig/quorum/QuorumCluster.java
@@ -15,8 +15,8 @@
 import postgrade.rig.process.JavaProcess;
 
 /**
- * Three voters and observers in processes of their own, a proxy between each two, and what is
- * checked of every run.
+ * Three voters and any number of observers, each in a process of its own and with a fault proxy
+ * between each two, and the checks that apply to every run.
  */
 final class QuorumCluster implements Closeable {
 
@@ -52,7 +52,10 @@
         return arguments.toArray(new String[0]);
     }
 
-    /** From its next start on no file of it grows beyond that; below 0 it may. */
+    /**
+     * Limits the size of each file that the process writes, from its next start on. A negative
+     * value removes the limit.
+     */
     void setMaxFileKib(String name, long kibibytes) {
         if (kibibytes < 0) {
             maxFileKib.remove(name);
@@ -62,7 +65,9 @@
     }
 
     /**
-     * @return what stands against it, empty where it was done
+     * Begins an era at the voter, in a process that ends afterwards.
+     *
+     * @return why the era was refused; empty if it was begun
      */
     String beginEra(String name, long era) throws IOException, InterruptedException {
         int from = cluster.history().size();
@@ -78,7 +83,10 @@
         }
     }
 
-    /** An installation's beginning: the first era at n1, and all start. */
+    /**
+     * Sets up a new installation: begins the first era at n1, starts all processes and waits until
+     * each has a fresh view and all three are voters.
+     */
     void startAll() throws IOException, InterruptedException {
         assertEquals("", beginEra("n1", 1));
         for (String name : processNames) {
@@ -111,8 +119,8 @@
     }
 
     /**
-     * By its log, which has a line of each fault: a standing that is only looked at now and then
-     * may pass one over.
+     * Waits for a fault in the log of the process, which has a line for every fault. The standing
+     * is only sampled and can miss a fault that lasts briefly.
      */
     void awaitFault(String name, int from, String fragment) throws InterruptedException {
         cluster.history()
@@ -127,7 +135,7 @@
                                         && e.text("text").contains(fragment));
     }
 
-    /** A fault that stays, by its standing too. */
+    /** Waits for a fault that also shows in the standing of the process because it persists. */
     void awaitPersistentFault(String name, int from, String fragment) throws InterruptedException {
         awaitFault(name, from, fragment);
         cluster.history()
@@ -141,7 +149,10 @@
                                         && e.text("fault").contains(fragment));
     }
 
-    /** The leader as this process last told it; between two leaders it is waited for. */
+    /**
+     * Returns the leader that this process last reported. If it last reported that there is none,
+     * waits until it reports one.
+     */
     String leader(String observer) throws InterruptedException {
         List<Event> all = cluster.history().all();
         int last = all.size() - 1;
@@ -162,7 +173,7 @@
                 .text("leader");
     }
 
-    /** Waits until this process has told of a leader that is not the former one, which has died. */
+    /** Waits until this process reports a leader other than the former one, which was killed. */
     void awaitLeaderAfter(String former, String observer, int from) throws InterruptedException {
         cluster.history()
                 .await(
@@ -176,7 +187,7 @@
                                         && !e.text("leader").equals(former));
     }
 
-    /** One other than that of all voters. */
+    /** Returns a voter that is not among the excluded ones. */
     static String otherVoter(String... excluded) {
         return VOTERS.stream()
                 .filter(v -> !List.of(excluded).contains(v))
@@ -184,13 +195,13 @@
                 .orElseThrow();
     }
 
-    /** Asks once; the event tells whether it was decided. */
+    /** Submits a command once. The kind of the returned event tells whether it was decided. */
     Event submit(String name, String id, String key) throws IOException, InterruptedException {
         int from = cluster.history().size();
         cluster.process(name).writeLine("ask " + id + " " + key);
         return cluster.history()
                 .await(
-                        "answer to " + id,
+                        "reply to " + id,
                         from,
                         TIMEOUT_MS,
                         e ->
@@ -199,7 +210,7 @@
                                         && e.text("id").equals(id));
     }
 
-    /** Asks again under the same id, by these in turn, until it is decided. */
+    /** Submits the command under the same id to the given processes in turn until it is decided. */
     Event submitUntilDecided(String id, String key, String... recipients)
             throws IOException, InterruptedException {
         for (int i = 0; i < MAX_TRIES; i++) {
@@ -211,13 +222,13 @@
         throw new AssertionError(id + " was not decided in " + MAX_TRIES + " tries");
     }
 
-    /** A fresh key counted once by whoever is asked. */
+    /** Counts a key that was not used before, by way of the given processes. */
     Event countNewKey(String... recipients) throws IOException, InterruptedException {
         countedKeys++;
         return submitUntilDecided("r" + countedKeys, "k" + countedKeys, recipients);
     }
 
-    /** Waits until the view of this process, as it was last started, holds that entry. */
+    /** Waits until the view of this process, since its last start, includes the log entry. */
     void awaitView(String name, long index) throws InterruptedException {
         List<Event> all = cluster.history().all();
         int lastStart = all.size() - 1;
@@ -237,8 +248,8 @@
     }
 
     /**
-     * What the view of this process holds once it holds that entry: a command is decided before a
-     * view tells it.
+     * Returns the counts in the view of this process once the view includes the log entry. Waiting
+     * is needed because a command can be decided before a view shows it.
      */
     Map<String, Long> rows(String name, long index) throws IOException, InterruptedException {
         awaitView(name, index);
@@ -254,8 +265,8 @@
     }
 
     /**
-     * What must hold of any run: all saw one log, nothing answered for is lost or doubled, no view
-     * went back.
+     * Checks what must hold in every run: all processes applied the same log, no acknowledged
+     * command is lost or applied twice, and no view goes back.
      */
     void checkHistory(String observer) throws IOException, InterruptedException {
         List<LogCheck.Applied> applied = new ArrayList<>();
--- a/rig/src/test/java/postgrade/rig/quorum/QuorumClusterTest.java
+++ b/rig/src/test/java/postgrade/rig/quorum/QuorumClusterTest.java
@@ -11,7 +11,9 @@
 import postgrade.rig.disk.DiskFaults;
 import postgrade.rig.history.History.Event;
 
-/** Shared state in real processes, with faults on and between them. */
+/**
+ * Replicated state in real processes, with faults in the processes and on the links between them.
+ */
 public class QuorumClusterTest {
 
     @Rule public final KeptFolder folder = new KeptFolder("ground");
@@ -34,7 +36,7 @@
         try (QuorumCluster quorum = startCluster("o1")) {
             for (int i = 0; i < 5; i++) {
                 Event first = quorum.countNewKey("o1");
-                // The same call once more, by another process: the same answer.
+                // The same command, submitted again by another process, has the same answer.
                 Event again = quorum.submitUntilDecided(first.text("id"), first.text("key"), "n2");
                 assertEquals(first.text("fence"), again.text("fence"));
             }
@@ -60,15 +62,16 @@
             String behind = QuorumCluster.otherVoter(leader, wiped);
             quorum.cluster.mesh().isolate(Set.of(behind));
             Event kept = quorum.countNewKey("o1", leader);
-            // Of the two that know of it one forgets, and the other is cut off: the rest would be a
-            // majority by number.
+            // Of the two voters that stored the entry one loses its store and the other is paused.
+            // The remaining two would be a majority by number.
             quorum.cluster.process(leader).stop();
             quorum.cluster.process(wiped).kill();
             DiskFaults.wipe(quorum.cluster.store(wiped));
             quorum.cluster.mesh().heal();
             int from = quorum.cluster.history().size();
             quorum.cluster.start(wiped);
-            // It has a store and an identity again before anything is asked.
+            // Waits until the wiped voter has a new store and identity before anything is
+            // submitted.
             quorum.awaitFault(wiped, from, "new here");
             for (int i = 0; i < 3; i++) {
                 assertEquals("undecided", quorum.submit("o1", "guess", "guess").kind());
@@ -156,7 +159,7 @@
             Event fresh = quorum.submitUntilDecided("fresh", "fresh", "o1");
             assertEquals(2, fresh.number("era"));
             assertTrue(Long.parseLong(fresh.text("fence")) > Long.parseLong(old.text("fence")));
-            // A voter that comes back with its store of the former era is not followed, nor does it
+            // A voter that restarts with its store of the former era is not followed and does not
             // vote.
             quorum.cluster.process("n3").kill();
             quorum.cluster.rollBack("n3");
--- a/rig/src/test/java/postgrade/rig/quorum/QuorumNode.java
+++ b/rig/src/test/java/postgrade/rig/quorum/QuorumNode.java
@@ -21,9 +21,10 @@
 import postgrade.shared.View;
 
 /**
- * A real process that shares state and does nothing else: told on standard input, it writes what it
- * sees on standard output. Arguments: its name, its store, and the voters as it finds them, {@code
- * n1=port}; {@code era N} before them begins an era and ends.
+ * A process that runs one quorum member and nothing else. It reads commands from standard input and
+ * writes events to standard output, one JSON object a line. Arguments: its name, the path of its
+ * store, and the voters with the ports at which it reaches them, as {@code n1=port}. With {@code
+ * era N} in front of them it begins that era and exits.
  */
 public final class QuorumNode {
 
@@ -82,7 +83,7 @@
             String[] words = lines.nextLine().split(" ");
             executor.execute(() -> execute(words));
         }
-        System.exit(0); // Whoever drives it is gone.
+        System.exit(0); // End of input: the test process has ended.
     }
 
     private void execute(String[] words) {
@@ -127,8 +128,8 @@
     }
 
     /**
-     * Each new view with a digest of all that it holds, each change of standing, and whether the
-     * view is within its bound.
+     * Emits each new view with a digest of its rows, each change of standing, and each change of
+     * whether the view is within its age bound.
      */
     private void emitChanges() {
         View view = quorum.view();
--- a/rig/src/test/java/postgrade/rig/serve/DispatcherClusterTest.java
+++ b/rig/src/test/java/postgrade/rig/serve/DispatcherClusterTest.java
@@ -14,8 +14,8 @@
 import postgrade.rig.load.LoadGenerator;
 
 /**
- * Real dispatchers under load, one killed and begun again: the rig sees it, and the rules hold for
- * all that lived on.
+ * Real dispatchers under load, of which one is killed and restarted. Guards against a restart that
+ * the rig does not observe and against violations for requests that the kill did not break.
  */
 public class DispatcherClusterTest {
 
@@ -46,7 +46,7 @@
                 cluster.cluster().process("n2").kill();
                 cluster.cluster().start("n2");
                 long ready = cluster.awaitReady("n2", 120_000);
-                // Its worth is seen when the one begun again has been given jobs.
+                // The restart shows only once the restarted dispatcher has sent jobs.
                 awaitJobFromRestarted(cluster, ready);
                 clients.finish();
             }
@@ -79,6 +79,6 @@
             }
             Thread.sleep(50);
         }
-        throw new AssertionError("the dispatcher that was begun again has sent nothing");
+        throw new AssertionError("the restarted dispatcher sent no job within 120 s");
     }
 }
--- a/rig/src/test/java/postgrade/rig/soak/RandomFaultsTest.java
+++ b/rig/src/test/java/postgrade/rig/soak/RandomFaultsTest.java
@@ -10,7 +10,7 @@
 import postgrade.rig.jobs.ExchangeFault.Kind;
 import postgrade.rig.jobs.FaultSelector.Exchange;
 
-/** What the soak draws for an exchange, and whether it has come about. */
+/** The fault that the soak selects for an exchange, and whether the fault was injected. */
 public class RandomFaultsTest {
 
     private static final int REQUESTS = 1000;
@@ -32,7 +32,9 @@
         assertTrue("" + held, held > REQUESTS / 20);
     }
 
-    /** Guards against a run that counts as clean though its fault was only drawn. */
+    /**
+     * Guards against a run that counts as clean though its fault was selected and never injected.
+     */
     @Test
     public void frequentlySelectedFaultCountsOnlyOnceInjected() {
         RandomFaults faults =
--- a/rig/src/test/java/postgrade/rig/soak/SoakTest.java
+++ b/rig/src/test/java/postgrade/rig/soak/SoakTest.java
@@ -9,8 +9,8 @@
 import postgrade.rig.KeptFolder;
 
 /**
- * A short soak: seeds that between them have each kind of fault often, all signals and a crowd of
- * idle clients. {@code bench/soak} runs more, and judges times more exactly.
+ * A short soak whose seeds together inject every kind of fault frequently, all signals and many
+ * idle clients. A full soak runs more seeds and applies stricter time limits.
  */
 public class SoakTest {
 
@@ -22,25 +22,25 @@
         assertTrue(result.summary(), result.isClean());
     }
 
-    /** Resets within messages, lost answers, repeated answers; kills and reloads. */
+    /** Resets within messages, lost answers and repeated answers; kills and reloads. */
     @Test
     public void seed1() throws Exception {
         assertRulesHold(1);
     }
 
-    /** Resets before and after requests and answers, jobs that come late; restarts. */
+    /** Resets before and after requests and answers, and delayed jobs; restarts. */
     @Test
     public void seed2() throws Exception {
         assertRulesHold(2);
     }
 
-    /** Cancellations that overtake their jobs; restarts beside idle clients. */
+    /** Cancellations that overtake their jobs; restarts while idle clients are connected. */
     @Test
     public void seed6() throws Exception {
         assertRulesHold(6);
     }
 
-    /** Answers of earlier exchanges and late ones; kills and restarts. */
+    /** Stale answers of earlier exchanges and delayed answers; kills and restarts. */
     @Test
     public void seed7() throws Exception {
         assertRulesHold(7);
