--- a/core/src/main/java/postgrade/dispatch/WorkerTransport.java
+++ b/core/src/main/java/postgrade/dispatch/WorkerTransport.java
@@ -16,17 +16,18 @@
     /** Probes a worker; the result goes to {@link RequestTracker#workerProbed}. */
     void probe(String workerId);
 
-    /** An attempt on the wire. */
+    /** An attempt that the transport has started. */
     interface AttemptHandle {
 
         /**
-         * Cancels the attempt on the wire. Calls {@code done} with the evidence as soon as the
-         * worker is certain not to start the attempt, and not to continue it for this dispatcher:
-         * within this method, later, or never if the worker does not respond.
+         * Cancels the attempt on the wire. Calls {@code done} with the evidence as soon as it is
+         * certain that the worker will neither start the attempt nor continue it for this
+         * dispatcher. This may happen before this method returns, later, or, if the worker does not
+         * respond, never.
          */
         void cancel(Consumer<EndEvidence> done);
 
-        /** The attempt has ended by a call-back, so there is nothing to cancel. */
+        /** A call-back has reported the end of the attempt, so there is nothing to cancel. */
         void endedByReport();
 
         /**
@@ -35,8 +36,8 @@
         void startedByReport();
 
         /**
-         * Whether its last byte has been passed to the operating system, so that the worker may run
-         * it.
+         * Whether the last byte of the request has been passed to the operating system, so that the
+         * worker may run the job.
          */
         boolean isWritten();
 
@@ -46,7 +47,7 @@
          */
         boolean mayReport();
 
-        /** Returns the times on the wire so far. */
+        /** Returns the times of the attempt on the wire that are known so far. */
         WireRecord wireRecord();
     }
 }
--- a/core/src/main/java/postgrade/lease/Grant.java
+++ b/core/src/main/java/postgrade/lease/Grant.java
@@ -5,11 +5,12 @@
 /**
  * A granted reservation.
  *
- * @param fence of the entry that granted it or that passed it to the holder's next incarnation
+ * @param fence the fence of the log entry that granted the reservation or, if it has since passed
+ *     to a newer incarnation of the holder, of the log entry that passed it on
  * @param sinceMicros log time of the grant
- * @param untilMicros log time at which it ends unless it is renewed, or {@link
- *     ReservationTable#PENDING}
- * @param allotment its present accelerators; fewer than requested if a worker has lost some
+ * @param untilMicros log time at which the grant ends unless it is renewed, or {@link
+ *     ReservationTable#PENDING} if the end is not set yet
+ * @param allotment the accelerators it holds now; fewer than requested if a worker has lost some
  */
 public record Grant(
         ReservationRequest request,
@@ -48,7 +49,10 @@
         return new Grant(request, fence, sinceMicros, untilMicros, remaining);
     }
 
-    /** Time until it ends unless it is renewed. */
+    /**
+     * Time until the grant ends unless it is renewed; the requested duration while the end is
+     * pending.
+     */
     long remainingMicros(long logMicros) {
         return untilMicros == ReservationTable.PENDING
                 ? request.ttlMicros()
--- a/core/src/main/java/postgrade/policy/AttemptRecord.java
+++ b/core/src/main/java/postgrade/policy/AttemptRecord.java
@@ -1,6 +1,6 @@
 package postgrade.policy;
 
-/** One attempt of a job at a worker. Times are in nanoseconds. */
+/** One attempt to run a job on a worker. Times are in nanoseconds. */
 final class AttemptRecord {
 
     private static final long NOT_STARTED = -1;
@@ -36,7 +36,10 @@
         return startedNs >= 0;
     }
 
-    /** Returns when the worker reported its start, or when it was sent if there is no report. */
+    /**
+     * Returns the time at which the worker reported the start of the job, or at which the attempt
+     * was sent if there is no such report.
+     */
     long startedOrSentNs() {
         return hasStarted() ? startedNs : sentNs;
     }
@@ -52,7 +55,7 @@
         return ended;
     }
 
-    /** Whether its outcome has proved that the job did not run. */
+    /** Whether the outcome of the attempt proved that the job did not run. */
     boolean neverRan() {
         return neverRan;
     }
@@ -78,8 +81,8 @@
     }
 
     /**
-     * Marks the attempt as not expected to start. It counts as held by the worker again only if it
-     * starts after all.
+     * Marks the attempt as not expected to start. Its job no longer counts as held by the worker,
+     * unless it starts after all.
      */
     void markPresumedLost() {
         presumedLost = true;
--- a/core/src/main/java/postgrade/policy/CapacityEstimator.java
+++ b/core/src/main/java/postgrade/policy/CapacityEstimator.java
@@ -11,10 +11,13 @@
     /** Lag with which load reports reflect the jobs that this dispatcher has sent. */
     static final double REPORT_LAG_NS = 0.5e9;
 
-    /** Time over which the weight of a report decays linearly to that of the usual free share. */
+    /**
+     * Time over which the estimate moves linearly from the reported to the usual capacity if
+     * workers report their load.
+     */
     private static final double REPORT_DECAY_NS = 4e9;
 
-    /** A report of more free slots than this is taken for an error and ignored. */
+    /** A report of this many free slots or more is treated as an error and ignored. */
     private static final double MAX_PLAUSIBLE_SLOTS = 1e6;
 
     private final PolicyContext context;
@@ -34,8 +37,8 @@
     }
 
     /**
-     * Returns the slots of a worker: those reported for its kind, or else an estimate by the weight
-     * that the worker list announces, which also covers speed.
+     * Returns the slots of a worker: those reported for its kind, or else an estimate from its
+     * weight in the worker list, which reflects not only its size but also its speed.
      */
     double slots(WorkerState worker) {
         double reported = worker.kind().slots();
@@ -43,8 +46,8 @@
     }
 
     /**
-     * Returns the size that the worker list announces, relative to the mean of the ready workers; 1
-     * if it announces none.
+     * Returns the weight that the worker list announces for a worker, relative to the mean of the
+     * ready workers; 1 if it announces none.
      */
     double weight(WorkerState worker) {
         double announced = worker.info().weight();
@@ -52,8 +55,8 @@
     }
 
     /**
-     * Returns the share of its full throughput that a worker is guaranteed to deliver, by the time
-     * since its start: 1 once its slow start is over.
+     * Returns the share of its full throughput that a worker is guaranteed to deliver, which grows
+     * linearly from its start and reaches 1 when its slow start is over.
      */
     double slowStartShare(long nowNs, WorkerState worker) {
         double initial = context.settings().slowStartInitialShare;
@@ -70,30 +73,33 @@
     }
 
     /**
-     * Estimates the free slots of a worker from its last report, whose weight decays to that of the
-     * usual free share.
+     * Estimates the free slots of a worker. The estimate starts from the worker's last report and,
+     * as the report ages, moves linearly to the usual capacity.
      *
      * @param usualFreeShare the share of a worker that the other dispatchers' jobs usually leave
-     *     free
+     *     free; it determines the usual capacity
      */
     double freeSlots(long nowNs, WorkerState worker, double usualFreeShare) {
-        double usual = slots(worker) * slowStartShare(nowNs, worker) * usualFreeShare;
+        double usualCapacity = slots(worker) * slowStartShare(nowNs, worker) * usualFreeShare;
         double decayNs =
                 fleetLoad.hasLoadReports() ? REPORT_DECAY_NS : classes.longestServiceTimeNs();
-        double decay =
+        double staleness =
                 worker.capacityReport().isPresent()
                         ? Math.min(1, (nowNs - worker.capacityReport().reportedNs()) / decayNs)
                         : 1;
-        double reported = worker.capacityReport().capacity();
-        double capacity = decay == 1 ? usual : reported + (usual - reported) * decay;
+        double reportedCapacity = worker.capacityReport().capacity();
+        double capacity =
+                staleness == 1
+                        ? usualCapacity
+                        : reportedCapacity + (usualCapacity - reportedCapacity) * staleness;
         return capacity - worker.usedSlots();
     }
 
-    /** Records a worker's load report if its figure of free slots is plausible. */
+    /** Records a worker's load report if its number of free slots is plausible. */
     void recordReport(long nowNs, WorkerState worker, LoadReport report) {
         double free = report.freeSlots();
-        boolean valid = free >= 0 && free < MAX_PLAUSIBLE_SLOTS; // False for NaN.
-        if (valid) {
+        boolean plausible = free >= 0 && free < MAX_PLAUSIBLE_SLOTS; // False for NaN.
+        if (plausible) {
             worker.recordFreeSlots(nowNs, free);
             fleetLoad.recordReport(worker.capacityReport().capacity() / slots(worker));
             worker.kind().recordFreeSlots(free);
--- a/core/src/main/java/postgrade/window/CalendarLookup.java
+++ b/core/src/main/java/postgrade/window/CalendarLookup.java
@@ -1,15 +1,18 @@
 package postgrade.window;
 
-/** The calendars of sites as one process knows them at one time. */
+/** The calendars of the sites, as far as this process knows them. */
 @FunctionalInterface
 public interface CalendarLookup {
 
-    /** Returns null where the calendar is not known; no job that needs a window may start there. */
+    /**
+     * Returns the calendar of a site, or null if it is not known; then no job that needs a window
+     * may start at the site.
+     */
     SiteCalendar forSite(String site);
 
     /**
-     * Updates the current time, by the monotonic clock of the process: known calendars may have
-     * become too old since the last update.
+     * Updates the current time of the process's monotonic clock, because calendars that were known
+     * at the last update may have become too old since then.
      */
     default void observeTime(long nowMicros) {}
 
--- a/daemon/src/main/java/postgrade/discovery/WatchFrameDecoder.java
+++ b/daemon/src/main/java/postgrade/discovery/WatchFrameDecoder.java
@@ -4,12 +4,13 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Splits the bytes of a watch into objects and empty lines. An object may be indented and span
- * several lines; a line break inside it is not a heartbeat. Only complete frames are passed on.
+ * Splits the bytes of a watch into frames: JSON objects, and empty lines, which are heartbeats. An
+ * object may be indented and span several lines; a line break inside it is not a heartbeat. Only
+ * complete frames are passed on.
  */
 final class WatchFrameDecoder {
 
-    /** Bounds memory against an object that never ends. */
+    /** Bounds the memory used by an object that never ends. */
     private static final int MAX_OBJECT_BYTES = 4 << 20;
 
     private final FrameHandler handler;
@@ -18,7 +19,7 @@
     private boolean inString;
     private boolean escaped;
 
-    /** Whether an object has ended on this line, so that its line end is not an empty line. */
+    /** Whether an object has ended on this line, so that the next line break is no heartbeat. */
     private boolean afterObject;
 
     WatchFrameDecoder(FrameHandler handler) {
@@ -35,9 +36,9 @@
             if (depth > 0 || next == '{') {
                 decodeInObject(next);
             } else if (next == '\n') {
-                boolean empty = !afterObject;
+                boolean emptyLine = !afterObject;
                 afterObject = false;
-                if (empty) {
+                if (emptyLine) {
                     handler.heartbeat();
                 }
             } else if (next != ' ' && next != '\t' && next != '\r') {
--- a/quorum/src/test/java/postgrade/quorum/FullDiskProcess.java
+++ b/quorum/src/test/java/postgrade/quorum/FullDiskProcess.java
@@ -8,8 +8,8 @@
 import postgrade.quorum.wire.Endpoint;
 
 /**
- * Process whose shell limits the size of its files: writes entries until the store refuses, then
- * reopens the store and counts them.
+ * Main class of a process that is started by a shell with a limit on file sizes, in place of a full
+ * disk. Writes entries until the store fails, then reopens the store and counts the entries in it.
  */
 public final class FullDiskProcess {
 
@@ -22,14 +22,16 @@
                 VoterStore.create(folder, new VoterStore.Metadata(self, "1-x", 1, List.of("a/1")));
         String[] failure = {"nothing"};
         store.onFailure(reason -> failure[0] = reason);
-        var model = new DefaultRaftModelFactory();
+        var modelFactory = new DefaultRaftModelFactory();
         store.persistAndFlushLocalEndpoint(
-                model.createRaftEndpointPersistentStateBuilder()
+                modelFactory
+                        .createRaftEndpointPersistentStateBuilder()
                         .setLocalEndpoint(self)
                         .setVoting(true)
                         .build());
         store.persistAndFlushInitialGroupMembers(
-                model.createRaftGroupMembersViewBuilder()
+                modelFactory
+                        .createRaftGroupMembersViewBuilder()
                         .setLogIndex(0)
                         .setMembers(List.of(self))
                         .setVotingMembers(List.of(self))
@@ -39,7 +41,8 @@
             while (true) {
                 store.persistLogEntries(
                         List.of(
-                                model.createLogEntryBuilder()
+                                modelFactory
+                                        .createLogEntryBuilder()
                                         .setIndex(flushed + 1)
                                         .setTerm(1)
                                         .setOperation(
--- a/sharing/src/main/java/postgrade/sharing/endpoints/Responses.java
+++ b/sharing/src/main/java/postgrade/sharing/endpoints/Responses.java
@@ -8,7 +8,7 @@
 import postgrade.shared.ReplicatedState;
 import postgrade.shared.View;
 
-/** Answers operators' calls; each answer contains the era and the age of the view. */
+/** Answers operators' calls. Each answer contains the era and the age of this process's view. */
 final class Responses {
 
     private static final long SUBMIT_TIMEOUT_MICROS = 1_000_000;
@@ -16,7 +16,7 @@
 
     /**
      * Limits the calls that wait for the quorum, so that they never use up all connections of the
-     * operator listener, which the routine calls need.
+     * operator listener: the routine calls need some too.
      */
     private static final int MAX_PENDING = 6;
 
@@ -37,7 +37,7 @@
         reply.answer(status, 0, withViewState(Json.object().add("error", message)));
     }
 
-    /** Answers that the call cannot be decided now and when to retry. */
+    /** Answers that the call cannot be decided now, and states when to retry it. */
     void unavailable(Reply reply, String message, long retryAfterMicros) {
         reply.answer(
                 503,
@@ -97,7 +97,8 @@
     }
 
     /**
-     * Returns whole numbers as JSON numbers, up to the length that every reader represents exactly.
+     * Returns a JSON number if the text is an integer of at most 15 digits, which every JSON reader
+     * represents exactly; else a JSON string.
      */
     static JsonValue jsonValue(String text) {
         return text.matches("-?(0|[1-9][0-9]{0,14})")
--- a/sharing/src/test/java/postgrade/sharing/FakeHost.java
+++ b/sharing/src/test/java/postgrade/sharing/FakeHost.java
@@ -17,12 +17,12 @@
 import postgrade.policy.api.PolicyStateEntry;
 import postgrade.policy.api.Tenant;
 
-/** A dispatcher on virtual time that has only what its extension uses. */
+/** A fake dispatcher on virtual time, with only the functions that the extension uses. */
 final class FakeHost implements Host, Timers {
 
-    private record Due(long when, long number, Runnable task) {}
+    private record ScheduledTask(long when, long number, Runnable task) {}
 
-    private final PriorityQueue<Due> due =
+    private final PriorityQueue<ScheduledTask> scheduled =
             new PriorityQueue<>(
                     (a, b) ->
                             a.when != b.when
@@ -52,11 +52,14 @@
         workers.put(id, new WorkerStatus(id, "a", "m", 1, startedMillis, true, false));
     }
 
-    /** Advances the clocks by this time and runs the timers that expire meanwhile. */
+    /**
+     * Advances the clocks by this time and runs the timers that expire meanwhile. The wall clock
+     * advances only after they have run.
+     */
     void run(long micros) {
         long end = now + micros;
-        while (!due.isEmpty() && due.peek().when <= end) {
-            Due next = due.poll();
+        while (!scheduled.isEmpty() && scheduled.peek().when <= end) {
+            ScheduledTask next = scheduled.poll();
             now = Math.max(now, next.when);
             next.task.run();
         }
@@ -65,7 +68,7 @@
     }
 
     /**
-     * Advances the clocks without running any timers, as when the process is stopped and continued.
+     * Advances the clocks without running any timers, as when the process is suspended and resumed.
      */
     void suspend(long micros) {
         now += micros;
@@ -101,9 +104,9 @@
 
     @Override
     public Timer at(long whenMicros, Runnable task) {
-        Due d = new Due(whenMicros, nextNumber++, task);
-        due.add(d);
-        return () -> due.remove(d);
+        ScheduledTask scheduledTask = new ScheduledTask(whenMicros, nextNumber++, task);
+        scheduled.add(scheduledTask);
+        return () -> scheduled.remove(scheduledTask);
     }
 
     @Override
@@ -157,8 +160,8 @@
     }
 
     @Override
-    public boolean isConnected(String worker) {
-        return connected.contains(worker);
+    public boolean isConnected(String workerId) {
+        return connected.contains(workerId);
     }
 
     @Override
@@ -172,13 +175,13 @@
     }
 
     @Override
-    public boolean enterMaintenance(String worker) {
-        return inMaintenance.add(worker);
+    public boolean enterMaintenance(String workerId) {
+        return inMaintenance.add(workerId);
     }
 
     @Override
-    public boolean exitMaintenance(String worker) {
-        return inMaintenance.remove(worker);
+    public boolean exitMaintenance(String workerId) {
+        return inMaintenance.remove(workerId);
     }
 
     @Override
