--- a/rig/src/test/java/postgrade/rig/check/ChecksTest.java
+++ b/rig/src/test/java/postgrade/rig/check/ChecksTest.java
@@ -25,47 +25,47 @@
     private static final int SEEDS = 200;
 
     @Test
-    public void moreThanTheRateOverAllProcessesIsFound() {
+    public void detectsRateExceededAcrossProcesses() {
         for (int seed = 0; seed < SEEDS; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            List<AdmittedJob> taken = new ArrayList<>();
+            List<AdmittedJob> admitted = new ArrayList<>();
             for (int i = 0; i < 500; i++) {
-                taken.add(new AdmittedJob(i * 100_000L, "n" + i % 5, "t"));
+                admitted.add(new AdmittedJob(i * 100_000L, "n" + i % 5, "t"));
             }
             Map<String, Limit> limits = Map.of("t", new Limit(10, 6));
-            assertEquals(List.of(), RateCheck.check(taken, limits).breaches());
+            assertEquals(List.of(), RateCheck.check(admitted, limits).breaches());
             long at = random.nextLong(50_000_000);
             for (int i = 0; i < 6; i++) {
-                taken.add(new AdmittedJob(at + i * 1000, "n" + random.nextInt(5), "t"));
+                admitted.add(new AdmittedJob(at + i * 1000, "n" + random.nextInt(5), "t"));
             }
-            assertTrue("seed " + seed, !RateCheck.check(taken, limits).breaches().isEmpty());
+            assertTrue("seed " + seed, !RateCheck.check(admitted, limits).breaches().isEmpty());
         }
     }
 
     @Test
-    public void aDoubledShareIsFoundOnceItLastsTooLong() {
+    public void detectsSharesAboveWholeForTooLong() {
         for (int seed = 0; seed < SEEDS; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            List<ShareChange> took = new ArrayList<>();
+            List<ShareChange> changes = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
-                took.add(new ShareChange(i, "n" + i, 0.25));
+                changes.add(new ShareChange(i, "n" + i, 0.25));
             }
             long death = 10_000_000 + random.nextLong(1_000_000);
-            took.add(new ShareChange(death, "n3", 0));
-            took.add(new ShareChange(death + 100, "n0", 0.5));
-            assertEquals(List.of(), ShareCheck.check(took, 0, 0).breaches());
-            List<ShareChange> bad = new ArrayList<>(took);
-            bad.add(new ShareChange(death + 5000, "n3", 0.25));
-            bad.add(new ShareChange(death + 5000 + 3_000_000, "n0", 0.25));
-            assertEquals(1, ShareCheck.check(bad, 0, 0).breaches().size());
-            assertEquals(1, ShareCheck.check(bad, 0.1, 2_000_000).breaches().size());
-            assertEquals(List.of(), ShareCheck.check(bad, 0.1, 3_000_000).breaches());
-            assertEquals(List.of(), ShareCheck.check(bad, 0.25, 0).breaches());
+            changes.add(new ShareChange(death, "n3", 0));
+            changes.add(new ShareChange(death + 100, "n0", 0.5));
+            assertEquals(List.of(), ShareCheck.check(changes, 0, 0).breaches());
+            List<ShareChange> overlapping = new ArrayList<>(changes);
+            overlapping.add(new ShareChange(death + 5000, "n3", 0.25));
+            overlapping.add(new ShareChange(death + 5000 + 3_000_000, "n0", 0.25));
+            assertEquals(1, ShareCheck.check(overlapping, 0, 0).breaches().size());
+            assertEquals(1, ShareCheck.check(overlapping, 0.1, 2_000_000).breaches().size());
+            assertEquals(List.of(), ShareCheck.check(overlapping, 0.1, 3_000_000).breaches());
+            assertEquals(List.of(), ShareCheck.check(overlapping, 0.25, 0).breaches());
         }
     }
 
     @Test
-    public void aStartInsideMaintenanceByTheVersionInForceIsFound() {
+    public void detectsStartDuringMaintenanceOfCalendarInForce() {
         for (int seed = 0; seed < SEEDS; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             List<CalendarVersion> versions =
@@ -77,28 +77,28 @@
                                     List.of(
                                             new Span(600_000, 700_000),
                                             new Span(150_000, 160_000))));
-            List<StartedJob> fine =
+            List<StartedJob> valid =
                     List.of(
                             new StartedJob(99_999, "hall", "a"),
                             new StartedJob(200_000, "hall", "b"),
                             new StartedJob(150_000, "other", "c"),
                             new StartedJob(599_999, "hall", "d"));
-            assertEquals(List.of(), WindowCheck.check(versions, fine, 0));
-            List<StartedJob> bad = new ArrayList<>(fine);
-            bad.add(
+            assertEquals(List.of(), WindowCheck.check(versions, valid, 0));
+            List<StartedJob> invalid = new ArrayList<>(valid);
+            invalid.add(
                     new StartedJob(
                             (random.nextBoolean() ? 100_000 : 600_000) + random.nextLong(100_000),
                             "hall",
                             "x"));
             assertEquals(
                     List.of("x"),
-                    WindowCheck.check(versions, bad, 0).stream().map(Breach::who).toList());
+                    WindowCheck.check(versions, invalid, 0).stream().map(Breach::who).toList());
         }
     }
 
     @Test
-    public void aSendToAWorkerTakenOutIsFound() {
-        List<WorkerMaintenanceCheck.StatusChange> told =
+    public void detectsJobSentToWorkerInMaintenance() {
+        List<WorkerMaintenanceCheck.StatusChange> statusChanges =
                 List.of(
                         new WorkerMaintenanceCheck.StatusChange(1000, "w", true),
                         new WorkerMaintenanceCheck.StatusChange(9000, "w", false));
@@ -108,16 +108,18 @@
                         new WorkerMaintenanceCheck.Sent(1100, "n1", "w", "b"),
                         new WorkerMaintenanceCheck.Sent(5000, "n1", "v", "c"),
                         new WorkerMaintenanceCheck.Sent(9001, "n1", "w", "d"));
-        assertEquals(List.of(), WorkerMaintenanceCheck.check(told, sent, 200));
-        List<WorkerMaintenanceCheck.Sent> bad = new ArrayList<>(sent);
-        bad.add(new WorkerMaintenanceCheck.Sent(8999, "n2", "w", "x"));
+        assertEquals(List.of(), WorkerMaintenanceCheck.check(statusChanges, sent, 200));
+        List<WorkerMaintenanceCheck.Sent> invalid = new ArrayList<>(sent);
+        invalid.add(new WorkerMaintenanceCheck.Sent(8999, "n2", "w", "x"));
         assertEquals(
                 List.of("x"),
-                WorkerMaintenanceCheck.check(told, bad, 200).stream().map(Breach::who).toList());
+                WorkerMaintenanceCheck.check(statusChanges, invalid, 200).stream()
+                        .map(Breach::who)
+                        .toList());
     }
 
     @Test
-    public void aForkALossADoubleAndAStepBackAreFound() {
+    public void detectsForkLossDuplicateAndRegressingView() {
         List<Applied> applied = new ArrayList<>();
         for (int n = 0; n < 3; n++) {
             for (int i = 1; i <= 50; i++) {
@@ -128,16 +130,18 @@
         for (int seed = 0; seed < SEEDS; seed++) {
             List<Applied> forked = new ArrayList<>(applied);
             int at = 50 + new SplittableRandom(seed).nextInt(100);
-            Applied was = forked.get(at);
-            forked.set(at, new Applied(was.process(), 1, 0, was.index(), "other"));
+            Applied original = forked.get(at);
+            forked.set(at, new Applied(original.process(), 1, 0, original.index(), "other"));
             assertEquals("seed " + seed, 1, LogCheck.agreement(forked).size());
         }
-        List<LogCheck.Acknowledged> told =
+        List<LogCheck.Acknowledged> acknowledged =
                 List.of(new LogCheck.Acknowledged("a", 0, 1), new LogCheck.Acknowledged("b", 0, 2));
-        assertEquals(List.of(), LogCheck.durability(told, Map.of("a", 1L, "b", 1L)));
+        assertEquals(List.of(), LogCheck.durability(acknowledged, Map.of("a", 1L, "b", 1L)));
         assertEquals(
                 List.of("lost", "twice"),
-                LogCheck.durability(told, Map.of("b", 2L)).stream().map(Breach::what).toList());
+                LogCheck.durability(acknowledged, Map.of("b", 2L)).stream()
+                        .map(Breach::what)
+                        .toList());
         LogCheck.ObservedView first = new LogCheck.ObservedView("n", 1, 0, 9);
         assertEquals(
                 1,
--- a/rig/src/test/java/postgrade/rig/check/lease/LeaseChecksTest.java
+++ b/rig/src/test/java/postgrade/rig/check/lease/LeaseChecksTest.java
@@ -25,8 +25,8 @@
     }
 
     @Test
-    void anAcceleratorUsedForTwoAtOnceIsSeen() {
-        List<Use> sound =
+    void detectsAcceleratorUsedByTwoHolders() {
+        List<Use> uses =
                 new ArrayList<>(
                         List.of(
                                 use(1, "n1", "ana", 5),
@@ -34,9 +34,9 @@
                                 use(10, "n1", "ivo", 7),
                                 use(12, "n2", "ivo", 7),
                                 use(13, "n1", "ivo", 9)));
-        assertEquals(List.of(), LeaseUseCheck.mutualExclusion(sound));
-        sound.add(use(10, "n2", "ana", 5));
-        assertEquals("exclusion", LeaseUseCheck.mutualExclusion(sound).get(0).what());
+        assertEquals(List.of(), LeaseUseCheck.mutualExclusion(uses));
+        uses.add(use(10, "n2", "ana", 5));
+        assertEquals("exclusion", LeaseUseCheck.mutualExclusion(uses).get(0).what());
         assertEquals(
                 1,
                 LeaseUseCheck.mutualExclusion(
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void whatIsUsedTooLongOrEndsTooSoonIsSeen() {
+    void detectsLateUseAndEarlyExpiry() {
         List<Grant> grants =
                 List.of(
                         new Grant("ana", 5, 3000, 900, 1000, NEVER),
@@ -78,8 +78,8 @@
     }
 
     @Test
-    void grantsThatNoOrderExplainsAreSeen() {
-        List<Call<State>> sound =
+    void detectsNonLinearizableGrants() {
+        List<Call<State>> valid =
                 List.of(
                         call(0, 10, LeaseModel.granted("h", 3, 3)),
                         call(1, 9, LeaseModel.refused(2)),
@@ -88,7 +88,7 @@
                         call(30, NEVER, LeaseModel.rested(3)),
                         call(31, 40, LeaseModel.granted("h", 8, 1)),
                         call(35, 50, LeaseModel.notFound("h", 3)));
-        assertNull(LeaseModel.firstViolation(2, sound));
+        assertNull(LeaseModel.firstViolation(2, valid));
         assertNotNull(
                 LeaseModel.firstViolation(
                         2,
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void longHistoriesOfManyCallersAreJudged() {
+    void judgesLongConcurrentHistories() {
         for (int seed = 0; seed < 20; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             List<Call<State>> history = new ArrayList<>();
--- a/rig/src/test/java/postgrade/rig/lease/LeaseBench.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseBench.java
@@ -20,40 +20,48 @@
 public final class LeaseBench {
 
     /** A cluster's history is judged as one; it stays small enough for that. */
-    private static final int MOST_OF_ONE = 60;
+    private static final int MAX_FAULTS_PER_CLUSTER = 60;
 
     private LeaseBench() {}
 
     /** What came of one cluster. */
-    private static final class Share implements Runnable {
+    private static final class ClusterTask implements Runnable {
         private final Path folder;
-        private final int faults;
-        private final long until;
+        private final int faultTarget;
+        private final long deadlineNanos;
         private final long seed;
-        private final LeaseRun.Fault[] of;
-        private final Map<LeaseRun.Fault, Integer> done = new TreeMap<>();
-        private final List<Long> withoutGrants = new ArrayList<>();
+        private final LeaseRun.Fault[] faultKinds;
+        private final Map<LeaseRun.Fault, Integer> faultsDone = new TreeMap<>();
+        private final List<Long> grantGapsMicros = new ArrayList<>();
         private final List<LeaseVerdict> verdicts = new ArrayList<>();
-        private final List<String> notBack = new ArrayList<>();
+        private final List<String> failedRecoveries = new ArrayList<>();
         private int calls;
         private Exception failure;
 
-        Share(Path folder, int faults, long until, long seed, LeaseRun.Fault[] of) {
-            this.of = of;
+        ClusterTask(
+                Path folder,
+                int faultTarget,
+                long deadlineNanos,
+                long seed,
+                LeaseRun.Fault[] faultKinds) {
+            this.faultKinds = faultKinds;
             this.folder = folder;
-            this.faults = faults;
-            this.until = until;
+            this.faultTarget = faultTarget;
+            this.deadlineNanos = deadlineNanos;
             this.seed = seed;
         }
 
         @Override
         public void run() {
             try {
-                for (int round = 0; left() > 0 && System.nanoTime() < until; round++) {
-                    Path own = Files.createDirectories(folder.resolve("round" + round));
+                for (int round = 0;
+                        remainingFaults() > 0 && System.nanoTime() < deadlineNanos;
+                        round++) {
+                    Path roundFolder = Files.createDirectories(folder.resolve("round" + round));
                     try (LeaseRun run =
-                            new LeaseRun(own, seed + 1000L * round, (seed + round) % 2 == 0)) {
-                        round(run);
+                            new LeaseRun(
+                                    roundFolder, seed + 1000L * round, (seed + round) % 2 == 0)) {
+                        runRound(run);
                     }
                 }
             } catch (Exception e) {
@@ -61,26 +69,34 @@
             }
         }
 
-        private int left() {
-            return faults - done.values().stream().mapToInt(n -> n).sum();
+        private int remainingFaults() {
+            return faultTarget - faultsDone.values().stream().mapToInt(n -> n).sum();
         }
 
         /** Until a cluster has had its part, or does not come back: then the next one goes on. */
-        private void round(LeaseRun run) throws Exception {
-            run.begin(6);
-            LeaseRun.Fault f = null;
+        private void runRound(LeaseRun run) throws Exception {
+            run.start(6);
+            LeaseRun.Fault fault = null;
             try {
-                for (int n = 0; n < MOST_OF_ONE && left() > 0 && System.nanoTime() < until; n++) {
-                    f = run.any(of);
-                    run.fault(f);
-                    done.merge(f, 1, Integer::sum);
+                for (int n = 0;
+                        n < MAX_FAULTS_PER_CLUSTER
+                                && remainingFaults() > 0
+                                && System.nanoTime() < deadlineNanos;
+                        n++) {
+                    fault = run.pickFault(faultKinds);
+                    run.inject(fault);
+                    faultsDone.merge(fault, 1, Integer::sum);
                 }
             } catch (IllegalStateException e) {
-                done.merge(f, 1, Integer::sum);
-                notBack.add(
-                        f + " in " + folder.getFileName() + ": " + e.getMessage().split(":")[0]);
+                faultsDone.merge(fault, 1, Integer::sum);
+                failedRecoveries.add(
+                        fault
+                                + " in "
+                                + folder.getFileName()
+                                + ": "
+                                + e.getMessage().split(":")[0]);
             }
-            withoutGrants.addAll(run.withoutGrantsMicros);
+            grantGapsMicros.addAll(run.grantGapsMicros);
             calls += run.calls.calls.size();
             verdicts.add(run.verdict(8000));
         }
@@ -89,15 +105,15 @@
     /** Judges histories that were kept once more. */
     private static void judge(List<String> files) throws java.io.IOException {
         for (String file : files) {
-            List<History.Event> all = HistoryReader.read(Path.of(file));
-            LeaseVerdict v =
+            List<History.Event> events = HistoryReader.read(Path.of(file));
+            LeaseVerdict verdict =
                     new LeaseVerdict(
-                            all,
-                            all.stream()
+                            events,
+                            events.stream()
                                     .filter(e -> e.kind().equals("call"))
                                     .map(LeaseCalls.Call::of)
                                     .toList(),
-                            all.stream()
+                            events.stream()
                                     .filter(LeaseRun::granted)
                                     .map(e -> e.number("at"))
                                     .toList(),
@@ -106,83 +122,90 @@
             System.out.println(
                     file
                             + ": faults "
-                            + all.stream().filter(e -> e.kind().equals("fault")).count()
+                            + events.stream().filter(e -> e.kind().equals("fault")).count()
                             + ", grants "
-                            + v.grants.size()
+                            + verdict.grants.size()
                             + ", ends of use seen "
-                            + v.uses
+                            + verdict.useCount
                             + ", breaches "
-                            + v.breaches);
+                            + verdict.breaches);
         }
     }
 
-    public static void main(String[] a) throws Exception {
-        if (a[0].equals("judge")) {
-            judge(List.of(a).subList(1, a.length));
+    public static void main(String[] args) throws Exception {
+        if (args[0].equals("judge")) {
+            judge(List.of(args).subList(1, args.length));
             return;
         }
-        Path folder = Path.of(a[0]);
-        long until = System.nanoTime() + Long.parseLong(a[3]) * 60_000_000_000L;
-        LeaseRun.Fault[] of =
-                a.length > 5
-                        ? new LeaseRun.Fault[] {LeaseRun.Fault.valueOf(a[5])}
+        Path folder = Path.of(args[0]);
+        long deadlineNanos = System.nanoTime() + Long.parseLong(args[3]) * 60_000_000_000L;
+        LeaseRun.Fault[] faultKinds =
+                args.length > 5
+                        ? new LeaseRun.Fault[] {LeaseRun.Fault.valueOf(args[5])}
                         : LeaseRun.Fault.values();
-        List<Share> shares = new ArrayList<>();
+        List<ClusterTask> tasks = new ArrayList<>();
         List<Thread> threads = new ArrayList<>();
-        for (int i = 0; i < Integer.parseInt(a[1]); i++) {
-            Path own = folder.resolve("cluster" + i);
-            Files.createDirectories(own);
-            Share s = new Share(own, Integer.parseInt(a[2]), until, Long.parseLong(a[4]) + i, of);
-            shares.add(s);
-            Thread t = new Thread(s, "cluster " + i);
-            t.start();
-            threads.add(t);
+        for (int i = 0; i < Integer.parseInt(args[1]); i++) {
+            Path clusterFolder = folder.resolve("cluster" + i);
+            Files.createDirectories(clusterFolder);
+            ClusterTask task =
+                    new ClusterTask(
+                            clusterFolder,
+                            Integer.parseInt(args[2]),
+                            deadlineNanos,
+                            Long.parseLong(args[4]) + i,
+                            faultKinds);
+            tasks.add(task);
+            Thread thread = new Thread(task, "cluster " + i);
+            thread.start();
+            threads.add(thread);
         }
-        for (Thread t : threads) {
-            t.join();
+        for (Thread thread : threads) {
+            thread.join();
         }
-        System.exit(report(shares) ? 0 : 1);
+        System.exit(report(tasks) ? 0 : 1);
     }
 
-    private static boolean report(List<Share> shares) {
-        boolean good = true;
-        Map<LeaseRun.Fault, Integer> done = new TreeMap<>();
-        List<Long> dark = new ArrayList<>();
-        List<Long> late = new ArrayList<>();
-        List<Long> part = new ArrayList<>();
+    private static boolean report(List<ClusterTask> tasks) {
+        boolean passed = true;
+        Map<LeaseRun.Fault, Integer> faultsDone = new TreeMap<>();
+        List<Long> grantGaps = new ArrayList<>();
+        List<Long> overruns = new ArrayList<>();
+        List<Long> overrunsPerMille = new ArrayList<>();
         Map<String, Integer> breaches =
                 new TreeMap<>(Map.of("exclusion", 0, "early", 0, "late", 0, "order", 0));
-        List<String> notBack = new ArrayList<>();
+        List<String> failedRecoveries = new ArrayList<>();
         long uses = 0;
         long grants = 0;
-        long ordered = 0;
+        long orderedCalls = 0;
         long calls = 0;
-        for (Share s : shares) {
-            s.done.forEach((f, n) -> done.merge(f, n, Integer::sum));
-            dark.addAll(s.withoutGrants);
-            calls += s.calls;
-            if (s.failure != null) {
-                good = false;
-                System.out.println("cluster ended early: " + s.failure);
-                s.failure.printStackTrace(System.out);
+        for (ClusterTask task : tasks) {
+            task.faultsDone.forEach((f, n) -> faultsDone.merge(f, n, Integer::sum));
+            grantGaps.addAll(task.grantGapsMicros);
+            calls += task.calls;
+            if (task.failure != null) {
+                passed = false;
+                System.out.println("cluster ended early: " + task.failure);
+                task.failure.printStackTrace(System.out);
             }
-            notBack.addAll(s.notBack);
-            for (LeaseVerdict v : s.verdicts) {
-                uses += v.uses;
-                grants += v.grants.size();
-                ordered += v.judgedInOrder;
-                for (long[] l : v.lateAndBound) {
-                    late.add(l[0]);
-                    part.add(1000 * l[0] / l[1]);
+            failedRecoveries.addAll(task.failedRecoveries);
+            for (LeaseVerdict verdict : task.verdicts) {
+                uses += verdict.useCount;
+                grants += verdict.grants.size();
+                orderedCalls += verdict.orderedCalls;
+                for (long[] lateAndBound : verdict.lateAndBound) {
+                    overruns.add(lateAndBound[0]);
+                    overrunsPerMille.add(1000 * lateAndBound[0] / lateAndBound[1]);
                 }
-                v.breaches.forEach(b -> breaches.merge(b.what(), 1, Integer::sum));
-                v.breaches.stream().limit(5).forEach(b -> System.out.println("breach: " + b));
+                verdict.breaches.forEach(b -> breaches.merge(b.what(), 1, Integer::sum));
+                verdict.breaches.stream().limit(5).forEach(b -> System.out.println("breach: " + b));
             }
         }
-        good &= notBack.isEmpty() && breaches.values().stream().allMatch(n -> n == 0);
-        System.out.println("faults " + done.values().stream().mapToInt(n -> n).sum() + " " + done);
-        System.out.println("clusters that did not come back " + notBack.size());
-        notBack.forEach(s -> System.out.println("  " + s));
+        passed &= failedRecoveries.isEmpty() && breaches.values().stream().allMatch(n -> n == 0);
+        System.out.println(
+                "faults " + faultsDone.values().stream().mapToInt(n -> n).sum() + " " + faultsDone);
+        System.out.println("clusters that did not come back " + failedRecoveries.size());
+        failedRecoveries.forEach(task -> System.out.println("  " + task));
         System.out.println(
                 "calls decided "
                         + calls
@@ -191,13 +214,13 @@
                         + ", ends of use seen "
                         + uses
                         + ", calls and events put in order "
-                        + ordered);
+                        + orderedCalls);
         System.out.println("breaches " + breaches);
-        System.out.println("last use beyond the time to live, ms: " + quantiles(late, 1000));
-        System.out.println("the same as part of its bound, %: " + quantiles(part, 10));
-        System.out.println("no grants after a leader's death, ms: " + quantiles(dark, 1000));
-        System.out.println(good ? "LEASES passed" : "LEASES failed");
-        return good;
+        System.out.println("last use beyond the time to live, ms: " + quantiles(overruns, 1000));
+        System.out.println("the same as part of its bound, %: " + quantiles(overrunsPerMille, 10));
+        System.out.println("no grants after a leader's death, ms: " + quantiles(grantGaps, 1000));
+        System.out.println(passed ? "LEASES passed" : "LEASES failed");
+        return passed;
     }
 
     private static String quantiles(List<Long> values, double unit) {
--- a/rig/src/test/java/postgrade/rig/lease/LeaseCalls.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseCalls.java
@@ -13,8 +13,8 @@
  */
 final class LeaseCalls {
 
-    private static final long WITHIN_MILLIS = 400;
-    private static final long PATIENCE_MICROS = 60_000_000;
+    private static final long ANSWER_TIMEOUT_MILLIS = 400;
+    private static final long DECISION_TIMEOUT_MICROS = 60_000_000;
 
     /**
      * One call that was decided.
@@ -80,7 +80,7 @@
         this.cluster = cluster;
     }
 
-    static long stamp() {
+    static long monotonicMicros() {
         return System.nanoTime() / 1000;
     }
 
@@ -93,24 +93,25 @@
             long ttlMillis,
             int accelerators,
             String verb,
-            String more)
+            String arguments)
             throws InterruptedException {
         String id = cluster.freshId();
-        String words =
-                verb + " holder=" + holder + " site=z incarnation=" + incarnation + " " + more;
-        long sent = stamp();
-        int through = ThreadLocalRandom.current().nextInt(2);
-        while (stamp() - sent < PATIENCE_MICROS) {
+        String command =
+                verb + " holder=" + holder + " site=z incarnation=" + incarnation + " " + arguments;
+        long sent = monotonicMicros();
+        int observer = ThreadLocalRandom.current().nextInt(2);
+        while (monotonicMicros() - sent < DECISION_TIMEOUT_MICROS) {
             int from = cluster.history.size();
-            cluster.ask(LeaseCluster.OBSERVERS.get(through++ % 2), id, WITHIN_MILLIS, words);
+            cluster.send(
+                    LeaseCluster.OBSERVERS.get(observer++ % 2), id, ANSWER_TIMEOUT_MILLIS, command);
             try {
-                History.Event e =
+                History.Event reply =
                         cluster.history.await(
                                 "answer to " + id,
                                 from,
-                                WITHIN_MILLIS + 100,
+                                ANSWER_TIMEOUT_MILLIS + 100,
                                 r -> r.kind().equals("reply") && r.text("id").equals(id));
-                if (e.fields().getBoolean("decided", false)) {
+                if (reply.fields().getBoolean("decided", false)) {
                     Call done =
                             new Call(
                                     holder,
@@ -119,28 +120,30 @@
                                     ttlMillis * 1000,
                                     accelerators,
                                     sent,
-                                    stamp(),
-                                    e.text("status"),
-                                    e.text("state").isEmpty() ? e.text("text") : e.text("state"),
-                                    number(e.text("fence")),
-                                    mask(e.text("allotment")));
+                                    monotonicMicros(),
+                                    reply.text("status"),
+                                    reply.text("state").isEmpty()
+                                            ? reply.text("text")
+                                            : reply.text("state"),
+                                    parseFence(reply.text("fence")),
+                                    parseMask(reply.text("allotment")));
                     calls.add(done);
                     cluster.history.add("rig", "call", done.fields());
                     return done;
                 }
                 Thread.sleep(20);
-            } catch (IllegalStateException e) {
+            } catch (IllegalStateException reply) {
                 // Asked again, through the other one.
             }
         }
-        throw new IllegalStateException(words + " was never decided");
+        throw new IllegalStateException(command + " was never decided");
     }
 
-    private static long number(String text) {
+    private static long parseFence(String text) {
         return text.isEmpty() ? 0 : Long.parseLong(text);
     }
 
-    private static long mask(String allotment) {
+    private static long parseMask(String allotment) {
         return allotment.startsWith(LeaseNode.WORKER + "=")
                 ? Long.parseLong(allotment.substring(2), 16)
                 : 0;
--- a/rig/src/test/java/postgrade/rig/lease/LeaseCluster.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseCluster.java
@@ -27,43 +27,43 @@
     static final List<String> OBSERVERS = List.of("x", "y");
 
     /** Parts per million by which a process's clock is off. */
-    private static final Map<String, Integer> RATES =
+    private static final Map<String, Integer> CLOCK_RATE_PPM =
             Map.of("a", 10_000, "b", -10_000, "c", 0, "x", -10_000, "y", 10_000);
 
-    private static final long PATIENCE_MILLIS = 240_000;
+    private static final long RECOVERY_TIMEOUT_MILLIS = 240_000;
 
     final History history;
     final ProxyMesh mesh;
-    final Map<String, JavaProcess> programs = new ConcurrentHashMap<>();
+    final Map<String, JavaProcess> processes = new ConcurrentHashMap<>();
     private final Map<String, HeldPort> ports = new HashMap<>();
     private final Path folder;
-    private final String[] more;
+    private final String[] jvmProperties;
     private long lastId;
 
     /**
      * @param more virtual machine's properties for every process
      */
-    LeaseCluster(Path folder, History history, String... more) throws IOException {
+    LeaseCluster(Path folder, History history, String... jvmProperties) throws IOException {
         this.folder = folder;
         this.history = history;
-        this.more = more;
+        this.jvmProperties = jvmProperties;
         mesh = new ProxyMesh(Stream.concat(VOTERS.stream(), OBSERVERS.stream()).toList(), VOTERS);
-        for (String v : VOTERS) {
-            HeldPort p = new HeldPort();
-            ports.put(v, p);
-            mesh.setTarget(v, p.address());
+        for (String voter : VOTERS) {
+            HeldPort port = new HeldPort();
+            ports.put(voter, port);
+            mesh.setTarget(voter, port.address());
         }
     }
 
-    void begin() throws Exception {
+    void start() throws Exception {
         start("a", "begin");
         for (String n : List.of("b", "c", "x", "y")) {
             start(n);
         }
-        awaitWell();
+        awaitStableLeader();
     }
 
-    void start(String name, String... rest) throws IOException {
+    void start(String name, String... extraArgs) throws IOException {
         String voters =
                 VOTERS.stream()
                         .map(
@@ -80,8 +80,8 @@
                                 name,
                                 folder.resolve(name).toString(),
                                 voters,
-                                RATES.get(name).toString()));
-        args.addAll(List.of(rest));
+                                CLOCK_RATE_PPM.get(name).toString()));
+        args.addAll(List.of(extraArgs));
         List<String> flags =
                 new ArrayList<>(
                         List.of(
@@ -89,8 +89,8 @@
                                 "-XX:TieredStopAtLevel=1",
                                 "-Xmx96m",
                                 "-XX:-UsePerfData"));
-        flags.addAll(List.of(more));
-        programs.put(
+        flags.addAll(List.of(jvmProperties));
+        processes.put(
                 name,
                 new JavaProcess.Builder(
                                 name, LeaseNode.class.getName(), args.toArray(new String[0]))
@@ -102,12 +102,15 @@
      * Until every voter votes, all three count and all agree on one leader that lives, by what each
      * said last.
      */
-    void awaitWell() throws InterruptedException {
-        long end = System.nanoTime() + PATIENCE_MILLIS * 1_000_000;
+    void awaitStableLeader() throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + RECOVERY_TIMEOUT_MILLIS * 1_000_000;
         while (leader() == null) {
-            if (System.nanoTime() > end) {
+            if (System.nanoTime() > deadlineNanos) {
                 throw new IllegalStateException(
-                        "not well again within " + PATIENCE_MILLIS + " ms: " + standings());
+                        "not well again within "
+                                + RECOVERY_TIMEOUT_MILLIS
+                                + " ms: "
+                                + latestStatuses());
             }
             int from = history.size();
             try {
@@ -120,32 +123,32 @@
 
     /** The leader on which all three voters agree, or null. */
     String leader() {
-        Map<String, History.Event> said = standings();
+        Map<String, History.Event> latest = latestStatuses();
         String leader = null;
-        for (String v : VOTERS) {
-            History.Event e = said.get(v);
-            if (e == null
-                    || !e.kind().equals("standing")
-                    || !e.text("role").equals("VOTER")
-                    || e.number("voters") != 3
-                    || leader != null && !leader.equals(e.text("leader"))) {
+        for (String voter : VOTERS) {
+            History.Event status = latest.get(voter);
+            if (status == null
+                    || !status.kind().equals("standing")
+                    || !status.text("role").equals("VOTER")
+                    || status.number("voters") != 3
+                    || leader != null && !leader.equals(status.text("leader"))) {
                 return null;
             }
-            leader = e.text("leader");
+            leader = status.text("leader");
         }
         return VOTERS.contains(leader) ? leader : null;
     }
 
-    private Map<String, History.Event> standings() {
-        Map<String, History.Event> said = new HashMap<>();
-        for (History.Event e : history.all()) {
-            if (e.kind().equals("standing")
-                    || e.kind().equals("begun")
-                    || e.kind().equals("ended")) {
-                said.put(e.who(), e);
+    private Map<String, History.Event> latestStatuses() {
+        Map<String, History.Event> latest = new HashMap<>();
+        for (History.Event event : history.all()) {
+            if (event.kind().equals("standing")
+                    || event.kind().equals("begun")
+                    || event.kind().equals("ended")) {
+                latest.put(event.who(), event);
             }
         }
-        return said;
+        return latest;
     }
 
     void wipe(String name) throws IOException {
@@ -159,9 +162,9 @@
     }
 
     /** Sends a call through a process; its answer comes as an event {@code reply} with this id. */
-    void ask(String through, String id, long withinMillis, String call) {
+    void send(String process, String id, long timeoutMillis, String command) {
         try {
-            programs.get(through).writeLine(id + " " + withinMillis + " " + call);
+            processes.get(process).writeLine(id + " " + timeoutMillis + " " + command);
         } catch (IOException e) {
             // It has died; no answer will come.
         }
@@ -169,10 +172,10 @@
 
     @Override
     public void close() throws IOException {
-        programs.values().forEach(JavaProcess::close);
+        processes.values().forEach(JavaProcess::close);
         mesh.close();
-        for (HeldPort p : ports.values()) {
-            p.close();
+        for (HeldPort port : ports.values()) {
+            port.close();
         }
     }
 }
--- a/rig/src/test/java/postgrade/rig/lease/LeaseFaultsTest.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseFaultsTest.java
@@ -20,27 +20,27 @@
 class LeaseFaultsTest {
 
     /** Of one that is to expire, and of one that is kept: a busy machine holds its calls up. */
-    private static final long TTL = 2000;
+    private static final long SHORT_TTL_MILLIS = 2000;
 
-    private static final long KEPT = 15_000;
+    private static final long LONG_TTL_MILLIS = 15_000;
 
     /** Of one that is to be seen by all and then to expire. */
-    private static final long SEEN = 8000;
+    private static final long OBSERVED_TTL_MILLIS = 8000;
 
-    private static final long SOON = 240_000;
+    private static final long TIMEOUT_MILLIS = 240_000;
 
     @TempDir Path folder;
     private History history;
     private LeaseCluster cluster;
     private LeaseCalls calls;
-    private Thread keeper;
-    private volatile boolean kept;
-    private volatile boolean lost;
+    private Thread renewer;
+    private volatile boolean renewing;
+    private volatile boolean renewalFailed;
 
-    private void begin(String... properties) throws Exception {
+    private void startCluster(String... properties) throws Exception {
         history = new History(folder.resolve("history.jsonl"));
         cluster = new LeaseCluster(folder, history, properties);
-        cluster.begin();
+        cluster.start();
         calls = new LeaseCalls(cluster);
         assertTrue(
                 calls.call("-", 0, 0, 0, "unit", "worker=w kind=box accelerators=4 version=1")
@@ -48,7 +48,7 @@
     }
 
     @AfterEach
-    void end() throws Exception {
+    void closeCluster() throws Exception {
         cluster.close();
         history.close();
     }
@@ -63,15 +63,15 @@
                 "accelerators=" + accelerators + " ttlMs=" + ttl + " wait=0");
     }
 
-    /** Renews a grant all the while, until {@link #forsake}. */
-    private void keep(Call grant) {
-        kept = true;
-        keeper =
+    /** Renews a grant all the while, until {@link #stopRenewing}. */
+    private void startRenewing(Call grant) {
+        renewing = true;
+        renewer =
                 new Thread(
                         () -> {
                             try {
-                                while (kept) {
-                                    lost |=
+                                while (renewing) {
+                                    renewalFailed |=
                                             !calls.call(
                                                             grant.holder(),
                                                             1,
@@ -83,63 +83,63 @@
                                     Thread.sleep(200);
                                 }
                             } catch (InterruptedException | IllegalStateException e) {
-                                lost = true;
+                                renewalFailed = true;
                             }
                         },
                         "keeper");
-        keeper.setDaemon(true);
-        keeper.start();
+        renewer.setDaemon(true);
+        renewer.start();
     }
 
-    private void forsake() throws InterruptedException {
-        kept = false;
-        keeper.join(70_000);
-        assertFalse(lost, "a renewal was turned down");
+    private void stopRenewing() throws InterruptedException {
+        renewing = false;
+        renewer.join(70_000);
+        assertFalse(renewalFailed, "a renewal was turned down");
     }
 
-    private void release(Call grant) throws InterruptedException {
-        forsake();
+    private void stopRenewingAndRelease(Call grant) throws InterruptedException {
+        stopRenewing();
         assertTrue(
                 calls.call(
                                 grant.holder(),
                                 1,
-                                KEPT,
+                                LONG_TTL_MILLIS,
                                 grant.accelerators(),
                                 "release",
                                 "fence=" + grant.fence())
                         .done());
     }
 
-    private History.Event uses(String process, int from, String holder)
+    private History.Event awaitUse(String process, int from, String holder)
             throws InterruptedException {
         return history.await(
                 process + " using for " + holder,
                 from,
-                SOON,
+                TIMEOUT_MILLIS,
                 e ->
                         e.who().equals(process)
                                 && e.kind().equals("use")
                                 && e.text("now").startsWith(holder));
     }
 
-    private History.Event usesNothing(String process, int from) throws InterruptedException {
+    private History.Event awaitNoUse(String process, int from) throws InterruptedException {
         return history.await(
                 process + " using nothing",
                 from,
-                SOON,
+                TIMEOUT_MILLIS,
                 e -> e.who().equals(process) && e.kind().equals("use") && e.text("now").isEmpty());
     }
 
     /** Asks until it is granted; the accelerators are another's, or rest. */
     private Call awaitGrant(String holder, int accelerators) throws InterruptedException {
-        long end = System.nanoTime() + SOON * 1_000_000;
-        Call c = acquire(holder, accelerators, KEPT);
-        while (!c.granted() && System.nanoTime() < end) {
+        long deadlineNanos = System.nanoTime() + TIMEOUT_MILLIS * 1_000_000;
+        Call call = acquire(holder, accelerators, LONG_TTL_MILLIS);
+        while (!call.granted() && System.nanoTime() < deadlineNanos) {
             Thread.sleep(20);
-            c = acquire(holder, accelerators, KEPT);
+            call = acquire(holder, accelerators, LONG_TTL_MILLIS);
         }
-        assertTrue(c.granted(), c.toString());
-        return c;
+        assertTrue(call.granted(), call.toString());
+        return call;
     }
 
     private List<postgrade.rig.check.Breach> breaches() {
@@ -148,78 +148,78 @@
     }
 
     @Test
-    void aHolderThatRenewsOutlivesItsLeaderAndOneThatDoesNotIsFollowedByTheNext() throws Exception {
-        begin();
-        Call ana = acquire("ana", 2, KEPT);
-        Call ivo = acquire("ivo", 2, TTL);
+    void renewedLeaseSurvivesLeaderDeathAndUnrenewedLeaseIsRegranted() throws Exception {
+        startCluster();
+        Call ana = acquire("ana", 2, LONG_TTL_MILLIS);
+        Call ivo = acquire("ivo", 2, SHORT_TTL_MILLIS);
         assertTrue(ana.granted() && ivo.granted());
-        keep(ana);
-        cluster.programs.get(cluster.leader()).kill();
+        startRenewing(ana);
+        cluster.processes.get(cluster.leader()).kill();
         // Turned down until ivo's have expired and rested.
         Call next = awaitGrant("eva", 2);
         assertTrue(next.fence() > ivo.fence());
         assertEquals(ivo.mask(), next.mask());
         // Longer than the first grant's time to live: it is the renewals that count.
-        long beyond = ana.ended() + KEPT * 1000;
+        long firstExpiryMicros = ana.ended() + LONG_TTL_MILLIS * 1000;
         history.await(
                 "use for ana beyond her first grant",
                 history.size(),
-                SOON,
+                TIMEOUT_MILLIS,
                 e ->
                         e.who().equals("y")
                                 && e.kind().equals("use")
                                 && e.text("now").startsWith("ana")
-                                && e.number("at") > beyond);
-        forsake();
+                                && e.number("at") > firstExpiryMicros);
+        stopRenewing();
         assertEquals(List.of(), breaches());
     }
 
     @Test
-    void aLeaderThatSleptGrantsNothingOfItsOwnWhenItWakes() throws Exception {
-        begin();
-        assertTrue(acquire("ana", 4, SEEN).granted());
+    void resumedLeaderDoesNotUseExpiredGrant() throws Exception {
+        startCluster();
+        assertTrue(acquire("ana", 4, OBSERVED_TTL_MILLIS).granted());
         String leader = cluster.leader();
-        uses(leader, 0, "ana");
-        cluster.programs.get(leader).stop();
+        awaitUse(leader, 0, "ana");
+        cluster.processes.get(leader).stop();
         // Cut off as well until it has looked: else word of what has changed may come to it before
         // its first look.
         cluster.mesh.isolate(Set.of(leader));
-        keep(awaitGrant("ivo", 4));
-        int woken = history.size();
-        long woke = LeaseCalls.stamp();
-        cluster.programs.get(leader).resume();
-        String look = cluster.freshId();
-        cluster.ask(leader, look, 500, "look");
+        startRenewing(awaitGrant("ivo", 4));
+        int resumeIndex = history.size();
+        long resumedMicros = LeaseCalls.monotonicMicros();
+        cluster.processes.get(leader).resume();
+        String lookId = cluster.freshId();
+        cluster.send(leader, lookId, 500, "look");
         history.await(
                 "its look",
-                woken,
-                SOON,
-                e -> e.kind().equals("reply") && e.text("id").equals(look));
+                resumeIndex,
+                TIMEOUT_MILLIS,
+                e -> e.kind().equals("reply") && e.text("id").equals(lookId));
         cluster.mesh.heal();
-        uses(leader, history.size(), "ivo");
+        awaitUse(leader, history.size(), "ivo");
         assertFalse(
-                history.all().subList(woken, history.size()).stream()
+                history.all().subList(resumeIndex, history.size()).stream()
                         .anyMatch(
                                 e ->
                                         e.kind().equals("use")
-                                                && e.number("at") >= woke
+                                                && e.number("at") >= resumedMicros
                                                 && e.text("now").startsWith("ana")),
                 "the one that slept went on with what it knew");
-        forsake();
+        stopRenewing();
         assertEquals(List.of(), breaches());
     }
 
     @Test
-    void aProcessCutOffStopsBeforeTheNextIsGranted() throws Exception {
-        begin();
-        Call ana = acquire("ana", 4, KEPT);
-        keep(ana);
-        uses("x", 0, "ana");
+    void isolatedProcessStopsUsingGrantBeforeNextGrant() throws Exception {
+        startCluster();
+        Call ana = acquire("ana", 4, LONG_TTL_MILLIS);
+        startRenewing(ana);
+        awaitUse("x", 0, "ana");
         int from = history.size();
         cluster.mesh.isolate(Set.of("x"));
         // Though the holder goes on renewing: x cannot know it.
-        History.Event stopped = usesNothing("x", from);
-        release(ana);
+        History.Event stopped = awaitNoUse("x", from);
+        stopRenewingAndRelease(ana);
         Call ivo = awaitGrant("ivo", 4);
         assertTrue(stopped.number("last") < ivo.ended());
         assertEquals(List.of(), breaches());
@@ -227,18 +227,18 @@
 
     /** The same with the bound on a view's age switched off: the checker sees it. */
     @Test
-    void withoutTheBoundOnAViewsAgeTheCheckerSeesTwoHoldersAtOnce() throws Exception {
-        begin("-Dpostgrade.test.heedless=true");
-        Call ana = acquire("ana", 4, KEPT);
-        keep(ana);
-        uses("x", 0, "ana");
+    void checkerDetectsTwoHoldersWhenViewAgeIsUnbounded() throws Exception {
+        startCluster("-Dpostgrade.test.heedless=true");
+        Call ana = acquire("ana", 4, LONG_TTL_MILLIS);
+        startRenewing(ana);
+        awaitUse("x", 0, "ana");
         cluster.mesh.isolate(Set.of("x"));
-        release(ana);
-        keep(awaitGrant("ivo", 4));
+        stopRenewingAndRelease(ana);
+        startRenewing(awaitGrant("ivo", 4));
         int from = history.size();
-        uses("y", from, "ivo");
-        uses("x", history.size(), "ana");
-        forsake();
+        awaitUse("y", from, "ivo");
+        awaitUse("x", history.size(), "ana");
+        stopRenewing();
         assertTrue(breaches().stream().anyMatch(b -> b.what().equals("exclusion")));
     }
 }
--- a/rig/src/test/java/postgrade/rig/lease/LeaseHolder.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseHolder.java
@@ -12,25 +12,25 @@
     private final LeaseCalls calls;
     private final String name;
     private final int accelerators;
-    private final boolean waits;
+    private final boolean queues;
     private final SplittableRandom random;
     private long incarnation;
-    volatile boolean over;
+    volatile boolean stopped;
     volatile Throwable failure;
 
-    LeaseHolder(LeaseCalls calls, String name, int accelerators, boolean waits, long seed) {
+    LeaseHolder(LeaseCalls calls, String name, int accelerators, boolean queues, long seed) {
         this.calls = calls;
         this.name = name;
         this.accelerators = accelerators;
-        this.waits = waits;
+        this.queues = queues;
         random = new SplittableRandom(seed);
     }
 
     @Override
     public void run() {
         try {
-            while (!over) {
-                live();
+            while (!stopped) {
+                runIncarnation();
                 pause(random.nextLong(500, 9000));
             }
         } catch (InterruptedException e) {
@@ -41,23 +41,29 @@
     }
 
     private void pause(long millis) throws InterruptedException {
-        long end = System.nanoTime() + millis * 1_000_000;
-        while (!over && System.nanoTime() < end) {
+        long deadlineNanos = System.nanoTime() + millis * 1_000_000;
+        while (!stopped && System.nanoTime() < deadlineNanos) {
             Thread.sleep(Math.min(50, millis));
         }
     }
 
-    private void live() throws InterruptedException {
+    private void runIncarnation() throws InterruptedException {
         incarnation++;
         long ttl = random.nextLong(2000, 4000);
-        String acquire =
-                "accelerators=" + accelerators + " ttlMs=" + ttl + " wait=" + (waits ? 1 : 0);
-        long until = System.nanoTime() + random.nextLong(2_000_000_000L, 8_000_000_000L);
+        String acquireArguments =
+                "accelerators=" + accelerators + " ttlMs=" + ttl + " wait=" + (queues ? 1 : 0);
+        long deadlineNanos = System.nanoTime() + random.nextLong(2_000_000_000L, 8_000_000_000L);
         long fence = 0;
-        while (!over && System.nanoTime() < until) {
-            Call c =
+        while (!stopped && System.nanoTime() < deadlineNanos) {
+            Call call =
                     fence == 0 || random.nextInt(4) == 0
-                            ? calls.call(name, incarnation, ttl, accelerators, "acquire", acquire)
+                            ? calls.call(
+                                    name,
+                                    incarnation,
+                                    ttl,
+                                    accelerators,
+                                    "acquire",
+                                    acquireArguments)
                             : calls.call(
                                     name,
                                     incarnation,
@@ -65,7 +71,7 @@
                                     accelerators,
                                     "renew",
                                     "fence=" + fence);
-            fence = c.granted() ? c.fence() : 0;
+            fence = call.granted() ? call.fence() : 0;
             pause(ttl / 4);
         }
         if (fence != 0 && random.nextInt(3) == 0) {
--- a/rig/src/test/java/postgrade/rig/lease/LeaseNode.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseNode.java
@@ -33,23 +33,23 @@
     static final String WORKER = "w";
 
     /** Holders that only show whether grants are made at all; nothing is said of them. */
-    static final String PROBE = "p";
+    static final String PROBE_PREFIX = "p";
 
-    private static final long SAMPLE_MILLIS = 5;
-    private static final long REPEAT_MICROS = 200_000;
+    private static final long SAMPLE_INTERVAL_MILLIS = 5;
+    private static final long REPORT_INTERVAL_MICROS = 200_000;
 
-    private final ReplicatedState sharing;
+    private final ReplicatedState replicatedState;
     private final LongSupplier clock;
     private final LeaseTimes times;
     private ReservationView reservations = new ReservationView(View.NONE, LeaseTimes.DEFAULT);
     private Map<String, Long> grants = Map.of();
-    private String using = "";
-    private String standing = "";
-    private long usedMicros;
-    private long saidMicros;
+    private String reportedUse = "";
+    private String reportedStatus = "";
+    private long lastSampleMicros;
+    private long lastReportMicros;
 
-    private LeaseNode(ReplicatedState sharing, LongSupplier clock, LeaseTimes times) {
-        this.sharing = sharing;
+    private LeaseNode(ReplicatedState replicatedState, LongSupplier clock, LeaseTimes times) {
+        this.replicatedState = replicatedState;
         this.clock = clock;
         this.times = times;
     }
@@ -58,72 +58,73 @@
      * Arguments: name, store folder, voters as name=port with commas between, parts per million of
      * the clock.
      */
-    public static void main(String[] a) throws Exception {
+    public static void main(String[] args) throws Exception {
         List<QuorumSettings.Voter> voters = new ArrayList<>();
-        for (String v : a[2].split(",")) {
-            String[] parts = v.split("=");
+        for (String voter : args[2].split(",")) {
+            String[] parts = voter.split("=");
             voters.add(new QuorumSettings.Voter(parts[0], "127.0.0.1", Integer.parseInt(parts[1])));
         }
-        long begun = System.nanoTime() / 1000;
-        double rate = 1 + Long.parseLong(a[3]) / 1e6;
-        LongSupplier clock = () -> begun + (long) ((System.nanoTime() / 1000 - begun) * rate);
+        long startMicros = System.nanoTime() / 1000;
+        double rate = 1 + Long.parseLong(args[3]) / 1e6;
+        LongSupplier clock =
+                () -> startMicros + (long) ((System.nanoTime() / 1000 - startMicros) * rate);
         QuorumSettings settings =
                 new QuorumSettings(
-                        a[0],
+                        args[0],
                         0,
                         voters,
-                        Path.of(a[1]),
+                        Path.of(args[1]),
                         LeaseTimes.DEFAULT.viewBoundMicros(),
                         500,
                         100,
                         QuorumSettings.DEFAULT_HEARTBEAT_INTERVAL_MILLIS,
                         QuorumSettings.DEFAULT_ELECTION_TIMEOUT_MILLIS);
-        if (a.length > 4 && a[4].equals("begin")) {
-            say(
+        if (args.length > 4 && args[4].equals("begin")) {
+            emit(
                     "era",
                     new JsonObject().add("against", String.valueOf(Quorum.beginEra(settings, 1))));
         }
         // A process that goes on with an old view, to show that the bound on its age is needed.
-        boolean heedless = Boolean.getBoolean("postgrade.test.heedless");
+        boolean ignoreViewAge = Boolean.getBoolean("postgrade.test.heedless");
         LeaseTimes times =
-                heedless
+                ignoreViewAge
                         ? new LeaseTimes(100_000_000, 60_000_000, 1.03, 1_000_000)
                         : LeaseTimes.DEFAULT;
         ScheduledExecutorService loop = Executors.newSingleThreadScheduledExecutor();
         Quorum quorum =
                 Quorum.open(settings, List.of(new LeasePart(LeaseTimes.DEFAULT)), clock, loop);
         LeaseNode node = new LeaseNode(quorum, clock, times);
-        loop.scheduleWithFixedDelay(node::sample, 0, SAMPLE_MILLIS, TimeUnit.MILLISECONDS);
-        BufferedReader in =
+        loop.scheduleWithFixedDelay(node::sample, 0, SAMPLE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        BufferedReader input =
                 new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
-        for (String line = in.readLine(); line != null; line = in.readLine()) {
-            String told = line;
-            loop.execute(() -> node.ask(told));
+        for (String line = input.readLine(); line != null; line = input.readLine()) {
+            String command = line;
+            loop.execute(() -> node.submit(command));
         }
         Runtime.getRuntime().halt(0); // The rig is gone.
     }
 
-    private static long stamp() {
+    private static long monotonicMicros() {
         return System.nanoTime() / 1000;
     }
 
-    private static void say(String kind, JsonObject fields) {
-        say(stamp(), kind, fields);
+    private static void emit(String kind, JsonObject fields) {
+        emit(monotonicMicros(), kind, fields);
     }
 
-    private static void say(long at, String kind, JsonObject fields) {
+    private static void emit(long at, String kind, JsonObject fields) {
         System.out.println(fields.add("kind", kind).add("at", at));
     }
 
     /** ID MILLIS VERB name=value... */
-    private void ask(String line) {
+    private void submit(String line) {
         String[] words = line.split(" ");
         Map<String, String> fields = new TreeMap<>();
         for (int i = 3; i < words.length; i++) {
             int eq = words[i].indexOf('=');
             fields.put(words[i].substring(0, eq), words[i].substring(eq + 1));
         }
-        Command c =
+        Command command =
                 fields.containsKey("worker")
                         ? new Command(
                                 words[0],
@@ -133,18 +134,18 @@
                                 words[2],
                                 new postgrade.shared.Row(fields))
                         : ReservationCommands.command(words[2], words[0], "rig", 1, fields);
-        sharing.submit(
-                c,
+        replicatedState.submit(
+                command,
                 Long.parseLong(words[1]) * 1000,
                 reply -> {
-                    JsonObject told =
+                    JsonObject event =
                             new JsonObject().add("id", words[0]).add("decided", reply.decided());
                     if (reply.decided()) {
-                        told.add("status", reply.answer().status().name())
+                        event.add("status", reply.answer().status().name())
                                 .add("text", reply.answer().text());
-                        reply.answer().fields().values().forEach(told::add);
+                        reply.answer().fields().values().forEach(event::add);
                     }
-                    say("reply", told);
+                    emit("reply", event);
                 });
     }
 
@@ -153,60 +154,63 @@
         // saying so, as it may be
         // between deciding to send a job and writing it: against that stands the fence, and no
         // time.
-        long at = stamp();
+        long at = monotonicMicros();
         long now = clock.getAsLong();
-        View view = sharing.view();
+        View view = replicatedState.view();
         if (view != reservations.view()) {
-            Map<String, Long> seen = new TreeMap<>();
-            for (Map<String, String> f :
+            Map<String, Long> current = new TreeMap<>();
+            for (Map<String, String> row :
                     ReservationCommands.list(view.rows(), view.moment().micros())) {
-                if (f.containsKey("fence") && !f.get("holder").startsWith(PROBE)) {
-                    seen.put(f.get("holder"), Long.parseLong(f.get("fence")));
+                if (row.containsKey("fence") && !row.get("holder").startsWith(PROBE_PREFIX)) {
+                    current.put(row.get("holder"), Long.parseLong(row.get("fence")));
                 }
             }
             grants.forEach(
                     (holder, fence) -> {
-                        if (!fence.equals(seen.get(holder))) {
-                            say("gone", new JsonObject().add("holder", holder).add("fence", fence));
+                        if (!fence.equals(current.get(holder))) {
+                            emit(
+                                    "gone",
+                                    new JsonObject().add("holder", holder).add("fence", fence));
                         }
                     });
-            grants = seen;
+            grants = current;
             reservations = new ReservationView(view, times);
         }
-        StringBuilder may = new StringBuilder();
+        StringBuilder use = new StringBuilder();
         for (String holder : grants.keySet()) {
-            for (ReservationView.Use u : reservations.usable(now, holder, WORKER)) {
-                may.append(may.length() == 0 ? "" : " ")
+            for (ReservationView.Use usable : reservations.usable(now, holder, WORKER)) {
+                use.append(use.length() == 0 ? "" : " ")
                         .append(holder)
                         .append(' ')
-                        .append(u.mask())
+                        .append(usable.mask())
                         .append(' ')
-                        .append(u.fence());
+                        .append(usable.fence());
             }
         }
-        if (!may.toString().equals(using) || !using.isEmpty() && at - saidMicros > REPEAT_MICROS) {
-            say(
+        if (!use.toString().equals(reportedUse)
+                || !reportedUse.isEmpty() && at - lastReportMicros > REPORT_INTERVAL_MICROS) {
+            emit(
                     at,
                     "use",
                     new JsonObject()
-                            .add("last", usedMicros)
-                            .add("now", may.toString())
+                            .add("last", lastSampleMicros)
+                            .add("now", use.toString())
                             .add("log", view.moment().micros()));
-            saidMicros = at;
-            using = may.toString();
+            lastReportMicros = at;
+            reportedUse = use.toString();
         }
-        usedMicros = at;
-        ReplicatedState.Standing s = sharing.standing();
-        String told = s.role() + " " + s.leader() + " " + s.voters();
-        if (!told.equals(standing)) {
-            standing = told;
-            say(
+        lastSampleMicros = at;
+        ReplicatedState.Standing status = replicatedState.standing();
+        String statusText = status.role() + " " + status.leader() + " " + status.voters();
+        if (!statusText.equals(reportedStatus)) {
+            reportedStatus = statusText;
+            emit(
                     "standing",
                     new JsonObject()
-                            .add("role", s.role().name())
-                            .add("leader", String.valueOf(s.leader()))
-                            .add("voters", s.voters())
-                            .add("fault", String.valueOf(s.fault())));
+                            .add("role", status.role().name())
+                            .add("leader", String.valueOf(status.leader()))
+                            .add("voters", status.voters())
+                            .add("fault", String.valueOf(status.fault())));
         }
     }
 }
--- a/rig/src/test/java/postgrade/rig/lease/LeaseRun.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseRun.java
@@ -31,74 +31,76 @@
     }
 
     static final int ACCELERATORS = 6;
-    private static final int PROBE_UNITS = 6;
-    private static final int PROBE_MILLIS = 40;
-    private static final int PROBE_WITHIN_MILLIS = 200;
+    private static final int PROBE_WORKERS = 6;
+    private static final int PROBE_INTERVAL_MILLIS = 40;
+    private static final int PROBE_TIMEOUT_MILLIS = 200;
 
     final LeaseCluster cluster;
     final LeaseCalls calls;
     final History history;
-    private final boolean waits;
+    private final boolean queues;
     private final SplittableRandom random;
     private final List<LeaseHolder> holders = new ArrayList<>();
     private final List<Thread> threads = new ArrayList<>();
-    private final ScheduledExecutorService prober = Executors.newSingleThreadScheduledExecutor();
-    private long probes;
+    private final ScheduledExecutorService probeScheduler =
+            Executors.newSingleThreadScheduledExecutor();
+    private long probeCount;
     int faults;
 
     /**
      * Holders whose call nobody decided for a minute: their last call may come later and is not
      * judged.
      */
-    int gaveUp;
+    int holdersWithUndecidedCall;
 
     /** From each death of a leader to the first grant that was asked for after it. */
-    final List<Long> withoutGrantsMicros = new ArrayList<>();
+    final List<Long> grantGapsMicros = new ArrayList<>();
 
-    LeaseRun(Path folder, long seed, boolean waits, String... properties) throws IOException {
+    LeaseRun(Path folder, long seed, boolean queues, String... properties) throws IOException {
         history = new History(folder.resolve("history.jsonl"));
         cluster = new LeaseCluster(folder, history, properties);
         calls = new LeaseCalls(cluster);
         random = new SplittableRandom(seed);
-        this.waits = waits;
+        this.queues = queues;
     }
 
-    void begin(int count) throws Exception {
-        cluster.begin();
-        unit(LeaseNode.WORKER, "z", "box", ACCELERATORS);
-        for (int i = 0; i < PROBE_UNITS; i++) {
-            unit(LeaseNode.PROBE + i, "q", "probe", 62);
+    void start(int holderCount) throws Exception {
+        cluster.start();
+        registerUnit(LeaseNode.WORKER, "z", "box", ACCELERATORS);
+        for (int i = 0; i < PROBE_WORKERS; i++) {
+            registerUnit(LeaseNode.PROBE_PREFIX + i, "q", "probe", 62);
         }
-        prober.scheduleAtFixedRate(
+        probeScheduler.scheduleAtFixedRate(
                 () -> {
-                    long n = ++probes;
-                    cluster.ask(
+                    long n = ++probeCount;
+                    cluster.send(
                             LeaseCluster.OBSERVERS.get((int) (n % 2)),
-                            LeaseNode.PROBE + LeaseCalls.stamp(),
-                            PROBE_WITHIN_MILLIS,
+                            LeaseNode.PROBE_PREFIX + LeaseCalls.monotonicMicros(),
+                            PROBE_TIMEOUT_MILLIS,
                             "acquire holder="
-                                    + LeaseNode.PROBE
+                                    + LeaseNode.PROBE_PREFIX
                                     + n
                                     + " kind=probe accelerators=1 ttlMs=2000 wait=0");
                 },
                 0,
-                PROBE_MILLIS,
+                PROBE_INTERVAL_MILLIS,
                 TimeUnit.MILLISECONDS);
-        for (int i = 0; i < count; i++) {
-            LeaseHolder h = new LeaseHolder(calls, "h" + i, 1 + i % 3, waits, random.nextLong());
-            holders.add(h);
-            Thread t = new Thread(h, "holder " + i);
-            t.setDaemon(true);
-            t.start();
-            threads.add(t);
+        for (int i = 0; i < holderCount; i++) {
+            LeaseHolder holder =
+                    new LeaseHolder(calls, "h" + i, 1 + i % 3, queues, random.nextLong());
+            holders.add(holder);
+            Thread thread = new Thread(holder, "holder " + i);
+            thread.setDaemon(true);
+            thread.start();
+            threads.add(thread);
         }
     }
 
-    private void unit(String worker, String site, String kind, int accelerators)
+    private void registerUnit(String worker, String site, String kind, int accelerators)
             throws InterruptedException {
         String id = cluster.freshId();
         int from = history.size();
-        cluster.ask(
+        cluster.send(
                 "x",
                 id,
                 10_000,
@@ -121,109 +123,109 @@
                                 && e.text("status").equals("DONE"));
     }
 
-    Fault anyFault() {
-        return any(Fault.values());
+    Fault pickAnyFault() {
+        return pickFault(Fault.values());
     }
 
-    Fault any(Fault... of) {
-        return of[random.nextInt(of.length)];
+    Fault pickFault(Fault... candidates) {
+        return candidates[random.nextInt(candidates.length)];
     }
 
     /** Puts a fault and waits until all voters vote again under one leader. */
-    void fault(Fault f) throws Exception {
-        cluster.awaitWell();
+    void inject(Fault fault) throws Exception {
+        cluster.awaitStableLeader();
         String leader = cluster.leader();
         if (leader == null) {
             return;
         }
         String voter = LeaseCluster.VOTERS.get(random.nextInt(3));
         String observer = LeaseCluster.OBSERVERS.get(random.nextInt(2));
-        int from = history.size();
-        long at = LeaseCalls.stamp();
+        int startIndex = history.size();
+        long injectedMicros = LeaseCalls.monotonicMicros();
         history.add(
                 "rig",
                 "fault",
                 new com.eclipsesource.json.JsonObject()
-                        .add("what", f.name())
-                        .add("at", at)
+                        .add("what", fault.name())
+                        .add("at", injectedMicros)
                         .add("leader", leader));
-        switch (f) {
-            case KILL_LEADER -> killed(leader, false);
-            case KILL_VOTER -> killed(voter, false);
-            case WIPE_VOTER -> killed(voter, true);
-            case STOP_LEADER -> stopped(leader);
-            case STOP_OBSERVER -> stopped(observer);
-            case CUT_LEADER -> cut(() -> cluster.mesh.isolate(Set.of(leader)));
-            case MUTE_LEADER -> cut(() -> cluster.mesh.blockOutgoing(Set.of(leader)));
-            default -> cut(() -> cluster.mesh.isolate(Set.of(observer)));
+        switch (fault) {
+            case KILL_LEADER -> killAndRestart(leader, false);
+            case KILL_VOTER -> killAndRestart(voter, false);
+            case WIPE_VOTER -> killAndRestart(voter, true);
+            case STOP_LEADER -> pauseAndResume(leader);
+            case STOP_OBSERVER -> pauseAndResume(observer);
+            case CUT_LEADER -> partitionAndHeal(() -> cluster.mesh.isolate(Set.of(leader)));
+            case MUTE_LEADER -> partitionAndHeal(() -> cluster.mesh.blockOutgoing(Set.of(leader)));
+            default -> partitionAndHeal(() -> cluster.mesh.isolate(Set.of(observer)));
         }
-        if (f == Fault.KILL_LEADER || f == Fault.KILL_VOTER && voter.equals(leader)) {
+        if (fault == Fault.KILL_LEADER || fault == Fault.KILL_VOTER && voter.equals(leader)) {
             History.Event e =
                     history.await(
                             "a grant after the leader's death",
-                            from,
+                            startIndex,
                             60_000,
-                            r -> granted(r) && asked(r) > at);
-            withoutGrantsMicros.add(e.number("at") - at);
+                            r -> granted(r) && sentMicros(r) > injectedMicros);
+            grantGapsMicros.add(e.number("at") - injectedMicros);
         }
-        cluster.awaitWell();
+        cluster.awaitStableLeader();
         faults++;
     }
 
     static boolean granted(History.Event e) {
         return e.kind().equals("reply")
-                && e.text("id").startsWith(LeaseNode.PROBE)
+                && e.text("id").startsWith(LeaseNode.PROBE_PREFIX)
                 && e.text("status").equals("DONE");
     }
 
-    private static long asked(History.Event e) {
-        return Long.parseLong(e.text("id").substring(LeaseNode.PROBE.length()));
+    private static long sentMicros(History.Event e) {
+        return Long.parseLong(e.text("id").substring(LeaseNode.PROBE_PREFIX.length()));
     }
 
-    private void killed(String name, boolean wiped) throws Exception {
-        cluster.programs.get(name).kill();
-        if (wiped) {
+    private void killAndRestart(String name, boolean wipeStore) throws Exception {
+        cluster.processes.get(name).kill();
+        if (wipeStore) {
             cluster.wipe(name);
         }
         Thread.sleep(random.nextLong(50, 800));
         cluster.start(name);
     }
 
-    private void stopped(String name) throws Exception {
-        JavaProcess p = cluster.programs.get(name);
-        p.stop();
+    private void pauseAndResume(String name) throws Exception {
+        JavaProcess process = cluster.processes.get(name);
+        process.stop();
         Thread.sleep(random.nextLong(200, 3000));
-        p.resume();
+        process.resume();
     }
 
-    private void cut(Runnable how) throws InterruptedException {
-        how.run();
+    private void partitionAndHeal(Runnable partition) throws InterruptedException {
+        partition.run();
         Thread.sleep(random.nextLong(200, 3000));
         cluster.mesh.heal();
     }
 
     /** Ends the holders in order, waits until all that they had has ended, and judges. */
-    LeaseVerdict verdict(long quietMillis) throws InterruptedException {
-        holders.forEach(h -> h.over = true);
+    LeaseVerdict verdict(long settleMillis) throws InterruptedException {
+        holders.forEach(h -> h.stopped = true);
         for (Thread t : threads) {
             t.join(70_000);
         }
-        Thread.sleep(quietMillis);
-        prober.shutdownNow();
-        gaveUp = (int) holders.stream().filter(h -> h.failure != null).count();
-        List<History.Event> all = history.all();
+        Thread.sleep(settleMillis);
+        probeScheduler.shutdownNow();
+        holdersWithUndecidedCall = (int) holders.stream().filter(h -> h.failure != null).count();
+        List<History.Event> events = history.all();
         return new LeaseVerdict(
-                all,
+                events,
                 List.copyOf(calls.calls),
-                all.stream().filter(LeaseRun::granted).map(e -> e.number("at")).toList(),
+                events.stream().filter(LeaseRun::granted).map(e -> e.number("at")).toList(),
                 ACCELERATORS,
-                !waits);
+                !queues);
     }
 
     @Override
     public void close() throws IOException {
-        holders.forEach(h -> h.over = true);
-        prober.shutdownNow();
+        holders.forEach(h -> h.stopped = true);
+        probeScheduler.shutdownNow();
         cluster.close();
         history.close();
     }
--- a/rig/src/test/java/postgrade/rig/lease/LeaseVerdict.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseVerdict.java
@@ -23,18 +23,18 @@
  */
 final class LeaseVerdict {
 
-    static final long VIEW = 1_500_000;
-    static final long REST = 3_000_000;
-    static final long UNCOMMITTED = 1_000_000;
-    static final double RATIO = 1.03;
+    static final long VIEW_BOUND_MICROS = 1_500_000;
+    static final long REST_MICROS = 3_000_000;
+    static final long UNCOMMITTED_MICROS = 1_000_000;
+    static final double CLOCK_RATE_RATIO = 1.03;
 
     /**
      * Between two entries of the log's time, and their way to a commit, on a machine that is busy.
      */
-    static final long STEP = 350_000;
+    static final long TIME_STEP_MICROS = 350_000;
 
     /** Without grants for longer than this, nobody led. */
-    private static final long OUTAGE = 250_000;
+    private static final long OUTAGE_THRESHOLD_MICROS = 250_000;
 
     final List<Breach> breaches = new ArrayList<>();
 
@@ -45,71 +45,84 @@
     final List<long[]> lateAndBound = new ArrayList<>();
 
     final Map<String, Grant> grants = new TreeMap<>();
-    final int uses;
-    final int judgedInOrder;
+    final int useCount;
+    final int orderedCalls;
 
     LeaseVerdict(
             List<History.Event> events,
             List<Call> calls,
-            List<Long> probesGranted,
+            List<Long> probeGrants,
             int accelerators,
-            boolean withRefusals) {
-        List<Use> used = uses(events);
-        uses = used.size();
+            boolean checkRefusals) {
+        List<Use> used = usesOf(events);
+        useCount = used.size();
         Map<String, Long> lastOfHolder = new HashMap<>();
-        for (Call c : calls) {
-            take(c, lastOfHolder);
+        for (Call call : calls) {
+            recordCall(call, lastOfHolder);
         }
-        List<GrantEnd> gone = new ArrayList<>();
-        for (History.Event e : events) {
-            if (e.kind().equals("gone")) {
-                gone.add(
-                        new GrantEnd(e.number("at"), e.who(), e.text("holder"), e.number("fence")));
+        List<GrantEnd> grantEnds = new ArrayList<>();
+        for (History.Event event : events) {
+            if (event.kind().equals("gone")) {
+                grantEnds.add(
+                        new GrantEnd(
+                                event.number("at"),
+                                event.who(),
+                                event.text("holder"),
+                                event.number("fence")));
             }
         }
         breaches.addAll(LeaseUseCheck.mutualExclusion(used));
         breaches.addAll(
                 LeaseUseCheck.noEarlyExpiry(
-                        gone, List.copyOf(grants.values()), RATIO, UNCOMMITTED));
-        timely(used, probesGranted);
-        List<LinearizabilityChecker.Call<State>> history = inOrder(calls, withRefusals);
-        judgedInOrder = history.size();
-        LinearizabilityChecker.Call<State> stuck = LeaseModel.firstViolation(accelerators, history);
-        if (stuck != null) {
-            breaches.add(new Breach("order", stuck.sent(), "", stuck.name() + " fits nowhere"));
+                        grantEnds,
+                        List.copyOf(grants.values()),
+                        CLOCK_RATE_RATIO,
+                        UNCOMMITTED_MICROS));
+        checkLateUse(used, probeGrants);
+        List<LinearizabilityChecker.Call<State>> history = orderedHistory(calls, checkRefusals);
+        orderedCalls = history.size();
+        LinearizabilityChecker.Call<State> violation =
+                LeaseModel.firstViolation(accelerators, history);
+        if (violation != null) {
+            breaches.add(
+                    new Breach("order", violation.sent(), "", violation.name() + " fits nowhere"));
         }
     }
 
-    private void take(Call c, Map<String, Long> lastOfHolder) {
-        if (c.granted()) {
-            Long former = lastOfHolder.put(c.holder(), c.fence());
-            Grant g = grants.get(key(c.holder(), c.fence()));
-            if (former != null && former != c.fence()) {
-                released(
-                        c.holder(),
-                        former,
-                        c.sent()); // Taken over by the next incarnation, unless it had ended
+    private void recordCall(Call call, Map<String, Long> lastOfHolder) {
+        if (call.granted()) {
+            Long formerFence = lastOfHolder.put(call.holder(), call.fence());
+            Grant grant = grants.get(key(call.holder(), call.fence()));
+            if (formerFence != null && formerFence != call.fence()) {
+                recordRelease(
+                        call.holder(),
+                        formerFence,
+                        call.sent()); // Taken over by the next incarnation, unless it had ended
                 // before.
             }
             grants.put(
-                    key(c.holder(), c.fence()),
+                    key(call.holder(), call.fence()),
                     new Grant(
-                            c.holder(),
-                            c.fence(),
-                            c.ttlMicros(),
-                            c.sent(),
-                            c.ended(),
-                            g == null ? Long.MAX_VALUE : g.releasedMicros()));
-        } else if (c.verb().equals("release") && lastOfHolder.containsKey(c.holder())) {
-            released(c.holder(), lastOfHolder.get(c.holder()), c.sent());
-        } else if (c.verb().equals("renew") && lastOfHolder.containsKey(c.holder()) && !c.done()) {
-            Grant g = grants.get(key(c.holder(), lastOfHolder.get(c.holder())));
+                            call.holder(),
+                            call.fence(),
+                            call.ttlMicros(),
+                            call.sent(),
+                            call.ended(),
+                            grant == null ? Long.MAX_VALUE : grant.releasedMicros()));
+        } else if (call.verb().equals("release") && lastOfHolder.containsKey(call.holder())) {
+            recordRelease(call.holder(), lastOfHolder.get(call.holder()), call.sent());
+        } else if (call.verb().equals("renew")
+                && lastOfHolder.containsKey(call.holder())
+                && !call.done()) {
+            Grant grant = grants.get(key(call.holder(), lastOfHolder.get(call.holder())));
             breaches.addAll(
                     LeaseUseCheck.noEarlyExpiry(
-                            List.of(new GrantEnd(c.ended(), "answer", g.holder(), g.fence())),
-                            List.of(g),
-                            RATIO,
-                            UNCOMMITTED));
+                            List.of(
+                                    new GrantEnd(
+                                            call.ended(), "answer", grant.holder(), grant.fence())),
+                            List.of(grant),
+                            CLOCK_RATE_RATIO,
+                            UNCOMMITTED_MICROS));
         }
     }
 
@@ -117,7 +130,7 @@
         return holder + " " + fence;
     }
 
-    private void released(String holder, long fence, long at) {
+    private void recordRelease(String holder, long fence, long releasedMicros) {
         grants.computeIfPresent(
                 key(holder, fence),
                 (k, g) ->
@@ -127,11 +140,11 @@
                                 g.ttlMicros(),
                                 g.lastSentMicros(),
                                 g.lastEndMicros(),
-                                Math.min(at, g.releasedMicros())));
+                                Math.min(releasedMicros, g.releasedMicros())));
     }
 
     /** Both ends of each spell in which a process would have used something. */
-    private static List<Use> uses(List<History.Event> events) {
+    private static List<Use> usesOf(List<History.Event> events) {
         Map<String, String> using = new HashMap<>();
         List<Use> uses = new ArrayList<>();
         for (History.Event e : events) {
@@ -146,14 +159,17 @@
         return uses;
     }
 
-    private static void add(List<Use> uses, String who, long at, String what) {
-        String[] words = what == null || what.isEmpty() ? new String[0] : what.split(" ");
+    private static void add(List<Use> uses, String process, long at, String description) {
+        String[] words =
+                description == null || description.isEmpty()
+                        ? new String[0]
+                        : description.split(" ");
         for (int i = 0; i < words.length; i += 3) {
             for (long mask = Long.parseLong(words[i + 1]); mask != 0; mask &= mask - 1) {
                 uses.add(
                         new Use(
                                 at,
-                                who,
+                                process,
                                 Long.toString(Long.numberOfTrailingZeros(mask)),
                                 words[i],
                                 Long.parseLong(words[i + 2])));
@@ -161,51 +177,60 @@
         }
     }
 
-    private void timely(List<Use> used, List<Long> probes) {
+    private void checkLateUse(List<Use> used, List<Long> probeGrants) {
         Map<String, Long> lastUse = new HashMap<>();
         used.forEach(u -> lastUse.merge(key(u.holder(), u.fence()), u.micros(), Math::max));
-        for (Grant g : grants.values()) {
-            long last = lastUse.getOrDefault(key(g.holder(), g.fence()), 0L);
+        for (Grant grant : grants.values()) {
+            long last = lastUse.getOrDefault(key(grant.holder(), grant.fence()), 0L);
             long bound =
-                    (long) ((g.ttlMicros() + 2 * STEP + VIEW) * RATIO)
-                            - g.ttlMicros()
-                            + withoutGrants(probes, g.lastEndMicros(), last);
-            List<Use> of = List.of(new Use(last, "", "", g.holder(), g.fence()));
-            breaches.addAll(LeaseUseCheck.noUseAfterExpiry(of, List.of(g), bound));
-            if (g.releasedMicros() > last && last > g.lastEndMicros()) {
-                lateAndBound.add(new long[] {last - g.lastEndMicros() - g.ttlMicros(), bound});
+                    (long)
+                                    ((grant.ttlMicros() + 2 * TIME_STEP_MICROS + VIEW_BOUND_MICROS)
+                                            * CLOCK_RATE_RATIO)
+                            - grant.ttlMicros()
+                            + outageMicros(probeGrants, grant.lastEndMicros(), last);
+            List<Use> lastUseOfGrant =
+                    List.of(new Use(last, "", "", grant.holder(), grant.fence()));
+            breaches.addAll(LeaseUseCheck.noUseAfterExpiry(lastUseOfGrant, List.of(grant), bound));
+            if (grant.releasedMicros() > last && last > grant.lastEndMicros()) {
+                lateAndBound.add(
+                        new long[] {last - grant.lastEndMicros() - grant.ttlMicros(), bound});
             }
         }
     }
 
     /** For how long within a span no grants were made to anybody, since nobody led. */
-    private static long withoutGrants(List<Long> probes, long from, long to) {
-        long before = from;
-        long all = 0;
-        for (long p : probes) {
-            if (p > from && before < to) {
-                all += p - before > OUTAGE ? Math.min(p, to) - before : 0;
-                before = p;
+    private static long outageMicros(List<Long> probeGrants, long from, long to) {
+        long previous = from;
+        long total = 0;
+        for (long probe : probeGrants) {
+            if (probe > from && previous < to) {
+                total +=
+                        probe - previous > OUTAGE_THRESHOLD_MICROS
+                                ? Math.min(probe, to) - previous
+                                : 0;
+                previous = probe;
             }
         }
-        return before < to && to - before > OUTAGE ? all + to - before : all;
+        return previous < to && to - previous > OUTAGE_THRESHOLD_MICROS
+                ? total + to - previous
+                : total;
     }
 
     // ---- One order.
 
-    private List<LinearizabilityChecker.Call<State>> inOrder(
-            List<Call> calls, boolean withRefusals) {
+    private List<LinearizabilityChecker.Call<State>> orderedHistory(
+            List<Call> calls, boolean checkRefusals) {
         List<LinearizabilityChecker.Call<State>> all = new ArrayList<>();
-        Map<String, Long> asking = new HashMap<>();
+        Map<String, Long> firstSent = new HashMap<>();
         Map<String, Call> last = new HashMap<>();
         for (Call c : calls) {
-            Call before = last.get(c.holder());
-            boolean same = before != null && c.granted() && before.fence() == c.fence();
-            if (c.granted() && !same) {
-                long former = before == null ? 0 : before.fence();
+            Call previous = last.get(c.holder());
+            boolean renewal = previous != null && c.granted() && previous.fence() == c.fence();
+            if (c.granted() && !renewal) {
+                long former = previous == null ? 0 : previous.fence();
                 UnaryOperator<State> granted = LeaseModel.granted(c.holder(), c.fence(), c.mask());
-                UnaryOperator<State> over = LeaseModel.takenOver(c.holder(), former, c.fence());
-                long sent = asking.getOrDefault(c.holder(), c.sent());
+                UnaryOperator<State> takeover = LeaseModel.takenOver(c.holder(), former, c.fence());
+                long sent = firstSent.getOrDefault(c.holder(), c.sent());
                 all.add(
                         new LinearizabilityChecker.Call<>(
                                 "grant " + c,
@@ -216,9 +241,9 @@
                                                         .containsKey(
                                                                 new LeaseModel.Grant(
                                                                         c.holder(), former))
-                                                ? over.apply(s)
+                                                ? takeover.apply(s)
                                                 : granted.apply(s)));
-            } else if (same) {
+            } else if (renewal) {
                 all.add(
                         new LinearizabilityChecker.Call<>(
                                 "renewal " + c,
@@ -227,7 +252,7 @@
                                 LeaseModel.renewed(c.holder(), c.fence())));
             } else if (c.verb().equals("acquire")
                     && c.status().equals("CONFLICT")
-                    && withRefusals) {
+                    && checkRefusals) {
                 all.add(
                         new LinearizabilityChecker.Call<>(
                                 "refusal " + c,
@@ -240,20 +265,20 @@
                                 "release " + c,
                                 c.sent(),
                                 c.ended(),
-                                LeaseModel.ended(c.holder(), before.fence())));
-            } else if (before != null && !c.verb().equals("acquire")) {
+                                LeaseModel.ended(c.holder(), previous.fence())));
+            } else if (previous != null && !c.verb().equals("acquire")) {
                 all.add(
                         new LinearizabilityChecker.Call<>(
                                 "gone " + c,
                                 c.sent(),
                                 c.ended(),
-                                LeaseModel.notFound(c.holder(), before.fence())));
+                                LeaseModel.notFound(c.holder(), previous.fence())));
             }
             if (c.granted()) {
                 last.put(c.holder(), c);
-                asking.remove(c.holder());
+                firstSent.remove(c.holder());
             } else if (c.verb().equals("acquire") && c.done()) {
-                asking.putIfAbsent(c.holder(), c.sent());
+                firstSent.putIfAbsent(c.holder(), c.sent());
             }
         }
         Map<String, Long> masks = new HashMap<>();
@@ -263,22 +288,26 @@
         grants.values()
                 .forEach(
                         g -> {
-                            long ends =
+                            long expires =
                                     g.lastSentMicros()
-                                            + (long) ((g.ttlMicros() - UNCOMMITTED) / RATIO);
+                                            + (long)
+                                                    ((g.ttlMicros() - UNCOMMITTED_MICROS)
+                                                            / CLOCK_RATE_RATIO);
                             all.add(
                                     new LinearizabilityChecker.Call<>(
                                             "expiry of " + g.fence(),
-                                            ends,
+                                            expires,
                                             Long.MAX_VALUE,
                                             LeaseModel.ended(g.holder(), g.fence())));
-                            long rested =
-                                    Math.min(ends, g.releasedMicros())
-                                            + (long) ((REST - UNCOMMITTED) / RATIO);
+                            long restEnds =
+                                    Math.min(expires, g.releasedMicros())
+                                            + (long)
+                                                    ((REST_MICROS - UNCOMMITTED_MICROS)
+                                                            / CLOCK_RATE_RATIO);
                             all.add(
                                     new LinearizabilityChecker.Call<>(
                                             "rest of " + g.fence(),
-                                            rested,
+                                            restEnds,
                                             Long.MAX_VALUE,
                                             LeaseModel.rested(
                                                     masks.get(key(g.holder(), g.fence())))));
--- a/rig/src/test/java/postgrade/rig/shared/ReservationsTest.java
+++ b/rig/src/test/java/postgrade/rig/shared/ReservationsTest.java
@@ -21,20 +21,20 @@
  */
 public class ReservationsTest {
 
-    private static final long TTL_MS = 3000;
+    private static final long TTL_MILLIS = 3000;
 
     /**
      * Of one whose renewals wait for another leader; a busy machine takes some tries to find one.
      */
-    private static final long PAUSED_TTL_MS = 8000;
+    private static final long PAUSE_TTL_MILLIS = 8000;
 
     @Rule public final KeptFolder folder = new KeptFolder("reservations");
-    private SharedServing s;
+    private SharedStateCluster cluster;
 
     @Before
     public void open() throws IOException, InterruptedException {
-        s =
-                new SharedServing(
+        cluster =
+                new SharedStateCluster(
                         folder.path(),
                         "accelerators = {\"planner\": 2}\nreserving = [\"route-plan\"]\n",
                         ", accelerators = 2",
@@ -43,8 +43,8 @@
 
     @After
     public void close() throws IOException {
-        if (s != null) {
-            s.close();
+        if (cluster != null) {
+            cluster.close();
         }
     }
 
@@ -53,22 +53,24 @@
     }
 
     /** All six accelerators of the site. */
-    private OperatorCall.Answer acquire(String by, String name, long ttlMs)
+    private OperatorCall.Answer acquire(String dispatcher, String name, long ttlMs)
             throws InterruptedException {
-        return s.decided(
+        return cluster.callUntilDecided(
                 "PUT",
-                by,
+                dispatcher,
                 "/reservations/acquire",
                 holder(name).add("accelerators", 6).add("ttlMs", ttlMs));
     }
 
-    private OperatorCall.Answer acquire(String by, String name) throws InterruptedException {
-        return acquire(by, name, TTL_MS);
+    private OperatorCall.Answer acquire(String dispatcher, String name)
+            throws InterruptedException {
+        return acquire(dispatcher, name, TTL_MILLIS);
     }
 
-    private OperatorCall.Answer renew(String by, String name, String fence)
+    private OperatorCall.Answer renew(String dispatcher, String name, String fence)
             throws InterruptedException {
-        return s.decided("PUT", by, "/reservations/renew", holder(name).add("fence", fence));
+        return cluster.callUntilDecided(
+                "PUT", dispatcher, "/reservations/renew", holder(name).add("fence", fence));
     }
 
     private static String fence(OperatorCall.Answer a) {
@@ -78,104 +80,109 @@
     }
 
     /** The site's accelerators are told to the state by dispatchers, some time after they begin. */
-    private OperatorCall.Answer first(String by, String name, long ttlMs)
+    private OperatorCall.Answer acquireOnceRegistered(String dispatcher, String name, long ttlMs)
             throws InterruptedException {
-        long end = Clock.micros() + SharedServing.MOST * 1000;
-        OperatorCall.Answer a;
+        long deadlineMicros = Clock.micros() + SharedStateCluster.TIMEOUT_MILLIS * 1000;
+        OperatorCall.Answer answer;
         do {
-            a = acquire(by, name, ttlMs);
-        } while (a.status() != 200 && Clock.micros() < end);
-        assertEquals(a.toString(), "granted", a.json().getString("state", ""));
-        return a;
+            answer = acquire(dispatcher, name, ttlMs);
+        } while (answer.status() != 200 && Clock.micros() < deadlineMicros);
+        assertEquals(answer.toString(), "granted", answer.json().getString("state", ""));
+        return answer;
     }
 
     @Test
-    public void aHolderThatDiedIsExpiredOverTheLeadersDeathAndTheNextIsGrantedAfterIt()
+    public void deadHoldersReservationExpiresAcrossLeaderDeathAndNextIsGranted()
             throws IOException, InterruptedException {
-        String one = fence(first("n4", "one", TTL_MS));
+        String firstFence = fence(acquireOnceRegistered("n4", "one", TTL_MILLIS));
         // From before the renewal is sent: whatever was decided, was decided later.
-        long renewed = Clock.micros();
-        assertEquals(200, renew("n4", "one", one).status());
+        long renewedMicros = Clock.micros();
+        assertEquals(200, renew("n4", "one", firstFence).status());
         assertEquals("waiting", acquire("n4", "two").json().getString("state", ""));
-        String leader = s.leader("n4");
-        s.kill(leader);
-        String by = SharedServing.other(leader);
+        String leader = cluster.leader("n4");
+        cluster.kill(leader);
+        String dispatcher = SharedStateCluster.otherVoter(leader);
         OperatorCall.Answer granted;
         do {
-            granted = acquire(by, "two");
+            granted = acquire(dispatcher, "two");
             assertEquals(granted.toString(), 200, granted.status());
         } while (!granted.json().getString("state", "").equals("granted")
-                && Clock.micros() < renewed + SharedServing.MOST * 1000);
+                && Clock.micros() < renewedMicros + SharedStateCluster.TIMEOUT_MILLIS * 1000);
         assertEquals(granted.toString(), "granted", granted.json().getString("state", ""));
-        long early = renewed + TTL_MS * 1000 * 97 / 100;
+        long earliestMicros = renewedMicros + TTL_MILLIS * 1000 * 97 / 100;
         assertTrue(
-                "granted " + (Clock.micros() - renewed) / 1000 + " ms after the last renewal",
-                Clock.micros() > early);
-        assertTrue(Long.parseLong(fence(granted)) > Long.parseLong(one));
-        assertNotEquals(200, renew(by, "one", one).status());
-        s.awaitGone("one", by);
+                "granted " + (Clock.micros() - renewedMicros) / 1000 + " ms after the last renewal",
+                Clock.micros() > earliestMicros);
+        assertTrue(Long.parseLong(fence(granted)) > Long.parseLong(firstFence));
+        assertNotEquals(200, renew(dispatcher, "one", firstFence).status());
+        cluster.awaitReservationGone("one", dispatcher);
     }
 
     @Test
-    public void aRenewedReservationOutlivesAPausedLeaderAndNobodyElseIsGrantedIt()
-            throws IOException, InterruptedException {
-        String one = fence(first("n4", "one", PAUSED_TTL_MS));
-        String leader = s.leader("n4");
-        s.serving.cluster().process(leader).stop();
-        long end = Clock.micros() + 2 * PAUSED_TTL_MS * 1000;
-        while (Clock.micros() < end) {
-            OperatorCall.Answer a = renew("n4", "one", one);
+    public void renewedReservationSurvivesPausedLeader() throws IOException, InterruptedException {
+        String firstFence = fence(acquireOnceRegistered("n4", "one", PAUSE_TTL_MILLIS));
+        String leader = cluster.leader("n4");
+        cluster.dispatchers.cluster().process(leader).stop();
+        long deadlineMicros = Clock.micros() + 2 * PAUSE_TTL_MILLIS * 1000;
+        while (Clock.micros() < deadlineMicros) {
+            OperatorCall.Answer a = renew("n4", "one", firstFence);
             assertEquals(a.toString(), 200, a.status());
         }
-        s.serving.cluster().process(leader).resume();
-        OperatorCall.Answer two = acquire(leader, "two");
-        assertEquals(two.toString(), "waiting", two.json().getString("state", ""));
-        assertEquals(one, fence(renew(leader, "one", one)));
+        cluster.dispatchers.cluster().process(leader).resume();
+        OperatorCall.Answer second = acquire(leader, "two");
+        assertEquals(second.toString(), "waiting", second.json().getString("state", ""));
+        assertEquals(firstFence, fence(renew(leader, "one", firstFence)));
     }
 
     @Test
-    public void oneThatIsCutOffDecidesNothingAndARepeatedCallCountsOnce()
+    public void isolatedDispatcherDecidesNothingAndRepeatedCallTakesEffectOnce()
             throws IOException, InterruptedException {
-        String zero = fence(first("n1", "zero", SharedServing.MOST));
-        s.serving.cluster().mesh().isolate(Set.of("n4"));
+        String initialFence =
+                fence(acquireOnceRegistered("n1", "zero", SharedStateCluster.TIMEOUT_MILLIS));
+        cluster.dispatchers.cluster().mesh().isolate(Set.of("n4"));
         String body =
                 holder("one")
                         .add("accelerators", 2)
                         .add("ttlMs", 30_000)
                         .add("requestId", "same")
                         .toString();
-        OperatorCall.Answer cut =
-                s.serving.awaitAnswer(
+        OperatorCall.Answer isolatedAnswer =
+                cluster.dispatchers.awaitAnswer(
                         "refusal",
                         "PUT",
                         "n4",
                         "/reservations/acquire",
                         body,
-                        SharedServing.MOST,
+                        SharedStateCluster.TIMEOUT_MILLIS,
                         a -> a.status() == 503);
-        assertTrue(cut.toString(), !cut.retryAfter().isEmpty());
-        OperatorCall.Answer there =
-                s.serving.awaitAnswer(
+        assertTrue(isolatedAnswer.toString(), !isolatedAnswer.retryAfter().isEmpty());
+        OperatorCall.Answer majorityAnswer =
+                cluster.dispatchers.awaitAnswer(
                         "decision",
                         "PUT",
                         "n1",
                         "/reservations/acquire",
                         body,
-                        SharedServing.MOST,
+                        SharedStateCluster.TIMEOUT_MILLIS,
                         a -> a.status() == 200);
-        assertEquals(there.toString(), "waiting", there.json().getString("state", ""));
+        assertEquals(
+                majorityAnswer.toString(), "waiting", majorityAnswer.json().getString("state", ""));
         // Granted before it is repeated: a second effect would have another answer than the first.
         assertEquals(
                 200,
-                s.decided("PUT", "n1", "/reservations/release", holder("zero").add("fence", zero))
+                cluster.callUntilDecided(
+                                "PUT",
+                                "n1",
+                                "/reservations/release",
+                                holder("zero").add("fence", initialFence))
                         .status());
-        s.serving.awaitAnswer(
+        cluster.dispatchers.awaitAnswer(
                 "grant",
                 "GET",
                 "n1",
                 "/reservations",
                 null,
-                SharedServing.MOST,
+                SharedStateCluster.TIMEOUT_MILLIS,
                 a ->
                         a.status() == 200
                                 && a.json().get("reservations").asArray().values().stream()
@@ -186,17 +193,17 @@
                                                                         .equals("one")
                                                                 && r.asObject().get("fence")
                                                                         != null));
-        s.serving.cluster().mesh().heal();
-        OperatorCall.Answer again =
-                s.serving.awaitAnswer(
+        cluster.dispatchers.cluster().mesh().heal();
+        OperatorCall.Answer repeatedAnswer =
+                cluster.dispatchers.awaitAnswer(
                         "decision",
                         "PUT",
                         "n4",
                         "/reservations/acquire",
                         body,
-                        SharedServing.MOST,
+                        SharedStateCluster.TIMEOUT_MILLIS,
                         a -> a.status() != 503);
-        assertEquals(there.json().get("state"), again.json().get("state"));
-        assertEquals(there.json().get("place"), again.json().get("place"));
+        assertEquals(majorityAnswer.json().get("state"), repeatedAnswer.json().get("state"));
+        assertEquals(majorityAnswer.json().get("place"), repeatedAnswer.json().get("place"));
     }
 }
--- a/rig/src/test/java/postgrade/rig/shared/SharedServing.java
+++ b/rig/src/test/java/postgrade/rig/shared/SharedStateCluster.java
@@ -21,26 +21,26 @@
  * Four dispatchers that share, three of them voters, with a proxy between each two, before a small
  * fleet under load.
  */
-final class SharedServing implements Closeable {
+final class SharedStateCluster implements Closeable {
 
-    static final long MOST = 240_000;
+    static final long TIMEOUT_MILLIS = 240_000;
 
     /**
      * The stand-ins share the machine with all else that runs on it, and see late what was done in
      * time.
      */
-    static final long SLACK_MICROS = 2_500_000;
+    static final long OBSERVATION_SLACK_MICROS = 2_500_000;
 
     /**
      * And a client that waits for a core sees its answer late: how late is no matter of the
      * dispatcher's rules.
      */
-    static final long LATE_MICROS = 60_000_000;
+    static final long CLIENT_DELAY_MICROS = 60_000_000;
 
-    static final List<String> ALL = List.of("n1", "n2", "n3", "n4");
+    static final List<String> DISPATCHERS = List.of("n1", "n2", "n3", "n4");
 
     /** The seed chooses the ports: two programs that run tests at once must not choose the same. */
-    private static final String FLEET =
+    private static final String FLEET_PLAN =
             """
             seed = %d
             workers = [
@@ -55,41 +55,45 @@
             tenants = {"kvart-market": 60, "zeleni-kos": 60}
             """;
 
-    final DispatcherCluster serving;
-    final LoadGenerator shops;
+    final DispatcherCluster dispatchers;
+    final LoadGenerator load;
     private final Path folder;
-    private int calls;
+    private int requestCount;
 
-    SharedServing(Path folder, String sharing, String planners, String... classes)
+    SharedStateCluster(Path folder, String sharing, String planners, String... classes)
             throws IOException, InterruptedException {
         this.folder = folder;
-        DispatcherCluster.Options o = new DispatcherCluster.Options();
-        o.dispatchers = ALL.size();
-        o.plan =
+        DispatcherCluster.Options options = new DispatcherCluster.Options();
+        options.dispatchers = DISPATCHERS.size();
+        options.plan =
                 FleetPlan.of(
                         "shared.star",
-                        String.format(FLEET, ProcessHandle.current().pid(), planners));
-        o.sharing = SharingScript.proxied(sharing);
-        serving = new DispatcherCluster(folder, o);
+                        String.format(FLEET_PLAN, ProcessHandle.current().pid(), planners));
+        options.sharing = SharingScript.proxied(sharing);
+        dispatchers = new DispatcherCluster(folder, options);
         List<LoadGenerator.JobKind> kinds = new java.util.ArrayList<>();
-        for (String c : classes) {
-            for (String tenant : o.plan.tenants.keySet()) {
+        for (String jobClass : classes) {
+            for (String tenant : options.plan.tenants.keySet()) {
                 kinds.add(
                         new LoadGenerator.JobKind(
-                                c, tenant, 1, 20_000_000, o.plan.classes.get(c).repeatable()));
+                                jobClass,
+                                tenant,
+                                1,
+                                20_000_000,
+                                options.plan.classes.get(jobClass).repeatable()));
             }
         }
-        shops =
+        load =
                 new LoadGenerator(
-                        serving.clientAddresses(), kinds, 9, folder.resolve("clients.ledger"));
+                        dispatchers.clientAddresses(), kinds, 9, folder.resolve("clients.ledger"));
         try {
-            serving.beginEra("n1", 1);
-            serving.startAll();
-            for (String name : ALL) {
+            dispatchers.beginEra("n1", 1);
+            dispatchers.startAll();
+            for (String name : DISPATCHERS) {
                 awaitJoined(name);
             }
-            for (String name : serving.voters()) {
-                until(
+            for (String name : dispatchers.voters()) {
+                awaitSharing(
                         "vote",
                         name,
                         a -> a.getString("role", "").equals("voter") && a.getInt("voters", 0) == 3);
@@ -100,73 +104,75 @@
         }
     }
 
-    OperatorCall.Answer until(
-            String what, String name, java.util.function.Predicate<JsonObject> sought)
+    OperatorCall.Answer awaitSharing(
+            String what, String name, java.util.function.Predicate<JsonObject> condition)
             throws InterruptedException {
-        return serving.awaitAnswer(
+        return dispatchers.awaitAnswer(
                 what,
                 "GET",
                 name,
                 "/sharing",
                 null,
-                MOST,
-                a -> a.status() == 200 && sought.test(a.json()));
+                TIMEOUT_MILLIS,
+                a -> a.status() == 200 && condition.test(a.json()));
     }
 
     void awaitJoined(String name) throws InterruptedException {
-        until("membership", name, a -> a.getBoolean("joined", false));
+        awaitSharing("membership", name, a -> a.getBoolean("joined", false));
     }
 
-    String leader(String by) throws InterruptedException {
-        return until("leader", by, a -> !a.get("leader").isNull()).json().getString("leader", "");
+    String leader(String dispatcher) throws InterruptedException {
+        return awaitSharing("leader", dispatcher, a -> !a.get("leader").isNull())
+                .json()
+                .getString("leader", "");
     }
 
     /** A voter other than these. */
-    static String other(String... not) {
+    static String otherVoter(String... excluded) {
         return List.of("n1", "n2", "n3").stream()
-                .filter(v -> !List.of(not).contains(v))
+                .filter(v -> !List.of(excluded).contains(v))
                 .findFirst()
                 .orElseThrow();
     }
 
     String requestId() {
-        return "rig-" + ++calls;
+        return "rig-" + ++requestCount;
     }
 
     /** Calls until it is decided, with one request id. */
-    OperatorCall.Answer decided(String method, String name, String path, JsonObject body)
+    OperatorCall.Answer callUntilDecided(String method, String name, String path, JsonObject body)
             throws InterruptedException {
         String text = body.add("requestId", requestId()).toString();
-        return serving.awaitAnswer(
-                "decision", method, name, path, text, MOST, a -> a.status() != 503);
+        return dispatchers.awaitAnswer(
+                "decision", method, name, path, text, TIMEOUT_MILLIS, a -> a.status() != 503);
     }
 
     void kill(String name) throws InterruptedException {
-        serving.cluster().process(name).kill();
+        dispatchers.cluster().process(name).kill();
     }
 
-    void startAgain(String name) throws IOException, InterruptedException {
-        serving.cluster().start(name);
-        serving.awaitReady(name, MOST);
+    void restart(String name) throws IOException, InterruptedException {
+        dispatchers.cluster().start(name);
+        dispatchers.awaitReady(name, TIMEOUT_MILLIS);
     }
 
-    List<Line> workers() throws IOException {
-        serving.fleet().flush();
+    List<Line> workerLedger() throws IOException {
+        dispatchers.fleet().flush();
         return LedgerReader.read(folder.resolve("workers.ledger"));
     }
 
-    List<Line> clients() throws IOException {
-        shops.flush();
+    List<Line> clientLedger() throws IOException {
+        load.flush();
         return LedgerReader.read(folder.resolve("clients.ledger"));
     }
 
     /** Waits until this dispatcher has sent a job of that class to a worker since then. */
     long awaitSent(String name, String jobClass, long since)
             throws IOException, InterruptedException {
-        long via = ALL.indexOf(name);
-        long end = Clock.micros() + MOST * 1000;
-        while (Clock.micros() < end) {
-            for (Line l : workers()) {
+        long via = DISPATCHERS.indexOf(name);
+        long deadlineMicros = Clock.micros() + TIMEOUT_MILLIS * 1000;
+        while (Clock.micros() < deadlineMicros) {
+            for (Line l : workerLedger()) {
                 if (l.event().equals("received")
                         && l.number("via") == via
                         && l.number("first") > since
@@ -180,38 +186,41 @@
     }
 
     /** Waits until no process tells of this holder any more. */
-    void awaitGone(String holder, String... names) throws InterruptedException {
+    void awaitReservationGone(String holder, String... names) throws InterruptedException {
         for (String name : names) {
-            serving.awaitAnswer(
+            dispatchers.awaitAnswer(
                     holder + " gone",
                     "GET",
                     name,
                     "/reservations",
                     null,
-                    MOST,
+                    TIMEOUT_MILLIS,
                     a -> a.status() == 200 && !a.text().contains("\"" + holder + "\""));
         }
     }
 
     /** The rules of the protocol hold for all but what a killed dispatcher had taken. */
-    void judgeRules(String... killed) throws IOException, InterruptedException {
-        shops.finish();
-        List<String> died =
-                clients().stream()
+    void assertRulesHold(String... killed) throws IOException, InterruptedException {
+        load.finish();
+        List<String> lostJobs =
+                clientLedger().stream()
                         .filter(
                                 l ->
                                         l.event().startsWith("broken")
                                                 && List.of(killed).contains(l.value("via")))
                         .map(Line::id)
                         .toList();
-        workers();
-        RuleChecker.Verdict v = RuleChecker.judge(folder, SLACK_MICROS, LATE_MICROS);
-        assertEquals(List.of(), v.violations.stream().filter(b -> !died.contains(b.id())).toList());
+        workerLedger();
+        RuleChecker.Verdict verdict =
+                RuleChecker.judge(folder, OBSERVATION_SLACK_MICROS, CLIENT_DELAY_MICROS);
+        assertEquals(
+                List.of(),
+                verdict.violations.stream().filter(b -> !lostJobs.contains(b.id())).toList());
     }
 
     @Override
     public void close() throws IOException {
-        shops.close();
-        serving.close();
+        load.close();
+        dispatchers.close();
     }
 }
--- a/rig/src/test/java/postgrade/rig/shared/StartWindowsTest.java
+++ b/rig/src/test/java/postgrade/rig/shared/StartWindowsTest.java
@@ -36,38 +36,38 @@
             DateTimeFormatter.ofPattern("yyyyMMdd'T'HHmmss'Z'").withZone(ZoneOffset.UTC);
 
     /** The wall clock's whole seconds, and the worker's view of a send. */
-    private static final long SLACK = 100_000;
+    private static final long SLACK_MICROS = 100_000;
 
-    private static final long LASTS_MICROS = 5_000_000;
+    private static final long MAINTENANCE_MICROS = 5_000_000;
 
     @Rule public final KeptFolder folder = new KeptFolder("windows");
-    private SharedServing s;
+    private SharedStateCluster cluster;
 
     /** From the wall clock to that of the ledgers, in microseconds. */
-    private long offset;
+    private long wallToLedgerMicros;
 
     @Before
     public void open() throws IOException, InterruptedException {
-        s =
-                new SharedServing(
+        cluster =
+                new SharedStateCluster(
                         folder.path(),
                         "windows = [window(\"route-plan\", [\"hall-b\"], lasts_ms = 100)]\n"
                                 + "sites_by_zone = {\"hall-b\": \"hall-b\"}\nclock_error_ms = 2000\n",
                         "",
                         "slot-check",
                         "route-plan");
-        offset = Clock.micros() - System.currentTimeMillis() * 1000;
-        assertEquals(200, put("n1", calendar()).status());
-        for (String name : SharedServing.ALL) {
+        wallToLedgerMicros = Clock.micros() - System.currentTimeMillis() * 1000;
+        assertEquals(200, putCalendar("n1", calendar()).status());
+        for (String name : SharedStateCluster.DISPATCHERS) {
             awaitMayStart(name);
         }
-        s.shops.setRate(60);
+        cluster.load.setRate(60);
     }
 
     @After
     public void close() throws IOException {
-        if (s != null) {
-            s.close();
+        if (cluster != null) {
+            cluster.close();
         }
     }
 
@@ -87,22 +87,23 @@
         return c.append("END:VCALENDAR\r\n").toString();
     }
 
-    private OperatorCall.Answer put(String by, String text) throws InterruptedException {
-        return s.decided(
+    private OperatorCall.Answer putCalendar(String dispatcher, String text)
+            throws InterruptedException {
+        return cluster.callUntilDecided(
                 "PUT",
-                by,
+                dispatcher,
                 "/calendar",
                 new JsonObject().add("site", SITE).add("zone", "Europe/Zagreb").add("text", text));
     }
 
     private void awaitMayStart(String name) throws InterruptedException {
-        s.serving.awaitAnswer(
+        cluster.dispatchers.awaitAnswer(
                 "opening",
                 "POST",
                 name,
                 "/windows",
                 "{\"class\":\"route-plan\"}",
-                SharedServing.MOST,
+                SharedStateCluster.TIMEOUT_MILLIS,
                 a -> a.status() == 200 && a.json().getBoolean("mayStart", false));
     }
 
@@ -110,14 +111,15 @@
      * Maintenance that begins once the calendar counts for certain; its span in the time of
      * ledgers.
      */
-    private Span announce(String by) throws InterruptedException {
+    private Span scheduleMaintenance(String dispatcher) throws InterruptedException {
         for (int tries = 0; tries < 10; tries++) {
             long from = System.currentTimeMillis() / 1000 + 15 + 3 * tries;
-            OperatorCall.Answer a = put(by, calendar(from, from + LASTS_MICROS / 1_000_000));
-            assertEquals(a.toString(), 200, a.status());
-            long begins = from * 1_000_000 + offset;
-            if (Clock.micros() + a.json().getLong("inMicros", 0) < begins) {
-                return new Span(begins, begins + LASTS_MICROS);
+            OperatorCall.Answer answer =
+                    putCalendar(dispatcher, calendar(from, from + MAINTENANCE_MICROS / 1_000_000));
+            assertEquals(answer.toString(), 200, answer.status());
+            long startMicros = from * 1_000_000 + wallToLedgerMicros;
+            if (Clock.micros() + answer.json().getLong("inMicros", 0) < startMicros) {
+                return new Span(startMicros, startMicros + MAINTENANCE_MICROS);
             }
             // Decided too late for this one to be judged: another, that begins later, takes its
             // place.
@@ -125,10 +127,10 @@
         throw new AssertionError("no calendar was decided in time to count before its maintenance");
     }
 
-    private void judge(Span maintenance) throws IOException {
+    private void assertNoStartDuring(Span maintenance) throws IOException {
         List<StartedJob> started = new ArrayList<>();
-        long others = 0;
-        for (Line l : s.workers()) {
+        long unrestrictedJobs = 0;
+        for (Line l : cluster.workerLedger()) {
             if (l.event().equals("received")) {
                 boolean within =
                         l.number("first") >= maintenance.from()
@@ -136,29 +138,29 @@
                 if ("route-plan".equals(l.value("class"))) {
                     started.add(new StartedJob(l.number("first"), SITE, l.id()));
                 } else {
-                    others += within ? 1 : 0;
+                    unrestrictedJobs += within ? 1 : 0;
                 }
             }
         }
-        assertTrue("none of a class without windows went on", others > 0);
+        assertTrue("none of a class without windows went on", unrestrictedJobs > 0);
         List<Breach> breaches =
                 WindowCheck.check(
                         List.of(new CalendarVersion(SITE, 0, List.of(maintenance))),
                         started,
-                        SLACK);
+                        SLACK_MICROS);
         assertEquals(List.of(), breaches);
     }
 
-    private long refused(long from, long to) throws IOException {
-        List<String> plans = new ArrayList<>();
+    private long refusedCount(long from, long to) throws IOException {
+        List<String> requestIds = new ArrayList<>();
         long refused = 0;
-        for (Line l : s.clients()) {
+        for (Line l : cluster.clientLedger()) {
             if (l.event().equals("sent")
                     && "route-plan".equals(l.value("class"))
                     && l.micros() >= from
                     && l.micros() < to) {
-                plans.add(l.id());
-            } else if (l.event().equals("answer") && plans.contains(l.id())) {
+                requestIds.add(l.id());
+            } else if (l.event().equals("answer") && requestIds.contains(l.id())) {
                 refused += l.number("status") == 429 || l.number("status") == 503 ? 1 : 0;
             }
         }
@@ -166,106 +168,110 @@
     }
 
     @Test
-    public void nothingStartsWithinMaintenanceOverARestart()
+    public void nothingStartsDuringMaintenanceAcrossRestart()
             throws IOException, InterruptedException {
-        Span maintenance = announce("n2");
-        s.awaitSent("n4", "route-plan", Clock.micros());
-        s.kill("n4");
-        s.startAgain("n4");
-        s.awaitSent("n4", "slot-check", maintenance.from());
-        s.awaitSent("n1", "route-plan", maintenance.to());
-        s.awaitSent("n4", "route-plan", maintenance.to());
-        judge(maintenance);
-        assertTrue(refused(maintenance.from(), maintenance.to()) > 0);
-        s.judgeRules("n4");
+        Span maintenance = scheduleMaintenance("n2");
+        cluster.awaitSent("n4", "route-plan", Clock.micros());
+        cluster.kill("n4");
+        cluster.restart("n4");
+        cluster.awaitSent("n4", "slot-check", maintenance.from());
+        cluster.awaitSent("n1", "route-plan", maintenance.to());
+        cluster.awaitSent("n4", "route-plan", maintenance.to());
+        assertNoStartDuring(maintenance);
+        assertTrue(refusedCount(maintenance.from(), maintenance.to()) > 0);
+        cluster.assertRulesHold("n4");
     }
 
     @Test
-    public void oneThatIsCutOffBeforeTheChangeStartsNothingThatNeedsAWindow()
+    public void dispatcherIsolatedBeforeCalendarChangeStartsNothingThatNeedsAWindow()
             throws IOException, InterruptedException {
-        s.awaitSent("n4", "route-plan", Clock.micros());
-        s.serving.cluster().mesh().isolate(Set.of("n4"));
-        Span maintenance = announce("n1");
-        s.awaitSent("n4", "slot-check", maintenance.from() + LASTS_MICROS / 2);
-        s.serving.cluster().mesh().heal();
-        s.awaitSent("n1", "route-plan", maintenance.to());
-        s.awaitSent("n4", "route-plan", maintenance.to());
-        judge(maintenance);
-        s.judgeRules();
+        cluster.awaitSent("n4", "route-plan", Clock.micros());
+        cluster.dispatchers.cluster().mesh().isolate(Set.of("n4"));
+        Span maintenance = scheduleMaintenance("n1");
+        cluster.awaitSent("n4", "slot-check", maintenance.from() + MAINTENANCE_MICROS / 2);
+        cluster.dispatchers.cluster().mesh().heal();
+        cluster.awaitSent("n1", "route-plan", maintenance.to());
+        cluster.awaitSent("n4", "route-plan", maintenance.to());
+        assertNoStartDuring(maintenance);
+        cluster.assertRulesHold();
     }
 
     @Test
-    public void aCalendarUploadedWhileTheLeaderDiesCountsOnceAndForAll()
+    public void calendarUploadedDuringLeaderDeathTakesEffectOnceEverywhere()
             throws IOException, InterruptedException {
-        String leader = s.leader("n4");
-        String by = SharedServing.other(leader);
-        String third = SharedServing.other(leader, by);
+        String leader = cluster.leader("n4");
+        String survivor = SharedStateCluster.otherVoter(leader);
+        String third = SharedStateCluster.otherVoter(leader, survivor);
         long from = System.currentTimeMillis() / 1000 + 32;
         Span maintenance =
-                new Span(from * 1_000_000 + offset, from * 1_000_000 + offset + LASTS_MICROS);
+                new Span(
+                        from * 1_000_000 + wallToLedgerMicros,
+                        from * 1_000_000 + wallToLedgerMicros + MAINTENANCE_MICROS);
         String body =
                 new JsonObject()
                         .add("site", SITE)
                         .add("zone", "Europe/Zagreb")
                         .add("requestId", "dying")
-                        .add("text", calendar(from, from + LASTS_MICROS / 1_000_000))
+                        .add("text", calendar(from, from + MAINTENANCE_MICROS / 1_000_000))
                         .toString();
-        Thread first =
+        Thread upload =
                 new Thread(
                         () -> {
                             try {
-                                s.serving.call("PUT", leader, "/calendar", body);
+                                cluster.dispatchers.call("PUT", leader, "/calendar", body);
                             } catch (IOException | InterruptedException e) {
                                 // It dies over it: whether it was decided is not known to whoever
                                 // called.
                             }
                         });
-        first.start();
-        s.kill(leader);
-        first.join();
-        OperatorCall.Answer one =
-                s.serving.awaitAnswer(
+        upload.start();
+        cluster.kill(leader);
+        upload.join();
+        OperatorCall.Answer firstAnswer =
+                cluster.dispatchers.awaitAnswer(
                         "decision",
                         "PUT",
-                        by,
+                        survivor,
                         "/calendar",
                         body,
-                        SharedServing.MOST,
+                        SharedStateCluster.TIMEOUT_MILLIS,
                         a -> a.status() != 503);
-        assertEquals(one.toString(), 200, one.status());
+        assertEquals(firstAnswer.toString(), 200, firstAnswer.status());
         assertTrue(
-                one.toString(),
-                Clock.micros() + one.json().getLong("inMicros", 0) < maintenance.from());
-        OperatorCall.Answer again =
-                s.serving.awaitAnswer(
+                firstAnswer.toString(),
+                Clock.micros() + firstAnswer.json().getLong("inMicros", 0) < maintenance.from());
+        OperatorCall.Answer repeatedAnswer =
+                cluster.dispatchers.awaitAnswer(
                         "decision",
                         "PUT",
                         third,
                         "/calendar",
                         body,
-                        SharedServing.MOST,
+                        SharedStateCluster.TIMEOUT_MILLIS,
                         a -> a.status() != 503);
-        assertEquals(one.json().get("text"), again.json().get("text"));
-        s.startAgain(leader);
-        s.awaitSent("n4", "slot-check", maintenance.from() + LASTS_MICROS / 2);
-        s.awaitSent(leader, "route-plan", maintenance.to());
-        s.awaitSent("n4", "route-plan", maintenance.to());
-        judge(maintenance);
-        s.judgeRules(leader);
+        assertEquals(firstAnswer.json().get("text"), repeatedAnswer.json().get("text"));
+        cluster.restart(leader);
+        cluster.awaitSent("n4", "slot-check", maintenance.from() + MAINTENANCE_MICROS / 2);
+        cluster.awaitSent(leader, "route-plan", maintenance.to());
+        cluster.awaitSent("n4", "route-plan", maintenance.to());
+        assertNoStartDuring(maintenance);
+        cluster.assertRulesHold(leader);
     }
 
     @Test
-    public void aFaultyCalendarIsTurnedDownByLineAndTheFormerStays()
+    public void invalidCalendarIsRejectedWithItsLineAndPreviousStays()
             throws IOException, InterruptedException {
-        String faulty =
+        String invalid =
                 calendar(1_900_000_000L, 1_900_003_600L)
                         .replace("SUMMARY:belts", "RRULE:FREQ=SOMETIMES\r\nSUMMARY:belts");
-        OperatorCall.Answer a = put("n3", faulty);
-        assertEquals(a.toString(), 400, a.status());
-        assertTrue(a.toString(), a.text().contains("line 9") && a.text().contains("RRULE"));
+        OperatorCall.Answer answer = putCalendar("n3", invalid);
+        assertEquals(answer.toString(), 400, answer.status());
+        assertTrue(
+                answer.toString(),
+                answer.text().contains("line 9") && answer.text().contains("RRULE"));
         assertEquals(
                 409,
-                s.decided(
+                cluster.callUntilDecided(
                                 "PUT",
                                 "n3",
                                 "/calendar",
@@ -275,9 +281,9 @@
                                         .add("text", calendar())
                                         .add("expects", "1"))
                         .status());
-        for (String name : SharedServing.ALL) {
+        for (String name : SharedStateCluster.DISPATCHERS) {
             awaitMayStart(name);
-            s.awaitSent(name, "route-plan", Clock.micros());
+            cluster.awaitSent(name, "route-plan", Clock.micros());
         }
     }
 }
