--- a/rig/src/test/java/postgrade/rig/check/ChecksTest.java
+++ b/rig/src/test/java/postgrade/rig/check/ChecksTest.java
@@ -17,8 +17,8 @@
 import postgrade.rig.check.WindowCheck.StartedJob;
 
 /**
- * Each checker passes a clean history, and finds a violation put into it at a place that a seed
- * names.
+ * Each checker accepts a valid history and finds a violation inserted into it at a place chosen by
+ * a seed.
  */
 public class ChecksTest {
 
--- a/rig/src/test/java/postgrade/rig/check/lease/LeaseChecksTest.java
+++ b/rig/src/test/java/postgrade/rig/check/lease/LeaseChecksTest.java
@@ -15,7 +15,7 @@
 import postgrade.rig.check.lease.LeaseUseCheck.Use;
 import postgrade.rig.check.lease.LinearizabilityChecker.Call;
 
-/** Each check is silent on a sound history and speaks where a violation is seeded into it. */
+/** Each check accepts a valid history and reports a violation inserted into it. */
 class LeaseChecksTest {
 
     private static final long NEVER = Long.MAX_VALUE;
@@ -102,14 +102,14 @@
                         List.of(
                                 call(0, 10, LeaseModel.granted("h", 5, 1)),
                                 call(11, 20, LeaseModel.granted("h", 4, 2)))),
-                "the fence went back");
+                "the fence decreased");
         assertNotNull(
                 LeaseModel.firstViolation(
                         2,
                         List.of(
                                 call(0, 10, LeaseModel.granted("h", 5, 1)),
                                 call(11, 20, LeaseModel.notFound("h", 5)))),
-                "gone, though nothing ended it");
+                "not found, although nothing ended it");
         assertNotNull(
                 LeaseModel.firstViolation(
                         2,
@@ -117,10 +117,10 @@
                                 call(0, 10, LeaseModel.granted("h", 5, 3)),
                                 call(11, 20, LeaseModel.ended("h", 5)),
                                 call(21, 22, LeaseModel.granted("h", 9, 1)))),
-                "granted before it had rested");
+                "granted before the grace period was over");
         assertNotNull(
                 LeaseModel.firstViolation(2, List.of(call(0, 10, LeaseModel.refused(2)))),
-                "refused, though all were free");
+                "refused, although all accelerators were free");
     }
 
     @Test
@@ -129,7 +129,7 @@
             SplittableRandom random = new SplittableRandom(seed);
             List<Call<State>> history = new ArrayList<>();
             long fence = 0;
-            // Each call takes effect at 10 i + 5 and is stretched over its neighbours.
+            // Each call takes effect at 10 i + 5 and overlaps its neighbours.
             for (int i = 0; i < 400; i++) {
                 long at = 10L * i + 5;
                 UnaryOperator<State> effect =
--- a/rig/src/test/java/postgrade/rig/lease/LeaseBench.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseBench.java
@@ -12,19 +12,26 @@
 import postgrade.rig.history.HistoryReader;
 
 /**
- * Reservations under faults: clusters side by side, each with holders at work, for so many faults
- * or until the time is over. Prints what was counted. Arguments: folder, clusters, faults of each,
- * minutes at most, seed, and the one fault to be put if not all of them; or {@code judge} and
- * histories that were kept, which are then judged once more.
+ * Runs reservations under injected faults: several clusters in parallel, each with active holders,
+ * until the number of faults or the time limit is reached. Prints a summary. Arguments: folder,
+ * number of clusters, faults per cluster, time limit in minutes, seed and, optionally, the only
+ * fault to inject; or {@code judge} and the files of recorded histories, which are then judged
+ * again.
  */
 public final class LeaseBench {
 
-    /** A cluster's history is judged as one; it stays small enough for that. */
+    /**
+     * Limits the faults of one cluster, since its history is judged as a whole and must stay small
+     * enough for that.
+     */
     private static final int MAX_FAULTS_PER_CLUSTER = 60;
 
     private LeaseBench() {}
 
-    /** What came of one cluster. */
+    /**
+     * Runs clusters one after another until the number of faults is reached, and keeps their
+     * results.
+     */
     private static final class ClusterTask implements Runnable {
         private final Path folder;
         private final int faultTarget;
@@ -73,7 +80,10 @@
             return faultTarget - faultsDone.values().stream().mapToInt(n -> n).sum();
         }
 
-        /** Until a cluster has had its part, or does not come back: then the next one goes on. */
+        /**
+         * Injects faults into one cluster until it has had its share or fails to recover; the next
+         * cluster then continues.
+         */
         private void runRound(LeaseRun run) throws Exception {
             run.start(6);
             LeaseRun.Fault fault = null;
@@ -102,7 +112,7 @@
         }
     }
 
-    /** Judges histories that were kept once more. */
+    /** Judges recorded histories again. */
     private static void judge(List<String> files) throws java.io.IOException {
         for (String file : files) {
             List<History.Event> events = HistoryReader.read(Path.of(file));
@@ -125,7 +135,7 @@
                             + events.stream().filter(e -> e.kind().equals("fault")).count()
                             + ", grants "
                             + verdict.grants.size()
-                            + ", ends of use seen "
+                            + ", observed ends of use "
                             + verdict.useCount
                             + ", breaches "
                             + verdict.breaches);
@@ -204,21 +214,23 @@
         passed &= failedRecoveries.isEmpty() && breaches.values().stream().allMatch(n -> n == 0);
         System.out.println(
                 "faults " + faultsDone.values().stream().mapToInt(n -> n).sum() + " " + faultsDone);
-        System.out.println("clusters that did not come back " + failedRecoveries.size());
+        System.out.println("clusters that did not recover " + failedRecoveries.size());
         failedRecoveries.forEach(task -> System.out.println("  " + task));
         System.out.println(
                 "calls decided "
                         + calls
                         + ", grants "
                         + grants
-                        + ", ends of use seen "
+                        + ", observed ends of use "
                         + uses
-                        + ", calls and events put in order "
+                        + ", calls and events checked for linearizability "
                         + orderedCalls);
         System.out.println("breaches " + breaches);
-        System.out.println("last use beyond the time to live, ms: " + quantiles(overruns, 1000));
-        System.out.println("the same as part of its bound, %: " + quantiles(overrunsPerMille, 10));
-        System.out.println("no grants after a leader's death, ms: " + quantiles(grantGaps, 1000));
+        System.out.println("last use after expiry, ms: " + quantiles(overruns, 1000));
+        System.out.println(
+                "last use after expiry, % of its bound: " + quantiles(overrunsPerMille, 10));
+        System.out.println(
+                "time without grants after a leader's death, ms: " + quantiles(grantGaps, 1000));
         System.out.println(passed ? "LEASES passed" : "LEASES failed");
         return passed;
     }
@@ -230,7 +242,7 @@
         Collections.sort(values);
         return String.format(
                 Locale.ROOT,
-                "n %d, p50 %.0f, p90 %.0f, p99 %.0f, most %.0f",
+                "n %d, p50 %.0f, p90 %.0f, p99 %.0f, max %.0f",
                 values.size(),
                 at(values, 0.5) / unit,
                 at(values, 0.9) / unit,
--- a/rig/src/test/java/postgrade/rig/lease/LeaseCalls.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseCalls.java
@@ -8,8 +8,8 @@
 import postgrade.rig.history.History;
 
 /**
- * Calls of holders, each repeated under its id through one process or another until it is decided;
- * all are kept.
+ * Sends calls of holders and records them. Each call is repeated under its id, alternating between
+ * the observers, until it is decided.
  */
 final class LeaseCalls {
 
@@ -17,10 +17,10 @@
     private static final long DECISION_TIMEOUT_MICROS = 60_000_000;
 
     /**
-     * One call that was decided.
+     * A decided call.
      *
-     * @param sent when it was first sent @param ended when its answer came, both by the machine's
-     *     monotonic clock
+     * @param sent when it was first sent, by the machine's monotonic clock, in microseconds
+     * @param ended when its answer arrived, by the same clock
      */
     record Call(
             String holder,
@@ -85,7 +85,9 @@
     }
 
     /**
-     * @throws IllegalStateException where nobody decides it for a minute
+     * Sends a call until it is decided.
+     *
+     * @throws IllegalStateException if it is not decided within a minute
      */
     Call call(
             String holder,
@@ -133,10 +135,11 @@
                 }
                 Thread.sleep(20);
             } catch (IllegalStateException reply) {
-                // Asked again, through the other one.
+                // Not answered in time: retried through the other observer.
             }
         }
-        throw new IllegalStateException(command + " was never decided");
+        throw new IllegalStateException(
+                command + " was not decided within " + DECISION_TIMEOUT_MICROS / 1_000_000 + " s");
     }
 
     private static long parseFence(String text) {
--- a/rig/src/test/java/postgrade/rig/lease/LeaseCluster.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseCluster.java
@@ -18,15 +18,15 @@
 import postgrade.rig.proxy.ProxyMesh;
 
 /**
- * Three voters and two observers in processes of their own, a proxy between every two, clocks 2%
- * apart.
+ * Starts three voters and two observers as separate processes, with a proxy between every two of
+ * them and clock rates up to 2% apart.
  */
 final class LeaseCluster implements Closeable {
 
     static final List<String> VOTERS = List.of("a", "b", "c");
     static final List<String> OBSERVERS = List.of("x", "y");
 
-    /** Parts per million by which a process's clock is off. */
+    /** Deviation of each process's clock rate, in parts per million. */
     private static final Map<String, Integer> CLOCK_RATE_PPM =
             Map.of("a", 10_000, "b", -10_000, "c", 0, "x", -10_000, "y", 10_000);
 
@@ -41,7 +41,9 @@
     private long lastId;
 
     /**
-     * @param more virtual machine's properties for every process
+     * Prepares the cluster; {@link #start()} starts its processes.
+     *
+     * @param jvmProperties JVM options for every process
      */
     LeaseCluster(Path folder, History history, String... jvmProperties) throws IOException {
         this.folder = folder;
@@ -99,29 +101,29 @@
     }
 
     /**
-     * Until every voter votes, all three count and all agree on one leader that lives, by what each
-     * said last.
+     * Waits until the latest status of every voter shows it voting, three voters in total, and the
+     * same live leader.
      */
     void awaitStableLeader() throws InterruptedException {
         long deadlineNanos = System.nanoTime() + RECOVERY_TIMEOUT_MILLIS * 1_000_000;
         while (leader() == null) {
             if (System.nanoTime() > deadlineNanos) {
                 throw new IllegalStateException(
-                        "not well again within "
+                        "no stable leader within "
                                 + RECOVERY_TIMEOUT_MILLIS
                                 + " ms: "
                                 + latestStatuses());
             }
             int from = history.size();
             try {
-                history.await("word of a standing", from, 100, e -> e.kind().equals("standing"));
+                history.await("a status event", from, 100, e -> e.kind().equals("standing"));
             } catch (IllegalStateException e) {
-                // Looked at again.
+                // No status event within 100 ms: the condition is checked again.
             }
         }
     }
 
-    /** The leader on which all three voters agree, or null. */
+    /** Returns the leader on which all three voters agree, or null. */
     String leader() {
         Map<String, History.Event> latest = latestStatuses();
         String leader = null;
@@ -161,12 +163,14 @@
         return "q" + ++lastId;
     }
 
-    /** Sends a call through a process; its answer comes as an event {@code reply} with this id. */
+    /**
+     * Sends a command to a process; the answer is recorded as a {@code reply} event with this id.
+     */
     void send(String process, String id, long timeoutMillis, String command) {
         try {
             processes.get(process).writeLine(id + " " + timeoutMillis + " " + command);
         } catch (IOException e) {
-            // It has died; no answer will come.
+            // The process has died: no answer will come.
         }
     }
 
--- a/rig/src/test/java/postgrade/rig/lease/LeaseFaultsTest.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseFaultsTest.java
@@ -14,17 +14,18 @@
 import postgrade.rig.lease.LeaseCalls.Call;
 
 /**
- * Reservations over real processes: the leader dies or sleeps, a process is cut off. Each waits for
- * what must come.
+ * Checks reservations in real processes when the leader dies or is paused, or when a process is
+ * isolated. Each test waits for the expected events instead of fixed times.
  */
 class LeaseFaultsTest {
 
-    /** Of one that is to expire, and of one that is kept: a busy machine holds its calls up. */
+    /** For a grant that must expire. */
     private static final long SHORT_TTL_MILLIS = 2000;
 
+    /** For a grant that is renewed: long enough for calls that a busy machine delays. */
     private static final long LONG_TTL_MILLIS = 15_000;
 
-    /** Of one that is to be seen by all and then to expire. */
+    /** For a grant that all processes must observe before it expires. */
     private static final long OBSERVED_TTL_MILLIS = 8000;
 
     private static final long TIMEOUT_MILLIS = 240_000;
@@ -63,7 +64,7 @@
                 "accelerators=" + accelerators + " ttlMs=" + ttl + " wait=0");
     }
 
-    /** Renews a grant all the while, until {@link #stopRenewing}. */
+    /** Renews a grant repeatedly in a thread of its own until {@link #stopRenewing}. */
     private void startRenewing(Call grant) {
         renewing = true;
         renewer =
@@ -86,7 +87,7 @@
                                 renewalFailed = true;
                             }
                         },
-                        "keeper");
+                        "renewer");
         renewer.setDaemon(true);
         renewer.start();
     }
@@ -94,7 +95,7 @@
     private void stopRenewing() throws InterruptedException {
         renewing = false;
         renewer.join(70_000);
-        assertFalse(renewalFailed, "a renewal was turned down");
+        assertFalse(renewalFailed, "a renewal was rejected");
     }
 
     private void stopRenewingAndRelease(Call grant) throws InterruptedException {
@@ -130,7 +131,10 @@
                 e -> e.who().equals(process) && e.kind().equals("use") && e.text("now").isEmpty());
     }
 
-    /** Asks until it is granted; the accelerators are another's, or rest. */
+    /**
+     * Retries until the grant is made; until then the accelerators are held by another holder or
+     * are in their grace period.
+     */
     private Call awaitGrant(String holder, int accelerators) throws InterruptedException {
         long deadlineNanos = System.nanoTime() + TIMEOUT_MILLIS * 1_000_000;
         Call call = acquire(holder, accelerators, LONG_TTL_MILLIS);
@@ -155,14 +159,14 @@
         assertTrue(ana.granted() && ivo.granted());
         startRenewing(ana);
         cluster.processes.get(cluster.leader()).kill();
-        // Turned down until ivo's have expired and rested.
+        // Rejected until ivo's grant has expired and its grace period is over.
         Call next = awaitGrant("eva", 2);
         assertTrue(next.fence() > ivo.fence());
         assertEquals(ivo.mask(), next.mask());
-        // Longer than the first grant's time to live: it is the renewals that count.
+        // Beyond the first grant's time to live, so that only the renewals explain the use.
         long firstExpiryMicros = ana.ended() + LONG_TTL_MILLIS * 1000;
         history.await(
-                "use for ana beyond her first grant",
+                "use for ana after the expiry of her first grant",
                 history.size(),
                 TIMEOUT_MILLIS,
                 e ->
@@ -181,8 +185,8 @@
         String leader = cluster.leader();
         awaitUse(leader, 0, "ana");
         cluster.processes.get(leader).stop();
-        // Cut off as well until it has looked: else word of what has changed may come to it before
-        // its first look.
+        // Isolated as well until it has sampled its view: otherwise it may receive the changes
+        // before its first sample.
         cluster.mesh.isolate(Set.of(leader));
         startRenewing(awaitGrant("ivo", 4));
         int resumeIndex = history.size();
@@ -191,7 +195,7 @@
         String lookId = cluster.freshId();
         cluster.send(leader, lookId, 500, "look");
         history.await(
-                "its look",
+                "reply to the look command",
                 resumeIndex,
                 TIMEOUT_MILLIS,
                 e -> e.kind().equals("reply") && e.text("id").equals(lookId));
@@ -204,7 +208,7 @@
                                         e.kind().equals("use")
                                                 && e.number("at") >= resumedMicros
                                                 && e.text("now").startsWith("ana")),
-                "the one that slept went on with what it knew");
+                "the resumed leader still used the expired grant");
         stopRenewing();
         assertEquals(List.of(), breaches());
     }
@@ -217,7 +221,7 @@
         awaitUse("x", 0, "ana");
         int from = history.size();
         cluster.mesh.isolate(Set.of("x"));
-        // Though the holder goes on renewing: x cannot know it.
+        // The holder still renews, but x cannot learn of that.
         History.Event stopped = awaitNoUse("x", from);
         stopRenewingAndRelease(ana);
         Call ivo = awaitGrant("ivo", 4);
@@ -225,7 +229,10 @@
         assertEquals(List.of(), breaches());
     }
 
-    /** The same with the bound on a view's age switched off: the checker sees it. */
+    /**
+     * The same fault with the bound on a view's age disabled: the checker must report the double
+     * use.
+     */
     @Test
     void checkerDetectsTwoHoldersWhenViewAgeIsUnbounded() throws Exception {
         startCluster("-Dpostgrade.test.heedless=true");
--- a/rig/src/test/java/postgrade/rig/lease/LeaseHolder.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseHolder.java
@@ -4,8 +4,8 @@
 import postgrade.rig.lease.LeaseCalls.Call;
 
 /**
- * A shop's planner: asks, waits, renews while it lives, then releases or dies without a word, and
- * comes back.
+ * Simulates a holder: acquires, renews for a while, then releases its reservation or abandons it,
+ * and starts again as a new incarnation.
  */
 final class LeaseHolder implements Runnable {
 
--- a/rig/src/test/java/postgrade/rig/lease/LeaseNode.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseNode.java
@@ -24,15 +24,15 @@
 import postgrade.shared.View;
 
 /**
- * A process that shares reservations and would use them: it says all the while for whom it would
- * send, by its own clock and view, and asks what it is told to. Stamps are the machine's monotonic
- * clock, the same in all processes.
+ * A process that takes part in the shared reservations. It reports continuously which holders'
+ * grants it would use by its own clock and view, and submits the commands that it reads from its
+ * input. Event times are from the machine's monotonic clock, which is the same in all processes.
  */
 public final class LeaseNode {
 
     static final String WORKER = "w";
 
-    /** Holders that only show whether grants are made at all; nothing is said of them. */
+    /** Prefix of holders that only probe whether grants are made; their use is not reported. */
     static final String PROBE_PREFIX = "p";
 
     private static final long SAMPLE_INTERVAL_MILLIS = 5;
@@ -55,8 +55,8 @@
     }
 
     /**
-     * Arguments: name, store folder, voters as name=port with commas between, parts per million of
-     * the clock.
+     * Runs a process. Arguments: name, store folder, voters as comma-separated name=port, deviation
+     * of the clock rate in parts per million and, optionally, {@code begin} to begin an era.
      */
     public static void main(String[] args) throws Exception {
         List<QuorumSettings.Voter> voters = new ArrayList<>();
@@ -84,7 +84,7 @@
                     "era",
                     new JsonObject().add("against", String.valueOf(Quorum.beginEra(settings, 1))));
         }
-        // A process that goes on with an old view, to show that the bound on its age is needed.
+        // Lets the process use an outdated view, to show that the bound on its age is needed.
         boolean ignoreViewAge = Boolean.getBoolean("postgrade.test.heedless");
         LeaseTimes times =
                 ignoreViewAge
@@ -101,7 +101,7 @@
             String command = line;
             loop.execute(() -> node.submit(command));
         }
-        Runtime.getRuntime().halt(0); // The rig is gone.
+        Runtime.getRuntime().halt(0); // The parent process has exited.
     }
 
     private static long monotonicMicros() {
@@ -116,7 +116,7 @@
         System.out.println(fields.add("kind", kind).add("at", at));
     }
 
-    /** ID MILLIS VERB name=value... */
+    /** Submits a command line of the form {@code ID MILLIS VERB name=value...}. */
     private void submit(String line) {
         String[] words = line.split(" ");
         Map<String, String> fields = new TreeMap<>();
@@ -150,10 +150,9 @@
     }
 
     private void sample() {
-        // Of the moment at which it is decided. A process may be stopped between that and its
-        // saying so, as it may be
-        // between deciding to send a job and writing it: against that stands the fence, and no
-        // time.
+        // Taken when the use is decided, not when it is reported. A process may be stopped between
+        // the two, as between deciding to send a job and writing it: only the fence protects
+        // against that, no time limit does.
         long at = monotonicMicros();
         long now = clock.getAsLong();
         View view = replicatedState.view();
--- a/rig/src/test/java/postgrade/rig/lease/LeaseRun.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseRun.java
@@ -14,8 +14,8 @@
 import postgrade.rig.process.JavaProcess;
 
 /**
- * A cluster with holders at work and probes that show whether grants are made, and the faults
- * between them.
+ * Runs a cluster with active holders, probes that show whether grants are made, and injected
+ * faults.
  */
 final class LeaseRun implements Closeable {
 
@@ -48,12 +48,12 @@
     int faults;
 
     /**
-     * Holders whose call nobody decided for a minute: their last call may come later and is not
-     * judged.
+     * Number of holders that stopped because a call was not decided within a minute. That call may
+     * still take effect later and is not judged.
      */
     int holdersWithUndecidedCall;
 
-    /** From each death of a leader to the first grant that was asked for after it. */
+    /** Time from each death of a leader to the first grant that was requested after it. */
     final List<Long> grantGapsMicros = new ArrayList<>();
 
     LeaseRun(Path folder, long seed, boolean queues, String... properties) throws IOException {
@@ -131,7 +131,7 @@
         return candidates[random.nextInt(candidates.length)];
     }
 
-    /** Puts a fault and waits until all voters vote again under one leader. */
+    /** Injects a fault and waits until all voters vote again under one leader. */
     void inject(Fault fault) throws Exception {
         cluster.awaitStableLeader();
         String leader = cluster.leader();
@@ -204,7 +204,7 @@
         cluster.mesh.heal();
     }
 
-    /** Ends the holders in order, waits until all that they had has ended, and judges. */
+    /** Stops the holders, waits until their grants have expired, and judges the history. */
     LeaseVerdict verdict(long settleMillis) throws InterruptedException {
         holders.forEach(h -> h.stopped = true);
         for (Thread t : threads) {
--- a/rig/src/test/java/postgrade/rig/lease/LeaseVerdict.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseVerdict.java
@@ -18,29 +18,29 @@
 import postgrade.rig.lease.LeaseCalls.Call;
 
 /**
- * Hands a run's history to the checkers. The times stand here once more, so that a change of the
- * product's shows.
+ * Runs the checkers on the history of a run. The times are repeated here instead of being read from
+ * the product, so that a change there is noticed.
  */
 final class LeaseVerdict {
 
     static final long VIEW_BOUND_MICROS = 1_500_000;
-    static final long REST_MICROS = 3_000_000;
+    static final long GRACE_MICROS = 3_000_000;
     static final long UNCOMMITTED_MICROS = 1_000_000;
-    static final double CLOCK_RATE_RATIO = 1.03;
+    static final double CLOCK_RATIO = 1.03;
 
     /**
-     * Between two entries of the log's time, and their way to a commit, on a machine that is busy.
+     * Maximum interval between two entries that advance log time, including their commit, on a busy
+     * machine.
      */
     static final long TIME_STEP_MICROS = 350_000;
 
-    /** Without grants for longer than this, nobody led. */
+    /** A longer interval without grants counts as a time without a leader. */
     private static final long OUTAGE_THRESHOLD_MICROS = 250_000;
 
     final List<Breach> breaches = new ArrayList<>();
 
     /**
-     * For each grant that ended unrenewed: how long after its time to live it was last used, and
-     * the bound on that.
+     * For each expired grant: the time from its expiry to its last use, and the bound on that time.
      */
     final List<long[]> lateAndBound = new ArrayList<>();
 
@@ -74,10 +74,7 @@
         breaches.addAll(LeaseUseCheck.mutualExclusion(used));
         breaches.addAll(
                 LeaseUseCheck.noEarlyExpiry(
-                        grantEnds,
-                        List.copyOf(grants.values()),
-                        CLOCK_RATE_RATIO,
-                        UNCOMMITTED_MICROS));
+                        grantEnds, List.copyOf(grants.values()), CLOCK_RATIO, UNCOMMITTED_MICROS));
         checkLateUse(used, probeGrants);
         List<LinearizabilityChecker.Call<State>> history = orderedHistory(calls, checkRefusals);
         orderedCalls = history.size();
@@ -85,7 +82,11 @@
                 LeaseModel.firstViolation(accelerators, history);
         if (violation != null) {
             breaches.add(
-                    new Breach("order", violation.sent(), "", violation.name() + " fits nowhere"));
+                    new Breach(
+                            "order",
+                            violation.sent(),
+                            "",
+                            violation.name() + " fits no linear order of the calls"));
         }
     }
 
@@ -97,8 +98,9 @@
                 recordRelease(
                         call.holder(),
                         formerFence,
-                        call.sent()); // Taken over by the next incarnation, unless it had ended
-                // before.
+                        call
+                                .sent()); // Taken over by the next incarnation, unless it had ended
+                                          // before.
             }
             grants.put(
                     key(call.holder(), call.fence()),
@@ -121,7 +123,7 @@
                                     new GrantEnd(
                                             call.ended(), "answer", grant.holder(), grant.fence())),
                             List.of(grant),
-                            CLOCK_RATE_RATIO,
+                            CLOCK_RATIO,
                             UNCOMMITTED_MICROS));
         }
     }
@@ -143,7 +145,7 @@
                                 Math.min(releasedMicros, g.releasedMicros())));
     }
 
-    /** Both ends of each spell in which a process would have used something. */
+    /** Returns both ends of each interval during which a process would have used a grant. */
     private static List<Use> usesOf(List<History.Event> events) {
         Map<String, String> using = new HashMap<>();
         List<Use> uses = new ArrayList<>();
@@ -185,7 +187,7 @@
             long bound =
                     (long)
                                     ((grant.ttlMicros() + 2 * TIME_STEP_MICROS + VIEW_BOUND_MICROS)
-                                            * CLOCK_RATE_RATIO)
+                                            * CLOCK_RATIO)
                             - grant.ttlMicros()
                             + outageMicros(probeGrants, grant.lastEndMicros(), last);
             List<Use> lastUseOfGrant =
@@ -198,7 +200,7 @@
         }
     }
 
-    /** For how long within a span no grants were made to anybody, since nobody led. */
+    /** Returns how long, within an interval, no grants were made because there was no leader. */
     private static long outageMicros(List<Long> probeGrants, long from, long to) {
         long previous = from;
         long total = 0;
@@ -216,7 +218,7 @@
                 : total;
     }
 
-    // ---- One order.
+    // ---- Linearizability.
 
     private List<LinearizabilityChecker.Call<State>> orderedHistory(
             List<Call> calls, boolean checkRefusals) {
@@ -292,22 +294,22 @@
                                     g.lastSentMicros()
                                             + (long)
                                                     ((g.ttlMicros() - UNCOMMITTED_MICROS)
-                                                            / CLOCK_RATE_RATIO);
+                                                            / CLOCK_RATIO);
                             all.add(
                                     new LinearizabilityChecker.Call<>(
                                             "expiry of " + g.fence(),
                                             expires,
                                             Long.MAX_VALUE,
                                             LeaseModel.ended(g.holder(), g.fence())));
-                            long restEnds =
+                            long graceEnds =
                                     Math.min(expires, g.releasedMicros())
                                             + (long)
-                                                    ((REST_MICROS - UNCOMMITTED_MICROS)
-                                                            / CLOCK_RATE_RATIO);
+                                                    ((GRACE_MICROS - UNCOMMITTED_MICROS)
+                                                            / CLOCK_RATIO);
                             all.add(
                                     new LinearizabilityChecker.Call<>(
                                             "rest of " + g.fence(),
-                                            restEnds,
+                                            graceEnds,
                                             Long.MAX_VALUE,
                                             LeaseModel.rested(
                                                     masks.get(key(g.holder(), g.fence())))));
--- a/rig/src/test/java/postgrade/rig/shared/RecoveryTest.java
+++ b/rig/src/test/java/postgrade/rig/shared/RecoveryTest.java
@@ -27,12 +27,15 @@
 import postgrade.rig.serve.OperatorCall;
 
 /**
- * Coming back: shares, workers out, and state lost, over kills and cuts of real dispatchers under
- * load.
+ * Checks recovery of real dispatchers under load after kills and partitions: shares, workers in
+ * maintenance, and lost or corrupt state.
  */
 public class RecoveryTest {
 
-    /** All but what the settings keep for a place for ever, a quarter of the even part. */
+    /**
+     * Share of the rates that three survivors reach: all but a quarter of an even share, which the
+     * settings reserve permanently for each member's place.
+     */
     private static final double SURVIVORS_SHARE = 0.937;
 
     private static final String WORKER = "w-0002";
@@ -59,7 +62,10 @@
         }
     }
 
-    /** Of one that returns first: what grows is seen before what must have shrunk by then. */
+    /**
+     * Records the shares of all dispatchers and returns their sum. A returning dispatcher is read
+     * first: its growing share is seen before the shares that must have shrunk by then.
+     */
     private double recordShares(
             List<ShareCheck.ShareChange> changes, Set<String> killed, String... readFirst)
             throws IOException, InterruptedException {
@@ -101,7 +107,7 @@
             greatestSum = Math.max(greatestSum, survivorsSum);
         }
         assertTrue(
-                "the living serve by " + survivorsSum + " of the rates",
+                "the survivors use " + survivorsSum + " of the rates",
                 survivorsSum >= SURVIVORS_SHARE);
         cluster.restart("n4");
         double ownShare = 0;
@@ -115,9 +121,9 @@
                             .getDouble("share", 0);
         }
         assertTrue(
-                "the one that returned serves by " + ownShare + " of its even part",
+                "the returned dispatcher uses " + ownShare + " of its even share",
                 ownShare >= 0.99);
-        assertTrue("the parts come to " + greatestSum, greatestSum <= 1.001);
+        assertTrue("the shares sum to " + greatestSum, greatestSum <= 1.001);
         cluster.assertRulesHold("n4");
     }
 
@@ -132,14 +138,14 @@
                                 "/maintenance/enter",
                                 new JsonObject().add("id", WORKER))
                         .status());
-        // All know of it once each says so itself.
+        // Every dispatcher must report the maintenance itself.
         awaitMaintenance(SharedStateCluster.DISPATCHERS.toArray(new String[0]));
         long knownMicros = Clock.micros();
         long killedMicros = Clock.micros();
         cluster.kill("n4");
         DiskFaults.wipe(cluster.dispatchers.cluster().store("n4"));
         cluster.restart("n4");
-        // It knows nothing until its first view has come, and serves by the list alone until then.
+        // Until its first view arrives it has no shared state and uses only the discovery list.
         cluster.awaitJoined("n4");
         long joinedMicros = Clock.micros();
         long sent = cluster.awaitSent("n4", "slot-check", joinedMicros);
@@ -164,7 +170,7 @@
     private void awaitMaintenance(String... names) throws InterruptedException {
         for (String name : names) {
             cluster.dispatchers.awaitAnswer(
-                    WORKER + " out",
+                    WORKER + " in maintenance",
                     "GET",
                     name,
                     "/status",
@@ -174,7 +180,10 @@
         }
     }
 
-    /** To a worker out nothing is sent by a dispatcher from when it knew. */
+    /**
+     * Asserts that each dispatcher sends nothing to the worker from the time at which it knew of
+     * the maintenance.
+     */
     private void assertNothingSentToWorker(Map<String, Long> knownSince) throws IOException {
         List<WorkerMaintenanceCheck.Sent> sent = sentJobs();
         for (Map.Entry<String, Long> e : knownSince.entrySet()) {
@@ -199,11 +208,11 @@
                         .call("PUT", "n4", "/maintenance/enter", "{\"id\":\"" + WORKER + "\"}")
                         .status());
         long isolatedMicros = Clock.micros();
-        // Cut off for longer than a call waits for its decision.
+        // Isolated for longer than a call waits for its decision.
         cluster.awaitSent("n4", "slot-check", isolatedMicros + 3_000_000);
         for (String name : List.of("n1", "n2", "n3")) {
             assertTrue(
-                    name + " knows of it",
+                    name + " knows of the maintenance although n4 is isolated",
                     !workerInMaintenance(cluster.dispatchers.call("GET", name, "/status", null)));
         }
         cluster.dispatchers.cluster().mesh().heal();
@@ -243,11 +252,12 @@
         JavaProcess oldProcess = cluster.dispatchers.upgrade("n4", "n4 before");
         awaitMaintenance("n4");
         cluster.awaitSent("n4", "slot-check", Clock.micros());
-        // Once it has a view it would join, were it to; time enough for that to be decided.
+        // If the new process were to join as another member, it would do so once it has a view;
+        // this waits long enough for that to be decided.
         cluster.awaitSharing("view", "n4", a -> a.get("viewAgeMs").isNumber());
         cluster.awaitSent("n4", "slot-check", Clock.micros() + 4_000_000);
         assertEquals(
-                "whose place it is",
+                "incarnation of the member",
                 incarnation,
                 membershipIncarnation(
                         cluster.awaitSharing("view", "n1", a -> membershipIncarnation(a) != 0)
@@ -255,7 +265,7 @@
         oldProcess.terminate();
         oldProcess.awaitExit();
         cluster.awaitSharing(
-                "another's place",
+                "membership of the new incarnation",
                 "n1",
                 a -> membershipIncarnation(a) != 0 && membershipIncarnation(a) != incarnation);
         cluster.awaitSent("n4", "slot-check", Clock.micros() + 3_000_000);
@@ -265,12 +275,12 @@
         cluster.assertRulesHold();
     }
 
-    /** The incarnation under which n4 is a member, 0 where it is none. */
+    /** Returns the incarnation under which n4 is a member, or 0 if it is not one. */
     private static long membershipIncarnation(JsonObject sharing) {
         long incarnation = 0;
         for (JsonValue member : sharing.get("members").asArray()) {
             if (member.asObject().getString("name", "").equals("n4")) {
-                assertEquals("one place", 0, incarnation);
+                assertEquals("n4 is listed more than once", 0, incarnation);
                 incarnation = member.asObject().getLong("incarnation", 0);
             }
         }
@@ -293,7 +303,10 @@
         return sent;
     }
 
-    /** What it says stays well formed: only the checksum can tell. */
+    /**
+     * Changes one digit. The content stays well formed, so that only the checksum detects the
+     * change.
+     */
     private static void corruptOneDigit(Path snapshot) throws IOException {
         byte[] bytes = Files.readAllBytes(snapshot);
         for (int i = bytes.length - 1; i >= 0; i--) {
@@ -303,7 +316,7 @@
                 return;
             }
         }
-        throw new AssertionError("no figure in " + snapshot);
+        throw new AssertionError("no digit to alter in " + snapshot);
     }
 
     @Test
@@ -313,7 +326,7 @@
         cluster.kill("n4");
         List<Path> snapshots = new ArrayList<>();
         for (Path p : DiskFaults.files(cluster.dispatchers.cluster().store("n4"))) {
-            // Beside it may lie what the kill cut short, which ends in .next.
+            // The kill may also have left an incomplete file, which ends in .next.
             if (p.getFileName().toString().endsWith(".memory")) {
                 snapshots.add(p);
                 corruptOneDigit(p);
@@ -330,15 +343,15 @@
                         .text("why");
         assertTrue(reason, reason.contains("checksum"));
         assertTrue(
-                "kept aside",
+                "the unusable snapshot was not set aside",
                 Files.exists(
                         snapshots
                                 .get(0)
                                 .resolveSibling(snapshots.get(0).getFileName() + ".unusable")));
-        // Two of three voters gone: nothing can be decided, and all jobs go on.
+        // With two of three voters gone nothing can be decided, but jobs must still be served.
         cluster.kill("n1");
         cluster.kill("n2");
-        // Beyond what a view is good for: by then each goes by what it has without one.
+        // After the maximum age of a view: from then on each dispatcher works without one.
         long viewExpiredMicros = Clock.micros() + 8_000_000;
         OperatorCall.Answer answer =
                 cluster.dispatchers.awaitAnswer(
--- a/rig/src/test/java/postgrade/rig/shared/ReservationsTest.java
+++ b/rig/src/test/java/postgrade/rig/shared/ReservationsTest.java
@@ -16,15 +16,16 @@
 import postgrade.rig.serve.OperatorCall;
 
 /**
- * Reservations by operators' calls to whole dispatchers, over a leader's death and pause, and a
- * cut.
+ * Checks reservations made by operators' calls to complete dispatchers when the leader dies or is
+ * paused, and under a partition.
  */
 public class ReservationsTest {
 
     private static final long TTL_MILLIS = 3000;
 
     /**
-     * Of one whose renewals wait for another leader; a busy machine takes some tries to find one.
+     * For a reservation whose renewals wait for a new leader; on a busy machine an election may
+     * need several attempts.
      */
     private static final long PAUSE_TTL_MILLIS = 8000;
 
@@ -52,7 +53,7 @@
         return new JsonObject().add("holder", name).add("site", "hall-b");
     }
 
-    /** All six accelerators of the site. */
+    /** Requests all six accelerators of the site. */
     private OperatorCall.Answer acquire(String dispatcher, String name, long ttlMs)
             throws InterruptedException {
         return cluster.callUntilDecided(
@@ -79,7 +80,10 @@
                 : a.json().get("fence").toString().replace("\"", "");
     }
 
-    /** The site's accelerators are told to the state by dispatchers, some time after they begin. */
+    /**
+     * Retries until granted: dispatchers register the site's accelerators in the shared state some
+     * time after they start.
+     */
     private OperatorCall.Answer acquireOnceRegistered(String dispatcher, String name, long ttlMs)
             throws InterruptedException {
         long deadlineMicros = Clock.micros() + SharedStateCluster.TIMEOUT_MILLIS * 1000;
@@ -95,7 +99,7 @@
     public void deadHoldersReservationExpiresAcrossLeaderDeathAndNextIsGranted()
             throws IOException, InterruptedException {
         String firstFence = fence(acquireOnceRegistered("n4", "one", TTL_MILLIS));
-        // From before the renewal is sent: whatever was decided, was decided later.
+        // Taken before the renewal is sent, so that it was decided later than this.
         long renewedMicros = Clock.micros();
         assertEquals(200, renew("n4", "one", firstFence).status());
         assertEquals("waiting", acquire("n4", "two").json().getString("state", ""));
@@ -167,7 +171,8 @@
                         a -> a.status() == 200);
         assertEquals(
                 majorityAnswer.toString(), "waiting", majorityAnswer.json().getString("state", ""));
-        // Granted before it is repeated: a second effect would have another answer than the first.
+        // The reservation is granted before the call is repeated: if the call took effect twice,
+        // the second answer would differ from the first.
         assertEquals(
                 200,
                 cluster.callUntilDecided(
--- a/rig/src/test/java/postgrade/rig/shared/SharedStateCluster.java
+++ b/rig/src/test/java/postgrade/rig/shared/SharedStateCluster.java
@@ -18,28 +18,31 @@
 import postgrade.rig.serve.SharingScript;
 
 /**
- * Four dispatchers that share, three of them voters, with a proxy between each two, before a small
- * fleet under load.
+ * Runs four dispatchers with shared state, three of them voters, with a proxy between every two, in
+ * front of a small fleet of workers under load.
  */
 final class SharedStateCluster implements Closeable {
 
     static final long TIMEOUT_MILLIS = 240_000;
 
     /**
-     * The stand-ins share the machine with all else that runs on it, and see late what was done in
-     * time.
+     * Tolerance for the simulated workers and clients: on a busy machine they observe late what the
+     * dispatcher did in time.
      */
     static final long OBSERVATION_SLACK_MICROS = 2_500_000;
 
     /**
-     * And a client that waits for a core sees its answer late: how late is no matter of the
-     * dispatcher's rules.
+     * Tolerance for answers: a client that waits for a core reads its answer late, which the
+     * dispatcher's rules do not cover.
      */
     static final long CLIENT_DELAY_MICROS = 60_000_000;
 
     static final List<String> DISPATCHERS = List.of("n1", "n2", "n3", "n4");
 
-    /** The seed chooses the ports: two programs that run tests at once must not choose the same. */
+    /**
+     * The seed determines the ports, so that test processes running at the same time need different
+     * seeds.
+     */
     private static final String FLEET_PLAN =
             """
             seed = %d
@@ -94,7 +97,7 @@
             }
             for (String name : dispatchers.voters()) {
                 awaitSharing(
-                        "vote",
+                        "voter role with three voters",
                         name,
                         a -> a.getString("role", "").equals("voter") && a.getInt("voters", 0) == 3);
             }
@@ -127,7 +130,7 @@
                 .getString("leader", "");
     }
 
-    /** A voter other than these. */
+    /** Returns a voter other than these. */
     static String otherVoter(String... excluded) {
         return List.of("n1", "n2", "n3").stream()
                 .filter(v -> !List.of(excluded).contains(v))
@@ -139,7 +142,7 @@
         return "rig-" + ++requestCount;
     }
 
-    /** Calls until it is decided, with one request id. */
+    /** Repeats the call under one request id until it is decided. */
     OperatorCall.Answer callUntilDecided(String method, String name, String path, JsonObject body)
             throws InterruptedException {
         String text = body.add("requestId", requestId()).toString();
@@ -166,7 +169,9 @@
         return LedgerReader.read(folder.resolve("clients.ledger"));
     }
 
-    /** Waits until this dispatcher has sent a job of that class to a worker since then. */
+    /**
+     * Waits until this dispatcher has sent a job of that class to a worker after the given time.
+     */
     long awaitSent(String name, String jobClass, long since)
             throws IOException, InterruptedException {
         long via = DISPATCHERS.indexOf(name);
@@ -182,10 +187,10 @@
             }
             Thread.sleep(50);
         }
-        throw new AssertionError(name + " has sent no " + jobClass);
+        throw new AssertionError(name + " has sent no job of class " + jobClass);
     }
 
-    /** Waits until no process tells of this holder any more. */
+    /** Waits until none of these dispatchers lists the holder's reservation. */
     void awaitReservationGone(String holder, String... names) throws InterruptedException {
         for (String name : names) {
             dispatchers.awaitAnswer(
@@ -199,7 +204,10 @@
         }
     }
 
-    /** The rules of the protocol hold for all but what a killed dispatcher had taken. */
+    /**
+     * Asserts that the protocol's rules hold for all requests except those accepted by a killed
+     * dispatcher.
+     */
     void assertRulesHold(String... killed) throws IOException, InterruptedException {
         load.finish();
         List<String> lostJobs =
--- a/rig/src/test/java/postgrade/rig/shared/StartWindowsTest.java
+++ b/rig/src/test/java/postgrade/rig/shared/StartWindowsTest.java
@@ -26,8 +26,8 @@
 import postgrade.rig.serve.OperatorCall;
 
 /**
- * Start windows in whole dispatchers: a calendar's change over a restart and a cut, and a faulty
- * calendar.
+ * Checks start windows in complete dispatchers: a calendar change across a restart, a partition and
+ * a leader's death, and an invalid calendar.
  */
 public class StartWindowsTest {
 
@@ -35,7 +35,7 @@
     private static final DateTimeFormatter UTC =
             DateTimeFormatter.ofPattern("yyyyMMdd'T'HHmmss'Z'").withZone(ZoneOffset.UTC);
 
-    /** The wall clock's whole seconds, and the worker's view of a send. */
+    /** Tolerance for wall-clock rounding and for the delay until the worker sees a job. */
     private static final long SLACK_MICROS = 100_000;
 
     private static final long MAINTENANCE_MICROS = 5_000_000;
@@ -43,7 +43,7 @@
     @Rule public final KeptFolder folder = new KeptFolder("windows");
     private SharedStateCluster cluster;
 
-    /** From the wall clock to that of the ledgers, in microseconds. */
+    /** Difference between the ledgers' clock and the wall clock, in microseconds. */
     private long wallToLedgerMicros;
 
     @Before
@@ -98,7 +98,7 @@
 
     private void awaitMayStart(String name) throws InterruptedException {
         cluster.dispatchers.awaitAnswer(
-                "opening",
+                "open start window",
                 "POST",
                 name,
                 "/windows",
@@ -108,8 +108,8 @@
     }
 
     /**
-     * Maintenance that begins once the calendar counts for certain; its span in the time of
-     * ledgers.
+     * Uploads a calendar whose maintenance begins after the calendar takes effect, and returns its
+     * span in ledger time.
      */
     private Span scheduleMaintenance(String dispatcher) throws InterruptedException {
         for (int tries = 0; tries < 10; tries++) {
@@ -121,10 +121,9 @@
             if (Clock.micros() + answer.json().getLong("inMicros", 0) < startMicros) {
                 return new Span(startMicros, startMicros + MAINTENANCE_MICROS);
             }
-            // Decided too late for this one to be judged: another, that begins later, takes its
-            // place.
+            // The calendar was decided too late to be judged: retried with a later maintenance.
         }
-        throw new AssertionError("no calendar was decided in time to count before its maintenance");
+        throw new AssertionError("no calendar took effect before its maintenance in 10 attempts");
     }
 
     private void assertNoStartDuring(Span maintenance) throws IOException {
@@ -142,7 +141,9 @@
                 }
             }
         }
-        assertTrue("none of a class without windows went on", unrestrictedJobs > 0);
+        assertTrue(
+                "no job of a class without windows was sent during the maintenance",
+                unrestrictedJobs > 0);
         List<Breach> breaches =
                 WindowCheck.check(
                         List.of(new CalendarVersion(SITE, 0, List.of(maintenance))),
@@ -220,8 +221,8 @@
                             try {
                                 cluster.dispatchers.call("PUT", leader, "/calendar", body);
                             } catch (IOException | InterruptedException e) {
-                                // It dies over it: whether it was decided is not known to whoever
-                                // called.
+                                // The leader dies during the call: the caller cannot know whether
+                                // it was decided.
                             }
                         });
         upload.start();
