--- a/rig/src/test/java/postgrade/rig/lease/LeaseVerdict.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseVerdict.java
@@ -95,12 +95,8 @@
             Long formerFence = lastOfHolder.put(call.holder(), call.fence());
             Grant grant = grants.get(key(call.holder(), call.fence()));
             if (formerFence != null && formerFence != call.fence()) {
-                recordRelease(
-                        call.holder(),
-                        formerFence,
-                        call
-                                .sent()); // Taken over by the next incarnation, unless it had ended
-                                          // before.
+                // Taken over by the next incarnation, unless it had ended before.
+                recordRelease(call.holder(), formerFence, call.sent());
             }
             grants.put(
                     key(call.holder(), call.fence()),
@@ -271,7 +267,7 @@
             } else if (previous != null && !c.verb().equals("acquire")) {
                 all.add(
                         new LinearizabilityChecker.Call<>(
-                                "gone " + c,
+                                "not found " + c,
                                 c.sent(),
                                 c.ended(),
                                 LeaseModel.notFound(c.holder(), previous.fence())));
@@ -308,7 +304,7 @@
                                                             / CLOCK_RATIO);
                             all.add(
                                     new LinearizabilityChecker.Call<>(
-                                            "rest of " + g.fence(),
+                                            "end of grace period of " + g.fence(),
                                             graceEnds,
                                             Long.MAX_VALUE,
                                             LeaseModel.rested(
--- a/rig/src/test/java/postgrade/rig/shared/SharedStateCluster.java
+++ b/rig/src/test/java/postgrade/rig/shared/SharedStateCluster.java
@@ -194,7 +194,7 @@
     void awaitReservationGone(String holder, String... names) throws InterruptedException {
         for (String name : names) {
             dispatchers.awaitAnswer(
-                    holder + " gone",
+                    holder + " no longer listed",
                     "GET",
                     name,
                     "/reservations",
