--- a/calendar/src/test/java/postgrade/calendar/oracle/Comparison.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/Comparison.java
@@ -10,64 +10,81 @@
 import postgrade.window.StartPlan;
 import postgrade.window.StartWindows;
 
-/** One case through the product and the oracle. */
+/** Runs one case through the implementation and the oracle. */
 final class Comparison {
 
     private Comparison() {}
 
-    /** Null where they agree; else what differs. */
-    static String differs(Made m, Mutation mutation) {
+    /** Returns null if they agree; else what differs. */
+    static String findDifference(GeneratedCase generated, Mutation mutation) {
         SiteCalendar calendar;
         try {
-            List<MaintenanceEvent> events = CalendarReader.read(m.siteZone, m.text());
-            calendar = SiteCalendar.compile("a", "1", events, m.from, m.to);
+            List<MaintenanceEvent> events =
+                    CalendarReader.read(generated.siteZone, generated.text());
+            calendar = SiteCalendar.compile("a", "1", events, generated.from, generated.to);
         } catch (InvalidCalendarException e) {
-            return "turned down: line " + e.line() + ": " + e.description();
+            return "rejected: line " + e.line() + ": " + e.description();
         }
-        StartPlan plan = new StartPlan(m.earliest, m.deadline, m.lasts, List.of("a"));
-        StartWindows.Result answer = StartWindows.query(plan, s -> calendar, m.now, m.error);
-        Intervals starts = answer.anySite();
-        Oracle oracle = new Oracle(m, mutation);
-        // Wherever either of them may change its mind, and a millisecond to each side.
+        StartPlan plan =
+                new StartPlan(
+                        generated.earliestStart,
+                        generated.deadline,
+                        generated.durationMillis,
+                        List.of("a"));
+        StartWindows.Result result =
+                StartWindows.query(plan, s -> calendar, generated.now, generated.clockErrorMillis);
+        Intervals starts = result.anySite();
+        Oracle oracle = new Oracle(generated, mutation);
+        // Every point at which the result of either may change, and a millisecond to each side.
         TreeSet<Long> points =
                 new TreeSet<>(
                         List.of(
-                                m.now,
-                                m.earliest,
-                                m.deadline - m.lasts,
-                                m.from + m.error,
-                                m.to - m.error - m.lasts));
+                                generated.now,
+                                generated.earliestStart,
+                                generated.deadline - generated.durationMillis,
+                                generated.from + generated.clockErrorMillis,
+                                generated.to
+                                        - generated.clockErrorMillis
+                                        - generated.durationMillis));
         for (long[] c : oracle.closed) {
-            points.add(c[0] - m.error - m.lasts);
-            points.add(c[0] - m.error);
-            points.add(c[1] + m.error);
+            points.add(c[0] - generated.clockErrorMillis - generated.durationMillis);
+            points.add(c[0] - generated.clockErrorMillis);
+            points.add(c[1] + generated.clockErrorMillis);
         }
         for (int i = 0; i < starts.size(); i++) {
             points.add(starts.from(i));
             points.add(starts.to(i));
         }
-        long first = StartWindows.NEVER;
+        long firstExpected = StartWindows.NEVER;
         for (long point : points) {
-            for (long at = point - 1; at <= point + 1; at++) {
-                boolean may = oracle.may(at);
-                if (may && first == StartWindows.NEVER) {
-                    first = at;
+            for (long start = point - 1; start <= point + 1; start++) {
+                boolean expected = oracle.mayStart(start);
+                if (expected && firstExpected == StartWindows.NEVER) {
+                    firstExpected = start;
                 }
-                if (may != starts.contains(at)) {
+                if (expected != starts.contains(start)) {
                     return "a start at "
-                            + at
+                            + start
                             + ": "
-                            + starts.contains(at)
+                            + starts.contains(start)
                             + ", by the oracle "
-                            + may;
+                            + expected;
                 }
             }
         }
-        long opens = StartWindows.opens(plan, s -> calendar, m.now, m.error);
-        if (opens != first
-                || answer.opensAt() != first
-                || StartWindows.able(plan, calendar, m.now, m.error) != oracle.may(m.now)) {
-            return "opens at " + opens + " and " + answer.opensAt() + ", by the oracle " + first;
+        long nextOpening =
+                StartWindows.nextOpening(
+                        plan, s -> calendar, generated.now, generated.clockErrorMillis);
+        if (nextOpening != firstExpected
+                || result.opensAt() != firstExpected
+                || StartWindows.mayStart(plan, calendar, generated.now, generated.clockErrorMillis)
+                        != oracle.mayStart(generated.now)) {
+            return "opens at "
+                    + nextOpening
+                    + " and "
+                    + result.opensAt()
+                    + ", by the oracle "
+                    + firstExpected;
         }
         return null;
     }
--- a/calendar/src/test/java/postgrade/calendar/oracle/Made.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/GeneratedCase.java
@@ -5,8 +5,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A generated case: plain fields that the oracle reads, rendered as text for the product. */
-final class Made {
+/**
+ * A generated case: plain fields that the oracle reads, rendered as text for the implementation.
+ */
+final class GeneratedCase {
 
     enum Freq {
         SECONDLY,
@@ -19,16 +21,18 @@
     }
 
     /**
-     * @param zone null for floating and dates
+     * A local time or date with its zone.
+     *
+     * @param zone null for floating times and dates
      */
-    record Stamp(LocalDateTime local, String zoneId, Zone zone, boolean date) {}
+    record LocalStamp(LocalDateTime local, String zoneId, ReferenceZone zone, boolean date) {}
 
-    /** Fields of a rule as they stand in it; empty where they do not. */
+    /** The parts of a rule; empty where absent. */
     static final class Rule {
         Freq freq;
         int interval = 1;
         int count;
-        Stamp until;
+        LocalStamp until;
         DayOfWeek weekStart = DayOfWeek.MONDAY;
         List<Integer> month = new ArrayList<>();
         List<Integer> weekNo = new ArrayList<>();
@@ -41,17 +45,20 @@
         List<Integer> setPos = new ArrayList<>();
     }
 
-    static final class Works {
-        Stamp start;
+    static final class Maintenance {
+        LocalStamp start;
         int days;
         long seconds;
-        boolean asEnd;
+        boolean statesEnd;
         Rule rule;
-        List<Stamp> extra = new ArrayList<>();
-        List<Stamp> without = new ArrayList<>();
+        List<LocalStamp> extra = new ArrayList<>();
+        List<LocalStamp> excluded = new ArrayList<>();
 
-        /** Instances moved: from the first of a pair to the second, with a length in seconds. */
-        List<Stamp[]> moved = new ArrayList<>();
+        /**
+         * Moved instances: each pair holds the original and the new start; the new length is in
+         * seconds.
+         */
+        List<LocalStamp[]> moved = new ArrayList<>();
 
         long movedSeconds;
     }
@@ -59,21 +66,21 @@
     String siteZone;
 
     /**
-     * Of the zone the calendar defines, or null: its standard and summer offsets in seconds and
+     * The zone that the calendar defines, or null: its standard and summer offsets in seconds and
      * when they begin.
      */
     int[] ownZone;
 
-    List<Works> works = new ArrayList<>();
+    List<Maintenance> events = new ArrayList<>();
     long from;
     long to;
     long now;
-    long earliest;
+    long earliestStart;
     long deadline;
-    long lasts;
-    long error;
+    long durationMillis;
+    long clockErrorMillis;
 
     String text() {
-        return Text.of(this);
+        return CalendarWriter.of(this);
     }
 }
--- a/calendar/src/test/java/postgrade/calendar/oracle/OracleMain.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/OracleMain.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Compares so many cases: {@code OracleMain CASES THREADS SEED [MUTATION]}. Exit code 1 where any
- * differs.
+ * Compares a number of cases: {@code OracleMain CASES THREADS SEED [MUTATION]}. Exits with code 1
+ * if any differs.
  */
 public final class OracleMain {
 
@@ -27,18 +27,19 @@
                                 for (long i = next.getAndIncrement();
                                         i < cases;
                                         i = next.getAndIncrement()) {
-                                    Made made = Cases.make(seed, i);
-                                    String differs = Comparison.differs(made, mutation);
-                                    if (differs != null && differing.getAndIncrement() < 3) {
+                                    GeneratedCase generated = CaseGenerator.generate(seed, i);
+                                    String difference =
+                                            Comparison.findDifference(generated, mutation);
+                                    if (difference != null && differing.getAndIncrement() < 3) {
                                         System.out.println(
                                                 "case "
                                                         + i
                                                         + ": "
-                                                        + differs
+                                                        + difference
                                                         + ", site in "
-                                                        + made.siteZone
+                                                        + generated.siteZone
                                                         + "\n"
-                                                        + made.text());
+                                                        + generated.text());
                                     }
                                 }
                             });
--- a/calendar/src/test/java/postgrade/calendar/oracle/OracleTest.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/OracleTest.java
@@ -7,71 +7,78 @@
 import java.time.LocalDateTime;
 import java.time.ZoneOffset;
 import org.junit.Test;
-import postgrade.calendar.oracle.Made.Freq;
-import postgrade.calendar.oracle.Made.Rule;
-import postgrade.calendar.oracle.Made.Stamp;
-import postgrade.calendar.oracle.Made.Works;
+import postgrade.calendar.oracle.GeneratedCase.Freq;
+import postgrade.calendar.oracle.GeneratedCase.LocalStamp;
+import postgrade.calendar.oracle.GeneratedCase.Maintenance;
+import postgrade.calendar.oracle.GeneratedCase.Rule;
 
-/** The product against brute force, and the oracle against faults put into it. */
+/**
+ * Compares the implementation with the brute-force oracle, and checks that faults injected into the
+ * oracle are detected.
+ */
 public class OracleTest {
 
     private static final int CASES = 2_000;
 
-    /** The first case that tells an UNTIL at the very instant of an instance. */
-    private static final int UNTIL_MATTERS = 3_211;
+    /** The first case with an UNTIL at the exact instant of an instance. */
+    private static final int FIRST_UNTIL_CASE = 3_211;
 
     @Test
-    public void theProductAndTheOracleAgreeOnEveryCase() {
+    public void implementationAgreesWithOracle() {
         for (int i = 0; i < CASES; i++) {
-            Made made = Cases.make(1, i);
-            String differs = Comparison.differs(made, Mutation.NONE);
-            if (differs != null) {
+            GeneratedCase generated = CaseGenerator.generate(1, i);
+            String difference = Comparison.findDifference(generated, Mutation.NONE);
+            if (difference != null) {
                 assertNull(
                         "case "
                                 + i
                                 + ", "
-                                + differs
+                                + difference
                                 + ", site in "
-                                + made.siteZone
+                                + generated.siteZone
                                 + "\n"
-                                + made.text(),
-                        differs);
+                                + generated.text(),
+                        difference);
             }
         }
     }
 
     @Test
-    public void eachFaultPutIntoTheOracleIsFound() {
+    public void everyMutationOfOracleIsDetected() {
         for (Mutation mutation : Mutation.values()) {
             if (mutation != Mutation.NONE && mutation != Mutation.LEAP_DAY_AS_MARCH) {
                 boolean found = false;
-                int first = mutation == Mutation.UNTIL_EXCLUDED ? UNTIL_MATTERS : 0;
+                int first = mutation == Mutation.UNTIL_EXCLUDED ? FIRST_UNTIL_CASE : 0;
                 for (int i = first; !found && i < first + CASES; i++) {
-                    found = Comparison.differs(Cases.make(1, i), mutation) != null;
+                    found =
+                            Comparison.findDifference(CaseGenerator.generate(1, i), mutation)
+                                    != null;
                 }
-                assertTrue(mutation + " made no difference", found);
+                assertTrue(mutation + " was not detected", found);
             }
         }
-        Made leap = leapDay();
-        assertNull(Comparison.differs(leap, Mutation.NONE));
-        assertNotNull(Comparison.differs(leap, Mutation.LEAP_DAY_AS_MARCH));
+        GeneratedCase leap = leapDayCase();
+        assertNull(Comparison.findDifference(leap, Mutation.NONE));
+        assertNotNull(Comparison.findDifference(leap, Mutation.LEAP_DAY_AS_MARCH));
     }
 
-    /** Works each 29 February, asked for round the first day of a March without one. */
-    private static Made leapDay() {
-        Made m = new Made();
-        m.siteZone = "UTC";
-        Works w = new Works();
-        w.start = new Stamp(LocalDateTime.of(2024, 2, 29, 6, 0), "Z", Zone.of("UTC"), false);
-        w.seconds = 3600;
-        w.rule = new Rule();
-        w.rule.freq = Freq.YEARLY;
-        m.works.add(w);
-        m.from = LocalDateTime.of(2026, 2, 27, 0, 0).toEpochSecond(ZoneOffset.UTC) * 1000;
-        m.to = m.from + 4 * 86_400_000;
-        m.now = m.from;
-        m.earliest = m.from;
-        m.deadline = m.to;
-        return m;
+    /** Maintenance on each 29 February, queried around 1 March of a year without one. */
+    private static GeneratedCase leapDayCase() {
+        GeneratedCase generated = new GeneratedCase();
+        generated.siteZone = "UTC";
+        Maintenance event = new Maintenance();
+        event.start =
+                new LocalStamp(
+                        LocalDateTime.of(2024, 2, 29, 6, 0), "Z", ReferenceZone.of("UTC"), false);
+        event.seconds = 3600;
+        event.rule = new Rule();
+        event.rule.freq = Freq.YEARLY;
+        generated.events.add(event);
+        generated.from = LocalDateTime.of(2026, 2, 27, 0, 0).toEpochSecond(ZoneOffset.UTC) * 1000;
+        generated.to = generated.from + 4 * 86_400_000;
+        generated.now = generated.from;
+        generated.earliestStart = generated.from;
+        generated.deadline = generated.to;
+        return generated;
     }
 }
--- a/core/src/main/java/postgrade/window/Intervals.java
+++ b/core/src/main/java/postgrade/window/Intervals.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 
 /**
- * Stretches of time, half-open, in milliseconds since 1970; sorted, none empty, none touching the
- * next. Immutable.
+ * Half-open intervals in milliseconds since 1970: sorted, none empty, none touching the next.
+ * Immutable.
  */
 public final class Intervals {
 
@@ -38,8 +38,11 @@
         return from.length == 0;
     }
 
-    /** The first one that ends after this time; {@link #size()} where there is none. */
-    public int endingAfter(long time) {
+    /**
+     * Returns the index of the first interval that ends after the time; {@link #size()} if there is
+     * none.
+     */
+    public int firstEndingAfter(long time) {
         int low = 0;
         int high = to.length;
         while (low < high) {
@@ -54,7 +57,7 @@
     }
 
     public boolean contains(long time) {
-        int i = endingAfter(time);
+        int i = firstEndingAfter(time);
         return i < from.length && from[i] <= time;
     }
 
@@ -79,8 +82,8 @@
         return text.toString();
     }
 
-    /** Gathers stretches in any order; empty ones are passed over. */
-    public static final class Gathering {
+    /** Collects intervals in any order; empty ones are ignored. */
+    public static final class Builder {
         private long[] from = new long[16];
         private long[] to = new long[16];
         private int size;
@@ -97,43 +100,46 @@
             to[size++] = end;
         }
 
-        public void add(Intervals all) {
-            for (int i = 0; i < all.size(); i++) {
-                add(all.from[i], all.to[i]);
+        public void add(Intervals intervals) {
+            for (int i = 0; i < intervals.size(); i++) {
+                add(intervals.from[i], intervals.to[i]);
             }
         }
 
-        /** For stretches that were added in order and do not touch: no more work is done. */
-        Intervals asAdded() {
+        /**
+         * Builds from intervals that were added in order and do not touch, without sorting or
+         * merging.
+         */
+        Intervals buildSorted() {
             return size == 0 ? NONE : new Intervals(from, to, size);
         }
 
         /**
-         * What any of them covers. Begins and ends may be sorted apart: only how many are open
-         * matters.
+         * Builds the union of the intervals. Starts and ends may be sorted separately, since only
+         * the number of intervals open at a time matters.
          */
-        public Intervals union() {
+        public Intervals buildUnion() {
             long[] begins = Arrays.copyOf(from, size);
             long[] ends = Arrays.copyOf(to, size);
             Arrays.sort(begins);
             Arrays.sort(ends);
-            Gathering merged = new Gathering();
+            Builder merged = new Builder();
             int open = 0;
-            long since = 0;
+            long start = 0;
             for (int b = 0, e = 0; e < size; ) {
                 if (b < size && begins[b] <= ends[e]) {
                     if (open++ == 0) {
-                        since = begins[b];
+                        start = begins[b];
                     }
                     b++;
                 } else {
                     long end = ends[e++];
                     if (--open == 0) {
-                        merged.add(since, end);
+                        merged.add(start, end);
                     }
                 }
             }
-            return merged.asAdded();
+            return merged.buildSorted();
         }
     }
 }
--- a/core/src/main/java/postgrade/window/MaintenanceEvent.java
+++ b/core/src/main/java/postgrade/window/MaintenanceEvent.java
@@ -6,37 +6,38 @@
 import java.util.Set;
 
 /**
- * One maintenance of a calendar, as plain figures: where it begins, how long it lasts, how it
- * recurs. An instance that was moved is left out here and stands as an event of its own.
+ * One maintenance event of a calendar: its start, duration and recurrence. An instance that was
+ * moved is excluded here and is an event of its own.
  *
- * @param without instants at which no instance begins
- * @param line of the calendar at which it begins, for faults and reasons
+ * @param excludedStarts instants at which no instance starts
+ * @param line line of the calendar at which the event begins, for error messages and reasons
  */
 public record MaintenanceEvent(
         String title,
         int line,
         ZonedTime start,
-        EventDuration length,
+        EventDuration duration,
         List<Recurrence> rules,
-        List<Extra> extras,
-        Set<Long> without) {
+        List<ExtraInstance> extras,
+        Set<Long> excludedStarts) {
 
-    /** A local time in its zone; floating times have been given their site's. */
+    /** A local time in its zone; floating times carry the zone of their site. */
     public record ZonedTime(LocalDateTime local, ZoneRules zone) {
-        public long millis() {
-            return LocalTimes.millis(local, zone);
+        public long toEpochMillis() {
+            return LocalTimes.toEpochMillis(local, zone);
         }
     }
 
-    /** A further instance. */
-    public record Extra(ZonedTime start, EventDuration length, int line) {}
+    /** An additional instance of the event. */
+    public record ExtraInstance(ZonedTime start, EventDuration duration, int line) {}
 
     /**
-     * Whole days by the calendar, then an exact time: one day may last 23 hours, 24 hours never do.
+     * A number of calendar days followed by an exact time: a day may last 23 hours, 24 hours are
+     * always 24 hours.
      */
     public record EventDuration(int days, long millis) {
 
-        public static final int MOST_DAYS = 3_660;
+        public static final int MAX_DAYS = 3_660;
 
         public static EventDuration exactly(long millis) {
             return new EventDuration(0, millis);
@@ -46,20 +47,21 @@
             return new EventDuration(days, 0);
         }
 
-        long end(ZonedTime start) {
-            long from =
+        long endOf(ZonedTime start) {
+            long daysEnd =
                     days == 0
-                            ? start.millis()
-                            : LocalTimes.millis(start.local().plusDays(days), start.zone());
-            return Math.max(start.millis(), from + millis);
+                            ? start.toEpochMillis()
+                            : LocalTimes.toEpochMillis(start.local().plusDays(days), start.zone());
+            return Math.max(start.toEpochMillis(), daysEnd + millis);
         }
     }
 
-    public static MaintenanceEvent once(String title, ZonedTime start, EventDuration length) {
-        return new MaintenanceEvent(title, 0, start, length, List.of(), List.of(), Set.of());
+    public static MaintenanceEvent once(String title, ZonedTime start, EventDuration duration) {
+        return new MaintenanceEvent(title, 0, start, duration, List.of(), List.of(), Set.of());
     }
 
-    public MaintenanceEvent recurring(Recurrence rule) {
-        return new MaintenanceEvent(title, line, start, length, List.of(rule), extras, without);
+    public MaintenanceEvent withRule(Recurrence rule) {
+        return new MaintenanceEvent(
+                title, line, start, duration, List.of(rule), extras, excludedStarts);
     }
 }
--- a/core/src/main/java/postgrade/window/SiteCalendar.java
+++ b/core/src/main/java/postgrade/window/SiteCalendar.java
@@ -5,112 +5,120 @@
 import java.util.List;
 
 /**
- * A version of a site's maintenance calendar, worked out over a horizon: sorted arrays, asked by
- * binary search. Making it takes milliseconds, so it is made where calendars are loaded and not
- * where jobs are decided. Immutable.
+ * A version of a site's maintenance calendar, compiled over a horizon into sorted arrays that are
+ * searched by binary search. Compilation takes milliseconds, so it happens where calendars are
+ * loaded and not where jobs are scheduled. Immutable.
  */
 public final class SiteCalendar {
 
     private final String site;
     private final String version;
-    private final long from;
-    private final long to;
+    private final long horizonStart;
+    private final long horizonEnd;
     private final Intervals closed;
 
     /**
-     * All spans by their begin; those of the i-th closed stretch begin at its place in {@code
-     * groups}.
+     * All spans, sorted by start; the spans of the i-th closed interval start at index {@code
+     * firstSpanOfClosure[i]}.
      */
     private final long[] spanFrom;
 
     private final long[] spanTo;
     private final int[] spanEvent;
-    private final int[] groups;
+    private final int[] firstSpanOfClosure;
     private final List<MaintenanceEvent> events;
 
     private SiteCalendar(
             String site,
             String version,
-            long from,
-            long to,
+            long horizonStart,
+            long horizonEnd,
             List<MaintenanceEvent> events,
             Spans spans) {
         this.site = site;
         this.version = version;
-        this.from = from;
-        this.to = to;
+        this.horizonStart = horizonStart;
+        this.horizonEnd = horizonEnd;
         this.events = List.copyOf(events);
         spans.sort();
         spanFrom = spans.from;
         spanTo = spans.to;
         spanEvent = spans.event;
-        Intervals.Gathering all = new Intervals.Gathering();
+        Intervals.Builder all = new Intervals.Builder();
         for (int i = 0; i < spanFrom.length; i++) {
             all.add(spanFrom[i], spanTo[i]);
         }
-        closed = all.union();
-        groups = new int[closed.size() + 1];
+        closed = all.buildUnion();
+        firstSpanOfClosure = new int[closed.size() + 1];
         int span = 0;
         for (int i = 0; i < closed.size(); i++) {
-            groups[i] = span;
+            firstSpanOfClosure[i] = span;
             while (span < spanFrom.length && spanFrom[span] < closed.to(i)) {
                 span++;
             }
         }
-        groups[closed.size()] = spanFrom.length;
+        firstSpanOfClosure[closed.size()] = spanFrom.length;
     }
 
     /**
-     * Works a calendar out from one time to another.
+     * Compiles a calendar over a horizon.
      *
-     * @throws InvalidCalendarException where that takes too much
+     * @throws InvalidCalendarException if this takes too many steps or occurrences
      */
     public static SiteCalendar compile(
-            String site, String version, List<MaintenanceEvent> events, long from, long to) {
-        return compile(site, version, events, from, to, new Steps());
+            String site,
+            String version,
+            List<MaintenanceEvent> events,
+            long horizonStart,
+            long horizonEnd) {
+        return compile(site, version, events, horizonStart, horizonEnd, new ExpansionBudget());
     }
 
-    /** The same, with bounds on the work that others share. */
+    /** Compiles a calendar with a budget that is shared with other work. */
     public static SiteCalendar compile(
             String site,
             String version,
             List<MaintenanceEvent> events,
-            long from,
-            long to,
-            Steps steps) {
+            long horizonStart,
+            long horizonEnd,
+            ExpansionBudget budget) {
         Spans spans = new Spans();
         for (int i = 0; i < events.size(); i++) {
-            int event = i;
-            Expansion.of(
-                    events.get(i), from, to, steps, (begin, end) -> spans.add(begin, end, event));
+            int eventIndex = i;
+            InstanceExpander.expand(
+                    events.get(i),
+                    horizonStart,
+                    horizonEnd,
+                    budget,
+                    (begin, end) -> spans.add(begin, end, eventIndex));
         }
-        return new SiteCalendar(site, version, from, to, events, spans);
+        return new SiteCalendar(site, version, horizonStart, horizonEnd, events, spans);
     }
 
-    /** A site that is never closed. */
-    public static SiteCalendar open(String site) {
+    /** Returns the calendar of a site that is never closed. */
+    public static SiteCalendar alwaysOpen(String site) {
         return new SiteCalendar(
                 site, "", Long.MIN_VALUE / 4, Long.MAX_VALUE / 4, List.of(), new Spans());
     }
 
-    /** Closed where either is; known where both are. */
-    public SiteCalendar and(SiteCalendar other) {
-        Spans both = new Spans();
+    /** Returns a calendar that is closed where either one is, over the horizon that both cover. */
+    public SiteCalendar merge(SiteCalendar other) {
+        Spans mergedSpans = new Spans();
         for (int i = 0; i < spanFrom.length; i++) {
-            both.add(spanFrom[i], spanTo[i], spanEvent[i]);
+            mergedSpans.add(spanFrom[i], spanTo[i], spanEvent[i]);
         }
         for (int i = 0; i < other.spanFrom.length; i++) {
-            both.add(other.spanFrom[i], other.spanTo[i], events.size() + other.spanEvent[i]);
+            mergedSpans.add(other.spanFrom[i], other.spanTo[i], events.size() + other.spanEvent[i]);
         }
-        List<MaintenanceEvent> all = new ArrayList<>(events);
-        all.addAll(other.events);
+        List<MaintenanceEvent> mergedEvents = new ArrayList<>(events);
+        mergedEvents.addAll(other.events);
         return new SiteCalendar(
                 site,
                 version + "+" + other.version,
-                Math.max(from, other.from),
-                Math.min(to, other.to),
-                all,
-                both);
+                Math.max(horizonStart, other.horizonStart),
+                Math.min(horizonEnd, other.horizonEnd),
+                mergedEvents,
+                mergedSpans);
     }
 
     public String site() {
@@ -121,28 +129,28 @@
         return version;
     }
 
-    /** Before this it tells nothing. */
-    public long knownFrom() {
-        return from;
+    /** Start of the horizon; nothing is known before it. */
+    public long horizonStart() {
+        return horizonStart;
     }
 
-    /** From this on it tells nothing. */
-    public long knownTo() {
-        return to;
+    /** End of the horizon, exclusive; nothing is known from then on. */
+    public long horizonEnd() {
+        return horizonEnd;
     }
 
-    /** When the site is closed, within what is known. */
+    /** Returns when the site is closed, within the horizon. */
     public Intervals closed() {
         return closed;
     }
 
-    /** What closes it in the i-th closed stretch: the events, each named once. */
-    public String why(int i) {
+    /** Returns the titles of the events in the i-th closed interval, each listed once. */
+    public String closureReason(int closure) {
         StringBuilder text = new StringBuilder();
-        java.util.BitSet named = new java.util.BitSet();
-        for (int s = groups[i]; s < groups[i + 1]; s++) {
-            if (!named.get(spanEvent[s])) {
-                named.set(spanEvent[s]);
+        java.util.BitSet listed = new java.util.BitSet();
+        for (int s = firstSpanOfClosure[closure]; s < firstSpanOfClosure[closure + 1]; s++) {
+            if (!listed.get(spanEvent[s])) {
+                listed.set(spanEvent[s]);
                 MaintenanceEvent event = events.get(spanEvent[s]);
                 text.append(text.length() == 0 ? "" : ", ")
                         .append(event.title())
@@ -160,7 +168,7 @@
         private int[] event = new int[16];
         private int size;
 
-        void add(long begin, long end, int ofEvent) {
+        void add(long begin, long end, int eventIndex) {
             if (size == from.length) {
                 from = Arrays.copyOf(from, 2 * size);
                 to = Arrays.copyOf(to, 2 * size);
@@ -168,24 +176,24 @@
             }
             from[size] = begin;
             to[size] = end;
-            event[size++] = ofEvent;
+            event[size++] = eventIndex;
         }
 
         void sort() {
             Integer[] order = new Integer[size];
             Arrays.setAll(order, i -> i);
             Arrays.sort(order, (a, b) -> Long.compare(from[a], from[b]));
-            long[] f = new long[size];
-            long[] t = new long[size];
-            int[] e = new int[size];
+            long[] sortedFrom = new long[size];
+            long[] sortedTo = new long[size];
+            int[] sortedEvent = new int[size];
             for (int i = 0; i < size; i++) {
-                f[i] = from[order[i]];
-                t[i] = to[order[i]];
-                e[i] = event[order[i]];
+                sortedFrom[i] = from[order[i]];
+                sortedTo[i] = to[order[i]];
+                sortedEvent[i] = event[order[i]];
             }
-            from = f;
-            to = t;
-            event = e;
+            from = sortedFrom;
+            to = sortedTo;
+            event = sortedEvent;
         }
     }
 }
--- a/core/src/test/java/postgrade/window/Times.java
+++ b/core/src/test/java/postgrade/window/TestTimes.java
@@ -8,13 +8,13 @@
 import postgrade.window.MaintenanceEvent.EventDuration;
 import postgrade.window.MaintenanceEvent.ZonedTime;
 
-/** Times as people write them. */
-final class Times {
+/** Converts between instants and their textual form in tests. */
+final class TestTimes {
 
     static final long HOUR = 3_600_000;
     static final ZoneRules ZAGREB = zone("Europe/Zagreb");
 
-    private Times() {}
+    private TestTimes() {}
 
     static ZoneRules zone(String id) {
         return ZoneId.of(id).getRules();
@@ -32,18 +32,18 @@
         return MaintenanceEvent.once("works", when(local, zone), length);
     }
 
-    static SiteCalendar compiled(String from, String to, MaintenanceEvent... events) {
+    static SiteCalendar compile(String from, String to, MaintenanceEvent... events) {
         return SiteCalendar.compile("a", "1", List.of(events), utc(from), utc(to));
     }
 
-    /** As {@code from/to} in UTC, one after another. */
-    static String told(Intervals all) {
+    /** Formats intervals as {@code from/to} in UTC, separated by spaces. */
+    static String format(Intervals intervals) {
         StringBuilder text = new StringBuilder();
-        for (int i = 0; i < all.size(); i++) {
+        for (int i = 0; i < intervals.size(); i++) {
             text.append(i == 0 ? "" : " ")
-                    .append(Instant.ofEpochMilli(all.from(i)))
+                    .append(Instant.ofEpochMilli(intervals.from(i)))
                     .append('/')
-                    .append(Instant.ofEpochMilli(all.to(i)));
+                    .append(Instant.ofEpochMilli(intervals.to(i)));
         }
         return text.toString();
     }
