--- a/rig/src/main/java/postgrade/rig/Options.java
+++ b/rig/src/main/java/postgrade/rig/Options.java
@@ -11,29 +11,30 @@
 
     private static final int USAGE = 2;
 
-    private final String bench;
+    private final String program;
     private final Map<String, String> values;
 
-    private Options(String bench, Map<String, String> values) {
-        this.bench = bench;
+    private Options(String program, Map<String, String> values) {
+        this.program = program;
         this.values = values;
     }
 
     /** Ends the program with exit code 2 where an argument names no key of these. */
-    public static Options of(String bench, Map<String, String> usual, String[] arguments) {
-        Options all = new Options(bench, new LinkedHashMap<>(usual));
-        for (String a : arguments) {
-            String[] kv = a.split("=", 2);
-            if (kv.length != 2 || !usual.containsKey(kv[0])) {
-                all.faulty(a + " is not key=value with one of " + usual.keySet());
+    public static Options of(String program, Map<String, String> defaults, String[] arguments) {
+        Options options = new Options(program, new LinkedHashMap<>(defaults));
+        for (String argument : arguments) {
+            String[] keyAndValue = argument.split("=", 2);
+            if (keyAndValue.length != 2 || !defaults.containsKey(keyAndValue[0])) {
+                options.exitWithUsageError(
+                        argument + " is not key=value with one of " + defaults.keySet());
             }
-            all.values.put(kv[0], kv[1]);
+            options.values.put(keyAndValue[0], keyAndValue[1]);
         }
-        return all;
+        return options;
     }
 
-    private void faulty(String why) {
-        System.err.println(bench + ": " + why);
+    private void exitWithUsageError(String why) {
+        System.err.println(program + ": " + why);
         System.exit(USAGE);
     }
 
@@ -41,11 +42,11 @@
         return values.get(key);
     }
 
-    public int whole(String key) {
+    public int integer(String key) {
         try {
             return Integer.parseInt(values.get(key));
         } catch (NumberFormatException e) {
-            faulty(key + "=" + values.get(key) + " is no whole number");
+            exitWithUsageError(key + "=" + values.get(key) + " is no whole number");
             throw e;
         }
     }
--- a/rig/src/main/java/postgrade/rig/check/LogCheck.java
+++ b/rig/src/main/java/postgrade/rig/check/LogCheck.java
@@ -53,18 +53,19 @@
     /**
      * @param present how often each key stands in the end state
      */
-    public static List<Breach> durability(List<Acknowledged> told, Map<String, Long> present) {
+    public static List<Breach> durability(
+            List<Acknowledged> acknowledged, Map<String, Long> present) {
         List<Breach> breaches = new ArrayList<>();
-        for (Acknowledged t : told) {
-            long times = present.getOrDefault(t.key, 0L);
+        for (Acknowledged call : acknowledged) {
+            long times = present.getOrDefault(call.key, 0L);
             if (times != 1) {
                 breaches.add(
                         new Breach(
                                 times == 0 ? "lost" : "twice",
-                                t.index,
-                                t.key,
+                                call.index,
+                                call.key,
                                 "answered for at index "
-                                        + t.index
+                                        + call.index
                                         + ", carried out "
                                         + times
                                         + " times"));
@@ -73,22 +74,23 @@
         return breaches;
     }
 
-    public static List<Breach> monotonicViews(List<ObservedView> viewed) {
+    public static List<Breach> monotonicViews(List<ObservedView> views) {
         Map<String, ObservedView> last = new HashMap<>();
         List<Breach> breaches = new ArrayList<>();
-        for (ObservedView v : viewed) {
-            ObservedView before = last.put(v.process + "/" + v.incarnation, v);
+        for (ObservedView view : views) {
+            ObservedView before = last.put(view.process + "/" + view.incarnation, view);
             if (before != null
-                    && (v.era < before.era || v.era == before.era && v.index < before.index)) {
+                    && (view.era < before.era
+                            || view.era == before.era && view.index < before.index)) {
                 breaches.add(
                         new Breach(
                                 "backward",
-                                v.index,
-                                v.process,
+                                view.index,
+                                view.process,
                                 "view of "
-                                        + v.era
+                                        + view.era
                                         + "/"
-                                        + v.index
+                                        + view.index
                                         + " after "
                                         + before.era
                                         + "/"
--- a/rig/src/main/java/postgrade/rig/check/RateCheck.java
+++ b/rig/src/main/java/postgrade/rig/check/RateCheck.java
@@ -27,40 +27,43 @@
 
     private RateCheck() {}
 
-    public static Verdict check(List<AdmittedJob> taken, Map<String, Limit> limits) {
-        List<AdmittedJob> inOrder = new ArrayList<>(taken);
+    public static Verdict check(List<AdmittedJob> admitted, Map<String, Limit> limits) {
+        List<AdmittedJob> inOrder = new ArrayList<>(admitted);
         inOrder.sort(Comparator.comparingLong(AdmittedJob::micros));
-        Map<String, Double> beyond = new HashMap<>();
+        Map<String, Double> excess = new HashMap<>();
         Map<String, Long> last = new HashMap<>();
-        Map<String, Double> most = new HashMap<>();
+        Map<String, Double> maxExcess = new HashMap<>();
         List<Breach> breaches = new ArrayList<>();
-        for (AdmittedJob t : inOrder) {
-            Limit limit = limits.get(t.tenant);
+        for (AdmittedJob job : inOrder) {
+            Limit limit = limits.get(job.tenant);
             if (limit == null) {
                 breaches.add(
                         new Breach(
                                 "tenant",
-                                t.micros,
-                                t.tenant,
-                                "taken by " + t.process + ", but has no rate"));
+                                job.micros,
+                                job.tenant,
+                                "taken by " + job.process + ", but has no rate"));
                 continue;
             }
             double drained =
-                    (t.micros - last.getOrDefault(t.tenant, t.micros)) * limit.perSecond / 1e6;
-            double now = Math.max(0, beyond.getOrDefault(t.tenant, 0.0) - drained) + 1;
-            last.put(t.tenant, t.micros);
-            beyond.put(t.tenant, now);
-            most.merge(t.tenant, now, Math::max);
-            if (now > limit.bound) {
+                    (job.micros - last.getOrDefault(job.tenant, job.micros))
+                            * limit.perSecond
+                            / 1e6;
+            double current = Math.max(0, excess.getOrDefault(job.tenant, 0.0) - drained) + 1;
+            last.put(job.tenant, job.micros);
+            excess.put(job.tenant, current);
+            maxExcess.merge(job.tenant, current, Math::max);
+            if (current > limit.bound) {
                 breaches.add(
                         new Breach(
                                 "rate",
-                                t.micros,
-                                t.tenant,
+                                job.micros,
+                                job.tenant,
                                 String.format(
-                                        "%.1f beyond the rate, the last by %s", now, t.process)));
+                                        "%.1f beyond the rate, the last by %s",
+                                        current, job.process)));
             }
         }
-        return new Verdict(breaches, most, inOrder.size());
+        return new Verdict(breaches, maxExcess, inOrder.size());
     }
 }
--- a/rig/src/main/java/postgrade/rig/check/ShareCheck.java
+++ b/rig/src/main/java/postgrade/rig/check/ShareCheck.java
@@ -26,44 +26,46 @@
      * @param bound by how much the sum may stand above one @param forMicros and for how long at
      *     most
      */
-    public static Verdict check(List<ShareChange> took, double bound, long forMicros) {
-        List<ShareChange> inOrder = new ArrayList<>(took);
+    public static Verdict check(List<ShareChange> changes, double bound, long forMicros) {
+        List<ShareChange> inOrder = new ArrayList<>(changes);
         inOrder.sort(Comparator.comparingLong(ShareChange::micros));
-        Map<String, Double> parts = new HashMap<>();
+        Map<String, Double> shares = new HashMap<>();
         List<Breach> breaches = new ArrayList<>();
-        double most = 0;
-        long since = Long.MAX_VALUE;
+        double maxSum = 0;
+        long aboveSince = Long.MAX_VALUE;
         for (int i = 0; i < inOrder.size(); i++) {
-            ShareChange t = inOrder.get(i);
+            ShareChange change = inOrder.get(i);
             // What stood until now stood for that long.
-            if (forMicros > 0 && since != Long.MAX_VALUE && t.micros - since > forMicros) {
+            if (forMicros > 0
+                    && aboveSince != Long.MAX_VALUE
+                    && change.micros - aboveSince > forMicros) {
                 breaches.add(
                         new Breach(
                                 "share",
-                                since,
-                                t.process,
+                                aboveSince,
+                                change.process,
                                 String.format(
                                         "the sum was above %.3f for %d ms",
-                                        1 + bound, (t.micros - since) / 1000)));
-                since = Long.MAX_VALUE;
+                                        1 + bound, (change.micros - aboveSince) / 1000)));
+                aboveSince = Long.MAX_VALUE;
             }
-            parts.put(t.process, t.part);
-            double sum = parts.values().stream().mapToDouble(Double::doubleValue).sum();
-            most = Math.max(most, sum);
-            boolean over = sum > 1 + bound + 1e-9;
-            since = over ? Math.min(since, t.micros) : Long.MAX_VALUE;
-            if (over && forMicros == 0) {
+            shares.put(change.process, change.part);
+            double sum = shares.values().stream().mapToDouble(Double::doubleValue).sum();
+            maxSum = Math.max(maxSum, sum);
+            boolean above = sum > 1 + bound + 1e-9;
+            aboveSince = above ? Math.min(aboveSince, change.micros) : Long.MAX_VALUE;
+            if (above && forMicros == 0) {
                 breaches.add(
                         new Breach(
                                 "share",
-                                t.micros,
-                                t.process,
+                                change.micros,
+                                change.process,
                                 String.format("the sum is %.3f", sum)));
             }
         }
-        if (since != Long.MAX_VALUE && forMicros > 0) {
-            breaches.add(new Breach("share", since, "all", "the sum never came down again"));
+        if (aboveSince != Long.MAX_VALUE && forMicros > 0) {
+            breaches.add(new Breach("share", aboveSince, "all", "the sum never came down again"));
         }
-        return new Verdict(breaches, most, inOrder.size());
+        return new Verdict(breaches, maxSum, inOrder.size());
     }
 }
--- a/rig/src/main/java/postgrade/rig/check/WindowCheck.java
+++ b/rig/src/main/java/postgrade/rig/check/WindowCheck.java
@@ -49,20 +49,20 @@
     }
 
     private static CalendarVersion inForce(List<CalendarVersion> versions, String site, long at) {
-        CalendarVersion best = null;
-        for (CalendarVersion v : versions) {
-            if (v.site.equals(site)
-                    && v.inForceFrom <= at
-                    && (best == null || v.inForceFrom >= best.inForceFrom)) {
-                best = v;
+        CalendarVersion latest = null;
+        for (CalendarVersion version : versions) {
+            if (version.site.equals(site)
+                    && version.inForceFrom <= at
+                    && (latest == null || version.inForceFrom >= latest.inForceFrom)) {
+                latest = version;
             }
         }
-        return best;
+        return latest;
     }
 
-    private static Span within(CalendarVersion v, long at, long slack) {
-        if (v != null) {
-            for (Span s : v.maintenance) {
+    private static Span within(CalendarVersion version, long at, long slack) {
+        if (version != null) {
+            for (Span s : version.maintenance) {
                 if (at >= s.from + slack && at < s.to - slack) {
                     return s;
                 }
--- a/rig/src/main/java/postgrade/rig/check/WorkerMaintenanceCheck.java
+++ b/rig/src/main/java/postgrade/rig/check/WorkerMaintenanceCheck.java
@@ -24,14 +24,18 @@
     /**
      * @param graceMicros in which what was under way may still arrive
      */
-    public static List<Breach> check(List<StatusChange> told, List<Sent> sent, long graceMicros) {
-        Map<String, TreeMap<Long, Boolean>> known = new HashMap<>();
-        told.forEach(
-                t -> known.computeIfAbsent(t.worker, w -> new TreeMap<>()).put(t.micros, t.out));
+    public static List<Breach> check(
+            List<StatusChange> changes, List<Sent> sent, long graceMicros) {
+        Map<String, TreeMap<Long, Boolean>> changesByWorker = new HashMap<>();
+        changes.forEach(
+                t ->
+                        changesByWorker
+                                .computeIfAbsent(t.worker, w -> new TreeMap<>())
+                                .put(t.micros, t.out));
         List<Breach> breaches = new ArrayList<>();
         for (Sent s : sent) {
             Map.Entry<Long, Boolean> last =
-                    known.getOrDefault(s.worker, new TreeMap<>()).floorEntry(s.micros);
+                    changesByWorker.getOrDefault(s.worker, new TreeMap<>()).floorEntry(s.micros);
             if (last != null && last.getValue() && s.micros > last.getKey() + graceMicros) {
                 breaches.add(
                         new Breach(
--- a/rig/src/main/java/postgrade/rig/check/lease/LeaseUseCheck.java
+++ b/rig/src/main/java/postgrade/rig/check/lease/LeaseUseCheck.java
@@ -83,7 +83,7 @@
      */
     public static List<Breach> noUseAfterExpiry(
             List<Use> uses, List<Grant> grants, long boundMicros) {
-        Map<String, Grant> known = known(grants);
+        Map<String, Grant> known = grantsByKey(grants);
         List<Breach> breaches = new ArrayList<>();
         for (Use u : uses) {
             Grant g = known.get(u.holder + " " + u.fence);
@@ -112,7 +112,7 @@
      */
     public static List<Breach> noEarlyExpiry(
             List<GrantEnd> gone, List<Grant> grants, double clockRatio, long allowanceMicros) {
-        Map<String, Grant> known = known(grants);
+        Map<String, Grant> known = grantsByKey(grants);
         List<Breach> breaches = new ArrayList<>();
         for (GrantEnd o : gone) {
             Grant g = known.get(o.holder + " " + o.fence);
@@ -136,7 +136,7 @@
         return breaches;
     }
 
-    private static Map<String, Grant> known(List<Grant> grants) {
+    private static Map<String, Grant> grantsByKey(List<Grant> grants) {
         Map<String, Grant> known = new HashMap<>();
         grants.forEach(g -> known.put(g.holder + " " + g.fence, g));
         return known;
--- a/rig/src/main/java/postgrade/rig/check/lease/LinearizabilityChecker.java
+++ b/rig/src/main/java/postgrade/rig/check/lease/LinearizabilityChecker.java
@@ -24,23 +24,23 @@
      */
     public record Call<S>(String name, long sent, long answered, UnaryOperator<S> effect) {}
 
-    private record Met(BitSet done, Object state) {}
+    private record Visited(BitSet done, Object state) {}
 
     private LinearizabilityChecker() {}
 
     /**
      * @return null where there is such an order, else the call that could be put nowhere
      */
-    public static <S> Call<S> firstUnexplainedCall(S begin, List<Call<S>> history) {
+    public static <S> Call<S> firstUnexplainedCall(S initialState, List<Call<S>> history) {
         List<Call<S>> calls = new ArrayList<>(history);
         calls.sort(Comparator.comparingLong(Call::sent));
         int n = calls.size();
         BitSet done = new BitSet(n);
-        Set<Met> met = new HashSet<>();
-        List<Integer> taken = new ArrayList<>();
-        List<S> states = new ArrayList<>(List.of(begin));
+        Set<Visited> visited = new HashSet<>();
+        List<Integer> order = new ArrayList<>();
+        List<S> states = new ArrayList<>(List.of(initialState));
         int next = 0;
-        int farthest = 0;
+        int longestOrder = 0;
         Call<S> stuck = null;
         while (true) {
             int answeredFirst = earliestAnswer(calls, done);
@@ -49,7 +49,7 @@
             }
             long bound = calls.get(answeredFirst).answered;
             S state = states.get(states.size() - 1);
-            boolean went = false;
+            boolean advanced = false;
             for (int i = Math.max(next, done.nextClearBit(0));
                     i < n && calls.get(i).sent <= bound;
                     i++) {
@@ -58,26 +58,26 @@
                     continue;
                 }
                 done.set(i);
-                if (met.add(new Met((BitSet) done.clone(), after))) {
-                    taken.add(i);
+                if (visited.add(new Visited((BitSet) done.clone(), after))) {
+                    order.add(i);
                     states.add(after);
                     next = 0;
-                    went = true;
+                    advanced = true;
                     break;
                 }
                 done.clear(i);
             }
-            if (went) {
+            if (advanced) {
                 continue;
             }
-            if (taken.size() >= farthest) {
-                farthest = taken.size();
+            if (order.size() >= longestOrder) {
+                longestOrder = order.size();
                 stuck = calls.get(answeredFirst);
             }
-            if (taken.isEmpty()) {
+            if (order.isEmpty()) {
                 return stuck;
             }
-            int last = taken.remove(taken.size() - 1);
+            int last = order.remove(order.size() - 1);
             states.remove(states.size() - 1);
             done.clear(last);
             next = last + 1;
--- a/rig/src/main/java/postgrade/rig/cluster/Cluster.java
+++ b/rig/src/main/java/postgrade/rig/cluster/Cluster.java
@@ -37,10 +37,10 @@
     private final Map<String, JavaProcess> running = new LinkedHashMap<>();
 
     /** Those whose place another of the same name has taken while they still ran. */
-    private final List<JavaProcess> former = new ArrayList<>();
+    private final List<JavaProcess> replaced = new ArrayList<>();
 
     private final Map<String, Path> copies = new LinkedHashMap<>();
-    private ProcessFactory recipe;
+    private ProcessFactory processFactory;
 
     /**
      * @param listening those that others connect to; each gets a port of its own
@@ -60,8 +60,8 @@
         }
     }
 
-    public void setProcessFactory(ProcessFactory of) {
-        recipe = of;
+    public void setProcessFactory(ProcessFactory factory) {
+        processFactory = factory;
     }
 
     public History history() {
@@ -86,11 +86,11 @@
     }
 
     public JavaProcess process(String name) {
-        JavaProcess p = running.get(name);
-        if (p == null) {
+        JavaProcess process = running.get(name);
+        if (process == null) {
             throw new IllegalStateException(name + " was not started");
         }
-        return p;
+        return process;
     }
 
     public synchronized JavaProcess start(String name) throws IOException {
@@ -98,9 +98,9 @@
         if (before != null && before.alive()) {
             throw new IllegalStateException(name + " runs already");
         }
-        JavaProcess p = recipe.builderFor(name).start(history);
-        running.put(name, p);
-        return p;
+        JavaProcess process = processFactory.builderFor(name).start(history);
+        running.put(name, process);
+        return process;
     }
 
     /**
@@ -109,47 +109,48 @@
      */
     public synchronized JavaProcess startBeside(String name) throws IOException {
         JavaProcess before = process(name);
-        JavaProcess p = recipe.builderFor(name).start(history);
-        former.add(before);
-        running.put(name, p);
+        JavaProcess process = processFactory.builderFor(name).start(history);
+        replaced.add(before);
+        running.put(name, process);
         return before;
     }
 
     /** Carries a step of a timetable out. */
-    public void execute(Step s) throws IOException, InterruptedException {
+    public void execute(Step step) throws IOException, InterruptedException {
         history.add(
                 "rig",
                 "step",
                 new JsonObject()
-                        .add("do", s.action())
-                        .add("who", s.target())
-                        .add("to", s.to())
-                        .add("figure", s.amount()));
-        switch (s.action()) {
-            case "kill" -> process(s.target()).kill();
-            case "start" -> start(s.target());
-            case "stop" -> process(s.target()).stop();
-            case "resume" -> process(s.target()).resume();
-            case "terminate" -> process(s.target()).terminate();
-            case "cut" -> mesh.between(s.target(), s.to()).cut();
-            case "cut_out" -> mesh.between(s.target(), s.to()).cut(Direction.OUT);
-            case "cut_back" -> mesh.between(s.target(), s.to()).cut(Direction.BACK);
+                        .add("do", step.action())
+                        .add("who", step.target())
+                        .add("to", step.to())
+                        .add("figure", step.amount()));
+        switch (step.action()) {
+            case "kill" -> process(step.target()).kill();
+            case "start" -> start(step.target());
+            case "stop" -> process(step.target()).stop();
+            case "resume" -> process(step.target()).resume();
+            case "terminate" -> process(step.target()).terminate();
+            case "cut" -> mesh.between(step.target(), step.to()).cut();
+            case "cut_out" -> mesh.between(step.target(), step.to()).cut(Direction.OUT);
+            case "cut_back" -> mesh.between(step.target(), step.to()).cut(Direction.BACK);
             case "delay" ->
                     mesh.forEachProxyOf(
-                            s.target(), p -> p.delay(Direction.OUT, (long) (s.amount() * 1000)));
-            case "reset" -> mesh.forEachProxyOf(s.target(), p -> p.reset());
-            case "stall" -> mesh.forEachProxyOf(s.target(), p -> p.stall());
+                            step.target(),
+                            p -> p.delay(Direction.OUT, (long) (step.amount() * 1000)));
+            case "reset" -> mesh.forEachProxyOf(step.target(), p -> p.reset());
+            case "stall" -> mesh.forEachProxyOf(step.target(), p -> p.stall());
             case "close_after" ->
                     mesh.forEachProxyOf(
-                            s.target(), p -> p.closeAfter(Direction.OUT, (long) s.amount()));
-            case "isolate" -> mesh.isolate(Set.of(s.target()));
+                            step.target(), p -> p.closeAfter(Direction.OUT, (long) step.amount()));
+            case "isolate" -> mesh.isolate(Set.of(step.target()));
             case "heal" -> mesh.heal();
-            case "wipe" -> DiskFaults.wipe(store(s.target()));
-            case "flip" -> flipBits(s.target(), (int) Math.max(1, s.amount()), s.micros());
-            case "truncate" -> truncate(s.target(), s.amount());
-            case "keep" -> saveCopy(s.target());
-            case "roll_back" -> rollBack(s.target());
-            default -> throw new IllegalArgumentException(s.action());
+            case "wipe" -> DiskFaults.wipe(store(step.target()));
+            case "flip" -> flipBits(step.target(), (int) Math.max(1, step.amount()), step.micros());
+            case "truncate" -> truncate(step.target(), step.amount());
+            case "keep" -> saveCopy(step.target());
+            case "roll_back" -> rollBack(step.target());
+            default -> throw new IllegalArgumentException(step.action());
         }
     }
 
@@ -160,9 +161,9 @@
         }
     }
 
-    public void truncate(String name, double part) throws IOException {
+    public void truncate(String name, double fraction) throws IOException {
         for (Path p : DiskFaults.files(store(name))) {
-            DiskFaults.truncate(p, part);
+            DiskFaults.truncate(p, fraction);
         }
     }
 
@@ -179,7 +180,7 @@
     @Override
     public void close() throws IOException {
         running.values().forEach(JavaProcess::close);
-        former.forEach(JavaProcess::close);
+        replaced.forEach(JavaProcess::close);
         mesh.close();
         for (HeldPort p : ports.values()) {
             p.close();
--- a/rig/src/main/java/postgrade/rig/comeback/Comeback.java
+++ b/rig/src/main/java/postgrade/rig/comeback/Comeback.java
@@ -33,10 +33,10 @@
  */
 public final class Comeback {
 
-    private static final long WARM_MS = 6000;
-    private static final long SAMPLE_MS = 250;
+    private static final long WARM_UP_MS = 6000;
+    private static final long SAMPLE_INTERVAL_MS = 250;
 
-    private static final Map<String, String> USUAL =
+    private static final Map<String, String> DEFAULTS =
             Map.ofEntries(
                     entry("out", "found/comeback"),
                     entry("dispatchers", "20"),
@@ -52,7 +52,7 @@
                     entry("after_ms", "6000"),
                     entry("more", ""));
     private final Options options;
-    private final Map<String, Figures> figures = new LinkedHashMap<>();
+    private final Map<String, ModeResults> figures = new LinkedHashMap<>();
     private SplittableRandom random;
 
     private Comeback(Options options) {
@@ -60,21 +60,21 @@
     }
 
     public static void main(String[] args) throws Exception {
-        new Comeback(Options.of("comeback", USUAL, args)).run();
+        new Comeback(Options.of("comeback", DEFAULTS, args)).run();
     }
 
     private void run() throws Exception {
-        random = new SplittableRandom(options.whole("seed"));
+        random = new SplittableRandom(options.integer("seed"));
         Path out = Path.of(options.text("out"));
         Files.createDirectories(out);
         String text = Files.readString(Path.of(options.text("fleet")));
         StringBuilder lines = new StringBuilder();
         int number = 0;
         // Blocks of modes in turn, so that whatever else the machine does meets all of them.
-        for (int block = 0; block < options.whole("blocks"); block++) {
+        for (int block = 0; block < options.integer("blocks"); block++) {
             for (String mode : options.text("modes").split(",")) {
                 Path folder = out.resolve(String.format("%02d-%s", number++, mode));
-                block(mode, folder, FleetPlan.of("fleet.star", text), lines);
+                runBlock(mode, folder, FleetPlan.of("fleet.star", text), lines);
                 System.out.println(folder.getFileName() + " done");
                 Files.writeString(out.resolve("rounds.jsonl"), lines);
                 Files.writeString(out.resolve("table.md"), table());
@@ -84,18 +84,18 @@
     }
 
     private String table() {
-        StringBuilder s = new StringBuilder(Figures.head());
-        figures.values().forEach(f -> s.append(f.line()));
-        return s.toString();
+        StringBuilder text = new StringBuilder(ModeResults.header());
+        figures.values().forEach(f -> text.append(f.row()));
+        return text.toString();
     }
 
-    private void block(String mode, Path folder, FleetPlan plan, StringBuilder lines)
+    private void runBlock(String mode, Path folder, FleetPlan plan, StringBuilder lines)
             throws Exception {
-        DispatcherCluster.Options o = new DispatcherCluster.Options();
-        o.dispatchers = options.whole("dispatchers");
-        o.voters = options.whole("voters");
-        o.plan = plan;
-        o.sharing =
+        DispatcherCluster.Options clusterOptions = new DispatcherCluster.Options();
+        clusterOptions.dispatchers = options.integer("dispatchers");
+        clusterOptions.voters = options.integer("voters");
+        clusterOptions.plan = plan;
+        clusterOptions.sharing =
                 mode.equals("off")
                         ? null
                         : SharingScript.proxied(options.text("more").replace(';', '\n') + "\n");
@@ -117,22 +117,23 @@
                                                                 quota,
                                                                 (long) (c.deadlineMs() * 1000),
                                                                 c.repeatable()))));
-        long outSince;
-        String out = plan.workers.get(1).id();
+        long removedSince;
+        String removedWorker = plan.workers.get(1).id();
         ScheduledExecutorService sampler = Executors.newSingleThreadScheduledExecutor();
-        try (DispatcherCluster s = new DispatcherCluster(folder, o);
-                LoadGenerator shops =
+        try (DispatcherCluster cluster = new DispatcherCluster(folder, clusterOptions);
+                LoadGenerator load =
                         new LoadGenerator(
-                                s.clientAddresses(),
+                                cluster.clientAddresses(),
                                 kinds,
                                 random.nextInt(1 << 20),
                                 folder.resolve("clients.ledger"))) {
-            if (o.sharing != null) {
-                s.beginEra(s.voters().get(0), 1);
+            if (clusterOptions.sharing != null) {
+                cluster.beginEra(cluster.voters().get(0), 1);
             }
-            s.startAll();
-            for (String name : o.sharing == null ? List.<String>of() : s.names()) {
-                s.awaitAnswer(
+            cluster.startAll();
+            for (String name :
+                    clusterOptions.sharing == null ? List.<String>of() : cluster.names()) {
+                cluster.awaitAnswer(
                         "membership",
                         "GET",
                         name,
@@ -141,33 +142,39 @@
                         60_000,
                         a -> a.json().getBoolean("joined", false));
             }
-            for (String name : s.names()) {
-                s.awaitAnswer(
+            for (String name : cluster.names()) {
+                cluster.awaitAnswer(
                         "worker out",
                         "PUT",
                         name,
                         "/maintenance/enter",
-                        "{\"id\":\"" + out + "\"}",
+                        "{\"id\":\"" + removedWorker + "\"}",
                         20_000,
                         a -> a.status() == 200 || a.status() == 409);
             }
-            outSince = Clock.micros();
-            sampler.scheduleAtFixedRate(() -> sample(s), 0, SAMPLE_MS, TimeUnit.MILLISECONDS);
-            shops.setRate(rate);
-            TimeUnit.MILLISECONDS.sleep(WARM_MS);
-            for (int r = 0; r < options.whole("rounds"); r++) {
-                rounds.add(round(mode, r, s, plan));
+            removedSince = Clock.micros();
+            sampler.scheduleAtFixedRate(
+                    () -> sample(cluster), 0, SAMPLE_INTERVAL_MS, TimeUnit.MILLISECONDS);
+            load.setRate(rate);
+            TimeUnit.MILLISECONDS.sleep(WARM_UP_MS);
+            for (int r = 0; r < options.integer("rounds"); r++) {
+                rounds.add(runRound(mode, r, cluster, plan));
             }
-            shops.finish();
-            s.fleet().flush();
+            load.finish();
+            cluster.fleet().flush();
             sampler.shutdownNow();
             sampler.awaitTermination(1, TimeUnit.SECONDS);
         } finally {
             sampler.shutdownNow();
         }
-        Judge.judge(
-                folder, plan, rounds, out, outSince, figures.computeIfAbsent(mode, Figures::new));
-        for (Figures.Of f :
+        RoundEvaluator.evaluate(
+                folder,
+                plan,
+                rounds,
+                removedWorker,
+                removedSince,
+                figures.computeIfAbsent(mode, ModeResults::new));
+        for (ModeResults.RoundResult f :
                 figures.get(mode)
                         .rounds
                         .subList(
@@ -177,49 +184,51 @@
         }
     }
 
-    private static void sample(DispatcherCluster s) {
-        FaultProxy.Counts c = s.cluster().mesh().counts();
-        s.cluster()
+    private static void sample(DispatcherCluster cluster) {
+        FaultProxy.Counts counts = cluster.cluster().mesh().counts();
+        cluster.cluster()
                 .history()
                 .add(
                         "rig",
                         "between",
                         new JsonObject()
-                                .add("connections", c.connections())
-                                .add("bytes", c.bytesOut() + c.bytesBack()));
+                                .add("connections", counts.connections())
+                                .add("bytes", counts.bytesOut() + counts.bytesBack()));
     }
 
-    private Round round(String mode, int number, DispatcherCluster s, FleetPlan plan)
+    private Round runRound(String mode, int number, DispatcherCluster cluster, FleetPlan plan)
             throws IOException, InterruptedException {
         if (!mode.equals("off")) {
-            awaitMembers(s);
+            awaitMembership(cluster);
         }
-        long begin = Clock.micros();
-        TimeUnit.MILLISECONDS.sleep(options.whole("steady_ms"));
-        TreeSet<String> killed = draw(s);
-        List<JavaProcess> programs = killed.stream().map(n -> s.cluster().process(n)).toList();
-        s.cluster()
+        long beginMicros = Clock.micros();
+        TimeUnit.MILLISECONDS.sleep(options.integer("steady_ms"));
+        TreeSet<String> killed = drawKilled(cluster);
+        List<JavaProcess> processes =
+                killed.stream().map(n -> cluster.cluster().process(n)).toList();
+        cluster.cluster()
                 .history()
                 .add("rig", "kill", new JsonObject().add("who", String.join(",", killed)));
-        long kill = Clock.micros();
-        programs.forEach(JavaProcess::killWithoutWaiting);
-        for (JavaProcess p : programs) {
+        long killMicros = Clock.micros();
+        processes.forEach(JavaProcess::killWithoutWaiting);
+        for (JavaProcess p : processes) {
             p.awaitExit();
         }
         // Whoever comes back from a file believes to know this worker, which is cold by then.
-        s.fleet().restart(2 + number % (plan.workers.size() - 2), 0.5);
+        cluster.fleet().restart(2 + number % (plan.workers.size() - 2), 0.5);
         for (String name : killed) {
             if (mode.equals("wiped")) {
-                DiskFaults.wipe(s.cluster().store(name));
+                DiskFaults.wipe(cluster.cluster().store(name));
             }
-            s.cluster().start(name);
+            cluster.cluster().start(name);
         }
-        long ready = 0;
+        long readyMicros = 0;
         for (String name : killed) {
-            ready = Math.max(ready, s.awaitReady(name, 60_000));
+            readyMicros = Math.max(readyMicros, cluster.awaitReady(name, 60_000));
         }
-        TimeUnit.MILLISECONDS.sleep(options.whole("after_ms"));
-        return new Round(mode, number, begin, kill, ready, Clock.micros(), killed);
+        TimeUnit.MILLISECONDS.sleep(options.integer("after_ms"));
+        return new Round(
+                mode, number, beginMicros, killMicros, readyMicros, Clock.micros(), killed);
     }
 
     /**
@@ -227,10 +236,10 @@
      * takes its time; if another were wiped before, the majority of the stores would be lost, and
      * with it the whole state.
      */
-    private static void awaitMembers(DispatcherCluster s) throws InterruptedException {
-        for (String name : s.names()) {
-            boolean votes = s.voters().contains(name);
-            s.awaitAnswer(
+    private static void awaitMembership(DispatcherCluster cluster) throws InterruptedException {
+        for (String name : cluster.names()) {
+            boolean isVoter = cluster.voters().contains(name);
+            cluster.awaitAnswer(
                     "membership",
                     "GET",
                     name,
@@ -239,7 +248,7 @@
                     120_000,
                     a ->
                             a.json().getBoolean("joined", false)
-                                    && (!votes || a.json().get("fault").isNull()));
+                                    && (!isVoter || a.json().get("fault").isNull()));
         }
     }
 
@@ -247,14 +256,15 @@
      * Most of all, and of the voters one: the others' log must outlive it, or all would be a loss
      * of the whole state.
      */
-    private TreeSet<String> draw(DispatcherCluster s) {
+    private TreeSet<String> drawKilled(DispatcherCluster cluster) {
         List<String> observers =
-                new ArrayList<>(s.names().subList(s.voters().size(), s.names().size()));
+                new ArrayList<>(
+                        cluster.names().subList(cluster.voters().size(), cluster.names().size()));
         TreeSet<String> killed = new TreeSet<>();
-        if (!s.voters().isEmpty()) {
-            killed.add(s.voters().get(random.nextInt(s.voters().size())));
+        if (!cluster.voters().isEmpty()) {
+            killed.add(cluster.voters().get(random.nextInt(cluster.voters().size())));
         }
-        while (killed.size() < options.whole("killed")) {
+        while (killed.size() < options.integer("killed")) {
             killed.add(observers.remove(random.nextInt(observers.size())));
         }
         return killed;
--- a/rig/src/main/java/postgrade/rig/comeback/Growth.java
+++ b/rig/src/main/java/postgrade/rig/comeback/CounterRate.java
@@ -7,14 +7,14 @@
  * A count that only grows, sampled now and then: how fast it grew, and at most within about a
  * second.
  */
-final class Growth {
+final class CounterRate {
 
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
     private final List<History.Event> samples;
     private final String field;
 
-    Growth(List<History.Event> samples, String field) {
+    CounterRate(List<History.Event> samples, String field) {
         this.samples = samples;
         this.field = field;
     }
@@ -32,15 +32,15 @@
         return first == null || last.micros() == first.micros()
                 ? 0
                 : (last.number(field) - first.number(field))
-                        * (double) SECOND
+                        * (double) SECOND_MICROS
                         / (last.micros() - first.micros());
     }
 
-    double most(long from, long to) {
+    double peakPerSecond(long from, long to) {
         double most = 0;
         for (History.Event e : samples) {
-            if (e.micros() >= from && e.micros() + SECOND <= to) {
-                most = Math.max(most, perSecond(e.micros(), e.micros() + SECOND));
+            if (e.micros() >= from && e.micros() + SECOND_MICROS <= to) {
+                most = Math.max(most, perSecond(e.micros(), e.micros() + SECOND_MICROS));
             }
         }
         return most;
--- a/rig/src/main/java/postgrade/rig/comeback/Judge.java
+++ b/rig/src/main/java/postgrade/rig/comeback/RoundEvaluator.java
@@ -17,62 +17,63 @@
 import postgrade.rig.history.HistoryReader;
 
 /** Judges a block of rounds from ledgers and history alone. */
-final class Judge {
+final class RoundEvaluator {
 
     /**
      * The stand-ins share the machine with all dispatchers and may see late what was done in time.
      */
-    private static final long SLACK = 1_000_000;
+    private static final long SLACK_MICROS = 1_000_000;
 
-    private Judge() {}
+    private RoundEvaluator() {}
 
-    static void judge(
+    static void evaluate(
             Path folder,
             FleetPlan plan,
             List<Round> rounds,
-            String out,
-            long outSince,
-            Figures into)
+            String removedWorker,
+            long removedSince,
+            ModeResults results)
             throws IOException {
         List<Line> clients = LedgerReader.read(folder.resolve("clients.ledger"));
         List<Line> workers = LedgerReader.read(folder.resolve("workers.ledger"));
-        Service service =
-                new Service(
+        ServiceLevel service =
+                new ServiceLevel(
                         clients, plan, rounds.get(0).begin(), rounds.get(rounds.size() - 1).end());
-        Pace lists = pace(LedgerReader.read(folder.resolve("discovery.ledger")), "asked", "");
-        Pace connects = pace(workers, "connected", "");
-        List<History.Event> between =
+        EventRate lists =
+                eventRate(LedgerReader.read(folder.resolve("discovery.ledger")), "asked", "");
+        EventRate connects = eventRate(workers, "connected", "");
+        List<History.Event> peerSamples =
                 HistoryReader.read(folder.resolve("history.jsonl")).stream()
                         .filter(e -> e.kind().equals("between"))
                         .toList();
-        Growth bytes = new Growth(between, "bytes");
-        Growth calls = new Growth(between, "connections");
+        CounterRate peerBytes = new CounterRate(peerSamples, "bytes");
+        CounterRate peerConnects = new CounterRate(peerSamples, "connections");
         for (Round r : rounds) {
-            double steady = service.part(r.begin(), r.kill());
-            long full = service.fullFrom(r.ready(), r.end(), steady);
-            long until = full < 0 ? r.end() : full;
-            into.rounds.add(
-                    new Figures.Of(
+            double steady = service.servedFraction(r.begin(), r.kill());
+            long full = service.fullServiceFrom(r.ready(), r.end(), steady);
+            long outageEnd = full < 0 ? r.end() : full;
+            results.rounds.add(
+                    new ModeResults.RoundResult(
                             r.number(),
                             steady,
                             (r.ready() - r.kill()) / 1000,
                             full < 0 ? -1 : (full - r.ready()) / 1000,
-                            service.missed(r.kill(), until),
+                            service.missedJobs(r.kill(), outageEnd),
                             lists.perSecond(r.begin(), r.kill()),
-                            lists.most(r.kill(), r.end()),
+                            lists.peakPerSecond(r.kill(), r.end()),
                             connects.perSecond(r.begin(), r.kill()),
-                            connects.most(r.begin(), r.kill()),
-                            connects.most(r.kill(), r.end()),
-                            bytes.perSecond(r.begin(), r.kill()) / 1024,
-                            (int) (bytes.most(r.kill(), r.end()) / 1024),
-                            calls.perSecond(r.begin(), r.kill()),
-                            (int) calls.most(r.kill(), r.end())));
+                            connects.peakPerSecond(r.begin(), r.kill()),
+                            connects.peakPerSecond(r.kill(), r.end()),
+                            peerBytes.perSecond(r.begin(), r.kill()) / 1024,
+                            (int) (peerBytes.peakPerSecond(r.kill(), r.end()) / 1024),
+                            peerConnects.perSecond(r.begin(), r.kill()),
+                            (int) peerConnects.peakPerSecond(r.kill(), r.end())));
         }
-        stale(folder, clients, workers, rounds, out, outSince, into);
+        countStaleDecisions(folder, clients, workers, rounds, removedWorker, removedSince, results);
     }
 
-    private static Pace pace(List<Line> ledger, String event, String detail) {
-        return new Pace(
+    private static EventRate eventRate(List<Line> ledger, String event, String detail) {
+        return new EventRate(
                 ledger.stream()
                         .filter(l -> l.event().equals(event) && l.detail().contains(detail))
                         .map(Line::micros)
@@ -83,14 +84,14 @@
      * Decisions upon what is not so any more: sends to a worker out or leaving, and cold ones
      * pushed over.
      */
-    private static void stale(
+    private static void countStaleDecisions(
             Path folder,
             List<Line> clients,
             List<Line> workers,
             List<Round> rounds,
-            String out,
-            long outSince,
-            Figures into)
+            String removedWorker,
+            long removedSince,
+            ModeResults results)
             throws IOException {
         List<WorkerMaintenanceCheck.Sent> sent =
                 workers.stream()
@@ -103,37 +104,37 @@
                                                 l.party(),
                                                 l.id()))
                         .toList();
-        into.stale +=
+        results.staleDecisions +=
                 WorkerMaintenanceCheck.check(
                                 List.of(
                                         new WorkerMaintenanceCheck.StatusChange(
-                                                outSince, out, true)),
+                                                removedSince, removedWorker, true)),
                                 sent,
                                 500_000)
                         .size();
-        Map<String, Line> took = new HashMap<>();
-        Set<String> died = new HashSet<>();
+        Map<String, Line> sentById = new HashMap<>();
+        Set<String> brokenByKill = new HashSet<>();
         for (Line l : clients) {
             if (l.event().equals("sent")) {
-                took.put(l.id(), l);
-            } else if (l.event().startsWith("broken") && took.containsKey(l.id())) {
-                long at = took.get(l.id()).micros();
+                sentById.put(l.id(), l);
+            } else if (l.event().startsWith("broken") && sentById.containsKey(l.id())) {
+                long at = sentById.get(l.id()).micros();
                 if (rounds.stream()
                         .anyMatch(
                                 r ->
                                         r.killed().contains(l.value("via"))
                                                 && at <= r.ready()
-                                                && l.micros() >= r.kill() - SLACK
-                                                && l.micros() <= r.ready() + SLACK)) {
-                    died.add(l.id());
+                                                && l.micros() >= r.kill() - SLACK_MICROS
+                                                && l.micros() <= r.ready() + SLACK_MICROS)) {
+                    brokenByKill.add(l.id());
                 }
             }
         }
-        for (RuleChecker.Violation v : RuleChecker.judge(folder, SLACK).violations) {
+        for (RuleChecker.Violation v : RuleChecker.judge(folder, SLACK_MICROS).violations) {
             if (v.rule() == Rule.DRAIN || v.rule() == Rule.COLD) {
-                into.stale++;
-            } else if (!died.contains(v.id())) {
-                into.otherBreaches++;
+                results.staleDecisions++;
+            } else if (!brokenByKill.contains(v.id())) {
+                results.otherBreaches++;
             }
         }
     }
--- a/rig/src/main/java/postgrade/rig/comeback/Service.java
+++ b/rig/src/main/java/postgrade/rig/comeback/ServiceLevel.java
@@ -11,31 +11,31 @@
  * What was served, by the clients' ledger alone: of the worth of the jobs that were sent at a time,
  * the part that was served in time, within a class's aim as far as it stretches.
  */
-final class Service {
+final class ServiceLevel {
 
     /** Jobs are gathered by when they were sent, in steps of this. */
-    static final long STEP = 250_000;
+    static final long STEP_MICROS = 250_000;
 
     /** And judged over this many steps. */
-    static final int WINDOW = 4;
+    static final int WINDOW_STEPS = 4;
 
     /** Full service holds for so long at least. */
-    private static final int HOLDS = 8;
+    private static final int HOLD_STEPS = 8;
 
-    private static final double NEAR = 0.95;
+    private static final double FULL_SERVICE_RATIO = 0.95;
 
     private final long begin;
-    private final double[] offered;
-    private final double[] got;
+    private final double[] offeredWorth;
+    private final double[] servedWorth;
     private final int[] late;
     private final int[] refused;
     private final int[] lost;
 
-    Service(List<Line> clients, FleetPlan plan, long begin, long end) {
+    ServiceLevel(List<Line> clients, FleetPlan plan, long begin, long end) {
         this.begin = begin;
-        int steps = (int) ((end - begin) / STEP) + 1;
-        offered = new double[steps];
-        got = new double[steps];
+        int steps = (int) ((end - begin) / STEP_MICROS) + 1;
+        offeredWorth = new double[steps];
+        servedWorth = new double[steps];
         late = new int[steps];
         refused = new int[steps];
         lost = new int[steps];
@@ -45,7 +45,7 @@
                 sent.put(l.id(), l);
                 int at = step(l.micros());
                 if (at >= 0 && at < steps) {
-                    offered[at] += plan.classes.get(l.value("class")).worth();
+                    offeredWorth[at] += plan.classes.get(l.value("class")).worth();
                     lost[at] += l.event().equals("unsent") ? 1 : 0;
                 }
                 continue;
@@ -55,13 +55,15 @@
             if (at < 0 || at >= steps) {
                 continue;
             }
-            JobClass c = plan.classes.get(before.value("class"));
+            JobClass jobClass = plan.classes.get(before.value("class"));
             switch (l.event()) {
                 case "answer" -> {
                     long status = l.number("status");
-                    boolean inTime = l.micros() - before.micros() <= c.aimMs() * c.stretch() * 1000;
+                    boolean inTime =
+                            l.micros() - before.micros()
+                                    <= jobClass.aimMs() * jobClass.stretch() * 1000;
                     if (status == 200 && inTime) {
-                        got[at] += c.worth();
+                        servedWorth[at] += jobClass.worth();
                     } else if (status == 200) {
                         late[at]++;
                     } else if (status == 429 || status == 503) {
@@ -77,51 +79,51 @@
     }
 
     private int step(long micros) {
-        return micros < begin ? -1 : (int) ((micros - begin) / STEP);
+        return micros < begin ? -1 : (int) ((micros - begin) / STEP_MICROS);
     }
 
     /** The part served in time of what was sent from then to then. */
-    double part(long from, long to) {
+    double servedFraction(long from, long to) {
         double all = 0;
         double served = 0;
-        for (int i = Math.max(0, step(from)); i < Math.min(offered.length, step(to)); i++) {
-            all += offered[i];
-            served += got[i];
+        for (int i = Math.max(0, step(from)); i < Math.min(offeredWorth.length, step(to)); i++) {
+            all += offeredWorth[i];
+            served += servedWorth[i];
         }
         return all == 0 ? 0 : served / all;
     }
 
     /** When full service began that then held; -1 if it did not before the end. */
-    long fullFrom(long since, long until, double steady) {
+    long fullServiceFrom(long since, long until, double steady) {
         int holding = 0;
         for (int i = Math.max(0, step(since));
-                i + WINDOW <= Math.min(offered.length, step(until));
+                i + WINDOW_STEPS <= Math.min(offeredWorth.length, step(until));
                 i++) {
             double all = 0;
             double served = 0;
-            for (int j = i; j < i + WINDOW; j++) {
-                all += offered[j];
-                served += got[j];
+            for (int j = i; j < i + WINDOW_STEPS; j++) {
+                all += offeredWorth[j];
+                served += servedWorth[j];
             }
-            holding = all > 0 && served / all >= NEAR * steady ? holding + 1 : 0;
-            if (holding == HOLDS) {
-                return Math.max(since, begin + (i - HOLDS + 1) * STEP);
+            holding = all > 0 && served / all >= FULL_SERVICE_RATIO * steady ? holding + 1 : 0;
+            if (holding == HOLD_STEPS) {
+                return Math.max(since, begin + (i - HOLD_STEPS + 1) * STEP_MICROS);
             }
         }
         return -1;
     }
 
-    record Missed(int late, int refused, int lost) {}
+    record MissedJobs(int late, int refused, int lost) {}
 
-    Missed missed(long from, long to) {
-        int l = 0;
-        int r = 0;
-        int x = 0;
-        for (int i = Math.max(0, step(from)); i < Math.min(offered.length, step(to)); i++) {
-            l += late[i];
-            r += refused[i];
-            x += lost[i];
+    MissedJobs missedJobs(long from, long to) {
+        int lateJobs = 0;
+        int refusedJobs = 0;
+        int lostJobs = 0;
+        for (int i = Math.max(0, step(from)); i < Math.min(offeredWorth.length, step(to)); i++) {
+            lateJobs += late[i];
+            refusedJobs += refused[i];
+            lostJobs += lost[i];
         }
-        return new Missed(l, r, x);
+        return new MissedJobs(lateJobs, refusedJobs, lostJobs);
     }
 }
--- a/rig/src/main/java/postgrade/rig/cost/Cost.java
+++ b/rig/src/main/java/postgrade/rig/cost/Cost.java
@@ -25,7 +25,7 @@
 
     private static final int VOTERS = 3;
 
-    private static final Map<String, String> USUAL =
+    private static final Map<String, String> DEFAULTS =
             Map.of(
                     "out",
                     "found/cost",
@@ -59,16 +59,16 @@
     }
 
     public static void main(String[] args) throws Exception {
-        new Cost(Options.of("cost", USUAL, args)).run();
+        new Cost(Options.of("cost", DEFAULTS, args)).run();
     }
 
     private void run() throws Exception {
         Path out = Path.of(options.text("out"));
         Files.createDirectories(out);
         String text = Files.readString(Path.of(options.text("fleet")));
-        try (DispatcherCluster alone = serving(out.resolve("off"), text, null);
+        try (DispatcherCluster alone = openCluster(out.resolve("off"), text, null);
                 DispatcherCluster sharing =
-                        serving(
+                        openCluster(
                                 out.resolve("on"),
                                 text.replaceFirst("seed = ", "seed = 7"),
                                 SharingScript.direct(""))) {
@@ -104,9 +104,9 @@
                             .filter(v -> !v.equals(leader))
                             .findFirst()
                             .orElseThrow();
-            subject("off", alone, "n1", out);
-            subject("observer", sharing, sharing.names().get(VOTERS), out);
-            subject("voter", sharing, voter, out);
+            addSubject("off", alone, "n1", out);
+            addSubject("observer", sharing, sharing.names().get(VOTERS), out);
+            addSubject("voter", sharing, voter, out);
             try {
                 measure();
             } finally {
@@ -120,18 +120,18 @@
         System.out.print(table);
     }
 
-    private DispatcherCluster serving(
+    private DispatcherCluster openCluster(
             Path folder, String text, DispatcherCluster.ScriptFactory script)
             throws IOException, InterruptedException {
-        DispatcherCluster.Options o = new DispatcherCluster.Options();
-        o.dispatchers = options.whole("dispatchers");
-        o.voters = VOTERS;
-        o.plan = FleetPlan.of("fleet.star", text);
-        o.sharing = script;
-        return new DispatcherCluster(folder, o);
+        DispatcherCluster.Options clusterOptions = new DispatcherCluster.Options();
+        clusterOptions.dispatchers = options.integer("dispatchers");
+        clusterOptions.voters = VOTERS;
+        clusterOptions.plan = FleetPlan.of("fleet.star", text);
+        clusterOptions.sharing = script;
+        return new DispatcherCluster(folder, clusterOptions);
     }
 
-    private void subject(String mode, DispatcherCluster s, String name, Path out)
+    private void addSubject(String mode, DispatcherCluster cluster, String name, Path out)
             throws IOException {
         FleetPlan plan =
                 FleetPlan.of("fleet.star", Files.readString(Path.of(options.text("fleet"))));
@@ -153,9 +153,11 @@
         subjects.add(
                 new Subject(
                         mode,
-                        s.cluster().process(name).pid(),
+                        cluster.cluster().process(name).pid(),
                         new LoadGenerator(
-                                List.of(s.clientAddresses().get(s.names().indexOf(name))),
+                                List.of(
+                                        cluster.clientAddresses()
+                                                .get(cluster.names().indexOf(name))),
                                 kinds,
                                 subjects.size() + 1,
                                 ledger),
@@ -170,20 +172,20 @@
         for (Subject s : subjects) {
             s.shops.setRate(rates[rates.length - 1]);
         }
-        TimeUnit.SECONDS.sleep(options.whole("warm"));
+        TimeUnit.SECONDS.sleep(options.integer("warm"));
         for (Subject s : subjects) {
             s.shops.finish();
         }
-        for (int round = 0; round < options.whole("rounds"); round++) {
+        for (int round = 0; round < options.integer("rounds"); round++) {
             for (int rate : rates) {
                 for (int i = 0; i < subjects.size(); i++) {
-                    block(subjects.get((i + round) % subjects.size()), rate);
+                    runBlock(subjects.get((i + round) % subjects.size()), rate);
                 }
             }
         }
     }
 
-    private void block(Subject loaded, int rate) throws IOException, InterruptedException {
+    private void runBlock(Subject loaded, int rate) throws IOException, InterruptedException {
         loaded.shops.setRate(rate);
         TimeUnit.SECONDS.sleep(1); // Of connections that are opened anew; not measured.
         long from = Clock.micros();
@@ -191,7 +193,7 @@
         for (Subject s : subjects) {
             before.add(ThreadTimes.of(s.pid));
         }
-        TimeUnit.SECONDS.sleep(options.whole("block"));
+        TimeUnit.SECONDS.sleep(options.integer("block"));
         for (int i = 0; i < subjects.size(); i++) {
             Subject s = subjects.get(i);
             long to = Clock.micros();
@@ -202,8 +204,8 @@
                             s == loaded ? rate : 0,
                             from,
                             to,
-                            after.since(before.get(i), ThreadTimes.LOOP),
-                            after.since(before.get(i), ThreadTimes.SHARING),
+                            after.cpuNanosSince(before.get(i), ThreadTimes.LOOP),
+                            after.cpuNanosSince(before.get(i), ThreadTimes.SHARING),
                             after.all() - before.get(i).all()));
         }
         loaded.shops.finish();
@@ -212,18 +214,18 @@
     // ---- What came out.
 
     private String table() throws IOException {
-        StringBuilder s =
+        StringBuilder text =
                 new StringBuilder(
                         "| dispatcher | jobs/s | s | jobs served | loop | sharing | all |\n"
                                 + "| --- | --- | --- | --- | --- | --- | --- |\n");
-        for (Subject of : subjects) {
+        for (Subject subject : subjects) {
             List<Long> served =
-                    LedgerReader.read(of.ledger).stream()
+                    LedgerReader.read(subject.ledger).stream()
                             .filter(l -> l.event().equals("answer") && l.number("status") == 200)
                             .map(LedgerReader.Line::micros)
                             .toList();
             blocks.stream()
-                    .filter(b -> b.mode.equals(of.mode))
+                    .filter(b -> b.mode.equals(subject.mode))
                     .map(Block::rate)
                     .distinct()
                     .sorted()
@@ -233,7 +235,7 @@
                                         blocks.stream()
                                                 .filter(
                                                         b ->
-                                                                b.mode.equals(of.mode)
+                                                                b.mode.equals(subject.mode)
                                                                         && b.rate == rate)
                                                 .toList();
                                 double seconds =
@@ -249,26 +251,26 @@
                                                                                                 && at
                                                                                                         < b.to))
                                                 .count();
-                                s.append(
+                                text.append(
                                         String.format(
                                                 "| %s | %d | %.0f | %d |",
-                                                of.mode, rate, seconds, jobs));
+                                                subject.mode, rate, seconds, jobs));
                                 // Microseconds a job under load; of each second where it idles.
-                                double by = rate == 0 ? seconds : jobs;
-                                s.append(
+                                double divisor = rate == 0 ? seconds : jobs;
+                                text.append(
                                         String.format(
                                                 " %.1f | %.1f | %.1f |%n",
                                                 same.stream().mapToLong(Block::loop).sum()
                                                         / 1e3
-                                                        / by,
+                                                        / divisor,
                                                 same.stream().mapToLong(Block::sharing).sum()
                                                         / 1e3
-                                                        / by,
+                                                        / divisor,
                                                 same.stream().mapToLong(Block::all).sum()
                                                         / 1e3
-                                                        / by));
+                                                        / divisor));
                             });
         }
-        return s.toString();
+        return text.toString();
     }
 }
--- a/rig/src/main/java/postgrade/rig/disk/DiskFaults.java
+++ b/rig/src/main/java/postgrade/rig/disk/DiskFaults.java
@@ -42,21 +42,21 @@
     /** Turns bits of so many bytes of a file over, at places that the seed names. */
     public static void flipBits(Path file, int count, long seed) throws IOException {
         SplittableRandom random = new SplittableRandom(seed);
-        try (RandomAccessFile f = new RandomAccessFile(file.toFile(), "rw")) {
-            for (int i = 0; i < count && f.length() > 0; i++) {
-                long at = random.nextLong(f.length());
-                f.seek(at);
-                int was = f.read();
-                f.seek(at);
-                f.write(was ^ (1 << random.nextInt(8)));
+        try (RandomAccessFile target = new RandomAccessFile(file.toFile(), "rw")) {
+            for (int i = 0; i < count && target.length() > 0; i++) {
+                long at = random.nextLong(target.length());
+                target.seek(at);
+                int original = target.read();
+                target.seek(at);
+                target.write(original ^ (1 << random.nextInt(8)));
             }
         }
     }
 
     /** Leaves the first part of a file. */
-    public static void truncate(Path file, double part) throws IOException {
-        try (RandomAccessFile f = new RandomAccessFile(file.toFile(), "rw")) {
-            f.setLength((long) (f.length() * part));
+    public static void truncate(Path file, double fraction) throws IOException {
+        try (RandomAccessFile target = new RandomAccessFile(file.toFile(), "rw")) {
+            target.setLength((long) (target.length() * fraction));
         }
     }
 
@@ -66,11 +66,11 @@
         wipe(to);
         try (Stream<Path> tree = Files.walk(store)) {
             for (Path p : tree.sorted().toList()) {
-                Path there = to.resolve(store.relativize(p).toString());
+                Path target = to.resolve(store.relativize(p).toString());
                 if (Files.isDirectory(p)) {
-                    Files.createDirectories(there);
+                    Files.createDirectories(target);
                 } else {
-                    Files.copy(p, there);
+                    Files.copy(p, target);
                 }
             }
         }
@@ -86,10 +86,10 @@
      * user the rights of files do not count: it is held up by {@link
      * postgrade.rig.process.Program.Start#fileLimit} of 0 instead.
      */
-    public static void setReadOnly(Path store, boolean now) throws IOException {
+    public static void setReadOnly(Path store, boolean readOnly) throws IOException {
         try (Stream<Path> tree = Files.walk(store)) {
             for (Path p : tree.toList()) {
-                if (!p.toFile().setWritable(!now, false)) {
+                if (!p.toFile().setWritable(!readOnly, false)) {
                     throw new IOException(p + " keeps its rights");
                 }
             }
--- a/rig/src/main/java/postgrade/rig/history/History.java
+++ b/rig/src/main/java/postgrade/rig/history/History.java
@@ -38,7 +38,7 @@
     }
 
     private final ReentrantLock lock = new ReentrantLock();
-    private final Condition grown = lock.newCondition();
+    private final Condition appended = lock.newCondition();
     private final List<Event> events = new ArrayList<>();
     private final BufferedWriter file;
 
@@ -70,7 +70,7 @@
                             .toString());
             file.newLine();
             file.flush();
-            grown.signalAll();
+            appended.signalAll();
             return e;
         } catch (IOException e) {
             throw new UncheckedIOException(e); // A run whose history is lost proves nothing.
@@ -103,20 +103,20 @@
      *
      * @throws IllegalStateException if it has not come in time
      */
-    public Event await(String what, int from, long withinMillis, Predicate<Event> sought)
+    public Event await(String what, int from, long withinMillis, Predicate<Event> condition)
             throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMillis);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMillis);
         lock.lock();
         try {
             int next = from;
             while (true) {
                 for (; next < events.size(); next++) {
-                    if (sought.test(events.get(next))) {
+                    if (condition.test(events.get(next))) {
                         return events.get(next);
                     }
                 }
-                long left = end - System.nanoTime();
-                if (left <= 0) {
+                long remainingNanos = deadlineNanos - System.nanoTime();
+                if (remainingNanos <= 0) {
                     throw new IllegalStateException(
                             "no "
                                     + what
@@ -126,7 +126,7 @@
                                     + events.subList(
                                             Math.max(from, events.size() - 12), events.size()));
                 }
-                grown.awaitNanos(left);
+                appended.awaitNanos(remainingNanos);
             }
         } finally {
             lock.unlock();
--- a/rig/src/main/java/postgrade/rig/history/HistoryReader.java
+++ b/rig/src/main/java/postgrade/rig/history/HistoryReader.java
@@ -22,13 +22,13 @@
         List<History.Event> events = new ArrayList<>();
         for (int i = 0; i < lines.size(); i++) {
             try {
-                JsonObject o = Json.parse(lines.get(i)).asObject();
+                JsonObject object = Json.parse(lines.get(i)).asObject();
                 events.add(
                         new History.Event(
-                                o.get("us").asLong(),
-                                o.get("who").asString(),
-                                o.get("kind").asString(),
-                                o.get("with").asObject()));
+                                object.get("us").asLong(),
+                                object.get("who").asString(),
+                                object.get("kind").asString(),
+                                object.get("with").asObject()));
             } catch (ParseException | NullPointerException | UnsupportedOperationException e) {
                 if (i + 1 < lines.size()) {
                     throw new IOException(file.getFileName() + ":" + (i + 1) + " is no event", e);
--- a/rig/src/main/java/postgrade/rig/jobs/ExchangeFault.java
+++ b/rig/src/main/java/postgrade/rig/jobs/ExchangeFault.java
@@ -58,7 +58,7 @@
     }
 
     /** Whether it is put as the exchange's answer passes. */
-    boolean isOfAnswer() {
+    boolean affectsAnswer() {
         return switch (kind) {
             case RESET_BEFORE_ANSWER,
                     RESET_IN_ANSWER,
--- a/rig/src/main/java/postgrade/rig/jobs/JobProxies.java
+++ b/rig/src/main/java/postgrade/rig/jobs/JobProxies.java
@@ -17,8 +17,9 @@
     private final History history;
     private final Map<String, JobProxy> proxies = new HashMap<>();
     private final ScheduledExecutorService clock =
-            Executors.newSingleThreadScheduledExecutor(task -> JobProxy.daemon("clock", task));
-    private FaultSelector faults = FaultSelector.NONE;
+            Executors.newSingleThreadScheduledExecutor(
+                    task -> JobProxy.daemonThread("clock", task));
+    private FaultSelector faultSelector = FaultSelector.NONE;
 
     /** What the proxies do goes to this history. */
     public JobProxies(History history) {
@@ -40,7 +41,7 @@
                         Integer.parseInt(address.substring(colon + 1)));
         try {
             JobProxy proxy = new JobProxy(dispatcher, worker, target, history, clock);
-            proxy.setFaultSelector(faults);
+            proxy.setFaultSelector(faultSelector);
             return proxy;
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -48,9 +49,9 @@
     }
 
     /** Faults of exchanges that begin from now on. */
-    public synchronized void setFaultSelector(FaultSelector choice) {
-        faults = choice;
-        proxies.values().forEach(proxy -> proxy.setFaultSelector(choice));
+    public synchronized void setFaultSelector(FaultSelector selector) {
+        faultSelector = selector;
+        proxies.values().forEach(proxy -> proxy.setFaultSelector(selector));
     }
 
     @Override
--- a/rig/src/main/java/postgrade/rig/jobs/JobProxy.java
+++ b/rig/src/main/java/postgrade/rig/jobs/JobProxy.java
@@ -31,8 +31,8 @@
     private final History history;
     private final ServerSocket listener;
     private final Set<ProxiedConnection> open = ConcurrentHashMap.newKeySet();
-    private final Map<String, Overtaking> overtaken = new ConcurrentHashMap<>();
-    private volatile FaultSelector faults = FaultSelector.NONE;
+    private final Map<String, OvertakingLatch> overtakings = new ConcurrentHashMap<>();
+    private volatile FaultSelector faultSelector = FaultSelector.NONE;
     private volatile boolean closed;
 
     /**
@@ -54,12 +54,12 @@
         this.history = history;
         this.clock = clock;
         listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
-        daemon("accepts for " + worker, this::accept).start();
+        daemonThread("accepts for " + worker, this::accept).start();
     }
 
     /** Faults of exchanges that begin from now on. */
-    public void setFaultSelector(FaultSelector choice) {
-        faults = choice;
+    public void setFaultSelector(FaultSelector selector) {
+        faultSelector = selector;
     }
 
     /** Where it listens, as {@code host:port}. */
@@ -71,7 +71,7 @@
         while (!closed) {
             try {
                 Socket dispatcherSide = listener.accept();
-                daemon("connects to " + worker, () -> connect(dispatcherSide)).start();
+                daemonThread("connects to " + worker, () -> connect(dispatcherSide)).start();
             } catch (IOException e) {
                 if (!closed) {
                     throw new IllegalStateException("the proxy of " + worker + " lost its port", e);
@@ -94,14 +94,14 @@
         }
         ProxiedConnection connection = new ProxiedConnection(this, dispatcherSide, workerSide);
         open.add(connection);
-        connection.begin();
+        connection.start();
     }
 
-    ExchangeFault choose(RawMessage request, int number) {
+    ExchangeFault selectFault(RawMessage request, int number) {
         FaultSelector.Exchange exchange =
                 new FaultSelector.Exchange(
                         dispatcher, worker, request.subject(), request.isJob(), number);
-        ExchangeFault fault = faults.select(exchange);
+        ExchangeFault fault = faultSelector.select(exchange);
         if (fault.kind() != ExchangeFault.Kind.NONE) {
             history.add(
                     "proxy",
@@ -117,22 +117,22 @@
     }
 
     /** A fault that was chosen has come about. */
-    void wasPut(ExchangeFault fault) {
+    void faultInjected(ExchangeFault fault) {
         if (fault.kind() != ExchangeFault.Kind.NONE) {
-            faults.faultInjected(fault.kind());
+            faultSelector.faultInjected(fault.kind());
         }
     }
 
     /** What a job and its cancellation wait for. */
-    Overtaking overtaking(String subject) {
-        return overtaken.computeIfAbsent(subject, key -> new Overtaking());
+    OvertakingLatch overtaking(String subject) {
+        return overtakings.computeIfAbsent(subject, key -> new OvertakingLatch());
     }
 
-    void ended(ProxiedConnection connection) {
+    void connectionEnded(ProxiedConnection connection) {
         open.remove(connection);
     }
 
-    static Thread daemon(String name, Runnable task) {
+    static Thread daemonThread(String name, Runnable task) {
         Thread thread = new Thread(task, "proxy " + name);
         thread.setDaemon(true);
         return thread;
--- a/rig/src/main/java/postgrade/rig/jobs/Overtaking.java
+++ b/rig/src/main/java/postgrade/rig/jobs/OvertakingLatch.java
@@ -7,7 +7,7 @@
  * Holds back a job and its cancellation, so that they cross: {@link
  * ExchangeFault.LoadKind#OVERTAKEN}.
  */
-final class Overtaking {
+final class OvertakingLatch {
 
     private final CountDownLatch cancelled = new CountDownLatch(1);
     private final CountDownLatch answered = new CountDownLatch(1);
@@ -27,11 +27,11 @@
      *
      * @return whether its cancellation has been answered before it
      */
-    boolean awaitCancelled(long mostMillis) throws InterruptedException {
-        return cancelled.await(mostMillis, TimeUnit.MILLISECONDS);
+    boolean awaitCancelled(long maxMillis) throws InterruptedException {
+        return cancelled.await(maxMillis, TimeUnit.MILLISECONDS);
     }
 
-    void awaitAnswered(long mostMillis) throws InterruptedException {
-        answered.await(mostMillis, TimeUnit.MILLISECONDS);
+    void awaitAnswered(long maxMillis) throws InterruptedException {
+        answered.await(maxMillis, TimeUnit.MILLISECONDS);
     }
 }
--- a/rig/src/main/java/postgrade/rig/jobs/ProxiedConnection.java
+++ b/rig/src/main/java/postgrade/rig/jobs/ProxiedConnection.java
@@ -19,18 +19,18 @@
     private static final byte[] FULL = RawMessage.answer("503 Full", "X-Not-Run: 1");
     private static final byte[] ERROR = RawMessage.answer("500 Error");
 
-    private static final int LOOK_MILLIS = 1;
+    private static final int PEEK_TIMEOUT_MILLIS = 1;
 
     private final JobProxy proxy;
     private final Socket dispatcherSide;
     private final Socket workerSide;
 
-    private record Unanswered(RawMessage request, ExchangeFault fault) {}
+    private record PendingExchange(RawMessage request, ExchangeFault fault) {}
 
     /** The exchanges whose answers are due, in the order of their requests. */
-    private final BlockingQueue<Unanswered> unanswered = new LinkedBlockingQueue<>();
+    private final BlockingQueue<PendingExchange> pendingExchanges = new LinkedBlockingQueue<>();
 
-    private final AtomicInteger waysOpen = new AtomicInteger(2);
+    private final AtomicInteger openDirections = new AtomicInteger(2);
 
     ProxiedConnection(JobProxy proxy, Socket dispatcherSide, Socket workerSide) {
         this.proxy = proxy;
@@ -38,18 +38,18 @@
         this.workerSide = workerSide;
     }
 
-    void begin() {
-        JobProxy.daemon("to " + proxy.worker, () -> run(this::passRequests)).start();
-        JobProxy.daemon("from " + proxy.worker, () -> run(this::passAnswers)).start();
+    void start() {
+        JobProxy.daemonThread("to " + proxy.worker, () -> run(this::passRequests)).start();
+        JobProxy.daemonThread("from " + proxy.worker, () -> run(this::passAnswers)).start();
     }
 
-    private interface Way {
+    private interface MessageLoop {
         void pass() throws IOException, InterruptedException;
     }
 
-    private void run(Way way) {
+    private void run(MessageLoop loop) {
         try {
-            way.pass();
+            loop.pass();
         } catch (IOException e) {
             reset();
         } catch (InterruptedException e) {
@@ -64,65 +64,65 @@
         for (RawMessage request = RawMessage.read(in);
                 request != null;
                 request = RawMessage.read(in)) {
-            ExchangeFault fault = proxy.choose(request, number);
+            ExchangeFault fault = proxy.selectFault(request, number);
             switch (fault.kind()) {
                 case RESET_BEFORE_REQUEST -> {
-                    proxy.wasPut(fault);
+                    proxy.faultInjected(fault);
                     reset();
                     return;
                 }
                 case RESET_IN_REQUEST -> {
-                    proxy.wasPut(fault);
+                    proxy.faultInjected(fault);
                     workerSide.getOutputStream().write(half(request.bytes()));
                     reset();
                     return;
                 }
                 case LATE_REQUEST -> {
                     TimeUnit.MILLISECONDS.sleep(fault.delayMillis());
-                    if (hasEnded(in)) {
+                    if (closedByDispatcher(in)) {
                         close();
                         return;
                     }
-                    proxy.wasPut(fault);
+                    proxy.faultInjected(fault);
                 }
                 case OVERTAKEN -> {
-                    boolean overtaken = request.isJob() && isOvertaken(request, fault);
-                    if (hasEnded(in)) {
+                    boolean overtaken = request.isJob() && awaitCancellation(request, fault);
+                    if (closedByDispatcher(in)) {
                         close();
                         return;
                     }
                     if (overtaken) {
-                        proxy.wasPut(fault);
+                        proxy.faultInjected(fault);
                     }
                 }
                 case STALE_ANSWER -> {
                     if (number > 0) {
-                        proxy.wasPut(fault);
+                        proxy.faultInjected(fault);
                         writeAnswer(FULL);
                     }
                 }
                 default -> {}
             }
             number++;
-            unanswered.add(new Unanswered(request, fault));
+            pendingExchanges.add(new PendingExchange(request, fault));
             workerSide.getOutputStream().write(request.bytes());
             if (fault.kind() == ExchangeFault.Kind.RESET_AFTER_REQUEST) {
-                proxy.wasPut(fault);
+                proxy.faultInjected(fault);
                 reset();
                 return;
             }
         }
         workerSide.shutdownOutput();
-        wayEnded();
+        directionEnded();
     }
 
     /**
      * Whether the dispatcher has ended the connection while its request was held back. It has given
      * the job up by that, which so never comes to its worker.
      */
-    private boolean hasEnded(InputStream fromDispatcher) throws IOException {
+    private boolean closedByDispatcher(InputStream fromDispatcher) throws IOException {
         fromDispatcher.mark(1);
-        dispatcherSide.setSoTimeout(LOOK_MILLIS);
+        dispatcherSide.setSoTimeout(PEEK_TIMEOUT_MILLIS);
         try {
             return fromDispatcher.read() < 0;
         } catch (SocketTimeoutException e) {
@@ -133,7 +133,8 @@
         }
     }
 
-    private boolean isOvertaken(RawMessage job, ExchangeFault fault) throws InterruptedException {
+    private boolean awaitCancellation(RawMessage job, ExchangeFault fault)
+            throws InterruptedException {
         return proxy.overtaking(job.subject()).awaitCancelled(fault.delayMillis());
     }
 
@@ -142,7 +143,7 @@
         for (RawMessage answer = RawMessage.read(in);
                 answer != null;
                 answer = RawMessage.read(in)) {
-            Unanswered exchange = unanswered.poll();
+            PendingExchange exchange = pendingExchanges.poll();
             if (exchange == null) {
                 throw new IOException("an answer that nobody asked for");
             }
@@ -151,21 +152,21 @@
             }
         }
         dispatcherSide.shutdownOutput();
-        wayEnded();
+        directionEnded();
     }
 
-    private void wayEnded() throws IOException {
-        if (waysOpen.decrementAndGet() == 0) {
+    private void directionEnded() throws IOException {
+        if (openDirections.decrementAndGet() == 0) {
             close();
         }
     }
 
     /** False if nothing more passes. */
-    private boolean passAnswer(byte[] answer, Unanswered exchange)
+    private boolean passAnswer(byte[] answer, PendingExchange exchange)
             throws IOException, InterruptedException {
         ExchangeFault fault = exchange.fault();
-        if (fault.isOfAnswer()) {
-            proxy.wasPut(fault);
+        if (fault.affectsAnswer()) {
+            proxy.faultInjected(fault);
         }
         switch (fault.kind()) {
             case RESET_BEFORE_ANSWER -> {
@@ -192,16 +193,16 @@
             case SECOND_ANSWER_FULL -> writeLater(FULL, fault.delayMillis());
             case SECOND_ANSWER_ERROR -> writeLater(ERROR, fault.delayMillis());
             case SECOND_ANSWER_SAME -> writeLater(answer, fault.delayMillis());
-            case RESET_AFTER_ANSWER -> later(this::reset, fault.delayMillis());
+            case RESET_AFTER_ANSWER -> schedule(this::reset, fault.delayMillis());
             default -> {}
         }
         return true;
     }
 
-    private void passOvertaken(byte[] answer, Unanswered exchange)
+    private void passOvertaken(byte[] answer, PendingExchange exchange)
             throws IOException, InterruptedException {
         RawMessage request = exchange.request();
-        Overtaking overtaking = proxy.overtaking(request.subject());
+        OvertakingLatch overtaking = proxy.overtaking(request.subject());
         if (request.isJob()) {
             writeAnswer(answer);
             overtaking.answered();
@@ -217,7 +218,7 @@
     }
 
     private void writeLater(byte[] bytes, long delayMillis) {
-        later(
+        schedule(
                 () -> {
                     try {
                         writeAnswer(bytes);
@@ -228,7 +229,7 @@
                 delayMillis);
     }
 
-    private void later(Runnable task, long delayMillis) {
+    private void schedule(Runnable task, long delayMillis) {
         try {
             proxy.clock.schedule(task, delayMillis, TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException e) {
@@ -247,18 +248,18 @@
     private void resetDispatcherSide() throws IOException {
         SocketReset.reset(dispatcherSide);
         workerSide.close();
-        proxy.ended(this);
+        proxy.connectionEnded(this);
     }
 
     private void close() throws IOException {
-        proxy.ended(this);
+        proxy.connectionEnded(this);
         dispatcherSide.close();
         workerSide.close();
     }
 
     /** Resets both sides. */
     void reset() {
-        proxy.ended(this);
+        proxy.connectionEnded(this);
         SocketReset.reset(dispatcherSide);
         SocketReset.reset(workerSide);
     }
--- a/rig/src/main/java/postgrade/rig/jobs/RawMessage.java
+++ b/rig/src/main/java/postgrade/rig/jobs/RawMessage.java
@@ -12,18 +12,18 @@
  */
 record RawMessage(String startLine, String requestId, byte[] bytes) {
 
-    private static final int MOST_HEAD = 1 << 16;
+    private static final int MAX_HEAD_BYTES = 1 << 16;
 
     /** Reads the next message; null at the end of the stream. */
     static RawMessage read(InputStream in) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
-        String startLine = line(in, bytes);
+        String startLine = readLine(in, bytes);
         if (startLine == null) {
             return null;
         }
         int length = 0;
         String requestId = "";
-        for (String header = line(in, bytes); ; header = line(in, bytes)) {
+        for (String header = readLine(in, bytes); ; header = readLine(in, bytes)) {
             if (header == null) {
                 throw new IOException("ended within a head");
             }
@@ -47,7 +47,7 @@
     }
 
     /** A line without its end, which goes to the bytes as well; null at the end of the stream. */
-    private static String line(InputStream in, ByteArrayOutputStream bytes) throws IOException {
+    private static String readLine(InputStream in, ByteArrayOutputStream bytes) throws IOException {
         StringBuilder text = new StringBuilder();
         for (int next = in.read(); ; next = in.read()) {
             if (next < 0) {
@@ -56,14 +56,14 @@
                 }
                 return null;
             }
-            if (bytes.size() > MOST_HEAD) {
+            if (bytes.size() > MAX_HEAD_BYTES) {
                 throw new IOException("a head that is too long");
             }
             bytes.write(next);
             if (next == '\n') {
                 int end = text.length() - 1;
-                boolean carriage = end >= 0 && text.charAt(end) == '\r';
-                return carriage ? text.substring(0, end) : text.toString();
+                boolean endsWithCr = end >= 0 && text.charAt(end) == '\r';
+                return endsWithCr ? text.substring(0, end) : text.toString();
             }
             text.append((char) next);
         }
--- a/rig/src/main/java/postgrade/rig/load/LoadGenerator.java
+++ b/rig/src/main/java/postgrade/rig/load/LoadGenerator.java
@@ -24,12 +24,12 @@
  */
 public final class LoadGenerator implements Closeable {
 
-    private static final long PASSED_OVER_MICROS = 500_000;
+    private static final long SKIP_MICROS = 500_000;
 
     /** An answer that comes late is worth knowing of; whoever judges tells late from never. */
-    private static final long LINGER_MS = 20_000;
+    private static final long LATE_ANSWER_WAIT_MS = 20_000;
 
-    private static final int WAIT_MS = 60_000;
+    private static final int FINISH_TIMEOUT_MS = 60_000;
 
     /**
      * @param weight among all kinds
@@ -45,15 +45,15 @@
     private final List<JobKind> kinds;
     private final SplittableRandom random;
     private final Ledger ledger;
-    private final ExecutorService senders = Executors.newCachedThreadPool(daemons("shop"));
+    private final ExecutorService senders = Executors.newCachedThreadPool(daemonThreads("shop"));
     private final ScheduledExecutorService clock =
-            Executors.newSingleThreadScheduledExecutor(daemons("shops' clock"));
-    private final AtomicLong underWay = new AtomicLong();
+            Executors.newSingleThreadScheduledExecutor(daemonThreads("shops' clock"));
+    private final AtomicLong inFlight = new AtomicLong();
     private final long seed;
-    private long number;
+    private long lastJobNumber;
     private double perSecond;
-    private double owed;
-    private long last;
+    private double jobsDue;
+    private long lastMicros;
 
     public LoadGenerator(
             List<InetSocketAddress> addresses, List<JobKind> kinds, long seed, Path ledger)
@@ -65,12 +65,12 @@
         this.seed = seed;
         random = new SplittableRandom(seed);
         this.ledger = new Ledger(ledger);
-        last = Clock.micros();
-        clock.scheduleAtFixedRate(this::turn, 2, 2, TimeUnit.MILLISECONDS);
+        lastMicros = Clock.micros();
+        clock.scheduleAtFixedRate(this::sendDueJobs, 2, 2, TimeUnit.MILLISECONDS);
         clock.scheduleAtFixedRate(this.ledger::flush, 50, 50, TimeUnit.MILLISECONDS);
     }
 
-    private static ThreadFactory daemons(String name) {
+    private static ThreadFactory daemonThreads(String name) {
         return task -> {
             Thread t = new Thread(task, name);
             t.setDaemon(true);
@@ -97,22 +97,22 @@
         clock.submit(
                         () -> {
                             for (int i = 0; i < jobs; i++) {
-                                begin(Clock.micros());
+                                submitJob(Clock.micros());
                             }
                         })
                 .get();
     }
 
-    private void turn() {
+    private void sendDueJobs() {
         long now = Clock.micros();
-        owed += perSecond * (now - last) / 1e6;
-        last = now;
-        for (; owed >= 1; owed--) {
-            begin(now);
+        jobsDue += perSecond * (now - lastMicros) / 1e6;
+        lastMicros = now;
+        for (; jobsDue >= 1; jobsDue--) {
+            submitJob(now);
         }
     }
 
-    private void begin(long now) {
+    private void submitJob(long now) {
         double pick = random.nextDouble() * kinds.stream().mapToDouble(JobKind::weight).sum();
         JobKind kind = kinds.get(kinds.size() - 1);
         for (JobKind k : kinds) {
@@ -122,11 +122,11 @@
                 break;
             }
         }
-        number++;
-        String id = String.format("%08x%08x", seed * 31 + 7, number);
+        lastJobNumber++;
+        String id = String.format("%08x%08x", seed * 31 + 7, lastJobNumber);
         String detail =
                 "job="
-                        + number
+                        + lastJobNumber
                         + " class="
                         + kind.jobClass
                         + " tenant="
@@ -137,44 +137,45 @@
                         + now
                         + " repeatable="
                         + kind.repeatable;
-        int first = random.nextInt(targets.size());
-        JobKind of = kind;
-        underWay.incrementAndGet();
+        int firstTarget = random.nextInt(targets.size());
+        JobKind chosen = kind;
+        inFlight.incrementAndGet();
         senders.execute(
                 () -> {
                     try {
-                        send(id, of, detail, first);
+                        send(id, chosen, detail, firstTarget);
                     } finally {
-                        underWay.decrementAndGet();
+                        inFlight.decrementAndGet();
                     }
                 });
     }
 
-    private void send(String id, JobKind kind, String detail, int first) {
+    private void send(String id, JobKind kind, String detail, int firstTarget) {
         for (int i = 0; i < targets.size(); i++) {
-            Target t = targets.get((first + i) % targets.size());
-            if (Clock.micros() < t.passedOverUntil) {
+            Target target = targets.get((firstTarget + i) % targets.size());
+            if (Clock.micros() < target.skippedUntilMicros) {
                 continue;
             }
-            Target.Line line = t.line();
-            if (line == null) {
-                t.passedOverUntil = Clock.micros() + PASSED_OVER_MICROS;
+            Target.Connection connection = target.connection();
+            if (connection == null) {
+                target.skippedUntilMicros = Clock.micros() + SKIP_MICROS;
                 continue;
             }
-            exchange(id, kind, detail, t, line);
+            exchange(id, kind, detail, target, connection);
             return;
         }
         ledger.add(Clock.micros(), "unsent", id, "client", detail + " why=nobody_listens");
     }
 
-    private void exchange(String id, JobKind kind, String detail, Target t, Target.Line line) {
+    private void exchange(
+            String id, JobKind kind, String detail, Target target, Target.Connection connection) {
         long sent = 0;
         try {
             // Before its last byte leaves, as a death could come between.
             sent = Clock.micros();
-            ledger.add(sent, "sent", id, "client", detail + " via=" + t.name);
-            Target.Answer a =
-                    line.exchange(
+            ledger.add(sent, "sent", id, "client", detail + " via=" + target.name);
+            Target.Answer answer =
+                    connection.exchange(
                             "POST /api/"
                                     + kind.jobClass
                                     + " HTTP/1.1\r\nHost: w\r\nX-Request-Id: "
@@ -186,37 +187,37 @@
                                     + "\r\nX-Deadline: "
                                     + kind.deadlineMicros
                                     + "u\r\nContent-Length: 2\r\n\r\n{}",
-                            kind.deadlineMicros / 1000 + LINGER_MS);
+                            kind.deadlineMicros / 1000 + LATE_ANSWER_WAIT_MS);
             ledger.add(
                     Clock.micros(),
                     "answer",
                     id,
                     "client",
                     "status="
-                            + a.status()
+                            + answer.status()
                             + " result="
-                            + (a.status() == 200 ? a.body() : "-")
+                            + (answer.status() == 200 ? answer.body() : "-")
                             + " via="
-                            + t.name);
-            t.back(line, a.keep());
+                            + target.name);
+            target.release(connection, answer.keep());
         } catch (java.net.SocketTimeoutException e) {
-            ledger.add(Clock.micros(), "gave-up", id, "client", "via=" + t.name);
-            line.close();
+            ledger.add(Clock.micros(), "gave-up", id, "client", "via=" + target.name);
+            connection.close();
         } catch (IOException e) {
             long now = Clock.micros();
-            boolean idle = line.used() && now - sent < 20_000;
-            ledger.add(now, idle ? "broken-idle" : "broken", id, "client", "via=" + t.name);
-            line.close();
+            boolean idle = connection.used() && now - sent < 20_000;
+            ledger.add(now, idle ? "broken-idle" : "broken", id, "client", "via=" + target.name);
+            connection.close();
         }
     }
 
     /** No more are begun; returns once all that are under way are over. */
     public void finish() throws InterruptedException {
         setRate(0);
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WAIT_MS);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(FINISH_TIMEOUT_MS);
         do {
             TimeUnit.MILLISECONDS.sleep(20);
-        } while (underWay.get() > 0 && System.nanoTime() < end);
+        } while (inFlight.get() > 0 && System.nanoTime() < end);
         ledger.flush();
     }
 
--- a/rig/src/main/java/postgrade/rig/load/Target.java
+++ b/rig/src/main/java/postgrade/rig/load/Target.java
@@ -14,16 +14,16 @@
 final class Target {
 
     private static final int CONNECT_MS = 1000;
-    private static final long IDLE_NANOS = 4_000_000_000L;
-    private static final int LOOK_MS = 1;
-    private static final int MOST_LINE = 1 << 14;
+    private static final long MAX_IDLE_NANOS = 4_000_000_000L;
+    private static final int PEEK_TIMEOUT_MS = 1;
+    private static final int MAX_LINE_LENGTH = 1 << 14;
 
     record Answer(int status, String body, boolean keep) {}
 
     final String name;
     private final InetSocketAddress address;
-    private final ConcurrentLinkedDeque<Line> idle = new ConcurrentLinkedDeque<>();
-    volatile long passedOverUntil;
+    private final ConcurrentLinkedDeque<Connection> idle = new ConcurrentLinkedDeque<>();
+    volatile long skippedUntilMicros;
 
     /** Whether the front sends it new connections; those that are open are used all the same. */
     volatile boolean admitted = true;
@@ -34,44 +34,47 @@
     }
 
     /** A connection, or null where none can be had. */
-    Line line() {
-        for (Line l = idle.pollLast(); l != null; l = idle.pollLast()) {
-            if (System.nanoTime() - l.sinceNanos < IDLE_NANOS && !l.endedByPeer()) {
-                return l;
+    Connection connection() {
+        for (Connection connection = idle.pollLast();
+                connection != null;
+                connection = idle.pollLast()) {
+            if (System.nanoTime() - connection.idleSinceNanos < MAX_IDLE_NANOS
+                    && !connection.endedByPeer()) {
+                return connection;
             }
-            l.close();
+            connection.close();
         }
         if (!admitted) {
             return null;
         }
         try {
-            return new Line(address);
+            return new Connection(address);
         } catch (IOException e) {
             return null;
         }
     }
 
-    void back(Line line, boolean keep) {
+    void release(Connection connection, boolean keep) {
         if (keep) {
-            line.used = true;
-            line.sinceNanos = System.nanoTime();
-            idle.addLast(line);
+            connection.used = true;
+            connection.idleSinceNanos = System.nanoTime();
+            idle.addLast(connection);
         } else {
-            line.close();
+            connection.close();
         }
     }
 
     void close() {
-        idle.forEach(Line::close);
+        idle.forEach(Connection::close);
     }
 
-    static final class Line {
+    static final class Connection {
         private final Socket socket = new Socket();
         private final InputStream in;
         private boolean used;
-        private long sinceNanos;
+        private long idleSinceNanos;
 
-        Line(InetSocketAddress to) throws IOException {
+        Connection(InetSocketAddress to) throws IOException {
             try {
                 socket.connect(to, CONNECT_MS);
                 socket.setTcpNoDelay(true);
@@ -85,7 +88,7 @@
         /** Whether the other side has ended it meanwhile; what it says instead is its end too. */
         boolean endedByPeer() {
             try {
-                socket.setSoTimeout(LOOK_MS);
+                socket.setSoTimeout(PEEK_TIMEOUT_MS);
                 in.read();
                 return true;
             } catch (SocketTimeoutException e) {
@@ -102,10 +105,10 @@
         Answer exchange(String request, long withinMillis) throws IOException {
             socket.setSoTimeout((int) withinMillis);
             socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
-            String[] status = text().split(" ");
+            String[] status = readLine().split(" ");
             int length = 0;
             boolean keep = true;
-            for (String line = text(); !line.isEmpty(); line = text()) {
+            for (String line = readLine(); !line.isEmpty(); line = readLine()) {
                 String[] field = line.toLowerCase(Locale.ROOT).split(":", 2);
                 if (field[0].equals("content-length")) {
                     length = Integer.parseInt(field[1].strip());
@@ -121,10 +124,10 @@
                     Integer.parseInt(status[1]), new String(body, StandardCharsets.UTF_8), keep);
         }
 
-        private String text() throws IOException {
+        private String readLine() throws IOException {
             StringBuilder line = new StringBuilder();
             for (int c = in.read(); c != '\n'; c = in.read()) {
-                if (c < 0 || line.length() > MOST_LINE) {
+                if (c < 0 || line.length() > MAX_LINE_LENGTH) {
                     throw new IOException("ended within the head");
                 }
                 if (c != '\r') {
--- a/rig/src/main/java/postgrade/rig/process/JavaProcess.java
+++ b/rig/src/main/java/postgrade/rig/process/JavaProcess.java
@@ -29,7 +29,7 @@
     private static final Set<Process> RUNNING = ConcurrentHashMap.newKeySet();
 
     /** A process that is to end by itself may have to start first, on a busy machine. */
-    private static final long MOST_SECONDS = 240;
+    private static final long EXIT_TIMEOUT_SECONDS = 240;
 
     static {
         Runtime.getRuntime()
@@ -59,14 +59,14 @@
         private final List<String> arguments = new ArrayList<>();
         private final Map<String, String> environment = new ConcurrentHashMap<>();
         private String classPath = System.getProperty("java.class.path");
-        private List<String> flags =
+        private List<String> jvmFlags =
                 List.of(
                         "-XX:+UseSerialGC",
                         "-XX:TieredStopAtLevel=1",
                         "-Xmx96m",
                         "-XX:-UsePerfData",
                         "-XX:+ExitOnOutOfMemoryError");
-        private long fileBlocks = -1;
+        private long maxFileKib = -1;
         private Path folder;
 
         public Builder(String name, String mainClass, String... arguments) {
@@ -80,8 +80,8 @@
             return this;
         }
 
-        public Builder jvmFlags(String... virtualMachine) {
-            flags = List.of(virtualMachine);
+        public Builder jvmFlags(String... flags) {
+            jvmFlags = List.of(flags);
             return this;
         }
 
@@ -102,36 +102,36 @@
 
         /** No file of it grows beyond so many KiB: writes fail then as on a full disk. */
         public Builder maxFileKib(long kibibytes) {
-            fileBlocks = kibibytes;
+            maxFileKib = kibibytes;
             return this;
         }
 
         public JavaProcess start(History history) throws IOException {
             List<String> command = new ArrayList<>();
-            if (fileBlocks >= 0) {
+            if (maxFileKib >= 0) {
                 // The signal that comes with the limit is passed over, so that the write itself
                 // fails.
                 command.addAll(
                         List.of(
                                 "bash",
                                 "-c",
-                                "trap '' XFSZ; ulimit -f " + fileBlocks + "; exec \"$@\"",
+                                "trap '' XFSZ; ulimit -f " + maxFileKib + "; exec \"$@\"",
                                 "limited"));
             }
             // Heeds SIGHUP though whoever started the rig ignores it, as nohup does.
             command.addAll(List.of("env", "--default-signal=HUP"));
             command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-            command.addAll(flags);
+            command.addAll(jvmFlags);
             command.addAll(List.of("-cp", classPath));
             command.addAll(arguments);
-            ProcessBuilder b = new ProcessBuilder(command).redirectErrorStream(true);
-            b.environment().putAll(environment);
+            ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
+            builder.environment().putAll(environment);
             if (folder != null) {
-                b.directory(folder.toFile());
+                builder.directory(folder.toFile());
             }
-            Process p = b.start();
-            history.add(name, "begun", new JsonObject().add("pid", p.pid()));
-            return new JavaProcess(name, p, history);
+            Process process = builder.start();
+            history.add(name, "begun", new JsonObject().add("pid", process.pid()));
+            return new JavaProcess(name, process, history);
         }
     }
 
@@ -150,7 +150,7 @@
     private void read() {
         try (BufferedReader lines = process.inputReader(StandardCharsets.UTF_8)) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                take(line);
+                record(line);
             }
         } catch (IOException | UncheckedIOException e) {
             // It died, or the history was closed before it did.
@@ -164,13 +164,14 @@
         }
     }
 
-    private void take(String line) {
+    private void record(String line) {
         if (line.startsWith("{")) {
             try {
-                JsonObject o = Json.parse(line).asObject();
-                JsonValue kind = o.get("kind") == null ? o.get("event") : o.get("kind");
+                JsonObject object = Json.parse(line).asObject();
+                JsonValue kind =
+                        object.get("kind") == null ? object.get("event") : object.get("kind");
                 if (kind != null && kind.isString()) {
-                    history.add(name, kind.asString(), o);
+                    history.add(name, kind.asString(), object);
                     return;
                 }
             } catch (ParseException e) {
@@ -245,11 +246,12 @@
 
     /** Waits until it has ended, and all that it wrote stands in the history. */
     public int awaitExit() throws InterruptedException {
-        if (!process.waitFor(MOST_SECONDS, TimeUnit.SECONDS)) {
-            throw new IllegalStateException(name + " did not end within " + MOST_SECONDS + " s");
+        if (!process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+            throw new IllegalStateException(
+                    name + " did not end within " + EXIT_TIMEOUT_SECONDS + " s");
         }
         // Else what it last wrote might count as written after its end.
-        reader.join(TimeUnit.SECONDS.toMillis(MOST_SECONDS));
+        reader.join(TimeUnit.SECONDS.toMillis(EXIT_TIMEOUT_SECONDS));
         if (reader.isAlive()) {
             throw new IllegalStateException(
                     name + " ended, and what it wrote could not be read to its end");
--- a/rig/src/main/java/postgrade/rig/proxy/FaultProxy.java
+++ b/rig/src/main/java/postgrade/rig/proxy/FaultProxy.java
@@ -29,7 +29,7 @@
 
     private final String name;
     private final ServerSocket listener;
-    private final Set<Passage> open = ConcurrentHashMap.newKeySet();
+    private final Set<ForwardedConnection> open = ConcurrentHashMap.newKeySet();
     private final Map<Direction, Boolean> cut =
             new EnumMap<>(Map.of(Direction.OUT, false, Direction.BACK, false));
     private final Map<Direction, Long> delayNanos =
@@ -42,9 +42,9 @@
     private volatile boolean closed;
 
     /** For connections to come: so many bytes of a way, then the end. Below 0: no end. */
-    private Direction endWay = Direction.OUT;
+    private Direction closeDirection = Direction.OUT;
 
-    private long endAfter = -1;
+    private long closeAfterBytes = -1;
 
     /** Listens at once. Connections are reset until it leads somewhere. */
     public FaultProxy(String name) throws IOException {
@@ -73,9 +73,9 @@
      * Nothing passes that way from now on, on any connection. What is sent meanwhile comes when it
      * is healed.
      */
-    public synchronized void cut(Direction way) {
-        cut.put(way, true);
-        open.forEach(p -> p.gate(way).shut(true));
+    public synchronized void cut(Direction direction) {
+        cut.put(direction, true);
+        open.forEach(p -> p.gate(direction).setBlocked(true));
     }
 
     public void cut() {
@@ -86,7 +86,7 @@
     /** Bytes pass again both ways, at once and to their end. */
     public synchronized void heal() {
         refusing = false;
-        endAfter = -1;
+        closeAfterBytes = -1;
         notifyAll();
         for (Direction w : Direction.values()) {
             cut.put(w, false);
@@ -95,16 +95,16 @@
                     .filter(p -> !p.stalled())
                     .forEach(
                             p -> {
-                                p.gate(w).shut(false);
-                                p.gate(w).delay(0);
+                                p.gate(w).setBlocked(false);
+                                p.gate(w).setDelay(0);
                             });
         }
     }
 
     /** What is read passes so much later; a stream of small pieces up to twice as late. */
-    public synchronized void delay(Direction way, long millis) {
-        delayNanos.put(way, millis * 1_000_000);
-        open.forEach(p -> p.gate(way).delay(millis * 1_000_000));
+    public synchronized void delay(Direction direction, long millis) {
+        delayNanos.put(direction, millis * 1_000_000);
+        open.forEach(p -> p.gate(direction).setDelay(millis * 1_000_000));
     }
 
     /**
@@ -112,26 +112,26 @@
      * ones are well.
      */
     public synchronized void stall() {
-        open.forEach(Passage::stall);
+        open.forEach(ForwardedConnection::stall);
     }
 
     /** Resets both sides of all connections that are open. */
     public void reset() {
-        open.forEach(Passage::reset);
+        open.forEach(ForwardedConnection::reset);
     }
 
     /** Resets connections as soon as they come; those that are open go on. */
-    public void setRefusing(boolean now) {
-        refusing = now;
+    public void setRefusing(boolean refuse) {
+        refusing = refuse;
     }
 
     /**
      * All connections, open and later ones, end once so many more bytes of that way have passed.
      */
-    public synchronized void closeAfter(Direction way, long more) {
-        endWay = way;
-        endAfter = more;
-        open.forEach(p -> p.closeAfter(way, more));
+    public synchronized void closeAfter(Direction direction, long more) {
+        closeDirection = direction;
+        closeAfterBytes = more;
+        open.forEach(p -> p.closeAfter(direction, more));
     }
 
     // ---- What it sees.
@@ -148,14 +148,14 @@
     private void accept() {
         while (!closed) {
             try {
-                Socket from = listener.accept();
+                Socket downstream = listener.accept();
                 connections.incrementAndGet();
-                InetSocketAddress to = target;
-                if (to == null || refusing) {
-                    SocketReset.reset(from);
+                InetSocketAddress address = target;
+                if (address == null || refusing) {
+                    SocketReset.reset(downstream);
                     continue;
                 }
-                Thread t = new Thread(() -> connect(from, to), "proxy " + name);
+                Thread t = new Thread(() -> connect(downstream, address), "proxy " + name);
                 t.setDaemon(true);
                 t.start();
             } catch (IOException e) {
@@ -166,45 +166,46 @@
         }
     }
 
-    private void connect(Socket from, InetSocketAddress to) {
-        Socket there = new Socket();
-        if (!awaitPassable()) {
-            SocketReset.reset(from);
+    private void connect(Socket downstream, InetSocketAddress address) {
+        Socket upstream = new Socket();
+        if (!awaitHealed()) {
+            SocketReset.reset(downstream);
             return;
         }
         try {
-            from.setTcpNoDelay(true);
-            there.setTcpNoDelay(true);
-            there.connect(to, CONNECT_MS);
+            downstream.setTcpNoDelay(true);
+            upstream.setTcpNoDelay(true);
+            upstream.connect(address, CONNECT_MS);
         } catch (IOException e) {
             // A dead process refuses: whoever connects sees a reset, but not through a cut.
-            awaitPassable();
-            SocketReset.reset(from);
-            SocketReset.reset(there);
+            awaitHealed();
+            SocketReset.reset(downstream);
+            SocketReset.reset(upstream);
             return;
         }
-        Passage p = new Passage(from, there, bytes, open::remove);
+        ForwardedConnection connection =
+                new ForwardedConnection(downstream, upstream, bytes, open::remove);
         synchronized (this) {
             for (Direction w : Direction.values()) {
-                p.gate(w).shut(cut.get(w));
-                p.gate(w).delay(delayNanos.get(w));
+                connection.gate(w).setBlocked(cut.get(w));
+                connection.gate(w).setDelay(delayNanos.get(w));
             }
-            if (endAfter >= 0) {
-                p.closeAfter(endWay, endAfter);
+            if (closeAfterBytes >= 0) {
+                connection.closeAfter(closeDirection, closeAfterBytes);
             }
-            open.add(p);
+            open.add(connection);
         }
         if (closed) {
-            p.reset();
+            connection.reset();
         }
-        p.begin(name);
+        connection.start(name);
     }
 
     /**
      * A connection through a cut does not come up until it is healed, whether or not somebody
      * listens beyond.
      */
-    private synchronized boolean awaitPassable() {
+    private synchronized boolean awaitHealed() {
         try {
             while (cut.containsValue(true) && !closed) {
                 wait();
@@ -223,6 +224,6 @@
             notifyAll();
         }
         listener.close();
-        List.copyOf(open).forEach(Passage::reset);
+        List.copyOf(open).forEach(ForwardedConnection::reset);
     }
 }
--- a/rig/src/main/java/postgrade/rig/proxy/Passage.java
+++ b/rig/src/main/java/postgrade/rig/proxy/ForwardedConnection.java
@@ -10,39 +10,39 @@
 import java.util.function.Consumer;
 
 /** One connection through a proxy: a thread for each way, and a gate before whatever is written. */
-final class Passage {
+final class ForwardedConnection {
 
     private static final int BUFFER = 1 << 16;
 
-    private final Map<Direction, Socket> from;
+    private final Map<Direction, Socket> sources;
     private final Map<Direction, Gate> gates =
             Map.of(Direction.OUT, new Gate(), Direction.BACK, new Gate());
-    private final Map<Direction, AtomicLong> left =
+    private final Map<Direction, AtomicLong> bytesLeft =
             Map.of(
                     Direction.OUT,
                     new AtomicLong(Long.MAX_VALUE),
                     Direction.BACK,
                     new AtomicLong(Long.MAX_VALUE));
     private final Map<Direction, AtomicLong> bytes;
-    private final Consumer<Passage> over;
-    private final AtomicInteger waysOpen = new AtomicInteger(2);
+    private final Consumer<ForwardedConnection> onClose;
+    private final AtomicInteger openDirections = new AtomicInteger(2);
     private volatile boolean stalled;
 
-    Passage(
+    ForwardedConnection(
             Socket connecting,
             Socket listening,
             Map<Direction, AtomicLong> bytes,
-            Consumer<Passage> over) {
-        from = Map.of(Direction.OUT, connecting, Direction.BACK, listening);
+            Consumer<ForwardedConnection> onClose) {
+        sources = Map.of(Direction.OUT, connecting, Direction.BACK, listening);
         this.bytes = bytes;
-        this.over = over;
+        this.onClose = onClose;
     }
 
-    Gate gate(Direction way) {
-        return gates.get(way);
+    Gate gate(Direction direction) {
+        return gates.get(direction);
     }
 
-    void begin(String name) {
+    void start(String name) {
         for (Direction w : Direction.values()) {
             Thread t = new Thread(() -> pump(w), "proxy " + name + " " + w);
             t.setDaemon(true);
@@ -52,31 +52,31 @@
 
     void stall() {
         stalled = true;
-        gates.values().forEach(g -> g.shut(true));
+        gates.values().forEach(g -> g.setBlocked(true));
     }
 
     boolean stalled() {
         return stalled;
     }
 
-    void closeAfter(Direction way, long more) {
-        left.get(way).set(more);
+    void closeAfter(Direction direction, long more) {
+        bytesLeft.get(direction).set(more);
     }
 
-    private void pump(Direction way) {
+    private void pump(Direction direction) {
         byte[] buffer = new byte[BUFFER];
-        Socket to = from.get(way == Direction.OUT ? Direction.BACK : Direction.OUT);
+        Socket to = sources.get(direction == Direction.OUT ? Direction.BACK : Direction.OUT);
         try {
-            InputStream in = from.get(way).getInputStream();
+            InputStream in = sources.get(direction).getInputStream();
             OutputStream out = to.getOutputStream();
             for (int n = in.read(buffer); n >= 0; n = in.read(buffer)) {
-                if (!gates.get(way).pass(System.nanoTime())) {
+                if (!gates.get(direction).awaitOpen(System.nanoTime())) {
                     return;
                 }
-                int passing = (int) Math.min(n, left.get(way).getAndAdd(-n));
+                int passing = (int) Math.min(n, bytesLeft.get(direction).getAndAdd(-n));
                 if (passing > 0) {
                     // Before they are written: whoever has read them must find them counted.
-                    bytes.get(way).addAndGet(passing);
+                    bytes.get(direction).addAndGet(passing);
                     out.write(buffer, 0, passing);
                 }
                 if (passing < n) {
@@ -85,14 +85,14 @@
                 }
             }
             // An end is news too, and is held up like bytes.
-            if (gates.get(way).pass(System.nanoTime())) {
+            if (gates.get(direction).awaitOpen(System.nanoTime())) {
                 to.shutdownOutput();
             }
-            if (waysOpen.decrementAndGet() == 0) {
+            if (openDirections.decrementAndGet() == 0) {
                 close();
             }
         } catch (IOException e) {
-            broken(way);
+            connectionBroken(direction);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -102,9 +102,9 @@
      * A side was reset. Nobody hears of it while that way is shut: whoever dies behind a cut says
      * nothing.
      */
-    private void broken(Direction way) {
+    private void connectionBroken(Direction direction) {
         try {
-            if (gates.get(way).pass(System.nanoTime())) {
+            if (gates.get(direction).awaitOpen(System.nanoTime())) {
                 reset();
             }
         } catch (InterruptedException e) {
@@ -113,16 +113,16 @@
     }
 
     private void close() throws IOException {
-        over.accept(this);
+        onClose.accept(this);
         gates.values().forEach(Gate::end);
-        for (Socket s : from.values()) {
+        for (Socket s : sources.values()) {
             s.close();
         }
     }
 
     void reset() {
-        over.accept(this);
+        onClose.accept(this);
         gates.values().forEach(Gate::end);
-        from.values().forEach(SocketReset::reset);
+        sources.values().forEach(SocketReset::reset);
     }
 }
--- a/rig/src/main/java/postgrade/rig/proxy/Gate.java
+++ b/rig/src/main/java/postgrade/rig/proxy/Gate.java
@@ -12,21 +12,21 @@
 
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition changed = lock.newCondition();
-    private boolean shut;
+    private boolean blocked;
     private boolean ended;
     private long delayNanos;
 
-    void shut(boolean now) {
+    void setBlocked(boolean block) {
         lock.lock();
         try {
-            shut = now;
+            blocked = block;
             changed.signalAll();
         } finally {
             lock.unlock();
         }
     }
 
-    void delay(long nanos) {
+    void setDelay(long nanos) {
         lock.lock();
         try {
             delayNanos = nanos;
@@ -52,15 +52,15 @@
      *
      * @return false once nothing passes any more
      */
-    boolean pass(long readNanos) throws InterruptedException {
+    boolean awaitOpen(long readNanos) throws InterruptedException {
         lock.lock();
         try {
             while (!ended) {
-                long left = readNanos + delayNanos - System.nanoTime();
-                if (shut) {
+                long remainingNanos = readNanos + delayNanos - System.nanoTime();
+                if (blocked) {
                     changed.await();
-                } else if (left > 0) {
-                    changed.await(left, TimeUnit.NANOSECONDS);
+                } else if (remainingNanos > 0) {
+                    changed.await(remainingNanos, TimeUnit.NANOSECONDS);
                 } else {
                     return true;
                 }
--- a/rig/src/main/java/postgrade/rig/proxy/ProxyMesh.java
+++ b/rig/src/main/java/postgrade/rig/proxy/ProxyMesh.java
@@ -42,34 +42,36 @@
 
     /** Where a name listens now: all that lead to it do so from here on. */
     public void setTarget(String name, InetSocketAddress address) {
-        each(p -> p.to.equals(name), p -> p.setTarget(address));
+        forEachMatching(p -> p.to.equals(name), p -> p.setTarget(address));
     }
 
     /** Cuts every pair of which one is within and one is not, both ways. */
-    public void isolate(Set<String> within) {
-        each(p -> within.contains(p.from) != within.contains(p.to), FaultProxy::cut);
+    public void isolate(Set<String> isolated) {
+        forEachMatching(p -> isolated.contains(p.from) != isolated.contains(p.to), FaultProxy::cut);
     }
 
     /** What these send does not arrive outside; what is sent to them does. */
-    public void blockOutgoing(Set<String> within) {
-        each(p -> within.contains(p.from) && !within.contains(p.to), p -> p.cut(Direction.OUT));
-        each(p -> within.contains(p.to) && !within.contains(p.from), p -> p.cut(Direction.BACK));
+    public void blockOutgoing(Set<String> muted) {
+        forEachMatching(
+                p -> muted.contains(p.from) && !muted.contains(p.to), p -> p.cut(Direction.OUT));
+        forEachMatching(
+                p -> muted.contains(p.to) && !muted.contains(p.from), p -> p.cut(Direction.BACK));
     }
 
     public void heal() {
-        each(p -> true, FaultProxy::heal);
+        forEachMatching(p -> true, FaultProxy::heal);
     }
 
     /** Does something to every proxy that a name connects or listens through. */
-    public void forEachProxyOf(String name, Consumer<FaultProxy> what) {
-        each(p -> p.from.equals(name) || p.to.equals(name), what);
+    public void forEachProxyOf(String name, Consumer<FaultProxy> action) {
+        forEachMatching(p -> p.from.equals(name) || p.to.equals(name), action);
     }
 
-    private void each(Predicate<Pair> which, Consumer<FaultProxy> what) {
+    private void forEachMatching(Predicate<Pair> condition, Consumer<FaultProxy> action) {
         proxies.forEach(
                 (pair, proxy) -> {
-                    if (which.test(pair)) {
-                        what.accept(proxy);
+                    if (condition.test(pair)) {
+                        action.accept(proxy);
                     }
                 });
     }
--- a/rig/src/main/java/postgrade/rig/schedule/FaultSchedule.java
+++ b/rig/src/main/java/postgrade/rig/schedule/FaultSchedule.java
@@ -20,7 +20,7 @@
  */
 public final class FaultSchedule {
 
-    private static final Set<String> ACTS =
+    private static final Set<String> ACTIONS =
             Set.of(
                     "kill",
                     "start",
@@ -42,13 +42,13 @@
                     "keep",
                     "roll_back");
 
-    private record Drawn(
+    private record StepTemplate(
             double at,
-            String act,
-            List<String> who,
+            String action,
+            List<String> targets,
             String to,
             String event,
-            double figure,
+            double amount,
             int times,
             double gap,
             double jitter)
@@ -67,27 +67,27 @@
     private final long seed;
     private final List<Step> steps = new ArrayList<>();
 
-    private FaultSchedule(String name, Module m) {
-        seed = m.global("seed") instanceof Long s ? s : 1;
+    private FaultSchedule(String name, Module module) {
+        seed = module.global("seed") instanceof Long s ? s : 1;
         SplittableRandom random = new SplittableRandom(seed);
-        if (!(m.global("steps") instanceof Sequence all)) {
+        if (!(module.global("steps") instanceof Sequence all)) {
             throw new IllegalArgumentException(name + ": steps: must be a list of step(...)");
         }
-        for (Object o : all.toList()) {
-            if (!(o instanceof Drawn d)) {
+        for (Object item : all.toList()) {
+            if (!(item instanceof StepTemplate template)) {
                 throw new IllegalArgumentException(
-                        name + ": steps: must hold step(...), not " + Values.type(o));
+                        name + ": steps: must hold step(...), not " + Values.type(item));
             }
-            for (int i = 0; i < d.times; i++) {
-                double at = d.at + i * d.gap + d.jitter * random.nextDouble();
+            for (int i = 0; i < template.times; i++) {
+                double at = template.at + i * template.gap + template.jitter * random.nextDouble();
                 steps.add(
                         new Step(
                                 Math.round(at * 1e6),
-                                d.event,
-                                d.act,
-                                d.who.get(random.nextInt(d.who.size())),
-                                d.to,
-                                d.figure));
+                                template.event,
+                                template.action,
+                                template.targets.get(random.nextInt(template.targets.size())),
+                                template.to,
+                                template.amount));
             }
         }
         steps.sort(Comparator.comparingLong(Step::micros));
@@ -119,57 +119,57 @@
         return List.copyOf(steps);
     }
 
-    private static Object step(Object[] a) {
-        String act = text("do", a[1]);
-        if (!ACTS.contains(act)) {
+    private static Object step(Object[] arguments) {
+        String action = text("do", arguments[1]);
+        if (!ACTIONS.contains(action)) {
             throw Script.error(
                     "do: there is no fault "
-                            + act
+                            + action
                             + "; there are "
-                            + String.join(", ", ACTS.stream().sorted().toList()));
+                            + String.join(", ", ACTIONS.stream().sorted().toList()));
         }
-        List<String> who = new ArrayList<>();
-        if (a[2] instanceof Sequence s) {
-            s.toList().forEach(o -> who.add(text("who", o)));
+        List<String> targets = new ArrayList<>();
+        if (arguments[2] instanceof Sequence s) {
+            s.toList().forEach(o -> targets.add(text("who", o)));
         } else {
-            who.add(text("who", a[2]));
+            targets.add(text("who", arguments[2]));
         }
-        if (who.isEmpty()) {
+        if (targets.isEmpty()) {
             throw Script.error("who must name somebody");
         }
-        String event = a[4] == null ? "" : text("after", a[4]);
+        String event = arguments[4] == null ? "" : text("after", arguments[4]);
         if (!event.isEmpty() && event.split(" ").length != 2) {
             throw Script.error(
                     "after must be a process and an event, such as \"n1 leader\", not "
                             + Values.repr(event));
         }
-        return new Drawn(
-                number("at", a[0], 0),
-                act,
-                List.copyOf(who),
-                a[3] == null ? "" : text("to", a[3]),
+        return new StepTemplate(
+                number("at", arguments[0], 0),
+                action,
+                List.copyOf(targets),
+                arguments[3] == null ? "" : text("to", arguments[3]),
                 event,
-                number("figure", a[5], 0),
-                (int) Math.max(1, number("times", a[6], 1)),
-                number("gap", a[7], 0),
-                number("jitter", a[8], 0));
+                number("figure", arguments[5], 0),
+                (int) Math.max(1, number("times", arguments[6], 1)),
+                number("gap", arguments[7], 0),
+                number("jitter", arguments[8], 0));
     }
 
-    private static double number(String key, Object v, double absent) {
-        double d =
-                v == null
-                        ? absent
-                        : v instanceof Long n ? n : v instanceof Double x ? x : Double.NaN;
-        if (!(d >= 0 && d < 1e9)) {
-            throw Script.error(key + " must be a number from 0 on, not " + Values.repr(v));
+    private static double number(String key, Object value, double defaultValue) {
+        double number =
+                value == null
+                        ? defaultValue
+                        : value instanceof Long n ? n : value instanceof Double x ? x : Double.NaN;
+        if (!(number >= 0 && number < 1e9)) {
+            throw Script.error(key + " must be a number from 0 on, not " + Values.repr(value));
         }
-        return d;
+        return number;
     }
 
-    private static String text(String key, Object v) {
-        if (v instanceof String s && !s.isEmpty()) {
+    private static String text(String key, Object value) {
+        if (value instanceof String s && !s.isEmpty()) {
             return s;
         }
-        throw Script.error(key + " must be a string, not " + Values.repr(v));
+        throw Script.error(key + " must be a string, not " + Values.repr(value));
     }
 }
--- a/rig/src/main/java/postgrade/rig/schedule/FaultScheduleRunner.java
+++ b/rig/src/main/java/postgrade/rig/schedule/FaultScheduleRunner.java
@@ -16,56 +16,56 @@
      * An event that never comes ends the run as failed; guards against a timetable that tests
      * nothing.
      */
-    private static final long EVENT_MS = 30_000;
+    private static final long EVENT_TIMEOUT_MS = 30_000;
 
     private FaultScheduleRunner() {}
 
     /** Returns once the last step is carried out. */
-    public static void run(FaultSchedule timetable, Cluster on) throws Exception {
-        History history = on.history();
+    public static void run(FaultSchedule schedule, Cluster cluster) throws Exception {
+        History history = cluster.history();
         int from = history.size();
-        long begun = Clock.micros();
-        List<Step> left = new ArrayList<>(timetable.steps());
-        while (!left.isEmpty()) {
+        long startMicros = Clock.micros();
+        List<Step> remaining = new ArrayList<>(schedule.steps());
+        while (!remaining.isEmpty()) {
             Step next = null;
-            long at = Long.MAX_VALUE;
-            for (Step s : left) {
-                long due = due(s, begun, history, from);
-                if (due < at) {
-                    at = due;
+            long nextDue = Long.MAX_VALUE;
+            for (Step s : remaining) {
+                long due = due(s, startMicros, history, from);
+                if (due < nextDue) {
+                    nextDue = due;
                     next = s;
                 }
             }
             if (next == null) {
-                Step first = left.get(0);
-                history.await(first.event(), from, EVENT_MS, e -> matches(first, e));
+                Step first = remaining.get(0);
+                history.await(first.event(), from, EVENT_TIMEOUT_MS, e -> matches(first, e));
             } else {
-                long wait = at - Clock.micros();
+                long wait = nextDue - Clock.micros();
                 if (wait > 0) {
                     // An event that comes meanwhile may bring an earlier step.
                     TimeUnit.MICROSECONDS.sleep(Math.min(wait, 5000));
                 } else {
-                    left.remove(next);
-                    on.execute(next);
+                    remaining.remove(next);
+                    cluster.execute(next);
                 }
             }
         }
     }
 
-    private static long due(Step s, long begun, History history, int from) {
-        if (s.event().isEmpty()) {
-            return begun + s.micros();
+    private static long due(Step step, long startMicros, History history, int from) {
+        if (step.event().isEmpty()) {
+            return startMicros + step.micros();
         }
         List<History.Event> all = history.all();
         for (int i = from; i < all.size(); i++) {
-            if (matches(s, all.get(i))) {
-                return all.get(i).micros() + s.micros();
+            if (matches(step, all.get(i))) {
+                return all.get(i).micros() + step.micros();
             }
         }
         return Long.MAX_VALUE;
     }
 
-    private static boolean matches(Step s, History.Event e) {
-        return s.event().equals(e.who() + " " + e.kind());
+    private static boolean matches(Step step, History.Event event) {
+        return step.event().equals(event.who() + " " + event.kind());
     }
 }
--- a/rig/src/main/java/postgrade/rig/serve/DispatcherCluster.java
+++ b/rig/src/main/java/postgrade/rig/serve/DispatcherCluster.java
@@ -31,7 +31,7 @@
  */
 public final class DispatcherCluster implements Closeable {
 
-    private static final int STEP_MS = 10;
+    private static final int POLL_MS = 10;
 
     /** Writes the script by which a dispatcher shares; null where it does not. */
     public interface ScriptFactory {
@@ -60,48 +60,48 @@
         public boolean proxied;
     }
 
-    private final Options o;
+    private final Options clusterOptions;
     private final Path folder;
     private final Fleet fleet;
     private final JobProxies proxies;
     private final Cluster cluster;
     private final List<String> names = new ArrayList<>();
     private final List<String> voters;
-    private final Map<String, InetSocketAddress> consumers = new LinkedHashMap<>();
-    private final Map<String, HeldPort> operators = new LinkedHashMap<>();
+    private final Map<String, InetSocketAddress> clientAddresses = new LinkedHashMap<>();
+    private final Map<String, HeldPort> operatorPorts = new LinkedHashMap<>();
     private final Map<String, Map<String, String>> environments = new HashMap<>();
 
     /**
      * Where the processes of one dispatcher find each other: the system takes no socket with a path
      * as long as a test's.
      */
-    private final Path links;
+    private final Path socketFolder;
 
     public DispatcherCluster(Path folder, Options options)
             throws IOException, InterruptedException {
-        o = options;
+        clusterOptions = options;
         this.folder = folder;
-        for (int i = 0; i < o.dispatchers; i++) {
+        for (int i = 0; i < clusterOptions.dispatchers; i++) {
             names.add("n" + (i + 1));
         }
-        voters = names.subList(0, o.voters);
-        links = Files.createTempDirectory("rig");
-        cluster = new Cluster(folder, names, o.sharing == null ? List.of() : voters);
+        voters = names.subList(0, clusterOptions.voters);
+        socketFolder = Files.createTempDirectory("rig");
+        cluster = new Cluster(folder, names, clusterOptions.sharing == null ? List.of() : voters);
         proxies = new JobProxies(cluster.history());
         fleet =
                 new Fleet(
-                        o.plan,
+                        clusterOptions.plan,
                         folder,
-                        o.dispatchers,
-                        o.fleetThreads,
-                        o.proxied ? proxies : Fleet.AddressView.DIRECT);
+                        clusterOptions.dispatchers,
+                        clusterOptions.fleetThreads,
+                        clusterOptions.proxied ? proxies : Fleet.AddressView.DIRECT);
         for (int i = 0; i < names.size(); i++) {
-            InetSocketAddress at = fleet.dispatchers().get(i);
-            consumers.put(names.get(i), at);
-            operators.put(names.get(i), new HeldPort());
+            InetSocketAddress address = fleet.dispatchers().get(i);
+            clientAddresses.put(names.get(i), address);
+            operatorPorts.put(names.get(i), new HeldPort());
             configure(i);
         }
-        cluster.setProcessFactory(this::recipe);
+        cluster.setProcessFactory(this::processBuilder);
         fleet.begin();
     }
 
@@ -111,8 +111,8 @@
      * formerly} is a name for those to the former.
      */
     public JavaProcess upgrade(String name, String formerly) throws IOException {
-        operators.put(formerly, operators.get(name));
-        operators.put(name, new HeldPort());
+        operatorPorts.put(formerly, operatorPorts.get(name));
+        operatorPorts.put(name, new HeldPort());
         configure(names.indexOf(name));
         return cluster.startBeside(name);
     }
@@ -120,25 +120,25 @@
     private void configure(int index) throws IOException {
         String name = names.get(index);
         JsonObject json = Json.parse(Files.readString(fleet.configurationOf(index))).asObject();
-        json.set("operator", "127.0.0.1:" + operators.get(name).port());
-        if (o.sockets > 0) {
-            json.get("limits").asObject().set("sockets", o.sockets);
+        json.set("operator", "127.0.0.1:" + operatorPorts.get(name).port());
+        if (clusterOptions.sockets > 0) {
+            json.get("limits").asObject().set("sockets", clusterOptions.sockets);
         }
-        if (o.configuredDispatchers > 0) {
-            json.get("settings").asObject().set("balancers", o.configuredDispatchers);
+        if (clusterOptions.configuredDispatchers > 0) {
+            json.get("settings").asObject().set("balancers", clusterOptions.configuredDispatchers);
         }
-        if (o.sharing != null) {
+        if (clusterOptions.sharing != null) {
             Path script = cluster.folder(name).resolve("sharing.star");
-            Files.writeString(script, o.sharing.create(name, cluster, voters));
+            Files.writeString(script, clusterOptions.sharing.create(name, cluster, voters));
             json.set("sharing", script.toAbsolutePath().toString());
         }
         Files.writeString(fleet.configurationOf(index), json.toString());
     }
 
-    private JavaProcess.Builder recipe(String name) throws IOException {
-        Path own = links.resolve(name);
-        Files.createDirectories(own);
-        JavaProcess.Builder s =
+    private JavaProcess.Builder processBuilder(String name) throws IOException {
+        Path processFolder = socketFolder.resolve(name);
+        Files.createDirectories(processFolder);
+        JavaProcess.Builder builder =
                 new JavaProcess.Builder(
                                 name, "postgrade.cli.Postgrade", "--log-format", "json", "serve")
                         .environment(
@@ -146,10 +146,10 @@
                                 fleet.configurationOf(names.indexOf(name))
                                         .toAbsolutePath()
                                         .toString())
-                        .environment("TMPDIR", own.toAbsolutePath().toString());
-        o.environment.forEach(s::environment);
-        environments.getOrDefault(name, Map.of()).forEach(s::environment);
-        return s;
+                        .environment("TMPDIR", processFolder.toAbsolutePath().toString());
+        clusterOptions.environment.forEach(builder::environment);
+        environments.getOrDefault(name, Map.of()).forEach(builder::environment);
+        return builder;
     }
 
     /** For one process, from its next start on. */
@@ -174,7 +174,7 @@
     }
 
     public FleetPlan plan() {
-        return o.plan;
+        return clusterOptions.plan;
     }
 
     /** What stands before the workers; nothing passes it unless asked for by the options. */
@@ -187,12 +187,12 @@
     }
 
     public List<InetSocketAddress> clientAddresses() {
-        return List.copyOf(consumers.values());
+        return List.copyOf(clientAddresses.values());
     }
 
     /** The operator's step at a voter that does not run. */
     public void beginEra(String name, long era) throws IOException, InterruptedException {
-        try (JavaProcess p =
+        try (JavaProcess process =
                 new JavaProcess.Builder(
                                 name,
                                 "postgrade.cli.Postgrade",
@@ -204,9 +204,9 @@
                                 "--era",
                                 Long.toString(era))
                         .start(cluster.history())) {
-            if (p.awaitExit() != 0) {
+            if (process.awaitExit() != 0) {
                 throw new IllegalStateException(
-                        "era " + era + " has not begun at " + name + ": " + lastOf(name));
+                        "era " + era + " has not begun at " + name + ": " + lastEvents(name));
             }
         }
     }
@@ -223,29 +223,29 @@
     /** Waits until it takes jobs, and notes when that was seen first. */
     public long awaitReady(String name, long withinMillis)
             throws IOException, InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMillis);
-        while (System.nanoTime() < end && cluster.process(name).alive()) {
-            try (Socket s = new Socket()) {
-                s.connect(consumers.get(name), 500);
-                s.setSoTimeout(500);
-                s.getOutputStream()
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMillis);
+        while (System.nanoTime() < deadlineNanos && cluster.process(name).alive()) {
+            try (Socket socket = new Socket()) {
+                socket.connect(clientAddresses.get(name), 500);
+                socket.setSoTimeout(500);
+                socket.getOutputStream()
                         .write(
                                 "GET /-/ready HTTP/1.1\r\n\r\n"
                                         .getBytes(StandardCharsets.ISO_8859_1));
-                if (new String(s.getInputStream().readNBytes(12), StandardCharsets.ISO_8859_1)
+                if (new String(socket.getInputStream().readNBytes(12), StandardCharsets.ISO_8859_1)
                         .endsWith("200")) {
                     return cluster.history().add(name, "ready", new JsonObject()).micros();
                 }
             } catch (IOException e) {
                 // Not up yet; whether it ever will be is told by the loop's bounds.
             }
-            TimeUnit.MILLISECONDS.sleep(STEP_MS);
+            TimeUnit.MILLISECONDS.sleep(POLL_MS);
         }
         throw new IllegalStateException(
-                name + " did not become ready; the last of it: " + lastOf(name));
+                name + " did not become ready; the last of it: " + lastEvents(name));
     }
 
-    private List<History.Event> lastOf(String name) {
+    private List<History.Event> lastEvents(String name) {
         List<History.Event> own =
                 cluster.history().all().stream().filter(e -> e.who().equals(name)).toList();
         return own.subList(Math.max(0, own.size() - 5), own.size());
@@ -253,7 +253,7 @@
 
     public OperatorCall.Answer call(String method, String name, String path, String body)
             throws IOException, InterruptedException {
-        return OperatorCall.send(method, operators.get(name).address(), path, body);
+        return OperatorCall.send(method, operatorPorts.get(name).address(), path, body);
     }
 
     /**
@@ -267,31 +267,31 @@
             String path,
             String body,
             long withinMillis,
-            java.util.function.Predicate<OperatorCall.Answer> sought)
+            java.util.function.Predicate<OperatorCall.Answer> condition)
             throws InterruptedException {
-        long end = Clock.micros() + withinMillis * 1000;
+        long deadlineMicros = Clock.micros() + withinMillis * 1000;
         OperatorCall.Answer last = null;
         while (true) {
             try {
-                OperatorCall.Answer now = call(method, name, path, body);
-                if (!now.equals(last)) {
+                OperatorCall.Answer answer = call(method, name, path, body);
+                if (!answer.equals(last)) {
                     cluster.history()
                             .add(
                                     name,
                                     "told",
                                     new JsonObject()
                                             .add("path", path)
-                                            .add("status", now.status())
-                                            .add("text", now.text()));
+                                            .add("status", answer.status())
+                                            .add("text", answer.text()));
                 }
-                last = now;
-                if (sought.test(now)) {
-                    return now;
+                last = answer;
+                if (condition.test(answer)) {
+                    return answer;
                 }
             } catch (IOException e) {
                 // It is down, or on its way up.
             }
-            if (Clock.micros() > end) {
+            if (Clock.micros() > deadlineMicros) {
                 throw new IllegalStateException(
                         "no "
                                 + what
@@ -302,7 +302,7 @@
                                 + " ms; last "
                                 + last);
             }
-            TimeUnit.MILLISECONDS.sleep(STEP_MS);
+            TimeUnit.MILLISECONDS.sleep(POLL_MS);
         }
     }
 
@@ -311,10 +311,10 @@
         cluster.close();
         proxies.close();
         fleet.close();
-        for (HeldPort p : operators.values()) {
+        for (HeldPort p : operatorPorts.values()) {
             p.close();
         }
-        DiskFaults.wipe(links);
-        Files.delete(links);
+        DiskFaults.wipe(socketFolder);
+        Files.delete(socketFolder);
     }
 }
--- a/rig/src/main/java/postgrade/rig/serve/OperatorCall.java
+++ b/rig/src/main/java/postgrade/rig/serve/OperatorCall.java
@@ -19,7 +19,7 @@
                     .version(HttpClient.Version.HTTP_1_1)
                     .connectTimeout(Duration.ofSeconds(2))
                     .build();
-    private static final Duration MOST = Duration.ofSeconds(5);
+    private static final Duration TIMEOUT = Duration.ofSeconds(5);
 
     /**
      * @param text of the body @param retryAfter empty where none was told
@@ -38,19 +38,21 @@
 
     private OperatorCall() {}
 
-    public static Answer send(String method, InetSocketAddress at, String path, String body)
+    public static Answer send(String method, InetSocketAddress address, String path, String body)
             throws IOException, InterruptedException {
-        HttpRequest r =
-                HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + at.getPort() + path))
-                        .timeout(MOST)
+        HttpRequest request =
+                HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + address.getPort() + path))
+                        .timeout(TIMEOUT)
                         .method(
                                 method,
                                 body == null
                                         ? HttpRequest.BodyPublishers.noBody()
                                         : HttpRequest.BodyPublishers.ofString(body))
                         .build();
-        HttpResponse<String> a = CLIENT.send(r, HttpResponse.BodyHandlers.ofString());
+        HttpResponse<String> response = CLIENT.send(request, HttpResponse.BodyHandlers.ofString());
         return new Answer(
-                a.statusCode(), a.body(), a.headers().firstValue("Retry-After").orElse(""));
+                response.statusCode(),
+                response.body(),
+                response.headers().firstValue("Retry-After").orElse(""));
     }
 }
--- a/rig/src/main/java/postgrade/rig/serve/SharingScript.java
+++ b/rig/src/main/java/postgrade/rig/serve/SharingScript.java
@@ -20,20 +20,20 @@
 
     private static String script(
             String name, Cluster cluster, List<String> voters, boolean proxied) {
-        StringBuilder s =
+        StringBuilder text =
                 new StringBuilder(
                         "name = \""
                                 + name
                                 + "\"\nstore = \""
                                 + cluster.store(name).toAbsolutePath()
                                 + "\"\nvoters = [\n");
-        for (String v : voters) {
-            s.append("    voter(\"")
-                    .append(v)
+        for (String voter : voters) {
+            text.append("    voter(\"")
+                    .append(voter)
                     .append("\", \"127.0.0.1\", ")
-                    .append(cluster.port(proxied ? name : v, v))
+                    .append(cluster.port(proxied ? name : voter, voter))
                     .append("),\n");
         }
-        return s.append("]\n").toString();
+        return text.append("]\n").toString();
     }
 }
--- a/rig/src/main/java/postgrade/rig/soak/IdleClients.java
+++ b/rig/src/main/java/postgrade/rig/soak/IdleClients.java
@@ -12,7 +12,7 @@
 /** Connections to dispatchers that say nothing and stay until their other side ends them. */
 final class IdleClients implements Closeable {
 
-    private static final long STEP_MILLIS = 20;
+    private static final long POLL_MILLIS = 20;
 
     private final List<SocketChannel> connections = new ArrayList<>();
 
@@ -38,20 +38,20 @@
 
     /** Waits until so many have come up; returns how many have by then. */
     long awaitConnected(long wanted, long withinMillis) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMillis);
-        long connected = connected();
-        while (connected < wanted && System.nanoTime() < end) {
-            TimeUnit.MILLISECONDS.sleep(STEP_MILLIS);
-            connected = connected();
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMillis);
+        long connected = connectedCount();
+        while (connected < wanted && System.nanoTime() < deadlineNanos) {
+            TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
+            connected = connectedCount();
         }
         return connected;
     }
 
-    private long connected() {
-        return connections.stream().filter(IdleClients::hasComeUp).count();
+    private long connectedCount() {
+        return connections.stream().filter(IdleClients::isConnected).count();
     }
 
-    private static boolean hasComeUp(SocketChannel connection) {
+    private static boolean isConnected(SocketChannel connection) {
         try {
             return connection.isOpen() && connection.finishConnect();
         } catch (IOException e) {
--- a/rig/src/main/java/postgrade/rig/soak/RandomFaults.java
+++ b/rig/src/main/java/postgrade/rig/soak/RandomFaults.java
@@ -20,14 +20,14 @@
     /** A kind that is drawn so often comes about in each run that is long enough to tell. */
     static final double FREQUENT_PER_MILLE = 20;
 
-    private static final long MOST_HELD_MILLIS = 400;
+    private static final long MAX_HOLD_MILLIS = 400;
 
     /** Cancellations meet fewer faults: most of them are already the answer to one. */
-    private static final double PART_FOR_CANCELLATIONS = 0.5;
+    private static final double CANCELLATION_FAULT_RATIO = 0.5;
 
     private final long seed;
     private final Map<Kind, Double> perMille;
-    private final Map<Kind, AtomicLong> put = new EnumMap<>(Kind.class);
+    private final Map<Kind, AtomicLong> injected = new EnumMap<>(Kind.class);
 
     /**
      * @param perMille of the exchanges that carry a job, for each kind
@@ -36,7 +36,7 @@
         this.seed = seed;
         this.perMille = new EnumMap<>(perMille);
         for (Kind kind : Kind.values()) {
-            put.put(kind, new AtomicLong());
+            injected.put(kind, new AtomicLong());
         }
     }
 
@@ -54,10 +54,10 @@
         long key = exchange.subject().hashCode() * 31L + exchange.worker().hashCode();
         SplittableRandom random =
                 new SplittableRandom(seed * 1_000_003 + key * 2 + (isJob ? 1 : 0));
-        double left = random.nextDouble() * PER_MILLE;
+        double remaining = random.nextDouble() * PER_MILLE;
         for (Map.Entry<Kind, Double> entry : perMille.entrySet()) {
-            left -= entry.getValue() * (isJob ? 1 : PART_FOR_CANCELLATIONS);
-            if (left < 0) {
+            remaining -= entry.getValue() * (isJob ? 1 : CANCELLATION_FAULT_RATIO);
+            if (remaining < 0) {
                 return new ExchangeFault(entry.getKey(), delayMillis(entry.getKey(), random));
             }
         }
@@ -66,7 +66,7 @@
 
     @Override
     public void faultInjected(Kind kind) {
-        put.get(kind).incrementAndGet();
+        injected.get(kind).incrementAndGet();
     }
 
     /** The kinds that this seed has often and that have not come about once. */
@@ -74,15 +74,15 @@
         return perMille.entrySet().stream()
                 .filter(entry -> entry.getValue() >= FREQUENT_PER_MILLE)
                 .map(Map.Entry::getKey)
-                .filter(kind -> put.get(kind).get() == 0)
+                .filter(kind -> injected.get(kind).get() == 0)
                 .toList();
     }
 
     private static long delayMillis(Kind kind, SplittableRandom random) {
         return switch (kind) {
             // A job is held back for less than the grace of drains: judged is when it was sent.
-            case OVERTAKEN -> MOST_HELD_MILLIS;
-            case LATE_REQUEST -> random.nextLong(20, MOST_HELD_MILLIS);
+            case OVERTAKEN -> MAX_HOLD_MILLIS;
+            case LATE_REQUEST -> random.nextLong(20, MAX_HOLD_MILLIS);
             case LATE_ANSWER -> random.nextLong(5, 300);
             case RESET_AFTER_ANSWER -> random.nextLong(1, 200);
             case SECOND_ANSWER_FULL, SECOND_ANSWER_ERROR, SECOND_ANSWER_SAME ->
@@ -94,7 +94,7 @@
     /** How many exchanges each kind has come about in so far, those above 0. */
     Map<Kind, Long> counts() {
         Map<Kind, Long> counts = new EnumMap<>(Kind.class);
-        put.forEach(
+        injected.forEach(
                 (kind, count) -> {
                     if (count.get() > 0) {
                         counts.put(kind, count.get());
--- a/rig/src/main/java/postgrade/rig/soak/Soak.java
+++ b/rig/src/main/java/postgrade/rig/soak/Soak.java
@@ -13,8 +13,8 @@
  */
 public final class Soak {
 
-    private static final int BROKEN = 1;
-    private static final int USAGE = 2;
+    private static final int EXIT_RULE_BROKEN = 1;
+    private static final int EXIT_USAGE = 2;
 
     private int seeds = 1;
     private long first = 1;
@@ -27,15 +27,15 @@
     public static void main(String[] arguments) throws Exception {
         Soak soak = new Soak();
         try {
-            soak.read(arguments);
+            soak.parse(arguments);
         } catch (IllegalArgumentException | ArrayIndexOutOfBoundsException e) {
             System.err.println("soak: --seeds N --first S [--out FOLDER] [--lenient]");
-            System.exit(USAGE);
+            System.exit(EXIT_USAGE);
         }
-        System.exit(soak.run() ? 0 : BROKEN);
+        System.exit(soak.run() ? 0 : EXIT_RULE_BROKEN);
     }
 
-    private void read(String[] arguments) {
+    private void parse(String[] arguments) {
         for (int i = 0; i < arguments.length; i++) {
             switch (arguments[i]) {
                 case "--seeds" -> seeds = Integer.parseInt(arguments[++i]);
--- a/rig/src/main/java/postgrade/rig/soak/SoakPlan.java
+++ b/rig/src/main/java/postgrade/rig/soak/SoakPlan.java
@@ -25,7 +25,7 @@
         long seed,
         String fleet,
         int dispatchers,
-        int toldDispatchers,
+        int configuredDispatchers,
         double jobsPerSecond,
         long loadMillis,
         Map<ExchangeFault.Kind, Double> exchangeFaults,
@@ -39,8 +39,8 @@
 
     private static final long LOAD_MILLIS = 12_000;
     private static final int DISPATCHERS = 3;
-    private static final int CROWD = 600;
-    private static final int TIGHT_AIM_PART = 2;
+    private static final int IDLE_CLIENTS = 600;
+    private static final int TIGHT_AIM_DIVISOR = 2;
     private static final int MANY_DISPATCHERS = 16;
 
     private static final String FLEET =
@@ -64,8 +64,8 @@
         Map<ExchangeFault.Kind, Double> exchangeFaults = exchangeFaults(random);
         List<ProcessFault> processFaults = processFaults(random);
         boolean movesJobs = movesJobs(seed, exchangeFaults);
-        String fleet = fleet(seed, random, movesJobs ? TIGHT_AIM_PART : 1);
-        int idleClients = random.nextInt(4) == 0 ? CROWD : 0;
+        String fleet = fleet(seed, random, movesJobs ? TIGHT_AIM_DIVISOR : 1);
+        int idleClients = random.nextInt(4) == 0 ? IDLE_CLIENTS : 0;
         return new SoakPlan(
                 seed,
                 fleet,
@@ -103,39 +103,40 @@
         return faults;
     }
 
-    private static String fleet(long seed, SplittableRandom random, int aimPart) {
-        List<String> troubles = new ArrayList<>();
+    private static String fleet(long seed, SplittableRandom random, int aimDivisor) {
+        List<String> workerFaults = new ArrayList<>();
         if (random.nextInt(2) == 0) {
-            troubles.add(
-                    fault("silence", 2 + random.nextInt(4), 0.5 + random.nextDouble() * 2, 0.34));
+            workerFaults.add(
+                    workerFault(
+                            "silence", 2 + random.nextInt(4), 0.5 + random.nextDouble() * 2, 0.34));
         }
         if (random.nextInt(3) == 0) {
-            troubles.add(fault("pauses", 1, 8, 0.34));
+            workerFaults.add(workerFault("pauses", 1, 8, 0.34));
         }
         if (random.nextInt(3) == 0) {
-            troubles.add(fault("restart", 3 + random.nextInt(3), 3, 0.34));
+            workerFaults.add(workerFault("restart", 3 + random.nextInt(3), 3, 0.34));
         }
         if (random.nextInt(3) == 0) {
-            troubles.add(fault("drain", 4 + random.nextInt(3), 3, 0.17));
+            workerFaults.add(workerFault("drain", 4 + random.nextInt(3), 3, 0.17));
         }
         if (random.nextInt(3) == 0) {
-            troubles.add(fault("fast_errors", 2, 5, 0.17));
+            workerFaults.add(workerFault("fast_errors", 2, 5, 0.17));
         }
         return String.format(
                 Locale.ROOT,
                 FLEET,
                 seed,
                 DEADLINE_MILLIS,
-                400 / aimPart,
+                400 / aimDivisor,
                 DEADLINE_MILLIS,
-                800 / aimPart,
+                800 / aimDivisor,
                 DEADLINE_MILLIS,
-                600 / aimPart,
+                600 / aimDivisor,
                 random.nextDouble() * 0.3,
                 random.nextDouble() * 0.5,
                 random.nextInt(2) == 0 ? 0 : random.nextInt(60),
                 random.nextDouble() * 3,
-                String.join(", ", troubles));
+                String.join(", ", workerFaults));
     }
 
     /**
@@ -149,7 +150,7 @@
                 || new SplittableRandom(seed).nextBoolean();
     }
 
-    private static String fault(String kind, double atSeconds, double lasts, double part) {
+    private static String workerFault(String kind, double atSeconds, double lasts, double part) {
         return String.format(
                 Locale.ROOT,
                 "fault(\"%s\", at = %.1f, lasts = %.1f, part = %.2f)",
--- a/rig/src/main/java/postgrade/rig/soak/SoakResult.java
+++ b/rig/src/main/java/postgrade/rig/soak/SoakResult.java
@@ -21,12 +21,12 @@
         long served,
         long attempts,
         Map<ExchangeFault.Kind, Long> exchangeFaults,
-        List<String> notPut,
+        List<String> notInjected,
         long contradictedEnds,
         List<RuleChecker.Violation> violations) {
 
     boolean isClean() {
-        return violations.isEmpty() && notPut.isEmpty() && requests > 0 && attempts > 0;
+        return violations.isEmpty() && notInjected.isEmpty() && requests > 0 && attempts > 0;
     }
 
     private String verdict() {
@@ -61,8 +61,8 @@
         if (plan.idleClients() > 0) {
             text.append(", idle clients ").append(plan.idleClients());
         }
-        if (!notPut.isEmpty()) {
-            text.append("; could not be put: ").append(String.join(", ", notPut));
+        if (!notInjected.isEmpty()) {
+            text.append("; could not be put: ").append(String.join(", ", notInjected));
         }
         return text.toString();
     }
--- a/rig/src/main/java/postgrade/rig/soak/SoakRun.java
+++ b/rig/src/main/java/postgrade/rig/soak/SoakRun.java
@@ -23,13 +23,13 @@
 /** One run of the soak: starts all of it, plays the plan, and judges the ledgers. */
 final class SoakRun {
 
-    private static final long READY_MILLIS = 240_000;
+    private static final long READY_TIMEOUT_MILLIS = 240_000;
     private static final long RESTART_PAUSE_MILLIS = 500;
 
-    private static final long HEARD_MILLIS = 20_000;
+    private static final long RESPONSE_TIMEOUT_MILLIS = 20_000;
 
     /** New connections come for so long after a dispatcher was told to end. */
-    private static final long FRONT_KNOWS_MILLIS = 400;
+    private static final long FRONT_END_UPDATE_MILLIS = 400;
 
     private final SoakPlan plan;
     private final SoakLimits limits;
@@ -37,7 +37,7 @@
     private final RandomFaults exchangeFaults;
 
     /** A monitor for each dispatcher. */
-    private final List<Object> oneAtATime;
+    private final List<Object> dispatcherLocks;
 
     /** Dispatchers and times of kills that were not announced. */
     private final List<Kill> kills = new ArrayList<>();
@@ -45,26 +45,26 @@
     private record Kill(String dispatcher, long micros) {}
 
     /** What of the plan could not be put. */
-    private final List<String> notPut = new ArrayList<>();
+    private final List<String> notInjected = new ArrayList<>();
 
     SoakRun(SoakPlan plan, SoakLimits limits, Path folder) {
         this.plan = plan;
         this.limits = limits;
         this.folder = folder;
         exchangeFaults = new RandomFaults(plan.seed(), plan.exchangeFaults());
-        oneAtATime = Stream.generate(Object::new).limit(plan.dispatchers()).toList();
+        dispatcherLocks = Stream.generate(Object::new).limit(plan.dispatchers()).toList();
     }
 
     SoakResult run() throws IOException, InterruptedException, ExecutionException {
         long contradicted;
-        try (DispatcherCluster serving = open()) {
-            serving.startAll();
-            serving.proxies().setFaultSelector(exchangeFaults);
-            play(serving);
-            contradicted = contradictedEnds(serving);
+        try (DispatcherCluster cluster = open()) {
+            cluster.startAll();
+            cluster.proxies().setFaultSelector(exchangeFaults);
+            runPlan(cluster);
+            contradicted = contradictedEnds(cluster);
             exchangeFaults
                     .frequentButNotInjected()
-                    .forEach(kind -> couldNotPut("exchange fault " + kind));
+                    .forEach(kind -> recordNotInjected("exchange fault " + kind));
         }
         return judge(contradicted);
     }
@@ -72,7 +72,7 @@
     private DispatcherCluster open() throws IOException, InterruptedException {
         DispatcherCluster.Options options = new DispatcherCluster.Options();
         options.dispatchers = plan.dispatchers();
-        options.configuredDispatchers = plan.toldDispatchers();
+        options.configuredDispatchers = plan.configuredDispatchers();
         options.voters = 0;
         options.proxied = true;
         options.sockets = 1024;
@@ -80,21 +80,21 @@
         return new DispatcherCluster(folder, options);
     }
 
-    private void play(DispatcherCluster serving)
+    private void runPlan(DispatcherCluster cluster)
             throws IOException, InterruptedException, ExecutionException {
         // A thread for each fault: one waits for the one before it at the same dispatcher.
         ScheduledExecutorService clock =
                 Executors.newScheduledThreadPool(plan.processFaults().size() + 1);
         try (IdleClients idle = new IdleClients();
-                LoadGenerator shops =
+                LoadGenerator load =
                         new LoadGenerator(
-                                serving.clientAddresses(),
-                                kinds(serving),
+                                cluster.clientAddresses(),
+                                kinds(cluster),
                                 plan.seed(),
                                 folder.resolve("clients.ledger"))) {
-            idle.open(serving.clientAddresses(), plan.idleClients());
+            idle.open(cluster.clientAddresses(), plan.idleClients());
             requireConnected(idle);
-            shops.setRate(plan.jobsPerSecond());
+            load.setRate(plan.jobsPerSecond());
             List<Future<?>> faults = new ArrayList<>();
             long[] freeAtMillis = new long[plan.dispatchers()];
             for (ProcessFault fault : plan.processFaults()) {
@@ -103,15 +103,17 @@
                 freeAtMillis[fault.dispatcher()] = atMillis + duration(fault);
                 faults.add(
                         clock.schedule(
-                                () -> put(serving, shops, fault), atMillis, TimeUnit.MILLISECONDS));
+                                () -> inject(cluster, load, fault),
+                                atMillis,
+                                TimeUnit.MILLISECONDS));
             }
             clock.schedule(() -> {}, plan.loadMillis(), TimeUnit.MILLISECONDS).get();
-            shops.setRate(0);
+            load.setRate(0);
             for (Future<?> fault : faults) {
                 fault.get();
             }
-            shops.finish();
-            serving.fleet().flush();
+            load.finish();
+            cluster.fleet().flush();
         } finally {
             clock.shutdownNow();
         }
@@ -125,9 +127,9 @@
         };
     }
 
-    private static List<LoadGenerator.JobKind> kinds(DispatcherCluster serving) {
+    private static List<LoadGenerator.JobKind> kinds(DispatcherCluster cluster) {
         List<LoadGenerator.JobKind> kinds = new ArrayList<>();
-        FleetPlan fleet = serving.plan();
+        FleetPlan fleet = cluster.plan();
         fleet.classes
                 .values()
                 .forEach(
@@ -146,92 +148,92 @@
 
     // ---- Signals.
 
-    private Void put(DispatcherCluster serving, LoadGenerator shops, ProcessFault fault)
+    private Void inject(DispatcherCluster cluster, LoadGenerator load, ProcessFault fault)
             throws IOException, InterruptedException {
         // A restart takes its time, and longer than planned on a busy machine.
-        synchronized (oneAtATime.get(fault.dispatcher())) {
-            putAlone(serving, shops, fault);
+        synchronized (dispatcherLocks.get(fault.dispatcher())) {
+            injectLocked(cluster, load, fault);
         }
         return null;
     }
 
-    private void putAlone(DispatcherCluster serving, LoadGenerator shops, ProcessFault fault)
+    private void injectLocked(DispatcherCluster cluster, LoadGenerator load, ProcessFault fault)
             throws IOException, InterruptedException {
-        String name = serving.names().get(fault.dispatcher());
-        if (!serving.cluster().process(name).alive()) {
-            couldNotPut(fault + ": its process had ended");
+        String name = cluster.names().get(fault.dispatcher());
+        if (!cluster.cluster().process(name).alive()) {
+            recordNotInjected(fault + ": its process had ended");
             return;
         }
-        int before = serving.cluster().history().size();
+        int before = cluster.cluster().history().size();
         switch (fault.kind()) {
             case RESTART -> {
-                restart(serving, shops, fault.dispatcher());
-                requireHeard(serving, fault, before, "daemon.stopping");
+                restart(cluster, load, fault.dispatcher());
+                requireEvent(cluster, fault, before, "daemon.stopping");
             }
             case KILL -> {
-                note(name, serving.cluster().history().nowMicros());
-                serving.cluster().process(name).kill();
-                startAgain(serving, name);
+                recordKill(name, cluster.cluster().history().nowMicros());
+                cluster.cluster().process(name).kill();
+                restartProcess(cluster, name);
             }
             case RELOAD -> {
-                changeConfiguration(serving, fault.dispatcher());
-                serving.cluster().process(name).hangUp();
-                requireHeard(serving, fault, before, "configuration.read-again");
+                changeConfiguration(cluster, fault.dispatcher());
+                cluster.cluster().process(name).hangUp();
+                requireEvent(cluster, fault, before, "configuration.read-again");
             }
         }
     }
 
     /** A signal that was ignored is a fault that could not be put. */
-    private void requireHeard(DispatcherCluster serving, ProcessFault fault, int from, String event)
+    private void requireEvent(DispatcherCluster cluster, ProcessFault fault, int from, String event)
             throws InterruptedException {
-        String name = serving.names().get(fault.dispatcher());
+        String name = cluster.names().get(fault.dispatcher());
         try {
-            serving.cluster().process(name).await(event, from, HEARD_MILLIS);
+            cluster.cluster().process(name).await(event, from, RESPONSE_TIMEOUT_MILLIS);
         } catch (IllegalStateException e) {
-            couldNotPut(fault + ": not heard");
+            recordNotInjected(fault + ": not heard");
         }
     }
 
     private void requireConnected(IdleClients idle) throws InterruptedException {
         long wanted = (long) plan.idleClients() * plan.dispatchers();
-        long connected = idle.awaitConnected(wanted, HEARD_MILLIS);
+        long connected = idle.awaitConnected(wanted, RESPONSE_TIMEOUT_MILLIS);
         if (connected < wanted) {
-            couldNotPut("idle clients: " + connected + " of " + wanted + " came up");
+            recordNotInjected("idle clients: " + connected + " of " + wanted + " came up");
         }
     }
 
-    private synchronized void couldNotPut(String what) {
-        notPut.add(what);
+    private synchronized void recordNotInjected(String what) {
+        notInjected.add(what);
     }
 
-    private synchronized void note(String name, long micros) {
+    private synchronized void recordKill(String name, long micros) {
         kills.add(new Kill(name, micros));
     }
 
     /** Told to end, and killed at the protocol's earliest time if it has not ended by then. */
-    private static void restart(DispatcherCluster serving, LoadGenerator shops, int dispatcher)
+    private static void restart(DispatcherCluster cluster, LoadGenerator load, int dispatcher)
             throws IOException, InterruptedException {
-        String name = serving.names().get(dispatcher);
-        serving.cluster().process(name).terminate();
-        TimeUnit.MILLISECONDS.sleep(FRONT_KNOWS_MILLIS);
-        shops.setAdmitted(dispatcher, false);
-        TimeUnit.MILLISECONDS.sleep(SoakPlan.TERM_TO_KILL_MILLIS - FRONT_KNOWS_MILLIS);
-        serving.cluster().process(name).kill();
-        startAgain(serving, name);
-        shops.setAdmitted(dispatcher, true);
+        String name = cluster.names().get(dispatcher);
+        cluster.cluster().process(name).terminate();
+        TimeUnit.MILLISECONDS.sleep(FRONT_END_UPDATE_MILLIS);
+        load.setAdmitted(dispatcher, false);
+        TimeUnit.MILLISECONDS.sleep(SoakPlan.TERM_TO_KILL_MILLIS - FRONT_END_UPDATE_MILLIS);
+        cluster.cluster().process(name).kill();
+        restartProcess(cluster, name);
+        load.setAdmitted(dispatcher, true);
     }
 
-    private static void startAgain(DispatcherCluster serving, String name)
+    private static void restartProcess(DispatcherCluster cluster, String name)
             throws IOException, InterruptedException {
         TimeUnit.MILLISECONDS.sleep(RESTART_PAUSE_MILLIS);
-        serving.cluster().start(name);
-        serving.awaitReady(name, READY_MILLIS);
+        cluster.cluster().start(name);
+        cluster.awaitReady(name, READY_TIMEOUT_MILLIS);
     }
 
     /** Another aim for each class, which no rule depends on. */
-    private static void changeConfiguration(DispatcherCluster serving, int dispatcher)
+    private static void changeConfiguration(DispatcherCluster cluster, int dispatcher)
             throws IOException {
-        Path file = serving.fleet().configurationOf(dispatcher);
+        Path file = cluster.fleet().configurationOf(dispatcher);
         JsonObject configuration = Json.parse(Files.readString(file)).asObject();
         configuration
                 .get("settings")
@@ -248,8 +250,8 @@
 
     // ---- The verdict.
 
-    private static long contradictedEnds(DispatcherCluster serving) {
-        return serving.cluster().history().all().stream()
+    private static long contradictedEnds(DispatcherCluster cluster) {
+        return cluster.cluster().history().all().stream()
                 .filter(event -> event.kind().equals("attempt.reported-after-end"))
                 .count();
     }
@@ -258,7 +260,8 @@
         RuleChecker.Verdict verdict =
                 RuleChecker.judge(folder, limits.slackMicros(), limits.lateMicros());
         List<Line> clients = LedgerReader.read(folder.resolve("clients.ledger"));
-        List<String> excused = clients.stream().filter(this::brokeByKill).map(Line::id).toList();
+        List<String> excused =
+                clients.stream().filter(this::wasBrokenByKill).map(Line::id).toList();
         List<RuleChecker.Violation> violations =
                 verdict.violations.stream()
                         .filter(
@@ -277,13 +280,13 @@
                 served,
                 verdict.attempts,
                 exchangeFaults.counts(),
-                List.copyOf(notPut),
+                List.copyOf(notInjected),
                 contradicted,
                 violations);
     }
 
     /** A request whose connection broke as its dispatcher was killed without being told to end. */
-    private boolean brokeByKill(Line line) {
+    private boolean wasBrokenByKill(Line line) {
         return line.event().startsWith("broken")
                 && kills.stream()
                         .anyMatch(
