--- a/rig/src/main/java/postgrade/rig/Options.java
+++ b/rig/src/main/java/postgrade/rig/Options.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * What a bench is called with: {@code key=value}, each key known and with a value of its own where
- * it is left out.
+ * Command line of a measurement program: {@code key=value} arguments. Only the given keys are
+ * accepted; a key that is left out has its default value.
  */
 public final class Options {
 
@@ -19,7 +19,7 @@
         this.values = values;
     }
 
-    /** Ends the program with exit code 2 where an argument names no key of these. */
+    /** Parses the arguments. Ends the process with exit code 2 if an argument has no known key. */
     public static Options of(String program, Map<String, String> defaults, String[] arguments) {
         Options options = new Options(program, new LinkedHashMap<>(defaults));
         for (String argument : arguments) {
@@ -46,7 +46,7 @@
         try {
             return Integer.parseInt(values.get(key));
         } catch (NumberFormatException e) {
-            exitWithUsageError(key + "=" + values.get(key) + " is no whole number");
+            exitWithUsageError(key + "=" + values.get(key) + " is not a whole number");
             throw e;
         }
     }
--- a/rig/src/main/java/postgrade/rig/check/Breach.java
+++ b/rig/src/main/java/postgrade/rig/check/Breach.java
@@ -1,7 +1,10 @@
 package postgrade.rig.check;
 
 /**
- * One thing that must not have been. @param what rule @param micros when @param who whom it
- * concerns
+ * One violation that a checker found.
+ *
+ * @param what name of the rule
+ * @param micros when it happened; the index for the checks of the log
+ * @param who process, job, tenant or key that it concerns
  */
 public record Breach(String what, long micros, String who, String detail) {}
--- a/rig/src/main/java/postgrade/rig/check/LogCheck.java
+++ b/rig/src/main/java/postgrade/rig/check/LogCheck.java
@@ -6,20 +6,29 @@
 import java.util.Map;
 
 /**
- * Whether the replicated log was one log: no index ever carried two entries, no entry that was
- * answered for was lost, none was carried out twice, and what one process saw only went forward.
+ * Checks that the replicated log is a single log: no index carries two different entries, no
+ * acknowledged entry is lost, none is applied twice, and the views of one process only advance.
  */
 public final class LogCheck {
 
-    /** What a replica carried out at an index: a digest of the entry and of all before it. */
+    /**
+     * An entry that a replica applied at an index. The digest covers the entry and all entries
+     * before it.
+     */
     public record Applied(String process, long incarnation, long era, long index, String digest) {}
 
     /**
-     * What a caller was told was done. @param key unique to the call @param index at which it was
+     * A call that was acknowledged to its caller.
+     *
+     * @param key unique to the call
+     * @param index at which the entry was applied
      */
     public record Acknowledged(String key, long era, long index) {}
 
-    /** A view that a process took, in the order in which it did. */
+    /**
+     * A view that a process adopted. Views are given in the order in which the process adopted
+     * them.
+     */
     public record ObservedView(String process, long incarnation, long era, long index) {}
 
     private LogCheck() {}
@@ -51,7 +60,9 @@
     }
 
     /**
-     * @param present how often each key stands in the end state
+     * Checks that each acknowledged call was applied exactly once.
+     *
+     * @param present how often each key occurs in the final state
      */
     public static List<Breach> durability(
             List<Acknowledged> acknowledged, Map<String, Long> present) {
@@ -64,9 +75,9 @@
                                 times == 0 ? "lost" : "twice",
                                 call.index,
                                 call.key,
-                                "answered for at index "
+                                "acknowledged at index "
                                         + call.index
-                                        + ", carried out "
+                                        + ", applied "
                                         + times
                                         + " times"));
             }
--- a/rig/src/main/java/postgrade/rig/check/RateCheck.java
+++ b/rig/src/main/java/postgrade/rig/check/RateCheck.java
@@ -7,22 +7,28 @@
 import java.util.Map;
 
 /**
- * Whether all processes together kept a tenant's rate: in no span of time were more jobs taken on
- * tokens than the rate gives in it, plus a bound. Every span is judged, not every second: the
- * excess runs in one sum that drains by the rate.
+ * Checks that all processes together keep a tenant's rate limit: in no time span were more jobs
+ * admitted on tokens than the rate allows in it, plus a bound. Covers every span and not only whole
+ * seconds: the excess is kept in one sum that drains at the rate, as in a leaky bucket.
  */
 public final class RateCheck {
 
-    /** A job taken on a token by some process. */
+    /** A job that a process admitted on a token. */
     public record AdmittedJob(long micros, String process, String tenant) {}
 
     /**
-     * @param perSecond whole rate of the tenant @param bound jobs beyond it in any span: bursts,
-     *     and what is stated
+     * The limit of a tenant.
+     *
+     * @param perSecond rate of the tenant over all processes
+     * @param bound jobs above the rate that are allowed in any span: bursts and the stated
+     *     tolerance
      */
     public record Limit(double perSecond, double bound) {}
 
-    /** The most that was seen, for a bound that is far off to be seen as such. */
+    /**
+     * The violations and the greatest excess of each tenant, which shows how far below its bound it
+     * stayed.
+     */
     public record Verdict(List<Breach> breaches, Map<String, Double> mostBeyond, long judged) {}
 
     private RateCheck() {}
@@ -42,7 +48,9 @@
                                 "tenant",
                                 job.micros,
                                 job.tenant,
-                                "taken by " + job.process + ", but has no rate"));
+                                "admitted by "
+                                        + job.process
+                                        + ", but the tenant has no rate limit"));
                 continue;
             }
             double drained =
@@ -60,7 +68,7 @@
                                 job.micros,
                                 job.tenant,
                                 String.format(
-                                        "%.1f beyond the rate, the last by %s",
+                                        "%.1f jobs above the rate limit, the last one admitted by %s",
                                         current, job.process)));
             }
         }
--- a/rig/src/main/java/postgrade/rig/check/ShareCheck.java
+++ b/rig/src/main/java/postgrade/rig/check/ShareCheck.java
@@ -7,14 +7,16 @@
 import java.util.Map;
 
 /**
- * Whether the parts of the rates that processes live by come to no more than one at any moment. A
- * part counts from when its process took it until it takes another or is dead; a process that is
- * merely silent keeps what it had.
+ * Checks that the shares of the rates that processes use add up to no more than one at any moment.
+ * A share counts from when its process adopted it until the process adopts another one or is dead;
+ * a process that is merely silent keeps its share.
  */
 public final class ShareCheck {
 
     /**
-     * @param part of every rate; 0 once it is dead
+     * A process adopted a share.
+     *
+     * @param part share of every rate; 0 once the process is dead
      */
     public record ShareChange(long micros, String process, double part) {}
 
@@ -23,8 +25,10 @@
     private ShareCheck() {}
 
     /**
-     * @param bound by how much the sum may stand above one @param forMicros and for how long at
-     *     most
+     * Checks the sum of the shares after each change.
+     *
+     * @param bound by how much the sum may exceed one
+     * @param forMicros for how long it may exceed it at most
      */
     public static Verdict check(List<ShareChange> changes, double bound, long forMicros) {
         List<ShareChange> inOrder = new ArrayList<>(changes);
@@ -35,7 +39,7 @@
         long aboveSince = Long.MAX_VALUE;
         for (int i = 0; i < inOrder.size(); i++) {
             ShareChange change = inOrder.get(i);
-            // What stood until now stood for that long.
+            // The sum up to this change was in force until now.
             if (forMicros > 0
                     && aboveSince != Long.MAX_VALUE
                     && change.micros - aboveSince > forMicros) {
@@ -64,7 +68,12 @@
             }
         }
         if (aboveSince != Long.MAX_VALUE && forMicros > 0) {
-            breaches.add(new Breach("share", aboveSince, "all", "the sum never came down again"));
+            breaches.add(
+                    new Breach(
+                            "share",
+                            aboveSince,
+                            "all",
+                            "the sum stayed above the bound to the end"));
         }
         return new Verdict(breaches, maxSum, inOrder.size());
     }
--- a/rig/src/main/java/postgrade/rig/check/WindowCheck.java
+++ b/rig/src/main/java/postgrade/rig/check/WindowCheck.java
@@ -4,15 +4,18 @@
 import java.util.List;
 
 /**
- * Whether no job started at a site within its maintenance, by the version of its calendar in force
- * at that moment.
+ * Checks that no job started at a site during maintenance, according to the version of the site's
+ * calendar that was in force at that moment.
  */
 public final class WindowCheck {
 
-    /** [from, to), in the time that starts are told in. */
+    /** Half-open interval [from, to), on the clock of the starts. */
     public record Span(long from, long to) {}
 
-    /** A calendar of a site, whole. It stands from then on until one with a later moment does. */
+    /**
+     * A complete calendar of a site. It is in force until a version with a later {@code
+     * inForceFrom} replaces it.
+     */
     public record CalendarVersion(String site, long inForceFrom, List<Span> maintenance) {}
 
     public record StartedJob(long micros, String site, String job) {}
@@ -20,15 +23,16 @@
     private WindowCheck() {}
 
     /**
-     * @param slackMicros by how much the clock of what was started may be off against that of the
-     *     calendar
+     * Finds the jobs that started during maintenance.
+     *
+     * @param slackMicros maximum offset between the clock of the starts and that of the calendar
      */
     public static List<Breach> check(
             List<CalendarVersion> versions, List<StartedJob> started, long slackMicros) {
         List<Breach> breaches = new ArrayList<>();
         for (StartedJob s : started) {
-            // Within the slack round a change either version may have been the one in force: both
-            // must forbid it.
+            // Within the slack around a change either version may have been in force: a start is a
+            // violation only if both forbid it.
             CalendarVersion early = inForce(versions, s.site, s.micros - slackMicros);
             CalendarVersion late = inForce(versions, s.site, s.micros + slackMicros);
             Span span = within(late, s.micros, slackMicros);
--- a/rig/src/main/java/postgrade/rig/check/WorkerMaintenanceCheck.java
+++ b/rig/src/main/java/postgrade/rig/check/WorkerMaintenanceCheck.java
@@ -7,13 +7,15 @@
 import java.util.TreeMap;
 
 /**
- * Whether nothing went to a worker that operators had taken out, from whichever process, restarted
- * or not.
+ * Checks that no process, restarted or not, sent a job to a worker that operators had taken out of
+ * service.
  */
 public final class WorkerMaintenanceCheck {
 
     /**
-     * @param out or back in again; told to all by then
+     * A worker was taken out or put back. All processes knew of it at that time.
+     *
+     * @param out whether it was taken out
      */
     public record StatusChange(long micros, String worker, boolean out) {}
 
@@ -22,7 +24,10 @@
     private WorkerMaintenanceCheck() {}
 
     /**
-     * @param graceMicros in which what was under way may still arrive
+     * Finds jobs that were sent to a worker while it was out.
+     *
+     * @param graceMicros how long after the change a job that was already in flight may still
+     *     arrive
      */
     public static List<Breach> check(
             List<StatusChange> changes, List<Sent> sent, long graceMicros) {
@@ -47,7 +52,7 @@
                                         + s.worker
                                         + " "
                                         + (s.micros - last.getKey()) / 1000
-                                        + " ms after that was taken out"));
+                                        + " ms after the worker was taken out"));
             }
         }
         return breaches;
--- a/rig/src/main/java/postgrade/rig/check/lease/LeaseModel.java
+++ b/rig/src/main/java/postgrade/rig/check/lease/LeaseModel.java
@@ -7,14 +7,17 @@
 import postgrade.rig.check.lease.LinearizabilityChecker.Call;
 
 /**
- * What a store of reservations has to be, told without a clock: accelerators by number, each free,
- * held under a fence or resting. That something expires or has rested is an act of the store's own,
- * which may happen once it is due.
+ * Sequential model of a store of reservations, without a clock. Accelerators are numbered; each is
+ * free, held under a fence, or resting. An expiry or the end of a rest is an act of the store
+ * itself, which may happen at any time once it is due.
  */
 public final class LeaseModel {
 
     /**
-     * @param held accelerators of each grant @param resting those that nobody may be granted yet
+     * State of the store. Accelerators are bit sets.
+     *
+     * @param held accelerators of each grant
+     * @param resting released accelerators that may not be granted yet
      */
     public record State(long all, Map<Grant, Long> held, long resting, long highest) {
 
@@ -27,7 +30,10 @@
         }
     }
 
-    /** Two grants that one moment brought may have one fence, for accelerators that differ. */
+    /**
+     * A holder and its fence. Two grants that are decided in the same moment may have the same
+     * fence, for different accelerators.
+     */
     public record Grant(String holder, long fence) implements Comparable<Grant> {
         @Override
         public int compareTo(Grant o) {
@@ -48,7 +54,10 @@
                                 fence);
     }
 
-    /** The holder's next incarnation has what the former one had, under a fence of its own. */
+    /**
+     * The holder's next incarnation takes over the accelerators of the former one, under a fence of
+     * its own.
+     */
     public static UnaryOperator<State> takenOver(String holder, long former, long fence) {
         return s -> {
             Long mask = s.held.get(new Grant(holder, former));
@@ -65,7 +74,7 @@
         };
     }
 
-    /** Turned down for want of free ones. */
+    /** Refused because too few accelerators were free. */
     public static UnaryOperator<State> refused(int wanted) {
         return s -> Long.bitCount(s.all & ~s.taken()) < wanted ? s : null;
     }
@@ -74,12 +83,12 @@
         return s -> s.held.containsKey(new Grant(holder, fence)) ? s : null;
     }
 
-    /** A renewal or release that found nothing of that fence. */
+    /** A renewal or release that found no grant with that fence. */
     public static UnaryOperator<State> notFound(String holder, long fence) {
         return s -> s.held.containsKey(new Grant(holder, fence)) ? null : s;
     }
 
-    /** A release, or an expiry. */
+    /** A release or an expiry. */
     public static UnaryOperator<State> ended(String holder, long fence) {
         return s -> {
             Grant grant = new Grant(holder, fence);
@@ -107,7 +116,7 @@
         return copy;
     }
 
-    /** The first call that no order explains, or null. */
+    /** Returns the first call that no order explains, or null. */
     public static Call<State> firstViolation(int accelerators, List<Call<State>> history) {
         return LinearizabilityChecker.firstUnexplainedCall(State.of(accelerators), history);
     }
--- a/rig/src/main/java/postgrade/rig/check/lease/LeaseUseCheck.java
+++ b/rig/src/main/java/postgrade/rig/check/lease/LeaseUseCheck.java
@@ -8,20 +8,20 @@
 import postgrade.rig.check.Breach;
 
 /**
- * What processes used in holders' names, judged by one clock: never for two at once, not too long,
- * and not too short.
+ * Checks how processes used accelerators on behalf of holders, by a single clock: never for two
+ * holders at once, not after the grant expired, and that no grant expired early.
  */
 public final class LeaseUseCheck {
 
-    /** A process would have sent a job of this holder to this accelerator at that moment. */
+    /** At that moment a process would have sent a job of this holder to this accelerator. */
     public record Use(long micros, String process, String accelerator, String holder, long fence) {}
 
     /**
      * A grant as its holder knows it.
      *
-     * @param lastSentMicros when the last call was sent that is known to have kept it alive
-     * @param lastEndMicros when the last call ended that may have kept it alive, answered or not
-     * @param releasedMicros when the holder first asked for its end, or {@link Long#MAX_VALUE}
+     * @param lastSentMicros when the last call that is known to have renewed it was sent
+     * @param lastEndMicros when the last call that may have renewed it ended, answered or not
+     * @param releasedMicros when the holder first asked to release it, or {@link Long#MAX_VALUE}
      */
     public record Grant(
             String holder,
@@ -31,18 +31,19 @@
             long lastEndMicros,
             long releasedMicros) {}
 
-    /** A process's view, or an answer, showed that a grant had ended. */
+    /** The view of a process, or an answer, showed that a grant had ended. */
     public record GrantEnd(long micros, String process, String holder, long fence) {}
 
     private LeaseUseCheck() {}
 
     /**
-     * Once an accelerator was used under a later fence of another holder, nobody uses it under an
-     * earlier one.
+     * Checks that an accelerator is not used under an earlier fence of another holder once it was
+     * used under a later fence.
      */
     public static List<Breach> mutualExclusion(List<Use> uses) {
         List<Use> inOrder = new ArrayList<>(uses);
-        // Of one moment the later fences first: at the same time is beside each other.
+        // Among uses of the same moment the later fence comes first, so that simultaneous use
+        // counts as a violation.
         inOrder.sort(
                 Comparator.comparingLong(Use::micros)
                         .thenComparing(Comparator.comparingLong(Use::fence).reversed()));
@@ -59,7 +60,7 @@
                                 u.accelerator
                                         + " used for "
                                         + u.holder
-                                        + " by "
+                                        + " under fence "
                                         + u.fence
                                         + ", "
                                         + (u.micros - before.micros)
@@ -67,7 +68,7 @@
                                         + before.process
                                         + " used it for "
                                         + before.holder
-                                        + " by "
+                                        + " under fence "
                                         + before.fence));
             }
             if (before == null || u.fence > before.fence) {
@@ -78,8 +79,8 @@
     }
 
     /**
-     * Nobody uses a grant later than its time to live and this bound after it may last have been
-     * renewed.
+     * Checks that no grant is used longer than its time to live plus the bound after the last call
+     * that may have renewed it.
      */
     public static List<Breach> noUseAfterExpiry(
             List<Use> uses, List<Grant> grants, long boundMicros) {
@@ -96,7 +97,7 @@
                                 u.process,
                                 "used for "
                                         + u.holder
-                                        + " by "
+                                        + " under fence "
                                         + u.fence
                                         + " "
                                         + over
@@ -107,8 +108,8 @@
     }
 
     /**
-     * No grant that nobody released ends before its time to live after it was last renewed, by the
-     * fastest clock.
+     * Checks that no grant that its holder did not release ends before its time to live has passed
+     * since its last renewal, as the fastest clock measures it.
      */
     public static List<Breach> noEarlyExpiry(
             List<GrantEnd> gone, List<Grant> grants, double clockRatio, long allowanceMicros) {
@@ -125,11 +126,11 @@
                                 o.micros,
                                 o.process,
                                 o.holder
-                                        + "'s "
+                                        + "'s fence "
                                         + o.fence
                                         + " had ended "
                                         + (o.micros - g.lastSentMicros)
-                                        + " us after a renewal, of "
+                                        + " us after a renewal, with a time to live in us of "
                                         + g.ttlMicros));
             }
         }
--- a/rig/src/main/java/postgrade/rig/check/lease/LinearizabilityChecker.java
+++ b/rig/src/main/java/postgrade/rig/check/lease/LinearizabilityChecker.java
@@ -9,18 +9,18 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Whether calls that overlap in time can be put in one order, each between its sending and its
- * answer, in which an object gives those answers. The search of Wing and Gong, with the states that
- * were met kept, as Lowe does.
+ * Checks whether overlapping calls have one order in which the object would give exactly these
+ * answers, with each call placed between its sending and its answer. Implements the search by Wing
+ * and Gong with Lowe's cache of visited states.
  */
 public final class LinearizabilityChecker {
 
     /**
      * A call, or something that the object does by itself.
      *
-     * @param answered {@link Long#MAX_VALUE} where nobody heard of its end: it may or may not have
-     *     happened
-     * @param effect the state after it, or null where the object could not have answered so
+     * @param answered {@link Long#MAX_VALUE} if its end is unknown: it may or may not have taken
+     *     effect
+     * @param effect the state after it, or null if the object could not have given this answer
      */
     public record Call<S>(String name, long sent, long answered, UnaryOperator<S> effect) {}
 
@@ -29,7 +29,9 @@
     private LinearizabilityChecker() {}
 
     /**
-     * @return null where there is such an order, else the call that could be put nowhere
+     * Searches for an order of the calls.
+     *
+     * @return null if there is such an order, else the call that fits nowhere
      */
     public static <S> Call<S> firstUnexplainedCall(S initialState, List<Call<S>> history) {
         List<Call<S>> calls = new ArrayList<>(history);
@@ -85,15 +87,14 @@
     }
 
     /**
-     * Of the calls that still have to be put in order, the one that was answered first; -1 where
-     * there is none.
+     * Returns the call that was answered first among those not yet placed; -1 if none is left that
+     * was answered.
      */
     private static <S> int earliestAnswer(List<Call<S>> calls, BitSet done) {
         int first = -1;
         for (int i = done.nextClearBit(0); i < calls.size(); i = done.nextClearBit(i + 1)) {
             if (first >= 0 && calls.get(i).sent > calls.get(first).answered) {
-                break; // They are in the order of their sending: no later one can have been
-                // answered before.
+                break; // Calls are sorted by sending: no later one can have been answered earlier.
             }
             if (calls.get(i).answered < Long.MAX_VALUE
                     && (first < 0 || calls.get(i).answered < calls.get(first).answered)) {
--- a/rig/src/main/java/postgrade/rig/cluster/Cluster.java
+++ b/rig/src/main/java/postgrade/rig/cluster/Cluster.java
@@ -19,13 +19,13 @@
 import postgrade.rig.schedule.Step;
 
 /**
- * Processes of one kind with all that stands between and under them: a folder for each with its
- * store, a port that is held for each that listens, a proxy between each pair, one history. Closing
- * it leaves no process behind.
+ * Processes of one kind with their environment: a folder with a store for each, a reserved port for
+ * each that listens, a fault proxy between each pair, and one history. Closing it ends all
+ * processes.
  */
 public final class Cluster implements Closeable {
 
-    /** Says how a process is started; asked anew each time. */
+    /** Describes how a process is started; called for each start. */
     public interface ProcessFactory {
         JavaProcess.Builder builderFor(String name) throws IOException;
     }
@@ -36,14 +36,16 @@
     private final Map<String, HeldPort> ports = new LinkedHashMap<>();
     private final Map<String, JavaProcess> running = new LinkedHashMap<>();
 
-    /** Those whose place another of the same name has taken while they still ran. */
+    /** Processes that still ran when {@link #startBeside} replaced them. */
     private final List<JavaProcess> replaced = new ArrayList<>();
 
     private final Map<String, Path> copies = new LinkedHashMap<>();
     private ProcessFactory processFactory;
 
     /**
-     * @param listening those that others connect to; each gets a port of its own
+     * Creates the folders, ports and proxies; starts no process.
+     *
+     * @param listening processes that others connect to; each gets a port of its own
      */
     public Cluster(Path folder, List<String> names, List<String> listening) throws IOException {
         this.folder = folder;
@@ -80,7 +82,10 @@
         return folder(name).resolve("store");
     }
 
-    /** Where a process finds another: itself at its own port, others through the proxy between. */
+    /**
+     * Returns the port at which a process reaches another: its own port for itself, the port of the
+     * proxy between them for others.
+     */
     public int port(String from, String to) {
         return from.equals(to) ? ports.get(to).port() : mesh.between(from, to).port();
     }
@@ -96,7 +101,7 @@
     public synchronized JavaProcess start(String name) throws IOException {
         JavaProcess before = running.get(name);
         if (before != null && before.alive()) {
-            throw new IllegalStateException(name + " runs already");
+            throw new IllegalStateException(name + " is already running");
         }
         JavaProcess process = processFactory.builderFor(name).start(history);
         running.put(name, process);
@@ -104,8 +109,8 @@
     }
 
     /**
-     * Starts a second process of that name beside the first, for an upgrade. From here on the name
-     * means the new one; the former is handed back.
+     * Starts a second process of that name beside the first, for an upgrade. From then on the name
+     * denotes the new process. Returns the former one.
      */
     public synchronized JavaProcess startBeside(String name) throws IOException {
         JavaProcess before = process(name);
@@ -115,7 +120,7 @@
         return before;
     }
 
-    /** Carries a step of a timetable out. */
+    /** Carries out a step of a fault schedule. */
     public void execute(Step step) throws IOException, InterruptedException {
         history.add(
                 "rig",
@@ -154,7 +159,7 @@
         }
     }
 
-    /** Turns bits over in each file of a store. */
+    /** Flips bits in each file of a store. */
     public void flipBits(String name, int count, long seed) throws IOException {
         for (Path p : DiskFaults.files(store(name))) {
             DiskFaults.flipBits(p, count, seed);
--- a/rig/src/main/java/postgrade/rig/comeback/Comeback.java
+++ b/rig/src/main/java/postgrade/rig/comeback/Comeback.java
@@ -26,10 +26,11 @@
 import postgrade.rig.serve.SharingScript;
 
 /**
- * The bench of coming back: many dispatchers under load, most of them killed at once, round after
- * round; without sharing, with it, and with the state of the killed wiped, in one run. Takes {@code
- * key=value}: out, fleet, dispatchers, killed, voters, rounds, blocks, load, seed, modes; steady_ms
- * before each kill, and after_ms from the last one ready on.
+ * Measures the recovery after mass failure: many dispatchers under load, most of which are killed
+ * at once, round after round. Compares, within one run, dispatchers without sharing, with sharing,
+ * and with sharing where the stores of the killed are wiped. Takes {@code key=value} arguments:
+ * out, fleet, dispatchers, killed, voters, rounds, blocks, load, seed, modes; steady_ms is the time
+ * before each kill, after_ms the time after the last dispatcher is ready again.
  */
 public final class Comeback {
 
@@ -70,7 +71,7 @@
         String text = Files.readString(Path.of(options.text("fleet")));
         StringBuilder lines = new StringBuilder();
         int number = 0;
-        // Blocks of modes in turn, so that whatever else the machine does meets all of them.
+        // Modes alternate in blocks, so that other load on the machine affects all of them alike.
         for (int block = 0; block < options.integer("blocks"); block++) {
             for (String mode : options.text("modes").split(",")) {
                 Path folder = out.resolve(String.format("%02d-%s", number++, mode));
@@ -214,7 +215,8 @@
         for (JavaProcess p : processes) {
             p.awaitExit();
         }
-        // Whoever comes back from a file believes to know this worker, which is cold by then.
+        // A dispatcher that restores its state from a file still regards this worker as warm,
+        // although the worker is cold after its restart.
         cluster.fleet().restart(2 + number % (plan.workers.size() - 2), 0.5);
         for (String name : killed) {
             if (mode.equals("wiped")) {
@@ -232,9 +234,9 @@
     }
 
     /**
-     * All are members again, and all who vote do. A voter that was wiped is taken in anew, which
-     * takes its time; if another were wiped before, the majority of the stores would be lost, and
-     * with it the whole state.
+     * Waits until all dispatchers are members again and all voters vote. A wiped voter has to be
+     * added to the group again, which takes some time; if another voter were wiped before that, the
+     * majority of the stores would be lost, and with it the whole state.
      */
     private static void awaitMembership(DispatcherCluster cluster) throws InterruptedException {
         for (String name : cluster.names()) {
@@ -253,8 +255,8 @@
     }
 
     /**
-     * Most of all, and of the voters one: the others' log must outlive it, or all would be a loss
-     * of the whole state.
+     * Draws the dispatchers to kill: only one voter, since the log must survive on the other
+     * voters, and the rest from the observers. Otherwise the whole state could be lost.
      */
     private TreeSet<String> drawKilled(DispatcherCluster cluster) {
         List<String> observers =
--- a/rig/src/main/java/postgrade/rig/comeback/CounterRate.java
+++ b/rig/src/main/java/postgrade/rig/comeback/CounterRate.java
@@ -4,8 +4,8 @@
 import postgrade.rig.history.History;
 
 /**
- * A count that only grows, sampled now and then: how fast it grew, and at most within about a
- * second.
+ * Rates of a monotonic counter that is sampled from time to time: the mean rate over a span and the
+ * peak over about one second.
  */
 final class CounterRate {
 
@@ -19,7 +19,7 @@
         this.field = field;
     }
 
-    /** Between the first and the last sample within the span. */
+    /** Rate between the first and the last sample within the span. */
     double perSecond(long from, long to) {
         History.Event first = null;
         History.Event last = null;
--- a/rig/src/main/java/postgrade/rig/comeback/EventRate.java
+++ b/rig/src/main/java/postgrade/rig/comeback/EventRate.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** How often something happened: over spans, and at most within a second. */
+/** Rates of events: the mean rate over a span and the peak within one second. */
 final class EventRate {
 
     private static final long SECOND_MICROS = 1_000_000;
@@ -31,7 +31,7 @@
                 / Math.max(1, to - from);
     }
 
-    /** The most in any second that lies within the span. */
+    /** Greatest number of events in any second that begins within the span. */
     int peakPerSecond(long from, long to) {
         int most = 0;
         for (int i = countBefore(from); i < countBefore(to); i++) {
--- a/rig/src/main/java/postgrade/rig/comeback/ModeResults.java
+++ b/rig/src/main/java/postgrade/rig/comeback/ModeResults.java
@@ -5,11 +5,14 @@
 import java.util.List;
 import java.util.Locale;
 
-/** What a mode's rounds came to. All times in milliseconds. */
+/** Results of all rounds of one mode. All times are in milliseconds. */
 final class ModeResults {
 
     /**
-     * One round, judged. @param fullMillis after the last was ready, -1 where it was not reached
+     * Evaluated round.
+     *
+     * @param fullMillis time from the last dispatcher's readiness to full service, -1 if full
+     *     service was not reached
      */
     record RoundResult(
             int number,
--- a/rig/src/main/java/postgrade/rig/comeback/Round.java
+++ b/rig/src/main/java/postgrade/rig/comeback/Round.java
@@ -3,8 +3,8 @@
 import java.util.Set;
 
 /**
- * One round's times: steady from then on, the kill, when the last of the killed was ready, and its
- * end.
+ * Times of one round: the beginning of steady load, the kill, the readiness of the last killed
+ * dispatcher, and the end.
  *
  * @param killed the dispatchers that were killed at once
  */
--- a/rig/src/main/java/postgrade/rig/comeback/RoundEvaluator.java
+++ b/rig/src/main/java/postgrade/rig/comeback/RoundEvaluator.java
@@ -16,11 +16,12 @@
 import postgrade.rig.history.History;
 import postgrade.rig.history.HistoryReader;
 
-/** Judges a block of rounds from ledgers and history alone. */
+/** Evaluates a block of rounds from the ledgers and the history alone. */
 final class RoundEvaluator {
 
     /**
-     * The stand-ins share the machine with all dispatchers and may see late what was done in time.
+     * The simulated workers share the machine with all dispatchers and may observe late what was
+     * done in time.
      */
     private static final long SLACK_MICROS = 1_000_000;
 
@@ -81,8 +82,8 @@
     }
 
     /**
-     * Decisions upon what is not so any more: sends to a worker out or leaving, and cold ones
-     * pushed over.
+     * Counts decisions on outdated state: jobs sent to workers that were out of service or
+     * draining, and cold workers that were overloaded.
      */
     private static void countStaleDecisions(
             Path folder,
--- a/rig/src/main/java/postgrade/rig/comeback/ServiceLevel.java
+++ b/rig/src/main/java/postgrade/rig/comeback/ServiceLevel.java
@@ -8,18 +8,18 @@
 import postgrade.fleet.plan.FleetPlan.JobClass;
 
 /**
- * What was served, by the clients' ledger alone: of the worth of the jobs that were sent at a time,
- * the part that was served in time, within a class's aim as far as it stretches.
+ * Service level as the clients' ledger shows it: of the total worth of the jobs sent in a span, the
+ * fraction that was served in time, which is within the class's aim times its stretch.
  */
 final class ServiceLevel {
 
-    /** Jobs are gathered by when they were sent, in steps of this. */
+    /** Jobs are grouped by their send time in steps of this length. */
     static final long STEP_MICROS = 250_000;
 
-    /** And judged over this many steps. */
+    /** The level is averaged over this many steps. */
     static final int WINDOW_STEPS = 4;
 
-    /** Full service holds for so long at least. */
+    /** Full service must hold for at least this many steps. */
     private static final int HOLD_STEPS = 8;
 
     private static final double FULL_SERVICE_RATIO = 0.95;
@@ -82,7 +82,7 @@
         return micros < begin ? -1 : (int) ((micros - begin) / STEP_MICROS);
     }
 
-    /** The part served in time of what was sent from then to then. */
+    /** Fraction of the worth sent between the two times that was served in time. */
     double servedFraction(long from, long to) {
         double all = 0;
         double served = 0;
@@ -93,7 +93,7 @@
         return all == 0 ? 0 : served / all;
     }
 
-    /** When full service began that then held; -1 if it did not before the end. */
+    /** Time at which full service began and then held; -1 if that did not happen before the end. */
     long fullServiceFrom(long since, long until, double steady) {
         int holding = 0;
         for (int i = Math.max(0, step(since));
--- a/rig/src/main/java/postgrade/rig/cost/Cost.java
+++ b/rig/src/main/java/postgrade/rig/cost/Cost.java
@@ -16,10 +16,10 @@
 import postgrade.rig.serve.SharingScript;
 
 /**
- * What sharing costs a dispatcher's processor: one that shares nothing, an observer and a voter
- * under the same steady rate, in blocks by turns within one run; while one is under load the others
- * idle, which tells what sharing costs without jobs. Takes {@code key=value}: out, fleet,
- * dispatchers, rates, block (seconds), rounds, warm (seconds).
+ * Measures how much processor time sharing costs a dispatcher: a dispatcher without sharing, an
+ * observer and a voter get the same steady load in alternating blocks within one run. While one is
+ * under load the others idle, which shows the cost of sharing without jobs. Takes {@code key=value}
+ * arguments: out, fleet, dispatchers, rates, block (seconds), rounds, warm (seconds).
  */
 public final class Cost {
 
@@ -45,11 +45,13 @@
     private final List<Subject> subjects = new ArrayList<>();
     private final List<Block> blocks = new ArrayList<>();
 
-    /** A dispatcher that is measured, and who sends to it alone. */
-    private record Subject(String mode, long pid, LoadGenerator shops, Path ledger) {}
+    /** A dispatcher under measurement and the load generator that sends to it alone. */
+    private record Subject(String mode, long pid, LoadGenerator load, Path ledger) {}
 
     /**
-     * @param rate jobs a second to this one meanwhile, 0 where it idled
+     * One block of load and the processor time used in it, in nanoseconds.
+     *
+     * @param rate jobs per second sent to this dispatcher, 0 if it idled
      */
     private record Block(
             String mode, int rate, long from, long to, long loop, long sharing, long all) {}
@@ -86,7 +88,7 @@
                         60_000,
                         a -> a.json().getBoolean("joined", false));
             }
-            // A voter that does not lead: the leader's own work beside is in
+            // A voter that does not lead: the leader's additional work is in
             // docs/measurements/quorum.md.
             String leader =
                     sharing.awaitAnswer(
@@ -111,7 +113,7 @@
                 measure();
             } finally {
                 for (Subject s : subjects) {
-                    s.shops.close();
+                    s.load.close();
                 }
             }
         }
@@ -170,11 +172,11 @@
                         .mapToInt(Integer::parseInt)
                         .toArray();
         for (Subject s : subjects) {
-            s.shops.setRate(rates[rates.length - 1]);
+            s.load.setRate(rates[rates.length - 1]);
         }
         TimeUnit.SECONDS.sleep(options.integer("warm"));
         for (Subject s : subjects) {
-            s.shops.finish();
+            s.load.finish();
         }
         for (int round = 0; round < options.integer("rounds"); round++) {
             for (int rate : rates) {
@@ -186,8 +188,8 @@
     }
 
     private void runBlock(Subject loaded, int rate) throws IOException, InterruptedException {
-        loaded.shops.setRate(rate);
-        TimeUnit.SECONDS.sleep(1); // Of connections that are opened anew; not measured.
+        loaded.load.setRate(rate);
+        TimeUnit.SECONDS.sleep(1); // Time in which connections are opened again; not measured.
         long from = Clock.micros();
         List<ThreadTimes> before = new ArrayList<>();
         for (Subject s : subjects) {
@@ -208,10 +210,10 @@
                             after.cpuNanosSince(before.get(i), ThreadTimes.SHARING),
                             after.all() - before.get(i).all()));
         }
-        loaded.shops.finish();
+        loaded.load.finish();
     }
 
-    // ---- What came out.
+    // ---- Results.
 
     private String table() throws IOException {
         StringBuilder text =
@@ -255,7 +257,8 @@
                                         String.format(
                                                 "| %s | %d | %.0f | %d |",
                                                 subject.mode, rate, seconds, jobs));
-                                // Microseconds a job under load; of each second where it idles.
+                                // Microseconds per job under load; per second for an idle
+                                // dispatcher.
                                 double divisor = rate == 0 ? seconds : jobs;
                                 text.append(
                                         String.format(
--- a/rig/src/main/java/postgrade/rig/cost/ThreadTimes.java
+++ b/rig/src/main/java/postgrade/rig/cost/ThreadTimes.java
@@ -8,8 +8,8 @@
 import java.util.stream.Stream;
 
 /**
- * The time that a process has had on processors, as a whole and by thread, in nanoseconds. The
- * whole counts threads that have ended too, in the system's ticks of 10 ms.
+ * Processor time of a process in nanoseconds, in total and by thread. The total includes threads
+ * that have ended, in ticks of 10 ms.
  */
 record ThreadTimes(long all, Map<String, ThreadTime> threads) {
 
@@ -17,13 +17,15 @@
     static final String SHARING = "sharing";
     private static final long TICK_NANOS = 10_000_000;
 
-    /** In {@code /proc/PID/stat}, of the fields behind the program's name. */
+    /** Index of the field in {@code /proc/PID/stat}, counted after the program's name. */
     private static final int USER_TIME_FIELD = 11;
 
     private static final int SYSTEM_TIME_FIELD = 12;
 
     /**
-     * @param group what it does, by its name
+     * Processor time of one thread.
+     *
+     * @param group what the thread does, derived from its name
      */
     record ThreadTime(String group, long nanos) {}
 
@@ -47,7 +49,7 @@
                                             Files.readString(task.resolve("schedstat"))
                                                     .split(" ")[0])));
                 } catch (IOException e) {
-                    // It has ended; the whole counts it.
+                    // The thread has ended; the total includes it.
                 }
             }
         }
@@ -55,8 +57,8 @@
     }
 
     /**
-     * By the names that the dispatcher and its libraries give their threads, of which the system
-     * keeps 15 letters.
+     * Assigns a thread to a group by the name that the dispatcher or one of its libraries gave it,
+     * of which the system keeps 15 characters.
      */
     private static String group(String name) {
         if (name.equals(LOOP)) {
@@ -72,8 +74,8 @@
     }
 
     /**
-     * How long the threads of a group ran since then, by the names that they have now: a thread
-     * gets its name after its start.
+     * Returns the time that the threads of a group have used since the earlier reading. Threads are
+     * grouped by their current names, as a thread gets its name only after its start.
      */
     long cpuNanosSince(ThreadTimes before, String group) {
         long sum = 0;
--- a/rig/src/main/java/postgrade/rig/disk/DiskFaults.java
+++ b/rig/src/main/java/postgrade/rig/disk/DiskFaults.java
@@ -11,12 +11,14 @@
 import java.util.SplittableRandom;
 import java.util.stream.Stream;
 
-/** Faults on what a process has stored. Done while it is dead, or under it. */
+/**
+ * Faults in the stored files of a process. They can be injected while it is dead or while it runs.
+ */
 public final class DiskFaults {
 
     private DiskFaults() {}
 
-    /** Nothing is left; the folder itself stays. */
+    /** Deletes everything below the folder; the folder itself stays. */
     public static void wipe(Path store) throws IOException {
         if (!Files.exists(store)) {
             return;
@@ -30,7 +32,7 @@
         }
     }
 
-    /** The files below a folder, in one order. */
+    /** Lists the regular files below a folder in sorted order. */
     public static List<Path> files(Path store) throws IOException {
         try (Stream<Path> tree = Files.walk(store)) {
             return tree.filter(p -> Files.isRegularFile(p, LinkOption.NOFOLLOW_LINKS))
@@ -39,7 +41,7 @@
         }
     }
 
-    /** Turns bits of so many bytes of a file over, at places that the seed names. */
+    /** Flips one bit in each of several bytes of a file, at positions drawn from the seed. */
     public static void flipBits(Path file, int count, long seed) throws IOException {
         SplittableRandom random = new SplittableRandom(seed);
         try (RandomAccessFile target = new RandomAccessFile(file.toFile(), "rw")) {
@@ -53,14 +55,14 @@
         }
     }
 
-    /** Leaves the first part of a file. */
+    /** Cuts a file off after the given fraction of its length. */
     public static void truncate(Path file, double fraction) throws IOException {
         try (RandomAccessFile target = new RandomAccessFile(file.toFile(), "rw")) {
             target.setLength((long) (target.length() * fraction));
         }
     }
 
-    /** Keeps a copy of a store, to be rolled back to. */
+    /** Copies a store, so that it can be rolled back to this state later. */
     public static void copy(Path store, Path to) throws IOException {
         Files.createDirectories(to);
         wipe(to);
@@ -76,21 +78,20 @@
         }
     }
 
-    /** Puts an earlier copy in the store's place. */
+    /** Replaces the store by an earlier copy. */
     public static void rollBack(Path store, Path earlier) throws IOException {
         copy(earlier, store);
     }
 
     /**
-     * Takes the right to write away, or gives it back. For a program that runs as the system's own
-     * user the rights of files do not count: it is held up by {@link
-     * postgrade.rig.process.Program.Start#fileLimit} of 0 instead.
+     * Removes or restores the write permission. File permissions do not bind a process of the
+     * superuser; use {@link postgrade.rig.process.JavaProcess.Builder#maxFileKib} with 0 there.
      */
     public static void setReadOnly(Path store, boolean readOnly) throws IOException {
         try (Stream<Path> tree = Files.walk(store)) {
             for (Path p : tree.toList()) {
                 if (!p.toFile().setWritable(!readOnly, false)) {
-                    throw new IOException(p + " keeps its rights");
+                    throw new IOException(p + ": cannot change the write permission");
                 }
             }
         }
--- a/rig/src/main/java/postgrade/rig/history/History.java
+++ b/rig/src/main/java/postgrade/rig/history/History.java
@@ -17,14 +17,18 @@
 import postgrade.fleet.Clock;
 
 /**
- * What happened in a run, in the order in which the rig learnt it: a JSON line each in a file, and
- * in memory for whoever waits for an event. Times are those of the ledgers: microseconds of the
- * machine's monotonic clock. Thread-safe.
+ * Events of a run in the order in which the rig learnt of them: one JSON line each in a file, and
+ * in memory for threads that wait for an event. Times are microseconds of the machine's monotonic
+ * clock, as in the ledgers. Thread-safe.
  */
 public final class History implements Closeable {
 
     /**
-     * @param who a process, a proxy or the rig @param kind what it was @param fields all the rest
+     * One event.
+     *
+     * @param who a process, a proxy or the rig
+     * @param kind type of the event
+     * @param fields all other data
      */
     public record Event(long micros, String who, String kind, JsonObject fields) {
 
@@ -73,13 +77,13 @@
             appended.signalAll();
             return e;
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // A run whose history is lost proves nothing.
+            throw new UncheckedIOException(e); // Without its history a run proves nothing.
         } finally {
             lock.unlock();
         }
     }
 
-    /** How many there are; a later wait may begin behind them. */
+    /** Returns the number of events so far, from which a later wait may start. */
     public int size() {
         lock.lock();
         try {
@@ -99,9 +103,9 @@
     }
 
     /**
-     * Waits for the first event from that place on that is the one sought.
+     * Waits for the first event at or after that position that meets the condition.
      *
-     * @throws IllegalStateException if it has not come in time
+     * @throws IllegalStateException if no such event occurs in time
      */
     public Event await(String what, int from, long withinMillis, Predicate<Event> condition)
             throws InterruptedException {
@@ -122,7 +126,7 @@
                                     + what
                                     + " within "
                                     + withinMillis
-                                    + " ms; the last: "
+                                    + " ms; last events: "
                                     + events.subList(
                                             Math.max(from, events.size() - 12), events.size()));
                 }
--- a/rig/src/main/java/postgrade/rig/history/HistoryReader.java
+++ b/rig/src/main/java/postgrade/rig/history/HistoryReader.java
@@ -10,8 +10,8 @@
 import java.util.List;
 
 /**
- * Reads histories that were kept. A last line cut off by the rig's death is passed over; any other
- * is an error.
+ * Reads history files. A last line that is cut off because the rig died is skipped; any other
+ * unreadable line is an error.
  */
 public final class HistoryReader {
 
@@ -31,7 +31,8 @@
                                 object.get("with").asObject()));
             } catch (ParseException | NullPointerException | UnsupportedOperationException e) {
                 if (i + 1 < lines.size()) {
-                    throw new IOException(file.getFileName() + ":" + (i + 1) + " is no event", e);
+                    throw new IOException(
+                            file.getFileName() + ":" + (i + 1) + " is not a history event", e);
                 }
             }
         }
--- a/rig/src/main/java/postgrade/rig/jobs/ExchangeFault.java
+++ b/rig/src/main/java/postgrade/rig/jobs/ExchangeFault.java
@@ -3,61 +3,61 @@
 import java.util.Locale;
 
 /**
- * What happens to one exchange between a dispatcher and a worker.
+ * Fault in one exchange between a dispatcher and a worker.
  *
- * @param delayMillis how late, for the kinds that are late
+ * @param delayMillis the delay, for kinds that delay something
  */
 public record ExchangeFault(Kind kind, long delayMillis) {
 
-    /** Nothing happens to it. */
+    /** No fault. */
     public static final ExchangeFault NONE = new ExchangeFault(Kind.NONE, 0);
 
-    /** The places of an exchange, in their order. */
+    /** Kinds of faults, in the order of the points in an exchange at which they occur. */
     public enum Kind {
         NONE,
-        /** The connection is reset with nothing of the request passed on. */
+        /** The connection is reset before any of the request is forwarded. */
         RESET_BEFORE_REQUEST,
-        /** The connection is reset with half of the request passed on. */
+        /** The connection is reset after half of the request was forwarded. */
         RESET_IN_REQUEST,
-        /** The request is passed on late, as on a connection that comes up late. */
+        /** The request is forwarded late, as on a connection that is established late. */
         LATE_REQUEST,
         /**
-         * The request comes to the worker only when the cancellation of its job has been answered
-         * there, and the answer to the cancellation to the dispatcher only after the one to the
-         * request. Meant for both exchanges; neither waits longer than the delay.
+         * The request reaches the worker only after the worker has answered the cancellation of the
+         * job, and the answer to the cancellation reaches the dispatcher only after the answer to
+         * the request. Applies to both exchanges; neither is held back for longer than the delay.
          */
         OVERTAKEN,
         /**
-         * As the request comes, the dispatcher gets a second answer of the exchange before: the
-         * worker has no room. Nothing happens to the first exchange of a connection.
+         * When the request arrives, the dispatcher receives a second answer to the previous
+         * exchange: the worker has no room. The first exchange of a connection is not affected.
          */
         STALE_ANSWER,
-        /** The whole request is passed on, and the connection reset at once. */
+        /** The whole request is forwarded, and the connection is reset at once. */
         RESET_AFTER_REQUEST,
-        /** The worker has answered; the connection is reset before the answer is passed on. */
+        /** The worker has answered; the connection is reset before the answer is forwarded. */
         RESET_BEFORE_ANSWER,
-        /** The connection is reset with half of the answer passed on. */
+        /** The connection is reset after half of the answer was forwarded. */
         RESET_IN_ANSWER,
-        /** The answer is passed on late. */
+        /** The answer is forwarded late. */
         LATE_ANSWER,
-        /** The answer is passed on, and the connection reset some time after. */
+        /** The answer is forwarded, and the connection is reset some time later. */
         RESET_AFTER_ANSWER,
-        /** The answer is lost, and the connection stays open and silent. */
+        /** The answer is dropped, and the connection stays open and silent. */
         LOST_ANSWER,
         /** A second answer follows late: the worker has no room. */
         SECOND_ANSWER_FULL,
         /** A second answer follows late: the job has failed. */
         SECOND_ANSWER_ERROR,
-        /** A second answer follows late: the first one again. */
+        /** A second answer follows late: a copy of the first. */
         SECOND_ANSWER_SAME
     }
 
-    /** A fault of this kind. */
+    /** Returns a fault of this kind. */
     public static ExchangeFault of(Kind kind, long delayMillis) {
         return new ExchangeFault(kind, delayMillis);
     }
 
-    /** Whether it is put as the exchange's answer passes. */
+    /** Whether the fault is injected when the answer of the exchange passes. */
     boolean affectsAnswer() {
         return switch (kind) {
             case RESET_BEFORE_ANSWER,
--- a/rig/src/main/java/postgrade/rig/jobs/FaultSelector.java
+++ b/rig/src/main/java/postgrade/rig/jobs/FaultSelector.java
@@ -1,25 +1,27 @@
 package postgrade.rig.jobs;
 
-/** Chooses what happens to an exchange. Called on threads of the proxies. */
+/** Selects the fault of each exchange. Called on the threads of the proxies. */
 @FunctionalInterface
 public interface FaultSelector {
 
-    /** Nothing happens to any exchange. */
+    /** Selects no fault for any exchange. */
     FaultSelector NONE = exchange -> ExchangeFault.NONE;
 
     /**
      * An exchange that begins.
      *
-     * @param dispatcher counted from 0
-     * @param subject the id of the request that it is about
-     * @param isJob whether it carries the job, else it cancels it
-     * @param number of the exchange on its connection, from 0
+     * @param dispatcher index from 0
+     * @param subject id of the request that it concerns
+     * @param isJob whether it carries the job; otherwise it cancels it
+     * @param number index of the exchange on its connection, from 0
      */
     record Exchange(int dispatcher, String worker, String subject, boolean isJob, int number) {}
 
-    /** What happens to this one. */
+    /** Selects the fault of this exchange. */
     ExchangeFault select(Exchange exchange);
 
-    /** A fault that was chosen has come about: what it takes for that was there. */
+    /**
+     * Called when a selected fault was injected, which happens only if its preconditions were met.
+     */
     default void faultInjected(ExchangeFault.Kind kind) {}
 }
--- a/rig/src/main/java/postgrade/rig/jobs/JobProxies.java
+++ b/rig/src/main/java/postgrade/rig/jobs/JobProxies.java
@@ -11,7 +11,7 @@
 import postgrade.fleet.net.Fleet;
 import postgrade.rig.history.History;
 
-/** A proxy between every dispatcher and every worker that its list names. */
+/** Proxies between every dispatcher and every worker in its list. */
 public final class JobProxies implements Fleet.AddressView, Closeable {
 
     private final History history;
@@ -21,7 +21,7 @@
                     task -> JobProxy.daemonThread("clock", task));
     private FaultSelector faultSelector = FaultSelector.NONE;
 
-    /** What the proxies do goes to this history. */
+    /** Records what the proxies do in this history. */
     public JobProxies(History history) {
         this.history = history;
     }
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Faults of exchanges that begin from now on. */
+    /** Selects faults for exchanges that begin from now on. */
     public synchronized void setFaultSelector(FaultSelector selector) {
         faultSelector = selector;
         proxies.values().forEach(proxy -> proxy.setFaultSelector(selector));
--- a/rig/src/main/java/postgrade/rig/jobs/JobProxy.java
+++ b/rig/src/main/java/postgrade/rig/jobs/JobProxy.java
@@ -16,8 +16,8 @@
 import postgrade.rig.proxy.SocketReset;
 
 /**
- * Stands between one dispatcher and one worker and puts faults into their exchanges. What it did is
- * written to the history.
+ * Forwards the exchanges between one dispatcher and one worker and injects faults into them. Each
+ * fault is recorded in the history.
  */
 public final class JobProxy implements Closeable {
 
@@ -36,10 +36,10 @@
     private volatile boolean closed;
 
     /**
-     * Listens at once.
+     * Starts to listen.
      *
-     * @param dispatcher that connects here, counted from 0
-     * @param clock runs what is due later
+     * @param dispatcher index of the connecting dispatcher, from 0
+     * @param clock runs delayed actions
      */
     public JobProxy(
             int dispatcher,
@@ -57,12 +57,12 @@
         daemonThread("accepts for " + worker, this::accept).start();
     }
 
-    /** Faults of exchanges that begin from now on. */
+    /** Selects faults for exchanges that begin from now on. */
     public void setFaultSelector(FaultSelector selector) {
         faultSelector = selector;
     }
 
-    /** Where it listens, as {@code host:port}. */
+    /** Address of the listener as {@code host:port}. */
     public String address() {
         return "127.0.0.1:" + listener.getLocalPort();
     }
@@ -74,7 +74,8 @@
                 daemonThread("connects to " + worker, () -> connect(dispatcherSide)).start();
             } catch (IOException e) {
                 if (!closed) {
-                    throw new IllegalStateException("the proxy of " + worker + " lost its port", e);
+                    throw new IllegalStateException(
+                            "the proxy for " + worker + " cannot accept connections any more", e);
                 }
             }
         }
@@ -87,7 +88,7 @@
             workerSide.setTcpNoDelay(true);
             workerSide.connect(target, CONNECT_MILLIS);
         } catch (IOException e) {
-            // A dead process refuses: whoever connects sees a reset.
+            // Connecting to a dead process is refused; the dispatcher sees a reset.
             SocketReset.reset(dispatcherSide);
             SocketReset.reset(workerSide);
             return;
@@ -116,14 +117,14 @@
         return fault;
     }
 
-    /** A fault that was chosen has come about. */
+    /** Reports that a selected fault was injected. */
     void faultInjected(ExchangeFault fault) {
         if (fault.kind() != ExchangeFault.Kind.NONE) {
             faultSelector.faultInjected(fault.kind());
         }
     }
 
-    /** What a job and its cancellation wait for. */
+    /** Returns the latch that a job and its cancellation share. */
     OvertakingLatch overtaking(String subject) {
         return overtakings.computeIfAbsent(subject, key -> new OvertakingLatch());
     }
--- a/rig/src/main/java/postgrade/rig/jobs/ProxiedConnection.java
+++ b/rig/src/main/java/postgrade/rig/jobs/ProxiedConnection.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import postgrade.rig.proxy.SocketReset;
 
-/** One connection through a {@link JobProxy}: a thread for each way. */
+/** One connection through a {@link JobProxy}, with a thread for each direction. */
 final class ProxiedConnection {
 
     private static final byte[] FULL = RawMessage.answer("503 Full", "X-Not-Run: 1");
@@ -27,7 +27,7 @@
 
     private record PendingExchange(RawMessage request, ExchangeFault fault) {}
 
-    /** The exchanges whose answers are due, in the order of their requests. */
+    /** Exchanges whose answers are outstanding, in the order of their requests. */
     private final BlockingQueue<PendingExchange> pendingExchanges = new LinkedBlockingQueue<>();
 
     private final AtomicInteger openDirections = new AtomicInteger(2);
@@ -117,8 +117,8 @@
     }
 
     /**
-     * Whether the dispatcher has ended the connection while its request was held back. It has given
-     * the job up by that, which so never comes to its worker.
+     * Whether the dispatcher closed the connection while its request was held back. The dispatcher
+     * has cancelled the job by that, so the worker must not receive it any more.
      */
     private boolean closedByDispatcher(InputStream fromDispatcher) throws IOException {
         fromDispatcher.mark(1);
@@ -145,7 +145,7 @@
                 answer = RawMessage.read(in)) {
             PendingExchange exchange = pendingExchanges.poll();
             if (exchange == null) {
-                throw new IOException("an answer that nobody asked for");
+                throw new IOException("the worker sent an answer without a pending request");
             }
             if (!passAnswer(answer.bytes(), exchange)) {
                 return;
@@ -161,7 +161,7 @@
         }
     }
 
-    /** False if nothing more passes. */
+    /** Forwards an answer; returns false if nothing more is to be forwarded. */
     private boolean passAnswer(byte[] answer, PendingExchange exchange)
             throws IOException, InterruptedException {
         ExchangeFault fault = exchange.fault();
@@ -223,7 +223,7 @@
                     try {
                         writeAnswer(bytes);
                     } catch (IOException e) {
-                        // The dispatcher has closed it meanwhile, as it may.
+                        // The dispatcher may have closed the connection in the meantime.
                     }
                 },
                 delayMillis);
@@ -233,7 +233,7 @@
         try {
             proxy.clock.schedule(task, delayMillis, TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException e) {
-            // The run is over.
+            // The run has ended.
         }
     }
 
@@ -242,8 +242,8 @@
     }
 
     /**
-     * The dispatcher's side alone: for the worker its answer has gone out, and the connection ends
-     * as usual.
+     * Resets the dispatcher's side only: as the worker sees it, its answer was sent and the
+     * connection is closed normally.
      */
     private void resetDispatcherSide() throws IOException {
         SocketReset.reset(dispatcherSide);
--- a/rig/src/main/java/postgrade/rig/jobs/RawMessage.java
+++ b/rig/src/main/java/postgrade/rig/jobs/RawMessage.java
@@ -7,8 +7,8 @@
 import java.util.Locale;
 
 /**
- * One message of HTTP/1.1 as its bytes came. Bodies are told by {@code Content-Length} alone, as
- * dispatchers and the stand-in workers write them.
+ * One HTTP/1.1 message with its original bytes. The length of a body is taken from {@code
+ * Content-Length} only, since dispatchers and simulated workers write no other bodies.
  */
 record RawMessage(String startLine, String requestId, byte[] bytes) {
 
@@ -25,7 +25,7 @@
         String requestId = "";
         for (String header = readLine(in, bytes); ; header = readLine(in, bytes)) {
             if (header == null) {
-                throw new IOException("ended within a head");
+                throw new IOException("connection closed within a message head");
             }
             if (header.isEmpty()) {
                 break;
@@ -40,24 +40,27 @@
         }
         byte[] body = in.readNBytes(length);
         if (body.length < length) {
-            throw new IOException("ended within a body");
+            throw new IOException("connection closed within a message body");
         }
         bytes.writeBytes(body);
         return new RawMessage(startLine, requestId, bytes.toByteArray());
     }
 
-    /** A line without its end, which goes to the bytes as well; null at the end of the stream. */
+    /**
+     * Reads a line and appends its bytes, line end included. Returns it without the line end; null
+     * at the end of the stream.
+     */
     private static String readLine(InputStream in, ByteArrayOutputStream bytes) throws IOException {
         StringBuilder text = new StringBuilder();
         for (int next = in.read(); ; next = in.read()) {
             if (next < 0) {
                 if (text.length() > 0) {
-                    throw new IOException("ended within a line");
+                    throw new IOException("connection closed within a header line");
                 }
                 return null;
             }
             if (bytes.size() > MAX_HEAD_BYTES) {
-                throw new IOException("a head that is too long");
+                throw new IOException("message head is too long");
             }
             bytes.write(next);
             if (next == '\n') {
@@ -73,7 +76,10 @@
         return startLine.startsWith("POST ");
     }
 
-    /** The request that a message is about, by its id header or by the path of a cancellation. */
+    /**
+     * The id of the request that the message concerns, from its id header or the path of a
+     * cancellation.
+     */
     String subject() {
         String cancelled = "DELETE /jobs/";
         if (startLine.startsWith(cancelled)) {
--- a/rig/src/main/java/postgrade/rig/jobs/package-info.java
+++ b/rig/src/main/java/postgrade/rig/jobs/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Proxies between dispatchers and workers that know where each message ends, and so can put a fault
- * at a chosen place within one exchange.
+ * Proxies between dispatchers and workers that know the message boundaries and can therefore inject
+ * a fault at a given point within an exchange.
  */
 package postgrade.rig.jobs;
--- a/rig/src/main/java/postgrade/rig/load/LoadGenerator.java
+++ b/rig/src/main/java/postgrade/rig/load/LoadGenerator.java
@@ -18,21 +18,26 @@
 import postgrade.fleet.Ledger;
 
 /**
- * Shops that send jobs at a steady rate to whichever dispatchers can be reached, and write down
- * what came of them in the clients' ledger. A refused connection passes a dispatcher over for a
- * while, as a front does; nothing is sent twice.
+ * Open-loop load: sends jobs at a steady rate to any reachable dispatcher and records the outcomes
+ * in the clients' ledger. A dispatcher that refuses a connection is skipped for a while, as a load
+ * balancer would do; no job is sent twice.
  */
 public final class LoadGenerator implements Closeable {
 
     private static final long SKIP_MICROS = 500_000;
 
-    /** An answer that comes late is worth knowing of; whoever judges tells late from never. */
+    /**
+     * Late answers are awaited and recorded, so that the checkers can tell a late answer from a
+     * missing one.
+     */
     private static final long LATE_ANSWER_WAIT_MS = 20_000;
 
     private static final int FINISH_TIMEOUT_MS = 60_000;
 
     /**
-     * @param weight among all kinds
+     * One kind of jobs.
+     *
+     * @param weight relative frequency among all kinds
      */
     public record JobKind(
             String jobClass,
@@ -45,9 +50,10 @@
     private final List<JobKind> kinds;
     private final SplittableRandom random;
     private final Ledger ledger;
-    private final ExecutorService senders = Executors.newCachedThreadPool(daemonThreads("shop"));
+    private final ExecutorService senders =
+            Executors.newCachedThreadPool(daemonThreads("load sender"));
     private final ScheduledExecutorService clock =
-            Executors.newSingleThreadScheduledExecutor(daemonThreads("shops' clock"));
+            Executors.newSingleThreadScheduledExecutor(daemonThreads("load clock"));
     private final AtomicLong inFlight = new AtomicLong();
     private final long seed;
     private long lastJobNumber;
@@ -83,16 +89,16 @@
     }
 
     /**
-     * Whether the front sends new connections to a dispatcher, as its readiness tells; open ones
-     * are used on.
+     * Sets whether new connections to a dispatcher are opened, as a load balancer decides by its
+     * readiness; open connections remain in use.
      *
-     * @param dispatcher counted from 0
+     * @param dispatcher index from 0
      */
     public void setAdmitted(int dispatcher, boolean now) {
         targets.get(dispatcher).admitted = now;
     }
 
-    /** Sends so many jobs at once. */
+    /** Sends several jobs at once. */
     public void send(int jobs) throws InterruptedException, ExecutionException {
         clock.submit(
                         () -> {
@@ -171,7 +177,7 @@
             String id, JobKind kind, String detail, Target target, Target.Connection connection) {
         long sent = 0;
         try {
-            // Before its last byte leaves, as a death could come between.
+            // Recorded before the last byte is sent, as the process could be killed in between.
             sent = Clock.micros();
             ledger.add(sent, "sent", id, "client", detail + " via=" + target.name);
             Target.Answer answer =
@@ -211,7 +217,7 @@
         }
     }
 
-    /** No more are begun; returns once all that are under way are over. */
+    /** Stops sending; returns once no job is in flight or the wait has timed out. */
     public void finish() throws InterruptedException {
         setRate(0);
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(FINISH_TIMEOUT_MS);
--- a/rig/src/main/java/postgrade/rig/load/Target.java
+++ b/rig/src/main/java/postgrade/rig/load/Target.java
@@ -10,7 +10,9 @@
 import java.util.Locale;
 import java.util.concurrent.ConcurrentLinkedDeque;
 
-/** One dispatcher as consumers see it: connections that are kept, one request at a time on each. */
+/**
+ * One dispatcher as its clients see it: persistent connections with one request at a time on each.
+ */
 final class Target {
 
     private static final int CONNECT_MS = 1000;
@@ -25,7 +27,7 @@
     private final ConcurrentLinkedDeque<Connection> idle = new ConcurrentLinkedDeque<>();
     volatile long skippedUntilMicros;
 
-    /** Whether the front sends it new connections; those that are open are used all the same. */
+    /** Whether new connections to it are opened; open connections are used in any case. */
     volatile boolean admitted = true;
 
     Target(String name, InetSocketAddress address) {
@@ -33,7 +35,7 @@
         this.address = address;
     }
 
-    /** A connection, or null where none can be had. */
+    /** Returns an idle or new connection, or null if none is available. */
     Connection connection() {
         for (Connection connection = idle.pollLast();
                 connection != null;
@@ -85,7 +87,10 @@
             }
         }
 
-        /** Whether the other side has ended it meanwhile; what it says instead is its end too. */
+        /**
+         * Whether the peer has closed the connection while it was idle; unsolicited data counts as
+         * closed too.
+         */
         boolean endedByPeer() {
             try {
                 socket.setSoTimeout(PEEK_TIMEOUT_MS);
@@ -118,7 +123,7 @@
             }
             byte[] body = in.readNBytes(length);
             if (body.length < length) {
-                throw new IOException("cut off within the body");
+                throw new IOException("connection closed within the response body");
             }
             return new Answer(
                     Integer.parseInt(status[1]), new String(body, StandardCharsets.UTF_8), keep);
@@ -128,7 +133,8 @@
             StringBuilder line = new StringBuilder();
             for (int c = in.read(); c != '\n'; c = in.read()) {
                 if (c < 0 || line.length() > MAX_LINE_LENGTH) {
-                    throw new IOException("ended within the head");
+                    throw new IOException(
+                            "response head is truncated or has a line that is too long");
                 }
                 if (c != '\r') {
                     line.append((char) c);
@@ -141,7 +147,7 @@
             try {
                 socket.close();
             } catch (IOException e) {
-                // It is of no use either way.
+                // The connection is discarded in any case.
             }
         }
     }
--- a/rig/src/main/java/postgrade/rig/process/JavaProcess.java
+++ b/rig/src/main/java/postgrade/rig/process/JavaProcess.java
@@ -20,21 +20,22 @@
 import postgrade.rig.history.History;
 
 /**
- * A real process of a Java program. Each line that it writes becomes an event of the history: a
- * line that is a JSON object with a text {@code kind} or {@code event} by that name, any other by
- * the name {@code line}. No process outlives the rig.
+ * A real process that runs a Java program. Each line of its output becomes an event of the history:
+ * a line that is a JSON object with a string {@code kind} or {@code event} under that name, any
+ * other under the name {@code line}. No process outlives the rig.
  */
 public final class JavaProcess implements Closeable {
 
     private static final Set<Process> RUNNING = ConcurrentHashMap.newKeySet();
 
-    /** A process that is to end by itself may have to start first, on a busy machine. */
+    /** A process that should exit by itself may still have to start first on a busy machine. */
     private static final long EXIT_TIMEOUT_SECONDS = 240;
 
     static {
         Runtime.getRuntime()
                 .addShutdownHook(
-                        new Thread(() -> RUNNING.forEach(Process::destroyForcibly), "rig's end"));
+                        new Thread(
+                                () -> RUNNING.forEach(Process::destroyForcibly), "rig shutdown"));
     }
 
     private final String name;
@@ -48,12 +49,12 @@
         this.process = process;
         this.history = history;
         RUNNING.add(process);
-        reader = new Thread(this::read, "reads " + name);
+        reader = new Thread(this::read, "output of " + name);
         reader.setDaemon(true);
         reader.start();
     }
 
-    /** What to start. */
+    /** Describes the process to start. */
     public static final class Builder {
         private final String name;
         private final List<String> arguments = new ArrayList<>();
@@ -90,7 +91,10 @@
             return this;
         }
 
-        /** Its monotonic clock runs off by so much, where the program has the test-only setting. */
+        /**
+         * Shifts the process's monotonic clock by this offset and drift, if the program supports
+         * the test-only setting.
+         */
         public Builder testClock(long offsetMicros, long ratePpm) {
             return environment("POSTGRADE_TEST_CLOCK", offsetMicros + "," + ratePpm);
         }
@@ -100,7 +104,10 @@
             return this;
         }
 
-        /** No file of it grows beyond so many KiB: writes fail then as on a full disk. */
+        /**
+         * Limits the size of each file that the process writes: further writes fail as on a full
+         * disk.
+         */
         public Builder maxFileKib(long kibibytes) {
             maxFileKib = kibibytes;
             return this;
@@ -109,8 +116,7 @@
         public JavaProcess start(History history) throws IOException {
             List<String> command = new ArrayList<>();
             if (maxFileKib >= 0) {
-                // The signal that comes with the limit is passed over, so that the write itself
-                // fails.
+                // Ignores the signal that comes with the limit, so that the write itself fails.
                 command.addAll(
                         List.of(
                                 "bash",
@@ -118,7 +124,8 @@
                                 "trap '' XFSZ; ulimit -f " + maxFileKib + "; exec \"$@\"",
                                 "limited"));
             }
-            // Heeds SIGHUP though whoever started the rig ignores it, as nohup does.
+            // Restores the default action of SIGHUP, which the child would otherwise inherit as
+            // ignored if the rig runs under nohup.
             command.addAll(List.of("env", "--default-signal=HUP"));
             command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
             command.addAll(jvmFlags);
@@ -153,7 +160,7 @@
                 record(line);
             }
         } catch (IOException | UncheckedIOException e) {
-            // It died, or the history was closed before it did.
+            // The process died, or the history was closed before it did.
         }
         try {
             int code = process.waitFor();
@@ -175,7 +182,7 @@
                     return;
                 }
             } catch (ParseException e) {
-                // Some other text; kept as it is.
+                // Not JSON; recorded as plain text.
             }
         }
         history.add(name, "line", new JsonObject().add("text", line));
@@ -191,7 +198,7 @@
                 e -> e.who().equals(name) && e.kind().equals(kind));
     }
 
-    /** Gives it a line to read. */
+    /** Writes a line to the standard input of the process. */
     public void writeLine(String line) throws IOException {
         OutputStream out = process.getOutputStream();
         out.write((line + "\n").getBytes(StandardCharsets.UTF_8));
@@ -200,19 +207,22 @@
 
     // ---- Faults.
 
-    /** Kills it and waits until it is gone: the system has then closed all that it had open. */
+    /**
+     * Kills the process and waits until it has exited, when the system has closed all its sockets
+     * and files.
+     */
     public void kill() throws InterruptedException {
         history.add(name, "fault.kill", new JsonObject());
         process.destroyForcibly();
         awaitExit();
     }
 
-    /** Kills it and does not wait, for many at once. */
+    /** Kills the process without waiting, so that many can be killed at once. */
     public void killWithoutWaiting() {
         process.destroyForcibly();
     }
 
-    /** It goes no step further until it is continued. */
+    /** Suspends the process with SIGSTOP until {@link #resume}. */
     public void stop() throws IOException, InterruptedException {
         history.add(name, "fault.stop", new JsonObject());
         signal("STOP");
@@ -225,13 +235,13 @@
         history.add(name, "fault.resume", new JsonObject());
     }
 
-    /** Asks it to end in order. */
+    /** Sends SIGTERM, which asks the process to shut down in order. */
     public void terminate() throws IOException, InterruptedException {
         history.add(name, "fault.terminate", new JsonObject());
         signal("TERM");
     }
 
-    /** Asks it to read its configuration again. */
+    /** Sends SIGHUP, which asks the process to reload its configuration. */
     public void hangUp() throws IOException, InterruptedException {
         history.add(name, "fault.hang-up", new JsonObject());
         signal("HUP");
@@ -240,28 +250,28 @@
     private void signal(String which) throws IOException, InterruptedException {
         if (new ProcessBuilder("kill", "-" + which, Long.toString(pid())).start().waitFor() != 0
                 && alive()) {
-            throw new IOException("SIG" + which + " did not reach " + name);
+            throw new IOException("SIG" + which + " could not be sent to " + name);
         }
     }
 
-    /** Waits until it has ended, and all that it wrote stands in the history. */
+    /** Waits until the process has exited and all its output is in the history. */
     public int awaitExit() throws InterruptedException {
         if (!process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
             throw new IllegalStateException(
-                    name + " did not end within " + EXIT_TIMEOUT_SECONDS + " s");
+                    name + " did not exit within " + EXIT_TIMEOUT_SECONDS + " s");
         }
-        // Else what it last wrote might count as written after its end.
+        // Otherwise its last output could appear in the history after its exit.
         reader.join(TimeUnit.SECONDS.toMillis(EXIT_TIMEOUT_SECONDS));
         if (reader.isAlive()) {
             throw new IllegalStateException(
-                    name + " ended, and what it wrote could not be read to its end");
+                    name + " exited, but its output could not be read to the end");
         }
         return process.exitValue();
     }
 
     @Override
     public void close() {
-        // SIGKILL ends a stopped process too.
+        // SIGKILL ends a suspended process too.
         process.destroyForcibly();
         try {
             process.waitFor(10, TimeUnit.SECONDS);
--- a/rig/src/main/java/postgrade/rig/proxy/Direction.java
+++ b/rig/src/main/java/postgrade/rig/proxy/Direction.java
@@ -1,6 +1,6 @@
 package postgrade.rig.proxy;
 
-/** Whose bytes: those of whoever connects, or those of whoever listens. */
+/** Direction of the bytes: OUT from the connecting side, BACK from the listening side. */
 public enum Direction {
     OUT,
     BACK
--- a/rig/src/main/java/postgrade/rig/proxy/FaultProxy.java
+++ b/rig/src/main/java/postgrade/rig/proxy/FaultProxy.java
@@ -14,17 +14,16 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Stands between one process that connects and one that listens, and spoils what passes. All
- * switches work while it runs, on connections that are open and on later ones. Its port is bound
- * once and kept to the end; where it leads may change, so that a process started again may listen
- * on another port.
+ * TCP proxy that injects faults between a connecting and a listening process. All switches work at
+ * run time, on open and on later connections. Its port is bound once and kept to the end; its
+ * target may change, so that a restarted process may listen on another port.
  */
 public final class FaultProxy implements Closeable {
 
     private static final int CONNECT_MS = 2000;
     private static final int BACKLOG = 256;
 
-    /** What went through, for bounds on how much is asked. */
+    /** Traffic through the proxy, for checks that bound the number of requests and bytes. */
     public record Counts(long connections, long bytesOut, long bytesBack) {}
 
     private final String name;
@@ -41,12 +40,15 @@
     private volatile boolean refusing;
     private volatile boolean closed;
 
-    /** For connections to come: so many bytes of a way, then the end. Below 0: no end. */
+    /**
+     * Later connections are closed after this many bytes in {@code closeDirection}; negative:
+     * never.
+     */
     private Direction closeDirection = Direction.OUT;
 
     private long closeAfterBytes = -1;
 
-    /** Listens at once. Connections are reset until it leads somewhere. */
+    /** Starts to listen. Connections are reset until a target is set. */
     public FaultProxy(String name) throws IOException {
         this.name = name;
         listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
@@ -70,8 +72,8 @@
     // ---- Switches.
 
     /**
-     * Nothing passes that way from now on, on any connection. What is sent meanwhile comes when it
-     * is healed.
+     * Blocks a direction on all connections. Bytes that are sent meanwhile are delivered after
+     * {@link #heal}.
      */
     public synchronized void cut(Direction direction) {
         cut.put(direction, true);
@@ -83,7 +85,10 @@
         cut(Direction.BACK);
     }
 
-    /** Bytes pass again both ways, at once and to their end. */
+    /**
+     * Ends cuts, delays and refusals, and the byte limit for later connections. Held bytes are
+     * forwarded at once. Stalled connections stay stalled.
+     */
     public synchronized void heal() {
         refusing = false;
         closeAfterBytes = -1;
@@ -101,40 +106,38 @@
         }
     }
 
-    /** What is read passes so much later; a stream of small pieces up to twice as late. */
+    /**
+     * Delays what is read by this time; a stream of small pieces may be delayed up to twice as
+     * long.
+     */
     public synchronized void delay(Direction direction, long millis) {
         delayNanos.put(direction, millis * 1_000_000);
         open.forEach(p -> p.gate(direction).setDelay(millis * 1_000_000));
     }
 
-    /**
-     * The connections that are open now say nothing any more and never end by themselves; later
-     * ones are well.
-     */
+    /** Silences the connections that are open now without closing them; later connections work. */
     public synchronized void stall() {
         open.forEach(ForwardedConnection::stall);
     }
 
-    /** Resets both sides of all connections that are open. */
+    /** Resets both sides of all open connections. */
     public void reset() {
         open.forEach(ForwardedConnection::reset);
     }
 
-    /** Resets connections as soon as they come; those that are open go on. */
+    /** Sets whether new connections are reset on arrival; open connections remain. */
     public void setRefusing(boolean refuse) {
         refusing = refuse;
     }
 
-    /**
-     * All connections, open and later ones, end once so many more bytes of that way have passed.
-     */
+    /** Closes each connection, open or later, after this many further bytes in that direction. */
     public synchronized void closeAfter(Direction direction, long more) {
         closeDirection = direction;
         closeAfterBytes = more;
         open.forEach(p -> p.closeAfter(direction, more));
     }
 
-    // ---- What it sees.
+    // ---- Observations.
 
     public Counts counts() {
         return new Counts(
@@ -160,7 +163,8 @@
                 t.start();
             } catch (IOException e) {
                 if (!closed) {
-                    throw new IllegalStateException("proxy " + name + " lost its port", e);
+                    throw new IllegalStateException(
+                            "proxy " + name + " cannot accept connections any more", e);
                 }
             }
         }
@@ -177,7 +181,8 @@
             upstream.setTcpNoDelay(true);
             upstream.connect(address, CONNECT_MS);
         } catch (IOException e) {
-            // A dead process refuses: whoever connects sees a reset, but not through a cut.
+            // Connecting to a dead process is refused: the client sees a reset, but only once no
+            // direction is cut.
             awaitHealed();
             SocketReset.reset(downstream);
             SocketReset.reset(upstream);
@@ -202,8 +207,8 @@
     }
 
     /**
-     * A connection through a cut does not come up until it is healed, whether or not somebody
-     * listens beyond.
+     * Waits until no direction is cut. A connection through a cut is not established before the cut
+     * is healed, whether or not the target listens.
      */
     private synchronized boolean awaitHealed() {
         try {
--- a/rig/src/main/java/postgrade/rig/proxy/ForwardedConnection.java
+++ b/rig/src/main/java/postgrade/rig/proxy/ForwardedConnection.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 
-/** One connection through a proxy: a thread for each way, and a gate before whatever is written. */
+/** One connection through a proxy: a thread for each direction, and a gate before each write. */
 final class ForwardedConnection {
 
     private static final int BUFFER = 1 << 16;
@@ -75,7 +75,8 @@
                 }
                 int passing = (int) Math.min(n, bytesLeft.get(direction).getAndAdd(-n));
                 if (passing > 0) {
-                    // Before they are written: whoever has read them must find them counted.
+                    // Counted before the write: a peer that has read the bytes must find them
+                    // counted.
                     bytes.get(direction).addAndGet(passing);
                     out.write(buffer, 0, passing);
                 }
@@ -84,7 +85,7 @@
                     return;
                 }
             }
-            // An end is news too, and is held up like bytes.
+            // The end of the stream is held back like bytes.
             if (gates.get(direction).awaitOpen(System.nanoTime())) {
                 to.shutdownOutput();
             }
@@ -99,8 +100,8 @@
     }
 
     /**
-     * A side was reset. Nobody hears of it while that way is shut: whoever dies behind a cut says
-     * nothing.
+     * Handles a reset of one side. The other side does not notice it while the direction is
+     * blocked: behind a cut the death of a process is invisible.
      */
     private void connectionBroken(Direction direction) {
         try {
--- a/rig/src/main/java/postgrade/rig/proxy/Gate.java
+++ b/rig/src/main/java/postgrade/rig/proxy/Gate.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * What holds bytes of one way up. Bytes that are held are not lost: as with a cut cable, they come
- * when it is healed.
+ * Holds back the bytes of one direction. Held bytes are not lost: as with an unplugged cable, they
+ * are delivered once the connection is healed.
  */
 final class Gate {
 
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Lets all waiters go, with the word that nothing passes any more. */
+    /** Releases all waiting threads; nothing passes any more. */
     void end() {
         lock.lock();
         try {
@@ -48,7 +48,7 @@
     }
 
     /**
-     * Waits until what was read at that time may pass.
+     * Waits until data that was read at that time may pass.
      *
      * @return false once nothing passes any more
      */
--- a/rig/src/main/java/postgrade/rig/proxy/ProxyMesh.java
+++ b/rig/src/main/java/postgrade/rig/proxy/ProxyMesh.java
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 
-/** A proxy between every ordered pair of names: whoever connects, and whoever listens. */
+/** A proxy for every ordered pair of a connecting and a listening process. */
 public final class ProxyMesh implements Closeable {
 
     private record Pair(String from, String to) {}
@@ -20,7 +20,9 @@
     private final Map<Pair, FaultProxy> proxies = new LinkedHashMap<>();
 
     /**
-     * @param listening those that anybody connects to; the others only connect
+     * Opens the proxies.
+     *
+     * @param listening processes that others connect to; the others only connect
      */
     public ProxyMesh(List<String> names, List<String> listening) throws IOException {
         for (String from : names) {
@@ -35,22 +37,22 @@
     public FaultProxy between(String from, String to) {
         FaultProxy p = proxies.get(new Pair(from, to));
         if (p == null) {
-            throw new IllegalArgumentException("nothing stands between " + from + " and " + to);
+            throw new IllegalArgumentException("no proxy between " + from + " and " + to);
         }
         return p;
     }
 
-    /** Where a name listens now: all that lead to it do so from here on. */
+    /** Sets the address at which a process listens, for all proxies that lead to it. */
     public void setTarget(String name, InetSocketAddress address) {
         forEachMatching(p -> p.to.equals(name), p -> p.setTarget(address));
     }
 
-    /** Cuts every pair of which one is within and one is not, both ways. */
+    /** Cuts, in both directions, every pair with exactly one member in the set. */
     public void isolate(Set<String> isolated) {
         forEachMatching(p -> isolated.contains(p.from) != isolated.contains(p.to), FaultProxy::cut);
     }
 
-    /** What these send does not arrive outside; what is sent to them does. */
+    /** Blocks what these processes send to others; what is sent to them still arrives. */
     public void blockOutgoing(Set<String> muted) {
         forEachMatching(
                 p -> muted.contains(p.from) && !muted.contains(p.to), p -> p.cut(Direction.OUT));
@@ -62,7 +64,7 @@
         forEachMatching(p -> true, FaultProxy::heal);
     }
 
-    /** Does something to every proxy that a name connects or listens through. */
+    /** Applies an action to every proxy whose connecting or listening side has this name. */
     public void forEachProxyOf(String name, Consumer<FaultProxy> action) {
         forEachMatching(p -> p.from.equals(name) || p.to.equals(name), action);
     }
@@ -87,7 +89,7 @@
         return names;
     }
 
-    /** All that went through together. */
+    /** Sum of the traffic through all proxies. */
     public FaultProxy.Counts counts() {
         long connections = 0;
         long out = 0;
--- a/rig/src/main/java/postgrade/rig/proxy/SocketReset.java
+++ b/rig/src/main/java/postgrade/rig/proxy/SocketReset.java
@@ -3,22 +3,22 @@
 import java.io.IOException;
 import java.net.Socket;
 
-/** Resets connections. */
+/** Resets TCP connections. */
 public final class SocketReset {
 
     private SocketReset() {}
 
-    /** Ends a connection without its usual end: the other side sees a reset. */
+    /** Closes a socket with a reset instead of an orderly end of stream. */
     public static void reset(Socket socket) {
         try {
             socket.setSoLinger(true, 0);
         } catch (IOException e) {
-            // Ended already; closing it does no harm.
+            // Already closed; closing it again is harmless.
         }
         try {
             socket.close();
         } catch (IOException e) {
-            // Nothing is left to be closed.
+            // Nothing is left to close.
         }
     }
 }
--- a/rig/src/main/java/postgrade/rig/schedule/FaultSchedule.java
+++ b/rig/src/main/java/postgrade/rig/schedule/FaultSchedule.java
@@ -13,10 +13,10 @@
 import postgrade.script.Values.HostObject;
 
 /**
- * Faults with their times, read from a script: {@code seed}, and {@code steps}, a list of {@code
- * step(at, do, who)}. A step may count from an event ({@code after = "n1 leader"}) and be repeated
- * ({@code times}, {@code gap}, {@code jitter}); where {@code who} is a list, the seed draws one of
- * it each time. The same text always gives the same timetable.
+ * Faults and their times, read from a script: {@code seed}, and {@code steps}, a list of {@code
+ * step(at, do, who)}. A step may be relative to an event ({@code after = "n1 leader"}) and may
+ * repeat ({@code times}, {@code gap}, {@code jitter}); if {@code who} is a list, the seed draws one
+ * of its members each time. The same text always gives the same schedule.
  */
 public final class FaultSchedule {
 
@@ -113,7 +113,8 @@
     }
 
     /**
-     * In the order of their times; those that count from events stand among them by their count.
+     * Returns the steps sorted by time; a step that is relative to an event is sorted by its offset
+     * from it.
      */
     public List<Step> steps() {
         return List.copyOf(steps);
@@ -135,7 +136,7 @@
             targets.add(text("who", arguments[2]));
         }
         if (targets.isEmpty()) {
-            throw Script.error("who must name somebody");
+            throw Script.error("who must name at least one process");
         }
         String event = arguments[4] == null ? "" : text("after", arguments[4]);
         if (!event.isEmpty() && event.split(" ").length != 2) {
--- a/rig/src/main/java/postgrade/rig/schedule/FaultScheduleRunner.java
+++ b/rig/src/main/java/postgrade/rig/schedule/FaultScheduleRunner.java
@@ -8,19 +8,20 @@
 import postgrade.rig.history.History;
 
 /**
- * Plays a timetable upon a cluster: what has a time at that time, what waits for an event after it.
+ * Runs a fault schedule on a cluster: steps with a fixed time at that time, the others after their
+ * events.
  */
 public final class FaultScheduleRunner {
 
     /**
-     * An event that never comes ends the run as failed; guards against a timetable that tests
-     * nothing.
+     * The run fails if an event does not occur within this time; guards against a schedule that
+     * tests nothing.
      */
     private static final long EVENT_TIMEOUT_MS = 30_000;
 
     private FaultScheduleRunner() {}
 
-    /** Returns once the last step is carried out. */
+    /** Returns once the last step was carried out. */
     public static void run(FaultSchedule schedule, Cluster cluster) throws Exception {
         History history = cluster.history();
         int from = history.size();
@@ -42,7 +43,7 @@
             } else {
                 long wait = nextDue - Clock.micros();
                 if (wait > 0) {
-                    // An event that comes meanwhile may bring an earlier step.
+                    // An event that occurs in the meantime may make another step due earlier.
                     TimeUnit.MICROSECONDS.sleep(Math.min(wait, 5000));
                 } else {
                     remaining.remove(next);
--- a/rig/src/main/java/postgrade/rig/schedule/Step.java
+++ b/rig/src/main/java/postgrade/rig/schedule/Step.java
@@ -1,15 +1,15 @@
 package postgrade.rig.schedule;
 
 /**
- * One fault of a timetable.
+ * One fault of a schedule.
  *
- * @param micros after the beginning, or after the event
- * @param event empty, or {@code process kind}: the first such event from the beginning on starts
- *     the count
- * @param act what is done, such as kill or cut
- * @param who to whom
- * @param to the other end of what lies between two; empty for all others
- * @param figure how much, where the fault has a measure
+ * @param micros offset from the start or from the event
+ * @param event empty, or {@code process kind}: the offset counts from the first such event after
+ *     the start
+ * @param action what is done, such as kill or cut
+ * @param target process that it is done to
+ * @param to other process of a faulty link; empty for all other faults
+ * @param amount size of the fault, if it has one
  */
 public record Step(
         long micros, String event, String action, String target, String to, double amount) {}
--- a/rig/src/main/java/postgrade/rig/serve/DispatcherCluster.java
+++ b/rig/src/main/java/postgrade/rig/serve/DispatcherCluster.java
@@ -26,23 +26,23 @@
 import postgrade.rig.process.JavaProcess;
 
 /**
- * Real dispatchers, {@code postgrade serve} each, before one stand-in fleet. They are named n1, n2
- * and so on.
+ * Real dispatchers, each started as {@code postgrade serve}, in front of one simulated fleet of
+ * workers. They are named n1, n2 and so on.
  */
 public final class DispatcherCluster implements Closeable {
 
     private static final int POLL_MS = 10;
 
-    /** Writes the script by which a dispatcher shares; null where it does not. */
+    /** Writes the sharing script of a dispatcher; null for dispatchers that do not share. */
     public interface ScriptFactory {
         String create(String name, Cluster cluster, List<String> voters);
     }
 
-    /** What is to be started. */
+    /** Describes the dispatchers to start. */
     public static final class Options {
         public int dispatchers = 3;
 
-        /** The first so many vote. */
+        /** Number of voters; these are the first dispatchers. */
         public int voters = 3;
 
         public FleetPlan plan;
@@ -50,13 +50,15 @@
         public Map<String, String> environment = new HashMap<>();
         public int fleetThreads = 2;
 
-        /** Descriptors that a dispatcher may hold; 0 for the fleet's own figure. */
+        /**
+         * File descriptors that a dispatcher may hold; 0 for the limit that the fleet configures.
+         */
         public int sockets;
 
-        /** How many dispatchers the settings tell of; 0 for as many as there are. */
+        /** Number of dispatchers stated in the settings; 0 for the actual number. */
         public int configuredDispatchers;
 
-        /** A proxy stands between each dispatcher and each worker. */
+        /** Whether there is a proxy between each dispatcher and each worker. */
         public boolean proxied;
     }
 
@@ -72,8 +74,8 @@
     private final Map<String, Map<String, String>> environments = new HashMap<>();
 
     /**
-     * Where the processes of one dispatcher find each other: the system takes no socket with a path
-     * as long as a test's.
+     * Holds the sockets through which processes of one dispatcher find each other. A test's own
+     * folder would make the socket paths longer than the system permits.
      */
     private final Path socketFolder;
 
@@ -106,9 +108,9 @@
     }
 
     /**
-     * Starts a new version of a dispatcher beside the one that runs, which is handed back. The new
-     * one has an operators' port of its own, to which calls of that name go from here on; {@code
-     * formerly} is a name for those to the former.
+     * Starts a new version of a dispatcher beside the running one, which is returned. The new
+     * process has an operator port of its own, which calls by {@code name} reach from then on;
+     * calls by {@code formerly} reach the former process.
      */
     public JavaProcess upgrade(String name, String formerly) throws IOException {
         operatorPorts.put(formerly, operatorPorts.get(name));
@@ -152,7 +154,7 @@
         return builder;
     }
 
-    /** For one process, from its next start on. */
+    /** Sets a variable for one process, from its next start on. */
     public void environment(String name, String variable, String value) {
         environments.computeIfAbsent(name, n -> new HashMap<>()).put(variable, value);
     }
@@ -177,7 +179,10 @@
         return clusterOptions.plan;
     }
 
-    /** What stands before the workers; nothing passes it unless asked for by the options. */
+    /**
+     * Returns the proxies to the workers; they carry traffic only if {@link Options#proxied} is
+     * set.
+     */
     public JobProxies proxies() {
         return proxies;
     }
@@ -190,7 +195,7 @@
         return List.copyOf(clientAddresses.values());
     }
 
-    /** The operator's step at a voter that does not run. */
+    /** Begins an era at a voter that is not running, as an operator does. */
     public void beginEra(String name, long era) throws IOException, InterruptedException {
         try (JavaProcess process =
                 new JavaProcess.Builder(
@@ -220,7 +225,7 @@
         }
     }
 
-    /** Waits until it takes jobs, and notes when that was seen first. */
+    /** Waits until the dispatcher accepts jobs, and records when that was first observed. */
     public long awaitReady(String name, long withinMillis)
             throws IOException, InterruptedException {
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMillis);
@@ -237,12 +242,12 @@
                     return cluster.history().add(name, "ready", new JsonObject()).micros();
                 }
             } catch (IOException e) {
-                // Not up yet; whether it ever will be is told by the loop's bounds.
+                // Not up yet; the time limit and the check of the process end the loop.
             }
             TimeUnit.MILLISECONDS.sleep(POLL_MS);
         }
         throw new IllegalStateException(
-                name + " did not become ready; the last of it: " + lastEvents(name));
+                name + " did not become ready; its last events: " + lastEvents(name));
     }
 
     private List<History.Event> lastEvents(String name) {
@@ -257,8 +262,8 @@
     }
 
     /**
-     * Asks until the answer is the one sought; each answer that differs from the last is kept in
-     * the history.
+     * Repeats a call until its answer meets the condition. Each answer that differs from the
+     * previous one is recorded in the history.
      */
     public OperatorCall.Answer awaitAnswer(
             String what,
@@ -289,7 +294,7 @@
                     return answer;
                 }
             } catch (IOException e) {
-                // It is down, or on its way up.
+                // The process is down or starting.
             }
             if (Clock.micros() > deadlineMicros) {
                 throw new IllegalStateException(
@@ -299,7 +304,7 @@
                                 + name
                                 + " within "
                                 + withinMillis
-                                + " ms; last "
+                                + " ms; last answer: "
                                 + last);
             }
             TimeUnit.MILLISECONDS.sleep(POLL_MS);
--- a/rig/src/main/java/postgrade/rig/serve/OperatorCall.java
+++ b/rig/src/main/java/postgrade/rig/serve/OperatorCall.java
@@ -11,7 +11,7 @@
 import java.net.http.HttpResponse;
 import java.time.Duration;
 
-/** An operator's call, and what came back. */
+/** Calls to the operators' interface of a dispatcher. */
 public final class OperatorCall {
 
     private static final HttpClient CLIENT =
@@ -22,11 +22,14 @@
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
 
     /**
-     * @param text of the body @param retryAfter empty where none was told
+     * Answer to a call.
+     *
+     * @param text the body
+     * @param retryAfter empty if there is no such header
      */
     public record Answer(int status, String text, String retryAfter) {
 
-        /** The body as an object; an empty one where it is none. */
+        /** The body as a JSON object; an empty object if it is none. */
         public JsonObject json() {
             try {
                 return Json.parse(text).asObject();
--- a/rig/src/main/java/postgrade/rig/serve/SharingScript.java
+++ b/rig/src/main/java/postgrade/rig/serve/SharingScript.java
@@ -3,17 +3,17 @@
 import java.util.List;
 import postgrade.rig.cluster.Cluster;
 
-/** The scripts by which dispatchers of the rig share. */
+/** Sharing scripts of the dispatchers in the rig. */
 public final class SharingScript {
 
     private SharingScript() {}
 
-    /** Voters at their own ports, with nothing between. */
+    /** Voters are reached directly at their own ports. */
     public static DispatcherCluster.ScriptFactory direct(String more) {
         return (name, cluster, voters) -> script(name, cluster, voters, false) + more;
     }
 
-    /** Each process finds the others through the proxies between. */
+    /** Each process reaches the others through the proxies. */
     public static DispatcherCluster.ScriptFactory proxied(String more) {
         return (name, cluster, voters) -> script(name, cluster, voters, true) + more;
     }
--- a/rig/src/main/java/postgrade/rig/soak/IdleClients.java
+++ b/rig/src/main/java/postgrade/rig/soak/IdleClients.java
@@ -9,14 +9,14 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Connections to dispatchers that say nothing and stay until their other side ends them. */
+/** Silent connections to dispatchers that stay open until the peer closes them. */
 final class IdleClients implements Closeable {
 
     private static final long POLL_MILLIS = 20;
 
     private final List<SocketChannel> connections = new ArrayList<>();
 
-    /** Opens so many to each; one that is refused is left out. */
+    /** Opens this many connections to each dispatcher; one that is refused is left out. */
     void open(List<InetSocketAddress> dispatchers, int each) {
         for (InetSocketAddress dispatcher : dispatchers) {
             for (int i = 0; i < each; i++) {
@@ -32,11 +32,11 @@
             connection.configureBlocking(false);
             connection.connect(dispatcher);
         } catch (IOException e) {
-            // The dispatcher is down, and one idle client fewer is left.
+            // The dispatcher is down; there is one idle client fewer.
         }
     }
 
-    /** Waits until so many have come up; returns how many have by then. */
+    /** Waits until this many are established; returns the number established by then. */
     long awaitConnected(long wanted, long withinMillis) throws InterruptedException {
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMillis);
         long connected = connectedCount();
--- a/rig/src/main/java/postgrade/rig/soak/ProcessFault.java
+++ b/rig/src/main/java/postgrade/rig/soak/ProcessFault.java
@@ -3,18 +3,18 @@
 /**
  * A signal to a dispatcher.
  *
- * @param atMillis since the load began
- * @param dispatcher counted from 0
+ * @param atMillis time since the start of the load
+ * @param dispatcher index from 0
  */
 record ProcessFault(long atMillis, Kind kind, int dispatcher) {
 
     /** What is done to the process. */
     enum Kind {
-        /** It is told to end, and killed at the earliest time that the protocol allows. */
+        /** It is asked to shut down, and killed at the earliest time that the protocol allows. */
         RESTART("TERM"),
-        /** It is killed without a word, and started again. */
+        /** It is killed without notice and restarted. */
         KILL("KILL"),
-        /** It is told to read its configuration, which has changed, again. */
+        /** Its configuration is changed, and it is asked to reload it. */
         RELOAD("HUP");
 
         private final String signal;
--- a/rig/src/main/java/postgrade/rig/soak/RandomFaults.java
+++ b/rig/src/main/java/postgrade/rig/soak/RandomFaults.java
@@ -10,19 +10,21 @@
 import postgrade.rig.jobs.FaultSelector;
 
 /**
- * Draws what happens to each exchange from the seed, the request and the worker, so that the same
+ * Draws the fault of each exchange from the seed, the request and the worker, so that the same
  * exchange meets the same fault in each run of a seed.
  */
 final class RandomFaults implements FaultSelector {
 
     private static final long PER_MILLE = 1000;
 
-    /** A kind that is drawn so often comes about in each run that is long enough to tell. */
+    /**
+     * A kind with at least this probability is expected to be injected at least once in every run.
+     */
     static final double FREQUENT_PER_MILLE = 20;
 
     private static final long MAX_HOLD_MILLIS = 400;
 
-    /** Cancellations meet fewer faults: most of them are already the answer to one. */
+    /** Cancellations meet fewer faults, since most of them are already reactions to a fault. */
     private static final double CANCELLATION_FAULT_RATIO = 0.5;
 
     private final long seed;
@@ -30,7 +32,9 @@
     private final Map<Kind, AtomicLong> injected = new EnumMap<>(Kind.class);
 
     /**
-     * @param perMille of the exchanges that carry a job, for each kind
+     * Creates the selector of one run.
+     *
+     * @param perMille probability of each kind for exchanges that carry a job, in per mille
      */
     RandomFaults(long seed, Map<Kind, Double> perMille) {
         this.seed = seed;
@@ -44,7 +48,7 @@
     public ExchangeFault select(Exchange exchange) {
         ExchangeFault ofJob = draw(exchange, true);
         if (exchange.isJob() || ofJob.kind() == Kind.OVERTAKEN) {
-            return ofJob; // A cancellation overtakes its job only where both are held for it.
+            return ofJob; // A cancellation can overtake its job only if both are held back for it.
         }
         ExchangeFault ofCancellation = draw(exchange, false);
         return ofCancellation.kind() == Kind.OVERTAKEN ? ExchangeFault.NONE : ofCancellation;
@@ -69,7 +73,7 @@
         injected.get(kind).incrementAndGet();
     }
 
-    /** The kinds that this seed has often and that have not come about once. */
+    /** Returns the kinds that are frequent in this run but were never injected. */
     List<Kind> frequentButNotInjected() {
         return perMille.entrySet().stream()
                 .filter(entry -> entry.getValue() >= FREQUENT_PER_MILLE)
@@ -80,7 +84,7 @@
 
     private static long delayMillis(Kind kind, SplittableRandom random) {
         return switch (kind) {
-            // A job is held back for less than the grace of drains: judged is when it was sent.
+            // Shorter than the grace of the drain rule, which judges jobs by when they were sent.
             case OVERTAKEN -> MAX_HOLD_MILLIS;
             case LATE_REQUEST -> random.nextLong(20, MAX_HOLD_MILLIS);
             case LATE_ANSWER -> random.nextLong(5, 300);
@@ -91,7 +95,7 @@
         };
     }
 
-    /** How many exchanges each kind has come about in so far, those above 0. */
+    /** Returns how often each kind was injected so far, without those never injected. */
     Map<Kind, Long> counts() {
         Map<Kind, Long> counts = new EnumMap<>(Kind.class);
         injected.forEach(
--- a/rig/src/main/java/postgrade/rig/soak/Soak.java
+++ b/rig/src/main/java/postgrade/rig/soak/Soak.java
@@ -7,9 +7,9 @@
 import postgrade.rig.disk.DiskFaults;
 
 /**
- * Runs the soak for a row of seeds: {@code --seeds N --first S [--out FOLDER] [--lenient]}. Writes
- * a line a seed, and below it what broke a rule. Ends with 1 where a rule was broken, with 2 where
- * it is called wrongly.
+ * Runs the soak test for consecutive seeds: {@code --seeds N --first S [--out FOLDER] [--lenient]}.
+ * Prints a line for each seed, followed by the violations of rules. Exits with 1 if a rule was
+ * broken or a run was not clean, with 2 on wrong usage.
  */
 public final class Soak {
 
@@ -23,7 +23,7 @@
 
     private Soak() {}
 
-    /** Runs it. */
+    /** Entry point of the program. */
     public static void main(String[] arguments) throws Exception {
         Soak soak = new Soak();
         try {
@@ -56,7 +56,7 @@
         return clean == seeds;
     }
 
-    /** A run that cannot be played to its end is no clean one, and the next goes on. */
+    /** A run that cannot be completed is not clean; the next seed is run all the same. */
     private boolean isClean(long seed) throws IOException, InterruptedException {
         try {
             return run(seed, limits, out.resolve("seed-" + seed)).isClean();
@@ -66,7 +66,7 @@
         }
     }
 
-    /** Runs one seed and tells of it. What it wrote stays in the folder. */
+    /** Runs one seed and prints the result. The files of the run remain in the folder. */
     static SoakResult run(long seed, SoakLimits limits, Path folder)
             throws IOException, InterruptedException, ExecutionException {
         Files.createDirectories(folder);
--- a/rig/src/main/java/postgrade/rig/soak/SoakPlan.java
+++ b/rig/src/main/java/postgrade/rig/soak/SoakPlan.java
@@ -10,16 +10,16 @@
 import postgrade.rig.soak.ProcessFault.Kind;
 
 /**
- * What one run of the soak does, drawn from its seed.
+ * Plan of one run of the soak test, drawn from its seed.
  *
- * @param fleet the plan of the stand-in fleet, with the troubles of its workers
- * @param toldDispatchers how many there are by the configuration: the more, the sooner a job that
- *     has not begun is moved to another worker
- * @param jobsPerSecond over all dispatchers
+ * @param fleet plan of the simulated fleet, with the faults of its workers
+ * @param configuredDispatchers number of dispatchers stated in the configuration: the greater it
+ *     is, the sooner a job that has not begun is moved to another worker
+ * @param jobsPerSecond rate over all dispatchers
  * @param loadMillis for how long jobs are sent
- * @param exchangeFaults per mille of the exchanges with workers
+ * @param exchangeFaults probability of each kind in an exchange with a worker, in per mille
  * @param processFaults in the order of their times
- * @param idleClients connections that each dispatcher holds and that say nothing
+ * @param idleClients number of silent connections to each dispatcher
  */
 record SoakPlan(
         long seed,
@@ -34,7 +34,7 @@
 
     static final long DEADLINE_MILLIS = 3000;
 
-    /** A process that was told to end may be killed no sooner after that. */
+    /** Earliest time after SIGTERM at which a process may be killed. */
     static final long TERM_TO_KILL_MILLIS = DEADLINE_MILLIS + 700;
 
     private static final long LOAD_MILLIS = 12_000;
@@ -58,7 +58,7 @@
             faults = [%s]
             """;
 
-    /** The plan of a seed. */
+    /** Draws the plan of a seed. */
     static SoakPlan of(long seed) {
         SplittableRandom random = new SplittableRandom(seed * 7919 + 13);
         Map<ExchangeFault.Kind, Double> exchangeFaults = exchangeFaults(random);
@@ -78,7 +78,7 @@
                 idleClients);
     }
 
-    /** Two or three kinds are frequent in a run, all others rare. */
+    /** Usually two or three kinds are frequent in a run, all others are rare. */
     private static Map<ExchangeFault.Kind, Double> exchangeFaults(SplittableRandom random) {
         Map<ExchangeFault.Kind, Double> perMille = new EnumMap<>(ExchangeFault.Kind.class);
         for (ExchangeFault.Kind kind : ExchangeFault.Kind.values()) {
@@ -140,9 +140,9 @@
     }
 
     /**
-     * Whether a job that is held back is moved to another worker while it is held, so that its
-     * cancellation can overtake it and a second attempt follows: where that is frequent, and in
-     * half of the other runs.
+     * Whether a job that is held back is moved to another worker in the meantime, so that its
+     * cancellation can overtake it and a second attempt follows: in runs where overtaking is
+     * frequent, and in half of the others.
      */
     private static boolean movesJobs(long seed, Map<ExchangeFault.Kind, Double> exchangeFaults) {
         double overtaken = exchangeFaults.get(ExchangeFault.Kind.OVERTAKEN);
--- a/rig/src/main/java/postgrade/rig/soak/SoakResult.java
+++ b/rig/src/main/java/postgrade/rig/soak/SoakResult.java
@@ -7,13 +7,13 @@
 import postgrade.rig.jobs.ExchangeFault;
 
 /**
- * What came of one run.
+ * Result of one run.
  *
- * @param requests that clients sent
- * @param served with a result
- * @param attempts that reached workers
- * @param notPut faults of the plan that could not be put: the run does not show what they do
- * @param contradictedEnds call-backs for attempts that a dispatcher had taken for ended
+ * @param requests number sent by clients
+ * @param served number answered with a result
+ * @param attempts number that reached workers
+ * @param notInjected planned faults that could not be injected: the run does not show their effect
+ * @param contradictedEnds call-backs for attempts that a dispatcher had considered ended
  */
 record SoakResult(
         SoakPlan plan,
@@ -36,7 +36,7 @@
         return isClean() ? " ok" : " NOT CLEAN";
     }
 
-    /** One line: the seed, the verdict, what was judged and which faults there were. */
+    /** Returns one line with the seed, the verdict, the counts and the faults. */
     String summary() {
         StringBuilder text = new StringBuilder();
         text.append("seed ")
--- a/rig/src/main/java/postgrade/rig/soak/SoakRun.java
+++ b/rig/src/main/java/postgrade/rig/soak/SoakRun.java
@@ -20,7 +20,7 @@
 import postgrade.rig.load.LoadGenerator;
 import postgrade.rig.serve.DispatcherCluster;
 
-/** One run of the soak: starts all of it, plays the plan, and judges the ledgers. */
+/** One run of the soak test: starts all processes, carries out the plan, and checks the ledgers. */
 final class SoakRun {
 
     private static final long READY_TIMEOUT_MILLIS = 240_000;
@@ -28,7 +28,10 @@
 
     private static final long RESPONSE_TIMEOUT_MILLIS = 20_000;
 
-    /** New connections come for so long after a dispatcher was told to end. */
+    /**
+     * How long new connections still arrive after a dispatcher got SIGTERM, as a load balancer
+     * needs time to notice.
+     */
     private static final long FRONT_END_UPDATE_MILLIS = 400;
 
     private final SoakPlan plan;
@@ -36,15 +39,15 @@
     private final Path folder;
     private final RandomFaults exchangeFaults;
 
-    /** A monitor for each dispatcher. */
+    /** One lock for each dispatcher. */
     private final List<Object> dispatcherLocks;
 
-    /** Dispatchers and times of kills that were not announced. */
+    /** Dispatchers killed without notice, with the times. */
     private final List<Kill> kills = new ArrayList<>();
 
     private record Kill(String dispatcher, long micros) {}
 
-    /** What of the plan could not be put. */
+    /** Planned faults that could not be injected. */
     private final List<String> notInjected = new ArrayList<>();
 
     SoakRun(SoakPlan plan, SoakLimits limits, Path folder) {
@@ -82,7 +85,7 @@
 
     private void runPlan(DispatcherCluster cluster)
             throws IOException, InterruptedException, ExecutionException {
-        // A thread for each fault: one waits for the one before it at the same dispatcher.
+        // One thread for each fault, as a fault waits for the previous one at the same dispatcher.
         ScheduledExecutorService clock =
                 Executors.newScheduledThreadPool(plan.processFaults().size() + 1);
         try (IdleClients idle = new IdleClients();
@@ -98,7 +101,7 @@
             List<Future<?>> faults = new ArrayList<>();
             long[] freeAtMillis = new long[plan.dispatchers()];
             for (ProcessFault fault : plan.processFaults()) {
-                // One after another at each dispatcher: a restart takes its time.
+                // Faults at one dispatcher follow one another, as a restart takes some time.
                 long atMillis = Math.max(fault.atMillis(), freeAtMillis[fault.dispatcher()]);
                 freeAtMillis[fault.dispatcher()] = atMillis + duration(fault);
                 faults.add(
@@ -150,7 +153,7 @@
 
     private Void inject(DispatcherCluster cluster, LoadGenerator load, ProcessFault fault)
             throws IOException, InterruptedException {
-        // A restart takes its time, and longer than planned on a busy machine.
+        // A restart may take longer than planned on a busy machine.
         synchronized (dispatcherLocks.get(fault.dispatcher())) {
             injectLocked(cluster, load, fault);
         }
@@ -183,7 +186,10 @@
         }
     }
 
-    /** A signal that was ignored is a fault that could not be put. */
+    /**
+     * Waits for the event that shows that the signal was handled. A signal that is ignored counts
+     * as a fault that could not be injected.
+     */
     private void requireEvent(DispatcherCluster cluster, ProcessFault fault, int from, String event)
             throws InterruptedException {
         String name = cluster.names().get(fault.dispatcher());
@@ -210,7 +216,10 @@
         kills.add(new Kill(name, micros));
     }
 
-    /** Told to end, and killed at the protocol's earliest time if it has not ended by then. */
+    /**
+     * Sends SIGTERM, and kills the process at the protocol's earliest time if it has not exited by
+     * then.
+     */
     private static void restart(DispatcherCluster cluster, LoadGenerator load, int dispatcher)
             throws IOException, InterruptedException {
         String name = cluster.names().get(dispatcher);
@@ -230,7 +239,7 @@
         cluster.awaitReady(name, READY_TIMEOUT_MILLIS);
     }
 
-    /** Another aim for each class, which no rule depends on. */
+    /** Changes the aim of each class, on which no rule depends. */
     private static void changeConfiguration(DispatcherCluster cluster, int dispatcher)
             throws IOException {
         Path file = cluster.fleet().configurationOf(dispatcher);
@@ -248,7 +257,7 @@
         Files.writeString(file, configuration.toString());
     }
 
-    // ---- The verdict.
+    // ---- Verdict.
 
     private static long contradictedEnds(DispatcherCluster cluster) {
         return cluster.cluster().history().all().stream()
@@ -285,7 +294,7 @@
                 violations);
     }
 
-    /** A request whose connection broke as its dispatcher was killed without being told to end. */
+    /** Whether the request's connection broke because its dispatcher was killed without notice. */
     private boolean wasBrokenByKill(Line line) {
         return line.event().startsWith("broken")
                 && kills.stream()
