--- a/rig/src/main/java/postgrade/rig/load/LoadGenerator.java
+++ b/rig/src/main/java/postgrade/rig/load/LoadGenerator.java
@@ -51,7 +51,7 @@
     private final SplittableRandom random;
     private final Ledger ledger;
     private final ExecutorService senders =
-            Executors.newCachedThreadPool(daemonThreads("load sender"));
+            Executors.newCachedThreadPool(daemonThreads("shop"));
     private final ScheduledExecutorService clock =
             Executors.newSingleThreadScheduledExecutor(daemonThreads("load clock"));
     private final AtomicLong inFlight = new AtomicLong();
--- a/rig/src/main/java/postgrade/rig/process/JavaProcess.java
+++ b/rig/src/main/java/postgrade/rig/process/JavaProcess.java
@@ -157,7 +157,7 @@
     private void read() {
         try (BufferedReader lines = process.inputReader(StandardCharsets.UTF_8)) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                record(line);
+                recordLine(line);
             }
         } catch (IOException | UncheckedIOException e) {
             // The process died, or the history was closed before it did.
@@ -171,7 +171,7 @@
         }
     }
 
-    private void record(String line) {
+    private void recordLine(String line) {
         if (line.startsWith("{")) {
             try {
                 JsonObject object = Json.parse(line).asObject();
