--- a/rig/src/main/java/postgrade/rig/check/RateCheck.java
+++ b/rig/src/main/java/postgrade/rig/check/RateCheck.java
@@ -29,7 +29,8 @@
      * The violations and the greatest excess of each tenant, which shows how far below its bound it
      * stayed.
      */
-    public record Verdict(List<Breach> breaches, Map<String, Double> mostBeyond, long judged) {}
+    public record Verdict(
+            List<Breach> breaches, Map<String, Double> maxExcess, long checkedCount) {}
 
     private RateCheck() {}
 
--- a/rig/src/main/java/postgrade/rig/check/ShareCheck.java
+++ b/rig/src/main/java/postgrade/rig/check/ShareCheck.java
@@ -18,9 +18,9 @@
      *
      * @param part share of every rate; 0 once the process is dead
      */
-    public record ShareChange(long micros, String process, double part) {}
+    public record ShareChange(long micros, String process, double share) {}
 
-    public record Verdict(List<Breach> breaches, double most, long judged) {}
+    public record Verdict(List<Breach> breaches, double maxSum, long checkedCount) {}
 
     private ShareCheck() {}
 
@@ -53,7 +53,7 @@
                                         1 + bound, (change.micros - aboveSince) / 1000)));
                 aboveSince = Long.MAX_VALUE;
             }
-            shares.put(change.process, change.part);
+            shares.put(change.process, change.share);
             double sum = shares.values().stream().mapToDouble(Double::doubleValue).sum();
             maxSum = Math.max(maxSum, sum);
             boolean above = sum > 1 + bound + 1e-9;
--- a/rig/src/main/java/postgrade/rig/cost/Cost.java
+++ b/rig/src/main/java/postgrade/rig/cost/Cost.java
@@ -54,7 +54,13 @@
      * @param rate jobs per second sent to this dispatcher, 0 if it idled
      */
     private record Block(
-            String mode, int rate, long from, long to, long loop, long sharing, long all) {}
+            String mode,
+            int rate,
+            long from,
+            long to,
+            long loopNanos,
+            long sharingNanos,
+            long totalNanos) {}
 
     private Cost(Options options) {
         this.options = options;
@@ -208,7 +214,7 @@
                             to,
                             after.cpuNanosSince(before.get(i), ThreadTimes.LOOP),
                             after.cpuNanosSince(before.get(i), ThreadTimes.SHARING),
-                            after.all() - before.get(i).all()));
+                            after.totalNanos() - before.get(i).totalNanos()));
         }
         loaded.load.finish();
     }
@@ -263,13 +269,13 @@
                                 text.append(
                                         String.format(
                                                 " %.1f | %.1f | %.1f |%n",
-                                                same.stream().mapToLong(Block::loop).sum()
+                                                same.stream().mapToLong(Block::loopNanos).sum()
                                                         / 1e3
                                                         / divisor,
-                                                same.stream().mapToLong(Block::sharing).sum()
+                                                same.stream().mapToLong(Block::sharingNanos).sum()
                                                         / 1e3
                                                         / divisor,
-                                                same.stream().mapToLong(Block::all).sum()
+                                                same.stream().mapToLong(Block::totalNanos).sum()
                                                         / 1e3
                                                         / divisor));
                             });
--- a/rig/src/main/java/postgrade/rig/cost/ThreadTimes.java
+++ b/rig/src/main/java/postgrade/rig/cost/ThreadTimes.java
@@ -11,7 +11,7 @@
  * Processor time of a process in nanoseconds, in total and by thread. The total includes threads
  * that have ended, in ticks of 10 ms.
  */
-record ThreadTimes(long all, Map<String, ThreadTime> threads) {
+record ThreadTimes(long totalNanos, Map<String, ThreadTime> threads) {
 
     static final String LOOP = "loop";
     static final String SHARING = "sharing";
@@ -33,7 +33,7 @@
         Path process = Path.of("/proc", Long.toString(pid));
         String stat = Files.readString(process.resolve("stat"));
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-        long all =
+        long totalNanos =
                 (Long.parseLong(fields[USER_TIME_FIELD])
                                 + Long.parseLong(fields[SYSTEM_TIME_FIELD]))
                         * TICK_NANOS;
@@ -53,7 +53,7 @@
                 }
             }
         }
-        return new ThreadTimes(all, threads);
+        return new ThreadTimes(totalNanos, threads);
     }
 
     /**
--- a/rig/src/main/java/postgrade/rig/load/LoadGenerator.java
+++ b/rig/src/main/java/postgrade/rig/load/LoadGenerator.java
@@ -50,8 +50,7 @@
     private final List<JobKind> kinds;
     private final SplittableRandom random;
     private final Ledger ledger;
-    private final ExecutorService senders =
-            Executors.newCachedThreadPool(daemonThreads("shop"));
+    private final ExecutorService senders = Executors.newCachedThreadPool(daemonThreads("shop"));
     private final ScheduledExecutorService clock =
             Executors.newSingleThreadScheduledExecutor(daemonThreads("load clock"));
     private final AtomicLong inFlight = new AtomicLong();
@@ -94,8 +93,8 @@
      *
      * @param dispatcher index from 0
      */
-    public void setAdmitted(int dispatcher, boolean now) {
-        targets.get(dispatcher).admitted = now;
+    public void setAdmitted(int dispatcher, boolean admitted) {
+        targets.get(dispatcher).admitted = admitted;
     }
 
     /** Sends several jobs at once. */
@@ -205,13 +204,13 @@
                             + (answer.status() == 200 ? answer.body() : "-")
                             + " via="
                             + target.name);
-            target.release(connection, answer.keep());
+            target.release(connection, answer.keepAlive());
         } catch (java.net.SocketTimeoutException e) {
             ledger.add(Clock.micros(), "gave-up", id, "client", "via=" + target.name);
             connection.close();
         } catch (IOException e) {
             long now = Clock.micros();
-            boolean idle = connection.used() && now - sent < 20_000;
+            boolean idle = connection.reused() && now - sent < 20_000;
             ledger.add(now, idle ? "broken-idle" : "broken", id, "client", "via=" + target.name);
             connection.close();
         }
--- a/rig/src/main/java/postgrade/rig/load/Target.java
+++ b/rig/src/main/java/postgrade/rig/load/Target.java
@@ -20,7 +20,7 @@
     private static final int PEEK_TIMEOUT_MS = 1;
     private static final int MAX_LINE_LENGTH = 1 << 14;
 
-    record Answer(int status, String body, boolean keep) {}
+    record Answer(int status, String body, boolean keepAlive) {}
 
     final String name;
     private final InetSocketAddress address;
@@ -56,9 +56,9 @@
         }
     }
 
-    void release(Connection connection, boolean keep) {
-        if (keep) {
-            connection.used = true;
+    void release(Connection connection, boolean keepAlive) {
+        if (keepAlive) {
+            connection.reused = true;
             connection.idleSinceNanos = System.nanoTime();
             idle.addLast(connection);
         } else {
@@ -73,7 +73,7 @@
     static final class Connection {
         private final Socket socket = new Socket();
         private final InputStream in;
-        private boolean used;
+        private boolean reused;
         private long idleSinceNanos;
 
         Connection(InetSocketAddress to) throws IOException {
@@ -103,8 +103,8 @@
             }
         }
 
-        boolean used() {
-            return used;
+        boolean reused() {
+            return reused;
         }
 
         Answer exchange(String request, long withinMillis) throws IOException {
@@ -112,13 +112,13 @@
             socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
             String[] status = readLine().split(" ");
             int length = 0;
-            boolean keep = true;
+            boolean keepAlive = true;
             for (String line = readLine(); !line.isEmpty(); line = readLine()) {
                 String[] field = line.toLowerCase(Locale.ROOT).split(":", 2);
                 if (field[0].equals("content-length")) {
                     length = Integer.parseInt(field[1].strip());
                 } else if (field[0].equals("connection") && field[1].strip().equals("close")) {
-                    keep = false;
+                    keepAlive = false;
                 }
             }
             byte[] body = in.readNBytes(length);
@@ -126,7 +126,9 @@
                 throw new IOException("connection closed within the response body");
             }
             return new Answer(
-                    Integer.parseInt(status[1]), new String(body, StandardCharsets.UTF_8), keep);
+                    Integer.parseInt(status[1]),
+                    new String(body, StandardCharsets.UTF_8),
+                    keepAlive);
         }
 
         private String readLine() throws IOException {
--- a/rig/src/main/java/postgrade/rig/proxy/FaultProxy.java
+++ b/rig/src/main/java/postgrade/rig/proxy/FaultProxy.java
@@ -131,10 +131,10 @@
     }
 
     /** Closes each connection, open or later, after this many further bytes in that direction. */
-    public synchronized void closeAfter(Direction direction, long more) {
+    public synchronized void closeAfter(Direction direction, long moreBytes) {
         closeDirection = direction;
-        closeAfterBytes = more;
-        open.forEach(p -> p.closeAfter(direction, more));
+        closeAfterBytes = moreBytes;
+        open.forEach(p -> p.closeAfter(direction, moreBytes));
     }
 
     // ---- Observations.
--- a/rig/src/main/java/postgrade/rig/proxy/ForwardedConnection.java
+++ b/rig/src/main/java/postgrade/rig/proxy/ForwardedConnection.java
@@ -59,8 +59,8 @@
         return stalled;
     }
 
-    void closeAfter(Direction direction, long more) {
-        bytesLeft.get(direction).set(more);
+    void closeAfter(Direction direction, long moreBytes) {
+        bytesLeft.get(direction).set(moreBytes);
     }
 
     private void pump(Direction direction) {
--- a/rig/src/main/java/postgrade/rig/serve/DispatcherCluster.java
+++ b/rig/src/main/java/postgrade/rig/serve/DispatcherCluster.java
@@ -110,10 +110,10 @@
     /**
      * Starts a new version of a dispatcher beside the running one, which is returned. The new
      * process has an operator port of its own, which calls by {@code name} reach from then on;
-     * calls by {@code formerly} reach the former process.
+     * calls by {@code formerName} reach the former process.
      */
-    public JavaProcess upgrade(String name, String formerly) throws IOException {
-        operatorPorts.put(formerly, operatorPorts.get(name));
+    public JavaProcess upgrade(String name, String formerName) throws IOException {
+        operatorPorts.put(formerName, operatorPorts.get(name));
         operatorPorts.put(name, new HeldPort());
         configure(names.indexOf(name));
         return cluster.startBeside(name);
--- a/rig/src/main/java/postgrade/rig/soak/SoakRun.java
+++ b/rig/src/main/java/postgrade/rig/soak/SoakRun.java
@@ -204,7 +204,7 @@
         long wanted = (long) plan.idleClients() * plan.dispatchers();
         long connected = idle.awaitConnected(wanted, RESPONSE_TIMEOUT_MILLIS);
         if (connected < wanted) {
-            recordNotInjected("idle clients: " + connected + " of " + wanted + " came up");
+            recordNotInjected("idle clients: " + connected + " of " + wanted + " connected");
         }
     }
 
