--- a/calendar/src/main/java/postgrade/calendar/Component.java
+++ b/calendar/src/main/java/postgrade/calendar/Component.java
@@ -6,30 +6,32 @@
 import java.util.Map;
 import postgrade.window.InvalidCalendarException;
 
-/** A component of a calendar as read: its properties and the components within. */
+/** A parsed component of a calendar: its properties and child components. */
 final class Component {
 
     /**
-     * @param parameters by their names in capitals
+     * A property of a component.
+     *
+     * @param parameters by name in upper case
      */
     record Property(String name, int line, Map<String, String> parameters, String value) {
-        InvalidCalendarException faulty(String what) {
-            return new InvalidCalendarException(line, name, what);
+        InvalidCalendarException invalid(String message) {
+            return new InvalidCalendarException(line, name, message);
         }
 
-        /** The kind of value: what VALUE says, else the given one. */
-        String kind(String otherwise) {
-            return parameters.getOrDefault("VALUE", otherwise).toUpperCase(java.util.Locale.ROOT);
+        /** Returns the type of the value: that of the VALUE parameter, else the given default. */
+        String valueType(String defaultType) {
+            return parameters.getOrDefault("VALUE", defaultType).toUpperCase(java.util.Locale.ROOT);
         }
 
-        Property with(String newValue) {
+        Property withValue(String newValue) {
             return new Property(name, line, parameters, newValue);
         }
     }
 
     final String name;
     final int line;
-    final List<Component> within = new ArrayList<>();
+    final List<Component> children = new ArrayList<>();
     final List<Property> properties = new ArrayList<>();
 
     Component(String name, int line) {
@@ -45,25 +47,25 @@
         return properties.stream().filter(p -> p.name.equals(property)).toList();
     }
 
-    /** Null where there is none. */
-    Property one(String property) {
+    /** Returns null if the property is absent. */
+    Property optional(String property) {
         List<Property> all = all(property);
         if (all.size() > 1) {
-            throw all.get(1).faulty("is there twice in " + name);
+            throw all.get(1).invalid("is there twice in " + name);
         }
         return all.isEmpty() ? null : all.get(0);
     }
 
-    Property needed(String property) {
-        Property p = one(property);
+    Property required(String property) {
+        Property p = optional(property);
         if (p == null) {
             throw new InvalidCalendarException(line, property, "is missing in " + name);
         }
         return p;
     }
 
-    String text(String property, String otherwise) {
-        Property p = one(property);
-        return p == null ? otherwise : p.value;
+    String valueOrDefault(String property, String defaultValue) {
+        Property p = optional(property);
+        return p == null ? defaultValue : p.value;
     }
 }
--- a/calendar/src/main/java/postgrade/calendar/ZoneReader.java
+++ b/calendar/src/main/java/postgrade/calendar/ZoneReader.java
@@ -12,27 +12,29 @@
 import java.util.Set;
 import java.util.TreeMap;
 import postgrade.calendar.Component.Property;
+import postgrade.window.ExpansionBudget;
 import postgrade.window.Intervals;
 import postgrade.window.InvalidCalendarException;
 import postgrade.window.MaintenanceEvent;
 import postgrade.window.MaintenanceEvent.EventDuration;
-import postgrade.window.MaintenanceEvent.Extra;
+import postgrade.window.MaintenanceEvent.ExtraInstance;
 import postgrade.window.MaintenanceEvent.ZonedTime;
 import postgrade.window.Recurrence;
 import postgrade.window.SiteCalendar;
-import postgrade.window.Steps;
 
 /**
- * The zones that a calendar defines: each observance's onsets are worked out like events, in the
- * offset before them.
+ * Reads the zones that a calendar defines: the onsets of each observance are expanded like events,
+ * in the offset that applies before them.
  */
 final class ZoneReader {
 
-    /** Onsets before are not asked for; after the last year the offset stays as it is. */
-    private static final long FROM = Instant.parse("1900-01-01T00:00:00Z").toEpochMilli();
+    /** Earlier onsets are ignored; after the last year the offset stays as it is. */
+    private static final long FIRST_ONSET_MILLIS =
+            Instant.parse("1900-01-01T00:00:00Z").toEpochMilli();
 
-    private static final long TO = Instant.parse("2200-01-01T00:00:00Z").toEpochMilli();
-    private static final int MOST = 20;
+    private static final long LAST_ONSET_MILLIS =
+            Instant.parse("2200-01-01T00:00:00Z").toEpochMilli();
+    private static final int MAX_ZONES = 20;
 
     private ZoneReader() {}
 
@@ -40,42 +42,53 @@
 
     static Map<String, ZoneRules> zones(Component calendar) {
         Map<String, ZoneRules> zones = new HashMap<>();
-        Steps steps = new Steps();
-        for (Component c : calendar.within) {
-            if (c.name.equals("VTIMEZONE")) {
-                Property id = c.needed("TZID");
-                if (zones.put(id.value(), rules(c, steps)) != null) {
-                    throw id.faulty("defines the same zone twice");
+        ExpansionBudget budget = new ExpansionBudget();
+        for (Component component : calendar.children) {
+            if (component.name.equals("VTIMEZONE")) {
+                Property id = component.required("TZID");
+                if (zones.put(id.value(), rules(component, budget)) != null) {
+                    throw id.invalid("defines the same zone twice");
                 }
-                if (zones.size() > MOST) {
+                if (zones.size() > MAX_ZONES) {
                     throw new InvalidCalendarException(
-                            c.line, "VTIMEZONE", "is there more than " + MOST + " times");
+                            component.line,
+                            "VTIMEZONE",
+                            "is there more than " + MAX_ZONES + " times");
                 }
             }
         }
         return zones;
     }
 
-    private static ZoneRules rules(Component zone, Steps steps) {
+    private static ZoneRules rules(Component zone, ExpansionBudget budget) {
         TreeMap<Long, Onset> onsets = new TreeMap<>();
         Onset first = null;
         long firstAt = Long.MAX_VALUE;
-        for (Component c : zone.within) {
-            if (!c.name.equals("STANDARD") && !c.name.equals("DAYLIGHT")) {
-                throw new InvalidCalendarException(c.line, c.name, "has no place in VTIMEZONE");
+        for (Component observance : zone.children) {
+            if (!observance.name.equals("STANDARD") && !observance.name.equals("DAYLIGHT")) {
+                throw new InvalidCalendarException(
+                        observance.line, observance.name, "has no place in VTIMEZONE");
             }
             Onset onset =
                     new Onset(
-                            Values.offset(c.needed("TZOFFSETFROM")),
-                            Values.offset(c.needed("TZOFFSETTO")));
-            MaintenanceEvent event = event(c, onset.before);
-            if (event.start().millis() < firstAt) {
+                            ValueReader.offset(observance.required("TZOFFSETFROM")),
+                            ValueReader.offset(observance.required("TZOFFSETTO")));
+            MaintenanceEvent event = event(observance, onset.before);
+            if (event.start().toEpochMillis() < firstAt) {
                 first = onset;
-                firstAt = event.start().millis();
+                firstAt = event.start().toEpochMillis();
             }
-            Intervals at = SiteCalendar.compile("", "", List.of(event), FROM, TO, steps).closed();
-            for (int i = 0; i < at.size(); i++) {
-                onsets.put(at.from(i), onset);
+            Intervals onsetTimes =
+                    SiteCalendar.compile(
+                                    "",
+                                    "",
+                                    List.of(event),
+                                    FIRST_ONSET_MILLIS,
+                                    LAST_ONSET_MILLIS,
+                                    budget)
+                            .closed();
+            for (int i = 0; i < onsetTimes.size(); i++) {
+                onsets.put(onsetTimes.from(i), onset);
             }
         }
         if (first == null) {
@@ -86,48 +99,56 @@
     }
 
     private static ZoneRules rules(Onset first, long firstAt, TreeMap<Long, Onset> onsets) {
-        // What began before 1900 holds then; a zone that begins later was in the offset before its
-        // first onset.
-        ZoneOffset base = firstAt < FROM ? first.after : first.before;
-        ZoneOffset now = base;
+        // An observance that began before 1900 applies from the start; a zone whose first onset is
+        // later uses the offset before that onset until then.
+        ZoneOffset base = firstAt < FIRST_ONSET_MILLIS ? first.after : first.before;
+        ZoneOffset current = base;
         List<ZoneOffsetTransition> transitions = new ArrayList<>();
         for (Map.Entry<Long, Onset> e : onsets.entrySet()) {
             ZoneOffset after = e.getValue().after;
-            if (!after.equals(now)) {
+            if (!after.equals(current)) {
                 transitions.add(
                         ZoneOffsetTransition.of(
                                 LocalDateTime.ofEpochSecond(
-                                        Math.floorDiv(e.getKey(), 1000L), 0, now),
-                                now,
+                                        Math.floorDiv(e.getKey(), 1000L), 0, current),
+                                current,
                                 after));
-                now = after;
+                current = after;
             }
         }
         return ZoneRules.of(base, base, List.of(), transitions, List.of());
     }
 
-    private static MaintenanceEvent event(Component c, ZoneOffset before) {
-        Values values = new Values(before.getRules(), Map.of());
-        Property p = c.needed("DTSTART");
-        Values.Time start = values.time(p);
+    private static MaintenanceEvent event(Component observance, ZoneOffset before) {
+        ValueReader values = new ValueReader(before.getRules(), Map.of());
+        Property property = observance.required("DTSTART");
+        ValueReader.Time start = values.time(property);
         if (start.allDay() || !start.floating()) {
-            throw p.faulty("of an observance must be a local time without zone");
+            throw property.invalid("of an observance must be a local time without zone");
         }
         List<Recurrence> rules = new ArrayList<>();
-        for (Property rule : c.all("RRULE")) {
-            // An observance's UNTIL is in UTC though its start is local.
+        for (Property rule : observance.all("RRULE")) {
+            // The UNTIL of an observance is in UTC although its start is local.
             rules.add(
                     RuleReader.read(
-                            rule, new Values.Time(start.when(), false, true, false), values));
+                            rule,
+                            new ValueReader.Time(start.zonedTime(), false, true, false),
+                            values));
         }
-        List<Extra> extras = new ArrayList<>();
-        for (Property dates : c.all("RDATE")) {
+        List<ExtraInstance> extras = new ArrayList<>();
+        for (Property dates : observance.all("RDATE")) {
             for (String date : dates.value().split(",", -1)) {
-                ZonedTime when = values.time(dates.with(date)).when();
-                extras.add(new Extra(when, EventDuration.exactly(1), dates.line()));
+                ZonedTime when = values.time(dates.withValue(date)).zonedTime();
+                extras.add(new ExtraInstance(when, EventDuration.exactly(1), dates.line()));
             }
         }
         return new MaintenanceEvent(
-                c.name, c.line, start.when(), EventDuration.exactly(1), rules, extras, Set.of());
+                observance.name,
+                observance.line,
+                start.zonedTime(),
+                EventDuration.exactly(1),
+                rules,
+                extras,
+                Set.of());
     }
 }
--- a/calendar/src/test/java/postgrade/calendar/oracle/Days.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/DayMatcher.java
@@ -4,47 +4,49 @@
 import java.time.LocalDateTime;
 import java.time.ZoneOffset;
 import java.util.List;
-import postgrade.calendar.oracle.Made.Freq;
-import postgrade.calendar.oracle.Made.Rule;
+import postgrade.calendar.oracle.GeneratedCase.Freq;
+import postgrade.calendar.oracle.GeneratedCase.Rule;
 
-/** Whether a rule names a day, each part asked by counting days. */
-final class Days {
+/** Decides whether a rule matches a day, checking each part by counting days. */
+final class DayMatcher {
 
-    private Days() {}
+    private DayMatcher() {}
 
-    static boolean named(Rule r, LocalDateTime first, LocalDate day, Mutation mutation) {
-        boolean open =
-                r.weekNo.isEmpty()
-                        && r.yearDay.isEmpty()
-                        && r.monthDay.isEmpty()
-                        && r.day.isEmpty();
-        boolean yearly = r.freq == Freq.YEARLY;
-        if (open && yearly && r.month.isEmpty() && !sameMonth(first, day, mutation)) {
+    static boolean matches(Rule rule, LocalDateTime first, LocalDate day, Mutation mutation) {
+        boolean dayUnspecified =
+                rule.weekNo.isEmpty()
+                        && rule.yearDay.isEmpty()
+                        && rule.monthDay.isEmpty()
+                        && rule.day.isEmpty();
+        boolean yearly = rule.freq == Freq.YEARLY;
+        if (dayUnspecified && yearly && rule.month.isEmpty() && !sameMonth(first, day, mutation)) {
             return false;
         }
-        if (open && (yearly || r.freq == Freq.MONTHLY) && !sameDay(first, day, yearly, mutation)) {
+        if (dayUnspecified
+                && (yearly || rule.freq == Freq.MONTHLY)
+                && !sameDay(first, day, yearly, mutation)) {
             return false;
         }
         boolean weekday =
-                open && r.freq == Freq.WEEKLY
-                        || !r.weekNo.isEmpty()
-                                && r.day.isEmpty()
-                                && r.yearDay.isEmpty()
-                                && r.monthDay.isEmpty();
+                dayUnspecified && rule.freq == Freq.WEEKLY
+                        || !rule.weekNo.isEmpty()
+                                && rule.day.isEmpty()
+                                && rule.yearDay.isEmpty()
+                                && rule.monthDay.isEmpty();
         if (weekday && day.getDayOfWeek() != first.getDayOfWeek()) {
             return false;
         }
-        return (r.month.isEmpty() || r.month.contains(day.getMonthValue()))
-                && either(
-                        r.monthDay,
+        return (rule.month.isEmpty() || rule.month.contains(day.getMonthValue()))
+                && matchesFromEitherEnd(
+                        rule.monthDay,
                         day.getDayOfMonth(),
                         -daysTo(day, day.plusMonths(1).withDayOfMonth(1)))
-                && either(
-                        r.yearDay,
+                && matchesFromEitherEnd(
+                        rule.yearDay,
                         daysTo(LocalDate.of(day.getYear(), 1, 1), day) + 1,
                         -daysTo(day, LocalDate.of(day.getYear() + 1, 1, 1)))
-                && week(r, day, mutation)
-                && weekday(r, day);
+                && matchesWeek(rule, day, mutation)
+                && matchesWeekday(rule, day);
     }
 
     private static boolean leapDay(LocalDateTime first, Mutation mutation) {
@@ -70,12 +72,12 @@
         return (int) (to.toEpochDay() - from.toEpochDay());
     }
 
-    private static boolean either(List<Integer> given, int value, int fromEnd) {
+    private static boolean matchesFromEitherEnd(List<Integer> given, int value, int fromEnd) {
         return given.isEmpty() || given.contains(value) || given.contains(fromEnd);
     }
 
-    private static long weekStart(Rule r, LocalDate day, Mutation mutation) {
-        int start = mutation == Mutation.WEEKS_FROM_SUNDAY ? 7 : r.weekStart.getValue();
+    private static long weekStart(Rule rule, LocalDate day, Mutation mutation) {
+        int start = mutation == Mutation.WEEKS_FROM_SUNDAY ? 7 : rule.weekStart.getValue();
         long at = day.toEpochDay();
         while (LocalDate.ofEpochDay(at).getDayOfWeek().getValue() != start) {
             at--;
@@ -83,12 +85,12 @@
         return at;
     }
 
-    /** A week is of the year that its fourth day lies in. */
-    private static boolean week(Rule r, LocalDate day, Mutation mutation) {
-        if (r.weekNo.isEmpty()) {
+    /** A week belongs to the year that contains its fourth day. */
+    private static boolean matchesWeek(Rule rule, LocalDate day, Mutation mutation) {
+        if (rule.weekNo.isEmpty()) {
             return true;
         }
-        LocalDate fourth = LocalDate.ofEpochDay(weekStart(r, day, mutation) + 3);
+        LocalDate fourth = LocalDate.ofEpochDay(weekStart(rule, day, mutation) + 3);
         int number = 1;
         for (LocalDate d = fourth.minusDays(7);
                 d.getYear() == fourth.getYear();
@@ -99,15 +101,15 @@
         for (LocalDate d = fourth.plusDays(7); d.getYear() == fourth.getYear(); d = d.plusDays(7)) {
             fromEnd--;
         }
-        return either(r.weekNo, number, fromEnd);
+        return matchesFromEitherEnd(rule.weekNo, number, fromEnd);
     }
 
-    private static boolean weekday(Rule r, LocalDate day) {
-        if (r.day.isEmpty()) {
+    private static boolean matchesWeekday(Rule rule, LocalDate day) {
+        if (rule.day.isEmpty()) {
             return true;
         }
-        boolean ofYear = r.freq == Freq.YEARLY && r.month.isEmpty();
-        for (int[] d : r.day) {
+        boolean ofYear = rule.freq == Freq.YEARLY && rule.month.isEmpty();
+        for (int[] d : rule.day) {
             if (d[1] == day.getDayOfWeek().getValue()) {
                 int step = d[0] > 0 ? -7 : 7;
                 int nth = 1;
@@ -125,18 +127,19 @@
         return false;
     }
 
-    static long period(Rule r, LocalDateTime t, Mutation mutation) {
-        return switch (r.freq) {
-            case YEARLY -> t.getYear();
-            case MONTHLY -> t.getYear() * 12L + t.getMonthValue();
+    static long periodNumber(Rule rule, LocalDateTime time, Mutation mutation) {
+        return switch (rule.freq) {
+            case YEARLY -> time.getYear();
+            case MONTHLY -> time.getYear() * 12L + time.getMonthValue();
             case WEEKLY ->
                     Math.floorDiv(
-                            weekStart(r, t.toLocalDate(), mutation) - (r.weekStart.getValue() - 4),
+                            weekStart(rule, time.toLocalDate(), mutation)
+                                    - (rule.weekStart.getValue() - 4),
                             7L);
-            case DAILY -> t.toLocalDate().toEpochDay();
-            case HOURLY -> Math.floorDiv(t.toEpochSecond(ZoneOffset.UTC), 3600L);
-            case MINUTELY -> Math.floorDiv(t.toEpochSecond(ZoneOffset.UTC), 60L);
-            case SECONDLY -> t.toEpochSecond(ZoneOffset.UTC);
+            case DAILY -> time.toLocalDate().toEpochDay();
+            case HOURLY -> Math.floorDiv(time.toEpochSecond(ZoneOffset.UTC), 3600L);
+            case MINUTELY -> Math.floorDiv(time.toEpochSecond(ZoneOffset.UTC), 60L);
+            case SECONDLY -> time.toEpochSecond(ZoneOffset.UTC);
         };
     }
 }
--- a/calendar/src/test/java/postgrade/calendar/oracle/Oracle.java
+++ b/calendar/src/test/java/postgrade/calendar/oracle/Oracle.java
@@ -9,193 +9,213 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.stream.Collectors;
-import postgrade.calendar.oracle.Made.Freq;
-import postgrade.calendar.oracle.Made.Rule;
-import postgrade.calendar.oracle.Made.Stamp;
-import postgrade.calendar.oracle.Made.Works;
+import postgrade.calendar.oracle.GeneratedCase.Freq;
+import postgrade.calendar.oracle.GeneratedCase.LocalStamp;
+import postgrade.calendar.oracle.GeneratedCase.Maintenance;
+import postgrade.calendar.oracle.GeneratedCase.Rule;
 
 /**
- * By brute force: walks every day, hour, minute or second from the first instance on and asks
- * whether the rule names it. Shares no code with what it judges.
+ * A brute-force reference: walks every day, hour, minute or second from the first instance on and
+ * checks whether the rule matches it. Shares no code with the implementation under test.
  */
 final class Oracle {
 
-    private final Made m;
-    private final Zone site;
+    private final GeneratedCase generated;
+    private final ReferenceZone site;
     private final Mutation mutation;
 
-    /** Pairs of begin and end. */
+    /** Pairs of start and end. */
     final List<long[]> closed = new ArrayList<>();
 
-    Oracle(Made m, Mutation mutation) {
-        this.m = m;
+    Oracle(GeneratedCase generated, Mutation mutation) {
+        this.generated = generated;
         this.mutation = mutation;
-        site = Zone.of(m.siteZone);
-        m.works.forEach(this::add);
+        site = ReferenceZone.of(generated.siteZone);
+        generated.events.forEach(this::add);
     }
 
-    private long at(Stamp s) {
+    private long instant(LocalStamp s) {
         return (s.zone() == null ? site : s.zone()).instant(s.local(), mutation);
     }
 
-    private void add(Works w) {
-        Set<Long> without = new TreeSet<>();
+    private void add(Maintenance event) {
+        Set<Long> excluded = new TreeSet<>();
         if (mutation != Mutation.LEFT_OUT_KEPT) {
-            w.without.forEach(s -> without.add(at(s)));
+            event.excluded.forEach(s -> excluded.add(instant(s)));
         }
-        for (Stamp[] pair : w.moved) {
+        for (LocalStamp[] move : event.moved) {
             if (mutation != Mutation.MOVED_KEPT) {
-                without.add(at(pair[0]));
+                excluded.add(instant(move[0]));
             }
-            long from = at(pair[1]);
+            long from = instant(move[1]);
             closed.add(
                     new long[] {
                         from,
-                        pair[1].date() ? at(plusDays(pair[1], 1)) : from + w.movedSeconds * 1000
+                        move[1].date()
+                                ? instant(plusDays(move[1], 1))
+                                : from + event.movedSeconds * 1000
                     });
         }
-        List<Stamp> starts = new ArrayList<>(List.of(w.start));
-        if (w.rule != null) {
-            named(w).forEach(
+        List<LocalStamp> starts = new ArrayList<>(List.of(event.start));
+        if (event.rule != null) {
+            ruleTimes(event)
+                    .forEach(
                             l ->
                                     starts.add(
-                                            new Stamp(
+                                            new LocalStamp(
                                                     l,
-                                                    w.start.zoneId(),
-                                                    w.start.zone(),
-                                                    w.start.date())));
+                                                    event.start.zoneId(),
+                                                    event.start.zone(),
+                                                    event.start.date())));
         }
-        starts.addAll(w.extra);
-        for (Stamp s : starts) {
-            if (!without.contains(at(s))) {
-                closed.add(new long[] {at(s), end(w, s)});
+        starts.addAll(event.extra);
+        for (LocalStamp s : starts) {
+            if (!excluded.contains(instant(s))) {
+                closed.add(new long[] {instant(s), end(event, s)});
             }
         }
         closed.removeIf(c -> c[0] >= c[1]);
     }
 
-    private static Stamp plusDays(Stamp s, int days) {
-        return new Stamp(s.local().plusDays(days), s.zoneId(), s.zone(), s.date());
+    private static LocalStamp plusDays(LocalStamp s, int days) {
+        return new LocalStamp(s.local().plusDays(days), s.zoneId(), s.zone(), s.date());
     }
 
-    private long end(Works w, Stamp s) {
-        if (w.asEnd && !w.start.date()) {
-            Stamp end =
-                    new Stamp(
-                            w.start.local().plusDays(w.days).plusSeconds(w.seconds),
-                            w.start.zoneId(),
-                            w.start.zone(),
+    private long end(Maintenance event, LocalStamp s) {
+        if (event.statesEnd && !event.start.date()) {
+            LocalStamp end =
+                    new LocalStamp(
+                            event.start.local().plusDays(event.days).plusSeconds(event.seconds),
+                            event.start.zoneId(),
+                            event.start.zone(),
                             false);
-            return at(s) + at(end) - at(w.start);
+            return instant(s) + instant(end) - instant(event.start);
         }
         long from =
-                w.days == 0
-                        ? at(s)
+                event.days == 0
+                        ? instant(s)
                         : mutation == Mutation.NOMINAL_AS_EXACT
-                                ? at(s) + w.days * 86_400_000L
-                                : at(plusDays(s, w.days));
-        return from + w.seconds * 1000;
+                                ? instant(s) + event.days * 86_400_000L
+                                : instant(plusDays(s, event.days));
+        return from + event.seconds * 1000;
     }
 
-    /** Local times after the first that the rule names, up to the horizon. */
-    private List<LocalDateTime> named(Works w) {
-        Rule r = w.rule;
-        LocalDateTime first = w.start.local();
+    /** Returns the local times after the first that the rule matches, up to the horizon. */
+    private List<LocalDateTime> ruleTimes(Maintenance event) {
+        Rule rule = event.rule;
+        LocalDateTime firstStart = event.start.local();
         LocalDateTime last =
-                (w.start.zone() == null ? site : w.start.zone()).local(m.to).plusDays(4);
+                (event.start.zone() == null ? site : event.start.zone())
+                        .local(generated.to)
+                        .plusDays(4);
         List<LocalDateTime> all = new ArrayList<>();
-        List<LocalDateTime> group = new ArrayList<>();
-        long period = Long.MIN_VALUE;
-        // From before the period that holds the first, since positions count from its begin.
+        List<LocalDateTime> periodTimes = new ArrayList<>();
+        long currentPeriod = Long.MIN_VALUE;
+        // Starts before the period that contains the first instance, since positions count from the
+        // start of the period.
         LocalDate from =
-                r.freq == Freq.YEARLY
-                        ? LocalDate.of(first.getYear(), 1, 1)
-                        : r.freq == Freq.MONTHLY
-                                ? first.toLocalDate().withDayOfMonth(1)
-                                : first.toLocalDate().minusDays(r.freq == Freq.WEEKLY ? 7 : 0);
-        // And to the end of the last period.
-        LocalDate to = last.toLocalDate().plusDays(r.setPos.isEmpty() ? 0 : 370);
+                rule.freq == Freq.YEARLY
+                        ? LocalDate.of(firstStart.getYear(), 1, 1)
+                        : rule.freq == Freq.MONTHLY
+                                ? firstStart.toLocalDate().withDayOfMonth(1)
+                                : firstStart
+                                        .toLocalDate()
+                                        .minusDays(rule.freq == Freq.WEEKLY ? 7 : 0);
+        // Continues to the end of the last period.
+        LocalDate to = last.toLocalDate().plusDays(rule.setPos.isEmpty() ? 0 : 370);
         for (LocalDate day = from; !day.isAfter(to); day = day.plusDays(1)) {
-            if (!Days.named(r, first, day, mutation)) {
+            if (!DayMatcher.matches(rule, firstStart, day, mutation)) {
                 continue;
             }
-            for (LocalDateTime t : times(r, first, day)) {
-                long p = Days.period(r, t, mutation);
-                if (Math.floorMod(p - Days.period(r, first, mutation), (long) r.interval) != 0) {
+            for (LocalDateTime t : times(rule, firstStart, day)) {
+                long p = DayMatcher.periodNumber(rule, t, mutation);
+                if (Math.floorMod(
+                                p - DayMatcher.periodNumber(rule, firstStart, mutation),
+                                (long) rule.interval)
+                        != 0) {
                     continue;
                 }
-                if (p != period) {
-                    all.addAll(chosen(r, group));
-                    group.clear();
-                    period = p;
+                if (p != currentPeriod) {
+                    all.addAll(selectPositions(rule, periodTimes));
+                    periodTimes.clear();
+                    currentPeriod = p;
                 }
-                group.add(t);
+                periodTimes.add(t);
             }
         }
-        all.addAll(chosen(r, group));
-        return ended(
-                w,
+        all.addAll(selectPositions(rule, periodTimes));
+        return applyEnd(
+                event,
                 all.stream()
-                        .filter(t -> t.isAfter(first) && !t.isAfter(last))
+                        .filter(t -> t.isAfter(firstStart) && !t.isAfter(last))
                         .collect(Collectors.toList()));
     }
 
-    private List<LocalDateTime> chosen(Rule r, List<LocalDateTime> group) {
-        if (r.setPos.isEmpty()) {
-            return List.copyOf(group);
+    private List<LocalDateTime> selectPositions(Rule rule, List<LocalDateTime> periodTimes) {
+        if (rule.setPos.isEmpty()) {
+            return List.copyOf(periodTimes);
         }
         Set<LocalDateTime> chosen = new TreeSet<>();
-        for (int i = 0; i < group.size(); i++) {
-            int fromEnd = mutation == Mutation.POSITIONS_FROM_FIRST ? i : i - group.size();
-            if (r.setPos.contains(i + 1) || r.setPos.contains(fromEnd)) {
-                chosen.add(group.get(i));
+        for (int i = 0; i < periodTimes.size(); i++) {
+            int fromEnd = mutation == Mutation.POSITIONS_FROM_FIRST ? i : i - periodTimes.size();
+            if (rule.setPos.contains(i + 1) || rule.setPos.contains(fromEnd)) {
+                chosen.add(periodTimes.get(i));
             }
         }
         return List.copyOf(chosen);
     }
 
-    private List<LocalDateTime> ended(Works w, List<LocalDateTime> all) {
-        Rule r = w.rule;
-        if (r.until != null) {
-            long until = at(r.until);
+    private List<LocalDateTime> applyEnd(Maintenance event, List<LocalDateTime> all) {
+        Rule rule = event.rule;
+        if (rule.until != null) {
+            long until = instant(rule.until);
             all.removeIf(
                     t -> {
                         long at =
-                                at(new Stamp(t, w.start.zoneId(), w.start.zone(), w.start.date()));
+                                instant(
+                                        new LocalStamp(
+                                                t,
+                                                event.start.zoneId(),
+                                                event.start.zone(),
+                                                event.start.date()));
                         return mutation == Mutation.UNTIL_EXCLUDED ? at >= until : at > until;
                     });
         }
-        int most =
-                r.count == 0
+        int limit =
+                rule.count == 0
                         ? all.size()
-                        : r.count - (mutation == Mutation.COUNT_WITHOUT_FIRST ? 0 : 1);
-        return all.subList(0, Math.min(most, all.size()));
+                        : rule.count - (mutation == Mutation.COUNT_WITHOUT_FIRST ? 0 : 1);
+        return all.subList(0, Math.min(limit, all.size()));
     }
 
-    /** Every time of the day that the rule may name, in order. */
-    private static List<LocalDateTime> times(Rule r, LocalDateTime first, LocalDate day) {
+    /** Returns every time of the day that the rule may match, in order. */
+    private static List<LocalDateTime> times(Rule rule, LocalDateTime first, LocalDate day) {
         List<LocalDateTime> all = new ArrayList<>();
         List<Integer> hours =
-                r.freq.compareTo(Freq.HOURLY) <= 0 ? each(r.hour, 24) : or(r.hour, first.getHour());
+                rule.freq.compareTo(Freq.HOURLY) <= 0
+                        ? allOrGiven(rule.hour, 24)
+                        : orDefault(rule.hour, first.getHour());
         List<Integer> minutes =
-                r.freq.compareTo(Freq.MINUTELY) <= 0
-                        ? each(r.minute, 60)
-                        : or(r.minute, first.getMinute());
+                rule.freq.compareTo(Freq.MINUTELY) <= 0
+                        ? allOrGiven(rule.minute, 60)
+                        : orDefault(rule.minute, first.getMinute());
         List<Integer> seconds =
-                r.freq == Freq.SECONDLY ? each(r.second, 60) : or(r.second, first.getSecond());
+                rule.freq == Freq.SECONDLY
+                        ? allOrGiven(rule.second, 60)
+                        : orDefault(rule.second, first.getSecond());
         for (int h : hours) {
             for (int min : minutes) {
                 for (int s : seconds) {
-                    // Most seconds are none of the rule's; asked by plain figures, as there are
-                    // many.
-                    if (r.freq != Freq.SECONDLY
+                    // Most seconds do not match the rule; they are filtered by plain arithmetic,
+                    // since there are many.
+                    if (rule.freq != Freq.SECONDLY
                             || Math.floorMod(
                                             day.toEpochDay() * 86_400
                                                     + h * 3600
                                                     + min * 60
                                                     + s
                                                     - first.toEpochSecond(ZoneOffset.UTC),
-                                            (long) r.interval)
+                                            (long) rule.interval)
                                     == 0) {
                         all.add(day.atTime(h, min, s));
                     }
@@ -205,14 +225,14 @@
         return all;
     }
 
-    private static List<Integer> or(List<Integer> given, int otherwise) {
+    private static List<Integer> orDefault(List<Integer> given, int defaultValue) {
         List<Integer> sorted =
-                new ArrayList<>(given.isEmpty() ? List.of(otherwise) : new TreeSet<>(given));
+                new ArrayList<>(given.isEmpty() ? List.of(defaultValue) : new TreeSet<>(given));
         Collections.sort(sorted);
         return sorted;
     }
 
-    private static List<Integer> each(List<Integer> given, int below) {
+    private static List<Integer> allOrGiven(List<Integer> given, int below) {
         List<Integer> all = new ArrayList<>();
         for (int i = 0; i < below; i++) {
             if (given.isEmpty() || given.contains(i)) {
@@ -222,20 +242,25 @@
         return all;
     }
 
-    /** Whether the job may start then: asked of each stretch of maintenance in turn. */
-    boolean may(long start) {
-        long error = mutation == Mutation.NO_ERROR ? 0 : m.error;
-        if (start < m.now
-                || start < m.earliest
-                || start + m.lasts > m.deadline
-                || start - m.error < m.from
-                || start + m.lasts + m.error > m.to) {
+    /**
+     * Returns whether the job may start at this time, checked against each maintenance interval in
+     * turn.
+     */
+    boolean mayStart(long start) {
+        long error = mutation == Mutation.NO_ERROR ? 0 : generated.clockErrorMillis;
+        if (start < generated.now
+                || start < generated.earliestStart
+                || start + generated.durationMillis > generated.deadline
+                || start - generated.clockErrorMillis < generated.from
+                || start + generated.durationMillis + generated.clockErrorMillis > generated.to) {
             return false;
         }
         for (long[] c : closed) {
-            boolean begun =
+            boolean mutatedBefore =
                     mutation == Mutation.STARTS_IN_ITS_BEGIN ? start <= c[0] - error : false;
-            boolean before = start + m.lasts <= c[0] - error && start < c[0] - error || begun;
+            boolean before =
+                    start + generated.durationMillis <= c[0] - error && start < c[0] - error
+                            || mutatedBefore;
             boolean after =
                     start >= c[1] + error + (mutation == Mutation.LAST_MILLISECOND_OPEN ? 1 : 0);
             if (!before && !after) {
--- a/core/src/main/java/postgrade/lease/FleetSync.java
+++ b/core/src/main/java/postgrade/lease/FleetSync.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import postgrade.lease.Unit.State;
+import postgrade.lease.ReservableWorker.State;
 import postgrade.policy.api.WorkerInfo;
 import postgrade.policy.api.WorkerPhase;
 import postgrade.shared.Command;
@@ -14,50 +14,52 @@
 import postgrade.shared.Rows;
 
 /**
- * Keeps the shared state's workers true to discovery: names the commands that bring the one in line
- * with the other. Whoever leads asks this; that two processes with different lists ask for it does
- * no harm, as starts and states only go on.
+ * Keeps the workers in the replicated state in line with discovery, by naming the commands to
+ * submit. The leader calls this. If two processes with different lists submit commands this does no
+ * harm, because starts and states only advance.
  */
 public final class FleetSync {
 
     /**
-     * @param perKind accelerators of a worker of each kind that has some @param version of these
-     *     figures
+     * The configured accelerators.
+     *
+     * @param perKind accelerators per worker, for each kind that has any
+     * @param version of this configuration
      */
     public record AcceleratorConfig(Map<String, Integer> perKind, long version) {}
 
     private FleetSync() {}
 
     /**
-     * What is to be told.
+     * The commands to submit.
      *
-     * @param workers the whole list as discovery has it
-     * @param out workers that operators have taken out
+     * @param workers the complete list as discovery has it
+     * @param outOfService workers that operators have taken out of service
      */
     public static List<Command> pendingCommands(
             Rows rows,
             Collection<WorkerInfo> workers,
-            Set<String> out,
-            AcceleratorConfig accelerators,
+            Set<String> outOfService,
+            AcceleratorConfig config,
             String from,
             long incarnation) {
-        Map<String, Unit> known = new HashMap<>();
-        new Book(rows).units().forEach(u -> known.put(u.worker(), u));
-        List<Command> due = new ArrayList<>();
-        for (WorkerInfo w : workers) {
-            Integer count = accelerators.perKind.get(w.kind());
-            Unit unit = known.remove(w.id());
-            if (unit == null && count == null) {
+        Map<String, ReservableWorker> known = new HashMap<>();
+        new ReservationTable(rows).workers().forEach(worker -> known.put(worker.worker(), worker));
+        List<Command> commands = new ArrayList<>();
+        for (WorkerInfo worker : workers) {
+            Integer count = config.perKind.get(worker.kind());
+            ReservableWorker knownWorker = known.remove(worker.id());
+            if (knownWorker == null && count == null) {
                 continue;
             }
-            long now = count == null ? 0 : count;
+            long accelerators = count == null ? 0 : count;
             boolean differs =
-                    unit == null
-                            || unit.accelerators() != now
-                            || !unit.site().equals(w.zone())
-                            || !unit.kind().equals(w.kind());
-            if (differs && (unit == null || accelerators.version > unit.version())) {
-                due.add(
+                    knownWorker == null
+                            || knownWorker.accelerators() != accelerators
+                            || !knownWorker.site().equals(worker.zone())
+                            || !knownWorker.kind().equals(worker.kind());
+            if (differs && (knownWorker == null || config.version > knownWorker.version())) {
+                commands.add(
                         new Command(
                                 "",
                                 from,
@@ -66,52 +68,59 @@
                                 "unit",
                                 Row.of(
                                         "worker",
-                                        w.id(),
+                                        worker.id(),
                                         "site",
-                                        w.zone(),
+                                        worker.zone(),
                                         "kind",
-                                        w.kind(),
+                                        worker.kind(),
                                         "accelerators",
-                                        now,
+                                        accelerators,
                                         "version",
-                                        accelerators.version)));
+                                        config.version)));
             }
             State state =
-                    w.phase() == WorkerPhase.GONE
+                    worker.phase() == WorkerPhase.GONE
                             ? State.GONE
-                            : out.contains(w.id())
+                            : outOfService.contains(worker.id())
                                     ? State.OUT
-                                    : w.phase() == WorkerPhase.DRAINING
+                                    : worker.phase() == WorkerPhase.DRAINING
                                             ? State.DRAINING
                                             : State.READY;
-            presence(due, unit, w.id(), w.startedNs() / 1_000_000, state, from, incarnation);
+            addPresence(
+                    commands,
+                    knownWorker,
+                    worker.id(),
+                    worker.startedNs() / 1_000_000,
+                    state,
+                    from,
+                    incarnation);
         }
         known.values()
                 .forEach(
-                        u ->
-                                presence(
-                                        due,
-                                        u,
-                                        u.worker(),
-                                        u.start(),
+                        worker ->
+                                addPresence(
+                                        commands,
+                                        worker,
+                                        worker.worker(),
+                                        worker.start(),
                                         State.GONE,
                                         from,
                                         incarnation));
-        return due;
+        return commands;
     }
 
-    private static void presence(
-            List<Command> due,
-            Unit unit,
+    private static void addPresence(
+            List<Command> commands,
+            ReservableWorker knownWorker,
             String worker,
             long start,
             State state,
             String from,
             long incarnation) {
-        long knownStart = unit == null ? 0 : unit.start();
-        State knownState = unit == null ? State.READY : unit.state();
+        long knownStart = knownWorker == null ? 0 : knownWorker.start();
+        State knownState = knownWorker == null ? State.READY : knownWorker.state();
         if (start > knownStart || start == knownStart && state.compareTo(knownState) > 0) {
-            due.add(
+            commands.add(
                     new Command(
                             "",
                             from,
--- a/core/src/main/java/postgrade/lease/Unit.java
+++ b/core/src/main/java/postgrade/lease/ReservableWorker.java
@@ -3,13 +3,13 @@
 import postgrade.shared.Row;
 
 /**
- * A worker with accelerators, as the shared state knows it.
+ * A worker with accelerators, as the replicated state knows it.
  *
- * @param accelerators configured, with a version of their own that only grows
- * @param start the worker's latest start that was told of, in milliseconds as discovery counts
- * @param state the latest told of that start
+ * @param accelerators configured number, with a version that only grows
+ * @param start the latest reported start of the worker, in milliseconds as discovery counts
+ * @param state the latest state reported for that start
  */
-public record Unit(
+public record ReservableWorker(
         String worker,
         String site,
         String kind,
@@ -18,7 +18,7 @@
         long start,
         State state) {
 
-    /** A worker goes through these in this order; a new start begins at the first. */
+    /** A worker passes through these states in this order; a new start begins at the first. */
     public enum State {
         READY,
         DRAINING,
@@ -26,8 +26,8 @@
         GONE
     }
 
-    static Unit of(String worker, Row row) {
-        return new Unit(
+    static ReservableWorker of(String worker, Row row) {
+        return new ReservableWorker(
                 worker,
                 row.text("site"),
                 row.text("kind"),
@@ -53,9 +53,9 @@
                 state);
     }
 
-    boolean matches(Ask ask) {
-        return (ask.site().isEmpty() || ask.site().equals(site))
-                && (ask.kind().isEmpty() || ask.kind().equals(kind));
+    boolean matches(ReservationRequest request) {
+        return (request.site().isEmpty() || request.site().equals(site))
+                && (request.kind().isEmpty() || request.kind().equals(kind));
     }
 
     boolean ready() {
--- a/core/src/main/java/postgrade/recovery/Words.java
+++ b/core/src/main/java/postgrade/recovery/AsciiEscape.java
@@ -1,11 +1,12 @@
 package postgrade.recovery;
 
 /**
- * Words of ASCII without blanks, for names of any characters. An empty name is a lone backslash.
+ * Escapes arbitrary names as printable ASCII words without blanks. An empty name becomes a single
+ * backslash.
  */
-final class Words {
+final class AsciiEscape {
 
-    private Words() {}
+    private AsciiEscape() {}
 
     static String escape(String name) {
         if (name.isEmpty()) {
@@ -23,7 +24,7 @@
         return word.toString();
     }
 
-    static String plain(String word) {
+    static String unescape(String word) {
         if (word.equals("\\")) {
             return "";
         }
--- a/core/src/main/java/postgrade/recovery/RecentDemand.java
+++ b/core/src/main/java/postgrade/recovery/RecentDemand.java
@@ -1,33 +1,35 @@
 package postgrade.recovery;
 
-/** Who asks of late, and who was turned away: a second's worth, fading. */
+/** Requests and rejections of about the last second, as exponentially decaying counts. */
 public final class RecentDemand {
 
-    private static final double LATELY_MICROS = 1e6;
+    private static final double DECAY_MICROS = 1e6;
 
     /**
-     * So much of the rate counts as spare at least: a width without end would bring nobody back.
+     * Minimum share of the rate that counts as spare: an unbounded spread would bring no client
+     * back.
      */
-    private static final double LEAST_SPARE = 0.1;
+    private static final double MIN_SPARE_SHARE = 0.1;
 
-    private double asked;
-    private double refused;
+    private double requests;
+    private double rejections;
     private long atMicros;
 
-    public void recordRequest(long nowMicros, boolean turnedAway) {
-        double keep = Math.exp(-Math.max(0, nowMicros - atMicros) / LATELY_MICROS);
-        asked = asked * keep + 1;
-        refused = refused * keep + (turnedAway ? 1 : 0);
+    public void recordRequest(long nowMicros, boolean rejected) {
+        double decay = Math.exp(-Math.max(0, nowMicros - atMicros) / DECAY_MICROS);
+        requests = requests * decay + 1;
+        rejections = rejections * decay + (rejected ? 1 : 0);
         atMicros = Math.max(atMicros, nowMicros);
     }
 
     /**
-     * Over so long those turned away of late can be taken in beside what comes anyway.
+     * The time within which recently rejected requests can be admitted in addition to the ordinary
+     * demand.
      *
-     * @param ratePerS what may be taken in once the ramp is over
+     * @param ratePerS the rate that may be admitted once the ramp has finished
      */
     public long spreadMicros(double ratePerS) {
         return RetryAfterSpread.spreadMicros(
-                refused, Math.max(ratePerS * LEAST_SPARE, ratePerS - asked));
+                rejections, Math.max(ratePerS * MIN_SPARE_SHARE, ratePerS - requests));
     }
 }
--- a/core/src/main/java/postgrade/window/CalendarLookup.java
+++ b/core/src/main/java/postgrade/window/CalendarLookup.java
@@ -1,20 +1,23 @@
 package postgrade.window;
 
-/** The calendars of sites as they are known in one place at one time. */
+/** The calendars of the sites, as far as this process knows them. */
 @FunctionalInterface
 public interface CalendarLookup {
 
-    /** Null where it is not known, and nothing that needs a window may start there. */
+    /**
+     * Returns the calendar of a site, or null if it is not known; then no job that needs a window
+     * may start at the site.
+     */
     SiteCalendar forSite(String site);
 
     /**
-     * It is this time, by the process's monotonic clock: what is known may have become too old
-     * since it was last told.
+     * Updates the current time of the process's monotonic clock, because calendars that were known
+     * at the last update may have become too old since then.
      */
-    default void at(long nowMicros) {}
+    default void observeTime(long nowMicros) {}
 
-    /** Why it is not known. */
-    default String why(String site) {
+    /** Returns why the calendar of a site is not known. */
+    default String unavailableReason(String site) {
         return "its calendar is not known";
     }
 }
--- a/core/src/main/java/postgrade/window/Deadline.java
+++ b/core/src/main/java/postgrade/window/Deadline.java
@@ -4,31 +4,31 @@
 import java.time.zone.ZoneRules;
 
 /**
- * By when a job must have ended: an instant, or the next time clocks somewhere come to a time of
- * day.
+ * The time by which a job must have ended: an instant, or the next time at which clocks in a zone
+ * reach a time of day.
  */
 public sealed interface Deadline {
 
     /**
-     * Fixed when the job comes, with its earliest start, else a daily deadline would move on as it
-     * passes.
+     * Resolves the deadline to an instant, from the earliest start, once when the job arrives:
+     * resolved again later, a daily deadline would move to the next day once it has passed.
      */
-    long resolveMillis(long earliest);
+    long resolveMillis(long earliestStart);
 
     Deadline NONE = new Fixed(Long.MAX_VALUE);
 
-    record Fixed(long time) implements Deadline {
+    record Fixed(long instantMillis) implements Deadline {
         @Override
-        public long resolveMillis(long earliest) {
-            return time;
+        public long resolveMillis(long earliestStart) {
+            return instantMillis;
         }
     }
 
-    /** Such as 18:00 Europe/Zagreb. */
-    record Daily(LocalTime time, ZoneRules zone) implements Deadline {
+    /** A daily deadline, such as 18:00 Europe/Zagreb. */
+    record Daily(LocalTime timeOfDay, ZoneRules zone) implements Deadline {
         @Override
-        public long resolveMillis(long earliest) {
-            return LocalTimes.next(time, zone, earliest);
+        public long resolveMillis(long earliestStart) {
+            return LocalTimes.nextOccurrence(timeOfDay, zone, earliestStart);
         }
     }
 }
--- a/core/src/main/java/postgrade/window/JobClassWindow.java
+++ b/core/src/main/java/postgrade/window/JobClassWindow.java
@@ -5,18 +5,18 @@
 import java.util.List;
 
 /**
- * The windows of a class of jobs, as set by operators.
+ * The start windows of a job class, as set by operators.
  *
- * @param from the time of day before which none starts, or null: at any time
- * @param zone of {@code from}
- * @param quantile of what was learnt how long they take; 0 to go by {@code declared} alone
- * @param declared how long one takes, in milliseconds; where enough was learnt the greater of both
- *     counts
+ * @param dailyStart the time of day before which no job starts, or null for any time
+ * @param zone zone of {@code dailyStart}
+ * @param quantile quantile of the learnt durations to use; 0 to use {@code declaredMillis} alone
+ * @param declaredMillis declared duration of a job, in milliseconds; where enough durations were
+ *     learnt, the greater of both counts
  */
 public record JobClassWindow(
         String name,
         List<String> sites,
-        LocalTime from,
+        LocalTime dailyStart,
         ZoneRules zone,
         Deadline deadline,
         double quantile,
@@ -28,7 +28,7 @@
         }
         if (declaredMillis < 0 || declaredMillis > StartPlan.MAX_DURATION_MILLIS) {
             throw new IllegalArgumentException(
-                    "declared of class "
+                    "declared duration of class "
                             + name
                             + " must lie between 0 and "
                             + StartPlan.MAX_DURATION_MILLIS);
@@ -41,31 +41,38 @@
     }
 
     /**
-     * The plan of a job that comes now: in the present round where it still fits, else in the next.
+     * Returns the plan of a job that arrives now: within the current daily window where the job
+     * still fits, else within the next one.
      */
-    public StartPlan plan(long now, long lasts) {
-        if (from == null) {
-            StartPlan today = new StartPlan(now, deadline.resolveMillis(now), lasts, sites);
-            return today.startsEnd() > now || !(deadline instanceof Deadline.Daily)
-                    ? today
-                    : after(today, now);
+    public StartPlan plan(long now, long durationMillis) {
+        if (dailyStart == null) {
+            StartPlan fromNow =
+                    new StartPlan(now, deadline.resolveMillis(now), durationMillis, sites);
+            return fromNow.latestStartExclusive() > now || !(deadline instanceof Deadline.Daily)
+                    ? fromNow
+                    : nextDailyPlan(fromNow, now);
         }
-        long began = LocalTimes.previous(from, zone, now);
-        StartPlan present = new StartPlan(began, deadline.resolveMillis(began), lasts, sites);
-        if (present.startsEnd() > now) {
-            return present;
+        long previousStart = LocalTimes.previousOccurrence(dailyStart, zone, now);
+        StartPlan current =
+                new StartPlan(
+                        previousStart,
+                        deadline.resolveMillis(previousStart),
+                        durationMillis,
+                        sites);
+        if (current.latestStartExclusive() > now) {
+            return current;
         }
-        long begins = LocalTimes.next(from, zone, now + 1);
-        return new StartPlan(begins, deadline.resolveMillis(begins), lasts, sites);
+        long nextStart = LocalTimes.nextOccurrence(dailyStart, zone, now + 1);
+        return new StartPlan(nextStart, deadline.resolveMillis(nextStart), durationMillis, sites);
     }
 
-    /** The round after this one. */
-    public StartPlan after(StartPlan plan, long now) {
+    /** Returns the plan for the daily window after this one. */
+    public StartPlan nextDailyPlan(StartPlan plan, long now) {
         if (!(deadline instanceof Deadline.Daily)) {
             return plan;
         }
         long later = Math.max(now, plan.deadline() + 1);
-        return from == null
+        return dailyStart == null
                 ? new StartPlan(later, deadline.resolveMillis(later), plan.durationMillis(), sites)
                 : plan(later, plan.durationMillis());
     }
--- a/core/src/main/java/postgrade/window/StartWindows.java
+++ b/core/src/main/java/postgrade/window/StartWindows.java
@@ -5,26 +5,29 @@
 import postgrade.window.Exclusion.Reason;
 
 /**
- * When a job may start, from its plan and the calendars of its sites. Knows no clock: all times are
- * handed in.
+ * Computes when a job may start, from its plan and the calendars of its sites. Reads no clock: all
+ * times are passed in.
  */
 public final class StartWindows {
 
-    /** No time at all. */
+    /** Stands for a time that never comes. */
     public static final long NEVER = Long.MAX_VALUE;
 
     private StartWindows() {}
 
     /**
-     * @param starts per site, in the plan's order; sites whose calendar is not known are missing
-     * @param unknown why the missing ones are
-     * @param together when it may start at one of them at least
-     * @param opens the first time from now on at which it may start, {@link #NEVER} where there is
-     *     none
-     * @param closes the end of that opening
+     * The result of a query.
+     *
+     * @param bySite start times per site, in the plan's order; sites whose calendar is not known
+     *     are absent
+     * @param unknownSites why the absent sites are not known
+     * @param anySite when the job may start at one site or more
+     * @param opensAt the first time from now on at which the job may start, {@link #NEVER} if there
+     *     is none
+     * @param closesAt the end of that opening
      */
     public record Result(
-            List<SiteStarts> bySite,
+            List<SiteStartTimes> bySite,
             List<Exclusion> unknownSites,
             Intervals anySite,
             long opensAt,
@@ -34,65 +37,82 @@
             return opensAt == now;
         }
 
-        /** Each stretch in which it may not start somewhere, and why. Worked out when asked for. */
+        /**
+         * Returns each interval in which the job may not start at some site, and why. Computed on
+         * demand.
+         */
         public List<Exclusion> exclusions() {
-            List<Exclusion> all = new ArrayList<>(unknownSites);
+            List<Exclusion> exclusions = new ArrayList<>(unknownSites);
             bySite.forEach(
                     s ->
                             s.exclusions().stream()
-                                    // What the plan excludes is the same at every site.
+                                    // What the plan excludes is the same at every site, so it is
+                                    // listed once.
                                     .filter(e -> e.site() != null || s == bySite.get(0))
-                                    .forEach(all::add));
-            return all;
+                                    .forEach(exclusions::add));
+            return exclusions;
         }
     }
 
     /**
-     * The full account.
+     * Returns the start times of every site and of all of them together.
      *
      * @param now nothing starts before this
-     * @param error how far the wall clock may be off
+     * @param clockErrorMillis how far the wall clock may be off
      */
-    public static Result query(StartPlan plan, CalendarLookup calendars, long now, long error) {
-        List<SiteStarts> starts = new ArrayList<>(plan.sites().size());
-        List<Exclusion> unknown = new ArrayList<>();
-        Intervals.Gathering all = new Intervals.Gathering();
+    public static Result query(
+            StartPlan plan, CalendarLookup calendars, long now, long clockErrorMillis) {
+        List<SiteStartTimes> bySite = new ArrayList<>(plan.sites().size());
+        List<Exclusion> unknownSites = new ArrayList<>();
+        Intervals.Builder union = new Intervals.Builder();
         for (String site : plan.sites()) {
             SiteCalendar calendar = calendars.forSite(site);
             if (calendar == null) {
-                unknown.add(new Exclusion(now, NEVER, site, Reason.UNKNOWN, calendars.why(site)));
+                unknownSites.add(
+                        new Exclusion(
+                                now,
+                                NEVER,
+                                site,
+                                Reason.UNKNOWN,
+                                calendars.unavailableReason(site)));
                 continue;
             }
-            SiteStarts s = new SiteStarts(plan, calendar, now, error);
-            starts.add(s);
-            all.add(s.starts());
+            SiteStartTimes siteStarts = new SiteStartTimes(plan, calendar, now, clockErrorMillis);
+            bySite.add(siteStarts);
+            union.add(siteStarts.starts());
         }
-        Intervals together = starts.size() == 1 ? starts.get(0).starts() : all.union();
-        return together.isEmpty()
-                ? new Result(starts, unknown, together, NEVER, NEVER)
-                : new Result(starts, unknown, together, together.from(0), together.to(0));
+        Intervals anySite = bySite.size() == 1 ? bySite.get(0).starts() : union.buildUnion();
+        return anySite.isEmpty()
+                ? new Result(bySite, unknownSites, anySite, NEVER, NEVER)
+                : new Result(bySite, unknownSites, anySite, anySite.from(0), anySite.to(0));
     }
 
     /**
-     * The first time, from now on, at which it may start somewhere; {@link #NEVER} where there is
-     * none.
+     * Returns the first time, from now on, at which the job may start at some site; {@link #NEVER}
+     * if there is none.
      */
-    public static long opens(StartPlan plan, CalendarLookup calendars, long now, long error) {
-        long first = NEVER;
+    public static long nextOpening(
+            StartPlan plan, CalendarLookup calendars, long now, long clockErrorMillis) {
+        long earliest = NEVER;
         for (String site : plan.sites()) {
             SiteCalendar calendar = calendars.forSite(site);
             if (calendar != null) {
-                first = Math.min(first, SiteStarts.next(plan, calendar, now, error));
-                if (first <= now) {
-                    return first;
+                earliest =
+                        Math.min(
+                                earliest,
+                                SiteStartTimes.nextStart(plan, calendar, now, clockErrorMillis));
+                if (earliest <= now) {
+                    return earliest;
                 }
             }
         }
-        return first;
+        return earliest;
     }
 
-    /** Whether it may start there at this time. */
-    public static boolean able(StartPlan plan, SiteCalendar calendar, long time, long error) {
-        return calendar != null && SiteStarts.next(plan, calendar, time, error) == time;
+    /** Returns whether the job may start at the site at this time. */
+    public static boolean mayStart(
+            StartPlan plan, SiteCalendar calendar, long time, long clockErrorMillis) {
+        return calendar != null
+                && SiteStartTimes.nextStart(plan, calendar, time, clockErrorMillis) == time;
     }
 }
--- a/core/src/test/java/postgrade/lease/LendingTest.java
+++ b/core/src/test/java/postgrade/lease/LendingTest.java
@@ -21,29 +21,31 @@
 import postgrade.shared.View;
 
 /**
- * Whether lending wins: half of all accelerators is reserved early and needed only after a while.
+ * Shows that lending serves more jobs when half of all accelerators is reserved early but needed
+ * only later.
  */
 public class LendingTest {
 
     private static final int WORKERS = 8;
     private static final int SLOTS = 4;
-    private static final double NEEDED = 120;
-    private static final double END = 180;
-    private static final double TIME_LEFT = 5;
-    private static final double AIM = 1;
+    private static final double NEEDED_AT_S = 120;
+    private static final double END_S = 180;
+    private static final double TIME_LEFT_S = 5;
+    private static final double LATENCY_OBJECTIVE_S = 1;
 
     /**
-     * @param checks part of the ordinary jobs in time @param plans and of the holder's
+     * @param ordinaryInTime share of the ordinary jobs that were served in time
+     * @param holderInTime the same for the holder's jobs
      */
-    private record Result(double checks, double plans) {}
+    private record Result(double ordinaryInTime, double holderInTime) {}
 
     private static Result run(long seed, boolean lends) {
         ReplicatedStateMachine machine =
                 new ReplicatedStateMachine(1, List.of(new LeasePart(LeaseTimes.DEFAULT)));
         List<WorkerInfo> workers = new ArrayList<>();
         long index = 0;
-        for (int w = 0; w < WORKERS; w++) {
-            workers.add(new WorkerInfo("w" + w, "z", "k", 0, WorkerPhase.READY, 1, 0));
+        for (int workerIndex = 0; workerIndex < WORKERS; workerIndex++) {
+            workers.add(new WorkerInfo("w" + workerIndex, "z", "k", 0, WorkerPhase.READY, 1, 0));
             machine.apply(
                     ++index,
                     new Command(
@@ -54,7 +56,7 @@
                             "unit",
                             Row.of(
                                     "worker",
-                                    "w" + w,
+                                    "w" + workerIndex,
                                     "site",
                                     "z",
                                     "kind",
@@ -82,10 +84,10 @@
                                 "ttlMs",
                                 600_000,
                                 "neededInMs",
-                                (long) (NEEDED * 1000))));
+                                (long) (NEEDED_AT_S * 1000))));
         Rows rows = Rows.fromSnapshot(index, machine.snapshot().rows());
         View[] view = {View.NONE};
-        LeaseConstraints ability =
+        LeaseConstraints constraints =
                 new LeaseConstraints(
                         () -> view[0],
                         LeaseTimes.DEFAULT,
@@ -100,14 +102,14 @@
 
         SplittableRandom random = new SplittableRandom(seed);
         List<PriorityQueue<Double>> busyUntil = new ArrayList<>();
-        workers.forEach(w -> busyUntil.add(new PriorityQueue<>()));
-        int[] all = new int[2];
+        workers.forEach(workerIndex -> busyUntil.add(new PriorityQueue<>()));
+        int[] total = new int[2];
         int[] inTime = new int[2];
-        // Half the fleet alone is loaded to 1.3; the whole of it to 0.65. The holder's own load is
+        // Half the fleet alone would have a load of 1.3, the whole fleet 0.65. The holder's load is
         // light.
-        for (double t = 0; t < END; t += -Math.log(1 - random.nextDouble()) / 44) {
-            boolean plan = t > NEEDED && random.nextInt(4) == 0;
-            double seconds = -Math.log(1 - random.nextDouble()) * 0.47;
+        for (double t = 0; t < END_S; t += -Math.log(1 - random.nextDouble()) / 44) {
+            boolean holderJob = t > NEEDED_AT_S && random.nextInt(4) == 0;
+            double serviceSeconds = -Math.log(1 - random.nextDouble()) * 0.47;
             view[0] =
                     new View(
                             new postgrade.shared.Moment(1, index, (long) (t * 1e6)),
@@ -116,64 +118,67 @@
             Job job =
                     new Job(
                             "j",
-                            plan ? "plan" : "check",
-                            plan ? "ana" : "ivo",
+                            holderJob ? "plan" : "check",
+                            holderJob ? "ana" : "ivo",
                             null,
-                            (long) (TIME_LEFT * 1e9),
+                            (long) (TIME_LEFT_S * 1e9),
                             1,
                             0);
-            int best = -1;
-            double least = Double.MAX_VALUE;
-            for (int w = 0; w < WORKERS; w++) {
+            int leastLoaded = -1;
+            double leastLoad = Double.MAX_VALUE;
+            for (int workerIndex = 0; workerIndex < WORKERS; workerIndex++) {
                 double now = t;
-                busyUntil.get(w).removeIf(u -> u <= now);
-                double part = ability.usableShare((long) (t * 1e9), job, workers.get(w));
+                busyUntil.get(workerIndex).removeIf(end -> end <= now);
+                double usableShare =
+                        constraints.usableShare((long) (t * 1e9), job, workers.get(workerIndex));
                 double load =
-                        part == 0
+                        usableShare == 0
                                 ? Double.MAX_VALUE
-                                : (busyUntil.get(w).size() + 1) / (SLOTS * part);
-                if (load < least) {
-                    least = load;
-                    best = w;
+                                : (busyUntil.get(workerIndex).size() + 1) / (SLOTS * usableShare);
+                if (load < leastLoad) {
+                    leastLoad = load;
+                    leastLoaded = workerIndex;
                 }
             }
-            PriorityQueue<Double> line = busyUntil.get(best);
-            List<Double> ends = new ArrayList<>(line);
+            PriorityQueue<Double> queue = busyUntil.get(leastLoaded);
+            List<Double> ends = new ArrayList<>(queue);
             ends.sort(null);
-            double begins = ends.size() < SLOTS ? t : ends.get(ends.size() - SLOTS);
-            // Where every worker that is there for it has a line as long as its slots, it is
-            // refused.
-            boolean taken = least <= 2;
-            if (taken) {
-                line.add(begins + seconds);
+            double startsAt = ends.size() < SLOTS ? t : ends.get(ends.size() - SLOTS);
+            // Rejected if every worker usable for it has a queue as long as its slots.
+            boolean accepted = leastLoad <= 2;
+            if (accepted) {
+                queue.add(startsAt + serviceSeconds);
             }
-            boolean good = taken && begins + seconds - t <= AIM + 2 * seconds;
-            all[plan ? 1 : 0]++;
-            inTime[plan ? 1 : 0] += good ? 1 : 0;
+            boolean servedInTime =
+                    accepted
+                            && startsAt + serviceSeconds - t
+                                    <= LATENCY_OBJECTIVE_S + 2 * serviceSeconds;
+            total[holderJob ? 1 : 0]++;
+            inTime[holderJob ? 1 : 0] += servedInTime ? 1 : 0;
         }
-        return new Result((double) inTime[0] / all[0], (double) inTime[1] / all[1]);
+        return new Result((double) inTime[0] / total[0], (double) inTime[1] / total[1]);
     }
 
     @Test
-    public void lendingServesMoreAndTheHolderNoLess() {
-        double checks = 0;
+    public void lendingServesMoreWithoutHarmToHolder() {
+        double withoutLending = 0;
         double withLending = 0;
-        double plans = 0;
-        double plansWithLending = 0;
+        double holderWithoutLending = 0;
+        double holderWithLending = 0;
         int seeds = 20;
         for (int seed = 0; seed < seeds; seed++) {
             Result without = run(seed, false);
             Result with = run(seed, true);
-            checks += without.checks / seeds;
-            withLending += with.checks / seeds;
-            plans += without.plans / seeds;
-            plansWithLending += with.plans / seeds;
+            withoutLending += without.ordinaryInTime / seeds;
+            withLending += with.ordinaryInTime / seeds;
+            holderWithoutLending += without.holderInTime / seeds;
+            holderWithLending += with.holderInTime / seeds;
         }
         String figures =
                 String.format(
-                        "others' %.3f %.3f, the holder's %.3f %.3f",
-                        checks, withLending, plans, plansWithLending);
-        assertTrue(figures, withLending > checks + 0.1);
-        assertEquals(plans, plansWithLending, 0.01);
+                        "served in time without and with lending: ordinary %.3f %.3f, holder %.3f %.3f",
+                        withoutLending, withLending, holderWithoutLending, holderWithLending);
+        assertTrue(figures, withLending > withoutLending + 0.1);
+        assertEquals(holderWithoutLending, holderWithLending, 0.01);
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/Quorum.java
+++ b/quorum/src/main/java/postgrade/quorum/Quorum.java
@@ -10,44 +10,47 @@
 import java.util.function.LongSupplier;
 import org.slf4j.event.Level;
 import postgrade.log.EventLogs;
-import postgrade.quorum.engine.EraBegin;
-import postgrade.quorum.engine.Faults;
+import postgrade.quorum.engine.EraInitializer;
+import postgrade.quorum.engine.FaultStatus;
 import postgrade.quorum.engine.Voter;
-import postgrade.quorum.follow.Following;
+import postgrade.quorum.follow.StateClient;
 import postgrade.quorum.settings.QuorumSettings;
 import postgrade.quorum.store.Incarnations;
-import postgrade.quorum.wire.Links;
 import postgrade.quorum.wire.Server;
+import postgrade.quorum.wire.VoterConnections;
 import postgrade.shared.Command;
 import postgrade.shared.ReplicatedState;
 import postgrade.shared.StatePart;
 import postgrade.shared.View;
 
 /**
- * Shared state by a quorum of voters, for one process: a voter itself, or an observer that follows.
+ * State shared through a quorum of voters, as one process takes part in it: as a voter or as an
+ * observer that follows the voters.
  */
 public final class Quorum implements ReplicatedState {
 
-    /** Held, since loggers that nobody holds forget their level. */
-    private static final java.util.logging.Logger GRPC =
+    /**
+     * Strong reference: java.util.logging keeps loggers weakly and would forget the level set here.
+     */
+    private static final java.util.logging.Logger GRPC_LOGGER =
             java.util.logging.Logger.getLogger("io.grpc");
 
     private final QuorumSettings settings;
-    final EventLoopGroup events;
-    private final Links links;
-    private final Faults faults;
-    private final Faults followFaults;
+    final EventLoopGroup eventLoops;
+    private final VoterConnections connections;
+    private final FaultStatus voterFault;
+    private final FaultStatus followerFault;
     private final Voter voter;
     private final Server server;
-    private final Following following;
+    private final StateClient follower;
 
     private Quorum(
             QuorumSettings settings, List<StatePart> parts, LongSupplier nowMicros, Executor onLoop)
             throws IOException {
         this.settings = settings;
-        faults = new Faults(settings.name());
-        followFaults = new Faults(settings.name());
-        events =
+        voterFault = new FaultStatus(settings.name());
+        followerFault = new FaultStatus(settings.name());
+        eventLoops =
                 new NioEventLoopGroup(
                         1,
                         task -> {
@@ -55,36 +58,42 @@
                             t.setDaemon(true);
                             return t;
                         });
-        links = new Links(settings, events);
-        voter = settings.votes() ? new Voter(settings, parts, nowMicros, links, faults) : null;
+        connections = new VoterConnections(settings, eventLoops);
+        voter =
+                settings.isVoter()
+                        ? new Voter(settings, parts, nowMicros, connections, voterFault)
+                        : null;
         try {
             server =
                     voter == null
                             ? null
-                            : new Server(settings.voter(settings.name()), events, voter.desk());
+                            : new Server(
+                                    settings.voter(settings.name()),
+                                    eventLoops,
+                                    voter.requestHandler());
         } catch (IOException e) {
-            events.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
+            eventLoops.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
             throw e;
         }
-        following = new Following(settings, nowMicros, links, voter, followFaults, onLoop);
+        follower = new StateClient(settings, nowMicros, connections, voter, followerFault, onLoop);
         if (voter != null) {
             voter.start();
         }
-        following.start();
+        follower.start();
     }
 
     /**
-     * Begins to share. It does not wait for the others, and a store that cannot be used is told by
-     * {@link #standing}.
+     * Opens the shared state. Does not wait for other processes; a store that cannot be used is
+     * reported by {@link #standing}.
      *
-     * @param nowMicros this process's monotonic clock, read by any thread
-     * @param onLoop takes what is to run on the process's loop
-     * @throws IOException where a voter cannot listen
+     * @param nowMicros this process's monotonic clock, callable from any thread
+     * @param onLoop runs tasks on the process's event loop
+     * @throws IOException if a voter cannot listen on its port
      */
     public static Quorum open(
             QuorumSettings settings, List<StatePart> parts, LongSupplier nowMicros, Executor onLoop)
             throws IOException {
-        quiet();
+        quietLibraryLoggers();
         long incarnation =
                 settings.incarnation() > 0
                         ? settings.incarnation()
@@ -92,85 +101,86 @@
         return new Quorum(settings.withIncarnation(incarnation), parts, nowMicros, onLoop);
     }
 
-    private static void quiet() {
+    private static void quietLibraryLoggers() {
         EventLogs.setLoggerLevel(
-                "io.microraft.", Level.ERROR); // It tells each vote; what counts is told here.
+                "io.microraft.", Level.ERROR); // Logs every vote; this module logs what matters.
         EventLogs.setLoggerLevel("io.grpc.", Level.ERROR);
-        GRPC.setLevel(
-                java.util.logging.Level.SEVERE); // A peer that went away is no event of its own.
+        GRPC_LOGGER.setLevel(
+                java.util.logging.Level.SEVERE); // A disconnected peer is not worth a log line.
     }
 
     /**
-     * Follows beside the process of these settings, which lives: without its vote, its store and
-     * its incarnation.
+     * Opens an observer next to the running process of these settings, without its vote, its store
+     * and its incarnation.
      */
     public static Quorum openObserver(
             QuorumSettings settings, LongSupplier nowMicros, Executor onLoop) throws IOException {
-        quiet();
-        return new Quorum(settings.beside(), List.of(), nowMicros, onLoop);
+        quietLibraryLoggers();
+        return new Quorum(settings.asObserver(), List.of(), nowMicros, onLoop);
     }
 
     /**
-     * Begins an era at this voter, whose process must not run: the first one of an installation, or
-     * the next after a total loss. The others are taken in as they come.
+     * Begins an era at this voter, whose process must not be running: the first era of an
+     * installation, or the next one after a total loss. The other voters are admitted as they
+     * start.
      *
-     * @return null where it was done, or one sentence about what stands against it
+     * @return null if the era has begun, else one sentence that says why it was refused
      */
     public static String beginEra(QuorumSettings settings, long era) throws IOException {
-        return EraBegin.begin(settings, era);
+        return EraInitializer.begin(settings, era);
     }
 
     @Override
     public View view() {
-        return following.view();
+        return follower.view();
     }
 
     @Override
-    public void submit(Command command, long withinMicros, Consumer<Reply> done) {
-        following.ask(command, withinMicros, done);
+    public void submit(Command command, long timeoutMicros, Consumer<Reply> done) {
+        follower.submit(command, timeoutMicros, done);
     }
 
     @Override
     public Standing standing() {
-        boolean votes = voter != null && voter.votes();
+        boolean voting = voter != null && voter.isVoting();
         String leader =
-                following.leader() != null || voter == null ? following.leader() : voter.leader();
+                follower.leader() != null || voter == null ? follower.leader() : voter.leader();
         return new Standing(
                 settings.name(),
                 settings.incarnation(),
-                votes ? Role.VOTER : Role.OBSERVER,
+                voting ? Role.VOTER : Role.OBSERVER,
                 leader,
-                following.voters(),
-                faults.now() != null ? faults.now() : followFaults.now());
+                follower.voters(),
+                voterFault.current() != null ? voterFault.current() : followerFault.current());
     }
 
     @Override
     public void close() {
-        following.close();
+        follower.close();
         if (server != null) {
             server.close();
         }
-        links.close();
-        // A voter still answers who waits as it ends. Were the transport's thread gone by then, the
-        // answer would throw.
+        connections.close();
+        // The voter still answers waiting callers while it shuts down; if the transport's thread
+        // had ended by then, answering would throw.
         if (voter != null) {
-            voter.close(this::endTransport);
+            voter.close(this::shutDownTransport);
         } else {
-            endTransport();
+            shutDownTransport();
         }
     }
 
-    private void endTransport() {
-        events.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS);
+    private void shutDownTransport() {
+        eventLoops.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Whether a voter's store is closed and its port free by now; for whoever opens it next. A
-     * channel that is closed goes on listening until its selector has looked once more, so only the
-     * end of the transport's thread tells.
+     * Waits until a voter's store is closed and its port is free, so that both can be opened again.
+     * A closed channel keeps listening until its selector has run once more, so only the end of the
+     * transport's thread shows that the port is free.
      */
     public boolean awaitClosed(long millis) throws InterruptedException {
-        return events.awaitTermination(millis, TimeUnit.MILLISECONDS)
+        return eventLoops.awaitTermination(millis, TimeUnit.MILLISECONDS)
                 && (voter == null || voter.awaitClosed(millis));
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/engine/Elections.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/Elections.java
@@ -7,39 +7,40 @@
 import io.microraft.model.message.RaftMessage;
 import java.util.Random;
 import java.util.function.LongSupplier;
-import postgrade.quorum.wire.RaftShapes;
+import postgrade.quorum.wire.RaftCodec;
 import postgrade.quorum.wire.proto.RaftMsg;
 
 /**
- * What this voter adds to the engine's elections: it waits for a leader that was there when it came
- * back, spreads the rounds, and logs its part. On the engine's thread.
+ * What this voter adds to the elections of the consensus engine: after a restart it waits for the
+ * leader that was there, it randomises the pauses between rounds, and it logs its votes. Used on
+ * the engine's thread.
  */
 final class Elections {
 
     /**
-     * How long votes are waited for, and the spread of it, in the engine's time: a heartbeat is a
-     * second of it.
+     * Vote timeout, and range of its random part, in the engine's time, in which a heartbeat
+     * interval lasts one second.
      */
-    static final int VOTE_MILLIS = 3000;
+    static final int VOTE_TIMEOUT_MILLIS = 3000;
 
-    private static final int MOST_ROUNDS = 6;
+    private static final int MAX_BACKOFF_ROUNDS = 6;
 
     private final LeaderStickiness stickiness;
     private final LongSupplier nowMicros;
-    private final VoteLog log;
-    private final Spread spread = new Spread();
-    private boolean waitsForLeader;
+    private final VoteLog voteLog;
+    private final ElectionJitter jitter = new ElectionJitter();
+    private boolean awaitingLeader;
 
     Elections(String process, LeaderStickiness stickiness, LongSupplier nowMicros) {
         this.stickiness = stickiness;
         this.nowMicros = nowMicros;
-        log = new VoteLog(process);
-        waitsForLeader = sticksToLeader();
+        voteLog = new VoteLog(process);
+        awaitingLeader = sticksToLeader();
     }
 
-    /** Where the engine draws the pauses between its rounds from. */
-    Random spread() {
-        return spread;
+    /** The source of the engine's random pauses between election rounds. */
+    Random jitter() {
+        return jitter;
     }
 
     private boolean sticksToLeader() {
@@ -47,66 +48,68 @@
     }
 
     /**
-     * Whether a message of the engine's may leave; what leaves is logged.
+     * Whether a message of the engine may be sent; logs it if so.
      *
-     * @param leader whom this voter follows, or null
+     * @param leader the leader that this voter follows, or null
      */
-    boolean lets(RaftMessage message, RaftEndpoint target, String leader) {
+    boolean permitSend(RaftMessage message, RaftEndpoint target, String leader) {
         if (message instanceof PreVoteRequest && sticksToLeader()) {
             return false;
         }
-        log.sent(message, target.getId(), leader);
+        voteLog.logSent(message, target.getId(), leader);
         return true;
     }
 
-    /** Whether a message asks for a vote that this voter does not give yet. */
-    boolean refuses(RaftMsg message, String leader) {
-        boolean refused = RaftShapes.asksForVote(message) && sticksToLeader();
+    /** Whether a message requests a vote that this voter must not grant yet. */
+    boolean refuseVoteRequest(RaftMsg message, String leader) {
+        boolean refused = RaftCodec.isVoteRequest(message) && sticksToLeader();
         if (refused) {
-            log.refused(message, leader);
+            voteLog.logRefused(message, leader);
         }
         return refused;
     }
 
-    /** A leader is there: later rounds are spread as first ones are. */
-    void leaderIsKnown() {
-        spread.rounds = 0;
+    /**
+     * Resets the backoff once a leader is known, so that later elections start with short pauses.
+     */
+    void onLeaderKnown() {
+        jitter.round = 0;
     }
 
-    /** The peers tell that they follow nobody. */
-    void nobodyLeads(RaftNodeImpl node) {
+    /** Called when the peers report that they follow no leader. */
+    void onNoLeader(RaftNodeImpl node) {
         stickiness.release();
-        askOnceFree(node);
+        startElectionOnceReleased(node);
     }
 
     /**
-     * The leader that was waited for has not shown itself: votes are asked for at once, as the
+     * Starts an election at once if the leader that this voter waited for has not appeared, as the
      * engine's own next round may be far off.
      */
-    void askOnceFree(RaftNodeImpl node) {
-        if (!waitsForLeader || sticksToLeader()) {
+    void startElectionOnceReleased(RaftNodeImpl node) {
+        if (!awaitingLeader || sticksToLeader()) {
             return;
         }
-        waitsForLeader = false;
+        awaitingLeader = false;
         if (node.state().role() == RaftRole.FOLLOWER && node.state().leader() == null) {
-            spread.rounds = 0;
+            jitter.round = 0;
             node.runPreVote();
         }
     }
 
     /**
-     * Spreads elections. The engine's own spread is a tenth of its second, a hundredth of ours, and
-     * two that tie would go on tying. Each round waits longer, so that a disk that is slow just now
-     * does not outlast all of them.
+     * Random pauses between election rounds. The engine's own random part is a tenth of its second,
+     * which is a hundredth of a second here, so two candidates that tie would keep tying. Each
+     * round waits longer, so that a temporarily slow disk does not outlast all rounds.
      */
-    private static final class Spread extends Random {
+    private static final class ElectionJitter extends Random {
         private static final long serialVersionUID = 1L;
-        private int rounds;
+        private int round;
 
         @Override
         public int nextInt(int bound) {
-            rounds = Math.min(MOST_ROUNDS, rounds + 1);
-            return super.nextInt(VOTE_MILLIS * rounds);
+            round = Math.min(MAX_BACKOFF_ROUNDS, round + 1);
+            return super.nextInt(VOTE_TIMEOUT_MILLIS * round);
         }
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/engine/EngineThread.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/EngineThread.java
@@ -14,25 +14,25 @@
 import java.util.function.LongSupplier;
 
 /**
- * The one thread of a voter: consensus, its store, and what it serves. The engine counts in whole
- * seconds; here a second of its own lasts one heartbeat, for its tasks as for its clock, so that a
- * dead leader is replaced in less than two seconds of ours.
+ * The single thread of a voter, for consensus, its store and its requests. The engine counts in
+ * whole seconds; here one of its seconds lasts one heartbeat interval, for its tasks and its clock
+ * alike, so that a dead leader is replaced in less than two real seconds.
  */
 final class EngineThread implements RaftNodeExecutor {
 
-    /** Lets the engine's clock begin long after zero, which it takes for never. */
-    private static final long BEGIN_MILLIS = 1_000_000_000_000L;
+    /** Start of the engine's clock, far above zero, since the engine takes zero as never. */
+    private static final long CLOCK_ORIGIN_MILLIS = 1_000_000_000_000L;
 
-    private final ScheduledThreadPoolExecutor pool;
-    private final double speed;
-    private final TaskFailures failures;
+    private final ScheduledThreadPoolExecutor executor;
+    private final double timeScale;
+    private final TaskFailureLog failures;
     private volatile Thread thread;
 
-    EngineThread(String name, int heartbeatMillis) {
-        speed = 1000.0 / heartbeatMillis;
+    EngineThread(String name, int heartbeatIntervalMillis) {
+        timeScale = 1000.0 / heartbeatIntervalMillis;
         String threadName = "quorum-engine-" + name;
-        failures = new TaskFailures(threadName);
-        pool =
+        failures = new TaskFailureLog(threadName);
+        executor =
                 new ScheduledThreadPoolExecutor(
                         1,
                         task -> {
@@ -41,16 +41,16 @@
                             thread = t;
                             return t;
                         });
-        pool.setRemoveOnCancelPolicy(true);
-        pool.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
+        executor.setRemoveOnCancelPolicy(true);
+        executor.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
     }
 
-    /** The engine's clock, after the process's own monotonic one. */
+    /** The engine's clock, derived from the process's monotonic clock. */
     Clock clock(LongSupplier nowMicros) {
         return new Clock() {
             @Override
             public long millis() {
-                return BEGIN_MILLIS + (long) (nowMicros.getAsLong() / 1000.0 * speed);
+                return CLOCK_ORIGIN_MILLIS + (long) (nowMicros.getAsLong() / 1000.0 * timeScale);
             }
 
             @Override
@@ -82,36 +82,36 @@
     @Override
     public void submit(Runnable task) {
         try {
-            pool.execute(failures.told(task));
+            executor.execute(failures.withLogging(task));
         } catch (RejectedExecutionException e) {
-            // Closed: nobody waits for it any more.
+            // Shut down: nobody waits for the task any more.
         }
     }
 
     @Override
     public void schedule(Runnable task, long delay, TimeUnit unit) {
-        afterMicros(task, (long) (unit.toMicros(delay) / speed));
+        scheduleMicros(task, (long) (unit.toMicros(delay) / timeScale));
     }
 
-    /** As long as that of ours, told to the engine. */
-    Duration engineTime(long millis) {
-        return Duration.ofMillis((long) (millis * speed));
+    /** Converts a real duration to the engine's time. */
+    Duration toEngineTime(long millis) {
+        return Duration.ofMillis((long) (millis * timeScale));
     }
 
-    /** In the process's own time. */
-    Future<?> afterMicros(Runnable task, long micros) {
+    /** Runs a task after a delay in real time. */
+    Future<?> scheduleMicros(Runnable task, long micros) {
         try {
-            return pool.schedule(failures.told(task), micros, TimeUnit.MICROSECONDS);
+            return executor.schedule(failures.withLogging(task), micros, TimeUnit.MICROSECONDS);
         } catch (RejectedExecutionException e) {
-            return CompletableFuture.completedFuture(null); // Closed.
+            return CompletableFuture.completedFuture(null); // Shut down.
         }
     }
 
     void close() {
-        pool.shutdown();
+        executor.shutdown();
     }
 
     boolean awaitClosed(long millis) throws InterruptedException {
-        return pool.awaitTermination(millis, TimeUnit.MILLISECONDS);
+        return executor.awaitTermination(millis, TimeUnit.MILLISECONDS);
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/engine/Replica.java
+++ b/quorum/src/main/java/postgrade/quorum/engine/Replica.java
@@ -3,17 +3,17 @@
 import io.microraft.statemachine.StateMachine;
 import java.util.List;
 import java.util.function.Consumer;
-import postgrade.quorum.wire.LogShapes;
+import postgrade.quorum.wire.LogCodec;
 import postgrade.shared.Answer;
 import postgrade.shared.Command;
 import postgrade.shared.Moment;
 import postgrade.shared.ReplicatedStateMachine;
 import postgrade.shared.StatePart;
 
-/** Core's machine as the engine drives it. */
+/** Adapts the state machine of the shared state to the consensus engine. */
 final class Replica implements StateMachine {
 
-    /** A question to the machine that changes nothing and is no entry of the log. */
+    /** A query that changes nothing and is not an entry of the log. */
     static final Object READ =
             new Object() {
                 @Override
@@ -22,7 +22,7 @@
                 }
             };
 
-    record Decided(Answer answer, Moment moment) {}
+    record Applied(Answer answer, Moment moment) {}
 
     final ReplicatedStateMachine machine;
 
@@ -32,25 +32,25 @@
 
     @Override
     public Object runOperation(long index, Object operation) {
-        if (operation instanceof Command c) {
-            Answer answer = machine.apply(index, c);
-            return new Decided(answer, machine.moment());
+        if (operation instanceof Command command) {
+            Answer answer = machine.apply(index, command);
+            return new Applied(answer, machine.moment());
         }
         return null; // A read, or the first entry of a term.
     }
 
     @Override
     public void takeSnapshot(long index, Consumer<Object> chunks) {
-        Pages.split(machine.snapshot(), chunks);
+        StatePages.split(machine.snapshot(), chunks);
     }
 
     @Override
     public void installSnapshot(long index, List<Object> chunks) {
-        machine.restore(Pages.join(chunks));
+        machine.restore(StatePages.join(chunks));
     }
 
     @Override
     public Object getNewTermOperation() {
-        return LogShapes.NEW_TERM;
+        return LogCodec.NEW_TERM;
     }
 }
--- a/quorum/src/main/java/postgrade/quorum/settings/SharingFile.java
+++ b/quorum/src/main/java/postgrade/quorum/settings/SharingFile.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import postgrade.quorum.settings.QuorumSettings.Faulty;
+import postgrade.quorum.settings.QuorumSettings.InvalidQuorumSettingException;
 import postgrade.quorum.settings.QuorumSettings.Voter;
 import postgrade.script.Module;
 import postgrade.script.Script;
@@ -16,9 +16,9 @@
 import postgrade.script.Values.HostObject;
 
 /**
- * Reads how a process shares from a script, such as {@code deploy/sharing.star}. One file may serve
- * several processes: each is told its name when it is started, and keeps its store in a folder of
- * that name. What is faulty is told with file and key, and with the line where the script made it.
+ * Reads the sharing settings of a process from a script, such as {@code deploy/sharing.star}. One
+ * file may serve several processes: each gets its name at start and keeps its store in a folder of
+ * that name. Errors name file and key, and the line if the script itself raised them.
  */
 public final class SharingFile {
 
@@ -33,7 +33,7 @@
                     "heartbeat_ms",
                     "election_ms");
 
-    private record Made(Voter voter) implements HostObject {
+    private record VoterValue(Voter voter) implements HostObject {
         @Override
         public String typeName() {
             return "voter";
@@ -53,7 +53,7 @@
         this.file = file;
     }
 
-    /** Reads a file that says the process's name itself. */
+    /** Reads a file that sets the process's name itself. */
     public static QuorumSettings read(Path file) {
         return read(file, null, line -> {});
     }
@@ -61,54 +61,64 @@
     /**
      * Reads a file.
      *
-     * @param name of this process, instead of what the file says; may be null
+     * @param name of this process, overriding the one in the file; may be null
      * @param printer takes what the script prints
      * @throws IllegalArgumentException with one sentence that names file and key
-     * @throws postgrade.script.ScriptError where the script itself is faulty
+     * @throws postgrade.script.ScriptError if the script itself fails
      */
     public static QuorumSettings read(Path file, String name, Consumer<String> printer) {
         return read(Script.run(file, scriptFunctions(), printer), file, name, Set.of());
     }
 
-    /** What a script of this kind may call. */
+    /** The functions that such a script may call. */
     public static Map<String, Object> scriptFunctions() {
-        return Map.of("voter", Script.function("voter", "name host port", a -> new Made(voter(a))));
+        return Map.of(
+                "voter",
+                Script.function(
+                        "voter", "name host port", arguments -> new VoterValue(voter(arguments))));
     }
 
     /**
-     * Reads from a script that has run, which may hold settings of others.
+     * Reads from a script that has run, which may also hold settings of other modules.
      *
-     * @param others keys that somebody else reads
+     * @param otherKeys keys that other modules read
      */
-    public static QuorumSettings read(Module script, Path file, String name, Set<String> others) {
-        return new SharingFile(script, file.getFileName().toString()).settings(name, others);
+    public static QuorumSettings read(
+            Module script, Path file, String name, Set<String> otherKeys) {
+        return new SharingFile(script, file.getFileName().toString()).settings(name, otherKeys);
     }
 
-    private static Voter voter(Object[] a) {
-        if (!(a[0] instanceof String name) || !(a[1] instanceof String host)) {
+    private static Voter voter(Object[] arguments) {
+        if (!(arguments[0] instanceof String name) || !(arguments[1] instanceof String host)) {
             throw Script.error("voter: name and host must be strings");
         }
         try {
-            return new Voter(name, host, (int) Math.min(Integer.MAX_VALUE, whole("port", a[2])));
-        } catch (Faulty e) {
+            return new Voter(
+                    name,
+                    host,
+                    (int) Math.min(Integer.MAX_VALUE, wholeNumber("port", arguments[2])));
+        } catch (InvalidQuorumSettingException e) {
             throw Script.error(e.getMessage());
         }
     }
 
-    private QuorumSettings settings(String given, Set<String> others) {
+    private QuorumSettings settings(String givenName, Set<String> otherKeys) {
         for (String global : script.globals()) {
             Object value = script.global(global);
             if (!KEYS.contains(global)
-                    && !others.contains(global)
+                    && !otherKeys.contains(global)
                     && !global.startsWith("_")
                     && !Values.type(value).equals("function")) {
-                throw faulty(new Faulty(global, "is no setting; names of one's own begin with _"));
+                throw withFileName(
+                        new InvalidQuorumSettingException(
+                                global, "is no setting; names of one's own begin with _"));
             }
         }
         try {
-            String name = given != null ? given : text("name");
+            String name = givenName != null ? givenName : text("name");
             if (name == null) {
-                throw new Faulty("name", "is missing: this process needs a name of its own");
+                throw new InvalidQuorumSettingException(
+                        "name", "is missing: this process needs a name of its own");
             }
             String store = text("store");
             return new QuorumSettings(
@@ -121,28 +131,28 @@
                     (int) number("pull_ms", QuorumSettings.DEFAULT_PULL_INTERVAL_MILLIS),
                     (int) number("heartbeat_ms", QuorumSettings.DEFAULT_HEARTBEAT_INTERVAL_MILLIS),
                     (int) number("election_ms", QuorumSettings.DEFAULT_ELECTION_TIMEOUT_MILLIS));
-        } catch (Faulty e) {
-            throw faulty(e);
+        } catch (InvalidQuorumSettingException e) {
+            throw withFileName(e);
         } catch (java.nio.file.InvalidPathException e) {
-            throw faulty(new Faulty("store", "is not a folder's name"));
+            throw withFileName(new InvalidQuorumSettingException("store", "is not a valid path"));
         }
     }
 
     private List<Voter> voters() {
         Object value = script.global("voters");
         if (!(value instanceof Sequence sequence)) {
-            throw new Faulty(
+            throw new InvalidQuorumSettingException(
                     "voters",
                     value == null ? "is missing" : "must be a list, not " + Values.type(value));
         }
         List<Voter> voters = new ArrayList<>();
         for (int i = 0; i < sequence.size(); i++) {
-            if (!(sequence.get(i) instanceof Made made)) {
-                throw new Faulty(
+            if (!(sequence.get(i) instanceof VoterValue voterValue)) {
+                throw new InvalidQuorumSettingException(
                         "voters",
                         "must hold voter(name, host, port), not " + Values.type(sequence.get(i)));
             }
-            voters.add(made.voter);
+            voters.add(voterValue.voter);
         }
         return voters;
     }
@@ -150,28 +160,30 @@
     private String text(String key) {
         Object value = script.global(key);
         if (value != null && !(value instanceof String)) {
-            throw new Faulty(key, "must be a string, not " + Values.type(value));
+            throw new InvalidQuorumSettingException(
+                    key, "must be a string, not " + Values.type(value));
         }
         return (String) value;
     }
 
-    private long number(String key, long otherwise) {
+    private long number(String key, long defaultValue) {
         Object value = script.global(key);
-        return value == null ? otherwise : whole(key, value);
+        return value == null ? defaultValue : wholeNumber(key, value);
     }
 
-    private static long whole(String key, Object value) {
+    private static long wholeNumber(String key, Object value) {
         if (value instanceof Long || value instanceof Integer) {
-            // Guards the casts that follow: what is too large stays too large.
+            // Keeps the later casts from overflowing: values out of range stay out of range.
             return Math.max(-1, Math.min(Integer.MAX_VALUE, ((Number) value).longValue()));
         }
         if (value instanceof BigInteger) {
             return Integer.MAX_VALUE;
         }
-        throw new Faulty(key, "must be a whole number, not " + Values.type(value));
+        throw new InvalidQuorumSettingException(
+                key, "must be a whole number, not " + Values.type(value));
     }
 
-    private IllegalArgumentException faulty(Faulty e) {
+    private IllegalArgumentException withFileName(InvalidQuorumSettingException e) {
         return new IllegalArgumentException(file + ": " + e.getMessage());
     }
 }
--- a/sharing/src/test/java/postgrade/sharing/FakeHost.java
+++ b/sharing/src/test/java/postgrade/sharing/FakeHost.java
@@ -17,12 +17,12 @@
 import postgrade.policy.api.PolicyStateEntry;
 import postgrade.policy.api.Tenant;
 
-/** A dispatcher on virtual time, of which only what its companion sees is there. */
+/** A fake dispatcher on virtual time, with only the functions that the extension uses. */
 final class FakeHost implements Host, Timers {
 
-    private record Due(long when, long number, Runnable task) {}
+    private record ScheduledTask(long when, long number, Runnable task) {}
 
-    private final PriorityQueue<Due> due =
+    private final PriorityQueue<ScheduledTask> scheduled =
             new PriorityQueue<>(
                     (a, b) ->
                             a.when != b.when
@@ -30,33 +30,36 @@
                                     : Long.compare(a.number, b.number));
     private final String name;
     private long now = 86_400_000_000L;
-    private long count;
-    double share = 1;
-    double leastShare = 1;
+    private long nextNumber;
+    double rateFactor = 1;
+    double minRateFactor = 1;
     long unixMillis = 1_800_000_000_000L;
-    boolean alone = true;
-    boolean tookOver;
-    String former = "";
-    List<PolicyStateEntry> learnt = List.of();
-    final List<PolicyStateEntry> told = new ArrayList<>();
+    boolean onlyProcess = true;
+    boolean startedByHandOver;
+    String predecessorState = "";
+    List<PolicyStateEntry> policyState = List.of();
+    final List<PolicyStateEntry> imported = new ArrayList<>();
     final Map<String, WorkerStatus> workers = new LinkedHashMap<>();
-    final Set<String> out = new TreeSet<>();
+    final Set<String> inMaintenance = new TreeSet<>();
     final Set<String> connected = new TreeSet<>();
-    int calls;
+    int callsPerConnection;
 
     FakeHost(String name) {
         this.name = name;
     }
 
-    void worker(String id, long startedMillis) {
+    void addWorker(String id, long startedMillis) {
         workers.put(id, new WorkerStatus(id, "a", "m", 1, startedMillis, true, false));
     }
 
-    /** Runs what is due within this time. */
+    /**
+     * Advances the clocks by this time and runs the timers that expire meanwhile. The wall clock
+     * advances only after they have run.
+     */
     void run(long micros) {
         long end = now + micros;
-        while (!due.isEmpty() && due.peek().when <= end) {
-            Due next = due.poll();
+        while (!scheduled.isEmpty() && scheduled.peek().when <= end) {
+            ScheduledTask next = scheduled.poll();
             now = Math.max(now, next.when);
             next.task.run();
         }
@@ -64,8 +67,10 @@
         unixMillis += micros / 1000;
     }
 
-    /** Stopped and continued: the clocks have gone on, and nothing has run. */
-    void sleep(long micros) {
+    /**
+     * Advances the clocks without running any timers, as when the process is suspended and resumed.
+     */
+    void suspend(long micros) {
         now += micros;
         unixMillis += micros / 1000;
     }
@@ -99,9 +104,9 @@
 
     @Override
     public Timer at(long whenMicros, Runnable task) {
-        Due d = new Due(whenMicros, count++, task);
-        due.add(d);
-        return () -> due.remove(d);
+        ScheduledTask scheduledTask = new ScheduledTask(whenMicros, nextNumber++, task);
+        scheduled.add(scheduledTask);
+        return () -> scheduled.remove(scheduledTask);
     }
 
     @Override
@@ -121,27 +126,27 @@
 
     @Override
     public List<PolicyStateEntry> exportPolicyState() {
-        return learnt;
+        return policyState;
     }
 
     @Override
     public void importPolicyState(List<PolicyStateEntry> all) {
-        told.addAll(all);
+        imported.addAll(all);
     }
 
     @Override
     public boolean startedByHandOver() {
-        return tookOver;
+        return startedByHandOver;
     }
 
     @Override
     public String predecessorState() {
-        return former;
+        return predecessorState;
     }
 
     @Override
     public boolean isOnlyProcess() {
-        return alone;
+        return onlyProcess;
     }
 
     @Override
@@ -155,13 +160,13 @@
     }
 
     @Override
-    public boolean isConnected(String worker) {
-        return connected.contains(worker);
+    public boolean isConnected(String workerId) {
+        return connected.contains(workerId);
     }
 
     @Override
     public boolean anyConnectedWithCallsBelow(int fewerThan) {
-        return !connected.isEmpty() && calls < fewerThan;
+        return !connected.isEmpty() && callsPerConnection < fewerThan;
     }
 
     @Override
@@ -170,18 +175,18 @@
     }
 
     @Override
-    public boolean enterMaintenance(String worker) {
-        return out.add(worker);
+    public boolean enterMaintenance(String workerId) {
+        return inMaintenance.add(workerId);
     }
 
     @Override
-    public boolean exitMaintenance(String worker) {
-        return out.remove(worker);
+    public boolean exitMaintenance(String workerId) {
+        return inMaintenance.remove(workerId);
     }
 
     @Override
     public void setRateFactor(double factor) {
-        share = factor;
-        leastShare = Math.min(leastShare, factor);
+        rateFactor = factor;
+        minRateFactor = Math.min(minRateFactor, factor);
     }
 }
