--- a/rig/src/main/java/postgrade/rig/check/RateCheck.java
+++ b/rig/src/main/java/postgrade/rig/check/RateCheck.java
@@ -7,60 +7,72 @@
 import java.util.Map;
 
 /**
- * Whether all processes together kept a tenant's rate: in no span of time were more jobs taken on
- * tokens than the rate gives in it, plus a bound. Every span is judged, not every second: the
- * excess runs in one sum that drains by the rate.
+ * Checks that all processes together keep a tenant's rate limit: in no time span were more jobs
+ * admitted on tokens than the rate allows in it, plus a bound. Covers every span and not only whole
+ * seconds: the excess is kept in one sum that drains at the rate, as in a leaky bucket.
  */
 public final class RateCheck {
 
-    /** A job taken on a token by some process. */
+    /** A job that a process admitted on a token. */
     public record AdmittedJob(long micros, String process, String tenant) {}
 
     /**
-     * @param perSecond whole rate of the tenant @param bound jobs beyond it in any span: bursts,
-     *     and what is stated
+     * The limit of a tenant.
+     *
+     * @param perSecond rate of the tenant over all processes
+     * @param bound jobs above the rate that are allowed in any span: bursts and the stated
+     *     tolerance
      */
     public record Limit(double perSecond, double bound) {}
 
-    /** The most that was seen, for a bound that is far off to be seen as such. */
-    public record Verdict(List<Breach> breaches, Map<String, Double> mostBeyond, long judged) {}
+    /**
+     * The violations and the greatest excess of each tenant, which shows how far below its bound it
+     * stayed.
+     */
+    public record Verdict(
+            List<Breach> breaches, Map<String, Double> maxExcess, long checkedCount) {}
 
     private RateCheck() {}
 
-    public static Verdict check(List<AdmittedJob> taken, Map<String, Limit> limits) {
-        List<AdmittedJob> inOrder = new ArrayList<>(taken);
+    public static Verdict check(List<AdmittedJob> admitted, Map<String, Limit> limits) {
+        List<AdmittedJob> inOrder = new ArrayList<>(admitted);
         inOrder.sort(Comparator.comparingLong(AdmittedJob::micros));
-        Map<String, Double> beyond = new HashMap<>();
+        Map<String, Double> excess = new HashMap<>();
         Map<String, Long> last = new HashMap<>();
-        Map<String, Double> most = new HashMap<>();
+        Map<String, Double> maxExcess = new HashMap<>();
         List<Breach> breaches = new ArrayList<>();
-        for (AdmittedJob t : inOrder) {
-            Limit limit = limits.get(t.tenant);
+        for (AdmittedJob job : inOrder) {
+            Limit limit = limits.get(job.tenant);
             if (limit == null) {
                 breaches.add(
                         new Breach(
                                 "tenant",
-                                t.micros,
-                                t.tenant,
-                                "taken by " + t.process + ", but has no rate"));
+                                job.micros,
+                                job.tenant,
+                                "admitted by "
+                                        + job.process
+                                        + ", but the tenant has no rate limit"));
                 continue;
             }
             double drained =
-                    (t.micros - last.getOrDefault(t.tenant, t.micros)) * limit.perSecond / 1e6;
-            double now = Math.max(0, beyond.getOrDefault(t.tenant, 0.0) - drained) + 1;
-            last.put(t.tenant, t.micros);
-            beyond.put(t.tenant, now);
-            most.merge(t.tenant, now, Math::max);
-            if (now > limit.bound) {
+                    (job.micros - last.getOrDefault(job.tenant, job.micros))
+                            * limit.perSecond
+                            / 1e6;
+            double current = Math.max(0, excess.getOrDefault(job.tenant, 0.0) - drained) + 1;
+            last.put(job.tenant, job.micros);
+            excess.put(job.tenant, current);
+            maxExcess.merge(job.tenant, current, Math::max);
+            if (current > limit.bound) {
                 breaches.add(
                         new Breach(
                                 "rate",
-                                t.micros,
-                                t.tenant,
+                                job.micros,
+                                job.tenant,
                                 String.format(
-                                        "%.1f beyond the rate, the last by %s", now, t.process)));
+                                        "%.1f jobs above the rate limit, the last one admitted by %s",
+                                        current, job.process)));
             }
         }
-        return new Verdict(breaches, most, inOrder.size());
+        return new Verdict(breaches, maxExcess, inOrder.size());
     }
 }
--- a/rig/src/main/java/postgrade/rig/check/lease/LinearizabilityChecker.java
+++ b/rig/src/main/java/postgrade/rig/check/lease/LinearizabilityChecker.java
@@ -9,38 +9,40 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Whether calls that overlap in time can be put in one order, each between its sending and its
- * answer, in which an object gives those answers. The search of Wing and Gong, with the states that
- * were met kept, as Lowe does.
+ * Checks whether overlapping calls have one order in which the object would give exactly these
+ * answers, with each call placed between its sending and its answer. Implements the search by Wing
+ * and Gong with Lowe's cache of visited states.
  */
 public final class LinearizabilityChecker {
 
     /**
      * A call, or something that the object does by itself.
      *
-     * @param answered {@link Long#MAX_VALUE} where nobody heard of its end: it may or may not have
-     *     happened
-     * @param effect the state after it, or null where the object could not have answered so
+     * @param answered {@link Long#MAX_VALUE} if its end is unknown: it may or may not have taken
+     *     effect
+     * @param effect the state after it, or null if the object could not have given this answer
      */
     public record Call<S>(String name, long sent, long answered, UnaryOperator<S> effect) {}
 
-    private record Met(BitSet done, Object state) {}
+    private record Visited(BitSet done, Object state) {}
 
     private LinearizabilityChecker() {}
 
     /**
-     * @return null where there is such an order, else the call that could be put nowhere
+     * Searches for an order of the calls.
+     *
+     * @return null if there is such an order, else the call that fits nowhere
      */
-    public static <S> Call<S> firstUnexplainedCall(S begin, List<Call<S>> history) {
+    public static <S> Call<S> firstUnexplainedCall(S initialState, List<Call<S>> history) {
         List<Call<S>> calls = new ArrayList<>(history);
         calls.sort(Comparator.comparingLong(Call::sent));
         int n = calls.size();
         BitSet done = new BitSet(n);
-        Set<Met> met = new HashSet<>();
-        List<Integer> taken = new ArrayList<>();
-        List<S> states = new ArrayList<>(List.of(begin));
+        Set<Visited> visited = new HashSet<>();
+        List<Integer> order = new ArrayList<>();
+        List<S> states = new ArrayList<>(List.of(initialState));
         int next = 0;
-        int farthest = 0;
+        int longestOrder = 0;
         Call<S> stuck = null;
         while (true) {
             int answeredFirst = earliestAnswer(calls, done);
@@ -49,7 +51,7 @@
             }
             long bound = calls.get(answeredFirst).answered;
             S state = states.get(states.size() - 1);
-            boolean went = false;
+            boolean advanced = false;
             for (int i = Math.max(next, done.nextClearBit(0));
                     i < n && calls.get(i).sent <= bound;
                     i++) {
@@ -58,26 +60,26 @@
                     continue;
                 }
                 done.set(i);
-                if (met.add(new Met((BitSet) done.clone(), after))) {
-                    taken.add(i);
+                if (visited.add(new Visited((BitSet) done.clone(), after))) {
+                    order.add(i);
                     states.add(after);
                     next = 0;
-                    went = true;
+                    advanced = true;
                     break;
                 }
                 done.clear(i);
             }
-            if (went) {
+            if (advanced) {
                 continue;
             }
-            if (taken.size() >= farthest) {
-                farthest = taken.size();
+            if (order.size() >= longestOrder) {
+                longestOrder = order.size();
                 stuck = calls.get(answeredFirst);
             }
-            if (taken.isEmpty()) {
+            if (order.isEmpty()) {
                 return stuck;
             }
-            int last = taken.remove(taken.size() - 1);
+            int last = order.remove(order.size() - 1);
             states.remove(states.size() - 1);
             done.clear(last);
             next = last + 1;
@@ -85,15 +87,14 @@
     }
 
     /**
-     * Of the calls that still have to be put in order, the one that was answered first; -1 where
-     * there is none.
+     * Returns the call that was answered first among those not yet placed; -1 if none is left that
+     * was answered.
      */
     private static <S> int earliestAnswer(List<Call<S>> calls, BitSet done) {
         int first = -1;
         for (int i = done.nextClearBit(0); i < calls.size(); i = done.nextClearBit(i + 1)) {
             if (first >= 0 && calls.get(i).sent > calls.get(first).answered) {
-                break; // They are in the order of their sending: no later one can have been
-                // answered before.
+                break; // Calls are sorted by sending: no later one can have been answered earlier.
             }
             if (calls.get(i).answered < Long.MAX_VALUE
                     && (first < 0 || calls.get(i).answered < calls.get(first).answered)) {
--- a/rig/src/main/java/postgrade/rig/cost/Cost.java
+++ b/rig/src/main/java/postgrade/rig/cost/Cost.java
@@ -16,16 +16,16 @@
 import postgrade.rig.serve.SharingScript;
 
 /**
- * What sharing costs a dispatcher's processor: one that shares nothing, an observer and a voter
- * under the same steady rate, in blocks by turns within one run; while one is under load the others
- * idle, which tells what sharing costs without jobs. Takes {@code key=value}: out, fleet,
- * dispatchers, rates, block (seconds), rounds, warm (seconds).
+ * Measures how much processor time sharing costs a dispatcher: a dispatcher without sharing, an
+ * observer and a voter get the same steady load in alternating blocks within one run. While one is
+ * under load the others idle, which shows the cost of sharing without jobs. Takes {@code key=value}
+ * arguments: out, fleet, dispatchers, rates, block (seconds), rounds, warm (seconds).
  */
 public final class Cost {
 
     private static final int VOTERS = 3;
 
-    private static final Map<String, String> USUAL =
+    private static final Map<String, String> DEFAULTS =
             Map.of(
                     "out",
                     "found/cost",
@@ -45,30 +45,38 @@
     private final List<Subject> subjects = new ArrayList<>();
     private final List<Block> blocks = new ArrayList<>();
 
-    /** A dispatcher that is measured, and who sends to it alone. */
-    private record Subject(String mode, long pid, LoadGenerator shops, Path ledger) {}
+    /** A dispatcher under measurement and the load generator that sends to it alone. */
+    private record Subject(String mode, long pid, LoadGenerator load, Path ledger) {}
 
     /**
-     * @param rate jobs a second to this one meanwhile, 0 where it idled
+     * One block of load and the processor time used in it, in nanoseconds.
+     *
+     * @param rate jobs per second sent to this dispatcher, 0 if it idled
      */
     private record Block(
-            String mode, int rate, long from, long to, long loop, long sharing, long all) {}
+            String mode,
+            int rate,
+            long from,
+            long to,
+            long loopNanos,
+            long sharingNanos,
+            long totalNanos) {}
 
     private Cost(Options options) {
         this.options = options;
     }
 
     public static void main(String[] args) throws Exception {
-        new Cost(Options.of("cost", USUAL, args)).run();
+        new Cost(Options.of("cost", DEFAULTS, args)).run();
     }
 
     private void run() throws Exception {
         Path out = Path.of(options.text("out"));
         Files.createDirectories(out);
         String text = Files.readString(Path.of(options.text("fleet")));
-        try (DispatcherCluster alone = serving(out.resolve("off"), text, null);
+        try (DispatcherCluster alone = openCluster(out.resolve("off"), text, null);
                 DispatcherCluster sharing =
-                        serving(
+                        openCluster(
                                 out.resolve("on"),
                                 text.replaceFirst("seed = ", "seed = 7"),
                                 SharingScript.direct(""))) {
@@ -86,7 +94,7 @@
                         60_000,
                         a -> a.json().getBoolean("joined", false));
             }
-            // A voter that does not lead: the leader's own work beside is in
+            // A voter that does not lead: the leader's additional work is in
             // docs/measurements/quorum.md.
             String leader =
                     sharing.awaitAnswer(
@@ -104,14 +112,14 @@
                             .filter(v -> !v.equals(leader))
                             .findFirst()
                             .orElseThrow();
-            subject("off", alone, "n1", out);
-            subject("observer", sharing, sharing.names().get(VOTERS), out);
-            subject("voter", sharing, voter, out);
+            addSubject("off", alone, "n1", out);
+            addSubject("observer", sharing, sharing.names().get(VOTERS), out);
+            addSubject("voter", sharing, voter, out);
             try {
                 measure();
             } finally {
                 for (Subject s : subjects) {
-                    s.shops.close();
+                    s.load.close();
                 }
             }
         }
@@ -120,18 +128,18 @@
         System.out.print(table);
     }
 
-    private DispatcherCluster serving(
+    private DispatcherCluster openCluster(
             Path folder, String text, DispatcherCluster.ScriptFactory script)
             throws IOException, InterruptedException {
-        DispatcherCluster.Options o = new DispatcherCluster.Options();
-        o.dispatchers = options.whole("dispatchers");
-        o.voters = VOTERS;
-        o.plan = FleetPlan.of("fleet.star", text);
-        o.sharing = script;
-        return new DispatcherCluster(folder, o);
+        DispatcherCluster.Options clusterOptions = new DispatcherCluster.Options();
+        clusterOptions.dispatchers = options.integer("dispatchers");
+        clusterOptions.voters = VOTERS;
+        clusterOptions.plan = FleetPlan.of("fleet.star", text);
+        clusterOptions.sharing = script;
+        return new DispatcherCluster(folder, clusterOptions);
     }
 
-    private void subject(String mode, DispatcherCluster s, String name, Path out)
+    private void addSubject(String mode, DispatcherCluster cluster, String name, Path out)
             throws IOException {
         FleetPlan plan =
                 FleetPlan.of("fleet.star", Files.readString(Path.of(options.text("fleet"))));
@@ -153,9 +161,11 @@
         subjects.add(
                 new Subject(
                         mode,
-                        s.cluster().process(name).pid(),
+                        cluster.cluster().process(name).pid(),
                         new LoadGenerator(
-                                List.of(s.clientAddresses().get(s.names().indexOf(name))),
+                                List.of(
+                                        cluster.clientAddresses()
+                                                .get(cluster.names().indexOf(name))),
                                 kinds,
                                 subjects.size() + 1,
                                 ledger),
@@ -168,30 +178,30 @@
                         .mapToInt(Integer::parseInt)
                         .toArray();
         for (Subject s : subjects) {
-            s.shops.setRate(rates[rates.length - 1]);
+            s.load.setRate(rates[rates.length - 1]);
         }
-        TimeUnit.SECONDS.sleep(options.whole("warm"));
+        TimeUnit.SECONDS.sleep(options.integer("warm"));
         for (Subject s : subjects) {
-            s.shops.finish();
+            s.load.finish();
         }
-        for (int round = 0; round < options.whole("rounds"); round++) {
+        for (int round = 0; round < options.integer("rounds"); round++) {
             for (int rate : rates) {
                 for (int i = 0; i < subjects.size(); i++) {
-                    block(subjects.get((i + round) % subjects.size()), rate);
+                    runBlock(subjects.get((i + round) % subjects.size()), rate);
                 }
             }
         }
     }
 
-    private void block(Subject loaded, int rate) throws IOException, InterruptedException {
-        loaded.shops.setRate(rate);
-        TimeUnit.SECONDS.sleep(1); // Of connections that are opened anew; not measured.
+    private void runBlock(Subject loaded, int rate) throws IOException, InterruptedException {
+        loaded.load.setRate(rate);
+        TimeUnit.SECONDS.sleep(1); // Time in which connections are opened again; not measured.
         long from = Clock.micros();
         List<ThreadTimes> before = new ArrayList<>();
         for (Subject s : subjects) {
             before.add(ThreadTimes.of(s.pid));
         }
-        TimeUnit.SECONDS.sleep(options.whole("block"));
+        TimeUnit.SECONDS.sleep(options.integer("block"));
         for (int i = 0; i < subjects.size(); i++) {
             Subject s = subjects.get(i);
             long to = Clock.micros();
@@ -202,28 +212,28 @@
                             s == loaded ? rate : 0,
                             from,
                             to,
-                            after.since(before.get(i), ThreadTimes.LOOP),
-                            after.since(before.get(i), ThreadTimes.SHARING),
-                            after.all() - before.get(i).all()));
+                            after.cpuNanosSince(before.get(i), ThreadTimes.LOOP),
+                            after.cpuNanosSince(before.get(i), ThreadTimes.SHARING),
+                            after.totalNanos() - before.get(i).totalNanos()));
         }
-        loaded.shops.finish();
+        loaded.load.finish();
     }
 
-    // ---- What came out.
+    // ---- Results.
 
     private String table() throws IOException {
-        StringBuilder s =
+        StringBuilder text =
                 new StringBuilder(
                         "| dispatcher | jobs/s | s | jobs served | loop | sharing | all |\n"
                                 + "| --- | --- | --- | --- | --- | --- | --- |\n");
-        for (Subject of : subjects) {
+        for (Subject subject : subjects) {
             List<Long> served =
-                    LedgerReader.read(of.ledger).stream()
+                    LedgerReader.read(subject.ledger).stream()
                             .filter(l -> l.event().equals("answer") && l.number("status") == 200)
                             .map(LedgerReader.Line::micros)
                             .toList();
             blocks.stream()
-                    .filter(b -> b.mode.equals(of.mode))
+                    .filter(b -> b.mode.equals(subject.mode))
                     .map(Block::rate)
                     .distinct()
                     .sorted()
@@ -233,7 +243,7 @@
                                         blocks.stream()
                                                 .filter(
                                                         b ->
-                                                                b.mode.equals(of.mode)
+                                                                b.mode.equals(subject.mode)
                                                                         && b.rate == rate)
                                                 .toList();
                                 double seconds =
@@ -249,26 +259,27 @@
                                                                                                 && at
                                                                                                         < b.to))
                                                 .count();
-                                s.append(
+                                text.append(
                                         String.format(
                                                 "| %s | %d | %.0f | %d |",
-                                                of.mode, rate, seconds, jobs));
-                                // Microseconds a job under load; of each second where it idles.
-                                double by = rate == 0 ? seconds : jobs;
-                                s.append(
+                                                subject.mode, rate, seconds, jobs));
+                                // Microseconds per job under load; per second for an idle
+                                // dispatcher.
+                                double divisor = rate == 0 ? seconds : jobs;
+                                text.append(
                                         String.format(
                                                 " %.1f | %.1f | %.1f |%n",
-                                                same.stream().mapToLong(Block::loop).sum()
+                                                same.stream().mapToLong(Block::loopNanos).sum()
                                                         / 1e3
-                                                        / by,
-                                                same.stream().mapToLong(Block::sharing).sum()
+                                                        / divisor,
+                                                same.stream().mapToLong(Block::sharingNanos).sum()
                                                         / 1e3
-                                                        / by,
-                                                same.stream().mapToLong(Block::all).sum()
+                                                        / divisor,
+                                                same.stream().mapToLong(Block::totalNanos).sum()
                                                         / 1e3
-                                                        / by));
+                                                        / divisor));
                             });
         }
-        return s.toString();
+        return text.toString();
     }
 }
--- a/rig/src/main/java/postgrade/rig/history/HistoryReader.java
+++ b/rig/src/main/java/postgrade/rig/history/HistoryReader.java
@@ -10,8 +10,8 @@
 import java.util.List;
 
 /**
- * Reads histories that were kept. A last line cut off by the rig's death is passed over; any other
- * is an error.
+ * Reads history files. A last line that is cut off because the rig died is skipped; any other
+ * unreadable line is an error.
  */
 public final class HistoryReader {
 
@@ -22,16 +22,17 @@
         List<History.Event> events = new ArrayList<>();
         for (int i = 0; i < lines.size(); i++) {
             try {
-                JsonObject o = Json.parse(lines.get(i)).asObject();
+                JsonObject object = Json.parse(lines.get(i)).asObject();
                 events.add(
                         new History.Event(
-                                o.get("us").asLong(),
-                                o.get("who").asString(),
-                                o.get("kind").asString(),
-                                o.get("with").asObject()));
+                                object.get("us").asLong(),
+                                object.get("who").asString(),
+                                object.get("kind").asString(),
+                                object.get("with").asObject()));
             } catch (ParseException | NullPointerException | UnsupportedOperationException e) {
                 if (i + 1 < lines.size()) {
-                    throw new IOException(file.getFileName() + ":" + (i + 1) + " is no event", e);
+                    throw new IOException(
+                            file.getFileName() + ":" + (i + 1) + " is not a history event", e);
                 }
             }
         }
--- a/rig/src/main/java/postgrade/rig/jobs/JobProxy.java
+++ b/rig/src/main/java/postgrade/rig/jobs/JobProxy.java
@@ -16,8 +16,8 @@
 import postgrade.rig.proxy.SocketReset;
 
 /**
- * Stands between one dispatcher and one worker and puts faults into their exchanges. What it did is
- * written to the history.
+ * Forwards the exchanges between one dispatcher and one worker and injects faults into them. Each
+ * fault is recorded in the history.
  */
 public final class JobProxy implements Closeable {
 
@@ -31,15 +31,15 @@
     private final History history;
     private final ServerSocket listener;
     private final Set<ProxiedConnection> open = ConcurrentHashMap.newKeySet();
-    private final Map<String, Overtaking> overtaken = new ConcurrentHashMap<>();
-    private volatile FaultSelector faults = FaultSelector.NONE;
+    private final Map<String, OvertakingLatch> overtakings = new ConcurrentHashMap<>();
+    private volatile FaultSelector faultSelector = FaultSelector.NONE;
     private volatile boolean closed;
 
     /**
-     * Listens at once.
+     * Starts to listen.
      *
-     * @param dispatcher that connects here, counted from 0
-     * @param clock runs what is due later
+     * @param dispatcher index of the connecting dispatcher, from 0
+     * @param clock runs delayed actions
      */
     public JobProxy(
             int dispatcher,
@@ -54,15 +54,15 @@
         this.history = history;
         this.clock = clock;
         listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
-        daemon("accepts for " + worker, this::accept).start();
+        daemonThread("accepts for " + worker, this::accept).start();
     }
 
-    /** Faults of exchanges that begin from now on. */
-    public void setFaultSelector(FaultSelector choice) {
-        faults = choice;
+    /** Selects faults for exchanges that begin from now on. */
+    public void setFaultSelector(FaultSelector selector) {
+        faultSelector = selector;
     }
 
-    /** Where it listens, as {@code host:port}. */
+    /** Address of the listener as {@code host:port}. */
     public String address() {
         return "127.0.0.1:" + listener.getLocalPort();
     }
@@ -71,10 +71,11 @@
         while (!closed) {
             try {
                 Socket dispatcherSide = listener.accept();
-                daemon("connects to " + worker, () -> connect(dispatcherSide)).start();
+                daemonThread("connects to " + worker, () -> connect(dispatcherSide)).start();
             } catch (IOException e) {
                 if (!closed) {
-                    throw new IllegalStateException("the proxy of " + worker + " lost its port", e);
+                    throw new IllegalStateException(
+                            "the proxy for " + worker + " cannot accept connections any more", e);
                 }
             }
         }
@@ -87,21 +88,21 @@
             workerSide.setTcpNoDelay(true);
             workerSide.connect(target, CONNECT_MILLIS);
         } catch (IOException e) {
-            // A dead process refuses: whoever connects sees a reset.
+            // Connecting to a dead process is refused; the dispatcher sees a reset.
             SocketReset.reset(dispatcherSide);
             SocketReset.reset(workerSide);
             return;
         }
         ProxiedConnection connection = new ProxiedConnection(this, dispatcherSide, workerSide);
         open.add(connection);
-        connection.begin();
+        connection.start();
     }
 
-    ExchangeFault choose(RawMessage request, int number) {
+    ExchangeFault selectFault(RawMessage request, int number) {
         FaultSelector.Exchange exchange =
                 new FaultSelector.Exchange(
                         dispatcher, worker, request.subject(), request.isJob(), number);
-        ExchangeFault fault = faults.select(exchange);
+        ExchangeFault fault = faultSelector.select(exchange);
         if (fault.kind() != ExchangeFault.Kind.NONE) {
             history.add(
                     "proxy",
@@ -116,23 +117,23 @@
         return fault;
     }
 
-    /** A fault that was chosen has come about. */
-    void wasPut(ExchangeFault fault) {
+    /** Reports that a selected fault was injected. */
+    void faultInjected(ExchangeFault fault) {
         if (fault.kind() != ExchangeFault.Kind.NONE) {
-            faults.faultInjected(fault.kind());
+            faultSelector.faultInjected(fault.kind());
         }
     }
 
-    /** What a job and its cancellation wait for. */
-    Overtaking overtaking(String subject) {
-        return overtaken.computeIfAbsent(subject, key -> new Overtaking());
+    /** Returns the latch that a job and its cancellation share. */
+    OvertakingLatch overtaking(String subject) {
+        return overtakings.computeIfAbsent(subject, key -> new OvertakingLatch());
     }
 
-    void ended(ProxiedConnection connection) {
+    void connectionEnded(ProxiedConnection connection) {
         open.remove(connection);
     }
 
-    static Thread daemon(String name, Runnable task) {
+    static Thread daemonThread(String name, Runnable task) {
         Thread thread = new Thread(task, "proxy " + name);
         thread.setDaemon(true);
         return thread;
--- a/rig/src/main/java/postgrade/rig/proxy/FaultProxy.java
+++ b/rig/src/main/java/postgrade/rig/proxy/FaultProxy.java
@@ -14,22 +14,21 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Stands between one process that connects and one that listens, and spoils what passes. All
- * switches work while it runs, on connections that are open and on later ones. Its port is bound
- * once and kept to the end; where it leads may change, so that a process started again may listen
- * on another port.
+ * TCP proxy that injects faults between a connecting and a listening process. All switches work at
+ * run time, on open and on later connections. Its port is bound once and kept to the end; its
+ * target may change, so that a restarted process may listen on another port.
  */
 public final class FaultProxy implements Closeable {
 
     private static final int CONNECT_MS = 2000;
     private static final int BACKLOG = 256;
 
-    /** What went through, for bounds on how much is asked. */
+    /** Traffic through the proxy, for checks that bound the number of requests and bytes. */
     public record Counts(long connections, long bytesOut, long bytesBack) {}
 
     private final String name;
     private final ServerSocket listener;
-    private final Set<Passage> open = ConcurrentHashMap.newKeySet();
+    private final Set<ForwardedConnection> open = ConcurrentHashMap.newKeySet();
     private final Map<Direction, Boolean> cut =
             new EnumMap<>(Map.of(Direction.OUT, false, Direction.BACK, false));
     private final Map<Direction, Long> delayNanos =
@@ -41,12 +40,15 @@
     private volatile boolean refusing;
     private volatile boolean closed;
 
-    /** For connections to come: so many bytes of a way, then the end. Below 0: no end. */
-    private Direction endWay = Direction.OUT;
+    /**
+     * Later connections are closed after this many bytes in {@code closeDirection}; negative:
+     * never.
+     */
+    private Direction closeDirection = Direction.OUT;
 
-    private long endAfter = -1;
+    private long closeAfterBytes = -1;
 
-    /** Listens at once. Connections are reset until it leads somewhere. */
+    /** Starts to listen. Connections are reset until a target is set. */
     public FaultProxy(String name) throws IOException {
         this.name = name;
         listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
@@ -70,12 +72,12 @@
     // ---- Switches.
 
     /**
-     * Nothing passes that way from now on, on any connection. What is sent meanwhile comes when it
-     * is healed.
+     * Blocks a direction on all connections. Bytes that are sent meanwhile are delivered after
+     * {@link #heal}.
      */
-    public synchronized void cut(Direction way) {
-        cut.put(way, true);
-        open.forEach(p -> p.gate(way).shut(true));
+    public synchronized void cut(Direction direction) {
+        cut.put(direction, true);
+        open.forEach(p -> p.gate(direction).setBlocked(true));
     }
 
     public void cut() {
@@ -83,10 +85,13 @@
         cut(Direction.BACK);
     }
 
-    /** Bytes pass again both ways, at once and to their end. */
+    /**
+     * Ends cuts, delays and refusals, and the byte limit for later connections. Held bytes are
+     * forwarded at once. Stalled connections stay stalled.
+     */
     public synchronized void heal() {
         refusing = false;
-        endAfter = -1;
+        closeAfterBytes = -1;
         notifyAll();
         for (Direction w : Direction.values()) {
             cut.put(w, false);
@@ -95,46 +100,44 @@
                     .filter(p -> !p.stalled())
                     .forEach(
                             p -> {
-                                p.gate(w).shut(false);
-                                p.gate(w).delay(0);
+                                p.gate(w).setBlocked(false);
+                                p.gate(w).setDelay(0);
                             });
         }
     }
 
-    /** What is read passes so much later; a stream of small pieces up to twice as late. */
-    public synchronized void delay(Direction way, long millis) {
-        delayNanos.put(way, millis * 1_000_000);
-        open.forEach(p -> p.gate(way).delay(millis * 1_000_000));
-    }
-
     /**
-     * The connections that are open now say nothing any more and never end by themselves; later
-     * ones are well.
+     * Delays what is read by this time; a stream of small pieces may be delayed up to twice as
+     * long.
      */
+    public synchronized void delay(Direction direction, long millis) {
+        delayNanos.put(direction, millis * 1_000_000);
+        open.forEach(p -> p.gate(direction).setDelay(millis * 1_000_000));
+    }
+
+    /** Silences the connections that are open now without closing them; later connections work. */
     public synchronized void stall() {
-        open.forEach(Passage::stall);
+        open.forEach(ForwardedConnection::stall);
     }
 
-    /** Resets both sides of all connections that are open. */
+    /** Resets both sides of all open connections. */
     public void reset() {
-        open.forEach(Passage::reset);
+        open.forEach(ForwardedConnection::reset);
     }
 
-    /** Resets connections as soon as they come; those that are open go on. */
-    public void setRefusing(boolean now) {
-        refusing = now;
+    /** Sets whether new connections are reset on arrival; open connections remain. */
+    public void setRefusing(boolean refuse) {
+        refusing = refuse;
     }
 
-    /**
-     * All connections, open and later ones, end once so many more bytes of that way have passed.
-     */
-    public synchronized void closeAfter(Direction way, long more) {
-        endWay = way;
-        endAfter = more;
-        open.forEach(p -> p.closeAfter(way, more));
+    /** Closes each connection, open or later, after this many further bytes in that direction. */
+    public synchronized void closeAfter(Direction direction, long moreBytes) {
+        closeDirection = direction;
+        closeAfterBytes = moreBytes;
+        open.forEach(p -> p.closeAfter(direction, moreBytes));
     }
 
-    // ---- What it sees.
+    // ---- Observations.
 
     public Counts counts() {
         return new Counts(
@@ -148,63 +151,66 @@
     private void accept() {
         while (!closed) {
             try {
-                Socket from = listener.accept();
+                Socket downstream = listener.accept();
                 connections.incrementAndGet();
-                InetSocketAddress to = target;
-                if (to == null || refusing) {
-                    SocketReset.reset(from);
+                InetSocketAddress address = target;
+                if (address == null || refusing) {
+                    SocketReset.reset(downstream);
                     continue;
                 }
-                Thread t = new Thread(() -> connect(from, to), "proxy " + name);
+                Thread t = new Thread(() -> connect(downstream, address), "proxy " + name);
                 t.setDaemon(true);
                 t.start();
             } catch (IOException e) {
                 if (!closed) {
-                    throw new IllegalStateException("proxy " + name + " lost its port", e);
+                    throw new IllegalStateException(
+                            "proxy " + name + " cannot accept connections any more", e);
                 }
             }
         }
     }
 
-    private void connect(Socket from, InetSocketAddress to) {
-        Socket there = new Socket();
-        if (!awaitPassable()) {
-            SocketReset.reset(from);
+    private void connect(Socket downstream, InetSocketAddress address) {
+        Socket upstream = new Socket();
+        if (!awaitHealed()) {
+            SocketReset.reset(downstream);
             return;
         }
         try {
-            from.setTcpNoDelay(true);
-            there.setTcpNoDelay(true);
-            there.connect(to, CONNECT_MS);
+            downstream.setTcpNoDelay(true);
+            upstream.setTcpNoDelay(true);
+            upstream.connect(address, CONNECT_MS);
         } catch (IOException e) {
-            // A dead process refuses: whoever connects sees a reset, but not through a cut.
-            awaitPassable();
-            SocketReset.reset(from);
-            SocketReset.reset(there);
+            // Connecting to a dead process is refused: the client sees a reset, but only once no
+            // direction is cut.
+            awaitHealed();
+            SocketReset.reset(downstream);
+            SocketReset.reset(upstream);
             return;
         }
-        Passage p = new Passage(from, there, bytes, open::remove);
+        ForwardedConnection connection =
+                new ForwardedConnection(downstream, upstream, bytes, open::remove);
         synchronized (this) {
             for (Direction w : Direction.values()) {
-                p.gate(w).shut(cut.get(w));
-                p.gate(w).delay(delayNanos.get(w));
+                connection.gate(w).setBlocked(cut.get(w));
+                connection.gate(w).setDelay(delayNanos.get(w));
             }
-            if (endAfter >= 0) {
-                p.closeAfter(endWay, endAfter);
+            if (closeAfterBytes >= 0) {
+                connection.closeAfter(closeDirection, closeAfterBytes);
             }
-            open.add(p);
+            open.add(connection);
         }
         if (closed) {
-            p.reset();
+            connection.reset();
         }
-        p.begin(name);
+        connection.start(name);
     }
 
     /**
-     * A connection through a cut does not come up until it is healed, whether or not somebody
-     * listens beyond.
+     * Waits until no direction is cut. A connection through a cut is not established before the cut
+     * is healed, whether or not the target listens.
      */
-    private synchronized boolean awaitPassable() {
+    private synchronized boolean awaitHealed() {
         try {
             while (cut.containsValue(true) && !closed) {
                 wait();
@@ -223,6 +229,6 @@
             notifyAll();
         }
         listener.close();
-        List.copyOf(open).forEach(Passage::reset);
+        List.copyOf(open).forEach(ForwardedConnection::reset);
     }
 }
--- a/rig/src/main/java/postgrade/rig/serve/DispatcherCluster.java
+++ b/rig/src/main/java/postgrade/rig/serve/DispatcherCluster.java
@@ -26,23 +26,23 @@
 import postgrade.rig.process.JavaProcess;
 
 /**
- * Real dispatchers, {@code postgrade serve} each, before one stand-in fleet. They are named n1, n2
- * and so on.
+ * Real dispatchers, each started as {@code postgrade serve}, in front of one simulated fleet of
+ * workers. They are named n1, n2 and so on.
  */
 public final class DispatcherCluster implements Closeable {
 
-    private static final int STEP_MS = 10;
+    private static final int POLL_MS = 10;
 
-    /** Writes the script by which a dispatcher shares; null where it does not. */
+    /** Writes the sharing script of a dispatcher; null for dispatchers that do not share. */
     public interface ScriptFactory {
         String create(String name, Cluster cluster, List<String> voters);
     }
 
-    /** What is to be started. */
+    /** Describes the dispatchers to start. */
     public static final class Options {
         public int dispatchers = 3;
 
-        /** The first so many vote. */
+        /** Number of voters; these are the first dispatchers. */
         public int voters = 3;
 
         public FleetPlan plan;
@@ -50,69 +50,71 @@
         public Map<String, String> environment = new HashMap<>();
         public int fleetThreads = 2;
 
-        /** Descriptors that a dispatcher may hold; 0 for the fleet's own figure. */
+        /**
+         * File descriptors that a dispatcher may hold; 0 for the limit that the fleet configures.
+         */
         public int sockets;
 
-        /** How many dispatchers the settings tell of; 0 for as many as there are. */
+        /** Number of dispatchers stated in the settings; 0 for the actual number. */
         public int configuredDispatchers;
 
-        /** A proxy stands between each dispatcher and each worker. */
+        /** Whether there is a proxy between each dispatcher and each worker. */
         public boolean proxied;
     }
 
-    private final Options o;
+    private final Options clusterOptions;
     private final Path folder;
     private final Fleet fleet;
     private final JobProxies proxies;
     private final Cluster cluster;
     private final List<String> names = new ArrayList<>();
     private final List<String> voters;
-    private final Map<String, InetSocketAddress> consumers = new LinkedHashMap<>();
-    private final Map<String, HeldPort> operators = new LinkedHashMap<>();
+    private final Map<String, InetSocketAddress> clientAddresses = new LinkedHashMap<>();
+    private final Map<String, HeldPort> operatorPorts = new LinkedHashMap<>();
     private final Map<String, Map<String, String>> environments = new HashMap<>();
 
     /**
-     * Where the processes of one dispatcher find each other: the system takes no socket with a path
-     * as long as a test's.
+     * Holds the sockets through which processes of one dispatcher find each other. A test's own
+     * folder would make the socket paths longer than the system permits.
      */
-    private final Path links;
+    private final Path socketFolder;
 
     public DispatcherCluster(Path folder, Options options)
             throws IOException, InterruptedException {
-        o = options;
+        clusterOptions = options;
         this.folder = folder;
-        for (int i = 0; i < o.dispatchers; i++) {
+        for (int i = 0; i < clusterOptions.dispatchers; i++) {
             names.add("n" + (i + 1));
         }
-        voters = names.subList(0, o.voters);
-        links = Files.createTempDirectory("rig");
-        cluster = new Cluster(folder, names, o.sharing == null ? List.of() : voters);
+        voters = names.subList(0, clusterOptions.voters);
+        socketFolder = Files.createTempDirectory("rig");
+        cluster = new Cluster(folder, names, clusterOptions.sharing == null ? List.of() : voters);
         proxies = new JobProxies(cluster.history());
         fleet =
                 new Fleet(
-                        o.plan,
+                        clusterOptions.plan,
                         folder,
-                        o.dispatchers,
-                        o.fleetThreads,
-                        o.proxied ? proxies : Fleet.AddressView.DIRECT);
+                        clusterOptions.dispatchers,
+                        clusterOptions.fleetThreads,
+                        clusterOptions.proxied ? proxies : Fleet.AddressView.DIRECT);
         for (int i = 0; i < names.size(); i++) {
-            InetSocketAddress at = fleet.dispatchers().get(i);
-            consumers.put(names.get(i), at);
-            operators.put(names.get(i), new HeldPort());
+            InetSocketAddress address = fleet.dispatchers().get(i);
+            clientAddresses.put(names.get(i), address);
+            operatorPorts.put(names.get(i), new HeldPort());
             configure(i);
         }
-        cluster.setProcessFactory(this::recipe);
+        cluster.setProcessFactory(this::processBuilder);
         fleet.begin();
     }
 
     /**
-     * Starts a new version of a dispatcher beside the one that runs, which is handed back. The new
-     * one has an operators' port of its own, to which calls of that name go from here on; {@code
-     * formerly} is a name for those to the former.
+     * Starts a new version of a dispatcher beside the running one, which is returned. The new
+     * process has an operator port of its own, which calls by {@code name} reach from then on;
+     * calls by {@code formerName} reach the former process.
      */
-    public JavaProcess upgrade(String name, String formerly) throws IOException {
-        operators.put(formerly, operators.get(name));
-        operators.put(name, new HeldPort());
+    public JavaProcess upgrade(String name, String formerName) throws IOException {
+        operatorPorts.put(formerName, operatorPorts.get(name));
+        operatorPorts.put(name, new HeldPort());
         configure(names.indexOf(name));
         return cluster.startBeside(name);
     }
@@ -120,25 +122,25 @@
     private void configure(int index) throws IOException {
         String name = names.get(index);
         JsonObject json = Json.parse(Files.readString(fleet.configurationOf(index))).asObject();
-        json.set("operator", "127.0.0.1:" + operators.get(name).port());
-        if (o.sockets > 0) {
-            json.get("limits").asObject().set("sockets", o.sockets);
+        json.set("operator", "127.0.0.1:" + operatorPorts.get(name).port());
+        if (clusterOptions.sockets > 0) {
+            json.get("limits").asObject().set("sockets", clusterOptions.sockets);
         }
-        if (o.configuredDispatchers > 0) {
-            json.get("settings").asObject().set("balancers", o.configuredDispatchers);
+        if (clusterOptions.configuredDispatchers > 0) {
+            json.get("settings").asObject().set("balancers", clusterOptions.configuredDispatchers);
         }
-        if (o.sharing != null) {
+        if (clusterOptions.sharing != null) {
             Path script = cluster.folder(name).resolve("sharing.star");
-            Files.writeString(script, o.sharing.create(name, cluster, voters));
+            Files.writeString(script, clusterOptions.sharing.create(name, cluster, voters));
             json.set("sharing", script.toAbsolutePath().toString());
         }
         Files.writeString(fleet.configurationOf(index), json.toString());
     }
 
-    private JavaProcess.Builder recipe(String name) throws IOException {
-        Path own = links.resolve(name);
-        Files.createDirectories(own);
-        JavaProcess.Builder s =
+    private JavaProcess.Builder processBuilder(String name) throws IOException {
+        Path processFolder = socketFolder.resolve(name);
+        Files.createDirectories(processFolder);
+        JavaProcess.Builder builder =
                 new JavaProcess.Builder(
                                 name, "postgrade.cli.Postgrade", "--log-format", "json", "serve")
                         .environment(
@@ -146,13 +148,13 @@
                                 fleet.configurationOf(names.indexOf(name))
                                         .toAbsolutePath()
                                         .toString())
-                        .environment("TMPDIR", own.toAbsolutePath().toString());
-        o.environment.forEach(s::environment);
-        environments.getOrDefault(name, Map.of()).forEach(s::environment);
-        return s;
+                        .environment("TMPDIR", processFolder.toAbsolutePath().toString());
+        clusterOptions.environment.forEach(builder::environment);
+        environments.getOrDefault(name, Map.of()).forEach(builder::environment);
+        return builder;
     }
 
-    /** For one process, from its next start on. */
+    /** Sets a variable for one process, from its next start on. */
     public void environment(String name, String variable, String value) {
         environments.computeIfAbsent(name, n -> new HashMap<>()).put(variable, value);
     }
@@ -174,10 +176,13 @@
     }
 
     public FleetPlan plan() {
-        return o.plan;
+        return clusterOptions.plan;
     }
 
-    /** What stands before the workers; nothing passes it unless asked for by the options. */
+    /**
+     * Returns the proxies to the workers; they carry traffic only if {@link Options#proxied} is
+     * set.
+     */
     public JobProxies proxies() {
         return proxies;
     }
@@ -187,12 +192,12 @@
     }
 
     public List<InetSocketAddress> clientAddresses() {
-        return List.copyOf(consumers.values());
+        return List.copyOf(clientAddresses.values());
     }
 
-    /** The operator's step at a voter that does not run. */
+    /** Begins an era at a voter that is not running, as an operator does. */
     public void beginEra(String name, long era) throws IOException, InterruptedException {
-        try (JavaProcess p =
+        try (JavaProcess process =
                 new JavaProcess.Builder(
                                 name,
                                 "postgrade.cli.Postgrade",
@@ -204,9 +209,9 @@
                                 "--era",
                                 Long.toString(era))
                         .start(cluster.history())) {
-            if (p.awaitExit() != 0) {
+            if (process.awaitExit() != 0) {
                 throw new IllegalStateException(
-                        "era " + era + " has not begun at " + name + ": " + lastOf(name));
+                        "era " + era + " has not begun at " + name + ": " + lastEvents(name));
             }
         }
     }
@@ -220,32 +225,32 @@
         }
     }
 
-    /** Waits until it takes jobs, and notes when that was seen first. */
+    /** Waits until the dispatcher accepts jobs, and records when that was first observed. */
     public long awaitReady(String name, long withinMillis)
             throws IOException, InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMillis);
-        while (System.nanoTime() < end && cluster.process(name).alive()) {
-            try (Socket s = new Socket()) {
-                s.connect(consumers.get(name), 500);
-                s.setSoTimeout(500);
-                s.getOutputStream()
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMillis);
+        while (System.nanoTime() < deadlineNanos && cluster.process(name).alive()) {
+            try (Socket socket = new Socket()) {
+                socket.connect(clientAddresses.get(name), 500);
+                socket.setSoTimeout(500);
+                socket.getOutputStream()
                         .write(
                                 "GET /-/ready HTTP/1.1\r\n\r\n"
                                         .getBytes(StandardCharsets.ISO_8859_1));
-                if (new String(s.getInputStream().readNBytes(12), StandardCharsets.ISO_8859_1)
+                if (new String(socket.getInputStream().readNBytes(12), StandardCharsets.ISO_8859_1)
                         .endsWith("200")) {
                     return cluster.history().add(name, "ready", new JsonObject()).micros();
                 }
             } catch (IOException e) {
-                // Not up yet; whether it ever will be is told by the loop's bounds.
+                // Not up yet; the time limit and the check of the process end the loop.
             }
-            TimeUnit.MILLISECONDS.sleep(STEP_MS);
+            TimeUnit.MILLISECONDS.sleep(POLL_MS);
         }
         throw new IllegalStateException(
-                name + " did not become ready; the last of it: " + lastOf(name));
+                name + " did not become ready; its last events: " + lastEvents(name));
     }
 
-    private List<History.Event> lastOf(String name) {
+    private List<History.Event> lastEvents(String name) {
         List<History.Event> own =
                 cluster.history().all().stream().filter(e -> e.who().equals(name)).toList();
         return own.subList(Math.max(0, own.size() - 5), own.size());
@@ -253,12 +258,12 @@
 
     public OperatorCall.Answer call(String method, String name, String path, String body)
             throws IOException, InterruptedException {
-        return OperatorCall.send(method, operators.get(name).address(), path, body);
+        return OperatorCall.send(method, operatorPorts.get(name).address(), path, body);
     }
 
     /**
-     * Asks until the answer is the one sought; each answer that differs from the last is kept in
-     * the history.
+     * Repeats a call until its answer meets the condition. Each answer that differs from the
+     * previous one is recorded in the history.
      */
     public OperatorCall.Answer awaitAnswer(
             String what,
@@ -267,31 +272,31 @@
             String path,
             String body,
             long withinMillis,
-            java.util.function.Predicate<OperatorCall.Answer> sought)
+            java.util.function.Predicate<OperatorCall.Answer> condition)
             throws InterruptedException {
-        long end = Clock.micros() + withinMillis * 1000;
+        long deadlineMicros = Clock.micros() + withinMillis * 1000;
         OperatorCall.Answer last = null;
         while (true) {
             try {
-                OperatorCall.Answer now = call(method, name, path, body);
-                if (!now.equals(last)) {
+                OperatorCall.Answer answer = call(method, name, path, body);
+                if (!answer.equals(last)) {
                     cluster.history()
                             .add(
                                     name,
                                     "told",
                                     new JsonObject()
                                             .add("path", path)
-                                            .add("status", now.status())
-                                            .add("text", now.text()));
+                                            .add("status", answer.status())
+                                            .add("text", answer.text()));
                 }
-                last = now;
-                if (sought.test(now)) {
-                    return now;
+                last = answer;
+                if (condition.test(answer)) {
+                    return answer;
                 }
             } catch (IOException e) {
-                // It is down, or on its way up.
+                // The process is down or starting.
             }
-            if (Clock.micros() > end) {
+            if (Clock.micros() > deadlineMicros) {
                 throw new IllegalStateException(
                         "no "
                                 + what
@@ -299,10 +304,10 @@
                                 + name
                                 + " within "
                                 + withinMillis
-                                + " ms; last "
+                                + " ms; last answer: "
                                 + last);
             }
-            TimeUnit.MILLISECONDS.sleep(STEP_MS);
+            TimeUnit.MILLISECONDS.sleep(POLL_MS);
         }
     }
 
@@ -311,10 +316,10 @@
         cluster.close();
         proxies.close();
         fleet.close();
-        for (HeldPort p : operators.values()) {
+        for (HeldPort p : operatorPorts.values()) {
             p.close();
         }
-        DiskFaults.wipe(links);
-        Files.delete(links);
+        DiskFaults.wipe(socketFolder);
+        Files.delete(socketFolder);
     }
 }
--- a/rig/src/main/java/postgrade/rig/soak/SoakPlan.java
+++ b/rig/src/main/java/postgrade/rig/soak/SoakPlan.java
@@ -10,22 +10,22 @@
 import postgrade.rig.soak.ProcessFault.Kind;
 
 /**
- * What one run of the soak does, drawn from its seed.
+ * Plan of one run of the soak test, drawn from its seed.
  *
- * @param fleet the plan of the stand-in fleet, with the troubles of its workers
- * @param toldDispatchers how many there are by the configuration: the more, the sooner a job that
- *     has not begun is moved to another worker
- * @param jobsPerSecond over all dispatchers
+ * @param fleet plan of the simulated fleet, with the faults of its workers
+ * @param configuredDispatchers number of dispatchers stated in the configuration: the greater it
+ *     is, the sooner a job that has not begun is moved to another worker
+ * @param jobsPerSecond rate over all dispatchers
  * @param loadMillis for how long jobs are sent
- * @param exchangeFaults per mille of the exchanges with workers
+ * @param exchangeFaults probability of each kind in an exchange with a worker, in per mille
  * @param processFaults in the order of their times
- * @param idleClients connections that each dispatcher holds and that say nothing
+ * @param idleClients number of silent connections to each dispatcher
  */
 record SoakPlan(
         long seed,
         String fleet,
         int dispatchers,
-        int toldDispatchers,
+        int configuredDispatchers,
         double jobsPerSecond,
         long loadMillis,
         Map<ExchangeFault.Kind, Double> exchangeFaults,
@@ -34,13 +34,13 @@
 
     static final long DEADLINE_MILLIS = 3000;
 
-    /** A process that was told to end may be killed no sooner after that. */
+    /** Earliest time after SIGTERM at which a process may be killed. */
     static final long TERM_TO_KILL_MILLIS = DEADLINE_MILLIS + 700;
 
     private static final long LOAD_MILLIS = 12_000;
     private static final int DISPATCHERS = 3;
-    private static final int CROWD = 600;
-    private static final int TIGHT_AIM_PART = 2;
+    private static final int IDLE_CLIENTS = 600;
+    private static final int TIGHT_AIM_DIVISOR = 2;
     private static final int MANY_DISPATCHERS = 16;
 
     private static final String FLEET =
@@ -58,14 +58,14 @@
             faults = [%s]
             """;
 
-    /** The plan of a seed. */
+    /** Draws the plan of a seed. */
     static SoakPlan of(long seed) {
         SplittableRandom random = new SplittableRandom(seed * 7919 + 13);
         Map<ExchangeFault.Kind, Double> exchangeFaults = exchangeFaults(random);
         List<ProcessFault> processFaults = processFaults(random);
         boolean movesJobs = movesJobs(seed, exchangeFaults);
-        String fleet = fleet(seed, random, movesJobs ? TIGHT_AIM_PART : 1);
-        int idleClients = random.nextInt(4) == 0 ? CROWD : 0;
+        String fleet = fleet(seed, random, movesJobs ? TIGHT_AIM_DIVISOR : 1);
+        int idleClients = random.nextInt(4) == 0 ? IDLE_CLIENTS : 0;
         return new SoakPlan(
                 seed,
                 fleet,
@@ -78,7 +78,7 @@
                 idleClients);
     }
 
-    /** Two or three kinds are frequent in a run, all others rare. */
+    /** Usually two or three kinds are frequent in a run, all others are rare. */
     private static Map<ExchangeFault.Kind, Double> exchangeFaults(SplittableRandom random) {
         Map<ExchangeFault.Kind, Double> perMille = new EnumMap<>(ExchangeFault.Kind.class);
         for (ExchangeFault.Kind kind : ExchangeFault.Kind.values()) {
@@ -103,45 +103,46 @@
         return faults;
     }
 
-    private static String fleet(long seed, SplittableRandom random, int aimPart) {
-        List<String> troubles = new ArrayList<>();
+    private static String fleet(long seed, SplittableRandom random, int aimDivisor) {
+        List<String> workerFaults = new ArrayList<>();
         if (random.nextInt(2) == 0) {
-            troubles.add(
-                    fault("silence", 2 + random.nextInt(4), 0.5 + random.nextDouble() * 2, 0.34));
+            workerFaults.add(
+                    workerFault(
+                            "silence", 2 + random.nextInt(4), 0.5 + random.nextDouble() * 2, 0.34));
         }
         if (random.nextInt(3) == 0) {
-            troubles.add(fault("pauses", 1, 8, 0.34));
+            workerFaults.add(workerFault("pauses", 1, 8, 0.34));
         }
         if (random.nextInt(3) == 0) {
-            troubles.add(fault("restart", 3 + random.nextInt(3), 3, 0.34));
+            workerFaults.add(workerFault("restart", 3 + random.nextInt(3), 3, 0.34));
         }
         if (random.nextInt(3) == 0) {
-            troubles.add(fault("drain", 4 + random.nextInt(3), 3, 0.17));
+            workerFaults.add(workerFault("drain", 4 + random.nextInt(3), 3, 0.17));
         }
         if (random.nextInt(3) == 0) {
-            troubles.add(fault("fast_errors", 2, 5, 0.17));
+            workerFaults.add(workerFault("fast_errors", 2, 5, 0.17));
         }
         return String.format(
                 Locale.ROOT,
                 FLEET,
                 seed,
                 DEADLINE_MILLIS,
-                400 / aimPart,
+                400 / aimDivisor,
                 DEADLINE_MILLIS,
-                800 / aimPart,
+                800 / aimDivisor,
                 DEADLINE_MILLIS,
-                600 / aimPart,
+                600 / aimDivisor,
                 random.nextDouble() * 0.3,
                 random.nextDouble() * 0.5,
                 random.nextInt(2) == 0 ? 0 : random.nextInt(60),
                 random.nextDouble() * 3,
-                String.join(", ", troubles));
+                String.join(", ", workerFaults));
     }
 
     /**
-     * Whether a job that is held back is moved to another worker while it is held, so that its
-     * cancellation can overtake it and a second attempt follows: where that is frequent, and in
-     * half of the other runs.
+     * Whether a job that is held back is moved to another worker in the meantime, so that its
+     * cancellation can overtake it and a second attempt follows: in runs where overtaking is
+     * frequent, and in half of the others.
      */
     private static boolean movesJobs(long seed, Map<ExchangeFault.Kind, Double> exchangeFaults) {
         double overtaken = exchangeFaults.get(ExchangeFault.Kind.OVERTAKEN);
@@ -149,7 +150,7 @@
                 || new SplittableRandom(seed).nextBoolean();
     }
 
-    private static String fault(String kind, double atSeconds, double lasts, double part) {
+    private static String workerFault(String kind, double atSeconds, double lasts, double part) {
         return String.format(
                 Locale.ROOT,
                 "fault(\"%s\", at = %.1f, lasts = %.1f, part = %.2f)",
