--- a/rig/src/main/java/postgrade/rig/check/LogCheck.java
+++ b/rig/src/main/java/postgrade/rig/check/LogCheck.java
@@ -6,20 +6,29 @@
 import java.util.Map;
 
 /**
- * Whether the replicated log was one log: no index ever carried two entries, no entry that was
- * answered for was lost, none was carried out twice, and what one process saw only went forward.
+ * Checks that the replicated log is a single log: no index carries two different entries, no
+ * acknowledged entry is lost, none is applied twice, and the views of one process only advance.
  */
 public final class LogCheck {
 
-    /** What a replica carried out at an index: a digest of the entry and of all before it. */
+    /**
+     * An entry that a replica applied at an index. The digest covers the entry and all entries
+     * before it.
+     */
     public record Applied(String process, long incarnation, long era, long index, String digest) {}
 
     /**
-     * What a caller was told was done. @param key unique to the call @param index at which it was
+     * A call that was acknowledged to its caller.
+     *
+     * @param key unique to the call
+     * @param index at which the entry was applied
      */
     public record Acknowledged(String key, long era, long index) {}
 
-    /** A view that a process took, in the order in which it did. */
+    /**
+     * A view that a process adopted. Views are given in the order in which the process adopted
+     * them.
+     */
     public record ObservedView(String process, long incarnation, long era, long index) {}
 
     private LogCheck() {}
@@ -51,21 +60,24 @@
     }
 
     /**
-     * @param present how often each key stands in the end state
+     * Checks that each acknowledged call was applied exactly once.
+     *
+     * @param present how often each key occurs in the final state
      */
-    public static List<Breach> durability(List<Acknowledged> told, Map<String, Long> present) {
+    public static List<Breach> durability(
+            List<Acknowledged> acknowledged, Map<String, Long> present) {
         List<Breach> breaches = new ArrayList<>();
-        for (Acknowledged t : told) {
-            long times = present.getOrDefault(t.key, 0L);
+        for (Acknowledged call : acknowledged) {
+            long times = present.getOrDefault(call.key, 0L);
             if (times != 1) {
                 breaches.add(
                         new Breach(
                                 times == 0 ? "lost" : "twice",
-                                t.index,
-                                t.key,
-                                "answered for at index "
-                                        + t.index
-                                        + ", carried out "
+                                call.index,
+                                call.key,
+                                "acknowledged at index "
+                                        + call.index
+                                        + ", applied "
                                         + times
                                         + " times"));
             }
@@ -73,22 +85,23 @@
         return breaches;
     }
 
-    public static List<Breach> monotonicViews(List<ObservedView> viewed) {
+    public static List<Breach> monotonicViews(List<ObservedView> views) {
         Map<String, ObservedView> last = new HashMap<>();
         List<Breach> breaches = new ArrayList<>();
-        for (ObservedView v : viewed) {
-            ObservedView before = last.put(v.process + "/" + v.incarnation, v);
+        for (ObservedView view : views) {
+            ObservedView before = last.put(view.process + "/" + view.incarnation, view);
             if (before != null
-                    && (v.era < before.era || v.era == before.era && v.index < before.index)) {
+                    && (view.era < before.era
+                            || view.era == before.era && view.index < before.index)) {
                 breaches.add(
                         new Breach(
                                 "backward",
-                                v.index,
-                                v.process,
+                                view.index,
+                                view.process,
                                 "view of "
-                                        + v.era
+                                        + view.era
                                         + "/"
-                                        + v.index
+                                        + view.index
                                         + " after "
                                         + before.era
                                         + "/"
--- a/rig/src/main/java/postgrade/rig/jobs/JobProxies.java
+++ b/rig/src/main/java/postgrade/rig/jobs/JobProxies.java
@@ -11,16 +11,17 @@
 import postgrade.fleet.net.Fleet;
 import postgrade.rig.history.History;
 
-/** A proxy between every dispatcher and every worker that its list names. */
+/** Proxies between every dispatcher and every worker in its list. */
 public final class JobProxies implements Fleet.AddressView, Closeable {
 
     private final History history;
     private final Map<String, JobProxy> proxies = new HashMap<>();
     private final ScheduledExecutorService clock =
-            Executors.newSingleThreadScheduledExecutor(task -> JobProxy.daemon("clock", task));
-    private FaultSelector faults = FaultSelector.NONE;
+            Executors.newSingleThreadScheduledExecutor(
+                    task -> JobProxy.daemonThread("clock", task));
+    private FaultSelector faultSelector = FaultSelector.NONE;
 
-    /** What the proxies do goes to this history. */
+    /** Records what the proxies do in this history. */
     public JobProxies(History history) {
         this.history = history;
     }
@@ -40,17 +41,17 @@
                         Integer.parseInt(address.substring(colon + 1)));
         try {
             JobProxy proxy = new JobProxy(dispatcher, worker, target, history, clock);
-            proxy.setFaultSelector(faults);
+            proxy.setFaultSelector(faultSelector);
             return proxy;
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    /** Faults of exchanges that begin from now on. */
-    public synchronized void setFaultSelector(FaultSelector choice) {
-        faults = choice;
-        proxies.values().forEach(proxy -> proxy.setFaultSelector(choice));
+    /** Selects faults for exchanges that begin from now on. */
+    public synchronized void setFaultSelector(FaultSelector selector) {
+        faultSelector = selector;
+        proxies.values().forEach(proxy -> proxy.setFaultSelector(selector));
     }
 
     @Override
--- a/rig/src/main/java/postgrade/rig/load/Target.java
+++ b/rig/src/main/java/postgrade/rig/load/Target.java
@@ -10,22 +10,24 @@
 import java.util.Locale;
 import java.util.concurrent.ConcurrentLinkedDeque;
 
-/** One dispatcher as consumers see it: connections that are kept, one request at a time on each. */
+/**
+ * One dispatcher as its clients see it: persistent connections with one request at a time on each.
+ */
 final class Target {
 
     private static final int CONNECT_MS = 1000;
-    private static final long IDLE_NANOS = 4_000_000_000L;
-    private static final int LOOK_MS = 1;
-    private static final int MOST_LINE = 1 << 14;
+    private static final long MAX_IDLE_NANOS = 4_000_000_000L;
+    private static final int PEEK_TIMEOUT_MS = 1;
+    private static final int MAX_LINE_LENGTH = 1 << 14;
 
-    record Answer(int status, String body, boolean keep) {}
+    record Answer(int status, String body, boolean keepAlive) {}
 
     final String name;
     private final InetSocketAddress address;
-    private final ConcurrentLinkedDeque<Line> idle = new ConcurrentLinkedDeque<>();
-    volatile long passedOverUntil;
+    private final ConcurrentLinkedDeque<Connection> idle = new ConcurrentLinkedDeque<>();
+    volatile long skippedUntilMicros;
 
-    /** Whether the front sends it new connections; those that are open are used all the same. */
+    /** Whether new connections to it are opened; open connections are used in any case. */
     volatile boolean admitted = true;
 
     Target(String name, InetSocketAddress address) {
@@ -33,45 +35,48 @@
         this.address = address;
     }
 
-    /** A connection, or null where none can be had. */
-    Line line() {
-        for (Line l = idle.pollLast(); l != null; l = idle.pollLast()) {
-            if (System.nanoTime() - l.sinceNanos < IDLE_NANOS && !l.endedByPeer()) {
-                return l;
+    /** Returns an idle or new connection, or null if none is available. */
+    Connection connection() {
+        for (Connection connection = idle.pollLast();
+                connection != null;
+                connection = idle.pollLast()) {
+            if (System.nanoTime() - connection.idleSinceNanos < MAX_IDLE_NANOS
+                    && !connection.endedByPeer()) {
+                return connection;
             }
-            l.close();
+            connection.close();
         }
         if (!admitted) {
             return null;
         }
         try {
-            return new Line(address);
+            return new Connection(address);
         } catch (IOException e) {
             return null;
         }
     }
 
-    void back(Line line, boolean keep) {
-        if (keep) {
-            line.used = true;
-            line.sinceNanos = System.nanoTime();
-            idle.addLast(line);
+    void release(Connection connection, boolean keepAlive) {
+        if (keepAlive) {
+            connection.reused = true;
+            connection.idleSinceNanos = System.nanoTime();
+            idle.addLast(connection);
         } else {
-            line.close();
+            connection.close();
         }
     }
 
     void close() {
-        idle.forEach(Line::close);
+        idle.forEach(Connection::close);
     }
 
-    static final class Line {
+    static final class Connection {
         private final Socket socket = new Socket();
         private final InputStream in;
-        private boolean used;
-        private long sinceNanos;
+        private boolean reused;
+        private long idleSinceNanos;
 
-        Line(InetSocketAddress to) throws IOException {
+        Connection(InetSocketAddress to) throws IOException {
             try {
                 socket.connect(to, CONNECT_MS);
                 socket.setTcpNoDelay(true);
@@ -82,10 +87,13 @@
             }
         }
 
-        /** Whether the other side has ended it meanwhile; what it says instead is its end too. */
+        /**
+         * Whether the peer has closed the connection while it was idle; unsolicited data counts as
+         * closed too.
+         */
         boolean endedByPeer() {
             try {
-                socket.setSoTimeout(LOOK_MS);
+                socket.setSoTimeout(PEEK_TIMEOUT_MS);
                 in.read();
                 return true;
             } catch (SocketTimeoutException e) {
@@ -95,37 +103,40 @@
             }
         }
 
-        boolean used() {
-            return used;
+        boolean reused() {
+            return reused;
         }
 
         Answer exchange(String request, long withinMillis) throws IOException {
             socket.setSoTimeout((int) withinMillis);
             socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
-            String[] status = text().split(" ");
+            String[] status = readLine().split(" ");
             int length = 0;
-            boolean keep = true;
-            for (String line = text(); !line.isEmpty(); line = text()) {
+            boolean keepAlive = true;
+            for (String line = readLine(); !line.isEmpty(); line = readLine()) {
                 String[] field = line.toLowerCase(Locale.ROOT).split(":", 2);
                 if (field[0].equals("content-length")) {
                     length = Integer.parseInt(field[1].strip());
                 } else if (field[0].equals("connection") && field[1].strip().equals("close")) {
-                    keep = false;
+                    keepAlive = false;
                 }
             }
             byte[] body = in.readNBytes(length);
             if (body.length < length) {
-                throw new IOException("cut off within the body");
+                throw new IOException("connection closed within the response body");
             }
             return new Answer(
-                    Integer.parseInt(status[1]), new String(body, StandardCharsets.UTF_8), keep);
+                    Integer.parseInt(status[1]),
+                    new String(body, StandardCharsets.UTF_8),
+                    keepAlive);
         }
 
-        private String text() throws IOException {
+        private String readLine() throws IOException {
             StringBuilder line = new StringBuilder();
             for (int c = in.read(); c != '\n'; c = in.read()) {
-                if (c < 0 || line.length() > MOST_LINE) {
-                    throw new IOException("ended within the head");
+                if (c < 0 || line.length() > MAX_LINE_LENGTH) {
+                    throw new IOException(
+                            "response head is truncated or has a line that is too long");
                 }
                 if (c != '\r') {
                     line.append((char) c);
@@ -138,7 +149,7 @@
             try {
                 socket.close();
             } catch (IOException e) {
-                // It is of no use either way.
+                // The connection is discarded in any case.
             }
         }
     }
--- a/rig/src/main/java/postgrade/rig/proxy/Gate.java
+++ b/rig/src/main/java/postgrade/rig/proxy/Gate.java
@@ -5,28 +5,28 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * What holds bytes of one way up. Bytes that are held are not lost: as with a cut cable, they come
- * when it is healed.
+ * Holds back the bytes of one direction. Held bytes are not lost: as with an unplugged cable, they
+ * are delivered once the connection is healed.
  */
 final class Gate {
 
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition changed = lock.newCondition();
-    private boolean shut;
+    private boolean blocked;
     private boolean ended;
     private long delayNanos;
 
-    void shut(boolean now) {
+    void setBlocked(boolean block) {
         lock.lock();
         try {
-            shut = now;
+            blocked = block;
             changed.signalAll();
         } finally {
             lock.unlock();
         }
     }
 
-    void delay(long nanos) {
+    void setDelay(long nanos) {
         lock.lock();
         try {
             delayNanos = nanos;
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Lets all waiters go, with the word that nothing passes any more. */
+    /** Releases all waiting threads; nothing passes any more. */
     void end() {
         lock.lock();
         try {
@@ -48,19 +48,19 @@
     }
 
     /**
-     * Waits until what was read at that time may pass.
+     * Waits until data that was read at that time may pass.
      *
      * @return false once nothing passes any more
      */
-    boolean pass(long readNanos) throws InterruptedException {
+    boolean awaitOpen(long readNanos) throws InterruptedException {
         lock.lock();
         try {
             while (!ended) {
-                long left = readNanos + delayNanos - System.nanoTime();
-                if (shut) {
+                long remainingNanos = readNanos + delayNanos - System.nanoTime();
+                if (blocked) {
                     changed.await();
-                } else if (left > 0) {
-                    changed.await(left, TimeUnit.NANOSECONDS);
+                } else if (remainingNanos > 0) {
+                    changed.await(remainingNanos, TimeUnit.NANOSECONDS);
                 } else {
                     return true;
                 }
--- a/rig/src/main/java/postgrade/rig/serve/SharingScript.java
+++ b/rig/src/main/java/postgrade/rig/serve/SharingScript.java
@@ -3,37 +3,37 @@
 import java.util.List;
 import postgrade.rig.cluster.Cluster;
 
-/** The scripts by which dispatchers of the rig share. */
+/** Sharing scripts of the dispatchers in the rig. */
 public final class SharingScript {
 
     private SharingScript() {}
 
-    /** Voters at their own ports, with nothing between. */
+    /** Voters are reached directly at their own ports. */
     public static DispatcherCluster.ScriptFactory direct(String more) {
         return (name, cluster, voters) -> script(name, cluster, voters, false) + more;
     }
 
-    /** Each process finds the others through the proxies between. */
+    /** Each process reaches the others through the proxies. */
     public static DispatcherCluster.ScriptFactory proxied(String more) {
         return (name, cluster, voters) -> script(name, cluster, voters, true) + more;
     }
 
     private static String script(
             String name, Cluster cluster, List<String> voters, boolean proxied) {
-        StringBuilder s =
+        StringBuilder text =
                 new StringBuilder(
                         "name = \""
                                 + name
                                 + "\"\nstore = \""
                                 + cluster.store(name).toAbsolutePath()
                                 + "\"\nvoters = [\n");
-        for (String v : voters) {
-            s.append("    voter(\"")
-                    .append(v)
+        for (String voter : voters) {
+            text.append("    voter(\"")
+                    .append(voter)
                     .append("\", \"127.0.0.1\", ")
-                    .append(cluster.port(proxied ? name : v, v))
+                    .append(cluster.port(proxied ? name : voter, voter))
                     .append("),\n");
         }
-        return s.append("]\n").toString();
+        return text.append("]\n").toString();
     }
 }
--- a/rig/src/main/java/postgrade/rig/soak/Soak.java
+++ b/rig/src/main/java/postgrade/rig/soak/Soak.java
@@ -7,14 +7,14 @@
 import postgrade.rig.disk.DiskFaults;
 
 /**
- * Runs the soak for a row of seeds: {@code --seeds N --first S [--out FOLDER] [--lenient]}. Writes
- * a line a seed, and below it what broke a rule. Ends with 1 where a rule was broken, with 2 where
- * it is called wrongly.
+ * Runs the soak test for consecutive seeds: {@code --seeds N --first S [--out FOLDER] [--lenient]}.
+ * Prints a line for each seed, followed by the violations of rules. Exits with 1 if a rule was
+ * broken or a run was not clean, with 2 on wrong usage.
  */
 public final class Soak {
 
-    private static final int BROKEN = 1;
-    private static final int USAGE = 2;
+    private static final int EXIT_RULE_BROKEN = 1;
+    private static final int EXIT_USAGE = 2;
 
     private int seeds = 1;
     private long first = 1;
@@ -23,19 +23,19 @@
 
     private Soak() {}
 
-    /** Runs it. */
+    /** Entry point of the program. */
     public static void main(String[] arguments) throws Exception {
         Soak soak = new Soak();
         try {
-            soak.read(arguments);
+            soak.parse(arguments);
         } catch (IllegalArgumentException | ArrayIndexOutOfBoundsException e) {
             System.err.println("soak: --seeds N --first S [--out FOLDER] [--lenient]");
-            System.exit(USAGE);
+            System.exit(EXIT_USAGE);
         }
-        System.exit(soak.run() ? 0 : BROKEN);
+        System.exit(soak.run() ? 0 : EXIT_RULE_BROKEN);
     }
 
-    private void read(String[] arguments) {
+    private void parse(String[] arguments) {
         for (int i = 0; i < arguments.length; i++) {
             switch (arguments[i]) {
                 case "--seeds" -> seeds = Integer.parseInt(arguments[++i]);
@@ -56,7 +56,7 @@
         return clean == seeds;
     }
 
-    /** A run that cannot be played to its end is no clean one, and the next goes on. */
+    /** A run that cannot be completed is not clean; the next seed is run all the same. */
     private boolean isClean(long seed) throws IOException, InterruptedException {
         try {
             return run(seed, limits, out.resolve("seed-" + seed)).isClean();
@@ -66,7 +66,7 @@
         }
     }
 
-    /** Runs one seed and tells of it. What it wrote stays in the folder. */
+    /** Runs one seed and prints the result. The files of the run remain in the folder. */
     static SoakResult run(long seed, SoakLimits limits, Path folder)
             throws IOException, InterruptedException, ExecutionException {
         Files.createDirectories(folder);
--- a/rig/src/test/java/postgrade/rig/check/lease/LeaseChecksTest.java
+++ b/rig/src/test/java/postgrade/rig/check/lease/LeaseChecksTest.java
@@ -15,7 +15,7 @@
 import postgrade.rig.check.lease.LeaseUseCheck.Use;
 import postgrade.rig.check.lease.LinearizabilityChecker.Call;
 
-/** Each check is silent on a sound history and speaks where a violation is seeded into it. */
+/** Each check accepts a valid history and reports a violation inserted into it. */
 class LeaseChecksTest {
 
     private static final long NEVER = Long.MAX_VALUE;
@@ -25,8 +25,8 @@
     }
 
     @Test
-    void anAcceleratorUsedForTwoAtOnceIsSeen() {
-        List<Use> sound =
+    void detectsAcceleratorUsedByTwoHolders() {
+        List<Use> uses =
                 new ArrayList<>(
                         List.of(
                                 use(1, "n1", "ana", 5),
@@ -34,9 +34,9 @@
                                 use(10, "n1", "ivo", 7),
                                 use(12, "n2", "ivo", 7),
                                 use(13, "n1", "ivo", 9)));
-        assertEquals(List.of(), LeaseUseCheck.mutualExclusion(sound));
-        sound.add(use(10, "n2", "ana", 5));
-        assertEquals("exclusion", LeaseUseCheck.mutualExclusion(sound).get(0).what());
+        assertEquals(List.of(), LeaseUseCheck.mutualExclusion(uses));
+        uses.add(use(10, "n2", "ana", 5));
+        assertEquals("exclusion", LeaseUseCheck.mutualExclusion(uses).get(0).what());
         assertEquals(
                 1,
                 LeaseUseCheck.mutualExclusion(
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void whatIsUsedTooLongOrEndsTooSoonIsSeen() {
+    void detectsLateUseAndEarlyExpiry() {
         List<Grant> grants =
                 List.of(
                         new Grant("ana", 5, 3000, 900, 1000, NEVER),
@@ -78,8 +78,8 @@
     }
 
     @Test
-    void grantsThatNoOrderExplainsAreSeen() {
-        List<Call<State>> sound =
+    void detectsNonLinearizableGrants() {
+        List<Call<State>> valid =
                 List.of(
                         call(0, 10, LeaseModel.granted("h", 3, 3)),
                         call(1, 9, LeaseModel.refused(2)),
@@ -88,7 +88,7 @@
                         call(30, NEVER, LeaseModel.rested(3)),
                         call(31, 40, LeaseModel.granted("h", 8, 1)),
                         call(35, 50, LeaseModel.notFound("h", 3)));
-        assertNull(LeaseModel.firstViolation(2, sound));
+        assertNull(LeaseModel.firstViolation(2, valid));
         assertNotNull(
                 LeaseModel.firstViolation(
                         2,
@@ -102,14 +102,14 @@
                         List.of(
                                 call(0, 10, LeaseModel.granted("h", 5, 1)),
                                 call(11, 20, LeaseModel.granted("h", 4, 2)))),
-                "the fence went back");
+                "the fence decreased");
         assertNotNull(
                 LeaseModel.firstViolation(
                         2,
                         List.of(
                                 call(0, 10, LeaseModel.granted("h", 5, 1)),
                                 call(11, 20, LeaseModel.notFound("h", 5)))),
-                "gone, though nothing ended it");
+                "not found, although nothing ended it");
         assertNotNull(
                 LeaseModel.firstViolation(
                         2,
@@ -117,19 +117,19 @@
                                 call(0, 10, LeaseModel.granted("h", 5, 3)),
                                 call(11, 20, LeaseModel.ended("h", 5)),
                                 call(21, 22, LeaseModel.granted("h", 9, 1)))),
-                "granted before it had rested");
+                "granted before the grace period was over");
         assertNotNull(
                 LeaseModel.firstViolation(2, List.of(call(0, 10, LeaseModel.refused(2)))),
-                "refused, though all were free");
+                "refused, although all accelerators were free");
     }
 
     @Test
-    void longHistoriesOfManyCallersAreJudged() {
+    void judgesLongConcurrentHistories() {
         for (int seed = 0; seed < 20; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             List<Call<State>> history = new ArrayList<>();
             long fence = 0;
-            // Each call takes effect at 10 i + 5 and is stretched over its neighbours.
+            // Each call takes effect at 10 i + 5 and overlaps its neighbours.
             for (int i = 0; i < 400; i++) {
                 long at = 10L * i + 5;
                 UnaryOperator<State> effect =
--- a/rig/src/test/java/postgrade/rig/lease/LeaseCalls.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseCalls.java
@@ -8,19 +8,19 @@
 import postgrade.rig.history.History;
 
 /**
- * Calls of holders, each repeated under its id through one process or another until it is decided;
- * all are kept.
+ * Sends calls of holders and records them. Each call is repeated under its id, alternating between
+ * the observers, until it is decided.
  */
 final class LeaseCalls {
 
-    private static final long WITHIN_MILLIS = 400;
-    private static final long PATIENCE_MICROS = 60_000_000;
+    private static final long ANSWER_TIMEOUT_MILLIS = 400;
+    private static final long DECISION_TIMEOUT_MICROS = 60_000_000;
 
     /**
-     * One call that was decided.
+     * A decided call.
      *
-     * @param sent when it was first sent @param ended when its answer came, both by the machine's
-     *     monotonic clock
+     * @param sent when it was first sent, by the machine's monotonic clock, in microseconds
+     * @param ended when its answer arrived, by the same clock
      */
     record Call(
             String holder,
@@ -80,12 +80,14 @@
         this.cluster = cluster;
     }
 
-    static long stamp() {
+    static long monotonicMicros() {
         return System.nanoTime() / 1000;
     }
 
     /**
-     * @throws IllegalStateException where nobody decides it for a minute
+     * Sends a call until it is decided.
+     *
+     * @throws IllegalStateException if it is not decided within a minute
      */
     Call call(
             String holder,
@@ -93,24 +95,25 @@
             long ttlMillis,
             int accelerators,
             String verb,
-            String more)
+            String arguments)
             throws InterruptedException {
         String id = cluster.freshId();
-        String words =
-                verb + " holder=" + holder + " site=z incarnation=" + incarnation + " " + more;
-        long sent = stamp();
-        int through = ThreadLocalRandom.current().nextInt(2);
-        while (stamp() - sent < PATIENCE_MICROS) {
+        String command =
+                verb + " holder=" + holder + " site=z incarnation=" + incarnation + " " + arguments;
+        long sent = monotonicMicros();
+        int observer = ThreadLocalRandom.current().nextInt(2);
+        while (monotonicMicros() - sent < DECISION_TIMEOUT_MICROS) {
             int from = cluster.history.size();
-            cluster.ask(LeaseCluster.OBSERVERS.get(through++ % 2), id, WITHIN_MILLIS, words);
+            cluster.send(
+                    LeaseCluster.OBSERVERS.get(observer++ % 2), id, ANSWER_TIMEOUT_MILLIS, command);
             try {
-                History.Event e =
+                History.Event reply =
                         cluster.history.await(
                                 "answer to " + id,
                                 from,
-                                WITHIN_MILLIS + 100,
+                                ANSWER_TIMEOUT_MILLIS + 100,
                                 r -> r.kind().equals("reply") && r.text("id").equals(id));
-                if (e.fields().getBoolean("decided", false)) {
+                if (reply.fields().getBoolean("decided", false)) {
                     Call done =
                             new Call(
                                     holder,
@@ -119,28 +122,31 @@
                                     ttlMillis * 1000,
                                     accelerators,
                                     sent,
-                                    stamp(),
-                                    e.text("status"),
-                                    e.text("state").isEmpty() ? e.text("text") : e.text("state"),
-                                    number(e.text("fence")),
-                                    mask(e.text("allotment")));
+                                    monotonicMicros(),
+                                    reply.text("status"),
+                                    reply.text("state").isEmpty()
+                                            ? reply.text("text")
+                                            : reply.text("state"),
+                                    parseFence(reply.text("fence")),
+                                    parseMask(reply.text("allotment")));
                     calls.add(done);
                     cluster.history.add("rig", "call", done.fields());
                     return done;
                 }
                 Thread.sleep(20);
-            } catch (IllegalStateException e) {
-                // Asked again, through the other one.
+            } catch (IllegalStateException reply) {
+                // Not answered in time: retried through the other observer.
             }
         }
-        throw new IllegalStateException(words + " was never decided");
+        throw new IllegalStateException(
+                command + " was not decided within " + DECISION_TIMEOUT_MICROS / 1_000_000 + " s");
     }
 
-    private static long number(String text) {
+    private static long parseFence(String text) {
         return text.isEmpty() ? 0 : Long.parseLong(text);
     }
 
-    private static long mask(String allotment) {
+    private static long parseMask(String allotment) {
         return allotment.startsWith(LeaseNode.WORKER + "=")
                 ? Long.parseLong(allotment.substring(2), 16)
                 : 0;
--- a/rig/src/test/java/postgrade/rig/lease/LeaseCluster.java
+++ b/rig/src/test/java/postgrade/rig/lease/LeaseCluster.java
@@ -18,52 +18,54 @@
 import postgrade.rig.proxy.ProxyMesh;
 
 /**
- * Three voters and two observers in processes of their own, a proxy between every two, clocks 2%
- * apart.
+ * Starts three voters and two observers as separate processes, with a proxy between every two of
+ * them and clock rates up to 2% apart.
  */
 final class LeaseCluster implements Closeable {
 
     static final List<String> VOTERS = List.of("a", "b", "c");
     static final List<String> OBSERVERS = List.of("x", "y");
 
-    /** Parts per million by which a process's clock is off. */
-    private static final Map<String, Integer> RATES =
+    /** Deviation of each process's clock rate, in parts per million. */
+    private static final Map<String, Integer> CLOCK_RATE_PPM =
             Map.of("a", 10_000, "b", -10_000, "c", 0, "x", -10_000, "y", 10_000);
 
-    private static final long PATIENCE_MILLIS = 240_000;
+    private static final long RECOVERY_TIMEOUT_MILLIS = 240_000;
 
     final History history;
     final ProxyMesh mesh;
-    final Map<String, JavaProcess> programs = new ConcurrentHashMap<>();
+    final Map<String, JavaProcess> processes = new ConcurrentHashMap<>();
     private final Map<String, HeldPort> ports = new HashMap<>();
     private final Path folder;
-    private final String[] more;
+    private final String[] jvmProperties;
     private long lastId;
 
     /**
-     * @param more virtual machine's properties for every process
+     * Prepares the cluster; {@link #start()} starts its processes.
+     *
+     * @param jvmProperties JVM options for every process
      */
-    LeaseCluster(Path folder, History history, String... more) throws IOException {
+    LeaseCluster(Path folder, History history, String... jvmProperties) throws IOException {
         this.folder = folder;
         this.history = history;
-        this.more = more;
+        this.jvmProperties = jvmProperties;
         mesh = new ProxyMesh(Stream.concat(VOTERS.stream(), OBSERVERS.stream()).toList(), VOTERS);
-        for (String v : VOTERS) {
-            HeldPort p = new HeldPort();
-            ports.put(v, p);
-            mesh.setTarget(v, p.address());
+        for (String voter : VOTERS) {
+            HeldPort port = new HeldPort();
+            ports.put(voter, port);
+            mesh.setTarget(voter, port.address());
         }
     }
 
-    void begin() throws Exception {
+    void start() throws Exception {
         start("a", "begin");
         for (String n : List.of("b", "c", "x", "y")) {
             start(n);
         }
-        awaitWell();
+        awaitStableLeader();
     }
 
-    void start(String name, String... rest) throws IOException {
+    void start(String name, String... extraArgs) throws IOException {
         String voters =
                 VOTERS.stream()
                         .map(
@@ -80,8 +82,8 @@
                                 name,
                                 folder.resolve(name).toString(),
                                 voters,
-                                RATES.get(name).toString()));
-        args.addAll(List.of(rest));
+                                CLOCK_RATE_PPM.get(name).toString()));
+        args.addAll(List.of(extraArgs));
         List<String> flags =
                 new ArrayList<>(
                         List.of(
@@ -89,8 +91,8 @@
                                 "-XX:TieredStopAtLevel=1",
                                 "-Xmx96m",
                                 "-XX:-UsePerfData"));
-        flags.addAll(List.of(more));
-        programs.put(
+        flags.addAll(List.of(jvmProperties));
+        processes.put(
                 name,
                 new JavaProcess.Builder(
                                 name, LeaseNode.class.getName(), args.toArray(new String[0]))
@@ -99,53 +101,56 @@
     }
 
     /**
-     * Until every voter votes, all three count and all agree on one leader that lives, by what each
-     * said last.
+     * Waits until the latest status of every voter shows it voting, three voters in total, and the
+     * same live leader.
      */
-    void awaitWell() throws InterruptedException {
-        long end = System.nanoTime() + PATIENCE_MILLIS * 1_000_000;
+    void awaitStableLeader() throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + RECOVERY_TIMEOUT_MILLIS * 1_000_000;
         while (leader() == null) {
-            if (System.nanoTime() > end) {
+            if (System.nanoTime() > deadlineNanos) {
                 throw new IllegalStateException(
-                        "not well again within " + PATIENCE_MILLIS + " ms: " + standings());
+                        "no stable leader within "
+                                + RECOVERY_TIMEOUT_MILLIS
+                                + " ms: "
+                                + latestStatuses());
             }
             int from = history.size();
             try {
-                history.await("word of a standing", from, 100, e -> e.kind().equals("standing"));
+                history.await("a status event", from, 100, e -> e.kind().equals("standing"));
             } catch (IllegalStateException e) {
-                // Looked at again.
+                // No status event within 100 ms: the condition is checked again.
             }
         }
     }
 
-    /** The leader on which all three voters agree, or null. */
+    /** Returns the leader on which all three voters agree, or null. */
     String leader() {
-        Map<String, History.Event> said = standings();
+        Map<String, History.Event> latest = latestStatuses();
         String leader = null;
-        for (String v : VOTERS) {
-            History.Event e = said.get(v);
-            if (e == null
-                    || !e.kind().equals("standing")
-                    || !e.text("role").equals("VOTER")
-                    || e.number("voters") != 3
-                    || leader != null && !leader.equals(e.text("leader"))) {
+        for (String voter : VOTERS) {
+            History.Event status = latest.get(voter);
+            if (status == null
+                    || !status.kind().equals("standing")
+                    || !status.text("role").equals("VOTER")
+                    || status.number("voters") != 3
+                    || leader != null && !leader.equals(status.text("leader"))) {
                 return null;
             }
-            leader = e.text("leader");
+            leader = status.text("leader");
         }
         return VOTERS.contains(leader) ? leader : null;
     }
 
-    private Map<String, History.Event> standings() {
-        Map<String, History.Event> said = new HashMap<>();
-        for (History.Event e : history.all()) {
-            if (e.kind().equals("standing")
-                    || e.kind().equals("begun")
-                    || e.kind().equals("ended")) {
-                said.put(e.who(), e);
+    private Map<String, History.Event> latestStatuses() {
+        Map<String, History.Event> latest = new HashMap<>();
+        for (History.Event event : history.all()) {
+            if (event.kind().equals("standing")
+                    || event.kind().equals("begun")
+                    || event.kind().equals("ended")) {
+                latest.put(event.who(), event);
             }
         }
-        return said;
+        return latest;
     }
 
     void wipe(String name) throws IOException {
@@ -158,21 +163,23 @@
         return "q" + ++lastId;
     }
 
-    /** Sends a call through a process; its answer comes as an event {@code reply} with this id. */
-    void ask(String through, String id, long withinMillis, String call) {
+    /**
+     * Sends a command to a process; the answer is recorded as a {@code reply} event with this id.
+     */
+    void send(String process, String id, long timeoutMillis, String command) {
         try {
-            programs.get(through).writeLine(id + " " + withinMillis + " " + call);
+            processes.get(process).writeLine(id + " " + timeoutMillis + " " + command);
         } catch (IOException e) {
-            // It has died; no answer will come.
+            // The process has died: no answer will come.
         }
     }
 
     @Override
     public void close() throws IOException {
-        programs.values().forEach(JavaProcess::close);
+        processes.values().forEach(JavaProcess::close);
         mesh.close();
-        for (HeldPort p : ports.values()) {
-            p.close();
+        for (HeldPort port : ports.values()) {
+            port.close();
         }
     }
 }
