--- a/core/src/main/java/postgrade/dispatch/EndEvidence.java
+++ b/core/src/main/java/postgrade/dispatch/EndEvidence.java
@@ -3,7 +3,7 @@
 /**
  * The evidence that an attempt has ended.
  *
- * @param status the status of the response, for {@link LoadKind#ANSWERED} and {@link
+ * @param status the status of the response, for {@link Kind#ANSWERED} and {@link
  *     Kind#CANCEL_CONFIRMED}; else 0
  */
 public record EndEvidence(Kind kind, int status) {
--- a/rig/src/main/java/postgrade/rig/check/ShareCheck.java
+++ b/rig/src/main/java/postgrade/rig/check/ShareCheck.java
@@ -16,7 +16,7 @@
     /**
      * A process adopted a share.
      *
-     * @param part share of every rate; 0 once the process is dead
+     * @param share of every rate; 0 once the process is dead
      */
     public record ShareChange(long micros, String process, double share) {}
 
